--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -76,21 +76,35 @@
 
 
 @asynccontextmanager
-async def fleet(processes: int, total: float, takes: float) -> AsyncIterator[tuple[list[Rig], Counted]]:
+async def fleet(
+    processes: int, total: float, takes: float
+) -> AsyncIterator[tuple[list[Rig], Counted]]:
     catalogue = await Counted(takes).start()
     with tempfile.TemporaryDirectory() as folder:
         rigs = []
         for at in range(processes):
             (Path(folder) / str(at)).mkdir()
-            rigs.append(Rig(Path(folder) / str(at), name=f"n{at}", catalogue=catalogue, calls_out=total / processes,
-                            n_cores=4, memory_kb=200000, drain_grace=0, stop_ms=1000))
+            rigs.append(
+                Rig(
+                    Path(folder) / str(at),
+                    name=f"n{at}",
+                    catalogue=catalogue,
+                    calls_out=total / processes,
+                    n_cores=4,
+                    memory_kb=200000,
+                    drain_grace=0,
+                    stop_ms=1000,
+                )
+            )
         try:
             yield rigs, catalogue  # type: ignore[misc]
         finally:
             await catalogue.stop()
 
 
-async def play(processes: int, total: float, takes: float, story: str, length: float, seed: int = 1) -> tuple[float, int]:
+async def play(
+    processes: int, total: float, takes: float, story: str, length: float, seed: int = 1
+) -> tuple[float, int]:
     """The worst mean in hand and how many calls were made."""
     chance = Random(seed)
     async with fleet(processes, total, takes) as (rigs, catalogue), AsyncExitStack() as stack:
@@ -104,10 +118,13 @@
             rig.executor.state = "EMPTY"
             tasks.extend((asyncio.create_task(work(rig)), asyncio.create_task(ask(rig))))
             for when in (0.3, 0.6) if story == "restarts" else ():
-                await asyncio.sleep(max(0.0, began + when * length + chance.random() / 2 - time.monotonic()))
+                await asyncio.sleep(
+                    max(0.0, began + when * length + chance.random() / 2 - time.monotonic())
+                )
                 await rig.kill()
                 rig.executor.restart()
                 await rig.begin()
+
         await asyncio.gather(*(live(at, rig) for at, rig in enumerate(rigs)))
         await asyncio.sleep(max(0.0, began + length - time.monotonic()))
         worst, made = catalogue.worst(), len(catalogue.calls)
@@ -152,14 +169,16 @@
                 await stack.enter_async_context(rig)
             tasks = [asyncio.create_task(task) for rig in rigs for task in (work(rig), ask(rig))]
             for _ in range(rounds):
-                again = rigs[:max(1, processes * 4 // 5)]
+                again = rigs[: max(1, processes * 4 // 5)]
                 for rig in again:
                     await rig.kill()
                     rig.executor.restart()
                     if late:
                         rig.executor.up.clear()
                         asyncio.get_running_loop().call_later(late, rig.executor.up.set)
-                spans += [span - late for span in await asyncio.gather(*(start(rig) for rig in again))]
+                spans += [
+                    span - late for span in await asyncio.gather(*(start(rig) for rig in again))
+                ]
             await leave(rigs, tasks)
     finally:
         for other in others:
@@ -170,21 +189,33 @@
 
 async def main(what: str, story: str = "together") -> None:
     if what == "calls":
-        print("| story | processes | N | a call takes, ms | worst mean in 5 s, of five plays | N + 2 x root of N + 2 | calls made |")
+        print(
+            "| story | processes | N | a call takes, ms | worst mean in 5 s, of five plays | N + 2 x root of N + 2 | calls made |"
+        )
         print("| --- | --- | --- | --- | --- | --- | --- |")
         for processes in (20, 30):
             for total in (1, 2, 5, 24):
-                plays = [await play(processes, total, 0.05, story, 10.0, seed) for seed in range(1, 6)]
+                plays = [
+                    await play(processes, total, 0.05, story, 10.0, seed) for seed in range(1, 6)
+                ]
                 worst, made = zip(*plays, strict=True)
-                print(f"| {story} | {processes} | {total} | 50 | {max(worst):.2f} | {bound(total):.1f} | "
-                      f"{min(made)} to {max(made)} |", flush=True)
+                print(
+                    f"| {story} | {processes} | {total} | 50 | {max(worst):.2f} | {bound(total):.1f} | "
+                    f"{min(made)} to {max(made)} |",
+                    flush=True,
+                )
         return
-    print("| processes | cores kept busy by others | executor late by, s | starts | median, s | nine in ten within, s | longest, s |")
+    print(
+        "| processes | cores kept busy by others | executor late by, s | starts | median, s | nine in ten within, s | longest, s |"
+    )
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for processes, busy, late in ((10, 0, 0.0), (30, 0, 0.0), (30, 16, 0.0), (30, 0, 4.0)):
         spans = sorted(await ready(processes, busy, late, 3))
-        print(f"| {processes} | {busy} | {late:g} | {len(spans)} | {statistics.median(spans):.2f} | "
-              f"{spans[int(0.9 * (len(spans) - 1))]:.2f} | {spans[-1]:.2f} |", flush=True)
+        print(
+            f"| {processes} | {busy} | {late:g} | {len(spans)} | {statistics.median(spans):.2f} | "
+            f"{spans[int(0.9 * (len(spans) - 1))]:.2f} | {spans[-1]:.2f} |",
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/distribution_core.py
+++ b/benchmarks/distribution_core.py
@@ -24,10 +24,27 @@
     def __init__(self, entries: int, followers: int, terms: Terms) -> None:
         replica = empty(None)
         for at in range(0, entries, 64):
-            replica.table.put([Entry("", "tenant", f"tenant-{one:06}", value(one)) for one in range(at, min(entries, at + 64))])
+            replica.table.put(
+                [
+                    Entry("", "tenant", f"tenant-{one:06}", value(one))
+                    for one in range(at, min(entries, at + 64))
+                ]
+            )
         self.source = Source(replica, "source", LIFE, (SEAL,), terms, Random(1), NOW, lambda now: 0)
-        self.followers = [Follower(Replica(Table(("", "a")), [SIGN]), f"s{at}", LIFE, "a", [Upstream("source", "a", HERE)], (SEAL,),
-            terms, Random(at), NOW) for at in range(followers)]
+        self.followers = [
+            Follower(
+                Replica(Table(("", "a")), [SIGN]),
+                f"s{at}",
+                LIFE,
+                "a",
+                [Upstream("source", "a", HERE)],
+                (SEAL,),
+                terms,
+                Random(at),
+                NOW,
+            )
+            for at in range(followers)
+        ]
         self.above = self.below = self.worst = 0.0
 
     def tick(self, now: int) -> None:
@@ -66,31 +83,50 @@
         pair.exchange(now)
         now += SECOND // 10
     each = 1000 / FOLLOWERS
-    print(f"at rest, ms a second: a follower {pair.below * each / BEATS:.3f}, its source for it {pair.above * each / BEATS:.3f}")
+    print(
+        f"at rest, ms a second: a follower {pair.below * each / BEATS:.3f}, its source for it {pair.above * each / BEATS:.3f}"
+    )
     for size in (1, 8):
         pair.below, push = 0.0, 0.0
         for number in range(CHANGES):
             head = pair.source.replica.head
             assert head is not None
-            entries = [Entry("", "tenant", f"t{number * 9 + at}", msgpack.packb({"n": number, "x": "y" * 90})) for at in range(size)]
+            entries = [
+                Entry(
+                    "", "tenant", f"t{number * 9 + at}", msgpack.packb({"n": number, "x": "y" * 90})
+                )
+                for at in range(size)
+            ]
             assert pair.source.replica.take(propose(head, "", entries, 1, SIGN)) is None
             begun = process_time()
             pair.source.push(now)
             push += process_time() - begun
             pair.exchange(now)
-        print(f"a change of {size}: {pair.below * each / CHANGES:.3f} ms at a follower, pushed in {push * 1000 * each / CHANGES:.2f} us to one")
+        print(
+            f"a change of {size}: {pair.below * each / CHANGES:.3f} ms at a follower, pushed in {push * 1000 * each / CHANGES:.2f} us to one"
+        )
     newcomer = Pair(NEWCOMERS_ENTRIES, 1, Terms(page_rate=10**9, page_burst=10**9))
     newcomer.tick(NOW)
     newcomer.exchange(NOW)
     counts = newcomer.followers[0].counts
-    print(f"a newcomer to {NEWCOMERS_ENTRIES} entries: {newcomer.below:.2f} s, its source {newcomer.above:.2f} s, {counts.pages} pages, "
-          f"{counts.heard_bytes} bytes, the longest datagram {newcomer.worst * 1000:.2f} ms")
+    print(
+        f"a newcomer to {NEWCOMERS_ENTRIES} entries: {newcomer.below:.2f} s, its source {newcomer.above:.2f} s, {counts.pages} pages, "
+        f"{counts.heard_bytes} bytes, the longest datagram {newcomer.worst * 1000:.2f} ms"
+    )
     for rate in (0, 0.4, 4):
         sent, sent_bytes, heard, heard_bytes = cost(rate)
-        print(f"{rate} changes a second of 300 bytes: sent {sent:.1f} of {sent_bytes:.0f} bytes, heard {heard:.1f} of {heard_bytes:.0f}")
+        print(
+            f"{rate} changes a second of 300 bytes: sent {sent:.1f} of {sent_bytes:.0f} bytes, heard {heard:.1f} of {heard_bytes:.0f}"
+        )
     for rate in (0.4, 4.0):
-        direct, below = [soon(rate, seed, 0) for seed in range(8)], [soon(rate, seed, 3) for seed in range(4)]
-        print(f"{rate} changes a second, s until in force everywhere at worst: {max(direct):.2f}, below relays {max(below):.2f}", flush=True)
+        direct, below = (
+            [soon(rate, seed, 0) for seed in range(8)],
+            [soon(rate, seed, 3) for seed in range(4)],
+        )
+        print(
+            f"{rate} changes a second, s until in force everywhere at worst: {max(direct):.2f}, below relays {max(below):.2f}",
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_shares.py
+++ b/benchmarks/fleet_shares.py
@@ -36,8 +36,13 @@
 def terms(size: int, calls: int) -> Terms:
     """Hundreds report half as often."""
     slow = 2 if size >= 100 else 1
-    return Terms(calls * CALL, max(2, size // 20 + 1), round=slow * 200 * MS, lease=slow * 2000 * MS,
-                 redeal=14_000 * MS + (slow - 1) * 4000 * MS)
+    return Terms(
+        calls * CALL,
+        max(2, size // 20 + 1),
+        round=slow * 200 * MS,
+        lease=slow * 2000 * MS,
+        redeal=14_000 * MS + (slow - 1) * 4000 * MS,
+    )
 
 
 class Seen:
@@ -82,8 +87,14 @@
                     fair[body.name] = fair.get(body.name, 0.0) + body.using / 60
             off = max(abs(share / (calls / size) - 1) for share in fair.values())
             each = (loop.now - before) * size
-            rows.append((f"30 s at rest: {(net.sent - sent) / each:.1f} letters and {(net.bytes - octets) / each:.0f} bytes"
-                         f" a server a second; mean share off by {off:.1%} at most", size, 0.0))
+            rows.append(
+                (
+                    f"30 s at rest: {(net.sent - sent) / each:.1f} letters and {(net.bytes - octets) / each:.0f} bytes"
+                    f" a server a second; mean share off by {off:.1%} at most",
+                    size,
+                    0.0,
+                )
+            )
             for body in more:
                 swarm.leave(body)
             rows.append(("shrink back", small, seen.settles(calls / small)))
@@ -96,12 +107,17 @@
         while not swarm.agreed():
             swarm.run(0.1)
         rows.append(("who deals is killed: noticed by all", size - 1, loop.now - noticed))
-        rows.append(("and its share dealt anew", size - 1,
-            loop.now - noticed + seen.settles(calls / (size - 1))))
+        rows.append(
+            (
+                "and its share dealt anew",
+                size - 1,
+                loop.now - noticed + seen.settles(calls / (size - 1)),
+            )
+        )
         swarm.start(first)
         rows.append(("started again", size, seen.settles(calls / size)))
         up = swarm.up()
-        third = [body.address for body in up[:max(1, size // 3)]]
+        third = [body.address for body in up[: max(1, size // 3)]]
         net.cut(third, [body.address for body in up if body.address not in third])
         swarm.run(30)
         net.heal()
@@ -111,27 +127,55 @@
         rows.append(("a third cut off for 30 s, healed: all agree", size, loop.now - healed))
         rows.append(("and shares are fair", size, loop.now - healed + seen.settles(calls / size)))
         cost = (time.perf_counter() - began) / loop.now / size * 1000
-    return [f"| {size} | {what} | {up} | {'-' if not took else f'{took:.1f}'} |"
-        for what, up, took in rows] + [
+    return [
+        f"| {size} | {what} | {up} | {'-' if not took else f'{took:.1f}'} |"
+        for what, up, took in rows
+    ] + [
         f"| {size} | most in use at any time, of the share | | {seen.peak / calls:.3f} |",
-        f"| {size} | CPU of a member, ms a second (and of the emulation) | | {cost:.1f} |"]
+        f"| {size} | CPU of a member, ms a second (and of the emulation) | | {cost:.1f} |",
+    ]
 
 
 def world(size: int) -> World:
     """Calls that the runs want are twice what the catalogue bears; a tenth of the servers at first."""
     first, slots = max(3, size // 10) if size > 3 else 0, size
-    return World.model_validate({
-        "name": f"{size}", "seconds": 40, "machines": {"count": size, "cores": 2, "memory_mb": 200,
-        "first": first},
-        "products": [{"name": "look", "share": 0.7, "work_ms": 200, "sla_ms": 2400, "expiry_ms": 6000,
-        "value": 1},
-                     {"name": "pay", "share": 0.3, "work_ms": 200, "sla_ms": 1600, "expiry_ms": 6000,
-                     "value": 5,
-                      "kind": "referenced", "window_ms": 17940}],
-        "tenants": [{"name": "acme", "share": 1}], "callers": {"count": 30},
-        "below": {"slots": slots, "call_ms": 500}, "load": {"low": 0.7, "high": 0.7},
-        "faults": [{"kind": "join", "at_s": 6, "for_s": 2, "size": size - first},
-                   {"kind": "leave", "at_s": 28, "for_s": 2, "size": size - first}] if first else []})
+    return World.model_validate(
+        {
+            "name": f"{size}",
+            "seconds": 40,
+            "machines": {"count": size, "cores": 2, "memory_mb": 200, "first": first},
+            "products": [
+                {
+                    "name": "look",
+                    "share": 0.7,
+                    "work_ms": 200,
+                    "sla_ms": 2400,
+                    "expiry_ms": 6000,
+                    "value": 1,
+                },
+                {
+                    "name": "pay",
+                    "share": 0.3,
+                    "work_ms": 200,
+                    "sla_ms": 1600,
+                    "expiry_ms": 6000,
+                    "value": 5,
+                    "kind": "referenced",
+                    "window_ms": 17940,
+                },
+            ],
+            "tenants": [{"name": "acme", "share": 1}],
+            "callers": {"count": 30},
+            "below": {"slots": slots, "call_ms": 500},
+            "load": {"low": 0.7, "high": 0.7},
+            "faults": [
+                {"kind": "join", "at_s": 6, "for_s": 2, "size": size - first},
+                {"kind": "leave", "at_s": 28, "for_s": 2, "size": size - first},
+            ]
+            if first
+            else [],
+        }
+    )
 
 
 def servers(size: int, variant: str) -> str:
@@ -150,15 +194,19 @@
         rows.append((emulator.loop.now, float(below.most), held, below.in_hand))
         below.most = below.in_hand
         return {}
+
     outcome = play(told, watch=Watch(look), fleets=joined if variant == "fleet" else None)
     full = [row for row in rows if 14 <= row[0] < 28]
-    return (f"| {size} | {variant} | {max(row[1] for row in rows) / calls:.2f} | {sum(row[3] for row in full) / len(full) / calls:.2f} |"
-            f" {sum(row[2] for row in full) / len(full) / calls:.3f} | {outcome.share:.3f} | {outcome.share_of('pay'):.3f} |"
-            f" {len(outcome.faults)} |")
+    return (
+        f"| {size} | {variant} | {max(row[1] for row in rows) / calls:.2f} | {sum(row[3] for row in full) / len(full) / calls:.2f} |"
+        f" {sum(row[2] for row in full) / len(full) / calls:.3f} | {outcome.share:.3f} | {outcome.share_of('pay'):.3f} |"
+        f" {len(outcome.faults)} |"
+    )
 
 
 # Ways of choosing subsets.
 
+
 def in_rounds(names: list[str], below: list[str], size: int) -> dict[str, list[str]]:
     """Deterministic subsetting as Google's book has it: each round of servers deals out one shuffle of the
     services."""
@@ -167,7 +215,7 @@
     for at, name in enumerate(sorted(names)):
         shuffled = below[:]
         Random(at // count).shuffle(shuffled)
-        found[name] = shuffled[at % count * size:(at % count + 1) * size]
+        found[name] = shuffled[at % count * size : (at % count + 1) * size]
     return found
 
 
@@ -179,16 +227,21 @@
     """Rendezvous with bounded loads: all pairs by rank, a service that is full is passed over."""
     most = math.ceil(1.1 * len(names) * size / len(below))
     load, found = dict.fromkeys(below, 0), {name: list[str]() for name in names}
-    for _, name, service in sorted(((rank(name, service), name, service) for name in names
-            for service in below), reverse=True):
+    for _, name, service in sorted(
+        ((rank(name, service), name, service) for name in names for service in below), reverse=True
+    ):
         if len(found[name]) < size and load[service] < most:
             found[name].append(service)
             load[service] += 1
     return found
 
 
-def judged(way: Callable[[list[str], list[str], int], dict[str, list[str]]], count: int, services: int,
-        size: int) -> tuple[float, float, float]:
+def judged(
+    way: Callable[[list[str], list[str], int], dict[str, list[str]]],
+    count: int,
+    services: int,
+    size: int,
+) -> tuple[float, float, float]:
     """Load of the most loaded over the mean, calls spread evenly; pairs moved by a leave and by a lost
     service, times N."""
     names, below = [f"n{at}" for at in range(count)], [f"10.0.0.{at}:80" for at in range(services)]
@@ -200,34 +253,60 @@
     pairs = {(name, service) for name, chosen in before.items() for service in chosen}
 
     def moved(names: list[str], below: list[str], of: int) -> float:
-        after = {(name, service) for name, chosen in way(names, below, size).items() for service in chosen}
+        after = {
+            (name, service)
+            for name, chosen in way(names, below, size).items()
+            for service in chosen
+        }
         return len(after ^ pairs) / len(pairs) * of
-    return max(load.values()) / (count / services), moved(names[1:], below, count), moved(names, below[1:],
-        services)
+
+    return (
+        max(load.values()) / (count / services),
+        moved(names[1:], below, count),
+        moved(names, below[1:], services),
+    )
 
 
 def subsets(count: int, services: int, size: int) -> list[str]:
     names, below = [f"n{at}" for at in range(count)], [f"10.0.0.{at}:80" for at in range(services)]
-    rows = [(name, *judged(way, count, services, size)) for name, way in (
-        ("in rounds", in_rounds), ("rendezvous", by_rank), ("rendezvous, bounded", bounded))]
+    rows = [
+        (name, *judged(way, count, services, size))
+        for name, way in (
+            ("in rounds", in_rounds),
+            ("rendezvous", by_rank),
+            ("rendezvous, bounded", bounded),
+        )
+    ]
     before = spread(names, below, size)
 
     def moved(names: list[str], below: list[str], of: int) -> float:
         return len(spread(names, below, size).pairs() ^ before.pairs()) / len(before.pairs()) * of
-    rows.append(("rendezvous, fitted (ours)", before.worst, moved(names[1:], below, count),
-        moved(names, below[1:], services)))
-    return [f"| {count} | {services} | {name} | {worst:.2f} | {one:.2f} | {other:.2f} |"
-        for name, worst, one, other in rows]
+
+    rows.append(
+        (
+            "rendezvous, fitted (ours)",
+            before.worst,
+            moved(names[1:], below, count),
+            moved(names, below[1:], services),
+        )
+    )
+    return [
+        f"| {count} | {services} | {name} | {worst:.2f} | {one:.2f} | {other:.2f} |"
+        for name, worst, one, other in rows
+    ]
 
 
 def chance(seed: int) -> int:
     from test_fleet_core import chaos
+
     chaos(seed, seconds=150)
     return seed
 
 
 def main() -> None:
-    asked = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    asked = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     for name in ("members", "servers", "subsets"):
         asked.add_argument(f"--{name}", action="store_true")
     asked.add_argument("--chance", type=int, default=0)
@@ -237,17 +316,24 @@
         if told.members:
             jobs += [pool.submit(members, size) for size in reversed(SIZES)]
         if told.servers:
-            jobs += [pool.submit(servers, size, variant) for size in reversed(SIZES)
-                for variant in ("alone", "fleet")]
+            jobs += [
+                pool.submit(servers, size, variant)
+                for size in reversed(SIZES)
+                for variant in ("alone", "fleet")
+            ]
         if told.subsets:
-            jobs += [pool.submit(subsets, count, services, 8) for count in SIZES for services in (10, 40)]
+            jobs += [
+                pool.submit(subsets, count, services, 8) for count in SIZES for services in (10, 40)
+            ]
         for job in jobs:
             got = job.result()
             print("\n".join(got) if isinstance(got, list) else got, flush=True)
         if told.chance:
             began = time.perf_counter()
             done = list(pool.map(chance, range(1000, 1000 + told.chance)))
-            print(f"{len(done)} plays of chance, none past 1.05 of the share, all agreed; {time.perf_counter() - began:.0f} s")
+            print(
+                f"{len(done)} plays of chance, none past 1.05 of the share, all agreed; {time.perf_counter() - began:.0f} s"
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/hollow_hosts.py
+++ b/benchmarks/hollow_hosts.py
@@ -26,7 +26,12 @@
 
 def usage(pid: int) -> tuple[float, int]:
     """Processor time so far, s, and resident memory, bytes."""
-    told = Path(f"/proc/{pid}/stat").read_text(encoding="ascii", errors="replace").rpartition(")")[2].split()
+    told = (
+        Path(f"/proc/{pid}/stat")
+        .read_text(encoding="ascii", errors="replace")
+        .rpartition(")")[2]
+        .split()
+    )
     return (int(told[11]) + int(told[12])) / TICKS, int(told[21]) * PAGE
 
 
@@ -51,16 +56,20 @@
 
     async def open(self, seed: int) -> None:
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, *self.main, cwd=ROOT, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-            limit=1 << 26)
+            sys.executable,
+            *self.main,
+            cwd=ROOT,
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            limit=1 << 26,
+        )
         self.order(
-    "begin",
-    seed=seed,
-    cores=self.cores,
-    servers=[
-        row(one) for one in self.servers],
-        record=str(
-            self.record))
+            "begin",
+            seed=seed,
+            cores=self.cores,
+            servers=[row(one) for one in self.servers],
+            record=str(self.record),
+        )
         assert self.process.stdout is not None
         async with asyncio.timeout(PATIENCE):
             told = json.loads(await self.process.stdout.readline())
@@ -108,12 +117,20 @@
     """All of them. `groups`: of each process, the servers, and what their cores are told. `main`: what Python is to
     run."""
 
-    def __init__(self, folder: Path, groups: Sequence[tuple[Sequence[Place], dict[str, Any]]], seed: int,
-                 main: Sequence[str] = ("-m", "burlloom.lab.hollow"), opening: int = 100) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        groups: Sequence[tuple[Sequence[Place], dict[str, Any]]],
+        seed: int,
+        main: Sequence[str] = ("-m", "burlloom.lab.hollow"),
+        opening: int = 100,
+    ) -> None:
         """`opening`: processes that are started at a time."""
         self.seed, self.opening = seed, asyncio.Semaphore(opening)
-        self.hosts = [Host(f"host{at}", group, cores, folder / f"host{at}.jsonl", main)
-                           for at, (group, cores) in enumerate(groups)]
+        self.hosts = [
+            Host(f"host{at}", group, cores, folder / f"host{at}.jsonl", main)
+            for at, (group, cores) in enumerate(groups)
+        ]
         self.by_name = {place.name: (host, place) for host in self.hosts for place in host.servers}
         self.extra: list[list[Any]] = []  # addresses of those in no host, where they are reached
 
@@ -121,6 +138,7 @@
         async def opens(at: int, host: Host) -> None:
             async with self.opening:
                 await host.open(self.seed * 1009 + at)
+
         await asyncio.gather(*(opens(at, host) for at, host in enumerate(self.hosts)))
         return self
 
@@ -128,8 +146,12 @@
         await asyncio.gather(*(host.close() for host in self.hosts))
 
     def places(self) -> list[list[Any]]:
-        return [[address, *row(place)]
-                               for host in self.hosts for place in host.servers for address in host.addresses[place.name].values()]
+        return [
+            [address, *row(place)]
+            for host in self.hosts
+            for place in host.servers
+            for address in host.addresses[place.name].values()
+        ]
 
     def address(self, name: str, kind: str) -> str:
         return self.by_name[name][0].addresses[name][kind]
@@ -149,7 +171,10 @@
 
     def lag(self, since: int) -> float:
         """The worst lag of a host's loop, ms, in reports since then (ns of the clock that goes on)."""
-        return max((one["lag_ms"] for host in self.hosts for one in host.seconds if one["at"] >= since), default=0.0)
+        return max(
+            (one["lag_ms"] for host in self.hosts for one in host.seconds if one["at"] >= since),
+            default=0.0,
+        )
 
     def facts(self) -> dict[str, float]:
         """Of the last second, added up."""
--- a/benchmarks/hollow_members.py
+++ b/benchmarks/hollow_members.py
@@ -23,12 +23,24 @@
     """What the operator's file says of the fleet, with its own times."""
     key = folder / "key"
     key.write_text("6b" * 32)
-    return {"listen": "127.0.0.1:0", "key_file": str(key), "calls": 100_000, "least": count // 2 + 1, "seeds": seeds}
+    return {
+        "listen": "127.0.0.1:0",
+        "key_file": str(key),
+        "calls": 100_000,
+        "least": count // 2 + 1,
+        "seeds": seeds,
+    }
 
 
 class Hollow:
-    def __init__(self, sock: socket.socket, own: Named, all_of_them: list[Named], part: FleetPart,
-                 world: "World") -> None:
+    def __init__(
+        self,
+        sock: socket.socket,
+        own: Named,
+        all_of_them: list[Named],
+        part: FleetPart,
+        world: "World",
+    ) -> None:
         self.sock, self.world = sock, world
         word = Word(*own, 0, State.ALIVE)
         now = clock()
@@ -97,7 +109,9 @@
             case "see":
                 """Who deals, as each has it, and how many of all are there to it; whether the server said the same."""
                 fleets = [one.fleet for one in self.members]
-                self.pipe.send((self.same, [(one.dealt_by, len(one.members.there())) for one in fleets]))
+                self.pipe.send(
+                    (self.same, [(one.dealt_by, len(one.members.there())) for one in fleets])
+                )
             case "over":
                 self.over.set()
 
@@ -115,8 +129,10 @@
         sock.bind(("127.0.0.1", 0))
         sock.setblocking(False)
         socks.append(sock)
-    own = [(name, "%s:%d" % sock.getsockname(), life + at)
-           for at, (name, sock) in enumerate(zip(names, socks, strict=True))]
+    own = [
+        (name, "%s:%d" % sock.getsockname(), life + at)
+        for at, (name, sock) in enumerate(zip(names, socks, strict=True))
+    ]
     pipe.send(own)
     all_of_them: list[Named] = pipe.recv()
 
@@ -130,4 +146,5 @@
             loop.call_later(TICK * at / len(names), member.tick)
         pipe.send("up")
         await world.over.wait()
+
     uvloop.run(serve())
--- a/benchmarks/hollow_releases.py
+++ b/benchmarks/hollow_releases.py
@@ -23,8 +23,13 @@
 
 def part_of(folder: Path) -> dict[str, Any]:
     """What the operator's file of the server says that leads: it runs the next version already."""
-    return {"version": NEXT, "store": {"sqlite": {"path": str(folder / "agreed.db")}}, "out_most": 1, "out_share": 0.1,
-            "waves": ["100%"]}
+    return {
+        "version": NEXT,
+        "store": {"sqlite": {"path": str(folder / "agreed.db")}},
+        "out_most": 1,
+        "out_share": 0.1,
+        "waves": ["100%"],
+    }
 
 
 class Teller:
@@ -34,7 +39,16 @@
 
     def word(self) -> Member:
         self.beat += 1
-        return Member(self.name, self.life, self.beat, Says.SERVING, True, self.version, 0, Counts(ASKED * self.beat))
+        return Member(
+            self.name,
+            self.life,
+            self.beat,
+            Says.SERVING,
+            True,
+            self.version,
+            0,
+            Counts(ASKED * self.beat),
+        )
 
 
 async def play(pipe: Pipe, path: Path, tellers: list[Teller]) -> None:
@@ -57,7 +71,9 @@
                     case "start":
                         pipe.send(await shelf.swap(page, page.book.start(NEXT, (1.0,), False)))
                     case "see":
-                        pipe.send((len(page.book.servers), page.book.plan.phase.name, page.book.holder))
+                        pipe.send(
+                            (len(page.book.servers), page.book.plan.phase.name, page.book.holder)
+                        )
                     case "over":
                         over = True
                 page = await shelf.read(page)
--- a/benchmarks/kill_restart.py
+++ b/benchmarks/kill_restart.py
@@ -91,7 +91,9 @@
         while True:
             _, id, *_ = await self.rig.executor.commands.get()
             if id not in self.running:
-                self.running[id] = asyncio.create_task(self.run(id, self.rig.executor.bodies[id].decode()))
+                self.running[id] = asyncio.create_task(
+                    self.run(id, self.rig.executor.bodies[id].decode())
+                )
 
     async def run(self, id: str, mark: str) -> None:
         await asyncio.sleep(self.chance.random() * 0.01)
@@ -139,12 +141,24 @@
             self.address = self.server.address
         else:
             await self.run_process()
-        return {"postgres": {"address": self.address, "key_file": str(self.folder / "key"), "hang_ms": 1000}}
+        return {
+            "postgres": {
+                "address": self.address,
+                "key_file": str(self.folder / "key"),
+                "hang_ms": 1000,
+            }
+        }
 
     async def run_process(self) -> None:
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "burlloom.standins.postgres", str(self.folder), self.address.split(":")[1],
-            cwd=ROOT, stdout=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "burlloom.standins.postgres",
+            str(self.folder),
+            self.address.split(":")[1],
+            cwd=ROOT,
+            stdout=asyncio.subprocess.PIPE,
+        )
         assert self.process.stdout is not None
         self.address = (await self.process.stdout.readline()).decode().split()[1]
 
@@ -193,9 +207,16 @@
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             store = Store(self.kind, folder, self.chance)
-            operator = {"record": {**await store.start(), "claim_share": 0.5, "doubt_wait_ms": 3000}}
-            rig = Rig(folder, operator=operator, main=str(ROOT / "benchmarks" / "killed.py"), n_cores=96,
-                      memory_kb=2000000)
+            operator = {
+                "record": {**await store.start(), "claim_share": 0.5, "doubt_wait_ms": 3000}
+            }
+            rig = Rig(
+                folder,
+                operator=operator,
+                main=str(ROOT / "benchmarks" / "killed.py"),
+                n_cores=96,
+                memory_kb=2000000,
+            )
             self.rig = rig
             try:
                 async with rig:
@@ -239,7 +260,9 @@
         else:
             # Named moments may be out of reach (a store that is down): then it is as good as random.
             await asyncio.wait({asyncio.create_task(rig.process.wait())}, timeout=1.0)
-        self.kills[moment if rig.process.returncode == -signal.SIGKILL or moment == "random" else "random"] += 1
+        self.kills[
+            moment if rig.process.returncode == -signal.SIGKILL or moment == "random" else "random"
+        ] += 1
         await rig.kill()
         for id in re.findall(r"event=record-answered-before id=(\w+)", rig.log()):
             self.book.early.add(self.book.marks[id])
@@ -271,7 +294,9 @@
     async def ask_again(self) -> None:
         """At the end: every mark whose window lasts, one by one, until it is settled or voided."""
         balancer = await self.rig.balancer()
-        for mark in [mark for mark, born in self.book.born.items() if time.time() - born < WINDOW - DUE]:
+        for mark in [
+            mark for mark, born in self.book.born.items() if time.time() - born < WINDOW - DUE
+        ]:
             for _ in range(20):
                 declined = self.book.count["declined"]
                 await self.ask(balancer, mark)
@@ -287,15 +312,19 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("kind", choices=("sqlite", "postgres", "postgres-killed"))
     parser.add_argument("restarts", type=int)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--workers", type=int, default=4)
     told = parser.parse_args()
     each = 22
-    jobs = [(told.kind, told.seed * 1000 + n, min(each, told.restarts - n * each))
-            for n in range((told.restarts + each - 1) // each)]
+    jobs = [
+        (told.kind, told.seed * 1000 + n, min(each, told.restarts - n * each))
+        for n in range((told.restarts + each - 1) // each)
+    ]
     count: Counter[str] = Counter()
     kills: Counter[str] = Counter()
     faults: list[str] = []
@@ -306,11 +335,28 @@
             kills += killed
             faults += found
             doubts += voided
-    print(json.dumps({"kind": told.kind, "seed": told.seed, "restarts": sum(kills.values()), "s": round(time.time() - began),
-                      "twice": count["twice"], "otherwise": count["otherwise"], "refused": count["refused"],
-                      "unanswered": count["unanswered"], "early": count["early"], "doubts": doubts, **{
-                          name: count[name] for name in ("tries", "settled", "voided", "declined", "cut off")},
-                      "kills": dict(sorted(kills.items()))}, indent=1))
+    print(
+        json.dumps(
+            {
+                "kind": told.kind,
+                "seed": told.seed,
+                "restarts": sum(kills.values()),
+                "s": round(time.time() - began),
+                "twice": count["twice"],
+                "otherwise": count["otherwise"],
+                "refused": count["refused"],
+                "unanswered": count["unanswered"],
+                "early": count["early"],
+                "doubts": doubts,
+                **{
+                    name: count[name]
+                    for name in ("tries", "settled", "voided", "declined", "cut off")
+                },
+                "kills": dict(sorted(kills.items())),
+            },
+            indent=1,
+        )
+    )
     print("\n".join(faults[:20]))
     return 1 if faults else 0
 
--- a/benchmarks/log_lines.py
+++ b/benchmarks/log_lines.py
@@ -1,6 +1,6 @@
 """What a log line costs: the formatter of burlloom/server/logs.py against structlog's, in time and resident memory.
 
-    python benchmarks/log_lines.py
+python benchmarks/log_lines.py
 """
 
 import io
@@ -21,6 +21,7 @@
 
 def ours() -> float:
     from burlloom.server.logs import KeyValue
+
     handler = logging.StreamHandler(io.StringIO())
     handler.setFormatter(KeyValue())
     log = logging.getLogger("burlloom.bench")
@@ -35,16 +36,31 @@
 
 def structlogs() -> float:
     import structlog
+
     out = io.StringIO()
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso", key="ts"),
-                    structlog.processors.LogfmtRenderer(key_order=["ts", "level", "event"])],
-        logger_factory=structlog.PrintLoggerFactory(out), cache_logger_on_first_use=True)
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", key="ts"),
+            structlog.processors.LogfmtRenderer(key_order=["ts", "level", "event"]),
+        ],
+        logger_factory=structlog.PrintLoggerFactory(out),
+        cache_logger_on_first_use=True,
+    )
     log = structlog.get_logger()
     began = time.perf_counter()
     for _ in range(LINES):
-        log.info("connection-ended", side="balancer", peer=VALUES[0], reason=VALUES[1], txns=12, answers=12, bad=0,
-                 lost=0, detail="")
+        log.info(
+            "connection-ended",
+            side="balancer",
+            peer=VALUES[0],
+            reason=VALUES[1],
+            txns=12,
+            answers=12,
+            bad=0,
+            lost=0,
+            detail="",
+        )
     return time.perf_counter() - began
 
 
@@ -55,12 +71,24 @@
         return
     before = resident()
     took = ours() if sys.argv[1] == "ours" else structlogs()
-    print(f"{sys.argv[1]}: {took / LINES * 1e6:.2f} us a line, {(resident() - before) / 1024:.1f} MiB with the lines")
+    print(
+        f"{sys.argv[1]}: {took / LINES * 1e6:.2f} us a line, {(resident() - before) / 1024:.1f} MiB with the lines"
+    )
     began = time.perf_counter()
     code = "import logging" if sys.argv[1] == "ours" else "import logging, structlog"
-    out = subprocess.run([sys.executable, "-c", f"{code}\nprint(open('/proc/self/status').read().split('VmRSS:')[1]"
-                          ".split()[0])"], capture_output=True, text=True, check=True)
-    print(f"    imports: {int(out.stdout) / 1024:.1f} MiB resident, {(time.perf_counter() - began) * 1e3:.0f} ms")
+    out = subprocess.run(
+        [
+            sys.executable,
+            "-c",
+            f"{code}\nprint(open('/proc/self/status').read().split('VmRSS:')[1].split()[0])",
+        ],
+        capture_output=True,
+        text=True,
+        check=True,
+    )
+    print(
+        f"    imports: {int(out.stdout) / 1024:.1f} MiB resident, {(time.perf_counter() - began) * 1e3:.0f} ms"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/marks.py
+++ b/benchmarks/marks.py
@@ -1,6 +1,6 @@
 """Marks in memory: what was (an ordered dictionary, swept whole each second) against what is, and plain ones.
 
-    python benchmarks/marks.py [COUNT ...]
+python benchmarks/marks.py [COUNT ...]
 """
 
 import gc
@@ -144,7 +144,9 @@
     count = len(marks)
     tracemalloc.start()
     one = make()
-    fresh = [bytes(bytearray(mark)) for mark in marks]  # their own objects, as off a socket: they count too
+    fresh = [
+        bytes(bytearray(mark)) for mark in marks
+    ]  # their own objects, as off a socket: they count too
     for at, mark in enumerate(fresh):
         one.add(mark, WINDOW * at // count)
     if hasattr(one, "ready"):
@@ -161,7 +163,9 @@
     if hasattr(one, "ready"):
         one.ready()
     laid = time.perf_counter() - began
-    asked = random.Random(1).sample(marks, min(20_000, count)) + [os.urandom(16) for _ in range(20_000)]
+    asked = random.Random(1).sample(marks, min(20_000, count)) + [
+        os.urandom(16) for _ in range(20_000)
+    ]
     began = time.perf_counter()
     for mark in asked:
         one.find(mark)
@@ -171,19 +175,32 @@
         began = time.perf_counter()
         one.expire(second * SECOND)
         longest = max(longest, time.perf_counter() - began)
-    return {"bytes": size, "lay_us": laid / count * 1e6, "look_us": found / len(asked) * 1e6, "sweep_ms": longest * 1e3}
+    return {
+        "bytes": size,
+        "lay_us": laid / count * 1e6,
+        "look_us": found / len(asked) * 1e6,
+        "sweep_ms": longest * 1e3,
+    }
 
 
 def main() -> None:
     for count in [int(word) for word in sys.argv[1:]] or [10_000, 1_000_000]:
         marks = [os.urandom(16) for _ in range(count)]
         print(f"{count} marks; longest sweep of nineteen, one a second")
-        for name, make in {"swept ordered dictionary (0.3.0)": Swept, "plain dictionary, swept": Plain,
-                           "dictionary and wheel": Wheeled, "dictionaries by generation": Generations,
-                           "the ledger: records and wheel": Now, "packed, read back": ReadBack}.items():
+        for name, make in {
+            "swept ordered dictionary (0.3.0)": Swept,
+            "plain dictionary, swept": Plain,
+            "dictionary and wheel": Wheeled,
+            "dictionaries by generation": Generations,
+            "the ledger: records and wheel": Now,
+            "packed, read back": ReadBack,
+        }.items():
             got = measure(make, marks)
-            print(f"| {name} | {got['bytes']:.0f} | {got['lay_us']:.2f} | {got['look_us']:.2f} |"
-                  f" {got['sweep_ms']:.1f} |", flush=True)
+            print(
+                f"| {name} | {got['bytes']:.0f} | {got['lay_us']:.2f} | {got['look_us']:.2f} |"
+                f" {got['sweep_ms']:.1f} |",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -54,11 +54,16 @@
 def machine() -> str:
     """Of a row's note: what else was done here."""
     load = os.getloadavg()[0]
-    return f"load {load:.1f} on {os.cpu_count()} cores" + ("" if quiet() else ": a BUSY machine") + (
-        f", a fixed piece of work took {gauge_ms():.0f} ms of processor time")
+    return (
+        f"load {load:.1f} on {os.cpu_count()} cores"
+        + ("" if quiet() else ": a BUSY machine")
+        + (f", a fixed piece of work took {gauge_ms():.0f} ms of processor time")
+    )
 
 
-def passed_at(sizes: Sequence[float], values: Sequence[float], budget: float, most: float = 1e9) -> float | None:
+def passed_at(
+    sizes: Sequence[float], values: Sequence[float], budget: float, most: float = 1e9
+) -> float | None:
     """The size at which the fit of it comes to the budget; None if it never does up to `most`."""
     found = fit(sizes, values)
     if found.at(most) <= budget:
@@ -73,9 +78,13 @@
 def told(row: Row, place: Path | None) -> Row:
     """Prints the row with its fit, and keeps it, unless `place` is None."""
     found = fit(row.sizes, row.values)
-    points = ", ".join(f"{size:g}: {value:.4g}" for size, value in zip(row.sizes, row.values, strict=True))
-    click.echo(f"{row.name} [{row.unit}, {row.state}] by {row.by}: {points}; {exponent_word(found)},"
-               f" {found.base:.4g} + {found.rate:.4g} each")
+    points = ", ".join(
+        f"{size:g}: {value:.4g}" for size, value in zip(row.sizes, row.values, strict=True)
+    )
+    click.echo(
+        f"{row.name} [{row.unit}, {row.state}] by {row.by}: {points}; {exponent_word(found)},"
+        f" {found.base:.4g} + {found.rate:.4g} each"
+    )
     return keep(row, place) if place is not None else row
 
 
--- a/benchmarks/record_rates.py
+++ b/benchmarks/record_rates.py
@@ -73,13 +73,24 @@
     async def one() -> None:
         nonlocal done
         while time.perf_counter() < until:
-            row = Row(os.urandom(16), BEGUN, store.node, store.life, 1, "0" * 16, 1,
-                      time.time_ns() + 18 * 10**9)
+            row = Row(
+                os.urandom(16),
+                BEGUN,
+                store.node,
+                store.life,
+                1,
+                "0" * 16,
+                1,
+                time.time_ns() + 18 * 10**9,
+            )
             began = time.perf_counter()
             assert (await ask(store, Kind.CLAIM, row)).how is Input.HELD
             told.record_value(int((time.perf_counter() - began) * 1e6))
-            assert (await ask(store, Kind.FINISH, row._replace(state=KEPT, result=RESULT))).how is Input.HELD
+            assert (
+                await ask(store, Kind.FINISH, row._replace(state=KEPT, result=RESULT))
+            ).how is Input.HELD
             done += 1
+
     await asyncio.gather(*(one() for _ in range(opened)))
     return done / seconds, told
 
@@ -88,7 +99,9 @@
     with tempfile.TemporaryDirectory(dir=os.environ.get("BENCH_DIR")) as name:
         folder = Path(name)
         print(f"one sync of this disk: {sync_ms(folder):.2f} ms (median of 200)")
-        print("| store | charges a second | claim p50 ms | claim p99 ms | writes a commit | bytes a charge |")
+        print(
+            "| store | charges a second | claim p50 ms | claim p99 ms | writes a commit | bytes a charge |"
+        )
         print("| --- | --- | --- | --- | --- | --- |")
         rates: dict[str, list[float]] = {}
         for turn in range(3):
@@ -101,7 +114,13 @@
                     got, told = await rate(store, 3)
                     await store.close()
                     rates.setdefault(f"{disk} {batch}", []).append(got)
-                    line(f"SQLite, {disk}, {label}", got, told, store, path.stat().st_size / (got * 3))
+                    line(
+                        f"SQLite, {disk}, {label}",
+                        got,
+                        told,
+                        store,
+                        path.stat().st_size / (got * 3),
+                    )
         standin = await StandIn(folder).start()
         host, port = standin.address.split(":")
         pg = Postgres((host, int(port)), "b", "b", "", SEALER, "n1", clock=lambda: 0)
@@ -113,14 +132,19 @@
         await standin.stop()
         middle = {name: statistics.median(one) for name, one in rates.items()}
         for disk in ("this disk", "2 ms a sync"):
-            print(f"{disk}: group commit carries {middle[f'{disk} 256'] / middle[f'{disk} 1']:.1f} times what a commit"
-                  " for each does (medians of three)")
+            print(
+                f"{disk}: group commit carries {middle[f'{disk} 256'] / middle[f'{disk} 1']:.1f} times what a commit"
+                " for each does (medians of three)"
+            )
 
 
 def line(label: str, got: float, told: HdrHistogram, store: Any, size: float) -> None:
-    print(f"| {label} | {got:.0f} | {told.get_value_at_percentile(50) / 1e3:.1f} |"
-          f" {told.get_value_at_percentile(99) / 1e3:.1f} | {store.written / max(1, store.commits):.1f} |"
-          f" {size:.0f} |", flush=True)
+    print(
+        f"| {label} | {got:.0f} | {told.get_value_at_percentile(50) / 1e3:.1f} |"
+        f" {told.get_value_at_percentile(99) / 1e3:.1f} | {store.written / max(1, store.commits):.1f} |"
+        f" {size:.0f} |",
+        flush=True,
+    )
 
 
 class Drive:
@@ -147,7 +171,9 @@
         while (at := at + self.chance.expovariate(total)) < seconds:
             await asyncio.sleep(max(0, began + at - time.perf_counter()))
             product = self.chance.choices(list(rates), list(rates.values()))[0]
-            asks.append(asyncio.create_task(self.one(self.chance.choice(balancers), product, began + at)))
+            asks.append(
+                asyncio.create_task(self.one(self.chance.choice(balancers), product, began + at))
+            )
         await asyncio.wait(asks, timeout=10)
         for task in asks:
             if not task.done():
@@ -158,36 +184,58 @@
         more = {"once": os.urandom(16).hex()} if product == "pay" else {}
         error, _ = await balancer.ask(product, fields(cost="5", **more))
         took = time.perf_counter() - intended
-        how = "settled" if error is None else {"Backoff": "declined", "Voided": "voided"}.get(error[0], error[0])
+        how = (
+            "settled"
+            if error is None
+            else {"Backoff": "declined", "Voided": "voided"}.get(error[0], error[0])
+        )
         self.count[product, how] = self.count.get((product, how), 0) + 1
         if took > 6.05:
-            self.count[product, "past its due time"] = self.count.get((product, "past its due time"), 0) + 1
+            self.count[product, "past its due time"] = (
+                self.count.get((product, "past its due time"), 0) + 1
+            )
         if error is None:
             self.told[product].record_value(int(took * 1e6))
 
     def line(self, label: str, product: str) -> str:
         told = self.told[product]
-        counts = ", ".join(f"{how} {count}" for (one, how), count in sorted(self.count.items()) if one == product)
-        return (f"| {label} | {product} | {told.get_value_at_percentile(50) / 1e3:.1f} |"
-                f" {told.get_value_at_percentile(99) / 1e3:.1f} | {counts} |")
+        counts = ", ".join(
+            f"{how} {count}" for (one, how), count in sorted(self.count.items()) if one == product
+        )
+        return (
+            f"| {label} | {product} | {told.get_value_at_percentile(50) / 1e3:.1f} |"
+            f" {told.get_value_at_percentile(99) / 1e3:.1f} | {counts} |"
+        )
 
 
 async def program() -> None:
     print("| record | product | p50 ms | p99 ms | answers |")
     print("| --- | --- | --- | --- | --- |")
-    for label in ("none", "SQLite, a commit for each", "SQLite, group commit", "PostgreSQL stand-in"):
+    for label in (
+        "none",
+        "SQLite, a commit for each",
+        "SQLite, group commit",
+        "PostgreSQL stand-in",
+    ):
         with tempfile.TemporaryDirectory(dir=os.environ.get("BENCH_DIR")) as name:
             folder = Path(name)
             standin = await StandIn(folder).start()
             key(folder / "key", True)
-            record: dict[str, Any] | None = {"sqlite": {"path": str(folder / "record.db"), "batch_most": 256}}
+            record: dict[str, Any] | None = {
+                "sqlite": {"path": str(folder / "record.db"), "batch_most": 256}
+            }
             if "each" in label:
                 record = {"sqlite": {"path": str(folder / "record.db"), "batch_most": 1}}
             if "PostgreSQL" in label:
                 record = {"postgres": {"address": standin.address, "key_file": str(folder / "key")}}
             if label == "none":
                 record = None
-            rig = Rig(folder, operator={"record": record} if record else None, n_cores=32, memory_kb=400000)
+            rig = Rig(
+                folder,
+                operator={"record": record} if record else None,
+                n_cores=32,
+                memory_kb=400000,
+            )
             async with rig:
                 drive = Drive(rig, 0.02, 3)
                 await drive.play(20, {"pay": 140})
@@ -204,8 +252,13 @@
             store.open_now()
             assert store.db is not None
             until = time.time_ns() + 600 * 10**9
-            rows = (row._replace(seal=sealer.seal(row)) for row in (
-                Row(os.urandom(16), KEPT, "n1", 1, 1, "0" * 16, 1, until, RESULT) for _ in range(count)))
+            rows = (
+                row._replace(seal=sealer.seal(row))
+                for row in (
+                    Row(os.urandom(16), KEPT, "n1", 1, 1, "0" * 16, 1, until, RESULT)
+                    for _ in range(count)
+                )
+            )
             store.db.execute("BEGIN")
             store.db.executemany("INSERT INTO fate VALUES (?,?,?,?,?,?,?,?,?,?)", rows)
             store.db.execute("COMMIT")
@@ -213,27 +266,45 @@
             size = (folder / "record.db").stat().st_size
             took, resident = [], 0
             for _ in range(3):
-                rig = Rig(folder, operator={"record": {"sqlite": {"path": str(folder / "record.db")}}})
+                rig = Rig(
+                    folder, operator={"record": {"sqlite": {"path": str(folder / "record.db")}}}
+                )
                 began = time.perf_counter()
                 async with rig:
                     took.append(time.perf_counter() - began)
                     status = Path(f"/proc/{rig.process.pid}/status").read_text()
                     resident = int(status.split("VmRSS:")[1].split()[0])
                     found = rig.log().split("event=record-open")[1].split("\n")[0]
-            print(f"{count} records, {size >> 20} MiB: up after {statistics.median(took):.2f} s (median of 3, the"
-                  f" interpreter's start with it), resident {resident >> 10} MiB;{found}")
+            print(
+                f"{count} records, {size >> 20} MiB: up after {statistics.median(took):.2f} s (median of 3, the"
+                f" interpreter's start with it), resident {resident >> 10} MiB;{found}"
+            )
 
 
 async def slow() -> None:
     """Rates of bergen-hall's kind: balance views ten to each charge, near what 32 runs at a time carry."""
-    for label, delay in (("no record", None), ("store at ease", 0.0), ("each commit takes 2 s", 2.0))[
-            int(sys.argv[2]) if len(sys.argv) > 2 else 0:]:
+    for label, delay in (
+        ("no record", None),
+        ("store at ease", 0.0),
+        ("each commit takes 2 s", 2.0),
+    )[int(sys.argv[2]) if len(sys.argv) > 2 else 0 :]:
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             standin = await StandIn(folder).start()
             key(folder / "key", True)
-            operator = None if delay is None else {"record": {"postgres": {
-                "address": standin.address, "key_file": str(folder / "key"), "hang_ms": 10_000}}}
+            operator = (
+                None
+                if delay is None
+                else {
+                    "record": {
+                        "postgres": {
+                            "address": standin.address,
+                            "key_file": str(folder / "key"),
+                            "hang_ms": 10_000,
+                        }
+                    }
+                }
+            )
             rig = Rig(folder, operator=operator, n_cores=8, memory_kb=400000)
             async with rig:
                 standin.orders.delay = delay or 0.0
--- a/benchmarks/rollout_core.py
+++ b/benchmarks/rollout_core.py
@@ -1,6 +1,6 @@
 """A fleet of the release's core alone, on a clock of its own; and what a round costs whoever leads.
 
-    python benchmarks/rollout_core.py [--sizes 30 300]
+python benchmarks/rollout_core.py [--sizes 30 300]
 """
 
 import argparse
@@ -12,7 +12,18 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from burlloom.rollout import SERVERS, Book, Budget, Counts, Lead, Measure, Member, Phase, Terms, hand
+from burlloom.rollout import (
+    SERVERS,
+    Book,
+    Budget,
+    Counts,
+    Lead,
+    Measure,
+    Member,
+    Phase,
+    Terms,
+    hand,
+)
 from burlloom.rollout.stores import book_of, text_of
 
 S = 1_000_000_000
@@ -26,7 +37,9 @@
     def __init__(self, size: int, budget: Budget, terms: Terms = TERMS, seed: int = 1) -> None:
         self.chance, self.now, self.terms = Random(seed), 0, terms
         self.book, self.beat, self.budget = Book(), 0, budget
-        self.members = {f"n{at}": Member(f"n{at}", 1, 0, version="v1", counts=Counts()) for at in range(size)}
+        self.members = {
+            f"n{at}": Member(f"n{at}", 1, 0, version="v1", counts=Counts()) for at in range(size)
+        }
         self.down: dict[str, int] = {}
         self.voids: dict[str, float] = {}
         self.frozen: set[str] = set()
@@ -49,9 +62,13 @@
                             name, member.life + 1, 0, version=self.book.version_of(name)
                         )
                     continue
-                bad = sum(self.chance.random() < self.voids.get(member.version, 0.0) for _ in range(10))
+                bad = sum(
+                    self.chance.random() < self.voids.get(member.version, 0.0) for _ in range(10)
+                )
                 self.members[name] = replace(
-                    member, beat=member.beat + 1, counts=member.counts.plus(Counts(10 - bad, 0, 0, bad))
+                    member,
+                    beat=member.beat + 1,
+                    counts=member.counts.plus(Counts(10 - bad, 0, 0, bad)),
                 )
                 one = hand.Hand(name, member.life)
                 if one.reads(self.book) == "ask":
@@ -90,6 +107,7 @@
             return of(now, book, members)
         finally:
             spans.append(1000 * (time.perf_counter() - began))
+
     world.lead.round = timed  # type: ignore[method-assign,assignment]
     for _ in range(100):
         world.second()
@@ -98,12 +116,16 @@
     written = time.perf_counter()
     book_of(text)
     read = time.perf_counter()
-    return (f"| {size} | {sum(spans) / len(spans):.1f} | {max(spans):.0f} | {len(text) / 1000:.0f} |"
-            f" {1000 * (written - began):.1f} | {1000 * (read - written):.1f} |")
+    return (
+        f"| {size} | {sum(spans) / len(spans):.1f} | {max(spans):.0f} | {len(text) / 1000:.0f} |"
+        f" {1000 * (written - began):.1f} | {1000 * (read - written):.1f} |"
+    )
 
 
 def main() -> None:
-    asked = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    asked = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     asked.add_argument("--sizes", type=int, nargs="+", default=[30, 300])
     print("| servers | ms a round | most | KB of the book | ms to write | ms to read |")
     for size in asked.parse_args().sizes:
--- a/benchmarks/rollout_waves.py
+++ b/benchmarks/rollout_waves.py
@@ -61,7 +61,14 @@
                 "stop_ms": 3000,
             },
             "products": [
-                {"name": "look", "share": 0.7, "work_ms": 300, "sla_ms": 2400, "expiry_ms": 6000, "value": 1},
+                {
+                    "name": "look",
+                    "share": 0.7,
+                    "work_ms": 300,
+                    "sla_ms": 2400,
+                    "expiry_ms": 6000,
+                    "value": 1,
+                },
                 {
                     "name": "pay",
                     "share": 0.3,
@@ -113,8 +120,11 @@
 
     def look(self) -> None:
         releases = self.releases
-        new = {(node.name, node.life) for node in releases.emulator.nodes
-               if node.up and node.server is not None and node.server.leaving} - self.draining
+        new = {
+            (node.name, node.life)
+            for node in releases.emulator.nodes
+            if node.up and node.server is not None and node.server.leaving
+        } - self.draining
         self.draining |= new
         self.drains += len(new)
         self.most = max(self.most, releases.out)
@@ -123,7 +133,9 @@
         # Whoever was killed a moment ago counts from when its silence is seen.
         self.unseen += over if KILLED <= releases.emulator.loop.now <= KILLED + FRESH else 0
         now = releases.emulator.loop.now
-        if self.done_at < 0 and all(node.up and node.version == "v2" for node in releases.emulator.nodes):
+        if self.done_at < 0 and all(
+            node.up and node.version == "v2" for node in releases.emulator.nodes
+        ):
             self.done_at = now - BEGIN
         if (
             isinstance(releases, Agreed)
@@ -131,8 +143,11 @@
             and releases.shelf.page.book.plan.phase is Phase.HALTED
         ):
             self.halted_at = now - BEGIN
-        if self.halted_at >= 0 and self.bad_done_at < 0 and all(
-                node.up and node.version == "v1" for node in releases.emulator.nodes):
+        if (
+            self.halted_at >= 0
+            and self.bad_done_at < 0
+            and all(node.up and node.version == "v1" for node in releases.emulator.nodes)
+        ):
             self.bad_done_at = now - BEGIN - self.halted_at
         releases.emulator.loop.call_later(0.05, self.look)
 
@@ -147,24 +162,38 @@
         second = nodes[-bound:]
         if variant == "agreed":
             agreed = Agreed(emulator, "v1", voids, RESTART_S, part(), 0.02)
-            loop.call_later(BEGIN, agreed.order, lambda book: book.start("v2", (1, 0.1, 0.5, 1.0), False))
+            loop.call_later(
+                BEGIN, agreed.order, lambda book: book.start("v2", (1, 0.1, 0.5, 1.0), False)
+            )
             if not bad:
                 for node in second:
                     loop.call_later(
-                        SECOND_OPERATOR, agreed.order, lambda book, name=node.name: book.ask(SERVERS, name, 0)
+                        SECOND_OPERATOR,
+                        agreed.order,
+                        lambda book, name=node.name: book.ask(SERVERS, name, 0),
                     )
-            for at in range(int(BEGIN), 200, 2):  # who is on call says so within two seconds of the halt
-                loop.call_later(at, agreed.order, lambda book: book.order(Input.ROLLBACK, "")
-                                if book.plan.phase is Phase.HALTED else book)
+            for at in range(
+                int(BEGIN), 200, 2
+            ):  # who is on call says so within two seconds of the halt
+                loop.call_later(
+                    at,
+                    agreed.order,
+                    lambda book: (
+                        book.order(Input.ROLLBACK, "") if book.plan.phase is Phase.HALTED else book
+                    ),
+                )
             made.append(Seen(agreed, bound))
             return agreed
         scripted = Scripted(emulator, "v1", voids, RESTART_S)
         pause = 6.0 if variant == "clock" else 0.0
         loop.call_later(BEGIN, scripted.script, nodes, "v2", bound, 20.0, pause)
         if not bad:
-            loop.call_later(SECOND_OPERATOR, lambda: scripted.script(second, "", bound, 20.0, pause))
+            loop.call_later(
+                SECOND_OPERATOR, lambda: scripted.script(second, "", bound, 20.0, pause)
+            )
         made.append(Seen(scripted, bound))
         return scripted
+
     seconds = 150 if size < 30 else 110 if bad else 240
     outcome = play(world(size, seed, seconds, not bad), watch=Watch(), rolls=releases)
     seen = made[0]
@@ -193,7 +222,9 @@
     return ", ".join("-" if one < 0 else f"{one:.0f}" for one in seconds)
 
 
-def judged(share: float, spread: float, changed: int, others: int, plays: int = 400) -> tuple[float, float]:
+def judged(
+    share: float, spread: float, changed: int, others: int, plays: int = 400
+) -> tuple[float, float]:
     """Share of waves found bad by ours, and by a plain bound at twice the others' share plus one point.
     Judged each half second over a minute; `spread`: by which servers differ by themselves."""
     chance, found, plain = Random(hash((share, spread, changed))), 0, 0
@@ -206,22 +237,36 @@
         bad = over = False
         for at in range(120):
             for name, rate, asked in (("a", mine, changed), ("b", usual, others)):
-                failed = sum(chance.random() < rate for _ in range(asked)) if asked < 60 else \
-                    max(0, min(asked, round(chance.gauss(asked * rate, (asked * rate * (1 - rate)) ** 0.5))))
+                failed = (
+                    sum(chance.random() < rate for _ in range(asked))
+                    if asked < 60
+                    else max(
+                        0,
+                        min(
+                            asked,
+                            round(chance.gauss(asked * rate, (asked * rate * (1 - rate)) ** 0.5)),
+                        ),
+                    )
+                )
                 totals[name] = totals[name].plus(Counts(asked - failed, 0, 0, failed))
             evidence.add(
-                at * 500_000_000, {"a": Look(1, totals["a"], True), "b": Look(1, totals["b"], False)}
+                at * 500_000_000,
+                {"a": Look(1, totals["a"], True), "b": Look(1, totals["b"], False)},
             )
             one, other = evidence.changed.counts, evidence.others.counts
             bad = bad or judge(measure, evidence, None).verdict is Verdict.BAD
-            over = over or one.asked >= measure.least and \
-                one.voided / one.asked > 2 * other.voided / max(1, other.asked) + 0.01
+            over = (
+                over
+                or one.asked >= measure.least
+                and one.voided / one.asked > 2 * other.voided / max(1, other.asked) + 0.01
+            )
         found, plain = found + bad, plain + over
     return found / plays, plain / plays
 
 
 def walk(servers: int, leads: int, lives: int, most: int) -> str:
     from explore_rollout import Explorer
+
     began = time.perf_counter()
     worlds, worst = Explorer(servers, 1, lives, leads).walk(most)
     took = time.perf_counter() - began
@@ -229,7 +274,9 @@
 
 
 def main() -> None:
-    asked = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    asked = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     asked.add_argument("--sizes", type=int, nargs="*", default=[3, 30, 300])
     asked.add_argument("--seeds", type=int, nargs="+", default=[1, 2, 3])
     asked.add_argument("--workers", type=int, default=4)
@@ -242,9 +289,15 @@
             for world in ((2, 2, 2, 400_000), (3, 1, 2, 400_000), (2, 1, 3, 400_000))
             if told_us.walk
         ]
-        jobs = {(size, bad, variant): [pool.submit(one, size, variant, seed, bad)
-                                       for seed in (told_us.seeds if size < 300 else told_us.seeds[:1])]
-                for size in told_us.sizes for bad in (False, True) for variant in VARIANTS}
+        jobs = {
+            (size, bad, variant): [
+                pool.submit(one, size, variant, seed, bad)
+                for seed in (told_us.seeds if size < 300 else told_us.seeds[:1])
+            ]
+            for size in told_us.sizes
+            for bad in (False, True)
+            for variant in VARIANTS
+        }
         judging = {
             key: pool.submit(judged, *key)
             for key in [
@@ -273,7 +326,10 @@
                     print("    ", row["first"])
         for (share, spread, changed, _), job in judging.items():
             ours, plain = job.result()
-            print(f"| {share:.0%} | {spread:.0%} | {2 * changed} | {ours:.3f} | {plain:.3f} |", flush=True)
+            print(
+                f"| {share:.0%} | {spread:.0%} | {2 * changed} | {ours:.3f} | {plain:.3f} |",
+                flush=True,
+            )
         for walked in walks:
             print(walked.result(), flush=True)
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -26,10 +26,20 @@
     """Costs by size."""
 
 
-for command in (scale_configuration.configuration, scale_configuration.routes, scale_request.request,
-                scale_request.during, scale_request.deal, scale_request.lead, scale_callers.callers,
-                scale_servers.servers, scale_table.table, scale_members.members, scale_followers.followers,
-                scale_run.run):
+for command in (
+    scale_configuration.configuration,
+    scale_configuration.routes,
+    scale_request.request,
+    scale_request.during,
+    scale_request.deal,
+    scale_request.lead,
+    scale_callers.callers,
+    scale_servers.servers,
+    scale_table.table,
+    scale_members.members,
+    scale_followers.followers,
+    scale_run.run,
+):
     scale.add_command(command)
 
 if __name__ == "__main__":
--- a/benchmarks/scale_callers.py
+++ b/benchmarks/scale_callers.py
@@ -28,8 +28,14 @@
 CONNECTIONS = "50,200,500,1000,2500,5000"
 CALLERS, SERVERS = 140_000, 2_600
 SOCKETS = 20_000  # so that none is let go of because of others
-SERVER: dict[str, Any] = {"n_cores": 32, "memory_kb": 400000, "sockets": SOCKETS, "idle": 60_000_000, "drain_grace": 0,
-                          "stop_ms": 1500}
+SERVER: dict[str, Any] = {
+    "n_cores": 32,
+    "memory_kb": 400000,
+    "sockets": SOCKETS,
+    "idle": 60_000_000,
+    "drain_grace": 0,
+    "stop_ms": 1500,
+}
 RATE = 200  # requests a second over all connections while they are busy
 
 
@@ -91,17 +97,32 @@
                 more = status_mb(pid, "VmRSS") - memory
                 sent = await word_of(pipe)
                 first = begin + int(load.warm * SECOND)
-                return more, (spent - rest) * span / max(1, sum(one.intended >= first for one in sent))
+                return more, (spent - rest) * span / max(
+                    1, sum(one.intended >= first for one in sent)
+                )
             finally:
                 generator.kill()
                 generator.join(10)
 
 
 @click.command()
-@click.option("--sizes", default=CONNECTIONS, show_default=True, callback=numbers, help="Connections.")
-@click.option("--seconds", default=4.0, show_default=True, type=click.FloatRange(0.2, 60), help="Of each state.")
+@click.option(
+    "--sizes", default=CONNECTIONS, show_default=True, callback=numbers, help="Connections."
+)
+@click.option(
+    "--seconds",
+    default=4.0,
+    show_default=True,
+    type=click.FloatRange(0.2, 60),
+    help="Of each state.",
+)
 @click.option("--dry", is_flag=True, help="Keeps no rows.")
-@click.option("--to", default=KEPT, type=click.Path(dir_okay=False, path_type=Path), help="The file of kept rows.")
+@click.option(
+    "--to",
+    default=KEPT,
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="The file of kept rows.",
+)
 def callers(sizes: tuple[int, ...], seconds: float, dry: bool, to: Path) -> None:
     """What connections of callers cost one server."""
     still, working = [], []
@@ -109,19 +130,51 @@
         still.append(uvloop.run(idle(count, seconds)))
         working.append(uvloop.run(busy(count, seconds)))
         TOLD.print(f"{count} connections: idle {still[-1]}, busy {working[-1]}")
-    here = (f"one real server between stand-ins on loopback, {machine()}; {CALLERS // SERVERS} connections a server if"
-            f" each of {CALLERS} callers holds one to one of {SERVERS} servers, which is an assumption")
+    here = (
+        f"one real server between stand-ins on loopback, {machine()}; {CALLERS // SERVERS} connections a server if"
+        f" each of {CALLERS} callers holds one to one of {SERVERS} servers, which is an assumption"
+    )
     for name, unit, state, values, note in (
-        ("connection memory", "KB", "rest", [1024 * memory for memory, _ in still],
-         "resident growth for all of them, each with one request behind it"),
-        ("connection cpu", "ms/s", "rest", [max(0.0, spent) for _, spent in still],
-         "processor time of the loop's thread for all of them, silent; less what it takes without any"),
-        ("connection memory", "KB", "churn", [1024 * memory for memory, _ in working],
-         f"resident growth with {RATE} requests a second over all of them in turn"),
-        ("connection request cpu", "ms", "churn", [spent for _, spent in working],
-         f"processor time of the loop's thread a request, {RATE} a second over all of them in turn, less what a server"
-         " takes without connections"),
+        (
+            "connection memory",
+            "KB",
+            "rest",
+            [1024 * memory for memory, _ in still],
+            "resident growth for all of them, each with one request behind it",
+        ),
+        (
+            "connection cpu",
+            "ms/s",
+            "rest",
+            [max(0.0, spent) for _, spent in still],
+            "processor time of the loop's thread for all of them, silent; less what it takes without any",
+        ),
+        (
+            "connection memory",
+            "KB",
+            "churn",
+            [1024 * memory for memory, _ in working],
+            f"resident growth with {RATE} requests a second over all of them in turn",
+        ),
+        (
+            "connection request cpu",
+            "ms",
+            "churn",
+            [spent for _, spent in working],
+            f"processor time of the loop's thread a request, {RATE} a second over all of them in turn, less what a server"
+            " takes without connections",
+        ),
     ):
-        told(Row(name, "connections", unit, state, tuple(map(float, sizes)), tuple(values),
-                 f"python benchmarks/scale.py callers --sizes {','.join(map(str, sizes))} --seconds {seconds:g}",
-                 f"{note}; {here}"), None if dry else to)
+        told(
+            Row(
+                name,
+                "connections",
+                unit,
+                state,
+                tuple(map(float, sizes)),
+                tuple(values),
+                f"python benchmarks/scale.py callers --sizes {','.join(map(str, sizes))} --seconds {seconds:g}",
+                f"{note}; {here}",
+            ),
+            None if dry else to,
+        )
--- a/benchmarks/scale_checker.py
+++ b/benchmarks/scale_checker.py
@@ -55,13 +55,17 @@
     of a call on top, one call for each server whose calls are seen and not its share, since a share under one call
     is one at times."""
 
-    def __init__(self, total: float, faults: Faults, within: float = 1.05, spare: float = 0.0) -> None:
+    def __init__(
+        self, total: float, faults: Faults, within: float = 1.05, spare: float = 0.0
+    ) -> None:
         self.total, self.faults, self.within, self.spare = total, faults, within, spare
         self.held: dict[str, int] = {}
         self.sum = 0
         self.worst = 0.0
         self.worst_at = 0
-        self.stills: list[tuple[int, str]] = []  # until when the calls of one that stands still count
+        self.stills: list[
+            tuple[int, str]
+        ] = []  # until when the calls of one that stands still count
         self.stands: dict[str, int] = {}
         self.over = False
 
@@ -74,7 +78,9 @@
         over = self.sum > self.within * self.total + self.spare
         if over and not self.over:
             self.faults.add(
-    at, f"calls below: {self.sum / 1000:.1f} are shared out, of {self.total / 1000:.1f}; {name} was the last to rise")
+                at,
+                f"calls below: {self.sum / 1000:.1f} are shared out, of {self.total / 1000:.1f}; {name} was the last to rise",
+            )
         self.over = over
 
     def event(self, at: int, name: str, what: str, told: Sequence[Any]) -> None:
@@ -121,7 +127,9 @@
 
     def __init__(self, faults: Faults, within: float = 6.0) -> None:
         self.faults, self.within = faults, int(within * SECOND)
-        self.put: dict[tuple[int, int], tuple[int, str]] = {}  # by epoch and revision: when, and what
+        self.put: dict[
+            tuple[int, int], tuple[int, str]
+        ] = {}  # by epoch and revision: when, and what
         self.newest = (0, 0)
         self.servers: dict[str, Server] = {}
         self.waiting: dict[tuple[int, int], Waiting] = {}
@@ -139,7 +147,13 @@
             self.put[epoch, revision] = at, digest
             self.newest = max(self.newest, (epoch, revision))
             self.waiting[epoch, revision] = Waiting(
-                at, {one for one, server in self.servers.items() if server.reached and server.behind_since < 0})
+                at,
+                {
+                    one
+                    for one, server in self.servers.items()
+                    if server.reached and server.behind_since < 0
+                },
+            )
             self.sweep(at)
             return
         if what not in SERVERS:
@@ -175,16 +189,26 @@
             for waiting in self.waiting.values():
                 waiting.names.discard(name)
 
-    def applies(self, at: int, name: str, server: Server, epoch: int, revision: int, digest: str) -> None:
+    def applies(
+        self, at: int, name: str, server: Server, epoch: int, revision: int, digest: str
+    ) -> None:
         self.applied += 1
         put = self.put.get((epoch, revision))
         if put is None:
             self.faults.add(at, f"{name} applies {epoch}/{revision}, which nobody put")
         elif digest and digest != put[1]:
-            self.faults.add(at, f"{name} applies {epoch}/{revision} as something else than what was put")
+            self.faults.add(
+                at, f"{name} applies {epoch}/{revision} as something else than what was put"
+            )
         if server.known and epoch == server.epoch and revision != server.revision + 1:
-            what = "out of order" if revision <= server.revision else f"and lost {revision - server.revision - 1} before it"
-            self.faults.add(at, f"{name} applies {epoch}/{revision} after {server.revision}: {what}")
+            what = (
+                "out of order"
+                if revision <= server.revision
+                else f"and lost {revision - server.revision - 1} before it"
+            )
+            self.faults.add(
+                at, f"{name} applies {epoch}/{revision} after {server.revision}: {what}"
+            )
         server.epoch, server.revision, server.known = epoch, revision, True
         self.has(at, name, server)
 
@@ -207,7 +231,9 @@
 
     def overdue(self, at: int, key: tuple[int, int], name: str, delay: int) -> None:
         self.late += 1
-        self.faults.add(at, f"{name} has {key[0]}/{key[1]} in force {delay / SECOND:.2f} s after it was put")
+        self.faults.add(
+            at, f"{name} has {key[0]}/{key[1]} in force {delay / SECOND:.2f} s after it was put"
+        )
 
     def sweep(self, at: int) -> None:
         """What all have is waited for no more; what is waited for far too long is a change that was lost."""
@@ -221,7 +247,9 @@
         del self.waiting[key]
         for name in sorted(waiting.names)[:5]:
             self.faults.add(
-    at, f"{name} never has {key[0]}/{key[1]} in force, put {(at - waiting.at) / SECOND:.1f} s before")
+                at,
+                f"{name} never has {key[0]}/{key[1]} in force, put {(at - waiting.at) / SECOND:.1f} s before",
+            )
         self.late += len(waiting.names)
 
     def end(self, at: int) -> None:
@@ -232,8 +260,9 @@
         for name, server in sorted(self.servers.items()):
             if server.behind_since >= 0 and at - server.behind_since > 10 * self.within:
                 self.faults.add(
-    at,
-     f"{name} could be reached for {(at - server.behind_since) / SECOND:.1f} s and never caught up to {server.catch_to}")
+                    at,
+                    f"{name} could be reached for {(at - server.behind_since) / SECOND:.1f} s and never caught up to {server.catch_to}",
+                )
 
 
 SERVERS = frozenset({"began", "ended", "stands", "wakes", "cut", "healed", "applied", "synced"})
@@ -281,14 +310,19 @@
         return self.budgets.get(name) or self.budgets.get(role(name))
 
     def judge(self, at: int) -> None:
-        for what, unit, known in (("cpu", "ms of processor time a second", self.cpu),
-                                  ("traffic", "bytes a second", self.bytes)):
+        for what, unit, known in (
+            ("cpu", "ms of processor time a second", self.cpu),
+            ("traffic", "bytes a second", self.bytes),
+        ):
             for name, told in known.items():
                 budget = self.of(name)
                 if budget is not None:
                     worst, most = worst_rate(told, budget.span), float(getattr(budget, what))
                     if worst > most:
-                        self.faults.add(at, f"{name}: {worst:.1f} {unit} over {budget.span:g} s, {most:g} allowed")
+                        self.faults.add(
+                            at,
+                            f"{name}: {worst:.1f} {unit} over {budget.span:g} s, {most:g} allowed",
+                        )
             known.clear()
 
     def end(self, at: int) -> None:
@@ -296,7 +330,9 @@
         for name, memory in self.memory.items():
             budget = self.of(name)
             if budget is not None and memory > budget.memory:
-                self.faults.add(at, f"{name} holds {memory / 2**20:.0f} MB, {budget.memory / 2**20:.0f} allowed")
+                self.faults.add(
+                    at, f"{name} holds {memory / 2**20:.0f} MB, {budget.memory / 2**20:.0f} allowed"
+                )
 
 
 def grows(told: list[tuple[int, float]], at: int, value: float) -> None:
@@ -324,7 +360,9 @@
 
 
 def mean_rate(told: Sequence[tuple[int, float]]) -> float:
-    return (told[-1][1] - told[0][1]) / (told[-1][0] - told[0][0]) * SECOND if len(told) > 1 else 0.0
+    return (
+        (told[-1][1] - told[0][1]) / (told[-1][0] - told[0][0]) * SECOND if len(told) > 1 else 0.0
+    )
 
 
 def digest_of(texts: Iterable[bytes]) -> str:
@@ -338,12 +376,13 @@
 class Checker:
     """All of it. `faults` is empty where all went as it must."""
 
-    def __init__(self,
-    total: float = 0.0,
-    budgets: dict[str,
-    Budget] | None = None,
-    within: float = 6.0,
-     spare: float = 0.0) -> None:
+    def __init__(
+        self,
+        total: float = 0.0,
+        budgets: dict[str, Budget] | None = None,
+        within: float = 6.0,
+        spare: float = 0.0,
+    ) -> None:
         self.faults = Faults()
         self.sums, self.order = Sums(total, self.faults, spare=spare), Order(self.faults, within)
         self.budgets = Budgets(budgets or {}, self.faults)
--- a/benchmarks/scale_configuration.py
+++ b/benchmarks/scale_configuration.py
@@ -29,7 +29,18 @@
 sys.path[:0] = [str(Path(__file__).parent), str(Path(__file__).parent.parent / "tests")]
 
 from processes import (  # noqa: E402
-    CORE_SHARE, MB, MEMORY_MB, TOLD, machine, main_thread_ns, numbers, passed_at, processor_s, status_mb, told)
+    CORE_SHARE,
+    MB,
+    MEMORY_MB,
+    TOLD,
+    machine,
+    main_thread_ns,
+    numbers,
+    passed_at,
+    processor_s,
+    status_mb,
+    told,
+)
 from rig import Rig, until  # noqa: E402
 
 from burlloom.lab.slopes import KEPT, Row, fit  # noqa: E402
@@ -43,8 +54,10 @@
 
 def tenants(count: int, change: int = 0) -> list[dict[str, Any]]:
     """`acme` is who the stand-ins ask for. A change moves one portion."""
-    return [{"name": "acme"}] + [{"name": f"tenant-{at:06d}", "portion": 1.0 + (at + change) % 7 / 8}
-                                 for at in range(1, count)]
+    return [{"name": "acme"}] + [
+        {"name": f"tenant-{at:06d}", "portion": 1.0 + (at + change) % 7 / 8}
+        for at in range(1, count)
+    ]
 
 
 class Pings(threading.Thread):
@@ -144,6 +157,7 @@
         before, began = main_thread_ns(pid), time.perf_counter()
         await asyncio.sleep(span)
         return (main_thread_ns(pid) - before) / (time.perf_counter() - began)
+
     for turn in range(1, 2 * rounds + 1):
         rig.told["settings"]["tenants"] = tenants(count, turn)
         await asyncio.sleep(0.05)
@@ -152,7 +166,9 @@
             before, began = main_thread_ns(pid), time.perf_counter()
             await reloaded(rig)
             await asyncio.sleep(0.1)  # what it leaves behind is freed as it ends
-            found.reload_cpu.append((main_thread_ns(pid) - before - rest * (time.perf_counter() - began)) / 1e6)
+            found.reload_cpu.append(
+                (main_thread_ns(pid) - before - rest * (time.perf_counter() - began)) / 1e6
+            )
         else:
             pings = Pings(rig.address)
             pings.start()
@@ -168,9 +184,16 @@
 
 @click.command()
 @click.option("--sizes", default=TENANTS, show_default=True, callback=numbers, help="Tenants.")
-@click.option("--rounds", default=3, show_default=True, type=click.IntRange(1, 20), help="Of each size.")
+@click.option(
+    "--rounds", default=3, show_default=True, type=click.IntRange(1, 20), help="Of each size."
+)
 @click.option("--dry", is_flag=True, help="Keeps no rows.")
-@click.option("--to", default=KEPT, type=click.Path(dir_okay=False, path_type=Path), help="The file of kept rows.")
+@click.option(
+    "--to",
+    default=KEPT,
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="The file of kept rows.",
+)
 def configuration(sizes: tuple[int, ...], rounds: int, dry: bool, to: Path) -> None:
     """What tenants in a server's configuration cost."""
     found: list[Found] = []
@@ -184,32 +207,85 @@
 
 def rows(sizes: Sequence[int], found: list[Found], rounds: int) -> list[Row]:
     command = f"python benchmarks/scale.py configuration --sizes {','.join(map(str, sizes))} --rounds {rounds}"
-    here = (f"one real server between stand-ins on loopback, {machine()}; names of 13 letters and a portion each are"
-            " a guess; nothing carries a change to other machines today: each server reads a file that somebody laid"
-            " there")
+    here = (
+        f"one real server between stand-ins on loopback, {machine()}; names of 13 letters and a portion each are"
+        " a guess; nothing carries a change to other machines today: each server reads a file that somebody laid"
+        " there"
+    )
     middle = statistics.median
     least = f"the least of {rounds}: who shares the machine only ever adds"
 
     def row(name: str, unit: str, state: str, values: list[float], note: str) -> Row:
-        return Row(name, "tenants", unit, state, tuple(map(float, sizes)), tuple(values), command, f"{note}; {here}")
+        return Row(
+            name,
+            "tenants",
+            unit,
+            state,
+            tuple(map(float, sizes)),
+            tuple(values),
+            command,
+            f"{note}; {here}",
+        )
+
     return [
-        row("configuration file", "MB", "rest", [one.file for one in found], "JSON as it lies there, measured"),
-        row("configuration memory", "MB", "rest", [middle(one.memory) for one in found],
-            f"resident once it listens, median of {rounds}"),
-        row("configuration memory", "MB", "churn", [one.memory_after for one in found],
-            f"resident after {2 * rounds} reloads"),
-        row("configuration memory peak", "MB", "churn", [one.peak for one in found],
-            f"highest resident over start and {2 * rounds} reloads"),
-        row("configuration start cpu", "ms", "cold", [min(one.start_cpu) for one in found],
-            f"processor time until it listens, to 10 ms, the imports with it, {least}"),
-        row("configuration start", "ms", "cold", [middle(one.listens) for one in found],
-            f"WALL time until it listens, median of {rounds}"),
-        row("reload cpu", "ms", "churn", [min(one.reload_cpu) for one in found],
+        row(
+            "configuration file",
+            "MB",
+            "rest",
+            [one.file for one in found],
+            "JSON as it lies there, measured",
+        ),
+        row(
+            "configuration memory",
+            "MB",
+            "rest",
+            [middle(one.memory) for one in found],
+            f"resident once it listens, median of {rounds}",
+        ),
+        row(
+            "configuration memory",
+            "MB",
+            "churn",
+            [one.memory_after for one in found],
+            f"resident after {2 * rounds} reloads",
+        ),
+        row(
+            "configuration memory peak",
+            "MB",
+            "churn",
+            [one.peak for one in found],
+            f"highest resident over start and {2 * rounds} reloads",
+        ),
+        row(
+            "configuration start cpu",
+            "ms",
+            "cold",
+            [min(one.start_cpu) for one in found],
+            f"processor time until it listens, to 10 ms, the imports with it, {least}",
+        ),
+        row(
+            "configuration start",
+            "ms",
+            "cold",
+            [middle(one.listens) for one in found],
+            f"WALL time until it listens, median of {rounds}",
+        ),
+        row(
+            "reload cpu",
+            "ms",
+            "churn",
+            [min(one.reload_cpu) for one in found],
             f"processor time of the loop's thread for one reload, {least}; the reload is one turn of the loop, so that"
-            " this is its longest stall in thread time too"),
-        row("reload stall", "ms", "churn", [middle(one.stall) for one in found],
+            " this is its longest stall in thread time too",
+        ),
+        row(
+            "reload stall",
+            "ms",
+            "churn",
+            [middle(one.stall) for one in found],
             f"WALL time, longest wait of a health question in a reload, median of {rounds}; without a reload the"
-            f" longest was {max(max(one.still) for one in found):.1f} ms"),
+            f" longest was {max(max(one.still) for one in found):.1f} ms",
+        ),
     ]
 
 
@@ -217,14 +293,22 @@
     """What it comes to at the rates of change to be borne, and where the budgets are passed."""
     cpu = [min(one.reload_cpu) for one in found]
     for rate in (CHANGES, 10 * CHANGES):
-        each = ", ".join(f"{size}: {rate * value:.4g}" for size, value in zip(sizes, cpu, strict=True))
+        each = ", ".join(
+            f"{size}: {rate * value:.4g}" for size, value in zip(sizes, cpu, strict=True)
+        )
         ends = passed_at(sizes, [rate * value for value in cpu], 1000 * CORE_SHARE)
-        click.echo(f"at {rate:g} changes a second, each a reload, ms/s: {each}; {100 * CORE_SHARE:.1f}% of a core is"
-                   f" passed at {'no size' if ends is None else f'{ends:.0f} tenants'}")
-    for name, values in (("rest", [statistics.median(one.memory) for one in found]),
-                         ("peak", [one.peak for one in found])):
+        click.echo(
+            f"at {rate:g} changes a second, each a reload, ms/s: {each}; {100 * CORE_SHARE:.1f}% of a core is"
+            f" passed at {'no size' if ends is None else f'{ends:.0f} tenants'}"
+        )
+    for name, values in (
+        ("rest", [statistics.median(one.memory) for one in found]),
+        ("peak", [one.peak for one in found]),
+    ):
         ends = passed_at(sizes, values, MEMORY_MB)
-        click.echo(f"memory {name}: {MEMORY_MB:g} MB passed at {'no size' if ends is None else f'{ends:.0f} tenants'}")
+        click.echo(
+            f"memory {name}: {MEMORY_MB:g} MB passed at {'no size' if ends is None else f'{ends:.0f} tenants'}"
+        )
 
 
 def held(count: int, out: Any) -> None:
@@ -232,8 +316,14 @@
     pid = os.getpid()
     before, began = status_mb(pid, "VmRSS"), time.process_time()
     services = [f"service-{at:04d}" for at in range(SERVICES)]
-    table = {f"/{services[at % SERVICES]}/v1/resource-{at:06d}": (services[at % SERVICES], 250 + at % 1000, 1.0)
-             for at in range(count)}
+    table = {
+        f"/{services[at % SERVICES]}/v1/resource-{at:06d}": (
+            services[at % SERVICES],
+            250 + at % 1000,
+            1.0,
+        )
+        for at in range(count)
+    }
     took = time.process_time() - began
     out.put((len(table), status_mb(pid, "VmRSS") - before, 1000 * took))
 
@@ -241,7 +331,12 @@
 @click.command()
 @click.option("--sizes", default=ROUTES, show_default=True, callback=numbers, help="Routes.")
 @click.option("--dry", is_flag=True, help="Keeps no rows.")
-@click.option("--to", default=KEPT, type=click.Path(dir_okay=False, path_type=Path), help="The file of kept rows.")
+@click.option(
+    "--to",
+    default=KEPT,
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="The file of kept rows.",
+)
 def routes(sizes: tuple[int, ...], dry: bool, to: Path) -> None:
     """What a plain dict of routes holds; no configuration of ours has any yet."""
     context = multiprocessing.get_context("spawn")
@@ -254,11 +349,23 @@
         child.join(60)
         assert made == count
         measured.append(size)
-    told(Row("routes memory", "routes", "MB", "rest", tuple(map(float, sizes)), tuple(measured),
-             f"python benchmarks/scale.py routes --sizes {','.join(map(str, sizes))}",
-             "a YARDSTICK, not the program: it has no routes in its configuration today; resident growth of a process"
-             " that builds a plain dict of paths of some 35 letters to (service, ms, share), which is a guess of a"
-             f" route; {machine()}"), None if dry else to)
+    told(
+        Row(
+            "routes memory",
+            "routes",
+            "MB",
+            "rest",
+            tuple(map(float, sizes)),
+            tuple(measured),
+            f"python benchmarks/scale.py routes --sizes {','.join(map(str, sizes))}",
+            "a YARDSTICK, not the program: it has no routes in its configuration today; resident growth of a process"
+            " that builds a plain dict of paths of some 35 letters to (service, ms, share), which is a guess of a"
+            f" route; {machine()}",
+        ),
+        None if dry else to,
+    )
     ends = passed_at(sizes, measured, MEMORY_MB)
-    click.echo(f"{MEMORY_MB:g} MB passed at {'no size' if ends is None else f'{ends:.0f} routes'};"
-               f" {1e6 * fit(sizes, measured).at(240_000) / 240_000:.0f} bytes a route at 240,000")
+    click.echo(
+        f"{MEMORY_MB:g} MB passed at {'no size' if ends is None else f'{ends:.0f} routes'};"
+        f" {1e6 * fit(sizes, measured).at(240_000) / 240_000:.0f} bytes a route at 240,000"
+    )
--- a/benchmarks/scale_crowd.py
+++ b/benchmarks/scale_crowd.py
@@ -49,7 +49,10 @@
 def words(size: int) -> list[Word]:
     """The first has lived longest, and deals."""
     life = START // MS - DAY * 1000
-    return [Word(f"n{at}", f"10.1.{at // 200}.{at % 200 + 1}:7946", life + at, 0, State.ALIVE) for at in range(size)]
+    return [
+        Word(f"n{at}", f"10.1.{at // 200}.{at % 200 + 1}:7946", life + at, 0, State.ALIVE)
+        for at in range(size)
+    ]
 
 
 def terms(size: int) -> Terms:
@@ -59,8 +62,15 @@
 
 def filled(all_of: list[Word], at: int, now: int = START, seeds: tuple[str, ...] = ()) -> Fleet:
     """The member `at` with the whole view, which it took in without messages."""
-    fleet = Fleet(all_of[at], seeds or tuple(word.address for word in all_of[:3]), (KEY,), terms(len(all_of)), Habits(),
-                  Random(at), now)
+    fleet = Fleet(
+        all_of[at],
+        seeds or tuple(word.address for word in all_of[:3]),
+        (KEY,),
+        terms(len(all_of)),
+        Habits(),
+        Random(at),
+        now,
+    )
     for word in all_of:
         fleet.members.said(now, word)
     fleet.members.moves = []
@@ -99,7 +109,9 @@
 class Crowd:
     """`fleet`: the real member, whose place is `at`. `churn`: restarts and deaths a server a second."""
 
-    def __init__(self, size: int, at: int, fleet: Fleet | None = None, churn: float = 0.0, seed: int = 1) -> None:
+    def __init__(
+        self, size: int, at: int, fleet: Fleet | None = None, churn: float = 0.0, seed: int = 1
+    ) -> None:
         self.words, self.now, self.chance, self.churn = words(size), START, Random(seed), churn
         self.names = sorted(word.name for word in self.words)
         self.by_name = {word.name: word for word in self.words}
@@ -113,11 +125,16 @@
         self.queue: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.numbers = count(1)
         self.tally, self.events = Tally(), 0
-        self.deals = self.fleet.members.first().name == self.fleet.own.name and len(self.fleet.members.by_name) > 1
+        self.deals = (
+            self.fleet.members.first().name == self.fleet.own.name
+            and len(self.fleet.members.by_name) > 1
+        )
         self.later(self.chance.randrange(TICK), self.tick)
         self.later(0, self.slot, 0)
         if churn:
-            lasts = size * self.most / NEWS_MOST / PASSED_ON  # s, for which one that came has its view as news
+            lasts = (
+                size * self.most / NEWS_MOST / PASSED_ON
+            )  # s, for which one that came has its view as news
             for peer in self.peers:
                 if self.chance.random() < lasts * RESTARTS:
                     peer.stale = self.chance.randrange(size * self.most // NEWS_MOST)
@@ -183,7 +200,9 @@
                 self.compares(peer, letter)
             case Kind.ASK:
                 if letter.name in self.by_name and self.peer_of(letter.name).up:
-                    self.later(2 * self.delay(), self.say, peer, Kind.ACK, letter.number, self.views(peer))
+                    self.later(
+                        2 * self.delay(), self.say, peer, Kind.ACK, letter.number, self.views(peer)
+                    )
             case Kind.SYNC:
                 self.pages(peer, letter)
             case Kind.PAGE if letter.name and len(letter.words) == PAGE_WORDS:
@@ -201,7 +220,9 @@
     def views(self, peer: Peer) -> tuple[int, int]:
         return peer.digest >> 1, self.fleet.terms_digest()
 
-    def say(self, peer: Peer, kind: Kind, number: int, numbers: tuple[int, ...] = (), name: str = "") -> None:
+    def say(
+        self, peer: Peer, kind: Kind, number: int, numbers: tuple[int, ...] = (), name: str = ""
+    ) -> None:
         letter = Letter(kind, peer.word, number, numbers, name, tuple(self.gossip(peer)))
         self.later(self.delay(), self.hears, seal(letter, KEY))
 
@@ -212,10 +233,14 @@
 
     def pages(self, peer: Peer, letter: Letter) -> None:
         begin = bisect_right(self.names, letter.name)
-        names = self.names[begin:begin + PAGE_WORDS]
+        names = self.names[begin : begin + PAGE_WORDS]
         more = names[-1] if begin + PAGE_WORDS < len(self.names) else ""
         page = tuple(peer.seen.get(name) or self.by_name[name] for name in names)
-        self.later(self.delay(), self.hears, seal(Letter(Kind.PAGE, peer.word, letter.number, (), more, page), KEY))
+        self.later(
+            self.delay(),
+            self.hears,
+            seal(Letter(Kind.PAGE, peer.word, letter.number, (), more, page), KEY),
+        )
 
     # Peers among themselves.
 
@@ -244,8 +269,12 @@
                 del peer.news[name]
         if peer.stale:
             peer.stale -= 1
-            found += [peer.seen.get(name) or self.by_name[name]
-                      for name in self.chance.sample(self.names, min(NEWS_MOST - len(found), len(self.names)))]
+            found += [
+                peer.seen.get(name) or self.by_name[name]
+                for name in self.chance.sample(
+                    self.names, min(NEWS_MOST - len(found), len(self.names))
+                )
+            ]
         return found
 
     def slot(self, turn: int) -> None:
@@ -257,16 +286,16 @@
                 place = (self.at + self.chance.randrange(1, len(self.peers))) % len(self.peers)
                 self.later(self.chance.randrange(SLOT), self.probes, self.peers[place], self.at)
         else:
-            for peer in self.peers[turn % 5::5]:
+            for peer in self.peers[turn % 5 :: 5]:
                 if peer.up and peer.at != self.at:
                     self.probes(peer, self.chance.randrange(len(self.peers)))
         if self.deals:
-            for peer in self.peers[turn % 2::2]:
+            for peer in self.peers[turn % 2 :: 2]:
                 if peer.up and peer.at != self.at:
                     self.later(self.chance.randrange(SLOT), self.reports, peer)
         elif self.churn:
             one = self.peers[0]
-            for peer in self.peers[turn % 2::2]:
+            for peer in self.peers[turn % 2 :: 2]:
                 if peer.up and peer.at not in (0, self.at) and (peer.news or one.news):
                     self.learns(one, tuple(self.gossip(peer)))
                     self.learns(peer, tuple(self.gossip(one)))
@@ -277,13 +306,22 @@
         other = self.peers[place]
         if place == self.at:
             self.say(peer, Kind.PING, peer.number, self.views(peer))
-        elif other.up and other is not peer and (peer.news or other.news or peer.digest != other.digest):
+        elif (
+            other.up
+            and other is not peer
+            and (peer.news or other.news or peer.digest != other.digest)
+        ):
             self.learns(other, (peer.word, *self.gossip(peer)))
             self.learns(peer, (other.word, *self.gossip(other)))
             for one, another in ((peer, other), (other, peer)):
                 if one.digest != another.digest and self.now - one.synced >= 200 * MS:
                     one.synced = self.now
-                    self.later(len(self.words) // PAGE_WORDS * 2 * self.delay(), self.reads_view, one, another)
+                    self.later(
+                        len(self.words) // PAGE_WORDS * 2 * self.delay(),
+                        self.reads_view,
+                        one,
+                        another,
+                    )
 
     def reads_view(self, one: Peer, another: Peer) -> None:
         if one.up and another.up:
@@ -305,7 +343,9 @@
         self.events += 1
         if self.chance.random() < DEATHS / (DEATHS + RESTARTS):
             self.dies(peer)
-            self.later(120 * SECOND, self.comes, peer)  # a guess: the time until another machine stands in its place
+            self.later(
+                120 * SECOND, self.comes, peer
+            )  # a guess: the time until another machine stands in its place
         else:
             self.leaves(peer)
             self.later(2 * SECOND, self.comes, peer)
@@ -325,7 +365,10 @@
         """Another probes it in vain, and holds it to be dead when its time for refuting is over."""
         peer.up = False
         other = self.chance.choice([one for one in self.peers if one.up and one.at != self.at])
-        silent, habits = self.chance.randrange(habits_of(self).probe) + habits_of(self).probe, habits_of(self)
+        silent, habits = (
+            self.chance.randrange(habits_of(self).probe) + habits_of(self).probe,
+            habits_of(self),
+        )
         suspicion = habits.suspicion + habits.probe * len(self.words).bit_length() // 4
         self.later(silent, self.holds, other, peer, State.SUSPECT)
         self.later(silent + suspicion, self.holds, other, peer, State.DEAD)
--- a/benchmarks/scale_followers.py
+++ b/benchmarks/scale_followers.py
@@ -35,69 +35,100 @@
     await asyncio.sleep(SECONDS)
 
 
-def measured(followers: int, rate: float, loss: float, entries: int, seed: int, state: str) -> dict[str, Any]:
-    setting = Setting(followers, 2, 1, 0, rate, loss, entries, seed, 1.0, ("start", "rest"), budgets=False, begin=100)
+def measured(
+    followers: int, rate: float, loss: float, entries: int, seed: int, state: str
+) -> dict[str, Any]:
+    setting = Setting(
+        followers,
+        2,
+        1,
+        0,
+        rate,
+        loss,
+        entries,
+        seed,
+        1.0,
+        ("start", "rest"),
+        budgets=False,
+        begin=100,
+    )
     with tempfile.TemporaryDirectory() as folder:
         run = Run(setting, Path(folder), lambda what: None)
         run.zone = []  # no fleet beside it
         run.story = [("start", start), ("rest", waits)]
         checker = asyncio.run(run.play())
-    phase: Phase = next(one for one in run.phases if one.name == {"rest": "rest", "cold": "start"}[state])
-    span = (phase.ended - phase.began) / SECOND if state == "rest" else 1.0  # a cold start is paid once
-    delays = [delay / SECOND for at, delay in checker.order.delays if phase.began <= at < phase.ended]
+    phase: Phase = next(
+        one for one in run.phases if one.name == {"rest": "rest", "cold": "start"}[state]
+    )
+    span = (
+        (phase.ended - phase.began) / SECOND if state == "rest" else 1.0
+    )  # a cold start is paid once
+    delays = [
+        delay / SECOND for at, delay in checker.order.delays if phase.began <= at < phase.ended
+    ]
     caught = [delay / SECOND for _, delay in checker.order.caught]
     hollow = sum(value for name, value in phase.cpu.items() if name.startswith("host"))
     heard = sum(value for name, value in phase.traffic.items() if name.startswith("host"))
     return {
-    "follower cpu": hollow / span / followers * 1000,
-    "follower bytes": heard / span / followers,
-    "source cpu": phase.cpu["control0"] / span * 1000,
-    "source bytes": phase.traffic["control0"] / span,
-    "source memory": checker.budgets.memory["control0"] / 2**20,
-    "delay": percentile(
-        delays,
-        0.99),
-        "worst": max(
-            delays,
-            default=float("nan")),
-            "caught": max(
-                caught,
-                default=float("nan")),
-                "faults": checker.faults.count,
-                "lag": starved(
-                    run,
-                     phase)}
+        "follower cpu": hollow / span / followers * 1000,
+        "follower bytes": heard / span / followers,
+        "source cpu": phase.cpu["control0"] / span * 1000,
+        "source bytes": phase.traffic["control0"] / span,
+        "source memory": checker.budgets.memory["control0"] / 2**20,
+        "delay": percentile(delays, 0.99),
+        "worst": max(delays, default=float("nan")),
+        "caught": max(caught, default=float("nan")),
+        "faults": checker.faults.count,
+        "lag": starved(run, phase),
+    }
 
 
 @click.command()
-@click.option("--by", type=click.Choice(["followers", "changes"]), default="followers", show_default=True)
+@click.option(
+    "--by", type=click.Choice(["followers", "changes"]), default="followers", show_default=True
+)
 @click.option("--sizes", default="", help="with commas between; else five of its own")
 @click.option("--loss", default=0.01, show_default=True)
 @click.option("--entries", default=1000, show_default=True, help="in force from the beginning")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--state", type=click.Choice(["rest", "cold"]), default="rest", show_default=True)
 @click.option("--keep", "kept", is_flag=True, help="append the slopes to the kept ones")
-def followers(by: str, sizes: str, loss: float, entries: int, seed: int, state: str, kept: bool) -> None:
+def followers(
+    by: str, sizes: str, loss: float, entries: int, seed: int, state: str, kept: bool
+) -> None:
     """What following costs, by followers of one control machine or by changes a second."""
     a = "/s" if state == "rest" else ""
     print(
-    f"| {by} | a follower, ms{a} | B{a} | the control machine, ms{a} | kB{a} | its memory, MB | in force after, s: 99 in 100 | worst | "
-    "whole after, s: last | faults | lag of loops, ms |")
+        f"| {by} | a follower, ms{a} | B{a} | the control machine, ms{a} | kB{a} | its memory, MB | in force after, s: 99 in 100 | worst | "
+        "whole after, s: last | faults | lag of loops, ms |"
+    )
     print("|" + " --- |" * 11)
     found = []
     for size in tuple(float(one) for one in sizes.split(",") if one) or SIZES[by]:
         count, rate = (int(size), 0.4) if by == "followers" else (100, size)
         got = measured(count, rate, loss, entries, seed, state)
         print(
-    f"| {size:g} | {got['follower cpu']:.2f} | {got['follower bytes']:.0f} | {got['source cpu']:.1f} | {got['source bytes'] / 1000:.1f} | "
-    f"{got['source memory']:.0f} | {got['delay']:.2f} | {got['worst']:.2f} | {got['caught']:.1f} | {got['faults']} | {got['lag']:.0f}"
-    f"{'' if got['lag'] <= LAG_MOST else ' TOO BUSY, counts for nothing'} |", flush=True)
+            f"| {size:g} | {got['follower cpu']:.2f} | {got['follower bytes']:.0f} | {got['source cpu']:.1f} | {got['source bytes'] / 1000:.1f} | "
+            f"{got['source memory']:.0f} | {got['delay']:.2f} | {got['worst']:.2f} | {got['caught']:.1f} | {got['faults']} | {got['lag']:.0f}"
+            f"{'' if got['lag'] <= LAG_MOST else ' TOO BUSY, counts for nothing'} |",
+            flush=True,
+        )
         if got["lag"] <= LAG_MOST:
             found.append((size, got))
     command = f"python benchmarks/scale_followers.py --by {by} --state {state} --entries {entries}"
-    of = {"followers": "followers", "changes": "changes a second"}[by]  # as the page of capacity has it
-    plain = {"followers": ("source cpu", "source bytes"), "changes": ("follower cpu", "follower bytes")}[by]
-    for name, unit in (("follower cpu", "ms"), ("follower bytes", "B"), ("source cpu", "ms"), ("source bytes", "B")):
+    of = {"followers": "followers", "changes": "changes a second"}[
+        by
+    ]  # as the page of capacity has it
+    plain = {
+        "followers": ("source cpu", "source bytes"),
+        "changes": ("follower cpu", "follower bytes"),
+    }[by]
+    for name, unit in (
+        ("follower cpu", "ms"),
+        ("follower bytes", "B"),
+        ("source cpu", "ms"),
+        ("source bytes", "B"),
+    ):
         told = tuple(size for size, _ in found), tuple(float(got[name]) for _, got in found)
         full = name if name in plain else f"{name} by {of}"
         try:
@@ -106,11 +137,19 @@
             print(f"{full}: no slope, {error}")
             continue
         if kept:
-            keep(Row(full, of, unit +
-    a, state, *
-    told, command, "loopback sockets with 1% loss, hollow followers, one control machine; " +
-    ("100 followers" if by == "changes" else "0.4 changes a second") +
-     f", {entries} entries; a send takes some 90 us here"))
+            keep(
+                Row(
+                    full,
+                    of,
+                    unit + a,
+                    state,
+                    *told,
+                    command,
+                    "loopback sockets with 1% loss, hollow followers, one control machine; "
+                    + ("100 followers" if by == "changes" else "0.4 changes a second")
+                    + f", {entries} entries; a send takes some 90 us here",
+                )
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale_members.py
+++ b/benchmarks/scale_members.py
@@ -36,8 +36,14 @@
 async def measured(size: int, seconds: float, settle: float, seed: int) -> dict[str, Any]:
     places = laid_out(size)
     cores = {"fleet": {"key": KEY, "terms": terms(size), "seeds": []}}
-    groups = [(group, cores) for group in ([places[0]], [places[1]],
-               *spread(places[2:], max(1, -(-(size - 2) // IN_HOST))))]
+    groups = [
+        (group, cores)
+        for group in (
+            [places[0]],
+            [places[1]],
+            *spread(places[2:], max(1, -(-(size - 2) // IN_HOST))),
+        )
+    ]
     with tempfile.TemporaryDirectory() as folder:
         async with Hosts(Path(folder), groups, seed) as hosts:
             seeds = [hosts.address(name, "fleet") for name in ("h0", "h1", "h2")]
@@ -45,7 +51,7 @@
             hosts.tell_names("start", ["h0"])
             await asyncio.sleep(0.5)
             for at in range(1, size, EACH):  # h0 has lived longest: it deals
-                hosts.tell_names("start", [one.name for one in places[at:at + EACH]])
+                hosts.tell_names("start", [one.name for one in places[at : at + EACH]])
                 await asyncio.sleep(0.25)
             all_at = clock()
             agreed = float("nan")
@@ -64,34 +70,32 @@
             facts, lag, views = hosts.facts(), hosts.lag(at), hosts.views()
             faults = [fault for host in hosts.hosts for fault in host.faults]
     cpu = {name: (last[name][0] - first[name][0]) / span * 1000 for name in first}
-    own = {name: [(now - then) / span for now, then in zip(after[name], costs[name], strict=True)] for name in costs}
+    own = {
+        name: [(now - then) / span for now, then in zip(after[name], costs[name], strict=True)]
+        for name in costs
+    }
     plain = [told for name, told in own.items() if name != "h0/fleet"]
     mean = [sum(column) / len(plain) for column in zip(*plain, strict=True)]
     many = sum(value for name, value in cpu.items() if name not in ("host0", "host1")) / (size - 2)
     return {
-    "size": size,
-    "agreed": agreed,
-    "views": views,
-    "lag": lag,
-    "faults": faults,
-    "share": facts.get(
-        "share",
-        0) / 1000 / size,
-        "holding": facts.get(
-            "holder holding",
-            0),
-            "dropped": facts.get(
-                "dropped",
-                0),
-                "dealer_cpu": cpu["host0"],
-                "one_cpu": cpu["host1"],
-                "member_cpu": many,
-                "member_out": mean[1],
-                "member_in": mean[3],
-                "dealer_out": own["h0/fleet"][1],
-                "dealer_in": own["h0/fleet"][3],
-                "dealer_kb": last["host0"][1] / 1024,
-                 "counted": lag <= LAG_MOST}
+        "size": size,
+        "agreed": agreed,
+        "views": views,
+        "lag": lag,
+        "faults": faults,
+        "share": facts.get("share", 0) / 1000 / size,
+        "holding": facts.get("holder holding", 0),
+        "dropped": facts.get("dropped", 0),
+        "dealer_cpu": cpu["host0"],
+        "one_cpu": cpu["host1"],
+        "member_cpu": many,
+        "member_out": mean[1],
+        "member_in": mean[3],
+        "dealer_out": own["h0/fleet"][1],
+        "dealer_in": own["h0/fleet"][3],
+        "dealer_kb": last["host0"][1] / 1024,
+        "counted": lag <= LAG_MOST,
+    }
 
 
 @click.command()
@@ -99,30 +103,43 @@
 @click.option("--seconds", default=15.0, show_default=True, help="for which costs are taken")
 @click.option("--settle", default=20.0, show_default=True, help="until then")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--side", type=click.Choice(["now", "before"]), default="now", show_default=True, help="of a change")
+@click.option(
+    "--side",
+    type=click.Choice(["now", "before"]),
+    default="now",
+    show_default=True,
+    help="of a change",
+)
 @click.option("--keep", "kept", is_flag=True, help="append the slopes to the kept ones")
 def members(sizes: str, seconds: float, settle: float, seed: int, side: str, kept: bool) -> None:
     """What a member costs on sockets, by how many servers there are."""
     print(
-    "| servers | all agree after the last began, s | views at the end | who holds a share | mean share, calls | a member, ms/s | "
-    "alone in a process | who deals, ms/s | a member sends, B/s | gets, B/s | who deals sends | gets | its memory, MB | "
-    "lag of loops, ms |")
+        "| servers | all agree after the last began, s | views at the end | who holds a share | mean share, calls | a member, ms/s | "
+        "alone in a process | who deals, ms/s | a member sends, B/s | gets, B/s | who deals sends | gets | its memory, MB | "
+        "lag of loops, ms |"
+    )
     print("|" + " --- |" * 14)
     found = []
     for size in map(int, sizes.split(",")):
         got = asyncio.run(measured(size, seconds, settle, seed))
         found.append(got)
         print(
-    f"| {size} | {got['agreed']:.1f} | {got['views']} | {got['holding']:.0f} | {got['share']:.2f} | {got['member_cpu']:.2f} | "
-    f"{got['one_cpu']:.1f} | {got['dealer_cpu']:.1f} | {got['member_out']:.0f} | "
-    f"{got['member_in']:.0f} | {got['dealer_out']:.0f} | {got['dealer_in']:.0f} | {got['dealer_kb'] / 1024:.0f} | {got['lag']:.0f}"
-    f"{'' if got['counted'] else ' TOO BUSY, counts for nothing'} |", flush=True)
+            f"| {size} | {got['agreed']:.1f} | {got['views']} | {got['holding']:.0f} | {got['share']:.2f} | {got['member_cpu']:.2f} | "
+            f"{got['one_cpu']:.1f} | {got['dealer_cpu']:.1f} | {got['member_out']:.0f} | "
+            f"{got['member_in']:.0f} | {got['dealer_out']:.0f} | {got['dealer_in']:.0f} | {got['dealer_kb'] / 1024:.0f} | {got['lag']:.0f}"
+            f"{'' if got['counted'] else ' TOO BUSY, counts for nothing'} |",
+            flush=True,
+        )
         for fault in got["faults"][:3]:
             print(f"fault: {fault}")
     good = [got for got in found if got["counted"]]
     command = "python benchmarks/scale_members.py --sizes " + shlex.quote(sizes)
-    for name, key, unit in (("hollow member cpu", "member_cpu", "ms/s"), ("hollow dealer cpu", "dealer_cpu", "ms/s"),
-                            ("hollow member bytes out", "member_out", "B/s"), ("hollow dealer bytes out", "dealer_out", "B/s")):
+    for name, key, unit in (
+        ("hollow member cpu", "member_cpu", "ms/s"),
+        ("hollow dealer cpu", "dealer_cpu", "ms/s"),
+        ("hollow member bytes out", "member_out", "B/s"),
+        ("hollow dealer bytes out", "dealer_out", "B/s"),
+    ):
         told = tuple(float(got["size"]) for got in good), tuple(float(got[key]) for got in good)
         try:
             print(f"{name}: {exponent_word(fit(*told))}")
@@ -130,9 +147,19 @@
             print(f"{name}: no slope, {error}")
             continue
         if kept:
-            keep(Row(name, "servers", unit, "rest", *
-    told, command, f"loopback sockets, hollow servers, {seconds:g} s each, defaults of the "
-    "operator's file; a send takes some 90 us here", side))
+            keep(
+                Row(
+                    name,
+                    "servers",
+                    unit,
+                    "rest",
+                    *told,
+                    command,
+                    f"loopback sockets, hollow servers, {seconds:g} s each, defaults of the "
+                    "operator's file; a send takes some 90 us here",
+                    side,
+                )
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale_real.py
+++ b/benchmarks/scale_real.py
@@ -38,12 +38,25 @@
         self.events = events
 
     async def answer(self, id: str) -> Reply:
-        self.events.append([time.clock_gettime_ns(time.CLOCK_BOOTTIME), "real servers", "in hand", 1000 * self.open])
+        self.events.append(
+            [
+                time.clock_gettime_ns(time.CLOCK_BOOTTIME),
+                "real servers",
+                "in hand",
+                1000 * self.open,
+            ]
+        )
         try:
             await asyncio.sleep(CALL_S)
         finally:
-            self.events.append([time.clock_gettime_ns(time.CLOCK_BOOTTIME),
-                               "real servers", "in hand", 1000 * (self.open - 1)])
+            self.events.append(
+                [
+                    time.clock_gettime_ns(time.CLOCK_BOOTTIME),
+                    "real servers",
+                    "in hand",
+                    1000 * (self.open - 1),
+                ]
+            )
         return 200, False, b"fetched"
 
 
@@ -52,29 +65,34 @@
     addresses."""
 
     def __init__(
-    self,
-    folder: Path,
-    name: str,
-    below: Below,
-    rules: Rules,
-    rate: float,
-    chance: Random,
-    operator: Any,
-     due: float = 6.0) -> None:
+        self,
+        folder: Path,
+        name: str,
+        below: Below,
+        rules: Rules,
+        rate: float,
+        chance: Random,
+        operator: Any,
+        due: float = 6.0,
+    ) -> None:
         folder.mkdir(exist_ok=True)
         super().__init__(
-    folder,
-    name=name,
-    catalogue=below,
-    operator=operator,
-    n_cores=32,
-    memory_kb=400000,
-    calls_out=20.0,
-    aim=2000000,
-    deadline=5000000,
-     stop_ms=2000)
+            folder,
+            name=name,
+            catalogue=below,
+            operator=operator,
+            n_cores=32,
+            memory_kb=400000,
+            calls_out=20.0,
+            aim=2000000,
+            deadline=5000000,
+            stop_ms=2000,
+        )
         self.rules, self.rate, self.chance, self.due = rules, rate, chance, due
-        self.added, self.added_calling = HdrHistogram(1, 60_000_000, 3), HdrHistogram(1, 60_000_000, 3)  # us
+        self.added, self.added_calling = (
+            HdrHistogram(1, 60_000_000, 3),
+            HdrHistogram(1, 60_000_000, 3),
+        )  # us
         self.life, self.began_at = 0, time.monotonic()
         self.ran: dict[str, float] = {}  # when the run of a request began
         self.took: dict[str, float] = {}  # s that the stand-ins had it
@@ -99,8 +117,9 @@
 
     def note(self, what: str) -> None:
         now = time.clock_gettime_ns(time.CLOCK_BOOTTIME)
-        self.catalogue.events += [[now, self.name, what, kind, self.life]
-            for kind in ("fleet", "follower")]  # type: ignore[attr-defined]
+        self.catalogue.events += [
+            [now, self.name, what, kind, self.life] for kind in ("fleet", "follower")
+        ]  # type: ignore[attr-defined]
 
     def configured(self) -> list[list[Any]]:
         """What its log says of the changes in force, for the checker; without what they say, which stands in no
@@ -111,12 +130,18 @@
             told = dict(word.split("=", 1) for word in line.split() if "=" in word)
             if told.get("event") not in ("distribution-applied", "distribution-synced"):
                 continue
-            at = int(datetime.fromisoformat(told["ts"]).timestamp() * 1000) * 1_000_000 + 999_999 + ahead
+            at = (
+                int(datetime.fromisoformat(told["ts"]).timestamp() * 1000) * 1_000_000
+                + 999_999
+                + ahead
+            )
             if told["event"] == "distribution-synced":
                 found.append([at, self.name, "synced", int(told["epoch"]), int(told["revision"])])
             else:
-                found += [[at, self.name, "applied", int(told["epoch"]), revision, ""]
-                          for revision in range(int(told["from"]), int(told["to"]) + 1)]
+                found += [
+                    [at, self.name, "applied", int(told["epoch"]), revision, ""]
+                    for revision in range(int(told["from"]), int(told["to"]) + 1)
+                ]
         return found
 
     def distributed(self) -> float | None:
@@ -174,7 +199,8 @@
             self.settled += 1
             self.rules.answers(self.now(), id, "settled", bytes(result[0]))
             (self.added_calling if calling else self.added).record_value(
-                max(1, int(1e6 * (span - self.took.pop(id, 0.0)))))
+                max(1, int(1e6 * (span - self.took.pop(id, 0.0))))
+            )
         else:
             self.rules.answers(self.now(), id, ANSWERS.get(error[0], "voided"))
             self.took.pop(id, None)
--- a/benchmarks/scale_request.py
+++ b/benchmarks/scale_request.py
@@ -34,7 +34,17 @@
 
 import hollow_releases  # noqa: E402
 from hollow_members import HOUR_MS, hollow, part_of  # noqa: E402
-from processes import ADDED_MS, TOLD, machine, main_thread_ns, numbers, passed_at, quiet, told, whole  # noqa: E402
+from processes import (
+    ADDED_MS,
+    TOLD,
+    machine,
+    main_thread_ns,
+    numbers,
+    passed_at,
+    quiet,
+    told,
+    whole,
+)  # noqa: E402
 from rig import Rig  # noqa: E402
 from scale_configuration import tenants  # noqa: E402
 from traffic import SECOND, Load, Runs, Sent, Told, below, echo, generate, started, told_of, word_of  # noqa: E402
@@ -66,8 +76,10 @@
 
     def prepare(self, rig: Rig) -> None:
         """Before it starts."""
+
     async def ready(self, rig: Rig) -> None:
         """Before the load."""
+
     async def happens(self, rig: Rig, first: int) -> list[int]:
         """Told when the count begins; gives the moments."""
 
@@ -82,8 +94,15 @@
             calls, told_calls = started(below, load.call)
             stack.callback(calls.kill)
             catalogue = SimpleNamespace(address=await word_of(told_calls))
-        rig = Rig(folder, n_cores=32, memory_kb=400000, calls_out=500.0, drain_grace=0, stop_ms=1500,
-                  catalogue=catalogue)
+        rig = Rig(
+            folder,
+            n_cores=32,
+            memory_kb=400000,
+            calls_out=500.0,
+            drain_grace=0,
+            stop_ms=1500,
+            catalogue=catalogue,
+        )
         runs = Runs(rig.executor, load)
         rig.executor.commands = runs  # type: ignore[assignment]
         if what is not None:
@@ -100,7 +119,10 @@
         idle = (main_thread_ns(pid) - before) / (time.monotonic_ns() - since)
         begin = time.monotonic_ns() + SECOND // 5
         pipe.send(begin)
-        first, last = begin + int(load.warm * SECOND), begin + int((load.warm + load.seconds) * SECOND)
+        first, last = (
+            begin + int(load.warm * SECOND),
+            begin + int((load.warm + load.seconds) * SECOND),
+        )
         await rest(first)
         happening = asyncio.create_task(what.happens(rig, first)) if what is not None else None
         before, since = main_thread_ns(pid), time.monotonic_ns()
@@ -118,8 +140,17 @@
                 own[id] = own.get(id, 0) + had
             calls.join(10)
         count = sum(first <= one.intended < last for one in sent)
-        return Played(sent, own, first, (spent - idle * span) / max(1, count) / 1e6, 1000 * idle, 1000 * spent / span,
-                      max(loads), quiet(), moments)
+        return Played(
+            sent,
+            own,
+            first,
+            (spent - idle * span) / max(1, count) / 1e6,
+            1000 * idle,
+            1000 * spent / span,
+            max(loads),
+            quiet(),
+            moments,
+        )
 
 
 def least_p99(play: Played) -> float:
@@ -154,7 +185,12 @@
 def common(command: Callable[..., None]) -> Callable[..., None]:
     for option in (
         click.option("--dry", is_flag=True, help="Keeps no rows."),
-        click.option("--to", default=KEPT, type=click.Path(dir_okay=False, path_type=Path), help="The file of rows."),
+        click.option(
+            "--to",
+            default=KEPT,
+            type=click.Path(dir_okay=False, path_type=Path),
+            help="The file of rows.",
+        ),
         click.option("--seed", default=1, show_default=True),
     ):
         command = option(command)
@@ -162,16 +198,30 @@
 
 
 @click.command()
-@click.option("--rates", default=RATES, show_default=True, callback=numbers, help="Requests a second.")
-@click.option("--seconds", default=10.0, show_default=True, type=click.FloatRange(0.2, 120), help="Of each rate.")
+@click.option(
+    "--rates", default=RATES, show_default=True, callback=numbers, help="Requests a second."
+)
+@click.option(
+    "--seconds",
+    default=10.0,
+    show_default=True,
+    type=click.FloatRange(0.2, 120),
+    help="Of each rate.",
+)
 @click.option("--calls", is_flag=True, help="Each run makes one call below.")
-@click.option("--harness", "bare", is_flag=True, help="No server: what is measured by the harness alone.")
+@click.option(
+    "--harness", "bare", is_flag=True, help="No server: what is measured by the harness alone."
+)
 @common
-def request(rates: tuple[int, ...], seconds: float, calls: bool, bare: bool, seed: int, dry: bool, to: Path) -> None:
+def request(
+    rates: tuple[int, ...], seconds: float, calls: bool, bare: bool, seed: int, dry: bool, to: Path
+) -> None:
     """One real server at several rates."""
     place = None if dry else to
-    command = (f"python benchmarks/scale.py request --rates {','.join(map(str, rates))} --seconds {seconds:g}"
-               f" --seed {seed}" + " --calls" * calls + " --harness" * bare)
+    command = (
+        f"python benchmarks/scale.py request --rates {','.join(map(str, rates))} --seconds {seconds:g}"
+        f" --seed {seed}" + " --calls" * calls + " --harness" * bare
+    )
     found: list[Told] = []
     plays: list[Played] = []
     for rate in track(rates, "request", console=TOLD):
@@ -183,33 +233,67 @@
         play = uvloop.run(played(load))
         plays.append(play)
         found.append(told_of(play.sent, play.own, play.begin))
-        TOLD.print(f"{rate} a second: {play.cpu:.3f} ms of processor time a request, {play.used:.0f} ms/s in all,"
-                   f" {play.idle:.1f} at rest; load {play.load:.1f}; {found[-1]}")
+        TOLD.print(
+            f"{rate} a second: {play.cpu:.3f} ms of processor time a request, {play.used:.0f} ms/s in all,"
+            f" {play.idle:.1f} at rest; load {play.load:.1f}; {found[-1]}"
+        )
     kind = " with calls" if calls else ""
-    here = (f"one real server between stand-ins in processes of their own on loopback, {machine()}; runs of 5 ms"
-            + (" and one call below of 10 ms each" if calls else ", no calls below") + "; one class, read-only")
+    here = (
+        f"one real server between stand-ins in processes of their own on loopback, {machine()}; runs of 5 ms"
+        + (" and one call below of 10 ms each" if calls else ", no calls below")
+        + "; one class, read-only"
+    )
 
     def row(name: str, unit: str, values: list[float], note: str) -> None:
-        told(Row(name, "requests a second", unit, "churn", tuple(map(float, rates)), tuple(values), command,
-                 f"{note}; {here}"), place)
+        told(
+            Row(
+                name,
+                "requests a second",
+                unit,
+                "churn",
+                tuple(map(float, rates)),
+                tuple(values),
+                command,
+                f"{note}; {here}",
+            ),
+            place,
+        )
+
     if bare:
-        row("request p99 harness", "ms", [one.p99 for one in found], "from the intended moment, with no server between")
+        row(
+            "request p99 harness",
+            "ms",
+            [one.p99 for one in found],
+            "from the intended moment, with no server between",
+        )
         return
-    row(f"request cpu{kind}", "ms", [play.cpu for play in plays],
-        "processor time of the loop's thread a request, less what it takes at rest")
+    row(
+        f"request cpu{kind}",
+        "ms",
+        [play.cpu for play in plays],
+        "processor time of the loop's thread a request, less what it takes at rest",
+    )
     late = max(one.late_p99 for one in found)
-    about = (f"{busy(plays)}from the intended moment, less what the stand-ins had the request; reading of commands by"
-             f" the stand-ins and the generator's own lateness (p99 {late:.2f} ms at most) are in it; load of each"
-             f" {', '.join(f'{play.load:.1f}' for play in plays)}; not settled: {unsettled(found)}")
+    about = (
+        f"{busy(plays)}from the intended moment, less what the stand-ins had the request; reading of commands by"
+        f" the stand-ins and the generator's own lateness (p99 {late:.2f} ms at most) are in it; load of each"
+        f" {', '.join(f'{play.load:.1f}' for play in plays)}; not settled: {unsettled(found)}"
+    )
     row(f"request p50 added{kind}", "ms", [one.p50 for one in found], about)
     row(f"request p99 added{kind}", "ms", [one.p99 for one in found], about)
-    row(f"request p99 added least{kind}", "ms", [least_p99(play) for play in plays],
+    row(
+        f"request p99 added least{kind}",
+        "ms",
+        [least_p99(play) for play in plays],
         f"of each {CALM // SECOND} s of the run the p99, and of these the least: what others on the machine add is"
-        f" mostly not in it; no measure of 99 in 100 over a long time; {about}")
+        f" mostly not in it; no measure of 99 in 100 over a long time; {about}",
+    )
     ends = passed_at(rates, [one.p99 for one in found], ADDED_MS, 1e5)
     first = next((rate for rate, one in zip(rates, found, strict=True) if one.p99 > ADDED_MS), None)
-    click.echo(f"{ADDED_MS} ms added at the 99th percentile: first passed of those measured at {first or 'none'},"
-               f" by the fit at {'none' if ends is None else f'{ends:.0f}'} a second")
+    click.echo(
+        f"{ADDED_MS} ms added at the 99th percentile: first passed of those measured at {first or 'none'},"
+        f" by the fit at {'none' if ends is None else f'{ends:.0f}'} a second"
+    )
     ends = passed_at(rates, [play.used for play in plays], 1000.0, 1e5)
     click.echo(f"a whole core is passed at {'none' if ends is None else f'{ends:.0f}'} a second")
 
@@ -228,7 +312,9 @@
 
 def windows(play: Played, moments: Sequence[int]) -> Told:
     """All requests that were to be sent around these."""
-    near = [one for one in play.sent if any(at - BEFORE <= one.intended < at + AFTER for at in moments)]
+    near = [
+        one for one in play.sent if any(at - BEFORE <= one.intended < at + AFTER for at in moments)
+    ]
     return told_of(near, play.own)
 
 
@@ -280,7 +366,7 @@
         names = [f"h{at:04d}" for at in range(self.count - 1)]
         for at in range(0, len(names), HOLLOW_MOST):
             part = part_of(folder, self.count, [])
-            self.processes.append(started(hollow, names[at:at + HOLLOW_MOST], life + at, part))
+            self.processes.append(started(hollow, names[at : at + HOLLOW_MOST], life + at, part))
         told_all = [one for _, pipe in self.processes for one in await word_of(pipe)]
         for _, pipe in self.processes:
             pipe.send(told_all)
@@ -311,8 +397,10 @@
             while True:
                 now, members = await self.seen()
                 same = same or now
-                right = sum((dealt_by == rig.name) is self.deals and there >= NEARLY * self.count
-                            for dealt_by, there in members)
+                right = sum(
+                    (dealt_by == rig.name) is self.deals and there >= NEARLY * self.count
+                    for dealt_by, there in members
+                )
                 since = (since or time.monotonic_ns()) if right >= NEARLY * len(members) else 0
                 if since and (same or time.monotonic_ns() - since > WHILE):
                     return
@@ -341,7 +429,9 @@
             await rest(first + int((SETTLED + turn * (CUT + self.gap)) * SECOND))
             self.tell("cut")
             await asyncio.sleep(CUT)
-            self.buried.append(sum(there < self.count for _, there in (await self.seen())[1]) / (self.count - 1))
+            self.buried.append(
+                sum(there < self.count for _, there in (await self.seen())[1]) / (self.count - 1)
+            )
             found.append(time.monotonic_ns())
             self.tell("heal")
         return found
@@ -368,7 +458,9 @@
     async def ready(self, rig: Rig) -> None:
         """Until all stand in the book, and the release has begun."""
         names = [f"h{at:04d}" for at in range(self.count - 1)]
-        self.process, self.pipe = started(hollow_releases.tell, self.part["store"]["sqlite"]["path"], names)
+        self.process, self.pipe = started(
+            hollow_releases.tell, self.part["store"]["sqlite"]["path"], names
+        )
         async with asyncio.timeout(90):
             while (seen := await self.seen())[0] < self.count:
                 await asyncio.sleep(0.5)
@@ -401,16 +493,30 @@
 @click.command()
 @click.argument("what", type=click.Choice(["reload", "rejoin"]))
 @click.option("--sizes", default="", help="Tenants of a reload, members of a rejoin.")
-@click.option("--rate", default=300, show_default=True, type=click.IntRange(1, 5000), help="Requests a second.")
-@click.option("--times", default=2, show_default=True, type=click.IntRange(1, 20), help="That it happens.")
-@click.option("--gap", default=12.0, show_default=True, type=click.FloatRange(1.5, 60), help="s between them.")
+@click.option(
+    "--rate",
+    default=300,
+    show_default=True,
+    type=click.IntRange(1, 5000),
+    help="Requests a second.",
+)
+@click.option(
+    "--times", default=2, show_default=True, type=click.IntRange(1, 20), help="That it happens."
+)
+@click.option(
+    "--gap", default=12.0, show_default=True, type=click.FloatRange(1.5, 60), help="s between them."
+)
 @common
-def during(what: str, sizes: str, rate: int, times: int, gap: float, seed: int, dry: bool, to: Path) -> None:
+def during(
+    what: str, sizes: str, rate: int, times: int, gap: float, seed: int, dry: bool, to: Path
+) -> None:
     """p99 and the longest answer around what a server does for control, against the same without."""
     kind: type[Reloads] = {"reload": Reloads, "rejoin": Rejoins}[what]
     counts = whole(sizes or (TENANTS if kind is Reloads else MEMBERS))
-    command = (f"python benchmarks/scale.py during {what} --sizes {','.join(map(str, counts))} --rate {rate}"
-               f" --times {times} --gap {gap:g} --seed {seed}")
+    command = (
+        f"python benchmarks/scale.py during {what} --sizes {','.join(map(str, counts))} --rate {rate}"
+        f" --times {times} --gap {gap:g} --seed {seed}"
+    )
     near: list[Told] = []
     beside: list[Told] = []
     plays: list[Played] = []
@@ -424,27 +530,74 @@
             gone.append(min(happening.buried))
         beside.append(windows(play, [at - happening.beside for at in play.moments]))
         TOLD.print(f"{count}: load {play.load:.1f}\n  around: {near[-1]}\n  beside: {beside[-1]}")
-    here = (f"{busy(plays)}requests that were to be sent from a quarter of a second before to three quarters after,"
-            f" {times} times at {rate} a second, no calls below; {between(plays)}; not settled: {unsettled(near)}"
-            + ("" if kind is Reloads else f"; the other members are hollow, the server was cut off for {CUT:g} s"
-               f" before, and gone to {', '.join(f'{100 * one:.0f}%' for one in gone)} of them when it was healed"))
+    here = (
+        f"{busy(plays)}requests that were to be sent from a quarter of a second before to three quarters after,"
+        f" {times} times at {rate} a second, no calls below; {between(plays)}; not settled: {unsettled(near)}"
+        + (
+            ""
+            if kind is Reloads
+            else f"; the other members are hollow, the server was cut off for {CUT:g} s"
+            f" before, and gone to {', '.join(f'{100 * one:.0f}%' for one in gone)} of them when it was healed"
+        )
+    )
     for name, values, note in (
         (f"request p99 added in a {what}", [one.p99 for one in near], "added, as without"),
-        (f"request longest in a {what}", [one.longest for one in near], "the longest of all answers"),
-        (f"request p99 added beside a {what}", [one.p99 for one in beside], "the same spans, earlier, without"),
-        (f"request longest beside a {what}", [one.longest for one in beside], "the same spans, earlier, without"),
+        (
+            f"request longest in a {what}",
+            [one.longest for one in near],
+            "the longest of all answers",
+        ),
+        (
+            f"request p99 added beside a {what}",
+            [one.p99 for one in beside],
+            "the same spans, earlier, without",
+        ),
+        (
+            f"request longest beside a {what}",
+            [one.longest for one in beside],
+            "the same spans, earlier, without",
+        ),
     ):
-        told(Row(name, kind.by, "ms", "churn", tuple(map(float, counts)), tuple(values), command, f"{note}; {here}"),
-             None if dry else to)
-    first = next((count for count, one in zip(counts, near, strict=True) if one.p99 > ADDED_MS), None)
-    click.echo(f"{ADDED_MS} ms added at the 99th percentile around a {what}: first passed of those measured at"
-               f" {first or 'none'}")
+        told(
+            Row(
+                name,
+                kind.by,
+                "ms",
+                "churn",
+                tuple(map(float, counts)),
+                tuple(values),
+                command,
+                f"{note}; {here}",
+            ),
+            None if dry else to,
+        )
+    first = next(
+        (count for count, one in zip(counts, near, strict=True) if one.p99 > ADDED_MS), None
+    )
+    click.echo(
+        f"{ADDED_MS} ms added at the 99th percentile around a {what}: first passed of those measured at"
+        f" {first or 'none'}"
+    )
 
 
 SIZED = (
-    click.option("--sizes", default=MEMBERS, show_default=True, callback=numbers, help="Members, or servers."),
-    click.option("--rate", default=300, show_default=True, type=click.IntRange(1, 5000), help="Requests a second."),
-    click.option("--seconds", default=8.0, show_default=True, type=click.FloatRange(0.2, 120), help="Of each size."),
+    click.option(
+        "--sizes", default=MEMBERS, show_default=True, callback=numbers, help="Members, or servers."
+    ),
+    click.option(
+        "--rate",
+        default=300,
+        show_default=True,
+        type=click.IntRange(1, 5000),
+        help="Requests a second.",
+    ),
+    click.option(
+        "--seconds",
+        default=8.0,
+        show_default=True,
+        type=click.FloatRange(0.2, 120),
+        help="Of each size.",
+    ),
 )
 
 
@@ -458,10 +611,20 @@
 @sized
 @click.option("--plain", is_flag=True, help="Another deals: the server is a member as all.")
 @common
-def deal(sizes: tuple[int, ...], rate: int, seconds: float, plain: bool, seed: int, dry: bool, to: Path) -> None:
+def deal(
+    sizes: tuple[int, ...], rate: int, seconds: float, plain: bool, seed: int, dry: bool, to: Path
+) -> None:
     """p99 of requests at a server that deals the calls below to all members, or at a plain one."""
-    steady([Members(count, 0, 0.0, deals=not plain) for count in sizes], rate, seconds, seed, None if dry else to,
-           "deal", " --plain" * plain, "as a member" if plain else "while it deals")
+    steady(
+        [Members(count, 0, 0.0, deals=not plain) for count in sizes],
+        rate,
+        seconds,
+        seed,
+        None if dry else to,
+        "deal",
+        " --plain" * plain,
+        "as a member" if plain else "while it deals",
+    )
 
 
 @click.command()
@@ -469,16 +632,34 @@
 @common
 def lead(sizes: tuple[int, ...], rate: int, seconds: float, seed: int, dry: bool, to: Path) -> None:
     """p99 of requests at a server that leads a release of all servers."""
-    steady([Leads(count, 0, 0.0) for count in sizes], rate, seconds, seed, None if dry else to, "lead", "",
-           "while it leads a release")
-
-
-def steady(happenings: Sequence[Reloads], rate: int, seconds: float, seed: int, place: Path | None, name: str,
-           more: str, who: str) -> None:
+    steady(
+        [Leads(count, 0, 0.0) for count in sizes],
+        rate,
+        seconds,
+        seed,
+        None if dry else to,
+        "lead",
+        "",
+        "while it leads a release",
+    )
+
+
+def steady(
+    happenings: Sequence[Reloads],
+    rate: int,
+    seconds: float,
+    seed: int,
+    place: Path | None,
+    name: str,
+    more: str,
+    who: str,
+) -> None:
     """What is done all the time of a run."""
     sizes = [one.count for one in happenings]
-    command = (f"python benchmarks/scale.py {name} --sizes {','.join(map(str, sizes))} --rate {rate}"
-               f" --seconds {seconds:g} --seed {seed}{more}")
+    command = (
+        f"python benchmarks/scale.py {name} --sizes {','.join(map(str, sizes))} --rate {rate}"
+        f" --seconds {seconds:g} --seed {seed}{more}"
+    )
     found: list[Told] = []
     plays: list[Played] = []
     for happening in track(happenings, name, console=TOLD):
@@ -486,19 +667,43 @@
         play = uvloop.run(happened(Load(rate, 0, warm=min(2.0, seconds), seed=seed), happening))
         plays.append(play)
         found.append(told_of(play.sent, play.own, play.begin))
-        TOLD.print(f"{happening.count} {happening.by}: {play.idle:.1f} ms/s without requests, {play.used:.0f} with;"
-                   f" load {play.load:.1f}; {found[-1]}")
-    here = (f"{busy(plays)}{rate} requests a second, no calls below; the other {happenings[0].by} are hollow;"
-            f" {between(plays)}; not settled: {unsettled(found)}")
+        TOLD.print(
+            f"{happening.count} {happening.by}: {play.idle:.1f} ms/s without requests, {play.used:.0f} with;"
+            f" load {play.load:.1f}; {found[-1]}"
+        )
+    here = (
+        f"{busy(plays)}{rate} requests a second, no calls below; the other {happenings[0].by} are hollow;"
+        f" {between(plays)}; not settled: {unsettled(found)}"
+    )
     for title, unit, values, note in (
         (f"request p99 added {who}", "ms", [one.p99 for one in found], "added, as without"),
-        (f"request longest {who}", "ms", [one.longest for one in found], "the longest of all answers"),
-        (f"request idle cpu {who}", "ms/s", [play.idle for play in plays],
-         "processor time of the loop's thread before the first request: this part and what any server does; without"
-         " the thread of the store, if any"),
+        (
+            f"request longest {who}",
+            "ms",
+            [one.longest for one in found],
+            "the longest of all answers",
+        ),
+        (
+            f"request idle cpu {who}",
+            "ms/s",
+            [play.idle for play in plays],
+            "processor time of the loop's thread before the first request: this part and what any server does; without"
+            " the thread of the store, if any",
+        ),
     ):
-        told(Row(title, happenings[0].by, unit, "rest" if name == "deal" else "churn", tuple(map(float, sizes)),
-                 tuple(values), command, f"{note}; {here}"), place)
+        told(
+            Row(
+                title,
+                happenings[0].by,
+                unit,
+                "rest" if name == "deal" else "churn",
+                tuple(map(float, sizes)),
+                tuple(values),
+                command,
+                f"{note}; {here}",
+            ),
+            place,
+        )
 
 
 def busy(plays: list[Played]) -> str:
@@ -506,8 +711,10 @@
 
 
 def between(plays: list[Played]) -> str:
-    return (f"one real server between stand-ins on loopback, {machine()}; load of each"
-            f" {', '.join(f'{play.load:.1f}' for play in plays)}")
+    return (
+        f"one real server between stand-ins on loopback, {machine()}; load of each"
+        f" {', '.join(f'{play.load:.1f}' for play in plays)}"
+    )
 
 
 def unsettled(found: list[Told]) -> str:
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -100,12 +100,14 @@
         self.entries: dict[tuple[str, str, str], bytes] = {}
         self.reals: list[Real] = []
         self.rules = Rules(grace=2.5, tip_multiple=5, calls_most=1e9)
-        self.due = setting.within  # of answers: as long as the configuration has it, or longer where time is not judged
+        self.due = (
+            setting.within
+        )  # of answers: as long as the configuration has it, or longer where time is not judged
         self.below = Below(self.events)
         self.up, self.dead = set[str](), set[str]()
         self.store = Sqlite(folder / "store.sqlite")
         self.put_count = 0
-        self.zone = [one for one in self.places if one.zone == 0][:setting.fleet]
+        self.zone = [one for one in self.places if one.zone == 0][: setting.fleet]
         self.total = int(SHARE * 1000 * (len(self.zone) + setting.real))
         self.cuts: list[list[Any]] = []
         self.story = STORY
@@ -116,8 +118,12 @@
 
     def region_of(self, at: int) -> tuple[int, int]:
         """Control machines stand in all regions and zones in turns."""
-        zones = [(region, zone) for zone, region in enumerate(
-            region for region, count in enumerate(ZONES) for _ in range(count))]
+        zones = [
+            (region, zone)
+            for zone, region in enumerate(
+                region for region, count in enumerate(ZONES) for _ in range(count)
+            )
+        ]
         by_region = [[pair for pair in zones if pair[0] == region] for region in range(len(ZONES))]
         region = by_region[at % len(ZONES)]
         return region[at // len(ZONES) % len(region)]
@@ -125,8 +131,9 @@
     # The configuration.
 
     def value(self) -> bytes:
-        packed: bytes = msgpack.packb({"portion": self.chance.randrange(1, 100),
-                                      "note": "x" * self.chance.randrange(0, 60)})
+        packed: bytes = msgpack.packb(
+            {"portion": self.chance.randrange(1, 100), "note": "x" * self.chance.randrange(0, 60)}
+        )
         return packed
 
     def drawn(self, at: int | None = None) -> Entry:
@@ -141,12 +148,22 @@
         began = clock()
         while True:
             head = await self.store.head()
-            change = propose(head, entries[0].scope, entries, time.time_ns() // MILLION, bytes.fromhex(SIGNING))
+            change = propose(
+                head, entries[0].scope, entries, time.time_ns() // MILLION, bytes.fromhex(SIGNING)
+            )
             if await self.store.append(change):
                 break
         assert change.body is not None
-        self.events.append([began, "run", "put", change.epoch, change.revision,
-                           hashlib.sha256(change.body).hexdigest()[:16]])
+        self.events.append(
+            [
+                began,
+                "run",
+                "put",
+                change.epoch,
+                change.revision,
+                hashlib.sha256(change.body).hexdigest()[:16],
+            ]
+        )
         for entry in entries:
             if entry.value is None:
                 self.entries.pop(entry[:3], None)
@@ -165,15 +182,13 @@
     def wanted(self) -> dict[str, str]:
         """By region, what is to be in force there."""
         return {
-    f"r{region}": digest_of(
-        msgpack.packb(
-            [
-                *key,
-                value]) for key,
-                value in self.entries.items() if key[0] in (
-                    "",
-                    f"r{region}")) for region in range(
-                        len(ZONES))}
+            f"r{region}": digest_of(
+                msgpack.packb([*key, value])
+                for key, value in self.entries.items()
+                if key[0] in ("", f"r{region}")
+            )
+            for region in range(len(ZONES))
+        }
 
     # The parts.
 
@@ -184,37 +199,51 @@
         await self.store.open()
         for at in range(0, setting.entries):
             await self.put([self.drawn(at)])
-        await self.put([Entry("", "tenant", "acme", self.value())])  # whose requests the real ones get
+        await self.put(
+            [Entry("", "tenant", "acme", self.value())]
+        )  # whose requests the real ones get
         self.events.clear()  # what was there before counts as a whole
         outside = [one for one in self.places if one not in self.zone]
         plain = Terms()
-        spans = {name: int(getattr(plain, name) * setting.beat) for name in
-                 ("beat", "silence", "knock", "retry", "prefer", "stale", "stuck", "lease")}
+        spans = {
+            name: int(getattr(plain, name) * setting.beat)
+            for name in ("beat", "silence", "knock", "retry", "prefer", "stale", "stuck", "lease")
+        }
         follower = {"key": KEY, "signing_key": SIGNING, "terms": spans}
         control = {
-    "control": {
-        **follower,
-        "key_file": str(
-            self.folder /
-            "key"),
-            "signing_key_file": str(
-                self.folder /
-                "signing"),
-                "store": str(
-                    self.folder /
-                     "store.sqlite")}}
-        fleet = {"key": KEY, "terms": {"total": self.total, "least": (
-            len(self.zone) + setting.real) // 2 + 1}, "seeds": [], "demand": 2 * SHARE}
+            "control": {
+                **follower,
+                "key_file": str(self.folder / "key"),
+                "signing_key_file": str(self.folder / "signing"),
+                "store": str(self.folder / "store.sqlite"),
+            }
+        }
+        fleet = {
+            "key": KEY,
+            "terms": {"total": self.total, "least": (len(self.zone) + setting.real) // 2 + 1},
+            "seeds": [],
+            "demand": 2 * SHARE,
+        }
         in_zone = min(len(self.zone), 1 + len(self.zone) // IN_FLEET)
-        groups = ([(group, {"follower": follower}) for group in spread(outside, max(1, setting.hosts - in_zone))]
-                  + [(group, {"fleet": fleet, "follower": follower}) for group in spread(self.zone, in_zone)]
-                  + [([machine], control) for machine in self.machines])
+        groups = (
+            [
+                (group, {"follower": follower})
+                for group in spread(outside, max(1, setting.hosts - in_zone))
+            ]
+            + [
+                (group, {"fleet": fleet, "follower": follower})
+                for group in spread(self.zone, in_zone)
+            ]
+            + [([machine], control) for machine in self.machines]
+        )
         self.hosts = Hosts(self.folder, groups, setting.seed, setting.main, setting.opening)
         async with AsyncExitStack() as stack:
             await stack.enter_async_context(self.hosts)
             stack.push_async_callback(self.store.close)
             await self.begin(stack)
-            tasks = [asyncio.create_task(task) for task in (self.changes(), self.watch(), self.look())]
+            tasks = [
+                asyncio.create_task(task) for task in (self.changes(), self.watch(), self.look())
+            ]
             began = time.monotonic()
             try:
                 for name, does in self.story:
@@ -242,26 +271,35 @@
         until = time.monotonic() + self.setting.patience
         while time.monotonic() < until:
             await asyncio.sleep(0.5)
-            if self.hosts.facts().get(f"revision {newest}", 0) == len(self.places) + len(self.machines):
+            if self.hosts.facts().get(f"revision {newest}", 0) == len(self.places) + len(
+                self.machines
+            ):
                 return
 
     async def begin(self, stack: AsyncExitStack) -> None:
         hosts = self.hosts
-        upstreams = [[machine.name, f"r{machine.region}", *
-    pair(hosts.address(machine.name, "control"))] for machine in self.machines]
-        cores: dict[str, Any] = {"follower": {"upstreams": upstreams}, "control": {"upstreams": upstreams}}
+        upstreams = [
+            [machine.name, f"r{machine.region}", *pair(hosts.address(machine.name, "control"))]
+            for machine in self.machines
+        ]
+        cores: dict[str, Any] = {
+            "follower": {"upstreams": upstreams},
+            "control": {"upstreams": upstreams},
+        }
         seeds = [hosts.address(one.name, "fleet") for one in self.zone[:3]]
         cores["fleet"] = {"seeds": seeds}
         hosts.tell("places", places=hosts.places(), cores=cores)
         hosts.tell("net", loss=self.setting.loss)
         hosts.tell_names("start", [one.name for one in self.machines])
         await asyncio.sleep(2.0)
-        hosts.tell_names("start", [one.name for one in self.zone[:1]])  # it has lived longest, and deals
+        hosts.tell_names(
+            "start", [one.name for one in self.zone[:1]]
+        )  # it has lived longest, and deals
         await asyncio.sleep(0.5)
         names = [one.name for one in self.places]
         each = max(1, self.setting.begin // 4)
         for at in range(0, len(names), each):
-            hosts.tell_names("start", names[at:at + each])
+            hosts.tell_names("start", names[at : at + each])
             await asyncio.sleep(0.25)
         self.up = set(names)
         (self.folder / "real").mkdir()
@@ -269,40 +307,41 @@
         stack.push_async_callback(self.below.stop)
         stack.push_async_callback(self.end_reals)
         for at in range(self.setting.real):
-            operator = {"fleet": {"listen": "127.0.0.1:0",
-    "key_file": str(self.folder / "key"),
-    "seeds": seeds,
-    "calls": self.total / 1000,
-    "least": (len(self.zone) + self.setting.real) // 2 + 1,
-    "state_file": str(self.folder / f"state{at}")},
-    "distribution": {"listen": "127.0.0.1:0",
-    "region": f"r{self.zone[0].region}",
-    "key_file": str(self.folder / "key"),
-    "signing_key_file": str(self.folder / "signing"),
-    "wait_ms": 0,
-    "beat_ms": int(1000 * self.setting.beat),
-    "upstreams": [{"name": name,
-    "region": region,
-    "address": f"{host}:{port}"} for name,
-    region,
-    host,
-    port in upstreams],
-     "state_file": str(self.folder / "real" / str(at) / "distribution")}}
+            operator = {
+                "fleet": {
+                    "listen": "127.0.0.1:0",
+                    "key_file": str(self.folder / "key"),
+                    "seeds": seeds,
+                    "calls": self.total / 1000,
+                    "least": (len(self.zone) + self.setting.real) // 2 + 1,
+                    "state_file": str(self.folder / f"state{at}"),
+                },
+                "distribution": {
+                    "listen": "127.0.0.1:0",
+                    "region": f"r{self.zone[0].region}",
+                    "key_file": str(self.folder / "key"),
+                    "signing_key_file": str(self.folder / "signing"),
+                    "wait_ms": 0,
+                    "beat_ms": int(1000 * self.setting.beat),
+                    "upstreams": [
+                        {"name": name, "region": region, "address": f"{host}:{port}"}
+                        for name, region, host, port in upstreams
+                    ],
+                    "state_file": str(self.folder / "real" / str(at) / "distribution"),
+                },
+            }
             self.reals.append(
-    Real(
-        self.folder /
-        "real" /
-        str(at),
-        f"real{at}",
-        self.below,
-        self.rules,
-        self.setting.asked,
-        Random(
-            self.setting.seed *
-            7 +
-            at),
-            operator,
-             self.due))
+                Real(
+                    self.folder / "real" / str(at),
+                    f"real{at}",
+                    self.below,
+                    self.rules,
+                    self.setting.asked,
+                    Random(self.setting.seed * 7 + at),
+                    operator,
+                    self.due,
+                )
+            )
         await asyncio.gather(*(self.join(real) for real in self.reals))
 
     async def join(self, real: Real) -> None:
@@ -312,7 +351,10 @@
     async def known(self, real: Real) -> None:
         """All hosts learn where it is reached, and by what address it sends."""
         for event in ("fleet-open", "distribution-open"):
-            told = [await ready(real, event, real.life), *row(place(real.name, self.zone[0].region, 0, 99))]
+            told = [
+                await ready(real, event, real.life),
+                *row(place(real.name, self.zone[0].region, 0, 99)),
+            ]
             self.hosts.tell("places", places=[told], outside=[told])
 
     async def end_reals(self) -> None:
@@ -363,16 +405,29 @@
             self.lags.append((time.monotonic() - due) * 1000)
 
     def pids(self) -> dict[str, int]:
-        found = {self.name_of(host): host.process.pid for host in self.hosts.hosts if host.process is not None}
-        found |= {real.name: real.process.pid for real in self.reals if real.process.returncode is None}
+        found = {
+            self.name_of(host): host.process.pid
+            for host in self.hosts.hosts
+            if host.process is not None
+        }
+        found |= {
+            real.name: real.process.pid for real in self.reals if real.process.returncode is None
+        }
         return found
 
     def name_of(self, host: Any) -> str:
-        return f"control{host.servers[0].name[1:]}" if host.servers[0].name.startswith("c") else host.name
+        return (
+            f"control{host.servers[0].name[1:]}"
+            if host.servers[0].name.startswith("c")
+            else host.name
+        )
 
     def traffic(self) -> dict[str, float]:
-        return {self.name_of(host): float(host.seconds[-1]["in_bytes"] + host.seconds[-1]["out_bytes"])
-                for host in self.hosts.hosts if host.seconds}
+        return {
+            self.name_of(host): float(host.seconds[-1]["in_bytes"] + host.seconds[-1]["out_bytes"])
+            for host in self.hosts.hosts
+            if host.seconds
+        }
 
     def cpu(self) -> dict[str, float]:
         found = {}
@@ -391,7 +446,9 @@
         await does(self)
         phase.ended, phase.put = clock(), self.put_count - put
         phase.cpu = {one: now - cpu[one] for one, now in self.cpu().items() if one in cpu}
-        phase.traffic = {one: now - traffic[one] for one, now in self.traffic().items() if one in traffic}
+        phase.traffic = {
+            one: now - traffic[one] for one, now in self.traffic().items() if one in traffic
+        }
         self.phases.append(phase)
 
     # Faults.
@@ -448,7 +505,10 @@
 
     async def cut_off(self, mark: str, seconds: float) -> None:
         """A group loses all others, and is alive. Its control machines lose the store."""
-        names, machines = self.marked(mark), [one.name for one in self.machines if mark in one.marks]
+        names, machines = (
+            self.marked(mark),
+            [one.name for one in self.machines if mark in one.marks],
+        )
         self.cuts.append([[mark], [], True])
         self.network()
         self.reached(names, True)
@@ -464,20 +524,32 @@
     # The end.
 
     def check(self) -> Checker:
-        rows = [json.loads(line) for host in self.hosts.hosts if host.record.exists()
-                           for line in host.record.read_text().splitlines()]
+        rows = [
+            json.loads(line)
+            for host in self.hosts.hosts
+            if host.record.exists()
+            for line in host.record.read_text().splitlines()
+        ]
         self.configured = {real.name: real.configured() for real in self.reals}
         rows += [event for told in self.configured.values() for event in told]
-        budgets = {"control": Budget(cpu=1000.0, memory=2**31, traffic=1e9),  # a machine's core
-                   "real": Budget(cpu=1e9, memory=256 * 2**20)}  # it serves besides: what control takes there is told by the hollow ones
+        budgets = {
+            "control": Budget(cpu=1000.0, memory=2**31, traffic=1e9),  # a machine's core
+            "real": Budget(cpu=1e9, memory=256 * 2**20),
+        }  # it serves besides: what control takes there is told by the hollow ones
         for host in self.hosts.hosts:
             name, count = self.name_of(host), len(host.servers)
-            self.events += [[second["at"], name, "traffic", second["in_bytes"] + second["out_bytes"]]
-                for second in host.seconds]
+            self.events += [
+                [second["at"], name, "traffic", second["in_bytes"] + second["out_bytes"]]
+                for second in host.seconds
+            ]
             if not name.startswith("control"):  # so many servers in one process
                 budgets[name] = Budget(37.0 * count, 128 * 2**20 * count, 9 * 1024 * count)
-        checker = Checker(self.total, budgets if self.setting.budgets else {},
-                          self.setting.within, 1000.0 * len(self.reals))
+        checker = Checker(
+            self.total,
+            budgets if self.setting.budgets else {},
+            self.setting.within,
+            1000.0 * len(self.reals),
+        )
         checker.contents.wanted = self.wanted()
         return checker.check([*self.events, *rows])
 
@@ -495,10 +567,13 @@
 
 # The story: each part with its faults.
 
+
 async def start(run: Run) -> None:
     """All have begun: until each has all that is in force, or for so long."""
     until = time.monotonic() + run.setting.patience
-    while time.monotonic() < until and run.hosts.facts().get("whole", 0) < len(run.places) + len(run.machines):
+    while time.monotonic() < until and run.hosts.facts().get("whole", 0) < len(run.places) + len(
+        run.machines
+    ):
         await asyncio.sleep(0.25)
     await asyncio.sleep(run.span(3.0))
 
@@ -553,7 +628,9 @@
 
 async def still(run: Run) -> None:
     """Some stand still, for less and for more than a lease."""
-    names = run.chance.sample(sorted(run.up - run.dead - {run.zone[0].name}), max(2, len(run.up) // 50))
+    names = run.chance.sample(
+        sorted(run.up - run.dead - {run.zone[0].name}), max(2, len(run.up) // 50)
+    )
     run.hosts.tell_names("stand", names[::2], **{"for": run.span(3.0)})
     run.hosts.tell_names("stand", names[1::2], **{"for": run.span(10.0)})
     for real in run.reals[:1]:
@@ -576,8 +653,18 @@
 
 
 STORY: list[tuple[str, Callable[[Run], Awaitable[None]]]] = [
-    ("start", start), ("rest", rest), ("churn", ordinary_churn), ("zone", zone), ("region", region), ("control", control), ("mass", mass),
-    ("rack", rack), ("switch", switch), ("still", still), ("settled", settled)]
+    ("start", start),
+    ("rest", rest),
+    ("churn", ordinary_churn),
+    ("zone", zone),
+    ("region", region),
+    ("control", control),
+    ("mass", mass),
+    ("rack", rack),
+    ("switch", switch),
+    ("still", still),
+    ("settled", settled),
+]
 
 
 def percentile(values: list[float], part: float) -> float:
@@ -587,26 +674,47 @@
 def table(run: Run, checker: Checker) -> list[str]:
     """By phase: how long changes took, and what was spent."""
     told = [
-    "| phase | s | changes | on servers | in force after, s: median | 99 in 100 | worst | caught up after, s: count | median | worst | "
-    "a server, ms/s | B/s | a control machine, ms/s: mean | most | kB/s: mean | most | lag of loops, ms |",
-     "|" + " --- |" * 17]
+        "| phase | s | changes | on servers | in force after, s: median | 99 in 100 | worst | caught up after, s: count | median | worst | "
+        "a server, ms/s | B/s | a control machine, ms/s: mean | most | kB/s: mean | most | lag of loops, ms |",
+        "|" + " --- |" * 17,
+    ]
     servers = len(run.places)
     for phase in run.phases:
         span = (phase.ended - phase.began) / SECOND
         inside = phase.began, phase.ended
-        delays = [delay / SECOND for at, delay in checker.order.delays if inside[0] <= at < inside[1]]
-        caught = [delay / SECOND for at, delay in checker.order.caught if inside[0] <= at < inside[1]]
+        delays = [
+            delay / SECOND for at, delay in checker.order.delays if inside[0] <= at < inside[1]
+        ]
+        caught = [
+            delay / SECOND for at, delay in checker.order.caught if inside[0] <= at < inside[1]
+        ]
         hollow = {name: value for name, value in phase.cpu.items() if name.startswith("host")}
-        machines = [value / span for name, value in phase.cpu.items() if name.startswith("control")] or [0.0]
-        traffic = [value / span for name, value in phase.traffic.items() if name.startswith("control")] or [0.0]
-        bytes_each = sum(value for name, value in phase.traffic.items() if name.startswith("host")) / span / servers
-        lag = max((one["lag_ms"] for host in run.hosts.hosts for one in host.seconds if phase.began <=
-                  one["at"] < phase.ended), default=0.0)
+        machines = [
+            value / span for name, value in phase.cpu.items() if name.startswith("control")
+        ] or [0.0]
+        traffic = [
+            value / span for name, value in phase.traffic.items() if name.startswith("control")
+        ] or [0.0]
+        bytes_each = (
+            sum(value for name, value in phase.traffic.items() if name.startswith("host"))
+            / span
+            / servers
+        )
+        lag = max(
+            (
+                one["lag_ms"]
+                for host in run.hosts.hosts
+                for one in host.seconds
+                if phase.began <= one["at"] < phase.ended
+            ),
+            default=0.0,
+        )
         told.append(
             f"| {phase.name} | {span:.0f} | {phase.put} | {len(delays)} | {percentile(delays, 0.5):.2f} | {percentile(delays, 0.99):.2f} | "
             f"{max(delays, default=float('nan')):.2f} | {len(caught)} | {percentile(caught, 0.5):.2f} | {max(caught, default=float('nan')):.2f} | "
             f"{sum(hollow.values()) / span / servers * 1000:.2f} | {bytes_each:.0f} | {sum(machines) / len(machines) * 1000:.1f} | "
-            f"{max(machines) * 1000:.1f} | {sum(traffic) / len(traffic) / 1000:.1f} | {max(traffic) / 1000:.1f} | {lag:.0f} |")
+            f"{max(machines) * 1000:.1f} | {sum(traffic) / len(traffic) / 1000:.1f} | {max(traffic) / 1000:.1f} | {lag:.0f} |"
+        )
     return told
 
 
@@ -614,9 +722,20 @@
     """ms: what the worst lag of a second of a host was over in one of a hundred, in that phase, or from the first
     one on: before it
     nothing is measured, and all hosts begin at once."""
-    began, ended = (phase.began, phase.ended) if phase is not None else (run.phases[0].began, run.phases[-1].ended)
-    return percentile([one["lag_ms"]
-                      for host in run.hosts.hosts for one in host.seconds if began <= one["at"] < ended], 0.99)
+    began, ended = (
+        (phase.began, phase.ended)
+        if phase is not None
+        else (run.phases[0].began, run.phases[-1].ended)
+    )
+    return percentile(
+        [
+            one["lag_ms"]
+            for host in run.hosts.hosts
+            for one in host.seconds
+            if began <= one["at"] < ended
+        ],
+        0.99,
+    )
 
 
 def played(setting: Setting, say: Callable[[str], None]) -> tuple[Run, Checker]:
@@ -628,7 +747,9 @@
 @click.command()
 @click.option("--servers", default=2600, show_default=True)
 @click.option("--hosts", default=40, show_default=True, help="processes that hold them")
-@click.option("--control", "machines", default=19, show_default=True, help="control machines, a process each")
+@click.option(
+    "--control", "machines", default=19, show_default=True, help="control machines, a process each"
+)
 @click.option("--real", default=8, show_default=True)
 @click.option("--rate", default=0.4, show_default=True, help="changes a second")
 @click.option("--loss", default=0.01, show_default=True)
@@ -636,13 +757,31 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--beat", default=1.0, show_default=True, help="s between reports of a follower")
 @click.option("--begin", default=700, show_default=True, help="servers that begin in a second")
-@click.option("--asked", default=30.0, show_default=True, help="requests a second to each real server")
-@click.option("--fleet", default=24, show_default=True, help="hollow servers that share out calls with the real ones")
+@click.option(
+    "--asked", default=30.0, show_default=True, help="requests a second to each real server"
+)
+@click.option(
+    "--fleet",
+    default=24,
+    show_default=True,
+    help="hollow servers that share out calls with the real ones",
+)
 @click.option("--only", default="", help="phases, with commas between")
-@click.option("--pace", default=1.0, show_default=True, help="how long each phase is, against what the story says")
-@click.option("--opening", default=100, show_default=True, help="processes that are started at a time")
-@click.option("--patience", default=60.0, show_default=True,
-              help="s, for which all are waited for after the start and at the end")
+@click.option(
+    "--pace",
+    default=1.0,
+    show_default=True,
+    help="how long each phase is, against what the story says",
+)
+@click.option(
+    "--opening", default=100, show_default=True, help="processes that are started at a time"
+)
+@click.option(
+    "--patience",
+    default=60.0,
+    show_default=True,
+    help="s, for which all are waited for after the start and at the end",
+)
 @click.option("--most", default=1e9, help="s after which no further phase begins")
 def run(
     servers: int,
@@ -661,58 +800,70 @@
     pace: float,
     opening: int,
     patience: float,
-     most: float) -> None:
+    most: float,
+) -> None:
     """Hollow servers beside real ones, with faults, and a checker that watches."""
     began = time.monotonic()
     setting = Setting(
-    servers,
-    hosts,
-    machines,
-    real,
-    rate,
-    loss,
-    entries,
-    seed,
-    pace,
-    tuple(
-        filter(
-            None,
-            only.split(","))),
-            patience=patience,
-            most=most,
-            beat=beat,
-            begin=begin,
-            asked=asked,
-            fleet=fleet,
-             opening=opening)
-    story, checker = played(setting, lambda what: print(
-        f"{time.monotonic() - began:6.1f} s  {what}", file=sys.stderr, flush=True))
+        servers,
+        hosts,
+        machines,
+        real,
+        rate,
+        loss,
+        entries,
+        seed,
+        pace,
+        tuple(filter(None, only.split(","))),
+        patience=patience,
+        most=most,
+        beat=beat,
+        begin=begin,
+        asked=asked,
+        fleet=fleet,
+        opening=opening,
+    )
+    story, checker = played(
+        setting,
+        lambda what: print(
+            f"{time.monotonic() - began:6.1f} s  {what}", file=sys.stderr, flush=True
+        ),
+    )
     for line in table(story, checker):
         print(line)
     order, sums = checker.order, checker.sums
     if story.skipped:
         print(f"\nnot run, since there was no time: {', '.join(story.skipped)}")
     print(
-    f"\nchanges put {len(order.put)}, taken {order.applied}, wholes {order.synced}, late {order.late}, contents compared "
-    f"{checker.contents.looked_at}; most shared out {sums.worst:.3f} of the total")
+        f"\nchanges put {len(order.put)}, taken {order.applied}, wholes {order.synced}, late {order.late}, contents compared "
+        f"{checker.contents.looked_at}; most shared out {sums.worst:.3f} of the total"
+    )
     for what in ("added", "added_calling"):
         whole = None
         for one in story.reals:
-            whole = getattr(one, what) if whole is None else (whole.add(getattr(one, what)), whole)[1]
+            whole = (
+                getattr(one, what) if whole is None else (whole.add(getattr(one, what)), whole)[1]
+            )
         if whole is not None and whole.get_total_count():
             print(
-    f"real servers, {'with a call below' if what == 'added_calling' else 'no call'}: {whole.get_total_count()} requests, added "
-    f"{whole.get_value_at_percentile(50) / 1000:.2f} ms median, {whole.get_value_at_percentile(99) / 1000:.2f} ms for 99 in 100, "
-    f"{whole.get_max_value() / 1000:.1f} ms most")
+                f"real servers, {'with a call below' if what == 'added_calling' else 'no call'}: {whole.get_total_count()} requests, added "
+                f"{whole.get_value_at_percentile(50) / 1000:.2f} ms median, {whole.get_value_at_percentile(99) / 1000:.2f} ms for 99 in 100, "
+                f"{whole.get_max_value() / 1000:.1f} ms most"
+            )
     asker = percentile(story.lags, 0.99)
-    print(f"lag of who asks them, 99 in 100: {asker:.2f} ms, {ASKER_LAG_MOST:g} allowed"
-          f"{'' if asker <= ASKER_LAG_MOST else ': TOO BUSY, what they add counts for nothing'}")
+    print(
+        f"lag of who asks them, 99 in 100: {asker:.2f} ms, {ASKER_LAG_MOST:g} allowed"
+        f"{'' if asker <= ASKER_LAG_MOST else ': TOO BUSY, what they add counts for nothing'}"
+    )
     print(f"four rules: {dict(story.rules.count)} {story.rules.faults[:3]}")
     print(f"hosts' faults: {story.faults[:3]}")
     other = sum(story.other) / max(1, len(story.other))
-    print(f"cores used by the run itself: {sum(story.own) / max(1, len(story.own)):.2f} in the mean")
     print(
-        f"lag of the hosts' loops, 99 in 100 seconds: {starved(story):.0f} ms, {LAG_MOST:.0f} allowed; other load {other:.1f} cores")
+        f"cores used by the run itself: {sum(story.own) / max(1, len(story.own)):.2f} in the mean"
+    )
+    print(
+        f"lag of the hosts' loops, 99 in 100 seconds: {starved(story):.0f} ms, {LAG_MOST:.0f} allowed; other load {other:.1f} cores"
+    )
     if starved(story) > LAG_MOST:
         print("TOO BUSY: the hosts were starved; this run counts for nothing")
     print(f"faults: {checker.faults.count}")
