--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -24,7 +24,19 @@
 from rich.console import Console
 from rich.progress import Progress
 from rollout_core import World
-from scale_crowd import DEATHS, KEY, RESTARTS, SECOND, START, Crowd, Tally, filled, members_most, terms, words
+from scale_crowd import (
+    DEATHS,
+    KEY,
+    RESTARTS,
+    SECOND,
+    START,
+    Crowd,
+    Tally,
+    filled,
+    members_most,
+    terms,
+    words,
+)
 from scale_swarms import after_cut, after_deaths, after_restart, metered, swarm_of
 
 from burlloom.fleet import CALL, Fleet, Habits, State, Word, spread, summary
@@ -41,8 +53,10 @@
 SPANS = 5
 EVENTS_LEAST = 16  # restarts and deaths that a run with churn sees on the mean
 PAST = "a view ends at 1,000 (MEMBERS_MOST); past that the bound is raised in the benchmark alone"
-PLACE = ("one real member among scripted peers in simulated time, a tick each 50 ms, default terms (round 200 ms);"
-         " all sizes measured; ")
+PLACE = (
+    "one real member among scripted peers in simulated time, a tick each 50 ms, default terms (round 200 ms);"
+    " all sizes measured; "
+)
 
 
 @dataclass(frozen=True)
@@ -60,11 +74,13 @@
 PARTS: dict[str, tuple[Part, tuple[int, ...], tuple[str, ...]]] = {}
 
 
-def part(name: str, sizes: tuple[int, ...] = SIZES,
-         states: tuple[str, ...] = ("rest", "churn")) -> Callable[[Part], Part]:
+def part(
+    name: str, sizes: tuple[int, ...] = SIZES, states: tuple[str, ...] = ("rest", "churn")
+) -> Callable[[Part], Part]:
     def put(what: Part) -> Part:
         PARTS[name] = what, sizes, states
         return what
+
     return put
 
 
@@ -101,8 +117,10 @@
     return churn, max(least, EVENTS_LEAST / (churn * size)) if churn else least
 
 
-CHURN = ("churn: 11,000 restarts and 740 deaths a day over 2,600 servers, in proportion; news among scripted peers by"
-         " the rules")
+CHURN = (
+    "churn: 11,000 restarts and 740 deaths a day over 2,600 servers, in proportion; news among scripted peers by"
+    " the rules"
+)
 
 
 @part("member")
@@ -112,7 +130,10 @@
     note = PLACE + PAST + (f"; {CHURN}" if churn else "")
     return {
         Slope("member cpu", "ms/s", state, note): tally.cpu_ns / 1e6 / seconds,
-        Slope("member bytes", "B/s", state, note + "; sent and received"): (tally.bytes_sent + tally.bytes_heard) / seconds,
+        Slope("member bytes", "B/s", state, note + "; sent and received"): (
+            tally.bytes_sent + tally.bytes_heard
+        )
+        / seconds,
         Slope("member bytes sent", "B/s", state, note): tally.bytes_sent / seconds,
         Slope("member bytes received", "B/s", state, note): tally.bytes_heard / seconds,
         Slope("member messages sent", "1/s", state, note): tally.sent / seconds,
@@ -131,17 +152,31 @@
     note = PLACE + PAST + (f"; {CHURN}" if churn else "")
     return {
         Slope("dealer cpu", "ms/s", state, note): tally.cpu_ns / 1e6 / seconds,
-        Slope("dealer bytes", "B/s", state, note + "; sent and received"): (tally.bytes_sent + tally.bytes_heard) / seconds,
-        Slope("dealer messages", "1/s", state, note + "; sent and received"): (tally.sent + tally.heard) / seconds,
+        Slope("dealer bytes", "B/s", state, note + "; sent and received"): (
+            tally.bytes_sent + tally.bytes_heard
+        )
+        / seconds,
+        Slope("dealer messages", "1/s", state, note + "; sent and received"): (
+            tally.sent + tally.heard
+        )
+        / seconds,
     }
 
 
 @part("memory", states=("rest",))
 def memory(size: int, state: str) -> Found:
     """Of views that came in by messages; the mean of three."""
+
     def view() -> Fleet:
-        all_of = [Word(*[str(one) if isinstance(one, str) else one for one in msgpack.unpackb(msgpack.packb([*word]))])
-                  for word in words(size)]
+        all_of = [
+            Word(
+                *[
+                    str(one) if isinstance(one, str) else one
+                    for one in msgpack.unpackb(msgpack.packb([*word]))
+                ]
+            )
+            for word in words(size)
+        ]
         all_of = [word._replace(state=State(word.state)) for word in all_of]
         fleet = filled(all_of, 0)
         fleet.look()
@@ -152,6 +187,7 @@
         fleet.dealer.round(START, fleet.present, True)
         for at, word in enumerate(words(size)):
             fleet.dealer.report(START, word.name, word.life, at, Told(CALL, CALL, CALL, 1000, 7))
+
     gc.collect()
     tracemalloc.start()
     views = [view() for _ in range(3)]
@@ -162,9 +198,14 @@
     gc.collect()
     whole = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    note = "tracemalloc over three members: view, what the dealing sees of it, order of probes; all sizes measured; " + PAST
-    return {Slope("view memory", "MB", state, note): plain / 3e6,
-            Slope("dealer memory", "MB", state, note + "; with an account of each member"): whole / 3e6}
+    note = (
+        "tracemalloc over three members: view, what the dealing sees of it, order of probes; all sizes measured; "
+        + PAST
+    )
+    return {
+        Slope("view memory", "MB", state, note): plain / 3e6,
+        Slope("dealer memory", "MB", state, note + "; with an account of each member"): whole / 3e6,
+    }
 
 
 @part("newcomer", states=("rest",))
@@ -172,11 +213,21 @@
     """One that knows three addresses, until its view is the crowd's; and one of whom a whole view is asked once."""
     all_of = words(size)
     at = size // 2
-    fresh = Fleet(all_of[at], tuple(word.address for word in all_of[:3]), (KEY,), terms(size), Habits(), Random(1), START)
+    fresh = Fleet(
+        all_of[at],
+        tuple(word.address for word in all_of[:3]),
+        (KEY,),
+        terms(size),
+        Habits(),
+        Random(1),
+        START,
+    )
     crowd = Crowd(size, at, fresh)
     while fresh.members.digest != crowd.peers[0].digest:
         crowd.run(0.1)
-        assert crowd.now - START < 300 * SECOND, f"{len(fresh.members.by_name)} of {size} after 300 s"
+        assert crowd.now - START < 300 * SECOND, (
+            f"{len(fresh.members.by_name)} of {size} after 300 s"
+        )
     took, tally = (crowd.now - START) / SECOND, crowd.tally
     host, name, spent, pages, octets = filled(all_of, 0), "", 0, 0, 0
     while True:
@@ -188,12 +239,26 @@
         pages, octets, name = pages + 1, octets + len(data) + len(page), unseal(page, (KEY,)).name
         if not name:
             break
-    note = "one real newcomer among scripted peers that have the whole view, one way 0.3 to 1.3 ms; all sizes measured; " + PAST
-    return {Slope("newcomer cpu", "ms", state, note + "; until its view is theirs"): tally.cpu_ns / 1e6,
-            Slope("newcomer bytes", "B", state, note + "; sent and received"): float(tally.bytes_sent + tally.bytes_heard),
-            Slope("newcomer time", "s", state, note): took,
-            Slope("host cpu", "ms", state, "a real member of whom a whole view is asked, page by page; " + PAST): spent / 1e6,
-            Slope("host bytes", "B", state, "pages and what asks for them, one whole view; " + PAST): float(octets)}
+    note = (
+        "one real newcomer among scripted peers that have the whole view, one way 0.3 to 1.3 ms; all sizes measured; "
+        + PAST
+    )
+    return {
+        Slope("newcomer cpu", "ms", state, note + "; until its view is theirs"): tally.cpu_ns / 1e6,
+        Slope("newcomer bytes", "B", state, note + "; sent and received"): float(
+            tally.bytes_sent + tally.bytes_heard
+        ),
+        Slope("newcomer time", "s", state, note): took,
+        Slope(
+            "host cpu",
+            "ms",
+            state,
+            "a real member of whom a whole view is asked, page by page; " + PAST,
+        ): spent / 1e6,
+        Slope(
+            "host bytes", "B", state, "pages and what asks for them, one whole view; " + PAST
+        ): float(octets),
+    }
 
 
 @part("release", states=("rest",))
@@ -216,6 +281,7 @@
         nonlocal steps
         steps += 1
         return step(one, book)
+
     world.lead.round = timed  # type: ignore[method-assign,assignment]
     for _ in range(5):
         world.second()
@@ -232,27 +298,48 @@
             began = thread_time_ns()
             work()
             spent[at] += thread_time_ns() - began
-    note = ("the release's core on a clock of its own, a tenth of the fleet out at most, waves of 1, 10%, 50%, 100%,"
-            " 25 s from its start; all sizes measured")
+    note = (
+        "the release's core on a clock of its own, a tenth of the fleet out at most, waves of 1, 10%, 50%, 100%,"
+        " 25 s from its start; all sizes measured"
+    )
     cost = sum(rounds) / len(rounds) / 1e6
     swap, tell = asyncio.run(stored(world.book, list(world.members.values())[:50]))
     store = "SQLite on this machine's disk, processor time of the process; PostgreSQL not measured; all sizes measured"
     return {
         Slope("release round cpu", "ms", state, note): cost,
-        Slope("release idle round cpu", "ms", state, note + "; before it began"): sum(idle) / len(idle) / 1e6,
-        Slope("release leader cpu", "ms/s", state, note
-              + "; two rounds a second (poll_ms 500), the text of the book written each time"): 2 * (cost + spent[0] / 5e6),
-        Slope("book bytes", "B", state, note + "; one row, written whole at each step"): float(len(text)),
+        Slope("release idle round cpu", "ms", state, note + "; before it began"): sum(idle)
+        / len(idle)
+        / 1e6,
+        Slope(
+            "release leader cpu",
+            "ms/s",
+            state,
+            note + "; two rounds a second (poll_ms 500), the text of the book written each time",
+        ): 2 * (cost + spent[0] / 5e6),
+        Slope("book bytes", "B", state, note + "; one row, written whole at each step"): float(
+            len(text)
+        ),
         Slope("book write cpu", "ms", state, note + "; its text alone"): spent[0] / 5e6,
-        Slope("book read cpu", "ms", state, note + "; by each server at each step that it sees"): spent[1] / 5e6,
-        Slope("book steps", "1/s", state, note + "; by who leads and by servers that leave"): steps / 25,
-        Slope("release read bytes", "B/s", state, "arithmetic from book bytes and book steps: each server looks twice"
-              " a second and reads the book whole where it was written since"): min(2.0, steps / 25) * len(text),
+        Slope(
+            "book read cpu", "ms", state, note + "; by each server at each step that it sees"
+        ): spent[1] / 5e6,
+        Slope("book steps", "1/s", state, note + "; by who leads and by servers that leave"): steps
+        / 25,
+        Slope(
+            "release read bytes",
+            "B/s",
+            state,
+            "arithmetic from book bytes and book steps: each server looks twice"
+            " a second and reads the book whole where it was written since",
+        ): min(2.0, steps / 25) * len(text),
         Slope("store swap cpu", "ms", state, store + "; one step of the book"): swap,
         Slope("store tell cpu", "ms", state, store + "; one word of a server"): tell,
-        Slope("store statements", "1/s", state,
-              "arithmetic, not measured: a look each 500 ms and a word each second of each server"):
-            3.0 * size,
+        Slope(
+            "store statements",
+            "1/s",
+            state,
+            "arithmetic, not measured: a look each 500 ms and a word each second of each server",
+        ): 3.0 * size,
     }
 
 
@@ -292,11 +379,13 @@
                 octets += len(service.recv(2048))
                 heard += 1
     note = "real reports over loopback, five a second from each; the name service itself is the platform's and not measured"
-    return {Slope("discovery bytes", "B/s", state, note + "; a server sends"): octets / size,
-            Slope("discovery messages", "1/s", state, note + "; a server sends"): heard / size,
-            Slope("discovery cpu", "ms/s", state, note + "; of a server"): spent / size / 1e6,
-            Slope("name service bytes", "B/s", state, note + "; from all"): float(octets),
-            Slope("name service messages", "1/s", state, note + "; from all"): float(heard)}
+    return {
+        Slope("discovery bytes", "B/s", state, note + "; a server sends"): octets / size,
+        Slope("discovery messages", "1/s", state, note + "; a server sends"): heard / size,
+        Slope("discovery cpu", "ms/s", state, note + "; of a server"): spent / size / 1e6,
+        Slope("name service bytes", "B/s", state, note + "; from all"): float(octets),
+        Slope("name service messages", "1/s", state, note + "; from all"): float(heard),
+    }
 
 
 SERVICES, SUBSET = 40, 8
@@ -305,7 +394,10 @@
 @part("subset", states=("rest",))
 def subset(size: int, state: str) -> Found:
     """What a server works out anew whenever somebody comes or goes, off the loop and on the same core."""
-    names, services = [word.name for word in words(size)], [f"10.0.0.{at}:80" for at in range(SERVICES)]
+    names, services = (
+        [word.name for word in words(size)],
+        [f"10.0.0.{at}:80" for at in range(SERVICES)],
+    )
     began = thread_time_ns()
     spread(names, services, SUBSET)
     took = thread_time_ns() - began
@@ -313,10 +405,19 @@
     began = thread_time_ns()
     json.dumps(summary(fleet, START))
     told = thread_time_ns() - began
-    note = f"each server at each change of its view, {SERVICES} services below, subsets of {SUBSET}; all sizes measured; " + PAST
-    return {Slope("subset cpu", "ms", state, note): took / 1e6,
-            Slope("state file cpu", "ms/s", state, "the text alone, once a second where the operator's file names a state_file; "
-                  + PAST): told / 1e6}
+    note = (
+        f"each server at each change of its view, {SERVICES} services below, subsets of {SUBSET}; all sizes measured; "
+        + PAST
+    )
+    return {
+        Slope("subset cpu", "ms", state, note): took / 1e6,
+        Slope(
+            "state file cpu",
+            "ms/s",
+            state,
+            "the text alone, once a second where the operator's file names a state_file; " + PAST,
+        ): told / 1e6,
+    }
 
 
 RACK, ZONES, REGIONS, CUT = 40, 14, 6, 30.0
@@ -331,18 +432,26 @@
 
     def put(name: str, said: str, seconds: float) -> None:
         found[Slope(name, "s", state, f"{note}; {said}")] = seconds
+
     with swarm_of(size, terms(size)) as swarm:
         bodies = swarm.up()
         deaths = [after_deaths(swarm, [body]) for body in bodies[5:8]]
         put("agree after death", "mean of three", sum(took for took, _ in deaths) / 3)
-        put("agree after restart", "mean of three; from its start, 2 s after it left",
-            sum(after_restart(swarm, body) for body in bodies[8:11]) / 3)
+        put(
+            "agree after restart",
+            "mean of three; from its start, 2 s after it left",
+            sum(after_restart(swarm, body) for body in bodies[8:11]) / 3,
+        )
         if size >= 100:
-            put("agree after rack", f"{RACK} servers at once, sizes from 100", after_deaths(swarm, bodies[-RACK:])[0])
-        took, back = after_deaths(swarm, bodies[-max(1, size // ZONES):])
+            put(
+                "agree after rack",
+                f"{RACK} servers at once, sizes from 100",
+                after_deaths(swarm, bodies[-RACK:])[0],
+            )
+        took, back = after_deaths(swarm, bodies[-max(1, size // ZONES) :])
         put("agree after zone", "a fourteenth at once", took)
         put("agree after zone's return", "a fourteenth started at once", back)
-        took, back = after_cut(swarm, bodies[-size // REGIONS:], CUT)
+        took, back = after_cut(swarm, bodies[-size // REGIONS :], CUT)
         put("agree after region's cut", "a sixth; each side with itself", took)
         put("agree after region's healing", f"a sixth, {CUT:.0f} s after the cut", back)
     return found
@@ -353,14 +462,37 @@
     with metered() as spent, swarm_of(size, terms(size), cold=True) as swarm:
         took = swarm.until(swarm.agreed)
         plain = sorted(cost for name, cost in spent.items() if int(name[1:]) > 2)
-        net, note = swarm.net, (SWARM + "all start at once knowing three addresses, until all agree; sizes to 300 measured,"
-                                " past that extrapolated")
-        return {Slope("agree after cold start", "s", state, note): took,
-                Slope("cold start cpu", "ms", state, note + "; the median of plain members"): median(plain) / 1e6,
-                Slope("cold start bytes", "B", state, note + "; sent, the mean of all"): net.bytes / size,
-                Slope("member cpu", "ms/s", state, note + "; the median of plain members"): median(plain) / 1e6 / took,
-                Slope("member bytes", "B/s", state, note + "; sent and received, the mean of all"): 2 * net.bytes / size / took,
-                Slope("dealer cpu", "ms/s", state, note + "; the first by name, a seed too"): spent["n0"] / 1e6 / took}
+        net, note = (
+            swarm.net,
+            (
+                SWARM
+                + "all start at once knowing three addresses, until all agree; sizes to 300 measured,"
+                " past that extrapolated"
+            ),
+        )
+        return {
+            Slope("agree after cold start", "s", state, note): took,
+            Slope("cold start cpu", "ms", state, note + "; the median of plain members"): median(
+                plain
+            )
+            / 1e6,
+            Slope("cold start bytes", "B", state, note + "; sent, the mean of all"): net.bytes
+            / size,
+            Slope("member cpu", "ms/s", state, note + "; the median of plain members"): median(
+                plain
+            )
+            / 1e6
+            / took,
+            Slope("member bytes", "B/s", state, note + "; sent and received, the mean of all"): 2
+            * net.bytes
+            / size
+            / took,
+            Slope("dealer cpu", "ms/s", state, note + "; the first by name, a seed too"): spent[
+                "n0"
+            ]
+            / 1e6
+            / took,
+        }
 
 
 def passed(row: Row) -> str:
@@ -378,7 +510,9 @@
     return f"| {row.name} | {row.state} | {row.unit} | {values} | {exponent_word(found)} | {passed(row)} |"
 
 
-def measured(name: str, sizes: Sequence[int], states: Sequence[str], side: str, step: Callable[[str], None]) -> list[Row]:
+def measured(
+    name: str, sizes: Sequence[int], states: Sequence[str], side: str, step: Callable[[str], None]
+) -> list[Row]:
     what, own, may = PARTS[name]
     taken = tuple(sizes) or own
     rows, speed = [], yardstick()
@@ -392,30 +526,71 @@
                 for slope, value in what(size, state).items():
                     found.setdefault((slope.name, slope.unit), (slope, {}))[1][size] = value
         command = f"python benchmarks/scale.py servers --part {name} --state {state}" + (
-            f" --sizes {','.join(map(str, taken))}" if taken != own else "")
-        rows += [Row(slope.name, "servers", slope.unit, slope.state, tuple(map(float, values)), tuple(values.values()),
-                     command, f"{slope.note}; a million squares took {speed:.0f} ms of a core before it", side)
-                 for slope, values in found.values()]
+            f" --sizes {','.join(map(str, taken))}" if taken != own else ""
+        )
+        rows += [
+            Row(
+                slope.name,
+                "servers",
+                slope.unit,
+                slope.state,
+                tuple(map(float, values)),
+                tuple(values.values()),
+                command,
+                f"{slope.note}; a million squares took {speed:.0f} ms of a core before it",
+                side,
+            )
+            for slope, values in found.values()
+        ]
     return rows
 
 
 @click.command()
-@click.option("--part", "parts", multiple=True, type=click.Choice(sorted(PARTS)), help="All where none is named.")
-@click.option("--state", "states", multiple=True, type=click.Choice(("rest", "churn", "cold")), help="All where none is named.")
-@click.option("--sizes", default="", help="In place of a part's own, with commas between; five at least to keep them.")
-@click.option("--side", default="now", type=click.Choice(("now", "before")), help="`before`: of the text before a change.")
+@click.option(
+    "--part",
+    "parts",
+    multiple=True,
+    type=click.Choice(sorted(PARTS)),
+    help="All where none is named.",
+)
+@click.option(
+    "--state",
+    "states",
+    multiple=True,
+    type=click.Choice(("rest", "churn", "cold")),
+    help="All where none is named.",
+)
+@click.option(
+    "--sizes",
+    default="",
+    help="In place of a part's own, with commas between; five at least to keep them.",
+)
+@click.option(
+    "--side",
+    default="now",
+    type=click.Choice(("now", "before")),
+    help="`before`: of the text before a change.",
+)
 @click.option("--keep", "keeps", is_flag=True, help="Add the rows to benchmarks/slopes.jsonl.")
-def servers(parts: tuple[str, ...], states: tuple[str, ...], sizes: str, side: str, keeps: bool) -> None:
+def servers(
+    parts: tuple[str, ...], states: tuple[str, ...], sizes: str, side: str, keeps: bool
+) -> None:
     """What control costs by the number of servers."""
     wanted = [int(size) for size in sizes.split(",") if size]
-    click.echo("| what | state | unit | values | fit | budget passed at |\n| --- | --- | --- | --- | --- | --- |")
+    click.echo(
+        "| what | state | unit | values | fit | budget passed at |\n| --- | --- | --- | --- | --- | --- |"
+    )
     with Progress(console=Console(stderr=True)) as progress:
         for name in parts or PARTS:
             steps = progress.add_task(name, total=None)
-            for row in measured(name, wanted, states, side, lambda said: progress.update(steps, description=said)):
+            for row in measured(
+                name, wanted, states, side, lambda said: progress.update(steps, description=said)
+            ):
                 if len(row.sizes) < 5:
                     values = ", ".join(f"{value:.3g}" for value in row.values)
-                    click.echo(f"| {row.name} | {row.state} | {row.unit} | {values} | too few sizes | |")
+                    click.echo(
+                        f"| {row.name} | {row.state} | {row.unit} | {values} | too few sizes | |"
+                    )
                     continue
                 click.echo(told(keep(row) if keeps else row))
             progress.remove_task(steps)
--- a/benchmarks/scale_swarms.py
+++ b/benchmarks/scale_swarms.py
@@ -87,9 +87,13 @@
     inside = {body.name for body in part}
     sides = [frozenset(inside), frozenset(body.name for body in up if body.name not in inside)]
     swarm.shown = {}
-    swarm.net.cut([body.address for body in part], [body.address for body in up if body.name not in inside])
+    swarm.net.cut(
+        [body.address for body in part], [body.address for body in up if body.name not in inside]
+    )
     began = swarm.loop.now
-    took = swarm.until(lambda: all(swarm.names_of(body) == sides[body.name not in inside] for body in up))
+    took = swarm.until(
+        lambda: all(swarm.names_of(body) == sides[body.name not in inside] for body in up)
+    )
     swarm.run(max(0.0, seconds - (swarm.loop.now - began)))
     swarm.net.heal()
     return took, swarm.until(swarm.agreed)
@@ -106,7 +110,9 @@
             began = thread_time_ns()
             of(fleet, *told)
             spent[fleet.own.name] = spent.get(fleet.own.name, 0) + thread_time_ns() - began
+
         return call
+
     whole.Fleet.tick, whole.Fleet.hear = timed(tick), timed(hear)  # type: ignore[method-assign]
     try:
         yield spent
--- a/benchmarks/scale_table.py
+++ b/benchmarks/scale_table.py
@@ -45,7 +45,11 @@
     chance = Random(number)
     kind = "tenant" if number % 100 < 64 else "route"
     name = f"{kind[0]}{number:08x}-".ljust(chance.randint(12, 40), "abcdefghijklmnop"[number % 16])
-    told = {"portion": round(chance.random(), 3)} if kind == "tenant" else {"to": f"pool-{number % 3000}"}
+    told = (
+        {"portion": round(chance.random(), 3)}
+        if kind == "tenant"
+        else {"to": f"pool-{number % 3000}"}
+    )
     if (rest := chance.randint(0, 36)) > 6:
         told["note"] = "x" * (rest - 6)
     return Entry("", kind, name, msgpack.packb(told))
@@ -110,30 +114,37 @@
     def __init__(self) -> None:
         super().__init__()
         self.db = sqlite3.connect(":memory:", isolation_level=None, cached_statements=16)
-        self.db.execute("CREATE TABLE entry (bucket INTEGER, scope TEXT, kind TEXT, key TEXT,"
-                        " value BLOB NOT NULL, PRIMARY KEY (bucket, scope, kind, key)) WITHOUT ROWID")
+        self.db.execute(
+            "CREATE TABLE entry (bucket INTEGER, scope TEXT, kind TEXT, key TEXT,"
+            " value BLOB NOT NULL, PRIMARY KEY (bucket, scope, kind, key)) WITHOUT ROWID"
+        )
 
     def put(self, entries: Sequence[Entry]) -> None:
         self.db.execute("BEGIN")
         for one in entries:
             place = bucket_of(one.kind, one.key), one.scope, one.kind[0], one.key
-            old = self.db.execute("SELECT value FROM entry WHERE bucket=? AND scope=? AND kind=? AND key=?",
-                                  place).fetchone()
+            old = self.db.execute(
+                "SELECT value FROM entry WHERE bucket=? AND scope=? AND kind=? AND key=?", place
+            ).fetchone()
             self.changed(one, old and old[0])
             self.db.execute("INSERT OR REPLACE INTO entry VALUES (?,?,?,?,?)", (*place, one.value))
         self.db.execute("COMMIT")
 
     def get(self, kind: str, key: str) -> bytes | None:
-        row = self.db.execute("SELECT value FROM entry WHERE bucket=? AND scope IN ('', 'north')"
-                              " AND kind=? AND key=? ORDER BY scope DESC LIMIT 1",
-                              (bucket_of(kind, key), kind[0], key)).fetchone()
+        row = self.db.execute(
+            "SELECT value FROM entry WHERE bucket=? AND scope IN ('', 'north')"
+            " AND kind=? AND key=? ORDER BY scope DESC LIMIT 1",
+            (bucket_of(kind, key), kind[0], key),
+        ).fetchone()
         return row and row[0]
 
     def page(self, bucket: int) -> int:
         left, found = PAGE_BYTES, 0
         for kind, key, value in self.db.execute(
-                "SELECT kind, key, value FROM entry WHERE bucket=? AND (scope, kind, key) > (?,?,?)"
-                " ORDER BY scope, kind, key LIMIT 64", (bucket, "", "", "")):
+            "SELECT kind, key, value FROM entry WHERE bucket=? AND (scope, kind, key) > (?,?,?)"
+            " ORDER BY scope, kind, key LIMIT 64",
+            (bucket, "", "", ""),
+        ):
             left -= len(key.encode()) + len(value) + 16
             if left < 0:
                 break
@@ -158,12 +169,12 @@
         low, high = 0, len(key_ends)
         while low < high:
             middle = (low + high) // 2
-            if keys[key_ends[middle - 1] if middle else 0:key_ends[middle]] < key:
+            if keys[key_ends[middle - 1] if middle else 0 : key_ends[middle]] < key:
                 low = middle + 1
             else:
                 high = middle
-        if low < len(key_ends) and keys[key_ends[low - 1] if low else 0:key_ends[low]] == key:
-            return values[ends[low - 1] if low else 0:ends[low]]
+        if low < len(key_ends) and keys[key_ends[low - 1] if low else 0 : key_ends[low]] == key:
+            return values[ends[low - 1] if low else 0 : ends[low]]
         return None
 
     def put(self, entries: Sequence[Entry]) -> None:
@@ -196,8 +207,13 @@
         return self.find(bucket_of(kind, key), f"{kind[0]}{key}".encode())
 
 
-MADE = {"table": lambda: Table(("", "north")), "plain dict": PlainDict, "bytes dict": BytesDict,
-        "sqlite": Sqlite, "sorted arrays": SortedArrays}
+MADE = {
+    "table": lambda: Table(("", "north")),
+    "plain dict": PlainDict,
+    "bytes dict": BytesDict,
+    "sqlite": Sqlite,
+    "sorted arrays": SortedArrays,
+}
 
 
 def resident() -> float:
@@ -222,7 +238,7 @@
     before, longest, fill = resident(), 0, 0
     after, at = None, 0
     while at < size:
-        entries = [entry(number) for number in order[at:at + (PAGE_ENTRIES if pages else CHANGE)]]
+        entries = [entry(number) for number in order[at : at + (PAGE_ENTRIES if pages else CHANGE)]]
         if pages:
             bucket = bucket_of(*entries[0][1:3])
             entries = [one for one in entries if bucket_of(*one[1:3]) == bucket]
@@ -247,7 +263,12 @@
         made.get(kind, key)
     lookup = (time.thread_time_ns() - began) / len(asked)
     assert all(made.get(*one) is not None for one in known[:100])
-    found = {"memory": memory, "lookup": lookup / 1e3, "longest step": longest / 1e6, "fill": fill / 1e9}
+    found = {
+        "memory": memory,
+        "lookup": lookup / 1e3,
+        "longest step": longest / 1e6,
+        "fill": fill / 1e9,
+    }
     if hasattr(made, "page"):
         began = time.thread_time_ns()
         for number in range(PAGES):
@@ -258,8 +279,10 @@
         found["page"] = (time.thread_time_ns() - began) / PAGES / 1e3
     took = []
     for number in range(CHANGES):
-        entries = [entry(chance.randrange(size))._replace(value=msgpack.packb({"portion": number}))
-                   for _ in range(CHANGE // 2)]
+        entries = [
+            entry(chance.randrange(size))._replace(value=msgpack.packb({"portion": number}))
+            for _ in range(CHANGE // 2)
+        ]
         entries += [entry(size + number * CHANGE + new) for new in range(CHANGE // 2)]
         began = time.thread_time_ns()
         made.put(entries)
@@ -269,14 +292,31 @@
     return found
 
 
-UNITS = {"memory": "MB", "lookup": "us", "longest step": "ms", "fill": "s", "page": "us", "change": "ms"}
+UNITS = {
+    "memory": "MB",
+    "lookup": "us",
+    "longest step": "ms",
+    "fill": "s",
+    "page": "us",
+    "change": "ms",
+}
 
 
 @click.command()
-@click.option("--way", "ways", type=click.Choice([*WAYS, "pages"]), multiple=True,
-              help="Only these; else all.")
-@click.option("--keep/--no-keep", "kept", default=True, show_default=True,
-              help="Add the slopes to benchmarks/slopes.jsonl.")
+@click.option(
+    "--way",
+    "ways",
+    type=click.Choice([*WAYS, "pages"]),
+    multiple=True,
+    help="Only these; else all.",
+)
+@click.option(
+    "--keep/--no-keep",
+    "kept",
+    default=True,
+    show_default=True,
+    help="Add the slopes to benchmarks/slopes.jsonl.",
+)
 @click.option("--one", type=int, hidden=True, help="One size in this process, told as JSON.")
 def table(ways: tuple[str, ...], kept: bool, one: int | None) -> None:
     """Ways to hold what is in force, by entries: memory, lookup, change, page, longest step, fill."""
@@ -286,20 +326,35 @@
     for way in ways or (*WAYS, "pages"):
         rows = []
         for size in SIZES:
-            done = subprocess.run([sys.executable, __file__, "--way", way, "--one", str(size)],
-                                  capture_output=True, text=True, check=True, timeout=600)
+            done = subprocess.run(
+                [sys.executable, __file__, "--way", way, "--one", str(size)],
+                capture_output=True,
+                text=True,
+                check=True,
+                timeout=600,
+            )
             rows.append(json.loads(done.stdout))
-            told = "  ".join(f"{name} {value:.2f} {UNITS[name]}" for name, value in rows[-1].items())
+            told = "  ".join(
+                f"{name} {value:.2f} {UNITS[name]}" for name, value in rows[-1].items()
+            )
             click.echo(f"{way:14} {size:>8,} entries  {told}")
         name = "table by pages" if way == "pages" else way
         for figure in rows[0]:
             values = tuple(row[figure] for row in rows)
             if kept:
-                keep(Row(f"{name} {figure}", "entries", UNITS[figure],
-                         "cold" if figure == "fill" else "rest", SIZES, values,
-                         f"python benchmarks/scale_table.py --way {way!r}".replace("'", '"'),
-                         "a process a size, processor time, one scope filled;"
-                         f" load {os.getloadavg()[0]:.0f}"))
+                keep(
+                    Row(
+                        f"{name} {figure}",
+                        "entries",
+                        UNITS[figure],
+                        "cold" if figure == "fill" else "rest",
+                        SIZES,
+                        values,
+                        f"python benchmarks/scale_table.py --way {way!r}".replace("'", '"'),
+                        "a process a size, processor time, one scope filled;"
+                        f" load {os.getloadavg()[0]:.0f}",
+                    )
+                )
             click.echo(f"  {name} {figure}: {exponent_word(fit(SIZES, values))}")
 
 
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -73,7 +73,9 @@
         async with asyncio.timeout(within):
             return await asyncio.to_thread(pipe.recv)
     except EOFError:
-        raise RuntimeError("a process of the measurement ended before its time; its standard error says why") from None
+        raise RuntimeError(
+            "a process of the measurement ended before its time; its standard error says why"
+        ) from None
 
 
 # The generator's process.
@@ -214,11 +216,13 @@
         await catalogue.stop()
         pipe.send(own)
         pipe.close()
+
     uvloop.run(serve())
 
 
 def echo(pipe: Pipe) -> None:
     """A process that answers each request at once: what the harness itself adds."""
+
     class Answers(asyncio.Protocol):
         def connection_made(self, transport: Any) -> None:
             self.transport, self.unpacker = transport, msgpack.Unpacker()
@@ -232,6 +236,7 @@
         server = await asyncio.get_running_loop().create_server(Answers, "127.0.0.1", 0)
         pipe.send("%s:%d" % server.sockets[0].getsockname())
         await asyncio.to_thread(pipe.recv)
+
     uvloop.run(serve())
 
 
@@ -252,7 +257,9 @@
     late_p99: float
 
 
-def told_of(sent: Iterable[Sent], own: dict[str, int], since: int = 0, until: int = 1 << 62) -> Told:
+def told_of(
+    sent: Iterable[Sent], own: dict[str, int], since: int = 0, until: int = 1 << 62
+) -> Told:
     added, whole, late = (HdrHistogram(1, 120_000_000, 3) for _ in range(3))  # in us
     how: Counter[str] = Counter()
     longest = 0
@@ -266,6 +273,12 @@
             added.record_value(max(1, took // 1000))
             whole.record_value(max(1, (one.answered - one.intended) // 1000))
             late.record_value(max(1, (one.sent - one.intended) // 1000))
-    return Told(sum(how.values()), dict(how), added.get_value_at_percentile(50) / 1e3,
-                added.get_value_at_percentile(99) / 1e3, longest / 1e6, whole.get_value_at_percentile(99) / 1e3,
-                late.get_value_at_percentile(99) / 1e3)
+    return Told(
+        sum(how.values()),
+        dict(how),
+        added.get_value_at_percentile(50) / 1e3,
+        added.get_value_at_percentile(99) / 1e3,
+        longest / 1e6,
+        whole.get_value_at_percentile(99) / 1e3,
+        late.get_value_at_percentile(99) / 1e3,
+    )
--- a/burlloom/catalogue/pool.py
+++ b/burlloom/catalogue/pool.py
@@ -16,7 +16,9 @@
 READ_BYTES = 4 << 10
 BODY_MOST = 1 << 20
 HEAD_MOST = 16 << 10  # of all heads of one reply, those of 1xx included
-KEPT_FOR = 7 * SECOND  # the other side closes at 10, and a call that meets that close proves nothing
+KEPT_FOR = (
+    7 * SECOND
+)  # the other side closes at 10, and a call that meets that close proves nothing
 KEPT_MOST = 16
 
 
@@ -100,7 +102,9 @@
 
 
 class Pool:
-    def __init__(self, address: tuple[str, int] | None, spare: Callable[[], bool] = lambda: False) -> None:
+    def __init__(
+        self, address: tuple[str, int] | None, spare: Callable[[], bool] = lambda: False
+    ) -> None:
         """`None`: this server was told of no catalogue, and reaches none. `spare` frees a descriptor elsewhere."""
         self.aim(address)
         self.spare = spare
@@ -119,7 +123,10 @@
         self.kept.clear()
 
     def aim(self, address: tuple[str, int] | None) -> None:
-        self.address, self.host = address, f"{address[0]}:{address[1]}" if address is not None else ""
+        self.address, self.host = (
+            address,
+            f"{address[0]}:{address[1]}" if address is not None else "",
+        )
 
     async def call(self, id: str, body: bytes, patience: int, kept: bool) -> tuple[Answer, bytes]:
         """One call; given up when `patience` is over, or the task is cancelled.
@@ -170,8 +177,10 @@
                 self.end(sock, reason, detail)
 
     def text(self, id: str, body: bytes, patience: int) -> bytes:
-        head = (f"POST /fetch HTTP/1.1\r\nHost: {self.host}\r\nX-On-Behalf: {id}\r\n"
-                f"X-Patience: {max(1, patience // MS)}\r\nContent-Length: {len(body)}\r\n\r\n")
+        head = (
+            f"POST /fetch HTTP/1.1\r\nHost: {self.host}\r\nX-On-Behalf: {id}\r\n"
+            f"X-Patience: {max(1, patience // MS)}\r\nContent-Length: {len(body)}\r\n\r\n"
+        )
         return head.encode() + body
 
     async def read(self, sock: socket.socket, reply: Reply) -> None:
--- a/burlloom/catalogue/spread.py
+++ b/burlloom/catalogue/spread.py
@@ -12,7 +12,9 @@
     """As `Pool`, over a set of addresses that may change. `next` names where a call goes, `told` hears what
     became of it; neither may be asked of twice for one call: a repeat is a call of its own."""
 
-    def __init__(self, next: Callable[[], Address], told: Callable[[Address, Answer], None]) -> None:
+    def __init__(
+        self, next: Callable[[], Address], told: Callable[[Address, Answer], None]
+    ) -> None:
         self.next, self.told = next, told
         self.pools: dict[Address, Pool] = {}
         self.open: Counter[Address] = Counter()  # calls on their way
--- a/burlloom/choice.py
+++ b/burlloom/choice.py
@@ -16,7 +16,17 @@
 from random import Random
 from typing import Any
 
-from .interface import Effects, FreeValue, Gauges, Outcome, Relief, Repeatable, ServerFacts, Service, Txn
+from .interface import (
+    Effects,
+    FreeValue,
+    Gauges,
+    Outcome,
+    Relief,
+    Repeatable,
+    ServerFacts,
+    Service,
+    Txn,
+)
 
 MS = 1_000_000
 ROUND = 100 * MS  # between timer rounds
@@ -29,28 +39,56 @@
 HOLD_SHARE = 0.25  # of memory, for the hold
 MEMORY_SHARE = 0.97  # of memory, for everything
 CROWD_SHARE = 0.85  # of the crowd that kills
-STALL = 6000 * MS  # time of all runs in which none moves: work hangs; two may rest a second by chance
+STALL = (
+    6000 * MS
+)  # time of all runs in which none moves: work hangs; two may rest a second by chance
 GAP = 3 * ROUND  # no event for this long: the process stood still
 REST = 0.5  # of its SLA time that a held txn is given back with, to be tried elsewhere
-BREAK_AFTER, TRIAL = 5, 500 * MS  # calls failed in a row until calling stops; between its single trials
+BREAK_AFTER, TRIAL = (
+    5,
+    500 * MS,
+)  # calls failed in a row until calling stops; between its single trials
 CALL_ROOM = 8  # a share under one call is metered over a span in which it comes to this many times the linger
-CALLS_MIN, CROWDED, CREEP, REBASE = 5, 3.0, 1.005, 1.1  # to judge by; too long; the base's creep, or leap
-ENDS, ENDS_FOR = 16, 5000 * MS  # of a product, that tell what runs take: few, as slow calls are soon past
+CALLS_MIN, CROWDED, CREEP, REBASE = (
+    5,
+    3.0,
+    1.005,
+    1.1,
+)  # to judge by; too long; the base's creep, or leap
+ENDS, ENDS_FOR = (
+    16,
+    5000 * MS,
+)  # of a product, that tell what runs take: few, as slow calls are soon past
 NEWEST, QUICKER = 4, 0.7  # of those, the last ones; where they take so much less, they alone tell
-PATIENCE, PATIENCE_MIN = 25, 100 * MS  # how many times the usual a call is waited for, but so long at least
-AILING_MIN, AILING_FROM = 6, 0.25  # ended runs, and the share of them that failed, until that is a sign
-PRESS_GAIN, PRESS_AIM, FINAL = 0.07, 0.1, 0.2  # pressure: its step, its aim, not elsewhere from there
+PATIENCE, PATIENCE_MIN = (
+    25,
+    100 * MS,
+)  # how many times the usual a call is waited for, but so long at least
+AILING_MIN, AILING_FROM = (
+    6,
+    0.25,
+)  # ended runs, and the share of them that failed, until that is a sign
+PRESS_GAIN, PRESS_AIM, FINAL = (
+    0.07,
+    0.1,
+    0.2,
+)  # pressure: its step, its aim, not elsewhere from there
 SPARE_LINKS, SPARE_IDLE = 4, 1000 * MS  # connections for each use, and how long one more may idle
 FLOOD_USE, FLOOD = 0.9, 0.3  # cores used more, and more turned away: no connection is spare
 ROOMY = 4.0  # allowance at no pressure, over the run limit
 
 NEVER = 1 << 62
 PROVES_UNRUN = (Outcome.FULL, Outcome.UNREACHED, Outcome.MOOT)
-LEAVES_BEHIND = (Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.STOPPED)  # the call is still in hand below
+LEAVES_BEHIND = (
+    Outcome.TIMED_OUT,
+    Outcome.BROKEN,
+    Outcome.STOPPED,
+)  # the call is still in hand below
 
 State = IntEnum("State", "NEW HELD RUN DOOR CALL TAIL COPY RAN GONE", start=0)
 Input = IntEnum(
-    "Input", "READ PICK OUST ROUND LEFT LEVEL NEEDS GRANT BACK BROKE END MOOT UNRUN TAKEN", start=0)
+    "Input", "READ PICK OUST ROUND LEFT LEVEL NEEDS GRANT BACK BROKE END MOOT UNRUN TAKEN", start=0
+)
 UNBEGUN = {Outcome.MOOT: Input.MOOT, Outcome.UNKEPT: Input.UNRUN, Outcome.TAKEN: Input.TAKEN}
 
 TABLE = """
@@ -165,7 +203,9 @@
         self.took = [deque[tuple[int, int, int]](maxlen=ENDS) for _ in facts.products]
         self.ends, self.bad_ends = Ring(2000 * MS), Ring(2000 * MS)
         self.read, self.turned, self.unread = Ring(1000 * MS), Ring(1000 * MS), Ring(1000 * MS)
-        self.top = 1 - 1 / len({product.value for product in facts.products})  # the highest value stays above
+        self.top = 1 - 1 / len(
+            {product.value for product in facts.products}
+        )  # the highest value stays above
         self.lag = min(product.sla for product in facts.products)
         self.service = Service()
 
@@ -264,7 +304,9 @@
         if now - self.now > GAP:
             self.slept += now - self.now - ROUND
             self.moved += now - self.now - ROUND
-        self.in_hand.add(now + self.phase, (now - self.now) * (self.count[State.CALL] + len(self.lingering)))
+        self.in_hand.add(
+            now + self.phase, (now - self.now) * (self.count[State.CALL] + len(self.lingering))
+        )
         self.now = now
 
     def meet(self, now: int, ref: int, what: Input) -> None:
@@ -304,7 +346,9 @@
         """Fills what is free: calls, first to those that can't go without, then runs from the newest held."""
         while self.door and self.may_call():
             self.feed(min(self.door.values(), key=self.can_skip), Input.GRANT)
-        while self.hold_list and self.running() < int(self.limit) and self.started() < self.ceiling():
+        while (
+            self.hold_list and self.running() < int(self.limit) and self.started() < self.ceiling()
+        ):
             newest = self.hold_list[next(reversed(self.hold_list))]
             if not self.fits_run(newest):
                 break
@@ -313,12 +357,16 @@
     # Measures.
 
     def started(self) -> int:
-        return sum(self.count[State.RUN:State.COPY + 1])
+        return sum(self.count[State.RUN : State.COPY + 1])
 
     def running(self) -> int:
         """Those at a call leave the count, up to as many as may call: the rest would only queue there."""
         away = self.count[State.DOOR] + self.count[State.CALL]
-        return self.count[State.RUN] + self.count[State.TAIL] + max(0, away - max(1, int(self.call_limit)))
+        return (
+            self.count[State.RUN]
+            + self.count[State.TAIL]
+            + max(0, away - max(1, int(self.call_limit)))
+        )
 
     def warmth(self) -> float:
         facts, age = self.facts, self.now - self.born
@@ -327,7 +375,9 @@
 
     def ceiling(self) -> int:
         """Counts all that has started, as if all calls and disks came back together."""
-        return max(1, int(CROWD_SHARE * (1 + (self.facts.crowd - 1) * self.warmth()) * self.facts.cores))
+        return max(
+            1, int(CROWD_SHARE * (1 + (self.facts.crowd - 1) * self.warmth()) * self.facts.cores)
+        )
 
     def fits(self, kb: float) -> bool:
         return self.kb + self.keys * self.facts.key_kb + kb <= MEMORY_SHARE * self.facts.memory_kb
@@ -346,8 +396,10 @@
         if not ends:
             return 0.0
         # Against a slow spell that is over: while most newcomers are thought too late, few new ends say so.
-        all_take, new_take = (sum(end[1] for end in part) / sum(end[2] for end in part)
-                              for part in (ends, ends[-NEWEST:]))
+        all_take, new_take = (
+            sum(end[1] for end in part) / sum(end[2] for end in part)
+            for part in (ends, ends[-NEWEST:])
+        )
         return (new_take if new_take < QUICKER * all_take else all_take) * (case.txn.cost or 1)
 
     def oldest(self) -> Case | None:
@@ -404,8 +456,13 @@
         return self.now + sure * self.needs(case) > end or sure == 1.0 and self.now > case.give_back
 
     def unwanted(self, case: Case) -> bool:
-        return (case.arrived > self.last_arrival or self.past(case) or self.late(case) or self.hung()
-                or self.chance() < self.ailing())
+        return (
+            case.arrived > self.last_arrival
+            or self.past(case)
+            or self.late(case)
+            or self.hung()
+            or self.chance() < self.ailing()
+        )
 
     def relief(self, case: Case) -> Relief:
         return self.service.above if case.txn.lot < self.service.part else self.service.relief
@@ -414,27 +471,42 @@
         """Never one that ran, nor its repeat: those rows come first."""
         relief, product = self.relief(case), case.txn.product
         return bool(relief.name) and (
-            relief.declined[product] or relief.kept[product] or relief.over and case.txn.over
-            or relief.repeats[product] and case.txn.retry)
+            relief.declined[product]
+            or relief.kept[product]
+            or relief.over
+            and case.txn.over
+            or relief.repeats[product]
+            and case.txn.retry
+        )
 
     def no_entry(self, case: Case) -> bool:
         product = self.facts.products[case.txn.product]
         reserve = self.facts.cores * self.facts.run_factor * case.txn.kb
         return product.repeatable is Repeatable.REFERENCED and (
-            not case.txn.entry or case.arrived + product.window <= self.now
-            or not self.fits(self.facts.key_kb + reserve))
+            not case.txn.entry
+            or case.arrived + product.window <= self.now
+            or not self.fits(self.facts.key_kb + reserve)
+        )
 
     def full(self, case: Case) -> bool:
         first, oldest = self.forerunner(case), self.oldest()
         if not self.crammed(case) or first is not None and first.state == State.HELD:
             return False
-        return (oldest is None or not self.stale(oldest) or not self.fits(-oldest.txn.kb)
-                or case.txn.rank < self.level())
+        return (
+            oldest is None
+            or not self.stale(oldest)
+            or not self.fits(-oldest.txn.kb)
+            or case.txn.rank < self.level()
+        )
 
     def crammed(self, case: Case) -> bool:
-        return (not self.fits(0) or len(self.hold_list) >= self.limit and case.txn.rank < self.level()
-                or len(self.hold_list) >= max(1.0, self.relief(case).hold * HOLD_RUNS * self.limit)
-                or self.held_kb + case.txn.kb > HOLD_SHARE * self.facts.memory_kb)
+        return (
+            not self.fits(0)
+            or len(self.hold_list) >= self.limit
+            and case.txn.rank < self.level()
+            or len(self.hold_list) >= max(1.0, self.relief(case).hold * HOLD_RUNS * self.limit)
+            or self.held_kb + case.txn.kb > HOLD_SHARE * self.facts.memory_kb
+        )
 
     def level(self) -> float:
         return max(self.press, self.call_press) * self.top
@@ -442,14 +514,22 @@
     def may_call(self) -> bool:
         if self.broken >= BREAK_AFTER and (self.now < self.trial_at or self.count[State.CALL]):
             return False
-        return self.calls_in_hand() < max(1, int(self.call_limit)) and (not 0 < self.facts.calls_share < 1
-            or self.now >= self.call_next and self.call_room() > self.call_need)
+        return self.calls_in_hand() < max(1, int(self.call_limit)) and (
+            not 0 < self.facts.calls_share < 1
+            or self.now >= self.call_next
+            and self.call_room() > self.call_need
+        )
 
     def no_call(self, case: Case) -> bool:
         """Calling has stopped, or its queue has taken so long that even a poorer answer is at stake."""
         relief = self.relief(case)
-        return (self.broken >= BREAK_AFTER or self.stale(case) and self.now > case.give_back
-                or bool(relief.name) and relief.skips[case.txn.product])
+        return (
+            self.broken >= BREAK_AFTER
+            or self.stale(case)
+            and self.now > case.give_back
+            or bool(relief.name)
+            and relief.skips[case.txn.product]
+        )
 
     def meter_calls(self) -> None:
         """Where our share is under one call it is a share of time, metered over a span in which calls fit.
@@ -500,7 +580,11 @@
         product = self.facts.products[case.txn.product]
         if product.repeatable is Repeatable.REFERENCED:
             self.keep(case, case.arrived + product.window)
-        elif (self.facts.fresh or product.stale) and self.inquiry(case) and self.fits(self.facts.key_kb):
+        elif (
+            (self.facts.fresh or product.stale)
+            and self.inquiry(case)
+            and self.fits(self.facts.key_kb)
+        ):
             self.keep(case, case.due)
 
     def keep(self, case: Case, until: int) -> None:
@@ -519,7 +603,9 @@
         self.turned.add(self.now, 1)
         alone = self.stop < NEVER or self.struck()
         share = 1.0 if alone else self.turned_share() * self.chance()  # not all back at one time
-        self.do.decline(case.txn.ref, int(share * self.facts.advice_max), self.press > FINAL and not alone)
+        self.do.decline(
+            case.txn.ref, int(share * self.facts.advice_max), self.press > FINAL and not alone
+        )
 
     def relieve(self, case: Case) -> None:
         """It does not press: what a level takes away is no strain. Final only where whole products are given
@@ -545,7 +631,9 @@
 
     def finish(self, case: Case) -> None:
         if case.kept and self.inquiry(case):
-            self.keep(case, self.now + max(self.facts.fresh, self.facts.products[case.txn.product].stale))
+            self.keep(
+                case, self.now + max(self.facts.fresh, self.facts.products[case.txn.product].stale)
+            )
 
     def queue(self, case: Case) -> None:
         case.outcome = Outcome.STOPPED  # until a call ends well, leaving it abandons it
@@ -558,7 +646,9 @@
             stop = min(stop, self.now + int(self.call_room()) - self.facts.linger)
         elif self.broken < BREAK_AFTER and self.call_base:
             # Against calls that are never answered: waited for until the end, a few fill all there may be.
-            usual = max(self.call_base, self.call_times.total(self.now) / (self.calls.total(self.now) or 1))
+            usual = max(
+                self.call_base, self.call_times.total(self.now) / (self.calls.total(self.now) or 1)
+            )
             stop = min(stop, self.now + max(PATIENCE_MIN, int(PATIENCE * usual)))
         self.do.call(case.txn.ref, max(stop, self.now + MS))
 
@@ -585,7 +675,10 @@
         self.timeouts = 0
         self.limit = max(self.facts.cores, min(self.limit, self.ceiling()))
         # A lag presses too, though nobody turns it away yet. Chance on few cores counts little.
-        strain = min(1.0, max(self.turned_share(), self.unread_mean() / self.lag)) * abs(gauges.core_use) ** 3
+        strain = (
+            min(1.0, max(self.turned_share(), self.unread_mean() / self.lag))
+            * abs(gauges.core_use) ** 3
+        )
         self.press = max(0.0, min(1.0, self.press + PRESS_GAIN * (strain - PRESS_AIM)))
 
     def pace_links(self, gauges: Gauges) -> None:
@@ -593,8 +686,12 @@
 
         Those far beyond use go early. But a full table turns newcomers back unread: cheap in a flood."""
         spare = gauges.links > SPARE_LINKS * (self.facts.cores + len(self.live)) and not (
-            gauges.core_use >= FLOOD_USE and self.turned_share() > FLOOD)
-        idle = min(self.facts.idle, max(SPARE_IDLE, int(self.idle * CUT)) if spare else int(self.idle / CUT))
+            gauges.core_use >= FLOOD_USE and self.turned_share() > FLOOD
+        )
+        idle = min(
+            self.facts.idle,
+            max(SPARE_IDLE, int(self.idle * CUT)) if spare else int(self.idle / CUT),
+        )
         if idle != self.idle:
             self.idle = idle
             self.do.idle(idle)
@@ -627,7 +724,9 @@
                 self.do.tell_trial(max(self.level(), self.service.above.floor) if good else 1.0)
         elif facts.free_value is FreeValue.WEIGHT:
             value = 1 - self.press if good else 0.0
-        elif facts.free_value is FreeValue.ALLOWANCE:  # split over those with a txn here, of thousands
+        elif (
+            facts.free_value is FreeValue.ALLOWANCE
+        ):  # split over those with a txn here, of thousands
             here = len({case.txn.caller for case in self.live.values()})
             value = self.limit * (1 + ROOMY * (1 - self.press)) / max(1, here) if good else 0.0
         else:
@@ -644,14 +743,18 @@
     """A method of `Choice`, or else an effect that is passed on as it is; `-` is none."""
     if name == "-":
         return lambda choice, case: None
-    return getattr(Choice, name, None) or (lambda choice, case: getattr(choice.do, name)(case.txn.ref))
+    return getattr(Choice, name, None) or (
+        lambda choice, case: getattr(choice.do, name)(case.txn.ref)
+    )
 
 
 def _rules() -> dict[tuple[State, Input], list[tuple[list[Step], State, Step]]]:
     rules: dict[tuple[State, Input], list[tuple[list[Step], State, Step]]] = {}
     for state, what, *tests, after, effect in filter(None, map(str.split, TABLE.split("\n"))):
         steps = [_step(test) for test in tests if test != "-"]
-        rules.setdefault((State[state], Input[what]), []).append((steps, State[after], _step(effect)))
+        rules.setdefault((State[state], Input[what]), []).append(
+            (steps, State[after], _step(effect))
+        )
     return rules
 
 
--- a/burlloom/command/distribution.py
+++ b/burlloom/command/distribution.py
@@ -55,7 +55,9 @@
 
 @distribution.command()
 @operator_option
-@click.option("--name", default=None, help="This machine's name in the others' `upstreams`; else the host's.")
+@click.option(
+    "--name", default=None, help="This machine's name in the others' `upstreams`; else the host's."
+)
 def serve(operator: Path | None, name: str | None) -> None:
     """Be a control machine, in the foreground, until SIGTERM; without a store, a relay.
 
@@ -164,8 +166,12 @@
         if not isinstance(one, dict):
             wrong.append(f"{place}: no object")
             continue
-        wrong += [f"{place}.{name}: unknown key" for name in one if name not in ("kind", "key", "value")]
-        wrong += [f"{place}.{name}: is missing" for name in ("kind", "key", "value") if name not in one]
+        wrong += [
+            f"{place}.{name}: unknown key" for name in one if name not in ("kind", "key", "value")
+        ]
+        wrong += [
+            f"{place}.{name}: is missing" for name in ("kind", "key", "value") if name not in one
+        ]
         value, packed = one.get("value"), None
         if isinstance(value, dict):
             try:
@@ -273,7 +279,9 @@
 
 @distribution.command()
 @operator_option
-@click.option("--json", "as_json", is_flag=True, help="The state as the process wrote it, one JSON object.")
+@click.option(
+    "--json", "as_json", is_flag=True, help="The state as the process wrote it, one JSON object."
+)
 def show(operator: Path | None, as_json: bool) -> None:
     """What is in force here, how old that is, and, at a control machine, how far its followers are."""
     _, part = part_of(operator)
@@ -352,7 +360,9 @@
 Found = list[tuple[str, bytes, str]]  # scope, value, when it was written; the one in force first
 
 
-async def of_store(store: "ChangeStore", region: str, kind: str, key: str) -> tuple[Found | None, str]:
+async def of_store(
+    store: "ChangeStore", region: str, kind: str, key: str
+) -> tuple[Found | None, str]:
     from ..distribution.stores import Away
 
     try:
@@ -364,9 +374,17 @@
             if stored is not None:
                 assert stored.entry.value is not None
                 change = await store.at(stored.revision) if stored.epoch == head.epoch else None
-                old = f", {ms_told(time.time_ns() // MS - change.time_ms)} ago" if change is not None else ""
+                old = (
+                    f", {ms_told(time.time_ns() // MS - change.time_ms)} ago"
+                    if change is not None
+                    else ""
+                )
                 found.append(
-                    (scope, stored.entry.value, f", epoch {stored.epoch} revision {stored.revision}{old}")
+                    (
+                        scope,
+                        stored.entry.value,
+                        f", epoch {stored.epoch} revision {stored.revision}{old}",
+                    )
                 )
         return found, f"store: epoch {head.epoch} revision {head.revision}"
     except Away as error:
@@ -387,4 +405,6 @@
     handle = os.open(file, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o600)
     with os.fdopen(handle, "a", encoding="ascii") as out:
         out.write(made + "\n")
-    click.echo(f"{file}: {len(file.read_text(encoding='ascii').split())} keys; all want the same file")
+    click.echo(
+        f"{file}: {len(file.read_text(encoding='ascii').split())} keys; all want the same file"
+    )
--- a/burlloom/command/fleet.py
+++ b/burlloom/command/fleet.py
@@ -49,12 +49,16 @@
     handle = os.open(file, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o600)
     with os.fdopen(handle, "a", encoding="ascii") as out:
         out.write(made + "\n")
-    click.echo(f"{file}: {len(file.read_text(encoding='ascii').split())} keys; all servers want the same file")
+    click.echo(
+        f"{file}: {len(file.read_text(encoding='ascii').split())} keys; all servers want the same file"
+    )
 
 
 @fleet.command()
 @operator_option
-@click.option("--json", "as_json", is_flag=True, help="The state as the server wrote it, one JSON object.")
+@click.option(
+    "--json", "as_json", is_flag=True, help="The state as the server wrote it, one JSON object."
+)
 def show(operator: Path | None, as_json: bool) -> None:
     """What this server holds, who deals, whom it sees in which state, and which services it calls."""
     state = state_of(part_of(operator))
@@ -62,20 +66,28 @@
         click.echo(json.dumps(state))
         return
     old = (time.time_ns() - state["told_at"]) / SECOND
-    click.echo(f"{state['name']}: share {state['share']:g} of {state['total']:g} calls, {state['state']}; dealt by"
-               f" {state['dealt_by'] or 'nobody yet'}" + (f", itself ({state['deals']})"
-               if state["deals"] != "idle" else "")
-               + (f"; told {old:.0f} s ago: it does not serve" if old > STALE_S else ""))
+    click.echo(
+        f"{state['name']}: share {state['share']:g} of {state['total']:g} calls, {state['state']}; dealt by"
+        f" {state['dealt_by'] or 'nobody yet'}"
+        + (f", itself ({state['deals']})" if state["deals"] != "idle" else "")
+        + (f"; told {old:.0f} s ago: it does not serve" if old > STALE_S else "")
+    )
     for member in state["members"]:
-        bound = f"  bound {member['bound']:g}" if state["deals"] != "idle" and "bound" in member else ""
-        click.echo(f"  {member['name']:20} {member['state']:8} for {member['since_ms'] / 1000:7.0f} s  {member['address']:22}"
-                   f" life {member['life']} incarnation {member['incarnation']}{bound}")
+        bound = (
+            f"  bound {member['bound']:g}" if state["deals"] != "idle" and "bound" in member else ""
+        )
+        click.echo(
+            f"  {member['name']:20} {member['state']:8} for {member['since_ms'] / 1000:7.0f} s  {member['address']:22}"
+            f" life {member['life']} incarnation {member['incarnation']}{bound}"
+        )
     for service, part in sorted(state["subset"].items(), key=lambda one: -one[1]):
         click.echo(f"  calls {service:22} {part:6.1%}")
     if state["subset"]:
         click.echo(f"  the most loaded service has {state['worst']:.2f} times the mean")
     if state["strangers"]:
-        click.echo(f"  {state['strangers']} letters came from members with other terms: their files differ from this one")
+        click.echo(
+            f"  {state['strangers']} letters came from members with other terms: their files differ from this one"
+        )
 
 
 @fleet.command()
@@ -86,6 +98,7 @@
 def plan(operator: Path | None, servers: int, join: int, leave: int) -> None:
     """What the subsets would be with so many servers, and how many pairs a change would move."""
     from ..fleet import spread
+
     part = part_of(operator)
     if not part.services:
         raise click.UsageError("fleet.services is empty: all call the platform's one address")
@@ -93,13 +106,19 @@
         raise click.UsageError(f"--leave {leave}: of {servers + join} servers one must stay")
     names = [f"server-{at}" for at in range(servers)]
     before = spread(names, part.services, part.subset)
-    click.echo(f"{servers} servers, {len(part.services)} services: each server calls {before.size:.1f} on average; the most loaded"
-               f" service has {before.worst:.3f} times the mean; {part.calls / servers:.2f} calls in hand a server")
+    click.echo(
+        f"{servers} servers, {len(part.services)} services: each server calls {before.size:.1f} on average; the most loaded"
+        f" service has {before.worst:.3f} times the mean; {part.calls / servers:.2f} calls in hand a server"
+    )
     if join or leave:
-        after = spread([*names, *(f"more-{at}" for at in range(join))][leave:], part.services, part.subset)
+        after = spread(
+            [*names, *(f"more-{at}" for at in range(join))][leave:], part.services, part.subset
+        )
         moved, pairs = len(after.pairs() ^ before.pairs()), len(before.pairs())
-        click.echo(f"{join} come and {leave} go: {moved} of {pairs} pairs move ({moved / pairs:.1%}); the most loaded service has"
-                   f" then {after.worst:.3f} times the mean")
+        click.echo(
+            f"{join} come and {leave} go: {moved} of {pairs} pairs move ({moved / pairs:.1%}); the most loaded service has"
+            f" then {after.worst:.3f} times the mean"
+        )
 
 
 @fleet.command()
@@ -114,26 +133,41 @@
     half of the fleet was lost for good, so that the rest may not deal its calls by itself."""
     from ..fleet import State, Word
     from ..fleet.letters import Kind, Letter, seal
+
     part = part_of(operator)
     state = state_of(part)
     known = {member["name"]: member for member in state["members"]}
-    faults = [f"{name}: {state['name']} knows no such member" for name in names if name not in known]
-    faults += [f"{name}: is {known[name]['state']} to {state['name']}; say --force if it surely calls nothing"
-               for name in names if name in known and known[name]["state"] not in ("dead", "left")
-               and not force]
+    faults = [
+        f"{name}: {state['name']} knows no such member" for name in names if name not in known
+    ]
+    faults += [
+        f"{name}: is {known[name]['state']} to {state['name']}; say --force if it surely calls nothing"
+        for name in names
+        if name in known and known[name]["state"] not in ("dead", "left") and not force
+    ]
     if faults:
         for fault in faults:
             click.echo(f"burlloom: {fault}", err=True)
         sys.exit(2)
-    words = [Word(name, known[name]["address"], known[name]["life"], known[name]["incarnation"], State.LEFT)
-        for name in names]
+    words = [
+        Word(
+            name,
+            known[name]["address"],
+            known[name]["life"],
+            known[name]["incarnation"],
+            State.LEFT,
+        )
+        for name in names
+    ]
     own = known[state["name"]]["address"]
     # Nobody is there under this name: it has left as it is first heard of.
     sender = Word("operator", "127.0.0.1:9", time.time_ns() // 1_000_000, 0, State.LEFT)
     host, port = own.rsplit(":", 1)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for at in range(0, len(words), 6):
-            data = seal(Letter(Kind.BYE, sender, 0, (), "", tuple(words[at:at + 6])), part.keys()[0])
+            data = seal(
+                Letter(Kind.BYE, sender, 0, (), "", tuple(words[at : at + 6])), part.keys()[0]
+            )
             sock.sendto(data, (host, int(port)))
     for _ in range(50):
         time.sleep(0.1)
--- a/burlloom/command/levels.py
+++ b/burlloom/command/levels.py
@@ -29,9 +29,12 @@
 
 def part_of(operator: Path | None) -> "LevelsPart":
     from ..operator import LevelsPart
+
     found = operator_file(operator).levels if operator is not None else LevelsPart()
     if found is None:
-        raise click.UsageError(f"{operator} has no `levels` part; without --operator the shipped plan is shown")
+        raise click.UsageError(
+            f"{operator} has no `levels` part; without --operator the shipped plan is shown"
+        )
     return found
 
 
@@ -41,11 +44,15 @@
 
 def takes_away(plan: "Plan", at: int) -> str:
     from ..levels.plan import ALL
+
     level = plan.levels[at]
     said = []
     if level.gives_up:
-        said.append({ALL: "all newcomers", ALL - 1: "all but the highest value"}.get(
-            level.gives_up, f"the lowest {level.gives_up} of the values"))
+        said.append(
+            {ALL: "all newcomers", ALL - 1: "all but the highest value"}.get(
+                level.gives_up, f"the lowest {level.gives_up} of the values"
+            )
+        )
     said += [f"{name}" for name in level.products]
     said += [f"{name} but for kept results" for name in level.kept]
     said += [f"the calls of {name}" for name in level.skips]
@@ -62,13 +69,18 @@
 
 @levels.command()
 @operator_option
-@click.option("--json", "as_json", is_flag=True, help="The node's state as it wrote it, one JSON object.")
+@click.option(
+    "--json", "as_json", is_flag=True, help="The node's state as it wrote it, one JSON object."
+)
 def show(operator: Path | None, as_json: bool) -> None:
     """What each level takes away and when it is entered and left; and where the node stands, if it tells."""
     from ..levels.plan import NEVER
+
     part = part_of(operator)
     plan = part.plan()
-    state = state_of(part) if part.state_file is not None and Path(part.state_file).exists() else None
+    state = (
+        state_of(part) if part.state_file is not None and Path(part.state_file).exists() else None
+    )
     if as_json:
         click.echo(json.dumps(state_of(part)))
         return
@@ -80,17 +92,23 @@
             click.echo(f"     {signal:8} entered {entered}, left at {bound.leave:g}")
     for signal, (enter, name) in plan.emergencies.items():
         click.echo(f"  ! {signal} from {enter:g}: at once to {name}")
-    click.echo(f"  at most {part.terms().changes_most} changes in any minute, whatever the signals do")
+    click.echo(
+        f"  at most {part.terms().changes_most} changes in any minute, whatever the signals do"
+    )
     if state is not None:
         click.echo(told(state))
 
 
 def told(state: dict[str, Any]) -> str:
     age = (state["told_at"] - state["since"]) / SECOND
-    trial = f", {state['part']:.0%} of the callers served at the level above" if state["part"] else ""
+    trial = (
+        f", {state['part']:.0%} of the callers served at the level above" if state["part"] else ""
+    )
     old = (time.time_ns() - state["told_at"]) / SECOND
-    return (f"at {state['level']} ({state['phase']}) for {age:.0f} s{trial}; {state['changes_last_minute']} changes in the last"
-            f" minute; told {old:.0f} s ago")
+    return (
+        f"at {state['level']} ({state['phase']}) for {age:.0f} s{trial}; {state['changes_last_minute']} changes in the last"
+        f" minute; told {old:.0f} s ago"
+    )
 
 
 @levels.command()
@@ -103,18 +121,28 @@
     click.echo(told(state))
     last = state["last"]
     if last is not None:
-        why = "an operator's pin" if last["cause"] == "pin" else (
-            "all signals at or under their exits" if last["cause"] == "calm"
-            else f"{last['cause']} {last['value']:.3f}, entered from {last['bound']:g}")
+        why = (
+            "an operator's pin"
+            if last["cause"] == "pin"
+            else (
+                "all signals at or under their exits"
+                if last["cause"] == "calm"
+                else f"{last['cause']} {last['value']:.3f}, entered from {last['bound']:g}"
+            )
+        )
         click.echo(f"last step: {last['effect']} from {last['from']} to {last['to']}, by {why}")
     if state["pin"] is not None:
-        click.echo(f"pinned: {state['pin']['level']} ({state['pin']['reason'] or 'no reason given'})")
+        click.echo(
+            f"pinned: {state['pin']['level']} ({state['pin']['reason'] or 'no reason given'})"
+        )
     names = [level.name for level in plan.levels]
     if state["level"] not in names:
-        raise click.UsageError(f"the node is at {state['level']!r}, which this file does not know: is it the node's own?")
+        raise click.UsageError(
+            f"the node is at {state['level']!r}, which this file does not know: is it the node's own?"
+        )
     at = names.index(state["level"])
     held: dict[str, Bounds] = {}
-    for level in plan.levels[1:at + 1]:
+    for level in plan.levels[1 : at + 1]:
         held.update(level.bounds)
     for signal, bound in held.items():
         if signal not in state["measured"]:
@@ -124,7 +152,11 @@
         else:
             number = state["values"][signal]
             value = f"{number:.3f}"
-            verdict = "speaks for the level above" if number <= bound.leave else f"holds it here: over {bound.leave:g}"
+            verdict = (
+                "speaks for the level above"
+                if number <= bound.leave
+                else f"holds it here: over {bound.leave:g}"
+            )
         click.echo(f"  {signal:8} {value:>7}  {verdict}")
     if at and not state["part"]:
         click.echo(f"  its least stay is {state['stay_ms'] / 1000:g} s")
@@ -133,17 +165,24 @@
 @levels.command(name="try")
 @click.argument("series", type=click.Path(dir_okay=False, exists=True, path_type=Path))
 @operator_option
-@click.option("--chart", type=click.Path(dir_okay=False, path_type=Path), help="Draw it, as SVG or PNG by its ending.")
+@click.option(
+    "--chart",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Draw it, as SVG or PNG by its ending.",
+)
 def try_(series: Path, operator: Path | None, chart: Path | None) -> None:
     """Which levels a recorded series of signals would have led to. SERIES is CSV: at_s and any of the
     signals, in order.
 
     The answers that callers would have had, and so the signals that would have followed, are not in it."""
     from ..levels import NAMES, Levels, Readings
+
     part = part_of(operator)
     plan = part.plan()
     rows = read_series(series, NAMES)
-    walker = Levels(plan, tuple(bare(plan)), 0, part.terms(), measured={name for _, row in rows for name in row})
+    walker = Levels(
+        plan, tuple(bare(plan)), 0, part.terms(), measured={name for _, row in rows for name in row}
+    )
     moves: list[tuple[float, Moved]] = []
     points = [(rows[0][0], float(walker.standing.level))]
     for at, row in rows:
@@ -153,19 +192,27 @@
         points.append((at, walker.standing.level - walker.part))
     for at, moved in moves:
         if moved.before != moved.after:
-            click.echo(f"{at:10.1f} s  {moved.before} -> {moved.after}  by {moved.cause} {moved.value:.3f}")
+            click.echo(
+                f"{at:10.1f} s  {moved.before} -> {moved.after}  by {moved.cause} {moved.value:.3f}"
+            )
     changes = [at for at, moved in moves if moved.before != moved.after]
     most = max((sum(at - 60 < one <= at for one in changes) for at in changes), default=0)
-    click.echo(f"{len(changes)} changes, at most {most} in a minute; "
-               + ", ".join(f"{name} {spent / SECOND:.0f} s" for name, spent in walker.spent.items() if spent))
+    click.echo(
+        f"{len(changes)} changes, at most {most} in a minute; "
+        + ", ".join(
+            f"{name} {spent / SECOND:.0f} s" for name, spent in walker.spent.items() if spent
+        )
+    )
     if chart is not None:
         from ..lab.charts import level_chart
+
         level_chart(chart, [level.name for level in plan.levels], points, rows)
         click.echo(f"{chart}: drawn")
 
 
 def bare(plan: "Plan") -> list[Any]:
     from ..interface import Relief
+
     return [Relief(level.name) for level in plan.levels]
 
 
@@ -178,8 +225,11 @@
         head = reader.fieldnames or []
         if "at_s" not in head:
             faults.append("line 1: there is no column at_s")
-        faults += [f"line 1: {name!r} is no signal; known are {', '.join(names)}" for name in head
-                   if name != "at_s" and name not in names]
+        faults += [
+            f"line 1: {name!r} is no signal; known are {', '.join(names)}"
+            for name in head
+            if name != "at_s" and name not in names
+        ]
         for line in reader if not faults else ():
             row: dict[str, float] = {}
             for name, text in line.items():
@@ -203,7 +253,13 @@
 
 @levels.command()
 @click.argument("level")
-@click.option("--for-s", "span", type=FOR, required=True, help="How long, in seconds; then it works its own way again.")
+@click.option(
+    "--for-s",
+    "span",
+    type=FOR,
+    required=True,
+    help="How long, in seconds; then it works its own way again.",
+)
 @click.option("--reason", default="", help="Kept with it, and logged.")
 @click.option("--force", is_flag=True, help="Also a level that forbids all service.")
 @operator_option
@@ -211,6 +267,7 @@
     """Hold the node on LEVEL, until then. The server takes it up within a second; an emergency may still
     go lower."""
     from ..levels.plan import ALL
+
     part = part_of(operator)
     plan = part.plan()
     if part.pin_file is None:
--- a/burlloom/command/record.py
+++ b/burlloom/command/record.py
@@ -36,6 +36,7 @@
 def admin_of(operator: Path | None, make: bool = False) -> "Admin":
     from ..record.admin import Admin
     from ..record.opening import sealer_of
+
     told = section(operator)
     if told.sqlite is None:
         raise click.UsageError(FILE_ONLY)
@@ -53,7 +54,9 @@
     with told_plainly():
         admin = admin_of(operator, make=True)
         admin.init(node_of(operator))
-        click.echo(f"{admin.path}: made; keep its key with your secrets, a record without it proves nothing")
+        click.echo(
+            f"{admin.path}: made; keep its key with your secrets, a record without it proves nothing"
+        )
 
 
 @record.command()
@@ -63,12 +66,18 @@
     """What the record holds: nodes and their lives, marks by fate, doubts, sizes."""
     from dataclasses import asdict
     from ..record.admin import clock_text
+
     with told_plainly():
         told = section(operator)
         if told.sqlite is None:
             from ..record import fleet
+
             got = asyncio.run(fleet.stats(told, time.time_ns()))
-            click.echo(json.dumps(got) if as_json else "\n".join(f"{name:14} {value}" for name, value in got.items()))
+            click.echo(
+                json.dumps(got)
+                if as_json
+                else "\n".join(f"{name:14} {value}" for name, value in got.items())
+            )
             return
         found = admin_of(operator).stats(time.time_ns())
     if as_json:
@@ -76,13 +85,18 @@
         return
     click.echo(f"schema         {found.schema}")
     click.echo(f"served now     {'yes' if found.served else 'no'}")
-    click.echo("nodes          " + (", ".join(f"{name} in life {life}" for name, life in found.nodes.items()) or "-"))
+    click.echo(
+        "nodes          "
+        + (", ".join(f"{name} in life {life}" for name, life in found.nodes.items()) or "-")
+    )
     for name, count in found.rows.items():
         click.echo(f"{name:14} {count}")
     click.echo(f"in doubt       {found.doubts}")
     click.echo(f"over           {found.over}")
     click.echo(f"windows end    {clock_text(found.first_end)} to {clock_text(found.last_end)}")
-    click.echo(f"file           {found.file_bytes} bytes, {found.free_bytes} free, results {found.result_bytes}")
+    click.echo(
+        f"file           {found.file_bytes} bytes, {found.free_bytes} free, results {found.result_bytes}"
+    )
     if found.closed_until > time.time_ns():
         click.echo(f"closed until   {clock_text(found.closed_until)}, since it was restored")
 
@@ -93,21 +107,36 @@
 def doubts(operator: Path | None, as_json: bool) -> None:
     """List charges that were begun and of whose end nobody knows. Their repeats are voided till their window ends."""
     from ..record.admin import clock_text
+
     now = time.time_ns()
     with told_plainly():
         told = section(operator)
         if told.sqlite is None:
             from ..record import fleet
+
             found = asyncio.run(fleet.doubts(told, now))
         else:
             found = list(admin_of(operator).doubts(now))
     for row, verdict in found:
         if as_json:
-            click.echo(json.dumps({"mark": row.mark.hex(), "id": row.id, "node": row.node, "life": row.life,
-                                   "at": row.at, "until": row.until, "verdict": verdict}))
+            click.echo(
+                json.dumps(
+                    {
+                        "mark": row.mark.hex(),
+                        "id": row.id,
+                        "node": row.node,
+                        "life": row.life,
+                        "at": row.at,
+                        "until": row.until,
+                        "verdict": verdict,
+                    }
+                )
+            )
         else:
-            click.echo(f"{row.mark.hex()}  id={row.id} node={row.node} life={row.life} at={clock_text(row.at)}"
-                       f" until={clock_text(row.until)}{f' verdict={verdict!r}' if verdict else ''}")
+            click.echo(
+                f"{row.mark.hex()}  id={row.id} node={row.node} life={row.life} at={clock_text(row.at)}"
+                f" until={clock_text(row.until)}{f' verdict={verdict!r}' if verdict else ''}"
+            )
     if not found and not as_json:
         click.echo("none")
 
@@ -136,7 +165,10 @@
         told = section(operator)
         if told.sqlite is None:
             from ..record import fleet
-            said = asyncio.run(fleet.resolve(told, mark_of(mark), ran == "ran", reason, time.time_ns()))
+
+            said = asyncio.run(
+                fleet.resolve(told, mark_of(mark), ran == "ran", reason, time.time_ns())
+            )
         else:
             said = admin_of(operator).resolve(mark_of(mark), ran == "ran", reason, time.time_ns())
         click.echo(f"{mark}: {'ran' if ran == 'ran' else 'never ran'}; {said}")
@@ -175,19 +207,34 @@
 
 @record.command()
 @click.argument("source", type=click.Path(dir_okay=False, exists=True, path_type=Path))
-@click.option("--window-s", type=click.FloatRange(0, 86_400), required=True,
-              help="The longest window of a product: so long the record stays closed for charges, as what ran since"
-              " the snapshot is not in it, and would run again.")
-@click.option("--nothing-lost", is_flag=True, help="You know that no charge ran since the snapshot: open at once.")
+@click.option(
+    "--window-s",
+    type=click.FloatRange(0, 86_400),
+    required=True,
+    help="The longest window of a product: so long the record stays closed for charges, as what ran since"
+    " the snapshot is not in it, and would run again.",
+)
+@click.option(
+    "--nothing-lost",
+    is_flag=True,
+    help="You know that no charge ran since the snapshot: open at once.",
+)
 @operator_option
 def restore(source: Path, window_s: float, nothing_lost: bool, operator: Path | None) -> None:
     """Put a snapshot in place. Wants the file alone; what was there is kept beside it under another name."""
     from ..record.admin import clock_text
+
     with told_plainly():
         admin = admin_of(operator, make=False)
         closed = admin.restore(source, int(window_s * 1e9), nothing_lost, time.time_ns())
-        click.echo(f"{admin.path}: restored; " + (f"closed for charges until {clock_text(closed)}" if closed
-                                                  else "open at once, on your word that nothing ran since"))
+        click.echo(
+            f"{admin.path}: restored; "
+            + (
+                f"closed for charges until {clock_text(closed)}"
+                if closed
+                else "open at once, on your word that nothing ran since"
+            )
+        )
 
 
 @record.command()
@@ -201,7 +248,9 @@
 
 
 @record.command()
-@click.option("--to", type=click.Path(dir_okay=False, path_type=Path), help="A file; else standard output.")
+@click.option(
+    "--to", type=click.Path(dir_okay=False, path_type=Path), help="A file; else standard output."
+)
 @operator_option
 def export(to: Path | None, operator: Path | None) -> None:
     """Write each record as a line of JSON; bytes as hex, times in Unix nanoseconds."""
@@ -226,6 +275,7 @@
 def key(file: Path) -> None:
     """Make the key that the nodes of one PostgreSQL record share; give each node a copy, readable to its owner."""
     from ..record.seal import key as key_in
+
     if file.exists():
         click.echo(f"burlloom: {file}: exists already", err=True)
         sys.exit(2)
@@ -259,5 +309,6 @@
         if told.postgres is None:
             raise click.UsageError(FLEET_ONLY)
         from ..record import fleet
+
         asyncio.run(fleet.fence(told, node, out))
         click.echo(f"{node}: {'fenced off' if out else 'may start again'}")
--- a/burlloom/command/recovery.py
+++ b/burlloom/command/recovery.py
@@ -8,10 +8,14 @@
 
 from .shared import operator_file, operator_option
 
-MEANS = {"good": "peers and the store are asked; then its hints are used", "missing": "a cold start",
-         "torn": "a cold start, and the fence", "foreign": "of another name: a cold start, and the fence",
-         "future": "told later than now, a clock was stepped: a cold start, and the fence",
-         "old": "a cold start; the fence, unless it drained"}
+MEANS = {
+    "good": "peers and the store are asked; then its hints are used",
+    "missing": "a cold start",
+    "torn": "a cold start, and the fence",
+    "foreign": "of another name: a cold start, and the fence",
+    "future": "told later than now, a clock was stepped: a cold start, and the fence",
+    "old": "a cold start; the fence, unless it drained",
+}
 
 
 @click.group()
@@ -26,6 +30,7 @@
     """What stands in the state file, and what a start now would make of it. Status 1 if it would not be
     believed."""
     from ..recovery import Kept, Verdict, judge, read
+
     part = operator_file(operator).recovery
     if part is None or part.state_file is None:
         raise click.UsageError(f"{operator} has no recovery.state_file: each start is cold")
@@ -36,10 +41,14 @@
         click.echo(f"burlloom: {path}: {error}", err=True)
         sys.exit(2)
     now = time.time_ns() // 1_000_000
-    verdict = judge(found, node or (found.node if isinstance(found, Kept) else ""), now, part.age_ms)
+    verdict = judge(
+        found, node or (found.node if isinstance(found, Kept) else ""), now, part.age_ms
+    )
     if isinstance(found, Kept):
-        click.echo(f"{found.node}: life {found.life}, told {(now - found.told_at) / 1000:.1f} s ago,"
-                   f" {'drained' if found.clean else 'serving when it was told'}; share {found.share:g},"
-                   f" record life {found.record_life}, {len(found.members)} addresses")
+        click.echo(
+            f"{found.node}: life {found.life}, told {(now - found.told_at) / 1000:.1f} s ago,"
+            f" {'drained' if found.clean else 'serving when it was told'}; share {found.share:g},"
+            f" record life {found.record_life}, {len(found.members)} addresses"
+        )
     click.echo(f"{path}: {verdict.name.lower()}: {MEANS[verdict.name.lower()]}")
     sys.exit(0 if verdict is Verdict.GOOD else 1)
--- a/burlloom/command/rollout.py
+++ b/burlloom/command/rollout.py
@@ -22,7 +22,9 @@
 LOOK_S = 0.2
 LOCK_S = 30.0  # a person waits rather than is told that others write just now
 DRIVE_LOCK_S = 2.0  # who leads looks again by itself
-reason_option = click.option("--reason", default="", help="Kept with the step, for those who look later.")
+reason_option = click.option(
+    "--reason", default="", help="Kept with the step, for those who look later."
+)
 
 
 @click.group()
@@ -37,11 +39,14 @@
     return found, found.rollout
 
 
-def with_shelf(operator: Path | None, work: "Callable[[Shelf], Awaitable[Any]]", wait: float = LOCK_S) -> Any:
+def with_shelf(
+    operator: Path | None, work: "Callable[[Shelf], Awaitable[Any]]", wait: float = LOCK_S
+) -> Any:
     """`wait`: s for a lock that another holds. Ends with one line and status 2 where the store can't be used, or says no."""
     from ..rollout import Denied
     from ..rollout.stores import Away, Unreadable
     from ..rollout.stores.opening import shelf_of
+
     told, _ = part_of(operator)
 
     async def whole() -> Any:
@@ -51,6 +56,7 @@
             return await work(shelf)
         finally:
             await shelf.close()
+
     with told_plainly():
         try:
             return asyncio.run(whole())
@@ -64,6 +70,7 @@
     nobody knows whether it was taken."""
     from ..rollout import Denied
     from ..rollout.stores import Page
+
     for _ in range(TRIES):
         page = await shelf.read()
         book = order(page.book)
@@ -79,14 +86,20 @@
 
 def headline(book: "Book") -> str:
     from ..rollout import SERVERS, Phase
+
     plan, servers = book.plan, book.groups[SERVERS]
     bound = servers.budget.bound(len(servers.units))
     said = f"{len(servers.units)} servers, {servers.taken} out of {bound} allowed; "
     if plan.phase is Phase.IDLE:
-        return said + (f"nothing under way; good is {book.good}" if book.good else "nothing under way")
+        return said + (
+            f"nothing under way; good is {book.good}" if book.good else "nothing under way"
+        )
     done = sum(book.done(unit) for unit in servers.units.values())
-    way = f"back to {plan.former}" if plan.backing else \
-        f"{'restart' if plan.restart else 'to ' + plan.version}, wave {plan.wave + 1} of {len(plan.waves)}"
+    way = (
+        f"back to {plan.former}"
+        if plan.backing
+        else f"{'restart' if plan.restart else 'to ' + plan.version}, wave {plan.wave + 1} of {len(plan.waves)}"
+    )
     return (
         said
         + f"change {plan.number} {way}: {plan.phase.name.lower()}, {done} of {len(servers.units)} done"
@@ -102,6 +115,7 @@
     """What is under way, who is out, who leads, and the last steps."""
     from ..rollout import State
     from ..rollout.stores import text_of
+
     book = with_shelf(operator, lambda shelf: shelf.read()).book
     if as_json:
         click.echo(text_of(book))
@@ -116,8 +130,10 @@
         )
         for name, unit in sorted(one.units.items()):
             if unit.state is not State.IN or unit.asked or unit.version not in ("", book.good):
-                click.echo(f"  {name:24} {unit.state.name.lower():8} {unit.version or '-'}" + detail(unit))
-    for at, said in book.notes[len(book.notes) - notes:] if notes else ():
+                click.echo(
+                    f"  {name:24} {unit.state.name.lower():8} {unit.version or '-'}" + detail(unit)
+                )
+    for at, said in book.notes[len(book.notes) - notes :] if notes else ():
         click.echo(f"  step {at:6} {said}")
 
 
@@ -137,15 +153,22 @@
     help="A number of servers, or a part such as 10%; the last is 100%. "
     "Else those of the operator's file.",
 )
-@click.option("--auto-back/--no-auto-back", default=None, help="Whether a bad wave is taken back by itself.")
+@click.option(
+    "--auto-back/--no-auto-back", default=None, help="Whether a bad wave is taken back by itself."
+)
 @click.option("--restart", is_flag=True, help="Start all anew, also those that run this version.")
 def start(
-    operator: Path | None, version: str, waves: tuple[str, ...], auto_back: bool | None, restart: bool
+    operator: Path | None,
+    version: str,
+    waves: tuple[str, ...],
+    auto_back: bool | None,
+    restart: bool,
 ) -> None:
     """Bring VERSION to the whole fleet, in waves. With --restart it may be left out."""
     if not version and not restart:
         raise click.UsageError("which VERSION? Only with --restart may it be left out")
     from ..rollout.plan import wave_of
+
     _, part = part_of(operator)
     try:
         told = tuple(wave_of(wave) for wave in waves) or part.plan_waves()
@@ -162,20 +185,30 @@
     @reason_option
     def run(operator: Path | None, reason: str) -> None:
         from ..rollout.plan import Input
+
         ordered(operator, lambda book: book.order(Input[name.upper()], reason))
+
     return click.command(name, help=said)(run)
 
 
-rollout.add_command(order("halt", "Send nobody out any more; take back permits that nobody has begun on."))
+rollout.add_command(
+    order("halt", "Send nobody out any more; take back permits that nobody has begun on.")
+)
 rollout.add_command(order("resume", "Go on with what was halted, with the wave it stood at."))
-rollout.add_command(order("rollback", "Bring all back to the version that was good, within the budget."))
+rollout.add_command(
+    order("rollback", "Bring all back to the version that was good, within the budget.")
+)
 
 
 @rollout.command()
 @operator_option
 @click.argument("names", nargs=-1, required=True)
-@click.option("--for-s", type=click.IntRange(0, 30 * 86_400), default=0,
-              help="How long each may be away before it counts as missing; 0: as after a release.")
+@click.option(
+    "--for-s",
+    type=click.IntRange(0, 30 * 86_400),
+    default=0,
+    help="How long each may be away before it counts as missing; 0: as after a release.",
+)
 def drain(operator: Path | None, names: tuple[str, ...], for_s: int) -> None:
     """Have servers leave, as the budget has room; what starts them again is yours."""
     from ..rollout import SERVERS
@@ -184,6 +217,7 @@
         for name in names:
             book = book.ask(SERVERS, name, for_s * 1000)
         return book
+
     ordered(operator, order)
 
 
@@ -191,9 +225,15 @@
 @operator_option
 @click.argument("service")
 @click.argument("address")
-@click.option("--for-s", type=click.IntRange(1, 30 * 86_400), required=True,
-              help="When it is over, servers call the instance again.")
-@click.option("--wait-s", type=click.IntRange(1, 86_400), default=600, help="For room in the budget.")
+@click.option(
+    "--for-s",
+    type=click.IntRange(1, 30 * 86_400),
+    required=True,
+    help="When it is over, servers call the instance again.",
+)
+@click.option(
+    "--wait-s", type=click.IntRange(1, 86_400), default=600, help="For room in the budget."
+)
 def take(operator: Path | None, service: str, address: str, for_s: int, wait_s: int) -> None:
     """Take an instance of a service below out: waits until no server calls it any more. Status 1 if there was
     no room."""
@@ -202,6 +242,7 @@
     async def work(shelf: "Shelf") -> bool:
         from ..rollout import Denied, State
         from ..rollout.units import Input
+
         page = await step(shelf, lambda book: book.ask(service, address, for_s * 1000))
         ticket, until = page.book.groups[service].units[address].asked, time.monotonic() + wait_s
         while True:
@@ -210,7 +251,9 @@
             if unit is None or unit.asked != ticket:
                 raise Denied(f"{address}: the order was taken back")
             if unit.state is State.GRANTED:
-                book, effect = page.book.meet(service, address, Input.BEGIN, life=unit.life, ticket=ticket)
+                book, effect = page.book.meet(
+                    service, address, Input.BEGIN, life=unit.life, ticket=ticket
+                )
                 if effect and await shelf.swap(page, book):
                     break
             if time.monotonic() > until:
@@ -223,10 +266,15 @@
                 raise Denied(f"{address}: its time was over before all servers had left it")
             await asyncio.sleep(LOOK_S)
         return True
+
     if not with_shelf(operator, work):
-        click.echo(f"burlloom: {address}: no room in the budget of {service} within {wait_s} s", err=True)
+        click.echo(
+            f"burlloom: {address}: no room in the budget of {service} within {wait_s} s", err=True
+        )
         sys.exit(1)
-    click.echo(f"{address}: no server calls it; give it back within {for_s} s, or they will all the same")
+    click.echo(
+        f"{address}: no server calls it; give it back within {for_s} s, or they will all the same"
+    )
 
 
 def emptied(page: "Page", members: Any, step: int) -> bool:
@@ -234,8 +282,11 @@
     holds this up until it is back, or retired."""
     heeded = {member.name: member.heeded for member in members}
     from ..rollout import State
+
     return all(
-        heeded.get(name, 0) >= step for name, unit in page.book.servers.items() if unit.state is not State.OUT
+        heeded.get(name, 0) >= step
+        for name, unit in page.book.servers.items()
+        if unit.state is not State.OUT
     )
 
 
@@ -255,10 +306,12 @@
 @click.option("--group", default="servers", help="A service below, for instances of it.")
 def retire(operator: Path | None, names: tuple[str, ...], group: str) -> None:
     """Servers, or instances below, that will not come back: they count for nothing any more."""
+
     def order(book: "Book") -> "Book":
         for name in names:
             book = book.retire(group, name)
         return book
+
     ordered(operator, order)
 
 
@@ -272,6 +325,7 @@
 def budget(operator: Path | None, group: str, most: int | None, share: float | None) -> None:
     """Change how many may be out at once; the files only say with what a group begins."""
     from ..rollout import Budget
+
     if (most is None) == (share is None):
         raise click.UsageError("name either --most or --share")
     ordered(operator, lambda book: book.allow(group, Budget(most or 1, share or 0.0)))
@@ -289,6 +343,7 @@
     async def ask() -> str:
         from ..rollout.stores import Away, Unreadable
         from ..rollout.stores.opening import shelf_of
+
         shelf = shelf_of(told)
         try:
             await shelf.open()
@@ -301,6 +356,7 @@
             return Path(part.release_file).read_text(encoding="utf-8").strip()
         finally:
             await shelf.close()
+
     with told_plainly():
         click.echo(asyncio.run(ask()) or part.version)
 
@@ -316,17 +372,21 @@
         from ..rollout import Lead
         from ..rollout.stores import Away
         from ..rollout.stores.leading import led
+
         lead = Lead(name, part.terms(), part.budgets(), part.services())
         page = None
         while True:
             try:
                 page = await shelf.read(page)
-                for at, said in await led(lead, shelf, page, time.clock_gettime_ns(time.CLOCK_BOOTTIME)):
+                for at, said in await led(
+                    lead, shelf, page, time.clock_gettime_ns(time.CLOCK_BOOTTIME)
+                ):
                     click.echo(json.dumps({"step": at, "said": said}))
             except Away as error:
                 click.echo(json.dumps({"away": str(error)}))
                 page = None
             await asyncio.sleep(part.poll_ms / 1000)
+
     try:
         with_shelf(operator, work, DRIVE_LOCK_S)
     except KeyboardInterrupt:
--- a/burlloom/command/root.py
+++ b/burlloom/command/root.py
@@ -27,8 +27,12 @@
 
 @main.command()
 @operator_option
-@click.option("--config", type=click.Path(dir_okay=False, path_type=Path), envvar="EDGE_CONFIG",
-              help="What the server is told by its platform (JSON); else EDGE_CONFIG.")
+@click.option(
+    "--config",
+    type=click.Path(dir_okay=False, path_type=Path),
+    envvar="EDGE_CONFIG",
+    help="What the server is told by its platform (JSON); else EDGE_CONFIG.",
+)
 def serve(operator: Path | None, config: Path | None) -> None:
     """Serve, in the foreground, until SIGTERM.
 
@@ -43,12 +47,17 @@
 
 @main.command()
 @operator_option
-@click.option("--config", type=click.Path(dir_okay=False, path_type=Path), envvar="EDGE_CONFIG",
-              help="What the server is told by its platform (JSON); else EDGE_CONFIG.")
+@click.option(
+    "--config",
+    type=click.Path(dir_okay=False, path_type=Path),
+    envvar="EDGE_CONFIG",
+    help="What the server is told by its platform (JSON); else EDGE_CONFIG.",
+)
 def check(operator: Path | None, config: Path | None) -> None:
     """Check an operator's file and a configuration: a line for each fault, with its place; status 2 if any."""
     from ..operator import Faults, load
     from ..server.configuration import Broken, read
+
     if operator is None and config is None:
         raise click.UsageError("nothing to check: name --operator, --config or both")
     faults: list[str] = []
@@ -67,6 +76,7 @@
             if told is not None:
                 # What only the two together can tell: products that a level names.
                 from ..server.parts import leveled, stale
+
                 leveled(told, stale(told, orders))
         except Broken as broken:
             faults.append(str(broken))
@@ -78,13 +88,18 @@
 
 
 @main.command()
-@click.option("--folder", type=click.Path(file_okay=False, path_type=Path), default=None,
-              help="Where the record is kept; a temporary folder by default.")
+@click.option(
+    "--folder",
+    type=click.Path(file_okay=False, path_type=Path),
+    default=None,
+    help="Where the record is kept; a temporary folder by default.",
+)
 def demo(folder: Path | None) -> None:
     """Show it at work, in under a minute: serves between our own stand-ins, is killed after a charge, comes back.
 
     The charge's repeat is then settled from the record, and not run again."""
     from .demo import play
+
     sys.exit(play(folder))
 
 
--- a/burlloom/command/shared.py
+++ b/burlloom/command/shared.py
@@ -14,14 +14,19 @@
 
 OPERATOR = "BURLLOOM_OPERATOR"
 operator_option = click.option(
-    "--operator", "-o", type=click.Path(dir_okay=False, path_type=Path), envvar=OPERATOR,
-    help=f"The operator's own file (Jsonnet); else {OPERATOR}.")
+    "--operator",
+    "-o",
+    type=click.Path(dir_okay=False, path_type=Path),
+    envvar=OPERATOR,
+    help=f"The operator's own file (Jsonnet); else {OPERATOR}.",
+)
 
 
 @contextmanager
 def told_plainly() -> Iterator[None]:
     """What is refused is one line on standard error and status 2."""
     from ..record.store import Refused
+
     try:
         yield
     except Refused as refused:
@@ -31,6 +36,7 @@
 
 def operator_file(path: Path | None) -> "Operator":
     from ..operator import Faults, load
+
     if path is None:
         raise click.UsageError(f"which operator's file? Name it by --operator or {OPERATOR}")
     try:
--- a/burlloom/desk/__init__.py
+++ b/burlloom/desk/__init__.py
@@ -4,4 +4,16 @@
 from .marks import Packed
 from .steps import AtCall, CallEnded, Kind, Leaving, Recalled, RunEnded, Step, Try
 
-__all__ = ["AtCall", "CallEnded", "Desk", "Kind", "Leaving", "Packed", "Recalled", "RunEnded", "Seat", "Step", "Try"]
+__all__ = [
+    "AtCall",
+    "CallEnded",
+    "Desk",
+    "Kind",
+    "Leaving",
+    "Packed",
+    "Recalled",
+    "RunEnded",
+    "Seat",
+    "Step",
+    "Try",
+]
--- a/burlloom/desk/desk.py
+++ b/burlloom/desk/desk.py
@@ -29,7 +29,17 @@
 class Seat:
     """A txn between its reading and its release."""
 
-    __slots__ = ("id", "caller", "mark", "body", "inquiry", "started", "answered", "steps", "waiter")
+    __slots__ = (
+        "id",
+        "caller",
+        "mark",
+        "body",
+        "inquiry",
+        "started",
+        "answered",
+        "steps",
+        "waiter",
+    )
 
     def __init__(self, id: str, caller: str, mark: bytes, inquiry: bool) -> None:
         self.id, self.caller, self.mark, self.inquiry = id, caller, mark, inquiry
@@ -46,8 +56,16 @@
 class Desk:
     """Implements `interface.Effects`; only the decisions call those methods."""
 
-    def __init__(self, facts: ServerFacts, names: tuple[str, ...], seed: int, clock: Callable[[], int], age: int,
-                 results: int, recalls: bool = False) -> None:
+    def __init__(
+        self,
+        facts: ServerFacts,
+        names: tuple[str, ...],
+        seed: int,
+        clock: Callable[[], int],
+        age: int,
+        results: int,
+        recalls: bool = False,
+    ) -> None:
         """`names` are the products'. `recalls`: results that are not in our memory may be kept elsewhere."""
         # This protocol has no command to leave a call out, so the decisions never hear that one may be. Marks
         # are kept in our own memory, not the executor's that the decisions count: a bound on them is left.
@@ -57,7 +75,9 @@
         self.loop = asyncio.get_running_loop()
         self.seats: dict[int, Seat] = {}
         self.refs: dict[str, int] = {}
-        self.callers: dict[str, list[int]] = {}  # each with its index and how many of its txns have a seat
+        self.callers: dict[
+            str, list[int]
+        ] = {}  # each with its index and how many of its txns have a seat
         self.given = self.indices = self.unanswered = 0
         self.ledger = Ledger(max(product.expiry for product in facts.products), SLACK, results)
         self.wakes: list[tuple[int, int]] = []
@@ -82,7 +102,12 @@
         """Reads a txn. Most that are not held or run are over at once: those cost no coroutine. Else its seat, for
         `pick`."""
         seat = self.admit(txn)
-        if not self.handing and len(self.outbox) == 1 and self.outbox[0][0] is seat and seat.answered:
+        if (
+            not self.handing
+            and len(self.outbox) == 1
+            and self.outbox[0][0] is seat
+            and seat.answered
+        ):
             return self.outbox.popleft()[1]
         self.flush()
         return seat
@@ -134,16 +159,28 @@
     def serve(self) -> None:
         service = self.told_service
         if self.holding_back:
-            service = replace(service, relief=self.held(service.relief), above=self.held(service.above))
+            service = replace(
+                service, relief=self.held(service.relief), above=self.held(service.above)
+            )
         self.service = service
         self.choice.serve_at(self.clock(), service)
         self.flush()
 
     def held(self, relief: Relief) -> Relief:
         none = (False,) * len(self.names)
-        return relief if relief.over else replace(
-            relief, name=relief.name or "coming-back", declined=relief.declined or none, kept=relief.kept or none,
-            repeats=relief.repeats or none, skips=relief.skips or none, over=True)
+        return (
+            relief
+            if relief.over
+            else replace(
+                relief,
+                name=relief.name or "coming-back",
+                declined=relief.declined or none,
+                kept=relief.kept or none,
+                repeats=relief.repeats or none,
+                skips=relief.skips or none,
+                over=True,
+            )
+        )
 
     def share_calls(self, share: float) -> None:
         """Our share of the calls below from now on, as the fleet deals it."""
@@ -159,7 +196,9 @@
         choice, oldest = self.choice, self.choice.oldest()
         age = 0.0
         if oldest is not None:
-            age = (self.clock() - choice.slept - oldest.since) / self.facts.products[oldest.txn.product].sla
+            age = (self.clock() - choice.slept - oldest.since) / self.facts.products[
+                oldest.txn.product
+            ].sla
         return age, choice.unread_mean() / choice.lag, choice.press
 
     def settle(self, mark: bytes, result: bytes | None) -> None:
@@ -208,7 +247,11 @@
         mark = b""
         if product.repeatable is Repeatable.REFERENCED:
             mark = mark_of(self.names[txn.product], txn.once, txn.body)
-        elif (self.facts.fresh or product.stale) and product.repeatable is Repeatable.INQUIRY and txn.key:
+        elif (
+            (self.facts.fresh or product.stale)
+            and product.repeatable is Repeatable.INQUIRY
+            and txn.key
+        ):
             mark = mark_of(self.names[txn.product], txn.key, b"")
         caller = self.callers.get(txn.caller)
         if caller is None:
@@ -217,14 +260,31 @@
         caller[1] += 1
         ref = self.given
         self.given += 1
-        seat = self.seats[ref] = Seat(txn.id, txn.caller, mark, product.repeatable is Repeatable.INQUIRY)
+        seat = self.seats[ref] = Seat(
+            txn.id, txn.caller, mark, product.repeatable is Repeatable.INQUIRY
+        )
         self.refs[txn.id] = ref
         self.unanswered += 1
-        self.choice.arrived(now, Txn(
-            ref=ref, caller=caller[0], product=txn.product,
-            cost=txn.cost, unread=max(0, now - txn.at), expiry_at=0, kb=txn.kb, rank=txn.rank,
-            repeat_of=self.ledger.holder(mark, txn.at, seat.inquiry) if mark and self.counts(mark, txn, now) else -1,
-            entry=txn.entry, retry=txn.retry, over=txn.over and self.by_share or txn.held_back, lot=txn.lot))
+        self.choice.arrived(
+            now,
+            Txn(
+                ref=ref,
+                caller=caller[0],
+                product=txn.product,
+                cost=txn.cost,
+                unread=max(0, now - txn.at),
+                expiry_at=0,
+                kb=txn.kb,
+                rank=txn.rank,
+                repeat_of=self.ledger.holder(mark, txn.at, seat.inquiry)
+                if mark and self.counts(mark, txn, now)
+                else -1,
+                entry=txn.entry,
+                retry=txn.retry,
+                over=txn.over and self.by_share or txn.held_back,
+                lot=txn.lot,
+            ),
+        )
         return seat
 
     def counts(self, mark: bytes, txn: Try, now: int) -> bool:
@@ -237,19 +297,29 @@
         if relief.name and relief.kept[txn.product]:
             return True
         fresh = self.facts.fresh
-        return fresh > 0 and (not record.over or now <= record.until - max(0, product.stale - fresh))
+        return fresh > 0 and (
+            not record.over or now <= record.until - max(0, product.stale - fresh)
+        )
 
     def run_ended(self, now: int, ref: int, news: RunEnded) -> None:
         if news.outcome not in (Outcome.UNKEPT, Outcome.TAKEN):
             # A run that was begun for nobody is over unrun; whoever may still listen is told it came to nothing.
             good = news.outcome is Outcome.OK
-            self.put(ref, Step(Kind.SETTLE, body=news.result, mark=self.seats[ref].mark) if good else Step(Kind.VOID))
+            self.put(
+                ref,
+                Step(Kind.SETTLE, body=news.result, mark=self.seats[ref].mark)
+                if good
+                else Step(Kind.VOID),
+            )
         record = self.ledger.of(ref)
         if record is not None and not record.over and news.outcome is not Outcome.TAKEN:
             self.ledger.settle(record, news.result if news.outcome is Outcome.OK else None)
             # Where nothing ran, or the executor knew no such txn, its repeats have not run either.
             unrun = news.outcome in (Outcome.MOOT, Outcome.UNKEPT)
-            self.answer_copies(record, Step(Kind.DECLINE) if unrun else settled(record.result, self.seats[ref].mark))
+            self.answer_copies(
+                record,
+                Step(Kind.DECLINE) if unrun else settled(record.result, self.seats[ref].mark),
+            )
         self.choice.ended(now, ref, news.outcome, news.took)
 
     def answer_copies(self, record: Record, told: Step) -> None:
@@ -314,12 +384,18 @@
 
     def forget(self, ref: int) -> None:
         if self.ledger.of(ref) is not None:
-            self.copies.extend((copy, Step(Kind.VOID)) for copy in self.ledger.drop(self.seats[ref].mark))
+            self.copies.extend(
+                (copy, Step(Kind.VOID)) for copy in self.ledger.drop(self.seats[ref].mark)
+            )
 
     def reuse(self, ref: int) -> None:
         mark = self.seats[ref].mark
         record = self.ledger.records.get(mark)
-        kept = bool(self.ledger.ended_before(mark)) if record is None else record.well and record.result is None
+        kept = (
+            bool(self.ledger.ended_before(mark))
+            if record is None
+            else record.well and record.result is None
+        )
         if kept and self.recalls:
             self.put(ref, Step(Kind.RECALL, mark=mark))
         elif record is None or record.over:
--- a/burlloom/desk/ledger.py
+++ b/burlloom/desk/ledger.py
@@ -39,7 +39,9 @@
         self.records: OrderedDict[bytes, Record] = OrderedDict()
         self.marks: dict[int, bytes] = {}
         self.former = Packed()  # what former lives laid
-        self.planted: set[bytes] = set()  # those of it whose end was not known: their records alone count
+        self.planted: set[bytes] = (
+            set()
+        )  # those of it whose end was not known: their records alone count
         self.wheel = Wheel()
         self.bytes = 0
 
--- a/burlloom/desk/marks.py
+++ b/burlloom/desk/marks.py
@@ -34,7 +34,7 @@
         return self.count
 
     def __getitem__(self, at: int) -> bytes:
-        return self.data[ENTRY * at:ENTRY * at + MARK_BYTES]
+        return self.data[ENTRY * at : ENTRY * at + MARK_BYTES]
 
     def until(self, mark: bytes) -> int:
         """When its window ends; 0 where it is not known."""
@@ -51,12 +51,12 @@
                 high, low, step = low, low - step, 2 * step
         at = bisect_left(self, mark, max(0, low), min(count, high + 1))
         if at < count and self[at] == mark:
-            return int.from_bytes(self.data[ENTRY * at + MARK_BYTES:ENTRY * at + ENTRY], "big")
+            return int.from_bytes(self.data[ENTRY * at + MARK_BYTES : ENTRY * at + ENTRY], "big")
         return 0
 
 
 def ordered(part: bytearray) -> bytes:
-    entries = [part[at:at + ENTRY] for at in range(0, len(part), ENTRY)]
+    entries = [part[at : at + ENTRY] for at in range(0, len(part), ENTRY)]
     part.clear()
     return b"".join(sorted(entries))
 
--- a/burlloom/distribution/__init__.py
+++ b/burlloom/distribution/__init__.py
@@ -13,5 +13,18 @@
 from .table import Table
 from .terms import Terms
 
-__all__ = ["Change", "Replica", "Entry", "Follower", "Head", "Refused", "Source", "Table", "Terms", "Upstream",
-           "first_head", "propose", "to_source"]
+__all__ = [
+    "Change",
+    "Replica",
+    "Entry",
+    "Follower",
+    "Head",
+    "Refused",
+    "Source",
+    "Table",
+    "Terms",
+    "Upstream",
+    "first_head",
+    "propose",
+    "to_source",
+]
--- a/burlloom/distribution/asking.py
+++ b/burlloom/distribution/asking.py
@@ -8,7 +8,19 @@
 from typing import Any, TypeVar
 
 from .follower import Upstream
-from .messages import Body, Message, Paged, PagesAsk, Redirect, Report, Sender, Told, Unreadable, seal, unseal
+from .messages import (
+    Body,
+    Message,
+    Paged,
+    PagesAsk,
+    Redirect,
+    Report,
+    Sender,
+    Told,
+    Unreadable,
+    seal,
+    unseal,
+)
 from .table import Place, bucket_of
 
 PATIENCE, TRIES = 0.5, 3  # s for an answer; how often each is asked
@@ -19,7 +31,11 @@
 class Asking(asyncio.DatagramProtocol):
     def __init__(self, key: bytes) -> None:
         self.key, self.heard = key, asyncio.Queue[Message](256)
-        self.name, self.life, self.number = f"explain-{secrets.token_hex(4)}", time.time_ns() // 1_000_000, 0
+        self.name, self.life, self.number = (
+            f"explain-{secrets.token_hex(4)}",
+            time.time_ns() // 1_000_000,
+            0,
+        )
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -42,7 +58,10 @@
                 async with asyncio.timeout(PATIENCE):
                     while True:
                         message = await self.heard.get()
-                        if message.sender.number == self.number and (found := answer(message)) is not None:
+                        if (
+                            message.sender.number == self.number
+                            and (found := answer(message)) is not None
+                        ):
                             return found
             except TimeoutError:
                 pass
@@ -65,16 +84,24 @@
     said = "no upstream answers"
     try:
         for one in upstreams:
-            told: Told | Redirect | None = await asking.ask(one, Report(("", region), 0, 0, 0), answered)
+            told: Told | Redirect | None = await asking.ask(
+                one, Report(("", region), 0, 0, 0), answered
+            )
             if isinstance(told, Redirect):
                 said = f"{one.name} sends on: {told.reason}"
-            elif told is not None and (found := await look(asking, one, region, kind, name)) is not None:
+            elif (
+                told is not None
+                and (found := await look(asking, one, region, kind, name)) is not None
+            ):
                 age = (
                     "never surely the newest"
                     if told.age is None
                     else f"surely the newest {told.age / 1000:.1f} s ago"
                 )
-                return found, f"{one.name}: epoch {told.head.epoch} revision {told.head.revision}, {age}"
+                return (
+                    found,
+                    f"{one.name}: epoch {told.head.epoch} revision {told.head.revision}, {age}",
+                )
         return None, said
     finally:
         transport.close()
--- a/burlloom/distribution/changes.py
+++ b/burlloom/distribution/changes.py
@@ -22,7 +22,10 @@
 KEY_MOST = 128  # bytes of UTF-8
 SCOPE_MOST = 64  # bytes of UTF-8: a region's name
 VALUE_MOST = 512  # bytes of MessagePack, a map
-BODY_MOST, ENTRIES_MOST = 1000, 64  # bytes and entries of one change: it fits a datagram with its seal
+BODY_MOST, ENTRIES_MOST = (
+    1000,
+    64,
+)  # bytes and entries of one change: it fits a datagram with its seal
 TAG = 16  # bytes of a tag and of a body's digest
 NUMBER_MOST = (1 << 63) - 1
 FAULTS_MOST = 100  # that are told of one change
@@ -81,8 +84,15 @@
     return hashlib.blake2b(body, digest_size=TAG).digest()
 
 
-def tag_of(key: bytes, before: bytes, epoch: int, revision: int, time_ms: int, scope: str,
-           body_digest: bytes) -> bytes:
+def tag_of(
+    key: bytes,
+    before: bytes,
+    epoch: int,
+    revision: int,
+    time_ms: int,
+    scope: str,
+    body_digest: bytes,
+) -> bytes:
     """`before`: the tag of the change before, 16 bytes."""
     text = b"%b%d %d %d " % (before, epoch, revision, time_ms) + body_digest + scope.encode()
     return hashlib.blake2b(text, key=key, digest_size=TAG).digest()
@@ -103,8 +113,11 @@
         raise Refused([f"body: no MessagePack that may be here: {error}"]) from error
     if type(got) is not list:
         raise Refused(["body: no list"])
-    found = [f"entries[{at}]: not of kind, key and value" for at, part in enumerate(got)
-             if type(part) is not list or len(part) != 3]
+    found = [
+        f"entries[{at}]: not of kind, key and value"
+        for at, part in enumerate(got)
+        if type(part) is not list or len(part) != 3
+    ]
     if found:
         raise Refused(found)
     entries = [Entry(scope, *part) for part in got]
@@ -116,7 +129,9 @@
 
 def faults(scope: Any, entries: Sequence[Entry]) -> list[str]:
     """All that is wrong with what a change would set, each with its place; empty where it may be."""
-    found = [] if is_text(scope, 0, SCOPE_MOST) else [f"scope: not text of {SCOPE_MOST} bytes at most"]
+    found = (
+        [] if is_text(scope, 0, SCOPE_MOST) else [f"scope: not text of {SCOPE_MOST} bytes at most"]
+    )
     if not 0 < len(entries) <= ENTRIES_MOST:
         found.append(f"entries: {len(entries)}, of 1 to {ENTRIES_MOST}")
     known: dict[Any, int] = {}
@@ -165,7 +180,11 @@
 
 def chained(before: Head, scope: str, body: bytes, time_ms: int, key: bytes) -> Change:
     """The change that comes after `before`, sealed. Time never steps back."""
-    revision, time_ms, digest = before.revision + 1, max(before.time_ms, time_ms), digest_of_body(body)
+    revision, time_ms, digest = (
+        before.revision + 1,
+        max(before.time_ms, time_ms),
+        digest_of_body(body),
+    )
     tag = tag_of(key, before.tag, before.epoch, revision, time_ms, scope, digest)
     return Change(before.epoch, revision, time_ms, scope, body, tag, digest)
 
@@ -181,8 +200,21 @@
         return "its time steps back"
     if change.body is not None and digest_of_body(change.body) != change.body_digest:
         return "its body was altered"
-    if not any(hmac.compare_digest(change.tag, tag_of(key, before.tag, change.epoch, change.revision,
-            change.time_ms, change.scope, change.body_digest)) for key in keys):
+    if not any(
+        hmac.compare_digest(
+            change.tag,
+            tag_of(
+                key,
+                before.tag,
+                change.epoch,
+                change.revision,
+                change.time_ms,
+                change.scope,
+                change.body_digest,
+            ),
+        )
+        for key in keys
+    ):
         return "its tag does not follow"
     return ""
 
@@ -191,4 +223,6 @@
     return Head(change.epoch, change.revision, change.tag, change.time_ms)
 
 
-Check = Callable[[Entry], list[str]]  # faults of one entry by its meaning, with places within the value
+Check = Callable[
+    [Entry], list[str]
+]  # faults of one entry by its meaning, with places within the value
--- a/burlloom/distribution/control.py
+++ b/burlloom/distribution/control.py
@@ -66,16 +66,26 @@
         state_file: str | None = None,
         seed: int | None = None,
     ) -> None:
-        self.name, self.region, self.seals, self.signing, self.terms = name, region, seals, signing, terms
+        self.name, self.region, self.seals, self.signing, self.terms = (
+            name,
+            region,
+            seals,
+            signing,
+            terms,
+        )
         self.upstreams = [one for one in upstreams if one.name != name]
         self.store, self.state_file = store, state_file
         self.chance = Random(seed)
         self.counts = Counts()
         self.life, now = time.time_ns() // MS, since_start()
         self.replica = Replica(Table(None), signing.keys)
-        self.source = Source(self.replica, name, self.life, seals.keys, terms, self.chance, now, self.age)
+        self.source = Source(
+            self.replica, name, self.life, seals.keys, terms, self.chance, now, self.age
+        )
         self.follower: Follower | None = None
-        self.reading = Reading(store, self.replica, lambda: Table(None), self) if store is not None else None
+        self.reading = (
+            Reading(store, self.replica, lambda: Table(None), self) if store is not None else None
+        )
         self.endpoint = Endpoint(sock, self.hear)
         self.telling = Telling(self.replica)
         self.began_at = now
@@ -251,7 +261,8 @@
         if head is None or not self.source.followers:
             return None, 0
         lowest = min(
-            lease.revision if lease.epoch == head.epoch else 0 for lease in self.source.followers.values()
+            lease.revision if lease.epoch == head.epoch else 0
+            for lease in self.source.followers.values()
         )
         lacked = self.replica.log.since(lowest, 1)
         if lowest >= head.revision:
--- a/burlloom/distribution/endpoint.py
+++ b/burlloom/distribution/endpoint.py
@@ -10,7 +10,9 @@
 log = logging.getLogger(__name__)
 
 Address = tuple[str, int]
-UNSENT_MOST = 1 << 20  # bytes that the system did not take yet; what is more is as good as lost on the way
+UNSENT_MOST = (
+    1 << 20
+)  # bytes that the system did not take yet; what is more is as good as lost on the way
 RECEIVE = 1 << 21  # bytes that wait to be read, as far as the system allows it
 REFUSED_EACH = 10  # lines a second about what is refused; the rest is counted
 
@@ -36,7 +38,9 @@
         self.sock, self.heard = sock, hear
         host, port = sock.getsockname()
         self.address = f"{host}:{port}"
-        self.transport: Any = None  # typeshed's datagram transport lacks the size of what was not taken
+        self.transport: Any = (
+            None  # typeshed's datagram transport lacks the size of what was not taken
+        )
         self.unsent = 0  # datagrams that were dropped here
         self.said_at, self.said = 0, 0
 
--- a/burlloom/distribution/follower.py
+++ b/burlloom/distribution/follower.py
@@ -22,8 +22,25 @@
 from ..tables import rows
 from .changes import NUMBER_MOST, Change, Entry, Head, Refused, break_of, head_of
 from .messages import (
-    PAGES_MOST, PULL_MOST, Body, Bye, Digests, DigestsAsk, Message, Paged, PagesAsk, Pull, Pushed, Redirect,
-    Report, Sender, Told, Unreadable, seal, unseal)
+    PAGES_MOST,
+    PULL_MOST,
+    Body,
+    Bye,
+    Digests,
+    DigestsAsk,
+    Message,
+    Paged,
+    PagesAsk,
+    Pull,
+    Pushed,
+    Redirect,
+    Report,
+    Sender,
+    Told,
+    Unreadable,
+    seal,
+    unseal,
+)
 from .refusals import REFUSALS_MOST, counted
 from .replica import Replica
 from .table import BUCKETS, Place
@@ -149,18 +166,32 @@
     """`life`: Unix ms of the start. `upstreams`: own region's come first, each part in rendezvous order. The
     first key seals. Raises `ValueError` for terms or upstreams that can't be."""
 
-    def __init__(self, replica: Replica, name: str, life: int, region: str, upstreams: Iterable[Upstream],
-                 keys: tuple[bytes, ...], terms: Terms, chance: Random, now: int) -> None:
+    def __init__(
+        self,
+        replica: Replica,
+        name: str,
+        life: int,
+        region: str,
+        upstreams: Iterable[Upstream],
+        keys: tuple[bytes, ...],
+        terms: Terms,
+        chance: Random,
+        now: int,
+    ) -> None:
         self.replica, self.name, self.life, self.keys = replica, name, life, keys
         self.terms, self.chance = terms, chance
         self.upstreams = preferred(name, region, upstreams)
         if not 0 < len(self.upstreams) <= UPSTREAMS_MOST or terms.faults():
-            raise ValueError("; ".join(terms.faults())
-                or f"{len(self.upstreams)} upstreams, of 1 to {UPSTREAMS_MOST}")
+            raise ValueError(
+                "; ".join(terms.faults())
+                or f"{len(self.upstreams)} upstreams, of 1 to {UPSTREAMS_MOST}"
+            )
         self.state = State.EMPTY if replica.head is None else State.ALONE
         self.out: deque[tuple[Address, bytes]] = deque()
         self.counts = Counts()
-        self.refusals: deque[tuple[str, Address]] = deque(maxlen=REFUSALS_MOST)  # until the host takes them
+        self.refusals: deque[tuple[str, Address]] = deque(
+            maxlen=REFUSALS_MOST
+        )  # until the host takes them
         # Numbers of two lives are never the same: an answer to an earlier life means nothing to this one.
         self.number = life << 20 & NUMBER_MOST
         self.at = 0  # whom we follow, of `upstreams`
@@ -173,17 +204,26 @@
         self.heard_at = self.last = now  # its last answer, or our coming to it; the last tick
         self.reports: dict[int, int] = {}  # by number, when it left
         self.report_at = now  # the next
-        self.probe = -1, -1, now  # of a better upstream: which, our report's number, and when it left
+        self.probe = (
+            -1,
+            -1,
+            now,
+        )  # of a better upstream: which, our report's number, and when it left
         self.probe_last = -1
         self.probe_at = now + self.jittered(terms.prefer)
         self.early: dict[int, Change] = {}
         self.pull_number, self.pulled_at, self.pulled_to, self.pull_again = -1, -1, 0, now
         self.refused_row = 0
         self.sync: Sync | None = None
-        self.patched_to = 0, 0  # epoch and revision that pages lie in the table of, where no sync ended since
+        self.patched_to = (
+            0,
+            0,
+        )  # epoch and revision that pages lie in the table of, where no sync ended since
         self.judged = self.number  # reports before this number say nothing of the table any more
         self.sure_at: int | None = None
-        self.words: deque[tuple[int, int, int]] = deque(maxlen=WORDS_MOST)  # epoch, revision, newest when
+        self.words: deque[tuple[int, int, int]] = deque(
+            maxlen=WORDS_MOST
+        )  # epoch, revision, newest when
 
     # What others ask.
 
@@ -202,8 +242,11 @@
         if self.pulled_at >= 0:
             found = min(found, self.pull_again)
         if self.sync is not None:
-            found = min(found, self.sync.moved_at + self.terms.stuck,
-                *[fetch.again_at for fetch in self.sync.fetching.values()])
+            found = min(
+                found,
+                self.sync.moved_at + self.terms.stuck,
+                *[fetch.again_at for fetch in self.sync.fetching.values()],
+            )
             if self.sync.base is None:
                 found = min(found, self.sync.again_at)
         return found
@@ -242,7 +285,9 @@
 
     def report(self, now: int) -> None:
         """Until an upstream answers, twice a beat."""
-        self.report_at = now + self.jittered(self.terms.beat if self.answered else self.terms.beat // 2)
+        self.report_at = now + self.jittered(
+            self.terms.beat if self.answered else self.terms.beat // 2
+        )
         self.reports[self.send(self.upstream, self.own_report())] = now
         while len(self.reports) > REPORTS_MOST:
             del self.reports[next(iter(self.reports))]
@@ -256,18 +301,26 @@
     def look_around(self, now: int) -> None:
         """A report to one of the better upstreams, each in turn; to any where the own one has old news."""
         most = len(self.upstreams) if self.poor() else self.at
-        self.probe_at = now + self.jittered(self.terms.beat if self.poor() else
-            max(self.terms.beat, self.terms.prefer // max(1, most)))
+        self.probe_at = now + self.jittered(
+            self.terms.beat
+            if self.poor()
+            else max(self.terms.beat, self.terms.prefer // max(1, most))
+        )
         if not most or not self.answered or self.sync is not None:
             return
         self.probe_last = (self.probe_last + 1) % most
         if self.probe_last != self.at:
-            self.probe = self.probe_last, self.send(self.upstreams[self.probe_last],
-                self.own_report()), now
+            self.probe = (
+                self.probe_last,
+                self.send(self.upstreams[self.probe_last], self.own_report()),
+                now,
+            )
 
     def poor(self) -> bool:
         """Whether the upstream itself has old news, or none."""
-        return self.told is not None and (self.told.age is None or self.told.age * MS > self.terms.stale)
+        return self.told is not None and (
+            self.told.age is None or self.told.age * MS > self.terms.stale
+        )
 
     # What comes.
 
@@ -312,8 +365,11 @@
             return fault
         if self.poor() != (told.age is None or told.age * MS > self.terms.stale):
             self.probe_at = min(self.probe_at, now + self.jittered(self.terms.beat))
-        back = (self.told is not None and told.head[:2] < self.told.head[:2]
-            and sender.number > self.told_number)
+        back = (
+            self.told is not None
+            and told.head[:2] < self.told.head[:2]
+            and sender.number > self.told_number
+        )
         same = self.told is not None and self.told.head.epoch == told.head.epoch and not back
         self.latest = max(self.latest if same else 0, told.head.revision)
         self.told, self.told_number, self.tried = told, sender.number, 0
@@ -359,15 +415,22 @@
         change = message.body.change
         tip = self.tip()
         if tip is None:
-            return "" if self.sync is not None or self.replica.head is None else "a change before a sync"
+            return (
+                ""
+                if self.sync is not None or self.replica.head is None
+                else "a change before a sync"
+            )
         if change.epoch != tip.epoch:
             return "a change of another epoch"
         if change.revision <= tip.revision:
             return ""  # doubled, late or played again
         if message.sender.name == self.upstream.name:
             self.latest = max(self.latest, change.revision)
-        if (change.revision in self.early or len(self.early) < EARLY_MOST
-                or change.revision == tip.revision + 1):
+        if (
+            change.revision in self.early
+            or len(self.early) < EARLY_MOST
+            or change.revision == tip.revision + 1
+        ):
             self.early[change.revision] = change
         reason = self.drain(now)
         self.meet(now, Input.CHANGE)
@@ -386,7 +449,9 @@
             change = self.early.pop(tip.revision + 1, None) if tip is not None else None
             if change is None:
                 return ""
-            reason = self.replica.take(change) if self.sync is None else self.fold(self.sync, change)
+            reason = (
+                self.replica.take(change) if self.sync is None else self.fold(self.sync, change)
+            )
             if reason:
                 self.refused_row += 1
                 if self.refused_row >= REFUSED_MOST:
@@ -420,8 +485,10 @@
         if sender.number == self.probe[1]:
             self.probe = -1, -1, now
             return ""
-        if sender.name != self.upstream.name or (sender.number not in self.reports
-                and not (sender.number == 0 and sender.life == self.upstream_life and self.answered)):
+        if sender.name != self.upstream.name or (
+            sender.number not in self.reports
+            and not (sender.number == 0 and sender.life == self.upstream_life and self.answered)
+        ):
             return "a REDIRECT that was not asked for"
         self.lose(now)
         return ""
@@ -443,8 +510,9 @@
         self.tried += 1
         self.counts.moves += 1
         # Where none is of use they are not asked round and round as fast as they refuse.
-        self.heard_at = self.report_at = now if self.tried < len(self.upstreams) else now + self.jittered(
-            self.terms.beat // 2)
+        self.heard_at = self.report_at = (
+            now if self.tried < len(self.upstreams) else now + self.jittered(self.terms.beat // 2)
+        )
         self.reports.clear()
         self.probe = -1, -1, now
         self.pulled_at = self.pull_number = -1
@@ -469,16 +537,23 @@
             return False
         if head is None or self.replica.patched or told.head.epoch > head.epoch:
             return True
-        return (told.head.revision > head.revision and told.oldest > head.revision
-                or told.differs and self.told_number >= self.judged)
+        return (
+            told.head.revision > head.revision
+            and told.oldest > head.revision
+            or told.differs
+            and self.told_number >= self.judged
+        )
 
     def unbased(self) -> bool:
         """Whether what a sync was begun from is gone."""
         sync, told = self.sync, self.told
         if sync is None:
             return True
-        return (told is not None and sync.tip is not None
-                and (told.head.epoch != sync.tip.epoch or told.oldest > sync.tip.revision))
+        return (
+            told is not None
+            and sync.tip is not None
+            and (told.head.epoch != sync.tip.epoch or told.oldest > sync.tip.revision)
+        )
 
     def behind(self) -> bool:
         head = self.replica.head
@@ -487,8 +562,12 @@
     def short(self) -> bool:
         """Whether a sync is not at its end yet."""
         sync = self.sync
-        return (sync is None or sync.tip is None or bool(sync.wanted or sync.fetching)
-            or sync.tip.revision < sync.target)
+        return (
+            sync is None
+            or sync.tip is None
+            or bool(sync.wanted or sync.fetching)
+            or sync.tip.revision < sync.target
+        )
 
     # Effects.
 
@@ -501,8 +580,10 @@
         if self.pulled_at >= 0 and tip.revision < self.pulled_to and now < self.pull_again:
             return
         # Changes that are here already need not come again.
-        most = next((ahead for ahead in range(PULL_MOST) if tip.revision + 1 + ahead in self.early),
-            PULL_MOST)
+        most = next(
+            (ahead for ahead in range(PULL_MOST) if tip.revision + 1 + ahead in self.early),
+            PULL_MOST,
+        )
         most = max(1, min(most, self.wanted_revision() - tip.revision))
         self.counts.pulls += 1
         self.pulled_at, self.pulled_to = now, tip.revision + most
@@ -517,7 +598,9 @@
         """Asks for the digests of all buckets."""
         self.counts.syncs += 1
         self.pulled_at = self.pull_number = -1
-        self.sync = Sync(self.send(self.upstream, DigestsAsk()), now + self.jittered(self.terms.retry), now)
+        self.sync = Sync(
+            self.send(self.upstream, DigestsAsk()), now + self.jittered(self.terms.retry), now
+        )
 
     def settle(self, now: int) -> None:
         """The end of a sync: what was folded lies over the pages."""
@@ -526,16 +609,21 @@
         entries = list(sync.fold.values())
         try:
             for at in range(0, len(entries), PUT_MOST):
-                self.replica.table.put(entries[at:at + PUT_MOST])
+                self.replica.table.put(entries[at : at + PUT_MOST])
         except ValueError as error:  # a table's own bounds
             self.refuse(f"the table refuses: {error!s:.100}", self.upstream.address)
             self.lose(now)
             return
-        if self.replica.patched or self.replica.head != sync.tip:  # else nothing was to be done: the log stays
+        if (
+            self.replica.patched or self.replica.head != sync.tip
+        ):  # else nothing was to be done: the log stays
             self.replica.settle(sync.tip)
         self.sync, self.judged, self.patched_to = None, self.number + 1, (0, 0)
-        self.early = {revision: change for revision, change in self.early.items()
-            if change.epoch == sync.tip.epoch and revision > sync.tip.revision}
+        self.early = {
+            revision: change
+            for revision, change in self.early.items()
+            if change.epoch == sync.tip.epoch and revision > sync.tip.revision
+        }
         self.counts.settled += 1
         self.drain(now)
         self.reckon()
@@ -550,7 +638,11 @@
         assert isinstance(body, Digests)
         number = message.sender.number
         if sync is None or sync.base is not None or not sync.first <= number <= self.number:
-            return "" if sync is not None and number >= sync.first else "DIGESTS that were not asked for"
+            return (
+                ""
+                if sync is not None and number >= sync.first
+                else "DIGESTS that were not asked for"
+            )
         sync.halves[number, body.half] = body
         low, high = sync.halves.get((number, 0)), sync.halves.get((number, 1))
         if low is None or high is None:
@@ -584,15 +676,22 @@
     def paged(self, now: int, message: Message) -> str:
         body, sync = message.body, self.sync
         assert isinstance(body, Paged)
-        if (sync is None or sync.base is None or body.bucket not in sync.fetching
-                or message.sender.number < sync.first):
+        if (
+            sync is None
+            or sync.base is None
+            or body.bucket not in sync.fetching
+            or message.sender.number < sync.first
+        ):
             return ""  # doubled or late
         if body.epoch != sync.base.epoch or body.revision < sync.base.revision:
             return "a PAGE from before the base"
         fetch = sync.fetching[body.bucket]
         if body.after != fetch.after:
-            if body.after is not None and (fetch.after is None or body.after > fetch.after) \
-                    and len(fetch.early) < PAGES_MOST:
+            if (
+                body.after is not None
+                and (fetch.after is None or body.after > fetch.after)
+                and len(fetch.early) < PAGES_MOST
+            ):
                 fetch.early[body.after] = body
             return ""
         page: Paged | None = body
@@ -654,8 +753,10 @@
 def preferred(name: str, region: str, upstreams: Iterable[Upstream]) -> list[Upstream]:
     """Own region's first, each part in rendezvous order (Thaler and Ravishankar, 1998), so that each follower
     has its own and a lost one's followers spread over all others."""
+
     def weight(one: Upstream) -> tuple[bool, int]:
         return one.region == region, int(xxhash.xxh3_64_intdigest(f"{name}\n{one.name}".encode()))
+
     return sorted((one for one in upstreams if one.name != name), key=weight, reverse=True)
 
 
@@ -663,11 +764,17 @@
     """For an operator's eyes; plain values."""
     head, sync, counts = follower.replica.head, follower.sync, follower.counts
     return {
-        "name": follower.name, "state": follower.state.name.lower(), "upstream": follower.upstream.name,
-        "epoch": head.epoch if head else None, "revision": head.revision if head else None,
-        "latest": follower.latest, "age_ms": follower.age(now), "mixed": follower.replica.patched,
+        "name": follower.name,
+        "state": follower.state.name.lower(),
+        "upstream": follower.upstream.name,
+        "epoch": head.epoch if head else None,
+        "revision": head.revision if head else None,
+        "latest": follower.latest,
+        "age_ms": follower.age(now),
+        "mixed": follower.replica.patched,
         "buckets_left": len(sync.wanted) + len(sync.fetching) if sync else 0,
-        "counts": {name: getattr(counts, name) for name in counts.__slots__}}
+        "counts": {name: getattr(counts, name) for name in counts.__slots__},
+    }
 
 
 Test = Callable[[Follower], bool]
@@ -680,10 +787,16 @@
 
 
 def _effect(name: str) -> Effect:
-    return (lambda follower, now: None) if name == "-" else getattr(Follower, RENAMED.get(name, name))
+    return (
+        (lambda follower, now: None) if name == "-" else getattr(Follower, RENAMED.get(name, name))
+    )
 
 
 RULES = rows(TABLE, State, Input, _test, _effect)
 HEARD: dict[type[Body], Callable[[Follower, int, Message], str]] = {
-    Told: Follower.headed, Pushed: Follower.changed, Redirect: Follower.redirected,
-    Digests: Follower.digests_came, Paged: Follower.paged}
+    Told: Follower.headed,
+    Pushed: Follower.changed,
+    Redirect: Follower.redirected,
+    Digests: Follower.digests_came,
+    Paged: Follower.paged,
+}
--- a/burlloom/distribution/messages.py
+++ b/burlloom/distribution/messages.py
@@ -15,7 +15,17 @@
 import msgpack
 
 from .changes import (
-    BODY_MOST, KEY_MOST, NUMBER_MOST, SCOPE_MOST, TAG, VALUE_MOST, Change, Entry, Head, is_text)
+    BODY_MOST,
+    KEY_MOST,
+    NUMBER_MOST,
+    SCOPE_MOST,
+    TAG,
+    VALUE_MOST,
+    Change,
+    Entry,
+    Head,
+    is_text,
+)
 from .changes import KINDS as ENTRY_KINDS
 from .table import BUCKETS, Page, Place
 
@@ -189,29 +199,56 @@
 
 
 def head_from(epoch: Any, revision: Any, tag: Any, time_ms: Any) -> Head:
-    need(whole(epoch) and epoch > 0 and whole(revision) and type(tag) is bytes and len(tag) == TAG
-         and whole(time_ms), "head")
+    need(
+        whole(epoch)
+        and epoch > 0
+        and whole(revision)
+        and type(tag) is bytes
+        and len(tag) == TAG
+        and whole(time_ms),
+        "head",
+    )
     return Head(epoch, revision, tag, time_ms)
 
 
 def read_report(scopes: Any, epoch: Any, revision: Any, digest: Any) -> Body:
-    need(scopes is None or type(scopes) is list and len(scopes) <= SCOPES_MOST
-         and all(is_text(scope, 0, SCOPE_MOST) for scope in scopes), "scopes")
-    need(whole(epoch) and whole(revision) and type(digest) is int and 0 <= digest < 1 << 64, "report")
+    need(
+        scopes is None
+        or type(scopes) is list
+        and len(scopes) <= SCOPES_MOST
+        and all(is_text(scope, 0, SCOPE_MOST) for scope in scopes),
+        "scopes",
+    )
+    need(
+        whole(epoch) and whole(revision) and type(digest) is int and 0 <= digest < 1 << 64, "report"
+    )
     return Report(None if scopes is None else tuple(scopes), epoch, revision, digest)
 
 
-def read_told(epoch: Any, revision: Any, tag: Any, time_ms: Any, age: Any, differs: Any, oldest: Any) -> Body:
+def read_told(
+    epoch: Any, revision: Any, tag: Any, time_ms: Any, age: Any, differs: Any, oldest: Any
+) -> Body:
     need((age is None or whole(age)) and type(differs) is bool and whole(oldest), "HEAD")
     return Told(head_from(epoch, revision, tag, time_ms), age, differs, oldest)
 
 
-def read_change(epoch: Any, revision: Any, time_ms: Any, scope: Any, body: Any, tag: Any,
-                digest: Any) -> Body:
-    need(whole(epoch) and epoch > 0 and whole(revision) and revision > 0 and whole(time_ms)
-         and is_text(scope, 0, SCOPE_MOST) and type(tag) is bytes and len(tag) == TAG
-         and type(digest) is bytes and len(digest) == TAG
-         and (body is None or type(body) is bytes and len(body) <= BODY_MOST), "change")
+def read_change(
+    epoch: Any, revision: Any, time_ms: Any, scope: Any, body: Any, tag: Any, digest: Any
+) -> Body:
+    need(
+        whole(epoch)
+        and epoch > 0
+        and whole(revision)
+        and revision > 0
+        and whole(time_ms)
+        and is_text(scope, 0, SCOPE_MOST)
+        and type(tag) is bytes
+        and len(tag) == TAG
+        and type(digest) is bytes
+        and len(digest) == TAG
+        and (body is None or type(body) is bytes and len(body) <= BODY_MOST),
+        "change",
+    )
     return Pushed(Change(epoch, revision, time_ms, scope, body, tag, digest))
 
 
@@ -220,42 +257,74 @@
     return Pull(epoch, after, most)
 
 
-def read_digests(epoch: Any, revision: Any, tag: Any, time_ms: Any, half: Any, digests: Any) -> Body:
-    need(type(half) is int and half in (0, 1) and type(digests) is bytes and len(digests) == 8 * HALF,
-         "DIGESTS")
-    found = tuple(int.from_bytes(digests[at:at + 8], "big") for at in range(0, 8 * HALF, 8))
+def read_digests(
+    epoch: Any, revision: Any, tag: Any, time_ms: Any, half: Any, digests: Any
+) -> Body:
+    need(
+        type(half) is int
+        and half in (0, 1)
+        and type(digests) is bytes
+        and len(digests) == 8 * HALF,
+        "DIGESTS",
+    )
+    found = tuple(int.from_bytes(digests[at : at + 8], "big") for at in range(0, 8 * HALF, 8))
     return Digests(head_from(epoch, revision, tag, time_ms), half, found)
 
 
 def read_pages_ask(bucket: Any, after: Any, pages: Any) -> Body:
-    need(whole(bucket) and bucket < BUCKETS and whole(pages) and 0 < pages <= PAGES_MOST, "PAGES_ASK")
+    need(
+        whole(bucket) and bucket < BUCKETS and whole(pages) and 0 < pages <= PAGES_MOST, "PAGES_ASK"
+    )
     return PagesAsk(bucket, place_from(after), pages)
 
 
-def read_page(epoch: Any, revision: Any, bucket: Any, place: Any, after: Any, entries: Any,
-              done: Any) -> Body:
-    need(whole(epoch) and epoch > 0 and whole(revision) and whole(bucket) and bucket < BUCKETS
-         and whole(place) and place < PAGES_MOST and type(entries) is list and type(done) is bool, "PAGE")
+def read_page(
+    epoch: Any, revision: Any, bucket: Any, place: Any, after: Any, entries: Any, done: Any
+) -> Body:
+    need(
+        whole(epoch)
+        and epoch > 0
+        and whole(revision)
+        and whole(bucket)
+        and bucket < BUCKETS
+        and whole(place)
+        and place < PAGES_MOST
+        and type(entries) is list
+        and type(done) is bool,
+        "PAGE",
+    )
     found = tuple(map(entry_from, entries))
     last = found[-1][:3] if found else None
     begin = place_from(after)
     need(done or bool(found), "PAGE")
     places = [entry[:3] for entry in found]
-    need(all(one < other for one, other in zip(places, places[1:])) and (begin is None or not places
-         or begin < places[0]), "order in a PAGE")
+    need(
+        all(one < other for one, other in zip(places, places[1:]))
+        and (begin is None or not places or begin < places[0]),
+        "order in a PAGE",
+    )
     return Paged(epoch, revision, bucket, place, begin, Page(found, last, done))
 
 
 def place_from(got: Any) -> Place | None:
     if got is None:
         return None
-    need(type(got) is list and len(got) == 3 and is_text(got[0], 0, SCOPE_MOST) and got[1] in ENTRY_KINDS
-         and is_text(got[2], 1, KEY_MOST), "place")
+    need(
+        type(got) is list
+        and len(got) == 3
+        and is_text(got[0], 0, SCOPE_MOST)
+        and got[1] in ENTRY_KINDS
+        and is_text(got[2], 1, KEY_MOST),
+        "place",
+    )
     return got[0], got[1], got[2]
 
 
 def entry_from(got: Any) -> Entry:
-    need(type(got) is list and len(got) == 4 and type(got[3]) is bytes and len(got[3]) <= VALUE_MOST, "entry")
+    need(
+        type(got) is list and len(got) == 4 and type(got[3]) is bytes and len(got[3]) <= VALUE_MOST,
+        "entry",
+    )
     place = place_from(got[:3])
     assert place is not None
     return Entry(*place, got[3])
@@ -267,9 +336,17 @@
 
 
 KIND_OF: dict[type[Any], int] = {
-    Report: int(Kind.REPORT), Told: int(Kind.HEAD), Pushed: int(Kind.CHANGE), Pull: int(Kind.PULL),
-    DigestsAsk: int(Kind.DIGESTS_ASK), Digests: int(Kind.DIGESTS), PagesAsk: int(Kind.PAGES_ASK),
-    Paged: int(Kind.PAGE), Redirect: int(Kind.REDIRECT), Bye: int(Kind.BYE)}
+    Report: int(Kind.REPORT),
+    Told: int(Kind.HEAD),
+    Pushed: int(Kind.CHANGE),
+    Pull: int(Kind.PULL),
+    DigestsAsk: int(Kind.DIGESTS_ASK),
+    Digests: int(Kind.DIGESTS),
+    PagesAsk: int(Kind.PAGES_ASK),
+    Paged: int(Kind.PAGE),
+    Redirect: int(Kind.REDIRECT),
+    Bye: int(Kind.BYE),
+}
 PACKED: list[Callable[[Any], Sequence[Any]]] = [
     lambda body: body,
     lambda body: (*body.head, body.age, body.differs, body.oldest),
@@ -278,13 +355,30 @@
     lambda body: body,
     lambda body: (*body.head, body.half, b"".join(one.to_bytes(8, "big") for one in body.digests)),
     lambda body: body,
-    lambda body: (body.epoch, body.revision, body.bucket, body.place, body.after, body.page.entries,
-        body.page.done),
+    lambda body: (
+        body.epoch,
+        body.revision,
+        body.bucket,
+        body.place,
+        body.after,
+        body.page.entries,
+        body.page.done,
+    ),
     lambda body: body,
-    lambda body: body]
+    lambda body: body,
+]
 READ: list[tuple[int, Callable[..., Body]]] = [
-    (4, read_report), (7, read_told), (7, read_change), (3, read_pull), (0, DigestsAsk), (6, read_digests),
-    (3, read_pages_ask), (7, read_page), (1, read_redirect), (0, Bye)]
+    (4, read_report),
+    (7, read_told),
+    (7, read_change),
+    (3, read_pull),
+    (0, DigestsAsk),
+    (6, read_digests),
+    (3, read_pages_ask),
+    (7, read_page),
+    (1, read_redirect),
+    (0, Bye),
+]
 WINDOW = 64  # numbers that requests may be out of order by
 
 
--- a/burlloom/distribution/source.py
+++ b/burlloom/distribution/source.py
@@ -13,8 +13,26 @@
 
 from .changes import Change
 from .messages import (
-    HALF, PAGE_BYTES, Body, Bye, Digests, DigestsAsk, Message, Paged, PagesAsk, Pull, Pushed, Redirect,
-    Report, Sender, Told, Unreadable, Window, seal, unseal)
+    HALF,
+    PAGE_BYTES,
+    Body,
+    Bye,
+    Digests,
+    DigestsAsk,
+    Message,
+    Paged,
+    PagesAsk,
+    Pull,
+    Pushed,
+    Redirect,
+    Report,
+    Sender,
+    Told,
+    Unreadable,
+    Window,
+    seal,
+    unseal,
+)
 from .refusals import REFUSALS_MOST, counted
 from .replica import Replica
 from .terms import MS, Terms
@@ -61,16 +79,29 @@
 class Source:
     """`age`: ms since the copy was surely the newest, at a time; None: never. The first key seals."""
 
-    def __init__(self, replica: Replica, name: str, life: int, keys: tuple[bytes, ...], terms: Terms,
-                 chance: Random, now: int, age: Callable[[int], int | None]) -> None:
+    def __init__(
+        self,
+        replica: Replica,
+        name: str,
+        life: int,
+        keys: tuple[bytes, ...],
+        terms: Terms,
+        chance: Random,
+        now: int,
+        age: Callable[[int], int | None],
+    ) -> None:
         self.replica, self.name, self.life, self.keys = replica, name, life, keys
         self.terms, self.chance = terms, chance
         self.age = age
         self.out: deque[tuple[Address, bytes]] = deque()
         self.counts = Counts()
-        self.refusals: deque[tuple[str, Address]] = deque(maxlen=REFUSALS_MOST)  # until the host takes them
+        self.refusals: deque[tuple[str, Address]] = deque(
+            maxlen=REFUSALS_MOST
+        )  # until the host takes them
         self.followers: dict[str, Lease] = {}
-        self.pushed = (replica.head.epoch, replica.head.revision) if replica.head is not None else (0, 0)
+        self.pushed = (
+            (replica.head.epoch, replica.head.revision) if replica.head is not None else (0, 0)
+        )
         self.sealed: dict[tuple[int, int, bool], bytes] = {}
         self.tokens, self.filled_at = float(terms.page_burst), now
         self.leaving = False
@@ -110,8 +141,11 @@
         if data is None:
             if len(self.sealed) >= SEALED_MOST:
                 del self.sealed[next(iter(self.sealed))]
-            data = self.sealed[key] = seal(Sender(self.name, self.life, 0), Pushed(change if full
-                else change.without_body()), self.keys[0])
+            data = self.sealed[key] = seal(
+                Sender(self.name, self.life, 0),
+                Pushed(change if full else change.without_body()),
+                self.keys[0],
+            )
         return data
 
     # What comes.
@@ -149,7 +183,9 @@
             self.send(source, sender.number, Redirect(no))
             return ""
         if lease is None or sender.life > lease.life:
-            lease = self.followers[sender.name] = Lease(sender.life, source, body.scopes, 0, Window())
+            lease = self.followers[sender.name] = Lease(
+                sender.life, source, body.scopes, 0, Window()
+            )
             lease.window.new(sender.number)
         lease.address, lease.scopes, lease.until = source, body.scopes, now + self.terms.lease
         lease.epoch, lease.revision = body.epoch, body.revision
@@ -175,7 +211,11 @@
 
     def differs(self, body: Report) -> bool:
         head = self.replica.head
-        if head is None or body.epoch != head.epoch or not 0 <= head.revision - body.revision <= JUDGED_MOST:
+        if (
+            head is None
+            or body.epoch != head.epoch
+            or not 0 <= head.revision - body.revision <= JUDGED_MOST
+        ):
             return False
         digest = self.replica.digest_at(body.revision, body.scopes)
         found = digest is not None and digest != body.digest
@@ -185,14 +225,20 @@
     def tell(self, now: int, number: int, to: Address, differs: bool) -> None:
         assert self.replica.head is not None
         # A copy on its way to a later revision is nothing to pull from or sync with, and says no other head.
-        self.send(to, number, Told(self.replica.head, self.age(now), differs, self.replica.log.base))
+        self.send(
+            to, number, Told(self.replica.head, self.age(now), differs, self.replica.log.base)
+        )
 
     def lease_of(self, now: int, message: Message) -> Lease | None:
         """Who asked, where that is one that follows, and did not ask with that number before."""
         sender = message.sender
         lease = self.followers.get(sender.name)
-        if (lease is None or lease.until <= now or lease.life != sender.life
-                or not lease.window.new(sender.number)):
+        if (
+            lease is None
+            or lease.until <= now
+            or lease.life != sender.life
+            or not lease.window.new(sender.number)
+        ):
             return None
         return lease
 
@@ -201,7 +247,9 @@
         assert isinstance(body, Pull)
         if lease is None or head is None:
             return "a PULL of none that follows, or played again"
-        changes = self.replica.log.since(body.after, body.most) if body.epoch == head.epoch else None
+        changes = (
+            self.replica.log.since(body.after, body.most) if body.epoch == head.epoch else None
+        )
         if changes is None:
             self.tell(now, message.sender.number, lease.address, False)
         for change in changes or ():
@@ -218,8 +266,11 @@
             return "a DIGESTS_ASK while there is no whole revision here"
         digests = self.replica.digests_of(lease.scopes)
         for half in (0, 1):
-            self.send(lease.address, message.sender.number,
-                Digests(head, half, tuple(digests[half * HALF:(half + 1) * HALF])))
+            self.send(
+                lease.address,
+                message.sender.number,
+                Digests(head, half, tuple(digests[half * HALF : (half + 1) * HALF])),
+            )
         return ""
 
     def pages_asked(self, now: int, message: Message, source: Address) -> str:
@@ -229,8 +280,10 @@
             return "a PAGES_ASK of none that follows, or played again"
         if head is None or not self.replica.whole:
             return "a PAGES_ASK while there is no whole revision here"
-        self.tokens = min(float(self.terms.page_burst),
-            self.tokens + (now - self.filled_at) * self.terms.page_rate / (1000 * MS))
+        self.tokens = min(
+            float(self.terms.page_burst),
+            self.tokens + (now - self.filled_at) * self.terms.page_rate / (1000 * MS),
+        )
         self.filled_at = now
         after = body.after
         for place in range(body.pages):
@@ -238,8 +291,11 @@
                 self.counts.held_back += 1
                 return ""
             page = self.replica.table.page(body.bucket, after, lease.scopes, PAGE_BYTES)
-            self.tokens -= self.send(lease.address, message.sender.number,
-                Paged(head.epoch, head.revision, body.bucket, place, after, page))
+            self.tokens -= self.send(
+                lease.address,
+                message.sender.number,
+                Paged(head.epoch, head.revision, body.bucket, place, after, page),
+            )
             self.counts.pages += 1
             after = page.last
             if page.done:
@@ -279,15 +335,27 @@
     """For an operator's eyes; plain values."""
     head, counts = source.replica.head, source.counts
     return {
-        "name": source.name, "epoch": head.epoch if head else None,
+        "name": source.name,
+        "epoch": head.epoch if head else None,
         "revision": head.revision if head else None,
-        "age_ms": source.age(now), "whole": source.replica.whole, "log": len(source.replica.log),
-        "followers": len(source.followers), "followers_most": source.terms.followers_most,
-        "behind": sum(1 for lease in source.followers.values()
-            if head and (lease.epoch, lease.revision) < head[:2]),
-        "counts": {name: getattr(counts, name) for name in counts.__slots__}}
+        "age_ms": source.age(now),
+        "whole": source.replica.whole,
+        "log": len(source.replica.log),
+        "followers": len(source.followers),
+        "followers_most": source.terms.followers_most,
+        "behind": sum(
+            1
+            for lease in source.followers.values()
+            if head and (lease.epoch, lease.revision) < head[:2]
+        ),
+        "counts": {name: getattr(counts, name) for name in counts.__slots__},
+    }
 
 
 HEARD: dict[type[Body], Callable[[Source, int, Message, Address], str]] = {
-    Report: Source.reported, Pull: Source.pulled, DigestsAsk: Source.digests_asked,
-    PagesAsk: Source.pages_asked, Bye: Source.left}
+    Report: Source.reported,
+    Pull: Source.pulled,
+    DigestsAsk: Source.digests_asked,
+    PagesAsk: Source.pages_asked,
+    Bye: Source.left,
+}
--- a/burlloom/distribution/stores/reading.py
+++ b/burlloom/distribution/stores/reading.py
@@ -28,7 +28,9 @@
 class Reading:
     """`table`: makes an empty one, of all scopes."""
 
-    def __init__(self, store: ChangeStore, replica: Replica, table: Callable[[], Table], told: Told) -> None:
+    def __init__(
+        self, store: ChangeStore, replica: Replica, table: Callable[[], Table], told: Told
+    ) -> None:
         self.store, self.replica, self.table, self.told = store, replica, table, told
         self.opened = False
 
@@ -99,7 +101,11 @@
         else:
             return
         own = self.replica.head
-        if own is not None and self.replica.whole and (own.epoch, own.revision) > (base.epoch, base.revision):
+        if (
+            own is not None
+            and self.replica.whole
+            and (own.epoch, own.revision) > (base.epoch, base.revision)
+        ):
             return  # a peer brought us further meanwhile
         self.replica.table = table
         self.replica.settle(base)
--- a/burlloom/distribution/stores/sqlite.py
+++ b/burlloom/distribution/stores/sqlite.py
@@ -26,4 +26,5 @@
                 if db.in_transaction:
                     db.execute("ROLLBACK")
                 raise
+
         return await self.take(work)
--- a/burlloom/distribution/stores/tables.py
+++ b/burlloom/distribution/stores/tables.py
@@ -61,14 +61,22 @@
 def change_of(row: Any) -> Change:
     epoch, revision, time_ms, scope, body, tag = row
     return Change(
-        epoch, revision, time_ms, bytes(scope).decode(), bytes(body), bytes(tag), digest_of_body(bytes(body))
+        epoch,
+        revision,
+        time_ms,
+        bytes(scope).decode(),
+        bytes(body),
+        bytes(tag),
+        digest_of_body(bytes(body)),
     )
 
 
 def stored_of(row: Any) -> Stored:
     scope, kind, key, value, epoch, revision = row
     return Stored(
-        Entry(bytes(scope).decode(), bytes(kind).decode(), bytes(key).decode(), bytes(value)), epoch, revision
+        Entry(bytes(scope).decode(), bytes(kind).decode(), bytes(key).decode(), bytes(value)),
+        epoch,
+        revision,
     )
 
 
@@ -124,7 +132,9 @@
                 else (PUT, (*place, entry.value, change.epoch, revision))
             )
         rest.append((PRUNE, (revision - LOG_MOST,)))
-        return await self.together((ADVANCE, (revision, change.tag, change.time_ms, change.epoch)), rest)
+        return await self.together(
+            (ADVANCE, (revision, change.tag, change.time_ms, change.epoch)), rest
+        )
 
     async def entries(self, after: Place | None, most: int) -> list[Stored]:
         rows = await (
@@ -133,11 +143,14 @@
         return [stored_of(row) for row in rows]
 
     async def entry(self, scope: str, kind: str, key: str) -> Stored | None:
-        return next((stored_of(row) for row in await self.run(ENTRY, *place_of(scope, kind, key))), None)
+        return next(
+            (stored_of(row) for row in await self.run(ENTRY, *place_of(scope, kind, key))), None
+        )
 
     async def renew(self, seen: Head, beyond: int) -> bool:
         now = time.time_ns() // 1_000_000
         head = first_head(max(seen.epoch + 1, beyond + 1, now), max(seen.time_ms, now))
         return await self.together(
-            (RENEW, (head.epoch, head.tag, head.time_ms, seen.epoch, seen.revision, seen.tag)), [(FORGET, ())]
+            (RENEW, (head.epoch, head.tag, head.time_ms, seen.epoch, seen.revision, seen.tag)),
+            [(FORGET, ())],
         )
--- a/burlloom/distribution/table.py
+++ b/burlloom/distribution/table.py
@@ -27,9 +27,13 @@
 BUCKETS = 256
 SCOPES_MOST = 64  # of one table that holds all of them: an operator has regions, not thousands
 PUT_MOST = 256  # entries of one `put`: a change has 64, and no page of a datagram's size has more
-LEAF_MOST = 64  # entries: more make a change dearer, fewer make each entry's part of a leaf's object larger
+LEAF_MOST = (
+    64  # entries: more make a change dearer, fewer make each entry's part of a leaf's object larger
+)
 LEAF_LEAST = 16  # a leaf that has fewer is joined with its neighbour
-ENTRY_BYTES = 1 + 2 + SCOPE_MOST + 1 + 7 + 2 + KEY_MOST + 3 + VALUE_MOST  # one in a page, as MessagePack
+ENTRY_BYTES = (
+    1 + 2 + SCOPE_MOST + 1 + 7 + 2 + KEY_MOST + 3 + VALUE_MOST
+)  # one in a page, as MessagePack
 
 CODES = {kind: kind[:1].encode() for kind in KINDS}  # in the order of the names
 NAMES = {code[0]: kind for kind, code in CODES.items()}
@@ -61,7 +65,10 @@
 def faults(entry: Entry) -> list[str]:
     """Why an entry can't be held, each with its field; empty if it can."""
     found = []
-    for name, text, least, most in (("scope", entry.scope, 0, SCOPE_MOST), ("key", entry.key, 1, KEY_MOST)):
+    for name, text, least, most in (
+        ("scope", entry.scope, 0, SCOPE_MOST),
+        ("key", entry.key, 1, KEY_MOST),
+    ):
         try:
             length = len(text.encode())
         except (AttributeError, UnicodeEncodeError):
@@ -89,9 +96,9 @@
     count, middle = HEAD.unpack_from(leaf)
     start = HEAD.size + 2 * count
     begin = start + middle
-    keys, values = leaf[start + 1:begin].split(BETWEEN)[:-1], []
-    for length in array("H", leaf[HEAD.size:start]):
-        values.append(leaf[begin:begin + length])
+    keys, values = leaf[start + 1 : begin].split(BETWEEN)[:-1], []
+    for length in array("H", leaf[HEAD.size : start]):
+        values.append(leaf[begin : begin + length])
         begin += length
     return keys, values
 
@@ -123,8 +130,8 @@
         if at < 0:
             return None
         length = HEAD.size + 2 * leaf.count(BETWEEN, start, at)  # where its length stands
-        begin = start + middle + sum(array("H", leaf[HEAD.size:length]))
-        return leaf[begin:begin + LENGTH.unpack_from(leaf, length)[0]]
+        begin = start + middle + sum(array("H", leaf[HEAD.size : length]))
+        return leaf[begin : begin + LENGTH.unpack_from(leaf, length)[0]]
 
     def set(self, key: bytes, new: bytes | None) -> bytes | None:
         """Sets or deletes, and gives what was there."""
@@ -138,17 +145,25 @@
         if there := at >= 0:
             before = leaf.count(BETWEEN, start, at)
         else:
-            keys = leaf[start + 1:start + middle].split(BETWEEN)[:-1]
+            keys = leaf[start + 1 : start + middle].split(BETWEEN)[:-1]
             before = bisect_left(keys, key)
             at = start + before + sum(map(len, keys[:before]))
         length = HEAD.size + 2 * before
-        begin = start + middle + sum(array("H", leaf[HEAD.size:length]))
+        begin = start + middle + sum(array("H", leaf[HEAD.size : length]))
         made: tuple[bytes, ...]
         if not there:
             assert new is not None
             count += 1
-            made = (HEAD.pack(count, middle + len(key) + 1), leaf[HEAD.size:length], LENGTH.pack(len(new)),
-                    leaf[length:at + 1], key, leaf[at:begin], new, leaf[begin:])
+            made = (
+                HEAD.pack(count, middle + len(key) + 1),
+                leaf[HEAD.size : length],
+                LENGTH.pack(len(new)),
+                leaf[length : at + 1],
+                key,
+                leaf[at:begin],
+                new,
+                leaf[begin:],
+            )
             old = None
         else:
             end = begin + LENGTH.unpack_from(leaf, length)[0]
@@ -156,11 +171,22 @@
             if old == new:
                 return old
             if new is not None:
-                made = (leaf[:length], LENGTH.pack(len(new)), leaf[length + 2:begin], new, leaf[end:])
+                made = (
+                    leaf[:length],
+                    LENGTH.pack(len(new)),
+                    leaf[length + 2 : begin],
+                    new,
+                    leaf[end:],
+                )
             else:
                 count -= 1
-                made = (HEAD.pack(count, middle - len(key) - 1), leaf[HEAD.size:length], leaf[length + 2:at],
-                        leaf[at + 1 + len(key):begin], leaf[end:])
+                made = (
+                    HEAD.pack(count, middle - len(key) - 1),
+                    leaf[HEAD.size : length],
+                    leaf[length + 2 : at],
+                    leaf[at + 1 + len(key) : begin],
+                    leaf[end:],
+                )
         self.leaves[number] = b"".join(made)
         if count > LEAF_MOST or count < LEAF_LEAST and len(self.leaves) > 1:
             self.lay(number)
@@ -221,7 +247,11 @@
         if self.scopes is not None and not 1 <= len(self.scopes) <= SCOPES_MOST:
             raise ValueError(f"{len(self.scopes)} scopes, 1 to {SCOPES_MOST} allowed")
         self.parts: dict[str, Part] = {scope: Part() for scope in self.scopes or ("",)}
-        seen = [""] if self.scopes is None else sorted(self.scopes, key=lambda scope: (scope == "", scope))
+        seen = (
+            [""]
+            if self.scopes is None
+            else sorted(self.scopes, key=lambda scope: (scope == "", scope))
+        )
         self.lookups = [self.parts[scope] for scope in seen]  # own regions before ""
         self.shadowed = dict.fromkeys(KINDS, 0)  # entries whose key an earlier scope has too
 
@@ -236,13 +266,18 @@
 
     def has(self, kind: str, key: str) -> bool:
         place = self.place(kind, key)
-        return place is not None and any(part.buckets[place[0]].has(place[1]) for part in self.lookups)
+        return place is not None and any(
+            part.buckets[place[0]].has(place[1]) for part in self.lookups
+        )
 
     def held(self, kind: str, key: str) -> list[Entry]:
         """The key's entries in all scopes held, in their order."""
         if (place := self.place(kind, key)) is None:
             return []
-        values = [(scope, self.parts[scope].buckets[place[0]].get(place[1])) for scope in sorted(self.parts)]
+        values = [
+            (scope, self.parts[scope].buckets[place[0]].get(place[1]))
+            for scope in sorted(self.parts)
+        ]
         return [Entry(scope, kind, key, value) for scope, value in values if value is not None]
 
     def count(self, kind: str) -> int:
@@ -271,7 +306,9 @@
         writes: dict[tuple[str, int], dict[bytes, bytes | None]] = {}
         for entry in taken:
             bucket = bucket_of(entry.kind, entry.key)
-            writes.setdefault((entry.scope, bucket), {})[CODES[entry.kind] + entry.key.encode()] = entry.value
+            writes.setdefault((entry.scope, bucket), {})[CODES[entry.kind] + entry.key.encode()] = (
+                entry.value
+            )
         for (scope, bucket), changes in writes.items():
             self.write(scope, bucket, changes)
 
@@ -304,13 +341,17 @@
         held = self.parts.keys()
         return [self.parts[scope] for scope in (held if scopes is None else held & set(scopes))]
 
-    def page(self, bucket: int, after: Place | None, scopes: Iterable[str] | None, most_bytes: int) -> Page:
+    def page(
+        self, bucket: int, after: Place | None, scopes: Iterable[str] | None, most_bytes: int
+    ) -> Page:
         """The bucket's next entries of these scopes (None: all) behind `after`, of at most so many bytes as
         MessagePack, each a list of scope, kind, key and value. Raises `ValueError` for a bucket that is none, or
         where not even one entry is sure to have room."""
         no_place(after)
         if not 0 <= bucket < BUCKETS or most_bytes < ENTRY_BYTES:
-            raise ValueError(f"bucket {bucket} of {BUCKETS}; {most_bytes} bytes, {ENTRY_BYTES} at least")
+            raise ValueError(
+                f"bucket {bucket} of {BUCKETS}; {most_bytes} bytes, {ENTRY_BYTES} at least"
+            )
         found: list[Entry] = []
         left = most_bytes
         for scope in sorted(self.parts if scopes is None else set(scopes) & self.parts.keys()):
@@ -318,7 +359,9 @@
                 continue
             start = inner(after) if after is not None and scope == after[0] else b""
             for key, value in self.parts[scope].buckets[bucket].after(start):
-                left -= len(scope.encode()) + len(key) + len(value) + 16  # headers, rest of the kind's name
+                left -= (
+                    len(scope.encode()) + len(key) + len(value) + 16
+                )  # headers, rest of the kind's name
                 if left < 0:
                     return Page(tuple(found), found[-1][:3], False)
                 found.append(told(scope, key, value))
@@ -331,10 +374,14 @@
         taken = self.checked(page.entries)
         wrong, before = [], after
         for number, entry in enumerate(taken):
-            words = (("deletes", entry.value is None),
-                     ("is of another bucket", bucket_of(entry.kind, entry.key) != bucket),
-                     ("is not behind the one before", before is not None and entry[:3] <= before))
-            wrong += [f"entries[{number}]: {entry[:3]!r:.80} {word}" for word, true in words if true]
+            words = (
+                ("deletes", entry.value is None),
+                ("is of another bucket", bucket_of(entry.kind, entry.key) != bucket),
+                ("is not behind the one before", before is not None and entry[:3] <= before),
+            )
+            wrong += [
+                f"entries[{number}]: {entry[:3]!r:.80} {word}" for word, true in words if true
+            ]
             before = entry[:3]
         if page.last != (taken[-1][:3] if taken else None):
             wrong.append("last: is not the last entry")
@@ -372,12 +419,18 @@
             if len(taken) == PUT_MOST:
                 raise ValueError(f"over {PUT_MOST} entries at once")
             taken.append(entry)
-        wrong = [f"entries[{number}].{fault}"
-                 for number, entry in enumerate(taken) for fault in faults(entry)]
+        wrong = [
+            f"entries[{number}].{fault}"
+            for number, entry in enumerate(taken)
+            for fault in faults(entry)
+        ]
         scopes = {entry.scope for entry in taken} if not wrong else set()
         if self.scopes is not None:
-            wrong += [f"entries[{number}].scope: {entry.scope!r} is not held here"
-                      for number, entry in enumerate(taken) if scopes and entry.scope not in self.parts]
+            wrong += [
+                f"entries[{number}].scope: {entry.scope!r} is not held here"
+                for number, entry in enumerate(taken)
+                if scopes and entry.scope not in self.parts
+            ]
         elif len(scopes | set(self.parts)) > SCOPES_MOST:
             wrong.append(f"scopes: over {SCOPES_MOST}")
         if wrong:
--- a/burlloom/distribution/terms.py
+++ b/burlloom/distribution/terms.py
@@ -26,8 +26,11 @@
     page_burst: int = 400_000
 
     def faults(self) -> list[str]:
-        found = [f"{name}: {getattr(self, name)}, 1 at least" for name in self.__slots__
-                 if getattr(self, name) < 1]
+        found = [
+            f"{name}: {getattr(self, name)}, 1 at least"
+            for name in self.__slots__
+            if getattr(self, name) < 1
+        ]
         if self.retry >= self.silence:
             found.append("retry: not under silence")
         if self.beat >= min(self.silence, self.lease):
--- a/burlloom/executor/lines.py
+++ b/burlloom/executor/lines.py
@@ -5,8 +5,14 @@
 LINE_MOST = 4 << 10
 BODY_MOST = 1 << 20
 # name -> words after the name (LOG: at least), and whether the last is the length of a body
-NOTICES = {b"WELCOME": (2, False), b"EXIT": (5, True), b"CALLOUT": (3, True), b"METERS": (1, False),
-           b"BAD": (1, False), b"LOG": (1, False)}
+NOTICES = {
+    b"WELCOME": (2, False),
+    b"EXIT": (5, True),
+    b"CALLOUT": (3, True),
+    b"METERS": (1, False),
+    b"BAD": (1, False),
+    b"LOG": (1, False),
+}
 OPEN_ENDED = (b"METERS", b"BAD", b"LOG")
 
 
@@ -32,7 +38,7 @@
         if buffer.end - buffer.start > LINE_MOST:
             raise Ended(Reason.UNREADABLE, "line without an end")
         return None
-    line = bytes(buffer.view[buffer.start:stop])
+    line = bytes(buffer.view[buffer.start : stop])
     name, *values = line.split(b" ")
     if name not in NOTICES:
         raise Ended(Reason.UNREADABLE, f"notice {line[:40]!r}")
@@ -46,9 +52,9 @@
         size = int(values[-1])
         if buffer.end < after + size + 2:
             return None
-        body = buffer.view[after:after + size]
+        body = buffer.view[after : after + size]
         after += size + 2
-        if raw[after - 2:after] != b"\r\n":
+        if raw[after - 2 : after] != b"\r\n":
             raise Ended(Reason.UNREADABLE, f"body of {line[:40]!r}")
     buffer.start = after
     return [word.decode("latin-1") for word in (name, *values)], body
--- a/burlloom/executor/link.py
+++ b/burlloom/executor/link.py
@@ -28,9 +28,15 @@
 
 
 class Link:
-    def __init__(self, address: tuple[str, int], tasks: Tasks, welcome: Callable[[bool, int], None],
-                 ended: Callable[[str, End, int, bytes], None],
-                 at_call: Callable[[str, bytes], None], spare: Callable[[], bool] = lambda: False) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        tasks: Tasks,
+        welcome: Callable[[bool, int], None],
+        ended: Callable[[str, End, int, bytes], None],
+        at_call: Callable[[str, bytes], None],
+        spare: Callable[[], bool] = lambda: False,
+    ) -> None:
         """`spare` frees a descriptor elsewhere, where none is left for a new link."""
         self.address, self.tasks, self.spare = address, tasks, spare
         self.welcome, self.ended, self.at_call = welcome, ended, at_call
@@ -76,13 +82,17 @@
             return None
         # One that is not joined counts too: the answer that would join it may have been lost.
         asked = self.meter() if self.joined else None
-        done = asked is not None and bool((await asyncio.wait({asked}, timeout=patience / SECOND))[0])
+        done = asked is not None and bool(
+            (await asyncio.wait({asked}, timeout=patience / SECOND))[0]
+        )
         self.silent = 0 if done else self.silent + 1
         if self.silent > SILENT_AFTER and self.writer is not None:
             # Against a link that stays open with nobody at its other end: a new one brings what was missed.
             log.warning("event=executor-silent rounds=%d", self.silent)
             self.silent = 0
-            with contextlib.suppress(OSError):  # it may have been reset just now, and its reader knows it next
+            with contextlib.suppress(
+                OSError
+            ):  # it may have been reset just now, and its reader knows it next
                 self.writer.sock.shutdown(socket.SHUT_RDWR)
         return asked.result() if done and asked is not None else None
 
@@ -113,8 +123,13 @@
             if not self.trying.cancelled():
                 reason, detail = self.trying.result()
             if reason not in (Reason.REFUSED, Reason.NO_ANSWER) or reason is not before:
-                log.info("event=connection-ended side=executor reason=%s last=%d doubtful=%d detail=%r",
-                         reason.value, self.read_last, len(self.doubtful), detail)
+                log.info(
+                    "event=connection-ended side=executor reason=%s last=%d doubtful=%d detail=%r",
+                    reason.value,
+                    self.read_last,
+                    len(self.doubtful),
+                    detail,
+                )
             before = reason
             # At once where a link that had served is lost: runs end and calls wait meanwhile.
             if reason is not Reason.MOVED and not self.served:
@@ -196,10 +211,16 @@
             self.doubtful.pop(("EXEC", id), None)
             self.doubtful.pop(("RETURN", id), None)
             if name == "CALLOUT":
-                self.at_call(id, bytes(body))  # outlives the buffer: the call may be made later, and again
+                self.at_call(
+                    id, bytes(body)
+                )  # outlives the buffer: the call may be made later, and again
             else:
-                self.ended(id, End[values[2]] if values[2] in End.__members__ else End.FAIL,
-                           int(lines.real(values[3]) * 1e6), bytes(body))
+                self.ended(
+                    id,
+                    End[values[2]] if values[2] in End.__members__ else End.FAIL,
+                    int(lines.real(values[3]) * 1e6),
+                    bytes(body),
+                )
 
     def fresh(self, number: int) -> bool:
         if number > self.read_last + 1 and not self.replaying:
@@ -216,7 +237,9 @@
 
     def measured(self, tag: str, values: list[float]) -> None:
         asked, proven = self.metered.pop(tag, (None, 0))
-        for command in [command for command, (place, _) in self.doubtful.items() if place <= proven]:
+        for command in [
+            command for command, (place, _) in self.doubtful.items() if place <= proven
+        ]:
             del self.doubtful[command]
         if tag == self.barrier and self.writer is not None:
             self.barrier, self.joined, self.served = "", True, True
--- a/burlloom/facts/__init__.py
+++ b/burlloom/facts/__init__.py
@@ -7,14 +7,29 @@
 
 MICRO = 1000
 
-REPEATABLE = {"retryable": Repeatable.INQUIRY, "dedup": Repeatable.REFERENCED, "fragile": Repeatable.ONCE}
-FREE_VALUE = {"off": FreeValue.NONE, "floor": FreeValue.FLOOR, "allowance": FreeValue.ALLOWANCE,
-              "weight": FreeValue.WEIGHT}
-GAUGE = {"core_use": "core_use", "on_cores": "on_cores", "heap_share": "memory_share", "links": "links"}
+REPEATABLE = {
+    "retryable": Repeatable.INQUIRY,
+    "dedup": Repeatable.REFERENCED,
+    "fragile": Repeatable.ONCE,
+}
+FREE_VALUE = {
+    "off": FreeValue.NONE,
+    "floor": FreeValue.FLOOR,
+    "allowance": FreeValue.ALLOWANCE,
+    "weight": FreeValue.WEIGHT,
+}
+GAUGE = {
+    "core_use": "core_use",
+    "on_cores": "on_cores",
+    "heap_share": "memory_share",
+    "links": "links",
+}
 
 
 def gauges(names: tuple[str, ...], values: Sequence[float]) -> Gauges:
-    return Gauges(**{GAUGE[name]: value for name, value in zip(names, values, strict=True) if name in GAUGE})
+    return Gauges(
+        **{GAUGE[name]: value for name, value in zip(names, values, strict=True) if name in GAUGE}
+    )
 
 
 def facts(got: dict[str, Any]) -> tuple[ServerFacts, tuple[str, ...]]:
--- a/burlloom/fleet/__init__.py
+++ b/burlloom/fleet/__init__.py
@@ -9,4 +9,15 @@
 from .members import State, Word
 from .subset import Spread, Turns, spread
 
-__all__ = ["CALL", "Fleet", "Habits", "Spread", "State", "Terms", "Turns", "Word", "spread", "summary"]
+__all__ = [
+    "CALL",
+    "Fleet",
+    "Habits",
+    "Spread",
+    "State",
+    "Terms",
+    "Turns",
+    "Word",
+    "spread",
+    "summary",
+]
--- a/burlloom/fleet/deal.py
+++ b/burlloom/fleet/deal.py
@@ -32,7 +32,9 @@
 STICKS = 1500  # thousandths; see `turns`
 HEADROOM = 1.25  # of what a member uses: more is free for its next peak
 MS = 1_000_000
-NEWBORN = 1600 * MS  # until a fleet in which nobody held anything is dealt to; knocks come each probe
+NEWBORN = (
+    1600 * MS
+)  # until a fleet in which nobody held anything is dealt to; knocks come each probe
 
 
 class Phase(IntEnum):
@@ -86,11 +88,15 @@
     def faults(self) -> list[str]:
         found = []
         if self.lease < 8 * self.round:
-            found.append(f"lease {self.lease // MS} ms is under eight rounds of {self.round // MS} ms: two lost letters"
-                         " would end it")
+            found.append(
+                f"lease {self.lease // MS} ms is under eight rounds of {self.round // MS} ms: two lost letters"
+                " would end it"
+            )
         if self.redeal < self.cut + 2 * self.lease:
-            found.append(f"redeal {self.redeal // MS} ms is under cut and two leases, {(self.cut + 2 * self.lease) // MS} ms:"
-                         " one that is cut off would still use what is dealt anew")
+            found.append(
+                f"redeal {self.redeal // MS} ms is under cut and two leases, {(self.cut + 2 * self.lease) // MS} ms:"
+                " one that is cut off would still use what is dealt anew"
+            )
         return found
 
     @property
@@ -152,15 +158,23 @@
         self.phase = Phase.IDLE
         self.since = self.turned = self.many_at = now
         self.hurried = False  # somebody wants far more than when we last dealt
-        self.accounts: dict[str, Account] = {}  # kept while another deals: old reports can't be played again
+        self.accounts: dict[
+            str, Account
+        ] = {}  # kept while another deals: old reports can't be played again
         self.fleet: Mapping[str, Present] = {}
         self.is_first, self.roster = False, 0
         self.kept: Sums | None = None  # over all accounts, as they were last
 
     # What the member calls.
 
-    def round(self, now: int, fleet: Mapping[str, Present], first: bool, gap: bool = False,
-            roster: int = 0) -> None:
+    def round(
+        self,
+        now: int,
+        fleet: Mapping[str, Present],
+        first: bool,
+        gap: bool = False,
+        roster: int = 0,
+    ) -> None:
         """`fleet`: all that may hold something, by name, another mapping where that changed; `roster`: as in a
         report. `gap`: nothing was done here for long."""
         self.fleet, self.is_first, self.roster = fleet, first, roster
@@ -177,7 +191,9 @@
         present, account = self.fleet.get(name), self.accounts.get(name)
         if self.phase is Phase.IDLE or present is None or life < present.life:
             return None
-        if account is not None and (account.life > life or account.life == life and number <= account.number):
+        if account is not None and (
+            account.life > life or account.life == life and number <= account.number
+        ):
             return None  # played again, or overtaken
         sums = self.sums(now)
         if account is not None:
@@ -232,15 +248,22 @@
 
     def sums(self, now: int) -> Sums:
         redeal = self.terms.redeal if self.phase is Phase.DEALING else None  # as `lost`
-        if self.kept is None or not self.kept.fits(self.accounts, self.fleet, now, self.since, redeal):
+        if self.kept is None or not self.kept.fits(
+            self.accounts, self.fleet, now, self.since, redeal
+        ):
             equal = self.terms.equal(len(self.fleet))
-            self.kept = Sums(self.accounts, self.fleet, now, self.since, equal, self.terms.fresh, redeal)
+            self.kept = Sums(
+                self.accounts, self.fleet, now, self.since, equal, self.terms.fresh, redeal
+            )
         return self.kept
 
     def lost(self, now: int, present: Present) -> bool:
         """Dead for so long that it is at its floor by itself. Told only where most of the fleet reports."""
-        return (not present.there and now - present.since >= self.terms.redeal
-            and self.phase is Phase.DEALING)
+        return (
+            not present.there
+            and now - present.since >= self.terms.redeal
+            and self.phase is Phase.DEALING
+        )
 
     def sure(self, now: int) -> bool:
         """Whether a grant is in the name of half of the fleet: then no other part of it can deal it anew."""
@@ -279,13 +302,22 @@
         if not self.many(now):
             return False
         # Who all count the same fleet as we do leave nobody out who holds something that one of them granted.
-        known = [name for name, account in self.accounts.items()
-                 if account.at >= self.since and name in self.fleet and account.told.roster == self.roster]
+        known = [
+            name
+            for name, account in self.accounts.items()
+            if account.at >= self.since
+            and name in self.fleet
+            and account.told.roster == self.roster
+        ]
         # Where all are new, those who lived on, if any, may not have found us yet: they knock twice
         # meanwhile.
         old = any(self.accounts[name].told.share for name in known)
         least = 3 * self.terms.round if old else max(3 * self.terms.round, NEWBORN)
-        return len(known) >= self.size() and now - self.since >= least or now - self.since >= self.terms.learns
+        return (
+            len(known) >= self.size()
+            and now - self.since >= least
+            or now - self.since >= self.terms.learns
+        )
 
     # Effects.
 
@@ -302,15 +334,22 @@
         if now - self.turned < (self.terms.turn // 8 if self.hurried else self.terms.turn):
             return
         self.turned, self.hurried = now, False
-        names = sorted(name for name, account in self.accounts.items()
-            if now - account.at <= self.terms.lease)
-        kept = sum(account.bound for name, account in self.accounts.items()
-            if now - account.at > self.terms.lease)
+        names = sorted(
+            name for name, account in self.accounts.items() if now - account.at <= self.terms.lease
+        )
+        kept = sum(
+            account.bound
+            for name, account in self.accounts.items()
+            if now - account.at > self.terms.lease
+        )
         total = max(0, self.terms.total - kept - self.unknown(now))
         accounts = [self.accounts[name] for name in names]
         idle = int(self.terms.idle * self.terms.equal(len(self.fleet)))
-        ideal = fair(total, [max(idle, account.told.want) for account in accounts],
-                     [account.told.weight for account in accounts])
+        ideal = fair(
+            total,
+            [max(idle, account.told.want) for account in accounts],
+            [account.told.weight for account in accounts],
+        )
         for account, target in zip(accounts, turns(total, ideal, accounts), strict=True):
             account.target, account.wanted = target, account.told.want
 
@@ -338,8 +377,10 @@
             left -= given[at]
         over = set(full)
         open = [at for at in open if at not in over]
-    return [share + left * weight / every if every else share
-        for share, weight in zip(given, weights, strict=True)]
+    return [
+        share + left * weight / every if every else share
+        for share, weight in zip(given, weights, strict=True)
+    ]
 
 
 def turns(total: int, ideal: Sequence[float], accounts: Sequence[Account]) -> list[int]:
@@ -354,7 +395,10 @@
             account.carry, given[at] = 0.0, int(share)
             continue
         owed[at] = share + account.carry
-        stays = account.target in (lows[at], lows[at] + CALL) and abs(owed[at] - account.target) < STICKS
+        stays = (
+            account.target in (lows[at], lows[at] + CALL)
+            and abs(owed[at] - account.target) < STICKS
+        )
         given[at] = account.target if stays else lows[at]
     left = total - sum(given)
     # Never more than a call off the ideal share: what is owed is paid by rounding, and in no other way.
