--- a/burlloom/fleet/fleet.py
+++ b/burlloom/fleet/fleet.py
@@ -79,8 +79,16 @@
 
 
 class Fleet:
-    def __init__(self, own: Word, seeds: tuple[str, ...], keys: tuple[bytes, ...], terms: Terms,
-                 habits: Habits, chance: Random, now: int) -> None:
+    def __init__(
+        self,
+        own: Word,
+        seeds: tuple[str, ...],
+        keys: tuple[bytes, ...],
+        terms: Terms,
+        habits: Habits,
+        chance: Random,
+        now: int,
+    ) -> None:
         """`seeds`: addresses where others may be, our own may be among them. The first key seals."""
         self.terms, self.habits, self.chance, self.keys = terms, habits, chance, keys
         self.seeds = tuple(seed for seed in seeds if seed != own.address)
@@ -108,7 +116,9 @@
         self.seen, self.first, self.present = -1, own, dict[str, Present]()
         self.report_last = -1  # our last report to another
         self.tied = "", -1  # who may count us still, and by which report
-        self.counted = False  # whether the one that we last reported to may count us among those who do
+        self.counted = (
+            False  # whether the one that we last reported to may count us among those who do
+        )
         self.strangers = 0  # members whose terms are not ours
 
     @property
@@ -138,8 +148,11 @@
             self.awoken(now, gap)
         self.last = now
         self.probing(now)
-        self.errands = {number: errand for number, errand in self.errands.items()
-            if now - errand.at < self.habits.probe}
+        self.errands = {
+            number: errand
+            for number, errand in self.errands.items()
+            if now - errand.at < self.habits.probe
+        }
         if now - self.rounded >= self.terms.round or paused:
             self.rounded = now
             self.round(now, gap)
@@ -156,7 +169,9 @@
 
     def suspicion(self) -> int:
         """Longer in a large fleet: a refutation has a longer way."""
-        return self.habits.suspicion + self.habits.probe * len(self.members.by_name).bit_length() // 4
+        return (
+            self.habits.suspicion + self.habits.probe * len(self.members.by_name).bit_length() // 4
+        )
 
     def mostly_there(self) -> bool:
         return 2 * len(self.members.there()) > max(self.members.counted(), self.terms.least)
@@ -165,7 +180,12 @@
         """Passes on what moved, and keeps it for the host."""
         for move in self.members.moves:
             before, after = move.before, move.after
-            if before is not None and after is not None and before.life < after.life and before.state is not State.LEFT:
+            if (
+                before is not None
+                and after is not None
+                and before.life < after.life
+                and before.state is not State.LEFT
+            ):
                 self.formers[after.name] = before.life, FORMER_TIMES
             if move.after is not None:
                 self.news[move.after.name] = 0
@@ -181,7 +201,9 @@
 
     def round(self, now: int, gap: int) -> None:
         members, holder = self.members, self.holder
-        for name, what in due(members.unsettled.values(), now, self.suspicion(), self.habits.forget):
+        for name, what in due(
+            members.unsettled.values(), now, self.suspicion(), self.habits.forget
+        ):
             # Who hears few does not forget: the majority may be on the other side.
             if what is not Input.OLD or self.mostly_there():
                 members.meet(now, name, what)
@@ -189,7 +211,9 @@
         before, first = holder.state, self.first
         holder.round(now, len(self.present), gap > self.terms.cut)
         self.counts.lapses += before is Held.HOLDING and holder.state is not Held.HOLDING
-        self.dealer.round(now, self.present, first.name == self.own.name, gap > self.terms.lease, self.roster)
+        self.dealer.round(
+            now, self.present, first.name == self.own.name, gap > self.terms.lease, self.roster
+        )
         if first.name != self.dealt_by:
             if self.dealt_by == self.own.name:
                 self.dealer.disown(self.own.name, self.own.life, self.number)
@@ -205,11 +229,17 @@
             self.send(members.by_name[self.tied[0]].word.address, Kind.UNTIE, self.tied[1])
         if now - self.born < WATCH * self.terms.round and not self.dealt_by == self.own.name:
             return  # who deals is not known yet; one that is reported to by mistake may count us for a while
-        if self.report_number >= 0 and now - self.report_at < RESEND * self.terms.round and first.name == self.asked_of:
+        if (
+            self.report_number >= 0
+            and now - self.report_at < RESEND * self.terms.round
+            and first.name == self.asked_of
+        ):
             return  # its grant may still be on its way, and holds only on the newest report
         self.number += 1
         self.report_number, self.report_at, self.asked_of = self.number, now, first.name
-        told = Told(max(holder.share, self.in_hand), holder.share, self.wants, self.weight, self.roster)
+        told = Told(
+            max(holder.share, self.in_hand), holder.share, self.wants, self.weight, self.roster
+        )
         if first.name == self.own.name:
             grant = self.dealer.report(now, self.own.name, self.own.life, self.number, told)
             if grant is not None:
@@ -231,11 +261,15 @@
                 present.pop(name, None)
             else:
                 present[name] = Present(member.word.life, member.there, member.since)
-        if self.seen < 0 or self.first.name in changed or self.first.state > State.SUSPECT:  # we, where nobody is there
+        if (
+            self.seen < 0 or self.first.name in changed or self.first.state > State.SUSPECT
+        ):  # we, where nobody is there
             self.first = members.first()
         else:  # newcomers, mostly
             known = (members.by_name[name] for name in changed if name in members.by_name)
-            self.first = min((self.first, *(member.word for member in known if member.there)), key=lived)
+            self.first = min(
+                (self.first, *(member.word for member in known if member.there)), key=lived
+            )
         self.seen, self.present, self.roster = members.version, present, members.roster()
 
     def granted(self, now: int, share: int, sure: bool) -> None:
@@ -252,8 +286,11 @@
         probe, habits = self.probe, self.habits
         if probe is not None and not probe.asked and now - probe.at >= habits.ack:
             probe.asked = True
-            others = [member.word for member in self.members.there()
-                      if member.word.name not in (probe.name, self.own.name)]
+            others = [
+                member.word
+                for member in self.members.there()
+                if member.word.name not in (probe.name, self.own.name)
+            ]
             for other in self.chance.sample(others, min(habits.others, len(others))):
                 self.send(other.address, Kind.ASK, probe.number, name=probe.name)
         if now - self.probed < habits.probe:
@@ -288,14 +325,25 @@
         return self.members.digest >> 1, self.terms_digest()
 
     def terms_digest(self) -> int:
-        return self.terms.total * 1009 + self.terms.lease // MS * 31 + self.terms.redeal // MS + self.terms.cut // MS * 7
+        return (
+            self.terms.total * 1009
+            + self.terms.lease // MS * 31
+            + self.terms.redeal // MS
+            + self.terms.cut // MS * 7
+        )
 
     def knock(self) -> None:
         """At the doors of some that are dead, and of addresses where nobody is known: so a cut that heals is
         noticed, and those who were all started anew hear of the ones that lived on before they deal among
         themselves."""
-        dead = [member.word.address for member in self.members.unsettled.values() if member.state is State.DEAD]
-        doors = [address for address in {*self.seeds, *dead} if address not in self.members.addresses]
+        dead = [
+            member.word.address
+            for member in self.members.unsettled.values()
+            if member.state is State.DEAD
+        ]
+        doors = [
+            address for address in {*self.seeds, *dead} if address not in self.members.addresses
+        ]
         for door in self.chance.sample(sorted(doors), min(KNOCKS, len(doors))):
             self.number += 1
             self.send(door, Kind.PING, self.number, self.views())
@@ -321,7 +369,9 @@
         self.settle()
 
     def pinged(self, now: int, letter: Letter) -> None:
-        self.send(letter.sender.address, Kind.ACK, letter.number, self.views(), about=letter.sender.name)
+        self.send(
+            letter.sender.address, Kind.ACK, letter.number, self.views(), about=letter.sender.name
+        )
         self.compare(now, letter)
 
     def acked(self, now: int, letter: Letter) -> None:
@@ -352,8 +402,11 @@
         """Those who are over are told of for half the time that they are kept: else views would hand them
         back and forth for ever."""
         by_name, recent = self.members.by_name, self.habits.forget // 2
-        told = (name for name in self.members.names_after(letter.name)
-                if by_name[name].there or now - by_name[name].since < recent)
+        told = (
+            name
+            for name in self.members.names_after(letter.name)
+            if by_name[name].there or now - by_name[name].since < recent
+        )
         names = list(islice(told, PAGE_WORDS + 1))
         page = tuple(by_name[name].word for name in names[:PAGE_WORDS])
         more = names[PAGE_WORDS - 1] if len(names) > PAGE_WORDS else ""
@@ -370,17 +423,30 @@
         if sender.name not in self.dealer.fleet:
             self.look()
             self.dealer.fleet = self.present  # one that came since the last round
-        grant = self.dealer.report(now, sender.name, sender.life, letter.number, Told(*letter.numbers))
+        grant = self.dealer.report(
+            now, sender.name, sender.life, letter.number, Told(*letter.numbers)
+        )
         if grant is None and self.first.name != self.own.name and self.seen >= 0:
             self.dealer.disown(sender.name, sender.life, letter.number)
-            self.post(sender.address, Letter(Kind.ELSEWHERE, self.own, letter.number, (), "", (self.first,)))
+            self.post(
+                sender.address,
+                Letter(Kind.ELSEWHERE, self.own, letter.number, (), "", (self.first,)),
+            )
         elif grant is not None:
-            self.send(sender.address, Kind.GRANT, letter.number, (grant, int(self.dealer.sure(now))),
-                about=sender.name)
+            self.send(
+                sender.address,
+                Kind.GRANT,
+                letter.number,
+                (grant, int(self.dealer.sure(now))),
+                about=sender.name,
+            )
 
     def grant_came(self, now: int, letter: Letter) -> None:
-        if (letter.sender.name == self.dealt_by and letter.number == self.report_number
-                and len(letter.numbers) == 2):
+        if (
+            letter.sender.name == self.dealt_by
+            and letter.number == self.report_number
+            and len(letter.numbers) == 2
+        ):
             self.granted(now, letter.numbers[0], letter.numbers[1] == 1)
 
     def sent_elsewhere(self, now: int, letter: Letter) -> None:
@@ -392,8 +458,10 @@
 
     def untied(self, now: int, letter: Letter) -> None:
         self.dealer.disown(letter.sender.name, letter.sender.life, letter.number)
-        self.post(letter.sender.address, Letter(Kind.ELSEWHERE, self.own, letter.number, (), "",
-            (self.first,)))
+        self.post(
+            letter.sender.address,
+            Letter(Kind.ELSEWHERE, self.own, letter.number, (), "", (self.first,)),
+        )
 
     def said_bye(self, now: int, letter: Letter) -> None:
         pass  # its own word, which goes with each letter, has said it
@@ -412,12 +480,26 @@
         for word in {first, *self.chance.sample(words, min(50, len(words)))}:
             self.send(word.address, Kind.BYE, 0)
 
-    def send(self, address: str, kind: Kind, number: int, numbers: tuple[int, ...] = (), name: str = "",
-             about: str = "") -> None:
+    def send(
+        self,
+        address: str,
+        kind: Kind,
+        number: int,
+        numbers: tuple[int, ...] = (),
+        name: str = "",
+        about: str = "",
+    ) -> None:
         """`about`: whom we send it to. What we think of it goes first, so that it may refute that."""
-        words = [self.members.by_name[about].word] if about in self.members.by_name and not (
-            self.members.by_name[about].state is State.ALIVE) else []
-        self.post(address, Letter(kind, self.own, number, numbers, name, tuple(words + self.gossip(about))))
+        words = (
+            [self.members.by_name[about].word]
+            if about in self.members.by_name
+            and not (self.members.by_name[about].state is State.ALIVE)
+            else []
+        )
+        self.post(
+            address,
+            Letter(kind, self.own, number, numbers, name, tuple(words + self.gossip(about))),
+        )
         if about in self.formers:
             life, times = self.formers.pop(about)
             if times > 1:
@@ -445,23 +527,49 @@
         self.out.append((address, seal(letter, self.keys[0])))
 
 
-HEARD = {Kind.PING: Fleet.pinged, Kind.ACK: Fleet.acked, Kind.ASK: Fleet.asked, Kind.SYNC: Fleet.synced_by,
-         Kind.PAGE: Fleet.paged, Kind.REPORT: Fleet.reported_to, Kind.GRANT: Fleet.grant_came,
-         Kind.BYE: Fleet.said_bye, Kind.FORMER: Fleet.former_told,
-         Kind.ELSEWHERE: Fleet.sent_elsewhere, Kind.UNTIE: Fleet.untied}
+HEARD = {
+    Kind.PING: Fleet.pinged,
+    Kind.ACK: Fleet.acked,
+    Kind.ASK: Fleet.asked,
+    Kind.SYNC: Fleet.synced_by,
+    Kind.PAGE: Fleet.paged,
+    Kind.REPORT: Fleet.reported_to,
+    Kind.GRANT: Fleet.grant_came,
+    Kind.BYE: Fleet.said_bye,
+    Kind.FORMER: Fleet.former_told,
+    Kind.ELSEWHERE: Fleet.sent_elsewhere,
+    Kind.UNTIE: Fleet.untied,
+}
 
 
 def summary(fleet: Fleet, now: int) -> Mapping[str, object]:
     """For an operator's eyes; plain values."""
     members, dealer = fleet.members, fleet.dealer
     return {
-        "name": fleet.own.name, "life": fleet.own.life, "incarnation": fleet.own.incarnation,
-        "share": fleet.share / CALL, "state": fleet.holder.state.name.lower(), "dealt_by": fleet.dealt_by,
-        "deals": dealer.phase.name.lower(), "total": fleet.terms.total / CALL, "strangers": fleet.strangers,
-        "members": [{"name": member.word.name, "address": member.word.address, "life": member.word.life,
-                     "incarnation": member.word.incarnation, "state": member.state.name.lower(),
-                     "since_ms": (now - member.since) // MS,
-                     **({"bound": dealer.accounts[member.word.name].bound / CALL}
-                        if member.word.name in dealer.accounts else {})}
-                    for member in sorted(members, key=lambda member: member.word.name)],
-        "counts": {name: getattr(fleet.counts, name) for name in fleet.counts.__slots__}}
+        "name": fleet.own.name,
+        "life": fleet.own.life,
+        "incarnation": fleet.own.incarnation,
+        "share": fleet.share / CALL,
+        "state": fleet.holder.state.name.lower(),
+        "dealt_by": fleet.dealt_by,
+        "deals": dealer.phase.name.lower(),
+        "total": fleet.terms.total / CALL,
+        "strangers": fleet.strangers,
+        "members": [
+            {
+                "name": member.word.name,
+                "address": member.word.address,
+                "life": member.word.life,
+                "incarnation": member.word.incarnation,
+                "state": member.state.name.lower(),
+                "since_ms": (now - member.since) // MS,
+                **(
+                    {"bound": dealer.accounts[member.word.name].bound / CALL}
+                    if member.word.name in dealer.accounts
+                    else {}
+                ),
+            }
+            for member in sorted(members, key=lambda member: member.word.name)
+        ],
+        "counts": {name: getattr(fleet.counts, name) for name in fleet.counts.__slots__},
+    }
--- a/burlloom/fleet/letters.py
+++ b/burlloom/fleet/letters.py
@@ -31,7 +31,9 @@
     SYNC = 3  # send a page of your view, from after that name
     PAGE = 4  # words of it, and the name to go on from; empty: that was all
     REPORT = 5  # to who deals: held, share, wanted, in thousandths of a call; weight; roster
-    GRANT = 6  # to the REPORT of that number: the share, and 1 where half of the fleet reports to us
+    GRANT = (
+        6  # to the REPORT of that number: the share, and 1 where half of the fleet reports to us
+    )
     BYE = 7  # our own word says that we left
     FORMER = 8  # to one that was started again: the life of its name that we knew, which did not say that it left
     ELSEWHERE = 9  # to the REPORT of that number: we don't deal; the word of who does, as we see it, goes with it
@@ -57,8 +59,9 @@
 
 def seal(letter: Letter, key: bytes) -> bytes:
     sender, words = [*letter.sender], [[*word] for word in letter.words]
-    text: bytes = msgpack.packb([VERSION, int(letter.kind), sender, letter.number, letter.numbers,
-        letter.name, words])
+    text: bytes = msgpack.packb(
+        [VERSION, int(letter.kind), sender, letter.number, letter.numbers, letter.name, words]
+    )
     return tag(key, text) + text
 
 
@@ -70,7 +73,9 @@
     if not any(hmac.compare_digest(mark, tag(key, text)) for key in keys):
         raise Unreadable("not sealed with our key")
     try:
-        got = msgpack.unpackb(text, max_array_len=16, max_map_len=0, max_ext_len=0, max_str_len=NAME_MOST)
+        got = msgpack.unpackb(
+            text, max_array_len=16, max_map_len=0, max_ext_len=0, max_str_len=NAME_MOST
+        )
     except (ValueError, msgpack.UnpackException, RecursionError) as error:
         raise Unreadable(f"no MessagePack: {error}") from error
     return letter_of(got)
@@ -82,12 +87,18 @@
     _, kind, sender, number, numbers, name, words = got
     if type(kind) is not int or not 0 <= kind < len(Kind):
         raise Unreadable(f"of no kind: {kind!r}")
-    if not whole(number) or type(numbers) is not list or len(numbers) > NUMBERS_MOST or not all(map(whole,
-            numbers)):
+    if (
+        not whole(number)
+        or type(numbers) is not list
+        or len(numbers) > NUMBERS_MOST
+        or not all(map(whole, numbers))
+    ):
         raise Unreadable("numbers that are none")
     if type(name) is not str or type(words) is not list or len(words) > WORDS_MOST:
         raise Unreadable("names or words that are none")
-    return Letter(Kind(kind), word_of(sender), number, tuple(numbers), name, tuple(map(word_of, words)))
+    return Letter(
+        Kind(kind), word_of(sender), number, tuple(numbers), name, tuple(map(word_of, words))
+    )
 
 
 def whole(got: Any) -> bool:
@@ -98,9 +109,15 @@
     if type(got) is not list or len(got) != 5:
         raise Unreadable("a word that is none")
     name, address, life, incarnation, state = got
-    if (type(name) is not str or not name or type(address) is not str or not whole(life)
-            or not whole(incarnation)
-            or type(state) is not int or not State.ALIVE <= state <= State.LEFT):
+    if (
+        type(name) is not str
+        or not name
+        or type(address) is not str
+        or not whole(life)
+        or not whole(incarnation)
+        or type(state) is not int
+        or not State.ALIVE <= state <= State.LEFT
+    ):
         raise Unreadable("a word that is none")
     if address_of(address) is None:
         raise Unreadable(f"no address: {address!r:.80}")
@@ -112,7 +129,10 @@
     """Host, an IPv4 address, and port; None where it is none."""
     host, _, port = text.rpartition(":")
     parts = host.split(".")
-    if (len(parts) != 4 or not all(part.isascii() and part.isdigit() and int(part) < 256 for part in parts)
-            or not (port.isascii() and port.isdigit() and 0 < int(port) < 65536)):
+    if (
+        len(parts) != 4
+        or not all(part.isascii() and part.isdigit() and int(part) < 256 for part in parts)
+        or not (port.isascii() and port.isdigit() and 0 < int(port) < 65536)
+    ):
         return None
     return host, int(port)
--- a/burlloom/fleet/members.py
+++ b/burlloom/fleet/members.py
@@ -193,8 +193,13 @@
         for test, after, effect in RULES.get((state, what), ()):
             if test(member, word):
                 EFFECTS[effect](self, now, name, after, word)
-                self.moves.append(Moved(member.word if member is not None else None,
-                                        self.by_name[name].word if name in self.by_name else None, effect))
+                self.moves.append(
+                    Moved(
+                        member.word if member is not None else None,
+                        self.by_name[name].word if name in self.by_name else None,
+                        effect,
+                    )
+                )
                 return True
         return False
 
@@ -268,12 +273,20 @@
 
 TESTS: dict[str, Test] = {"newer": newer, "same": same, "-": lambda member, word: True}
 Effect = Callable[[Members, int, str, State, Word | None], None]
-EFFECTS: dict[str, Effect] = {"enter": Members.enter, "renew": Members.enter, "doubt": Members.doubt,
-                              "bury": Members.doubt, "part": Members.doubt, "forget": Members.forget}
+EFFECTS: dict[str, Effect] = {
+    "enter": Members.enter,
+    "renew": Members.enter,
+    "doubt": Members.doubt,
+    "bury": Members.doubt,
+    "part": Members.doubt,
+    "forget": Members.forget,
+}
 RULES = rows(TABLE, State, Input, TESTS.__getitem__, str)
 
 
-def due(members: Iterable[Member], now: int, suspicion: int, forget: int) -> list[tuple[str, Input]]:
+def due(
+    members: Iterable[Member], now: int, suspicion: int, forget: int
+) -> list[tuple[str, Input]]:
     """Whose time for refuting is over, and who is over for long. Whoever keeps the view hands these to
     `meet`."""
     found = []
--- a/burlloom/fleet/subset.py
+++ b/burlloom/fleet/subset.py
@@ -40,7 +40,9 @@
     size: float  # of the subsets, on average
 
     def pairs(self) -> set[tuple[str, str]]:
-        return {(server, service) for server, choice in self.choices.items() for service in choice.parts}
+        return {
+            (server, service) for server, choice in self.choices.items() for service in choice.parts
+        }
 
 
 @lru_cache(maxsize=1 << 17)
@@ -63,7 +65,9 @@
     return int(mean + rank(server, "") / (1 << 64))
 
 
-def spread(servers: Sequence[str], services: Sequence[str], least: int, bound: float = 1.1) -> Spread:
+def spread(
+    servers: Sequence[str], services: Sequence[str], least: int, bound: float = 1.1
+) -> Spread:
     """The subsets of all servers, with weights such that no service has more than `bound` times the mean
     load, where each server calls as much as the next. Raises `ValueError` where there is none to talk to."""
     if not services:
@@ -72,7 +76,9 @@
     order = {server: ranked(server, services) for server in servers}
     mean = mean_size(len(servers), len(services), least)
     while True:
-        found = fitted({server: order[server][:size_of(server, mean)] for server in servers}, services, mean)
+        found = fitted(
+            {server: order[server][: size_of(server, mean)] for server in servers}, services, mean
+        )
         if found.worst <= bound or mean >= len(services):
             return found
         mean = min(float(len(services)), mean * WIDER)
@@ -113,7 +119,9 @@
     def take(self, parts: Mapping[str, float], phase: float = 0.0) -> None:
         """`phase`, from 0 to under 1: where a server starts, as all would begin with the same."""
         if not self.parts:
-            self.credit = {service: (at * 0.618 + phase) % 1 - 0.5 for at, service in enumerate(parts)}
+            self.credit = {
+                service: (at * 0.618 + phase) % 1 - 0.5 for at, service in enumerate(parts)
+            }
         self.parts = parts
         self.credit = {service: self.credit.get(service, 0.0) for service in parts}
         self.out = {service: out for service, out in self.out.items() if service in parts}
@@ -130,8 +138,9 @@
 
     def next(self, now: int) -> str:
         """Those that are left out count again once all are. Raises `ValueError` where there are none."""
-        open = [service for service in self.parts if self.out.get(service,
-            (0, 0))[0] <= now] or list(self.parts)
+        open = [
+            service for service in self.parts if self.out.get(service, (0, 0))[0] <= now
+        ] or list(self.parts)
         every = sum(self.parts[service] for service in open)
         for service in open:
             self.credit[service] += self.parts[service] / every
--- a/burlloom/fleet/sums.py
+++ b/burlloom/fleet/sums.py
@@ -31,8 +31,16 @@
     """`since`: who has not reported from then on may hold an equal share at least, `equal`. `fresh`: how long a report
     counts. `redeal`: how long one is dead before it counts as gone; None where nobody does."""
 
-    def __init__(self, accounts: Mapping[str, Account], fleet: Mapping[str, Present], now: int, since: int, equal: int,
-                 fresh: int, redeal: int | None) -> None:
+    def __init__(
+        self,
+        accounts: Mapping[str, Account],
+        fleet: Mapping[str, Present],
+        now: int,
+        since: int,
+        equal: int,
+        fresh: int,
+        redeal: int | None,
+    ) -> None:
         self.accounts, self.fleet, self.now = accounts, fleet, now
         self.since, self.equal, self.fresh, self.redeal = since, equal, fresh, redeal
         self.bound = sum(map(self.part, accounts.values()))
@@ -41,14 +49,35 @@
         self.recent = OrderedDict.fromkeys(sorted(recent, key=lambda name: accounts[name].at))
         self.unheard = {name for name in fleet if name not in accounts}
         # Of these, who will count as gone, last the one that does first.
-        self.dying = sorted(((fleet[name].since + redeal, name) for name in self.unheard if not fleet[name].there),
-                            reverse=True) if redeal is not None else []
-
-    def fits(self, accounts: Mapping[str, Account], fleet: Mapping[str, Present], now: int, since: int,
-             redeal: int | None) -> bool:
+        self.dying = (
+            sorted(
+                (
+                    (fleet[name].since + redeal, name)
+                    for name in self.unheard
+                    if not fleet[name].there
+                ),
+                reverse=True,
+            )
+            if redeal is not None
+            else []
+        )
+
+    def fits(
+        self,
+        accounts: Mapping[str, Account],
+        fleet: Mapping[str, Present],
+        now: int,
+        since: int,
+        redeal: int | None,
+    ) -> bool:
         """Whether these are still sums over that; `equal` changes with the view alone."""
-        return (self.accounts is accounts and self.fleet is fleet and self.now <= now and self.since == since
-                and self.redeal == redeal)
+        return (
+            self.accounts is accounts
+            and self.fleet is fleet
+            and self.now <= now
+            and self.since == since
+            and self.redeal == redeal
+        )
 
     def part(self, account: Account) -> int:
         """Who has not reported since then may have been raised by another."""
--- a/burlloom/lab/callers.py
+++ b/burlloom/lab/callers.py
@@ -19,7 +19,9 @@
 
     __slots__ = ("caller", "node", "order", "id", "number", "retry", "asked", "answer", "cut")
 
-    def __init__(self, caller: "Balancer", node: "Node", order: Order, id: str, retry: bool) -> None:
+    def __init__(
+        self, caller: "Balancer", node: "Node", order: Order, id: str, retry: bool
+    ) -> None:
         self.caller, self.node, self.order, self.id, self.retry = caller, node, order, id, retry
         self.number = 1
         self.asked: Request | None = None
@@ -52,7 +54,9 @@
         node.answered(self, answer, result)
         self.answer = answer
         if fleet.hears(self.caller, node):
-            fleet.loop.call_later(fleet.net(), self.caller.heard, self, answer, stay_away / 1e9, final, told)
+            fleet.loop.call_later(
+                fleet.net(), self.caller.heard, self, answer, stay_away / 1e9, final, told
+            )
 
     def broken(self) -> None:
         """The machine's side of its connection went."""
@@ -64,8 +68,17 @@
 
 
 class Balancer:
-    def __init__(self, fleet: "Emulator", index: int, zone: int, heeds: bool, checks: bool, at: int) -> None:
-        self.fleet, self.index, self.zone, self.heeds, self.checks, self.at = fleet, index, zone, heeds, checks, at
+    def __init__(
+        self, fleet: "Emulator", index: int, zone: int, heeds: bool, checks: bool, at: int
+    ) -> None:
+        self.fleet, self.index, self.zone, self.heeds, self.checks, self.at = (
+            fleet,
+            index,
+            zone,
+            heeds,
+            checks,
+            at,
+        )
         self.life = 0
         self.levels: dict[int, tuple[float, float]] = {}
         self.away: dict[int, float] = {}
@@ -130,7 +143,9 @@
         if fleet.hears(self, node):
             fleet.loop.call_later(fleet.net(), self.arrive, attempt)
         else:
-            fleet.loop.call_later(told.patience_ms * MS, self.heard, attempt, "unreached", 0.0, False, "")
+            fleet.loop.call_later(
+                told.patience_ms * MS, self.heard, attempt, "unreached", 0.0, False, ""
+            )
         if told.copies_after_ms and not retry and fleet.inquiry(order):
             fleet.loop.call_later(told.copies_after_ms * MS, self.copy, attempt)
 
@@ -143,11 +158,15 @@
         if attempt.cut:
             return
         if not node.open:
-            self.fleet.loop.call_later(self.fleet.net(), self.heard, attempt, "unreached", 0.0, False, "")
+            self.fleet.loop.call_later(
+                self.fleet.net(), self.heard, attempt, "unreached", 0.0, False, ""
+            )
         else:
             node.reach(attempt)
 
-    def heard(self, attempt: Attempt, answer: str, stay_away: float, final: bool, level: str) -> None:
+    def heard(
+        self, attempt: Attempt, answer: str, stay_away: float, final: bool, level: str
+    ) -> None:
         if self.open.pop(attempt.id, None) is None:
             return  # it has started anew since
         fleet, order, index = self.fleet, attempt.order, attempt.node.index
--- a/burlloom/lab/clock.py
+++ b/burlloom/lab/clock.py
@@ -33,8 +33,13 @@
         """Unix time in ns."""
         return EPOCH + int(self.now * SECOND)
 
-    def call_at(self, when: float, callback: Callable[..., Any], *args: Any,  # type: ignore[override]
-                context: Context | None = None) -> TimerHandle:
+    def call_at(
+        self,
+        when: float,
+        callback: Callable[..., Any],
+        *args: Any,  # type: ignore[override]
+        context: Context | None = None,
+    ) -> TimerHandle:
         handle = TimerHandle(when, callback, args, self, context)
         heapq.heappush(self.queue, (when, next(self.numbers), handle))
         return handle
--- a/burlloom/lab/distances.py
+++ b/burlloom/lab/distances.py
@@ -27,8 +27,13 @@
 
 
 def place(name: str, region: int, zone: int, rack: int) -> Place:
-    return Place(name, region, zone, rack, frozenset(
-        {f"region:{region}", f"zone:{zone}", f"rack:{zone}.{rack}", f"name:{name}"}))
+    return Place(
+        name,
+        region,
+        zone,
+        rack,
+        frozenset({f"region:{region}", f"zone:{zone}", f"rack:{zone}.{rack}", f"name:{name}"}),
+    )
 
 
 def laid_out(count: int, prefix: str = "h") -> list[Place]:
@@ -70,10 +75,15 @@
 
     def told(self, message: dict[str, Any]) -> None:
         """`loss`, `stretch` of the delays, `cuts` as lists of marks; what is not named stays."""
-        self.loss, self.stretch = float(message.get("loss", self.loss)), float(message.get("stretch", self.stretch))
+        self.loss, self.stretch = (
+            float(message.get("loss", self.loss)),
+            float(message.get("stretch", self.stretch)),
+        )
         if "cuts" in message:
-            self.cuts = tuple(Cut(frozenset(one), frozenset(other), bool(both))
-                              for one, other, both in message["cuts"])
+            self.cuts = tuple(
+                Cut(frozenset(one), frozenset(other), bool(both))
+                for one, other, both in message["cuts"]
+            )
 
     def between(self, source: Place, target: Place) -> float:
         """ms one way, without chance."""
@@ -91,4 +101,9 @@
         if self.loss and self.chance.random() < self.loss:
             self.lost += 1
             return None
-        return self.between(source, target) * self.stretch * (1 - JITTER + 2 * JITTER * self.chance.random()) / 1000
+        return (
+            self.between(source, target)
+            * self.stretch
+            * (1 - JITTER + 2 * JITTER * self.chance.random())
+            / 1000
+        )
--- a/burlloom/lab/emulator.py
+++ b/burlloom/lab/emulator.py
@@ -26,7 +26,10 @@
 from .rules import Rules
 from .world import Fault, World
 
-LOOK, FORGET = 0.25, 5.0  # s between looks at each node, and between forgettings of what is long over
+LOOK, FORGET = (
+    0.25,
+    5.0,
+)  # s between looks at each node, and between forgettings of what is long over
 RESTARTING = 0.5  # s from a process's end to the next one's start, in a release
 LATENCY_MOST = 60_000_000  # us
 
@@ -87,34 +90,62 @@
     """One play of a world. `keeping` gives each server its record, `leveling` its levels of reduced
     service."""
 
-    def __init__(self, world: World, loop: SimulatedLoop, keeping: Callable[[Server], Keeping] | None = None,
-                 leveling: Callable[[Server], Leveling] | None = None, watch: Watch | None = None,
-                 fleets: Callable[["Emulator"], Fleets] | None = None,
-                 recovering: Callable[[Server], Recovering] | None = None,
-                 rolls: Callable[["Emulator"], Rolls] | None = None) -> None:
-        self.world, self.loop, self.keeping, self.leveling, self.watch = world, loop, keeping, leveling, watch or Watch()
+    def __init__(
+        self,
+        world: World,
+        loop: SimulatedLoop,
+        keeping: Callable[[Server], Keeping] | None = None,
+        leveling: Callable[[Server], Leveling] | None = None,
+        watch: Watch | None = None,
+        fleets: Callable[["Emulator"], Fleets] | None = None,
+        recovering: Callable[[Server], Recovering] | None = None,
+        rolls: Callable[["Emulator"], Rolls] | None = None,
+    ) -> None:
+        self.world, self.loop, self.keeping, self.leveling, self.watch = (
+            world,
+            loop,
+            keeping,
+            leveling,
+            watch or Watch(),
+        )
         self.recovering = recovering
         self.fleets = fleets(self) if fleets is not None else None
         seeds = default_rng(world.seed).spawn(6)
-        self.load_chance, self.way_chance, self.fault_chance, self.list_chance, below, machines = seeds
+        self.load_chance, self.way_chance, self.fault_chance, self.list_chance, below, machines = (
+            seeds
+        )
         told, callers = world.machines, world.callers
         self.settings = world.settings(told.first or told.count)
         self.below = Catalogue(loop, world.below, below)
-        self.rules = Rules(told.grace_ms / 1000, told.tip_multiple, world.below.slots * world.below.headroom)
+        self.rules = Rules(
+            told.grace_ms / 1000, told.tip_multiple, world.below.slots * world.below.headroom
+        )
         self.count: Counter[str] = Counter()
         self.ids = 0
         speeds = [float(machines.uniform(*told.speed)) for _ in range(told.count)]
-        self.nodes = [Node(self, index, index % told.zones, speed) for index, speed in enumerate(speeds)]
+        self.nodes = [
+            Node(self, index, index % told.zones, speed) for index, speed in enumerate(speeds)
+        ]
         self.capacity = sum(speeds) * told.cores * 1000
-        self.balancers = [Balancer(self, index, index % told.zones, machines.random() < callers.heed,
-                                   machines.random() < callers.checks, int(machines.integers(told.count)))
-                          for index in range(callers.count)]
+        self.balancers = [
+            Balancer(
+                self,
+                index,
+                index % told.zones,
+                machines.random() < callers.heed,
+                machines.random() < callers.checks,
+                int(machines.integers(told.count)),
+            )
+            for index in range(callers.count)
+        ]
         self.list: list[int] = []
         self.cuts: set[int] = set()  # zones that hear only themselves
         self.floods: list[Fault] = []
         products = len(world.products)
-        self.seconds = [Second([0.0] * products, [0.0] * products, [0] * products)
-                        for _ in range(int(world.seconds) + 1)]
+        self.seconds = [
+            Second([0.0] * products, [0.0] * products, [0] * products)
+            for _ in range(int(world.seconds) + 1)
+        ]
         self.latency = [HdrHistogram(1, LATENCY_MOST, 3) for _ in world.products]
         self.lost: list[Counter[str]] = [Counter() for _ in world.products]  # why, by product
         self.sizes_most: Counter[str] = Counter()
@@ -146,7 +177,9 @@
     def listed(self, node: Node, serving: bool | None) -> None:
         """`serving`: what it reported; None: it fell silent. All balancers learn of it late."""
         callers = self.world.callers
-        late = float(self.list_chance.uniform(*(callers.silent_s if serving is None else callers.notice_s)))
+        late = float(
+            self.list_chance.uniform(*(callers.silent_s if serving is None else callers.notice_s))
+        )
         life = node.life
         self.loop.call_later(late if self.loop.now else 0.0, self.learn, node, bool(serving), life)
 
@@ -182,12 +215,14 @@
 
     async def play(self) -> None:
         world = self.world
-        for node in self.nodes[:world.machines.first or None]:
+        for node in self.nodes[: world.machines.first or None]:
             node.start(cold=False)
         await asyncio.sleep(0.01)
         for fault in world.faults:
             self.loop.call_later(fault.at_s, self.begin, fault)
-        tasks = [asyncio.create_task(work) for work in (self.looks(), self.checks(), self.watched())]
+        tasks = [
+            asyncio.create_task(work) for work in (self.looks(), self.checks(), self.watched())
+        ]
         for order in orders(world, self.capacity, self.load_chance):
             await asyncio.sleep(max(0.0, order.at - self.loop.now))
             self.come(order)
@@ -201,7 +236,9 @@
         order.at = self.loop.now
         product = self.world.products[order.product]
         self.count["first tries"] += 1
-        self.seconds[min(int(order.at), len(self.seconds) - 1)].asked[order.product] += product.value * order.work
+        self.seconds[min(int(order.at), len(self.seconds) - 1)].asked[order.product] += (
+            product.value * order.work
+        )
         # A client's own patience: it gives up at its expiry, and its balancer says nothing of it.
         self.loop.call_later(self.expiry(order), self.missed, order, "expired")
         balancer = self.balancers[int(self.way_chance.integers(len(self.balancers)))]
@@ -222,7 +259,9 @@
                     self.sizes_most[name] = max(self.sizes_most[name], size)
             if self.loop.now - last >= FORGET:
                 self.below.count(0)
-                self.rules.sees_calls(self.loop.now, (self.below.area - last_area) / (self.loop.now - last))
+                self.rules.sees_calls(
+                    self.loop.now, (self.below.area - last_area) / (self.loop.now - last)
+                )
                 last_area, last = self.below.area, self.loop.now
                 self.rules.forget(self.loop.now)
 
@@ -237,33 +276,46 @@
         while True:
             await asyncio.sleep(1.0)
             up = [node for node in self.nodes if node.up]
-            row = {"at": self.loop.now, "up": float(len(up)), "listed": float(len(self.list)),
-                   "calls": float(self.below.in_hand), "tries": float(self.count["tries"])}
+            row = {
+                "at": self.loop.now,
+                "up": float(len(up)),
+                "listed": float(len(self.list)),
+                "calls": float(self.below.in_hand),
+                "tries": float(self.count["tries"]),
+            }
             self.series.append(row | self.watch.row(self))
 
     # Faults.
 
     def some(self, part: float, of: int, chance: Generator) -> list[int]:
-        return sorted(int(one) for one in chance.permutation(of)[:max(1, round(part * of))])
+        return sorted(int(one) for one in chance.permutation(of)[: max(1, round(part * of))])
 
     def begin(self, fault: Fault) -> None:
         ends: Callable[[], Any] = lambda: None
         match fault.kind:
             case "kill":
-                nodes = [self.nodes[one] for one in self.some(fault.part, len(self.nodes), self.fault_chance)]
+                nodes = [
+                    self.nodes[one]
+                    for one in self.some(fault.part, len(self.nodes), self.fault_chance)
+                ]
                 for node in nodes:
                     node.stop(killed=True)
                 ends = lambda: self.come_back(nodes)
             case "join":
-                down = [node for node in self.nodes if not node.up and not node.life][:int(fault.size)]
+                down = [node for node in self.nodes if not node.up and not node.life][
+                    : int(fault.size)
+                ]
                 for at, node in enumerate(down):
                     self.loop.call_later(at * fault.for_s / len(down), node.start, False)
             case "leave":
-                gone = [node for node in self.nodes if node.up][-int(fault.size):]
+                gone = [node for node in self.nodes if node.up][-int(fault.size) :]
                 for at, node in enumerate(gone):
                     self.loop.call_later(at * fault.for_s / len(gone), self.replace, node, False)
             case "slow" | "deaf":
-                nodes = [self.nodes[one] for one in self.some(fault.part, len(self.nodes), self.fault_chance)]
+                nodes = [
+                    self.nodes[one]
+                    for one in self.some(fault.part, len(self.nodes), self.fault_chance)
+                ]
                 self.ail(nodes, fault, True)
                 ends = lambda: self.ail(nodes, fault, False)
             case "cut":
@@ -282,8 +334,13 @@
                 self.floods.append(fault)
                 ends = lambda: self.floods.remove(fault)
             case "release":
-                self.release([self.nodes[one] for one in self.some(fault.part, len(self.nodes), self.fault_chance)],
-                             fault)
+                self.release(
+                    [
+                        self.nodes[one]
+                        for one in self.some(fault.part, len(self.nodes), self.fault_chance)
+                    ],
+                    fault,
+                )
         self.loop.call_later(fault.for_s, ends)
 
     def come_back(self, nodes: list[Node]) -> None:
@@ -334,21 +391,42 @@
             for name, size in node.sizes().items():
                 last[name] = max(last[name], size)
         return Outcome(
-            self.world.name, self.rules.faults, dict(self.rules.count + self.count),
-            {product.name: sum(second.asked[at] for second in self.seconds) for at, product in enumerate(products)},
-            {product.name: sum(second.settled[at] for second in self.seconds) for at, product in enumerate(products)},
+            self.world.name,
+            self.rules.faults,
+            dict(self.rules.count + self.count),
+            {
+                product.name: sum(second.asked[at] for second in self.seconds)
+                for at, product in enumerate(products)
+            },
+            {
+                product.name: sum(second.settled[at] for second in self.seconds)
+                for at, product in enumerate(products)
+            },
             {product.name: dict(self.lost[at]) for at, product in enumerate(products)},
-            {product.name: (self.latency[at].get_value_at_percentile(50) / 1000,
-                            self.latency[at].get_value_at_percentile(99) / 1000)
-             for at, product in enumerate(products)},
-            self.seconds, dict(self.sizes_most), dict(last), self.series, took)
-
-
-def play(world: World, keeping: Callable[[Server], Keeping] | None = None,
-         leveling: Callable[[Server], Leveling] | None = None, watch: Watch | None = None,
-         fleets: Callable[[Emulator], Fleets] | None = None,
-         recovering: Callable[[Server], Recovering] | None = None,
-         rolls: Callable[[Emulator], Rolls] | None = None) -> Outcome:
+            {
+                product.name: (
+                    self.latency[at].get_value_at_percentile(50) / 1000,
+                    self.latency[at].get_value_at_percentile(99) / 1000,
+                )
+                for at, product in enumerate(products)
+            },
+            self.seconds,
+            dict(self.sizes_most),
+            dict(last),
+            self.series,
+            took,
+        )
+
+
+def play(
+    world: World,
+    keeping: Callable[[Server], Keeping] | None = None,
+    leveling: Callable[[Server], Leveling] | None = None,
+    watch: Watch | None = None,
+    fleets: Callable[[Emulator], Fleets] | None = None,
+    recovering: Callable[[Server], Recovering] | None = None,
+    rolls: Callable[[Emulator], Rolls] | None = None,
+) -> Outcome:
     """Plays it to its end. The same world gives the same outcome, to the last figure but `took`."""
     began = time.perf_counter()
     before = logging.root.manager.disable
--- a/burlloom/lab/experiment.py
+++ b/burlloom/lab/experiment.py
@@ -39,10 +39,17 @@
 
     @model_validator(mode="after")
     def known(self) -> Self:
-        wrong = [f"variants.{at}: {name!r} is none of {', '.join(VARIANTS)}" for at, name in enumerate(self.variants)
-                 if name not in VARIANTS]
+        wrong = [
+            f"variants.{at}: {name!r} is none of {', '.join(VARIANTS)}"
+            for at, name in enumerate(self.variants)
+            if name not in VARIANTS
+        ]
         names = [world.name for world in self.worlds]
-        wrong += [f"worlds.{at}.name: {name!r} stands twice" for at, name in enumerate(names) if name in names[:at]]
+        wrong += [
+            f"worlds.{at}.name: {name!r} stands twice"
+            for at, name in enumerate(names)
+            if name in names[:at]
+        ]
         if wrong:
             raise ValueError("; ".join(wrong))
         return self
@@ -79,7 +86,10 @@
 
     def most_a_minute(self) -> int:
         """Of any node, in any minute of whole seconds."""
-        return max((sum(each[at:at + 60]) for each in self.changes.values() for at in range(len(each))), default=0)
+        return max(
+            (sum(each[at : at + 60]) for each in self.changes.values() for at in range(len(each))),
+            default=0,
+        )
 
     def mean_a_minute(self) -> float:
         seconds = sum(map(len, self.changes.values()))
@@ -90,26 +100,42 @@
     """Plays it; its figures, for the table."""
     watch = LevelWatch()
     told = play(world.model_copy(update={"seed": seed}), leveling=VARIANTS[variant](), watch=watch)
-    figures = {"value": told.share, **{f"in time {name}": told.share_of(name) for name in told.asked},
-               **{f"p99 ms {name}": p99 for name, (_, p99) in told.latency_ms.items()},
-               "changes a minute, most": float(watch.most_a_minute()), "changes a minute, mean": watch.mean_a_minute(),
-               "tries a txn": told.count["tries"] / max(1, told.count["first tries"]),
-               "faults": float(len(told.faults)), "first tries": float(told.count["first tries"])}
+    figures = {
+        "value": told.share,
+        **{f"in time {name}": told.share_of(name) for name in told.asked},
+        **{f"p99 ms {name}": p99 for name, (_, p99) in told.latency_ms.items()},
+        "changes a minute, most": float(watch.most_a_minute()),
+        "changes a minute, mean": watch.mean_a_minute(),
+        "tries a txn": told.count["tries"] / max(1, told.count["first tries"]),
+        "faults": float(len(told.faults)),
+        "first tries": float(told.count["first tries"]),
+    }
     return told, figures
 
 
 def task(world: World, variant: str, seed: int) -> dict[str, Any]:
     told, figures = one(world, variant, seed)
-    return {"world": world.name, "variant": variant, "seed": seed, "figures": figures, "faults": told.faults,
-            "series": {"rows": told.series, "seconds": [asdict(second) for second in told.seconds]}, "took": told.took}
+    return {
+        "world": world.name,
+        "variant": variant,
+        "seed": seed,
+        "figures": figures,
+        "faults": told.faults,
+        "series": {"rows": told.series, "seconds": [asdict(second) for second in told.seconds]},
+        "took": told.took,
+    }
 
 
 def plays(experiment: Experiment, workers: int) -> Iterator[dict[str, Any]]:
     """Each play's result as it is done, in no order; the seeds and so the figures do not depend on the
     workers."""
     with ProcessPoolExecutor(workers) as pool:
-        waiting = [pool.submit(task, world, variant, seed) for world in experiment.worlds
-                   for variant in experiment.variants for seed in experiment.seeds]
+        waiting = [
+            pool.submit(task, world, variant, seed)
+            for world in experiment.worlds
+            for variant in experiment.variants
+            for seed in experiment.seeds
+        ]
         for done in as_completed(waiting):
             yield done.result()
 
@@ -124,31 +150,58 @@
 
     def add(self, experiment: str, text: str, result: dict[str, Any]) -> None:
         with closing(sqlite3.connect(self.path)) as db, db:
-            db.execute("INSERT INTO plays (experiment, text, world, variant, seed, figures, series, faults)"
-                       " VALUES (?,?,?,?,?,?,?,?)",
-                       (experiment, text, result["world"], result["variant"], result["seed"],
-                        json.dumps(result["figures"]), json.dumps(result["series"]), json.dumps(result["faults"])))
+            db.execute(
+                "INSERT INTO plays (experiment, text, world, variant, seed, figures, series, faults)"
+                " VALUES (?,?,?,?,?,?,?,?)",
+                (
+                    experiment,
+                    text,
+                    result["world"],
+                    result["variant"],
+                    result["seed"],
+                    json.dumps(result["figures"]),
+                    json.dumps(result["series"]),
+                    json.dumps(result["faults"]),
+                ),
+            )
 
     def rows(self, experiment: str, text: str | None = None) -> list[dict[str, Any]]:
         """The newest play of each world, variant and seed; of one text of the program, or of the newest
         there is."""
         with closing(sqlite3.connect(self.path)) as db:
             if text is None:
-                found = db.execute("SELECT text FROM plays WHERE experiment = ? ORDER BY number DESC LIMIT 1",
-                                   (experiment,)).fetchone()
+                found = db.execute(
+                    "SELECT text FROM plays WHERE experiment = ? ORDER BY number DESC LIMIT 1",
+                    (experiment,),
+                ).fetchone()
                 text = found[0] if found else ""
-            told = db.execute("SELECT world, variant, seed, figures, series, faults FROM plays WHERE experiment = ?"
-                              " AND text = ? ORDER BY number", (experiment, text)).fetchall()
-        newest = {(world, variant, seed): (figures, series, faults)
-                  for world, variant, seed, figures, series, faults in told}
-        return [{"world": world, "variant": variant, "seed": seed, "figures": json.loads(figures),
-                 "series": json.loads(series), "faults": json.loads(faults)}
-                for (world, variant, seed), (figures, series, faults) in newest.items()]
+            told = db.execute(
+                "SELECT world, variant, seed, figures, series, faults FROM plays WHERE experiment = ?"
+                " AND text = ? ORDER BY number",
+                (experiment, text),
+            ).fetchall()
+        newest = {
+            (world, variant, seed): (figures, series, faults)
+            for world, variant, seed, figures, series, faults in told
+        }
+        return [
+            {
+                "world": world,
+                "variant": variant,
+                "seed": seed,
+                "figures": json.loads(figures),
+                "series": json.loads(series),
+                "faults": json.loads(faults),
+            }
+            for (world, variant, seed), (figures, series, faults) in newest.items()
+        ]
 
     def experiments(self) -> list[tuple[str, str, int]]:
         """Name, text and number of plays of each."""
         with closing(sqlite3.connect(self.path)) as db:
-            return db.execute("SELECT experiment, text, count(*) FROM plays GROUP BY 1, 2 ORDER BY max(number)").fetchall()
+            return db.execute(
+                "SELECT experiment, text, count(*) FROM plays GROUP BY 1, 2 ORDER BY max(number)"
+            ).fetchall()
 
 
 @dataclass(frozen=True, slots=True)
@@ -173,7 +226,10 @@
 def paired(rows: list[dict[str, Any]], world: str, base: str, other: str) -> list[Paired]:
     """Differences of pairs, resampled (percentile bootstrap, seeded): no shape of theirs is assumed."""
     by = {(row["variant"], row["seed"]): row["figures"] for row in rows if row["world"] == world}
-    seeds = sorted({seed for variant, seed in by if variant == base} & {seed for variant, seed in by if variant == other})
+    seeds = sorted(
+        {seed for variant, seed in by if variant == base}
+        & {seed for variant, seed in by if variant == other}
+    )
     found = []
     for name in by[base, seeds[0]] if seeds else ():
         before = np.array([by[base, seed][name] for seed in seeds])
@@ -182,13 +238,29 @@
         chance = np.random.default_rng(1)
         means = apart[chance.integers(len(seeds), size=(RESAMPLES, len(seeds)))].mean(axis=1)
         low, high = np.percentile(means, [2.5, 97.5])
-        found.append(Paired(name, float(before.mean()), float(after.mean()), float(after.std(ddof=min(1, len(seeds) - 1))),
-                            float(apart.mean()), float(low), float(high), len(seeds)))
+        found.append(
+            Paired(
+                name,
+                float(before.mean()),
+                float(after.mean()),
+                float(after.std(ddof=min(1, len(seeds) - 1))),
+                float(apart.mean()),
+                float(low),
+                float(high),
+                len(seeds),
+            )
+        )
     return found
 
 
 def text_of_program(root: Path) -> str:
     """The commit that is played; with a mark where the tree differs from it."""
+
     def git(*words: str) -> str:
-        return subprocess.run(["git", *words], cwd=root, capture_output=True, text=True, check=False).stdout.strip()
-    return (git("rev-parse", "--short", "HEAD") or "unknown") + ("+" if git("status", "--porcelain", "--", "burlloom") else "")
+        return subprocess.run(
+            ["git", *words], cwd=root, capture_output=True, text=True, check=False
+        ).stdout.strip()
+
+    return (git("rev-parse", "--short", "HEAD") or "unknown") + (
+        "+" if git("status", "--porcelain", "--", "burlloom") else ""
+    )
--- a/burlloom/lab/fleets.py
+++ b/burlloom/lab/fleets.py
@@ -29,8 +29,14 @@
     """Datagrams between addresses. `cuts`: pairs of sides that do not hear each other, each a set of
     addresses; one-way where only the first does not reach the second."""
 
-    def __init__(self, loop: SimulatedLoop, seed: int, delay: tuple[float, float] = (0.0003, 0.0013),
-                 loss: float = 0.0, doubles: float = 0.0) -> None:
+    def __init__(
+        self,
+        loop: SimulatedLoop,
+        seed: int,
+        delay: tuple[float, float] = (0.0003, 0.0013),
+        loss: float = 0.0,
+        doubles: float = 0.0,
+    ) -> None:
         self.loop, self.chance = loop, default_rng(seed)
         self.delay, self.loss, self.doubles = delay, loss, doubles
         self.places: dict[str, Callable[[bytes], None]] = {}
@@ -44,8 +50,10 @@
         self.cuts.clear()
 
     def parted(self, source: str, target: str) -> bool:
-        return any(source in one and target in other or both and source in other and target in one
-                   for one, other, both in self.cuts)
+        return any(
+            source in one and target in other or both and source in other and target in one
+            for one, other, both in self.cuts
+        )
 
     def send(self, source: str, target: str, data: bytes) -> None:
         self.sent += 1
@@ -54,7 +62,9 @@
             if self.parted(source, target) or self.loss and self.chance.random() < self.loss:
                 continue
             low, high = self.delay
-            self.loop.call_later(low + (high - low) * float(self.chance.random()), self.arrive, target, data)
+            self.loop.call_later(
+                low + (high - low) * float(self.chance.random()), self.arrive, target, data
+            )
 
     def arrive(self, target: str, data: bytes) -> None:
         place = self.places.get(target)
@@ -84,9 +94,21 @@
 class Swarm:
     """Members by name; `sample` is called once a tick of theirs."""
 
-    def __init__(self, loop: SimulatedLoop, net: Net, terms: Terms, habits: Habits | None = None,
-            seed: int = 1) -> None:
-        self.loop, self.net, self.terms, self.habits, self.seed = loop, net, terms, habits or Habits(), seed
+    def __init__(
+        self,
+        loop: SimulatedLoop,
+        net: Net,
+        terms: Terms,
+        habits: Habits | None = None,
+        seed: int = 1,
+    ) -> None:
+        self.loop, self.net, self.terms, self.habits, self.seed = (
+            loop,
+            net,
+            terms,
+            habits or Habits(),
+            seed,
+        )
         self.bodies: dict[str, Body] = {}
         self.seeds: tuple[str, ...] = ()
         self.sample: Callable[[], None] = lambda: None
@@ -98,8 +120,12 @@
         made = []
         for _ in range(count):
             at = len(self.bodies)
-            body = Body(f"n{at}", f"10.1.{at // 200}.{at % 200 + 1}:7946", demand=demand,
-                seed=self.seed * 1009 + at)
+            body = Body(
+                f"n{at}",
+                f"10.1.{at // 200}.{at % 200 + 1}:7946",
+                demand=demand,
+                seed=self.seed * 1009 + at,
+            )
             self.bodies[body.name] = body
             made.append(body)
         self.seeds = self.seeds or tuple(body.address for body in made[:3])
@@ -111,9 +137,15 @@
         body.lives += 1
         now, life = self.now(), (EPOCH + int(self.loop.now * SECOND)) // 1_000_000 + body.lives
         chance = Random(body.seed * 7 + body.lives)
-        body.fleet = Fleet(Word(body.name, body.address, life, 0, State.ALIVE), self.seeds, (KEY,),
-            self.terms, self.habits,
-                           chance, now)
+        body.fleet = Fleet(
+            Word(body.name, body.address, life, 0, State.ALIVE),
+            self.seeds,
+            (KEY,),
+            self.terms,
+            self.habits,
+            chance,
+            now,
+        )
         body.paused_at, body.stuck = -1.0, []
         self.net.places[body.address] = lambda data: self.hear(body, data)
         self.loop.call_later(TICK * chance.random(), self.tick, body, body.fleet)
@@ -166,8 +198,11 @@
 
     def total(self) -> float:
         """Calls in hand below, of all."""
-        return sum(body.using for body in self.up() if self.loop.now - body.paused_at < PATIENCE
-            or body.paused_at < 0)
+        return sum(
+            body.using
+            for body in self.up()
+            if self.loop.now - body.paused_at < PATIENCE or body.paused_at < 0
+        )
 
     def shares(self) -> list[float]:
         return [body.fleet.share / CALL for body in self.up() if body.fleet is not None]
@@ -175,16 +210,21 @@
     def agreed(self) -> bool:
         """Whether all that are up, and are not paused, see exactly those as there."""
         names = {body.name for body in self.up()}
-        return all({member.word.name for member in body.fleet.members.there()} == names
-                   for body in self.up() if body.fleet is not None)
+        return all(
+            {member.word.name for member in body.fleet.members.there()} == names
+            for body in self.up()
+            if body.fleet is not None
+        )
 
     def run(self, seconds: float) -> None:
         """Plays on, sampling each tick."""
+
         async def play() -> None:
             until = self.loop.now + seconds
             while self.loop.now < until - 1e-9:
                 await asyncio.sleep(TICK)
                 self.sample()
+
         self.loop.run_until_complete(play())
 
 
@@ -196,9 +236,20 @@
         loop, world = fleets.loop, fleets.emulator.world
         self.address = address(node.index)
         own = Word(node.name, self.address, loop.wall() // 1_000_000 + node.life, 0, State.ALIVE)
-        self.fleet = Fleet(own, fleets.seeds, (KEY,), fleets.terms, fleets.habits,
-                           Random(world.seed * 1_000_003 + node.index * 1009 + node.life), loop.wall())
-        self.share, self.recovery, self.former = Share(self.fleet, server.recovery.cap), server.recovery, 0
+        self.fleet = Fleet(
+            own,
+            fleets.seeds,
+            (KEY,),
+            fleets.terms,
+            fleets.habits,
+            Random(world.seed * 1_000_003 + node.index * 1009 + node.life),
+            loop.wall(),
+        )
+        self.share, self.recovery, self.former = (
+            Share(self.fleet, server.recovery.cap),
+            server.recovery,
+            0,
+        )
         fleets.net.places[self.address] = self.hear
         loop.call_soon(lambda: server.tasks.start(self.keep(), "fleet"))
 
@@ -259,9 +310,15 @@
 class Joining:
     """Joins the nodes of a world; zones that are cut in the world are cut for letters too."""
 
-    def __init__(self, emulator: Emulator, terms: Terms, habits: Habits | None = None,
-            loss: float = 0.0) -> None:
-        self.emulator, self.loop, self.terms, self.habits = emulator, emulator.loop, terms, habits or Habits()
+    def __init__(
+        self, emulator: Emulator, terms: Terms, habits: Habits | None = None, loss: float = 0.0
+    ) -> None:
+        self.emulator, self.loop, self.terms, self.habits = (
+            emulator,
+            emulator.loop,
+            terms,
+            habits or Habits(),
+        )
         low, high = emulator.world.callers.net_ms
         self.net = Net(self.loop, emulator.world.seed, (low / 1000, high / 1000), loss)
         self.net.parted = self.parted  # type: ignore[method-assign]
@@ -273,13 +330,19 @@
 
     def parted(self, source: str, target: str) -> bool:
         cuts = self.emulator.cuts
-        return bool(cuts) and self.zone(source) != self.zone(target) and bool(cuts & {self.zone(source),
-            self.zone(target)})
+        return (
+            bool(cuts)
+            and self.zone(source) != self.zone(target)
+            and bool(cuts & {self.zone(source), self.zone(target)})
+        )
 
     def fleeting(self, node: Node) -> Callable[[Server], Fleeting]:
         return lambda server: Joined(self, node, server)
 
     def shares(self) -> dict[str, float]:
         """Of those that are up, calls."""
-        return {node.name: node.server.fleet.fleet.share / CALL for node in self.emulator.nodes
-                if node.up and node.server is not None and isinstance(node.server.fleet, Joined)}
+        return {
+            node.name: node.server.fleet.fleet.share / CALL
+            for node in self.emulator.nodes
+            if node.up and node.server is not None and isinstance(node.server.fleet, Joined)
+        }
--- a/burlloom/lab/hollow.py
+++ b/burlloom/lab/hollow.py
@@ -55,11 +55,14 @@
     def leave(self, now: int) -> None: ...
     def woke(self, now: int) -> None:
         """It stood still, and hears what waited for it next."""
+
     def close(self) -> None:
         """It is over, without a word."""
+
     def told(self, message: dict[str, Any]) -> None: ...
     def facts(self, now: int) -> dict[str, Any]:
         """Of this second, added up over a host: numbers by name."""
+
     def events(self, now: int) -> Iterable[list[Any]]:
         """What a checker is to know since it was last asked."""
 
@@ -67,10 +70,19 @@
 class Member:
     """One of a fleet that shares out calls, with a demand that it would use up."""
 
-    def __init__(self, own: Place, address: str, life: int, told: dict[str, Any], chance: Random, now: int) -> None:
+    def __init__(
+        self, own: Place, address: str, life: int, told: dict[str, Any], chance: Random, now: int
+    ) -> None:
         word = Word(own.name, address, life, 0, State.ALIVE)
-        self.fleet = Fleet(word, tuple(told["seeds"]), (bytes.fromhex(told["key"]),), Terms(**told["terms"]),
-                           Habits(**told.get("habits", {})), chance, now)
+        self.fleet = Fleet(
+            word,
+            tuple(told["seeds"]),
+            (bytes.fromhex(told["key"]),),
+            Terms(**told["terms"]),
+            Habits(**told.get("habits", {})),
+            chance,
+            now,
+        )
         self.out, self.demand, self.share = self.fleet.out, int(told.get("demand", 8.0) * CALL), -1
         self.seen: list[list[Any]] = []
 
@@ -108,15 +120,14 @@
     def facts(self, now: int) -> dict[str, Any]:
         fleet = self.fleet
         return {
-    "share": fleet.share,
-    f"holder {fleet.holder.state.name.lower()}": 1,
-    "there": len(
-        fleet.members.there()),
-        "deals": int(
-            fleet.dealer.phase > 0),
+            "share": fleet.share,
+            f"holder {fleet.holder.state.name.lower()}": 1,
+            "there": len(fleet.members.there()),
+            "deals": int(fleet.dealer.phase > 0),
             "dropped": fleet.counts.dropped,
             "unreadable": fleet.counts.unreadable,
-             f"view {fleet.members.digest}": 1}
+            f"view {fleet.members.digest}": 1,
+        }
 
     def events(self, now: int) -> Iterable[list[Any]]:
         seen, self.seen = self.seen, []
@@ -131,6 +142,7 @@
     if kind == "fleet":
         return Member
     from .hollow_configuration import Controlling, Following
+
     made: dict[str, Made] = {"follower": Following, "control": Controlling}
     return made[kind]
 
@@ -185,7 +197,9 @@
         self.lives += 1
         host = self.host
         self.stuck, self.stands_until = [], 0.0
-        self.core = made_by(self.kind)(self.own, self.address, life, host.told[self.kind], host.chance, host.now())
+        self.core = made_by(self.kind)(
+            self.own, self.address, life, host.told[self.kind], host.chance, host.now()
+        )
         gate = getattr(self.core, "gate", None)
         if gate is not None:  # it sends when it likes
             gate.flushes = self.flush
@@ -196,7 +210,9 @@
         if self.core is not core:
             return
         self.host.loop.call_later(TICKS[self.kind], self.ticks, core)
-        if not self.stands_until:  # one that stands still is not ticked; what its tasks do meanwhile waits in `out`
+        if (
+            not self.stands_until
+        ):  # one that stands still is not ticked; what its tasks do meanwhile waits in `out`
             core.tick(self.host.now())
             self.flush()
 
@@ -261,7 +277,9 @@
         self.net = Distances(self.chance)
         self.mouths: dict[str, list[Mouth]] = {}  # by the server's name, one for each of its cores
         self.places: dict[Any, tuple[tuple[str, int], Place]] = {}  # by both forms of the address
-        self.outside: dict[tuple[str, int], Place] = {}  # who is in no host, by the address that it sends from
+        self.outside: dict[
+            tuple[str, int], Place
+        ] = {}  # who is in no host, by the address that it sends from
         self.file: TextIO | None = None
         self.ended = asyncio.Event()
         self.lag = 0.0
@@ -304,7 +322,9 @@
             self.mouths[name] = []
             for kind in self.told:
                 mouth = Mouth(self, own, kind)
-                await self.loop.create_datagram_endpoint(partial(self.same, mouth), local_addr=("127.0.0.1", 0))
+                await self.loop.create_datagram_endpoint(
+                    partial(self.same, mouth), local_addr=("127.0.0.1", 0)
+                )
                 self.mouths[name].append(mouth)
                 found.setdefault(name, {})[kind] = mouth.address
         self.loop.create_task(self.beat())
@@ -315,7 +335,10 @@
         address that
         they send from; `seeds` and the like, by the kind of core."""
         for address, name, region, zone, rack in message.get("places", ()):
-            self.places[address] = self.places[pair(address)] = pair(address), place(name, region, zone, rack)
+            self.places[address] = self.places[pair(address)] = (
+                pair(address),
+                place(name, region, zone, rack),
+            )
         for address, name, region, zone, rack in message.get("outside", ()):
             self.outside[pair(address)] = place(name, region, zone, rack)
         for kind, more in message.get("cores", {}).items():
@@ -352,7 +375,12 @@
         """What each of them cost so far."""
         costs = {}
         for mouth in self.named(message):
-            costs[f"{mouth.own.name}/{mouth.kind}"] = [mouth.outs, mouth.out_bytes, mouth.ins, mouth.in_bytes]
+            costs[f"{mouth.own.name}/{mouth.kind}"] = [
+                mouth.outs,
+                mouth.out_bytes,
+                mouth.ins,
+                mouth.in_bytes,
+            ]
         self.say("costs", costs=costs)
 
     async def end(self, message: dict[str, Any]) -> None:
@@ -361,8 +389,12 @@
     def named(self, message: dict[str, Any]) -> list[Mouth]:
         """Those of `names`, all without it; of one `kind` of core only, where it is said."""
         names, kind = message.get("names"), message.get("kind")
-        return [mouth for name in (self.mouths if names is None else names) for mouth in self.mouths.get(name, ())
-                if kind is None or mouth.kind == kind]
+        return [
+            mouth
+            for name in (self.mouths if names is None else names)
+            for mouth in self.mouths.get(name, ())
+            if kind is None or mouth.kind == kind
+        ]
 
     # Each second.
 
@@ -387,8 +419,11 @@
         for mouths in self.mouths.values():
             for mouth in mouths:
                 mouth.events()
-                totals.update(out=mouth.outs, out_bytes=mouth.out_bytes, **
-                              {"in": mouth.ins, "in_bytes": mouth.in_bytes})
+                totals.update(
+                    out=mouth.outs,
+                    out_bytes=mouth.out_bytes,
+                    **{"in": mouth.ins, "in_bytes": mouth.in_bytes},
+                )
                 if mouth.core is not None:
                     up += 1
                     facts.update(mouth.core.facts(now))
@@ -397,20 +432,17 @@
         if self.file is not None:
             self.file.flush()
         self.say(
-    "second",
-    at=now,
-    cpu_ms=round(
-        (used.ru_utime + used.ru_stime) * 1000,
-        1),
-        rss_kb=resident(),
-        lag_ms=round(
-            lag * 1000,
-            1),
+            "second",
+            at=now,
+            cpu_ms=round((used.ru_utime + used.ru_stime) * 1000, 1),
+            rss_kb=resident(),
+            lag_ms=round(lag * 1000, 1),
             up=up,
             lost=self.net.lost,
             parted=self.net.parted,
             facts=facts,
-             **totals)
+            **totals,
+        )
 
 
 def resident() -> int:
@@ -433,7 +465,8 @@
     "tell": Host.tell,
     "net": Host.network,
     "ask": Host.ask,
-     "end": Host.end}
+    "end": Host.end,
+}
 
 
 async def main() -> None:
@@ -447,6 +480,7 @@
             for line in sys.stdin:
                 loop.call_soon_threadsafe(orders.put_nowait, line)
             loop.call_soon_threadsafe(host.ended.set)
+
     threading.Thread(target=read, daemon=True).start()
 
     async def obey() -> None:
@@ -455,6 +489,7 @@
                 await host.order(json.loads(await orders.get()))
             except Exception as error:  # whoever gave it is told, and the rest goes on
                 host.say("fault", detail=repr(error))
+
     obeying = asyncio.create_task(obey())
     await host.ended.wait()
     obeying.cancel()
--- a/burlloom/lab/hollow_configuration.py
+++ b/burlloom/lab/hollow_configuration.py
@@ -48,7 +48,9 @@
     def take(self, change: Change) -> str | None:
         reason = super().take(change)
         if reason is None:
-            self.seen.append([clock(), "applied", change.epoch, change.revision, digest_of(change.body)])
+            self.seen.append(
+                [clock(), "applied", change.epoch, change.revision, digest_of(change.body)]
+            )
         return reason
 
     def settle(self, head: Head) -> None:
@@ -62,7 +64,10 @@
             after = None
             while True:
                 page = self.table.page(bucket, after, self.table.scopes, PAGE)
-                texts += [msgpack.packb([entry.scope, entry.kind, entry.key, entry.value]) for entry in page.entries]
+                texts += [
+                    msgpack.packb([entry.scope, entry.kind, entry.key, entry.value])
+                    for entry in page.entries
+                ]
                 after = page.last
                 if page.done:
                     break
@@ -83,22 +88,32 @@
 def copy_facts(replica: Replica, age: int | None) -> dict[str, Any]:
     head = replica.head
     return {
-    f"revision {head.revision if head else -1}": 1,
-    "whole": int(
-        replica.whole),
+        f"revision {head.revision if head else -1}": 1,
+        "whole": int(replica.whole),
         "age_ms": age or 0,
-        "ageless": int(
-            age is None)}
+        "ageless": int(age is None),
+    }
 
 
 class Following:
     """A server's side."""
 
-    def __init__(self, own: Place, address: str, life: int, told: dict[str, Any], chance: Random, now: int) -> None:
+    def __init__(
+        self, own: Place, address: str, life: int, told: dict[str, Any], chance: Random, now: int
+    ) -> None:
         region = f"r{own.region}"
         self.replica = Witnessed(Table(("", region)), keys(told)[1])
-        self.follower = Follower(self.replica, own.name, life, region, upstreams(
-            told), keys(told)[0], Terms(**told.get("terms", {})), chance, now)
+        self.follower = Follower(
+            self.replica,
+            own.name,
+            life,
+            region,
+            upstreams(told),
+            keys(told)[0],
+            Terms(**told.get("terms", {})),
+            chance,
+            now,
+        )
         self.out: deque[Any] = self.follower.out
         self.group = region
 
@@ -124,17 +139,23 @@
     def facts(self, now: int) -> dict[str, Any]:
         follower = self.follower
         age = follower.age(now)
-        bin_of_age = "none" if age is None else next(
-            (str(most) for most in (1000, 2000, 3000, 6000, 60_000) if age <= most), "more")
-        return {**copy_facts(self.replica,
-    age),
-    f"state {follower.state.name.lower()}": 1,
-    f"age under {bin_of_age}": 1,
-    "dropped": follower.counts.dropped,
-    "refused": sum(follower.counts.refused.values()),
-    "pulls": follower.counts.pulls,
-    "syncs": follower.counts.syncs,
-     "moves": follower.counts.moves}
+        bin_of_age = (
+            "none"
+            if age is None
+            else next(
+                (str(most) for most in (1000, 2000, 3000, 6000, 60_000) if age <= most), "more"
+            )
+        )
+        return {
+            **copy_facts(self.replica, age),
+            f"state {follower.state.name.lower()}": 1,
+            f"age under {bin_of_age}": 1,
+            "dropped": follower.counts.dropped,
+            "refused": sum(follower.counts.refused.values()),
+            "pulls": follower.counts.pulls,
+            "syncs": follower.counts.syncs,
+            "moves": follower.counts.moves,
+        }
 
     def events(self, now: int) -> Iterable[list[Any]]:
         seen, self.replica.seen = self.replica.seen, []
@@ -155,6 +176,7 @@
             if self.away and name != "close":
                 raise Away("cut off")
             return found
+
         return asked
 
 
@@ -201,14 +223,26 @@
 class Controlling:
     """A control machine, whole, but for its socket."""
 
-    def __init__(self, own: Place, address: str, life: int, told: dict[str, Any], chance: Random, now: int) -> None:
+    def __init__(
+        self, own: Place, address: str, life: int, told: dict[str, Any], chance: Random, now: int
+    ) -> None:
         seals = Keys(Path(told["key_file"]), lambda: keys(told)[0], "seals")
         signing = Keys(Path(told["signing_key_file"]), lambda: keys(told)[1], "signing")
         self.store = Reach(Sqlite(Path(told["store"])))
         self.out: deque[Any] = deque()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as nowhere:
-            self.control = Machine(own.name, f"r{own.region}", nowhere, seals, signing, Terms(
-                **told.get("terms", {})), upstreams(told), self.store, None, chance.getrandbits(32))
+            self.control = Machine(
+                own.name,
+                f"r{own.region}",
+                nowhere,
+                seals,
+                signing,
+                Terms(**told.get("terms", {})),
+                upstreams(told),
+                self.store,
+                None,
+                chance.getrandbits(32),
+            )
         self.gate = self.control.endpoint = Gate(self.out)  # type: ignore[assignment]
         self.task = asyncio.get_running_loop().create_task(self.control.run())
 
@@ -238,21 +272,22 @@
 
     def facts(self, now: int) -> dict[str, Any]:
         control, counts = self.control, self.control.source.counts
-        return {**copy_facts(control.replica,
-    control.age(now)),
-    "followers": len(control.source.followers),
-    "pushed": counts.pushed,
-    "pulled": counts.pulled,
-    "pages": counts.pages,
-    "redirects": counts.redirects,
-    "differing": counts.differing,
-    "dropped": counts.dropped,
-    "refused": sum(counts.refused.values()),
-    "held_back": counts.held_back,
-    "peers": int(control.follower is not None),
-    "broken": control.counts.broken,
-    "renewals": control.counts.renewals,
-     "loads": control.counts.loads}
+        return {
+            **copy_facts(control.replica, control.age(now)),
+            "followers": len(control.source.followers),
+            "pushed": counts.pushed,
+            "pulled": counts.pulled,
+            "pages": counts.pages,
+            "redirects": counts.redirects,
+            "differing": counts.differing,
+            "dropped": counts.dropped,
+            "refused": sum(counts.refused.values()),
+            "held_back": counts.held_back,
+            "peers": int(control.follower is not None),
+            "broken": control.counts.broken,
+            "renewals": control.counts.renewals,
+            "loads": control.counts.loads,
+        }
 
     def events(self, now: int) -> Iterable[list[Any]]:
         return ()  # its followers tell whether what it took is right
--- a/burlloom/lab/load.py
+++ b/burlloom/lab/load.py
@@ -73,9 +73,17 @@
         calls = int(told.calls) + (chance.random() < told.calls % 1)
         work = lognormal(chance, told.work_ms, told.cv)
         number += 1
-        yield Order(number, at, product, drawn(chance.random() * sum(tenants), tenants) if tenants else 0, work,
-                    work * lognormal(chance, 1.0, 0.3), calls, chance.uniform(*world.machines.kb),
-                    min(0.9999, (band[product] + chance.random()) / len(products)))
+        yield Order(
+            number,
+            at,
+            product,
+            drawn(chance.random() * sum(tenants), tenants) if tenants else 0,
+            work,
+            work * lognormal(chance, 1.0, 0.3),
+            calls,
+            chance.uniform(*world.machines.kb),
+            min(0.9999, (band[product] + chance.random()) / len(products)),
+        )
 
 
 def drawn(point: float, shares: list[float]) -> int:
--- a/burlloom/lab/machine.py
+++ b/burlloom/lab/machine.py
@@ -41,7 +41,9 @@
         if not jobs:
             return 0.0
         lost = told.thrash * max(0.0, jobs / told.cores - told.thrash_at) / told.thrash_at
-        return 1000 * self.speed * self.warmth() / self.slow * min(1.0, told.cores / jobs) / (1 + lost)
+        return (
+            1000 * self.speed * self.warmth() / self.slow * min(1.0, told.cores / jobs) / (1 + lost)
+        )
 
     def catch_up(self) -> None:
         span = self.loop.now - self.last
@@ -63,7 +65,9 @@
             left = max(0.0, self.jobs[0][0] - self.virtual)
             # While it warms up its rate rises: looked at again before long.
             wait = left / self.rate()
-            self.timer = self.loop.call_later(min(wait, 0.5) if self.warmth() < 1 else wait, self.due)
+            self.timer = self.loop.call_later(
+                min(wait, 0.5) if self.warmth() < 1 else wait, self.due
+            )
 
     def due(self) -> None:
         self.timer = None
@@ -96,9 +100,14 @@
     """Stands where the server has its link: the same calls in, the same notices out, at once and without
     loss."""
 
-    def __init__(self, cores: Cores, work: Callable[[str], tuple[float, int, float]],
-                 ran: Callable[[str, bytes], None], ended: Callable[[str, End, int, bytes], None],
-                 at_call: Callable[[str, bytes], None]) -> None:
+    def __init__(
+        self,
+        cores: Cores,
+        work: Callable[[str], tuple[float, int, float]],
+        ran: Callable[[str, bytes], None],
+        ended: Callable[[str, End, int, bytes], None],
+        at_call: Callable[[str, bytes], None],
+    ) -> None:
         """`work` gives a txn's work in core ms, its calls and its memory in KB."""
         self.cores, self.work, self.ran, self.ended, self.at_call = cores, work, ran, ended, at_call
         self.runs: dict[str, Run] = {}
@@ -109,7 +118,9 @@
         if id in self.runs:
             return
         work, calls, kb = self.work(id)
-        run = self.runs[id] = Run(id, self.cores.loop.now, [work / (calls + 1)] * (calls + 1), body, kb)
+        run = self.runs[id] = Run(
+            id, self.cores.loop.now, [work / (calls + 1)] * (calls + 1), body, kb
+        )
         self.held += kb
         self.ran(id, body)
         self.go(run)
--- a/burlloom/lab/node.py
+++ b/burlloom/lab/node.py
@@ -48,7 +48,10 @@
         self.attempts: dict[str, "Attempt"] = {}
         self.booked = 0.0  # KB of what was read and is not answered
         self.reading = 0
-        self.version, self.fails = "", 0.0  # the release that it runs, and the share of runs that fail by that
+        self.version, self.fails = (
+            "",
+            0.0,
+        )  # the release that it runs, and the share of runs that fail by that
 
     def start(self, cold: bool) -> None:
         fleet, told = self.fleet, self.fleet.world.machines
@@ -59,20 +62,39 @@
         self.cores = Cores(loop, told, self.speed, loop.now if cold else -1e6)
         self.cores.slow = self.slow
         known, meters = facts(fleet.settings)
-        orders = Orders(self.name, ("", 0), ("", 0), ("", 0), ("", 0), fleet.seed_of(self), int(told.stop_ms * MS), known,
-                        512, 64 << 20, tuple(one.name for one in fleet.world.products),
-                        {one.name: one.share for one in fleet.world.tenants}, meters)
+        orders = Orders(
+            self.name,
+            ("", 0),
+            ("", 0),
+            ("", 0),
+            ("", 0),
+            fleet.seed_of(self),
+            int(told.stop_ms * MS),
+            known,
+            512,
+            64 << 20,
+            tuple(one.name for one in fleet.world.products),
+            {one.name: one.share for one in fleet.world.tenants},
+            meters,
+        )
         with socket.socket() as listener:
-            server = self.server = Server(orders, listener, fleet.keeping, fleet.leveling,
-                                          fleet.fleets.fleeting(self) if fleet.fleets is not None else None,
-                                          fleet.recovering,
-                                          fleet.rolls.rolling(self) if fleet.rolls is not None else None)
+            server = self.server = Server(
+                orders,
+                listener,
+                fleet.keeping,
+                fleet.leveling,
+                fleet.fleets.fleeting(self) if fleet.fleets is not None else None,
+                fleet.recovering,
+                fleet.rolls.rolling(self) if fleet.rolls is not None else None,
+            )
         server.reports.sock.close()
         server.clock = server.front.clock = loop.wall  # type: ignore[assignment]
         server.front.listener = None
         server.reports = Reports(self)  # type: ignore[assignment]
         life = self.life
-        self.executor = Executor(self.cores, self.work, self.ran, lambda *told: self.ended(life, *told), server.at_call)
+        self.executor = Executor(
+            self.cores, self.work, self.ran, lambda *told: self.ended(life, *told), server.at_call
+        )
         server.link, server.pool = self.executor, Pool(fleet.below)  # type: ignore[assignment]
         server.welcome(cold, 0 if cold else 600_000)
 
@@ -112,14 +134,33 @@
         product = fleet.world.products[order.product]
         # Nothing can be answered before it is read: where that alone takes past its expiry, it is due at
         # once.
-        fleet.rules.read(came, self.name, life, attempt.id, max(product.expiry_ms / 1000, fleet.loop.now - came),
-                         order.mark if product.kind == "referenced" else "", product.window_ms / 1000,
-                         product.kind == "once")
+        fleet.rules.read(
+            came,
+            self.name,
+            life,
+            attempt.id,
+            max(product.expiry_ms / 1000, fleet.loop.now - came),
+            order.mark if product.kind == "referenced" else "",
+            product.window_ms / 1000,
+            product.kind == "once",
+        )
         once, tenants = order.mark if product.kind == "referenced" else "", fleet.world.tenants
         attempt.asked = Request(
-            attempt, attempt.number, product.name, attempt.id, fleet.loop.wall() - int((fleet.loop.now - came) * SECOND),
-            attempt.caller.name, int(order.hint * MS), order.kb, order.rank, once,
-            "", order.body, attempt.retry, tenants[order.tenant].name if tenants else "")
+            attempt,
+            attempt.number,
+            product.name,
+            attempt.id,
+            fleet.loop.wall() - int((fleet.loop.now - came) * SECOND),
+            attempt.caller.name,
+            int(order.hint * MS),
+            order.kb,
+            order.rank,
+            once,
+            "",
+            order.body,
+            attempt.retry,
+            tenants[order.tenant].name if tenants else "",
+        )
         server.asked(attempt.asked)
 
     def forget(self, attempt: "Attempt") -> None:
@@ -141,7 +182,12 @@
     def cut(self, attempt: "Attempt") -> None:
         """The connection of this try went."""
         self.fleet.rules.gone(attempt.id)
-        if self.up and self.server is not None and attempt.id in self.attempts and attempt.asked is not None:
+        if (
+            self.up
+            and self.server is not None
+            and attempt.id in self.attempts
+            and attempt.asked is not None
+        ):
             self.server.lost(attempt.asked)
 
     def drain(self) -> None:
@@ -175,8 +221,15 @@
             # What reading takes of the cores is not in its hands: runs alone count. A cold one survives less.
             survives = 1 + (told.tip_multiple - 1) * self.cores.warmth()
             wanting = (len(self.cores.jobs) - self.reading) * told.tip_multiple / survives
-            self.fleet.rules.sees(self.fleet.loop.now, span, self.name, self.life, wanting, told.cores,
-                                  kb / (told.memory_mb * 1000))
+            self.fleet.rules.sees(
+                self.fleet.loop.now,
+                span,
+                self.name,
+                self.life,
+                wanting,
+                told.cores,
+                kb / (told.memory_mb * 1000),
+            )
 
     def sizes(self) -> dict[str, int]:
         """How many of everything that could grow."""
@@ -184,8 +237,19 @@
         if desk is None or self.server is None:
             return {}
         choice = desk.choice
-        return {"seats": len(desk.seats), "refs": len(desk.refs), "callers": len(desk.callers), "wakes": len(desk.wakes),
-                "outbox": len(desk.outbox), "copies": len(desk.copies), "marks": len(desk.ledger.records),
-                "wheel": sum(map(len, desk.ledger.wheel.slots.values())), "cases": len(choice.cases),
-                "live": len(choice.live), "spent": len(choice.spent), "lingering": len(choice.lingering),
-                "serving": len(self.server.serving), "tasks": len(self.server.tasks.running)}
+        return {
+            "seats": len(desk.seats),
+            "refs": len(desk.refs),
+            "callers": len(desk.callers),
+            "wakes": len(desk.wakes),
+            "outbox": len(desk.outbox),
+            "copies": len(desk.copies),
+            "marks": len(desk.ledger.records),
+            "wheel": sum(map(len, desk.ledger.wheel.slots.values())),
+            "cases": len(choice.cases),
+            "live": len(choice.live),
+            "spent": len(choice.spent),
+            "lingering": len(choice.lingering),
+            "serving": len(self.server.serving),
+            "tasks": len(self.server.tasks.running),
+        }
--- a/burlloom/lab/rolls.py
+++ b/burlloom/lab/rolls.py
@@ -66,12 +66,14 @@
             if held:
                 self.page = Page(self.page.revision + 1, self.page.beat, book)
             return held
+
         return bool(await self.way(step))
 
     async def beat(self, epoch: int) -> None:
         def step() -> None:
             if epoch == self.page.book.epoch:
                 self.page = self.page._replace(beat=self.page.beat + 1)
+
         await self.way(step)
 
     async def tell(self, member: Member) -> bool:
@@ -80,6 +82,7 @@
             if known is None or known.life <= member.life:
                 self.told[member.name] = member
             return known is None or known.life <= member.life
+
         return bool(await self.way(step))
 
     async def last(self, name: str) -> Member | None:
@@ -99,7 +102,11 @@
     start."""
 
     def __init__(
-        self, emulator: Emulator, version: str, bad: dict[str, float], restart_s: tuple[float, float]
+        self,
+        emulator: Emulator,
+        version: str,
+        bad: dict[str, float],
+        restart_s: tuple[float, float],
     ) -> None:
         self.emulator, self.bad, self.restart_s = emulator, bad, restart_s
         self.versions = {node.name: version for node in emulator.nodes}
@@ -120,7 +127,10 @@
 
     @property
     def out(self) -> int:
-        return sum(not node.up or node.server is None or node.server.leaving for node in self.emulator.nodes)
+        return sum(
+            not node.up or node.server is None or node.server.leaving
+            for node in self.emulator.nodes
+        )
 
 
 class Agreed(Releases):
@@ -157,13 +167,15 @@
             )
             loop.call_soon(made.open)
             return made
+
         return make
 
     def order(self, order: Callable[[Book], Book]) -> bool:
         """An operator's, taken at once; False where it was denied."""
         try:
-            self.shelf.page = self.shelf.page._replace(revision=self.shelf.page.revision + 1,
-                                                       book=order(self.shelf.page.book))
+            self.shelf.page = self.shelf.page._replace(
+                revision=self.shelf.page.revision + 1, book=order(self.shelf.page.book)
+            )
         except Denied:
             return False
         return True
@@ -177,7 +189,9 @@
     def script(
         self, nodes: Sequence[Node], version: str, most: int, wait_s: float, pause_s: float = 0.0
     ) -> None:
-        asyncio.ensure_future(self.run(nodes, version, most, wait_s, pause_s), loop=self.emulator.loop)
+        asyncio.ensure_future(
+            self.run(nodes, version, most, wait_s, pause_s), loop=self.emulator.loop
+        )
 
     async def run(
         self, nodes: Sequence[Node], version: str, most: int, wait_s: float, pause_s: float
@@ -194,6 +208,8 @@
                 continue
             for _ in range(int(wait_s / 0.25)):
                 await asyncio.sleep(0.25)
-                if all(node.up and node.life > life and node.server is not None and node.server.good()
-                       for node, life in zip(batch, lives, strict=True)):
+                if all(
+                    node.up and node.life > life and node.server is not None and node.server.good()
+                    for node, life in zip(batch, lives, strict=True)
+                ):
                     break
--- a/burlloom/lab/rules.py
+++ b/burlloom/lab/rules.py
@@ -36,11 +36,20 @@
 class Rules:
     """`remembers`: the nodes keep a record, so that a mark counts over their lives."""
 
-    def __init__(self, grace: float, tip_multiple: float, calls_most: float, remembers: bool = False) -> None:
-        self.grace, self.tip_multiple, self.calls_most, self.remembers = grace, tip_multiple, calls_most, remembers
+    def __init__(
+        self, grace: float, tip_multiple: float, calls_most: float, remembers: bool = False
+    ) -> None:
+        self.grace, self.tip_multiple, self.calls_most, self.remembers = (
+            grace,
+            tip_multiple,
+            calls_most,
+            remembers,
+        )
         self.tries: dict[str, Try] = {}
         self.lives: dict[tuple[str, int], Life] = {}
-        self.marks: dict[tuple[str, int, str], tuple[float, str]] = {}  # when the try that ran came, and its id
+        self.marks: dict[
+            tuple[str, int, str], tuple[float, str]
+        ] = {}  # when the try that ran came, and its id
         self.results: dict[str, bytes] = {}
         self.faults: list[str] = []
         self.count: Counter[str] = Counter()
@@ -53,8 +62,17 @@
     def life(self, node: str, life: int) -> Life:
         return self.lives.setdefault((node, life), Life())
 
-    def read(self, at: float, node: str, life: int, id: str, expiry: float, mark: str = "", window: float = 0.0,
-             once: bool = False) -> None:
+    def read(
+        self,
+        at: float,
+        node: str,
+        life: int,
+        id: str,
+        expiry: float,
+        mark: str = "",
+        window: float = 0.0,
+        once: bool = False,
+    ) -> None:
         """A node has a try; its answer is due `expiry` after it came."""
         if id in self.tries:
             self.fault(at, f"{id} was sent twice")  # a fault of the rig's
@@ -77,7 +95,10 @@
         if life.ended:
             self.fault(at, f"{id} runs on {one.node}, which is over")
         if 0 <= life.drained_at < one.at - self.grace - SLACK:
-            self.fault(at, f"{id} came {one.at - life.drained_at:.3f} s into a drain of {one.node} and runs")
+            self.fault(
+                at,
+                f"{id} came {one.at - life.drained_at:.3f} s into a drain of {one.node} and runs",
+            )
         one.ran = True
         if one.mark:
             before, first = self.marks.get(self.key(one), (-1e9, ""))
@@ -120,7 +141,10 @@
         known = self.life(node, life)
         known.ended = True
         if not killed and known.open:
-            self.fault(at, f"{node} stops and leaves {len(known.open)} unanswered, {min(known.open)} among them")
+            self.fault(
+                at,
+                f"{node} stops and leaves {len(known.open)} unanswered, {min(known.open)} among them",
+            )
         known.open.clear()
 
     def gone(self, id: str) -> None:
@@ -129,7 +153,16 @@
         if one is not None:
             self.life(one.node, one.life).open.discard(id)
 
-    def sees(self, at: float, span: float, node: str, life: int, wanting: float, cores: int, memory_share: float) -> None:
+    def sees(
+        self,
+        at: float,
+        span: float,
+        node: str,
+        life: int,
+        wanting: float,
+        cores: int,
+        memory_share: float,
+    ) -> None:
         """A look at a node, `span` s after the one before it."""
         known = self.life(node, life)
         known.crowd += (wanting / cores - known.crowd) * min(1.0, span / CROWD_FOR)
--- a/burlloom/lab/slopes.py
+++ b/burlloom/lab/slopes.py
@@ -58,27 +58,41 @@
 
 
 def grown(shape: str, size: float) -> float:
-    return {"flat": 0.0, "log": math.log2(max(size, 1.0)), "linear": size, "square": size * size}[shape]
+    return {"flat": 0.0, "log": math.log2(max(size, 1.0)), "linear": size, "square": size * size}[
+        shape
+    ]
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Fit:
     """The plainest shape whose residual is within a tenth of the best one's, or under 5%. Raises `ValueError` for fewer
     than five sizes, or for what is no finite positive size."""
     if len(set(sizes)) < SIZES_LEAST or len(sizes) != len(values):
-        raise ValueError(f"{len(set(sizes))} sizes with {len(values)} values: a slope wants {SIZES_LEAST} sizes, each with one")
-    if not all(math.isfinite(one) for one in (*sizes, *values)) or min(sizes) <= 0 or min(values) < 0:
+        raise ValueError(
+            f"{len(set(sizes))} sizes with {len(values)} values: a slope wants {SIZES_LEAST} sizes, each with one"
+        )
+    if (
+        not all(math.isfinite(one) for one in (*sizes, *values))
+        or min(sizes) <= 0
+        or min(values) < 0
+    ):
         raise ValueError("sizes are over 0, values at least 0, and all are finite")
     x, y = np.array(sizes, float), np.array(values, float)
     usable = y > 0
-    exponent = float(np.polyfit(np.log(x[usable]), np.log(y[usable]), 1)[0]) if usable.sum() > 1 else 0.0
+    exponent = (
+        float(np.polyfit(np.log(x[usable]), np.log(y[usable]), 1)[0]) if usable.sum() > 1 else 0.0
+    )
     found = [with_shape(shape, x, y, exponent) for shape in SHAPES]
     best = min(one.residual for one in found)
     good = [one for one in found if one.residual <= max(1.1 * best, 0.05)]
     return good[0]
 
 
-def with_shape(shape: str, x: "np.ndarray[tuple[int], np.dtype[np.float64]]", y: "np.ndarray[tuple[int], np.dtype[np.float64]]",
-               exponent: float) -> Fit:
+def with_shape(
+    shape: str,
+    x: "np.ndarray[tuple[int], np.dtype[np.float64]]",
+    y: "np.ndarray[tuple[int], np.dtype[np.float64]]",
+    exponent: float,
+) -> Fit:
     g = np.array([grown(shape, size) for size in x])
     scale = np.maximum(np.abs(y), 1e-12)  # relative errors count, so that small sizes do too
     if shape == "flat":
@@ -99,9 +113,15 @@
 def keep(row: Row, path: Path = KEPT) -> Row:
     """Appends the row, with when, on which text and on how many cores it was measured. Raises `ValueError` as `fit`."""
     if row.state not in STATES or row.side not in ("now", "before"):
-        raise ValueError(f"state {row.state!r} is none of {', '.join(STATES)}, or side {row.side!r} is neither now nor before")
+        raise ValueError(
+            f"state {row.state!r} is none of {', '.join(STATES)}, or side {row.side!r} is neither now nor before"
+        )
     fit(row.sizes, row.values)
-    told = asdict(row) | {"at": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime()), "text": text_now(), "cores": os.cpu_count() or 0}
+    told = asdict(row) | {
+        "at": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime()),
+        "text": text_now(),
+        "cores": os.cpu_count() or 0,
+    }
     with open(path, "a", encoding="utf-8") as file:
         file.write(json.dumps(told) + "\n")
     return row_of(told)
@@ -109,9 +129,15 @@
 
 def text_now() -> str:
     """The commit that is checked out, with + if files differ from it; empty outside of a checkout."""
+
     def git(*words: str) -> str:
-        return subprocess.run(["git", *words], cwd=KEPT.parent, capture_output=True, text=True, check=False).stdout.strip()
-    return git("rev-parse", "--short", "HEAD") + ("+" if git("status", "--porcelain", "--untracked-files=no", "../burlloom") else "")
+        return subprocess.run(
+            ["git", *words], cwd=KEPT.parent, capture_output=True, text=True, check=False
+        ).stdout.strip()
+
+    return git("rev-parse", "--short", "HEAD") + (
+        "+" if git("status", "--porcelain", "--untracked-files=no", "../burlloom") else ""
+    )
 
 
 def row_of(told: dict[str, object]) -> Row:
@@ -127,7 +153,11 @@
     """All rows, oldest first."""
     if not path.exists():
         return []
-    return [row_of(json.loads(line)) for line in path.read_text(encoding="utf-8").splitlines() if line.strip()]
+    return [
+        row_of(json.loads(line))
+        for line in path.read_text(encoding="utf-8").splitlines()
+        if line.strip()
+    ]
 
 
 def newest(rows: Iterable[Row]) -> dict[tuple[str, str, str], Row]:
--- a/burlloom/lab/variants.py
+++ b/burlloom/lab/variants.py
@@ -16,17 +16,32 @@
 def leveler(plan: Plan, terms: Terms | None = None) -> Leveler:
     def make(server: Server) -> Leveling:
         facts, orders = server.orders.facts, server.orders
-        return Leveled(plan, tuple(zip(orders.products, facts.products, strict=True)),
-                       orders.tenants, facts.cores, lambda: server.clock(),
-                       lambda: len(server.front.connections) / server.front.most, terms=terms,
-                       meters=frozenset(orders.meters))
+        return Leveled(
+            plan,
+            tuple(zip(orders.products, facts.products, strict=True)),
+            orders.tenants,
+            facts.cores,
+            lambda: server.clock(),
+            lambda: len(server.front.connections) / server.front.most,
+            terms=terms,
+            meters=frozenset(orders.meters),
+        )
+
     return make
 
 
 def without_hysteresis(plan: Plan) -> Plan:
     """Each level is left where it was entered."""
-    levels = tuple(replace(level, bounds={name: Bounds(bound.enter, bound.enter * 0.999)
-                                          for name, bound in level.bounds.items()}) for level in plan.levels)
+    levels = tuple(
+        replace(
+            level,
+            bounds={
+                name: Bounds(bound.enter, bound.enter * 0.999)
+                for name, bound in level.bounds.items()
+            },
+        )
+        for level in plan.levels
+    )
     return replace(plan, levels=levels)
 
 
@@ -36,15 +51,26 @@
 
 def threshold() -> Terms:
     """Moves each round that says so."""
-    return Terms(DEFAULT.automatic, dwell=0, stay=0, stay_most=0, relapse=0, trial=0, changes_most=UNBOUND, grows=False,
-                 trials=False)
+    return Terms(
+        DEFAULT.automatic,
+        dwell=0,
+        stay=0,
+        stay_most=0,
+        relapse=0,
+        trial=0,
+        changes_most=UNBOUND,
+        grows=False,
+        trials=False,
+    )
 
 
 VARIANTS: dict[str, Callable[[], Leveler]] = {
     "none": lambda: None,
     "levels": lambda: leveler(DEFAULT),
     "threshold": lambda: leveler(without_hysteresis(DEFAULT), threshold()),
-    "threshold-hold": lambda: leveler(without_hysteresis(DEFAULT), replace(threshold(), dwell=SECOND, stay=3 * SECOND)),
+    "threshold-hold": lambda: leveler(
+        without_hysteresis(DEFAULT), replace(threshold(), dwell=SECOND, stay=3 * SECOND)
+    ),
     "no-stay": lambda: leveler(DEFAULT, replace(base(), stay=0, grows=False)),
     "no-growth": lambda: leveler(DEFAULT, replace(base(), grows=False)),
     "no-trial": lambda: leveler(DEFAULT, replace(base(), trials=False)),
--- a/burlloom/lab/world.py
+++ b/burlloom/lab/world.py
@@ -20,7 +20,11 @@
     @model_validator(mode="after")
     def ranges_in_order(self) -> Self:
         for name, value in self:
-            if isinstance(value, tuple) and len(value) == 2 and all(isinstance(one, float) for one in value):
+            if (
+                isinstance(value, tuple)
+                and len(value) == 2
+                and all(isinstance(one, float) for one in value)
+            ):
                 if value[0] > value[1]:
                     raise ValueError(f"{name}: from {value[0]:g} to {value[1]:g} is no range")
         return self
@@ -135,7 +139,19 @@
     below-gone: the catalogue. restart: those callers start again at once, with all open tries lost. flood:
     `size` times the retries of one product, as from callers without limit. deaf: gauges are not told."""
 
-    kind: Literal["kill", "join", "leave", "release", "cut", "slow", "below-slow", "below-gone", "restart", "flood", "deaf"]
+    kind: Literal[
+        "kill",
+        "join",
+        "leave",
+        "release",
+        "cut",
+        "slow",
+        "below-slow",
+        "below-gone",
+        "restart",
+        "flood",
+        "deaf",
+    ]
     at_s: Annotated[float, Field(ge=0)]
     for_s: Annotated[float, Field(ge=0)] = 5
     part: Share = 0.2
@@ -162,9 +178,13 @@
             raise ValueError("products: a name stands twice")
         for at, fault in enumerate(self.faults):
             if fault.kind == "flood" and fault.product not in names:
-                raise ValueError(f"faults.{at}.product: {fault.product!r} is none of {', '.join(names)}")
+                raise ValueError(
+                    f"faults.{at}.product: {fault.product!r} is none of {', '.join(names)}"
+                )
             if fault.at_s >= self.seconds:
-                raise ValueError(f"faults.{at}.at_s: {fault.at_s:g} is past the end, {self.seconds:g}")
+                raise ValueError(
+                    f"faults.{at}.at_s: {fault.at_s:g} is past the end, {self.seconds:g}"
+                )
         return self
 
     @property
@@ -184,16 +204,38 @@
         return {
             "servers": servers,
             "categories": [
-                {"name": product.name, "worth": product.value, "aim": int(product.sla_ms * 1000), "late_share": 0.0,
-                 "deadline": int(product.expiry_ms * 1000), "idempotency": KINDS[product.kind],
-                 "window": int(product.window_ms * 1000)} for product in self.products],
-            "extra": {"n_cores": machines.cores, "memory_kb": machines.memory_mb * 1000, "blowup": machines.run_factor,
-                      "key_kb": 1.0, "depends_on": "one_for_all", "calls_out": slots / servers, "calls_over": 5_000_000,
-                      "class_calls": [product.calls > 0 for product in self.products], "lingers": 200_000,
-                      "idle": 15_000_000, "say": "floor", "said_for": 1_000_000,
-                      "meters": ["core_use", "on_cores", "heap_share", "links"]},
-            "rules": {"tip_multiple": machines.tip_multiple, "cold_from": machines.cold_from,
-                      "warm_up": int(machines.warm_s * 1e6), "drain_grace": int(machines.grace_ms * 1000)},
+                {
+                    "name": product.name,
+                    "worth": product.value,
+                    "aim": int(product.sla_ms * 1000),
+                    "late_share": 0.0,
+                    "deadline": int(product.expiry_ms * 1000),
+                    "idempotency": KINDS[product.kind],
+                    "window": int(product.window_ms * 1000),
+                }
+                for product in self.products
+            ],
+            "extra": {
+                "n_cores": machines.cores,
+                "memory_kb": machines.memory_mb * 1000,
+                "blowup": machines.run_factor,
+                "key_kb": 1.0,
+                "depends_on": "one_for_all",
+                "calls_out": slots / servers,
+                "calls_over": 5_000_000,
+                "class_calls": [product.calls > 0 for product in self.products],
+                "lingers": 200_000,
+                "idle": 15_000_000,
+                "say": "floor",
+                "said_for": 1_000_000,
+                "meters": ["core_use", "on_cores", "heap_share", "links"],
+            },
+            "rules": {
+                "tip_multiple": machines.tip_multiple,
+                "cold_from": machines.cold_from,
+                "warm_up": int(machines.warm_s * 1e6),
+                "drain_grace": int(machines.grace_ms * 1000),
+            },
             "limits": {"retry_after": True, "max_retry_after": 1_000_000},
             "tenants": [{"name": tenant.name, "portion": tenant.share} for tenant in self.tenants],
         }
--- a/burlloom/levels/__init__.py
+++ b/burlloom/levels/__init__.py
@@ -5,5 +5,25 @@
 from .signals import NAMES, Bounds, Readings, Signals, Tenants
 from .watch import Levels, Moved, Pin
 
-__all__ = ["DEFAULT", "Bounds", "Change", "Input", "Ladder", "Level", "Levels", "Moved", "NAMES", "Phase", "Pin", "Plan",
-           "PlanFaults", "Readings", "Signals", "Standing", "Tenants", "Terms", "most_changes", "reliefs"]
+__all__ = [
+    "DEFAULT",
+    "Bounds",
+    "Change",
+    "Input",
+    "Ladder",
+    "Level",
+    "Levels",
+    "Moved",
+    "NAMES",
+    "Phase",
+    "Pin",
+    "Plan",
+    "PlanFaults",
+    "Readings",
+    "Signals",
+    "Standing",
+    "Tenants",
+    "Terms",
+    "most_changes",
+    "reliefs",
+]
--- a/burlloom/levels/ladder.py
+++ b/burlloom/levels/ladder.py
@@ -22,7 +22,12 @@
 
 SECOND = 1_000_000_000
 MINUTE = 60 * SECOND
-PARTS = (0.1, 0.3, 0.6, 0.9)  # of the callers, that a trial serves at the level above, one after the other
+PARTS = (
+    0.1,
+    0.3,
+    0.6,
+    0.9,
+)  # of the callers, that a trial serves at the level above, one after the other
 
 
 class Phase(IntEnum):
@@ -95,8 +100,10 @@
 
     def __post_init__(self) -> None:
         if self.changes_most < self.levels:
-            raise ValueError(f"changes_most {self.changes_most} is under the {self.levels} levels: from the last one a node"
-                             " could never come back to the first")
+            raise ValueError(
+                f"changes_most {self.changes_most} is under the {self.levels} levels: from the last one a node"
+                " could never come back to the first"
+            )
 
 
 class Change(NamedTuple):
@@ -171,24 +178,35 @@
 
     def doubled(self, at: Standing, level: int) -> tuple[int, ...]:
         """The stays, with that of this level doubled once more."""
-        if not self.terms.grows or level >= len(at.stays) or self.terms.stay << at.stays[level] >= self.terms.stay_most:
+        if (
+            not self.terms.grows
+            or level >= len(at.stays)
+            or self.terms.stay << at.stays[level] >= self.terms.stay_most
+        ):
             return at.stays
-        return (*at.stays[:level], at.stays[level] + 1, *at.stays[level + 1:])
+        return (*at.stays[:level], at.stays[level] + 1, *at.stays[level + 1 :])
 
     def calm(self, at: Standing, now: int) -> Standing:
         """Time spent calm on a level that it came up to forgives the one below a doubling, each `relapse`
         one."""
         below = at.level + 1
-        if (at.phase is Phase.STEADY and at.rose and now - at.calmed >= self.terms.relapse and below < len(at.stays)
-                and at.stays[below]):
-            stays = (*at.stays[:below], at.stays[below] - 1, *at.stays[below + 1:])
+        if (
+            at.phase is Phase.STEADY
+            and at.rose
+            and now - at.calmed >= self.terms.relapse
+            and below < len(at.stays)
+            and at.stays[below]
+        ):
+            stays = (*at.stays[:below], at.stays[below] - 1, *at.stays[below + 1 :])
             return at._replace(stays=stays, calmed=now)
         return at
 
     def fallen(self, at: Standing, now: int, level: int) -> Standing:
         early = bool(at.rose) and now - at.rose < self.terms.relapse
         stays = self.doubled(at, level) if early else at.stays
-        return at._replace(level=level, part=-1, since=now, rose=0, stays=stays, changes=(*at.changes, now))
+        return at._replace(
+            level=level, part=-1, since=now, rose=0, stays=stays, changes=(*at.changes, now)
+        )
 
     def down(self, at: Standing, now: int, target: int) -> Standing:
         return self.fallen(at, now, at.level + 1)
@@ -206,8 +224,9 @@
         return at._replace(part=-1, since=now, stays=self.doubled(at, at.level))
 
     def up(self, at: Standing, now: int, target: int) -> Standing:
-        return at._replace(level=at.level - 1, part=-1, since=now, rose=now, calmed=now,
-                           changes=(*at.changes, now))
+        return at._replace(
+            level=at.level - 1, part=-1, since=now, rose=now, calmed=now, changes=(*at.changes, now)
+        )
 
     def pin(self, at: Standing, now: int, target: int) -> Standing:
         return at._replace(level=target, part=-1, since=now, rose=0)
@@ -232,5 +251,7 @@
 
 
 RULES = rules(TABLE)
-EFFECTS: dict[str, Effect] = {name: getattr(Ladder, name) for name in (
-    "down", "drop", "begin", "widen", "abort", "up", "pin", "release")}
+EFFECTS: dict[str, Effect] = {
+    name: getattr(Ladder, name)
+    for name in ("down", "drop", "begin", "widen", "abort", "up", "pin", "release")
+}
--- a/burlloom/levels/plan.py
+++ b/burlloom/levels/plan.py
@@ -48,7 +48,10 @@
     def automatic(self) -> int:
         """How many the ladder walks by itself: up to the last that has bounds, or that an emergency names."""
         named = {name for _, name in self.emergencies.values()}
-        return max((at + 1 for at, level in enumerate(self.levels) if level.bounds or level.name in named), default=1)
+        return max(
+            (at + 1 for at, level in enumerate(self.levels) if level.bounds or level.name in named),
+            default=1,
+        )
 
     def index(self, name: str) -> int:
         return next(at for at, level in enumerate(self.levels) if level.name == name)
@@ -62,7 +65,9 @@
         self.lines = lines
 
 
-def faults(plan: Plan, products: Sequence[tuple[str, Product]] = (), signals: Sequence[str] = ()) -> list[str]:
+def faults(
+    plan: Plan, products: Sequence[tuple[str, Product]] = (), signals: Sequence[str] = ()
+) -> list[str]:
     """All that is wrong with it, each with its place; against these products, where they are known."""
     found: list[str] = []
     names = [level.name for level in plan.levels]
@@ -71,43 +76,78 @@
         return ["levels: there is none"]
     if takes(plan.levels[0]):
         found.append(f"levels.0 ({names[0]}): the first level takes nothing away")
-    found += [f"levels.{at} ({name}): the name stands twice" for at, name in enumerate(names) if name in names[:at]]
-    found += [f"levels.{at}: a level needs a name of plain letters" for at, name in enumerate(names)
-              if not name.replace("-", "").replace("_", "").isalnum()]
+    found += [
+        f"levels.{at} ({name}): the name stands twice"
+        for at, name in enumerate(names)
+        if name in names[:at]
+    ]
+    found += [
+        f"levels.{at}: a level needs a name of plain letters"
+        for at, name in enumerate(names)
+        if not name.replace("-", "").replace("_", "").isalnum()
+    ]
     for at, level in enumerate(plan.levels):
         place = f"levels.{at} ({level.name})"
         for signal, bound in level.bounds.items():
             if signals and signal not in signals:
-                found.append(f"{place}.{signal}: there is no such signal; known are {', '.join(signals)}")
+                found.append(
+                    f"{place}.{signal}: there is no such signal; known are {', '.join(signals)}"
+                )
             if bound.leave >= bound.enter:
-                found.append(f"{place}.{signal}: it is left at {bound.leave:g}, which is not below its entry"
-                             f" {bound.enter:g}")
+                found.append(
+                    f"{place}.{signal}: it is left at {bound.leave:g}, which is not below its entry"
+                    f" {bound.enter:g}"
+                )
         if not 0 <= level.hold <= 1:
             found.append(f"{place}.hold: {level.hold:g} is no share from 0 to 1")
-        for what, listed in (("products", level.products), ("kept", level.kept), ("skips", level.skips)):
+        for what, listed in (
+            ("products", level.products),
+            ("kept", level.kept),
+            ("skips", level.skips),
+        ):
             for name in listed:
                 product = known.get(name)
                 if known and product is None:
-                    found.append(f"{place}.{what}: there is no product {name!r}; known are {', '.join(known)}")
-                elif product is not None and what == "kept" and product.repeatable is not Repeatable.INQUIRY:
-                    found.append(f"{place}.kept: {name} has an effect: what is kept of it can't stand for another's")
+                    found.append(
+                        f"{place}.{what}: there is no product {name!r}; known are {', '.join(known)}"
+                    )
+                elif (
+                    product is not None
+                    and what == "kept"
+                    and product.repeatable is not Repeatable.INQUIRY
+                ):
+                    found.append(
+                        f"{place}.kept: {name} has an effect: what is kept of it can't stand for another's"
+                    )
                 elif product is not None and what == "kept" and not product.stale:
-                    found.append(f"{place}.kept: {name} allows no kept result; say for how long in kept_ms")
+                    found.append(
+                        f"{place}.kept: {name} allows no kept result; say for how long in kept_ms"
+                    )
                 elif product is not None and what == "skips" and not product.skip_share:
-                    found.append(f"{place}.skips: an answer of {name} is worth nothing without its calls here")
+                    found.append(
+                        f"{place}.skips: an answer of {name} is worth nothing without its calls here"
+                    )
         if at and level.bounds and not plan.levels[at - 1].bounds and at > 1:
-            found.append(f"{place}: it has bounds and {names[at - 1]} before it has none: it could never be reached")
+            found.append(
+                f"{place}: it has bounds and {names[at - 1]} before it has none: it could never be reached"
+            )
         if at > 1:
             for signal in level.bounds.keys() & plan.levels[at - 1].bounds.keys():
                 before = plan.levels[at - 1].bounds[signal]
                 if level.bounds[signal].enter < before.enter:
-                    found.append(f"{place}.{signal}: it is entered at {level.bounds[signal].enter:g}, before"
-                                 f" {names[at - 1]} at {before.enter:g}: levels out of order")
+                    found.append(
+                        f"{place}.{signal}: it is entered at {level.bounds[signal].enter:g}, before"
+                        f" {names[at - 1]} at {before.enter:g}: levels out of order"
+                    )
     for signal, (_, name) in plan.emergencies.items():
         if signals and signal not in signals:
-            found.append(f"emergencies.{signal}: there is no such signal; known are {', '.join(signals)}")
+            found.append(
+                f"emergencies.{signal}: there is no such signal; known are {', '.join(signals)}"
+            )
         if name not in names:
-            found.append(f"emergencies.{signal}: there is no level {name!r}; known are {', '.join(names)}")
+            found.append(
+                f"emergencies.{signal}: there is no level {name!r}; known are {', '.join(names)}"
+            )
     if plan.cold and plan.cold not in names:
         found.append(f"cold: there is no level {plan.cold!r}; known are {', '.join(names)}")
     return found
@@ -115,8 +155,16 @@
 
 def takes(level: Level) -> bool:
     """Whether it takes anything away at all."""
-    return bool(level.gives_up or level.products or level.kept or level.skips or level.repeats or level.over_share
-                or level.hold < 1 or level.bounds)
+    return bool(
+        level.gives_up
+        or level.products
+        or level.kept
+        or level.skips
+        or level.repeats
+        or level.over_share
+        or level.hold < 1
+        or level.bounds
+    )
 
 
 def reliefs(plan: Plan, products: Sequence[tuple[str, Product]]) -> tuple[Relief, ...]:
@@ -130,17 +178,36 @@
         if not at:
             made.append(Relief())
             continue
-        gone = set(values[:level.gives_up]) if level.gives_up == ALL else set(values[:-1][:level.gives_up])
-        declined = tuple(product.value in gone or name in level.products for name, product in products)
+        gone = (
+            set(values[: level.gives_up])
+            if level.gives_up == ALL
+            else set(values[:-1][: level.gives_up])
+        )
+        declined = tuple(
+            product.value in gone or name in level.products for name, product in products
+        )
         kept = tuple(name in level.kept for name, _ in products)
         # Of what has an effect, a marked retry may be of one that ran elsewhere: only what may run again is
         # refused for it.
-        repeats = tuple(level.repeats and product.repeatable is Repeatable.INQUIRY for _, product in products)
-        lowest = [product.value for (_, product), away in zip(products, declined, strict=True) if not away]
+        repeats = tuple(
+            level.repeats and product.repeatable is Repeatable.INQUIRY for _, product in products
+        )
+        lowest = [
+            product.value for (_, product), away in zip(products, declined, strict=True) if not away
+        ]
         floor = sum(value < min(lowest) for value in values) / len(values) if lowest else 1.0
-        made.append(Relief(level.name, tuple(away and not stays for away, stays in zip(declined, kept, strict=True)), kept,
-                           repeats, tuple(name in level.skips for name, _ in products), level.over_share, level.hold,
-                           floor))
+        made.append(
+            Relief(
+                level.name,
+                tuple(away and not stays for away, stays in zip(declined, kept, strict=True)),
+                kept,
+                repeats,
+                tuple(name in level.skips for name, _ in products),
+                level.over_share,
+                level.hold,
+                floor,
+            )
+        )
     return tuple(made)
 
 
@@ -149,15 +216,54 @@
 DEFAULT = Plan(
     levels=(
         Level("normal"),
-        Level("lean", {"press": Bounds(0.15, 0.05), "use": Bounds(NEVER, 0.90), "age": Bounds(0.30, 0.10), "lag": Bounds(0.25, 0.10), "late": Bounds(0.05, 0.02),
-                       "calls": Bounds(0.20, 0.05), "memory": Bounds(0.85, 0.70), "sockets": Bounds(0.85, 0.70)},
-              repeats=True, over_share=True, optional=False),
-        Level("essential", {"press": Bounds(0.50, 0.05), "use": Bounds(NEVER, 0.75), "age": Bounds(0.40, 0.10), "lag": Bounds(0.40, 0.10), "late": Bounds(0.10, 0.02),
-                            "calls": Bounds(0.40, 0.05), "memory": Bounds(0.90, 0.70)},
-              gives_up=1, repeats=True, over_share=True, optional=False),
-        Level("highest", {"press": Bounds(0.95, 0.05), "use": Bounds(NEVER, 0.60), "lag": Bounds(1.00, 0.15), "late": Bounds(0.35, 0.02), "calls": Bounds(0.70, 0.05),
-                          "memory": Bounds(0.95, 0.70)},
-              gives_up=ALL - 1, repeats=True, over_share=True, hold=0.5, optional=False),
+        Level(
+            "lean",
+            {
+                "press": Bounds(0.15, 0.05),
+                "use": Bounds(NEVER, 0.90),
+                "age": Bounds(0.30, 0.10),
+                "lag": Bounds(0.25, 0.10),
+                "late": Bounds(0.05, 0.02),
+                "calls": Bounds(0.20, 0.05),
+                "memory": Bounds(0.85, 0.70),
+                "sockets": Bounds(0.85, 0.70),
+            },
+            repeats=True,
+            over_share=True,
+            optional=False,
+        ),
+        Level(
+            "essential",
+            {
+                "press": Bounds(0.50, 0.05),
+                "use": Bounds(NEVER, 0.75),
+                "age": Bounds(0.40, 0.10),
+                "lag": Bounds(0.40, 0.10),
+                "late": Bounds(0.10, 0.02),
+                "calls": Bounds(0.40, 0.05),
+                "memory": Bounds(0.90, 0.70),
+            },
+            gives_up=1,
+            repeats=True,
+            over_share=True,
+            optional=False,
+        ),
+        Level(
+            "highest",
+            {
+                "press": Bounds(0.95, 0.05),
+                "use": Bounds(NEVER, 0.60),
+                "lag": Bounds(1.00, 0.15),
+                "late": Bounds(0.35, 0.02),
+                "calls": Bounds(0.70, 0.05),
+                "memory": Bounds(0.95, 0.70),
+            },
+            gives_up=ALL - 1,
+            repeats=True,
+            over_share=True,
+            hold=0.5,
+            optional=False,
+        ),
         Level(DRAIN, gives_up=ALL, repeats=True, over_share=True, hold=0.0, optional=False),
     ),
     emergencies={"memory": (0.98, "highest")},
--- a/burlloom/levels/signals.py
+++ b/burlloom/levels/signals.py
@@ -90,7 +90,10 @@
 
     def values(self, now: int) -> dict[str, float]:
         """Those that are known; a stale one is left out."""
-        found = {name: ring.peak(now) if name in PEAKS else ring.mean(now) for name, ring in self.rings.items()}
+        found = {
+            name: ring.peak(now) if name in PEAKS else ring.mean(now)
+            for name, ring in self.rings.items()
+        }
         return {name: value for name, value in found.items() if value is not None}
 
 
@@ -102,10 +105,15 @@
     leave: float
 
 
-def reached(bounds: Mapping[str, Bounds], values: Mapping[str, float]) -> tuple[str, float, float] | None:
+def reached(
+    bounds: Mapping[str, Bounds], values: Mapping[str, float]
+) -> tuple[str, float, float] | None:
     """The signal that calls for a level, the one furthest past its entry: name, value, entry."""
-    found = [(value / bound.enter, name, value, bound.enter) for name, bound in bounds.items()
-             if (value := values.get(name)) is not None and value >= bound.enter]
+    found = [
+        (value / bound.enter, name, value, bound.enter)
+        for name, bound in bounds.items()
+        if (value := values.get(name)) is not None and value >= bound.enter
+    ]
     return max(found)[1:] if found else None
 
 
@@ -141,8 +149,14 @@
     `share`, where given, says a tenant's share of the whole at any time, None of one that is not known; then
     `portions` count for nothing. The RINGS_MOST that were read last are measured."""
 
-    def __init__(self, portions: Iterable[tuple[str, float]], span: int = 10 * SECOND, factor: float = 1.25,
-                 sure: float = 4.0, share: Callable[[str], float | None] | None = None) -> None:
+    def __init__(
+        self,
+        portions: Iterable[tuple[str, float]],
+        span: int = 10 * SECOND,
+        factor: float = 1.25,
+        sure: float = 4.0,
+        share: Callable[[str], float | None] | None = None,
+    ) -> None:
         told = dict(portions)
         whole = sum(told.values()) or 1.0
         self.share = share or {name: portion / whole for name, portion in told.items()}.get
--- a/burlloom/levels/watch.py
+++ b/burlloom/levels/watch.py
@@ -36,23 +36,39 @@
 class Levels:
     """`reliefs` are the plan's levels as the decisions take them (`plan.reliefs`)."""
 
-    def __init__(self, plan: Plan, reliefs: tuple[Relief, ...], now: int, terms: Terms | None = None, *, cold: bool = False,
-                 died_at: str = "", measured: Collection[str] = NAMES) -> None:
+    def __init__(
+        self,
+        plan: Plan,
+        reliefs: tuple[Relief, ...],
+        now: int,
+        terms: Terms | None = None,
+        *,
+        cold: bool = False,
+        died_at: str = "",
+        measured: Collection[str] = NAMES,
+    ) -> None:
         """`died_at`: the level that a record says this node's last life stood at. `measured`: the signals
         that this node has at all; bounds on others do not count, else one that is never told would hold it
         down for good."""
         self.plan, self.reliefs = plan, reliefs
-        self.bounds = [{name: bound for name, bound in level.bounds.items() if name in measured} for level in plan.levels]
+        self.bounds = [
+            {name: bound for name, bound in level.bounds.items() if name in measured}
+            for level in plan.levels
+        ]
         self.ladder = Ladder(terms or Terms(plan.automatic, changes_most=max(4, plan.automatic)))
         names = [level.name for level in plan.levels]
-        starts = [names.index(name) for name in (plan.cold if cold else "", died_at) if name in names]
+        starts = [
+            names.index(name) for name in (plan.cold if cold else "", died_at) if name in names
+        ]
         # One that died where only a pin puts a node comes back to the last level that it can leave by itself.
         first = min(max(starts, default=0), self.ladder.terms.levels - 1)
         self.standing = self.ladder.start(first, now)
         self.signals = Signals()
         self.values: dict[str, float] = {}
         self.pin: Pin | None = None
-        self.steps = dict.fromkeys(("up", "down", "drop", "begin", "widen", "abort", "pin", "release"), 0)
+        self.steps = dict.fromkeys(
+            ("up", "down", "drop", "begin", "widen", "abort", "pin", "release"), 0
+        )
         self.spent = dict.fromkeys(names, 0)  # ns at each level
         self.counted = now
 
@@ -106,7 +122,11 @@
             if self.pin is None:
                 return self.by_pin()
             wanted = self.plan.index(self.pin.level)
-            return (Input.PIN, wanted, ("pin", 0.0, 0.0)) if wanted > at.level else (Input.SAME, 0, ("", 0.0, 0.0))
+            return (
+                (Input.PIN, wanted, ("pin", 0.0, 0.0))
+                if wanted > at.level
+                else (Input.SAME, 0, ("", 0.0, 0.0))
+            )
         if self.pin is not None:
             return self.by_pin()
         last, bounds = self.ladder.terms.levels - 1, self.bounds
@@ -122,14 +142,20 @@
     def bounds_to_leave(self) -> dict[str, Bounds]:
         """Those of the level, and of all between it and the first: none of them may call it back at once."""
         found: dict[str, Bounds] = {}
-        for bounds in self.bounds[1:self.standing.level + 1]:
+        for bounds in self.bounds[1 : self.standing.level + 1]:
             found.update(bounds)
         return found
 
-    def step(self, now: int, what: Input, target: int, cause: tuple[str, float, float]) -> Moved | None:
+    def step(
+        self, now: int, what: Input, target: int, cause: tuple[str, float, float]
+    ) -> Moved | None:
         change: Change = self.ladder.meet(self.standing, what, now, target)
         before, self.standing = self.standing, change.after
-        if not change.effect or (change.effect == "pin" and before.phase is Phase.PINNED and not change.moved):
+        if not change.effect or (
+            change.effect == "pin" and before.phase is Phase.PINNED and not change.moved
+        ):
             return None
         self.steps[change.effect] += 1
-        return Moved(change.effect, self.plan.levels[before.level].name, self.level, self.part, *cause)
+        return Moved(
+            change.effect, self.plan.levels[before.level].name, self.level, self.part, *cause
+        )
--- a/burlloom/metrics/exposed.py
+++ b/burlloom/metrics/exposed.py
@@ -28,12 +28,19 @@
 
     def collect(self) -> Iterator[CounterMetricFamily | GaugeMetricFamily]:
         counts = self.counts() if callable(self.counts) else self.counts
-        told = counts if isinstance(counts, dict) else {
-            field.name: getattr(counts, field.name) for field in fields(counts)}
+        told = (
+            counts
+            if isinstance(counts, dict)
+            else {field.name: getattr(counts, field.name) for field in fields(counts)}
+        )
         for name, count in told.items():
-            yield CounterMetricFamily(f"{self.prefix}_{name}", f"{name.replace('_', ' ')}, since the start", value=count)
+            yield CounterMetricFamily(
+                f"{self.prefix}_{name}", f"{name.replace('_', ' ')}, since the start", value=count
+            )
         for name, value in self.gauges().items():
-            yield GaugeMetricFamily(f"{self.prefix}_{name}", f"{name.replace('_', ' ')}, now", value=value)
+            yield GaugeMetricFamily(
+                f"{self.prefix}_{name}", f"{name.replace('_', ' ')}, now", value=value
+            )
 
 
 class Exposed:
@@ -69,7 +76,9 @@
 
     def write_once(self) -> None:
         try:
-            write_to_textfile(str(self.file), self.registry)  # under another name first, then renamed
+            write_to_textfile(
+                str(self.file), self.registry
+            )  # under another name first, then renamed
         except OSError as error:
             log.warning("event=metrics-not-written detail=%r", str(error))
 
--- a/burlloom/naming/reports.py
+++ b/burlloom/naming/reports.py
@@ -9,12 +9,15 @@
 
 log = logging.getLogger(__name__)
 
-EVERY = SECOND // 5  # 3 s of silence delist: with a quarter lost, one a second would do so now and then
+EVERY = (
+    SECOND // 5
+)  # 3 s of silence delist: with a quarter lost, one a second would do so now and then
 
 
 class Reports:
-    def __init__(self, address: tuple[str, int], name: str,
-                 clock: Callable[[], int] = time.monotonic_ns) -> None:
+    def __init__(
+        self, address: tuple[str, int], name: str, clock: Callable[[], int] = time.monotonic_ns
+    ) -> None:
         self.address, self.name, self.clock = address, name, clock
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
@@ -35,7 +38,9 @@
 
     def report(self) -> None:
         try:
-            self.sock.sendto(f"renew {self.name} {'yes' if self.said else 'no'}".encode(), self.address)
+            self.sock.sendto(
+                f"renew {self.name} {'yes' if self.said else 'no'}".encode(), self.address
+            )
             trouble = ""
         except OSError as error:
             trouble = error.strerror or "?"
@@ -50,5 +55,7 @@
             if self.said is not None:
                 self.report()
             now = self.clock()
-            due = max(due + EVERY, now)  # after a pause, one at once, and none for those that were missed
+            due = max(
+                due + EVERY, now
+            )  # after a pause, one at once, and none for those that were missed
             await rest(due - now)
--- a/burlloom/operator/__init__.py
+++ b/burlloom/operator/__init__.py
@@ -9,5 +9,21 @@
 from .rollout import RolloutPart
 from .schema import Distribution, Metrics, Operator, Place, Postgres, Record, Rollout, Sqlite
 
-__all__ = ["Distribution", "DistributionPart", "Faults", "FleetPart", "LevelsPart", "Metrics", "Operator", "Part",
-           "Place", "Postgres", "Record", "RecoveryPart", "Rollout", "RolloutPart", "Sqlite", "load"]
+__all__ = [
+    "Distribution",
+    "DistributionPart",
+    "Faults",
+    "FleetPart",
+    "LevelsPart",
+    "Metrics",
+    "Operator",
+    "Part",
+    "Place",
+    "Postgres",
+    "Record",
+    "RecoveryPart",
+    "Rollout",
+    "RolloutPart",
+    "Sqlite",
+    "load",
+]
--- a/burlloom/operator/distribution.py
+++ b/burlloom/operator/distribution.py
@@ -70,9 +70,14 @@
             place = f"upstreams[{at}]"
             if address_of(one.address) is None:
                 wrong.append(f"{place}.address: {one.address!r} is no IPv4 address with a port")
-            for what, value, seen in (("name", one.name, names), ("address", one.address, addresses)):
+            for what, value, seen in (
+                ("name", one.name, names),
+                ("address", one.address, addresses),
+            ):
                 if value in seen:
-                    wrong.append(f"{place}.{what}: {value} stands twice, also in upstreams[{seen[value]}]")
+                    wrong.append(
+                        f"{place}.{what}: {value} stands twice, also in upstreams[{seen[value]}]"
+                    )
                 seen.setdefault(value, at)
         for what, file, least in (
             ("key_file", self.key_file, KEY_LEAST),
@@ -80,13 +85,19 @@
         ):
             try:
                 keys = read_keys(Path(file))
-                if not keys or len(keys) > KEYS_MOST or any(not least <= len(key) <= 64 for key in keys):
+                if (
+                    not keys
+                    or len(keys) > KEYS_MOST
+                    or any(not least <= len(key) <= 64 for key in keys)
+                ):
                     wrong.append(
                         f"{what}: {file}: each line wants a key of {least} to 64 bytes, in hex, and there"
                         f" are at most {KEYS_MOST}; `burlloom distribution key` makes one"
                     )
             except OSError as error:
-                wrong.append(f"{what}: {file}: {error.strerror}; `burlloom distribution key` makes one")
+                wrong.append(
+                    f"{what}: {file}: {error.strerror}; `burlloom distribution key` makes one"
+                )
             except ValueError as error:
                 wrong.append(f"{what}: {file}: {error}")
         if self.state_file is not None and not Path(self.state_file).parent.is_dir():
--- a/burlloom/operator/fleet.py
+++ b/burlloom/operator/fleet.py
@@ -11,7 +11,9 @@
     from ..fleet import Habits, Terms
 
 MS = 1_000_000
-Host = Annotated[str, Field(pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$")]  # names are not looked up
+Host = Annotated[
+    str, Field(pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$")
+]  # names are not looked up
 Span = Annotated[int, Field(ge=1, le=86_400_000)]
 
 
@@ -54,23 +56,38 @@
 
     def faults(self) -> list[str]:
         from ..fleet.letters import KEY_LEAST, address_of
+
         wrong = []
         # A port of 0 is one that the system gives.
-        for what, address in (("listen", self.listen), ("advertise", self.advertise), *(("seeds", seed)
-                for seed in self.seeds),
-                              *(("services", service) for service in self.services)):
-            if address is not None and address_of(address) is None and not (
-                    what == "listen" and address_of(address + "1") is not None and address.endswith(":0")):
+        for what, address in (
+            ("listen", self.listen),
+            ("advertise", self.advertise),
+            *(("seeds", seed) for seed in self.seeds),
+            *(("services", service) for service in self.services),
+        ):
+            if (
+                address is not None
+                and address_of(address) is None
+                and not (
+                    what == "listen"
+                    and address_of(address + "1") is not None
+                    and address.endswith(":0")
+                )
+            ):
                 wrong.append(f"{what}: {address!r} is no IPv4 address with a port")
         if len(set(self.services)) < len(self.services):
             wrong.append("services: an address stands twice")
         wrong += self.terms().faults() + self.habits().faults()
         try:
             if any(len(key) < KEY_LEAST for key in self.keys()) or not self.keys():
-                wrong.append(f"key_file: {self.key_file}: each line wants a key of at least {KEY_LEAST} bytes, in hex;"
-                             " `burlloom fleet key` makes one")
+                wrong.append(
+                    f"key_file: {self.key_file}: each line wants a key of at least {KEY_LEAST} bytes, in hex;"
+                    " `burlloom fleet key` makes one"
+                )
         except OSError as error:
-            wrong.append(f"key_file: {self.key_file}: {error.strerror}; `burlloom fleet key` makes one")
+            wrong.append(
+                f"key_file: {self.key_file}: {error.strerror}; `burlloom fleet key` makes one"
+            )
         except ValueError as error:
             wrong.append(f"key_file: {self.key_file}: {error}")
         if self.state_file is not None and not Path(self.state_file).parent.is_dir():
@@ -83,13 +100,24 @@
 
     def terms(self) -> "Terms":
         from ..fleet import CALL, Terms
-        return Terms(int(self.calls * CALL), self.least, self.round_ms * MS, self.lease_ms * MS,
+
+        return Terms(
+            int(self.calls * CALL),
+            self.least,
+            self.round_ms * MS,
+            self.lease_ms * MS,
             self.turn_ms * MS,
-                     self.cut_ms * MS, self.redeal_ms * MS, self.floor)
+            self.cut_ms * MS,
+            self.redeal_ms * MS,
+            self.floor,
+        )
 
     def habits(self) -> "Habits":
         from ..fleet import Habits
-        return Habits(self.probe_ms * MS, self.ack_ms * MS, self.suspicion_ms * MS, self.forget_ms * MS)
+
+        return Habits(
+            self.probe_ms * MS, self.ack_ms * MS, self.suspicion_ms * MS, self.forget_ms * MS
+        )
 
 
 def read_keys(path: Path) -> tuple[bytes, ...]:
--- a/burlloom/operator/levels.py
+++ b/burlloom/operator/levels.py
@@ -40,9 +40,18 @@
     def level(self) -> Level:
         gone = {"all": ALL, "all-but-highest": ALL - 1}.get(str(self.gives_up), self.gives_up)
         assert isinstance(gone, int)
-        return Level(self.name, {name: Bounds(bound.enter, bound.leave) for name, bound in self.when.items()}, gone,
-                     tuple(self.products), tuple(self.kept), tuple(self.skips), self.repeats, self.over_share, self.hold,
-                     self.optional)
+        return Level(
+            self.name,
+            {name: Bounds(bound.enter, bound.leave) for name, bound in self.when.items()},
+            gone,
+            tuple(self.products),
+            tuple(self.kept),
+            tuple(self.skips),
+            self.repeats,
+            self.over_share,
+            self.hold,
+            self.optional,
+        )
 
 
 class Emergency(Part):
@@ -83,15 +92,24 @@
         else:
             levels, emergencies, cold = tuple(one.level() for one in self.levels), {}, ""
         if self.emergencies is not None:
-            emergencies = {signal: (told.enter, told.level) for signal, told in self.emergencies.items()}
+            emergencies = {
+                signal: (told.enter, told.level) for signal, told in self.emergencies.items()
+            }
         return Plan(levels, emergencies, self.cold if self.cold is not None else cold)
 
     def terms(self) -> Terms:
         """Raises `ValueError`, which `faults` has told by then."""
         automatic = self.plan().automatic
         most = self.changes_a_minute if self.changes_a_minute is not None else max(4, automatic)
-        return Terms(automatic, self.dwell_ms * MS, self.stay_ms * MS, self.stay_most_ms * MS, self.relapse_ms * MS,
-                     self.trial_ms * MS, most)
+        return Terms(
+            automatic,
+            self.dwell_ms * MS,
+            self.stay_ms * MS,
+            self.stay_most_ms * MS,
+            self.relapse_ms * MS,
+            self.trial_ms * MS,
+            most,
+        )
 
     def faults(self) -> list[str]:
         """What the file alone can tell; products are held against the platform's configuration by `check`
--- a/burlloom/operator/load.py
+++ b/burlloom/operator/load.py
@@ -53,11 +53,16 @@
     try:
         return model.model_validate(got)
     except ValidationError as error:
-        raise Faults([f"{path}: {'.'.join(map(str, fault['loc'])) or 'the whole file'}: {said(fault['msg'])}"
-                      + ("" if isinstance(fault["input"], dict) else f" (got {fault['input']!r:.60})")
-                      for fault in error.errors()]) from error
+        raise Faults(
+            [
+                f"{path}: {'.'.join(map(str, fault['loc'])) or 'the whole file'}: {said(fault['msg'])}"
+                + ("" if isinstance(fault["input"], dict) else f" (got {fault['input']!r:.60})")
+                for fault in error.errors()
+            ]
+        ) from error
 
 
 def said(message: str) -> str:
     return {"Extra inputs are not permitted": "unknown key", "Field required": "is missing"}.get(
-        message, message.removeprefix("Value error, "))
+        message, message.removeprefix("Value error, ")
+    )
--- a/burlloom/operator/recovery.py
+++ b/burlloom/operator/recovery.py
@@ -37,7 +37,9 @@
     @model_validator(mode="after")
     def it_can_be(self) -> Self:
         if self.state_file is not None and not Path(self.state_file).parent.is_dir():
-            raise ValueError(f"state_file: the folder {Path(self.state_file).parent} does not exist")
+            raise ValueError(
+                f"state_file: the folder {Path(self.state_file).parent} does not exist"
+            )
         if self.begin_warm < self.begin:
             raise ValueError(f"begin_warm {self.begin_warm:g} is under begin, {self.begin:g}")
         return self
@@ -46,6 +48,16 @@
         """`window`: the longest of the products', ns. `durable`: no run begins before its mark is in the
         record."""
         from ..recovery import Terms
-        return Terms(window, self.step_ms * MS, self.begin, self.begin_warm, ask=self.ask_ms * MS,
+
+        return Terms(
+            window,
+            self.step_ms * MS,
+            self.begin,
+            self.begin_warm,
+            ask=self.ask_ms * MS,
             age_most=self.age_ms * MS,
-                     retry_part=self.retries, retry_few=self.retries_few, fence=self.fence, durable=durable)
+            retry_part=self.retries,
+            retry_few=self.retries_few,
+            fence=self.fence,
+            durable=durable,
+        )
--- a/burlloom/operator/rollout.py
+++ b/burlloom/operator/rollout.py
@@ -69,6 +69,7 @@
     @model_validator(mode="after")
     def it_can_be(self) -> Self:
         from ..rollout import plan
+
         wrong = [*plan.faults(self.plan_waves()), *self.terms().faults()]
         if self.fresh_ms < 3 * max(self.beat_ms, self.poll_ms):
             wrong.append(
@@ -93,12 +94,16 @@
 
     def plan_waves(self) -> "tuple[plan.Wave, ...]":
         from ..rollout import plan
+
         return tuple(plan.wave_of(wave) for wave in self.waves)
 
     def budgets(self) -> "dict[str, Budget]":
         from ..rollout import SERVERS, Budget
-        told = {SERVERS: (self.out_most, self.out_share),
-                **{name: (one.out_most, one.out_share) for name, one in self.below.items()}}
+
+        told = {
+            SERVERS: (self.out_most, self.out_share),
+            **{name: (one.out_most, one.out_share) for name, one in self.below.items()},
+        }
         return {name: Budget(most, share or 0.0) for name, (most, share) in told.items()}
 
     def services(self) -> dict[str, list[str]]:
@@ -106,8 +111,13 @@
 
     def terms(self) -> "Terms":
         from ..rollout import Measure, Terms
+
         measure = Measure(
-            self.judge_ms * MS, self.judge_least, self.judge_margin, self.judge_sigmas, self.judge_worst
+            self.judge_ms * MS,
+            self.judge_least,
+            self.judge_margin,
+            self.judge_sigmas,
+            self.judge_worst,
         )
         return Terms(
             self.fresh_ms * MS,
--- a/burlloom/operator/schema.py
+++ b/burlloom/operator/schema.py
@@ -59,8 +59,10 @@
         if self.password_file is not None and not Path(self.password_file).is_file():
             raise ValueError(f"password_file: {self.password_file} does not exist")
         if not Path(self.key_file).is_file():
-            raise ValueError(f"key_file: {self.key_file} does not exist; all nodes share one, made once by"
-                             " `burlloom record key`")
+            raise ValueError(
+                f"key_file: {self.key_file} does not exist; all nodes share one, made once by"
+                " `burlloom record key`"
+            )
         return self
 
 
@@ -95,8 +97,10 @@
     @model_validator(mode="after")
     def time_is_left(self) -> Self:
         if self.claim_share + self.hold_share > 1:
-            raise ValueError(f"claim_share and hold_share together are {self.claim_share + self.hold_share:g}"
-                             " of the SLA time: nothing is left for the run")
+            raise ValueError(
+                f"claim_share and hold_share together are {self.claim_share + self.hold_share:g}"
+                " of the SLA time: nothing is left for the run"
+            )
         return self
 
 
@@ -146,7 +150,11 @@
 
     def rollout_store(self) -> Place:
         """Of a file that was checked."""
-        place = self.rollout.store if self.rollout is not None and self.rollout.store is not None else self.record
+        place = (
+            self.rollout.store
+            if self.rollout is not None and self.rollout.store is not None
+            else self.record
+        )
         assert place is not None
         return place
 
@@ -155,18 +163,30 @@
         if self.rollout is None:
             return self
         if self.rollout.store is None and self.record is None:
-            raise ValueError("rollout.store: is missing, and there is no record: name the store that all share")
+            raise ValueError(
+                "rollout.store: is missing, and there is no record: name the store that all share"
+            )
         called = set(self.fleet.services) if self.fleet is not None else set()
         for name, service in self.rollout.below.items():
             if strange := [address for address in service.addresses if address not in called]:
-                raise ValueError(f"rollout.below.{name}: {', '.join(strange)} not in fleet.services: this server does not"
-                                 " call it, and could not leave it out")
+                raise ValueError(
+                    f"rollout.below.{name}: {', '.join(strange)} not in fleet.services: this server does not"
+                    " call it, and could not leave it out"
+                )
         return self
 
     @model_validator(mode="after")
     def something_to_expose(self) -> Self:
-        if self.metrics is not None and self.record is None and self.levels is None and self.fleet is None \
-                and self.rollout is None and self.distribution is None:
-            raise ValueError("metrics: there is nothing to expose without a record, levels, a fleet, a rollout or"
-                             " a distribution")
+        if (
+            self.metrics is not None
+            and self.record is None
+            and self.levels is None
+            and self.fleet is None
+            and self.rollout is None
+            and self.distribution is None
+        ):
+            raise ValueError(
+                "metrics: there is nothing to expose without a record, levels, a fleet, a rollout or"
+                " a distribution"
+            )
         return self
--- a/burlloom/record/admin.py
+++ b/burlloom/record/admin.py
@@ -84,10 +84,14 @@
         if application != schema.APPLICATION:
             raise Refused(f"{self.path}: not a burlloom record but another program's database")
         if have > schema.LATEST:
-            raise Refused(f"{self.path}: schema {have} is newer than {schema.LATEST}, the newest this program knows")
+            raise Refused(
+                f"{self.path}: schema {have} is newer than {schema.LATEST}, the newest this program knows"
+            )
         if have < schema.LATEST:
-            raise Refused(f"{self.path}: schema {have} is older than {schema.LATEST}; `burlloom record migrate` takes"
-                          " the steps between, and so does a server when it starts")
+            raise Refused(
+                f"{self.path}: schema {have} is older than {schema.LATEST}; `burlloom record migrate` takes"
+                " the steps between, and so does a server when it starts"
+            )
 
     def served(self) -> bool:
         """Whether a server has the file."""
@@ -119,19 +123,36 @@
         with self.reading() as db:
             nodes = dict(db.execute("SELECT name, life FROM node").fetchall())
             counted = dict(db.execute("SELECT state, count(*) FROM fate GROUP BY state").fetchall())
-            first, last, size = db.execute("SELECT min(until), max(until), total(length(result)) FROM fate").fetchone()
+            first, last, size = db.execute(
+                "SELECT min(until), max(until), total(length(result)) FROM fate"
+            ).fetchone()
             (over,) = db.execute("SELECT count(*) FROM fate WHERE until <= ?", (now,)).fetchone()
-            pages, free, page, version = (db.execute(f"PRAGMA {name}").fetchone()[0] for name in (
-                "page_count", "freelist_count", "page_size", "user_version"))
+            pages, free, page, version = (
+                db.execute(f"PRAGMA {name}").fetchone()[0]
+                for name in ("page_count", "freelist_count", "page_size", "user_version")
+            )
             closed = db.execute("SELECT value FROM meta WHERE name = 'closed_until'").fetchone()
         doubts = sum(1 for _ in self.doubts(now))
-        return Stats(version, nodes, {name: counted.get(state, 0) for state, name in NAMES.items()}, doubts, over,
-                     first or 0, last or 0, int(size), pages * page, free * page, self.served(),
-                     int(closed[0]) if closed else 0)
+        return Stats(
+            version,
+            nodes,
+            {name: counted.get(state, 0) for state, name in NAMES.items()},
+            doubts,
+            over,
+            first or 0,
+            last or 0,
+            int(size),
+            pages * page,
+            free * page,
+            self.served(),
+            int(closed[0]) if closed else 0,
+        )
 
     def rows(self, where: str = "1", values: tuple[Any, ...] = ()) -> Iterator[Row]:
         with self.reading() as db:
-            for row in db.execute(f"SELECT {COLUMNS} FROM fate WHERE {where} ORDER BY until", values):
+            for row in db.execute(
+                f"SELECT {COLUMNS} FROM fate WHERE {where} ORDER BY until", values
+            ):
                 yield Row(*row)
 
     def doubts(self, now: int) -> Iterator[tuple[Row, str]]:
@@ -140,7 +161,10 @@
         Where no server has the file, the life that is written there is over too."""
         with self.reading() as db:
             lives = dict(db.execute("SELECT name, life FROM node").fetchall())
-            said = {mark: "ran" if ran else "never ran" for mark, ran in db.execute("SELECT mark, ran FROM verdict")}
+            said = {
+                mark: "ran" if ran else "never ran"
+                for mark, ran in db.execute("SELECT mark, ran FROM verdict")
+            }
         served = self.served()
         for row in self.rows(f"state = {BEGUN} AND until > ?", (now,)):
             if not served or row.life != lives.get(row.node):
@@ -157,14 +181,25 @@
             found.rows += 1
             if not self.sealer.holds(row):
                 name = row.mark.hex() if isinstance(row.mark, bytes) else repr(row.mark)
-                found.faults.append(f"mark {name}: its seal does not hold; it was altered, or sealed by another key")
+                found.faults.append(
+                    f"mark {name}: its seal does not hold; it was altered, or sealed by another key"
+                )
         return found
 
     def export(self) -> Iterator[dict[str, Any]]:
         for row in self.rows():
-            yield {"mark": row.mark.hex(), "state": NAMES.get(row.state, row.state), "node": row.node,
-                   "life": row.life, "turn": row.turn, "id": row.id, "at": row.at, "until": row.until,
-                   "result": row.result.hex(), "sound": self.sealer.holds(row)}
+            yield {
+                "mark": row.mark.hex(),
+                "state": NAMES.get(row.state, row.state),
+                "node": row.node,
+                "life": row.life,
+                "turn": row.turn,
+                "id": row.id,
+                "at": row.at,
+                "until": row.until,
+                "result": row.result.hex(),
+                "sound": self.sealer.holds(row),
+            }
 
     # Changes.
 
@@ -172,14 +207,18 @@
         """An operator's word on a doubt; what was done with it."""
         doubt = next((row for row, _ in self.doubts(now) if row.mark == mark), None)
         if doubt is None:
-            raise Refused(f"mark {mark.hex()} is not in doubt; `burlloom record doubts` lists those that are")
+            raise Refused(
+                f"mark {mark.hex()} is not in doubt; `burlloom record doubts` lists those that are"
+            )
         served = self.served()
         with self.writing() as db:
             db.execute("BEGIN IMMEDIATE")
-            db.execute("INSERT INTO verdict (mark, life, turn, ran, said_at, reason) VALUES (?,?,?,?,?,?)"
-                       " ON CONFLICT (mark) DO UPDATE SET life = excluded.life, turn = excluded.turn,"
-                       " ran = excluded.ran, said_at = excluded.said_at, reason = excluded.reason",
-                       (mark, doubt.life, doubt.turn, int(ran), now, reason))
+            db.execute(
+                "INSERT INTO verdict (mark, life, turn, ran, said_at, reason) VALUES (?,?,?,?,?,?)"
+                " ON CONFLICT (mark) DO UPDATE SET life = excluded.life, turn = excluded.turn,"
+                " ran = excluded.ran, said_at = excluded.said_at, reason = excluded.reason",
+                (mark, doubt.life, doubt.turn, int(ran), now, reason),
+            )
             if not served:
                 self.apply(db, doubt, ran)
             db.execute("COMMIT")
@@ -188,11 +227,15 @@
     def apply(self, db: sqlite3.Connection, doubt: Row, ran: bool) -> None:
         if ran:
             spent = doubt._replace(state=SPENT)
-            db.execute("UPDATE fate SET state = ?, seal = ? WHERE mark = ? AND life = ? AND turn = ?",
-                       (SPENT, self.sealer.seal(spent), doubt.mark, doubt.life, doubt.turn))
+            db.execute(
+                "UPDATE fate SET state = ?, seal = ? WHERE mark = ? AND life = ? AND turn = ?",
+                (SPENT, self.sealer.seal(spent), doubt.mark, doubt.life, doubt.turn),
+            )
         else:
-            db.execute("DELETE FROM fate WHERE mark = ? AND life = ? AND turn = ?",
-                       (doubt.mark, doubt.life, doubt.turn))
+            db.execute(
+                "DELETE FROM fate WHERE mark = ? AND life = ? AND turn = ?",
+                (doubt.mark, doubt.life, doubt.turn),
+            )
 
     def init(self, node: str) -> None:
         if self.path.exists():
@@ -236,7 +279,9 @@
         found = Admin(part, self.sealer).verify()
         if found.faults:
             part.unlink()
-            raise Refused(f"{to}: the copy does not verify: {found.faults[0]} ({len(found.faults)} in all)")
+            raise Refused(
+                f"{to}: the copy does not verify: {found.faults[0]} ({len(found.faults)} in all)"
+            )
         sync(part)
         os.chmod(part, 0o600)
         part.rename(to)
@@ -251,14 +296,18 @@
         copy = Admin(source, self.sealer)
         found = copy.verify()
         if found.faults:
-            raise Refused(f"{source}: {found.faults[0]} ({len(found.faults)} faults in all); nothing was changed")
+            raise Refused(
+                f"{source}: {found.faults[0]} ({len(found.faults)} faults in all); nothing was changed"
+            )
         rows = [tuple(row) for row in copy.rows("until > ?", (now,))]
         added = 0
         with self.writing() as db:
-            for start in range(0, len(rows), MERGE_AT_ONCE):  # the server's own commits wait for no more than these
+            for start in range(
+                0, len(rows), MERGE_AT_ONCE
+            ):  # the server's own commits wait for no more than these
                 db.execute("BEGIN IMMEDIATE")
                 before = db.total_changes
-                db.executemany(INSERT, rows[start:start + MERGE_AT_ONCE])
+                db.executemany(INSERT, rows[start : start + MERGE_AT_ONCE])
                 db.execute("COMMIT")
                 added += db.total_changes - before
         return added, len(rows)
@@ -271,25 +320,37 @@
         copy = Admin(source, self.sealer)
         found = copy.verify()
         if found.faults:
-            raise Refused(f"{source}: {found.faults[0]} ({len(found.faults)} faults in all); nothing was changed")
+            raise Refused(
+                f"{source}: {found.faults[0]} ({len(found.faults)} faults in all); nothing was changed"
+            )
         with self.alone("restore it"):
             part = self.path.with_name(self.path.name + ".part")
             part.unlink(missing_ok=True)
-            with copy.reading() as db, closing(sqlite3.connect(part, isolation_level=None)) as fresh:
+            with (
+                copy.reading() as db,
+                closing(sqlite3.connect(part, isolation_level=None)) as fresh,
+            ):
                 db.backup(fresh)
                 closed = 0 if nothing_lost else now + window
                 # A life beyond all that there was: no claim of before may pass for one of the life to come.
                 fresh.execute("UPDATE node SET life = life + 1000")
-                fresh.execute("INSERT INTO meta (name, value) VALUES ('closed_until', ?) ON CONFLICT (name) DO UPDATE"
-                              " SET value = excluded.value", (str(closed),))
+                fresh.execute(
+                    "INSERT INTO meta (name, value) VALUES ('closed_until', ?) ON CONFLICT (name) DO UPDATE"
+                    " SET value = excluded.value",
+                    (str(closed),),
+                )
                 fresh.execute("DELETE FROM meta WHERE name IN ('boot', 'steady', 'wall')")
                 # What a fleet agreed on since is not in it: who was out then says nothing of who is out now.
-                for (table,) in fresh.execute("SELECT name FROM sqlite_master WHERE name LIKE 'rollout\\_%' ESCAPE"
-                                              " '\\' AND type = 'table'").fetchall():
+                for (table,) in fresh.execute(
+                    "SELECT name FROM sqlite_master WHERE name LIKE 'rollout\\_%' ESCAPE"
+                    " '\\' AND type = 'table'"
+                ).fetchall():
                     fresh.execute(f"DELETE FROM {table}")
                 # Configuration stays in force as it is there. Revisions after it were given before, to others: with
                 # no head, whoever opens it next begins a new epoch.
-                if fresh.execute("SELECT name FROM sqlite_master WHERE name = 'distribution_head'").fetchone():
+                if fresh.execute(
+                    "SELECT name FROM sqlite_master WHERE name = 'distribution_head'"
+                ).fetchone():
                     fresh.execute("DELETE FROM distribution_head")
                     fresh.execute("DELETE FROM distribution_change")
             sync(part)
@@ -297,7 +358,9 @@
             for tail in ("", "-wal", "-shm"):  # what is there is put aside whole, its log with it
                 there = self.path.with_name(self.path.name + tail)
                 if there.exists():
-                    there.rename(self.path.with_name(f"{self.path.name}.before-{now // SECOND}{tail}"))
+                    there.rename(
+                        self.path.with_name(f"{self.path.name}.before-{now // SECOND}{tail}")
+                    )
             part.rename(self.path)
             sync(self.path.parent)
         return closed
--- a/burlloom/record/fate.py
+++ b/burlloom/record/fate.py
@@ -16,19 +16,33 @@
 from enum import IntEnum
 
 State = IntEnum("State", "NEW ASK RUN RAN ILL KEPT SPENT BACK ELSE OPEN DOUBT GONE", start=0)
-Input = IntEnum("Input", [
-    "START",  # the decisions start it
-    "HELD", "LOST", "UNSURE", "FENCED",  # the last write: durable; surely not; nobody knows; no longer ours to make
-    "TAKEN", "FOUND", "BARE", "ABSENT",  # the store has another's: running; with its result; without one; or none
-    "SLOW",  # the store has had its part of the txn's time
-    "LEFT",  # the decisions gave it up before its run began
-    "PASS", "FAIL", "NOOP",  # the executor's word: it ran well; it ran, without a result; it never ran
-    "LOOKED",  # a marked retry that is not known here; the store's word on its mark follows
-    "READ_OPEN", "READ_DOUBT",  # read back after a start: begun; the executor may still tell, or is gone too
-    "DEAD",  # the executor will not tell any more
-    "SAY_RAN", "SAY_UNRUN",  # an operator's word
-    "OVER",  # its window is over
-], start=0)
+Input = IntEnum(
+    "Input",
+    [
+        "START",  # the decisions start it
+        "HELD",
+        "LOST",
+        "UNSURE",
+        "FENCED",  # the last write: durable; surely not; nobody knows; no longer ours to make
+        "TAKEN",
+        "FOUND",
+        "BARE",
+        "ABSENT",  # the store has another's: running; with its result; without one; or none
+        "SLOW",  # the store has had its part of the txn's time
+        "LEFT",  # the decisions gave it up before its run began
+        "PASS",
+        "FAIL",
+        "NOOP",  # the executor's word: it ran well; it ran, without a result; it never ran
+        "LOOKED",  # a marked retry that is not known here; the store's word on its mark follows
+        "READ_OPEN",
+        "READ_DOUBT",  # read back after a start: begun; the executor may still tell, or is gone too
+        "DEAD",  # the executor will not tell any more
+        "SAY_RAN",
+        "SAY_UNRUN",  # an operator's word
+        "OVER",  # its window is over
+    ],
+    start=0,
+)
 
 TABLE = """
 NEW   START                      ASK    claim
@@ -122,12 +136,41 @@
 class Fate:
     """One try's hold on a mark. `at`, `until` and `ask_until` are wall-clock nanoseconds."""
 
-    __slots__ = ("mark", "id", "life", "turn", "at", "until", "ask_until", "state", "given_up", "prefer", "result",
-                 "writes")
-
-    def __init__(self, mark: bytes, id: str, life: int, turn: int, at: int, until: int, *, ask_until: int = 0,
-                 prefer: bool = False) -> None:
-        self.mark, self.id, self.life, self.turn, self.at, self.until = mark, id, life, turn, at, until
+    __slots__ = (
+        "mark",
+        "id",
+        "life",
+        "turn",
+        "at",
+        "until",
+        "ask_until",
+        "state",
+        "given_up",
+        "prefer",
+        "result",
+        "writes",
+    )
+
+    def __init__(
+        self,
+        mark: bytes,
+        id: str,
+        life: int,
+        turn: int,
+        at: int,
+        until: int,
+        *,
+        ask_until: int = 0,
+        prefer: bool = False,
+    ) -> None:
+        self.mark, self.id, self.life, self.turn, self.at, self.until = (
+            mark,
+            id,
+            life,
+            turn,
+            at,
+            until,
+        )
         self.ask_until, self.prefer = ask_until, prefer
         self.state, self.given_up, self.result, self.writes = State.NEW, False, b"", 0
 
@@ -159,7 +202,11 @@
 def rules(table: str) -> Rules:
     found: Rules = {}
     for state, what, *tests, after, effect in filter(None, map(str.split, table.split("\n"))):
-        row = tuple(TESTS[test] for test in tests), State[after], () if effect == "-" else tuple(effect.split("+"))
+        row = (
+            tuple(TESTS[test] for test in tests),
+            State[after],
+            () if effect == "-" else tuple(effect.split("+")),
+        )
         found.setdefault((State[state], Input[what]), []).append(row)
     return found
 
--- a/burlloom/record/fleet.py
+++ b/burlloom/record/fleet.py
@@ -42,47 +42,84 @@
         nodes = await lives(link)
         rows = await link.fetch("SELECT state, count(*) AS count FROM fate GROUP BY state")
     counted = {NAMES.get(state, str(state)): count for state, count in rows}
-    told = {name: f"life {life}{', fenced off' if fenced else ''}" for name, (life, fenced) in nodes.items()}
-    return {**{name: counted.get(name, 0) for name in NAMES.values()}, "in doubt": len(await doubts(record, now)),
-            **told}
+    told = {
+        name: f"life {life}{', fenced off' if fenced else ''}"
+        for name, (life, fenced) in nodes.items()
+    }
+    return {
+        **{name: counted.get(name, 0) for name in NAMES.values()},
+        "in doubt": len(await doubts(record, now)),
+        **told,
+    }
 
 
 async def doubts(record: "Record", now: int) -> list[tuple[Row, str]]:
     async with link_of(record) as link:
         nodes = await lives(link)
-        said = {mark: "ran" if ran else "never ran" for mark, _, _, ran in await link.fetch(
-            "SELECT mark, life, turn, ran FROM verdict")}
-        rows = [row_of(row) for row in await link.fetch(
-            f"SELECT {COLUMNS} FROM fate WHERE state = {BEGUN} AND until > $1::bigint", now)]
+        said = {
+            mark: "ran" if ran else "never ran"
+            for mark, _, _, ran in await link.fetch("SELECT mark, life, turn, ran FROM verdict")
+        }
+        rows = [
+            row_of(row)
+            for row in await link.fetch(
+                f"SELECT {COLUMNS} FROM fate WHERE state = {BEGUN} AND until > $1::bigint", now
+            )
+        ]
     # Whose it is to somebody else: bare, where no life may end it any more.
-    return [(row, said.get(row.mark, "")) for row in rows if whose(row, "", 0, 0, nodes) is Input.BARE]
+    return [
+        (row, said.get(row.mark, "")) for row in rows if whose(row, "", 0, 0, nodes) is Input.BARE
+    ]
 
 
 async def resolve(record: "Record", mark: bytes, ran: bool, reason: str, now: int) -> str:
     doubt = next((row for row, _ in await doubts(record, now) if row.mark == mark), None)
     if doubt is None:
-        raise Refused(f"mark {mark.hex()} is not in doubt; `burlloom record doubts` lists those that are")
+        raise Refused(
+            f"mark {mark.hex()} is not in doubt; `burlloom record doubts` lists those that are"
+        )
     _, sealer = store_of(record, "-", keep=0, clock=time.time_ns)
     async with link_of(record) as link, link.transaction():
         await link.fetch(
             "INSERT INTO verdict (mark, life, turn, ran, said_at, reason) VALUES ($1::bytea, $2::bigint, $3::bigint,"
             " $4::bigint, $5::bigint, $6::text) ON CONFLICT (mark) DO UPDATE SET life = excluded.life,"
             " turn = excluded.turn, ran = excluded.ran, said_at = excluded.said_at, reason = excluded.reason"
-            " RETURNING mark", mark, doubt.life, doubt.turn, int(ran), now, reason)
+            " RETURNING mark",
+            mark,
+            doubt.life,
+            doubt.turn,
+            int(ran),
+            now,
+            reason,
+        )
         # The row itself too: its node may be gone for good.
         if ran:
-            await link.fetch("UPDATE fate SET state = $1::bigint, seal = $2::bytea WHERE mark = $3::bytea AND"
-                             f" life = $4::bigint AND turn = $5::bigint AND state = {BEGUN} RETURNING mark", SPENT,
-                             sealer.seal(doubt._replace(state=SPENT)), mark, doubt.life, doubt.turn)
+            await link.fetch(
+                "UPDATE fate SET state = $1::bigint, seal = $2::bytea WHERE mark = $3::bytea AND"
+                f" life = $4::bigint AND turn = $5::bigint AND state = {BEGUN} RETURNING mark",
+                SPENT,
+                sealer.seal(doubt._replace(state=SPENT)),
+                mark,
+                doubt.life,
+                doubt.turn,
+            )
         else:
-            await link.fetch("DELETE FROM fate WHERE mark = $1::bytea AND life = $2::bigint AND turn = $3::bigint"
-                             f" AND state = {BEGUN} RETURNING mark", mark, doubt.life, doubt.turn)
+            await link.fetch(
+                "DELETE FROM fate WHERE mark = $1::bytea AND life = $2::bigint AND turn = $3::bigint"
+                f" AND state = {BEGUN} RETURNING mark",
+                mark,
+                doubt.life,
+                doubt.turn,
+            )
     return "done; its node takes it up within a second"
 
 
 async def fence(record: "Record", node: str, out: bool) -> None:
     async with link_of(record) as link:
-        rows = await link.fetch("UPDATE node SET fenced = $1::bigint WHERE name = $2::text RETURNING name", int(out),
-                                node)
+        rows = await link.fetch(
+            "UPDATE node SET fenced = $1::bigint WHERE name = $2::text RETURNING name",
+            int(out),
+            node,
+        )
         if not rows:
             raise Refused(f"no node {node!r} is known to the record")
--- a/burlloom/record/keeper.py
+++ b/burlloom/record/keeper.py
@@ -82,10 +82,23 @@
 
 
 class Keeper:
-    def __init__(self, store: Store, sealer: Sealer, terms: Terms, slowest: int, clock: Callable[[], int],
-                 hand: Hand) -> None:
+    def __init__(
+        self,
+        store: Store,
+        sealer: Sealer,
+        terms: Terms,
+        slowest: int,
+        clock: Callable[[], int],
+        hand: Hand,
+    ) -> None:
         """`slowest`: the longest SLA time there is, ns; a write may take its claim's share of it."""
-        self.store, self.sealer, self.terms, self.clock, self.hand = store, sealer, terms, clock, hand
+        self.store, self.sealer, self.terms, self.clock, self.hand = (
+            store,
+            sealer,
+            terms,
+            clock,
+            hand,
+        )
         self.budget = Budget(terms.open_most, max(1, int(terms.claim_share * slowest)))
         self.watch = Watch()
         self.counts = self.watch.counts
@@ -145,9 +158,13 @@
             told.append((row.mark, row.until, fate.state is State.OPEN))
         if told:
             waits = sum(open for _, _, open in told)
-            log.warning("event=record-doubts count=%d asked_of_executor=%d", len(told) - waits, waits)
+            log.warning(
+                "event=record-doubts count=%d asked_of_executor=%d", len(told) - waits, waits
+            )
         if any(open for _, _, open in told):
-            asyncio.get_running_loop().call_later(self.terms.doubt_wait / SECOND, self.executor_silent)
+            asyncio.get_running_loop().call_later(
+                self.terms.doubt_wait / SECOND, self.executor_silent
+            )
         return told
 
     def executor_silent(self) -> None:
@@ -175,8 +192,16 @@
         """The decisions start it: `hand.run` follows once that is durable, or another word."""
         now = self.clock()
         self.turn += 1
-        fate = Fate(mark, id, self.life, self.turn, at, until, prefer=self.terms.prefer,
-                    ask_until=now + int(self.terms.claim_share * sla))
+        fate = Fate(
+            mark,
+            id,
+            self.life,
+            self.turn,
+            at,
+            until,
+            prefer=self.terms.prefer,
+            ask_until=now + int(self.terms.claim_share * sla),
+        )
         if self.closed or len(self.fates) >= FATES_MOST or not self.budget.accepts(now):
             if self.terms.prefer:
                 self.counts.unkept += 1
@@ -191,9 +216,16 @@
     async def look(self, mark: bytes, id: str, until: int, sla: int) -> None:
         """A marked retry that is not known here: what the store knows of it is made known, if it says so in time."""
         now = self.clock()
-        if self.closed or len(self.fates) >= FATES_MOST or not self.budget.accepts(now) or id in self.fates:
+        if (
+            self.closed
+            or len(self.fates) >= FATES_MOST
+            or not self.budget.accepts(now)
+            or id in self.fates
+        ):
             return
-        fate = Fate(mark, id, self.life, 0, now, until, ask_until=now + int(self.terms.claim_share * sla))
+        fate = Fate(
+            mark, id, self.life, 0, now, until, ask_until=now + int(self.terms.claim_share * sla)
+        )
         self.fates[id] = fate
         self.meet(fate, Input.LOOKED)
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -269,7 +301,11 @@
     def verdict(self, mark: bytes, life: int, turn: int, ran: bool) -> None:
         """An operator's word on a doubt; on that claim alone, not on a later one of the same mark."""
         fate = self.marks.get(mark)
-        if fate is not None and fate.state in (State.DOUBT, State.OPEN) and (fate.life, fate.turn) == (life, turn):
+        if (
+            fate is not None
+            and fate.state in (State.DOUBT, State.OPEN)
+            and (fate.life, fate.turn) == (life, turn)
+        ):
             log.warning("event=record-resolved mark=%s ran=%s", mark.hex(), ran)
             self.counts.resolved += 1
             self.meet(fate, Input.SAY_RAN if ran else Input.SAY_UNRUN)
@@ -285,7 +321,11 @@
 
     def do(self, effect: str) -> None:
         if effect in ("cut", "cut_longer"):
-            log.warning("event=record-cut-off open=%d rest_ms=%d", len(self.budget.open), self.budget.rest // MS)
+            log.warning(
+                "event=record-cut-off open=%d rest_ms=%d",
+                len(self.budget.open),
+                self.budget.rest // MS,
+            )
         elif effect == "mend":
             log.info("event=record-back cuts=%d", self.budget.cuts)
         elif effect.startswith("beat") and not self.beating:
@@ -319,7 +359,9 @@
 
     def later(self, fate: Fate, kind: Kind) -> None:
         delay = min(AGAIN_MOST, AGAIN_LEAST << min(fate.writes, 8))
-        asyncio.get_running_loop().call_later(delay / SECOND, self.again, fate, kind, fate.writes, fate.state)
+        asyncio.get_running_loop().call_later(
+            delay / SECOND, self.again, fate, kind, fate.writes, fate.state
+        )
 
     def again(self, fate: Fate, kind: Kind, writes: int, state: State) -> None:
         if not self.closed and (fate.writes, fate.state) == (writes, state):
@@ -339,8 +381,17 @@
         return Row(mark, KEPT, self.node, self.life, 0, "", 0, 0)
 
     def row(self, fate: Fate) -> Row:
-        row = Row(fate.mark, fate.written, self.node, fate.life, fate.turn, fate.id, fate.at, fate.until,
-                  fate.result if fate.written is State.KEPT else b"")
+        row = Row(
+            fate.mark,
+            fate.written,
+            self.node,
+            fate.life,
+            fate.turn,
+            fate.id,
+            fate.at,
+            fate.until,
+            fate.result if fate.written is State.KEPT else b"",
+        )
         return row._replace(seal=self.sealer.seal(row))
 
     def write(self, fate: Fate, kind: Kind) -> None:
@@ -353,13 +404,20 @@
             now = self.clock()
             good = word.how not in (Input.LOST, Input.UNSURE, Input.FENCED)
             self.do(self.budget.over(number, now, good))
-            observe = self.watch.claim if kind is Kind.CLAIM else self.watch.finish if kind is Kind.FINISH else None
+            observe = (
+                self.watch.claim
+                if kind is Kind.CLAIM
+                else self.watch.finish
+                if kind is Kind.FINISH
+                else None
+            )
             if observe is not None:
                 observe(now - began)
             if turn == fate.writes:
                 if word.row is not None and word.how is Input.FOUND:
                     fate.result = word.row.result
                 self.meet(fate, word.how)
+
         self.store.post(Write(kind, self.row(fate)), done)
 
     # Effects of fate.TABLE.
@@ -372,7 +430,8 @@
 
     def limit(self, fate: Fate) -> None:
         self.timers[fate.id] = asyncio.get_running_loop().call_later(
-            max(0, fate.ask_until - self.clock()) / SECOND, self.slow, fate)
+            max(0, fate.ask_until - self.clock()) / SECOND, self.slow, fate
+        )
 
     def _look(self, fate: Fate) -> None:
         self.limit(fate)
@@ -426,7 +485,12 @@
     def _alarm(self, fate: Fate) -> None:
         """Another's row stands where ours should, or we were fenced off: what ran stays answered."""
         self.counts.conflicts += 1
-        log.error("event=record-conflict id=%s mark=%s state=%s", fate.id, fate.mark.hex(), fate.state.name)
+        log.error(
+            "event=record-conflict id=%s mark=%s state=%s",
+            fate.id,
+            fate.mark.hex(),
+            fate.state.name,
+        )
 
     def _copy(self, fate: Fate) -> None:
         self.in_time(fate)
@@ -478,4 +542,6 @@
 
 
 # A typo in the table is found at import, not at the first charge that meets the row.
-assert all(hasattr(Keeper, f"_{effect}") for rows in RULES.values() for row in rows for effect in row[2])
+assert all(
+    hasattr(Keeper, f"_{effect}") for rows in RULES.values() for row in rows for effect in row[2]
+)
--- a/burlloom/record/points.py
+++ b/burlloom/record/points.py
@@ -6,8 +6,18 @@
 import asyncio
 from collections.abc import Callable
 
-NAMES = ("claim-posted", "claim-commit", "claim-durable", "executed", "ended", "finish-posted", "finish-commit",
-         "finish-durable", "answering", "answered")
+NAMES = (
+    "claim-posted",
+    "claim-commit",
+    "claim-durable",
+    "executed",
+    "ended",
+    "finish-posted",
+    "finish-commit",
+    "finish-durable",
+    "answering",
+    "answered",
+)
 hook: Callable[[str], None] | None = None
 
 
--- a/burlloom/record/postgres.py
+++ b/burlloom/record/postgres.py
@@ -30,33 +30,62 @@
 ENTRY = MARK_BYTES + 8  # a mark read back, and the end of its window
 LOCK = 0x6275726C6F6F  # "burloo": the advisory lock under which the tables are changed
 COLUMNS = "mark, state, node, life, turn, id, at, until, result, seal"
-ROW = ("$1::bytea, $2::bigint, $3::text, $4::bigint, $5::bigint, $6::text, $7::bigint, $8::bigint, $9::bytea,"
-       " $10::bytea")
-CLAIM = (f"INSERT INTO fate ({COLUMNS}) VALUES ({ROW}) ON CONFLICT (mark) DO UPDATE SET"
-         " turn = excluded.turn, id = excluded.id, at = excluded.at, until = excluded.until, seal = excluded.seal"
-         f" WHERE fate.state = {BEGUN} AND fate.node = excluded.node AND fate.life = excluded.life"
-         " AND fate.turn <= excluded.turn RETURNING mark")
+ROW = (
+    "$1::bytea, $2::bigint, $3::text, $4::bigint, $5::bigint, $6::text, $7::bigint, $8::bigint, $9::bytea,"
+    " $10::bytea"
+)
+CLAIM = (
+    f"INSERT INTO fate ({COLUMNS}) VALUES ({ROW}) ON CONFLICT (mark) DO UPDATE SET"
+    " turn = excluded.turn, id = excluded.id, at = excluded.at, until = excluded.until, seal = excluded.seal"
+    f" WHERE fate.state = {BEGUN} AND fate.node = excluded.node AND fate.life = excluded.life"
+    " AND fate.turn <= excluded.turn RETURNING mark"
+)
 INSERT = f"INSERT INTO fate ({COLUMNS}) VALUES ({ROW}) ON CONFLICT (mark) DO NOTHING RETURNING mark"
-FINISH = ("UPDATE fate SET state = $1::bigint, result = $2::bytea, seal = $3::bytea WHERE mark = $4::bytea AND"
-          f" node = $5::text AND life = $6::bigint AND turn = $7::bigint AND state = {BEGUN} RETURNING mark")
-WITHDRAW = ("DELETE FROM fate WHERE mark = $1::bytea AND node = $2::text AND life = $3::bigint AND"
-            f" turn = $4::bigint AND state = {BEGUN} RETURNING mark")
+FINISH = (
+    "UPDATE fate SET state = $1::bigint, result = $2::bytea, seal = $3::bytea WHERE mark = $4::bytea AND"
+    f" node = $5::text AND life = $6::bigint AND turn = $7::bigint AND state = {BEGUN} RETURNING mark"
+)
+WITHDRAW = (
+    "DELETE FROM fate WHERE mark = $1::bytea AND node = $2::text AND life = $3::bigint AND"
+    f" turn = $4::bigint AND state = {BEGUN} RETURNING mark"
+)
 LOOK = f"SELECT {COLUMNS} FROM fate WHERE mark = $1::bytea"
 PRESENT = "SELECT life, fenced FROM node WHERE name = $1::text FOR SHARE"
 LIVES = "SELECT name, life, fenced FROM node"
-BIRTH = ("INSERT INTO node (name, life, fenced) VALUES ($1::text, 1, 0) ON CONFLICT (name) DO UPDATE SET"
-         " life = node.life + 1 RETURNING life, fenced, note")
-KNOWN = ("SELECT mark, until FROM fate WHERE node = $1::text AND until > $2::bigint AND mark > $3::bytea"
-         " ORDER BY mark LIMIT $4::bigint")
+BIRTH = (
+    "INSERT INTO node (name, life, fenced) VALUES ($1::text, 1, 0) ON CONFLICT (name) DO UPDATE SET"
+    " life = node.life + 1 RETURNING life, fenced, note"
+)
+KNOWN = (
+    "SELECT mark, until FROM fate WHERE node = $1::text AND until > $2::bigint AND mark > $3::bytea"
+    " ORDER BY mark LIMIT $4::bigint"
+)
 NOTE = "UPDATE node SET note = $1::text WHERE name = $2::text AND life = $3::bigint"
 PAGE = 10_000  # marks that are read back at a time, some 100 bytes each until they are packed
-OPEN = f"SELECT {COLUMNS} FROM fate WHERE node = $1::text AND until > $2::bigint AND state = {BEGUN}"
-PRUNE = ("DELETE FROM fate WHERE mark IN (SELECT mark FROM fate WHERE until <= $1::bigint LIMIT"
-         f" {PRUNE_ROWS}) RETURNING mark")
+OPEN = (
+    f"SELECT {COLUMNS} FROM fate WHERE node = $1::text AND until > $2::bigint AND state = {BEGUN}"
+)
+PRUNE = (
+    "DELETE FROM fate WHERE mark IN (SELECT mark FROM fate WHERE until <= $1::bigint LIMIT"
+    f" {PRUNE_ROWS}) RETURNING mark"
+)
 VERDICTS = "SELECT mark, life, turn, ran FROM verdict"
 VERSION = "SELECT version FROM burlloom_schema"
-ORDER = {Kind.CLAIM: 0, Kind.INSERT: 1, Kind.FINISH: 2, Kind.WITHDRAW: 3, Kind.LOOK: 4, Kind.FIND: 4}
-LOST = (OSError, asyncpg.InterfaceError, asyncpg.PostgresConnectionError, asyncio.TimeoutError, EOFError)
+ORDER = {
+    Kind.CLAIM: 0,
+    Kind.INSERT: 1,
+    Kind.FINISH: 2,
+    Kind.WITHDRAW: 3,
+    Kind.LOOK: 4,
+    Kind.FIND: 4,
+}
+LOST = (
+    OSError,
+    asyncpg.InterfaceError,
+    asyncpg.PostgresConnectionError,
+    asyncio.TimeoutError,
+    EOFError,
+)
 
 
 def row_of(record: Any) -> Row:
@@ -64,9 +93,21 @@
 
 
 class Postgres:
-    def __init__(self, address: tuple[str, int], database: str, user: str, password: str, sealer: Sealer, node: str,
-                 *, connect: float = 2.0, hang: float = 5.0, batch: int = BATCH_MOST, keep: int = 0,
-                 clock: Callable[[], int]) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        database: str,
+        user: str,
+        password: str,
+        sealer: Sealer,
+        node: str,
+        *,
+        connect: float = 2.0,
+        hang: float = 5.0,
+        batch: int = BATCH_MOST,
+        keep: int = 0,
+        clock: Callable[[], int],
+    ) -> None:
         """`connect`, `hang`: s until a connection is not to be had, or one that says nothing is given up."""
         self.address, self.database, self.user, self.password = address, database, user, password
         self.sealer, self.node, self.connect_for, self.hang = sealer, node, connect, hang
@@ -88,9 +129,16 @@
 
     async def connect(self) -> Any:
         host, port = self.address
-        return await asyncpg.connect(host=host, port=port, database=self.database, user=self.user,
-                                     password=self.password or None, timeout=self.connect_for,
-                                     command_timeout=self.hang, ssl=False)
+        return await asyncpg.connect(
+            host=host,
+            port=port,
+            database=self.database,
+            user=self.user,
+            password=self.password or None,
+            timeout=self.connect_for,
+            command_timeout=self.hang,
+            ssl=False,
+        )
 
     async def open(self) -> Opened:
         where = f"{self.address[0]}:{self.address[1]}/{self.database}"
@@ -99,13 +147,17 @@
             self.connects += 1
             migrated = await self.migrate(where)
             async with self.link.transaction():
-                (life, fenced, note), = await self.link.fetch(BIRTH, self.node)
+                ((life, fenced, note),) = await self.link.fetch(BIRTH, self.node)
                 if fenced:
-                    raise Refused(f"{where}: node {self.node} was fenced off by an operator; `burlloom record unfence"
-                                  f" {self.node}` lets it back in")
+                    raise Refused(
+                        f"{where}: node {self.node} was fenced off by an operator; `burlloom record unfence"
+                        f" {self.node}` lets it back in"
+                    )
                 since = self.clock() - self.keep
                 await self.read_marks(since)
-                self.begun_rows = [row_of(row) for row in await self.link.fetch(OPEN, self.node, since)]
+                self.begun_rows = [
+                    row_of(row) for row in await self.link.fetch(OPEN, self.node, since)
+                ]
             self.life = life
         except Refused:
             await self.let_go()
@@ -119,17 +171,23 @@
         link = self.link
         async with link.transaction():
             await link.fetch("SELECT pg_advisory_xact_lock($1::bigint)", LOCK)
-            await link.execute("CREATE TABLE IF NOT EXISTS burlloom_schema (version BIGINT PRIMARY KEY)")
+            await link.execute(
+                "CREATE TABLE IF NOT EXISTS burlloom_schema (version BIGINT PRIMARY KEY)"
+            )
             have = max((row[0] for row in await link.fetch(VERSION)), default=0)
             if have > schema.LATEST:
-                raise Refused(f"{where}: schema {have} is newer than {schema.LATEST}, the newest this program knows;"
-                              " start the newer program")
+                raise Refused(
+                    f"{where}: schema {have} is newer than {schema.LATEST}, the newest this program knows;"
+                    " start the newer program"
+                )
             taken = schema.steps(have, schema.POSTGRES)
             for number in taken:
                 for statement in schema.POSTGRES[number]:
                     await link.execute(statement)
-                await link.fetch("INSERT INTO burlloom_schema (version) VALUES ($1::bigint) RETURNING version",
-                                 number)
+                await link.fetch(
+                    "INSERT INTO burlloom_schema (version) VALUES ($1::bigint) RETURNING version",
+                    number,
+                )
         return tuple(taken)
 
     async def read_marks(self, since: int) -> None:
@@ -146,9 +204,14 @@
         raw = bytes(self.known_raw)
         self.known_raw.clear()
         for start in range(0, len(raw), ENTRY * self.page):
-            part = raw[start:start + ENTRY * self.page]
-            yield [(part[at:at + MARK_BYTES], int.from_bytes(part[at + MARK_BYTES:at + ENTRY], "big"))
-                   for at in range(0, len(part), ENTRY)]
+            part = raw[start : start + ENTRY * self.page]
+            yield [
+                (
+                    part[at : at + MARK_BYTES],
+                    int.from_bytes(part[at + MARK_BYTES : at + ENTRY], "big"),
+                )
+                for at in range(0, len(part), ENTRY)
+            ]
 
     def begun(self, now: int) -> Iterator[Row]:
         yield from self.begun_rows
@@ -208,8 +271,11 @@
             except (*LOST, asyncpg.PostgresError) as error:
                 await self.let_go()
                 self.fail_posted()
-                log.warning("event=record-unreached address=%s:%d detail=%r", *self.address,
-                            str(error) or type(error).__name__)
+                log.warning(
+                    "event=record-unreached address=%s:%d detail=%r",
+                    *self.address,
+                    str(error) or type(error).__name__,
+                )
                 if not self.stopping:
                     await asyncio.sleep(again)
                     again = min(AGAIN_MOST, 2 * again)
@@ -229,7 +295,9 @@
         if not isinstance(first, tuple):
             try:
                 async with self.transaction([]) as link:
-                    await link.execute("UPDATE node SET life = life WHERE name = $1::text", self.node)
+                    await link.execute(
+                        "UPDATE node SET life = life WHERE name = $1::text", self.node
+                    )
             except BaseException:
                 first(False)
                 raise
@@ -258,7 +326,9 @@
 
     async def commit(self, batch: list[tuple[Write, Done]]) -> None:
         # Rows are touched in one order by all nodes: two that want the same ones do not wait for each other.
-        order = sorted(range(len(batch)), key=lambda at: (ORDER[batch[at][0].kind], batch[at][0].row.mark))
+        order = sorted(
+            range(len(batch)), key=lambda at: (ORDER[batch[at][0].kind], batch[at][0].row.mark)
+        )
         stage: list[Stage] = []
         words: dict[int, Word] = {}
         trouble: BaseException | None = None
@@ -268,24 +338,37 @@
                 self.moment(batch, "commit")
         except (*LOST, asyncpg.PostgresError, asyncio.CancelledError) as error:
             trouble = error
-            code = getattr(error, "sqlstate", None) if isinstance(error, asyncpg.PostgresError) else None
+            code = (
+                getattr(error, "sqlstate", None)
+                if isinstance(error, asyncpg.PostgresError)
+                else None
+            )
             how = meaning(stage[-1] if stage else Stage.BEFORE, code)
             words = dict.fromkeys(range(len(batch)), Word(how))
-            log.warning("event=record-write-failed count=%d how=%s detail=%r", len(batch), how.name,
-                        str(error) or type(error).__name__)
+            log.warning(
+                "event=record-write-failed count=%d how=%s detail=%r",
+                len(batch),
+                how.name,
+                str(error) or type(error).__name__,
+            )
         self.moment(batch, "durable")
         self.commits += 1
         self.written += len(batch)
         self.largest = max(self.largest, len(batch))
         deliver(batch, [words[at] for at in range(len(batch))])
-        if trouble is not None and not (isinstance(trouble, asyncpg.PostgresError)
-                                        and self.link is not None and not self.link.is_closed()):
+        if trouble is not None and not (
+            isinstance(trouble, asyncpg.PostgresError)
+            and self.link is not None
+            and not self.link.is_closed()
+        ):
             raise trouble
 
     def moment(self, batch: list[tuple[Write, Done]], name: str) -> None:
         points.reached_by({write.kind.name.lower() for write, _ in batch}, name)
 
-    async def apply(self, link: Any, batch: list[tuple[Write, Done]], order: list[int]) -> dict[int, Word]:
+    async def apply(
+        self, link: Any, batch: list[tuple[Write, Done]], order: list[int]
+    ) -> dict[int, Word]:
         present = await link.fetch(PRESENT, self.node)
         if not present or (present[0][0], present[0][1]) != (self.life, 0):
             log.error("event=record-fenced node=%s life=%d", self.node, self.life)
@@ -293,8 +376,11 @@
         words: dict[int, Word] = {}
         left: list[int] = []
         for kind, sql, arguments in (
-                (Kind.CLAIM, CLAIM, tuple), (Kind.INSERT, INSERT, tuple), (Kind.FINISH, FINISH, of_finish),
-                (Kind.WITHDRAW, WITHDRAW, of_withdraw)):
+            (Kind.CLAIM, CLAIM, tuple),
+            (Kind.INSERT, INSERT, tuple),
+            (Kind.FINISH, FINISH, of_finish),
+            (Kind.WITHDRAW, WITHDRAW, of_withdraw),
+        ):
             these = [at for at in order if batch[at][0].kind is kind]
             if not these:
                 continue
@@ -309,7 +395,9 @@
         if left:
             lives = {name: (life, bool(fenced)) for name, life, fenced in await link.fetch(LIVES)}
             for at in left:
-                words[at] = self.word(batch[at][0], await link.fetch(LOOK, batch[at][0].row.mark), lives)
+                words[at] = self.word(
+                    batch[at][0], await link.fetch(LOOK, batch[at][0].row.mark), lives
+                )
         return words
 
     @staticmethod
--- a/burlloom/record/recovery.py
+++ b/burlloom/record/recovery.py
@@ -49,7 +49,12 @@
 
 
 Stage = IntEnum("Stage", "BEFORE COMMITTING DONE", start=0)
-UNKNOWN_CODES = ("08", "57P0", "58", "XX")  # SQLSTATEs (prefixes) that at a commit leave its fate open
+UNKNOWN_CODES = (
+    "08",
+    "57P0",
+    "58",
+    "XX",
+)  # SQLSTATEs (prefixes) that at a commit leave its fate open
 
 
 def meaning(stage: Stage, code: str | None) -> Input:
