--- a/burlloom/record/rows.py
+++ b/burlloom/record/rows.py
@@ -63,8 +63,14 @@
     row: Row | None = None
 
 
-def whose(row: Row | None, node: str, life: int, turn: int, lives: dict[str, tuple[int, bool]],
-          sound: bool = True) -> Input:
+def whose(
+    row: Row | None,
+    node: str,
+    life: int,
+    turn: int,
+    lives: dict[str, tuple[int, bool]],
+    sound: bool = True,
+) -> Input:
     """What a row that stands at a mark means to the one who claimed it as (node, life, turn).
 
     `lives` has each node's present life, and whether it was fenced off. A claim of a life that is over has
@@ -83,12 +89,19 @@
     return Input.BARE if fenced or row.life != present else Input.TAKEN
 
 
-def answer(write: Write, there: Row | None, lives: dict[str, tuple[int, bool]], sound: bool = True) -> Word:
+def answer(
+    write: Write, there: Row | None, lives: dict[str, tuple[int, bool]], sound: bool = True
+) -> Word:
     """The word on a write that changed nothing, by the row that stands there."""
     row = write.row
     how = whose(there, row.node, row.life, row.turn, lives, sound)
-    if (write.kind is Kind.FINISH and there is not None and sound
-            and (there.node, there.life, there.turn, there.state) == (row.node, row.life, row.turn, row.state)):
+    if (
+        write.kind is Kind.FINISH
+        and there is not None
+        and sound
+        and (there.node, there.life, there.turn, there.state)
+        == (row.node, row.life, row.turn, row.state)
+    ):
         how = Input.HELD  # said again, after a word that was lost
     return Word(how, there if how is Input.FOUND else None)
 
--- a/burlloom/record/schema.py
+++ b/burlloom/record/schema.py
@@ -20,7 +20,9 @@
         "CREATE TABLE verdict (mark BLOB PRIMARY KEY, life INTEGER NOT NULL, turn INTEGER NOT NULL,"
         " ran INTEGER NOT NULL, said_at INTEGER NOT NULL, reason TEXT NOT NULL) WITHOUT ROWID",
     ),
-    3: ("ALTER TABLE node ADD COLUMN note TEXT NOT NULL DEFAULT ''",),  # what a life leaves to the next one
+    3: (
+        "ALTER TABLE node ADD COLUMN note TEXT NOT NULL DEFAULT ''",
+    ),  # what a life leaves to the next one
     4: (
         # What a fleet agrees on, whole, and what each server says of itself.
         "CREATE TABLE rollout_book (id INTEGER PRIMARY KEY, revision INTEGER NOT NULL, epoch INTEGER NOT NULL,"
--- a/burlloom/record/seal.py
+++ b/burlloom/record/seal.py
@@ -16,7 +16,9 @@
 
     def seal(self, row: Row) -> bytes:
         head = f"{row.state} {row.node} {row.life} {row.turn} {row.id} {row.at} {row.until} {len(row.result)}\0"
-        digest = hashlib.blake2b(head.encode(), key=self.key, digest_size=SEAL_BYTES, person=b"burlloom seal")
+        digest = hashlib.blake2b(
+            head.encode(), key=self.key, digest_size=SEAL_BYTES, person=b"burlloom seal"
+        )
         digest.update(row.mark)
         digest.update(row.result)
         return digest.digest()
--- a/burlloom/record/shared_postgres.py
+++ b/burlloom/record/shared_postgres.py
@@ -28,7 +28,9 @@
             await record.let_go()
             raise Away(f"{self.where}: {str(error) or type(error).__name__}") from error
         except BaseException:
-            await record.let_go()  # cancelled on the way: the connection is in the middle of something
+            await (
+                record.let_go()
+            )  # cancelled on the way: the connection is in the middle of something
             raise
 
     async def prepare(self) -> None:
--- a/burlloom/record/shared_sqlite.py
+++ b/burlloom/record/shared_sqlite.py
@@ -47,6 +47,7 @@
                 db.close()
                 raise
             self.db, self.file = db, self.path.stat().st_ino
+
         await self.in_thread(work)
 
     async def take(self, work: Callable[[sqlite3.Connection], Result]) -> Result:
@@ -70,7 +71,9 @@
     def opened(self) -> sqlite3.Connection:
         if self.db is None:
             raise sqlite3.OperationalError("not open")
-        if self.path.stat().st_ino != self.file:  # a restore put another in its place: ours is nobody's now
+        if (
+            self.path.stat().st_ino != self.file
+        ):  # a restore put another in its place: ours is nobody's now
             self.let_go()
             raise sqlite3.OperationalError("another file has taken its place")
         return self.db
--- a/burlloom/record/sqlite.py
+++ b/burlloom/record/sqlite.py
@@ -35,27 +35,41 @@
 LOOK_EVERY = 1.0  # s between looks for an operator's word, where nothing is written
 LOG_PAGES = 4_000  # of the write-ahead log before it is carried over: 16 MiB
 GIVE_BACK_PAGES = 200  # of free ones, at each prune
-SURE = ("database or disk is full", "database is locked")  # errors that roll back whole: nothing took hold
+SURE = (
+    "database or disk is full",
+    "database is locked",
+)  # errors that roll back whole: nothing took hold
 COLUMNS = "mark, state, node, life, turn, id, at, until, result, seal"
-CLAIM = (f"INSERT INTO fate ({COLUMNS}) VALUES (?,?,?,?,?,?,?,?,?,?) ON CONFLICT (mark) DO UPDATE SET"
-         " turn = excluded.turn, id = excluded.id, at = excluded.at, until = excluded.until, seal = excluded.seal"
-         f" WHERE state = {BEGUN} AND node = excluded.node AND life = excluded.life AND turn <= excluded.turn")
+CLAIM = (
+    f"INSERT INTO fate ({COLUMNS}) VALUES (?,?,?,?,?,?,?,?,?,?) ON CONFLICT (mark) DO UPDATE SET"
+    " turn = excluded.turn, id = excluded.id, at = excluded.at, until = excluded.until, seal = excluded.seal"
+    f" WHERE state = {BEGUN} AND node = excluded.node AND life = excluded.life AND turn <= excluded.turn"
+)
 INSERT = f"INSERT INTO fate ({COLUMNS}) VALUES (?,?,?,?,?,?,?,?,?,?) ON CONFLICT (mark) DO NOTHING"
-FINISH = ("UPDATE fate SET state = ?, result = ?, seal = ? WHERE mark = ? AND node = ? AND life = ? AND turn = ?"
-          f" AND state = {BEGUN}")
-WITHDRAW = f"DELETE FROM fate WHERE mark = ? AND node = ? AND life = ? AND turn = ? AND state = {BEGUN}"
+FINISH = (
+    "UPDATE fate SET state = ?, result = ?, seal = ? WHERE mark = ? AND node = ? AND life = ? AND turn = ?"
+    f" AND state = {BEGUN}"
+)
+WITHDRAW = (
+    f"DELETE FROM fate WHERE mark = ? AND node = ? AND life = ? AND turn = ? AND state = {BEGUN}"
+)
 LOOK = f"SELECT {COLUMNS} FROM fate WHERE mark = ?"
 ALL = f"SELECT {COLUMNS} FROM fate WHERE until > ?"
-KNOWN = ("SELECT mark, until FROM fate INDEXED BY fate_until WHERE until > ? AND typeof(mark) = 'blob'"
-         " AND length(mark) = 16 AND typeof(until) = 'integer'")  # off the index alone: the rows are far larger
+KNOWN = (
+    "SELECT mark, until FROM fate INDEXED BY fate_until WHERE until > ? AND typeof(mark) = 'blob'"
+    " AND length(mark) = 16 AND typeof(until) = 'integer'"
+)  # off the index alone: the rows are far larger
 OPEN = f"SELECT {COLUMNS} FROM fate INDEXED BY fate_begun WHERE until > ? AND state = {BEGUN}"
 PRUNE = "DELETE FROM fate WHERE rowid IN (SELECT rowid FROM fate WHERE until <= ? LIMIT ?)"
 
 
 Arguments = Callable[[Row], tuple[Any, ...]]
 STATEMENTS: dict[Kind, tuple[str, Arguments]] = {
-    Kind.CLAIM: (CLAIM, tuple), Kind.INSERT: (INSERT, tuple),
-    Kind.FINISH: (FINISH, of_finish), Kind.WITHDRAW: (WITHDRAW, of_withdraw)}
+    Kind.CLAIM: (CLAIM, tuple),
+    Kind.INSERT: (INSERT, tuple),
+    Kind.FINISH: (FINISH, of_finish),
+    Kind.WITHDRAW: (WITHDRAW, of_withdraw),
+}
 
 
 def tick_now() -> Tick:
@@ -79,7 +93,9 @@
 def connected(path: Path, pages: int) -> sqlite3.Connection:
     fresh = not path.exists() or not path.stat().st_size
     try:
-        db = sqlite3.connect(path, isolation_level=None, check_same_thread=False, timeout=0.0, cached_statements=64)
+        db = sqlite3.connect(
+            path, isolation_level=None, check_same_thread=False, timeout=0.0, cached_statements=64
+        )
     except sqlite3.OperationalError as error:
         raise Refused(f"{path}: {error}") from error
     try:
@@ -116,8 +132,10 @@
         try:
             (have,) = db.execute("PRAGMA user_version").fetchone()
             if have > schema.LATEST:
-                raise Refused(f"{path}: schema {have} is newer than {schema.LATEST}, the newest this program knows;"
-                              " start the newer program, or restore a snapshot of the older one")
+                raise Refused(
+                    f"{path}: schema {have} is newer than {schema.LATEST}, the newest this program knows;"
+                    " start the newer program, or restore a snapshot of the older one"
+                )
             left = schema.steps(have, schema.SQLITE)
             if not left:
                 return tuple(done)
@@ -132,8 +150,17 @@
 
 
 class Sqlite:
-    def __init__(self, path: Path, sealer: Sealer, node: str, *, pages: int = 0, batch: int = BATCH_MOST,
-                 keep: int = 0, tick: Callable[[], Tick] = tick_now) -> None:
+    def __init__(
+        self,
+        path: Path,
+        sealer: Sealer,
+        node: str,
+        *,
+        pages: int = 0,
+        batch: int = BATCH_MOST,
+        keep: int = 0,
+        tick: Callable[[], Tick] = tick_now,
+    ) -> None:
         """`pages`: the most pages the file may have, 0 for no bound of ours. `keep`: ns past a window's end."""
         self.path, self.sealer, self.node, self.pages, self.batch = path, sealer, node, pages, batch
         self.keep, self.tick = keep, tick
@@ -168,10 +195,14 @@
         except sqlite3.DatabaseError as error:
             self.release()
             if taken(error):
-                raise Refused(f"{self.path}: another process has held its lock for {self.turns.wait:g} s; start again"
-                              " once that has ended") from error
-            raise Refused(f"{self.path}: {error}; the file is damaged or is no record. Nothing was changed: look at"
-                          f" it with `burlloom record verify`, or restore a snapshot") from error
+                raise Refused(
+                    f"{self.path}: another process has held its lock for {self.turns.wait:g} s; start again"
+                    " once that has ended"
+                ) from error
+            raise Refused(
+                f"{self.path}: {error}; the file is damaged or is no record. Nothing was changed: look at"
+                f" it with `burlloom record verify`, or restore a snapshot"
+            ) from error
         except Refused:
             self.release()
             raise
@@ -185,8 +216,10 @@
             holder = os.pread(self.lock, 32, 0).decode("ascii", "replace").strip()
             os.close(self.lock)
             self.lock = -1
-            raise Refused(f"{self.path}: in use by another process{f' ({holder})' if holder else ''}; one server"
-                          " to a file") from error
+            raise Refused(
+                f"{self.path}: in use by another process{f' ({holder})' if holder else ''}; one server"
+                " to a file"
+            ) from error
         except OSError as error:
             raise Refused(f"{self.path}: {error.strerror}") from error
         os.ftruncate(self.lock, 0)
@@ -203,22 +236,40 @@
     def begin_life(self, db: sqlite3.Connection, migrated: tuple[int, ...]) -> Opened:
         now = self.tick()
         told = dict(self.turns.take(lambda: db.execute("SELECT name, value FROM meta").fetchall()))
-        then = Tick(told["boot"], int(told["steady"]), int(told["wall"])) if "wall" in told else None
+        then = (
+            Tick(told["boot"], int(told["steady"]), int(told["wall"])) if "wall" in told else None
+        )
         self.shift = shift(then, now)
         self.begin(db)
         if self.shift > 0:
             # Windows are kept by the wall clock: it went ahead, so their ends go along. The rows say so of
             # themselves from now on, or a further life would end them too early.
             rows = [Row(*row) for row in db.execute(ALL, (then.wall if then else 0,))]
-            db.executemany("UPDATE fate SET until = ?, seal = ? WHERE mark = ?", [
-                (row.until + self.shift, self.sealer.seal(row._replace(until=row.until + self.shift)), row.mark)
-                for row in rows if self.sealer.holds(row)])
-        db.execute("INSERT INTO node (name, life) VALUES (?, 1) ON CONFLICT (name) DO UPDATE SET life = life + 1,"
-                   " fenced = 0", (self.node,))
-        self.life, note = db.execute("SELECT life, note FROM node WHERE name = ?", (self.node,)).fetchone()
+            db.executemany(
+                "UPDATE fate SET until = ?, seal = ? WHERE mark = ?",
+                [
+                    (
+                        row.until + self.shift,
+                        self.sealer.seal(row._replace(until=row.until + self.shift)),
+                        row.mark,
+                    )
+                    for row in rows
+                    if self.sealer.holds(row)
+                ],
+            )
+        db.execute(
+            "INSERT INTO node (name, life) VALUES (?, 1) ON CONFLICT (name) DO UPDATE SET life = life + 1,"
+            " fenced = 0",
+            (self.node,),
+        )
+        self.life, note = db.execute(
+            "SELECT life, note FROM node WHERE name = ?", (self.node,)
+        ).fetchone()
         self.note_tick(db, now)
         db.execute("COMMIT")
-        return Opened(self.node, self.life, self.shift, migrated, int(told.get("closed_until", 0)), note)
+        return Opened(
+            self.node, self.life, self.shift, migrated, int(told.get("closed_until", 0)), note
+        )
 
     def begin(self, db: sqlite3.Connection) -> None:
         """A transaction that has the lock from its start: none of its statements waits for it."""
@@ -226,9 +277,11 @@
 
     @staticmethod
     def note_tick(db: sqlite3.Connection, now: Tick) -> None:
-        db.executemany("INSERT INTO meta (name, value) VALUES (?, ?) ON CONFLICT (name) DO UPDATE SET"
-                       " value = excluded.value",
-                       [("boot", now.boot), ("steady", str(now.steady)), ("wall", str(now.wall))])
+        db.executemany(
+            "INSERT INTO meta (name, value) VALUES (?, ?) ON CONFLICT (name) DO UPDATE SET"
+            " value = excluded.value",
+            [("boot", now.boot), ("steady", str(now.steady)), ("wall", str(now.wall))],
+        )
 
     def known(self, now: int) -> Iterator[list[tuple[bytes, int]]]:
         assert self.db is not None
@@ -256,6 +309,7 @@
 
     def beat(self, now: int, done: Callable[[bool], None]) -> None:
         """A commit of its own, that tells whether the store works; `done` hears it on the loop."""
+
         def work() -> None:
             try:
                 assert self.db is not None
@@ -269,6 +323,7 @@
                 log.warning("event=record-beat-failed detail=%r", str(error))
                 good = False
             self.hand(lambda: done(good))
+
         self.posted.append(work)
         self.wake.set()
 
@@ -276,10 +331,15 @@
         def work() -> None:
             try:
                 assert (db := self.db) is not None
-                self.turns.take(lambda: db.execute("UPDATE node SET note = ? WHERE name = ? AND life = ?",
-                                                   (text, self.node, self.life)))
+                self.turns.take(
+                    lambda: db.execute(
+                        "UPDATE node SET note = ? WHERE name = ? AND life = ?",
+                        (text, self.node, self.life),
+                    )
+                )
             except sqlite3.Error as error:
                 log.warning("event=record-note-failed detail=%r", str(error))
+
         self.posted.append(work)
         self.wake.set()
 
@@ -306,7 +366,11 @@
                 one = self.posted.popleft()
                 if isinstance(one, tuple):
                     batch = [one]
-                    while self.posted and len(batch) < self.batch and isinstance(self.posted[0], tuple):
+                    while (
+                        self.posted
+                        and len(batch) < self.batch
+                        and isinstance(self.posted[0], tuple)
+                    ):
                         batch.append(self.posted.popleft())  # type: ignore[arg-type]
                     self.commit(batch)
                 else:
@@ -342,7 +406,9 @@
             # A commit that failed for want of room rolled back whole. Of any other the log may hold the frames,
             # and a restart would find them: nobody knows.
             sure = not committing or any(known in str(error) for known in SURE)
-            log.warning("event=record-write-failed count=%d sure=%s detail=%r", len(batch), sure, str(error))
+            log.warning(
+                "event=record-write-failed count=%d sure=%s detail=%r", len(batch), sure, str(error)
+            )
             words = [Word(Input.LOST if sure else Input.UNSURE)] * len(batch)
         except Exception:
             # Against an error of ours that would end the thread: every later charge would wait for nobody.
@@ -416,7 +482,9 @@
         self.free_pages = False
         try:
             # `execute` takes one step of it: a page.
-            self.turns.take(lambda: db.executescript(f"PRAGMA incremental_vacuum({GIVE_BACK_PAGES})"))
+            self.turns.take(
+                lambda: db.executescript(f"PRAGMA incremental_vacuum({GIVE_BACK_PAGES})")
+            )
         except sqlite3.Error as error:
             log.warning("event=record-vacuum-failed detail=%r", str(error))
 
@@ -429,10 +497,11 @@
             (version,) = self.turns.take(lambda: db.execute("PRAGMA data_version").fetchone())
             if version == self.version or self.verdicts is None:
                 return
-            said = self.turns.take(lambda: db.execute("SELECT mark, life, turn, ran FROM verdict").fetchall())
+            said = self.turns.take(
+                lambda: db.execute("SELECT mark, life, turn, ran FROM verdict").fetchall()
+            )
             self.version = version
             for mark, life, turn, ran in said:
                 self.hand(partial(self.verdicts, mark, life, turn, bool(ran)))
         except sqlite3.Error as error:
             log.warning("event=record-look-failed detail=%r", str(error))
-
--- a/burlloom/record/store.py
+++ b/burlloom/record/store.py
@@ -9,7 +9,9 @@
 
 log = logging.getLogger(__name__)
 Done = Callable[[Word], None]
-Verdicts = Callable[[bytes, int, int, bool], None]  # mark, life and turn of the claim, whether it ran
+Verdicts = Callable[
+    [bytes, int, int, bool], None
+]  # mark, life and turn of the claim, whether it ran
 
 
 class Refused(Exception):
@@ -51,13 +53,16 @@
     async def open(self) -> Opened: ...
     def known(self, now: int) -> Iterator[list[tuple[bytes, int]]]:
         """Mark and end of window of all rows of this node; what they ended with stays there until it is asked for."""
+
     def begun(self, now: int) -> Iterator[Row]:
         """Those without an end, by whatever life of this node."""
+
     async def start(self) -> None: ...
     def post(self, write: Write, done: Done) -> None: ...
     def beat(self, now: int, done: Callable[[bool], None]) -> None: ...
     def note(self, text: str) -> None:
         """Leaves a word to this node's next life; where it can't be written now, it is not."""
+
     async def close(self) -> None: ...
 
 
--- a/burlloom/record/turns.py
+++ b/burlloom/record/turns.py
@@ -21,14 +21,21 @@
 def taken(error: BaseException) -> bool:
     """Whether it says that another holds the lock."""
     return isinstance(error, sqlite3.OperationalError) and (
-        getattr(error, "sqlite_errorcode", 0) & 0xFF == sqlite3.SQLITE_BUSY)
+        getattr(error, "sqlite_errorcode", 0) & 0xFF == sqlite3.SQLITE_BUSY
+    )
 
 
 class Turns:
     """`wait`: s until what is asked for is given up. `over` ends that early."""
 
-    def __init__(self, wait: float = WAIT, *, clock: Callable[[], float] = time.monotonic,
-                 rest: Callable[[float], None] = time.sleep, over: Callable[[], bool] = lambda: False) -> None:
+    def __init__(
+        self,
+        wait: float = WAIT,
+        *,
+        clock: Callable[[], float] = time.monotonic,
+        rest: Callable[[float], None] = time.sleep,
+        over: Callable[[], bool] = lambda: False,
+    ) -> None:
         self.wait, self.clock, self.rest, self.over, self.chance = wait, clock, rest, over, Random()
 
     def take(self, work: Callable[[], Result]) -> Result:
--- a/burlloom/recovery/__init__.py
+++ b/burlloom/recovery/__init__.py
@@ -10,5 +10,17 @@
 from .retries import Retries
 from .start import Input, Start, State
 
-__all__ = ["Input", "Kept", "Ramp", "Recovery", "Retries", "Start", "State", "Terms", "Verdict", "judge",
-    "read", "write"]
+__all__ = [
+    "Input",
+    "Kept",
+    "Ramp",
+    "Recovery",
+    "Retries",
+    "Start",
+    "State",
+    "Terms",
+    "Verdict",
+    "judge",
+    "read",
+    "write",
+]
--- a/burlloom/recovery/kept.py
+++ b/burlloom/recovery/kept.py
@@ -74,13 +74,24 @@
         return Verdict.TORN
     whole = all(type(told[name]) is int for name in ("life", "told_at", "record_life"))
     names = told["members"]
-    if (not whole or type(told["node"]) is not str or type(told["clean"]) is not bool
-            or type(names) is not list
-            or not all(type(name) is str for name in names) or type(told["share"]) not in (int, float)):
+    if (
+        not whole
+        or type(told["node"]) is not str
+        or type(told["clean"]) is not bool
+        or type(names) is not list
+        or not all(type(name) is str for name in names)
+        or type(told["share"]) not in (int, float)
+    ):
         return Verdict.TORN
-    return Kept(told["node"], told["life"], told["told_at"], told["record_life"], float(told["share"]),
+    return Kept(
+        told["node"],
+        told["life"],
+        told["told_at"],
+        told["record_life"],
+        float(told["share"]),
         told["clean"],
-                tuple(names[:MEMBERS_MOST]))
+        tuple(names[:MEMBERS_MOST]),
+    )
 
 
 def judge(found: Kept | Verdict, node: str, now: int, age_most: int) -> Verdict:
--- a/burlloom/recovery/recovery.py
+++ b/burlloom/recovery/recovery.py
@@ -36,15 +36,18 @@
 
 
 class Recovery:
-    def __init__(self, terms: Terms, found: Kept | Verdict, node: str, now: int, wall: int,
-            lonely: bool) -> None:
+    def __init__(
+        self, terms: Terms, found: Kept | Verdict, node: str, now: int, wall: int, lonely: bool
+    ) -> None:
         """`now` in ns on the host's clock, `wall` in Unix ms. `lonely`: neither peers nor a store to ask."""
         self.terms = terms
         self.kept = found if isinstance(found, Kept) else None
         self.verdict = judge(found, node, wall, terms.age_most // MS)
         # What a crash left is in the store, if there is one; whether that is the same store, it says itself.
         stored = self.kept is not None and terms.durable and self.kept.record_life >= 0
-        self.start = Start(lonely, self.kept is not None and (self.kept.clean or stored), terms.window)
+        self.start = Start(
+            lonely, self.kept is not None and (self.kept.clean or stored), terms.window
+        )
         self.retries = Retries(terms.retry_part, terms.retry_few, terms.retry_span)
         self.began = now
         self.ramp: Ramp | None = None
@@ -75,8 +78,14 @@
         if self.kept.record_life < 0:
             return
         expected = self.kept.record_life + 1
-        self.told(Input.SAID_SAME if life == expected else Input.SAID_LATER if life > expected
-            else Input.SAID_EARLIER, now)
+        self.told(
+            Input.SAID_SAME
+            if life == expected
+            else Input.SAID_LATER
+            if life > expected
+            else Input.SAID_EARLIER,
+            now,
+        )
 
     # Rounds.
 
@@ -91,19 +100,28 @@
         if self.ramp is None:
             if equal <= 0:
                 return False
-            self.ramp = Ramp(self.terms.begin * equal, min(self.terms.least, equal), self.terms.step, now)
+            self.ramp = Ramp(
+                self.terms.begin * equal, min(self.terms.least, equal), self.terms.step, now
+            )
             self.stepped, self.good, self.bad = now, 0, 0
             return True
         if self.start.used and not self.warmed:
             self.warmed = True
-            hint = self.terms.begin_warm * min(equal, self.kept.share if self.kept is not None else 0.0)
+            hint = self.terms.begin_warm * min(
+                equal, self.kept.share if self.kept is not None else 0.0
+            )
             if self.ramp.warm(hint):
                 return True
         if self.ramp.full or now - self.stepped < self.terms.step:
             return False
         calls = self.good + self.bad
-        what = (Push.QUIET if calls < min(CALLS_MIN, self.ramp.cap) else
-                Push.PUSHED if self.bad >= PUSHED_FROM * calls else Push.WELL)
+        what = (
+            Push.QUIET
+            if calls < min(CALLS_MIN, self.ramp.cap)
+            else Push.PUSHED
+            if self.bad >= PUSHED_FROM * calls
+            else Push.WELL
+        )
         changed = self.ramp.round(now, what, max(share, equal))
         self.stepped, self.good, self.bad = now, 0, 0
         return changed
--- a/burlloom/recovery/start.py
+++ b/burlloom/recovery/start.py
@@ -30,7 +30,9 @@
     KEPT_NONE = 3
     SAID_SAME = 4  # a peer, or the store, knows no later life than the one that wrote it
     SAID_LATER = 5  # it knows a later one: what was kept is of an older epoch
-    SAID_EARLIER = 6  # the store knows less than what was kept: it was lost, or put back from before
+    SAID_EARLIER = (
+        6  # the store knows less than what was kept: it was lost, or put back from before
+    )
     SAID_LIVED = 7  # nothing was kept, and a peer knows that we lived
     SILENT = 8  # nobody has said anything in time
 
@@ -52,8 +54,14 @@
 WARM    SAID_EARLIER -      COLD   fence
 """
 
-OF_VERDICT = {Verdict.GOOD: Input.KEPT_GOOD, Verdict.OLD: Input.KEPT_OLD, Verdict.MISSING: Input.KEPT_NONE,
-              Verdict.TORN: Input.KEPT_BAD, Verdict.FOREIGN: Input.KEPT_BAD, Verdict.FUTURE: Input.KEPT_BAD}
+OF_VERDICT = {
+    Verdict.GOOD: Input.KEPT_GOOD,
+    Verdict.OLD: Input.KEPT_OLD,
+    Verdict.MISSING: Input.KEPT_NONE,
+    Verdict.TORN: Input.KEPT_BAD,
+    Verdict.FOREIGN: Input.KEPT_BAD,
+    Verdict.FUTURE: Input.KEPT_BAD,
+}
 
 
 class Start:
--- a/burlloom/rollout/book.py
+++ b/burlloom/rollout/book.py
@@ -82,7 +82,9 @@
     def done(self, unit: Unit) -> bool:
         """As the change wants it."""
         plan = self.plan
-        return unit.version == plan.goal and (not plan.restart or plan.backing or unit.moved == plan.number)
+        return unit.version == plan.goal and (
+            not plan.restart or plan.backing or unit.moved == plan.number
+        )
 
     def flying(self, unit: Unit) -> bool:
         """Sent out by this change and not back in service."""
@@ -98,7 +100,9 @@
     def shunned(self) -> list[tuple[str, str]]:
         """Instances below that are not to be called: group and address."""
         return [
-            (group, name) for group, name, unit in self.all() if group != SERVERS and unit.state is State.OUT
+            (group, name)
+            for group, name, unit in self.all()
+            if group != SERVERS and unit.state is State.OUT
         ]
 
     # Steps.
@@ -111,11 +115,23 @@
         rest = {**before.units, name: unit}
         if unit.state is State.GONE:
             del rest[name]
-        return replace(self, steps=max(self.steps, unit.since),
-                       groups={**self.groups, group: replace(before, units=rest)})
+        return replace(
+            self,
+            steps=max(self.steps, unit.since),
+            groups={**self.groups, group: replace(before, units=rest)},
+        )
 
-    def meet(self, group: str, name: str, what: Input, *, life: int = 0, ticket: int = 0,
-             room: bool = False, few: bool = False) -> tuple["Book", str]:
+    def meet(
+        self,
+        group: str,
+        name: str,
+        what: Input,
+        *,
+        life: int = 0,
+        ticket: int = 0,
+        room: bool = False,
+        few: bool = False,
+    ) -> tuple["Book", str]:
         """A unit's step; the effect is empty where no row holds, and the book the same."""
         unit = self.groups[group].units.get(name, Unit())
         news = News(self.steps + 1, life, ticket, room, few, group != SERVERS)
@@ -132,8 +148,13 @@
         """The one place in which a unit is allowed to leave."""
         there = self.groups[group]
         sent = sum(unit.sent for other, unit in there.units.items() if other != name)
-        made, effect = self.meet(group, name, Input.GRANT, room=there.free(doubtful) > 0,
-                                 few=sent < there.budget.bound(len(there.units)))
+        made, effect = self.meet(
+            group,
+            name,
+            Input.GRANT,
+            room=there.free(doubtful) > 0,
+            few=sent < there.budget.bound(len(there.units)),
+        )
         if not effect:
             return self, False
         unit = replace(
@@ -148,7 +169,8 @@
             return self, ""
         plan, effect = moved
         book = replace(self, plan=plan, steps=self.steps + 1).note(
-            f"change {plan.number}: " + f"{what.name}, {self.plan.phase.name} to {plan.phase.name}".lower()
+            f"change {plan.number}: "
+            + f"{what.name}, {self.plan.phase.name} to {plan.phase.name}".lower()
             + (f" ({why})" if why else "")
         )
         if effect in ("stop", "turn"):
@@ -181,11 +203,16 @@
 
     # Orders of an operator. Each raises `Denied`.
 
-    def start(self, version: str, waves: tuple[plans.Wave, ...], auto: bool, restart: bool = False) -> "Book":
+    def start(
+        self, version: str, waves: tuple[plans.Wave, ...], auto: bool, restart: bool = False
+    ) -> "Book":
         running = Counter(unit.version for unit in self.servers.values() if unit.version or restart)
         if not running:
-            raise Denied("no server tells its version: set `rollout.version` or BURLLOOM_RELEASE for each"
-                         if self.servers else "no server is in the book yet")
+            raise Denied(
+                "no server tells its version: set `rollout.version` or BURLLOOM_RELEASE for each"
+                if self.servers
+                else "no server is in the book yet"
+            )
         if self.plan.phase is not Phase.IDLE:
             raise Denied(
                 f"change {self.plan.number} to {self.plan.version} is {self.plan.phase.name.lower()}:"
@@ -198,7 +225,12 @@
         if not restart and all(unit.version == version for unit in self.servers.values()):
             raise Denied(f"all servers run {version}; --restart starts them anew all the same")
         plan = Plan(
-            self.plan.number + 1, version=version, former=former, waves=waves, auto=auto, restart=restart
+            self.plan.number + 1,
+            version=version,
+            former=former,
+            waves=waves,
+            auto=auto,
+            restart=restart,
         )
         return replace(self, plan=plan, good=former).decide(plans.Input.START, "")[0]
 
@@ -232,7 +264,9 @@
                 f"{group} {name} is {'asked for already' if unit.asked else unit.state.name.lower()}"
             )
         if not self.groups[group].budget.bound(len(self.groups[group].units)):
-            raise Denied(f"{name} is the only one of {group}: it can't be out without all of them being out")
+            raise Denied(
+                f"{name} is the only one of {group}: it can't be out without all of them being out"
+            )
         book = replace(self, steps=self.steps + 1).put(
             group, name, replace(unit, asked=self.steps + 1, span_ms=span_ms)
         )
--- a/burlloom/rollout/judge.py
+++ b/burlloom/rollout/judge.py
@@ -20,7 +20,10 @@
 
 FEW_BAD = 5  # txns: one or two that fail by chance are a large share of a few
 PAST = 3  # margins that are wanted where nobody is left to compare with at the same time
-PARTS, PARTS_BAD = 10, 4  # of a span: failures come in bursts, and one burst is no sign of a bad release
+PARTS, PARTS_BAD = (
+    10,
+    4,
+)  # of a span: failures come in bursts, and one burst is no sign of a bad release
 
 
 class Verdict(IntEnum):
@@ -56,10 +59,14 @@
     unwell: int = 0
 
     def plus(self, other: "Side") -> "Side":
-        return Side(self.counts.plus(other.counts), self.looks + other.looks, self.unwell + other.unwell)
+        return Side(
+            self.counts.plus(other.counts), self.looks + other.looks, self.unwell + other.unwell
+        )
 
     def less(self, other: "Side") -> "Side":
-        return Side(self.counts.less(other.counts), self.looks - other.looks, self.unwell - other.unwell)
+        return Side(
+            self.counts.less(other.counts), self.looks - other.looks, self.unwell - other.unwell
+        )
 
     @property
     def ails(self) -> float:
@@ -110,7 +117,10 @@
         while (at := self.rounds[0][0]) <= now - self.span:
             self.whole = True
             _, changed, others = self.rounds[0]
-            if self.changed.counts.asked - changed.counts.asked < self.least and at > now - self.longest:
+            if (
+                self.changed.counts.asked - changed.counts.asked < self.least
+                and at > now - self.longest
+            ):
                 break
             self.rounds.popleft()
             self.changed, self.others = self.changed.less(changed), self.others.less(others)
@@ -120,22 +130,33 @@
         """Whether the changed failed so in several parts of a span, not in one burst."""
         part = max(1, self.span // PARTS)
         return (
-            len({at // part for at, changed, _ in self.rounds if getattr(changed.counts, name)}) >= PARTS_BAD
+            len({at // part for at, changed, _ in self.rounds if getattr(changed.counts, name)})
+            >= PARTS_BAD
         )
 
 
 def rates(counts: Counts) -> Rates:
     asked = max(1, counts.asked)
     return Rates(
-        counts.declined / asked, counts.voided / asked, counts.late / max(1, counts.settled), counts.asked
+        counts.declined / asked,
+        counts.voided / asked,
+        counts.late / max(1, counts.settled),
+        counts.asked,
     )
 
 
 def judge(measure: Measure, evidence: Evidence, reference: Rates | None) -> Found:
     """`reference`: what the others did while there were enough of them; in their place where they are few."""
     changed, others = evidence.changed, evidence.beside
-    if evidence.whole and changed.looks and changed.ails >= measure.worst and others.ails < measure.worst / 2:
-        return Found(Verdict.BAD, f"not well in {changed.ails:.0%} of looks, the others in {others.ails:.0%}")
+    if (
+        evidence.whole
+        and changed.looks
+        and changed.ails >= measure.worst
+        and others.ails < measure.worst / 2
+    ):
+        return Found(
+            Verdict.BAD, f"not well in {changed.ails:.0%} of looks, the others in {others.ails:.0%}"
+        )
     mine, its, margin = rates(changed.counts), rates(others.counts), measure.margin
     if others.counts.asked < measure.least:
         # Of another hour: what differs may be the hour.
@@ -143,10 +164,16 @@
     for name in ("declined", "voided", "late"):
         share, usual = getattr(mine, name), getattr(its, name)
         count = changed.counts.settled if name == "late" else mine.asked
-        worst = count >= measure.least and share >= measure.worst and (usual < measure.worst or not its.asked)
+        worst = (
+            count >= measure.least
+            and share >= measure.worst
+            and (usual < measure.worst or not its.asked)
+        )
         bad = worst or its.asked and worse(margin, measure.sigmas, share, count, usual, its.asked)
         if bad and evidence.lasting(name):
-            return Found(Verdict.BAD, f"{name} {share:.1%} of {count}, the others {usual:.1%} of {its.asked}")
+            return Found(
+                Verdict.BAD, f"{name} {share:.1%} of {count}, the others {usual:.1%} of {its.asked}"
+            )
     return Found(Verdict.GOOD if changed.counts.asked >= measure.least else Verdict.MORE)
 
 
--- a/burlloom/rollout/lead.py
+++ b/burlloom/rollout/lead.py
@@ -59,9 +59,19 @@
     does not have yet; what stands there is changed by an operator's word alone. `services`: the instances of
     each service below."""
 
-    def __init__(self, name: str, terms: Terms, budgets: Mapping[str, Budget] | None = None,
-                 services: Mapping[str, Sequence[str]] | None = None) -> None:
-        self.name, self.terms, self.budgets, self.services = name, terms, budgets or {}, services or {}
+    def __init__(
+        self,
+        name: str,
+        terms: Terms,
+        budgets: Mapping[str, Budget] | None = None,
+        services: Mapping[str, Sequence[str]] | None = None,
+    ) -> None:
+        self.name, self.terms, self.budgets, self.services = (
+            name,
+            terms,
+            budgets or {},
+            services or {},
+        )
         self.watch = Watch(terms.fresh)
         self.evidence = Evidence(
             terms.measure.span, terms.measure.least, max(terms.quiet, terms.measure.span)
@@ -87,7 +97,11 @@
         return taken.note(f"{self.name} leads" + (f" after {book.holder}" if book.holder else ""))
 
     def resign(self, book: Book) -> Book | None:
-        return replace(book, holder="").note(f"{self.name} leads no more") if self.leads(book) else None
+        return (
+            replace(book, holder="").note(f"{self.name} leads no more")
+            if self.leads(book)
+            else None
+        )
 
     def round(self, now: int, book: Book, members: Iterable[Member]) -> Book:
         """Of a book in which we lead. The same one where there is nothing to do."""
@@ -101,8 +115,11 @@
         for group in book.groups:
             if group != SERVERS:
                 book = self.below(now, book, group, [there[name] for name in sorted(fresh)])
-        self.strangers = [name for name, member in there.items()
-                          if name not in book.servers and self.watch.silent(now, member)]
+        self.strangers = [
+            name
+            for name, member in there.items()
+            if name not in book.servers and self.watch.silent(now, member)
+        ]
         self.weigh(now, book, there, fresh)
         book = self.change(now, book, lost)
         for group in book.groups:
@@ -113,12 +130,19 @@
 
     # What befell each of us.
 
-    def server(self, now: int, book: Book, name: str, member: Member | None, fresh: bool) -> tuple[Book, str]:
+    def server(
+        self, now: int, book: Book, name: str, member: Member | None, fresh: bool
+    ) -> tuple[Book, str]:
         """The second: why the change has lost it, if it has."""
         before = book.servers.get(name)
         what, life = heard(member, fresh, member is not None and self.watch.silent(now, member))
         effect = ""
-        if what is Input.SEEN and member is not None and before is not None and before.life == member.former:
+        if (
+            what is Input.SEEN
+            and member is not None
+            and before is not None
+            and before.life == member.former
+        ):
             # It was back before we looked.
             book, _ = book.meet(SERVERS, name, Input.PARTS, life=member.former)
         if what is not None:
@@ -126,7 +150,12 @@
         unit = book.servers.get(name)
         if unit is None:
             return book, ""
-        if member is not None and fresh and member.life > unit.left and unit.version != member.version:
+        if (
+            member is not None
+            and fresh
+            and member.life > unit.left
+            and unit.version != member.version
+        ):
             unit = replace(unit, version=member.version)
             book = replace(book.put(SERVERS, name, unit), steps=book.steps + 1)
         if not effect:
@@ -156,13 +185,22 @@
         return book.meet(group, name, due[0])
 
     def loss(self, plan: Plan, name: str, before: Unit | None, unit: Unit, effect: str) -> str:
-        if before is None or before.moved != plan.number or plan.phase not in (Phase.ROLLING, Phase.JUDGING):
+        if (
+            before is None
+            or before.moved != plan.number
+            or plan.phase not in (Phase.ROLLING, Phase.JUDGING)
+        ):
             return ""
         if effect == "lose":
             return f"{name} is missing"
         if effect == "fall" and before.state is not State.GRANTED:
             return f"{name} ended without a word"
-        if before.state is State.BACK and unit.state is State.IN and unit.to and unit.version != unit.to:
+        if (
+            before.state is State.BACK
+            and unit.state is State.IN
+            and unit.to
+            and unit.version != unit.to
+        ):
             return f"{name} came back with {unit.version or 'no version'}, not {unit.to}"
         return ""
 
@@ -192,7 +230,12 @@
 
     def weigh(self, now: int, book: Book, there: dict[str, Member], fresh: set[str]) -> None:
         plan = book.plan
-        judged = (plan.number, plan.wave, plan.backing, plan.since if plan.phase is Phase.HALTED else 0)
+        judged = (
+            plan.number,
+            plan.wave,
+            plan.backing,
+            plan.since if plan.phase is Phase.HALTED else 0,
+        )
         if judged != self.judged:
             self.evidence.clear()
             self.judged = judged
@@ -251,17 +294,23 @@
         """Crashes have taken the budget since: permits that nobody has begun on yet go back."""
         if book.plan.phase is Phase.BACKING:  # there those have permits that count anyway
             return book
-        waiting = [name for name, unit in book.groups[group].units.items() if unit.state is State.GRANTED]
-        for name in waiting[:max(0, -book.groups[group].free())]:
+        waiting = [
+            name for name, unit in book.groups[group].units.items() if unit.state is State.GRANTED
+        ]
+        for name in waiting[: max(0, -book.groups[group].free())]:
             book, _ = book.meet(group, name, Input.REVOKE)
         return book
 
     def send_out(self, book: Book, there: dict[str, Member], fresh: set[str]) -> Book:
         """What an operator asked for first, then the change; in the same order on whoever leads."""
         serving = {name for name in fresh if there[name].well}
-        doubtful = sum(unit.state is State.IN and name not in serving for name, unit in book.servers.items())
+        doubtful = sum(
+            unit.state is State.IN and name not in serving for name, unit in book.servers.items()
+        )
 
-        def send(book: Book, group: str, name: str, to: str = "", moved: int = 0) -> tuple[Book, bool]:
+        def send(
+            book: Book, group: str, name: str, to: str = "", moved: int = 0
+        ) -> tuple[Book, bool]:
             # One that is not called anyway costs nobody anything: only those that serve wait for the
             # doubtful.
             return book.permit(
@@ -283,8 +332,12 @@
             if started >= plan.wanted(len(book.servers)) and not plan.backing:
                 break
             alike = unit.state is State.IN, name in serving
-            if unit.state in may and alike not in full and not book.done(unit) and name in (
-                    fresh if plan.backing else serving):
+            if (
+                unit.state in may
+                and alike not in full
+                and not book.done(unit)
+                and name in (fresh if plan.backing else serving)
+            ):
                 book, held = send(book, SERVERS, name, plan.goal, plan.number)
                 started += held
                 if not held:
--- a/burlloom/rollout/plan.py
+++ b/burlloom/rollout/plan.py
@@ -129,8 +129,11 @@
 
 
 TESTS: dict[str, Callable[[Plan], bool]] = {
-    "-": lambda plan: True, "auto": lambda plan: plan.auto and not plan.restart,
-    "last": lambda plan: plan.wave + 1 >= len(plan.waves), "backing": lambda plan: plan.backing}
+    "-": lambda plan: True,
+    "auto": lambda plan: plan.auto and not plan.restart,
+    "last": lambda plan: plan.wave + 1 >= len(plan.waves),
+    "backing": lambda plan: plan.backing,
+}
 EFFECTS: dict[str, Callable[[Plan], Plan]] = {
     "-": same,
     "begin": begin,
--- a/burlloom/rollout/stores/opening.py
+++ b/burlloom/rollout/stores/opening.py
@@ -16,9 +16,11 @@
     place = operator.rollout_store()
     if place.sqlite is not None:
         from .sqlite import Sqlite
+
         return Sqlite(place.sqlite.place(), wait)
     from ...record.postgres import Postgres as Record
     from .postgres import Postgres
+
     record, _ = store_of(place, "-", keep=0, clock=time.time_ns)
     assert isinstance(record, Record)
     return Postgres(record)
--- a/burlloom/rollout/stores/shelf.py
+++ b/burlloom/rollout/stores/shelf.py
@@ -26,15 +26,20 @@
 
     async def open(self) -> None:
         """Takes missing schema steps, and begins an empty book where there is none."""
+
     async def read(self, known: Page | None = None) -> Page:
         """`known`: a page read before, whose book is not read again if nothing was written."""
+
     async def swap(self, page: Page, book: Book) -> bool:
         """Writes the book that was made from this page, if nobody wrote since. On disk when it says yes."""
+
     async def beat(self, epoch: int) -> None: ...
     async def tell(self, member: Member) -> bool:
         """False: a later life has this name, and the word was not taken."""
+
     async def last(self, name: str) -> Member | None:
         """What was told under this name last."""
+
     async def members(self) -> list[Member]: ...
     async def forget(self, name: str) -> None: ...
     async def close(self) -> None: ...
--- a/burlloom/rollout/stores/tables.py
+++ b/burlloom/rollout/stores/tables.py
@@ -12,12 +12,16 @@
 log = logging.getLogger(__name__)
 
 # A book that begins anew counts on from beyond all that there was: no page of the one before fits it.
-BEGIN = ("INSERT INTO rollout_book (id, revision, epoch, beat, text) VALUES (1, $1::bigint, 0, 0, $2::text)"
-         " ON CONFLICT (id) DO NOTHING RETURNING revision")
+BEGIN = (
+    "INSERT INTO rollout_book (id, revision, epoch, beat, text) VALUES (1, $1::bigint, 0, 0, $2::text)"
+    " ON CONFLICT (id) DO NOTHING RETURNING revision"
+)
 LOOK = "SELECT revision, beat FROM rollout_book WHERE id = 1"
 READ = "SELECT revision, beat, text FROM rollout_book WHERE id = 1"
-SWAP = ("UPDATE rollout_book SET revision = revision + 1, epoch = $1::bigint, text = $2::text"
-        " WHERE id = 1 AND revision = $3::bigint RETURNING revision")
+SWAP = (
+    "UPDATE rollout_book SET revision = revision + 1, epoch = $1::bigint, text = $2::text"
+    " WHERE id = 1 AND revision = $3::bigint RETURNING revision"
+)
 BEAT = "UPDATE rollout_book SET beat = beat + 1 WHERE id = 1 AND epoch = $1::bigint RETURNING beat"
 TELL = (
     "INSERT INTO rollout_member (name, life, beat, text) VALUES ($1::text, $2::bigint, $3::bigint, $4::text)"
@@ -44,13 +48,13 @@
 
     async def read(self, known: Page | None = None) -> Page:
         if known is not None:
-            (revision, beat), = await self.run(LOOK)
+            ((revision, beat),) = await self.run(LOOK)
             if revision == known.revision:
                 return Page(revision, beat, known.book)
         found = await self.run(READ)
         if not found:
             raise Unreadable("the book is gone: its table is empty")
-        (revision, beat, text), = found
+        ((revision, beat, text),) = found
         return Page(revision, beat, book_of(text))
 
     async def swap(self, page: Page, book: Book) -> bool:
--- a/burlloom/rollout/units.py
+++ b/burlloom/rollout/units.py
@@ -99,7 +99,9 @@
     def sent(self) -> bool:
         """It may have left with a permit, or may yet, and has not been seen since."""
         return (
-            self.state in (State.GRANTED, State.OUT) or self.state is State.MISSING and self.left >= self.life
+            self.state in (State.GRANTED, State.OUT)
+            or self.state is State.MISSING
+            and self.left >= self.life
         )
 
 
@@ -167,10 +169,23 @@
 
 
 TESTS: dict[str, Callable[[Unit, News], bool]] = {
-    "-": lambda unit, news: True, "newer": newer, "again": again, "mine": mine, "room": room, "stays": stays,
-    "below": below}
+    "-": lambda unit, news: True,
+    "newer": newer,
+    "again": again,
+    "mine": mine,
+    "room": room,
+    "stays": stays,
+    "below": below,
+}
 EFFECTS: dict[str, Callable[[Unit, News], Unit]] = {
-    "-": same, "lose": same, "refuse": refuse, "enter": enter, "fall": enter, "come": come, "leave": leave}
+    "-": same,
+    "lose": same,
+    "refuse": refuse,
+    "enter": enter,
+    "fall": enter,
+    "come": come,
+    "leave": leave,
+}
 RULES = rows(TABLE, State, Input, TESTS.__getitem__, str)
 
 
--- a/burlloom/rpc/connection.py
+++ b/burlloom/rpc/connection.py
@@ -20,7 +20,11 @@
 BAD_MOST = 4  # requests that can't be taken or that nobody knows, until the connection goes
 SHUTDOWN = frames.notification("shutdown")
 GONE = (Reason.PEER_CLOSED, Reason.PEER_RESET)  # nobody is there to be told anything
-AT_ONCE = (Reason.PEER_RESET, Reason.NOT_READING, Reason.FULL)  # an orderly close has no use, or no time
+AT_ONCE = (
+    Reason.PEER_RESET,
+    Reason.NOT_READING,
+    Reason.FULL,
+)  # an orderly close has no use, or no time
 
 
 class Around(Protocol):
@@ -60,8 +64,13 @@
         """Its reader, from its start to its end; whoever ends it from outside calls `close` or `stop`."""
         with self.ending():
             await self.read()
-            self.close(Reason.PEER_CLOSED if not self.told_shutdown
-                       else Reason.LEAVING if self.front.leaving else Reason.IDLE)
+            self.close(
+                Reason.PEER_CLOSED
+                if not self.told_shutdown
+                else Reason.LEAVING
+                if self.front.leaving
+                else Reason.IDLE
+            )
 
     @contextlib.contextmanager
     def ending(self) -> Iterator[None]:
@@ -126,7 +135,12 @@
         self.inlet.rest()
         if self.reader is not None and self.reader is not asyncio.current_task():
             self.reader.cancel()
-        if reason in AT_ONCE or not self.writer.spoke or self.half_closed and not self.writer.unsent:
+        if (
+            reason in AT_ONCE
+            or not self.writer.spoke
+            or self.half_closed
+            and not self.writer.unsent
+        ):
             self.writer.end()
             self.sock.close()
         else:
@@ -134,9 +148,17 @@
         self.open.clear()
         for asked in lost:
             self.front.lost(asked)
-        log.info("event=connection-ended side=balancer peer=%s reason=%s txns=%d answers=%d bad=%d lost=%d "
-                 "detail=%r", self.peer, reason.value, self.requests, self.answers, self.bad, len(lost),
-                 self.detail)
+        log.info(
+            "event=connection-ended side=balancer peer=%s reason=%s txns=%d answers=%d bad=%d lost=%d "
+            "detail=%r",
+            self.peer,
+            reason.value,
+            self.requests,
+            self.answers,
+            self.bad,
+            len(lost),
+            self.detail,
+        )
 
     def stop(self, reason: Reason, detail: str = "") -> None:
         if not self.ended:
--- a/burlloom/rpc/frames.py
+++ b/burlloom/rpc/frames.py
@@ -13,15 +13,39 @@
 
 MOST = 16 << 10  # of one frame: a body is at most 2 KiB and its fields a few hundred bytes
 DEPTH, ITEMS = 4, 64
-BOUNDS = {"max_str_len": 256, "max_bin_len": 4 << 10, "max_array_len": ITEMS, "max_map_len": ITEMS,
-          "max_ext_len": 0}
+BOUNDS = {
+    "max_str_len": 256,
+    "max_bin_len": 4 << 10,
+    "max_array_len": ITEMS,
+    "max_map_len": ITEMS,
+    "max_ext_len": 0,
+}
 
 # first byte -> width of the length or value that follows, and its struct format
-NUMBERS = {0xCA: ">f", 0xCB: ">d", 0xCC: ">B", 0xCD: ">H", 0xCE: ">I", 0xCF: ">Q",
-           0xD0: ">b", 0xD1: ">h", 0xD2: ">i", 0xD3: ">q"}
-SIZED = {0xC4: (">B", "bin"), 0xC5: (">H", "bin"), 0xC6: (">I", "bin"),
-         0xD9: (">B", "str"), 0xDA: (">H", "str"), 0xDB: (">I", "str"),
-         0xDC: (">H", "array"), 0xDD: (">I", "array"), 0xDE: (">H", "map"), 0xDF: (">I", "map")}
+NUMBERS = {
+    0xCA: ">f",
+    0xCB: ">d",
+    0xCC: ">B",
+    0xCD: ">H",
+    0xCE: ">I",
+    0xCF: ">Q",
+    0xD0: ">b",
+    0xD1: ">h",
+    0xD2: ">i",
+    0xD3: ">q",
+}
+SIZED = {
+    0xC4: (">B", "bin"),
+    0xC5: (">H", "bin"),
+    0xC6: (">I", "bin"),
+    0xD9: (">B", "str"),
+    0xDA: (">H", "str"),
+    0xDB: (">I", "str"),
+    0xDC: (">H", "array"),
+    0xDD: (">I", "array"),
+    0xDE: (">H", "map"),
+    0xDF: (">I", "map"),
+}
 PLAIN = {0xC0: None, 0xC2: False, 0xC3: True}
 
 
@@ -41,7 +65,7 @@
         start, self.at = self.at, self.at + size
         if self.at > self.end:
             raise Short
-        return self.view[start:self.at]
+        return self.view[start : self.at]
 
     def number(self, form: str) -> Any:
         return struct.unpack(form, self.take(struct.calcsize(form)))[0]
--- a/burlloom/rpc/front.py
+++ b/burlloom/rpc/front.py
@@ -18,7 +18,9 @@
 SILENT_MOST = 1500 * MS  # from a connection's start to its first whole message
 PARTIAL_MOST = 1500 * MS  # for a message, from its first byte to its last
 DEAF_MOST = 1000 * MS  # from `shutdown` to our close, where the other side doesn't see to it
-HEALTH_IDLE = 3 * SECOND  # many ask for health once and hold on; a prober that is let go connects again
+HEALTH_IDLE = (
+    3 * SECOND
+)  # many ask for health once and hold on; a prober that is let go connects again
 IDLE = 15 * SECOND  # until the decisions say
 PINCHED_IDLE = 2 * SECOND  # while the table is nearly full
 UNSENT_IN_ALL = 8 << 20
@@ -28,18 +30,38 @@
 class Front:
     """Accepts connections, hands each request that is read to `request`, and asks the rest of the server."""
 
-    def __init__(self, listener: socket.socket, known: Known, most: int, tasks: Tasks,
-                 clock: Callable[[], int], request: Callable[[Request], None], lost: Callable[[Request], None],
-                 serves: Callable[[str], bool], good: Callable[[], bool], said: Callable[[str], str]) -> None:
+    def __init__(
+        self,
+        listener: socket.socket,
+        known: Known,
+        most: int,
+        tasks: Tasks,
+        clock: Callable[[], int],
+        request: Callable[[Request], None],
+        lost: Callable[[Request], None],
+        serves: Callable[[str], bool],
+        good: Callable[[], bool],
+        said: Callable[[str], str],
+    ) -> None:
         self.known, self.most, self.tasks, self.clock = known, most, tasks, clock
-        self.request, self.lost, self.serves, self.good, self.said = request, lost, serves, good, said
+        self.request, self.lost, self.serves, self.good, self.said = (
+            request,
+            lost,
+            serves,
+            good,
+            said,
+        )
         self.connections: set[Connection] = set()
         self.partings: dict[Parting, asyncio.Task[None]] = {}  # closes under way, the oldest first
         self.leaving = False
         self.idle = IDLE
         self.swept, self.passed_over = clock(), False
-        self.silent: dict[Connection, None] = {}  # that had not spoken when last looked at, the oldest first
-        self.spare: list[Connection] = []  # others that may go for newcomers, the first last; looked up once a flood
+        self.silent: dict[
+            Connection, None
+        ] = {}  # that had not spoken when last looked at, the oldest first
+        self.spare: list[
+            Connection
+        ] = []  # others that may go for newcomers, the first last; looked up once a flood
         self.listener: socket.socket | None = listener
 
     def told(self, caller: str) -> dict[str, str]:
@@ -94,7 +116,11 @@
 
     def met(self, sock: socket.socket, peer: tuple[str, int]) -> None:
         if len(self.connections) + len(self.partings) >= self.most and not self.make_room():
-            log.info("event=connection-ended side=balancer peer=%s:%d reason=%s", *peer, Reason.FULL.value)
+            log.info(
+                "event=connection-ended side=balancer peer=%s:%d reason=%s",
+                *peer,
+                Reason.FULL.value,
+            )
             sock.close()
             return
         connection = Connection(self, ready(sock), f"{peer[0]}:{peer[1]}")
@@ -127,7 +153,9 @@
                 if one.bare and not one.ended and not unread(one.sock):
                     one.stop(Reason.FULL)
                     return True
-            self.spare = sorted((one for one in self.connections if one.bare), key=lambda one: -one.used)
+            self.spare = sorted(
+                (one for one in self.connections if one.bare), key=lambda one: -one.used
+            )
         return False
 
     async def keep(self) -> None:
@@ -149,7 +177,9 @@
             self.passed_over = True
             return
         self.passed_over = False
-        idle = min(self.idle, PINCHED_IDLE) if 4 * len(self.connections) > 3 * self.most else self.idle
+        idle = (
+            min(self.idle, PINCHED_IDLE) if 4 * len(self.connections) > 3 * self.most else self.idle
+        )
         for one in list(self.connections):
             if one.partial_since and now - one.partial_since > PARTIAL_MOST:
                 began = one.partial_since
@@ -171,7 +201,11 @@
             elif now - one.used > (HEALTH_IDLE if one.health_only else idle):
                 one.shut(now)
         owed = sum(one.writer.size for one in self.connections)
-        for one in sorted(self.connections, key=lambda one: -one.writer.size) if owed > UNSENT_IN_ALL else ():
+        for one in (
+            sorted(self.connections, key=lambda one: -one.writer.size)
+            if owed > UNSENT_IN_ALL
+            else ()
+        ):
             if owed > UNSENT_IN_ALL:
                 owed -= one.writer.size
                 one.stop(Reason.NOT_READING)
@@ -181,7 +215,9 @@
         self.leaving = True
         if self.listener is not None:
             asyncio.get_running_loop().remove_reader(self.listener)
-            self.take_in(self.listener, BACKLOG)  # nothing may come between its last look and the close
+            self.take_in(
+                self.listener, BACKLOG
+            )  # nothing may come between its last look and the close
             self.listener.close()
             self.listener = None
         now = self.clock()
--- a/burlloom/rpc/requests.py
+++ b/burlloom/rpc/requests.py
@@ -10,12 +10,16 @@
 BODY_BYTES = 2 << 10
 COST_MOST = 600_000.0
 KB_MOST = 2_000.0
-AHEAD_MOST = 60 * SECOND  # of our clock, both being of one machine; behind it, at most two deadlines
+AHEAD_MOST = (
+    60 * SECOND
+)  # of our clock, both being of one machine; behind it, at most two deadlines
 ID = re.compile(r"[0-9a-f]{16}")
 KEY = re.compile(r"[0-9A-Za-z]{1,64}")
 CALLER = re.compile(r"[0-9]{1,9}")
 WHOLE = re.compile(r"[0-9]{1,15}")
-PLAIN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")  # what float() takes beyond this moves every measure
+PLAIN = re.compile(
+    r"[0-9]{1,9}(\.[0-9]{1,9})?"
+)  # what float() takes beyond this moves every measure
 
 
 class Malformed(Exception):
@@ -92,10 +96,16 @@
     return value
 
 
-def request(way: Way, number_: int, request_class: str, params: list[Any], known: Known, now: int) -> Request:
+def request(
+    way: Way, number_: int, request_class: str, params: list[Any], known: Known, now: int
+) -> Request:
     if request_class not in known.classes:
         raise Malformed(f"class {request_class!r:.40}")
-    if len(params) != 2 or type(params[0]) is not dict or not isinstance(params[1], (bytes, memoryview)):
+    if (
+        len(params) != 2
+        or type(params[0]) is not dict
+        or not isinstance(params[1], (bytes, memoryview))
+    ):
         raise Malformed("parameters")
     fields, body = params
     if len(body) > BODY_BYTES:
@@ -108,7 +118,19 @@
     kb, rank = number(fields, "kb", 0, KB_MOST), number(fields, "rank", 0, 1)
     if kb == 0 or kb == KB_MOST or rank == 1:
         raise Malformed("kb or rank")
-    return Request(way, number_, request_class, text(fields, "id", ID, True), at, text(fields, "from", CALLER, False),
-                 int(number(fields, "cost", 0, COST_MOST) * MS), kb, rank,
-                 text(fields, "once", KEY, known.classes[request_class]), text(fields, "key", KEY, False),
-                 bytes(body), fields.get("retry") == "1", str(fields.get("tenant", "")))  # the body is held past the buffer
+    return Request(
+        way,
+        number_,
+        request_class,
+        text(fields, "id", ID, True),
+        at,
+        text(fields, "from", CALLER, False),
+        int(number(fields, "cost", 0, COST_MOST) * MS),
+        kb,
+        rank,
+        text(fields, "once", KEY, known.classes[request_class]),
+        text(fields, "key", KEY, False),
+        bytes(body),
+        fields.get("retry") == "1",
+        str(fields.get("tenant", "")),
+    )  # the body is held past the buffer
--- a/burlloom/server/__main__.py
+++ b/burlloom/server/__main__.py
@@ -27,15 +27,25 @@
 from .recovering import Recovering  # noqa: E402
 from .rolling import Rolling  # noqa: E402
 
-OPERATOR = "BURLLOOM_OPERATOR"  # the operator's own file; what it does not switch on is not imported
-Fitted = tuple[Orders, Callable[[Server], Keeping] | None, Callable[[Server], Leveling] | None,
-               Callable[[Server], Fleeting] | None, Callable[[Server], Recovering] | None,
-               Callable[[Server], Rolling] | None, Callable[[Server], Distributing] | None]
+OPERATOR = (
+    "BURLLOOM_OPERATOR"  # the operator's own file; what it does not switch on is not imported
+)
+Fitted = tuple[
+    Orders,
+    Callable[[Server], Keeping] | None,
+    Callable[[Server], Leveling] | None,
+    Callable[[Server], Fleeting] | None,
+    Callable[[Server], Recovering] | None,
+    Callable[[Server], Rolling] | None,
+    Callable[[Server], Distributing] | None,
+]
 
 
 async def serve(listener: socket.socket, fitted: Fitted) -> None:
     orders, keeping, leveling, fleeting, recovering, rolling, distributing = fitted
-    server = Server(orders, listener, keeping, leveling, fleeting, recovering, rolling, distributing)
+    server = Server(
+        orders, listener, keeping, leveling, fleeting, recovering, rolling, distributing
+    )
     loop = asyncio.get_running_loop()
 
     def heard(number: int, _: FrameType | None) -> None:
@@ -63,12 +73,31 @@
 def switched_on(orders: Orders, path: str) -> Fitted:
     """What the operator's file asks for. Raises `Broken`, with a line for each fault."""
     from ..operator import Faults
-    from .parts import Refused, distributed, fleeted, leveled, load_operator, recorded, recovered, rolled, spanned, stale
+    from .parts import (
+        Refused,
+        distributed,
+        fleeted,
+        leveled,
+        load_operator,
+        recorded,
+        recovered,
+        rolled,
+        spanned,
+        stale,
+    )
+
     try:
         operator = load_operator(path)
         orders = spanned(operator, stale(operator, orders))
-        return orders, recorded(operator, orders), leveled(operator, orders), fleeted(operator, orders), \
-            recovered(operator, orders), rolled(operator, orders), distributed(operator, orders)
+        return (
+            orders,
+            recorded(operator, orders),
+            leveled(operator, orders),
+            fleeted(operator, orders),
+            recovered(operator, orders),
+            rolled(operator, orders),
+            distributed(operator, orders),
+        )
     except Faults as faults:
         raise Broken("\nburlloom.server: ".join(faults.lines)) from faults
     except Refused as refused:
--- a/burlloom/server/assembly.py
+++ b/burlloom/server/assembly.py
@@ -30,14 +30,27 @@
 GAUGES_WAIT = 30 * MS  # gauges later than this are of another moment
 UNWANTED_WAIT = 250 * MS
 RESULTS_SHARE = 8  # one part in this many of our own memory, for results that repeats may ask for
-RESERVE = 64  # descriptors, at least, for the link, calls, reports and what the process itself holds
+RESERVE = (
+    64  # descriptors, at least, for the link, calls, reports and what the process itself holds
+)
 OWN = 32  # of them without the calls on their way: what the process holds, and connections kept for calls
 LAST_WRITES = 250 * MS  # before the kill: what the last answers and this process need to get out
-RUN_OUTCOME = {End.PASS: Outcome.OK, End.FAIL: Outcome.FAILED, End.KILLED: Outcome.STOPPED,
-               End.NOOP: Outcome.MOOT, End.BAD: Outcome.MOOT}
-CALL_OUTCOME = {Answer.WELL: Outcome.OK, Answer.DECLINED: Outcome.FULL, Answer.UNWANTED: Outcome.MOOT,
-                Answer.UNREACHED: Outcome.UNREACHED, Answer.FAILED: Outcome.FAILED,
-                Answer.OUT_OF_TIME: Outcome.TIMED_OUT, Answer.BROKEN: Outcome.BROKEN}
+RUN_OUTCOME = {
+    End.PASS: Outcome.OK,
+    End.FAIL: Outcome.FAILED,
+    End.KILLED: Outcome.STOPPED,
+    End.NOOP: Outcome.MOOT,
+    End.BAD: Outcome.MOOT,
+}
+CALL_OUTCOME = {
+    Answer.WELL: Outcome.OK,
+    Answer.DECLINED: Outcome.FULL,
+    Answer.UNWANTED: Outcome.MOOT,
+    Answer.UNREACHED: Outcome.UNREACHED,
+    Answer.FAILED: Outcome.FAILED,
+    Answer.OUT_OF_TIME: Outcome.TIMED_OUT,
+    Answer.BROKEN: Outcome.BROKEN,
+}
 
 
 class Clock:
@@ -68,34 +81,57 @@
 
 
 class Server:
-    def __init__(self, orders: Orders, listener: socket.socket,
-                 keeping: Callable[["Server"], Keeping] | None = None,
-                 leveling: Callable[["Server"], Leveling] | None = None,
-                 fleeting: Callable[["Server"], Fleeting] | None = None,
-                 recovering: Callable[["Server"], Recovering] | None = None,
-                 rolling: Callable[["Server"], Rolling] | None = None,
-                 distributing: Callable[["Server"], Distributing] | None = None) -> None:
+    def __init__(
+        self,
+        orders: Orders,
+        listener: socket.socket,
+        keeping: Callable[["Server"], Keeping] | None = None,
+        leveling: Callable[["Server"], Leveling] | None = None,
+        fleeting: Callable[["Server"], Fleeting] | None = None,
+        recovering: Callable[["Server"], Recovering] | None = None,
+        rolling: Callable[["Server"], Rolling] | None = None,
+        distributing: Callable[["Server"], Distributing] | None = None,
+    ) -> None:
         self.orders, self.clock, self.tasks = orders, Clock(), Tasks()
         self.leaving = False
         self.record: Keeping = keeping(self) if keeping is not None else NoRecord(self.execute)
-        self.distribution: Distributing = distributing(self) if distributing is not None else NoDistribution()
+        self.distribution: Distributing = (
+            distributing(self) if distributing is not None else NoDistribution()
+        )
         self.levels: Leveling = leveling(self) if leveling is not None else NoLevels()
         self.recovery: Recovering = recovering(self) if recovering is not None else NoRecovery()
         self.fleet: Fleeting = fleeting(self) if fleeting is not None else NoFleet()
         self.rolling: Rolling = rolling(self) if rolling is not None else NoRolling()
         self.class_index = {name: index for index, name in enumerate(orders.products)}
-        keyed = {name: orders.facts.products[index].repeatable is Repeatable.REFERENCED
-                      for name, index in self.class_index.items()}
+        keyed = {
+            name: orders.facts.products[index].repeatable is Repeatable.REFERENCED
+            for name, index in self.class_index.items()
+        }
         self.desk: Desk | None = None
         self.serving: dict[str, Request] = {}
         self.over = asyncio.Event()
         self.address = listener.getsockname()
-        known = Known(keyed, self.distribution.tenants(orders.tenants),
-                      max(product.expiry for product in orders.facts.products))
-        self.front = Front(listener, known, room(orders.sockets, orders.facts), self.tasks, self.clock, self.asked,
-                           self.lost, self.serves, self.good, self.said)
+        known = Known(
+            keyed,
+            self.distribution.tenants(orders.tenants),
+            max(product.expiry for product in orders.facts.products),
+        )
+        self.front = Front(
+            listener,
+            known,
+            room(orders.sockets, orders.facts),
+            self.tasks,
+            self.clock,
+            self.asked,
+            self.lost,
+            self.serves,
+            self.good,
+            self.said,
+        )
         spare = self.front.make_room
-        self.link = Link(orders.executor, self.tasks, self.welcome, self.run_ended, self.at_call, spare)
+        self.link = Link(
+            orders.executor, self.tasks, self.welcome, self.run_ended, self.at_call, spare
+        )
         self.pool = self.fleet.pool(Pool(orders.catalogue, spare))
         self.reports = Reports(orders.naming, orders.name)
 
@@ -116,7 +152,9 @@
         self.fleet.close()
         self.distribution.close()
         await self.record.close()
-        log.info("event=stopped unanswered=%d", self.desk.unanswered if self.desk is not None else 0)
+        log.info(
+            "event=stopped unanswered=%d", self.desk.unanswered if self.desk is not None else 0
+        )
 
     def reload(self) -> None:
         """Takes up the addresses that the configuration now names; all else holds until the next start."""
@@ -135,9 +173,12 @@
         self.pool.move(orders.catalogue)
         self.reports.move(orders.naming)
         self.front.most = room(orders.sockets, orders.facts)
-        log.info("event=reloaded executor=%s:%d catalogue=%s naming=%s:%d",
-                 *orders.executor, "%s:%d" % orders.catalogue if orders.catalogue is not None else "none",
-                 *orders.naming)
+        log.info(
+            "event=reloaded executor=%s:%d catalogue=%s naming=%s:%d",
+            *orders.executor,
+            "%s:%d" % orders.catalogue if orders.catalogue is not None else "none",
+            *orders.naming,
+        )
 
     # A request's way.
 
@@ -161,9 +202,23 @@
         if self.desk is None:
             asked.refuse(0, False)
             return
-        tried = Try(asked.id, asked.at, asked.caller, self.class_index[asked.request_class], asked.cost, asked.kb, asked.rank,
-                    asked.idempotency_key, asked.key, asked.body, self.record.accepts(), asked.retry,
-                    self.levels.over(asked.tenant), self.levels.lot(asked.caller), self.recovery.holds_back(asked.retry))
+        tried = Try(
+            asked.id,
+            asked.at,
+            asked.caller,
+            self.class_index[asked.request_class],
+            asked.cost,
+            asked.kb,
+            asked.rank,
+            asked.idempotency_key,
+            asked.key,
+            asked.body,
+            self.record.accepts(),
+            asked.retry,
+            self.levels.over(asked.tenant),
+            self.levels.lot(asked.caller),
+            self.recovery.holds_back(asked.retry),
+        )
         if asked.retry and self.record.looks and (mark := self.desk.unknown(tried)):
             self.serving[asked.id] = asked
             self.tasks.start(self.look(self.desk, asked, tried, mark), "look")
@@ -269,8 +324,15 @@
         log.info("event=welcome cold=%s age_ms=%d", cold, age_ms)
         facts = replace(self.orders.facts, cold=cold)
         results = self.orders.memory // RESULTS_SHARE
-        self.desk = Desk(facts, self.orders.products, self.orders.seed, self.clock, age_ms * MS, results,
-                         self.record.recalls)
+        self.desk = Desk(
+            facts,
+            self.orders.products,
+            self.orders.seed,
+            self.clock,
+            age_ms * MS,
+            results,
+            self.record.recalls,
+        )
         self.levels.begin_desk(self.desk, cold, self.record)
         self.recovery.begin_desk(self.desk, self.record.life)
         self.fleet.begin_desk(self.desk)
@@ -296,7 +358,9 @@
             try:
                 values = await self.link.gauges(GAUGES_WAIT)
                 told = values is not None and len(values) == len(self.orders.meters)
-                measured = gauges(self.orders.meters, values) if told and values is not None else Gauges()
+                measured = (
+                    gauges(self.orders.meters, values) if told and values is not None else Gauges()
+                )
                 due = desk.tick(measured)
                 self.levels.round(measured)
                 self.recovery.round()
--- a/burlloom/server/checked.py
+++ b/burlloom/server/checked.py
@@ -23,7 +23,12 @@
     whole: bool = False
 
     def fault(self, value: Any) -> str:
-        if type(value) not in (int, float) or not math.isfinite(value) or self.whole and value != int(value):
+        if (
+            type(value) not in (int, float)
+            or not math.isfinite(value)
+            or self.whole
+            and value != int(value)
+        ):
             return f"{value!r:.60} is no {'whole ' if self.whole else ''}number"
         if value < self.least or self.over and value == self.least:
             return f"{value:g} is not {'over' if self.over else 'at least'} {self.least:g}"
@@ -40,8 +45,11 @@
             return f"{value!r:.60} is no text"
         if self.known and value not in self.known:
             return f"{value!r:.60} is none of {', '.join(self.known)}"
-        return f"{value!r:.60} is not {self.form}" if self.form == "hexadecimal" and not re.fullmatch(
-            "[0-9a-fA-F]+", value) else ""
+        return (
+            f"{value!r:.60} is not {self.form}"
+            if self.form == "hexadecimal" and not re.fullmatch("[0-9a-fA-F]+", value)
+            else ""
+        )
 
 
 class Address:
@@ -53,28 +61,41 @@
 SHARE = Number(0, 1)
 # place -> what stands there, and whether it is needed; `[]` is each of a list. What no line names is not read.
 PLACES: tuple[tuple[str, Number | Text | Address, str], ...] = (
-    ("executor", Address(), NEEDED), ("naming", Address(), NEEDED), ("catalog", Address(), ""),
-    ("seed", Text("hexadecimal"), NEEDED), ("stop_ms", Number(0, 1e9), NEEDED),
-    ("limits.sockets", Number(SOCKETS_LEAST, 1e7, whole=True), ""), ("limits.memory_mb", Number(0, 1e9, over=True), ""),
+    ("executor", Address(), NEEDED),
+    ("naming", Address(), NEEDED),
+    ("catalog", Address(), ""),
+    ("seed", Text("hexadecimal"), NEEDED),
+    ("stop_ms", Number(0, 1e9), NEEDED),
+    ("limits.sockets", Number(SOCKETS_LEAST, 1e7, whole=True), ""),
+    ("limits.memory_mb", Number(0, 1e9, over=True), ""),
     ("settings.categories[].name", Text(), NEEDED),
     ("settings.categories[].aim", Number(0, 1e12, over=True), NEEDED),
     ("settings.categories[].deadline", Number(0, 1e12, over=True), NEEDED),
     ("settings.categories[].worth", Number(0, 1e12), NEEDED),
     ("settings.categories[].idempotency", Text(known=tuple(REPEATABLE)), NEEDED),
-    ("settings.categories[].window", Number(0, 1e12), ""), ("settings.categories[].late_share", SHARE, ""),
+    ("settings.categories[].window", Number(0, 1e12), ""),
+    ("settings.categories[].late_share", SHARE, ""),
     ("settings.categories[].aim_stretch", Number(0, 1e6), ""),
     ("settings.extra.n_cores", Number(1, 1e6), NEEDED),
     ("settings.extra.memory_kb", Number(0, 1e15, over=True), NEEDED),
-    ("settings.extra.blowup", Number(0, 1e9, over=True), NEEDED), ("settings.extra.key_kb", Number(0, 1e15), ""),
-    ("settings.extra.calls_out", Number(0, 1e9), ""), ("settings.extra.calls_over", Number(0, 1e12), ""),
-    ("settings.extra.lingers", Number(0, 1e12), ""), ("settings.extra.fresh_for", Number(0, 1e12), ""),
-    ("settings.extra.idle", Number(0, 1e12), ""), ("settings.extra.say", Text(known=tuple(FREE_VALUE)), ""),
-    ("settings.extra.depends_on", Text(), ""), ("settings.extra.meters[]", Text(), ""),
+    ("settings.extra.blowup", Number(0, 1e9, over=True), NEEDED),
+    ("settings.extra.key_kb", Number(0, 1e15), ""),
+    ("settings.extra.calls_out", Number(0, 1e9), ""),
+    ("settings.extra.calls_over", Number(0, 1e12), ""),
+    ("settings.extra.lingers", Number(0, 1e12), ""),
+    ("settings.extra.fresh_for", Number(0, 1e12), ""),
+    ("settings.extra.idle", Number(0, 1e12), ""),
+    ("settings.extra.say", Text(known=tuple(FREE_VALUE)), ""),
+    ("settings.extra.depends_on", Text(), ""),
+    ("settings.extra.meters[]", Text(), ""),
     ("settings.extra.class_skip_worth[]", SHARE, ""),
-    ("settings.rules.tip_multiple", Number(0, 1e9, over=True), NEEDED), ("settings.rules.cold_from", SHARE, NEEDED),
-    ("settings.rules.warm_up", Number(0, 1e12), NEEDED), ("settings.rules.drain_grace", Number(0, 1e12), NEEDED),
+    ("settings.rules.tip_multiple", Number(0, 1e9, over=True), NEEDED),
+    ("settings.rules.cold_from", SHARE, NEEDED),
+    ("settings.rules.warm_up", Number(0, 1e12), NEEDED),
+    ("settings.rules.drain_grace", Number(0, 1e12), NEEDED),
     ("settings.limits.max_retry_after", Number(0, 1e12), ""),
-    ("settings.tenants[].name", Text(), NEEDED), ("settings.tenants[].portion", Number(0, 1e9), ""),
+    ("settings.tenants[].name", Text(), NEEDED),
+    ("settings.tenants[].portion", Number(0, 1e9), ""),
 )
 
 
@@ -109,7 +130,11 @@
     if not isinstance(got, Mapping):
         return ["is no object"]
     lines: dict[str, str] = {}
-    own = tuple((name, kind, NEEDED) for name, kind in (("name", Text()), ("listen", Address())) if name not in told)
+    own = tuple(
+        (name, kind, NEEDED)
+        for name, kind in (("name", Text()), ("listen", Address()))
+        if name not in told
+    )
     for place, kind, needed in own + PLACES:
         for here, value in found(got, place.split(".")):
             if isinstance(value, Missing):
@@ -117,7 +142,11 @@
             elif value is not None:
                 if line := kind.fault(value):
                     lines.setdefault(here, line)
-            elif needed and here not in MAY_LACK and not any(here.startswith((f"{one}.", f"{one}[")) for one in lines):
+            elif (
+                needed
+                and here not in MAY_LACK
+                and not any(here.startswith((f"{one}.", f"{one}[")) for one in lines)
+            ):
                 lines.setdefault(here, "is missing")  # once for a part that is left out as a whole
     lines.update(() if lines else together(got["settings"], got))
     return [f"{place}: {line}" if place else line for place, line in lines.items()]
@@ -133,6 +162,13 @@
     extra = settings["extra"]
     below = extra.get("depends_on") or "off"
     if below != "off" and not got.get("catalog"):
-        yield "catalog", f"is missing, though calls go below (settings.extra.depends_on is {below!r})"
-    if below == "one_for_all" and any(extra.get("class_calls") or ()) and not extra.get("calls_out"):
+        yield (
+            "catalog",
+            f"is missing, though calls go below (settings.extra.depends_on is {below!r})",
+        )
+    if (
+        below == "one_for_all"
+        and any(extra.get("class_calls") or ())
+        and not extra.get("calls_out")
+    ):
         yield "settings.extra.calls_out", "is 0, though classes call what all servers share"
--- a/burlloom/server/configuration.py
+++ b/burlloom/server/configuration.py
@@ -50,7 +50,9 @@
         with open(path, encoding="utf-8") as source:
             got: dict[str, Any] = json.load(source)
         elsewhere = {"name": "EDGE_NAME", "listen": "EDGE_LISTEN"}
-        if lines := faults(got, frozenset(name for name, told in elsewhere.items() if os.environ.get(told))):
+        if lines := faults(
+            got, frozenset(name for name, told in elsewhere.items() if os.environ.get(told))
+        ):
             raise Broken(f"{path}: " + "; ".join(lines))
         known, meters = facts(got["settings"])
         limits = got.get("limits") or {}
@@ -66,8 +68,10 @@
             memory=int(float(limits.get("memory_mb", MEMORY_MB)) * (1 << 20)),
             facts=known,
             products=tuple(str(product["name"]) for product in got["settings"]["categories"]),
-            tenants={str(tenant["name"]): float(tenant.get("portion") or 1.0)
-                     for tenant in got["settings"].get("tenants") or ()},
+            tenants={
+                str(tenant["name"]): float(tenant.get("portion") or 1.0)
+                for tenant in got["settings"].get("tenants") or ()
+            },
             meters=meters,
         )
     except OSError as error:
--- a/burlloom/server/distributing.py
+++ b/burlloom/server/distributing.py
@@ -86,7 +86,9 @@
         return self.replica.head is not None or bool(self.told)
 
     def __len__(self) -> int:
-        return self.replica.table.count("tenant") if self.replica.head is not None else len(self.told)
+        return (
+            self.replica.table.count("tenant") if self.replica.head is not None else len(self.told)
+        )
 
     def __iter__(self) -> Iterator[str]:
         raise NotImplementedError("as many as there may be are not gone through")
@@ -98,7 +100,9 @@
 
     got = msgpack.unpackb(value)
     portion = got.get("portion") if type(got) is dict else None
-    return float(portion) if isinstance(portion, int | float) and 0 < portion <= PORTION_MOST else 1.0
+    return (
+        float(portion) if isinstance(portion, int | float) and 0 < portion <= PORTION_MOST else 1.0
+    )
 
 
 class Portions:
@@ -169,7 +173,13 @@
         from ..distribution.endpoint import Endpoint
         from ..distribution.telling import Keys, Telling
 
-        self.part, self.name, self.tasks, self.leaving, self.clock = part, name, tasks, leaving, since_start
+        self.part, self.name, self.tasks, self.leaving, self.clock = (
+            part,
+            name,
+            tasks,
+            leaving,
+            since_start,
+        )
         life = time.time_ns() // MS
         self.seals = Keys(Path(part.key_file), part.keys, "seals")
         self.signing = Keys(Path(part.signing_key_file), part.signing_keys, "signing")
@@ -203,7 +213,9 @@
         self.counting = True
         whole = sum(told.values()) or 1.0
         own = {name: portion / whole for name, portion in told.items()}
-        return lambda name: self.portions.share(name) if self.replica.head is not None else own.get(name)
+        return lambda name: (
+            self.portions.share(name) if self.replica.head is not None else own.get(name)
+        )
 
     async def open(self) -> None:
         await self.endpoint.open()
@@ -216,7 +228,11 @@
         )
         self.task = self.tasks.start(self.keep(), "distribution")
         began = self.clock()
-        while self.replica.head is None and not self.leaving() and self.clock() - began < self.part.wait_ms * MS:
+        while (
+            self.replica.head is None
+            and not self.leaving()
+            and self.clock() - began < self.part.wait_ms * MS
+        ):
             await rest(MOMENT)
         self.telling.look()
         if self.replica.head is None:
--- a/burlloom/server/fleeting.py
+++ b/burlloom/server/fleeting.py
@@ -46,15 +46,20 @@
     def begin_desk(self, desk: Desk) -> None: ...
     def may_call(self) -> bool:
         """Just before a call leaves: whether our share is still one that we know."""
+
     def pool(self, one: Pool) -> Pool | Pools: ...
     def equal(self) -> tuple[float, float] | None:
         """An equal share and our own, calls; None where there is no fleet."""
+
     def addresses(self) -> tuple[str, ...]:
         """Of others, for our next life."""
+
     def shun(self, addresses: frozenset[str]) -> bool:
         """From now on these services are not called; whether no call is there any more."""
+
     def reports(self) -> dict[str, tuple[int, int]]:
         """Of each service, calls of the last seconds that came back well, and that did not."""
+
     def close(self) -> None: ...
 
 
@@ -107,6 +112,7 @@
     def uses(self) -> None:
         """Before a tick of the fleet's."""
         from ..fleet import CALL
+
         in_hand, waiting = self.desk.calls() if self.desk is not None else (0, 0)
         self.wanted = max(float(in_hand + waiting), FADES * self.wanted)
         self.fleet.uses(int(min(self.wanted, self.cap()) * CALL), in_hand * CALL)
@@ -114,6 +120,7 @@
     def tell(self) -> None:
         """After one, and after each letter."""
         from ..fleet import CALL
+
         share = min(self.fleet.share, int(min(self.cap(), 1e9) * CALL))
         if self.desk is not None and share != self.told:
             self.told = share
@@ -122,23 +129,45 @@
 
 def shares(fleet: Fleet) -> tuple[float, float]:
     from ..fleet import CALL
+
     return fleet.terms.equal(max(1, fleet.members.counted())) / CALL, fleet.share / CALL
 
 
 class Fleeted:
     """`sock`: bound, for datagrams."""
 
-    def __init__(self, part: FleetPart, sock: socket.socket, name: str, seed: int, tasks: Tasks,
-            recovery: Recovering) -> None:
+    def __init__(
+        self,
+        part: FleetPart,
+        sock: socket.socket,
+        name: str,
+        seed: int,
+        tasks: Tasks,
+        recovery: Recovering,
+    ) -> None:
         from .. import fleet
         from ..catalogue.spread import Pools
-        self.of, self.part, self.sock, self.tasks, self.clock = fleet, part, sock, tasks, since_start
+
+        self.of, self.part, self.sock, self.tasks, self.clock = (
+            fleet,
+            part,
+            sock,
+            tasks,
+            since_start,
+        )
         host, port = sock.getsockname()
         self.address = f"{host}:{port}"
         own = fleet.Word(name, part.advertise or self.address, recovery.life, 0, fleet.State.ALIVE)
         self.chance = Random(seed ^ own.life)
-        self.fleet = fleet.Fleet(own, (*part.seeds, *recovery.members), part.keys(), part.terms(),
-            part.habits(), self.chance, self.clock())
+        self.fleet = fleet.Fleet(
+            own,
+            (*part.seeds, *recovery.members),
+            part.keys(),
+            part.terms(),
+            part.habits(),
+            self.chance,
+            self.clock(),
+        )
         self.fleet.weight = int(part.weight * 1000)
         self.share, self.recovery = Share(self.fleet, recovery.cap), recovery
         self.transport: asyncio.DatagramTransport | None = None
@@ -161,12 +190,20 @@
 
     async def open(self) -> None:
         loop = asyncio.get_running_loop()
-        self.transport, _ = await loop.create_datagram_endpoint(lambda: Ear(self.hear), sock=self.sock)
+        self.transport, _ = await loop.create_datagram_endpoint(
+            lambda: Ear(self.hear), sock=self.sock
+        )
         self.tasks.start(self.keep(), "fleet")
-        log.info("event=fleet-open name=%s address=%s advertised=%s life=%d calls=%g least=%d services=%d",
-                 self.fleet.own.name, self.address, self.fleet.own.address, self.fleet.own.life,
-                 self.part.calls,
-                 self.part.least, len(self.part.services))
+        log.info(
+            "event=fleet-open name=%s address=%s advertised=%s life=%d calls=%g least=%d services=%d",
+            self.fleet.own.name,
+            self.address,
+            self.fleet.own.address,
+            self.fleet.own.life,
+            self.part.calls,
+            self.part.least,
+            len(self.part.services),
+        )
 
     def begin_desk(self, desk: Desk) -> None:
         self.share.desk = desk
@@ -213,8 +250,13 @@
         for move in self.fleet.moves:
             word = move.after or move.before
             if word is not None and word.name != self.fleet.own.name:
-                log.info("event=member name=%s state=%s life=%d incarnation=%d", word.name,
-                         word.state.name.lower() if move.after else "gone", word.life, word.incarnation)
+                log.info(
+                    "event=member name=%s state=%s life=%d incarnation=%d",
+                    word.name,
+                    word.state.name.lower() if move.after else "gone",
+                    word.life,
+                    word.incarnation,
+                )
         self.fleet.moves = []
 
     def flush(self) -> None:
@@ -229,6 +271,7 @@
     def look_at_keys(self) -> None:
         """A file that can't be used leaves the keys as they are, with one line."""
         from ..operator.fleet import read_keys
+
         place = self.key_place()
         try:
             seen = place.stat().st_mtime
@@ -246,12 +289,16 @@
 
     def key_place(self) -> Path:
         from pathlib import Path
+
         return Path(self.part.key_file)
 
     def look_at_view(self) -> None:
         """The subsets follow the view, off the loop: with hundreds of servers they take some tens of ms."""
-        names = tuple(sorted({member.word.name
-            for member in self.fleet.members.there()} | {self.fleet.own.name}))
+        names = tuple(
+            sorted(
+                {member.word.name for member in self.fleet.members.there()} | {self.fleet.own.name}
+            )
+        )
         over = names, self.shunned
         if not self.part.services or over == self.spread_over or self.spreading is not None:
             return
@@ -273,8 +320,11 @@
         if addresses != self.shunned:
             self.shunned = addresses
             self.look_at_view()
-        return self.pools is None or self.spread_over[1] == addresses and not any(
-            self.pools.open[address_of(address)] for address in addresses)
+        return (
+            self.pools is None
+            or self.spread_over[1] == addresses
+            and not any(self.pools.open[address_of(address)] for address in addresses)
+        )
 
     def reports(self) -> dict[str, tuple[int, int]]:
         now = self.clock()
@@ -295,7 +345,12 @@
         self.worst = spread.worst
         assert self.pools is not None
         self.pools.use([address_of(service) for service in own])
-        log.info("event=subset servers=%d size=%d worst=%.3f", len(spread.choices), len(own), spread.worst)
+        log.info(
+            "event=subset servers=%d size=%d worst=%.3f",
+            len(spread.choices),
+            len(own),
+            spread.worst,
+        )
 
     # Calls.
 
@@ -307,6 +362,7 @@
 
     def called(self, address: tuple[str, int], answer: Answer) -> None:
         from ..catalogue import Answer
+
         service = "%s:%d" % address
         if answer is Answer.UNREACHED:
             self.turns.unreached(service, self.clock())
@@ -322,16 +378,22 @@
         return shares(self.fleet)
 
     def addresses(self) -> tuple[str, ...]:
-        return tuple(member.word.address for member in self.fleet.members.there()
-            if member.word.name != self.fleet.own.name)
+        return tuple(
+            member.word.address
+            for member in self.fleet.members.there()
+            if member.word.name != self.fleet.own.name
+        )
 
     # For operators.
 
     def write_state(self, now: int) -> None:
         assert self.part.state_file is not None
-        told = {"told_at": time.time_ns(), **self.of.summary(self.fleet, now),
+        told = {
+            "told_at": time.time_ns(),
+            **self.of.summary(self.fleet, now),
             "subset": dict(self.turns.parts),
-                "worst": self.worst}
+            "worst": self.worst,
+        }
         part = self.part.state_file + ".part"
         try:
             with open(part, "w", encoding="utf-8") as file:
@@ -344,11 +406,17 @@
         """For whoever reads metrics."""
         fleet = self.fleet
         states = [member.state.name.lower() for member in fleet.members]
-        return {"share": fleet.share / self.of.CALL, "state": float(fleet.holder.state),
+        return {
+            "share": fleet.share / self.of.CALL,
+            "state": float(fleet.holder.state),
             "deals": float(fleet.dealer.phase),
-                "strangers": float(fleet.strangers), "worst_load": self.worst,
-                **{f"members_{name}": float(states.count(name))
-                for name in ("alive", "suspect", "dead", "left")}}
+            "strangers": float(fleet.strangers),
+            "worst_load": self.worst,
+            **{
+                f"members_{name}": float(states.count(name))
+                for name in ("alive", "suspect", "dead", "left")
+            },
+        }
 
     def close(self) -> None:
         """Our last word: what we held is free at once."""
@@ -359,8 +427,10 @@
             self.transport = None  # a tick may follow, and has nothing to say any more
         if self.exposed is not None:
             self.exposed.close()
-        log.info("event=fleet-closed %s", " ".join(f"{name}={count}"
-            for name, count in asdict(self.fleet.counts).items()))
+        log.info(
+            "event=fleet-closed %s",
+            " ".join(f"{name}={count}" for name, count in asdict(self.fleet.counts).items()),
+        )
 
 
 def address_of(service: str) -> tuple[str, int]:
--- a/burlloom/server/leveling.py
+++ b/burlloom/server/leveling.py
@@ -81,24 +81,44 @@
 class Leveled:
     """`plan` and `terms` are the operator's, or the shipped ones. `store` gives the record's strain, if one is kept."""
 
-    def __init__(self, plan: Plan, products: tuple[tuple[str, Product], ...], tenants: dict[str, float], cores: int,
-                 clock: Callable[[], int], sockets: Callable[[], float], *, terms: Terms | None = None,
-                 store: Callable[[], float] | None = None, meters: frozenset[str] = frozenset(),
-                 pin_file: Path | None = None, state_file: Path | None = None,
-                 share: Callable[[str], float | None] | None = None) -> None:
+    def __init__(
+        self,
+        plan: Plan,
+        products: tuple[tuple[str, Product], ...],
+        tenants: dict[str, float],
+        cores: int,
+        clock: Callable[[], int],
+        sockets: Callable[[], float],
+        *,
+        terms: Terms | None = None,
+        store: Callable[[], float] | None = None,
+        meters: frozenset[str] = frozenset(),
+        pin_file: Path | None = None,
+        state_file: Path | None = None,
+        share: Callable[[str], float | None] | None = None,
+    ) -> None:
         """`share`: of a tenant, where not `tenants` says it."""
         from .. import levels
+
         self.of = levels
-        self.plan, self.products, self.cores, self.clock, self.sockets = plan, products, cores, clock, sockets
+        self.plan, self.products, self.cores, self.clock, self.sockets = (
+            plan,
+            products,
+            cores,
+            clock,
+            sockets,
+        )
         self.terms, self.store = terms, store
         self.notes: Notes | None = None
         self.steps: dict[str, int] = {}
         self.exposed: Exposed | None = None  # where nothing else of the program closes it
         self.pin_file, self.state_file = pin_file, state_file
         self.reliefs = levels.reliefs(plan, products)
-        self.measured = frozenset({"age", "lag", "press", "late", "calls", "sockets"}
-                                  | ({"store"} if store is not None else set())
-                                  | {signal for meter, signal in METERED.items() if meter in meters})
+        self.measured = frozenset(
+            {"age", "lag", "press", "late", "calls", "sockets"}
+            | ({"store"} if store is not None else set())
+            | {signal for meter, signal in METERED.items() if meter in meters}
+        )
         self.tenants = levels.Tenants(tenants.items(), share=share)
         self.late, self.calls = levels.signals.Shares(), levels.signals.Shares()
         self.levels: Levels | None = None
@@ -109,10 +129,22 @@
 
     def begin_desk(self, desk: Desk, cold: bool, notes: Notes) -> None:
         self.desk, self.notes, died_at = desk, notes, notes.noted
-        self.levels = self.of.Levels(self.plan, self.reliefs, self.clock(), self.terms, cold=cold, died_at=died_at,
-                                     measured=self.measured)
-        log.info("event=levels at=%s cold=%s died_at=%s changes_most=%d", self.levels.level, cold, died_at or "-",
-                 self.levels.ladder.terms.changes_most)
+        self.levels = self.of.Levels(
+            self.plan,
+            self.reliefs,
+            self.clock(),
+            self.terms,
+            cold=cold,
+            died_at=died_at,
+            measured=self.measured,
+        )
+        log.info(
+            "event=levels at=%s cold=%s died_at=%s changes_most=%d",
+            self.levels.level,
+            cold,
+            died_at or "-",
+            self.levels.ladder.terms.changes_most,
+        )
         if self.levels.standing.level:
             desk.serve_at(self.levels.service())
 
@@ -147,18 +179,33 @@
     def readings(self, now: int, measured: Gauges) -> Any:
         age, lag, press = self.desk.strain() if self.desk is not None else (None, None, None)
         return self.of.Readings(
-            use=known(measured.core_use), crowd=known(measured.on_cores / self.cores), age=age, lag=lag, press=press,
+            use=known(measured.core_use),
+            crowd=known(measured.on_cores / self.cores),
+            age=age,
+            lag=lag,
+            press=press,
             # Our own counts are never stale: where nothing was settled or called, none was late.
-            late=self.late.share(now) or 0.0, calls=self.calls.share(now) or 0.0,
-            store=self.store() if self.store is not None else None, memory=known(measured.memory_share),
-            sockets=self.sockets())
+            late=self.late.share(now) or 0.0,
+            calls=self.calls.share(now) or 0.0,
+            store=self.store() if self.store is not None else None,
+            memory=known(measured.memory_share),
+            sockets=self.sockets(),
+        )
 
     def moved(self, now: int, step: Moved | None) -> None:
         if step is None or self.levels is None or self.desk is None:
             return
         self.last, self.moved_at = step, now
-        log.info("event=level effect=%s from=%s to=%s part=%.2f cause=%s value=%.3f bound=%.3f", step.effect, step.before,
-                 step.after, step.part, step.cause, step.value, step.bound)
+        log.info(
+            "event=level effect=%s from=%s to=%s part=%.2f cause=%s value=%.3f bound=%.3f",
+            step.effect,
+            step.before,
+            step.after,
+            step.part,
+            step.cause,
+            step.value,
+            step.bound,
+        )
         self.desk.serve_at(self.levels.service())
         self.steps[step.effect] = self.steps.get(step.effect, 0) + 1
         if step.before != step.after and self.notes is not None:
@@ -188,8 +235,12 @@
         if pin is not None and pin.until <= now:
             pin = None
         if pin != self.levels.pin:
-            log.info("event=pin level=%s until=%d reason=%r", pin.level if pin else "-", pin.until if pin else 0,
-                     pin.reason if pin else "")
+            log.info(
+                "event=pin level=%s until=%d reason=%r",
+                pin.level if pin else "-",
+                pin.until if pin else 0,
+                pin.reason if pin else "",
+            )
             self.moved(now, self.levels.pinned(now, pin))
 
     def tell(self, now: int) -> None:
@@ -208,31 +259,62 @@
         assert self.levels is not None
         levels, last, at = self.levels, self.last, self.levels.standing
         return {
-            "told_at": now, "level": levels.level, "phase": at.phase.name.lower(), "part": levels.part,
-            "since": at.since, "stay_ms": levels.ladder.stay(at) // MS, "moved_at": self.moved_at,
-            "last": None if last is None else {"effect": last.effect, "from": last.before, "to": last.after,
-                                               "cause": last.cause, "value": last.value, "bound": last.bound},
-            "pin": None if levels.pin is None else {"level": levels.pin.level, "until": levels.pin.until,
-                                                    "reason": levels.pin.reason},
-            "changes_last_minute": len(at.changes), "changes_most": levels.ladder.terms.changes_most,
-            "values": levels.values, "measured": sorted(self.measured), "steps": levels.steps,
-            "seconds": {name: round(spent / SECOND, 1) for name, spent in levels.spent.items()}}
+            "told_at": now,
+            "level": levels.level,
+            "phase": at.phase.name.lower(),
+            "part": levels.part,
+            "since": at.since,
+            "stay_ms": levels.ladder.stay(at) // MS,
+            "moved_at": self.moved_at,
+            "last": None
+            if last is None
+            else {
+                "effect": last.effect,
+                "from": last.before,
+                "to": last.after,
+                "cause": last.cause,
+                "value": last.value,
+                "bound": last.bound,
+            },
+            "pin": None
+            if levels.pin is None
+            else {
+                "level": levels.pin.level,
+                "until": levels.pin.until,
+                "reason": levels.pin.reason,
+            },
+            "changes_last_minute": len(at.changes),
+            "changes_most": levels.ladder.terms.changes_most,
+            "values": levels.values,
+            "measured": sorted(self.measured),
+            "steps": levels.steps,
+            "seconds": {name: round(spent / SECOND, 1) for name, spent in levels.spent.items()},
+        }
 
     def gauges(self) -> dict[str, float]:
         """For whoever reads metrics."""
         if self.levels is None:
             return {}
-        return {"level": float(self.levels.standing.level), "trial_part": self.levels.part,
-                **{f"seconds_{name.replace('-', '_')}": spent / SECOND for name, spent in self.levels.spent.items()},
-                **{f"signal_{name}": value for name, value in self.levels.values.items()}}
+        return {
+            "level": float(self.levels.standing.level),
+            "trial_part": self.levels.part,
+            **{
+                f"seconds_{name.replace('-', '_')}": spent / SECOND
+                for name, spent in self.levels.spent.items()
+            },
+            **{f"signal_{name}": value for name, value in self.levels.values.items()},
+        }
 
     def close(self) -> None:
         if self.exposed is not None:
             self.exposed.close()
         if self.levels is not None:
             self.tell(self.clock())
-            log.info("event=levels-closed at=%s %s", self.levels.level,
-                     " ".join(f"{name}={count}" for name, count in self.levels.steps.items()))
+            log.info(
+                "event=levels-closed at=%s %s",
+                self.levels.level,
+                " ".join(f"{name}={count}" for name, count in self.levels.steps.items()),
+            )
 
 
 METERED = {"core_use": "use", "on_cores": "crowd", "heap_share": "memory"}
@@ -245,6 +327,7 @@
 def read_pin(text: str, plan: Plan) -> Any:
     """Raises `ValueError` with what is wrong with it."""
     from ..levels import Pin
+
     got = json.loads(text)
     if not isinstance(got, dict):
         raise ValueError("a pin is an object with level, until and reason")
--- a/burlloom/server/logs.py
+++ b/burlloom/server/logs.py
@@ -13,8 +13,10 @@
 class KeyValue(logging.Formatter):
     def format(self, record: logging.LogRecord) -> str:
         stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
-        line = (f"ts={stamp}.{int(record.msecs):03d}Z level={record.levelname.lower()} "
-                f"part={record.name.removeprefix('burlloom.')} {record.getMessage()}")
+        line = (
+            f"ts={stamp}.{int(record.msecs):03d}Z level={record.levelname.lower()} "
+            f"part={record.name.removeprefix('burlloom.')} {record.getMessage()}"
+        )
         if record.exc_info:
             line += f" trace={self.formatException(record.exc_info)!r}"
         return line.replace("\n", " ")
--- a/burlloom/server/parts.py
+++ b/burlloom/server/parts.py
@@ -29,8 +29,19 @@
     from ..metrics import Exposed
     from .assembly import Server
 
-__all__ = ["Operator", "Refused", "distributed", "fleeted", "leveled", "load_operator", "recorded", "recovered",
-           "rolled", "spanned", "stale"]
+__all__ = [
+    "Operator",
+    "Refused",
+    "distributed",
+    "fleeted",
+    "leveled",
+    "load_operator",
+    "recorded",
+    "recovered",
+    "rolled",
+    "spanned",
+    "stale",
+]
 
 CALLS_SPAN = 5 * SECOND
 
@@ -47,18 +58,27 @@
         return None
     slack = max(product.expiry for product in orders.facts.products)
     store, sealer = store_of(record, record.node or orders.name, keep=slack)
-    terms = Terms(record.mode == "prefer", record.claim_share, record.hold_share, record.open_most,
-                  record.doubt_wait_ms * MS)
+    terms = Terms(
+        record.mode == "prefer",
+        record.claim_share,
+        record.hold_share,
+        record.open_most,
+        record.doubt_wait_ms * MS,
+    )
 
     def make(server: Server) -> Recorded:
         products = orders.facts.products
-        made = Recorded(products, record.hold_share, server.clock, server.execute, record.postgres is not None)
-        keeper = made.keeper = Keeper(store, sealer, terms, max(product.sla for product in products), server.clock,
-                                      made)
+        made = Recorded(
+            products, record.hold_share, server.clock, server.execute, record.postgres is not None
+        )
+        keeper = made.keeper = Keeper(
+            store, sealer, terms, max(product.sla for product in products), server.clock, made
+        )
         if operator.metrics is not None:
             made.exposed = exposed(operator.metrics)
             expose_record(made.exposed, keeper)
         return made
+
     return make
 
 
@@ -69,9 +89,16 @@
         return orders
     names = orders.products
     if unknown := [name for name in levels.kept_ms if name not in names]:
-        raise Faults([f"levels.kept_ms: there is no product {name!r}; known are {', '.join(names)}" for name in unknown])
-    products = tuple(replace(product, stale=levels.kept_ms.get(name, 0) * MS)
-                     for name, product in zip(names, orders.facts.products, strict=True))
+        raise Faults(
+            [
+                f"levels.kept_ms: there is no product {name!r}; known are {', '.join(names)}"
+                for name in unknown
+            ]
+        )
+    products = tuple(
+        replace(product, stale=levels.kept_ms.get(name, 0) * MS)
+        for name, product in zip(names, orders.facts.products, strict=True)
+    )
     return replace(orders, facts=replace(orders.facts, products=products))
 
 
@@ -86,21 +113,37 @@
 
     def make(server: Server) -> Leveled:
         record = server.record
-        made = Leveled(plan, products, orders.tenants, orders.facts.cores, server.clock,
-                       lambda: len(server.front.connections) / server.front.most, terms=told.terms(),
-                       store=partial(strain, record.keeper, server.clock) if isinstance(record, Recorded) else None,
-                       meters=frozenset(orders.meters),
-                       pin_file=Path(told.pin_file) if told.pin_file is not None else None,
-                       state_file=Path(told.state_file) if told.state_file is not None else None,
-                       share=server.distribution.share(orders.tenants))
+        made = Leveled(
+            plan,
+            products,
+            orders.tenants,
+            orders.facts.cores,
+            server.clock,
+            lambda: len(server.front.connections) / server.front.most,
+            terms=told.terms(),
+            store=partial(strain, record.keeper, server.clock)
+            if isinstance(record, Recorded)
+            else None,
+            meters=frozenset(orders.meters),
+            pin_file=Path(told.pin_file) if told.pin_file is not None else None,
+            state_file=Path(told.state_file) if told.state_file is not None else None,
+            share=server.distribution.share(orders.tenants),
+        )
         if operator.metrics is not None:
-            shown = next((one.exposed for one in (record, server.distribution)
-                          if isinstance(one, Recorded | Distributed) and one.exposed is not None), None)
+            shown = next(
+                (
+                    one.exposed
+                    for one in (record, server.distribution)
+                    if isinstance(one, Recorded | Distributed) and one.exposed is not None
+                ),
+                None,
+            )
             if shown is None:
                 shown = made.exposed = exposed(operator.metrics)
             shown.numbers("burlloom_levels", made.steps, made.gauges)
             shown.wanted = lambda: made.optional
         return made
+
     return make
 
 
@@ -117,8 +160,11 @@
     if part is None:
         return None
     from ..fleet.letters import NAME_MOST
+
     if not 0 < len(orders.name.encode()) <= NAME_MOST:
-        raise Refused(f"fleet: the name {orders.name!r:.80} is over {NAME_MOST} bytes; letters carry no longer one")
+        raise Refused(
+            f"fleet: the name {orders.name!r:.80} is over {NAME_MOST} bytes; letters carry no longer one"
+        )
     host, port = part.listen.rsplit(":", 1)
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
@@ -130,12 +176,19 @@
     def make(server: Server) -> Fleeted:
         made = Fleeted(part, sock, orders.name, orders.seed, server.tasks, server.recovery)
         if operator.metrics is not None:
-            shown = next((one.exposed for one in (server.record, server.distribution, server.levels)
-                          if isinstance(one, Recorded | Distributed | Leveled) and one.exposed is not None), None)
+            shown = next(
+                (
+                    one.exposed
+                    for one in (server.record, server.distribution, server.levels)
+                    if isinstance(one, Recorded | Distributed | Leveled) and one.exposed is not None
+                ),
+                None,
+            )
             if shown is None:
                 shown = made.exposed = exposed(operator.metrics)
             shown.numbers("burlloom_fleet", made.fleet.counts, made.gauges)
         return made
+
     return make
 
 
@@ -148,7 +201,9 @@
     lonely = operator.fleet is None and operator.record is None
     alone = facts.calls_share or facts.crowd * facts.cores
     file = Path(part.state_file) if part.state_file is not None else None
-    return lambda server: Recovered(terms, orders.name, server.clock, lambda: server.fleet, alone, lonely, file)
+    return lambda server: Recovered(
+        terms, orders.name, server.clock, lambda: server.fleet, alone, lonely, file
+    )
 
 
 def rolled(operator: Operator, orders: Orders) -> Callable[[Server], Rolled] | None:
@@ -157,18 +212,36 @@
     if part is None:
         return None
     from ..rollout.stores.opening import shelf_of
+
     shelf, version = shelf_of(operator), os.environ.get(RELEASE) or part.version
 
     def make(server: Server) -> Rolled:
-        made = Rolled(part, shelf, orders.name, version, orders.facts.products, server.clock, server.tasks, server,
-                      lambda: server.fleet)
+        made = Rolled(
+            part,
+            shelf,
+            orders.name,
+            version,
+            orders.facts.products,
+            server.clock,
+            server.tasks,
+            server,
+            lambda: server.fleet,
+        )
         if operator.metrics is not None:
-            shown = next((one.exposed for one in (server.record, server.distribution, server.levels, server.fleet)
-                          if isinstance(one, Recorded | Distributed | Leveled | Fleeted) and one.exposed is not None), None)
+            shown = next(
+                (
+                    one.exposed
+                    for one in (server.record, server.distribution, server.levels, server.fleet)
+                    if isinstance(one, Recorded | Distributed | Leveled | Fleeted)
+                    and one.exposed is not None
+                ),
+                None,
+            )
             if shown is None:
                 shown = made.exposed = exposed(operator.metrics)
             shown.numbers("burlloom_rollout", made.steps, made.gauges)
         return made
+
     return make
 
 
@@ -181,22 +254,28 @@
         raise Refused("distribution.upstreams: is empty: a server follows others")
     from ..distribution.endpoint import bound
     from ..distribution.messages import NAME_MOST
+
     if not 0 < len(orders.name.encode()) <= NAME_MOST:
-        raise Refused(f"distribution: the name {orders.name!r:.80} is over {NAME_MOST} bytes; messages carry no longer"
-                      " one")
+        raise Refused(
+            f"distribution: the name {orders.name!r:.80} is over {NAME_MOST} bytes; messages carry no longer"
+            " one"
+        )
     try:
         sock = bound(part.listen)
     except OSError as error:
         raise Refused(f"distribution.listen: {part.listen}: {error.strerror}") from error
 
     def make(server: Server) -> Distributed:
-        made = Distributed(part, sock, orders.name, orders.seed, server.tasks, lambda: server.leaving)
+        made = Distributed(
+            part, sock, orders.name, orders.seed, server.tasks, lambda: server.leaving
+        )
         if operator.metrics is not None:
             shown = server.record.exposed if isinstance(server.record, Recorded) else None
             if shown is None:
                 shown = made.exposed = exposed(operator.metrics)
             shown.numbers("burlloom_distribution", made.counts, made.gauges)
         return made
+
     return make
 
 
@@ -207,22 +286,40 @@
 def exposed(told: Metrics) -> Exposed:
     """Raises `Refused`."""
     from ..metrics import Exposed
+
     listen = None
     if told.listen is not None:
         host, port = told.listen.rsplit(":", 1)
         listen = host, int(port)
     try:
-        made = Exposed(Path(told.file) if told.file is not None else None, told.every_ms / 1000, listen)
+        made = Exposed(
+            Path(told.file) if told.file is not None else None, told.every_ms / 1000, listen
+        )
     except OSError as error:
         raise Refused(f"metrics.listen: {told.listen}: {error.strerror}") from error
     return made
 
 
 def expose_record(made: Exposed, keeper: Keeper) -> None:
-    keeper.watch.claim = made.histogram("burlloom_record_claim_seconds", "from a claim's posting to its word")
-    keeper.watch.finish = made.histogram("burlloom_record_finish_seconds", "from an end's posting to its word")
+    keeper.watch.claim = made.histogram(
+        "burlloom_record_claim_seconds", "from a claim's posting to its word"
+    )
+    keeper.watch.finish = made.histogram(
+        "burlloom_record_finish_seconds", "from an end's posting to its word"
+    )
     store = keeper.store
-    made.numbers("burlloom_record", keeper.counts, lambda: {
-        "open_writes": len(keeper.budget.open), "fates": len(keeper.fates), "cut_off": float(keeper.budget.state != 0),
-        "cuts": keeper.budget.cuts, "commits": store.commits, "writes": store.written, "largest_batch": store.largest,
-        "pruned": store.pruned, "life": keeper.life})
+    made.numbers(
+        "burlloom_record",
+        keeper.counts,
+        lambda: {
+            "open_writes": len(keeper.budget.open),
+            "fates": len(keeper.fates),
+            "cut_off": float(keeper.budget.state != 0),
+            "cuts": keeper.budget.cuts,
+            "commits": store.commits,
+            "writes": store.written,
+            "largest_batch": store.largest,
+            "pruned": store.pruned,
+            "life": keeper.life,
+        },
+    )
--- a/burlloom/server/recording.py
+++ b/burlloom/server/recording.py
@@ -92,12 +92,24 @@
 
     recalls = True
 
-    def __init__(self, products: tuple[Product, ...], hold_share: float, clock: Callable[[], int],
-                 execute: Callable[[str], None], looks: bool) -> None:
+    def __init__(
+        self,
+        products: tuple[Product, ...],
+        hold_share: float,
+        clock: Callable[[], int],
+        execute: Callable[[str], None],
+        looks: bool,
+    ) -> None:
         """`looks`: other nodes write to the record too."""
         from ..record import points
+
         self.points, self.looks = points, looks
-        self.products, self.hold_share, self.clock, self.execute = products, hold_share, clock, execute
+        self.products, self.hold_share, self.clock, self.execute = (
+            products,
+            hold_share,
+            clock,
+            execute,
+        )
         self.keeper: "Keeper"
         self.exposed: "Exposed | None" = None
         self.desk: Desk | None = None
@@ -109,6 +121,7 @@
 
     async def open(self) -> None:
         from ..record.store import Refused
+
         began = self.clock()
         try:
             opened = await self.keeper.open()
@@ -117,9 +130,16 @@
         self.noted, self.life = self.keeper.noted, self.keeper.life
         self.former = Packed(chain.from_iterable(self.keeper.read_back()))
         await self.keeper.start()
-        log.info("event=record-open node=%s life=%d shift_ms=%d migrated=%s marks=%d begun=%d ms=%d", opened.node,
-                 opened.life, opened.shift // MS, ",".join(map(str, opened.migrated)) or "-",
-                 len(self.former), len(self.keeper.began), (self.clock() - began) // MS)
+        log.info(
+            "event=record-open node=%s life=%d shift_ms=%d migrated=%s marks=%d begun=%d ms=%d",
+            opened.node,
+            opened.life,
+            opened.shift // MS,
+            ",".join(map(str, opened.migrated)) or "-",
+            len(self.former),
+            len(self.keeper.began),
+            (self.clock() - began) // MS,
+        )
 
     def begin_desk(self, desk: Desk, executor_began: int) -> None:
         self.desk = desk
@@ -143,7 +163,9 @@
     async def durable(self, mark: bytes, at: int, product: int) -> None:
         known = self.products[product]
         if known.repeatable is Repeatable.REFERENCED:
-            until = min(self.clock() + int(self.hold_share * known.sla), at + known.expiry - WAY_OUT)
+            until = min(
+                self.clock() + int(self.hold_share * known.sla), at + known.expiry - WAY_OUT
+            )
             await self.keeper.durable(mark, until)
             self.points.reached("answering")
 
@@ -161,10 +183,21 @@
     async def close(self) -> None:
         await self.keeper.close()
         counts = self.keeper.counts
-        log.info("event=record-closed-down claims=%d refused=%d late=%d unkept=%d taken=%d recalled=%d doubts=%d"
-                 " resolved=%d altered=%d conflicts=%d answered_before=%d", counts.claims, counts.refused, counts.late,
-                 counts.unkept, counts.taken, counts.recalled, counts.doubts, counts.resolved, counts.altered,
-                 counts.conflicts, counts.held_past)
+        log.info(
+            "event=record-closed-down claims=%d refused=%d late=%d unkept=%d taken=%d recalled=%d doubts=%d"
+            " resolved=%d altered=%d conflicts=%d answered_before=%d",
+            counts.claims,
+            counts.refused,
+            counts.late,
+            counts.unkept,
+            counts.taken,
+            counts.recalled,
+            counts.doubts,
+            counts.resolved,
+            counts.altered,
+            counts.conflicts,
+            counts.held_past,
+        )
         if self.exposed is not None:
             self.exposed.close()
 
--- a/burlloom/server/recovering.py
+++ b/burlloom/server/recovering.py
@@ -42,6 +42,7 @@
     def round(self) -> None: ...
     def back(self) -> bool:
         """Whether its way back is over."""
+
     def close(self) -> None: ...
 
 
@@ -85,11 +86,26 @@
     """`fleet` gives the server's fleet once there is one; `alone`: calls that we may have where there is
     none."""
 
-    def __init__(self, terms: Terms, name: str, clock: Callable[[], int], fleet: Callable[[], Fleeting],
-            alone: float,
-                 lonely: bool, state_file: Path | None) -> None:
+    def __init__(
+        self,
+        terms: Terms,
+        name: str,
+        clock: Callable[[], int],
+        fleet: Callable[[], Fleeting],
+        alone: float,
+        lonely: bool,
+        state_file: Path | None,
+    ) -> None:
         from .. import recovery
-        self.of, self.name, self.clock, self.fleet, self.alone, self.state_file = recovery, name, clock, fleet, alone, state_file
+
+        self.of, self.name, self.clock, self.fleet, self.alone, self.state_file = (
+            recovery,
+            name,
+            clock,
+            fleet,
+            alone,
+            state_file,
+        )
         self.life = time.time_ns() // MS
         found = recovery.read(self.text())
         self.recovery: Recovery = recovery.Recovery(terms, found, name, clock(), self.life, lonely)
@@ -99,9 +115,15 @@
         self.desk: Desk | None = None
         self.record_life = -1
         self.told_at = 0
-        self.holding = self.closed = False  # closed: the last word is written, and rounds may follow
-        log.info("event=recovery kept=%s life=%d members=%d", self.recovery.verdict.name.lower(),
-                 kept.life if kept is not None else 0, len(self.members))
+        self.holding = self.closed = (
+            False  # closed: the last word is written, and rounds may follow
+        )
+        log.info(
+            "event=recovery kept=%s life=%d members=%d",
+            self.recovery.verdict.name.lower(),
+            kept.life if kept is not None else 0,
+            len(self.members),
+        )
 
     def text(self) -> str | None:
         if self.state_file is None:
@@ -146,15 +168,22 @@
         equal, share = shared if shared is not None else (self.alone, self.alone)
         if self.recovery.round(now, equal, share):
             cap = self.recovery.cap
-            log.info("event=recovery-cap calls=%.2f equal=%.2f ms=%d", min(cap, 1e9), equal,
-                (now - self.recovery.began) // MS)
+            log.info(
+                "event=recovery-cap calls=%.2f equal=%.2f ms=%d",
+                min(cap, 1e9),
+                equal,
+                (now - self.recovery.began) // MS,
+            )
             if shared is None:
                 self.desk.share_calls(min(cap, self.alone))
         if self.recovery.over and self.holding:
             self.holding = False
             self.desk.hold_back(False)
-            log.warning("event=recovery-over ms=%d held_back=%d", (now - self.recovery.began) // MS,
-                self.recovery.retries.refused)
+            log.warning(
+                "event=recovery-over ms=%d held_back=%d",
+                (now - self.recovery.began) // MS,
+                self.recovery.retries.refused,
+            )
         self.say()
         if now - self.told_at >= TELL_EVERY and not self.closed:
             self.told_at = now
@@ -166,15 +195,26 @@
     def say(self) -> None:
         for what, effect in self.recovery.effects:
             # A few a life, in the very moment in which info lines are left out by the hundred.
-            log.warning("event=recovery-start input=%s effect=%s state=%s", what, effect,
-                self.recovery.start.state.name.lower())
+            log.warning(
+                "event=recovery-start input=%s effect=%s state=%s",
+                what,
+                effect,
+                self.recovery.start.state.name.lower(),
+            )
         self.recovery.effects = []
 
     def write(self, share: float, clean: bool) -> None:
         if self.state_file is None:
             return
-        kept = self.of.Kept(self.name, self.life, time.time_ns() // MS, self.record_life, share, clean,
-                            self.of.kept.members(self.fleet().addresses()))
+        kept = self.of.Kept(
+            self.name,
+            self.life,
+            time.time_ns() // MS,
+            self.record_life,
+            share,
+            clean,
+            self.of.kept.members(self.fleet().addresses()),
+        )
         part = self.state_file.with_name(self.state_file.name + ".part")
         try:
             part.write_text(self.of.write(kept), encoding="utf-8")
--- a/burlloom/server/rolling.py
+++ b/burlloom/server/rolling.py
@@ -80,9 +80,16 @@
         """`clock`: Unix ns; `steady`: ns of one that nobody sets."""
         from .. import rollout
         from ..rollout import stores
+
         self.of, self.stores, self.part, self.shelf = rollout, stores, part, shelf
         self.name, self.version, self.steady = name, version, steady
-        self.products, self.clock, self.tasks, self.host, self.fleet = products, clock, tasks, host, fleet
+        self.products, self.clock, self.tasks, self.host, self.fleet = (
+            products,
+            clock,
+            tasks,
+            host,
+            fleet,
+        )
         self.life = self.former = self.beat = self.told_at = self.heeded = 0
         self.counts = [0, 0, 0, 0]  # settled, late, declined, voided
         self.hand: Hand | None = None
@@ -144,9 +151,18 @@
             self.life = max(self.clock() // MS, last.life + 1 if last is not None else 0)
             self.hand = self.of.Hand(self.name, self.life)
             if self.part.leads:
-                self.lead = self.of.Lead(f"{self.name}/{self.life}", self.part.terms(), self.part.budgets(),
-                                         self.part.services())
-            log.info("event=rollout name=%s life=%d version=%s", self.name, self.life, self.version or "-")
+                self.lead = self.of.Lead(
+                    f"{self.name}/{self.life}",
+                    self.part.terms(),
+                    self.part.budgets(),
+                    self.part.services(),
+                )
+            log.info(
+                "event=rollout name=%s life=%d version=%s",
+                self.name,
+                self.life,
+                self.version or "-",
+            )
         await self.tell()
         if self.outbid:
             return
@@ -161,18 +177,37 @@
 
     def says(self) -> Says:
         says = self.of.Says
-        return says.LEAVING if self.host.leaving else says.SERVING if self.host.ready() else says.STARTING
+        return (
+            says.LEAVING
+            if self.host.leaving
+            else says.SERVING
+            if self.host.ready()
+            else says.STARTING
+        )
 
     async def tell(self) -> None:
         now, says = self.steady(), self.says()
         if says == self.said and now - self.told_at < self.part.beat_ms * MS:
             return
         self.beat += 1
-        if not await self.shelf.tell(self.of.Member(
-                self.name, self.life, self.beat, says, self.host.well(), self.version, self.heeded,
-                self.of.Counts(*self.counts), self.fleet().reports(), self.former)):
+        if not await self.shelf.tell(
+            self.of.Member(
+                self.name,
+                self.life,
+                self.beat,
+                says,
+                self.host.well(),
+                self.version,
+                self.heeded,
+                self.of.Counts(*self.counts),
+                self.fleet().reports(),
+                self.former,
+            )
+        ):
             self.outbid = True
-            log.error("event=rollout-outbid name=%s", self.name)  # another was started under it after us
+            log.error(
+                "event=rollout-outbid name=%s", self.name
+            )  # another was started under it after us
         self.said, self.told_at = says, now
 
     def heed(self, page: Page) -> None:
@@ -219,6 +254,7 @@
 
     async def go_first(self, lead: Lead, page: Page) -> None:
         from ..rollout.stores.leading import led
+
         for step, said in await led(lead, self.shelf, page, self.steady()):
             log.info("event=rollout-step step=%d said=%r", step, said)
 
@@ -251,7 +287,10 @@
         await self.shelf.close()
         if self.exposed is not None:
             self.exposed.close()
-        log.info("event=rollout-closed %s", " ".join(f"{name}={count}" for name, count in self.steps.items()))
+        log.info(
+            "event=rollout-closed %s",
+            " ".join(f"{name}={count}" for name, count in self.steps.items()),
+        )
 
     async def last_word(self) -> None:
         if not self.life or self.outbid or self.away:
--- a/burlloom/sockets/__init__.py
+++ b/burlloom/sockets/__init__.py
@@ -13,5 +13,19 @@
 from .tasks import Tasks
 from .writer import Writer
 
-__all__ = ["MS", "SECOND", "Buffer", "Ended", "Inlet", "Parting", "Reason", "Tasks", "Writer", "out_of_descriptors",
-           "ready", "rest", "stream", "unread"]
+__all__ = [
+    "MS",
+    "SECOND",
+    "Buffer",
+    "Ended",
+    "Inlet",
+    "Parting",
+    "Reason",
+    "Tasks",
+    "Writer",
+    "out_of_descriptors",
+    "ready",
+    "rest",
+    "stream",
+    "unread",
+]
--- a/burlloom/sockets/buffer.py
+++ b/burlloom/sockets/buffer.py
@@ -17,6 +17,6 @@
             left = self.end - self.start
             size = len(self.view) if self.start else min(self.most, 2 * len(self.view))
             fresh = memoryview(bytearray(size))
-            fresh[:left] = self.view[self.start:self.end]
+            fresh[:left] = self.view[self.start : self.end]
             self.view, self.start, self.end = fresh, 0, left
-        return self.view[self.end:]
+        return self.view[self.end :]
--- a/burlloom/standins/parts.py
+++ b/burlloom/standins/parts.py
@@ -21,7 +21,9 @@
     """Owns the link: keeps numbered notices, replays them to a new link, and answers METER by itself."""
 
     def __init__(self) -> None:
-        self.commands: asyncio.Queue[tuple[str, ...]] = asyncio.Queue()  # EXEC and RETURN, as they are read
+        self.commands: asyncio.Queue[tuple[str, ...]] = (
+            asyncio.Queue()
+        )  # EXEC and RETURN, as they are read
         self.bodies: dict[str, bytes] = {}  # the last body that came for a txn
         self.joins: list[int] = []
         self.notices: list[bytes] = []
@@ -46,8 +48,10 @@
                     await self.up.wait()
                     self.joins.append(int(words[0]))
                     self.link = writer
-                    writer.write(f"WELCOME {self.state} {(time.monotonic() - self.born) * 1000:.0f}\r\n".encode())
-                    writer.writelines(self.notices[int(words[0]):])
+                    writer.write(
+                        f"WELCOME {self.state} {(time.monotonic() - self.born) * 1000:.0f}\r\n".encode()
+                    )
+                    writer.writelines(self.notices[int(words[0]) :])
                 elif name == "METER":
                     self.asked, self.tag = self.asked + 1, words[0]
                     if not self.deaf:
@@ -132,10 +136,12 @@
             self.writers.discard(writer)
             writer.close()
 
-    async def one(self, line: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def one(
+        self, line: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
         assert line == b"POST /fetch HTTP/1.1\r\n", line
         told: dict[str, str] = {}
-        while (header := (await reader.readline()).decode().strip()):
+        while header := (await reader.readline()).decode().strip():
             name, _, value = header.partition(": ")
             told[name.lower()] = value
         assert int(told["x-patience"]) > 0
@@ -165,7 +171,9 @@
             return False
         status, declined, body = reply
         extra = "X-Declined: 1\r\n" if declined else ""
-        writer.write(f"HTTP/1.1 {status} Told\r\n{extra}Content-Length: {len(body)}\r\n\r\n".encode() + body)
+        writer.write(
+            f"HTTP/1.1 {status} Told\r\n{extra}Content-Length: {len(body)}\r\n\r\n".encode() + body
+        )
         return True
 
 
@@ -176,7 +184,8 @@
     async def start(self, address: str = ANY) -> "NameService":
         host, port = address.split(":")
         self.transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-            lambda: self, local_addr=(host, int(port)))
+            lambda: self, local_addr=(host, int(port))
+        )
         self.address = "%s:%d" % self.transport.get_extra_info("sockname")
         return self
 
@@ -186,8 +195,16 @@
 
 def fields(**told: str) -> dict[str, str]:
     """Those of a txn that comes just now."""
-    return {"id": secrets.token_hex(8), "at": str(time.time_ns() // 1_000_000), "from": "1", "cost": "12.50",
-            "kb": "24.5", "rank": "0.6250", "tenant": "acme", **told}
+    return {
+        "id": secrets.token_hex(8),
+        "at": str(time.time_ns() // 1_000_000),
+        "from": "1",
+        "cost": "12.50",
+        "kb": "24.5",
+        "rank": "0.6250",
+        "tenant": "acme",
+        **told,
+    }
 
 
 class Balancer:
@@ -239,8 +256,9 @@
             self.waiting[self.given].cancel()
         return bytes(msgpack.packb([0, self.given, method, params]))
 
-    def ask(self, product: str, fields: dict[str, str],
-            body: bytes = b"") -> "asyncio.Future[tuple[Any, Any]]":
+    def ask(
+        self, product: str, fields: dict[str, str], body: bytes = b""
+    ) -> "asyncio.Future[tuple[Any, Any]]":
         frame = self.frame(product, fields, body)
         if not self.ended.is_set():
             self.writer.write(frame)
--- a/burlloom/standins/pgwire.py
+++ b/burlloom/standins/pgwire.py
@@ -32,7 +32,7 @@
         if size < 0 or self.at + size > len(self.body):
             raise Malformed("message too short")
         self.at += size
-        return self.body[self.at - size:self.at]
+        return self.body[self.at - size : self.at]
 
     def int16(self) -> int:
         return int(struct.unpack(">h", self.take(2))[0])
@@ -44,7 +44,7 @@
         end = self.body.find(b"\0", self.at)
         if end < 0:
             raise Malformed("text without an end")
-        text = self.body[self.at:end].decode("utf-8", "replace")
+        text = self.body[self.at : end].decode("utf-8", "replace")
         self.at = end + 1
         return text
 
@@ -84,7 +84,9 @@
         return message(b"n")
     parts = [struct.pack(">h", len(columns))]
     for name, oid in columns:
-        parts.append(text(name) + struct.pack(">ihihih", 0, 0, oid, 8 if oid == INT8 else -1, -1, 0))
+        parts.append(
+            text(name) + struct.pack(">ihihih", 0, 0, oid, 8 if oid == INT8 else -1, -1, 0)
+        )
     return message(b"T", *parts)
 
 
@@ -117,7 +119,10 @@
 
 def row(values: tuple[object, ...], columns: list[tuple[str, int]], formats: list[bool]) -> bytes:
     parts = [struct.pack(">h", len(values))]
-    parts += [encoded(value, oid, binary) for value, (_, oid), binary in zip(values, columns, formats, strict=True)]
+    parts += [
+        encoded(value, oid, binary)
+        for value, (_, oid), binary in zip(values, columns, formats, strict=True)
+    ]
     return message(b"D", *parts)
 
 
--- a/burlloom/standins/postgres.py
+++ b/burlloom/standins/postgres.py
@@ -24,8 +24,22 @@
 from . import pgwire as wire
 
 CAST = re.compile(r"\$(\d+)(?:::(\w+))?")
-INTS = {"state", "life", "turn", "at", "until", "fenced", "version", "ran", "said_at", "count",
-        "revision", "epoch", "beat", "time_ms"}
+INTS = {
+    "state",
+    "life",
+    "turn",
+    "at",
+    "until",
+    "fenced",
+    "version",
+    "ran",
+    "said_at",
+    "count",
+    "revision",
+    "epoch",
+    "beat",
+    "time_ms",
+}
 BYTES = {"mark", "result", "seal", "tag", "body", "scope", "kind", "key", "value"}
 WRITES = ("INSERT", "UPDATE", "DELETE", "CREATE", "ALTER")
 ITERATIONS = 4096
@@ -76,7 +90,11 @@
         self.server: asyncio.Server | None = None
         self.address = ""
         self.mechanism = scramp.ScramMechanism("SCRAM-SHA-256")
-        self.login = self.mechanism.make_auth_info(password, iteration_count=ITERATIONS) if password else None
+        self.login = (
+            self.mechanism.make_auth_info(password, iteration_count=ITERATIONS)
+            if password
+            else None
+        )
         self.on_commit: Callable[[], None] | None = None
 
     async def start(self, address: str = "127.0.0.1:0") -> "Postgres":
@@ -128,7 +146,9 @@
 
 
 class Session:
-    def __init__(self, server: Postgres, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def __init__(
+        self, server: Postgres, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.server, self.reader, self.writer = server, reader, writer
         self.statements: dict[str, Statement] = {}
         self.portals: dict[str, Portal] = {}
@@ -162,10 +182,16 @@
     async def next_kind(self) -> bytes:
         """Its client may be gone without a word; what it locked is free after a while, as the real one can be told."""
         try:
-            async with asyncio.timeout(self.server.orders.idle if self.holds and self.server.orders.idle else None):
+            async with asyncio.timeout(
+                self.server.orders.idle if self.holds and self.server.orders.idle else None
+            ):
                 return await self.reader.readexactly(1)
         except TimeoutError:
-            self.writer.write(wire.error("25P03", "terminating connection due to idle-in-transaction timeout", "FATAL"))
+            self.writer.write(
+                wire.error(
+                    "25P03", "terminating connection due to idle-in-transaction timeout", "FATAL"
+                )
+            )
             raise ConnectionAbortedError from None
 
     async def greet(self) -> bool:
@@ -185,11 +211,16 @@
             told[name] = body.text()
         if self.server.login is not None and not await self.log_in(told.get("user", "")):
             return False
-        self.writer.write(wire.authentication(0) + wire.status("server_version", "15.0 (stand-in)")
-                          + wire.status("client_encoding", "UTF8") + wire.status("standard_conforming_strings", "on")
-                          + wire.status("integer_datetimes", "on") + wire.status("TimeZone", "UTC")
-                          + wire.message(b"K", struct.pack(">ii", self.number, self.key))
-                          + wire.ready("I"))
+        self.writer.write(
+            wire.authentication(0)
+            + wire.status("server_version", "15.0 (stand-in)")
+            + wire.status("client_encoding", "UTF8")
+            + wire.status("standard_conforming_strings", "on")
+            + wire.status("integer_datetimes", "on")
+            + wire.status("TimeZone", "UTC")
+            + wire.message(b"K", struct.pack(">ii", self.number, self.key))
+            + wire.ready("I")
+        )
         return True
 
     async def log_in(self, user: str) -> bool:
@@ -205,7 +236,9 @@
             self.writer.write(wire.authentication(12, exchange.get_server_final().encode()))
             return True
         except scramp.ScramException:
-            self.writer.write(wire.error("28P01", f'password authentication failed for user "{user}"', "FATAL"))
+            self.writer.write(
+                wire.error("28P01", f'password authentication failed for user "{user}"', "FATAL")
+            )
             await self.writer.drain()
             return False
 
@@ -249,7 +282,9 @@
                 case b"E":
                     await self.execute(body)
                 case b"C":
-                    (self.statements if body.take(1) == b"S" else self.portals).pop(body.text(), None)
+                    (self.statements if body.take(1) == b"S" else self.portals).pop(
+                        body.text(), None
+                    )
                     self.writer.write(wire.message(b"3"))
                 case b"H":
                     pass
@@ -260,7 +295,9 @@
             if self.status == "T":
                 self.status = "E"
             self.skipping = kind != b"Q"
-            self.writer.write(wire.error(code, str(error)) + (wire.ready(self.status) if kind == b"Q" else b""))
+            self.writer.write(
+                wire.error(code, str(error)) + (wire.ready(self.status) if kind == b"Q" else b"")
+            )
 
     async def simple(self, sql: str) -> None:
         for one in filter(None, (part.strip() for part in sql.split(";"))):
@@ -311,14 +348,19 @@
         self.send(rows, portal.statement.columns, portal.formats)
         self.writer.write(wire.message(b"C", wire.text(tag)))
 
-    def send(self, rows: list[tuple[object, ...]], columns: list[tuple[str, int]], formats: list[bool]) -> None:
+    def send(
+        self, rows: list[tuple[object, ...]], columns: list[tuple[str, int]], formats: list[bool]
+    ) -> None:
         for row in rows:
             self.writer.write(wire.row(row, columns, formats))
 
     # SQL.
 
     def statement(self, sql: str) -> Statement:
-        types = {int(number): wire.TYPES.get(kind or "text", wire.TEXT) for number, kind in CAST.findall(sql)}
+        types = {
+            int(number): wire.TYPES.get(kind or "text", wire.TEXT)
+            for number, kind in CAST.findall(sql)
+        }
         oids = [types[number] for number in sorted(types)]
         plain = CAST.sub(r"?\1", sql).replace(" FOR SHARE", "").replace("::bigint", "")
         return Statement(plain, oids, self.columns(plain))
@@ -338,7 +380,9 @@
             found.append((name, wire.VOID if name.startswith("pg_advisory") else oid))
         return found
 
-    async def run(self, statement: Statement, values: list[object]) -> tuple[list[tuple[object, ...]], str]:
+    async def run(
+        self, statement: Statement, values: list[object]
+    ) -> tuple[list[tuple[object, ...]], str]:
         sql, orders = statement.sql, self.server.orders
         head = sql.split(None, 1)[0].upper() if sql else ""
         if head in ("BEGIN", "START"):
@@ -351,7 +395,10 @@
             self.roll_back()
             return [], "ROLLBACK"
         if self.status == "E":
-            raise Failed("25P02", "current transaction is aborted, commands ignored until end of transaction block")
+            raise Failed(
+                "25P02",
+                "current transaction is aborted, commands ignored until end of transaction block",
+            )
         if sql.startswith("SELECT pg_advisory"):
             await self.hold()
             return [("",)], "SELECT 1"
--- a/burlloom/standins/relay.py
+++ b/burlloom/standins/relay.py
@@ -32,12 +32,15 @@
         self.cuts: set[tuple[str, str]] = set()  # who does not reach whom
         self.loss, self.doubles, self.delay = 0.0, 0.0, (0.0, 0.0)  # delay in s, from and to
         self.passed = self.lost = 0
-        self.kept: list[tuple[Any, Door, bytes]] = []  # of what passed, the last, to be played again
+        self.kept: list[
+            tuple[Any, Door, bytes]
+        ] = []  # of what passed, the last, to be played again
 
     async def door(self, name: str) -> str:
         """The address under which this member is reached."""
         _, door = await asyncio.get_running_loop().create_datagram_endpoint(
-            lambda: Door(self, name), local_addr=("127.0.0.1", 0))
+            lambda: Door(self, name), local_addr=("127.0.0.1", 0)
+        )
         self.doors[name] = door
         return "%s:%d" % door.transport.get_extra_info("sockname")
 
@@ -57,7 +60,11 @@
 
     def passes(self, source: Any, door: Door, data: bytes) -> None:
         name = self.sources.get(tuple(source), "")
-        if door.target is None or (name, door.name) in self.cuts or self.chance.random() < self.loss:
+        if (
+            door.target is None
+            or (name, door.name) in self.cuts
+            or self.chance.random() < self.loss
+        ):
             self.lost += 1
             return
         self.passed += 1
--- a/burlloom/wirehost/codec.py
+++ b/burlloom/wirehost/codec.py
@@ -6,12 +6,28 @@
 from ..facts import MICRO
 from ..interface import Gauges, Outcome, ServerFacts
 
-OUTCOME = {"Ok": Outcome.OK, "Failed": Outcome.FAILED, "QueueFull": Outcome.FULL,
-           "TimedOut": Outcome.TIMED_OUT, "ConnectError": Outcome.UNREACHED, "ResetByPeer": Outcome.BROKEN,
-           "Canceled": Outcome.STOPPED, "Ignored": Outcome.MOOT}
+OUTCOME = {
+    "Ok": Outcome.OK,
+    "Failed": Outcome.FAILED,
+    "QueueFull": Outcome.FULL,
+    "TimedOut": Outcome.TIMED_OUT,
+    "ConnectError": Outcome.UNREACHED,
+    "ResetByPeer": Outcome.BROKEN,
+    "Canceled": Outcome.STOPPED,
+    "Ignored": Outcome.MOOT,
+}
 # name -> number of values after the name; the last value of BOOT is text to the end of the line
-EVENTS = {"BOOT": 3, "KILLED": 1, "ASK": 13, "COMPLETED": 4, "NEEDS": 2, "CALL_DONE": 4, "LEFT": 2,
-          "WIND_DOWN": 2, "WAKE": 3}
+EVENTS = {
+    "BOOT": 3,
+    "KILLED": 1,
+    "ASK": 13,
+    "COMPLETED": 4,
+    "NEEDS": 2,
+    "CALL_DONE": 4,
+    "LEFT": 2,
+    "WIND_DOWN": 2,
+    "WAKE": 3,
+}
 
 
 class BadInput(Exception):
@@ -43,7 +59,9 @@
 
 
 def gauges(names: tuple[str, ...], text: str) -> Gauges:
-    return Gauges() if text == "-" else facts.gauges(names, [real(value) for value in text.split(",")])
+    return (
+        Gauges() if text == "-" else facts.gauges(names, [real(value) for value in text.split(",")])
+    )
 
 
 def told(text: str) -> tuple[ServerFacts, tuple[str, ...]]:
--- a/burlloom/wirehost/host.py
+++ b/burlloom/wirehost/host.py
@@ -12,7 +12,9 @@
 class Instance:
     """One life of one simulated server; implements `interface.Effects`."""
 
-    def __init__(self, who: str, seed: int, facts: ServerFacts, meters: tuple[str, ...], now: int) -> None:
+    def __init__(
+        self, who: str, seed: int, facts: ServerFacts, meters: tuple[str, ...], now: int
+    ) -> None:
         self.who = who
         self.out: list[str] = []
         self.refs: dict[str, int] = {}
@@ -107,7 +109,9 @@
                 continue
             try:
                 event()
-            except Exception as error:  # whatever the decisions raise is theirs to answer for, by name
+            except (
+                Exception
+            ) as error:  # whatever the decisions raise is theirs to answer for, by name
                 out.append(f"BUG {who} {_place(error)}")
                 return out
             instance = self.instances[who]
@@ -160,7 +164,9 @@
 
     @staticmethod
     def txn(instance: Instance, values: list[str]) -> Txn:
-        _, _, name, caller, bits, _, cost, product, unread, _, expiry_at, kb, rank, original = values
+        _, _, name, caller, bits, _, cost, product, unread, _, expiry_at, kb, rank, original = (
+            values
+        )
         forerunner = -1
         if original not in ("-", "0"):
             # one that this life was never given counts as run: nothing here proves that it was not
@@ -182,5 +188,9 @@
     trace = error.__traceback__
     while trace is not None and trace.tb_next is not None:
         trace = trace.tb_next
-    where = f"{trace.tb_frame.f_code.co_filename.rsplit('/', 1)[-1]}:{trace.tb_lineno}" if trace else "?"
+    where = (
+        f"{trace.tb_frame.f_code.co_filename.rsplit('/', 1)[-1]}:{trace.tb_lineno}"
+        if trace
+        else "?"
+    )
     return f"{type(error).__name__}: {error} at {where}".replace("\n", " ")
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -76,7 +76,12 @@
     try:
         if sys.argv[1:] == ["world"]:
             asyncio.run(world())
-        elif len(sys.argv) == 3 and sys.argv[1] == "ask" and sys.argv[2].isdigit() and int(sys.argv[2]):
+        elif (
+            len(sys.argv) == 3
+            and sys.argv[1] == "ask"
+            and sys.argv[2].isdigit()
+            and int(sys.argv[2])
+        ):
             asyncio.run(ask(int(sys.argv[2])))
         else:
             sys.exit(__doc__)
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -24,8 +24,25 @@
 
 def facts(share: float) -> ServerFacts:
     product = Product(60 * SECOND, 0.0, 120 * SECOND, Repeatable.INQUIRY, 0, 0.0, 0.0, 1.0)
-    return ServerFacts(4, 1e9, 4.0, 1.0, 5.0, True, 0.2, 10 * SECOND, share, SPAN, LINGER, SECOND, 0, 0, 9 * SECOND,
-                       FreeValue.NONE, (product,))
+    return ServerFacts(
+        4,
+        1e9,
+        4.0,
+        1.0,
+        5.0,
+        True,
+        0.2,
+        10 * SECOND,
+        share,
+        SPAN,
+        LINGER,
+        SECOND,
+        0,
+        0,
+        9 * SECOND,
+        FreeValue.NONE,
+        (product,),
+    )
 
 
 class Server:
@@ -40,7 +57,9 @@
         self.life += 1
         self.given = 0
         self.asleep = False
-        self.choice = Choice(facts(self.world.share), self.chance.getrandbits(64), self, self.world.now)
+        self.choice = Choice(
+            facts(self.world.share), self.chance.getrandbits(64), self, self.world.now
+        )
         self.choice.begin(self.world.now)
         for _ in range(4):
             self.ask()
@@ -86,7 +105,9 @@
         self.share, self.chance = self.total / self.processes, Random(self.seed)
         self.servers = [Server(self, self.seed * 1000 + at) for at in range(self.processes)]
         self.begun, self.in_hand = self.now, 0
-        self.steps: list[tuple[int, int]] = [(self.now, 0)]  # when, and how many are in hand from then on
+        self.steps: list[tuple[int, int]] = [
+            (self.now, 0)
+        ]  # when, and how many are in hand from then on
 
     def at(self, when: int, *what: Any) -> None:
         self.order += 1
@@ -104,7 +125,9 @@
         if self.now + took <= stop_at:
             self.at(self.now + took, "called", server, server.life, ref, Outcome.OK, took)
         else:
-            self.at(stop_at, "called", server, server.life, ref, Outcome.TIMED_OUT, stop_at - self.now)
+            self.at(
+                stop_at, "called", server, server.life, ref, Outcome.TIMED_OUT, stop_at - self.now
+            )
 
     def abandon(self, server: Server, life: int, ref: int) -> None:
         del self.calls[server, life, ref]
@@ -125,7 +148,9 @@
                 self.at(self.now + ROUND, "round", server, life)
                 return
             server.choice.woke(self.now, 0, Gauges(core_use=0.2, on_cores=0.5))
-            for ref in [ref for ref, case in server.choice.live.items() if case.state.name == "RUN"]:
+            for ref in [
+                ref for ref, case in server.choice.live.items() if case.state.name == "RUN"
+            ]:
                 server.choice.at_call(self.now, ref)
             while len(server.choice.live) < 4:
                 server.ask()
@@ -146,7 +171,9 @@
         if outcome is Outcome.OK:
             server.choice.ended(self.now, ref, Outcome.OK, took)
             server.ask()
-            for other in [ref for ref, case in server.choice.live.items() if case.state.name == "RUN"]:
+            for other in [
+                ref for ref, case in server.choice.live.items() if case.state.name == "RUN"
+            ]:
                 server.choice.at_call(self.now, other)
 
     def starts(self, server: Server) -> None:
@@ -184,31 +211,46 @@
 
 def bound(total: float) -> float:
     """Beyond the budget only so much is chance."""
-    return total + 2 * total ** 0.5 + 2
+    return total + 2 * total**0.5 + 2
 
 
 STORIES = ("together", "waves", "restarts", "pauses")
 
 
-def story(name: str, processes: int, total: float, call: int, seed: int, length: int = 40 * SECOND) -> World:
+def story(
+    name: str, processes: int, total: float, call: int, seed: int, length: int = 40 * SECOND
+) -> World:
     world = World(processes, total, call, seed)
     for at, server in enumerate(world.servers):
         world.at(world.now + (at % 3 * 4 * SECOND if name == "waves" else 0), "starts", server)
-        if name == "restarts":  # in the middle of their way up, most of them together, and once more
+        if (
+            name == "restarts"
+        ):  # in the middle of their way up, most of them together, and once more
             for when in (6, 14, 25):
                 if world.chance.random() < 0.8:
-                    world.at(world.now + when * SECOND + world.chance.randrange(SECOND), "dies", server,
-                             400 * MS + world.chance.randrange(SECOND))
+                    world.at(
+                        world.now + when * SECOND + world.chance.randrange(SECOND),
+                        "dies",
+                        server,
+                        400 * MS + world.chance.randrange(SECOND),
+                    )
         elif name == "pauses":
             for when in (8, 25):
-                world.at(world.now + when * SECOND, "sleeps", server, world.chance.choice((1, 6, 12)) * SECOND)
+                world.at(
+                    world.now + when * SECOND,
+                    "sleeps",
+                    server,
+                    world.chance.choice((1, 6, 12)) * SECOND,
+                )
     for _ in world.play(length):
         pass
     return world
 
 
 if __name__ == "__main__":
-    print("| story | processes | N | a call takes, ms | worst mean in 5 s | most at once | N + 2 x root of N + 2 | calls made |")
+    print(
+        "| story | processes | N | a call takes, ms | worst mean in 5 s | most at once | N + 2 x root of N + 2 | calls made |"
+    )
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
     for name in STORIES:
         for processes in (20, 30):
@@ -217,5 +259,8 @@
                     plays = [story(name, processes, total, call * MS, seed) for seed in range(1, 6)]
                     means, most = zip(*(play.worst() for play in plays), strict=True)
                     made = [play.made for play in plays]
-                    print(f"| {name} | {processes} | {total} | {call} | {max(means):.2f} | {max(most)} | {bound(total):.1f} | "
-                          f"{min(made)} to {max(made)} |", flush=True)
+                    print(
+                        f"| {name} | {processes} | {total} | {call} | {max(means):.2f} | {max(most)} | {bound(total):.1f} | "
+                        f"{min(made)} to {max(made)} |",
+                        flush=True,
+                    )
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -82,7 +82,8 @@
             )
         await patiently(
             lambda: (
-                self.log().count("event=distribution-control") > lives or self.process.returncode is not None
+                self.log().count("event=distribution-control") > lives
+                or self.process.returncode is not None
             ),
             self.log,
         )
@@ -113,7 +114,9 @@
             status = await soon(self.process.wait())
         finally:
             if self.process.returncode is None:
-                self.process.send_signal(signal.SIGKILL)  # whatever the story comes to, nothing is left running
+                self.process.send_signal(
+                    signal.SIGKILL
+                )  # whatever the story comes to, nothing is left running
         if kind is None:
             assert status == 0 and "level=error" not in self.log(), (status, self.log())
 
@@ -136,7 +139,10 @@
             **self.world.parts,
         }
         if "metrics" in self.operator:
-            self.operator["metrics"] = {**self.operator["metrics"], "file": str(self.folder / "metrics")}
+            self.operator["metrics"] = {
+                **self.operator["metrics"],
+                "file": str(self.folder / "metrics"),
+            }
         await self.__aenter__()
         self.working.append(asyncio.create_task(self.work()))
         return self
@@ -146,7 +152,9 @@
 
         async def reached() -> None:
             await until(
-                lambda: self.log_path.exists() and self.log().count("event=distribution-open") > lives
+                lambda: (
+                    self.log_path.exists() and self.log().count("event=distribution-open") > lives
+                )
             )
             address = re.findall(r"event=distribution-open .* address=(\S+)", self.log())[-1]
             self.world.relay.sent_from(self.name, address)
@@ -178,7 +186,9 @@
     """`postgres`: the store is the stand-in for PostgreSQL; else one SQLite file. `parts`: further ones of the
     servers' operator file."""
 
-    def __init__(self, folder: Path, postgres: bool = False, parts: dict[str, Any] | None = None) -> None:
+    def __init__(
+        self, folder: Path, postgres: bool = False, parts: dict[str, Any] | None = None
+    ) -> None:
         self.parts = parts or {}
         self.folder, self.relay, self.doors = folder, Relay(), dict[str, str]()
         self.postgres = Postgres(folder) if postgres else None
@@ -242,9 +252,12 @@
         await asyncio.gather(*(one.start() for one in made))
         return made
 
-    async def add(self, count: int, regions: tuple[str, ...] = ("north",), **more: Any) -> list[Node]:
+    async def add(
+        self, count: int, regions: tuple[str, ...] = ("north",), **more: Any
+    ) -> list[Node]:
         made = [
-            Node(self, f"n{len(self.nodes) + at}", regions[at % len(regions)], **more) for at in range(count)
+            Node(self, f"n{len(self.nodes) + at}", regions[at % len(regions)], **more)
+            for at in range(count)
         ]
         for one in made:
             self.doors[one.name] = await self.relay.door(one.name)
@@ -265,7 +278,12 @@
 
     async def command(self, machine: Machine | Node, *words: Any, status: int = 0) -> str:
         return await asyncio.to_thread(
-            burlloom, "distribution", *words, "-o", machine.folder / "operator.jsonnet", status=status
+            burlloom,
+            "distribution",
+            *words,
+            "-o",
+            machine.folder / "operator.jsonnet",
+            status=status,
         )
 
     async def put(self, *changes: dict[str, Any], by: int = 0, status: int = 0) -> str:
@@ -301,15 +319,17 @@
         whole = 0
         for (scope, kind, key), value in self.model.items():
             if scope in ("", region):
-                whole ^= xxhash.xxh3_64_intdigest(msgpack.packb([scope, kind, key, msgpack.packb(value)]))
+                whole ^= xxhash.xxh3_64_intdigest(
+                    msgpack.packb([scope, kind, key, msgpack.packb(value)])
+                )
         return f"{whole:016x}"
 
     def has_all(self, node: Node) -> bool:
         """Whether what it says to be in force is what was put, all of it."""
         state = node.state()
-        return (state.get("epoch"), state.get("revision")) == self.head() and state["digest"] == self.digest(
-            node.region
-        )
+        return (state.get("epoch"), state.get("revision")) == self.head() and state[
+            "digest"
+        ] == self.digest(node.region)
 
     async def reaches(self, *nodes: Node) -> None:
         """What was put is in force on these, or on all."""
@@ -329,7 +349,9 @@
         on; and went back in none."""
         tags = {
             (epoch, revision): bytes(tag).hex()
-            for epoch, revision, tag in self.rows("SELECT epoch, revision, tag FROM distribution_change")
+            for epoch, revision, tag in self.rows(
+                "SELECT epoch, revision, tag FROM distribution_change"
+            )
         }
         epoch_now, head = self.head()
         for node in self.nodes:
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -16,7 +16,19 @@
 import msgpack
 
 from burlloom.distribution import (
-    Change, Replica, Entry, Follower, Head, Source, Table, Terms, Upstream, first_head, propose, to_source)
+    Change,
+    Replica,
+    Entry,
+    Follower,
+    Head,
+    Source,
+    Table,
+    Terms,
+    Upstream,
+    first_head,
+    propose,
+    to_source,
+)
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -100,9 +112,22 @@
 class Node:
     """A process. `control`: reads the truth; else it follows, and where `relays` it is followed too."""
 
-    def __init__(self, world: "World", name: str, region: str, control: bool, relays: bool,
-                 upstreams: Callable[[], list[Upstream]]) -> None:
-        self.world, self.name, self.region, self.control, self.relays = world, name, region, control, relays
+    def __init__(
+        self,
+        world: "World",
+        name: str,
+        region: str,
+        control: bool,
+        relays: bool,
+        upstreams: Callable[[], list[Upstream]],
+    ) -> None:
+        self.world, self.name, self.region, self.control, self.relays = (
+            world,
+            name,
+            region,
+            control,
+            relays,
+        )
         self.upstreams = upstreams
         self.address = name, 1
         self.up = self.paused = False
@@ -125,16 +150,44 @@
         self.up, self.paused, self.seen, self.settled, self.read_at = True, False, (0, 0), 0, -1
         self.inbox, self.keys = [], {}
         self.follower = self.source = None
-        self.replica = Replica(Table(None if self.control else tuple({"", self.region})), [SIGN], world.log_most)
+        self.replica = Replica(
+            Table(None if self.control else tuple({"", self.region})), [SIGN], world.log_most
+        )
         chance = Random(world.chance.random())
         if self.control:
-            self.source = Source(self.replica, self.name, life, (SEAL,), world.terms, chance, world.now, self.store_age)
+            self.source = Source(
+                self.replica,
+                self.name,
+                life,
+                (SEAL,),
+                world.terms,
+                chance,
+                world.now,
+                self.store_age,
+            )
         else:
-            self.follower = Follower(self.replica, self.name, life, self.region, self.upstreams(), (SEAL,), world.terms,
-                chance, world.now)
+            self.follower = Follower(
+                self.replica,
+                self.name,
+                life,
+                self.region,
+                self.upstreams(),
+                (SEAL,),
+                world.terms,
+                chance,
+                world.now,
+            )
             if self.relays:
-                self.source = Source(self.replica, self.name, life, (SEAL,), world.terms, chance, world.now,
-                    self.follower.age)
+                self.source = Source(
+                    self.replica,
+                    self.name,
+                    life,
+                    (SEAL,),
+                    world.terms,
+                    chance,
+                    world.now,
+                    self.follower.age,
+                )
 
     def store_age(self, now: int) -> int | None:
         return None if self.read_at < 0 else (now - self.read_at) // MS
@@ -147,12 +200,15 @@
             held = replica.table.page  # a new table, as a restart would make it
             assert held is not None
             fresh = truth.load()
-            gone = [Entry(*entry[:3], None) for entry in self.all_of(replica.table)
-                    if entry[:3] not in truth.entries]
+            gone = [
+                Entry(*entry[:3], None)
+                for entry in self.all_of(replica.table)
+                if entry[:3] not in truth.entries
+            ]
             for at in range(0, len(fresh), 64):
-                replica.table.put(fresh[at:at + 64])
+                replica.table.put(fresh[at : at + 64])
             for at in range(0, len(gone), 64):
-                replica.table.put(gone[at:at + 64])
+                replica.table.put(gone[at : at + 64])
             replica.begin(truth.heads[truth.epoch, truth.revision])
         while (truth.epoch, replica.head.revision + 1) in truth.changes:
             reason = replica.take(truth.changes[truth.epoch, replica.head.revision + 1])
@@ -222,8 +278,16 @@
 
 
 class World:
-    def __init__(self, seed: int, delay: tuple[float, float] = (0.0005, 0.15), loss: float = 0.0,
-                 double: float = 0.0, terms: Terms | None = None, log_most: int = 4096, step: int = 100 * MS) -> None:
+    def __init__(
+        self,
+        seed: int,
+        delay: tuple[float, float] = (0.0005, 0.15),
+        loss: float = 0.0,
+        double: float = 0.0,
+        terms: Terms | None = None,
+        log_most: int = 4096,
+        step: int = 100 * MS,
+    ) -> None:
         """`delay`: least and most, s."""
         self.chance, self.now, self.log_most = Random(seed), 10**12, log_most
         self.delay, self.loss, self.double, self.terms = delay, loss, double, terms or Terms()
@@ -235,11 +299,25 @@
         self.checks = True  # until a test itself falsifies a table
         self.watch: list[str] = []  # keys whose values must not go back
 
-    def add(self, name: str, region: str, upstreams: Iterable[str] = (), control: bool = False,
-            relays: bool = False) -> Node:
+    def add(
+        self,
+        name: str,
+        region: str,
+        upstreams: Iterable[str] = (),
+        control: bool = False,
+        relays: bool = False,
+    ) -> Node:
         listed = list(upstreams)
-        node = Node(self, name, region, control, relays,
-            lambda: [Upstream(one, self.nodes[one].region, self.nodes[one].address) for one in listed])
+        node = Node(
+            self,
+            name,
+            region,
+            control,
+            relays,
+            lambda: [
+                Upstream(one, self.nodes[one].region, self.nodes[one].address) for one in listed
+            ],
+        )
         self.nodes[name] = node
         node.start()
         self.later(int(self.step * self.chance.random()), lambda: self.turns(node))
@@ -260,8 +338,10 @@
         for _ in range(1 + (self.chance.random() < self.double)):
             if self.chance.random() >= self.loss:
                 low, high = self.delay
-                self.later(int(SECOND * (low + (high - low) * self.chance.random())),
-                    lambda: other.hear(data, node.address))
+                self.later(
+                    int(SECOND * (low + (high - low) * self.chance.random())),
+                    lambda: other.hear(data, node.address),
+                )
 
     def run(self, seconds: float) -> None:
         until = self.now + int(seconds * SECOND)
@@ -280,7 +360,11 @@
         if key != node.seen:
             assert key > node.seen, ("went back", where)
             assert head == truth.heads[key], ("another head", where)
-            if key != (node.seen[0], node.seen[1] + 1) and node.seen != (0, 0) and follower is not None:
+            if (
+                key != (node.seen[0], node.seen[1] + 1)
+                and node.seen != (0, 0)
+                and follower is not None
+            ):
                 # Several in one step are dense by the chain: the count says so.
                 jumped = follower.counts.settled > node.settled
                 assert jumped or key[0] == node.seen[0], ("a gap", where)
@@ -292,7 +376,10 @@
         if follower is not None:
             node.settled = follower.counts.settled
         if replica.whole:
-            assert replica.table.digest() == truth.digest(key, replica.table.scopes), ("another table", where)
+            assert replica.table.digest() == truth.digest(key, replica.table.scopes), (
+                "another table",
+                where,
+            )
         if not replica.patched or follower is not None and follower.patched_to[0] == key[0]:
             for name in self.watch:
                 held = replica.table.get("tenant", name)
@@ -308,10 +395,18 @@
     def agreed(self, names: Iterable[str] | None = None) -> list[str]:
         """Who does not hold the truth."""
         head = self.truth.head
-        return [name for name in names or self.nodes if self.nodes[name].up and not self.nodes[name].paused
-                and (self.nodes[name].replica.head != head or not self.nodes[name].replica.whole
-                     or self.nodes[name].replica.table.digest() != self.truth.digest(head[:2],
-                         self.nodes[name].replica.table.scopes))]
+        return [
+            name
+            for name in names or self.nodes
+            if self.nodes[name].up
+            and not self.nodes[name].paused
+            and (
+                self.nodes[name].replica.head != head
+                or not self.nodes[name].replica.whole
+                or self.nodes[name].replica.table.digest()
+                != self.truth.digest(head[:2], self.nodes[name].replica.table.scopes)
+            )
+        ]
 
     def spend(self) -> dict[str, list[int]]:
         return {name: node.spent[:] for name, node in self.nodes.items()}
@@ -338,5 +433,15 @@
     scope = chance.choice(["", "", "a", "b", "c"])
     number = truth.epoch * 1_000_000 + truth.revision + 1
     names = {f"{scope or 'all'}-{chance.randrange(keys)}" for _ in range(chance.randint(1, most))}
-    return truth.put(world.now, scope, [("tenant", name, value(number) if name in world.watch or chance.random() < 0.9
-        else None) for name in sorted(names)])
+    return truth.put(
+        world.now,
+        scope,
+        [
+            (
+                "tenant",
+                name,
+                value(number) if name in world.watch or chance.random() < 0.9 else None,
+            )
+            for name in sorted(names)
+        ],
+    )
--- a/tests/explore.py
+++ b/tests/explore.py
@@ -12,10 +12,20 @@
 from burlloom.record.rows import BEGUN, KEPT, SPENT, Kind, Row, Write, answer, applied, whose
 
 MARK = b"m" * 16
-WRITES = {"claim": Kind.CLAIM, "claim_later": Kind.CLAIM, "finish": Kind.FINISH, "finish_later": Kind.FINISH,
-          "withdraw": Kind.WITHDRAW, "withdraw_later": Kind.WITHDRAW, "insert": Kind.INSERT, "follow": Kind.LOOK,
-          "follow_later": Kind.LOOK, "found_ran": Kind.FINISH, "found_ill": Kind.FINISH,
-          "found_unrun": Kind.WITHDRAW}
+WRITES = {
+    "claim": Kind.CLAIM,
+    "claim_later": Kind.CLAIM,
+    "finish": Kind.FINISH,
+    "finish_later": Kind.FINISH,
+    "withdraw": Kind.WITHDRAW,
+    "withdraw_later": Kind.WITHDRAW,
+    "insert": Kind.INSERT,
+    "follow": Kind.LOOK,
+    "follow_later": Kind.LOOK,
+    "found_ran": Kind.FINISH,
+    "found_ill": Kind.FINISH,
+    "found_unrun": Kind.WITHDRAW,
+}
 FREES = {"refuse", "unrun", "freed", "found_unrun", "lose"}
 KNOWS = {"give", "void", "doubt", "found_ran", "found_ill", "plant"}
 DECLINES = {"refuse", "unrun", "freed", "found_unrun"}
@@ -23,6 +33,7 @@
 
 class F(NamedTuple):
     """A fate in hand, and which of its writes in the queue counts."""
+
     tried: int
     state: State
     life: int
@@ -54,7 +65,9 @@
 class World(NamedTuple):
     nodes: tuple[Node, ...]
     row: Row | None = None
-    late: tuple[tuple[int, W], ...] = ()  # writes whose fate is unknown, and that may still take hold
+    late: tuple[
+        tuple[int, W], ...
+    ] = ()  # writes whose fate is unknown, and that may still take hold
     lives: tuple[int, ...] = ()
     ran: tuple[int, ...] = ()  # the tries that had their effect
     tries: int = 0
@@ -67,9 +80,22 @@
 
 
 class Explorer:
-    def __init__(self, nodes: int, tries: int, crashes: int, faults: int, prefer: bool = False,
-                 most: int = 3_000_000) -> None:
-        self.tries, self.crashes, self.faults, self.prefer, self.most = tries, crashes, faults, prefer, most
+    def __init__(
+        self,
+        nodes: int,
+        tries: int,
+        crashes: int,
+        faults: int,
+        prefer: bool = False,
+        most: int = 3_000_000,
+    ) -> None:
+        self.tries, self.crashes, self.faults, self.prefer, self.most = (
+            tries,
+            crashes,
+            faults,
+            prefer,
+            most,
+        )
         self.start = World((Node(),) * nodes, lives=(1,) * nodes)
         self.seen: dict[World, tuple[World | None, str]] = {}
 
@@ -87,8 +113,9 @@
                             raise Broken("it ran twice", after)
                         waiting.append(after)
             except Broken as broken:
-                raise Broken(broken.args[0], *self.history(broken.args[1] if len(broken.args) > 1 else world)
-                             ) from None
+                raise Broken(
+                    broken.args[0], *self.history(broken.args[1] if len(broken.args) > 1 else world)
+                ) from None
             assert len(self.seen) < self.most, "the world is too large"
         return len(self.seen)
 
@@ -113,7 +140,10 @@
                 if fate.state == State.ASK and not fate.given_up:
                     yield f"{n} gives try {fate.tried} up", self.meet(world, n, fate, Input.LEFT)
                 if fate.state == State.ASK:
-                    yield f"the claim of try {fate.tried} at {n} takes too long", self.meet(world, n, fate, Input.SLOW)
+                    yield (
+                        f"the claim of try {fate.tried} at {n} takes too long",
+                        self.meet(world, n, fate, Input.SLOW),
+                    )
                 if fate.state == State.ELSE:
                     yield f"{n} gives try {fate.tried} up", self.meet(world, n, fate, Input.LEFT)
                 if fate.state == State.OPEN:
@@ -126,8 +156,10 @@
                 yield from self.crash(world, n)
         for at, (n, write) in enumerate(world.late):
             row, _ = applied(world.row, self.asked(n, write), world.lives[n])
-            yield (f"a late {write.kind.name} of {n} takes hold",
-                   world._replace(row=row, late=world.late[:at] + world.late[at + 1:]))
+            yield (
+                f"a late {write.kind.name} of {n} takes hold",
+                world._replace(row=row, late=world.late[:at] + world.late[at + 1 :]),
+            )
 
     # What may happen.
 
@@ -147,8 +179,17 @@
         how = whose(world.row, f"n{n}", node.life, 0, lives)
         if how in (Input.ABSENT, Input.HELD):
             return self.come(world, n)
-        fate = F(tried, State.NEW, node.life, 0, False, world.row.result if world.row is not None else b"")
-        world = self.put(world._replace(tries=tried + 1), n, node._replace(fates=node.fates + (fate,)))
+        fate = F(
+            tried,
+            State.NEW,
+            node.life,
+            0,
+            False,
+            world.row.result if world.row is not None else b"",
+        )
+        world = self.put(
+            world._replace(tries=tried + 1), n, node._replace(fates=node.fates + (fate,))
+        )
         return self.meet(self.meet(world, n, fate, Input.LOOKED), n, fate, how)
 
     def write(self, world: World, n: int) -> Iterator[tuple[str, World]]:
@@ -157,24 +198,56 @@
         asked = self.asked(n, write)
         row, done = applied(world.row, asked, world.lives[n])
         lives = {f"n{at}": (life, False) for at, life in enumerate(world.lives)}
-        how = (Input.HELD if done else Input.FENCED if write.kind in (Kind.CLAIM, Kind.INSERT)
-               and write.life != world.lives[n] else answer(asked, world.row, lives).how)
+        how = (
+            Input.HELD
+            if done
+            else Input.FENCED
+            if write.kind in (Kind.CLAIM, Kind.INSERT) and write.life != world.lives[n]
+            else answer(asked, world.row, lives).how
+        )
         name = f"{write.kind.name} of try {write.tried} at {n}"
-        yield f"{name}: {how.name}", self.told(self.put(world._replace(row=row), n, left), n, write, how, row)
+        yield (
+            f"{name}: {how.name}",
+            self.told(self.put(world._replace(row=row), n, left), n, write, how, row),
+        )
         if world.faults < self.faults:
             spoilt = world._replace(faults=world.faults + 1)
-            yield f"{name} is lost", self.told(self.put(spoilt, n, left), n, write, Input.LOST, None)
+            yield (
+                f"{name} is lost",
+                self.told(self.put(spoilt, n, left), n, write, Input.LOST, None),
+            )
             late = spoilt._replace(late=spoilt.late + ((n, write._replace(counts=False)),))
             for over in (False, True):
                 when = ", its time over" if over else ""
-                yield f"{name} took hold, unsure{when}", self.told(
-                    self.put(spoilt._replace(row=row), n, left), n, write, Input.UNSURE, None, over)
-                yield f"{name} may come late, unsure{when}", self.told(
-                    self.put(late, n, left), n, write, Input.UNSURE, None, over)
-
-    def told(self, world: World, n: int, write: W, how: Input, row: Row | None, over: bool = False) -> World:
-        fate = next((one for one in world.nodes[n].fates if one.tried == write.tried and write.counts
-                     and (one.life, one.turn) == (write.life, write.turn)), None)
+                yield (
+                    f"{name} took hold, unsure{when}",
+                    self.told(
+                        self.put(spoilt._replace(row=row), n, left),
+                        n,
+                        write,
+                        Input.UNSURE,
+                        None,
+                        over,
+                    ),
+                )
+                yield (
+                    f"{name} may come late, unsure{when}",
+                    self.told(self.put(late, n, left), n, write, Input.UNSURE, None, over),
+                )
+
+    def told(
+        self, world: World, n: int, write: W, how: Input, row: Row | None, over: bool = False
+    ) -> World:
+        fate = next(
+            (
+                one
+                for one in world.nodes[n].fates
+                if one.tried == write.tried
+                and write.counts
+                and (one.life, one.turn) == (write.life, write.turn)
+            ),
+            None,
+        )
         if fate is None:
             return world
         if how is Input.FOUND:
@@ -184,17 +257,26 @@
             world, fate = self.change(world, n, fate, result=world.row.result)
         return self.meet(world, n, fate, how, over)
 
-    def run(self, world: World, n: int, at: int, run: tuple[int, int, str]) -> Iterator[tuple[str, World]]:
+    def run(
+        self, world: World, n: int, at: int, run: tuple[int, int, str]
+    ) -> Iterator[tuple[str, World]]:
         tried, life, phase = run
         node = world.nodes[n]
-        rest = node.runs[:at] + node.runs[at + 1:]
+        rest = node.runs[:at] + node.runs[at + 1 :]
         if phase == "sent":
             began = world._replace(ran=world.ran + (tried,))
-            yield f"try {tried} runs at {n}", self.put(began, n, node._replace(runs=rest + ((tried, life, "PASS"),)))
-            yield (f"try {tried} runs and fails at {n}",
-                   self.put(began, n, node._replace(runs=rest + ((tried, life, "FAIL"),))))
-            yield f"try {tried} never runs at {n}", self.put(
-                world, n, node._replace(runs=rest + ((tried, life, "NOOP"),)))
+            yield (
+                f"try {tried} runs at {n}",
+                self.put(began, n, node._replace(runs=rest + ((tried, life, "PASS"),))),
+            )
+            yield (
+                f"try {tried} runs and fails at {n}",
+                self.put(began, n, node._replace(runs=rest + ((tried, life, "FAIL"),))),
+            )
+            yield (
+                f"try {tried} never runs at {n}",
+                self.put(world, n, node._replace(runs=rest + ((tried, life, "NOOP"),))),
+            )
             return
         after = self.put(world, n, node._replace(runs=rest))
         fate = next((one for one in node.fates if one.tried == tried), None)
@@ -213,13 +295,15 @@
                 row, _ = applied(row, self.asked(n, node.queue[done - 1]), world.lives[n])
             for runs in {(), node.runs}:
                 dead = Node(False, node.life, 0, False, (), (), runs)
-                yield (f"{n} crashes, {done} writes done, executor {'lives' if runs else 'dies'}",
-                       self.put(world._replace(row=row), n, dead))
+                yield (
+                    f"{n} crashes, {done} writes done, executor {'lives' if runs else 'dies'}",
+                    self.put(world._replace(row=row), n, dead),
+                )
 
     def restart(self, world: World, n: int) -> World:
         node = world.nodes[n]
         life, row = node.life + 1, world.row
-        lives = world.lives[:n] + (life,) + world.lives[n + 1:]
+        lives = world.lives[:n] + (life,) + world.lives[n + 1 :]
         fresh = Node(True, life, 0, False, (), (), node.runs)
         world = self.put(world._replace(lives=lives), n, fresh)
         if row is None or row.node != f"n{n}":
@@ -234,7 +318,16 @@
     # How.
 
     def meet(self, world: World, n: int, was: F, what: Input, over: bool = False) -> World:
-        fate = Fate(MARK, str(was.tried), was.life, was.turn, 0, 1, ask_until=0 if over else 1, prefer=self.prefer)
+        fate = Fate(
+            MARK,
+            str(was.tried),
+            was.life,
+            was.turn,
+            0,
+            1,
+            ask_until=0 if over else 1,
+            prefer=self.prefer,
+        )
         fate.state, fate.given_up, fate.result = was.state, was.given_up, was.result
         effects = fate.meet(what, 0)
         node = world.nodes[n]
@@ -244,10 +337,23 @@
         holder = not any(one.turn > was.turn and one.life == was.life for one in others)
         for effect in effects:
             if effect in WRITES:
-                queue = tuple(one._replace(counts=one.counts and (one.tried, one.turn) != (was.tried, was.turn))
-                              for one in queue)
-                queue += (W(was.tried, WRITES[effect], int(fate.written), was.life, was.turn,
-                            fate.result if fate.written is State.KEPT else b"", True),)
+                queue = tuple(
+                    one._replace(
+                        counts=one.counts and (one.tried, one.turn) != (was.tried, was.turn)
+                    )
+                    for one in queue
+                )
+                queue += (
+                    W(
+                        was.tried,
+                        WRITES[effect],
+                        int(fate.written),
+                        was.life,
+                        was.turn,
+                        fate.result if fate.written is State.KEPT else b"",
+                        True,
+                    ),
+                )
             if effect in ("run", "run_unkept"):
                 runs += ((was.tried, was.life, "sent"),)
             if effect in FREES and holder:
@@ -256,7 +362,9 @@
                 known = True
             if effect in DECLINES and was.tried in world.ran and effect != "freed":
                 raise Broken("one that ran was declined", world)
-        fates = tuple(others) if fate.state in (State.GONE, State.KEPT, State.SPENT) else (*others, now)
+        fates = (
+            tuple(others) if fate.state in (State.GONE, State.KEPT, State.SPENT) else (*others, now)
+        )
         return self.put(world, n, node._replace(known=known, queue=queue, runs=runs, fates=fates))
 
     def change(self, world: World, n: int, fate: F, **to: Any) -> tuple[World, F]:
@@ -267,10 +375,12 @@
 
     @staticmethod
     def put(world: World, n: int, node: Node) -> World:
-        return world._replace(nodes=world.nodes[:n] + (node,) + world.nodes[n + 1:])
+        return world._replace(nodes=world.nodes[:n] + (node,) + world.nodes[n + 1 :])
 
     @staticmethod
     def asked(n: int, write: W) -> Write:
         state = BEGUN if write.kind is Kind.CLAIM else write.state
-        return Write(write.kind, Row(MARK, state, f"n{n}", write.life, write.turn, str(write.tried), 0, 1,
-                                     write.result))
+        return Write(
+            write.kind,
+            Row(MARK, state, f"n{n}", write.life, write.turn, str(write.tried), 0, 1, write.result),
+        )
