--- a/tests/explore_distribution.py
+++ b/tests/explore_distribution.py
@@ -21,7 +21,18 @@
 import msgpack
 import xxhash
 
-from burlloom.distribution import Change, Replica, Entry, Follower, Head, Source, Terms, Upstream, first_head, propose
+from burlloom.distribution import (
+    Change,
+    Replica,
+    Entry,
+    Follower,
+    Head,
+    Source,
+    Terms,
+    Upstream,
+    first_head,
+    propose,
+)
 from burlloom.distribution import follower as following
 from burlloom.distribution import replica as replicating
 from burlloom.distribution.changes import break_of
@@ -60,7 +71,9 @@
     def digest(self) -> int:
         found = 0
         for place, held in self.held.items():
-            found ^= DIGESTS.setdefault((place, held), xxhash.xxh3_64_intdigest(repr((place, held)).encode()))
+            found ^= DIGESTS.setdefault(
+                (place, held), xxhash.xxh3_64_intdigest(repr((place, held)).encode())
+            )
         return found
 
     def digest_of(self, scopes: Any) -> int:
@@ -76,8 +89,11 @@
         return self.digests()
 
     def page(self, bucket: int, after: Place | None, scopes: Any, most_bytes: int) -> Page:
-        found = tuple(Entry(*place, self.held[place]) for place in sorted(self.held)
-                      if bucket_of(*place[1:]) == bucket and (after is None or place > after))
+        found = tuple(
+            Entry(*place, self.held[place])
+            for place in sorted(self.held)
+            if bucket_of(*place[1:]) == bucket and (after is None or place > after)
+        )
         return Page(found, found[-1][:3] if found else None, True)
 
     def replace(self, bucket: int, after: Place | None, page: Page) -> int:
@@ -138,7 +154,13 @@
     def append(self) -> None:
         before = self.epoch, self.revision
         number = self.epoch * 100 + before[1] + 1
-        one = propose(self.heads[before], "", [Entry("", "tenant", KEYS[before[1] % len(KEYS)], value(number))], 1, SIGN)
+        one = propose(
+            self.heads[before],
+            "",
+            [Entry("", "tenant", KEYS[before[1] % len(KEYS)], value(number))],
+            1,
+            SIGN,
+        )
         key = one.epoch, one.revision
         self.heads[key], self.changes[key] = Head(*key, one.tag, one.time_ms), one
         table = self.tables[key] = dict(self.tables[before])
@@ -153,22 +175,44 @@
         few.held = dict(self.tables[epoch, last])
         replica: Any = Replica(few, [SIGN])  # type: ignore[arg-type]
         replica.begin(self.heads[epoch, last])
-        self.source = Source(replica, "source", self.source_lives, (SEAL,), self.terms, Still(0), self.now,
-            age_of(behind or epoch != self.epoch))
+        self.source = Source(
+            replica,
+            "source",
+            self.source_lives,
+            (SEAL,),
+            self.terms,
+            Still(0),
+            self.now,
+            age_of(behind or epoch != self.epoch),
+        )
 
     def start_follower(self, newcomer: bool) -> None:
         replica: Any = Replica(Few(), [SIGN])  # type: ignore[arg-type]
         if not newcomer:
             replica.begin(self.heads[1, 0])
-        self.follower = Follower(replica, "follower", self.lives, "", [Upstream("source", "", NOWHERE)], (SEAL,), self.terms,
-            Still(0), self.now)
+        self.follower = Follower(
+            replica,
+            "follower",
+            self.lives,
+            "",
+            [Upstream("source", "", NOWHERE)],
+            (SEAL,),
+            self.terms,
+            Still(0),
+            self.now,
+        )
         self.high, self.low = (0, 0), {}
 
     def copy(self) -> "World":
         other = twin(self)
         other.left = Counter(self.left)
-        other.heads, other.changes, other.born, other.ended, other.tables = (dict(self.heads), dict(self.changes),
-            dict(self.born), dict(self.ended), dict(self.tables))
+        other.heads, other.changes, other.born, other.ended, other.tables = (
+            dict(self.heads),
+            dict(self.changes),
+            dict(self.born),
+            dict(self.ended),
+            dict(self.tables),
+        )
         other.flying, other.low = self.flying[:], dict(self.low)
         other.source, other.follower = twin(self.source), twin(self.follower)
         for side in (other.source, other.follower):
@@ -184,7 +228,11 @@
         one.followers = {name: twin(lease) for name, lease in one.followers.items()}
         for lease in one.followers.values():
             lease.window = twin(lease.window)
-        two.reports, two.early, two.words = dict(two.reports), dict(two.early), deque(two.words, two.words.maxlen)
+        two.reports, two.early, two.words = (
+            dict(two.reports),
+            dict(two.early),
+            deque(two.words, two.words.maxlen),
+        )
         if two.sync is not None:
             sync = two.sync = twin(two.sync)
             sync.halves, sync.wanted, sync.fold = dict(sync.halves), sync.wanted[:], dict(sync.fold)
@@ -196,17 +244,67 @@
     def key(self) -> Any:
         one, two = self.source, self.follower
         sync, head = two.sync, two.replica.head
-        return (self.now, self.lives, self.source_lives, self.epoch, tuple(self.heads), tuple(sorted(self.left.items())),
-            tuple(sorted(self.flying)), self.high,
-            one.replica.head, one.replica.log.base, len(one.replica.log), one.pushed, int(one.tokens),
-            tuple((lease.life, lease.until, lease.window.highest, lease.window.seen) for lease in one.followers.values()),
-            two.state, head, two.replica.patched, tuple(sorted(two.replica.table.held.items())),  # type: ignore[attr-defined]
-            two.number, two.answered, two.tried, two.told, two.told_number, two.latest, two.heard_at, two.report_at,
-            tuple(two.reports.items()), tuple(sorted(two.early)), two.pull_number, two.pulled_at, two.pulled_to, two.pull_again,
-            two.refused_row, two.patched_to, two.judged, two.sure_at, tuple(two.words),
-            None if sync is None else (sync.first, sync.again_at, sync.moved_at, tuple(sorted(sync.halves)), sync.base,
-                sync.tip, sync.target, tuple(sync.wanted), tuple(sorted((bucket, fetch.after, fetch.again_at, fetch.tries)
-                    for bucket, fetch in sync.fetching.items())), tuple(sorted(sync.fold.items()))))
+        return (
+            self.now,
+            self.lives,
+            self.source_lives,
+            self.epoch,
+            tuple(self.heads),
+            tuple(sorted(self.left.items())),
+            tuple(sorted(self.flying)),
+            self.high,
+            one.replica.head,
+            one.replica.log.base,
+            len(one.replica.log),
+            one.pushed,
+            int(one.tokens),
+            tuple(
+                (lease.life, lease.until, lease.window.highest, lease.window.seen)
+                for lease in one.followers.values()
+            ),
+            two.state,
+            head,
+            two.replica.patched,
+            tuple(sorted(two.replica.table.held.items())),  # type: ignore[attr-defined]
+            two.number,
+            two.answered,
+            two.tried,
+            two.told,
+            two.told_number,
+            two.latest,
+            two.heard_at,
+            two.report_at,
+            tuple(two.reports.items()),
+            tuple(sorted(two.early)),
+            two.pull_number,
+            two.pulled_at,
+            two.pulled_to,
+            two.pull_again,
+            two.refused_row,
+            two.patched_to,
+            two.judged,
+            two.sure_at,
+            tuple(two.words),
+            None
+            if sync is None
+            else (
+                sync.first,
+                sync.again_at,
+                sync.moved_at,
+                tuple(sorted(sync.halves)),
+                sync.base,
+                sync.tip,
+                sync.target,
+                tuple(sync.wanted),
+                tuple(
+                    sorted(
+                        (bucket, fetch.after, fetch.again_at, fetch.tries)
+                        for bucket, fetch in sync.fetching.items()
+                    )
+                ),
+                tuple(sorted(sync.fold.items())),
+            ),
+        )
 
     def gather(self, most: int) -> None:
         """What both sides want to send flies; over the bound the oldest is lost."""
@@ -244,8 +342,16 @@
                 if number < self.low.get(place, 0):
                     return "a key that went back"
                 self.low[place] = number
-        age, newest = self.follower.age(self.now), self.born.get((key[0], key[1] + 1), self.ended.get(key[0]))
-        if newest is not None and age is not None and not replica.patched and age < (self.now - newest) // MS:
+        age, newest = (
+            self.follower.age(self.now),
+            self.born.get((key[0], key[1] + 1), self.ended.get(key[0])),
+        )
+        if (
+            newest is not None
+            and age is not None
+            and not replica.patched
+            and age < (self.now - newest) // MS
+        ):
             return "an age that is too young"
         return ""
 
@@ -258,20 +364,33 @@
     """So many changes, beats, losses, doubles, restarts of either, new epochs, forged changes at most; `broken`: a rule
     left out, to show that the walk notices."""
 
-    def __init__(self, begun: int = 0, newcomer: bool = False, broken: str = "", flying: int = 4, **most: int) -> None:
-        self.begun, self.newcomer, self.broken, self.flying, self.most = begun, newcomer, broken, flying, Counter(most)
+    def __init__(
+        self, begun: int = 0, newcomer: bool = False, broken: str = "", flying: int = 4, **most: int
+    ) -> None:
+        self.begun, self.newcomer, self.broken, self.flying, self.most = (
+            begun,
+            newcomer,
+            broken,
+            flying,
+            Counter(most),
+        )
         self.terms = Terms(stuck=2 * SECOND)
         self.calm = 0
 
     def moves(self, world: World) -> list[tuple[str, int]]:
-        found = [(what, 0) for what in ("change", "beat", "follower", "source", "behind", "epoch", "old", "forge")
-                 if world.left[what] < self.most[what]]
+        found = [
+            (what, 0)
+            for what in ("change", "beat", "follower", "source", "behind", "epoch", "old", "forge")
+            if world.left[what] < self.most[what]
+        ]
         known = set[bytes]()
         for at, data in enumerate(world.flying):
             if data not in known:
                 known.add(data)
                 found.append(("hear", at))
-                found += [(what, at) for what in ("lose", "double") if world.left[what] < self.most[what]]
+                found += [
+                    (what, at) for what in ("lose", "double") if world.left[what] < self.most[what]
+                ]
         return found
 
     def do(self, world: World, what: str, at: int) -> World:
@@ -316,7 +435,9 @@
             case "forge":
                 head = world.follower.replica.head
                 if head is not None:
-                    one = propose(head, "", [Entry("", "tenant", "x", value(7777))], 1, b"another key" * 2)
+                    one = propose(
+                        head, "", [Entry("", "tenant", "x", value(7777))], 1, b"another key" * 2
+                    )
                     world.flying.append(following_seal(one))
         world.gather(self.flying)
         return world
@@ -365,7 +486,9 @@
                     count += 1
                     # What flies is heard more often than anything else happens.
                     heard = [move for move in moves if move[0] == "hear"]
-                    self.do(world, *chance.choice(heard if heard and chance.random() < 0.6 else moves))
+                    self.do(
+                        world, *chance.choice(heard if heard and chance.random() < 0.6 else moves)
+                    )
                     if fault := world.fault():
                         return count, fault
                 if fault := self.calmed(world):
@@ -398,14 +521,20 @@
 
 def following_seal(change: Change) -> bytes:
     from burlloom.distribution.messages import Pushed, Sender, seal
+
     return seal(Sender("source", 1, 0), Pushed(change), SEAL)
 
 
 @contextmanager
 def without(rule: str) -> Iterator[None]:
     """The core with one rule left out."""
+
     def gap(before: Head, change: Change, keys: Any) -> str:
-        return "" if change.epoch == before.epoch and change.revision > before.revision else break_of(before, change, keys)
+        return (
+            ""
+            if change.epoch == before.epoch and change.revision > before.revision
+            else break_of(before, change, keys)
+        )
 
     def unchained(before: Head, change: Change, keys: Any) -> str:
         reason = break_of(before, change, keys)
@@ -434,7 +563,12 @@
 
     def other_epoch(self: Follower) -> bool:
         own = self.replica.head
-        return APART(self) or self.told is not None and own is not None and self.told.head.epoch != own.epoch
+        return (
+            APART(self)
+            or self.told is not None
+            and own is not None
+            and self.told.head.epoch != own.epoch
+        )
 
     def any_base(self: Follower, now: int, message: Any) -> str:
         own, self.replica.head = self.replica.head, None
@@ -454,8 +588,11 @@
 
     def old_page(self: Follower, now: int, message: Any) -> str:
         if self.sync is not None and self.sync.base is not None:
-            message = message._replace(body=message.body._replace(revision=max(message.body.revision,
-                self.sync.base.revision)))
+            message = message._replace(
+                body=message.body._replace(
+                    revision=max(message.body.revision, self.sync.base.revision)
+                )
+            )
         return PAGED(self, now, message)
 
     heard = following.HEARD
@@ -465,10 +602,16 @@
             case "":
                 yield
             case "gap":
-                with patch.object(replicating, "break_of", gap), patch.object(Follower, "drain", gap_drain):
+                with (
+                    patch.object(replicating, "break_of", gap),
+                    patch.object(Follower, "drain", gap_drain),
+                ):
                     yield
             case "chain":
-                with patch.object(replicating, "break_of", unchained), patch.object(following, "break_of", unchained):
+                with (
+                    patch.object(replicating, "break_of", unchained),
+                    patch.object(following, "break_of", unchained),
+                ):
                     yield
             case "replay":
                 with patch.object(Follower, "fold", unfolded):
@@ -477,7 +620,10 @@
                 with patched_test("short", short):
                     yield
             case "epoch":
-                with patch.object(Follower, "fault_of", any_epoch), patched_test("apart", other_epoch):
+                with (
+                    patch.object(Follower, "fault_of", any_epoch),
+                    patched_test("apart", other_epoch),
+                ):
                     heard[digests] = any_base
                     yield
             case "older-base":
@@ -497,8 +643,10 @@
 def patched_test(name: str, test: Any) -> Iterator[None]:
     """In the table of states too."""
     was = getattr(Follower, name)
-    changed = {place: [(test if one is was else one, after, does) for one, after, does in rules]
-               for place, rules in following.RULES.items()}
+    changed = {
+        place: [(test if one is was else one, after, does) for one, after, does in rules]
+        for place, rules in following.RULES.items()
+    }
     with patch.dict(following.RULES, changed), patch.object(Follower, name, test):
         yield
 
--- a/tests/explore_fleet.py
+++ b/tests/explore_fleet.py
@@ -18,15 +18,30 @@
 
 class Member:
     def __init__(self, terms: Terms) -> None:
-        self.holder, self.life, self.number, self.in_hand, self.reported = Holder(terms, NOW), 1, 0, 0, 0
+        self.holder, self.life, self.number, self.in_hand, self.reported = (
+            Holder(terms, NOW),
+            1,
+            0,
+            0,
+            0,
+        )
         self.newest = -1  # the report whose grant counts
         self.reports: list[tuple[int, int, Told]] = []  # life, number and what it says
         self.grants: list[tuple[int, int, int]] = []  # life, number and the share
 
     def copy(self, terms: Terms) -> "Member":
         other = Member(terms)
-        other.holder.share, other.holder.state, other.holder.granted = self.holder.share, self.holder.state, self.holder.granted
-        other.life, other.number, other.in_hand, other.newest = self.life, self.number, self.in_hand, self.newest
+        other.holder.share, other.holder.state, other.holder.granted = (
+            self.holder.share,
+            self.holder.state,
+            self.holder.granted,
+        )
+        other.life, other.number, other.in_hand, other.newest = (
+            self.life,
+            self.number,
+            self.in_hand,
+            self.newest,
+        )
         other.reported = self.reported
         other.reports, other.grants = self.reports[:], self.grants[:]
         return other
@@ -36,10 +51,16 @@
         return max(self.holder.share, self.in_hand)
 
     def key(self) -> Any:
-        return (self.holder.share, self.holder.state, self.life, self.reported, self.newest - self.number,
+        return (
+            self.holder.share,
+            self.holder.state,
+            self.life,
+            self.reported,
+            self.newest - self.number,
             self.in_hand,
-                tuple((life, number - self.number, told) for life, number, told in self.reports),
-                tuple((life, number - self.number, share) for life, number, share in self.grants))
+            tuple((life, number - self.number, told) for life, number, told in self.reports),
+            tuple((life, number - self.number, share) for life, number, share in self.grants),
+        )
 
 
 class World:
@@ -52,17 +73,29 @@
     def copy(self) -> "World":
         other = World.__new__(World)
         other.dealer = copy.copy(self.dealer)
-        other.dealer.accounts = {name: copy.copy(account) for name, account in self.dealer.accounts.items()}
+        other.dealer.accounts = {
+            name: copy.copy(account) for name, account in self.dealer.accounts.items()
+        }
         other.members = [member.copy(self.dealer.terms) for member in self.members]
         return other
 
     def seen(self) -> None:
-        self.dealer.fleet = {str(at): Present(one.life, True, NOW) for at, one in enumerate(self.members)}
+        self.dealer.fleet = {
+            str(at): Present(one.life, True, NOW) for at, one in enumerate(self.members)
+        }
 
     def key(self) -> Any:
-        accounts = tuple((name, one.life, one.number - self.members[int(name)].number, one.told, one.bound,
-            one.target)
-                         for name, one in sorted(self.dealer.accounts.items()))
+        accounts = tuple(
+            (
+                name,
+                one.life,
+                one.number - self.members[int(name)].number,
+                one.told,
+                one.bound,
+                one.target,
+            )
+            for name, one in sorted(self.dealer.accounts.items())
+        )
         return accounts, tuple(member.key() for member in self.members)
 
     def in_hand(self) -> int:
@@ -73,10 +106,22 @@
     """Begins with all calls held by the first member, which has them in hand. `broken`: a rule left out, to
     show that the walk would notice."""
 
-    def __init__(self, calls: int = 2, members: int = 2, lives: int = 1, numbers: int = 2, in_flight: int = 2,
-                 wants: tuple[int, ...] = (2 * CALL,), broken: str = "") -> None:
-        self.terms, self.count, self.lives, self.numbers = Terms(calls * CALL,
-            idle=0.0), members, lives, numbers
+    def __init__(
+        self,
+        calls: int = 2,
+        members: int = 2,
+        lives: int = 1,
+        numbers: int = 2,
+        in_flight: int = 2,
+        wants: tuple[int, ...] = (2 * CALL,),
+        broken: str = "",
+    ) -> None:
+        self.terms, self.count, self.lives, self.numbers = (
+            Terms(calls * CALL, idle=0.0),
+            members,
+            lives,
+            numbers,
+        )
         self.broken, self.in_flight, self.wants = broken, in_flight, wants
 
     def moves(self, world: World) -> list[Any]:
@@ -86,10 +131,16 @@
             if member.reported < self.numbers and len(member.reports) < self.in_flight:
                 found += [(self.report, at, wants) for wants in self.wants]
             # Each letter may come once more, late.
-            found += [(self.hear, at, which, keeps) for which in range(len(member.reports))
-                for keeps in (False, True)]
-            found += [(what, at, which) for which in range(len(member.grants))
-                for what in (self.take, self.lose)]
+            found += [
+                (self.hear, at, which, keeps)
+                for which in range(len(member.reports))
+                for keeps in (False, True)
+            ]
+            found += [
+                (what, at, which)
+                for which in range(len(member.grants))
+                for what in (self.take, self.lose)
+            ]
             if member.in_hand > member.holder.share:
                 found.append((self.empty, at))
             if member.life < self.lives:
@@ -105,7 +156,9 @@
         member.reported += 1
         member.newest = member.number
         held = member.holder.share if self.broken == "in-hand" else member.held
-        member.reports.append((member.life, member.number, Told(held, member.holder.share, wants, 1)))
+        member.reports.append(
+            (member.life, member.number, Told(held, member.holder.share, wants, 1))
+        )
 
     def hear(self, world: World, member: Member, at: int, which: int, keeps: bool) -> None:
         life, number, told = member.reports[which]
@@ -122,7 +175,9 @@
         if life == member.life and (number == member.newest or self.broken == "old-grant"):
             member.newest = -1
             member.holder.grant(NOW, share, NOW, True)
-            member.in_hand = max(member.in_hand, member.holder.share)  # what it may have in hand, it has
+            member.in_hand = max(
+                member.in_hand, member.holder.share
+            )  # what it may have in hand, it has
 
     def lose(self, world: World, member: Member, at: int, which: int) -> None:
         del member.grants[which]
--- a/tests/explore_levels.py
+++ b/tests/explore_levels.py
@@ -28,11 +28,21 @@
 
     def aged(self, at: Standing) -> Standing:
         """One tick later, with `NOW` where it was."""
+
         def older(then: int) -> int:
             return max(then - self.tick, NOW - self.oldest)
-        return at._replace(since=older(at.since), moved=older(at.moved), rose=older(at.rose) if at.rose else 0,
-                           calmed=older(at.calmed) if at.rose else 0,
-                           changes=tuple(change - self.tick for change in at.changes if change - self.tick > NOW - 60 * SECOND))
+
+        return at._replace(
+            since=older(at.since),
+            moved=older(at.moved),
+            rose=older(at.rose) if at.rose else 0,
+            calmed=older(at.calmed) if at.rose else 0,
+            changes=tuple(
+                change - self.tick
+                for change in at.changes
+                if change - self.tick > NOW - 60 * SECOND
+            ),
+        )
 
     def walk(self, starts: range) -> int:
         """The number of states; `most` is then the most changes that any minute held."""
@@ -44,11 +54,19 @@
                 for target in range(1, self.levels) if what is Input.EMERGENCY else (0,):
                     change = self.ladder.meet(world.at, what, NOW, target)
                     assert 0 <= change.after.level < self.levels
-                    assert change.after.level >= world.at.level - 1, "it skipped a level on the way up"
-                    assert what not in (Input.SAME, Input.EMERGENCY) or change.after.level >= world.at.level
+                    assert change.after.level >= world.at.level - 1, (
+                        "it skipped a level on the way up"
+                    )
+                    assert (
+                        what not in (Input.SAME, Input.EMERGENCY)
+                        or change.after.level >= world.at.level
+                    )
                     seen = (*world.seen, 0) if change.moved else world.seen
                     self.most = max(self.most, len(seen))
-                    after = World(self.aged(change.after), tuple(age + 1 for age in seen if age + 1 < self.window))
+                    after = World(
+                        self.aged(change.after),
+                        tuple(age + 1 for age in seen if age + 1 < self.window),
+                    )
                     if after not in known:
                         known.add(after)
                         waiting.append(after)
--- a/tests/explore_rollout.py
+++ b/tests/explore_rollout.py
@@ -45,17 +45,23 @@
 
     def key(self, stale: bool) -> Any:
         """`stale`: what an old page says matters."""
+
         def units(book: Book) -> Any:
             return tuple(
-                (name, unit.state, unit.life, unit.left) for name, unit in sorted(book.servers.items())
+                (name, unit.state, unit.life, unit.left)
+                for name, unit in sorted(book.servers.items())
             )
 
         def page(read: tuple[int, Book] | None) -> Any:
             if read is None or read[0] == self.revision:
                 return read and "newest"
             return units(read[1]) if stale else "stale"
-        return (units(self.book), tuple((one.key(), page(one.read)) for one in self.servers),
-                tuple(page(one) for one in self.leads))
+
+        return (
+            units(self.book),
+            tuple((one.key(), page(one.read)) for one in self.servers),
+            tuple(page(one) for one in self.leads),
+        )
 
     @property
     def sent(self) -> int:
@@ -65,9 +71,16 @@
 class Explorer:
     """`broken`: a rule left out, to show that the walk would notice."""
 
-    def __init__(self, servers: int = 2, most: int = 1, lives: int = 2, leads: int = 2,
-                 broken: str = "") -> None:
-        self.count, self.most, self.lives, self.lead_count, self.broken = servers, most, lives, leads, broken
+    def __init__(
+        self, servers: int = 2, most: int = 1, lives: int = 2, leads: int = 2, broken: str = ""
+    ) -> None:
+        self.count, self.most, self.lives, self.lead_count, self.broken = (
+            servers,
+            most,
+            lives,
+            leads,
+            broken,
+        )
 
     def begun(self) -> World:
         units = {str(at): Unit(State.IN, life=1) for at in range(self.count)}
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -17,9 +17,16 @@
 from burlloom.standins.parts import Catalogue, Reply, fields
 from burlloom.standins.relay import Relay
 
-QUICK = {"round_ms": 40, "lease_ms": 500, "turn_ms": 400, "cut_ms": 1500, "redeal_ms": 3000, "probe_ms": 100,
+QUICK = {
+    "round_ms": 40,
+    "lease_ms": 500,
+    "turn_ms": 400,
+    "cut_ms": 1500,
+    "redeal_ms": 3000,
+    "probe_ms": 100,
     "ack_ms": 40,
-         "suspicion_ms": 500}
+    "suspicion_ms": 500,
+}
 KEY = "6b" * 32
 
 
@@ -29,23 +36,46 @@
     def __init__(self, fleet: "Fleet", name: str, **changes: Any) -> None:
         folder = fleet.folder / name
         folder.mkdir(exist_ok=True)
-        self.fleet, self.open_most, self.answers, self.tasks = fleet, 0, 0, list[asyncio.Task[None]]()
+        self.fleet, self.open_most, self.answers, self.tasks = (
+            fleet,
+            0,
+            0,
+            list[asyncio.Task[None]](),
+        )
         self.settled = 0
-        super().__init__(folder, name=name, catalogue=fleet.services[0], n_cores=32, memory_kb=400000,
+        super().__init__(
+            folder,
+            name=name,
+            catalogue=fleet.services[0],
+            n_cores=32,
+            memory_kb=400000,
             calls_out=fleet.alone,
-                         aim=2000000, deadline=5000000, stop_ms=2000, **changes)
+            aim=2000000,
+            deadline=5000000,
+            stop_ms=2000,
+            **changes,
+        )
 
     async def start(self) -> "Server":
         if self.fleet.on:
             door = self.fleet.doors.get(self.name) or await self.fleet.relay.door(self.name)
             self.fleet.doors[self.name] = door
-            self.operator = {"fleet": {
-                "listen": "127.0.0.1:0", "advertise": door, "key_file": str(self.fleet.key),
-                "least": self.fleet.least,
-                "seeds": [one for name, one in self.fleet.doors.items()
-                if name != self.name][:4], "calls": self.fleet.calls,
-                "state_file": str(self.folder / "state"), **QUICK, **self.fleet.part},
-                **self.fleet.more(self.folder)}
+            self.operator = {
+                "fleet": {
+                    "listen": "127.0.0.1:0",
+                    "advertise": door,
+                    "key_file": str(self.fleet.key),
+                    "least": self.fleet.least,
+                    "seeds": [one for name, one in self.fleet.doors.items() if name != self.name][
+                        :4
+                    ],
+                    "calls": self.fleet.calls,
+                    "state_file": str(self.folder / "state"),
+                    **QUICK,
+                    **self.fleet.part,
+                },
+                **self.fleet.more(self.folder),
+            }
         await self.__aenter__()
         self.tasks.append(asyncio.create_task(self.work()))
         return self
@@ -55,8 +85,9 @@
         await super().begin()
         if self.fleet.on:
             await until(lambda: self.log().count("event=fleet-open") > lives)
-            self.fleet.relay.sent_from(self.name, re.findall(r"event=fleet-open .* address=(\S+)",
-                self.log())[-1])
+            self.fleet.relay.sent_from(
+                self.name, re.findall(r"event=fleet-open .* address=(\S+)", self.log())[-1]
+            )
         self.tasks.append(asyncio.create_task(self.load()))
 
     async def work(self) -> None:
@@ -87,6 +118,7 @@
                 pass
             finally:
                 opened -= 1
+
         while not balancer.ended.is_set():
             while opened < self.open_most:
                 opened += 1
@@ -113,12 +145,30 @@
     """`calls`: what the services bear together; `alone`: what each server believes to be its share without
     the others."""
 
-    def __init__(self, folder: Path, calls: float, alone: float, least: int, services: int = 1,
-            on: bool = True,
-                 call_s: float = 0.1, more: Callable[[Path], dict[str, Any]] = lambda folder: {},
-                 **part: Any) -> None:
-        self.folder, self.calls, self.alone, self.least, self.on, self.part = folder, calls, alone, least, on, part
-        self.call_s, self.more = call_s, more  # further parts of the operator's file, for a server's folder
+    def __init__(
+        self,
+        folder: Path,
+        calls: float,
+        alone: float,
+        least: int,
+        services: int = 1,
+        on: bool = True,
+        call_s: float = 0.1,
+        more: Callable[[Path], dict[str, Any]] = lambda folder: {},
+        **part: Any,
+    ) -> None:
+        self.folder, self.calls, self.alone, self.least, self.on, self.part = (
+            folder,
+            calls,
+            alone,
+            least,
+            on,
+            part,
+        )
+        self.call_s, self.more = (
+            call_s,
+            more,
+        )  # further parts of the operator's file, for a server's folder
         self.services = [Catalogue(self.reply) for _ in range(services)]
         self.relay, self.doors, self.servers = Relay(), dict[str, str](), list[Server]()
         self.key = folder / "key"
@@ -162,8 +212,10 @@
         return self.area / max(1, self.looks)
 
     async def add(self, count: int, open_most: int = 30) -> list[Server]:
-        made = [Server(self, f"n{len(self.doors) + at}" if self.on else f"n{len(self.servers) + at}")
-            for at in range(count)]
+        made = [
+            Server(self, f"n{len(self.doors) + at}" if self.on else f"n{len(self.servers) + at}")
+            for at in range(count)
+        ]
         if self.on:
             for server in made:
                 self.doors[server.name] = await self.relay.door(server.name)
@@ -190,9 +242,16 @@
             await asyncio.sleep(0.5)
             if test():
                 return
-        raise AssertionError((self.worst, self.mean, [(one.name, one.state().get("share"),
-            one.state().get("state"))
-                                                      for one in self.servers]))
+        raise AssertionError(
+            (
+                self.worst,
+                self.mean,
+                [
+                    (one.name, one.state().get("share"), one.state().get("state"))
+                    for one in self.servers
+                ],
+            )
+        )
 
     def shares(self) -> dict[str, float]:
         return {server.name: server.state().get("share", -1.0) for server in self.servers}
--- a/tests/planted_host.py
+++ b/tests/planted_host.py
@@ -1,9 +1,9 @@
 """A host of hollow servers with a fault planted, which the checker of the scale run has to notice.
 
-    python tests/planted_host.py share    # who deals does not count what others hold
-    python tests/planted_host.py gap      # followers take a change though one before it is missing
-    python tests/planted_host.py content  # two followers take some changes without what they say, and nobody
-    compares digests
+python tests/planted_host.py share    # who deals does not count what others hold
+python tests/planted_host.py gap      # followers take a change though one before it is missing
+python tests/planted_host.py content  # two followers take some changes without what they say, and nobody
+compares digests
 """
 
 import sys
@@ -31,7 +31,10 @@
             if one.sync is None:
                 one.replica.take(change)
         return ""
-    replicating.break_of = lambda before, change, keys: "" if change.revision > before.revision else "an older revision"
+
+    replicating.break_of = lambda before, change, keys: (
+        "" if change.revision > before.revision else "an older revision"
+    )
     sound, follower.Follower.changed = follower.Follower.changed, loses_some  # type: ignore[method-assign]
     follower.Follower.drain = takes_any  # type: ignore[method-assign]
     loses_some.sound = sound  # type: ignore[attr-defined]
@@ -46,6 +49,7 @@
 def content() -> None:
     from burlloom.distribution import replica as replicating
     from burlloom.distribution.source import Source
+
     Source.differs = lambda source, body: False  # type: ignore[method-assign]
     sound, followers = replicating.Replica.put, list[Any]()
 
@@ -56,6 +60,7 @@
             replica.log.add(change, 0)
             return ""
         return sound(replica, change)
+
     replicating.Replica.put = put  # type: ignore[method-assign]
 
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -32,14 +32,28 @@
 
 
 class Rig:
-    def __init__(self, folder: Path, before: str = "", operator: Any = None, main: str = "-m burlloom.server",
-                 name: str = "n1", catalogue: Catalogue | None = None, **changes: Any) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        before: str = "",
+        operator: Any = None,
+        main: str = "-m burlloom.server",
+        name: str = "n1",
+        catalogue: Catalogue | None = None,
+        **changes: Any,
+    ) -> None:
         """`catalogue`: one that several share, started by whoever made it. `operator`: what the operator's file says, none if there is none. `main`: what Python is to run."""
         self.folder, self.before, self.operator, self.main = folder, before, operator, main
         self.told = copy.deepcopy(GIVEN)
         known = self.told["settings"]
         for key, value in {"drain_grace": 10000, **changes}.items():
-            for place in (self.told, self.told["limits"], known["extra"], known["rules"], *known["categories"]):
+            for place in (
+                self.told,
+                self.told["limits"],
+                known["extra"],
+                known["rules"],
+                *known["categories"],
+            ):
                 if key in place:
                     place[key] = value
         self.executor, self.naming = Executor(), NameService()
@@ -53,7 +67,11 @@
         return self.replies.pop(0) if self.replies else (200, False, b"fetched")
 
     async def __aenter__(self) -> "Rig":
-        for name, part in (("executor", self.executor), ("naming", self.naming), ("catalog", self.catalogue)):
+        for name, part in (
+            ("executor", self.executor),
+            ("naming", self.naming),
+            ("catalog", self.catalogue),
+        ):
             if part is not self.catalogue or not self.shared:
                 await part.start()
             if name in self.told:
@@ -67,21 +85,39 @@
 
     async def begin(self) -> None:
         """Starts the program; again, after `kill`, on the same log."""
-        lives, asked = self.log().count("event=listening") if self.log_path.exists() else 0, self.executor.asked
-        env = {**os.environ, "EDGE_CONFIG": str(self.folder / "configuration.json"), "EDGE_NAME": self.name,
-               "EDGE_LISTEN": "127.0.0.1:0"}
+        lives, asked = (
+            self.log().count("event=listening") if self.log_path.exists() else 0,
+            self.executor.asked,
+        )
+        env = {
+            **os.environ,
+            "EDGE_CONFIG": str(self.folder / "configuration.json"),
+            "EDGE_NAME": self.name,
+            "EDGE_LISTEN": "127.0.0.1:0",
+        }
         if self.operator is not None:
             (self.folder / "operator.jsonnet").write_text(json.dumps(self.operator))
             env["BURLLOOM_OPERATOR"] = str(self.folder / "operator.jsonnet")
         with open(self.log_path, "ab") as log:
             self.process = await asyncio.create_subprocess_shell(
-                f"{self.before} exec {sys.executable} {self.main}", cwd=ROOT, stdout=log, stderr=log, env=env)
-        await until(lambda: self.log().count("event=listening") > lives or self.process.returncode is not None)
+                f"{self.before} exec {sys.executable} {self.main}",
+                cwd=ROOT,
+                stdout=log,
+                stderr=log,
+                env=env,
+            )
+        await until(
+            lambda: (
+                self.log().count("event=listening") > lives or self.process.returncode is not None
+            )
+        )
         assert self.process.returncode is None, self.log()
         self.address = re.findall(r"event=listening .*address=(\S+)", self.log())[-1]
         if self.executor.up.is_set():
             # The link is joined once the first was answered.
-            await until(lambda: self.executor.asked > asked + 1 or self.process.returncode is not None)
+            await until(
+                lambda: self.executor.asked > asked + 1 or self.process.returncode is not None
+            )
             assert self.process.returncode is None, self.log()
 
     async def kill(self) -> None:
@@ -134,17 +170,23 @@
         return got[1]
 
 
-def played(operator: Callable[[Path], Any] | None = None, **changes: Any) -> Callable[[Any], Callable[..., None]]:
+def played(
+    operator: Callable[[Path], Any] | None = None, **changes: Any
+) -> Callable[[Any], Callable[..., None]]:
     """Makes a test of a story that is told with a rig; `operator` gives what the operator's file says, for a folder."""
+
     def wrap(story: Callable[..., Awaitable[None]]) -> Callable[..., None]:
         def test(tmp_path: Path) -> None:
             async def play() -> None:
                 told = operator(tmp_path) if operator is not None else None
                 async with Rig(tmp_path, operator=told, **changes) as rig:
                     await story(rig)
+
             asyncio.run(play())
+
         test.__name__, test.__doc__ = story.__name__, story.__doc__
         return test
+
     return wrap
 
 
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -22,9 +22,21 @@
 from burlloom.operator import load
 from burlloom.standins.parts import Balancer, Catalogue, fields
 
-QUICK = {"poll_ms": 40, "beat_ms": 60, "fresh_ms": 2500, "lead_ms": 1500, "permit_ms": 3000, "back_ms": 12000,
-         "settle_ms": 200, "write_off_ms": 60000, "judge_ms": 600, "judge_least": 20, "judge_margin": 0.1,
-         "judge_sigmas": 3.0, "quiet_ms": 15000}
+QUICK = {
+    "poll_ms": 40,
+    "beat_ms": 60,
+    "fresh_ms": 2500,
+    "lead_ms": 1500,
+    "permit_ms": 3000,
+    "back_ms": 12000,
+    "settle_ms": 200,
+    "write_off_ms": 60000,
+    "judge_ms": 600,
+    "judge_least": 20,
+    "judge_margin": 0.1,
+    "judge_sigmas": 3.0,
+    "quiet_ms": 15000,
+}
 
 
 class Node(Rig):
@@ -35,13 +47,27 @@
         self.version, self.out, self.place, self.ready, self.log_at = "v1", True, 0, False, 0
         self.clients, self.tasks = list[Client](), list[asyncio.Task[None]]()
         self.settled, self.marks = 0, dict[str, str]()
-        super().__init__(folder, name=name, catalogue=rollout.services[0], n_cores=32, memory_kb=400000,
-                         calls_out=64, aim=2000000, deadline=5000000, stop_ms=3000)
+        super().__init__(
+            folder,
+            name=name,
+            catalogue=rollout.services[0],
+            n_cores=32,
+            memory_kb=400000,
+            calls_out=64,
+            aim=2000000,
+            deadline=5000000,
+            stop_ms=3000,
+        )
         self.own = part
         self.operator = {"rollout": self.part(), **rollout.more(self)}
 
     def part(self) -> dict[str, Any]:
-        return {**QUICK, "release_file": str(self.folder / "release"), **self.rollout.part, **self.own}
+        return {
+            **QUICK,
+            "release_file": str(self.folder / "release"),
+            **self.rollout.part,
+            **self.own,
+        }
 
     async def begin(self) -> None:
         self.before = f"BURLLOOM_RELEASE={self.version};export BURLLOOM_RELEASE;"
@@ -153,13 +179,24 @@
 class Rollout:
     """`store`: that all servers agree in. `more`: further parts of a server's file."""
 
-    def __init__(self, folder: Path, most: int = 1, store: dict[str, Any] | None = None, services: int = 1,
-                 fleet: bool = False, **part: Any) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        most: int = 1,
+        store: dict[str, Any] | None = None,
+        services: int = 1,
+        fleet: bool = False,
+        **part: Any,
+    ) -> None:
         """`fleet`: the servers spread their calls over the services, which are instances of `db`."""
         self.folder, self.most, self.fleet = folder, most, fleet
         self.more: Callable[[Node], dict[str, Any]] = self.joined
-        self.part = {"store": store or {"sqlite": {"path": str(folder / "agreed.db")}}, "out_most": most,
-                     "waves": [1, "50%", "100%"], **part}
+        self.part = {
+            "store": store or {"sqlite": {"path": str(folder / "agreed.db")}},
+            "out_most": most,
+            "waves": [1, "50%", "100%"],
+            **part,
+        }
         self.services = [Catalogue(self.reply) for _ in range(services)]
         self.nodes: list[Node] = []
         self.bad: set[str] = set()
@@ -179,8 +216,15 @@
             return {}
         key = self.folder / "key"
         key.write_text("6b" * 32)
-        return {"fleet": {"listen": "127.0.0.1:0", "key_file": str(key), "calls": 100, "least": 1,
-                          "services": [service.address for service in self.services]}}
+        return {
+            "fleet": {
+                "listen": "127.0.0.1:0",
+                "key_file": str(key),
+                "calls": 100,
+                "least": 1,
+                "services": [service.address for service in self.services],
+            }
+        }
 
     @property
     def out(self) -> int:
@@ -193,7 +237,9 @@
 
     async def begin(self, count: int, **part: Any) -> None:
         if self.fleet:
-            self.part["below"] = {"db": {"addresses": [service.address for service in self.services]}}
+            self.part["below"] = {
+                "db": {"addresses": [service.address for service in self.services]}
+            }
         self.nodes = [Node(self, f"n{at}", **part) for at in range(count)]
         await asyncio.gather(*(node.__aenter__() for node in self.nodes))
         self.file = self.folder / "operator.jsonnet"
@@ -201,12 +247,17 @@
         self.shelf: Shelf = shelf_of(load(self.file), PATIENCE)
         await self.shelf.open()
         for node in self.nodes:
-            node.tasks = [asyncio.create_task(node.platform()), asyncio.create_task(node.work()),
-                          asyncio.create_task(self.calls(node))]
+            node.tasks = [
+                asyncio.create_task(node.platform()),
+                asyncio.create_task(node.work()),
+                asyncio.create_task(self.calls(node)),
+            ]
         self.tasks.append(asyncio.create_task(self.watch()))
         if part.get("leads") is False:
             await self.drive("first")
-        await self.comes_to(lambda book: len(book.servers) == count and not book.groups["servers"].taken)
+        await self.comes_to(
+            lambda book: len(book.servers) == count and not book.groups["servers"].taken
+        )
 
     async def calls(self, node: Node) -> None:
         while True:
@@ -243,24 +294,47 @@
     async def idle(self, version: str) -> Book:
         """Until all run this version and nothing is under way."""
         return await self.comes_to(
-            lambda book: book.plan.phase is Phase.IDLE
-            and book.good == version
-            and all(unit.version == version and unit.state == 0 for unit in book.servers.values())
+            lambda book: (
+                book.plan.phase is Phase.IDLE
+                and book.good == version
+                and all(
+                    unit.version == version and unit.state == 0 for unit in book.servers.values()
+                )
+            )
         )
 
     async def says(self, *words: str, status: int = 0) -> str:
         """A command, as a person types it."""
         done = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "burlloom.command", "rollout", *words, "-o", str(self.file), cwd=ROOT,
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "burlloom.command",
+            "rollout",
+            *words,
+            "-o",
+            str(self.file),
+            cwd=ROOT,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+        )
         out, err = await done.communicate()
         assert done.returncode == status, (words, out, err)
         return (err if status else out).decode()
 
     async def drive(self, name: str) -> asyncio.subprocess.Process:
         driver = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "burlloom.command", "rollout", "drive", "--name", name, "-o",
-            str(self.file), cwd=ROOT, stdout=asyncio.subprocess.DEVNULL)
+            sys.executable,
+            "-m",
+            "burlloom.command",
+            "rollout",
+            "drive",
+            "--name",
+            name,
+            "-o",
+            str(self.file),
+            cwd=ROOT,
+            stdout=asyncio.subprocess.DEVNULL,
+        )
         self.drivers.append(driver)
         return driver
 
@@ -284,8 +358,10 @@
         """Each txn has its answer, none ran twice, none is settled that did not run. Prints the story's
         figures, for `pytest -s`."""
         twice = [body for body, count in self.runs.items() if count > 1]
-        print(f"\n| {len(self.nodes)} | {self.worst} of {self.most} | {self.over} | {self.ends} |"
-              f" {self.asked} | {dict(self.said)} | {self.unanswered} | {len(twice)} |")
+        print(
+            f"\n| {len(self.nodes)} | {self.worst} of {self.most} | {self.over} | {self.ends} |"
+            f" {self.asked} | {dict(self.said)} | {self.unanswered} | {len(twice)} |"
+        )
         assert killed or not self.unanswered, (self.unanswered, self.said)
         assert self.said["settled"] > 50, self.said
         assert not twice, twice
@@ -296,13 +372,17 @@
     count: int, *, on: dict[str, Any] | None = None, **told: Any
 ) -> Callable[[Any], Callable[[Path], None]]:
     """Makes a test of a story that is told with so many servers; `on`: of each server's part."""
+
     def wrap(story: Any) -> Callable[[Path], None]:
         def test(tmp_path: Path) -> None:
             async def play() -> None:
                 async with Rollout(tmp_path, **told) as made:
                     await made.begin(count, **(on or {}))
                     await story(made)
+
             asyncio.run(play())
+
         test.__name__, test.__doc__ = story.__name__, story.__doc__
         return test
+
     return wrap
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -28,9 +28,18 @@
 MS = 1_000_000
 SEALER = Sealer(b"s" * 32)
 SETTINGS = {
-    "categories": [{"name": "pay", "worth": 5.0, "aim": 1500000, "deadline": 6000000, "idempotency": "dedup",
-                    "window": 18000000}],
-    "extra": {"n_cores": 64, "memory_kb": 4000000, "blowup": 4.0}, "tenants": [],
+    "categories": [
+        {
+            "name": "pay",
+            "worth": 5.0,
+            "aim": 1500000,
+            "deadline": 6000000,
+            "idempotency": "dedup",
+            "window": 18000000,
+        }
+    ],
+    "extra": {"n_cores": 64, "memory_kb": 4000000, "blowup": 4.0},
+    "tenants": [],
     "rules": {"tip_multiple": 5.0, "cold_from": 1.0, "warm_up": 17000000, "drain_grace": 1000000},
 }
 
@@ -79,7 +88,9 @@
         yield [(row.mark, row.until) for row in self.base.rows.values() if row.node == self.node]
 
     def begun(self, now: int) -> Iterator[Row]:
-        return iter([row for row in self.base.rows.values() if row.node == self.node and row.state == BEGUN])
+        return iter(
+            [row for row in self.base.rows.values() if row.node == self.node and row.state == BEGUN]
+        )
 
     async def start(self) -> None: ...
 
@@ -118,7 +129,7 @@
     def crash(self) -> None:
         """Some of what lay in the queue had left."""
         self.dead = True
-        for write in self.queue[:self.chance.randint(0, len(self.queue))]:
+        for write in self.queue[: self.chance.randint(0, len(self.queue))]:
             self.base.write(write)
 
     async def close(self) -> None:
@@ -177,8 +188,21 @@
     async def start(self) -> None:
         world, loop = self.world, world_loop()
         known, meters = facts(SETTINGS)
-        orders = Orders(self.name, ("", 0), ("", 0), ("", 0), ("", 0), 7, 3 * SECOND, known, 100, 64 << 20, ("pay",),
-                        {}, meters)
+        orders = Orders(
+            self.name,
+            ("", 0),
+            ("", 0),
+            ("", 0),
+            ("", 0),
+            7,
+            3 * SECOND,
+            known,
+            100,
+            64 << 20,
+            ("pay",),
+            {},
+            meters,
+        )
         store = self.store = FakeStore(world.base, self.name, world.chance, world.trouble)
         terms = Terms(world.prefer, 0.25, 0.1, 64, 3 * SECOND)
 
@@ -187,6 +211,7 @@
             made = Recorded(known.products, 0.1, loop.wall, server.execute, world.nodes_count > 1)
             made.keeper = Keeper(store, SEALER, terms, 1500 * MS, loop.wall, made)
             return made
+
         with socket.socket() as listener:
             server = assembly.Server(orders, listener, make)
         server.front.clock = loop.wall
@@ -266,9 +291,17 @@
 
 
 class World:
-    def __init__(self, seed: int, nodes: int, trouble: float, crashes: float, prefer: bool = False) -> None:
+    def __init__(
+        self, seed: int, nodes: int, trouble: float, crashes: float, prefer: bool = False
+    ) -> None:
         self.chance = random.Random(seed)
-        self.base, self.nodes_count, self.trouble, self.prefer, self.crashes = Base(), nodes, trouble, prefer, crashes
+        self.base, self.nodes_count, self.trouble, self.prefer, self.crashes = (
+            Base(),
+            nodes,
+            trouble,
+            prefer,
+            crashes,
+        )
         self.runs: dict[bytes, bytes] = {}
         self.settled: set[bytes] = set()
         self.count: Counter[str] = Counter()
@@ -292,8 +325,23 @@
         self.ways.append(way)
         self.count["tries"] += 1
         id = f"{self.chance.getrandbits(64):016x}"
-        node.server.asked(Request(way, len(self.ways), "pay", id, now, "1", 10 * MS, 10.0, 0.9, mark.hex(), "", mark,
-                                retry))
+        node.server.asked(
+            Request(
+                way,
+                len(self.ways),
+                "pay",
+                id,
+                now,
+                "1",
+                10 * MS,
+                10.0,
+                0.9,
+                mark.hex(),
+                "",
+                mark,
+                retry,
+            )
+        )
 
     async def play(self, charges: int = 24, seconds: float = 8.0) -> None:
         for node in self.nodes:
@@ -303,7 +351,13 @@
             mark, first = f"charge {n}".encode(), self.chance.random() * seconds
             plan.append((first, mark, False))
             for _ in range(self.chance.randint(0, 3)):
-                plan.append((first + self.chance.choice([0.001, 0.01, 0.1, 1, 3]) * self.chance.random(), mark, True))
+                plan.append(
+                    (
+                        first + self.chance.choice([0.001, 0.01, 0.1, 1, 3]) * self.chance.random(),
+                        mark,
+                        True,
+                    )
+                )
         plan += [(self.chance.random() * seconds, b"", False) for _ in range(int(self.crashes))]
         loop, down = world_loop(), []
         for at, mark, retry in sorted(plan):
@@ -320,7 +374,9 @@
         await asyncio.sleep(7)
         for way in self.ways:
             if not way.answer and way.node.server is way.server:
-                self.fault(f"{way.mark!r} sent {(way.sent - EPOCH) / SECOND:.3f} was never answered")
+                self.fault(
+                    f"{way.mark!r} sent {(way.sent - EPOCH) / SECOND:.3f} was never answered"
+                )
         for node in self.nodes:
             if node.server is not None:
                 node.crash()
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -15,7 +15,9 @@
     budget, now = Budget(10, PATIENCE), 0
     for n in range(BAD_MOST):
         assert budget.accepts(now)
-        assert budget.over(budget.posted(now), now, False) == ("cut" if n == BAD_MOST - 1 else "count")
+        assert budget.over(budget.posted(now), now, False) == (
+            "cut" if n == BAD_MOST - 1 else "count"
+        )
     assert not budget.accepts(now) and budget.round(now) == ""
     now += budget.rest
     assert budget.round(now) == "beat" and not budget.accepts(now)
@@ -38,7 +40,13 @@
     assert budget.accepts(1)
 
 
-@given(st.lists(st.tuples(st.sampled_from("post good bad round beat-good beat-bad".split()), st.integers(1, 900))))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from("post good bad round beat-good beat-bad".split()), st.integers(1, 900)
+        )
+    )
+)
 def test_only_two_good_beats_end_a_cut(story: list[tuple[str, int]]) -> None:
     budget, now, numbers, good_beats = Budget(8, PATIENCE), 0, [], 0
     for what, passed in story:
@@ -51,7 +59,11 @@
         elif what == "round":
             good_beats = 0 if budget.round(now) == "beat" else good_beats
         elif what.startswith("beat") and before is State.TRIAL:
-            good_beats = good_beats + 1 if budget.beat_over(now, what == "beat-good").startswith(("beat", "mend")) else 0
+            good_beats = (
+                good_beats + 1
+                if budget.beat_over(now, what == "beat-good").startswith(("beat", "mend"))
+                else 0
+            )
         assert budget.rest <= REST_MOST and len(budget.open) <= 8
         if before is not State.FLOW:
             assert budget.state is not State.FLOW or good_beats == 2
@@ -62,7 +74,9 @@
 
 
 @given(st.booleans(), st.lists(st.tuples(st.sampled_from(WORDS), st.integers(0, 20)), max_size=60))
-def test_one_fate_runs_once_and_says_one_thing(prefer: bool, story: list[tuple[Input, int]]) -> None:
+def test_one_fate_runs_once_and_says_one_thing(
+    prefer: bool, story: list[tuple[Input, int]]
+) -> None:
     """Whatever it is told, in whatever order: it starts its run at most once, and tells the server one end of it."""
     fate = Fate(b"m" * 16, "id", 1, 1, 0, 1000, ask_until=100, prefer=prefer)
     now, seen = 0, list(fate.meet(Input.START, 0))
@@ -77,8 +91,10 @@
         assert runs and not ends
 
 
-@given(st.integers(0, 10**18), st.integers(0, 10**15), st.integers(-10**15, 10**15))
-def test_a_step_of_the_clock_is_told_within_one_run_of_the_kernel(wall: int, passed: int, step: int) -> None:
+@given(st.integers(0, 10**18), st.integers(0, 10**15), st.integers(-(10**15), 10**15))
+def test_a_step_of_the_clock_is_told_within_one_run_of_the_kernel(
+    wall: int, passed: int, step: int
+) -> None:
     then, now = Tick("a", 5, wall), Tick("a", 5 + passed, wall + passed + step)
     assert shift(then, now) == (step if abs(step) >= STEP_LEAST else 0)
     assert shift(then, Tick("b", 0, wall + passed + step)) == min(0, passed + step)
@@ -88,7 +104,14 @@
 def test_what_a_broken_transaction_means() -> None:
     for code in (None, "08006", "57P01", "40001", "XX000"):
         assert meaning(Stage.BEFORE, code) is Input.LOST
-    for code, meant in ((None, Input.UNSURE), ("08007", Input.UNSURE), ("57P01", Input.UNSURE), ("58030", Input.UNSURE),
-                        ("40001", Input.LOST), ("53100", Input.LOST), ("23505", Input.LOST)):
+    for code, meant in (
+        (None, Input.UNSURE),
+        ("08007", Input.UNSURE),
+        ("57P01", Input.UNSURE),
+        ("58030", Input.UNSURE),
+        ("40001", Input.LOST),
+        ("53100", Input.LOST),
+        ("23505", Input.LOST),
+    ):
         assert meaning(Stage.COMMITTING, code) is meant
     assert meaning(Stage.DONE, None) is Input.HELD
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -7,7 +7,9 @@
 @pytest.mark.parametrize("total", [1, 2, 5, 24])
 @pytest.mark.parametrize("processes", [20, 30])
 @pytest.mark.parametrize("name", STORIES)
-def test_the_sum_over_all_servers_stays_at_the_budget_but_for_chance(name: str, processes: int, total: int) -> None:
+def test_the_sum_over_all_servers_stays_at_the_budget_but_for_chance(
+    name: str, processes: int, total: int
+) -> None:
     """As a mean over the span that the settings name; and each budget, however small, is used."""
     for seed, call in ((1, 50 * MS), (2, 400 * MS)):
         world = story(name, processes, total, call, seed, 16 * SECOND)
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -20,8 +20,13 @@
 
 
 def burlloom(*words: Any, status: int = 0) -> str:
-    done = subprocess.run([sys.executable, "-m", "burlloom.command", *map(str, words)], cwd=ROOT, text=True,
-                          capture_output=True, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-m", "burlloom.command", *map(str, words)],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=60,
+    )
     assert done.returncode == status, done
     return done.stdout if not status else done.stderr
 
@@ -40,9 +45,21 @@
     store = Sqlite(folder / "record.db", sealer, "n1")
     store.open_now()
     for n, state in enumerate((KEPT, BEGUN)):
-        row = Row(bytes([n]) * 16, state, "n1", 1, n, f"id{n}", NOW, NOW + 10**12, b"paid" if state == KEPT else b"")
+        row = Row(
+            bytes([n]) * 16,
+            state,
+            "n1",
+            1,
+            n,
+            f"id{n}",
+            NOW,
+            NOW + 10**12,
+            b"paid" if state == KEPT else b"",
+        )
         assert store.db is not None
-        store.db.execute("INSERT INTO fate VALUES (?,?,?,?,?,?,?,?,?,?)", row._replace(seal=sealer.seal(row)))
+        store.db.execute(
+            "INSERT INTO fate VALUES (?,?,?,?,?,?,?,?,?,?)", row._replace(seal=sealer.seal(row))
+        )
     store.release()
     return path
 
@@ -58,9 +75,15 @@
     mark = (bytes([1]) * 16).hex()
     assert mark in burlloom("record", "doubts", "-o", path)
     assert "in doubt       1" in burlloom("record", "stats", "-o", path)
-    assert "is not in doubt" in burlloom("record", "resolve", "00" * 16, "--ran", "--reason", "x", "-o", path, status=2)
-    assert "32 hex digits" in burlloom("record", "resolve", "xyz", "--ran", "--reason", "x", "-o", path, status=2)
-    assert "never ran; done" in burlloom("record", "resolve", mark, "--never-ran", "--reason", "asked", "-o", path)
+    assert "is not in doubt" in burlloom(
+        "record", "resolve", "00" * 16, "--ran", "--reason", "x", "-o", path, status=2
+    )
+    assert "32 hex digits" in burlloom(
+        "record", "resolve", "xyz", "--ran", "--reason", "x", "-o", path, status=2
+    )
+    assert "never ran; done" in burlloom(
+        "record", "resolve", mark, "--never-ran", "--reason", "asked", "-o", path
+    )
     assert burlloom("record", "doubts", "-o", path) == "none\n"
     assert json.loads(burlloom("record", "stats", "--json", "-o", path))["rows"]["begun"] == 0
 
@@ -71,26 +94,42 @@
     assert "exists already" in burlloom("record", "snapshot", copy, "-o", path, status=2)
     (tmp_path / "record.db").write_bytes(b"gone")
     said = burlloom("record", "restore", copy, "--window-s", 18, "-o", path)
-    assert "closed for charges until" in said and "2 records, 0 faults" in burlloom("record", "verify", "-o", path)
-    aside, = [one for one in tmp_path.glob("record.db.before-*") if one.suffix[-4:] not in ("-wal", "-shm")]
+    assert "closed for charges until" in said and "2 records, 0 faults" in burlloom(
+        "record", "verify", "-o", path
+    )
+    (aside,) = [
+        one
+        for one in tmp_path.glob("record.db.before-*")
+        if one.suffix[-4:] not in ("-wal", "-shm")
+    ]
     assert aside.read_bytes() == b"gone"
     stats = json.loads(burlloom("record", "stats", "--json", "-o", path))
     assert stats["closed_until"] > NOW + 17 * 10**9 and stats["nodes"]["n1"] > 1000
     with sqlite3.connect(copy) as db:
         db.execute("UPDATE fate SET result = x'00'")
-    assert "its seal does not hold" in burlloom("record", "restore", copy, "--window-s", 18, "-o", path, status=2)
+    assert "its seal does not hold" in burlloom(
+        "record", "restore", copy, "--window-s", 18, "-o", path, status=2
+    )
 
 
 def test_verify_export_compact_and_migrate(tmp_path: Path) -> None:
     path = filled(tmp_path)
     lines = [json.loads(line) for line in burlloom("record", "export", "-o", path).splitlines()]
     assert [(line["state"], bytes.fromhex(line["result"]), line["sound"]) for line in lines] == [
-        ("ran", b"paid", True), ("begun", b"", True)]
+        ("ran", b"paid", True),
+        ("begun", b"", True),
+    ]
     assert "bytes before" in burlloom("record", "compact", "-o", path)
     assert "steps taken: none" in burlloom("record", "migrate", "-o", path)
     with sqlite3.connect(tmp_path / "record.db") as db:
-        for table in ("verdict", "rollout_book", "rollout_member", "distribution_head", "distribution_change",
-                      "distribution_entry"):
+        for table in (
+            "verdict",
+            "rollout_book",
+            "rollout_member",
+            "distribution_head",
+            "distribution_change",
+            "distribution_entry",
+        ):
             db.execute(f"DROP TABLE {table}")
         db.execute("ALTER TABLE node DROP COLUMN note")
         db.execute("PRAGMA user_version = 1")
@@ -112,21 +151,44 @@
     path.write_text("""{ record: { mode: 'maybe', claim_share: 1.5, open_most: '9', colour: 'red',
       sqlite: { path: '/nowhere/at/all/record.db' } }, metrics: {}, levles: 1 }""")
     said = burlloom("check", "-o", path, status=2).splitlines()
-    for place, fault in (("record.mode", "'require' or 'prefer'"), ("record.claim_share", "less than or equal to 1"),
-                         ("record.open_most", "integer"), ("record.colour", "unknown key"),
-                         ("record.sqlite", "the folder /nowhere/at/all does not exist"), ("metrics", "nobody reads them"),
-                         ("levles", "unknown key")):
-        assert any(line.startswith(f"{path}: {place}: ") and fault in line for line in said), (place, said)
+    for place, fault in (
+        ("record.mode", "'require' or 'prefer'"),
+        ("record.claim_share", "less than or equal to 1"),
+        ("record.open_most", "integer"),
+        ("record.colour", "unknown key"),
+        ("record.sqlite", "the folder /nowhere/at/all does not exist"),
+        ("metrics", "nobody reads them"),
+        ("levles", "unknown key"),
+    ):
+        assert any(line.startswith(f"{path}: {place}: ") and fault in line for line in said), (
+            place,
+            said,
+        )
     assert len(said) == 7
-    assert "good" in burlloom("check", "-o", ROOT / "deploy" / "operator.jsonnet", "--config",
-                              ROOT / "examples" / "configuration.json")
-
-
-@pytest.mark.parametrize("text, said", [
-    ("{ record: ", "operator.jsonnet:1:11"), ("{ record: import 'none.libsonnet' }", "none.libsonnet"),
-    ("[1]", "the whole file"), ("{ record: { sqlite: { path: 'a' }, postgres: null, claim_share: 0.9,"
-                                " hold_share: 0.2 } }", "nothing is left for the run"),
-    ("{ record: {} }", "one store is wanted"), ("\xff", "not UTF-8")])
+    assert "good" in burlloom(
+        "check",
+        "-o",
+        ROOT / "deploy" / "operator.jsonnet",
+        "--config",
+        ROOT / "examples" / "configuration.json",
+    )
+
+
+@pytest.mark.parametrize(
+    "text, said",
+    [
+        ("{ record: ", "operator.jsonnet:1:11"),
+        ("{ record: import 'none.libsonnet' }", "none.libsonnet"),
+        ("[1]", "the whole file"),
+        (
+            "{ record: { sqlite: { path: 'a' }, postgres: null, claim_share: 0.9,"
+            " hold_share: 0.2 } }",
+            "nothing is left for the run",
+        ),
+        ("{ record: {} }", "one store is wanted"),
+        ("\xff", "not UTF-8"),
+    ],
+)
 def test_operator_files_that_can_not_be_used(text: str, said: str, tmp_path: Path) -> None:
     path = tmp_path / "operator.jsonnet"
     path.write_bytes(text.encode("latin-1"))
@@ -134,18 +196,59 @@
         load(path)
 
 
-@pytest.mark.parametrize("what, not_with", [
-    ("burlloom.server.__main__", ("burlloom.record", "burlloom.operator", "burlloom.metrics", "burlloom.standins",
-                                  "burlloom.command", "burlloom.distribution", "xxhash", "pydantic", "asyncpg", "click", "sqlite3", "_jsonnet",
-                                  "prometheus_client")),
-    ("burlloom.record.fate, burlloom.record.budget, burlloom.record.rows, burlloom.record.recovery",
-     ("asyncio", "sqlite3", "asyncpg", "burlloom.record.keeper", "burlloom.server", "burlloom.desk")),
-    ("burlloom.distribution.stores.opening, burlloom.distribution.stores.sqlite, burlloom.distribution.replica",
-     ("burlloom.server", "burlloom.rpc", "burlloom.executor", "burlloom.catalogue", "burlloom.naming", "asyncpg",
-      "pydantic", "click")),
-])
+@pytest.mark.parametrize(
+    "what, not_with",
+    [
+        (
+            "burlloom.server.__main__",
+            (
+                "burlloom.record",
+                "burlloom.operator",
+                "burlloom.metrics",
+                "burlloom.standins",
+                "burlloom.command",
+                "burlloom.distribution",
+                "xxhash",
+                "pydantic",
+                "asyncpg",
+                "click",
+                "sqlite3",
+                "_jsonnet",
+                "prometheus_client",
+            ),
+        ),
+        (
+            "burlloom.record.fate, burlloom.record.budget, burlloom.record.rows, burlloom.record.recovery",
+            (
+                "asyncio",
+                "sqlite3",
+                "asyncpg",
+                "burlloom.record.keeper",
+                "burlloom.server",
+                "burlloom.desk",
+            ),
+        ),
+        (
+            "burlloom.distribution.stores.opening, burlloom.distribution.stores.sqlite, burlloom.distribution.replica",
+            (
+                "burlloom.server",
+                "burlloom.rpc",
+                "burlloom.executor",
+                "burlloom.catalogue",
+                "burlloom.naming",
+                "asyncpg",
+                "pydantic",
+                "click",
+            ),
+        ),
+    ],
+)
 def test_what_is_off_is_not_imported(what: str, not_with: tuple[str, ...]) -> None:
-    code = (f"import {what}\nimport sys\nprint([name for name in sys.modules for one in {not_with!r}"
-            " if name == one or name.startswith(one + '.')])")
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, text=True, capture_output=True, check=True)
+    code = (
+        f"import {what}\nimport sys\nprint([name for name in sys.modules for one in {not_with!r}"
+        " if name == one or name.startswith(one + '.')])"
+    )
+    done = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, text=True, capture_output=True, check=True
+    )
     assert done.stdout == "[]\n"
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -23,7 +23,9 @@
     async def story() -> None:
         desk = Desk(known, ("look", "pay"), 1, lambda: now[0], 100 * SECOND, 1 << 20)
         seats = [desk.take(tried(f"t{n}")) for n in range(30)]  # some run, some are held
-        desk.report(Leaving(now[0], now[0]))  # the held are given up; their answers are not handed out yet
+        desk.report(
+            Leaving(now[0], now[0])
+        )  # the held are given up; their answers are not handed out yet
         late = desk.take(tried("late"))
         assert isinstance(late, Seat) and desk.knows("late")
         for _ in range(3):
@@ -32,4 +34,5 @@
         assert not desk.knows("late")
         assert (await asyncio.wait_for(desk.pick(late), 5)).kind is Kind.DECLINE
         assert all(isinstance(seat, Seat | Step) for seat in seats)
+
     asyncio.run(story())
--- a/tests/test_distributing.py
+++ b/tests/test_distributing.py
@@ -63,7 +63,9 @@
         and not serves(["blue"])
         and not serves("\ud800")
     )
-    assert held.take(change(held.head or first_head(1, 0), Entry("", "tenant", "blue", None))) is None
+    assert (
+        held.take(change(held.head or first_head(1, 0), Entry("", "tenant", "blue", None))) is None
+    )
     assert not serves("blue"), "a table without any tenant serves none"
     assert not Tenants(Replica(Table(("",)), ()), {}), "a configuration without any serves all"
 
@@ -82,7 +84,9 @@
     for at in range(256):
         portions.step(at)
     assert (
-        portions.whole == 5.0 and portions.share("a") == pytest.approx(0.6) and portions.share("none") is None
+        portions.whole == 5.0
+        and portions.share("a") == pytest.approx(0.6)
+        and portions.share("none") is None
     )
     assert held.take(change(held.head or first_head(1, 0), tenant("a", portion=8))) is None
     portions.step(1000)
@@ -103,7 +107,11 @@
     shares = Shares((), share=lambda name: 1e-5)
     for n in range(RINGS_MOST + 100):
         shares.read(n, f"t{n}")
-    assert len(shares.rings) == RINGS_MOST and len(shares.past) <= RINGS_MOST and "t0" not in shares.rings
+    assert (
+        len(shares.rings) == RINGS_MOST
+        and len(shares.past) <= RINGS_MOST
+        and "t0" not in shares.rings
+    )
 
 
 class Told:
@@ -119,7 +127,11 @@
 
 def test_a_store_is_followed(tmp_path: Path) -> None:
     async def play() -> None:
-        store, held, told = Sqlite(tmp_path / "changes.db"), Replica(Table(None), (SIGNING,)), Told()
+        store, held, told = (
+            Sqlite(tmp_path / "changes.db"),
+            Replica(Table(None), (SIGNING,)),
+            Told(),
+        )
         await store.open()
 
         async def put(*entries: Entry, key: bytes = SIGNING) -> None:
@@ -132,7 +144,11 @@
         for n in range(100):
             await put(tenant(f"t{n}"))
         await reading.round()
-        assert held.head == await store.head() and held.table.count("tenant") == 101 and told.loads == 1
+        assert (
+            held.head == await store.head()
+            and held.table.count("tenant") == 101
+            and told.loads == 1
+        )
         assert len(held.log) == 100
 
         # A sync with a peer was under way as the store came back.
@@ -143,10 +159,14 @@
         # Away for longer than the log reaches.
         far = held.head
         assert far is not None
-        await store.run("UPDATE distribution_head SET revision = revision + $1::bigint", 2 * LOG_MOST)
+        await store.run(
+            "UPDATE distribution_head SET revision = revision + $1::bigint", 2 * LOG_MOST
+        )
         await put(tenant("far"))
         await reading.round()
-        assert told.loads == 3 and held.head == await store.head() and held.table.has("tenant", "far")
+        assert (
+            told.loads == 3 and held.head == await store.head() and held.table.has("tenant", "far")
+        )
 
         # Put back, and written to past where we are, before we looked.
         await store.run("UPDATE distribution_head SET revision = 1, tag = $1::bytea", b"t" * 16)
@@ -166,8 +186,12 @@
         saved = await store.run("SELECT revision, tag FROM distribution_head WHERE id = 1")
         await put(tenant("y"))
         await reading.round()
-        await store.run("DELETE FROM distribution_change WHERE revision = $1::bigint", mark.revision + 1)
-        await store.run("UPDATE distribution_head SET revision = $1::bigint, tag = $2::bytea", *saved[0])
+        await store.run(
+            "DELETE FROM distribution_change WHERE revision = $1::bigint", mark.revision + 1
+        )
+        await store.run(
+            "UPDATE distribution_head SET revision = $1::bigint, tag = $2::bytea", *saved[0]
+        )
         for name in ("z", "zz"):
             await put(tenant(name))
         assert (await store.head()).revision > held.head.revision, "ahead of us, on another way"
@@ -212,10 +236,17 @@
 def test_a_key_file_that_can_not_be_used_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "key"
     path.write_text("aa" * 16)
-    keys = Keys(path, lambda: tuple(bytes.fromhex(line) for line in path.read_text().split()), "seals")
+    keys = Keys(
+        path, lambda: tuple(bytes.fromhex(line) for line in path.read_text().split()), "seals"
+    )
     assert not keys.changed()
     for at, (text, changed, count) in enumerate(
-        (("bb" * 16 + "\n" + "aa" * 16, True, 2), ("no hex", False, 2), ("", False, 2), ("cc" * 16, True, 1))
+        (
+            ("bb" * 16 + "\n" + "aa" * 16, True, 2),
+            ("no hex", False, 2),
+            ("", False, 2),
+            ("cc" * 16, True, 1),
+        )
     ):
         path.write_text(text)
 
--- a/tests/test_distribution_core.py
+++ b/tests/test_distribution_core.py
@@ -13,10 +13,33 @@
 from hypothesis import strategies as st
 
 from burlloom.distribution import (
-    Change, Replica, Entry, Follower, Head, Refused, Source, Table, Terms, Upstream, first_head, propose, to_source)
+    Change,
+    Replica,
+    Entry,
+    Follower,
+    Head,
+    Refused,
+    Source,
+    Table,
+    Terms,
+    Upstream,
+    first_head,
+    propose,
+    to_source,
+)
 from burlloom.distribution import messages as m
 from burlloom.distribution.changes import (
-    BODY_MOST, ENTRIES_MOST, KEY_MOST, NUMBER_MOST, VALUE_MOST, chained, decode, encode, faults, head_of)
+    BODY_MOST,
+    ENTRIES_MOST,
+    KEY_MOST,
+    NUMBER_MOST,
+    VALUE_MOST,
+    chained,
+    decode,
+    encode,
+    faults,
+    head_of,
+)
 from burlloom.distribution.follower import RULES, Input, State, preferred, summary
 from burlloom.distribution.log import Log
 from burlloom.distribution.messages import Sender, Unreadable, Window, seal, unseal
@@ -32,7 +55,11 @@
 def history(count: int, scope: str = "", epoch: int = 1) -> list[Change]:
     head, found = first_head(epoch, 0), []
     for number in range(1, count + 1):
-        found.append(propose(head, scope, [Entry(scope, "tenant", f"t{number % 5}", value(number))], number, SIGN))
+        found.append(
+            propose(
+                head, scope, [Entry(scope, "tenant", f"t{number % 5}", value(number))], number, SIGN
+            )
+        )
         head = head_of(found[-1])
     return found
 
@@ -52,18 +79,27 @@
         replica = empty()
         taken = [one.revision for one in order if replica.take(one) is None]
         assert taken == list(range(1, len(taken) + 1))
-        for one in listed[len(taken):]:
+        for one in listed[len(taken) :]:
             assert replica.take(one) is None
         assert replica.head == head_of(listed[-1])
 
 
-@pytest.mark.parametrize(("what", "reason"), [
-    ({"epoch": 2}, "another epoch"), ({"revision": 3}, "a gap before it"), ({"revision": 1}, "an older revision"),
-    ({"time_ms": 0}, "its time steps back"), ({"time_ms": 3}, "its tag does not follow"),
-    ({"scope": "a"}, "its tag does not follow"), ({"tag": bytes(16)}, "its tag does not follow"),
-    ({"body_digest": bytes(16)}, "its body was altered"), ({"body": b"\x91\x93"}, "its body was altered"),
-    ({"body": None}, "body: left out, and the scope is held here"),
-    ({"body": None, "body_digest": bytes(16)}, "its tag does not follow")])
+@pytest.mark.parametrize(
+    ("what", "reason"),
+    [
+        ({"epoch": 2}, "another epoch"),
+        ({"revision": 3}, "a gap before it"),
+        ({"revision": 1}, "an older revision"),
+        ({"time_ms": 0}, "its time steps back"),
+        ({"time_ms": 3}, "its tag does not follow"),
+        ({"scope": "a"}, "its tag does not follow"),
+        ({"tag": bytes(16)}, "its tag does not follow"),
+        ({"body_digest": bytes(16)}, "its body was altered"),
+        ({"body": b"\x91\x93"}, "its body was altered"),
+        ({"body": None}, "body: left out, and the scope is held here"),
+        ({"body": None, "body_digest": bytes(16)}, "its tag does not follow"),
+    ],
+)
 def test_an_altered_change_is_refused_whole(what: dict[str, Any], reason: str) -> None:
     replica, (first, then) = empty(), history(2)
     assert replica.take(first) is None
@@ -86,18 +122,25 @@
 
 
 def test_a_foreign_signing_key_is_refused_and_a_second_one_of_ours_is_not() -> None:
-    foreign = propose(first_head(1, 0), "", [Entry("", "tenant", "t", value(1))], 1, b"another key" * 2)
+    foreign = propose(
+        first_head(1, 0), "", [Entry("", "tenant", "t", value(1))], 1, b"another key" * 2
+    )
     assert empty().take(foreign) == "its tag does not follow"
     replica = Replica(Table(None), [SIGN, b"another key" * 2])
     replica.begin(first_head(1, 0))
     assert replica.take(foreign) is None
-    assert replica.take(propose(head_of(foreign), "", [Entry("", "tenant", "t", value(2))], 1, SIGN)) is None
+    assert (
+        replica.take(propose(head_of(foreign), "", [Entry("", "tenant", "t", value(2))], 1, SIGN))
+        is None
+    )
 
 
 def test_the_body_of_another_scope_may_be_left_out_and_the_chain_holds() -> None:
     replica, listed, head = empty(("", "a")), [], first_head(1, 0)
     for number, scope in enumerate(["", "b", "a", "b", ""]):
-        listed.append(propose(head, scope, [Entry(scope, "tenant", "t", value(number))], number, SIGN))
+        listed.append(
+            propose(head, scope, [Entry(scope, "tenant", "t", value(number))], number, SIGN)
+        )
         head = head_of(listed[-1])
     for one in listed:
         assert replica.take(one.without_body() if one.scope == "b" else one) is None
@@ -118,44 +161,81 @@
 
 def test_a_bad_change_is_refused_whole_with_all_faults_and_places() -> None:
     good = Entry("", "tenant", "t", value(1))
-    assert bad([good, Entry("a", "tennant", "", b"\xc1"), Entry("", "route", "x" * 129, b"x" * 513), good,
-        Entry("", "setting", "s", msgpack.packb([1]))]) == [
-        "entries[1].scope: 'a', and the change's is ''", "entries[1].kind: 'tennant', of tenant, route, setting",
-        "entries[1].key: not text of 1 to 128 bytes", "entries[1].value: no MessagePack: ",
-        "entries[2].key: not text of 1 to 128 bytes", "entries[2].value: 513 bytes, 512 at most",
-        "entries[3].key: set by entries[0] already", "entries[4].value: no map"]
+    assert bad(
+        [
+            good,
+            Entry("a", "tennant", "", b"\xc1"),
+            Entry("", "route", "x" * 129, b"x" * 513),
+            good,
+            Entry("", "setting", "s", msgpack.packb([1])),
+        ]
+    ) == [
+        "entries[1].scope: 'a', and the change's is ''",
+        "entries[1].kind: 'tennant', of tenant, route, setting",
+        "entries[1].key: not text of 1 to 128 bytes",
+        "entries[1].value: no MessagePack: ",
+        "entries[2].key: not text of 1 to 128 bytes",
+        "entries[2].value: 513 bytes, 512 at most",
+        "entries[3].key: set by entries[0] already",
+        "entries[4].value: no map",
+    ]
     assert bad([]) == ["entries: 0, of 1 to 64"]
-    assert bad([Entry("", "tenant", f"{at}", None) for at in range(65)]) == ["entries: 65, of 1 to 64"]
-    assert bad([Entry("r" * 65, "tenant", "t", None)], "r" * 65) == ["scope: not text of 64 bytes at most"]
-    assert bad([Entry("", "tenant", "\ud800", None)]) == ["entries[0].key: not text of 1 to 128 bytes"]
-    assert bad([Entry("", "tenant", f"{at}", msgpack.packb({"x": "y" * 400})) for at in range(3)]) == [
-        "body: 1258 bytes, 1000 at most"]
+    assert bad([Entry("", "tenant", f"{at}", None) for at in range(65)]) == [
+        "entries: 65, of 1 to 64"
+    ]
+    assert bad([Entry("r" * 65, "tenant", "t", None)], "r" * 65) == [
+        "scope: not text of 64 bytes at most"
+    ]
+    assert bad([Entry("", "tenant", "\ud800", None)]) == [
+        "entries[0].key: not text of 1 to 128 bytes"
+    ]
+    assert bad(
+        [Entry("", "tenant", f"{at}", msgpack.packb({"x": "y" * 400})) for at in range(3)]
+    ) == ["body: 1258 bytes, 1000 at most"]
 
     def check(entry: Entry) -> list[str]:
         return ["value.n: not under 2"] if entry.value == value(2) else []
+
     with pytest.raises(Refused) as refused:
         propose(first_head(1, 0), "", [good, Entry("", "tenant", "u", value(2))], 1, SIGN, check)
     assert refused.value.faults == ["entries[1].value.n: not under 2"]
 
 
-@pytest.mark.parametrize(("body", "fault"), [
-    (b"", "body: no MessagePack"), (b"\xc1", "body: no MessagePack"), (msgpack.packb(1), "body: no list"),
-    (msgpack.packb([]), "entries: 0"), (msgpack.packb([[1, 2]]), "entries[0]: not of kind, key and value"),
-    (msgpack.packb([["tenant", "t", value(1)], ["x", "t", value(1)]]), "entries[1].kind: 'x'"),
-    (msgpack.packb([["tenant", 7, value(1)]]), "entries[0].key"), (msgpack.packb([["tenant", "t", "x"]]), "entries[0].value"),
-    (b"\xdc\xff\xff", "body: no MessagePack"), (b"\x91" * 900, "body: no MessagePack"),
-    (msgpack.packb([["tenant", "t", value(1)]]) + b"\x00", "body: no MessagePack"), (b"x" * 1001, "body: 1001 bytes")])
-def test_a_bad_body_is_refused_whole_at_a_copy_though_its_chain_holds(body: bytes, fault: str) -> None:
+@pytest.mark.parametrize(
+    ("body", "fault"),
+    [
+        (b"", "body: no MessagePack"),
+        (b"\xc1", "body: no MessagePack"),
+        (msgpack.packb(1), "body: no list"),
+        (msgpack.packb([]), "entries: 0"),
+        (msgpack.packb([[1, 2]]), "entries[0]: not of kind, key and value"),
+        (msgpack.packb([["tenant", "t", value(1)], ["x", "t", value(1)]]), "entries[1].kind: 'x'"),
+        (msgpack.packb([["tenant", 7, value(1)]]), "entries[0].key"),
+        (msgpack.packb([["tenant", "t", "x"]]), "entries[0].value"),
+        (b"\xdc\xff\xff", "body: no MessagePack"),
+        (b"\x91" * 900, "body: no MessagePack"),
+        (msgpack.packb([["tenant", "t", value(1)]]) + b"\x00", "body: no MessagePack"),
+        (b"x" * 1001, "body: 1001 bytes"),
+    ],
+)
+def test_a_bad_body_is_refused_whole_at_a_copy_though_its_chain_holds(
+    body: bytes, fault: str
+) -> None:
     replica = empty()
     one = chained(first_head(1, 0), "", body, 1, SIGN)
     before = replica.table.digest()
     assert (replica.take(one) or "").startswith(fault)
-    assert replica.table.digest() == before and replica.head == first_head(1, 0) and len(replica.log) == 0
+    assert (
+        replica.table.digest() == before
+        and replica.head == first_head(1, 0)
+        and len(replica.log) == 0
+    )
 
 
 def test_a_table_that_refuses_leaves_the_copy_as_it_was(monkeypatch: pytest.MonkeyPatch) -> None:
     def refuses(entries: Any) -> None:
         raise ValueError("full")
+
     replica, (one,) = empty(), history(1)
     monkeypatch.setattr(replica.table, "put", refuses)
     assert replica.take(one) == "the table refuses: full"
@@ -167,12 +247,24 @@
     assert first.time_ms == 50
 
 
-@given(st.lists(st.tuples(st.sampled_from(["tenant", "route", "setting"]), st.text(min_size=1, max_size=40),
-    st.none() | st.dictionaries(st.text(max_size=5), st.integers(0, 9), max_size=3)), min_size=1, max_size=9,
-    unique_by=lambda one: one[:2]))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["tenant", "route", "setting"]),
+            st.text(min_size=1, max_size=40),
+            st.none() | st.dictionaries(st.text(max_size=5), st.integers(0, 9), max_size=3),
+        ),
+        min_size=1,
+        max_size=9,
+        unique_by=lambda one: one[:2],
+    )
+)
 @settings(max_examples=200, deadline=None)
 def test_what_is_proposed_is_read_the_same(listed: list[Any]) -> None:
-    entries = [Entry("a", kind, key, None if held is None else msgpack.packb(held)) for kind, key, held in listed]
+    entries = [
+        Entry("a", kind, key, None if held is None else msgpack.packb(held))
+        for kind, key, held in listed
+    ]
     if faults("a", entries) or len(encode(entries)) > BODY_MOST:
         return
     one = propose(first_head(1, 0), "a", entries, 1, SIGN)
@@ -188,15 +280,34 @@
     for number in range(1, 41):
         scope = chance.choice(["", "a", "b"])
         assert replica.head is not None
-        assert replica.take(propose(replica.head, scope, [Entry(scope, "route", f"r{chance.randrange(4)}",
-            value(number) if chance.random() < 0.8 else None)], number, SIGN)) is None
+        assert (
+            replica.take(
+                propose(
+                    replica.head,
+                    scope,
+                    [
+                        Entry(
+                            scope,
+                            "route",
+                            f"r{chance.randrange(4)}",
+                            value(number) if chance.random() < 0.8 else None,
+                        )
+                    ],
+                    number,
+                    SIGN,
+                )
+            )
+            is None
+        )
         told[number] = [replica.digest_of(scopes) for scopes in (("", "a"), ("b",), None)]
     for number in range(1, 41):
         for at, scopes in enumerate([("", "a"), ("b",), None]):
             assert replica.digest_at(number, scopes) == (told[number][at] if number >= 30 else None)
     assert replica.digest_at(41, None) is None
     assert [one.revision for one in replica.log.since(30, 4) or ()] == [31, 32, 33, 34]
-    assert replica.log.since(29, 4) is None and replica.log.since(40, 4) == [] == replica.log.since(99, 4)
+    assert replica.log.since(29, 4) is None and replica.log.since(40, 4) == [] == replica.log.since(
+        99, 4
+    )
     assert len(replica.log) == 10 and Log(5).since(5, 1) == []
 
 
@@ -206,21 +317,44 @@
 ENTRY = Entry("r" * 64, "setting", "k" * KEY_MOST, b"x" * VALUE_MOST)
 HEAD = Head(NUMBER_MOST, NUMBER_MOST, b"t" * 16, NUMBER_MOST)
 BODIES: list[m.Body] = [
-    m.Report(("", "a"), 1, 7, (1 << 64) - 1), m.Report(None, 0, 0, 0), m.Report(tuple(f"{at:064}" for at in range(16)), 1, 1, 1),
-    m.Told(HEAD, None, True, 0), m.Told(HEAD, 12, False, NUMBER_MOST), m.Pushed(history(1)[0]),
+    m.Report(("", "a"), 1, 7, (1 << 64) - 1),
+    m.Report(None, 0, 0, 0),
+    m.Report(tuple(f"{at:064}" for at in range(16)), 1, 1, 1),
+    m.Told(HEAD, None, True, 0),
+    m.Told(HEAD, 12, False, NUMBER_MOST),
+    m.Pushed(history(1)[0]),
     m.Pushed(history(1)[0].without_body()),
-    m.Pushed(Change(NUMBER_MOST, NUMBER_MOST, NUMBER_MOST, "r" * 64, b"x" * BODY_MOST, b"t" * 16, b"d" * 16)),
-    m.Pull(1, 2, 32), m.DigestsAsk(), m.Digests(HEAD, 1, tuple((1 << 64) - 1 - at for at in range(128))),
-    m.PagesAsk(255, ENTRY[:3], 4), m.PagesAsk(0, None, 1),
-    m.Paged(NUMBER_MOST, NUMBER_MOST, 255, 3, ENTRY._replace(kind="route")[:3], Page((ENTRY,), ENTRY[:3], False)),
-    m.Paged(1, 1, 0, 0, None, Page((), None, True)), m.Redirect("full"), m.Bye()]
+    m.Pushed(
+        Change(
+            NUMBER_MOST, NUMBER_MOST, NUMBER_MOST, "r" * 64, b"x" * BODY_MOST, b"t" * 16, b"d" * 16
+        )
+    ),
+    m.Pull(1, 2, 32),
+    m.DigestsAsk(),
+    m.Digests(HEAD, 1, tuple((1 << 64) - 1 - at for at in range(128))),
+    m.PagesAsk(255, ENTRY[:3], 4),
+    m.PagesAsk(0, None, 1),
+    m.Paged(
+        NUMBER_MOST,
+        NUMBER_MOST,
+        255,
+        3,
+        ENTRY._replace(kind="route")[:3],
+        Page((ENTRY,), ENTRY[:3], False),
+    ),
+    m.Paged(1, 1, 0, 0, None, Page((), None, True)),
+    m.Redirect("full"),
+    m.Bye(),
+]
 
 
 @pytest.mark.parametrize("body", BODIES, ids=lambda body: type(body).__name__)
 def test_messages_are_read_as_they_were_sealed(body: m.Body) -> None:
     sender = Sender(LONG, NUMBER_MOST, NUMBER_MOST)
     data = seal(sender, body, SEAL)
-    assert len(data) <= m.MESSAGE_MOST and unseal(data, (b"another key" * 2, SEAL)) == m.Message(sender, body)
+    assert len(data) <= m.MESSAGE_MOST and unseal(data, (b"another key" * 2, SEAL)) == m.Message(
+        sender, body
+    )
     assert to_source(data) == (type(body) in (m.Report, m.Pull, m.DigestsAsk, m.PagesAsk, m.Bye))
     with pytest.raises(Unreadable, match="not sealed with our key"):
         unseal(data, (b"another key" * 2,))
@@ -236,13 +370,26 @@
 
 def test_a_full_page_fits_the_datagram() -> None:
     table = Table(None)
-    table.put([Entry("r" * 64, "setting", f"{at:0128}", bytes([0x81, 0xa1, 0x78, 0xd9, at % 200]) + b"y" * (at % 200))
-               for at in range(200)])
+    table.put(
+        [
+            Entry(
+                "r" * 64,
+                "setting",
+                f"{at:0128}",
+                bytes([0x81, 0xA1, 0x78, 0xD9, at % 200]) + b"y" * (at % 200),
+            )
+            for at in range(200)
+        ]
+    )
     for bucket in range(256):
         after: Any = ("r" * 64, "route", "k" * 128)
         while True:
             page = table.page(bucket, after, None, m.PAGE_BYTES)
-            data = seal(Sender(LONG, NUMBER_MOST, NUMBER_MOST), m.Paged(NUMBER_MOST, NUMBER_MOST, bucket, 3, after, page), SEAL)
+            data = seal(
+                Sender(LONG, NUMBER_MOST, NUMBER_MOST),
+                m.Paged(NUMBER_MOST, NUMBER_MOST, bucket, 3, after, page),
+                SEAL,
+            )
             assert len(data) <= m.MESSAGE_MOST
             if page.done:
                 break
@@ -254,21 +401,61 @@
     return m.mark_of(SEAL, text) + text
 
 
-@pytest.mark.parametrize(("got", "reason"), [
-    ([0, 9, "n", 1, 1], "an older version"), ([2, 9, "n", 1, 1], "another version"), ([1, 10, "n", 1, 1], "of no kind"),
-    ([1, True, "n", 1, 1], "of no kind"), ([1, 9, "", 1, 1], "a sender that is none"), ([1, 9, "n", -1, 1], "a sender that is none"),
-    ([1, 9, "n", 1, 1 << 63], "a sender that is none"), ([1, 9, "n", 1, 1, 1], "no BYE"), ([1, 9, "n", 1], "no message"), (7, "no message"),
-    ([1, 0, "n", 1, 1, ["x"] * 17, 1, 1, 1], "no scopes"),
-    ([1, 0, "n", 1, 1, None, 1, 1, -1], "no report"), ([1, 1, "n", 1, 1, 0, 1, b"t" * 16, 1, 1, False, 0], "no head"),
-    ([1, 1, "n", 1, 1, 1, 1, b"t" * 15, 1, 1, False, 0], "no head"), ([1, 1, "n", 1, 1, 1, 1, b"t" * 16, 1, -1, False, 0], "no HEAD"),
-    ([1, 2, "n", 1, 1, 1, 0, 1, "", b"", b"t" * 16, b"t" * 16], "no change"), ([1, 2, "n", 1, 1, 1, 1, 1, "", b"x" * 1001, b"t" * 16, b"t" * 16], "no change"),
-    ([1, 3, "n", 1, 1, 1, 1, 33], "no PULL"), ([1, 3, "n", 1, 1, 1, 1, 0], "no PULL"), ([1, 5, "n", 1, 1, 1, 1, b"t" * 16, 1, 2, b"x" * 1024], "no DIGESTS"),
-    ([1, 5, "n", 1, 1, 1, 1, b"t" * 16, 1, 1, b"x" * 1023], "no DIGESTS"), ([1, 6, "n", 1, 1, 256, None, 1], "no PAGES_ASK"),
-    ([1, 6, "n", 1, 1, 1, ["", "x", "y"], 1], "no place"), ([1, 6, "n", 1, 1, 1, None, 5], "no PAGES_ASK"),
-    ([1, 7, "n", 1, 1, 1, 1, 1, 0, None, [], False], "no PAGE"), ([1, 7, "n", 1, 1, 1, 1, 1, 0, None, [["", "tenant", "t", None]], True], "no entry"),
-    ([1, 7, "n", 1, 1, 1, 1, 1, 0, None, [["", "tenant", "t", b""], ["", "tenant", "t", b""]], True], "no order"),
-    ([1, 7, "n", 1, 1, 1, 1, 1, 0, ["", "tenant", "t"], [["", "tenant", "s", b""]], True], "no order"), ([1, 8, "n", 1, 1, 7], "no REDIRECT"),
-    ([1, 9, "n", {}, 1], "no MessagePack|a sender"), ([1, 9, ["n"] * 300, 1, 1], "no MessagePack")])
+@pytest.mark.parametrize(
+    ("got", "reason"),
+    [
+        ([0, 9, "n", 1, 1], "an older version"),
+        ([2, 9, "n", 1, 1], "another version"),
+        ([1, 10, "n", 1, 1], "of no kind"),
+        ([1, True, "n", 1, 1], "of no kind"),
+        ([1, 9, "", 1, 1], "a sender that is none"),
+        ([1, 9, "n", -1, 1], "a sender that is none"),
+        ([1, 9, "n", 1, 1 << 63], "a sender that is none"),
+        ([1, 9, "n", 1, 1, 1], "no BYE"),
+        ([1, 9, "n", 1], "no message"),
+        (7, "no message"),
+        ([1, 0, "n", 1, 1, ["x"] * 17, 1, 1, 1], "no scopes"),
+        ([1, 0, "n", 1, 1, None, 1, 1, -1], "no report"),
+        ([1, 1, "n", 1, 1, 0, 1, b"t" * 16, 1, 1, False, 0], "no head"),
+        ([1, 1, "n", 1, 1, 1, 1, b"t" * 15, 1, 1, False, 0], "no head"),
+        ([1, 1, "n", 1, 1, 1, 1, b"t" * 16, 1, -1, False, 0], "no HEAD"),
+        ([1, 2, "n", 1, 1, 1, 0, 1, "", b"", b"t" * 16, b"t" * 16], "no change"),
+        ([1, 2, "n", 1, 1, 1, 1, 1, "", b"x" * 1001, b"t" * 16, b"t" * 16], "no change"),
+        ([1, 3, "n", 1, 1, 1, 1, 33], "no PULL"),
+        ([1, 3, "n", 1, 1, 1, 1, 0], "no PULL"),
+        ([1, 5, "n", 1, 1, 1, 1, b"t" * 16, 1, 2, b"x" * 1024], "no DIGESTS"),
+        ([1, 5, "n", 1, 1, 1, 1, b"t" * 16, 1, 1, b"x" * 1023], "no DIGESTS"),
+        ([1, 6, "n", 1, 1, 256, None, 1], "no PAGES_ASK"),
+        ([1, 6, "n", 1, 1, 1, ["", "x", "y"], 1], "no place"),
+        ([1, 6, "n", 1, 1, 1, None, 5], "no PAGES_ASK"),
+        ([1, 7, "n", 1, 1, 1, 1, 1, 0, None, [], False], "no PAGE"),
+        ([1, 7, "n", 1, 1, 1, 1, 1, 0, None, [["", "tenant", "t", None]], True], "no entry"),
+        (
+            [
+                1,
+                7,
+                "n",
+                1,
+                1,
+                1,
+                1,
+                1,
+                0,
+                None,
+                [["", "tenant", "t", b""], ["", "tenant", "t", b""]],
+                True,
+            ],
+            "no order",
+        ),
+        (
+            [1, 7, "n", 1, 1, 1, 1, 1, 0, ["", "tenant", "t"], [["", "tenant", "s", b""]], True],
+            "no order",
+        ),
+        ([1, 8, "n", 1, 1, 7], "no REDIRECT"),
+        ([1, 9, "n", {}, 1], "no MessagePack|a sender"),
+        ([1, 9, ["n"] * 300, 1, 1], "no MessagePack"),
+    ],
+)
 def test_what_nobody_of_ours_would_send_is_refused_with_a_reason(got: Any, reason: str) -> None:
     with pytest.raises(Unreadable, match=reason):
         unseal(sealed(got), (SEAL,))
@@ -290,7 +477,9 @@
 def mutated(chance: Random) -> bytes:
     text = bytearray(seal(Sender("n", 1, 1), chance.choice(BODIES), SEAL)[16:])
     for _ in range(chance.randint(1, 3)):
-        text[chance.randrange(min(len(text), 60))] = chance.choice([0, 1, 0x7f, 0x90, 0xc0, 0xc1, 0xd9, 0xff, chance.randrange(256)])
+        text[chance.randrange(min(len(text), 60))] = chance.choice(
+            [0, 1, 0x7F, 0x90, 0xC0, 0xC1, 0xD9, 0xFF, chance.randrange(256)]
+        )
     return bytes(text)
 
 
@@ -306,20 +495,36 @@
 # The walk.
 
 
-@pytest.mark.parametrize(("begun", "newcomer", "most"), [
-    (0, False, {"change": 2, "beat": 2, "lose": 1, "double": 1}),
-    (1, True, {"change": 1, "beat": 2, "lose": 1}),
-    (0, False, {"change": 2, "beat": 2, "forge": 1}),
-    (0, False, {"change": 1, "beat": 2, "forge": 1, "source": 1}),
-    (2, False, {"beat": 2, "behind": 1})])
-def test_one_source_and_one_follower_walked_whole(begun: int, newcomer: bool, most: dict[str, int]) -> None:
+@pytest.mark.parametrize(
+    ("begun", "newcomer", "most"),
+    [
+        (0, False, {"change": 2, "beat": 2, "lose": 1, "double": 1}),
+        (1, True, {"change": 1, "beat": 2, "lose": 1}),
+        (0, False, {"change": 2, "beat": 2, "forge": 1}),
+        (0, False, {"change": 1, "beat": 2, "forge": 1, "source": 1}),
+        (2, False, {"beat": 2, "behind": 1}),
+    ],
+)
+def test_one_source_and_one_follower_walked_whole(
+    begun: int, newcomer: bool, most: dict[str, int]
+) -> None:
     explorer = Explorer(begun, newcomer, **most)
     worlds, fault, whole = explorer.walk(1 << 20)
     assert not fault and whole and worlds > 500 and explorer.calm > 10, (worlds, fault, whole)
 
 
-MUCH = {"change": 3, "beat": 12, "lose": 6, "double": 6, "follower": 1, "source": 1, "behind": 1, "epoch": 1, "old": 1,
-        "forge": 1}
+MUCH = {
+    "change": 3,
+    "beat": 12,
+    "lose": 6,
+    "double": 6,
+    "follower": 1,
+    "source": 1,
+    "behind": 1,
+    "epoch": 1,
+    "old": 1,
+    "forge": 1,
+}
 
 
 @pytest.mark.parametrize("newcomer", [False, True])
@@ -329,7 +534,9 @@
 
 
 @pytest.mark.parametrize("newcomer", [False, True])
-@pytest.mark.parametrize("broken", ["gap", "chain", "replay", "target", "epoch", "unasked", "old-page"])
+@pytest.mark.parametrize(
+    "broken", ["gap", "chain", "replay", "target", "epoch", "unasked", "old-page"]
+)
 def test_a_rule_left_out_is_noticed(broken: str, newcomer: bool) -> None:
     assert Explorer(1, newcomer, broken, 8, **MUCH).wander(1500, 40, 1)[1]
 
@@ -337,17 +544,36 @@
 def test_a_base_from_before_the_pages_of_a_sync_that_did_not_end_is_noticed() -> None:
     """Where the source is started again twice, the second time behind."""
     most = {"change": 2, "beat": 12, "source": 1, "behind": 1, "lose": 3}
-    assert Explorer(0, False, "older-base", 8, **most).wander(3000, 50, 1)[1] == "a key that went back"
+    assert (
+        Explorer(0, False, "older-base", 8, **most).wander(3000, 50, 1)[1] == "a key that went back"
+    )
     assert not Explorer(0, False, "", 8, **most).wander(600, 50, 1)[1]
 
 
 # Networks of chance.
 
+
 def happens(world: World, node: Node) -> None:
     """Something of chance to a node or a link."""
     chance, other = world.chance, world.chance.choice(list(world.nodes.values()))
-    match chance.choice(["kill", "start", "start", "pause", "wake", "wake", "cut", "one-way", "heal", "heal",
-                         "region", "store", "store-back", "flip"]):
+    match chance.choice(
+        [
+            "kill",
+            "start",
+            "start",
+            "pause",
+            "wake",
+            "wake",
+            "cut",
+            "one-way",
+            "heal",
+            "heal",
+            "region",
+            "store",
+            "store-back",
+            "flip",
+        ]
+    ):
         case "kill":
             if node.follower is not None and chance.random() < 0.3:
                 node.follower.leave()
@@ -392,8 +618,13 @@
 def chaos(seed: int, relays: int, seconds: float = 120) -> float:
     """How long after healing all agreed, s."""
     chance = Random(seed)
-    world = World(seed, (0.0005, chance.choice([0.002, 0.05, 0.15])), chance.choice([0, 0.01, 0.05, 0.2]),
-        chance.choice([0, 0.1]), log_most=chance.choice([8, 64, 4096]))
+    world = World(
+        seed,
+        (0.0005, chance.choice([0.002, 0.05, 0.15])),
+        chance.choice([0, 0.01, 0.05, 0.2]),
+        chance.choice([0, 0.1]),
+        log_most=chance.choice([8, 64, 4096]),
+    )
     world.watch = [f"{scope}-{at}" for scope in ("all", "a", "b", "c") for at in range(3)]
     for at in range(chance.choice([0, 300])):
         world.truth.put(0, chance.choice(["", "a", "b"]), [("route", f"old-{at}", value(1))])
@@ -443,8 +674,15 @@
         world.run(chance.expovariate(rate))
     world.run(8)
     assert not world.agreed()
-    return max(node.in_force[key] - born for key, born in world.truth.born.items() if key[1]
-               for node in world.nodes.values()) / SECOND
+    return (
+        max(
+            node.in_force[key] - born
+            for key, born in world.truth.born.items()
+            if key[1]
+            for node in world.nodes.values()
+        )
+        / SECOND
+    )
 
 
 @pytest.mark.parametrize("rate", [0, 0.4, 4])
@@ -461,11 +699,18 @@
     before = world.spend()
     for number in range(int(seconds * max(rate, 0.1))):
         if rate:
-            world.truth.put(world.now, "", [("tenant", f"t{number % 7}", msgpack.packb({"n": number, "x": "y" * 280}))])
+            world.truth.put(
+                world.now,
+                "",
+                [("tenant", f"t{number % 7}", msgpack.packb({"n": number, "x": "y" * 280}))],
+            )
         world.run(1 / max(rate, 0.1))
     worst = max(range(9), key=lambda at: sum(world.nodes[f"server-{at}"].spent))
     name = f"server-{worst}"
-    return [(now - was) / seconds for now, was in zip(world.nodes[name].spent, before[name], strict=True)]
+    return [
+        (now - was) / seconds
+        for now, was in zip(world.nodes[name].spent, before[name], strict=True)
+    ]
 
 
 # Syncs.
@@ -475,7 +720,14 @@
     world = World(1, (0.02, 0.08), 0.05)
     world.watch = [f"all-{at}" for at in range(8)]
     for number in range(1500):
-        world.truth.put(0, "", [("tenant", f"old-{number}", value(number)), ("tenant", f"all-{number % 8}", value(number))])
+        world.truth.put(
+            0,
+            "",
+            [
+                ("tenant", f"old-{number}", value(number)),
+                ("tenant", f"all-{number % 8}", value(number)),
+            ],
+        )
     fleet(world, 1)
     node = world.nodes["server-0"]
     assert node.follower is not None
@@ -555,7 +807,9 @@
     world.cut = {("control-a0", f"server-{at}") for at in (0, 1)}
     world.run(30)
     refused = [node.follower.counts.refused for node in world.nodes.values() if node.follower]
-    assert all(one["an older epoch"] for one in refused) and not world.agreed(["server-0", "server-1"])
+    assert all(one["an older epoch"] for one in refused) and not world.agreed(
+        ["server-0", "server-1"]
+    )
 
 
 def test_another_history_of_an_epoch_is_refused_and_what_is_in_force_stays() -> None:
@@ -586,7 +840,10 @@
     ups = [Upstream(f"c{at}", "abc"[at % 3], ("10.0.0.1", at)) for at in range(19)]
     firsts = [preferred(f"s{at}", "a", ups) for at in range(600)]
     assert all([one.region for one in found][:7] == ["a"] * 7 for found in firsts)
-    counts = {name: sum(found[0].name == name for found in firsts) for name in {found[0].name for found in firsts}}
+    counts = {
+        name: sum(found[0].name == name for found in firsts)
+        for name in {found[0].name for found in firsts}
+    }
     assert len(counts) == 7 and max(counts.values()) < 130 and min(counts.values()) > 50
     lost = [found for found in firsts if found[0].name == "c0"]
     nexts = {found[1].name for found in lost}
@@ -631,7 +888,11 @@
     world.run(15)
     assert not world.agreed()
     sources = [world.nodes[name].source for name in names]
-    assert [len(one.followers) for one in sources if one] == [4, 4, 4] and sources[0] and sources[0].counts.redirects > 7
+    assert (
+        [len(one.followers) for one in sources if one] == [4, 4, 4]
+        and sources[0]
+        and sources[0].counts.redirects > 7
+    )
     held = {name: upstream_of(world, name) for name in world.nodes if name.startswith("server")}
     world.run(40)
     assert held == {name: upstream_of(world, name) for name in held}
@@ -650,7 +911,9 @@
     world.run(5)
     before = world.spend()
     world.run(20)
-    sent = sorted(world.nodes[f"server-{at}"].spent[0] - before[f"server-{at}"][0] for at in range(3))
+    sent = sorted(
+        world.nodes[f"server-{at}"].spent[0] - before[f"server-{at}"][0] for at in range(3)
+    )
     assert sent[-1] < 20 * 6, sent
 
 
@@ -681,25 +944,37 @@
     for _ in range(30):
         change(world)
         world.run(1)
-    assert node.follower.state is State.ALONE and node.replica.table.digest() == held and node.replica.head == before
+    assert (
+        node.follower.state is State.ALONE
+        and node.replica.table.digest() == held
+        and node.replica.head == before
+    )
     told = summary(node.follower, world.now)
     assert told["state"] == "alone" and 29_000 < (node.follower.age(world.now) or 0) < 32_000
     assert told["age_ms"] == node.follower.age(world.now)
     world.cut.clear()
     taken = node.follower.counts.taken
     world.run(4)
-    assert not world.agreed() and node.follower.counts.taken - taken == 30 and node.follower.counts.syncs == 1
+    assert (
+        not world.agreed()
+        and node.follower.counts.taken - taken == 30
+        and node.follower.counts.syncs == 1
+    )
     assert (node.follower.age(world.now) or 0) < 1500
 
 
-def test_the_age_of_a_source_that_lost_its_store_reaches_its_followers_who_find_a_fresher_one() -> None:
+def test_the_age_of_a_source_that_lost_its_store_reaches_its_followers_who_find_a_fresher_one() -> (
+    None
+):
     world = World(1, (0.001, 0.02))
     fleet(world, 3)
     world.run(5)
     world.nodes["control-a0"].store = False
     change(world)
     world.run(12)
-    assert upstream_of(world) != "control-a0" and not world.agreed(["server-0", "server-1", "server-2"])
+    assert upstream_of(world) != "control-a0" and not world.agreed(
+        ["server-0", "server-1", "server-2"]
+    )
     world.nodes["control-a0"].store = True
     world.run(15)
     assert upstream_of(world) == "control-a0"
@@ -742,7 +1017,11 @@
         assert control.replica.take(world.truth.changes[1, number]) is None
     control.seen = (1, 4)
     world.run(20)
-    assert node.replica.head == before and node.follower is not None and (node.follower.age(world.now) or 0) > 18_000
+    assert (
+        node.replica.head == before
+        and node.follower is not None
+        and (node.follower.age(world.now) or 0) > 18_000
+    )
     assert node.follower.counts.syncs == 1
     control.store = True
     change(world)
@@ -762,14 +1041,19 @@
         world.run(0.25)
     world.run(8)
     assert not world.agreed()
-    ages = [world.nodes[name].follower.age(world.now) for name in ("relay-0", "relay-1", "relay-2", "server-0")]  # type: ignore[union-attr]
+    ages = [
+        world.nodes[name].follower.age(world.now)
+        for name in ("relay-0", "relay-1", "relay-2", "server-0")
+    ]  # type: ignore[union-attr]
     assert max(age or 10**6 for age in ages) < 6000
     world.cut = {("control-a0", "relay-0")}
     world.run(60)
     follower = world.nodes["server-0"].follower
     assert follower is not None and 59_000 < (follower.age(world.now) or 0) < 66_000
     told = summary_of_source(world.nodes["relay-2"].source, world.now)  # type: ignore[arg-type]
-    assert told["followers"] == 3 and told["age_ms"] == world.nodes["relay-2"].follower.age(world.now)  # type: ignore[union-attr]
+    assert told["followers"] == 3 and told["age_ms"] == world.nodes["relay-2"].follower.age(
+        world.now
+    )  # type: ignore[union-attr]
 
 
 def test_a_relay_refuses_scopes_that_it_does_not_hold() -> None:
@@ -787,7 +1071,9 @@
 def pair() -> tuple[Source, Follower]:
     one, two = empty(None), Replica(Table(("", "a")), [SIGN])
     source = Source(one, "source", LIFE, (SEAL,), Terms(), Random(1), NOW, lambda now: 0)
-    follower = Follower(two, "server", LIFE, "a", [Upstream("source", "a", HERE)], (SEAL,), Terms(), Random(1), NOW)
+    follower = Follower(
+        two, "server", LIFE, "a", [Upstream("source", "a", HERE)], (SEAL,), Terms(), Random(1), NOW
+    )
     return source, follower
 
 
@@ -812,18 +1098,47 @@
     before = follower.replica.head, follower.replica.table.digest(), follower.state
     good = seal(Sender("source", LIFE, 0), m.Pushed(history(1)[0]), SEAL)
     text = msgpack.packb([0, 9, "n", 1, 1])
-    for data, reason in [(seal(Sender("source", LIFE, 0), m.Pushed(history(1)[0]), b"another key" * 2), "not sealed with our key"),
-            (m.mark_of(SEAL, text) + text, "an older version"), (good + b"x" * 1400, "too long"), (good[:-1], "not sealed with our key"),
-            (b"", "too short"), (seal(Sender("source", LIFE, 0), m.Pull(1, 1, 1), SEAL), "nothing for a follower"),
-            (seal(Sender("source", LIFE, 5), m.Told(first_head(9, 0), 0, False, 0), SEAL), "a HEAD that was not asked for"),
-            (seal(Sender("other", LIFE, 5), m.Told(first_head(9, 0), 0, False, 0), SEAL), "a HEAD of another"),
-            (seal(Sender("source", LIFE, 5), m.Redirect("full"), SEAL), "a REDIRECT that was not asked for"),
-            (seal(Sender("source", LIFE - 1, 0), m.Redirect("leaving"), SEAL), "a REDIRECT that was not asked for"),
-            (seal(Sender("source", LIFE, 5), m.Digests(first_head(9, 0), 0, (0,) * 128), SEAL), "DIGESTS that were not asked for"),
-            (seal(Sender("source", LIFE, 0), m.Pushed(history(1, epoch=2)[0]), SEAL), "a change of another epoch")]:
+    for data, reason in [
+        (
+            seal(Sender("source", LIFE, 0), m.Pushed(history(1)[0]), b"another key" * 2),
+            "not sealed with our key",
+        ),
+        (m.mark_of(SEAL, text) + text, "an older version"),
+        (good + b"x" * 1400, "too long"),
+        (good[:-1], "not sealed with our key"),
+        (b"", "too short"),
+        (seal(Sender("source", LIFE, 0), m.Pull(1, 1, 1), SEAL), "nothing for a follower"),
+        (
+            seal(Sender("source", LIFE, 5), m.Told(first_head(9, 0), 0, False, 0), SEAL),
+            "a HEAD that was not asked for",
+        ),
+        (
+            seal(Sender("other", LIFE, 5), m.Told(first_head(9, 0), 0, False, 0), SEAL),
+            "a HEAD of another",
+        ),
+        (
+            seal(Sender("source", LIFE, 5), m.Redirect("full"), SEAL),
+            "a REDIRECT that was not asked for",
+        ),
+        (
+            seal(Sender("source", LIFE - 1, 0), m.Redirect("leaving"), SEAL),
+            "a REDIRECT that was not asked for",
+        ),
+        (
+            seal(Sender("source", LIFE, 5), m.Digests(first_head(9, 0), 0, (0,) * 128), SEAL),
+            "DIGESTS that were not asked for",
+        ),
+        (
+            seal(Sender("source", LIFE, 0), m.Pushed(history(1, epoch=2)[0]), SEAL),
+            "a change of another epoch",
+        ),
+    ]:
         was = follower.counts.refused.get(reason, 0)
         follower.hear(NOW, data, HERE)
-        assert follower.counts.refused.get(reason) == was + 1 and follower.refusals[-1] == (reason, HERE)
+        assert follower.counts.refused.get(reason) == was + 1 and follower.refusals[-1] == (
+            reason,
+            HERE,
+        )
         assert (follower.replica.head, follower.replica.table.digest(), follower.state) == before
     follower.hear(NOW, good, HERE)
     assert follower.replica.head == head_of(history(1)[0])
@@ -840,14 +1155,27 @@
     for body in (m.Pull(1, 0, 32), m.DigestsAsk(), m.PagesAsk(0, None, 4), m.Bye()):
         source.hear(NOW, seal(stranger, body, SEAL), HERE)
     source.hear(NOW, seal(Sender("server", LIFE - 1, 1), m.Report(None, 1, 1, 1), SEAL), HERE)
-    assert not source.out and source.counts.refused["an older life"] == 1 and "server" in source.followers
+    assert (
+        not source.out
+        and source.counts.refused["an older life"] == 1
+        and "server" in source.followers
+    )
 
 
 def test_an_answer_to_an_earlier_life_says_nothing_to_a_later_one() -> None:
     source, follower = pair()
     answers = [data for data in exchange(source, follower, NOW) if not to_source(data)]
-    later = Follower(Replica(Table(("", "a")), [SIGN]), "server", LIFE + 5, "a", [Upstream("source", "a", HERE)], (SEAL,),
-        Terms(), Random(1), NOW)
+    later = Follower(
+        Replica(Table(("", "a")), [SIGN]),
+        "server",
+        LIFE + 5,
+        "a",
+        [Upstream("source", "a", HERE)],
+        (SEAL,),
+        Terms(),
+        Random(1),
+        NOW,
+    )
     later.tick(NOW)
     for data in answers:
         later.hear(NOW, data, HERE)
@@ -863,7 +1191,11 @@
     for number in range(200):
         follower.refuse(f"reason {number}", HERE)
         source.refuse(f"reason {number}", HERE)
-    assert len(follower.counts.refused) <= 65 and len(source.counts.refused) <= 65 and len(follower.refusals) == 32
+    assert (
+        len(follower.counts.refused) <= 65
+        and len(source.counts.refused) <= 65
+        and len(follower.refusals) == 32
+    )
     for at in range(1000):
         source.hear(NOW, seal(Sender(f"s{at}", LIFE, 1), m.Report(None, 1, 1, 1), SEAL), HERE)
     assert len(source.followers) == 400
@@ -879,12 +1211,18 @@
     source, _ = pair()
     source.terms = Terms(page_rate=10_000, page_burst=5000)
     source.tokens = 5000.0
-    source.replica.table.put([Entry("", "tenant", f"t{at}", msgpack.packb({"x": "y" * 400})) for at in range(250)])
+    source.replica.table.put(
+        [Entry("", "tenant", f"t{at}", msgpack.packb({"x": "y" * 400})) for at in range(250)]
+    )
     source.hear(NOW, seal(Sender("s", LIFE, 1), m.Report(None, 0, 0, 0), SEAL), HERE)
     heard = 0
     for number in range(300):
         source.followers["s"].until = NOW + 10**12
-        source.hear(NOW + number * 10 * MS, seal(Sender("s", LIFE, 2 + number), m.PagesAsk(number % 256, None, 4), SEAL), HERE)
+        source.hear(
+            NOW + number * 10 * MS,
+            seal(Sender("s", LIFE, 2 + number), m.PagesAsk(number % 256, None, 4), SEAL),
+            HERE,
+        )
         while source.out:
             heard += len(source.out.popleft()[1])
     assert heard < 5000 + 10_000 * 3 + 1400 and source.counts.held_back
@@ -892,7 +1230,10 @@
 
 def test_terms_and_upstreams_that_cannot_be_are_refused() -> None:
     assert Terms().faults() == []
-    assert Terms(retry=3000 * MS, beat=0).faults() == ["beat: 0, 1 at least", "retry: not under silence"]
+    assert Terms(retry=3000 * MS, beat=0).faults() == [
+        "beat: 0, 1 at least",
+        "retry: not under silence",
+    ]
     with pytest.raises(ValueError, match="0 upstreams"):
         Follower(empty(), "s", LIFE, "a", [], (SEAL,), Terms(), Random(1), NOW)
 
@@ -912,8 +1253,13 @@
     while follower.out or source.out:
         while follower.out:
             data = follower.out.popleft()[1]
-            if type(unseal(data, (SEAL,)).body) is m.PagesAsk and source.replica.head == head_of(listed[0]):
-                assert source.replica.take(listed[1]) is None and source.replica.take(listed[2]) is None
+            if type(unseal(data, (SEAL,)).body) is m.PagesAsk and source.replica.head == head_of(
+                listed[0]
+            ):
+                assert (
+                    source.replica.take(listed[1]) is None
+                    and source.replica.take(listed[2]) is None
+                )
             source.hear(NOW, data, HERE)
         while source.out:
             data = source.out.popleft()[1]
@@ -976,6 +1322,7 @@
     def meet(self: Follower, now: int, what: Input) -> None:
         met.add((self.state, what))
         was(self, now, what)
+
     Follower.meet = meet  # type: ignore[method-assign]
     try:
         for _ in range(200):
@@ -986,7 +1333,10 @@
             test_a_sync_that_lost_its_source_is_done_anew_and_takes_nothing_back(in_force)
         heal(world)
         for _ in range(20):  # newcomers while much changes, and control machines that go
-            node, control = world.nodes["server-0"], world.nodes[f"control-{world.chance.choice(['a0', 'b1', 'c2'])}"]
+            node, control = (
+                world.nodes["server-0"],
+                world.nodes[f"control-{world.chance.choice(['a0', 'b1', 'c2'])}"],
+            )
             node.start()
             control.up = world.chance.random() < 0.5
             if control.up:
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -76,7 +76,11 @@
     """A tenant that is added is served without a restart, one that is removed is refused; a region's own
     only there."""
     north, south = made.nodes[0], made.nodes[1]
-    assert await north.serves("acme") and not await north.serves("new") and await north.serves("only-north")
+    assert (
+        await north.serves("acme")
+        and not await north.serves("new")
+        and await north.serves("only-north")
+    )
     assert not await south.serves("only-north") and await south.serves("only-south")
     assert "1 changes taken" in await made.put(tenant("new", portion=1))
     await made.reaches()
@@ -86,16 +90,21 @@
     assert not any([await node.serves("acme") for node in made.nodes])
     # Control machines of the own region are followed.
     await patiently(
-        lambda: follows(made) == {"n0": "c0", "n1": "c1", "n2": "c0", "n3": "c1"}, lambda: follows(made)
+        lambda: follows(made) == {"n0": "c0", "n1": "c1", "n2": "c0", "n3": "c1"},
+        lambda: follows(made),
     )
 
     said = await made.command(north, "show")
     assert (
-        "n0 (server, north): epoch" in said and "current, surely the newest" in said and "follows c0" in said
+        "n0 (server, north): epoch" in said
+        and "current, surely the newest" in said
+        and "follows c0" in said
     )
     await patiently(lambda: made.machines[0].state()["behind"] == 0)
     said = await made.command(made.machines[0], "show")
-    assert "c0 (control, north): epoch" in said and "2 of at most 400 follow, 0 of them behind" in said, said
+    assert (
+        "c0 (control, north): epoch" in said and "2 of at most 400 follow, 0 of them behind" in said
+    ), said
     assert (
         json.loads(await made.command(made.machines[0], "show", "--json"))["lowest_revision"]
         == made.head()[1]
@@ -103,13 +112,22 @@
     # A server asks whom it follows, a control machine its store. Who asks has no door in the relay.
     path = north.folder / "operator.jsonnet"
     path.write_text(
-        path.read_text().replace(made.doors["c0"], "%s:%d" % (made.relay.doors["c0"].target or ("", 0)))
+        path.read_text().replace(
+            made.doors["c0"], "%s:%d" % (made.relay.doors["c0"].target or ("", 0))
+        )
     )
     for asked in (north, made.machines[0]):
         said = await made.command(asked, "explain", "tenant", "blue")
-        assert 'tenant blue: {"portion": 9}, of north' in said and "in force" in said.splitlines()[1], said
-        assert 'tenant blue: {"portion": 2.5}, of everywhere' in said and "hidden by the region's own" in said
-        assert "tenant acme: not in force in north" in await made.command(asked, "explain", "tenant", "acme")
+        assert (
+            'tenant blue: {"portion": 9}, of north' in said and "in force" in said.splitlines()[1]
+        ), said
+        assert (
+            'tenant blue: {"portion": 2.5}, of everywhere' in said
+            and "hidden by the region's own" in said
+        )
+        assert "tenant acme: not in force in north" in await made.command(
+            asked, "explain", "tenant", "acme"
+        )
 
 
 @world(control=1, servers=0)
@@ -155,7 +173,9 @@
         "nothing was taken",
     ):
         assert part in said, (part, said)
-    said = await made.put({"entries": [{"kind": "tenant", "key": "p", "value": {"portion": -1}}]}, status=2)
+    said = await made.put(
+        {"entries": [{"kind": "tenant", "key": "p", "value": {"portion": -1}}]}, status=2
+    )
     assert "line 1: entries[0].value.portion: -1 is no number over 0" in said
     assert made.head() == before and not await made.nodes[0].serves("good")
 
@@ -206,7 +226,9 @@
     await gone.start()
     await made.put(tenant("awake"), by=rest[0])
     await made.reaches()
-    await patiently(lambda: all(one.state().get("revision") == made.head()[1] for one in made.machines))
+    await patiently(
+        lambda: all(one.state().get("revision") == made.head()[1] for one in made.machines)
+    )
 
 
 @world(2, 4)
@@ -240,7 +262,9 @@
         await made.put(tenant("more", both=both))
         await made.reaches(*(node for node in made.nodes if node not in cut))
         await patiently(
-            lambda: all(node.state()["state"] == "alone" and node.state()["age_ms"] > 2000 for node in cut),
+            lambda: all(
+                node.state()["state"] == "alone" and node.state()["age_ms"] > 2000 for node in cut
+            ),
             lambda: [node.state() for node in cut],
         )
         assert all(node.state()["revision"] == before for node in cut)
@@ -248,7 +272,9 @@
         made.relay.heal()
         await made.reaches()
         await patiently(
-            lambda: all(node.state()["state"] == "current" and node.state()["age_ms"] < 2000 for node in cut),
+            lambda: all(
+                node.state()["state"] == "current" and node.state()["age_ms"] < 2000 for node in cut
+            ),
             lambda: [node.state() for node in cut],
         )
         assert await cut[0].serves(f"cut-{both}") and await cut[0].serves("south-too")
@@ -275,7 +301,10 @@
     assert "1 changes taken" in await putting
     await made.reaches()
     await patiently(
-        lambda: all(one.state()["follows"] is None and not one.state()["store_away"] for one in made.machines)
+        lambda: all(
+            one.state()["follows"] is None and not one.state()["store_away"]
+            for one in made.machines
+        )
     )
     await patiently(lambda: all(node.state()["age_ms"] < 2000 for node in made.nodes))
     made.postgres.orders.reset_after_commit = 1  # taken, and nobody is told
@@ -298,7 +327,9 @@
     await patiently(lambda: set(follows(made).values()) == {"c0"}, lambda: follows(made))
     await made.put(tenant("by-peers"), by=1)
     await made.reaches()
-    assert lost.state()["role"] == "relay" and all(node.state()["age_ms"] < 5000 for node in made.nodes)
+    assert lost.state()["role"] == "relay" and all(
+        node.state()["age_ms"] < 5000 for node in made.nodes
+    )
     await patiently(lambda: lost.state()["followers"] == 3)
     made.relay.heal()
 
@@ -309,7 +340,9 @@
     files = []
     for name, count in (("one", 300), ("two", 300), ("three", 1500)):
         files.append(made.folder / f"{name}.jsonl")
-        files[-1].write_text("".join(json.dumps(tenant(f"{name}-{n}")) + "\n" for n in range(count)))
+        files[-1].write_text(
+            "".join(json.dumps(tenant(f"{name}-{n}")) + "\n" for n in range(count))
+        )
     before = made.head()[1]
 
     async def put(file: Path, by: int) -> asyncio.subprocess.Process:
@@ -326,7 +359,9 @@
             stdout=asyncio.subprocess.DEVNULL,
         )
 
-    first, second, killed = await asyncio.gather(put(files[0], 0), put(files[1], 1), put(files[2], 0))
+    first, second, killed = await asyncio.gather(
+        put(files[0], 0), put(files[1], 1), put(files[2], 0)
+    )
 
     def taken(name: str) -> int:
         ((count,),) = made.rows(
@@ -342,7 +377,9 @@
     part = taken("three")
     assert 10 < part < 1500
     assert made.head()[1] == before + 600 + part
-    revisions = [one for (one,) in made.rows("SELECT revision FROM distribution_change ORDER BY revision")]
+    revisions = [
+        one for (one,) in made.rows("SELECT revision FROM distribution_change ORDER BY revision")
+    ]
     assert revisions == list(range(1, made.head()[1] + 1))
     for name, count in (("one", 300), ("two", 300), ("three", part)):
         made.model.update({("", "tenant", f"{name}-{n}"): {} for n in range(count)})
@@ -359,10 +396,13 @@
     assert not await node.serves("blue") and await node.serves("acme")
     revision, text = made.head()[1], node.folder / "metrics"
     await patiently(
-        lambda: f"burlloom_distribution_revision {float(revision)}\n" in text.read_text(), text.read_text
+        lambda: f"burlloom_distribution_revision {float(revision)}\n" in text.read_text(),
+        text.read_text,
     )
     said = text.read_text()
-    assert "burlloom_distribution_in_force 1.0" in said and "burlloom_distribution_tenants 2.0" in said
+    assert (
+        "burlloom_distribution_in_force 1.0" in said and "burlloom_distribution_tenants 2.0" in said
+    )
     assert "burlloom_levels_level" in said and "burlloom_distribution_taken_total 1.0" in said
     (age,) = re.findall(r"^burlloom_distribution_age_seconds (\S+)$", said, re.MULTILINE)
     assert 0 <= float(age) < 5
@@ -401,7 +441,8 @@
     reason = "not sealed with our key"
     await patiently(lambda: made.machines[0].state()["counts"]["refused"].get(reason, 0) > 2)
     assert (
-        "event=distribution-not-in-force" in stranger.log() and f"reason='{reason}'" in made.machines[0].log()
+        "event=distribution-not-in-force" in stranger.log()
+        and f"reason='{reason}'" in made.machines[0].log()
     )
     assert "n2" not in made.machines[0].log() and stranger.state()["revision"] is None
     await patiently(lambda: stranger.state()["state"] == "alone", stranger.state)
@@ -424,7 +465,9 @@
     chained = bytes(before) + b"%d %d %d " % (epoch, revision + 1, time_ms) + digest
     for key, refused in ((b"\xaa" * 32, True), (bytes.fromhex(SIGNING), False)):
         tag = hashlib.blake2b(chained, key=key, digest_size=16).digest()
-        text = msgpack.packb([1, 2, "c0", 1, 0, epoch, revision + 1, time_ms, "", body, tag, digest])
+        text = msgpack.packb(
+            [1, 2, "c0", 1, 0, epoch, revision + 1, time_ms, "", body, tag, digest]
+        )
         letter = hashlib.blake2b(text, key=bytes.fromhex(KEY), digest_size=16).digest() + text
         if not refused:
             break  # whoever has both keys is one of us: it is not sent
@@ -533,7 +576,11 @@
     path = tmp_path / "operator.jsonnet"
     told = {
         **told,
-        **({"signing_key_file": str(tmp_path / "short")} if told.get("signing_key_file") == "short" else {}),
+        **(
+            {"signing_key_file": str(tmp_path / "short")}
+            if told.get("signing_key_file") == "short"
+            else {}
+        ),
     }
     path.write_text(
         json.dumps(
--- a/tests/test_distribution_stores.py
+++ b/tests/test_distribution_stores.py
@@ -34,13 +34,17 @@
     return chained(before, scope, encode(Entry(scope, *one) for one in told), 5, SIGNING)
 
 
-async def append(store: ChangeStore, *told: tuple[str, str, bytes | None], scope: str = "") -> Change:
+async def append(
+    store: ChangeStore, *told: tuple[str, str, bytes | None], scope: str = ""
+) -> Change:
     made = change(await store.head(), *told, scope=scope)
     assert await store.append(made)
     return made
 
 
-async def all_of(store: ChangeStore, most: int) -> dict[tuple[str, str, str], tuple[bytes | None, int]]:
+async def all_of(
+    store: ChangeStore, most: int
+) -> dict[tuple[str, str, str], tuple[bytes | None, int]]:
     found, after = {}, None
     while page := await store.entries(after, most):
         assert len(page) <= most
@@ -55,15 +59,26 @@
     await asyncio.gather(first.open(), second.open())  # at once: one of them makes the tables
     head = await first.head()
     assert head == await second.head() and head.revision == 0 and head.epoch > 1_700_000_000_000
-    one, other = change(head, ("tenant", "a", value(portion=1))), change(head, ("tenant", "b", value()))
+    one, other = (
+        change(head, ("tenant", "a", value(portion=1))),
+        change(head, ("tenant", "b", value())),
+    )
     assert await second.append(one)
     assert not await first.append(other), "written over what another wrote"
-    assert await first.head() == head_of(one) and await first.at(1) == one and await first.at(2) is None
+    assert (
+        await first.head() == head_of(one)
+        and await first.at(1) == one
+        and await first.at(2) is None
+    )
     assert not await second.append(one), "the same once more"
-    two = await append(first, ("tenant", "c", value()), ("tenant", "a", None), ("route", "é", value(to="x")))
+    two = await append(
+        first, ("tenant", "c", value()), ("tenant", "a", None), ("route", "é", value(to="x"))
+    )
     three = await append(second, ("tenant", "c", value(portion=2.5)), scope="north")
     assert await first.since(0, 2) == [one, two] and await second.since(1, 9) == [two, three]
-    assert break_of(head_of(one), two, (SIGNING,)) == break_of(head_of(two), three, (SIGNING,)) == ""
+    assert (
+        break_of(head_of(one), two, (SIGNING,)) == break_of(head_of(two), three, (SIGNING,)) == ""
+    )
     assert await all_of(first, 1) == {
         ("", "route", "é"): (value(to="x"), 2),
         ("", "tenant", "c"): (value(), 2),
@@ -95,7 +110,9 @@
     new = await second.head()
     assert new.epoch > seen.epoch and new.revision == 0 and await first.since(0, 9) == []
     assert len(await all_of(second, 7)) == 3 + 20
-    assert not await first.append(change(seen, ("tenant", "z", value()))), "of an epoch that is over"
+    assert not await first.append(change(seen, ("tenant", "z", value()))), (
+        "of an epoch that is over"
+    )
     assert (await append(first, ("tenant", "z", value()))).revision == 1
 
 
@@ -218,7 +235,9 @@
         key.write_text(KEY)
         key.chmod(0o600)
         told = Place(
-            postgres=Database(address=server.address, key_file=str(key), hang_ms=300, connect_ms=500)
+            postgres=Database(
+                address=server.address, key_file=str(key), hang_ms=300, connect_ms=500
+            )
         )
         first, second = (Postgres(store_of(told, "-", keep=0)[0]) for _ in range(2))  # type: ignore[arg-type]
         await promises(first, second)
@@ -247,12 +266,16 @@
 
 def test_a_change_waits_for_a_lock_that_others_have(tmp_path: Path) -> None:
     """Found taken a hundred times, and then had; past its time the store is away, and nothing was written."""
+
     async def play() -> None:
         store = Sqlite(tmp_path / "changes.db")
         await store.open()
         held = Held(tmp_path / "changes.db", 1.9)
         store.turns = held.turns()
-        assert await store.append(change(await store.head(), ("tenant", "a", value()))) and held.looks >= 100
+        assert (
+            await store.append(change(await store.head(), ("tenant", "a", value())))
+            and held.looks >= 100
+        )
         held = Held(tmp_path / "changes.db", 9.0)
         store.turns = held.turns()
         with pytest.raises(Away, match="database is locked"):
@@ -260,4 +283,5 @@
         assert 2.0 <= held.now < 2.1 and (await store.head()).revision == 1
         held.db.close()
         await store.close()
+
     asyncio.run(play())
--- a/tests/test_distribution_table.py
+++ b/tests/test_distribution_table.py
@@ -9,8 +9,17 @@
 
 from burlloom.distribution import table as module
 from burlloom.distribution.changes import KEY_MOST, KINDS, SCOPE_MOST, VALUE_MOST, Entry
-from burlloom.distribution.table import (BUCKETS, ENTRY_BYTES, PUT_MOST, SCOPES_MOST, Page, Table, Tenants,
-                                         bucket_of, digest_of_entry)
+from burlloom.distribution.table import (
+    BUCKETS,
+    ENTRY_BYTES,
+    PUT_MOST,
+    SCOPES_MOST,
+    Page,
+    Table,
+    Tenants,
+    bucket_of,
+    digest_of_entry,
+)
 
 REGION = "north"
 SCOPES = ("", REGION)
@@ -51,8 +60,11 @@
         return None
 
     def bucket(self, bucket: int, scopes: Iterable[str]) -> list[Entry]:
-        return [Entry(*place, value) for place, value in sorted(self.rows.items())
-                if place[0] in set(scopes) and bucket_of(*place[1:]) == bucket]
+        return [
+            Entry(*place, value)
+            for place, value in sorted(self.rows.items())
+            if place[0] in set(scopes) and bucket_of(*place[1:]) == bucket
+        ]
 
     def digests(self, scopes: Iterable[str]) -> tuple[int, ...]:
         whole = [0] * BUCKETS
@@ -62,7 +74,9 @@
         return tuple(whole)
 
 
-def whole(table: Table, bucket: int, scopes: Iterable[str] | None, most: int = ENTRY_BYTES) -> list[Entry]:
+def whole(
+    table: Table, bucket: int, scopes: Iterable[str] | None, most: int = ENTRY_BYTES
+) -> list[Entry]:
     found: list[Entry] = []
     after = None
     while True:
@@ -93,13 +107,22 @@
     assert table.digest() == table.digest_of(SCOPES) == table.digest_of(None)
 
 
-key = st.one_of(st.sampled_from(CROWDED), st.text(st.characters(codec="utf-8"), min_size=1, max_size=8))
-value = st.one_of(st.none(), st.binary(max_size=40), st.just(b"\xfft1\xff"), st.just(b"x" * VALUE_MOST))
+key = st.one_of(
+    st.sampled_from(CROWDED), st.text(st.characters(codec="utf-8"), min_size=1, max_size=8)
+)
+value = st.one_of(
+    st.none(), st.binary(max_size=40), st.just(b"\xfft1\xff"), st.just(b"x" * VALUE_MOST)
+)
 entry = st.builds(Entry, st.sampled_from(SCOPES), st.sampled_from(KINDS), key, value)
-crowd = st.builds(lambda scope, start, count, value: [Entry(scope, "tenant", one, value)
-                                                      for one in CROWDED[start:start + count]],
-                  st.sampled_from(SCOPES), st.integers(0, 199), st.integers(1, 200),
-                  st.one_of(st.none(), st.binary(max_size=9)))
+crowd = st.builds(
+    lambda scope, start, count, value: [
+        Entry(scope, "tenant", one, value) for one in CROWDED[start : start + count]
+    ],
+    st.sampled_from(SCOPES),
+    st.integers(0, 199),
+    st.integers(1, 200),
+    st.one_of(st.none(), st.binary(max_size=9)),
+)
 puts = st.one_of(st.lists(entry, max_size=64), crowd)
 
 
@@ -115,8 +138,11 @@
     for one in named | {("tenant", one) for one in CROWDED[:9]}:
         assert table.get(*one) == model.get(*one)
         assert table.has(*one) == (model.get(*one) is not None)
-        assert table.held(*one) == [Entry(scope, *one, model.rows[scope, *one])
-                                    for scope in SCOPES if (scope, *one) in model.rows]
+        assert table.held(*one) == [
+            Entry(scope, *one, model.rows[scope, *one])
+            for scope in SCOPES
+            if (scope, *one) in model.rows
+        ]
     for bucket in {7} | {bucket_of(*place[1:]) for place in model.rows}:
         for scopes in (("",), (REGION,), SCOPES):
             assert whole(table, bucket, scopes) == model.bucket(bucket, scopes)
@@ -125,13 +151,16 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(puts, max_size=8), st.lists(puts, max_size=8), st.integers(ENTRY_BYTES, 3_000))
-def test_pages_of_another_table_make_it_the_same(ours: list[list[Entry]], theirs: list[list[Entry]],
-                                                 most: int) -> None:
+def test_pages_of_another_table_make_it_the_same(
+    ours: list[list[Entry]], theirs: list[list[Entry]], most: int
+) -> None:
     """Only the buckets that differ are laid anew, and the count is of the entries that differed."""
     there, here, model = Table(None), Table(SCOPES), Model(SCOPES)
     for entries in theirs:
         there.put(entries)
-    there.put([Entry("south", "tenant", one, b"\x80") for one in CROWDED[:9]])  # a scope not held here
+    there.put(
+        [Entry("south", "tenant", one, b"\x80") for one in CROWDED[:9]]
+    )  # a scope not held here
     for entries in ours:
         here.put(entries)
         model.put(entries)
@@ -151,14 +180,20 @@
     for bucket in range(BUCKETS):
         after_all.put(whole(there, bucket, SCOPES))
     same(here, after_all)
-    assert differed == len({place for place in {*before, *after_all.rows}
-                            if before.get(place) != after_all.rows.get(place)})
+    assert differed == len(
+        {
+            place
+            for place in {*before, *after_all.rows}
+            if before.get(place) != after_all.rows.get(place)
+        }
+    )
 
 
 @settings(max_examples=60, deadline=None)
 @given(crowd, crowd, st.integers(0, 199))
-def test_a_page_touches_nothing_outside_of_its_range(ours: list[Entry], theirs: list[Entry],
-                                                     start: int) -> None:
+def test_a_page_touches_nothing_outside_of_its_range(
+    ours: list[Entry], theirs: list[Entry], start: int
+) -> None:
     here, there, model = Table(SCOPES), Table(SCOPES), Model(SCOPES)
     for table, entries in ((here, ours), (there, theirs)):
         table.put(entries)
@@ -166,16 +201,24 @@
     after = ("", "tenant", sorted(CROWDED)[start])
     page = there.page(7, after, SCOPES, ENTRY_BYTES)
     here.replace(7, after, page)
-    outside = [one for one in model.bucket(7, SCOPES)
-               if one[:3] <= after or not page.done and page.last is not None and one[:3] > page.last]
+    outside = [
+        one
+        for one in model.bucket(7, SCOPES)
+        if one[:3] <= after or not page.done and page.last is not None and one[:3] > page.last
+    ]
     expected = sorted([*outside, *page.entries])
     assert whole(here, 7, SCOPES) == expected
 
 
 def test_the_own_region_comes_before_everywhere() -> None:
     table = Table(SCOPES)
-    table.put([Entry("", "tenant", "a", b"1"), Entry(REGION, "tenant", "a", b"2"),
-               Entry("", "tenant", "b", b"3")])
+    table.put(
+        [
+            Entry("", "tenant", "a", b"1"),
+            Entry(REGION, "tenant", "a", b"2"),
+            Entry("", "tenant", "b", b"3"),
+        ]
+    )
     assert (table.get("tenant", "a"), table.get("tenant", "b")) == (b"2", b"3")
     assert (table.count("tenant"), table.entries()) == (2, 3)
     table.put([Entry(REGION, "tenant", "a", None)])
@@ -184,7 +227,9 @@
 
 def test_a_control_machine_holds_every_scope() -> None:
     table = Table(None)
-    table.put([Entry("", "route", "a", b"1"), *(Entry(f"r{n}", "route", "a", b"2") for n in range(6))])
+    table.put(
+        [Entry("", "route", "a", b"1"), *(Entry(f"r{n}", "route", "a", b"2") for n in range(6))]
+    )
     assert (table.get("route", "a"), table.count("route")) == (b"1", 1)
     assert (table.entries(), len(table.held("route", "a"))) == (7, 7)
     with pytest.raises(ValueError, match="scopes: over"):
@@ -192,18 +237,25 @@
     assert table.entries() == 7
 
 
-@pytest.mark.parametrize("wrong, reason", [
-    (Entry("", "tenant", "k" * (KEY_MOST + 1), b""), "key: 129 bytes, 1 to 128 allowed"),
-    (Entry("", "tenant", "é" * 65, b""), "key: 130 bytes"),
-    (Entry("", "tenant", "", b""), "key: 0 bytes"),
-    (Entry("", "tenant", "\ud800", b""), "key: not text of UTF-8"),
-    (Entry("", "tenant", 7, b""), "key: not text of UTF-8"),  # type: ignore[arg-type]
-    (Entry("", "tenant", "k", b"v" * (VALUE_MOST + 1)), "value: 513 bytes, at most 512 allowed"),
-    (Entry("", "tenant", "k", "text"), "value: not bytes"),  # type: ignore[arg-type]
-    (Entry("", ["route"], "k", b""), "kind: ['route'] is none of"),  # type: ignore[arg-type]
-    (Entry("", "caller", "k", b""), "kind: 'caller' is none of route, setting, tenant"),
-    (Entry("s" * (SCOPE_MOST + 1), "tenant", "k", b""), "scope: 65 bytes"),
-    (Entry("south", "tenant", "k", b""), "scope: 'south' is not held here")])
+@pytest.mark.parametrize(
+    "wrong, reason",
+    [
+        (Entry("", "tenant", "k" * (KEY_MOST + 1), b""), "key: 129 bytes, 1 to 128 allowed"),
+        (Entry("", "tenant", "é" * 65, b""), "key: 130 bytes"),
+        (Entry("", "tenant", "", b""), "key: 0 bytes"),
+        (Entry("", "tenant", "\ud800", b""), "key: not text of UTF-8"),
+        (Entry("", "tenant", 7, b""), "key: not text of UTF-8"),  # type: ignore[arg-type]
+        (
+            Entry("", "tenant", "k", b"v" * (VALUE_MOST + 1)),
+            "value: 513 bytes, at most 512 allowed",
+        ),
+        (Entry("", "tenant", "k", "text"), "value: not bytes"),  # type: ignore[arg-type]
+        (Entry("", ["route"], "k", b""), "kind: ['route'] is none of"),  # type: ignore[arg-type]
+        (Entry("", "caller", "k", b""), "kind: 'caller' is none of route, setting, tenant"),
+        (Entry("s" * (SCOPE_MOST + 1), "tenant", "k", b""), "scope: 65 bytes"),
+        (Entry("south", "tenant", "k", b""), "scope: 'south' is not held here"),
+    ],
+)
 def test_what_cant_be_held_is_refused_whole_with_its_place(wrong: Entry, reason: str) -> None:
     table = Table(SCOPES)
     with pytest.raises(ValueError) as caught:
@@ -214,9 +266,16 @@
 
 
 def test_all_faults_are_told_at_once() -> None:
-    with pytest.raises(ValueError, match=r"entries\[0\]\.key: .*entries\[0\]\.value: .*entries\[2\]\.kind: "):
-        Table(None).put([Entry("", "tenant", "", b"v" * 600), Entry("", "tenant", "k", b""),
-                         Entry("", "x", "k", b"")])
+    with pytest.raises(
+        ValueError, match=r"entries\[0\]\.key: .*entries\[0\]\.value: .*entries\[2\]\.kind: "
+    ):
+        Table(None).put(
+            [
+                Entry("", "tenant", "", b"v" * 600),
+                Entry("", "tenant", "k", b""),
+                Entry("", "x", "k", b""),
+            ]
+        )
 
 
 def test_more_entries_than_a_put_may_have() -> None:
@@ -237,18 +296,36 @@
     assert len(table.page(3, None, ("",), 1_400).entries) == 2
 
 
-@pytest.mark.parametrize("page, reason", [
-    (Page((Entry("", "tenant", CROWDED[0], None),), ("", "tenant", CROWDED[0]), True), "deletes"),
-    (Page((Entry("", "tenant", CROWDED[0], b""),), None, True), "last: is not the last entry"),
-    (Page((), None, False), "done: a page of nothing"),
-    (Page((), ("", "tenant", "a"), False), "last: is not the last entry"),
-    (Page(tuple(Entry("", "tenant", one, b"") for one in sorted(CROWDED[:3], reverse=True)),
-          ("", "tenant", min(CROWDED[:3])), True),
-     "is not behind the one before"),
-    (Page((Entry("", "tenant", "elsewhere", b""),), ("", "tenant", "elsewhere"), True),
-     "is of another bucket"),
-    (Page((Entry("south", "tenant", CROWDED[0], b""),), ("south", "tenant", CROWDED[0]), True),
-     "is not held here")])
+@pytest.mark.parametrize(
+    "page, reason",
+    [
+        (
+            Page((Entry("", "tenant", CROWDED[0], None),), ("", "tenant", CROWDED[0]), True),
+            "deletes",
+        ),
+        (Page((Entry("", "tenant", CROWDED[0], b""),), None, True), "last: is not the last entry"),
+        (Page((), None, False), "done: a page of nothing"),
+        (Page((), ("", "tenant", "a"), False), "last: is not the last entry"),
+        (
+            Page(
+                tuple(Entry("", "tenant", one, b"") for one in sorted(CROWDED[:3], reverse=True)),
+                ("", "tenant", min(CROWDED[:3])),
+                True,
+            ),
+            "is not behind the one before",
+        ),
+        (
+            Page((Entry("", "tenant", "elsewhere", b""),), ("", "tenant", "elsewhere"), True),
+            "is of another bucket",
+        ),
+        (
+            Page(
+                (Entry("south", "tenant", CROWDED[0], b""),), ("south", "tenant", CROWDED[0]), True
+            ),
+            "is not held here",
+        ),
+    ],
+)
 def test_a_page_that_contradicts_itself_is_refused_whole(page: Page, reason: str) -> None:
     table = Table(SCOPES)
     table.put([Entry("", "tenant", one, b"kept") for one in CROWDED[:20]])
@@ -280,13 +357,13 @@
     keys = keys_of_bucket(9, 3_000)
     table = Table(None)
     for start in range(0, 3_000, 50):
-        table.put([Entry("", "tenant", one, b"v") for one in keys[start:start + 50]])
+        table.put([Entry("", "tenant", one, b"v") for one in keys[start : start + 50]])
     bucket = table.parts[""].buckets[9]
     sizes = [len(module.unpacked(leaf)[0]) for leaf in bucket.leaves]
     assert max(sizes) <= module.LEAF_MOST
     assert min(sizes) >= module.LEAF_LEAST
     for start in range(0, 2_950, 50):
-        table.put([Entry("", "tenant", one, None) for one in keys[start:start + 50]])
+        table.put([Entry("", "tenant", one, None) for one in keys[start : start + 50]])
     assert len(bucket.leaves) <= 50 // module.LEAF_LEAST + 1
     assert sorted(table.keys("tenant")) == sorted(keys[2_950:])
     table.put([Entry("", "tenant", one, None) for one in keys[2_950:]])
@@ -299,8 +376,12 @@
     seen = []
     for number, one in enumerate(table.keys("tenant")):
         seen.append(one)
-        table.put([Entry("", "tenant", f"new{number}", b"v"),
-                   Entry("", "tenant", CROWDED[number % 100], None)])
+        table.put(
+            [
+                Entry("", "tenant", f"new{number}", b"v"),
+                Entry("", "tenant", CROWDED[number % 100], None),
+            ]
+        )
         if number > 5_000:
             pytest.fail("never ends")
     assert [one for one in seen if one in CROWDED[100:]] == sorted(CROWDED[100:])
@@ -310,11 +391,16 @@
     table = Table(SCOPES)
     tenants = Tenants(table)
     assert not tenants
-    table.put([Entry("", "tenant", "a", msgpack.packb({"portion": 2})),
-               Entry(REGION, "tenant", "a", msgpack.packb({"portion": 0.5})),
-               Entry("", "tenant", "b", msgpack.packb({})), Entry("", "route", "c", b"\x80"),
-               Entry("", "tenant", "bad", b"\xc1"),
-               Entry("", "tenant", "word", msgpack.packb({"portion": "much"}))])
+    table.put(
+        [
+            Entry("", "tenant", "a", msgpack.packb({"portion": 2})),
+            Entry(REGION, "tenant", "a", msgpack.packb({"portion": 0.5})),
+            Entry("", "tenant", "b", msgpack.packb({})),
+            Entry("", "route", "c", b"\x80"),
+            Entry("", "tenant", "bad", b"\xc1"),
+            Entry("", "tenant", "word", msgpack.packb({"portion": "much"})),
+        ]
+    )
     assert len(tenants) == 4
     assert sorted(tenants) == ["a", "b", "bad", "word"]
     assert (tenants["a"], tenants["b"], tenants.get("c")) == (0.5, 1.0, None)
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -15,9 +15,11 @@
 from burlloom.lab.fleets import Body, Net, Swarm
 
 OWN = Word("own", "10.0.0.1:1", 5, 0, State.ALIVE)
-WORDS = [Word("m", "10.0.0.2:1", life, incarnation, state)
-         for life, incarnation in product((1, 2), (0, 1))
-         for state in (State.ALIVE, State.SUSPECT, State.DEAD, State.LEFT)]
+WORDS = [
+    Word("m", "10.0.0.2:1", life, incarnation, state)
+    for life, incarnation in product((1, 2), (0, 1))
+    for state in (State.ALIVE, State.SUSPECT, State.DEAD, State.LEFT)
+]
 
 
 def test_words_come_to_the_same_in_any_order() -> None:
@@ -32,9 +34,11 @@
         met.add((before.state, Input(int(then.state))))
         assert view.by_name["m"].word.rank == max(first.rank, then.rank)
         assert view.digest == twin(view).digest
-    for what, state, after in ((Input.SILENT, State.ALIVE, State.SUSPECT),
-            (Input.EXPIRED, State.SUSPECT, State.DEAD),
-                               (Input.OLD, (State.DEAD, State.LEFT), None)):
+    for what, state, after in (
+        (Input.SILENT, State.ALIVE, State.SUSPECT),
+        (Input.EXPIRED, State.SUSPECT, State.DEAD),
+        (Input.OLD, (State.DEAD, State.LEFT), None),
+    ):
         for other in (State.ALIVE, State.SUSPECT, State.DEAD, State.LEFT):
             view = Members(OWN, 0)
             view.said(0, WORDS[0]._replace(state=other))
@@ -56,8 +60,9 @@
 
 
 def test_what_is_said_of_us_is_refuted() -> None:
-    for life, incarnation, state in product((4, 5, 6), (0, 1, 7),
-            (State.ALIVE, State.SUSPECT, State.DEAD, State.LEFT)):
+    for life, incarnation, state in product(
+        (4, 5, 6), (0, 1, 7), (State.ALIVE, State.SUSPECT, State.DEAD, State.LEFT)
+    ):
         view = Members(OWN, 0)
         said = Word("own", "10.9.9.9:1", life, incarnation, state)
         view.said(0, said)
@@ -91,11 +96,18 @@
     """Kills, pauses, cuts both ways and one, losses to 20% and delays to 300 ms, then peace."""
     chance = Random(seed)
     with simulated() as loop:
-        net = Net(loop, seed, (0.0003, chance.choice([0.001, 0.05, 0.3])), chance.choice([0, 0.05, 0.2]), 0.1)
+        net = Net(
+            loop,
+            seed,
+            (0.0003, chance.choice([0.001, 0.05, 0.3])),
+            chance.choice([0, 0.05, 0.2]),
+            0.1,
+        )
         swarm = Swarm(loop, net, Terms(calls * CALL, members // 2 + 1), seed=seed)
 
         def look() -> None:
             assert swarm.total() <= 1.05 * calls, (seed, loop.now, swarm.total())
+
         swarm.sample = look
         bodies = swarm.add(members, 1000.0)
         swarm.run(5)
@@ -117,8 +129,22 @@
 
 def happens(swarm: Swarm, body: Body, chance: Random) -> None:
     paused = body.paused_at >= 0
-    match chance.choice(["kill", "start", "start", "pause", "wake", "wake", "cut", "one-way", "heal", "heal",
-        "leave", "want"]):
+    match chance.choice(
+        [
+            "kill",
+            "start",
+            "start",
+            "pause",
+            "wake",
+            "wake",
+            "cut",
+            "one-way",
+            "heal",
+            "heal",
+            "leave",
+            "want",
+        ]
+    ):
         case "kill":
             swarm.kill(body)
         case "start" if body.fleet is None:
@@ -148,7 +174,9 @@
     with simulated() as loop:
         swarm = Swarm(loop, Net(loop, 1), Terms(160 * CALL, 3))
         bodies = swarm.add(3, 1000.0)
-        swarm.sample = lambda: None if swarm.total() <= 1.05 * 160 else pytest.fail(str(swarm.total()))
+        swarm.sample = lambda: (
+            None if swarm.total() <= 1.05 * 160 else pytest.fail(str(swarm.total()))
+        )
         swarm.run(4)
         bodies += swarm.add(37, 1000.0)
         swarm.run(8)
@@ -157,11 +185,15 @@
             swarm.run(1)
             for body in bodies:
                 mean[body.name] = mean.get(body.name, 0.0) + body.using / 30
-        assert swarm.agreed() and all(abs(share - 4) <= 0.4 for share in mean.values()), sorted(mean.values())
+        assert swarm.agreed() and all(abs(share - 4) <= 0.4 for share in mean.values()), sorted(
+            mean.values()
+        )
         for body in bodies[3:]:
             swarm.leave(body)
         swarm.run(6)
-        assert all(abs(share - 160 / 3) <= 0.1 * 160 / 3 for share in swarm.shares()), swarm.shares()
+        assert all(abs(share - 160 / 3) <= 0.1 * 160 / 3 for share in swarm.shares()), (
+            swarm.shares()
+        )
 
 
 def test_shares_are_max_min_fair() -> None:
@@ -181,13 +213,19 @@
 @pytest.mark.parametrize("servers", [3, 30, 300])
 @pytest.mark.parametrize("services", [3, 10, 40])
 def test_subsets_have_equal_load_and_move_little(servers: int, services: int) -> None:
-    names, below = [f"n{at}" for at in range(servers)], [f"10.0.0.{at}:80" for at in range(services)]
+    names, below = (
+        [f"n{at}" for at in range(servers)],
+        [f"10.0.0.{at}:80" for at in range(services)],
+    )
     before = spread(names, below, 8)
     pairs = before.pairs()
     assert before.worst <= 1.1
     load: dict[str, float] = {}
     for choice in before.choices.values():
-        assert abs(sum(choice.parts.values()) - 1) < 1e-9 and len(choice.parts) <= max(8, before.size) + 1
+        assert (
+            abs(sum(choice.parts.values()) - 1) < 1e-9
+            and len(choice.parts) <= max(8, before.size) + 1
+        )
         for service, part in choice.parts.items():
             load[service] = load.get(service, 0.0) + part
     assert max(load.values()) <= 1.1 * servers / services
@@ -195,8 +233,11 @@
     for after in (joined, left):
         assert after.worst <= 1.1
         # Of the one that came or went; as much again where subsets are larger for a small fleet.
-        assert len(after.pairs() ^ pairs) <= (1.05 if before.size <= 8 or before.size == services
-            else 3) * len(pairs) / servers + 1
+        assert (
+            len(after.pairs() ^ pairs)
+            <= (1.05 if before.size <= 8 or before.size == services else 3) * len(pairs) / servers
+            + 1
+        )
     assert spread(names, below[1:], 8).worst <= 1.1
 
 
@@ -220,14 +261,20 @@
     letter = Letter(Kind.PAGE, OWN, 7, (1, 2, 3, 4), "name", words)
     data = seal(letter, key)
     assert len(data) < 600 and unseal(data, (b"x" * 32, key)) == letter
-    longest = Letter(Kind.PAGE, OWN._replace(name="n" * 64), 1 << 60, (1 << 60,) * 5, "n" * 64,
-                     (Word("n" * 64, "255.255.255.255:65535", 1 << 60, 1 << 60, State.LEFT),) * 10)
+    longest = Letter(
+        Kind.PAGE,
+        OWN._replace(name="n" * 64),
+        1 << 60,
+        (1 << 60,) * 5,
+        "n" * 64,
+        (Word("n" * 64, "255.255.255.255:65535", 1 << 60, 1 << 60, State.LEFT),) * 10,
+    )
     assert unseal(seal(longest, key), (key,)) == longest
     for n in range(20_000):
         spoilt = bytearray(data)
         for _ in range(chance.randrange(1, 4)):
             spoilt[chance.randrange(len(spoilt))] = chance.randrange(256)
-        cut = bytes(spoilt[:chance.randrange(len(spoilt) + 1)]) if n % 2 else bytes(spoilt)
+        cut = bytes(spoilt[: chance.randrange(len(spoilt) + 1)]) if n % 2 else bytes(spoilt)
         try:
             assert cut == data and unseal(cut, (key,)) == letter
         except Unreadable:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -24,18 +24,25 @@
 WITHIN = 1.05  # of the share below
 
 
-def fleet(count: int, **told: Any) -> Callable[[Callable[[Fleet], Awaitable[None]]], Callable[[Path], None]]:
+def fleet(
+    count: int, **told: Any
+) -> Callable[[Callable[[Fleet], Awaitable[None]]], Callable[[Path], None]]:
     """Makes a test of a story told with so many servers, more than half of whom are the least."""
+
     def wrap(story: Callable[[Fleet], Awaitable[None]]) -> Callable[[Path], None]:
         def test(tmp_path: Path) -> None:
             async def play() -> None:
-                async with Fleet(tmp_path, **{"calls": CALLS, "alone": CALLS, "least": count // 2 + 1,
-                    **told}) as made:
+                async with Fleet(
+                    tmp_path, **{"calls": CALLS, "alone": CALLS, "least": count // 2 + 1, **told}
+                ) as made:
                     await made.add(count)
                     await story(made)
+
             asyncio.run(play())
+
         test.__name__, test.__doc__ = story.__name__, story.__doc__
         return test
+
     return wrap
 
 
@@ -45,8 +52,10 @@
 
 
 def held(made: Fleet, servers: list[Server], share: float) -> Callable[[], bool]:
-    return lambda: made.worst <= WITHIN * made.calls and all(
-        abs(server.state().get("share", 0) - share) <= 0.1 * share for server in servers)
+    return lambda: (
+        made.worst <= WITHIN * made.calls
+        and all(abs(server.state().get("share", 0) - share) <= 0.1 * share for server in servers)
+    )
 
 
 async def within(made: Fleet, seconds: float) -> None:
@@ -71,7 +80,9 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         for size in (0, 1, 16, 17, 100, 1400, 1500, 9000):
             for server in made.servers:
-                stranger.sendto(secrets.token_bytes(size), made.relay.doors[server.name].target or ("", 0))
+                stranger.sendto(
+                    secrets.token_bytes(size), made.relay.doors[server.name].target or ("", 0)
+                )
     await within(made, 0.5)
     await made.settles(full(made))
     await until(lambda: all(server.state()["counts"]["unreadable"] > 0 for server in made.servers))
@@ -162,6 +173,7 @@
     def anew() -> None:
         for service in made.services:
             service.calls.clear()
+
     for server in made.servers[:3]:
         server.open_most = 0
     await made.settles(lambda: all(server.settled > 20 for server in two))
@@ -171,8 +183,11 @@
     gone = made.services.pop()
     await gone.stop()
     settled = [server.settled for server in two]
-    await made.settles(lambda: all(server.settled > before + 20
-        for server, before in zip(two, settled, strict=True)))
+    await made.settles(
+        lambda: all(
+            server.settled > before + 20 for server, before in zip(two, settled, strict=True)
+        )
+    )
     anew()
     await made.settles(lambda: sum(len(service.calls) for service in made.services) > 200)
     assert even(made.services), [len(service.calls) for service in made.services]
@@ -184,8 +199,11 @@
     await made.settles(full(made))
     for keys in ((KEY, "aa" * 32), ("aa" * 32, KEY), ("aa" * 32,)):
         made.key.write_text("\n".join(keys) + "\n")
-        await until(lambda: all(f"event=fleet-keys count={len(keys)}" in server.log()
-            for server in made.servers))
+        await until(
+            lambda: all(
+                f"event=fleet-keys count={len(keys)}" in server.log() for server in made.servers
+            )
+        )
         await within(made, 1.2)
     made.key.write_text("not hex\n")
     await until(lambda: all("event=fleet-keys-refused" in server.log() for server in made.servers))
@@ -206,14 +224,21 @@
     gone, here = made.servers[:2], made.servers[2:]
 
     async def command(*words: str, status: int = 0) -> str:
-        return await asyncio.to_thread(burlloom, "fleet", *words, "-o", here[0].folder / "operator.jsonnet",
-            status=status)
+        return await asyncio.to_thread(
+            burlloom, "fleet", *words, "-o", here[0].folder / "operator.jsonnet", status=status
+        )
+
     said = await command("show")
-    assert f"{here[0].name}: share 6 of 24 calls, holding; dealt by n" in said and said.count(" alive ") == 4
+    assert (
+        f"{here[0].name}: share 6 of 24 calls, holding; dealt by n" in said
+        and said.count(" alive ") == 4
+    )
     assert "n1: is alive to n2; say --force" in await command("forget", "n1", "nobody", status=2)
     for server in gone:
         await server.kill()
-    await until(lambda: all(said.count("state=dead") >= 2 for said in (server.log() for server in here)))
+    await until(
+        lambda: all(said.count("state=dead") >= 2 for said in (server.log() for server in here))
+    )
     await asyncio.sleep(QUICK["redeal_ms"] / 1000)
     assert held(made, here, 6)(), made.shares()
     assert "forgotten: n0, n1" in await command("forget", "n0", "n1")
@@ -227,31 +252,58 @@
     key, path = tmp_path / "key", tmp_path / "operator.jsonnet"
     assert "1 keys" in burlloom("fleet", "key", key) and "2 keys" in burlloom("fleet", "key", key)
     assert key.stat().st_mode & 0o777 == 0o600
-    part = {"listen": "127.0.0.1:7946", "key_file": str(key), "calls": 120, "least": 20,
-            "services": [f"10.0.0.{at}:80" for at in range(1, 21)]}
+    part = {
+        "listen": "127.0.0.1:7946",
+        "key_file": str(key),
+        "calls": 120,
+        "least": 20,
+        "services": [f"10.0.0.{at}:80" for at in range(1, 21)],
+    }
     path.write_text(json.dumps({"fleet": part}))
     said = burlloom("fleet", "plan", "-o", path, "--servers", "60", "--leave", "1")
-    assert "each server calls 8.0 on average" in said and "0 come and 1 go: 8 of 480 pairs move (1.7%)" in said, said
+    assert (
+        "each server calls 8.0 on average" in said
+        and "0 come and 1 go: 8 of 480 pairs move (1.7%)" in said
+    ), said
     assert "state_file is not set" in burlloom("fleet", "show", "-o", path, status=2)
 
 
-@pytest.mark.parametrize("told, said", [
-    ({"cut_ms": 9000, "redeal_ms": 9000}, "fleet: redeal 9000 ms is under cut and two leases, 13000 ms"),
-    ({"lease_ms": 1000}, "fleet: lease 1000 ms is under eight rounds of 200 ms"),
-    ({"seeds": ["10.0.0.1:0"]}, "fleet: seeds: '10.0.0.1:0' is no IPv4 address with a port"),
-    ({"services": ["10.0.0.1:80", "10.0.0.1:80"]}, "fleet: services: an address stands twice"),
-    ({"key_file": "none"},
-    "fleet: key_file: none: No such file or directory; `burlloom fleet key` makes one"),
-    ({"floor": 0.5}, "fleet.floor: "), ({"calls": 0}, "fleet.calls: "),
-    ({"subsets": 3}, "fleet.subsets: unknown key"),
-    ({"listen": "here:1"}, "fleet.listen: "),
-])
+@pytest.mark.parametrize(
+    "told, said",
+    [
+        (
+            {"cut_ms": 9000, "redeal_ms": 9000},
+            "fleet: redeal 9000 ms is under cut and two leases, 13000 ms",
+        ),
+        ({"lease_ms": 1000}, "fleet: lease 1000 ms is under eight rounds of 200 ms"),
+        ({"seeds": ["10.0.0.1:0"]}, "fleet: seeds: '10.0.0.1:0' is no IPv4 address with a port"),
+        ({"services": ["10.0.0.1:80", "10.0.0.1:80"]}, "fleet: services: an address stands twice"),
+        (
+            {"key_file": "none"},
+            "fleet: key_file: none: No such file or directory; `burlloom fleet key` makes one",
+        ),
+        ({"floor": 0.5}, "fleet.floor: "),
+        ({"calls": 0}, "fleet.calls: "),
+        ({"subsets": 3}, "fleet.subsets: unknown key"),
+        ({"listen": "here:1"}, "fleet.listen: "),
+    ],
+)
 def test_files_that_can_not_be(tmp_path: Path, told: dict[str, Any], said: str) -> None:
     (tmp_path / "key").write_text(KEY)
     path = tmp_path / "operator.jsonnet"
-    path.write_text(json.dumps({"fleet": {"listen": "127.0.0.1:7946", "key_file": str(tmp_path / "key"),
-        "calls": 10,
-                                          "least": 2, **told}}))
+    path.write_text(
+        json.dumps(
+            {
+                "fleet": {
+                    "listen": "127.0.0.1:7946",
+                    "key_file": str(tmp_path / "key"),
+                    "calls": 10,
+                    "least": 2,
+                    **told,
+                }
+            }
+        )
+    )
     with pytest.raises(Faults) as refused:
         load(path)
     assert any(said in line for line in refused.value.lines), refused.value.lines
--- a/tests/test_fleet_sums.py
+++ b/tests/test_fleet_sums.py
@@ -22,36 +22,75 @@
 
     def free(self, now: int) -> int:
         equal = self.terms.equal(len(self.fleet))
-        bound = sum(account.bound if account.at >= self.since else max(account.bound, equal)
-                    for account in self.accounts.values())
+        bound = sum(
+            account.bound if account.at >= self.since else max(account.bound, equal)
+            for account in self.accounts.values()
+        )
         return self.terms.total - bound - self.unknown(now)
 
     def unknown(self, now: int) -> int:
-        count = sum(name not in self.accounts and not self.lost(now, present) for name, present in self.fleet.items())
+        count = sum(
+            name not in self.accounts and not self.lost(now, present)
+            for name, present in self.fleet.items()
+        )
         return count * self.terms.equal(len(self.fleet))
 
 
 NAMES = [f"n{at}" for at in range(7)]
 SHARES = st.sampled_from([0, CALL, 5 * CALL, 40 * CALL])
 STEPS = st.one_of(
-    st.tuples(st.just("report"), st.sampled_from(NAMES), st.sampled_from([0, 0, 0, 1]), st.sampled_from([1, 1, 1, 0]), SHARES, SHARES),
-    st.tuples(st.just("round"), st.sampled_from([True, True, True, False]), st.sampled_from([False] * 7 + [True]),
-              st.sampled_from([0, 7])),
-    st.tuples(st.just("view"), st.lists(st.tuples(st.sampled_from(NAMES), st.integers(0, 1), st.booleans(), st.integers(0, 20_000)),
-                                        max_size=7)),
+    st.tuples(
+        st.just("report"),
+        st.sampled_from(NAMES),
+        st.sampled_from([0, 0, 0, 1]),
+        st.sampled_from([1, 1, 1, 0]),
+        SHARES,
+        SHARES,
+    ),
+    st.tuples(
+        st.just("round"),
+        st.sampled_from([True, True, True, False]),
+        st.sampled_from([False] * 7 + [True]),
+        st.sampled_from([0, 7]),
+    ),
+    st.tuples(
+        st.just("view"),
+        st.lists(
+            st.tuples(
+                st.sampled_from(NAMES), st.integers(0, 1), st.booleans(), st.integers(0, 20_000)
+            ),
+            max_size=7,
+        ),
+    ),
     st.tuples(st.just("disown"), st.sampled_from(NAMES), st.integers(0, 1), st.integers(0, 30)),
-    st.tuples(st.just("wait"), st.sampled_from([-300, 0, 1, 50, 200, 1599, 1600, 1601, 2000, 5700, 14_000])))
+    st.tuples(
+        st.just("wait"),
+        st.sampled_from([-300, 0, 1, 50, 200, 1599, 1600, 1601, 2000, 5700, 14_000]),
+    ),
+)
 
 
 def seen(dealer: Dealer, now: int) -> object:
-    return (dealer.phase, dealer.since, dealer.many(now), dealer.sure(now), dealer.reporting(now), dealer.free(now),
-            dealer.unknown(now), {name: (one.life, one.number, one.at, one.told, one.bound, one.target)
-                                  for name, one in dealer.accounts.items()})
+    return (
+        dealer.phase,
+        dealer.since,
+        dealer.many(now),
+        dealer.sure(now),
+        dealer.reporting(now),
+        dealer.free(now),
+        dealer.unknown(now),
+        {
+            name: (one.life, one.number, one.at, one.told, one.bound, one.target)
+            for name, one in dealer.accounts.items()
+        },
+    )
 
 
 @settings(max_examples=400, deadline=None)
 @given(st.lists(STEPS, max_size=60), st.integers(1, 5), st.booleans())
-def test_kept_sums_equal_a_plain_walk_in_any_history(steps: list[tuple[Any, ...]], least: int, dealt: bool) -> None:
+def test_kept_sums_equal_a_plain_walk_in_any_history(
+    steps: list[tuple[Any, ...]], least: int, dealt: bool
+) -> None:
     terms, now, number = Terms(30 * CALL, least), 10**13, 0
     pair = Dealer(terms, now), Plain(terms, now)
     fleet = {name: Present(0, True, now) for name in NAMES[:4]}
@@ -63,7 +102,9 @@
         if what == "wait":
             now += told[0] * MS
         elif what == "view":
-            fleet = {name: Present(life, there, now - age * MS) for name, life, there, age in told[0]}
+            fleet = {
+                name: Present(life, there, now - age * MS) for name, life, there, age in told[0]
+            }
             for one in pair:
                 one.fleet = fleet
         elif what == "round":
@@ -75,7 +116,10 @@
         else:
             name, life, later, held, want = told
             number += later
-            grants = [one.report(now, name, life, number, Told(held, min(held, CALL), want, 1, 7)) for one in pair]
+            grants = [
+                one.report(now, name, life, number, Told(held, min(held, CALL), want, 1, 7))
+                for one in pair
+            ]
             assert grants[0] == grants[1]
         assert seen(pair[0], now) == seen(pair[1], now)
 
@@ -146,6 +190,7 @@
         frame.f_trace_opcodes = True
         count += event == "opcode"
         return trace
+
     before = sys.gettrace()
     sys.settrace(trace)
     try:
@@ -169,6 +214,7 @@
             def report(at: int = at, number: int = number) -> None:
                 dealer.report(now, f"n{at}", 1, number, told)
                 dealer.sure(now)
+
             if number >= 5 and at % (size // 20) == 0:
                 steps += steps_of(report)
             else:
@@ -192,6 +238,7 @@
         nonlocal gathered
         gathered += len(of)
         return set(of)
+
     monkeypatch.setattr(deal, "set", counted, raising=False)
     given = fair(4000 * 1000, [at % 2 * 10**6 for at in range(1000)], [1000] * 1000)
     assert gathered == 500 and sum(given) == pytest.approx(4000 * 1000)
--- a/tests/test_fleet_walks.py
+++ b/tests/test_fleet_walks.py
@@ -18,10 +18,20 @@
 KEY, NOW = b"the test's own key", 10**13
 NAMES = ["a", "b", "c", "d", "own"]
 STATES = (State.ALIVE, State.SUSPECT, State.DEAD, State.LEFT)
-WORDS = st.builds(Word, st.sampled_from(NAMES), st.sampled_from(["10.0.0.1:1", "10.0.0.2:1"]), st.integers(1, 3), st.integers(0, 2),
-                  st.sampled_from(STATES))
-STEPS = st.one_of(st.tuples(st.just("said"), WORDS), st.tuples(st.just("silent"), st.sampled_from(NAMES[:4])),
-                  st.tuples(st.just("round"), st.integers(0, 4000)), st.tuples(st.just("leave"), st.none()))
+WORDS = st.builds(
+    Word,
+    st.sampled_from(NAMES),
+    st.sampled_from(["10.0.0.1:1", "10.0.0.2:1"]),
+    st.integers(1, 3),
+    st.integers(0, 2),
+    st.sampled_from(STATES),
+)
+STEPS = st.one_of(
+    st.tuples(st.just("said"), WORDS),
+    st.tuples(st.just("silent"), st.sampled_from(NAMES[:4])),
+    st.tuples(st.just("round"), st.integers(0, 4000)),
+    st.tuples(st.just("leave"), st.none()),
+)
 
 
 @settings(max_examples=500, deadline=None)
@@ -41,11 +51,16 @@
                 view.meet(now, name, input)
         else:
             view.leave(now)
-        assert list(view.unsettled.items()) == [(name, member) for name, member in view.by_name.items()
-                                                if member.state is not State.ALIVE]
+        assert list(view.unsettled.items()) == [
+            (name, member)
+            for name, member in view.by_name.items()
+            if member.state is not State.ALIVE
+        ]
         assert view.addresses == Counter(member.word.address for member in view if member.there)
         for after in ("", "a", "bb", "own", "z"):
-            assert list(view.names_after(after)) == sorted(name for name in view.by_name if name > after)
+            assert list(view.names_after(after)) == sorted(
+                name for name in view.by_name if name > after
+            )
         assert view.roster() == roster(view)
 
 
@@ -59,9 +74,22 @@
 
 @settings(max_examples=500, deadline=None)
 @given(st.lists(st.tuples(STEPS, st.booleans()), max_size=50))
-def test_what_the_dealing_is_told_equals_a_plain_walk(steps: list[tuple[tuple[str, object], bool]]) -> None:
+def test_what_the_dealing_is_told_equals_a_plain_walk(
+    steps: list[tuple[tuple[str, object], bool]],
+) -> None:
     """It looks now and then, also after the process stood still; who deals is the one that has lived longest."""
-    fleet, now = Fleet(Word("own", "10.0.0.9:1", 2, 0, State.ALIVE), (), (KEY,), Terms(CALL), Habits(), Random(1), NOW), NOW
+    fleet, now = (
+        Fleet(
+            Word("own", "10.0.0.9:1", 2, 0, State.ALIVE),
+            (),
+            (KEY,),
+            Terms(CALL),
+            Habits(),
+            Random(1),
+            NOW,
+        ),
+        NOW,
+    )
     view = fleet.members
     for (what, told), looks in steps:
         if what == "said" and isinstance(told, Word):
@@ -78,18 +106,37 @@
         if looks:
             before, version = fleet.present, fleet.seen
             fleet.look()
-            assert fleet.seen == view.version and (fleet.present is before) == (version == view.version)
+            assert fleet.seen == view.version and (fleet.present is before) == (
+                version == view.version
+            )
         if fleet.seen == view.version and not view.changed:
-            assert fleet.present == {member.word.name: Present(member.word.life, member.there, member.since)
-                                     for member in view if member.state is not State.LEFT}
-            assert fleet.first == min((member.word for member in view if member.there),
-                                      key=lambda word: (word.life, word.name), default=view.own)
+            assert fleet.present == {
+                member.word.name: Present(member.word.life, member.there, member.since)
+                for member in view
+                if member.state is not State.LEFT
+            }
+            assert fleet.first == min(
+                (member.word for member in view if member.there),
+                key=lambda word: (word.life, word.name),
+                default=view.own,
+            )
             assert fleet.roster == roster(view)
 
 
 def fleet_of(size: int) -> Fleet:
-    all_of = [Word(f"n{at}", f"10.1.{at // 200}.{at % 200 + 1}:7946", 1 + at, 0, State.ALIVE) for at in range(size)]
-    fleet = Fleet(all_of[size // 2], (all_of[0].address, "10.9.9.9:7946"), (KEY,), Terms(4 * size * CALL), Habits(), Random(1), NOW)
+    all_of = [
+        Word(f"n{at}", f"10.1.{at // 200}.{at % 200 + 1}:7946", 1 + at, 0, State.ALIVE)
+        for at in range(size)
+    ]
+    fleet = Fleet(
+        all_of[size // 2],
+        (all_of[0].address, "10.9.9.9:7946"),
+        (KEY,),
+        Terms(4 * size * CALL),
+        Habits(),
+        Random(1),
+        NOW,
+    )
     for word in all_of:
         fleet.members.said(NOW, word)
     fleet.members.moves = []
@@ -113,8 +160,12 @@
     now += 1_200_000 * MS
     seen = set()
     for after in ["", *sorted(fleet.members.by_name), "zz"]:
-        names = sorted(member.word.name for member in fleet.members if member.word.name > after
-                       and (member.there or now - member.since < fleet.habits.forget // 2))
+        names = sorted(
+            member.word.name
+            for member in fleet.members
+            if member.word.name > after
+            and (member.there or now - member.since < fleet.habits.forget // 2)
+        )
         page = asked(fleet, now, after)
         assert [word.name for word in page.words] == names[:PAGE_WORDS]
         assert page.name == (names[PAGE_WORDS - 1] if len(names) > PAGE_WORDS else "")
@@ -150,6 +201,7 @@
         fleet = fleet_of(size)
         asked(fleet, NOW, "")
         return steps_of(lambda: asked(fleet, NOW, "n1"))
+
     assert page(900) <= 1.1 * page(100)
 
 
@@ -159,4 +211,5 @@
         fleet.look()
         fleet.members.said(NOW, fleet.members.by_name["n7"].word._replace(state=State.DEAD))
         return steps_of(fleet.look)
+
     assert change(1000) <= 1.1 * change(100)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -35,13 +35,26 @@
 def sizes(server: Server) -> dict[str, int]:
     desk = server.desk
     assert desk is not None
-    return {"seats": len(desk.seats), "refs": len(desk.refs), "callers": len(desk.callers), "wakes": len(desk.wakes),
-            "outbox": len(desk.outbox), "copies": len(desk.copies), "marks": len(desk.ledger.records),
-            "wheel": sum(map(len, desk.ledger.wheel.slots.values())), "bytes": desk.ledger.bytes,
-            "cases": len(desk.choice.cases), "lingering": len(desk.choice.lingering), "serving": len(server.serving),
-            "tasks": len(server.tasks.running), "connections": len(server.front.connections),
-            "spare": len(server.front.spare), "doubtful": len(server.link.doubtful),
-            "metered": len(server.link.metered), "kept": len(server.pool.kept) if isinstance(server.pool, Pool) else 0}
+    return {
+        "seats": len(desk.seats),
+        "refs": len(desk.refs),
+        "callers": len(desk.callers),
+        "wakes": len(desk.wakes),
+        "outbox": len(desk.outbox),
+        "copies": len(desk.copies),
+        "marks": len(desk.ledger.records),
+        "wheel": sum(map(len, desk.ledger.wheel.slots.values())),
+        "bytes": desk.ledger.bytes,
+        "cases": len(desk.choice.cases),
+        "lingering": len(desk.choice.lingering),
+        "serving": len(server.serving),
+        "tasks": len(server.tasks.running),
+        "connections": len(server.front.connections),
+        "spare": len(server.front.spare),
+        "doubtful": len(server.link.doubtful),
+        "metered": len(server.link.metered),
+        "kept": len(server.pool.kept) if isinstance(server.pool, Pool) else 0,
+    }
 
 
 def test_what_the_server_keeps_returns(tmp_path: Path) -> None:
@@ -61,10 +74,21 @@
             if "window" in product:
                 product["window"] = WINDOW // 1000
         known, meters = facts(settings)
-        orders = Orders("n1", ("127.0.0.1", 0), address(executor.address), address(naming.address),
-                        address(catalogue.address), 7, 3_000_000_000, known, 512, 64 << 20,
-                        tuple(one["name"] for one in settings["categories"]),
-                        {one["name"]: 1.0 for one in settings["tenants"]}, meters)
+        orders = Orders(
+            "n1",
+            ("127.0.0.1", 0),
+            address(executor.address),
+            address(naming.address),
+            address(catalogue.address),
+            7,
+            3_000_000_000,
+            known,
+            512,
+            64 << 20,
+            tuple(one["name"] for one in settings["categories"]),
+            {one["name"]: 1.0 for one in settings["tenants"]},
+            meters,
+        )
         listener = bound(orders)
         server, clock = Server(orders, listener), Ahead()
         server.clock = server.front.clock = clock
@@ -73,7 +97,10 @@
         async def work() -> None:
             while True:
                 name, id, *_ = await executor.commands.get()
-                executor.callout(id) if name == "EXEC" else executor.exit(id, result=b"made " + id.encode())
+                executor.callout(id) if name == "EXEC" else executor.exit(
+                    id, result=b"made " + id.encode()
+                )
+
         working = asyncio.create_task(work())
         await until(lambda: server.desk is not None and server.link.joined)
 
@@ -84,8 +111,10 @@
                 # Each asks as soon as it is there: one that says nothing for long is closed.
                 balancers.append(balancer := await Balancer("%s:%d" % server.address).open())
                 told = {"from": str(first + at), "at": str(clock() // MS)}
-                answers += [balancer.ask("look", fields(**told)),
-                            balancer.ask("pay", fields(**told, once=secrets.token_hex(16)), b"b")]
+                answers += [
+                    balancer.ask("look", fields(**told)),
+                    balancer.ask("pay", fields(**told, once=secrets.token_hex(16)), b"b"),
+                ]
             for answer in answers:
                 error, _ = await soon(answer)
                 assert error is None, error
@@ -101,23 +130,48 @@
 
         def rested() -> bool:
             now = sizes(server)
-            return all(now[name] == 0 for name in (
-                "seats", "refs", "callers", "outbox", "copies", "marks", "wheel", "bytes", "cases", "lingering",
-                "serving", "connections", "doubtful", "metered"))
+            return all(
+                now[name] == 0
+                for name in (
+                    "seats",
+                    "refs",
+                    "callers",
+                    "outbox",
+                    "copies",
+                    "marks",
+                    "wheel",
+                    "bytes",
+                    "cases",
+                    "lingering",
+                    "serving",
+                    "connections",
+                    "doubtful",
+                    "metered",
+                )
+            )
+
         first = await a_round(1)
         await over()
         at_rest = sizes(server)
         later = first
         for turn in range(1, ROUNDS):
-            later = {name: max(size, later[name]) for name, size in (await a_round(1 + turn * AT_ONCE)).items()}
+            later = {
+                name: max(size, later[name])
+                for name, size in (await a_round(1 + turn * AT_ONCE)).items()
+            }
         # A mark lives through its window and the longest life of a txn after it: all of this play's may stand at once.
-        assert later["callers"] <= ROUNDS * AT_ONCE and later["connections"] <= 2 * AT_ONCE, (first, later)
+        assert later["callers"] <= ROUNDS * AT_ONCE and later["connections"] <= 2 * AT_ONCE, (
+            first,
+            later,
+        )
         await over()
         again = sizes(server)
-        assert {name: size for name, size in again.items() if size > at_rest[name] and name != "kept"} == {}, (
-            at_rest, again)
+        assert {
+            name: size for name, size in again.items() if size > at_rest[name] and name != "kept"
+        } == {}, (at_rest, again)
         server.leave()
         await soon(running)
         working.cancel()
         await catalogue.stop()
+
     asyncio.run(play())
--- a/tests/test_leveling.py
+++ b/tests/test_leveling.py
@@ -19,7 +19,9 @@
 
 
 async def command(rig: Rig, *words: Any, status: int = 0) -> str:
-    return await asyncio.to_thread(burlloom, "levels", *words, "-o", rig.folder / "operator.jsonnet", status=status)
+    return await asyncio.to_thread(
+        burlloom, "levels", *words, "-o", rig.folder / "operator.jsonnet", status=status
+    )
 
 
 @played(operator=leveled, n_cores=4, memory_kb=200000)
@@ -30,13 +32,21 @@
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"receipt")
     await gets(first, b"receipt")
     assert "say --force" in await command(rig, "pin", "drain", "--for-s", "60", status=2)
-    assert "is none of normal, lean" in await command(rig, "pin", "asleep", "--for-s", "60", status=2)
-    assert "pinned to drain" in await command(rig, "pin", "drain", "--for-s", "60", "--force", "--reason", "drill")
+    assert "is none of normal, lean" in await command(
+        rig, "pin", "asleep", "--for-s", "60", status=2
+    )
+    assert "pinned to drain" in await command(
+        rig, "pin", "drain", "--for-s", "60", "--force", "--reason", "drill"
+    )
     await until(lambda: "event=level effect=pin from=normal to=drain" in rig.log())
     for product in ("look", "pay"):
-        said = await fails(balancer.ask(product, fields(once="k2") if product == "pay" else fields()), "Backoff")
+        said = await fails(
+            balancer.ask(product, fields(once="k2") if product == "pay" else fields()), "Backoff"
+        )
         assert said["say"] == "1.0000" and said["last"] == "1" and int(said["after"]) >= 1
-    await gets(balancer.ask("pay", {**told, "id": fields()["id"], "retry": "1"}, b"charge"), b"receipt")
+    await gets(
+        balancer.ask("pay", {**told, "id": fields()["id"], "retry": "1"}, b"charge"), b"receipt"
+    )
     state = await command(rig, "show")
     assert "* 4 drain" in state and "at drain (pinned)" in state and "at most 4 changes" in state
     assert "pinned: drain (drill)" in await command(rig, "explain")
@@ -48,9 +58,20 @@
     assert rig.executor.commands.empty()
 
 
-@played(operator=lambda folder: {"levels": {"kept_ms": {"look": 60000}, "pin_file": str(folder / "pin"), "levels": [
-    {"name": "normal"}, {"name": "kept", "when": {"age": {"enter": 0.9, "leave": 0.1}}, "kept": ["look"]}]}},
-    n_cores=4, memory_kb=200000)
+@played(
+    operator=lambda folder: {
+        "levels": {
+            "kept_ms": {"look": 60000},
+            "pin_file": str(folder / "pin"),
+            "levels": [
+                {"name": "normal"},
+                {"name": "kept", "when": {"age": {"enter": 0.9, "leave": 0.1}}, "kept": ["look"]},
+            ],
+        }
+    },
+    n_cores=4,
+    memory_kb=200000,
+)
 async def test_kept_results_stand_in_only_at_a_level_that_says_so(rig: Rig) -> None:
     balancer = await rig.balancer()
     for n in range(2):  # in normal service each is read anew
@@ -67,13 +88,21 @@
     assert rig.executor.commands.empty()
 
 
-@played(operator=lambda folder: {**leveled(folder), "record": {"sqlite": {"path": str(folder / "record.db")}}}, n_cores=4)
+@played(
+    operator=lambda folder: {
+        **leveled(folder),
+        "record": {"sqlite": {"path": str(folder / "record.db")}},
+    },
+    n_cores=4,
+)
 async def test_a_node_knows_the_level_that_it_died_at(rig: Rig) -> None:
     await command(rig, "pin", "essential", "--for-s", "60")
     await until(lambda: "to=essential" in rig.log())
+
     def noted() -> bool:  # the record's thread writes it meanwhile
         with closing(sqlite3.connect(rig.folder / "record.db")) as db:
             return bool(db.execute("SELECT 1 FROM node WHERE note = 'essential'").fetchall())
+
     await until(noted)
     (rig.folder / "pin").unlink()
     await rig.kill()
@@ -83,22 +112,49 @@
 
 def test_levels_that_can_not_be(tmp_path: Path) -> None:
     path = tmp_path / "operator.jsonnet"
-    path.write_text(json.dumps({"levels": {"stay_ms": 9000, "stay_most_ms": 10, "levels": [
-        {"name": "normal"}, {"name": "lean", "when": {"age": {"enter": 0.1, "leave": 0.2}, "heat": {"leave": 1}},
-                             "products": ["buy"]}], "cold": "frozen"}}))
+    path.write_text(
+        json.dumps(
+            {
+                "levels": {
+                    "stay_ms": 9000,
+                    "stay_most_ms": 10,
+                    "levels": [
+                        {"name": "normal"},
+                        {
+                            "name": "lean",
+                            "when": {"age": {"enter": 0.1, "leave": 0.2}, "heat": {"leave": 1}},
+                            "products": ["buy"],
+                        },
+                    ],
+                    "cold": "frozen",
+                }
+            }
+        )
+    )
     said = burlloom("check", "-o", path, status=2)
-    for place, fault in (("levels.levels.1 (lean).age", "left at 0.2, which is not below"),
-                         ("levels.levels.1 (lean).heat", "no such signal"), ("levels.cold", "no level 'frozen'"),
-                         ("levels.stay_most_ms", "under stay_ms")):
-        assert any(f"{path}: {place}: " in line and fault in line for line in said.splitlines()), (place, said)
+    for place, fault in (
+        ("levels.levels.1 (lean).age", "left at 0.2, which is not below"),
+        ("levels.levels.1 (lean).heat", "no such signal"),
+        ("levels.cold", "no level 'frozen'"),
+        ("levels.stay_most_ms", "under stay_ms"),
+    ):
+        assert any(f"{path}: {place}: " in line and fault in line for line in said.splitlines()), (
+            place,
+            said,
+        )
     path.write_text(json.dumps({"levels": {"kept_ms": {"buy": 5}}}))
-    said = burlloom("check", "-o", path, "--config", ROOT / "examples" / "configuration.json", status=2)
+    said = burlloom(
+        "check", "-o", path, "--config", ROOT / "examples" / "configuration.json", status=2
+    )
     assert "levels.kept_ms: there is no product 'buy'" in said
 
 
 def test_a_recorded_series_is_tried(tmp_path: Path) -> None:
     series, chart = tmp_path / "night.csv", tmp_path / "night.svg"
-    rows = [f"{at},{0.9 if 20 <= at < 60 else 0.01},{1.0 if 20 <= at < 60 else 0.3}" for at in range(300)]
+    rows = [
+        f"{at},{0.9 if 20 <= at < 60 else 0.01},{1.0 if 20 <= at < 60 else 0.3}"
+        for at in range(300)
+    ]
     series.write_text("\n".join(["at_s,press,use", *rows]))
     said = burlloom("levels", "try", series, "--chart", chart)
     assert "normal -> lean  by press" in said and "essential -> lean  by calm" in said
@@ -119,8 +175,12 @@
     burlloom("lab", "report", "tiny", "--results", table, "--to", tmp_path / "report")
     assert "<h2>w: levels against none" in (tmp_path / "report" / "index.html").read_text()
     assert (tmp_path / "report" / "w-levels.svg").exists()
-    assert "no plays of 'other'" in burlloom("lab", "compare", "other", "--results", table, status=2)
-    path.write_text("{ name: 'bad', seeds: [], variants: ['best'], worlds: [{ machines: { count: 0 }, colour: 1, products: [] }] }")
+    assert "no plays of 'other'" in burlloom(
+        "lab", "compare", "other", "--results", table, status=2
+    )
+    path.write_text(
+        "{ name: 'bad', seeds: [], variants: ['best'], worlds: [{ machines: { count: 0 }, colour: 1, products: [] }] }"
+    )
     said = burlloom("lab", "run", path, "--results", table, status=2)
     for place in ("seeds", "worlds.0.machines.count", "worlds.0.colour", "worlds.0.products"):
         assert f"{path}: {place}: " in said, (place, said)
@@ -130,5 +190,6 @@
 def test_the_example_experiments_are_good(name: str) -> None:
     from burlloom.lab.experiment import Experiment
     from burlloom.operator.load import checked, evaluated
+
     path = ROOT / "examples" / "lab" / f"{name}.jsonnet"
     assert checked(Experiment, evaluated(path), path).name == name
