--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -15,8 +15,24 @@
 from burlloom.lab import play
 from burlloom.lab.emulator import Watch
 from burlloom.lab.variants import VARIANTS, leveler
-from burlloom.levels import (DEFAULT, Bounds, Input, Ladder, Level, Levels, Phase, Pin, Plan, PlanFaults, Readings, Tenants,
-                             Terms, ladder, most_changes, reliefs)
+from burlloom.levels import (
+    DEFAULT,
+    Bounds,
+    Input,
+    Ladder,
+    Level,
+    Levels,
+    Phase,
+    Pin,
+    Plan,
+    PlanFaults,
+    Readings,
+    Tenants,
+    Terms,
+    ladder,
+    most_changes,
+    reliefs,
+)
 from burlloom.levels.plan import ALL, faults
 from burlloom.levels.signals import NAMES, Signals
 
@@ -29,23 +45,46 @@
 
 
 def coarse(tick: int, levels: int, **more: Any) -> Terms:
-    return Terms(**{"levels": levels, "dwell": tick, "stay": tick, "stay_most": 4 * tick, "relapse": 2 * tick, "trial": tick,
-                    **more})
-
-
-@pytest.mark.parametrize("levels, most, tick, states", [(2, 2, 10, 60), (3, 3, 10, 400), (4, 4, 10, 2000), (4, 6, 15, 400)])
+    return Terms(
+        **{
+            "levels": levels,
+            "dwell": tick,
+            "stay": tick,
+            "stay_most": 4 * tick,
+            "relapse": 2 * tick,
+            "trial": tick,
+            **more,
+        }
+    )
+
+
+@pytest.mark.parametrize(
+    "levels, most, tick, states",
+    [(2, 2, 10, 60), (3, 3, 10, 400), (4, 4, 10, 2000), (4, 6, 15, 400)],
+)
 @pytest.mark.parametrize("trials", [True, False])
-def test_no_history_has_more_changes_a_minute_than_stated(levels: int, most: int, tick: int, states: int,
-                                                          trials: bool) -> None:
+def test_no_history_has_more_changes_a_minute_than_stated(
+    levels: int, most: int, tick: int, states: int, trials: bool
+) -> None:
     terms = coarse(tick * SECOND, levels, changes_most=most, trials=trials)
     explorer = Explorer(terms, tick * SECOND)
     assert explorer.walk(range(levels)) > (states if trials else states // 8)
     assert explorer.most <= most_changes(terms) == most
 
 
-@pytest.mark.parametrize("row, broken", [
-    ("TRIAL  BETTER     tried widest room    STEADY up", "TRIAL  BETTER     tried widest         STEADY up"),
-    ("TRIAL  WORSE      -                    STEADY abort", "TRIAL  WORSE      -                    STEADY up")])
+@pytest.mark.parametrize(
+    "row, broken",
+    [
+        (
+            "TRIAL  BETTER     tried widest room    STEADY up",
+            "TRIAL  BETTER     tried widest         STEADY up",
+        ),
+        (
+            "TRIAL  WORSE      -                    STEADY abort",
+            "TRIAL  WORSE      -                    STEADY up",
+        ),
+    ],
+)
 def test_a_broken_row_is_caught(row: str, broken: str, monkeypatch: pytest.MonkeyPatch) -> None:
     assert row in ladder.TABLE
     monkeypatch.setattr(ladder, "RULES", ladder.rules(ladder.TABLE.replace(row, broken)))
@@ -56,8 +95,16 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.lists(st.tuples(st.sampled_from([Input.SAME, Input.WORSE, Input.BETTER, Input.EMERGENCY]),
-                          st.integers(1, 200)), max_size=400), st.integers(0, 3))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from([Input.SAME, Input.WORSE, Input.BETTER, Input.EMERGENCY]),
+            st.integers(1, 200),
+        ),
+        max_size=400,
+    ),
+    st.integers(0, 3),
+)
 def test_long_histories_at_full_resolution(history: list[tuple[Input, int]], start: int) -> None:
     terms = Terms(4)
     walker, now, moves = Ladder(terms), NOW, []
@@ -91,7 +138,18 @@
     return Levels(DEFAULT, reliefs(DEFAULT, PRODUCTS), NOW, **more)
 
 
-CALM = Readings(use=0.3, crowd=0.3, age=0.0, lag=0.0, press=0.0, late=0.0, calls=0.0, store=0.0, memory=0.3, sockets=0.1)
+CALM = Readings(
+    use=0.3,
+    crowd=0.3,
+    age=0.0,
+    lag=0.0,
+    press=0.0,
+    late=0.0,
+    calls=0.0,
+    store=0.0,
+    memory=0.3,
+    sockets=0.1,
+)
 
 
 def after(levels: Levels, readings: Readings, seconds: float, now: int) -> int:
@@ -147,23 +205,39 @@
 def test_what_the_shipped_levels_take_away() -> None:
     normal, lean, essential, highest, drain = reliefs(DEFAULT, PRODUCTS)
     assert normal == Relief()
-    assert lean.declined == (False, False, False) and lean.repeats == (True, True, False) and lean.over
+    assert (
+        lean.declined == (False, False, False) and lean.repeats == (True, True, False) and lean.over
+    )
     assert essential.declined == (True, False, False) and round(essential.floor, 2) == 0.33
     assert highest.declined == (True, True, False) and highest.hold == 0.5
     assert drain.declined == (True, True, True) and drain.floor == 1
 
 
 def test_all_faults_of_a_plan_at_once() -> None:
-    plan = Plan((Level("normal", hold=0.5), Level("a", {"age": Bounds(0.2, 0.3), "heat": Bounds(2, 1)}, products=("buy",)),
-                 Level("a", {"age": Bounds(0.1, 0.05)}, kept=("pay", "look"), skips=("set",), hold=2.0)),
-                {"memory": (0.9, "b")}, cold="c")
+    plan = Plan(
+        (
+            Level("normal", hold=0.5),
+            Level("a", {"age": Bounds(0.2, 0.3), "heat": Bounds(2, 1)}, products=("buy",)),
+            Level("a", {"age": Bounds(0.1, 0.05)}, kept=("pay", "look"), skips=("set",), hold=2.0),
+        ),
+        {"memory": (0.9, "b")},
+        cold="c",
+    )
     told = faults(plan, PRODUCTS, NAMES)
-    for expected in ("levels.0 (normal): the first level takes nothing", "levels.2 (a): the name stands twice",
-                     "levels.1 (a).age: it is left at 0.3", "levels.1 (a).heat: there is no such signal",
-                     "levels.1 (a).products: there is no product 'buy'", "levels.2 (a).kept: pay has an effect",
-                     "levels.2 (a).kept: look allows no kept result", "levels.2 (a).skips: an answer of set",
-                     "levels.2 (a).hold: 2 is no share", "levels.2 (a).age: it is entered at 0.1, before a at 0.2",
-                     "emergencies.memory: there is no level 'b'", "cold: there is no level 'c'"):
+    for expected in (
+        "levels.0 (normal): the first level takes nothing",
+        "levels.2 (a): the name stands twice",
+        "levels.1 (a).age: it is left at 0.3",
+        "levels.1 (a).heat: there is no such signal",
+        "levels.1 (a).products: there is no product 'buy'",
+        "levels.2 (a).kept: pay has an effect",
+        "levels.2 (a).kept: look allows no kept result",
+        "levels.2 (a).skips: an answer of set",
+        "levels.2 (a).hold: 2 is no share",
+        "levels.2 (a).age: it is entered at 0.1, before a at 0.2",
+        "emergencies.memory: there is no level 'b'",
+        "cold: there is no level 'c'",
+    ):
         assert any(line.startswith(expected) for line in told), (expected, told)
     assert len(told) == 12
     with pytest.raises(PlanFaults):
@@ -181,35 +255,60 @@
     # Of four in five it may have as much as the other: three in four of its txns are past its share.
     assert 2200 < past["a"] < 2500 and not past["b"] and not tenants.read(NOW, "unknown")
     fair = Tenants([("a", 0.6), ("b", 0.4)])
-    assert not any(fair.read(NOW + n * SECOND // 10, "a" if chance.random() < 0.6 else "b") for n in range(5000))
-
-
-@pytest.mark.parametrize("low, high, period", [(0.6, 1.5, 2), (0.6, 1.5, 5), (0.6, 1.5, 10), (0.6, 1.5, 30), (0.2, 0.4, 5)])
-def test_a_sawtooth_changes_levels_a_few_times_a_minute(low: float, high: float, period: float) -> None:
+    assert not any(
+        fair.read(NOW + n * SECOND // 10, "a" if chance.random() < 0.6 else "b")
+        for n in range(5000)
+    )
+
+
+@pytest.mark.parametrize(
+    "low, high, period",
+    [(0.6, 1.5, 2), (0.6, 1.5, 5), (0.6, 1.5, 10), (0.6, 1.5, 30), (0.2, 0.4, 5)],
+)
+def test_a_sawtooth_changes_levels_a_few_times_a_minute(
+    low: float, high: float, period: float
+) -> None:
     moves: dict[str, list[float]] = {}
 
     def row(play: Any) -> dict[str, float]:
         for node in play.nodes:
             at = node.server.levels.levels.standing
-            moves.setdefault(node.name, []).extend(at.changes[-1:] if at.changes[-1:] != tuple(moves.get(node.name, [])[-1:])
-                                                   else ())
+            moves.setdefault(node.name, []).extend(
+                at.changes[-1:] if at.changes[-1:] != tuple(moves.get(node.name, [])[-1:]) else ()
+            )
         return {}
+
     world = fleet(2, 60, 4, low=low, high=high, period_s=period, shape="sawtooth", noise=0.1)
     told = play(world, leveling=VARIANTS["levels"](), watch=Watch(row))
     assert not told.faults
-    assert all(len([one for one in changes if at - 60 * SECOND < one <= at]) <= 4 for changes in moves.values() for at in changes)
+    assert all(
+        len([one for one in changes if at - 60 * SECOND < one <= at]) <= 4
+        for changes in moves.values()
+        for at in changes
+    )
     assert any(moves.values()) == (high > 1)
 
 
 def test_charges_that_ran_are_settled_at_every_level() -> None:
     """A level that gives everything up from the start on: nothing new is taken, and no rule is broken."""
     shut = Plan((Level("normal"), Level("shut", {"use": Bounds(0.2, 0.01)}, gives_up=ALL)))
-    told = play(fleet(3, 12, 5, {"kind": "flood", "at_s": 1, "for_s": 9, "size": 2, "product": "pay"}, low=0.9, high=0.9),
-                leveling=leveler(shut, Terms(2)))
+    told = play(
+        fleet(
+            3,
+            12,
+            5,
+            {"kind": "flood", "at_s": 1, "for_s": 9, "size": 2, "product": "pay"},
+            low=0.9,
+            high=0.9,
+        ),
+        leveling=leveler(shut, Terms(2)),
+    )
     assert not told.faults and told.count["declined"] > 200 and told.count["settled"] > 5
 
 
 def test_without_an_operators_file_nothing_changes() -> None:
     world = fleet(3, 8, 6, low=1.2, high=1.2)
     idle = Plan((Level("normal"), Level("never", {"use": Bounds(1e9, 1)}, gives_up=1)))
-    assert json.dumps(play(world).count) == json.dumps(play(world, leveling=leveler(idle, Terms(2))).count)
+    assert json.dumps(play(world).count) == json.dumps(
+        play(world, leveling=leveler(idle, Terms(2))).count
+    )
--- a/tests/test_marks.py
+++ b/tests/test_marks.py
@@ -8,12 +8,17 @@
 
 MARKS = st.binary(min_size=16, max_size=16)
 # Evenly spread and not at all: the guess may be wrong by any amount, and only costs steps.
-LUMPY = st.one_of(MARKS, st.integers(0, 40).map(lambda n: bytes(15) + bytes([n])),
-                  st.integers(0, 40).map(lambda n: b"\xff" * 15 + bytes([n])))
+LUMPY = st.one_of(
+    MARKS,
+    st.integers(0, 40).map(lambda n: bytes(15) + bytes([n])),
+    st.integers(0, 40).map(lambda n: b"\xff" * 15 + bytes([n])),
+)
 
 
 @given(st.dictionaries(LUMPY, st.integers(1, 1 << 62), max_size=200), st.lists(LUMPY, max_size=40))
-def test_packed_marks_are_found_as_in_a_dictionary(plain: dict[bytes, int], others: list[bytes]) -> None:
+def test_packed_marks_are_found_as_in_a_dictionary(
+    plain: dict[bytes, int], others: list[bytes]
+) -> None:
     packed = Packed(plain.items())
     assert len(packed) == len(plain) and packed.last == max(plain.values(), default=0)
     for mark in [*plain, *others]:
@@ -34,7 +39,9 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 40), st.integers(0, 9)), max_size=80))
-def test_the_ledger_forgets_what_is_over_and_nothing_else(story: list[tuple[int, int, int]]) -> None:
+def test_the_ledger_forgets_what_is_over_and_nothing_else(
+    story: list[tuple[int, int, int]],
+) -> None:
     ledger, now, held = Ledger(3 * SLOT, 0, 1000), 0, {}
     for ref, (name, lasts, passed) in enumerate(story):
         mark = bytes([name]) * 16
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -32,8 +32,18 @@
         self.now, self.asked, self.lost = time.time_ns(), list[Request](), list[Request]()
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = self.listener.getsockname()
-        self.front = Front(self.listener, KNOWN, most, Tasks(), lambda: self.now, self.asked.append, self.lost.append,
-                           lambda id: False, lambda: True, lambda caller: "")
+        self.front = Front(
+            self.listener,
+            KNOWN,
+            most,
+            Tasks(),
+            lambda: self.now,
+            self.asked.append,
+            self.lost.append,
+            lambda id: False,
+            lambda: True,
+            lambda caller: "",
+        )
         self.front.listen()
 
     async def client(self) -> "Client":
@@ -79,6 +89,7 @@
 def on_loop(story: Callable[[], Awaitable[None]]) -> Callable[[], None]:
     def test() -> None:
         uvloop.run(story())  # type: ignore[arg-type]
+
     test.__name__, test.__doc__ = story.__name__, story.__doc__
     return test
 
@@ -134,7 +145,9 @@
     with socket.create_server(("127.0.0.1", 0)) as other:
         newcomer = socket.create_connection(other.getsockname())
         accepted = other.accept()
-        in_one_turn(lambda: client.sock.sendall(ask(1, place.now)), lambda: place.front.met(*accepted))
+        in_one_turn(
+            lambda: client.sock.sendall(ask(1, place.now)), lambda: place.front.met(*accepted)
+        )
         await turns()
     await is_served(place, client)
     newcomer.close()
@@ -243,8 +256,11 @@
 
 def test_a_request_in_the_kernel_as_the_process_ends(tmp_path: Path) -> None:
     """It comes after the last look at the connections, and before the end of the process."""
+
     async def play() -> None:
-        async with Rig(tmp_path, main=LATE.replace("FOLDER", str(tmp_path)), drain_grace=0, stop_ms=900) as rig:
+        async with Rig(
+            tmp_path, main=LATE.replace("FOLDER", str(tmp_path)), drain_grace=0, stop_ms=900
+        ) as rig:
             balancer = await rig.balancer()
             await soon(balancer.health())
             rig.process.send_signal(signal.SIGTERM)
@@ -257,6 +273,7 @@
             assert error[0] == "Backoff"
             await soon(balancer.ended.wait())
             assert await soon(rig.process.wait()) == 0
+
     asyncio.run(play())
 
 
@@ -292,33 +309,48 @@
 @pytest.mark.parametrize("number", ["SIGTERM", "SIGINT"])
 def test_a_notice_to_leave_while_the_program_starts(number: str, tmp_path: Path) -> None:
     """It waits for its handler: the program ends by itself, with status 0."""
+
     async def play() -> None:
-        env = {**os.environ, "EDGE_CONFIG": str(Path(__file__).parent.parent / "examples" / "configuration.json"),
-               "EDGE_LISTEN": "127.0.0.1:0"}
+        env = {
+            **os.environ,
+            "EDGE_CONFIG": str(Path(__file__).parent.parent / "examples" / "configuration.json"),
+            "EDGE_LISTEN": "127.0.0.1:0",
+        }
         process = await asyncio.create_subprocess_shell(
-            f"exec {sys.executable} " + signalled(f"os.kill(os.getpid(), signal.{number})"), env=env,
-            cwd=Path(__file__).parent.parent, stdout=asyncio.subprocess.PIPE)
+            f"exec {sys.executable} " + signalled(f"os.kill(os.getpid(), signal.{number})"),
+            env=env,
+            cwd=Path(__file__).parent.parent,
+            stdout=asyncio.subprocess.PIPE,
+        )
         out, _ = await soon(process.communicate())
-        assert process.returncode == 0 and b"event=leaving" in out and b"event=stopped" in out, (process.returncode, out)
+        assert process.returncode == 0 and b"event=leaving" in out and b"event=stopped" in out, (
+            process.returncode,
+            out,
+        )
+
     asyncio.run(play())
 
 
-MOMENTS = {"the-loop-has-closed": "uvloop.run = lambda work: (run(work), os.kill(os.getpid(), signal.NUMBER))",
-           # Python looks for its last garbage after it has put back the defaults of all signals that it handled.
-           "python-has-let-go-of-signals": "Last = type('Last', (), {'__del__': lambda self, kill=os.kill, pid=os.getpid(), "
-                                           "number=signal.NUMBER: kill(pid, number)}); uvloop.run = lambda work: "
-                                           "(run(work), (lambda last: setattr(last, 'itself', last))(Last()))"}
+MOMENTS = {
+    "the-loop-has-closed": "uvloop.run = lambda work: (run(work), os.kill(os.getpid(), signal.NUMBER))",
+    # Python looks for its last garbage after it has put back the defaults of all signals that it handled.
+    "python-has-let-go-of-signals": "Last = type('Last', (), {'__del__': lambda self, kill=os.kill, pid=os.getpid(), "
+    "number=signal.NUMBER: kill(pid, number)}); uvloop.run = lambda work: "
+    "(run(work), (lambda last: setattr(last, 'itself', last))(Last()))",
+}
 
 
 @pytest.mark.parametrize("number", ["SIGTERM", "SIGINT", "SIGHUP"])
 @pytest.mark.parametrize("moment", MOMENTS)
 def test_a_second_notice_as_the_program_ends(moment: str, number: str, tmp_path: Path) -> None:
     """The process is over but for its end, and still ends with status 0."""
+
     async def play() -> None:
         main = signalled(MOMENTS[moment].replace("NUMBER", number))
         async with Rig(tmp_path, main=main) as rig:
             rig.process.send_signal(signal.SIGTERM)
             assert await soon(rig.process.wait()) == 0
+
     asyncio.run(play())
 
 
@@ -362,11 +394,18 @@
 
 def everything_on(folder: Path) -> dict[str, Any]:
     (folder / "fleet-key").write_text("6b" * 32)
-    return {"record": {"sqlite": {"path": str(folder / "record.db")}},
-            "rollout": {"store": {"sqlite": {"path": str(folder / "agreed.db")}}},
-            "metrics": {"file": str(folder / "metrics.prom"), "every_ms": 100, "listen": "127.0.0.1:0"},
-            "fleet": {"listen": "127.0.0.1:0", "key_file": str(folder / "fleet-key"), "calls": 8, "least": 1,
-                      "services": ["127.0.0.1:1", "127.0.0.1:2"]}}
+    return {
+        "record": {"sqlite": {"path": str(folder / "record.db")}},
+        "rollout": {"store": {"sqlite": {"path": str(folder / "agreed.db")}}},
+        "metrics": {"file": str(folder / "metrics.prom"), "every_ms": 100, "listen": "127.0.0.1:0"},
+        "fleet": {
+            "listen": "127.0.0.1:0",
+            "key_file": str(folder / "fleet-key"),
+            "calls": 8,
+            "least": 1,
+            "services": ["127.0.0.1:1", "127.0.0.1:2"],
+        },
+    }
 
 
 @pytest.mark.parametrize("operator", [None, everything_on])
@@ -386,7 +425,10 @@
             told = dict(line.split(":", 1) for line in (thread / "status").read_text().splitlines())
             blocked[int(thread.name)] = int(told["SigBlk"], 16) & heard
         assert blocked.pop(rig.process.pid) == 0
-        assert len(blocked) >= (4 if operator is None else 8) and set(blocked.values()) == {heard}, blocked
+        assert len(blocked) >= (4 if operator is None else 8) and set(blocked.values()) == {
+            heard
+        }, blocked
+
     story(tmp_path)
 
 
@@ -394,7 +436,9 @@
 async def test_a_reply_comes_in_the_turn_in_which_the_call_runs_out_of_time() -> None:
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        call = loop.create_task(Pool(listener.getsockname()).call("0" * 16, b"which", 200 * MS, False))
+        call = loop.create_task(
+            Pool(listener.getsockname()).call("0" * 16, b"which", 200 * MS, False)
+        )
         listener.setblocking(False)
         sock, _ = await loop.sock_accept(listener)
         while b"which" not in await loop.sock_recv(sock, 4096):
@@ -414,7 +458,9 @@
         second = socket.socket()
         second.setblocking(False)
         second.connect_ex(listener.getsockname())
-        call = loop.create_task(Pool(listener.getsockname()).call("0" * 16, b"which", 5 * SECOND, False))
+        call = loop.create_task(
+            Pool(listener.getsockname()).call("0" * 16, b"which", 5 * SECOND, False)
+        )
         await asyncio.sleep(0.3)  # the first dial is lost by now
         first.close()
         second.close()
@@ -433,7 +479,13 @@
 async def test_a_silent_link_is_reset_in_the_turn_in_which_it_is_given_up() -> None:
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        link = Link(listener.getsockname(), Tasks(), lambda empty, age: None, lambda *ended: None, lambda *at: None)
+        link = Link(
+            listener.getsockname(),
+            Tasks(),
+            lambda empty, age: None,
+            lambda *ended: None,
+            lambda *at: None,
+        )
         keeping = loop.create_task(link.keep())
         listener.setblocking(False)
         sock, _ = await loop.sock_accept(listener)
@@ -534,7 +586,9 @@
     rig.executor.exit(id, result=b"paid")
     await gets(answer, b"paid")
     await gets(inside, b"paid")
-    await gets(other.ask("pay", fields(once="k", at=str(at + 300), retry="1")), b"paid")  # read late, once it had ended
+    await gets(
+        other.ask("pay", fields(once="k", at=str(at + 300), retry="1")), b"paid"
+    )  # read late, once it had ended
     after = other.ask("pay", fields(once="k"))
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid anew")
     await gets(after, b"paid anew")
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -40,19 +40,28 @@
 
 def test_metrics_in_a_file_and_on_a_listener(tmp_path: Path) -> None:
     async def play() -> None:
-        told = {**recorded(tmp_path), "metrics": {"file": str(tmp_path / "metrics.prom"), "every_ms": 100,
-                                                  "listen": "127.0.0.1:0"}}
+        told = {
+            **recorded(tmp_path),
+            "metrics": {
+                "file": str(tmp_path / "metrics.prom"),
+                "every_ms": 100,
+                "listen": "127.0.0.1:0",
+            },
+        }
         async with Rig(tmp_path, operator=told) as rig:
             answer = (await rig.balancer()).ask("pay", fields(once="k"))
             rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid")
             await gets(answer, b"paid")
-            await until(lambda: "burlloom_record_claims_total 1.0" in read(tmp_path / "metrics.prom"))
+            await until(
+                lambda: "burlloom_record_claims_total 1.0" in read(tmp_path / "metrics.prom")
+            )
             host, port = re.findall(r"event=metrics-listening address=(\S+):(\d+)", rig.log())[0]
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"GET /metrics HTTP/1.0\r\n\r\n")
             assert b"burlloom_record_finish_seconds_count 1.0" in await soon(reader.read())
             writer.close()
         assert "event=record-closed-down claims=1" in rig.log()
+
     asyncio.run(play())
 
 
@@ -74,6 +83,7 @@
 
 def test_an_executor_that_lived_on_tells_the_end(tmp_path: Path) -> None:
     """What it says in its replay, and what ends only after the start."""
+
     async def play() -> None:
         rig = Rig(tmp_path, operator=recorded(tmp_path), n_cores=4)
         async with rig:
@@ -95,6 +105,7 @@
             rig.executor.exit(runs, result=b"late")
             await gets(waits, b"late")
             assert rig.executor.commands.empty()
+
     asyncio.run(play())
 
 
@@ -123,12 +134,19 @@
 
 
 # Where no store hangs by order, none counts as hanging: it is as late as the machine is.
-PATIENT: dict[str, Any] = {"hang_ms": 60_000, "aim": 40_000_000, "deadline": 60_000_000, "window": 180_000_000}
+PATIENT: dict[str, Any] = {
+    "hang_ms": 60_000,
+    "aim": 40_000_000,
+    "deadline": 60_000_000,
+    "window": 180_000_000,
+}
 
 
-def fleet(nodes: int, terms: dict[str, Any] | None = None, hang_ms: int = 400,
-          **changes: Any) -> Callable[[Any], Callable[[Path], None]]:
+def fleet(
+    nodes: int, terms: dict[str, Any] | None = None, hang_ms: int = 400, **changes: Any
+) -> Callable[[Any], Callable[[Path], None]]:
     """Makes a test of a story told with several rigs and the database stand-in that they share."""
+
     def wrap(story: Callable[..., Awaitable[None]]) -> Callable[[Path], None]:
         def test(tmp_path: Path) -> None:
             async def play() -> None:
@@ -139,9 +157,20 @@
                 for n in range(nodes):
                     folder = tmp_path / f"n{n}"
                     folder.mkdir()
-                    store = {"address": standin.address, "key_file": str(tmp_path / "key"), "hang_ms": hang_ms}
-                    rigs.append(Rig(folder, operator={"record": {"node": f"n{n}", "postgres": store,
-                                                                 **(terms or {})}}, **changes))
+                    store = {
+                        "address": standin.address,
+                        "key_file": str(tmp_path / "key"),
+                        "hang_ms": hang_ms,
+                    }
+                    rigs.append(
+                        Rig(
+                            folder,
+                            operator={
+                                "record": {"node": f"n{n}", "postgres": store, **(terms or {})}
+                            },
+                            **changes,
+                        )
+                    )
                 try:
                     for rig in rigs:
                         await rig.__aenter__()
@@ -151,9 +180,12 @@
                         await rig.__aexit__(None)
                 finally:
                     await standin.stop()
+
             asyncio.run(play())
+
         test.__name__, test.__doc__ = story.__name__, story.__doc__
         return test
+
     return wrap
 
 
@@ -174,7 +206,9 @@
 
 
 @fleet(2, n_cores=1, memory_kb=1000)
-async def test_a_retry_is_looked_up_before_it_could_be_declined(standin: Postgres, one: Rig, two: Rig) -> None:
+async def test_a_retry_is_looked_up_before_it_could_be_declined(
+    standin: Postgres, one: Rig, two: Rig
+) -> None:
     """There is no room for it there, but it ran: it is settled all the same. One that did not run is declined."""
     first = (await one.balancer()).ask("pay", fields(once="k"))
     one.executor.exit(await one.command("EXEC", "pay"), result=b"paid")
@@ -191,13 +225,17 @@
 
 
 @fleet(2, n_cores=4, **PATIENT)
-async def test_a_node_that_never_ends_it_leaves_its_repeats_voided(standin: Postgres, one: Rig, two: Rig) -> None:
+async def test_a_node_that_never_ends_it_leaves_its_repeats_voided(
+    standin: Postgres, one: Rig, two: Rig
+) -> None:
     """While it is there, until their time is over; once it has come back, at once."""
     (await one.balancer()).ask("pay", fields(once="k"))
     await one.command("EXEC", "pay")
     there = await two.balancer()
     before = looks(standin)
-    waits = there.ask("pay", fields(once="k", retry="1", at=str(time.time_ns() // 1_000_000 - 56_000)))
+    waits = there.ask(
+        "pay", fields(once="k", retry="1", at=str(time.time_ns() // 1_000_000 - 56_000))
+    )
     await until(lambda: looks(standin) > before + 1)
     assert not waits.done()  # it asks again and again
     await fails(waits, "Voided")
@@ -243,7 +281,9 @@
 
 
 @fleet(1, {"mode": "prefer", "claim_share": 0.1}, n_cores=4)
-async def test_a_store_that_hangs_is_done_without_where_it_is_only_preferred(standin: Postgres, rig: Rig) -> None:
+async def test_a_store_that_hangs_is_done_without_where_it_is_only_preferred(
+    standin: Postgres, rig: Rig
+) -> None:
     standin.orders.hang = True
     balancer = await rig.balancer()
     for n in range(8):
@@ -254,11 +294,14 @@
     assert rig.executor.commands.empty()
 
 
-@pytest.mark.parametrize("moment", ["claim-posted", "claim-durable", "executed", "finish-posted", "answering"])
+@pytest.mark.parametrize(
+    "moment", ["claim-posted", "claim-durable", "executed", "finish-posted", "answering"]
+)
 @pytest.mark.parametrize("kind", ["sqlite", "postgres"])
 def test_killed_at_a_moment_of_a_charge(kind: str, moment: str) -> None:
     """A small seeded part of benchmarks/kill_restart.py; the whole is a measurement."""
     from kill_restart import Session
+
     session = Session(kind, 11)
     asyncio.run(session.play(2, (moment, "random")))
     assert not session.book.faults and session.book.count["settled"]
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -20,7 +20,20 @@
 from test_command import burlloom
 from test_fleet_processes import fleet, full
 
-from burlloom.recovery import Input, Kept, Ramp, Recovery, Retries, Start, State, Terms, Verdict, judge, read, write
+from burlloom.recovery import (
+    Input,
+    Kept,
+    Ramp,
+    Recovery,
+    Retries,
+    Start,
+    State,
+    Terms,
+    Verdict,
+    judge,
+    read,
+    write,
+)
 from burlloom.recovery.ramp import Input as Push
 from burlloom.recovery.start import RULES
 from burlloom.standins.parts import fields
@@ -36,13 +49,18 @@
         assert read(text[:cut]) is Verdict.TORN
     for _ in range(20_000):
         at = chance.randrange(len(text))
-        spoilt = text[:at] + chr(chance.randrange(32, 127)) + text[at + 1:]
-        assert read(spoilt) in (KEPT, Verdict.TORN) and (read(spoilt) is Verdict.TORN
-            or spoilt.split() == text.split())
+        spoilt = text[:at] + chr(chance.randrange(32, 127)) + text[at + 1 :]
+        assert read(spoilt) in (KEPT, Verdict.TORN) and (
+            read(spoilt) is Verdict.TORN or spoilt.split() == text.split()
+        )
     for text in ("", "null", "[]", "{}", "[" * 9000, '{"kept": 5, "sum": "x"}'):
         assert read(text) is Verdict.TORN
-    for told, now, verdict in ((KEPT, 6000, Verdict.GOOD), (replace(KEPT, node="n2"), 6000, Verdict.FOREIGN),
-            (KEPT, 4999, Verdict.FUTURE), (KEPT, 99_000, Verdict.OLD)):
+    for told, now, verdict in (
+        (KEPT, 6000, Verdict.GOOD),
+        (replace(KEPT, node="n2"), 6000, Verdict.FOREIGN),
+        (KEPT, 4999, Verdict.FUTURE),
+        (KEPT, 99_000, Verdict.OLD),
+    ):
         assert judge(told, "n1", now, 60_000) is verdict
 
 
@@ -58,8 +76,12 @@
                 start.meet(what, at)
             against = {Input.SAID_LATER, Input.SAID_EARLIER}
             if start.used:
-                assert start.state is State.WARM and told[0] is Input.KEPT_GOOD or Input.KEPT_GOOD in told
-                after = told[told.index(Input.KEPT_GOOD):]
+                assert (
+                    start.state is State.WARM
+                    and told[0] is Input.KEPT_GOOD
+                    or Input.KEPT_GOOD in told
+                )
+                after = told[told.index(Input.KEPT_GOOD) :]
                 assert not against & set(after), told
             if told[0] is Input.KEPT_OLD and not clean:
                 assert start.fenced_until >= 100, told
@@ -67,7 +89,11 @@
                 assert start.fenced_until >= 100, told
             if told[0] is Input.KEPT_BAD or told[0] is Input.KEPT_NONE and Input.SAID_LIVED in told:
                 assert start.fenced_until >= 100, told
-            if told[0] is Input.KEPT_GOOD and clean and not (against | {Input.SAID_LIVED}) & set(told):
+            if (
+                told[0] is Input.KEPT_GOOD
+                and clean
+                and not (against | {Input.SAID_LIVED}) & set(told)
+            ):
                 assert not start.fenced_until
     assert met >= set(RULES)
 
@@ -83,7 +109,7 @@
             ramp.round(at * 100, what, 64.0)
             if not ramp.full:
                 highest[at] = max(highest[at], ramp.cap)
-                assert 1.0 <= ramp.cap <= 2.0 * 2 ** at
+                assert 1.0 <= ramp.cap <= 2.0 * 2**at
                 assert ramp.cap <= before or what is Push.WELL
             else:
                 assert before >= 64.0 or before == float("inf")
@@ -106,6 +132,7 @@
 def test_a_recovery_as_a_whole() -> None:
     def begun(found: Kept | Verdict, lonely: bool = False) -> Recovery:
         return Recovery(Terms(window=18_000 * MS), found, "n1", 0, 6000, lonely)
+
     warm, cold = begun(KEPT), begun(Verdict.MISSING)
     for one in (warm, cold):
         assert one.cap == 0 and one.round(0, 10.0, 0.0) and one.cap == 2.5
@@ -139,6 +166,7 @@
 
 # On processes.
 
+
 def coming_back(folder: Path) -> dict[str, Any]:
     return {"recovery": {"state_file": str(folder / "kept"), "step_ms": 200, "ask_ms": 1500}}
 
@@ -163,12 +191,16 @@
     await asyncio.gather(*(server.kill() for server in killed))
     torn, gone, older, whole = killed[0], killed[1], made.servers[3], made.servers[4]
     text = (torn.folder / "kept").read_text()
-    (torn.folder / "kept").write_text(text[:len(text) // 2])
+    (torn.folder / "kept").write_text(text[: len(text) // 2])
     (gone.folder / "kept").unlink()
     shutil.copy(older.folder / "older", older.folder / "kept")
     await asyncio.gather(*(server.begin() for server in killed))
-    await until(lambda: all("event=recovery-start" in server.log().rsplit("event=recovery ", 1)[-1]
-        for server in killed))
+    await until(
+        lambda: all(
+            "event=recovery-start" in server.log().rsplit("event=recovery ", 1)[-1]
+            for server in killed
+        )
+    )
     assert made.worst <= 1.05 * made.calls
     for _ in range(40):
         await asyncio.sleep(0.25)
@@ -177,12 +209,21 @@
         assert made.worst <= 1.05 * made.calls
         made.again()
     await made.settles(full(made))
-    await until(lambda: all("event=recovery-over" in server.log().rsplit("event=recovery ", 1)[-1]
-        for server in killed))
-    assert "kept=torn" in torn.log() and any("input=kept_bad effect=fence state=cold" in said
-        for said in life(torn))
-    assert any("input=said_lived effect=fence state=cold" in said for said in life(gone)), life(gone)
-    assert any("input=said_later effect=fence state=cold" in said for said in life(older)), life(older)
+    await until(
+        lambda: all(
+            "event=recovery-over" in server.log().rsplit("event=recovery ", 1)[-1]
+            for server in killed
+        )
+    )
+    assert "kept=torn" in torn.log() and any(
+        "input=kept_bad effect=fence state=cold" in said for said in life(torn)
+    )
+    assert any("input=said_lived effect=fence state=cold" in said for said in life(gone)), life(
+        gone
+    )
+    assert any("input=said_later effect=fence state=cold" in said for said in life(older)), life(
+        older
+    )
     assert any("input=said_same effect=use state=warm" in said for said in life(whole)), life(whole)
 
 
@@ -210,11 +251,17 @@
     assert int(held) >= 150
 
 
-@played(operator=lambda folder: {"record": {"sqlite": {"path": str(folder / "record.db")}},
-    **coming_back(folder)}, n_cores=4)
+@played(
+    operator=lambda folder: {
+        "record": {"sqlite": {"path": str(folder / "record.db")}},
+        **coming_back(folder),
+    },
+    n_cores=4,
+)
 async def test_a_lost_record_is_not_taken_for_a_new_one(rig: Rig) -> None:
     """A charge ran; the store that knows is gone: its retry is voided, not run again. With the store it is
     settled."""
+
     async def charge(key: str) -> dict[str, str]:
         told = fields(once=key)
         answer = (await rig.balancer()).ask("pay", told, b"charge")
@@ -229,6 +276,7 @@
     def of_the_record() -> int:
         kept = read((rig.folder / "kept").read_text()) if (rig.folder / "kept").exists() else None
         return kept.record_life if isinstance(kept, Kept) else 0
+
     told = await charge("k1")
     await until(lambda: of_the_record() == 1)
     await rig.kill()
@@ -242,7 +290,9 @@
     await rig.begin()
     await until(lambda: "input=said_earlier effect=fence state=cold" in rig.log())
     await fails(await again(told), "Voided")
-    other = (await rig.balancer()).ask("pay", fields(once="k2"), b"charge")  # a first try is as good as ever
+    other = (await rig.balancer()).ask(
+        "pay", fields(once="k2"), b"charge"
+    )  # a first try is as good as ever
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"second")
     await gets(other, b"second")
     assert rig.executor.commands.empty()
@@ -285,16 +335,20 @@
         server.open_most = 5
         told = server.executor.callout
 
-        def begins(id: str, body: bytes = b"which", executor: Any = server.executor,
-                told: Any = told) -> None:
+        def begins(
+            id: str, body: bytes = b"which", executor: Any = server.executor, told: Any = told
+        ) -> None:
             runs[executor.bodies[id]] = runs.get(executor.bodies[id], 0) + 1
             executor.keys = {**getattr(executor, "keys", {}), id: executor.bodies[id]}
             told(id, body)
 
-        def exits(id: str, end: str = "PASS", result: bytes = b"", executor: Any = server.executor) -> None:
+        def exits(
+            id: str, end: str = "PASS", result: bytes = b"", executor: Any = server.executor
+        ) -> None:
             key = getattr(executor, "keys", {}).get(id, b"")
             ended.add(key)
             type(executor).exit(executor, id, end, b"receipt " + key)
+
         server.executor.callout, server.executor.exit = begins, exits  # type: ignore[method-assign]
     await made.settles(lambda: made.mean > 0)
     asked: list[tuple[Server, dict[str, str], bytes, Any]] = []
@@ -306,6 +360,7 @@
             told = fields(once=key.decode())
             asked.append((server, told, key, balancer.ask("pay", told, key)))
             await asyncio.sleep(0.01)
+
     await asyncio.gather(*(charge(server, 28) for server in made.servers))
     killed = made.servers[1:]
     await asyncio.gather(*(server.kill() for server in killed))
@@ -323,19 +378,23 @@
         for _ in range(100):
             if said is not None and (said[0] is None or said[0][0] == "Voided"):
                 break
-            assert said is None or key not in ended or server not in killed or said[0][0] != "Backoff", (key,
-                said)
+            assert (
+                said is None or key not in ended or server not in killed or said[0][0] != "Backoff"
+            ), (key, said)
             await asyncio.sleep(0.05)
             again = {**fields(once=told["once"]), "retry": "1"}
             if server.name not in balancers or balancers[server.name].ended.is_set():
-                balancers[server.name] = await server.balancer()  # one that says nothing for long is closed
+                balancers[
+                    server.name
+                ] = await server.balancer()  # one that says nothing for long is closed
             said = await asyncio.wait_for(balancers[server.name].ask("pay", again, key), 20)
         assert said is not None and (said[0] is None or said[0][0] == "Voided"), (key, said)
         counts["settled" if said[0] is None else "voided"] += 1
         if said[0] is None:
             assert said[1][0] == b"receipt " + key
-    assert all(count == 1 for key, count in runs.items() if key), {key: count for key, count in runs.items()
-        if count > 1}
+    assert all(count == 1 for key, count in runs.items() if key), {
+        key: count for key, count in runs.items() if count > 1
+    }
     assert counts["settled"] > 20 and made.worst <= 1.05 * made.calls, counts
 
 
@@ -346,23 +405,31 @@
     kept.write_text(write(replace(KEPT, told_at=told_at)))
     said = burlloom("recovery", "show", "-o", path)
     ago = re.match(r"n1: life 1000, told (\d+\.\d) s ago, ", said)
-    assert ago is not None and 2.0 <= float(ago[1]) <= (time.time_ns() // MS - told_at) / 1000 + 0.05, said
+    assert (
+        ago is not None and 2.0 <= float(ago[1]) <= (time.time_ns() // MS - told_at) / 1000 + 0.05
+    ), said
     assert "good: peers and the store are asked" in said
     assert "foreign" in burlloom_says("recovery", "show", "-o", path, "--node", "n2")
     kept.write_text(kept.read_text()[:-9])
     assert "torn: a cold start, and the fence" in burlloom_says("recovery", "show", "-o", path)
-    for told, fault in (({"state_file": "/none/kept"},
-            "recovery: state_file: the folder /none does not exist"),
-                        ({"begin": 0.6}, "recovery: begin_warm 0.5 is under begin, 0.6"),
-                        ({"fence": "no"}, "recovery.fence: "),
-                        ({"retries": -1}, "recovery.retries: ")):
+    for told, fault in (
+        ({"state_file": "/none/kept"}, "recovery: state_file: the folder /none does not exist"),
+        ({"begin": 0.6}, "recovery: begin_warm 0.5 is under begin, 0.6"),
+        ({"fence": "no"}, "recovery.fence: "),
+        ({"retries": -1}, "recovery.retries: "),
+    ):
         path.write_text(json.dumps({"recovery": told}))
         assert fault in burlloom("check", "-o", path, status=2)
 
 
 def burlloom_says(*words: Any) -> str:
     """Of a command that ends with status 1, what it prints."""
-    done = subprocess.run([sys.executable, "-m", "burlloom.command", *map(str, words)], cwd=ROOT, text=True,
-                          capture_output=True, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-m", "burlloom.command", *map(str, words)],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=60,
+    )
     assert done.returncode == 1, done
     return done.stdout
--- a/tests/test_rollout_core.py
+++ b/tests/test_rollout_core.py
@@ -10,7 +10,19 @@
 from rollout_core import TERMS, S, World
 from rollout_waves import one
 
-from burlloom.rollout import SERVERS, Book, Budget, Counts, Denied, Group, Lead, Measure, Member, Phase, Plan
+from burlloom.rollout import (
+    SERVERS,
+    Book,
+    Budget,
+    Counts,
+    Denied,
+    Group,
+    Lead,
+    Measure,
+    Member,
+    Phase,
+    Plan,
+)
 from burlloom.rollout import State, Unit, hand, plan, units
 from burlloom.rollout.judge import Evidence, Look, Verdict, judge, rates
 from burlloom.rollout.plan import faults, wave_of
@@ -68,7 +80,9 @@
                 assert before.wave == 1 and what is plan.Input.GOOD
             if before.phase is Phase.HALTED and now.phase is not Phase.HALTED:
                 assert what in (plan.Input.RESUME, plan.Input.ROLLBACK)
-            assert not (before.backing and now.phase is Phase.ROLLING and before.phase is not Phase.IDLE)
+            assert not (
+                before.backing and now.phase is Phase.ROLLING and before.phase is not Phase.IDLE
+            )
     assert met == set(plan.RULES)
 
 
@@ -120,7 +134,9 @@
             world.book.start("v4", (1.0,), False)
         world.book = world.book.order(plan.Input.ROLLBACK, "")
         world.until(Phase.IDLE)
-        assert world.book.good == "v2" and {member.version for member in world.members.values()} == {"v2"}
+        assert world.book.good == "v2" and {
+            member.version for member in world.members.values()
+        } == {"v2"}
         assert world.worst == budget.bound(size)
 
 
@@ -134,7 +150,11 @@
     world.lead = world.new_lead("b")
     for _ in range(60):
         world.second()
-    assert world.lead.leads(world.book) and world.worst == 1 and world.book.servers[gone].state is State.OUT
+    assert (
+        world.lead.leads(world.book)
+        and world.worst == 1
+        and world.book.servers[gone].state is State.OUT
+    )
     world.until(Phase.HALTED)
     assert world.book.servers[gone].state is State.MISSING and "missing" in world.book.plan.why
     world.book = world.book.retire(SERVERS, gone).order(plan.Input.RESUME, "")
@@ -160,11 +180,15 @@
 
 def test_permits_go_back_where_a_crash_has_taken_the_budget() -> None:
     world = World(6, Budget(2)).settled()
-    now = world.lead.round(world.now, world.book.start("v2", (1.0,), False), list(world.members.values()))
+    now = world.lead.round(
+        world.now, world.book.start("v2", (1.0,), False), list(world.members.values())
+    )
     sent = [name for name, unit in now.servers.items() if unit.state is State.GRANTED]
     gone = next(name for name in now.servers if name not in sent)
     now = now.meet(SERVERS, gone, Input.SILENT)[0]
-    now = world.lead.round(world.now, now, [one for name, one in world.members.items() if name != gone])
+    now = world.lead.round(
+        world.now, now, [one for name, one in world.members.items() if name != gone]
+    )
     assert len(sent) == 2 and [now.servers[name].state for name in sent].count(State.GRANTED) == 1
 
 
@@ -178,7 +202,9 @@
     after = world.lead.round(world.now, world.book, list(world.members.values()))
     assert not after.groups[SERVERS].taken and after.plan.phase is not Phase.HALTED
     other = world.new_lead("b")
-    assert other.take(world.now, after, 1) is None and other.take(world.now + 70 * S, after, 1) is None
+    assert (
+        other.take(world.now, after, 1) is None and other.take(world.now + 70 * S, after, 1) is None
+    )
 
 
 def test_a_life_that_left_in_good_order_is_no_loss() -> None:
@@ -207,6 +233,7 @@
                 members[name] = replace(member, beat=member.beat + 1)
             book = lead.take(at[0], book, 0) or lead.round(at[0], book, members.values())
         return book
+
     book = run(book, 4)
     assert [unit.state for unit in book.groups["db"].units.values()] == [State.IN] * 3
     for address in below[:2]:
@@ -216,13 +243,18 @@
     book = run(book, 1)
     first, second = (book.groups["db"].units[address] for address in below[:2])
     assert (first.state, second.state) == (State.GRANTED, State.IN)
-    assert book.meet("db", below[0], Input.BEGIN, life=1, ticket=second.asked)[1] == ""  # another's order
+    assert (
+        book.meet("db", below[0], Input.BEGIN, life=1, ticket=second.asked)[1] == ""
+    )  # another's order
     book, effect = book.meet("db", below[0], Input.BEGIN, life=1, ticket=first.asked)
     assert effect and book.shunned() == [("db", below[0])]
     book = run(book, 4)
     assert book.groups["db"].units[below[1]].state is State.IN  # no room yet
     book = run(book, 3)  # its five seconds are over: it is called again, and the next may leave
-    assert book.shunned() == [] and book.groups["db"].units[below[1]].state in (State.GRANTED, State.BACK)
+    assert book.shunned() == [] and book.groups["db"].units[below[1]].state in (
+        State.GRANTED,
+        State.BACK,
+    )
     members["n1"] = replace(members["n1"], below={below[2]: (1, 9)})
     book = run(book, 1)
     assert book.groups["db"].units[below[2]].state is State.MISSING
@@ -233,14 +265,22 @@
 def test_the_judge() -> None:
     measure = Measure(least=100)
 
-    def says(changed: Counts, others: Counts, reference: Counts | None = None, well: bool = True,
-             lasts: bool = True) -> Verdict:
+    def says(
+        changed: Counts,
+        others: Counts,
+        reference: Counts | None = None,
+        well: bool = True,
+        lasts: bool = True,
+    ) -> Verdict:
         evidence = Evidence(10, 100, 50)
         for at in range(11):  # a tenth of it in each look, or all in one
-            one, other = (Counts(*(count * (at if lasts else 10 * (at > 5)) // 10 for count in side))
-                          for side in (changed, others))
+            one, other = (
+                Counts(*(count * (at if lasts else 10 * (at > 5)) // 10 for count in side))
+                for side in (changed, others)
+            )
             evidence.add(at, {"a": Look(1, one, True, well), "b": Look(1, other, False)})
         return judge(measure, evidence, rates(reference) if reference else None).verdict
+
     assert says(Counts(9), Counts(1000), well=False) is Verdict.BAD
     assert says(Counts(99), Counts(1000)) is Verdict.MORE
     assert says(Counts(20, 0, 0, 4), Counts(10_000)) is Verdict.MORE
@@ -248,7 +288,9 @@
     assert says(Counts(1000), Counts(1000)) is Verdict.GOOD
     assert says(Counts(900, 0, 0, 100), Counts(10_000)) is Verdict.BAD
     assert says(Counts(900, 0, 0, 100), Counts(10_000), lasts=False) is Verdict.GOOD  # one burst
-    assert says(Counts(900, 0, 100, 0), Counts(9000, 0, 1000)) is Verdict.GOOD  # a crowd is on both sides
+    assert (
+        says(Counts(900, 0, 100, 0), Counts(9000, 0, 1000)) is Verdict.GOOD
+    )  # a crowd is on both sides
     assert says(Counts(980, 0, 0, 20), Counts(10_000)) is Verdict.GOOD  # under the margin
     assert says(Counts(1000, 200), Counts(10_000, 100)) is Verdict.BAD
     assert says(Counts(900, 0, 0, 100), Counts()) is Verdict.GOOD  # nothing to hold it against
@@ -264,7 +306,11 @@
         life = 1 if at < 90 else 2
         evidence.add(at, {"a": Look(life, Counts(3 * at), True), "b": Look(1, Counts(at), False)})
         total = [
-            sum(side.counts.asked for _, *sides in evidence.rounds for side in sides[which : which + 1])
+            sum(
+                side.counts.asked
+                for _, *sides in evidence.rounds
+                for side in sides[which : which + 1]
+            )
             for which in (0, 1)
         ]
         assert [evidence.changed.counts.asked, evidence.others.counts.asked] == total
@@ -288,7 +334,10 @@
         (lambda: book.ask("db", "n2", 0), "no group 'db'"),
         (lambda: book.give(SERVERS, "n1"), "when it is started"),
         (lambda: book.allow(SERVERS, Budget(0)), "a budget is"),
-        (lambda: book.start("v1", (1.0,), False, True).order(plan.Input.ROLLBACK, ""), "no other version"),
+        (
+            lambda: book.start("v1", (1.0,), False, True).order(plan.Input.ROLLBACK, ""),
+            "no other version",
+        ),
     ):
         with pytest.raises(Denied, match=said):
             order()
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -54,7 +54,9 @@
     await made.says("start", "v2")
     await until(lambda: made.out == 2)
     await made.says("halt")
-    await made.comes_to(lambda book: book.plan.phase is Phase.HALTED and not book.groups["servers"].taken)
+    await made.comes_to(
+        lambda book: book.plan.phase is Phase.HALTED and not book.groups["servers"].taken
+    )
     ends = made.ends
     await asyncio.sleep(0.5)
     assert made.ends == ends == 2 and made.out == 0
@@ -84,7 +86,9 @@
         try:
             await made.comes_to(lambda book: book.holder == "third", 5)
             break
-        except AssertionError:  # stopped in the middle of a write, it holds SQLite's one lock: nobody decides
+        except (
+            AssertionError
+        ):  # stopped in the middle of a write, it holds SQLite's one lock: nobody decides
             assert made.worst == 1
         finally:
             second.send_signal(signal.SIGCONT)
@@ -98,10 +102,14 @@
     made.run_s = 0.3  # a drain takes as long
     await made.says("start", "v2")
     await until(lambda: any(node.out and node.ready and node.killed() for node in made.nodes))
-    await made.comes_to(lambda book: sum(unit.version == "v2" for unit in book.servers.values()) >= 1)
+    await made.comes_to(
+        lambda book: sum(unit.version == "v2" for unit in book.servers.values()) >= 1
+    )
     made.worst = 0
     await made.comes_to(
-        lambda book: any(book.holder.startswith(node.name + "/") and node.killed() for node in made.nodes)
+        lambda book: any(
+            book.holder.startswith(node.name + "/") and node.killed() for node in made.nodes
+        )
     )
     await made.idle("v2")
     # One more than the budget only by the kill itself; who had a permit then may begin on it.
@@ -138,9 +146,12 @@
 def test_one_is_cut_off_from_the_store(tmp_path: Path) -> None:
     """All agree in the store of record that keeps their charges. One is cut off: it serves on and is not sent
     out; the rest wait, since it may be gone. Then the store itself restarts, in the middle of a drain."""
+
     async def play() -> None:
         database = await Postgres(tmp_path).start()
-        database.orders.idle = 0.5  # one that is cut off in a transaction must not hold the others up
+        database.orders.idle = (
+            0.5  # one that is cut off in a transaction must not hold the others up
+        )
         pipes = [await Pipe(database.address).start() for _ in range(3)]
         key = tmp_path / "key"
         key.write_text(KEY)
@@ -148,13 +159,24 @@
 
         def reached(address: str) -> dict[str, object]:
             return {
-                "postgres": {"address": address, "key_file": str(key), "hang_ms": 1500, "connect_ms": 1000}
+                "postgres": {
+                    "address": address,
+                    "key_file": str(key),
+                    "hang_ms": 1500,
+                    "connect_ms": 1000,
+                }
             }
+
         async with Rollout(tmp_path, store=reached(database.address), waves=["100%"]) as made:
             # Each server has its own way to the store, and names it once, as its record.
             made.more = lambda node: {
                 "rollout": {name: value for name, value in node.part().items() if name != "store"},
-                "record": {"mode": "prefer", "node": node.name, **reached(pipes[int(node.name[1:])].address)}}
+                "record": {
+                    "mode": "prefer",
+                    "node": node.name,
+                    **reached(pipes[int(node.name[1:])].address),
+                },
+            }
             await made.begin(3)
             pipes[1].cut()
             await made.comes_to(lambda book: book.servers["n1"].state is State.MISSING)
@@ -171,6 +193,7 @@
         for pipe in pipes:
             await pipe.stop()
         await database.stop()
+
     asyncio.run(play())
 
 
@@ -207,18 +230,28 @@
     made.nothing_lost()
 
 
-@pytest.mark.parametrize("told, said", [
-    ({"waves": [1, "50%"]}, "waves: the last one is 100%"),
-    ({"waves": ["50%", 1, "100%"]}, "waves: numbers first"), ({"waves": ["x"]}, "rollout.waves.0"),
-    ({"out_most": 0}, "rollout.out_most"), ({"fresh_ms": 1000}, "fresh_ms 1000 is under three of beat_ms"),
-    ({"back_ms": 100}, "back_ms has to be more"), ({"write_off_ms": 100}, "write_off_ms has to be more"),
-    ({"quiet_ms": 100}, "quiet_ms is under judge_ms"), ({"store": {}}, "one store is wanted"),
-    ({"stor": 1}, "rollout.stor: unknown key"),
-    ({"below": {"db": {"addresses": ["10.0.0.1:1", "10.0.0.1:1"]}}}, "10.0.0.1:1 stands twice"),
-    ({"below": {"db": {"addresses": ["10.0.0.1:1", "10.0.0.2:1"], "out_most": 2}}}, "is all of them"),
-    ({"below": {"db": {"addresses": ["10.0.0.1:1", "10.0.0.2:1"]}}}, "not in fleet.services"),
-    ({"store": None}, "rollout.store: is missing, and there is no record"),
-])
+@pytest.mark.parametrize(
+    "told, said",
+    [
+        ({"waves": [1, "50%"]}, "waves: the last one is 100%"),
+        ({"waves": ["50%", 1, "100%"]}, "waves: numbers first"),
+        ({"waves": ["x"]}, "rollout.waves.0"),
+        ({"out_most": 0}, "rollout.out_most"),
+        ({"fresh_ms": 1000}, "fresh_ms 1000 is under three of beat_ms"),
+        ({"back_ms": 100}, "back_ms has to be more"),
+        ({"write_off_ms": 100}, "write_off_ms has to be more"),
+        ({"quiet_ms": 100}, "quiet_ms is under judge_ms"),
+        ({"store": {}}, "one store is wanted"),
+        ({"stor": 1}, "rollout.stor: unknown key"),
+        ({"below": {"db": {"addresses": ["10.0.0.1:1", "10.0.0.1:1"]}}}, "10.0.0.1:1 stands twice"),
+        (
+            {"below": {"db": {"addresses": ["10.0.0.1:1", "10.0.0.2:1"], "out_most": 2}}},
+            "is all of them",
+        ),
+        ({"below": {"db": {"addresses": ["10.0.0.1:1", "10.0.0.2:1"]}}}, "not in fleet.services"),
+        ({"store": None}, "rollout.store: is missing, and there is no record"),
+    ],
+)
 def test_files_that_can_not_be(tmp_path: Path, told: dict[str, object], said: str) -> None:
     path = tmp_path / "operator.jsonnet"
     store = {"sqlite": {"path": str(tmp_path / "agreed.db")}}
@@ -232,6 +265,10 @@
     path = tmp_path / "operator.jsonnet"
     path.write_text("{}")
     assert "has no `rollout` part" in burlloom("rollout", "show", "-o", path, status=2)
-    path.write_text(json.dumps({"rollout": {"store": {"sqlite": {"path": str(tmp_path / "agreed.db")}}}}))
-    (tmp_path / "agreed.db").write_text("no database, but a text that is long enough to be looked at " * 20)
+    path.write_text(
+        json.dumps({"rollout": {"store": {"sqlite": {"path": str(tmp_path / "agreed.db")}}}})
+    )
+    (tmp_path / "agreed.db").write_text(
+        "no database, but a text that is long enough to be looked at " * 20
+    )
     assert "agreed.db: file is not a database" in burlloom("rollout", "show", "-o", path, status=2)
--- a/tests/test_rollout_stores.py
+++ b/tests/test_rollout_stores.py
@@ -38,15 +38,22 @@
     one = Member("n1", 5, 1, Says.SERVING, below={"10.0.0.1:1": (3, 1)})
     assert await first.tell(one) and await second.tell(replace(one, life=6, says=Says.LEAVING))
     assert not await first.tell(replace(one, beat=2)), "a life that is over spoke last"
-    assert await first.members() == [await second.last("n1")] == [replace(one, life=6, says=Says.LEAVING)]
+    assert (
+        await first.members()
+        == [await second.last("n1")]
+        == [replace(one, life=6, says=Says.LEAVING)]
+    )
     await first.forget("n1")
     assert await second.last("n1") is None
-    held = await asyncio.gather(*(shelf.swap(again, Book(str(at))) for at, shelf in enumerate((first, second))))
+    held = await asyncio.gather(
+        *(shelf.swap(again, Book(str(at))) for at, shelf in enumerate((first, second)))
+    )
     assert sorted(held) == [False, True]
 
 
 def test_a_lock_is_waited_for_while_others_have_it(tmp_path: Path) -> None:
     """Found taken a hundred times, and then had; past its time the store is away, and nothing was written."""
+
     async def play() -> None:
         shelf = Sqlite(tmp_path / "agreed.db")
         await shelf.open()
@@ -60,18 +67,23 @@
             await shelf.swap(page, Book("b"))
         assert 2.0 <= held.now < 2.1 and (await shelf.read()).book.holder == "a"
         before = held.looks
-        shelf.turns = held.turns(over=lambda: held.looks == before + 50)  # it is being closed: nobody waits for it
+        shelf.turns = held.turns(
+            over=lambda: held.looks == before + 50
+        )  # it is being closed: nobody waits for it
         with pytest.raises(Away, match="database is locked"):
             await shelf.open()
         assert held.looks == before + 50
         held.db.close()
         await shelf.close()
+
     asyncio.run(play())
 
 
 def test_a_command_waits_for_the_lock(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "operator.jsonnet"
-    path.write_text(json.dumps({"rollout": {"store": {"sqlite": {"path": str(tmp_path / "agreed.db")}}}}))
+    path.write_text(
+        json.dumps({"rollout": {"store": {"sqlite": {"path": str(tmp_path / "agreed.db")}}}})
+    )
     assert CliRunner().invoke(rollout, ["show", "-o", str(path)]).exit_code == 0
     for until, status in ((20.0, 0), (60.0, 2)):
         held = Held(tmp_path / "agreed.db", until)
@@ -94,9 +106,14 @@
             await first.swap(before, Book("c"))
         await first.open()
         new = await first.read()
-        assert new.book == Book() and new.revision > before.revision and not await first.swap(before, Book("c"))
+        assert (
+            new.book == Book()
+            and new.revision > before.revision
+            and not await first.swap(before, Book("c"))
+        )
         await first.close()
         await second.close()
+
     asyncio.run(play())
 
 
@@ -106,7 +123,11 @@
         key = tmp_path / "key"
         key.write_text(KEY)
         key.chmod(0o600)
-        told = Place(postgres=Database(address=server.address, key_file=str(key), hang_ms=300, connect_ms=500))
+        told = Place(
+            postgres=Database(
+                address=server.address, key_file=str(key), hang_ms=300, connect_ms=500
+            )
+        )
         first, second = (Postgres(store_of(told, "-", keep=0)[0]) for _ in range(2))  # type: ignore[arg-type]
         await promises(first, second)
         page = await first.read()
@@ -122,4 +143,5 @@
         await first.close()
         await second.close()
         await server.stop()
+
     asyncio.run(play())
--- a/tests/test_scale_callers.py
+++ b/tests/test_scale_callers.py
@@ -11,12 +11,17 @@
 
 def test_rows_of_callers(tmp_path: Path) -> None:
     place = tmp_path / "rows"
-    done = CliRunner().invoke(scale, ["callers", "--sizes", "20,40,80,160,320", "--seconds", "0.3", "--to", str(place)])
+    done = CliRunner().invoke(
+        scale, ["callers", "--sizes", "20,40,80,160,320", "--seconds", "0.3", "--to", str(place)]
+    )
     assert done.exit_code == 0, (done.output, done.exception)
     found = newest(kept(place))
     assert {(name, state) for name, state, _ in found} == {
-        ("connection memory", "rest"), ("connection cpu", "rest"), ("connection memory", "churn"),
-        ("connection request cpu", "churn")}
+        ("connection memory", "rest"),
+        ("connection cpu", "rest"),
+        ("connection memory", "churn"),
+        ("connection request cpu", "churn"),
+    }
     for state in ("rest", "churn"):
         memory = found["connection memory", state, "now"].values
         assert memory[-1] > memory[0] > 0, memory
--- a/tests/test_scale_configuration.py
+++ b/tests/test_scale_configuration.py
@@ -14,16 +14,35 @@
 
 def test_rows_of_configurations(tmp_path: Path) -> None:
     place = tmp_path / "rows"
-    words = ["configuration", "--sizes", "200,400,800,1600,6400", "--rounds", "1", "--to", str(place)]
+    words = [
+        "configuration",
+        "--sizes",
+        "200,400,800,1600,6400",
+        "--rounds",
+        "1",
+        "--to",
+        str(place),
+    ]
     done = CliRunner().invoke(scale, words)
     assert done.exit_code == 0, (done.output, done.exception)
     found = newest(kept(place))
     assert {(name, state) for name, state, _ in found} == {
-        ("configuration file", "rest"), ("configuration memory", "rest"), ("configuration memory", "churn"),
-        ("configuration memory peak", "churn"), ("configuration start cpu", "cold"), ("configuration start", "cold"),
-        ("reload cpu", "churn"), ("reload stall", "churn")}
-    assert all(row.sizes == (200, 400, 800, 1600, 6400) and min(row.values) >= 0 and row.command and row.note
-               for row in found.values())
+        ("configuration file", "rest"),
+        ("configuration memory", "rest"),
+        ("configuration memory", "churn"),
+        ("configuration memory peak", "churn"),
+        ("configuration start cpu", "cold"),
+        ("configuration start", "cold"),
+        ("reload cpu", "churn"),
+        ("reload stall", "churn"),
+    }
+    assert all(
+        row.sizes == (200, 400, 800, 1600, 6400)
+        and min(row.values) >= 0
+        and row.command
+        and row.note
+        for row in found.values()
+    )
     cpu = found["reload cpu", "churn", "now"].values
     assert cpu[-1] > 4 * cpu[0] > 0, cpu  # processor time, of 32 times as many tenants
     assert "changes a second" in done.output
@@ -31,7 +50,9 @@
 
 def test_rows_of_routes(tmp_path: Path) -> None:
     place = tmp_path / "rows"
-    done = CliRunner().invoke(scale, ["routes", "--sizes", "10000,20000,30000,40000,50000", "--to", str(place)])
+    done = CliRunner().invoke(
+        scale, ["routes", "--sizes", "10000,20000,30000,40000,50000", "--to", str(place)]
+    )
     assert done.exit_code == 0, (done.output, done.exception)
     (row,) = kept(place)
     assert "YARDSTICK" in row.note and row.values[0] < row.values[-1]
@@ -39,7 +60,9 @@
 
 def test_a_dry_run_keeps_nothing_and_bad_sizes_are_refused(tmp_path: Path) -> None:
     place = tmp_path / "rows"
-    done = CliRunner().invoke(scale, ["routes", "--sizes", "1000,2000,3000,4000,5000", "--dry", "--to", str(place)])
+    done = CliRunner().invoke(
+        scale, ["routes", "--sizes", "1000,2000,3000,4000,5000", "--dry", "--to", str(place)]
+    )
     assert done.exit_code == 0 and not place.exists(), done.output
     for bad in ("a,b", "0,1,2,3,4", ""):
         done = CliRunner().invoke(scale, ["configuration", "--sizes", bad, "--to", str(place)])
--- a/tests/test_scale_request.py
+++ b/tests/test_scale_request.py
@@ -25,9 +25,13 @@
     place = tmp_path / "rows"
     said = run(place, "request", "--rates", "20,40,60,80,100", "--seconds", "0.4", *more)
     found = newest(kept(place))
-    assert {name for name, _, _ in found} == {f"request {what}{kind}" for what in (
-        "cpu", "p50 added", "p99 added", "p99 added least")}
-    assert all(row.by == "requests a second" and row.sizes == (20, 40, 60, 80, 100) for row in found.values())
+    assert {name for name, _, _ in found} == {
+        f"request {what}{kind}" for what in ("cpu", "p50 added", "p99 added", "p99 added least")
+    }
+    assert all(
+        row.by == "requests a second" and row.sizes == (20, 40, 60, 80, 100)
+        for row in found.values()
+    )
     assert min(found[f"request p99 added{kind}", "churn", "now"].values) > 0
     assert "3.4 ms added" in said
 
@@ -49,26 +53,57 @@
 
 
 def test_a_change_is_made_while_requests_come(tmp_path: Path) -> None:
-    run(tmp_path / "rows", "during", "reload", "--sizes", "10,20,30,40,50", "--rate", "50", "--times", "1",
-        "--gap", "1.5")
+    run(
+        tmp_path / "rows",
+        "during",
+        "reload",
+        "--sizes",
+        "10,20,30,40,50",
+        "--rate",
+        "50",
+        "--times",
+        "1",
+        "--gap",
+        "1.5",
+    )
     found = newest(kept(tmp_path / "rows"))
-    assert {name for name, _, _ in found} == {f"request {what} {where} a reload" for where in ("in", "beside")
-                                              for what in ("p99 added", "longest")}
+    assert {name for name, _, _ in found} == {
+        f"request {what} {where} a reload"
+        for where in ("in", "beside")
+        for what in ("p99 added", "longest")
+    }
 
 
 def test_what_the_stand_ins_had_is_taken_off_and_others_are_counted() -> None:
     ms = 1_000_000
-    sent = [Sent("a", 0, 1 * ms, 12 * ms, "settled"), Sent("b", 0, 0, 40 * ms, "Backoff"),
-            Sent("c", SECOND, SECOND, SECOND, "lost")]
+    sent = [
+        Sent("a", 0, 1 * ms, 12 * ms, "settled"),
+        Sent("b", 0, 0, 40 * ms, "Backoff"),
+        Sent("c", SECOND, SECOND, SECOND, "lost"),
+    ]
     told = told_of(sent, {"a": 10 * ms}, until=SECOND)
     assert (told.count, told.how, told.longest) == (2, {"settled": 1, "Backoff": 1}, 40.0)
     assert told.p50 == told.p99 == pytest.approx(2.0, rel=0.01)
-    assert told.whole_p99 == pytest.approx(12.0, rel=0.01) and told.late_p99 == pytest.approx(1.0, rel=0.01)
+    assert told.whole_p99 == pytest.approx(12.0, rel=0.01) and told.late_p99 == pytest.approx(
+        1.0, rel=0.01
+    )
     assert windows(type("Play", (), {"sent": sent, "own": {}})(), [SECOND]).how == {"lost": 1}
 
 
 def test_a_member_rejoins_while_requests_come(tmp_path: Path) -> None:
-    run(tmp_path / "rows", "during", "rejoin", "--sizes", "2,3,4,5,6", "--rate", "30", "--times", "1", "--gap", "1.5")
+    run(
+        tmp_path / "rows",
+        "during",
+        "rejoin",
+        "--sizes",
+        "2,3,4,5,6",
+        "--rate",
+        "30",
+        "--times",
+        "1",
+        "--gap",
+        "1.5",
+    )
     found = newest(kept(tmp_path / "rows"))
     assert all(row.by == "members" and "hollow" in row.note for row in found.values())
 
@@ -76,22 +111,33 @@
 @pytest.mark.parametrize("more, who", [((), "while it deals"), (("--plain",), "as a member")])
 def test_a_member_deals_or_another_does(tmp_path: Path, more: tuple[str, ...], who: str) -> None:
     """Each play begins only once all agree who is there and whether it is this server that deals."""
-    run(tmp_path / "rows", "deal", "--sizes", "2,3,4,5,6", "--rate", "30", "--seconds", "0.3", *more)
+    run(
+        tmp_path / "rows", "deal", "--sizes", "2,3,4,5,6", "--rate", "30", "--seconds", "0.3", *more
+    )
     assert {name for name, _, _ in newest(kept(tmp_path / "rows"))} == {
-        f"request p99 added {who}", f"request longest {who}", f"request idle cpu {who}"}
+        f"request p99 added {who}",
+        f"request longest {who}",
+        f"request idle cpu {who}",
+    }
 
 
 def test_a_server_leads_a_release_while_requests_come(tmp_path: Path) -> None:
     """The play begins once all stand in its book and a release is under way, and ends before that does."""
     run(tmp_path / "rows", "lead", "--sizes", "4,5,6,7,8", "--rate", "30", "--seconds", "0.3")
     found = newest(kept(tmp_path / "rows"))
-    assert {name for name, _, _ in found} == {f"request {what} while it leads a release" for what in (
-        "p99 added", "longest", "idle cpu")}
+    assert {name for name, _, _ in found} == {
+        f"request {what} while it leads a release" for what in ("p99 added", "longest", "idle cpu")
+    }
     assert all(row.by == "servers" for row in found.values())
 
 
 def test_the_calmest_span_is_told_and_a_rest_of_one_is_none() -> None:
     ms = 1_000_000
-    sent = [Sent("", at * CALM + n, at * CALM + n, at * CALM + n + took * ms, "settled")
-            for at, took, count in ((0, 9, 100), (1, 4, 100), (2, 6, 100), (3, 1, 3)) for n in range(count)]
-    assert least_p99(type("Play", (), {"sent": sent, "own": {}, "begin": 0})()) == pytest.approx(4.0, rel=0.01)
+    sent = [
+        Sent("", at * CALM + n, at * CALM + n, at * CALM + n + took * ms, "settled")
+        for at, took, count in ((0, 9, 100), (1, 4, 100), (2, 6, 100), (3, 1, 3))
+        for n in range(count)
+    ]
+    assert least_p99(type("Play", (), {"sent": sent, "own": {}, "begin": 0})()) == pytest.approx(
+        4.0, rel=0.01
+    )
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -19,8 +19,11 @@
 
 def shares() -> list[list[Any]]:
     """Ten servers that begin one after the other and are given three calls each; one gives up one for another."""
-    told = [event for at in range(10) for event in (
-        [at, f"h{at}", "began", "fleet", 1], [SECOND + at, f"h{at}", "share", 3000])]
+    told = [
+        event
+        for at in range(10)
+        for event in ([at, f"h{at}", "began", "fleet", 1], [SECOND + at, f"h{at}", "share", 3000])
+    ]
     return [*told, [3 * SECOND, "h1", "share", 2000], [4 * SECOND, "h2", "share", 4000]]
 
 
@@ -30,25 +33,35 @@
     assert found.sums.worst == 1.0
 
 
-@pytest.mark.parametrize("planted", [
-    [[5 * SECOND, "h3", "share", 6000]],
-    [[2 * SECOND, "h1", "stands", "fleet", 9.0], [2 * SECOND + 1, "h2", "share", 6000]],  # its calls are still there
-    [[2 * SECOND, "h11", "share", 3000]]])
+@pytest.mark.parametrize(
+    "planted",
+    [
+        [[5 * SECOND, "h3", "share", 6000]],
+        [
+            [2 * SECOND, "h1", "stands", "fleet", 9.0],
+            [2 * SECOND + 1, "h2", "share", 6000],
+        ],  # its calls are still there
+        [[2 * SECOND, "h11", "share", 3000]],
+    ],
+)
 def test_a_share_given_twice_is_caught(planted: list[list[Any]]):
     found = Checker(TOTAL).check(shares() + planted)
     assert found.faults.count == 1
     assert "shared out" in found.faults.told[0]
 
 
-@pytest.mark.parametrize("well", [ [[5 *
-    SECOND, "h1", "ended", "fleet", 0], [5 *
-    SECOND +
-    1, "h2", "share", 6000]], [[5 *
-    SECOND, "h1", "stands", "fleet", 20.0], [12 *
-    SECOND, "h2", "share", 6000], [25 *
-    SECOND, "h1", "wakes", "fleet", 0], [25 *
-    SECOND +
-     1, "h1", "share", 0]]])
+@pytest.mark.parametrize(
+    "well",
+    [
+        [[5 * SECOND, "h1", "ended", "fleet", 0], [5 * SECOND + 1, "h2", "share", 6000]],
+        [
+            [5 * SECOND, "h1", "stands", "fleet", 20.0],
+            [12 * SECOND, "h2", "share", 6000],
+            [25 * SECOND, "h1", "wakes", "fleet", 0],
+            [25 * SECOND + 1, "h1", "share", 0],
+        ],
+    ],
+)
 def test_what_was_given_up_may_be_given_again(well: list[list[Any]]):
     assert Checker(TOTAL).check(shares() + well).faults.told == []
 
@@ -61,12 +74,19 @@
     for revision in range(1, count + 1):
         now = revision * SECOND
         told.append([now, "run", "put", 1, revision, f"d{revision}"])
-        told += [[now + SECOND // 10 + at, f"h{at}", "applied", 1, revision, f"d{revision}"] for at in range(servers)]
+        told += [
+            [now + SECOND // 10 + at, f"h{at}", "applied", 1, revision, f"d{revision}"]
+            for at in range(servers)
+        ]
     return [*told, [200 * SECOND, "run", "nothing"]]
 
 
 def without(events: list[list[Any]], name: str, *revisions: int) -> list[list[Any]]:
-    return [event for event in events if not (event[1] == name and event[2] == "applied" and event[4] in revisions)]
+    return [
+        event
+        for event in events
+        if not (event[1] == name and event[2] == "applied" and event[4] in revisions)
+    ]
 
 
 def test_changes_in_order():
@@ -79,26 +99,40 @@
 def test_a_lost_change_is_caught():
     """In the middle, by the next one; at the end, as it is never in force."""
     assert Checker().check(without(changes(), "h2", 7)).faults.told == [
-                   "8.100: h2 applies 1/8 after 6: and lost 1 before it"]
+        "8.100: h2 applies 1/8 after 6: and lost 1 before it"
+    ]
     found = Checker().check(without(changes(), "h2", 20)).faults
     assert found.count == 1 and "h2 never has 1/20 in force" in found.told[0]
 
 
 def test_a_change_out_of_order_is_caught():
     told = without(changes(), "h1", 7, 8)
-    found = Checker().check([*told, [8 * SECOND + SECOND // 2, "h1", "applied", 1, 8, "d8"],
-                    [8 * SECOND + SECOND // 2 + 1, "h1", "applied", 1, 7, "d7"]])
+    found = Checker().check(
+        [
+            *told,
+            [8 * SECOND + SECOND // 2, "h1", "applied", 1, 8, "d8"],
+            [8 * SECOND + SECOND // 2 + 1, "h1", "applied", 1, 7, "d7"],
+        ]
+    )
     assert [fault.split(": ", 1)[1] for fault in found.faults.told][:2] == [
-        "h1 applies 1/8 after 6: and lost 1 before it", "h1 applies 1/7 after 8: out of order"]
+        "h1 applies 1/8 after 6: and lost 1 before it",
+        "h1 applies 1/7 after 8: out of order",
+    ]
 
 
 def test_a_change_twice_altered_or_from_nobody_is_caught():
-    for event, word in (([3 * SECOND + SECOND // 2, "h1", "applied", 1, 3, "d3"], "out of order"),
-                        ([21 * SECOND, "h1", "applied", 1, 21, "d21"], "nobody put")):
+    for event, word in (
+        ([3 * SECOND + SECOND // 2, "h1", "applied", 1, 3, "d3"], "out of order"),
+        ([21 * SECOND, "h1", "applied", 1, 21, "d21"], "nobody put"),
+    ):
         assert word in Checker().check([*changes(), event]).faults.told[0]
     told = without(changes(), "h1", 20)
-    assert "something else" in Checker().check(
-        [*told, [20 * SECOND + 9, "h1", "applied", 1, 20, "other"]]).faults.told[0]
+    assert (
+        "something else"
+        in Checker()
+        .check([*told, [20 * SECOND + 9, "h1", "applied", 1, 20, "other"]])
+        .faults.told[0]
+    )
     # What is not for a server comes without its body.
     assert Checker().check([*told, [20 * SECOND + 9, "h1", "applied", 1, 20, ""]]).faults.told == []
 
@@ -115,9 +149,16 @@
 
 def test_a_new_life_begins_with_a_whole():
     told = without(changes(), "h1", *range(5, 21))
-    life = [[5 * SECOND, "h1", "ended", "follower", 0], [9 * SECOND + 1,
-        "h1", "began", "follower", 2], [10 * SECOND, "h1", "synced", 1, 9]]
-    rest = [event for event in changes() if event[1] == "h1" and event[2] == "applied" and event[4] >= 10]
+    life = [
+        [5 * SECOND, "h1", "ended", "follower", 0],
+        [9 * SECOND + 1, "h1", "began", "follower", 2],
+        [10 * SECOND, "h1", "synced", 1, 9],
+    ]
+    rest = [
+        event
+        for event in changes()
+        if event[1] == "h1" and event[2] == "applied" and event[4] >= 10
+    ]
     assert Checker().check(told + life + rest).faults.told == []
 
 
@@ -128,12 +169,19 @@
     assert faults.count == 0
     contents.event(1, "h1", "holds", ("region:0", digest_of([b"a"])))
     assert faults.count == 1
-    told = [[at * SECOND, "server1", "process", at * 0.05 if at > 20 else 1.0, 2**20] for at in range(0, 60)]
+    told = [
+        [at * SECOND, "server1", "process", at * 0.05 if at > 20 else 1.0, 2**20]
+        for at in range(0, 60)
+    ]
     found = Checker(budgets={"server": Budget()}).check(told)
-    assert found.faults.count == 1 and "server1: 50.0 ms of processor time a second over 10 s" in found.faults.told[0]
+    assert (
+        found.faults.count == 1
+        and "server1: 50.0 ms of processor time a second over 10 s" in found.faults.told[0]
+    )
     assert worst_rate([(0, 0.0), (SECOND, 5.0)], 10.0) == 5.0
-    heavy = [[at * SECOND, "server1", "traffic", at * 10_000]
-        for at in range(20)] + [[0, "server2", "process", 0.0, 2**30]]
+    heavy = [[at * SECOND, "server1", "traffic", at * 10_000] for at in range(20)] + [
+        [0, "server2", "process", 0.0, 2**30]
+    ]
     assert Checker(budgets={"server": Budget()}).check(heavy).faults.count == 2
 
 
@@ -143,11 +191,18 @@
     assert away.parts(one, far) and away.parts(far, one) and not away.parts(one, same)
     deaf = Cut(frozenset({"name:c"}), frozenset({"rack:0.1"}), both=False)
     assert deaf.parts(far, same) and not deaf.parts(same, far) and not deaf.parts(far, one)
-    assert len({where.zone for where in laid_out(30)}) == 14 and len({where.region for where in laid_out(30)}) == 6
+    assert (
+        len({where.zone for where in laid_out(30)}) == 14
+        and len({where.region for where in laid_out(30)}) == 6
+    )
 
 
 def read(folder: Path) -> list[list[Any]]:
-    return [json.loads(line) for path in folder.glob("*.jsonl") for line in path.read_text().splitlines()]
+    return [
+        json.loads(line)
+        for path in folder.glob("*.jsonl")
+        for line in path.read_text().splitlines()
+    ]
 
 
 async def fleet_of_hollow_servers(folder: Path, main: tuple[str, ...], count: int = 12) -> Checker:
@@ -166,7 +221,9 @@
         hosts.tell_names("kill", ["h3", "h4"])
         await until(lambda: hosts.up() == count - 2 and clock() - began > 2 * SECOND)
         hosts.tell_names("start", ["h3", "h4"])
-        await until(lambda: hosts.up() == count and hosts.facts().get("share", 0) >= 0.95 * terms["total"])
+        await until(
+            lambda: hosts.up() == count and hosts.facts().get("share", 0) >= 0.95 * terms["total"]
+        )
         faults = [fault for host in hosts.hosts for fault in host.faults]
     assert faults == []
     return Checker(terms["total"]).check(read(folder))
@@ -179,7 +236,9 @@
 
 
 def test_hollow_servers_whose_dealer_gives_twice_are_caught(tmp_path: Path):
-    found = asyncio.run(fleet_of_hollow_servers(tmp_path, (str(ROOT / "tests" / "planted_host.py"), "share")))
+    found = asyncio.run(
+        fleet_of_hollow_servers(tmp_path, (str(ROOT / "tests" / "planted_host.py"), "share"))
+    )
     assert found.faults.count > 0
     assert "shared out" in found.faults.told[0]
 
@@ -195,12 +254,10 @@
     entries=100,
     seed=1,
     pace=0.17,
-    only=(
-        "churn",
-        "zone",
-        "region"),
-        within=60.0,
-         budgets=False)
+    only=("churn", "zone", "region"),
+    within=60.0,
+    budgets=False,
+)
 PLANT = replace(SMALL, servers=28, control=2, real=0, rate=5.0, only=("churn",))
 
 
@@ -215,7 +272,9 @@
 
 @pytest.mark.parametrize("plant, word", [("gap", "lost"), ("content", "something else")])
 def test_a_run_with_a_planted_fault_is_caught(plant: str, word: str):
-    _, found = played(replace(PLANT, main=(str(ROOT / "tests" / "planted_host.py"), plant), patience=5.0), print)
+    _, found = played(
+        replace(PLANT, main=(str(ROOT / "tests" / "planted_host.py"), plant), patience=5.0), print
+    )
     assert any(word in fault for fault in found.faults.told)
 
 
--- a/tests/test_scale_servers.py
+++ b/tests/test_scale_servers.py
@@ -26,9 +26,17 @@
         # One of thirty deals: what it grants the others counts with theirs.
         each = (swarm.net.sent - sent - 29 * 5 * 30) / 30 / 30
         assert (crowd.tally.sent - before[0]) / 30 == pytest.approx(each, rel=0.1)
-        assert crowd.tally.bytes_sent - before[1] < (swarm.net.bytes - octets) / 30 < 2 * (crowd.tally.bytes_sent - before[1])
+        assert (
+            crowd.tally.bytes_sent - before[1]
+            < (swarm.net.bytes - octets) / 30
+            < 2 * (crowd.tally.bytes_sent - before[1])
+        )
     members = crowd.fleet.members
-    assert len(members.there()) == 30 and not crowd.fleet.counts.suspected and not crowd.fleet.counts.unreadable
+    assert (
+        len(members.there()) == 30
+        and not crowd.fleet.counts.suspected
+        and not crowd.fleet.counts.unreadable
+    )
 
 
 def test_one_that_deals_deals_to_its_crowd() -> None:
@@ -56,16 +64,21 @@
     assert {peer.digest for peer in crowd.peers if peer.up and peer.at != at} == {view.digest}
     crowd.tally.kinds.clear()
     crowd.run(5)
-    assert not crowd.tally.kinds.keys() & {"SYNC", "PAGE"} and crowd.tally.kinds.keys() & {"PING", "ACK"}
+    assert not crowd.tally.kinds.keys() & {"SYNC", "PAGE"} and crowd.tally.kinds.keys() & {
+        "PING",
+        "ACK",
+    }
 
 
 def test_a_restart_and_a_death_are_as_many_bytes_in_a_crowd_as_in_a_swarm() -> None:
     """What a member sends more than at rest until ten seconds after; in a swarm the mean of all, in crowds that of six."""
     with swarm_of(40, terms(40)) as swarm:
+
         def sends(seconds: float) -> float:
             before = swarm.net.bytes
             swarm.run(seconds)
             return (swarm.net.bytes - before) / 40
+
         rest, (one, other) = sends(12), swarm.up()[10:12]
         swarm.leave(one)
         restart = sends(2) - rest
@@ -81,6 +94,7 @@
         def more(began: int, crowd: Crowd = crowd) -> int:
             crowd.run(12)
             return crowd.tally.bytes_sent - began
+
         crowd.run(5)
         rest = more(crowd.tally.bytes_sent)
         before = crowd.tally.bytes_sent
@@ -110,16 +124,46 @@
 
 
 SLOPES = {
-    "member": {"member cpu", "member bytes", "member bytes sent", "member bytes received", "member messages sent",
-               "member messages received"},
+    "member": {
+        "member cpu",
+        "member bytes",
+        "member bytes sent",
+        "member bytes received",
+        "member messages sent",
+        "member messages received",
+    },
     "dealer": {"dealer cpu", "dealer bytes", "dealer messages"},
     "memory": {"view memory", "dealer memory"},
     "newcomer": {"newcomer cpu", "newcomer bytes", "newcomer time", "host cpu", "host bytes"},
-    "release": {"release round cpu", "release idle round cpu", "release leader cpu", "book bytes", "book write cpu", "book read cpu",
-                "book steps", "release read bytes", "store swap cpu", "store tell cpu", "store statements"},
-    "discovery": {"discovery bytes", "discovery messages", "discovery cpu", "name service bytes", "name service messages"},
+    "release": {
+        "release round cpu",
+        "release idle round cpu",
+        "release leader cpu",
+        "book bytes",
+        "book write cpu",
+        "book read cpu",
+        "book steps",
+        "release read bytes",
+        "store swap cpu",
+        "store tell cpu",
+        "store statements",
+    },
+    "discovery": {
+        "discovery bytes",
+        "discovery messages",
+        "discovery cpu",
+        "name service bytes",
+        "name service messages",
+    },
     "subset": {"subset cpu", "state file cpu"},
-    "cold": {"agree after cold start", "cold start cpu", "cold start bytes", "member cpu", "member bytes", "dealer cpu"},
+    "cold": {
+        "agree after cold start",
+        "cold start cpu",
+        "cold start bytes",
+        "member cpu",
+        "member bytes",
+        "dealer cpu",
+    },
 }
 
 
@@ -135,10 +179,18 @@
     def work(size: int, state: str) -> dict[Slope, float]:
         found = {Slope("a", "ms/s", state, "x"): 2.0 * size}
         return found | ({Slope("b", "s", state, "y"): 1.0} if size > 20 else {})
+
     monkeypatch.setitem(PARTS, "member", (work, (10, 20, 30, 40, 50), ("rest",)))
     a, b = measured("member", (), (), "now", lambda said: None)
-    assert a.sizes == (10, 20, 30, 40, 50) and a.values == (20, 40, 60, 80, 100) and b.sizes == (30, 40, 50)
-    assert passed(a) == "19" and a.command == "python benchmarks/scale.py servers --part member --state rest"
+    assert (
+        a.sizes == (10, 20, 30, 40, 50)
+        and a.values == (20, 40, 60, 80, 100)
+        and b.sizes == (30, 40, 50)
+    )
+    assert (
+        passed(a) == "19"
+        and a.command == "python benchmarks/scale.py servers --part member --state rest"
+    )
     assert passed(Row("c", "servers", "1/s", "rest", a.sizes, a.values, "", "")) == "-"
 
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -24,9 +24,37 @@
 MS = 1_000_000
 SHOWN = {"start", "decline", "void", "call", "leave_out", "keep", "forget", "reuse"}
 PRODUCT = Product(2000 * MS, 0.0, 6000 * MS, Repeatable.INQUIRY, 0, 0.0, 0.0, 1.0)
-FACTS = ServerFacts(2, 1000.0, 4.0, 1.0, 5.0, False, 0.2, 10_000 * MS, 0.0, 5000 * MS, 200 * MS,
-                    1000 * MS, 1000 * MS, 0, 9000 * MS, FreeValue.NONE, (PRODUCT,))
-TIMES = {"sla", "expiry", "window", "warm_up", "calls_span", "linger", "grace", "advice_max", "fresh", "idle"}
+FACTS = ServerFacts(
+    2,
+    1000.0,
+    4.0,
+    1.0,
+    5.0,
+    False,
+    0.2,
+    10_000 * MS,
+    0.0,
+    5000 * MS,
+    200 * MS,
+    1000 * MS,
+    1000 * MS,
+    0,
+    9000 * MS,
+    FreeValue.NONE,
+    (PRODUCT,),
+)
+TIMES = {
+    "sla",
+    "expiry",
+    "window",
+    "warm_up",
+    "calls_span",
+    "linger",
+    "grace",
+    "advice_max",
+    "fresh",
+    "idle",
+}
 
 
 class Recorder:
@@ -46,7 +74,9 @@
         if name in ("repeatable", "free_value"):
             values[name] = (Repeatable if name == "repeatable" else FreeValue)[text]
         else:
-            values[name] = int(float(text) * MS) if name in TIMES else type(getattr(start, name))(float(text))
+            values[name] = (
+                int(float(text) * MS) if name in TIMES else type(getattr(start, name))(float(text))
+            )
     return replace(start, **values)
 
 
@@ -60,11 +90,20 @@
         told = dict(word.split("=") for word in rest[1:])
         names.append(rest[0])
         first = told.get("of", "-")
-        choice.arrived(now, Txn(
-            len(names) - 1, int(told.get("caller", 0)), int(told.get("product", 0)),
-            int(told.get("cost", 0)) * MS, int(told.get("unread", 0)) * MS, int(told.get("expiry", 0)) * MS,
-            float(told.get("kb", 10)), float(told.get("rank", 0.9)),
-            -1 if first == "-" else names.index(first) if first in names else -2))
+        choice.arrived(
+            now,
+            Txn(
+                len(names) - 1,
+                int(told.get("caller", 0)),
+                int(told.get("product", 0)),
+                int(told.get("cost", 0)) * MS,
+                int(told.get("unread", 0)) * MS,
+                int(told.get("expiry", 0)) * MS,
+                float(told.get("kb", 10)),
+                float(told.get("rank", 0.9)),
+                -1 if first == "-" else names.index(first) if first in names else -2,
+            ),
+        )
     elif event == "wake":
         told = dict(word.split("=") for word in rest)
         gauges = Gauges(core_use=1.0, links=0.0)
@@ -109,9 +148,14 @@
         recorder.seen.clear()
         for now in range(int(first), int(last or first) + 1, 100):
             send(choice, names, now * MS, words)
-        got = [f"call {names[values[0]]} by {values[1] // MS}" if effect == "call" and " by " in wanted
-               else f"{effect} {names[values[0]]}" if effect in SHOWN
-               else f"{effect} {round(values[0], 3) if effect == 'tell' else values[0]}"
-               for effect, values in recorder.seen if effect in SHOWN or effect in wanted]
+        got = [
+            f"call {names[values[0]]} by {values[1] // MS}"
+            if effect == "call" and " by " in wanted
+            else f"{effect} {names[values[0]]}"
+            if effect in SHOWN
+            else f"{effect} {round(values[0], 3) if effect == 'tell' else values[0]}"
+            for effect, values in recorder.seen
+            if effect in SHOWN or effect in wanted
+        ]
         expected = [part.strip() for part in wanted.split(",") if part.strip() not in ("", "-")]
         assert got == expected, f"{path.name}:{number}: {line}"
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -32,7 +32,7 @@
     result = body[::-1] * 2
     frame = balancer.frame("look", fields(), body)
     for at in range(len(frame)):
-        balancer.writer.write(frame[at:at + 1])
+        balancer.writer.write(frame[at : at + 1])
         if at % 97 == 0:
             await balancer.writer.drain()
             await asyncio.sleep(0)
@@ -86,6 +86,7 @@
             answer = balancer.ask("look", fields())
             rig.executor.exit(await rig.command("EXEC", "look"), result=b"late")
             await gets(answer, b"late")
+
     asyncio.run(play())
 
 
@@ -220,6 +221,7 @@
                 rig.executor.exit(id, end)
             await fails(answer, "Voided")
             await gets_one(rig, balancer)
+
     asyncio.run(play())
 
 
@@ -288,19 +290,37 @@
 
 
 PROVEN = [(503, True, b""), (409, True, b"")]
-SPOILT = [b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20000,
-          b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nbody", b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"]
+SPOILT = [
+    b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
+    b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20000,
+    b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nbody",
+    b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
+]
 WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwell"
-GOOD = [b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\n" + WHOLE, WHOLE * 2, WHOLE + b"\x00\xff",
-        WHOLE + b"\r\n\r\nnoise"]
-UNPROVEN = [*SPOILT, (500, False, b""), (504, False, b""), (503, False, b""), (409, False, b""),
-            "close", "reset", "half", "garbage"]
+GOOD = [
+    b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\n" + WHOLE,
+    WHOLE * 2,
+    WHOLE + b"\x00\xff",
+    WHOLE + b"\r\n\r\nnoise",
+]
+UNPROVEN = [
+    *SPOILT,
+    (500, False, b""),
+    (504, False, b""),
+    (503, False, b""),
+    (409, False, b""),
+    "close",
+    "reset",
+    "half",
+    "garbage",
+]
 
 
 @pytest.mark.parametrize("product", ["look", "pay"])
 @pytest.mark.parametrize("reply", PROVEN + UNPROVEN, ids=str)
 def test_calls_that_fail(reply: Any, product: str, tmp_path: Path) -> None:
     """A referenced txn's call is made again only where the last proves that it never ran."""
+
     async def play() -> None:
         async with Rig(tmp_path) as rig:
             balancer = await rig.balancer()
@@ -317,6 +337,7 @@
                 await fails(answer, "Voided")
                 assert rig.catalogue.calls == [(id, b"what")]
                 rig.executor.exit(id, "KILLED")
+
     asyncio.run(play())
 
 
@@ -422,6 +443,7 @@
         now += max(0, span) + 90 * MS + (10 * SECOND if len(at) == 50 else 0)
         if len(at) == 100:
             raise asyncio.CancelledError
+
     monkeypatch.setattr("burlloom.naming.reports.rest", late)
 
     async def play() -> None:
@@ -430,6 +452,7 @@
         monkeypatch.setattr(reports, "report", lambda: at.append(now))
         with contextlib.suppress(asyncio.CancelledError):
             await reports.keep()
+
     asyncio.run(play())
     assert at[49] - at[0] <= 49 * SECOND // 5 + 90 * MS  # five a second, one late
     spans = [after - before for before, after in zip(at, at[1:], strict=False)]
@@ -573,8 +596,11 @@
 
 
 @pytest.mark.parametrize("asked", [True, False], ids=["idle-since-a-check", "silent"])
-def test_idle_clients_hold_every_descriptor_while_discovery_is_down(asked: bool, tmp_path: Path) -> None:
+def test_idle_clients_hold_every_descriptor_while_discovery_is_down(
+    asked: bool, tmp_path: Path
+) -> None:
     """Requests that are open are answered; link, calls, a newcomer and a reload find descriptors."""
+
     @played(n_cores=4)
     async def story(rig: Rig) -> None:
         await soon(rig.naming.reports.get())
@@ -590,6 +616,7 @@
                 client = await rig.balancer()
                 if asked:
                     await soon(client.health())
+
         await fill()
         rig.executor.drop()
         rig.executor.exit(id, result=b"done")
@@ -608,6 +635,7 @@
         rig.executor.exit(calling, result=b"paid")
         await gets(called, b"paid")
         assert "event=accept-failed" not in rig.log()
+
     story(tmp_path)
 
 
@@ -634,15 +662,31 @@
 
 
 BAD = {
-    "unreadable": [b"\xc1", b"\xa1x", msgpack.packb([0, 1, "look"]), msgpack.packb([1, 1, "look", []]),
-                   b"\x94\x00\x01\xa1\xff\x90"],
-    "wrong-type": [request("1", "look", [{}, b""]), request(1, "look", {}), request(1, "look", [{1: ""}, b""])],
+    "unreadable": [
+        b"\xc1",
+        b"\xa1x",
+        msgpack.packb([0, 1, "look"]),
+        msgpack.packb([1, 1, "look", []]),
+        b"\x94\x00\x01\xa1\xff\x90",
+    ],
+    "wrong-type": [
+        request("1", "look", [{}, b""]),
+        request(1, "look", {}),
+        request(1, "look", [{1: ""}, b""]),
+    ],
     "too-large": [b"\x94\x00\x01\xa4look\x92\x80\xc6\xff\xff\xff\xff", b"\xdd\x7f\xff\xff\xff"],
-    "abusive": [request(1, "look", [{}, "text"]) + request(2, "look", [{}]) + request(3, "look", [{}, b"", b""])
-                + request(4, "look", [fields(), b"x" * 2049])],
+    "abusive": [
+        request(1, "look", [{}, "text"])
+        + request(2, "look", [{}])
+        + request(3, "look", [{}, b"", b""])
+        + request(4, "look", [fields(), b"x" * 2049])
+    ],
     "silent": [b""],
     "unfinished": [b"\x94"],
-    "repeated-id": [request(1, "health", [{}]) * 2, request(1, "health", [{}]) + request(0, "health", [{}])],
+    "repeated-id": [
+        request(1, "health", [{}]) * 2,
+        request(1, "health", [{}]) + request(0, "health", [{}]),
+    ],
 }
 
 
@@ -654,7 +698,9 @@
     for reason, inputs in BAD.items():
         for data in inputs:
             bad = await rig.balancer()
-            bad.waiting = {number: asyncio.get_running_loop().create_future() for number in range(1, 5)}
+            bad.waiting = {
+                number: asyncio.get_running_loop().create_future() for number in range(1, 5)
+            }
             bad.writer.write(data)
             await soon(bad.ended.wait())
             ended = f"peer={peer(bad)} reason={reason} txns"
@@ -698,12 +744,26 @@
 async def test_txns_that_can_not_be_read_are_answered(rig: Rig) -> None:
     short, old = fields(), str(int(fields()["at"]) - 13000)
     del short["kb"]
-    for product, told in [("nothing", fields()), ("look", short), ("look", fields(at="soon")), ("look", {}),
-                          ("look", fields(kb="0")), ("look", fields(kb="nan")), ("look", fields(rank="inf")),
-                          ("look", fields(cost="1e9")), ("look", fields(id="a b")), ("pay", fields()),
-                          ("look", fields(at=old)), ("look", fields(at="9" * 15)), ("look", fields(rank="-0.5")),
-                          ("look", fields(kb="2000")), ("look", fields(rank="1.0")), ("look", fields(kb="1_0")),
-                          ("look", fields(tenant="nobody")), ("look", fields(cost=" 1"))]:
+    for product, told in [
+        ("nothing", fields()),
+        ("look", short),
+        ("look", fields(at="soon")),
+        ("look", {}),
+        ("look", fields(kb="0")),
+        ("look", fields(kb="nan")),
+        ("look", fields(rank="inf")),
+        ("look", fields(cost="1e9")),
+        ("look", fields(id="a b")),
+        ("pay", fields()),
+        ("look", fields(at=old)),
+        ("look", fields(at="9" * 15)),
+        ("look", fields(rank="-0.5")),
+        ("look", fields(kb="2000")),
+        ("look", fields(rank="1.0")),
+        ("look", fields(kb="1_0")),
+        ("look", fields(tenant="nobody")),
+        ("look", fields(cost=" 1")),
+    ]:
         balancer = await rig.balancer()
         await fails(balancer.ask(product, told), "BadRequest")
         await gets_one(rig, balancer)
@@ -729,7 +789,9 @@
     id = await rig.command("EXEC", "look")
     for _ in range(80):
         await rig.balancer()
-    await until(lambda: "event=lines-left-out" in rig.log() or rig.log().count("reason=full") == 45)  # of 81
+    await until(
+        lambda: "event=lines-left-out" in rig.log() or rig.log().count("reason=full") == 45
+    )  # of 81
     await gets_one(rig, await rig.balancer())
     rig.executor.exit(id, result=b"done")
     await gets(answer, b"done")
@@ -805,9 +867,19 @@
     balancer = await rig.balancer()
     answer = balancer.ask("look", fields())
     id = await rig.command("EXEC", "look")
-    for count, line in enumerate([b"HELLO\r\n", b"EXIT x\r\n", b"EXIT 1 2 PASS 1 nine\r\n", b"x" * 5000,
-                                  b"CALLOUT 1 2 3\r\nabcde", b"EXIT one 2 PASS 1 0\r\n\r\n",
-                                  b"LOG 99 from nowhere\r\n", b"METERS m1 x\r\n"], 2):
+    for count, line in enumerate(
+        [
+            b"HELLO\r\n",
+            b"EXIT x\r\n",
+            b"EXIT 1 2 PASS 1 nine\r\n",
+            b"x" * 5000,
+            b"CALLOUT 1 2 3\r\nabcde",
+            b"EXIT one 2 PASS 1 0\r\n\r\n",
+            b"LOG 99 from nowhere\r\n",
+            b"METERS m1 x\r\n",
+        ],
+        2,
+    ):
         rig.executor.notify("LOG the next is garbage")
         rig.executor.say(line)
         await until(lambda: len(rig.executor.joins) == count)
@@ -820,9 +892,21 @@
     return json.dumps({**GIVEN, **changes})
 
 
-BROKEN = [None, "", "[]", "{}", broken(listen="here"), broken(listen="127.0.0.1:TAKEN"), broken(settings={}),
-          broken(settings={**GIVEN["settings"], "categories": []}), broken(seed="xyz"), broken(seed=7),
-          broken(stop_ms="soon"), broken(catalog=None), json.dumps({key: GIVEN[key] for key in GIVEN if key != "catalog"})]
+BROKEN = [
+    None,
+    "",
+    "[]",
+    "{}",
+    broken(listen="here"),
+    broken(listen="127.0.0.1:TAKEN"),
+    broken(settings={}),
+    broken(settings={**GIVEN["settings"], "categories": []}),
+    broken(seed="xyz"),
+    broken(seed=7),
+    broken(stop_ms="soon"),
+    broken(catalog=None),
+    json.dumps({key: GIVEN[key] for key in GIVEN if key != "catalog"}),
+]
 
 
 def changed(path: str, value: Any) -> str:
@@ -838,17 +922,33 @@
 
 
 # What is wrong, and the place that the line has to name.
-ABSURD = [("settings.rules.warm_up", None), ("settings.rules.warm_up", -1), ("settings.rules.warm_up", 1e300),
-          ("settings.rules.cold_from", 1.5), ("settings.rules.drain_grace", "soon"), ("settings.extra.calls_out", -0.5),
-          ("settings.extra.calls_out", float("inf")), ("settings.extra.calls_over", float("nan")),
-          ("settings.extra.say", "aloud"), ("settings.extra.n_cores", 0), ("settings.categories.0.aim", 0),
-          ("settings.categories.1.deadline", None), ("settings.categories.1.idempotency", "perhaps"),
-          ("settings.categories.0.name", "pay"), ("limits.sockets", 8), ("limits.sockets", 100.5),
-          ("limits.memory_mb", float("inf")), ("naming", "127.0.0.1:70000"), ("seed", "0x")]
+ABSURD = [
+    ("settings.rules.warm_up", None),
+    ("settings.rules.warm_up", -1),
+    ("settings.rules.warm_up", 1e300),
+    ("settings.rules.cold_from", 1.5),
+    ("settings.rules.drain_grace", "soon"),
+    ("settings.extra.calls_out", -0.5),
+    ("settings.extra.calls_out", float("inf")),
+    ("settings.extra.calls_over", float("nan")),
+    ("settings.extra.say", "aloud"),
+    ("settings.extra.n_cores", 0),
+    ("settings.categories.0.aim", 0),
+    ("settings.categories.1.deadline", None),
+    ("settings.categories.1.idempotency", "perhaps"),
+    ("settings.categories.0.name", "pay"),
+    ("limits.sockets", 8),
+    ("limits.sockets", 100.5),
+    ("limits.memory_mb", float("inf")),
+    ("naming", "127.0.0.1:70000"),
+    ("seed", "0x"),
+]
 
 
 @pytest.mark.parametrize("path, value", ABSURD, ids=[f"{path}={value}" for path, value in ABSURD])
-def test_absurd_settings_end_the_start_with_their_place(path: str, value: Any, tmp_path: Path) -> None:
+def test_absurd_settings_end_the_start_with_their_place(
+    path: str, value: Any, tmp_path: Path
+) -> None:
     known = path.replace(".0.", "[0].").replace(".1.", "[1].")
     if path == "settings.categories.0.name":
         known = "settings.categories"
@@ -857,11 +957,21 @@
 
 def test_all_faults_of_a_configuration_are_told_at_once(tmp_path: Path) -> None:
     told = json.loads(json.dumps(GIVEN))
-    told["seed"], told["limits"]["sockets"], told["settings"]["tenants"] = "q", 3, [{"portion": "all"}, 7]
+    told["seed"], told["limits"]["sockets"], told["settings"]["tenants"] = (
+        "q",
+        3,
+        [{"portion": "all"}, 7],
+    )
     del told["settings"]["rules"]
     line = refused(json.dumps(told), tmp_path)
-    for place in ("seed", "limits.sockets", "settings.rules", "settings.tenants[0].name", "settings.tenants[0].portion",
-                  "settings.tenants[1]"):
+    for place in (
+        "seed",
+        "limits.sockets",
+        "settings.rules",
+        "settings.tenants[0].name",
+        "settings.tenants[0].portion",
+        "settings.tenants[1]",
+    ):
         assert f" {place}: " in line, line
     assert line.count(";") == 5
 
@@ -870,8 +980,14 @@
     """Ends the start at once, with one line and status 2, before anything listens."""
     path = tmp_path / "configuration.json"
     path.write_text(text)
-    done = subprocess.run([sys.executable, "-m", "burlloom.server"], cwd=ROOT, capture_output=True, text=True,
-                          timeout=20, env={"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.1:0", "PATH": ""})
+    done = subprocess.run(
+        [sys.executable, "-m", "burlloom.server"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=20,
+        env={"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.1:0", "PATH": ""},
+    )
     assert (done.returncode, done.stdout, done.stderr.count("\n")) == (2, "", 1), done
     return done.stderr
 
@@ -901,13 +1017,19 @@
     with socket.create_server(("127.0.0.1", 0)) as taken:
         if text is not None:
             path.write_text(text.replace("TAKEN", str(taken.getsockname()[1])))
-        done = subprocess.run([sys.executable, "-m", "burlloom.server"], cwd=ROOT, capture_output=True,
-                              timeout=20, env={"EDGE_CONFIG": str(path), "PATH": ""})
+        done = subprocess.run(
+            [sys.executable, "-m", "burlloom.server"],
+            cwd=ROOT,
+            capture_output=True,
+            timeout=20,
+            env={"EDGE_CONFIG": str(path), "PATH": ""},
+        )
     assert (done.returncode, done.stdout, done.stderr.count(b"\n")) == (2, b"", 1), done
 
 
 def test_a_server_that_calls_nothing_is_told_of_no_catalogue(tmp_path: Path) -> None:
     """Those of a last tier: without `catalog`, they start, serve and reload. A run that calls all the same is ended."""
+
     async def play() -> None:
         rig = Rig(tmp_path, depends_on="off")
         del rig.told["catalog"]
@@ -924,6 +1046,7 @@
             rig.executor.exit(id, "KILLED")
             await fails(answer, "Voided")
             assert not rig.catalogue.calls
+
     asyncio.run(play())
 
 
@@ -943,7 +1066,11 @@
     rig.executor, rig.naming = Executor(), NameService()
     rig.executor.notices = old.notices
     rig.catalogue = Catalogue(rig.reply)
-    for name, part in (("executor", rig.executor), ("naming", rig.naming), ("catalog", rig.catalogue)):
+    for name, part in (
+        ("executor", rig.executor),
+        ("naming", rig.naming),
+        ("catalog", rig.catalogue),
+    ):
         rig.told[name] = (await part.start()).address
     rig.reload()
     again = await rig.command("EXEC", "look")
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -18,7 +18,9 @@
 
 @pytest.mark.parametrize("nodes", [1, 2])
 @pytest.mark.parametrize("trouble", [0, 0.05, 0.2, 0.5])
-def test_no_world_runs_a_charge_twice_or_leaves_a_try_unanswered(nodes: int, trouble: float) -> None:
+def test_no_world_runs_a_charge_twice_or_leaves_a_try_unanswered(
+    nodes: int, trouble: float
+) -> None:
     count: Counter[str] = Counter()
     for seed in range(8):
         world = simulate(seed, nodes, trouble, crashes=seed % 5)
@@ -32,7 +34,11 @@
 
 
 def test_a_broken_row_is_seen_by_the_checker(monkeypatch: pytest.MonkeyPatch) -> None:
-    broken = fate.TABLE.replace("ASK   SLOW                       BACK   refuse+withdraw",
-                                "ASK   SLOW                       RUN    run")
+    broken = fate.TABLE.replace(
+        "ASK   SLOW                       BACK   refuse+withdraw",
+        "ASK   SLOW                       RUN    run",
+    )
     monkeypatch.setattr(fate, "RULES", fate.rules(broken))
-    assert any("ran twice" in fault for seed in range(12) for fault in simulate(seed, 2, 0.3, 3).faults)
+    assert any(
+        "ran twice" in fault for seed in range(12) for fault in simulate(seed, 2, 0.3, 3).faults
+    )
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -11,8 +11,15 @@
 SIZES = (30.0, 100.0, 300.0, 600.0, 1200.0, 2600.0)
 
 
-@pytest.mark.parametrize("shape, cost", [("flat", lambda n: 7.0), ("log", lambda n: 1 + 2 * log2(n)),
-                                         ("linear", lambda n: 0.5 + 0.003 * n), ("square", lambda n: 2 + 1e-4 * n * n)])
+@pytest.mark.parametrize(
+    "shape, cost",
+    [
+        ("flat", lambda n: 7.0),
+        ("log", lambda n: 1 + 2 * log2(n)),
+        ("linear", lambda n: 0.5 + 0.003 * n),
+        ("square", lambda n: 2 + 1e-4 * n * n),
+    ],
+)
 def test_the_shape_is_found_through_noise(shape, cost):
     chance = Random(5)
     found = fit(SIZES, [cost(size) * chance.uniform(0.98, 1.02) for size in SIZES])
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -41,8 +41,14 @@
         return await asyncio.wait_for(asyncio.gather(*words), 20)
 
 
-def row(mark: bytes = MARKS[0], state: int = BEGUN, node: str = "n1", life: int = 1, turn: int = 1,
-        result: bytes = b"") -> Row:
+def row(
+    mark: bytes = MARKS[0],
+    state: int = BEGUN,
+    node: str = "n1",
+    life: int = 1,
+    turn: int = 1,
+    result: bytes = b"",
+) -> Row:
     bare = Row(mark, state, node, life, turn, "00ff", 5, FAR, result)
     return bare._replace(seal=SEALER.seal(bare))
 
@@ -61,6 +67,7 @@
 
 def with_store(kind: str, story: Callable[[Any, Any], Awaitable[None]]) -> None:
     """Plays a story with a fresh store of this kind, and its stand-in where it has one."""
+
     async def play() -> None:
         with tempfile.TemporaryDirectory() as name:
             standin = await StandIn(Path(name), "secret").start() if kind == "postgres" else None
@@ -73,6 +80,7 @@
                 await store.close()
                 if standin is not None:
                     await standin.stop()
+
     asyncio.run(play())
 
 
@@ -80,55 +88,98 @@
     if standin is None:
         return Sqlite(folder / "record.db", SEALER, node, **more)
     host, port = standin.address.split(":")
-    return Postgres((host, int(port)), "burlloom", "burlloom", "secret", SEALER, node, hang=0.5, clock=lambda: 0,
-                    **more)
+    return Postgres(
+        (host, int(port)),
+        "burlloom",
+        "burlloom",
+        "secret",
+        SEALER,
+        node,
+        hang=0.5,
+        clock=lambda: 0,
+        **more,
+    )
 
 
 KINDS = pytest.mark.parametrize("kind", ["sqlite", "postgres"])
-WRITES = st.lists(st.tuples(
-    st.sampled_from([Kind.CLAIM, Kind.FINISH, Kind.WITHDRAW, Kind.INSERT, Kind.FIND]), st.sampled_from(MARKS),
-    st.integers(1, 3), st.sampled_from([KEPT, SPENT])), max_size=14)
+WRITES = st.lists(
+    st.tuples(
+        st.sampled_from([Kind.CLAIM, Kind.FINISH, Kind.WITHDRAW, Kind.INSERT, Kind.FIND]),
+        st.sampled_from(MARKS),
+        st.integers(1, 3),
+        st.sampled_from([KEPT, SPENT]),
+    ),
+    max_size=14,
+)
 
 
 @KINDS
 @settings(max_examples=25, deadline=None)
 @given(asked=WRITES)
-def test_each_write_means_what_it_is_to_mean(kind: str, asked: list[tuple[Kind, bytes, int, int]]) -> None:
+def test_each_write_means_what_it_is_to_mean(
+    kind: str, asked: list[tuple[Kind, bytes, int, int]]
+) -> None:
     async def story(store: Log, _: Any) -> None:
         there: dict[bytes, Row | None] = {}
         for what, mark, turn, state in asked:
             ends = what in (Kind.FINISH, Kind.INSERT)
-            write = Write(what, row(mark, state if ends else BEGUN, turn=turn,
-                                    result=b"r%d" % turn if ends and state == KEPT else b""))
+            write = Write(
+                what,
+                row(
+                    mark,
+                    state if ends else BEGUN,
+                    turn=turn,
+                    result=b"r%d" % turn if ends and state == KEPT else b"",
+                ),
+            )
             stood = there.get(mark)
             there[mark], held = applied(stood, write, 1)
-            word, = await store.ask(write)
+            (word,) = await store.ask(write)
             assert word == (Word(Input.HELD) if held else answer(write, stood, {"n1": (1, False)}))
         for mark, stood in there.items():
-            word, = await store.ask(Write(Kind.FIND, row(mark, turn=99)))
+            (word,) = await store.ask(Write(Kind.FIND, row(mark, turn=99)))
             assert (word.how is Input.ABSENT) == (stood is None)
+
     with_store(kind, story)
 
 
-KEPT_BEFORE = st.lists(st.sampled_from([None, (BEGUN, 1), (BEGUN, 2), (KEPT, 1), (SPENT, 2)]), min_size=12, max_size=12)
-ASKED_TOGETHER = st.lists(st.tuples(st.sampled_from([Kind.CLAIM, Kind.FINISH, Kind.WITHDRAW, Kind.INSERT, Kind.FIND]),
-                                    st.integers(1, 2)), min_size=12, max_size=12)
+KEPT_BEFORE = st.lists(
+    st.sampled_from([None, (BEGUN, 1), (BEGUN, 2), (KEPT, 1), (SPENT, 2)]), min_size=12, max_size=12
+)
+ASKED_TOGETHER = st.lists(
+    st.tuples(
+        st.sampled_from([Kind.CLAIM, Kind.FINISH, Kind.WITHDRAW, Kind.INSERT, Kind.FIND]),
+        st.integers(1, 2),
+    ),
+    min_size=12,
+    max_size=12,
+)
 
 
 @KINDS
 @settings(max_examples=25, deadline=None)
 @given(before=KEPT_BEFORE, asked=ASKED_TOGETHER)
-def test_many_in_one_commit_mean_the_same_as_alone(kind: str, before: list[Any], asked: list[tuple[Kind, int]]) -> None:
+def test_many_in_one_commit_mean_the_same_as_alone(
+    kind: str, before: list[Any], asked: list[tuple[Kind, int]]
+) -> None:
     async def story(store: Log, _: Any) -> None:
         marks = [bytes([n]) * 16 for n in range(12)]
-        there = {mark: row(mark, told[0], turn=told[1]) if told else None for mark, told in zip(marks, before)}
+        there = {
+            mark: row(mark, told[0], turn=told[1]) if told else None
+            for mark, told in zip(marks, before)
+        }
         await store.ask(*(Write(Kind.INSERT, one) for one in there.values() if one is not None))
-        writes = [Write(what, row(mark, KEPT if what in (Kind.FINISH, Kind.INSERT) else BEGUN, turn=turn))
-                  for mark, (what, turn) in zip(marks, asked)]
+        writes = [
+            Write(what, row(mark, KEPT if what in (Kind.FINISH, Kind.INSERT) else BEGUN, turn=turn))
+            for mark, (what, turn) in zip(marks, asked)
+        ]
         for write, word in zip(writes, await store.ask(*writes)):
             stood = there[write.row.mark]
             _, held = applied(stood, write, 1)
-            assert word.how is (Input.HELD if held else answer(write, stood, {"n1": (1, False)}).how)
+            assert word.how is (
+                Input.HELD if held else answer(write, stood, {"n1": (1, False)}).how
+            )
+
     with_store(kind, story)
 
 
@@ -138,9 +189,12 @@
         marks = [bytes([n, 7]) * 8 for n in range(200)]
         words = await store.ask(*(claim(mark=mark) for mark in marks))
         assert {word.how for word in words} == {Input.HELD}
-        words = await store.ask(*(finish(mark=mark) for mark in marks), *(claim(mark=mark, turn=9) for mark in marks))
+        words = await store.ask(
+            *(finish(mark=mark) for mark in marks), *(claim(mark=mark, turn=9) for mark in marks)
+        )
         assert [word.how for word in words] == [Input.HELD] * 200 + [Input.FOUND] * 200
         assert store.store.commits < 40
+
     with_store(kind, story)
 
 
@@ -163,6 +217,7 @@
             assert (await store.ask(claim(mark=MARKS[1])))[0].how is Input.FENCED
         assert (await Log(later).ask(claim(life=2)))[0].how is Input.BARE
         await later.close()
+
     with_store(kind, story)
 
 
@@ -176,13 +231,14 @@
         assert (await two.ask(claim(node="n2")))[0].how is Input.TAKEN
         assert (await two.ask(finish(node="n2")))[0].how is Input.TAKEN
         assert (await one.ask(finish(b"first")))[0].how is Input.HELD
-        word, = await two.ask(claim(node="n2"))
+        (word,) = await two.ask(claim(node="n2"))
         assert word.how is Input.FOUND and word.row is not None and word.row.result == b"first"
         await one.ask(claim(mark=MARKS[1]))
         standin.db.execute("UPDATE node SET fenced = 1 WHERE name = 'n1'")
         assert (await two.ask(claim(node="n2", mark=MARKS[1])))[0].how is Input.BARE
         assert (await one.ask(claim(mark=MARKS[2])))[0].how is Input.FENCED
         await store.close()
+
     with_store("postgres", story)
 
 
@@ -204,12 +260,13 @@
     async def story(store: Log, standin: Any) -> None:
         for order, value in orders.items():
             setattr(standin.orders, order, value)
-        word, = await store.ask(claim())
+        (word,) = await store.ask(claim())
         assert word.how in meant
         standin.orders.hang = False
         while (word := (await store.ask(claim()))[0]).how is Input.LOST:
             await asyncio.sleep(0.01)
         assert word.how is after
+
     with_store("postgres", story)
 
 
@@ -220,13 +277,16 @@
         while (word := (await store.ask(finish()))[0]).how is Input.LOST:
             await asyncio.sleep(0.01)
         assert word.how is Input.HELD and store.store.connects > 1
+
     with_store("postgres", story)
 
 
 def test_marks_are_read_back_page_by_page() -> None:
     async def story(store: Log, standin: Any) -> None:
         marks = [n.to_bytes(16, "little") for n in range(1, 24)]
-        await store.ask(*(claim(mark=mark) for mark in marks), *(finish(mark=mark) for mark in marks[:9]))
+        await store.ask(
+            *(claim(mark=mark) for mark in marks), *(finish(mark=mark) for mark in marks[:9])
+        )
         again = made("postgres", standin.path.parent, standin)
         again.page = 5
         await again.open()
@@ -235,6 +295,7 @@
         assert {mark: until for page in pages for mark, until in page} == dict.fromkeys(marks, FAR)
         assert len(list(again.begun(0))) == 14
         await again.close()
+
     with_store("postgres", story)
 
 
@@ -249,11 +310,13 @@
         assert [row[0] for row in await link.fetch("SELECT name FROM node")] == ["n1"]
         assert standin.cancels == 1 and not link.is_closed()
         link.terminate()
+
     with_store("postgres", story)
 
 
 def test_a_snapshot_is_merged_while_the_record_is_served(tmp_path: Path) -> None:
     """A row that was lost is back, one that stands is left, and a repeat gets the first answer."""
+
     async def play() -> None:
         store = made("sqlite", tmp_path, None)
         await store.open()
@@ -266,9 +329,12 @@
         assert admin.served() and admin.merge(tmp_path / "copy.db", 1) == (1, 2)
         words = await log.ask(*(claim(mark=mark, turn=9) for mark in MARKS[:2]))
         assert [(word.how, word.row and word.row.result) for word in words] == [
-            (Input.FOUND, b"paid"), (Input.FOUND, b"since")]
+            (Input.FOUND, b"paid"),
+            (Input.FOUND, b"since"),
+        ]
         assert admin.merge(tmp_path / "copy.db", FAR) == (0, 0) and not admin.verify().faults
         await store.close()
+
     asyncio.run(play())
 
 
@@ -280,6 +346,7 @@
         await standin.stop()
         with pytest.raises(Refused, match=standin.address):
             await made("postgres", tmp_path, standin).open()
+
     asyncio.run(play())
 
 
@@ -294,13 +361,14 @@
 
 def test_a_full_disk_loses_nothing_and_comes_back(tmp_path: Path) -> None:
     """SQLite's own page limit stands for the disk."""
+
     async def play() -> None:
         store = opened(tmp_path / "record.db", pages=40)
         await store.start()
         log, held, word = Log(store), [], Word(Input.HELD)
         for n in range(400):
             mark = bytes([n % 256, n // 256]) * 8
-            word, = await log.ask(Write(Kind.INSERT, row(mark, KEPT, result=b"x" * 900)))
+            (word,) = await log.ask(Write(Kind.INSERT, row(mark, KEPT, result=b"x" * 900)))
             if word.how is not Input.HELD:
                 break
             held.append(mark)
@@ -311,6 +379,7 @@
         store.db.execute("DELETE FROM fate WHERE rowid < 20")
         assert (await log.ask(claim(mark=b"after space was" + b"!")))[0].how is Input.HELD
         await store.close()
+
     asyncio.run(play())
 
 
@@ -320,7 +389,10 @@
         await store.start()
         log = Log(store)
         store.prune_at = FAR
-        old = [Write(Kind.INSERT, row(bytes([n]) * 16, KEPT, result=b"x" * 4000)._replace(until=5)) for n in range(200)]
+        old = [
+            Write(Kind.INSERT, row(bytes([n]) * 16, KEPT, result=b"x" * 4000)._replace(until=5))
+            for n in range(200)
+        ]
         await log.ask(*old)
         size = store.db.execute("PRAGMA page_count").fetchone()[0]  # type: ignore[union-attr]
         for n in range(6):
@@ -329,6 +401,7 @@
         assert store.pruned == 200
         assert store.db.execute("PRAGMA page_count").fetchone()[0] < size / 2  # type: ignore[union-attr]
         await store.close()
+
     asyncio.run(play())
 
 
@@ -345,8 +418,13 @@
     with sqlite3.connect(foreign) as db:
         db.execute("CREATE TABLE other (x)")
     (tmp_path / "text.db").write_bytes(b"not a database at all, but long enough" * 50)
-    for name, said in (("torn", "damaged"), ("newer", "schema 77 is newer"), ("foreign", "another program's"),
-                       ("text", "damaged"), ("missing/x", "No such file")):
+    for name, said in (
+        ("torn", "damaged"),
+        ("newer", "schema 77 is newer"),
+        ("foreign", "another program's"),
+        ("text", "damaged"),
+        ("missing/x", "No such file"),
+    ):
         path = tmp_path / f"{name}.db"
         before = path.read_bytes() if path.exists() else None
         with pytest.raises(Refused, match=said):
@@ -360,13 +438,20 @@
         await store.start()
         log = Log(store)
         await log.ask(claim(), finish())
-        for change in ("result = x'00'", "result = 'paid twice as much'", "until = 'never'", "seal = 7", "turn = 2"):
+        for change in (
+            "result = x'00'",
+            "result = 'paid twice as much'",
+            "until = 'never'",
+            "seal = 7",
+            "turn = 2",
+        ):
             await log.ask(withdraw(), Write(Kind.INSERT, row(state=KEPT, result=b"paid")))
             store.db.execute(f"UPDATE fate SET {change}")  # type: ignore[union-attr]
-            word, = await log.ask(Write(Kind.FIND, row(turn=2)))
+            (word,) = await log.ask(Write(Kind.FIND, row(turn=2)))
             assert word == Word(Input.BARE), change
             store.db.execute("DELETE FROM fate")  # type: ignore[union-attr]
         await store.close()
+
     asyncio.run(play())
 
 
@@ -377,8 +462,10 @@
     for boot in ("same", "another"):
         path = tmp_path / f"{boot}.db"
         first = opened(path, tick=lambda: Tick("same", 10 * second, 100_000 * second))
-        first.db.execute("INSERT INTO fate VALUES (?,?,?,?,?,?,?,?,?,?)",  # type: ignore[union-attr]
-                         sealed(100_018 * second))
+        first.db.execute(
+            "INSERT INTO fate VALUES (?,?,?,?,?,?,?,?,?,?)",  # type: ignore[union-attr]
+            sealed(100_018 * second),
+        )
         first.release()
         now = (100_005 + ahead) * second
         later = opened(path, tick=lambda: Tick(boot, 15 * second, now))
@@ -412,6 +499,7 @@
 def test_the_record_waits_for_the_lock_as_the_book_does(tmp_path: Path) -> None:
     """A batch finds it taken a hundred times and is written; past its time it surely was not; nor does a start take
     a file that is busy for one that is damaged."""
+
     async def play() -> None:
         path = tmp_path / "record.db"
         store = Sqlite(path, SEALER, "n1")
@@ -434,6 +522,7 @@
         again.turns = held.turns()
         assert (await again.open()).life == 2 and held.looks >= 100
         await again.close()
+
     asyncio.run(play())
 
 
