--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -155,7 +155,8 @@
         pass
     balancer = await rig.balancer()
     error, result = await soon(balancer.health())
-    assert error is None and result[0] is True
+    assert error is None
+    assert result[0] is True
     return time.monotonic() - began
 
 
--- a/benchmarks/distribution_core.py
+++ b/benchmarks/distribution_core.py
@@ -13,7 +13,7 @@
 from distribution_world import SEAL, SECOND, SIGN, value
 from test_distribution_core import HERE, LIFE, NOW, cost, empty, soon
 
-from burlloom.distribution import Replica, Entry, Follower, Source, Table, Terms, Upstream, propose
+from burlloom.distribution import Entry, Follower, Replica, Source, Table, Terms, Upstream, propose
 
 FOLLOWERS, BEATS, CHANGES, NEWCOMERS_ENTRIES = 300, 20, 20, 100_000
 
--- a/benchmarks/fleet_shares.py
+++ b/benchmarks/fleet_shares.py
@@ -22,7 +22,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
-from burlloom.fleet import CALL, Habits, Terms, spread
+from burlloom.fleet import CALL, Terms, spread
 from burlloom.fleet.deal import MS
 from burlloom.fleet.subset import rank, ranked
 from burlloom.lab import World, play
@@ -209,7 +209,8 @@
 
 def in_rounds(names: list[str], below: list[str], size: int) -> dict[str, list[str]]:
     """Deterministic subsetting as Google's book has it: each round of servers deals out one shuffle of the
-    services."""
+    services.
+    """
     count = max(1, len(below) // size)
     found = {}
     for at, name in enumerate(sorted(names)):
@@ -243,7 +244,8 @@
     size: int,
 ) -> tuple[float, float, float]:
     """Load of the most loaded over the mean, calls spread evenly; pairs moved by a leave and by a lost
-    service, times N."""
+    service, times N.
+    """
     names, below = [f"n{at}" for at in range(count)], [f"10.0.0.{at}:80" for at in range(services)]
     before = way(names, below, size)
     load = dict.fromkeys(below, 0.0)
--- a/benchmarks/hollow_hosts.py
+++ b/benchmarks/hollow_hosts.py
@@ -78,7 +78,8 @@
         self.reading = asyncio.create_task(self.read())
 
     async def read(self) -> None:
-        assert self.process is not None and self.process.stdout is not None
+        assert self.process is not None
+        assert self.process.stdout is not None
         while line := await self.process.stdout.readline():
             told = json.loads(line)
             if told["is"] == "second":
@@ -89,7 +90,8 @@
                 self.faults.append(told["detail"])
 
     def order(self, do: str, **told: Any) -> None:
-        assert self.process is not None and self.process.stdin is not None
+        assert self.process is not None
+        assert self.process.stdin is not None
         if self.process.returncode is None:
             self.process.stdin.write(json.dumps({"do": do, **told}).encode() + b"\n")
 
@@ -115,7 +117,8 @@
 
 class Hosts:
     """All of them. `groups`: of each process, the servers, and what their cores are told. `main`: what Python is to
-    run."""
+    run.
+    """
 
     def __init__(
         self,
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -20,12 +20,11 @@
 
 from fleet_shares import terms
 
-from burlloom.fleet import CALL
 from burlloom.lab import World, play
 from burlloom.lab.charts import recovery_chart
 from burlloom.lab.emulator import Emulator, Watch
 from burlloom.lab.fleets import Joining
-from burlloom.recovery import Terms, Verdict
+from burlloom.recovery import Terms
 from burlloom.server.assembly import Server
 from burlloom.server.recovering import Recovered, Recovering
 
@@ -36,7 +35,8 @@
 def world(size: int, seed: int, grown: bool) -> World:
     """Runs want about as many calls as the catalogue bears well; callers retry without limit, half heed
     nothing. `grown`: two thirds of the servers come at the beginning, and were not thought of when shares
-    were told."""
+    were told.
+    """
     joins = [{"kind": "join", "at_s": 0.5, "for_s": 0.5, "size": size - size // 3}] if grown else []
     return World.model_validate(
         {
--- a/benchmarks/rollout_waves.py
+++ b/benchmarks/rollout_waves.py
@@ -109,7 +109,8 @@
 
 class Seen:
     """Looked at each 50 ms: `most` out at once by anyone's doing; `over`: drains begun while as many as
-    allowed, or more, were out; `unseen`: of these, those within a sign of life's time of a kill."""
+    allowed, or more, were out; `unseen`: of these, those within a sign of life's time of a kill.
+    """
 
     def __init__(self, releases: Releases, bound: int) -> None:
         self.releases, self.bound = releases, bound
@@ -226,7 +227,8 @@
     share: float, spread: float, changed: int, others: int, plays: int = 400
 ) -> tuple[float, float]:
     """Share of waves found bad by ours, and by a plain bound at twice the others' share plus one point.
-    Judged each half second over a minute; `spread`: by which servers differ by themselves."""
+    Judged each half second over a minute; `spread`: by which servers differ by themselves.
+    """
     chance, found, plain = Random(hash((share, spread, changed))), 0, 0
     measure = Measure(span=30_000_000_000, least=100)
     usual = 0.02
--- a/benchmarks/scale_checker.py
+++ b/benchmarks/scale_checker.py
@@ -30,7 +30,8 @@
 @dataclass(frozen=True, slots=True)
 class Budget:
     """Of one process: ms of processor time a second, bytes, bytes a second; over means of `span`, since a moment is
-    no budget."""
+    no budget.
+    """
 
     cpu: float = 37.0
     memory: float = 128 * 2**20
@@ -53,7 +54,8 @@
     """Calls below: what all may have in hand together, at each moment. `within`: of the total, what may be passed;
     `spare`: thousandths
     of a call on top, one call for each server whose calls are seen and not its share, since a share under one call
-    is one at times."""
+    is one at times.
+    """
 
     def __init__(
         self, total: float, faults: Faults, within: float = 1.05, spare: float = 0.0
@@ -285,7 +287,8 @@
 
 class Budgets:
     """Of each process, at rest and under ordinary churn: `off` and `on` say what does not count. Memory counts
-    always."""
+    always.
+    """
 
     def __init__(self, budgets: dict[str, Budget], faults: Faults) -> None:
         """`budgets`: by a process's name, or by its role, the part of it before the number."""
@@ -348,7 +351,8 @@
 
 def worst_rate(told: Sequence[tuple[int, float]], span: float) -> float:
     """The largest growth a second of what only grows, over spans of that length; over all of it where that is
-    less."""
+    less.
+    """
     worst, first = 0.0, 0
     for now, value in told:
         while now - told[first + 1][0] >= span * SECOND if first + 1 < len(told) else False:
--- a/benchmarks/scale_crowd.py
+++ b/benchmarks/scale_crowd.py
@@ -92,7 +92,8 @@
 @dataclass(slots=True)
 class Peer:
     """`seen`: what it knows otherwise than the crowd began with. `stale`: messages that are full of words which are no
-    news to anybody, as of one that came lately and has learned all of its view as news."""
+    news to anybody, as of one that came lately and has learned all of its view as news.
+    """
 
     at: int
     word: Word
--- a/benchmarks/scale_real.py
+++ b/benchmarks/scale_real.py
@@ -62,7 +62,8 @@
 
 class Real(Rig):
     """One server, its executor, and who asks it. `started`: called after each start, with its log's newest
-    addresses."""
+    addresses.
+    """
 
     def __init__(
         self,
@@ -123,7 +124,8 @@
 
     def configured(self) -> list[list[Any]]:
         """What its log says of the changes in force, for the checker; without what they say, which stands in no
-        log."""
+        log.
+        """
         ahead = time.clock_gettime_ns(time.CLOCK_BOOTTIME) - time.time_ns()
         found: list[list[Any]] = []
         for line in self.log().splitlines():
--- a/benchmarks/scale_request.py
+++ b/benchmarks/scale_request.py
@@ -390,7 +390,8 @@
 
     async def ready(self, rig: Rig) -> None:
         """Until nearly all know nearly all (of few, all of them) and who deals, and the server's view is another's too;
-        or nearly so for a while, as on a busy machine there is always somebody who is suspected."""
+        or nearly so for a while, as on a busy machine there is always somebody who is suspected.
+        """
         self.tell("real", re.findall(r"event=fleet-open .* address=(\S+)", rig.log())[-1])
         async with asyncio.timeout(60):
             same, since = False, 0
@@ -415,7 +416,8 @@
 
 class Rejoins(Members):
     """It is cut off for so long that it is taken for dead, and healed: that is the moment. Where the row says that it was
-    gone to 0% of the others, it was not: nothing but a suspicion was refuted."""
+    gone to 0% of the others, it was not: nothing but a suspicion was refuted.
+    """
 
     def __init__(self, count: int, times: int, gap: float) -> None:
         super().__init__(count, times, gap)
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -38,7 +38,7 @@
 
 from burlloom.distribution import Entry, Terms, propose  # noqa: E402
 from burlloom.distribution.stores.sqlite import Sqlite  # noqa: E402
-from burlloom.lab.distances import ZONES, Place, laid_out, place  # noqa: E402
+from burlloom.lab.distances import ZONES, laid_out, place  # noqa: E402
 from burlloom.lab.rules import Rules  # noqa: E402
 
 SIGNING = "7c" * 32
@@ -721,7 +721,8 @@
 def starved(run: Run, phase: Phase | None = None) -> float:
     """ms: what the worst lag of a second of a host was over in one of a hundred, in that phase, or from the first
     one on: before it
-    nothing is measured, and all hosts begin at once."""
+    nothing is measured, and all hosts begin at once.
+    """
     began, ended = (
         (phase.began, phase.ended)
         if phase is not None
--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -86,7 +86,8 @@
 
 def play(crowd: Crowd, warm: float, seconds: float) -> Tally:
     """What the real member did in the seconds after the first `warm`; without churn, its processor time is the median of
-    five spans, as that of a busy machine's core comes in bursts."""
+    five spans, as that of a busy machine's core comes in bursts.
+    """
     crowd.run(warm)
     crowd.tally, crowd.events, costs = Tally(), 0, []
     gc.collect()
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -246,7 +246,8 @@
 @dataclass(frozen=True, slots=True)
 class Told:
     """Of the requests of a span, ms. `p50`, `p99`: added by the server to those that were settled; `longest`: to any;
-    `whole_p99`: from the intended moment to the answer; `late_p99`: by which the generator was late."""
+    `whole_p99`: from the intended moment to the answer; `late_p99`: by which the generator was late.
+    """
 
     count: int
     how: dict[str, int]
--- a/burlloom/choice.py
+++ b/burlloom/choice.py
@@ -450,7 +450,8 @@
     def late(self, case: Case) -> bool:
         """It can't make its SLA time here, or not here but perhaps elsewhere (harms without hints).
 
-        Alone it costs nobody a turn, but a faster server may make it. With others, newer ones go first."""
+        Alone it costs nobody a turn, but a faster server may make it. With others, newer ones go first.
+        """
         end = min(case.wanted, self.stop) - MARGIN
         sure = SURE if len(self.hold_list) <= (case.state == State.HELD) else 1.0
         return self.now + sure * self.needs(case) > end or sure == 1.0 and self.now > case.give_back
@@ -535,7 +536,8 @@
         """Where our share is under one call it is a share of time, metered over a span in which calls fit.
 
         A life begins as if its share were just used up, but for a part by chance: nobody spends a whole one at
-        a start, whatever the life before had spent, nor do all servers that start together call in step."""
+        a start, whatever the life before had spent, nor do all servers that start together call in step.
+        """
         facts, share = self.facts, self.facts.calls_share
         self.call_span, self.call_need, self.phase = max(facts.calls_span, 10), 2 * facts.linger, 0
         if 0 < share < 1:
@@ -610,7 +612,8 @@
     def relieve(self, case: Case) -> None:
         """It does not press: what a level takes away is no strain. Final only where whole products are given
         up: every other server would read it too. Where callers hear a floor, that keeps its likes away; a
-        long advice would keep away what is still served."""
+        long advice would keep away what is still served.
+        """
         self.drop(case)
         floor = self.facts.free_value is FreeValue.FLOOR
         away = ROUND if floor else int((1 - 0.5 * self.chance()) * self.facts.advice_max)
@@ -684,7 +687,8 @@
     def pace_links(self, gauges: Gauges) -> None:
         """Against more callers than the table holds, most of whom come back only after their connection went.
 
-        Those far beyond use go early. But a full table turns newcomers back unread: cheap in a flood."""
+        Those far beyond use go early. But a full table turns newcomers back unread: cheap in a flood.
+        """
         spare = gauges.links > SPARE_LINKS * (self.facts.cores + len(self.live)) and not (
             gauges.core_use >= FLOOD_USE and self.turned_share() > FLOOD
         )
--- a/burlloom/command/distribution.py
+++ b/burlloom/command/distribution.py
@@ -61,7 +61,8 @@
 def serve(operator: Path | None, name: str | None) -> None:
     """Be a control machine, in the foreground, until SIGTERM; without a store, a relay.
 
-    It follows the store each 200 ms, and its peers in `upstreams` while the store is away."""
+    It follows the store each 200 ms, and its peers in `upstreams` while the store is away.
+    """
     from ..distribution.control import Control
     from ..distribution.endpoint import bound
     from ..distribution.telling import Keys
@@ -204,7 +205,8 @@
 
     {"scope": "", "entries": [{"kind": "tenant", "key": "acme", "value": {"portion": 2}}, ...]}; a value
     of null deletes. Of a file with any fault nothing is taken: all are told, each with its line and
-    place."""
+    place.
+    """
     told, part = part_of(operator)
     try:
         if file.stat().st_size > FILE_MOST:
@@ -334,7 +336,8 @@
 @click.argument("key")
 def explain(operator: Path | None, kind: str, key: str) -> None:
     """The value in force of KIND KEY, in which scope, and the revision that wrote it: of the store, or,
-    where this file names none, of the first upstream that answers."""
+    where this file names none, of the first upstream that answers.
+    """
     import msgpack
 
     told, part = part_of(operator)
@@ -400,7 +403,8 @@
     and for `signing_key_file`, one file each.
 
     To change keys while all runs: add it everywhere, then move it to the first line everywhere, then take
-    the old one away. Each process looks at its files once a second."""
+    the old one away. Each process looks at its files once a second.
+    """
     made = secrets.token_hex(32)
     handle = os.open(file, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o600)
     with os.fdopen(handle, "a", encoding="ascii") as out:
--- a/burlloom/command/fleet.py
+++ b/burlloom/command/fleet.py
@@ -1,5 +1,6 @@
 """`burlloom fleet ...`: keys, what a server sees of the fleet, what a change of it would move, members who
-are gone."""
+are gone.
+"""
 
 import json
 import os
@@ -44,7 +45,8 @@
 
     To change keys while the fleet runs: add it on all servers, then move it to the first line on all, then
     take the
-    old one away. Each server looks at its file once a second."""
+    old one away. Each server looks at its file once a second.
+    """
     made = secrets.token_hex(32)
     handle = os.open(file, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o600)
     with os.fdopen(handle, "a", encoding="ascii") as out:
@@ -130,7 +132,8 @@
 
     Only for servers that surely call nothing below any more: one that lives says so and is back. For when
     more than
-    half of the fleet was lost for good, so that the rest may not deal its calls by itself."""
+    half of the fleet was lost for good, so that the rest may not deal its calls by itself.
+    """
     from ..fleet import State, Word
     from ..fleet.letters import Kind, Letter, seal
 
--- a/burlloom/command/lab.py
+++ b/burlloom/command/lab.py
@@ -16,7 +16,8 @@
 @click.group()
 def lab() -> None:
     """Whole fleets in simulated time: the real server and decisions between emulated machines, callers and
-    a catalogue."""
+    a catalogue.
+    """
 
 
 def experiment_of(path: Path) -> "Experiment":
@@ -53,9 +54,11 @@
 )
 def run(file: Path, results: Path, workers: int) -> None:
     """Play all that FILE asks for, side by side over the cores, and keep the results. Status 1 if a rule
-    was broken."""
+    was broken.
+    """
     from rich.console import Console
     from rich.progress import Progress
+
     from ..lab.experiment import Table, plays, text_of_program
 
     told, table, text = experiment_of(file), Table(results), text_of_program(ROOT)
@@ -92,7 +95,8 @@
 @click.option("--base", help="The variant compared with; else the first.")
 def compare(name: str, results: Path, text: str | None, base: str | None) -> None:
     """Each variant of the experiment NAME against its base: means, spread, paired differences with their
-    95%."""
+    95%.
+    """
     from ..lab.charts import table
 
     for world, what, pairs, _ in compared(name, results, text, base):
--- a/burlloom/command/levels.py
+++ b/burlloom/command/levels.py
@@ -1,5 +1,6 @@
 """`burlloom levels ...`: what the levels are, in which one a node is and why, what a recorded day would
-have led to; pins."""
+have led to; pins.
+"""
 
 import csv
 import json
@@ -24,7 +25,8 @@
 @click.group()
 def levels() -> None:
     """Levels of reduced service: show them, explain a node's, try a plan on recorded signals, pin and
-    release."""
+    release.
+    """
 
 
 def part_of(operator: Path | None) -> "LevelsPart":
@@ -115,7 +117,8 @@
 @operator_option
 def explain(operator: Path | None) -> None:
     """Why the node stands where it stands: its last step, and each signal against the bounds that hold it
-    there."""
+    there.
+    """
     part = part_of(operator)
     plan, state = part.plan(), state_of(part)
     click.echo(told(state))
@@ -174,7 +177,8 @@
     """Which levels a recorded series of signals would have led to. SERIES is CSV: at_s and any of the
     signals, in order.
 
-    The answers that callers would have had, and so the signals that would have followed, are not in it."""
+    The answers that callers would have had, and so the signals that would have followed, are not in it.
+    """
     from ..levels import NAMES, Levels, Readings
 
     part = part_of(operator)
@@ -265,7 +269,8 @@
 @operator_option
 def pin(level: str, span: float, reason: str, force: bool, operator: Path | None) -> None:
     """Hold the node on LEVEL, until then. The server takes it up within a second; an emergency may still
-    go lower."""
+    go lower.
+    """
     from ..levels.plan import ALL
 
     part = part_of(operator)
--- a/burlloom/command/record.py
+++ b/burlloom/command/record.py
@@ -23,7 +23,8 @@
 def record() -> None:
     """Look after the store of record: look, resolve doubts, verify, copy, put back.
 
-    All but `init`, `migrate`, `compact` and `restore` may be used while a server has the file."""
+    All but `init`, `migrate`, `compact` and `restore` may be used while a server has the file.
+    """
 
 
 def section(operator: Path | None) -> "Record":
@@ -65,6 +66,7 @@
 def stats(operator: Path | None, as_json: bool) -> None:
     """What the record holds: nodes and their lives, marks by fate, doubts, sizes."""
     from dataclasses import asdict
+
     from ..record.admin import clock_text
 
     with told_plainly():
--- a/burlloom/command/recovery.py
+++ b/burlloom/command/recovery.py
@@ -28,7 +28,8 @@
 @click.option("--node", help="The server's name; by default the one in the file.")
 def show(operator: Path | None, node: str | None) -> None:
     """What stands in the state file, and what a start now would make of it. Status 1 if it would not be
-    believed."""
+    believed.
+    """
     from ..recovery import Kept, Verdict, judge, read
 
     part = operator_file(operator).recovery
--- a/burlloom/command/rollout.py
+++ b/burlloom/command/rollout.py
@@ -67,7 +67,8 @@
 
 async def step(shelf: "Shelf", order: "Callable[[Book], Book]") -> "Page":
     """Written on the book as it stands then, however many others write. Raises `Denied`, or `Away` where
-    nobody knows whether it was taken."""
+    nobody knows whether it was taken.
+    """
     from ..rollout import Denied
     from ..rollout.stores import Page
 
@@ -236,7 +237,8 @@
 )
 def take(operator: Path | None, service: str, address: str, for_s: int, wait_s: int) -> None:
     """Take an instance of a service below out: waits until no server calls it any more. Status 1 if there was
-    no room."""
+    no room.
+    """
     _, part = part_of(operator)
 
     async def work(shelf: "Shelf") -> bool:
@@ -279,7 +281,8 @@
 
 def emptied(page: "Page", members: Any, step: int) -> bool:
     """All servers that may call below have acted on this step. One that is missing may be calling still: it
-    holds this up until it is back, or retired."""
+    holds this up until it is back, or retired.
+    """
     heeded = {member.name: member.heeded for member in members}
     from ..rollout import State
 
@@ -296,7 +299,8 @@
 @click.argument("address")
 def give(operator: Path | None, service: str, address: str) -> None:
     """An instance below may be called again; it counts as out until calls to it have gone well for a
-    while."""
+    while.
+    """
     ordered(operator, lambda book: book.give(service, address))
 
 
@@ -337,7 +341,8 @@
 def version(operator: Path | None, name: str) -> None:
     """Print the version that server NAME is to start with now; what starts servers asks this.
 
-    Where the store can't be reached, what the release file has; status 2 if there is none either."""
+    Where the store can't be reached, what the release file has; status 2 if there is none either.
+    """
     told, part = part_of(operator)
 
     async def ask() -> str:
--- a/burlloom/command/root.py
+++ b/burlloom/command/root.py
@@ -36,7 +36,8 @@
 def serve(operator: Path | None, config: Path | None) -> None:
     """Serve, in the foreground, until SIGTERM.
 
-    The same as `python -m burlloom.server`, which reads its environment alone."""
+    The same as `python -m burlloom.server`, which reads its environment alone.
+    """
     if operator is not None:
         os.environ[OPERATOR] = str(operator)
     if config is not None:
@@ -97,7 +98,8 @@
 def demo(folder: Path | None) -> None:
     """Show it at work, in under a minute: serves between our own stand-ins, is killed after a charge, comes back.
 
-    The charge's repeat is then settled from the record, and not run again."""
+    The charge's repeat is then settled from the record, and not run again.
+    """
     from .demo import play
 
     sys.exit(play(folder))
--- a/burlloom/desk/desk.py
+++ b/burlloom/desk/desk.py
@@ -100,7 +100,8 @@
 
     def take(self, txn: Try) -> Step | Seat:
         """Reads a txn. Most that are not held or run are over at once: those cost no coroutine. Else its seat, for
-        `pick`."""
+        `pick`.
+        """
         seat = self.admit(txn)
         if (
             not self.handing
@@ -114,7 +115,8 @@
 
     async def pick(self, seat: Seat) -> Step:
         """The next step of this txn. Its index may be released by then: where hundreds are read in one turn of the
-        loop, a timer round comes between a txn's reading and its first `pick`."""
+        loop, a timer round comes between a txn's reading and its first `pick`.
+        """
         while not seat.steps:
             seat.waiter = self.loop.create_future()
             await seat.waiter
--- a/burlloom/desk/marks.py
+++ b/burlloom/desk/marks.py
@@ -65,7 +65,8 @@
     """What is due when, in slots of a second. To look costs what is due, not what there is.
 
     An entry whose time was moved stays where it was; whoever takes it out looks whether it is due, and puts it in
-    again if not."""
+    again if not.
+    """
 
     __slots__ = ("slots", "next")
 
--- a/burlloom/distribution/__init__.py
+++ b/burlloom/distribution/__init__.py
@@ -8,8 +8,8 @@
 from .follower import Follower, Upstream
 from .messages import to_source
 from .origin import propose
-from .source import Source
 from .replica import Replica
+from .source import Source
 from .table import Table
 from .terms import Terms
 
--- a/burlloom/distribution/asking.py
+++ b/burlloom/distribution/asking.py
@@ -1,5 +1,6 @@
 """One question to whoever is followed: what is in force under a key. For an operator's look; keeps
-nothing."""
+nothing.
+"""
 
 import asyncio
 import secrets
@@ -76,7 +77,8 @@
     upstreams: Iterable[Upstream], region: str, key: bytes, kind: str, name: str
 ) -> tuple[list[tuple[str, bytes, str]] | None, str]:
     """Scope and value of each that is found, the one in force first, and who said so; None where nobody
-    did."""
+    did.
+    """
     asking = Asking(key)
     transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
         lambda: asking, local_addr=("0.0.0.0", 0)
--- a/burlloom/distribution/changes.py
+++ b/burlloom/distribution/changes.py
@@ -43,7 +43,8 @@
 class Change(NamedTuple):
     """`time_ms`: Unix ms at the origin, never less than of the change before. `body`: MessagePack of a list
     of [kind, key, value or nil]; None where it was left out for who does not hold the scope. `body_digest`:
-    BLAKE2b-128 of it."""
+    BLAKE2b-128 of it.
+    """
 
     epoch: int
     revision: int
@@ -76,7 +77,8 @@
 
 def first_head(epoch: int, time_ms: int) -> Head:
     """Where an epoch begins, before its first change. What lies in the table then is whatever the store
-    had."""
+    had.
+    """
     return Head(epoch, 0, hashlib.blake2b(b"epoch %d" % epoch, digest_size=TAG).digest(), time_ms)
 
 
@@ -191,7 +193,8 @@
 
 def break_of(before: Head, change: Change, keys: Sequence[bytes]) -> str:
     """Why that change does not come right after `before`; empty where it does. Any of the keys will do, so
-    that they can be changed while the fleet runs."""
+    that they can be changed while the fleet runs.
+    """
     if change.epoch != before.epoch:
         return "another epoch"
     if change.revision != before.revision + 1:
--- a/burlloom/distribution/control.py
+++ b/burlloom/distribution/control.py
@@ -13,9 +13,9 @@
 from .follower import Follower, Upstream
 from .follower import summary as follower_summary
 from .messages import to_source
+from .replica import Replica
 from .source import Source
 from .source import summary as source_summary
-from .replica import Replica
 from .stores import Away, ChangeStore
 from .stores.reading import Broken, Reading
 from .table import Table
@@ -51,7 +51,8 @@
 
 class Control:
     """`store`: None at a relay, which follows `upstreams` alone; with one, they are followed while it is
-    away."""
+    away.
+    """
 
     def __init__(
         self,
@@ -256,7 +257,8 @@
 
     def lowest(self) -> tuple[int | None, int]:
         """Of who follows, within our epoch: the lowest revision, and for how many ms the first change
-        that one of them lacks has been there. One of another epoch has 0."""
+        that one of them lacks has been there. One of another epoch has 0.
+        """
         head = self.replica.head
         if head is None or not self.source.followers:
             return None, 0
--- a/burlloom/distribution/follower.py
+++ b/burlloom/distribution/follower.py
@@ -137,7 +137,8 @@
 class Fetch:
     """A bucket on its way: behind `after` nothing came yet; `early` pages wait for those before them.
     `tries`: since one came; each waits twice as long, as a source that has no bytes left for pages answers
-    nothing."""
+    nothing.
+    """
 
     after: Place | None
     again_at: int
@@ -148,7 +149,8 @@
 @dataclass(slots=True)
 class Sync:
     """`base`: the head from before the first page; `tip`: how far the changes after it are folded; `target`:
-    the latest revision that a page was of."""
+    the latest revision that a page was of.
+    """
 
     first: int  # number of the first DIGESTS_ASK
     again_at: int
@@ -164,7 +166,8 @@
 
 class Follower:
     """`life`: Unix ms of the start. `upstreams`: own region's come first, each part in rendezvous order. The
-    first key seals. Raises `ValueError` for terms or upstreams that can't be."""
+    first key seals. Raises `ValueError` for terms or upstreams that can't be.
+    """
 
     def __init__(
         self,
@@ -531,7 +534,8 @@
 
     def apart(self) -> bool:
         """Whether only a sync helps: nothing whole here, a later epoch, changes that can't be pulled any
-        more, or digests that differ at the same revision."""
+        more, or digests that differ at the same revision.
+        """
         told, head = self.told, self.replica.head
         if told is None:
             return False
@@ -605,7 +609,8 @@
     def settle(self, now: int) -> None:
         """The end of a sync: what was folded lies over the pages."""
         sync = self.sync
-        assert sync is not None and sync.tip is not None
+        assert sync is not None
+        assert sync.tip is not None
         entries = list(sync.fold.values())
         try:
             for at in range(0, len(entries), PUT_MOST):
@@ -752,7 +757,8 @@
 
 def preferred(name: str, region: str, upstreams: Iterable[Upstream]) -> list[Upstream]:
     """Own region's first, each part in rendezvous order (Thaler and Ravishankar, 1998), so that each follower
-    has its own and a lost one's followers spread over all others."""
+    has its own and a lost one's followers spread over all others.
+    """
 
     def weight(one: Upstream) -> tuple[bool, int]:
         return one.region == region, int(xxhash.xxh3_64_intdigest(f"{name}\n{one.name}".encode()))
--- a/burlloom/distribution/messages.py
+++ b/burlloom/distribution/messages.py
@@ -74,7 +74,8 @@
 
 class Told(NamedTuple):
     """HEAD. `age`: ms since the teller surely had the newest; None: never. `differs`: at the revision of the
-    REPORT the digests differ. `oldest`: changes after this revision can be pulled."""
+    REPORT the digests differ. `oldest`: changes after this revision can be pulled.
+    """
 
     head: Head
     age: int | None
@@ -112,7 +113,8 @@
 
 class Paged(NamedTuple):
     """One page, the `place`th of its PAGES_ASK; `epoch` and `revision`: of the table that it was read
-    from."""
+    from.
+    """
 
     epoch: int
     revision: int
--- a/burlloom/distribution/origin.py
+++ b/burlloom/distribution/origin.py
@@ -15,7 +15,8 @@
 ) -> Change:
     """The change that follows `head`, signed with `key`. `time_ms`: Unix ms. `check`: faults of an entry's
     meaning. Whoever appends it does so only where `head` is still the last; else it is proposed anew. Raises
-    `Refused` with all faults and their places."""
+    `Refused` with all faults and their places.
+    """
     found = faults(scope, entries)
     if not found and check is not None:
         found = [
--- a/burlloom/distribution/replica.py
+++ b/burlloom/distribution/replica.py
@@ -10,7 +10,8 @@
 class Replica:
     """`head`: None until a first revision was whole here. `patched`: the table is on its way from the head's
     revision to a later one, pages of which lie in it already: it is served on, but is nothing to copy from.
-    `keys`: of signing, any of them will do."""
+    `keys`: of signing, any of them will do.
+    """
 
     def __init__(self, table: Table, keys: Sequence[bytes], log_most: int = LOG_MOST) -> None:
         self.table, self.keys = table, tuple(keys)
--- a/burlloom/distribution/stores/__init__.py
+++ b/burlloom/distribution/stores/__init__.py
@@ -1,5 +1,6 @@
 """Where changes of configuration are kept: the record's SQLite file or PostgreSQL database, behind one
-interface."""
+interface.
+"""
 
 from .store import Away, ChangeStore, Stored
 
--- a/burlloom/distribution/stores/reading.py
+++ b/burlloom/distribution/stores/reading.py
@@ -15,7 +15,8 @@
 
 class Broken(Exception):
     """What the store has does not follow from what it had, and nobody put it back: another signing key, or
-    somebody wrote to its tables."""
+    somebody wrote to its tables.
+    """
 
 
 class Told(Protocol):
--- a/burlloom/distribution/stores/store.py
+++ b/burlloom/distribution/stores/store.py
@@ -25,7 +25,8 @@
     async def head(self) -> Head: ...
     async def since(self, revision: int, most: int) -> list[Change]:
         """The changes after it that are still in the log, in order; the first is a later one where it was
-        pruned."""
+        pruned.
+        """
 
     async def at(self, revision: int) -> Change | None:
         """That change, if it is still in the log."""
@@ -36,11 +37,13 @@
     async def entries(self, after: Place | None, most: int) -> list[Stored]:
         """A page of what is in force, in order. The table may move between two pages: entries that were read,
         and then all changes after the head that was read before, in order, are what is in force at the
-        last."""
+        last.
+        """
 
     async def entry(self, scope: str, kind: str, key: str) -> Stored | None: ...
     async def renew(self, seen: Head, beyond: int) -> bool:
         """A new epoch, later than `beyond`, if that is still the head: the store was put back, and
-        revisions that it gives from now on were given before. What is in force stays; the log goes."""
+        revisions that it gives from now on were given before. What is in force stays; the log goes.
+        """
 
     async def close(self) -> None: ...
--- a/burlloom/distribution/stores/tables.py
+++ b/burlloom/distribution/stores/tables.py
@@ -1,5 +1,6 @@
 """The changes in three tables. Each write is one transaction, begun by a statement that holds only if nobody
-wrote before."""
+wrote before.
+"""
 
 import time
 from typing import Any
@@ -87,7 +88,8 @@
 
 class Tables:
     """`ChangeStore` over `run`, one statement and its rows, and `together`, a transaction, which a store
-    gives. Both raise `Away`."""
+    gives. Both raise `Away`.
+    """
 
     async def run(self, sql: str, *values: Any) -> list[Any]:
         raise NotImplementedError
--- a/burlloom/distribution/table.py
+++ b/burlloom/distribution/table.py
@@ -46,7 +46,8 @@
 @dataclass(frozen=True, slots=True)
 class Page:
     """Entries of one bucket in the order of (scope, kind, key); `last`: the place of the last one, None if
-    there is none; `done`: the bucket has no more behind them."""
+    there is none; `done`: the bucket has no more behind them.
+    """
 
     entries: tuple[Entry, ...]
     last: Place | None
@@ -108,7 +109,8 @@
 
 class Bucket:
     """The entries of one scope and one bucket, by code of the kind and key. `firsts[i]`: the least key that
-    leaf i may hold; the first leaf's is empty, so that every key has a leaf."""
+    leaf i may hold; the first leaf's is empty, so that every key has a leaf.
+    """
 
     __slots__ = ("firsts", "leaves")
 
@@ -240,7 +242,8 @@
 
     A lookup sees the own region's entry first, then that of everywhere. With all scopes it sees those of
     everywhere alone; `held` tells the others. All arguments are checked before anything is changed; what is
-    refused raises `ValueError` with all faults, each with its place."""
+    refused raises `ValueError` with all faults, each with its place.
+    """
 
     def __init__(self, scopes: tuple[str, ...] | None) -> None:
         self.scopes = None if scopes is None else tuple(sorted(set(scopes)))
@@ -290,7 +293,8 @@
 
     def keys(self, kind: str) -> Iterator[str]:
         """The keys that `get` finds, in no order of theirs; a leaf is unpacked at a time, and the table may
-        change in between: what is there all the while comes once."""
+        change in between: what is there all the while comes once.
+        """
         code = CODES[kind]
         for bucket in range(BUCKETS):
             for number, part in enumerate(self.lookups):
@@ -346,7 +350,8 @@
     ) -> Page:
         """The bucket's next entries of these scopes (None: all) behind `after`, of at most so many bytes as
         MessagePack, each a list of scope, kind, key and value. Raises `ValueError` for a bucket that is none, or
-        where not even one entry is sure to have room."""
+        where not even one entry is sure to have room.
+        """
         no_place(after)
         if not 0 <= bucket < BUCKETS or most_bytes < ENTRY_BYTES:
             raise ValueError(
@@ -369,7 +374,8 @@
 
     def replace(self, bucket: int, after: Place | None, page: Page) -> int:
         """Makes what stands behind `after` up to `page.last` (to the bucket's end if the page is its last)
-        exactly what the page says, in all scopes held, and gives how many entries differed."""
+        exactly what the page says, in all scopes held, and gives how many entries differed.
+        """
         no_place(after)
         taken = self.checked(page.entries)
         wrong, before = [], after
@@ -477,7 +483,8 @@
 class Tenants(Mapping[str, float]):
     """The tenants in force, each with its portion of the service, as a view of a table that changes under it.
     What is not text is in no table. Raises `ValueError` for a value that is no map, or whose portion is no
-    number."""
+    number.
+    """
 
     def __init__(self, table: Table) -> None:
         self.table = table
--- a/burlloom/distribution/telling.py
+++ b/burlloom/distribution/telling.py
@@ -15,7 +15,8 @@
 class Telling:
     """Looked at some times a second. From line to line `from` is the revision after the last `to`: all
     that was applied in between, in the chain's order, of which `tag` is the end; or else a sync set all
-    at once."""
+    at once.
+    """
 
     def __init__(self, replica: Replica) -> None:
         self.replica, self.head = replica, replica.head
--- a/burlloom/distribution/terms.py
+++ b/burlloom/distribution/terms.py
@@ -11,7 +11,8 @@
     after it; `knock`: one that never did; `retry`: a request is sent again; `prefer`: better upstreams are
     tried again; `stale`: an upstream whose word is older than that is left for a fresher one; `stuck`: a sync
     without any progress is begun anew elsewhere. `lease`: a follower that does not report is forgotten.
-    `page_rate`: bytes/s of pages that one source gives to all; `page_burst`: bytes at once."""
+    `page_rate`: bytes/s of pages that one source gives to all; `page_burst`: bytes at once.
+    """
 
     beat: int = 1000 * MS
     silence: int = 3000 * MS
--- a/burlloom/fleet/deal.py
+++ b/burlloom/fleet/deal.py
@@ -73,7 +73,8 @@
     `lease` of a grant; `turn` between two dealings; `cut` after which one that was granted nothing in the
     name of half of the fleet falls to its floor; `redeal` after which what the dead held is dealt anew.
     `floor`: the part of an equal share that is kept when cut off; `idle`: by one that wants nothing, for its
-    first call."""
+    first call.
+    """
 
     total: int
     least: int = 1
@@ -118,7 +119,8 @@
 
 class Told(NamedTuple):
     """A report, thousandths of a call: `held` is the share in force, or what is in hand where that is more;
-    `want` is what could be used. `roster`: equal where two members count the same fleet."""
+    `want` is what could be used. `roster`: equal where two members count the same fleet.
+    """
 
     held: int
     share: int
@@ -176,7 +178,8 @@
         roster: int = 0,
     ) -> None:
         """`fleet`: all that may hold something, by name, another mapping where that changed; `roster`: as in a
-        report. `gap`: nothing was done here for long."""
+        report. `gap`: nothing was done here for long.
+        """
         self.fleet, self.is_first, self.roster = fleet, first, roster
         if self.many(now):
             self.many_at = now
@@ -213,7 +216,8 @@
 
     def disown(self, name: str, life: int, number: int) -> None:
         """It may be raised by another from now on, and does not count as one that reports to us until it does
-        anew; a report up to that number that is still on its way does not change that."""
+        anew; a report up to that number that is still on its way does not change that.
+        """
         account = self.accounts.get(name)
         sums = self.kept if self.kept is not None and self.kept.accounts is self.accounts else None
         if sums is not None and account is not None:
@@ -295,7 +299,8 @@
 
     def few(self, now: int) -> bool:
         """For so long that it is no moment in which many came at once and have not reported yet, or have not
-        yet come to a new dealer. Raises stop at once all the same."""
+        yet come to a new dealer. Raises stop at once all the same.
+        """
         return now - max(self.many_at, self.since) > self.terms.fresh
 
     def learned(self, now: int) -> bool:
@@ -330,7 +335,8 @@
 
     def deal(self, now: int) -> None:
         """New targets once a turn, for those who report; what the others are bound by is not there to be
-        dealt."""
+        dealt.
+        """
         if now - self.turned < (self.terms.turn // 8 if self.hurried else self.terms.turn):
             return
         self.turned, self.hurried = now, False
@@ -361,7 +367,8 @@
 
 def fair(total: int, wants: Sequence[int], weights: Sequence[int]) -> list[float]:
     """Max-min fair by weight: nobody has less than it wants while another has more by weight; what nobody
-    wants is spread by weight on top, so that the sum is `total`."""
+    wants is spread by weight on top, so that the sum is `total`.
+    """
     given = [0.0] * len(wants)
     left, open = float(total), [at for at, weight in enumerate(weights) if weight > 0]
     every = sum(weights)
@@ -386,7 +393,8 @@
 def turns(total: int, ideal: Sequence[float], accounts: Sequence[Account]) -> list[int]:
     """Whole calls where a share is one or more, thousandths; the sum is at most `total`. What a share is
     rounded by is carried on, and a member keeps what it has until STICKS is owed to it or by it: each change
-    costs the time in which one has given a call back and the other has not yet taken it."""
+    costs the time in which one has given a call back and the other has not yet taken it.
+    """
     owed, given = [0.0] * len(accounts), [0] * len(accounts)
     lows = [int(share // CALL) * CALL for share in ideal]
     large = [at for at, low in enumerate(lows) if low]
--- a/burlloom/fleet/fleet.py
+++ b/burlloom/fleet/fleet.py
@@ -31,7 +31,8 @@
 class Habits:
     """Of the membership, ns. `probe`: between probes of one member after the other; `ack`: until others are
     asked to ask it; `suspicion`: for refuting; `forget`: until one that is over leaves the view, and only
-    where most are there; `others`: how many are asked."""
+    where most are there; `others`: how many are asked.
+    """
 
     probe: int = 500 * MS
     ack: int = 200 * MS
@@ -132,7 +133,8 @@
 
     def good(self, now: int) -> bool:
         """Whether the share is one that we may still act on: else `tick` comes first. Guards against a
-        process that was paused and wakes with what was dealt to others meanwhile."""
+        process that was paused and wakes with what was dealt to others meanwhile.
+        """
         return now - self.last <= self.terms.lease
 
     def uses(self, wants: int, in_hand: int) -> None:
@@ -227,7 +229,7 @@
             self.tied = "", -1
         elif self.tied[0] in members.by_name:
             self.send(members.by_name[self.tied[0]].word.address, Kind.UNTIE, self.tied[1])
-        if now - self.born < WATCH * self.terms.round and not self.dealt_by == self.own.name:
+        if now - self.born < WATCH * self.terms.round and self.dealt_by != self.own.name:
             return  # who deals is not known yet; one that is reported to by mistake may count us for a while
         if (
             self.report_number >= 0
@@ -335,7 +337,8 @@
     def knock(self) -> None:
         """At the doors of some that are dead, and of addresses where nobody is known: so a cut that heals is
         noticed, and those who were all started anew hear of the ones that lived on before they deal among
-        themselves."""
+        themselves.
+        """
         dead = [
             member.word.address
             for member in self.members.unsettled.values()
@@ -400,7 +403,8 @@
 
     def synced_by(self, now: int, letter: Letter) -> None:
         """Those who are over are told of for half the time that they are kept: else views would hand them
-        back and forth for ever."""
+        back and forth for ever.
+        """
         by_name, recent = self.members.by_name, self.habits.forget // 2
         told = (
             name
@@ -493,7 +497,7 @@
         words = (
             [self.members.by_name[about].word]
             if about in self.members.by_name
-            and not (self.members.by_name[about].state is State.ALIVE)
+            and self.members.by_name[about].state is not State.ALIVE
             else []
         )
         self.post(
--- a/burlloom/fleet/members.py
+++ b/burlloom/fleet/members.py
@@ -78,7 +78,8 @@
 
 class Word(NamedTuple):
     """What is said of a member. `life`: when it was started, Unix ms, or later where that was taken;
-    `incarnation`: how often it refuted in that life."""
+    `incarnation`: how often it refuted in that life.
+    """
 
     name: str
     address: str
@@ -116,7 +117,8 @@
 
 class Members:
     """The view. `meet` is all that changes it; who is ourselves never stands in it as anything but alive
-    or left: what others say else of us is refuted."""
+    or left: what others say else of us is refuted.
+    """
 
     def __init__(self, own: Word, now: int) -> None:
         self.own = own
@@ -169,7 +171,8 @@
 
     def said_of_us(self, now: int, word: Word) -> bool:
         """An older life's words are no concern of ours; one of ours that we did not say is refuted; another's
-        under our name, or a later life than ours after a step of the clock, is outbid."""
+        under our name, or a later life than ours after a step of the clock, is outbid.
+        """
         own = self.own
         if own.state is State.LEFT or word.rank <= own.rank:
             return False
@@ -219,7 +222,8 @@
 
     def roster(self) -> int:
         """Equal where two views count the same lives of the same members, whatever state they think them
-        in."""
+        in.
+        """
         return self.lives >> 1
 
     def names_after(self, name: str) -> Iterator[str]:
@@ -239,7 +243,8 @@
 
     def first(self) -> Word:
         """Who deals: the one that has lived longest of those who are there, so that newcomers change
-        nothing."""
+        nothing.
+        """
         return min((member.word for member in self if member.there), key=lived, default=self.own)
 
 
@@ -288,7 +293,8 @@
     members: Iterable[Member], now: int, suspicion: int, forget: int
 ) -> list[tuple[str, Input]]:
     """Whose time for refuting is over, and who is over for long. Whoever keeps the view hands these to
-    `meet`."""
+    `meet`.
+    """
     found = []
     for member in members:
         if member.state is State.SUSPECT and now - member.since >= suspicion:
--- a/burlloom/fleet/subset.py
+++ b/burlloom/fleet/subset.py
@@ -33,7 +33,8 @@
 @dataclass(frozen=True, slots=True)
 class Spread:
     """Of the whole fleet: each server's choice; `worst`: the load of the most loaded service over the
-    mean."""
+    mean.
+    """
 
     choices: Mapping[str, Choice]
     worst: float
@@ -61,7 +62,8 @@
 
 def size_of(server: str, mean: float) -> int:
     """Whole, and `mean` on average over the servers: as the mean moves with the size of the fleet, a few
-    servers at a time take one more or less, and not all at once."""
+    servers at a time take one more or less, and not all at once.
+    """
     return int(mean + rank(server, "") / (1 << 64))
 
 
@@ -69,7 +71,8 @@
     servers: Sequence[str], services: Sequence[str], least: int, bound: float = 1.1
 ) -> Spread:
     """The subsets of all servers, with weights such that no service has more than `bound` times the mean
-    load, where each server calls as much as the next. Raises `ValueError` where there is none to talk to."""
+    load, where each server calls as much as the next. Raises `ValueError` where there is none to talk to.
+    """
     if not services:
         raise ValueError("there are no services to talk to")
     servers, services = sorted(set(servers)), sorted(set(services))
@@ -107,7 +110,8 @@
 class Turns:
     """Calls of one server spread over its subset: smooth weighted round robin, so that any stretch of them
     is split as the parts say, within one call each. A service that could not be reached is left out for a
-    while, longer each time."""
+    while, longer each time.
+    """
 
     SKIP, SKIP_MOST = 500_000_000, 16_000_000_000  # ns
 
--- a/burlloom/fleet/sums.py
+++ b/burlloom/fleet/sums.py
@@ -29,7 +29,8 @@
 
 class Sums:
     """`since`: who has not reported from then on may hold an equal share at least, `equal`. `fresh`: how long a report
-    counts. `redeal`: how long one is dead before it counts as gone; None where nobody does."""
+    counts. `redeal`: how long one is dead before it counts as gone; None where nobody does.
+    """
 
     def __init__(
         self,
--- a/burlloom/interface.py
+++ b/burlloom/interface.py
@@ -83,7 +83,8 @@
     `declined`: newcomers; `kept`: they are answered with a kept result or declined; `repeats`: marked
     retries and copies are declined; `skips`: calls are left out where an answer without is allowed. `over`:
     those past their tenant's share are declined. `hold`: the part of the hold's length that is left.
-    `floor`: the part of all ranks that it takes away, for callers to hear."""
+    `floor`: the part of all ranks that it takes away, for callers to hear.
+    """
 
     name: str = ""
     declined: tuple[bool, ...] = ()
@@ -110,7 +111,8 @@
 
     `entry` is false where an entry that it wants could not be kept now by whatever keeps them. `retry`: it
     is marked as a further try or a copy. `over`: it is past its tenant's share. `lot`: its caller's own, from
-    0 to under 1."""
+    0 to under 1.
+    """
 
     ref: int
     caller: int
--- a/burlloom/lab/below.py
+++ b/burlloom/lab/below.py
@@ -12,7 +12,8 @@
 
 class Catalogue:
     """Calls take longer in proportion once more are in hand than it has slots; `slow` and `gone` are
-    faults."""
+    faults.
+    """
 
     def __init__(self, loop: SimulatedLoop, told: Below, chance: Generator) -> None:
         self.loop, self.told, self.chance = loop, told, chance
--- a/burlloom/lab/callers.py
+++ b/burlloom/lab/callers.py
@@ -1,5 +1,6 @@
 """Balancers with their habits: they go on down their list after a decline, heed or ignore what they are
-told."""
+told.
+"""
 
 from typing import TYPE_CHECKING
 
--- a/burlloom/lab/capacity.py
+++ b/burlloom/lab/capacity.py
@@ -65,7 +65,8 @@
 @dataclass(frozen=True, slots=True)
 class Slope:
     """A kept row at the coming size of what it is measured by, or at `size`, times `factor` and where `times`
-    names one, another row of the same state there; `why`: what the factor is; `grows`: with the size."""
+    names one, another row of the same state there; `why`: what the factor is; `grows`: with the size.
+    """
 
     name: str
     state: str
@@ -93,7 +94,8 @@
 class Need:
     """A row of a role. `when`: `today`, or `built` for what
     burlloom/distribution brings and nobody runs yet. Without terms it is not measured, or, where `nothing`,
-    nothing carries it."""
+    nothing carries it.
+    """
 
     what: str
     unit: str
@@ -114,7 +116,8 @@
 @dataclass(frozen=True, slots=True)
 class Figure:
     """A row worked out. `need`: None where a term is missing. `passed`: the part of the coming size at which
-    the budget is passed, None where it is not up to a hundred times that, or can't be told."""
+    the budget is passed, None where it is not up to a hundred times that, or can't be told.
+    """
 
     role: Role
     row: Need
@@ -1063,7 +1066,8 @@
 
 def passed_at(cost_at: Callable[[float], float], budget: float) -> float | None:
     """The part of the coming size from which on the budget is passed: where it is at the whole, the least
-    from which on it stays so; else the next past the whole, None where there is none up to `PART_MOST`."""
+    from which on it stays so; else the next past the whole, None where there is none up to `PART_MOST`.
+    """
     steps = [float(part) for part in np.geomspace(PART_LEAST, PART_MOST, 601)]
     at = min(range(len(steps)), key=lambda step: abs(steps[step] - 1.0))
     steps[at] = 1.0
@@ -1143,7 +1147,8 @@
 
 def ranking(found: Iterable[Figure]) -> list[Figure]:
     """What is missing today, the first first: passed at the smallest part of the coming size, then the most
-    over. What was not measured, is a guess or comes from a busy machine is not ranked."""
+    over. What was not measured, is a guess or comes from a busy machine is not ranked.
+    """
     real = [
         one
         for one in found
@@ -1205,7 +1210,8 @@
 
 def worst(found: Sequence[Figure]) -> Figure:
     """Of a role's rows the one whose budget is passed first, of those the one most over; the first where none
-    has a budget and a figure."""
+    has a budget and a figure.
+    """
     judged = [one for one in found if one.over is not None and counts(one)]
     early = [math.inf if one.passed is None else one.passed for one in judged]
     order = sorted(range(len(judged)), key=lambda at: (early[at], -(judged[at].over or 0.0)))
@@ -1350,7 +1356,8 @@
 
 def written(page: str, made: Mapping[str, Sequence[str]]) -> str:
     """The page with these tables between its markers. Raises `NoPage` for an unknown, double, missing or
-    unclosed marker."""
+    unclosed marker.
+    """
     out, seen, lines, at = [], [], page.splitlines(), 0
     while at < len(lines):
         out.append(lines[at])
--- a/burlloom/lab/distances.py
+++ b/burlloom/lab/distances.py
@@ -49,7 +49,8 @@
 @dataclass(frozen=True, slots=True)
 class Cut:
     """`one` does not reach `other`, and with `both` is not reached either; `other` empty: all that are not in
-    `one`."""
+    `one`.
+    """
 
     one: frozenset[str]
     other: frozenset[str] = frozenset()
--- a/burlloom/lab/emulator.py
+++ b/burlloom/lab/emulator.py
@@ -1,5 +1,6 @@
 """A fleet in simulated time: nodes, balancers, the list of nodes, the catalogue, an open load, and faults
-at times."""
+at times.
+"""
 
 import asyncio
 import logging
@@ -88,7 +89,8 @@
 
 class Emulator:
     """One play of a world. `keeping` gives each server its record, `leveling` its levels of reduced
-    service."""
+    service.
+    """
 
     def __init__(
         self,
--- a/burlloom/lab/experiment.py
+++ b/burlloom/lab/experiment.py
@@ -1,5 +1,6 @@
 """Experiments: worlds, seeds and variants played side by side over the cores; results kept in a table that
-only grows."""
+only grows.
+"""
 
 import json
 import sqlite3
@@ -30,7 +31,8 @@
 
 class Experiment(Part):
     """What is compared. Each world is played with each seed and each variant; the first variant is the one
-    compared with."""
+    compared with.
+    """
 
     name: str
     worlds: Annotated[tuple[World, ...], Field(min_length=1)]
@@ -128,7 +130,8 @@
 
 def plays(experiment: Experiment, workers: int) -> Iterator[dict[str, Any]]:
     """Each play's result as it is done, in no order; the seeds and so the figures do not depend on the
-    workers."""
+    workers.
+    """
     with ProcessPoolExecutor(workers) as pool:
         waiting = [
             pool.submit(task, world, variant, seed)
@@ -167,7 +170,8 @@
 
     def rows(self, experiment: str, text: str | None = None) -> list[dict[str, Any]]:
         """The newest play of each world, variant and seed; of one text of the program, or of the newest
-        there is."""
+        there is.
+        """
         with closing(sqlite3.connect(self.path)) as db:
             if text is None:
                 found = db.execute(
@@ -207,7 +211,8 @@
 @dataclass(frozen=True, slots=True)
 class Paired:
     """A figure of one variant against another's on the same worlds and seeds: means, and the difference
-    with its 95%."""
+    with its 95%.
+    """
 
     figure: str
     base: float
--- a/burlloom/lab/fleets.py
+++ b/burlloom/lab/fleets.py
@@ -27,7 +27,8 @@
 
 class Net:
     """Datagrams between addresses. `cuts`: pairs of sides that do not hear each other, each a set of
-    addresses; one-way where only the first does not reach the second."""
+    addresses; one-way where only the first does not reach the second.
+    """
 
     def __init__(
         self,
--- a/burlloom/lab/hollow.py
+++ b/burlloom/lab/hollow.py
@@ -333,7 +333,8 @@
     async def know(self, message: dict[str, Any]) -> None:
         """`places`: [address, name, region, zone, rack] of all; `outside`: the same, of those in no host, by the
         address that
-        they send from; `seeds` and the like, by the kind of core."""
+        they send from; `seeds` and the like, by the kind of core.
+        """
         for address, name, region, zone, rack in message.get("places", ()):
             self.places[address] = self.places[pair(address)] = (
                 pair(address),
--- a/burlloom/lab/hollow_configuration.py
+++ b/burlloom/lab/hollow_configuration.py
@@ -17,7 +17,7 @@
 
 import msgpack
 
-from ..distribution import Change, Replica, Follower, Head, Table, Terms, Upstream
+from ..distribution import Change, Follower, Head, Replica, Table, Terms, Upstream
 from ..distribution.control import Control
 from ..distribution.stores.reading import Reading
 from ..distribution.stores.sqlite import Sqlite
--- a/burlloom/lab/load.py
+++ b/burlloom/lab/load.py
@@ -53,7 +53,8 @@
 
 def orders(world: World, capacity: float, chance: Generator) -> Iterator[Order]:
     """`capacity`: core ms at speed 1 that the fleet does in a second. Poisson, thinned to the load's
-    shape."""
+    shape.
+    """
     load, products = world.load, world.products
     most = load.high * (1 + load.noise) * capacity / world.cost_ms
     shares = [product.share for product in products]
--- a/burlloom/lab/machine.py
+++ b/burlloom/lab/machine.py
@@ -18,7 +18,8 @@
     them.
 
     One more or one less costs a logarithm and one timer, not a look at all that run. Work is in core ms at
-    speed 1."""
+    speed 1.
+    """
 
     def __init__(self, loop: SimulatedLoop, told: Machines, speed: float, born: float) -> None:
         """`born`: s of simulated time at which it came up cold; long past for a warm one."""
@@ -98,7 +99,8 @@
 
 class Executor:
     """Stands where the server has its link: the same calls in, the same notices out, at once and without
-    loss."""
+    loss.
+    """
 
     def __init__(
         self,
--- a/burlloom/lab/node.py
+++ b/burlloom/lab/node.py
@@ -45,7 +45,7 @@
         self.up = False
         self.slow = 1.0
         self.server: Server | None = None
-        self.attempts: dict[str, "Attempt"] = {}
+        self.attempts: dict[str, Attempt] = {}
         self.booked = 0.0  # KB of what was read and is not answered
         self.reading = 0
         self.version, self.fails = (
--- a/burlloom/lab/rolls.py
+++ b/burlloom/lab/rolls.py
@@ -1,5 +1,6 @@
 """Releases over a fleet in simulated time: the servers' real part in them, and the book in memory behind a
-way that takes its time and fails; or an operator's script that knows nothing of any of it."""
+way that takes its time and fails; or an operator's script that knows nothing of any of it.
+"""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -99,7 +100,8 @@
 
 class Releases:
     """`bad`: the share of runs that fail, by version. `restart_s`: from a process's end to the next one's
-    start."""
+    start.
+    """
 
     def __init__(
         self,
@@ -184,7 +186,8 @@
 class Scripted(Releases):
     """`most` at a time, the next ones when these are up again, or after `wait_s` at the latest; or, with
     `pause_s`, by the clock alone. What else is out it does not know. Without a version, they start anew as
-    they are."""
+    they are.
+    """
 
     def script(
         self, nodes: Sequence[Node], version: str, most: int, wait_s: float, pause_s: float = 0.0
--- a/burlloom/lab/slopes.py
+++ b/burlloom/lab/slopes.py
@@ -25,7 +25,8 @@
 @dataclass(frozen=True, slots=True)
 class Fit:
     """`cost = base + rate * g(size)`, g by the shape: 1, log2 size, size, size squared. `residual`: the root of the mean
-    square of (measured - fitted) / fitted. `exponent`: of a power law through the same points."""
+    square of (measured - fitted) / fitted. `exponent`: of a power law through the same points.
+    """
 
     shape: str
     base: float
@@ -41,7 +42,8 @@
 class Row:
     """`name`: what costs, as `member cpu`; `unit`: as `ms/s`; `by`: of what the sizes are, as `servers`. `side`: `now`, or
     `before` for the text before a change. `command`: runs it again. `note`: where it was measured, what is
-    extrapolated, what is a guess."""
+    extrapolated, what is a guess.
+    """
 
     name: str
     by: str
@@ -65,7 +67,8 @@
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Fit:
     """The plainest shape whose residual is within a tenth of the best one's, or under 5%. Raises `ValueError` for fewer
-    than five sizes, or for what is no finite positive size."""
+    than five sizes, or for what is no finite positive size.
+    """
     if len(set(sizes)) < SIZES_LEAST or len(sizes) != len(values):
         raise ValueError(
             f"{len(set(sizes))} sizes with {len(values)} values: a slope wants {SIZES_LEAST} sizes, each with one"
--- a/burlloom/lab/world.py
+++ b/burlloom/lab/world.py
@@ -24,9 +24,8 @@
                 isinstance(value, tuple)
                 and len(value) == 2
                 and all(isinstance(one, float) for one in value)
-            ):
-                if value[0] > value[1]:
-                    raise ValueError(f"{name}: from {value[0]:g} to {value[1]:g} is no range")
+            ) and value[0] > value[1]:
+                raise ValueError(f"{name}: from {value[0]:g} to {value[1]:g} is no range")
         return self
 
 
@@ -65,7 +64,8 @@
     Past `thrash_at` that want a core each, every further one takes `thrash` of a core's work away. A cold
     one starts at `cold_from` of its speed and is warm after `warm_s`. Past `tip_multiple` a core, for 3 s,
     it falls over. `first`: so many are up as it begins, and each is told its share of the calls below as if
-    there were no more; 0: all."""
+    there were no more; 0: all.
+    """
 
     count: Annotated[int, Field(ge=1, le=1000)]
     cores: Annotated[int, Field(ge=1, le=256)] = 6
@@ -89,7 +89,8 @@
     """Balancers. `tries`: at most so many for each txn, 0: without limit. `heed`: the share of them that
     heeds what it is told; `checks`: the share that asks for health. Their lists are late by `notice_s`, or
     by `silent_s` where a machine went without a word. `copies_after_ms`: a second copy of what may run
-    again, 0: none."""
+    again, 0: none.
+    """
 
     count: Annotated[int, Field(ge=1, le=1000)] = 4
     tries: Annotated[int, Field(ge=0)] = 0
@@ -104,7 +105,8 @@
 
 class Below(Part):
     """The one catalogue: `slots` calls at once take `call_ms` each; more take longer in proportion. It
-    survives `headroom` times its slots; each node is told its share of that."""
+    survives `headroom` times its slots; each node is told its share of that.
+    """
 
     call_ms: Positive = 25
     cv: Positive = 0.5
@@ -115,7 +117,8 @@
 
 class Load(Part):
     """First tries, as a share of what all cores can do. `low` and `high` bound a sawtooth, step or burst
-    of `period_s`."""
+    of `period_s`.
+    """
 
     shape: Literal["constant", "sawtooth", "step", "burst", "ramp"] = "constant"
     low: Positive = 0.6
@@ -137,7 +140,8 @@
     the last `size` of those that are up are drained and stay away. release: they are drained in steps of `size` of all. cut:
     a zone's machines and callers hear nobody else. slow: the machines' cores, by `size`. below-slow,
     below-gone: the catalogue. restart: those callers start again at once, with all open tries lost. flood:
-    `size` times the retries of one product, as from callers without limit. deaf: gauges are not told."""
+    `size` times the retries of one product, as from callers without limit. deaf: gauges are not told.
+    """
 
     kind: Literal[
         "kill",
--- a/burlloom/levels/ladder.py
+++ b/burlloom/levels/ladder.py
@@ -66,7 +66,8 @@
     """Where a node stands; times are ns on the host's clock. `stays`: how many times its stay on each
     level doubled.
 
-    `changes` are those of the last minute, the oldest first; an operator's are not among them."""
+    `changes` are those of the last minute, the oldest first; an operator's are not among them.
+    """
 
     level: int
     phase: Phase = Phase.STEADY
@@ -86,7 +87,8 @@
     dwell: between two steps down. stay: the least on a level before a trial of the one above; it doubles
     each time that a trial fails or a level is left too early (it is back within `relapse`), up to
     `stay_most`, and is forgiven one doubling for each `relapse` that was calm. trial: between two
-    widenings of a trial."""
+    widenings of a trial.
+    """
 
     levels: int
     dwell: int = SECOND
@@ -134,7 +136,8 @@
 
     def meet(self, at: Standing, what: Input, now: int, target: int = 0) -> Change:
         """`target`: the level that an emergency or a pin names. The first row whose tests all hold moves
-        it."""
+        it.
+        """
         kept = at._replace(changes=tuple(change for change in at.changes if change > now - MINUTE))
         for tests, phase, effect in RULES.get((at.phase, what), ()):
             if all(test(self, kept, now, target) for test in tests):
@@ -188,7 +191,8 @@
 
     def calm(self, at: Standing, now: int) -> Standing:
         """Time spent calm on a level that it came up to forgives the one below a doubling, each `relapse`
-        one."""
+        one.
+        """
         below = at.level + 1
         if (
             at.phase is Phase.STEADY
@@ -233,7 +237,8 @@
 
     def release(self, at: Standing, now: int, target: int) -> Standing:
         """It works its way from the pinned level; one that only a pin reaches is left for the last that
-        counts."""
+        counts.
+        """
         return at._replace(level=min(at.level, self.terms.levels - 1), since=now, rose=0)
 
 
--- a/burlloom/levels/plan.py
+++ b/burlloom/levels/plan.py
@@ -1,5 +1,6 @@
 """What the levels are: told by value and by what a repeat does, never by a product's name unless an
-operator names one."""
+operator names one.
+"""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -17,7 +18,8 @@
 
     `products` names what goes beside them, `kept` what is then answered from kept results alone.
     `repeats`: marked retries and copies of products up to the highest value are declined (inquiry-like
-    ones). Bounds that are empty are never entered: such a level is reached by an emergency or a pin alone."""
+    ones). Bounds that are empty are never entered: such a level is reached by an emergency or a pin alone.
+    """
 
     name: str
     bounds: Mapping[str, Bounds] = field(default_factory=dict)
@@ -38,7 +40,8 @@
 @dataclass(frozen=True, slots=True)
 class Plan:
     """Ordered levels, the first of which takes nothing away. `emergencies`: signal to entry and level's
-    name."""
+    name.
+    """
 
     levels: tuple[Level, ...]
     emergencies: Mapping[str, tuple[float, str]] = field(default_factory=dict)
--- a/burlloom/levels/signals.py
+++ b/burlloom/levels/signals.py
@@ -21,7 +21,8 @@
     use: of the cores, 0 to 1. crowd: what wants a core, each. age: the oldest held txn's, of its SLA time.
     lag: of reading, of the shortest SLA time. press: the decisions' own pressure, 0 to 1. late: of those
     settled, past their SLA time. calls: of them, refused, failed or given up. store: the record's time for
-    a claim, of what it may take; 1 and more where it is cut off. memory, sockets: of the limits."""
+    a claim, of what it may take; 1 and more where it is cut off. memory, sockets: of the limits.
+    """
 
     use: float | None = None
     crowd: float | None = None
@@ -99,7 +100,8 @@
 
 class Bounds(NamedTuple):
     """A level is entered from `enter` on and may be left at `leave` or below: between them nothing
-    changes."""
+    changes.
+    """
 
     enter: float
     leave: float
@@ -147,7 +149,8 @@
     rest is within its share.
 
     `share`, where given, says a tenant's share of the whole at any time, None of one that is not known; then
-    `portions` count for nothing. The RINGS_MOST that were read last are measured."""
+    `portions` count for nothing. The RINGS_MOST that were read last are measured.
+    """
 
     def __init__(
         self,
--- a/burlloom/levels/watch.py
+++ b/burlloom/levels/watch.py
@@ -1,11 +1,12 @@
 """A node's levels as a whole: readings in, the level in force and the reasons out. No I/O; times are the
-host's."""
+host's.
+"""
 
 from collections.abc import Collection
 from dataclasses import dataclass
 
 from ..interface import Relief, Service
-from .ladder import PARTS, Change, Input, Ladder, Phase, Standing, Terms
+from .ladder import PARTS, Change, Input, Ladder, Phase, Terms
 from .plan import Plan
 from .signals import NAMES, Bounds, Readings, Signals, low, reached
 
@@ -22,7 +23,8 @@
 @dataclass(frozen=True, slots=True)
 class Moved:
     """A step of the ladder, for the log: its effect, from where to where, and the signal behind it with
-    its value."""
+    its value.
+    """
 
     effect: str
     before: str
@@ -49,7 +51,8 @@
     ) -> None:
         """`died_at`: the level that a record says this node's last life stood at. `measured`: the signals
         that this node has at all; bounds on others do not count, else one that is never told would hold it
-        down for good."""
+        down for good.
+        """
         self.plan, self.reliefs = plan, reliefs
         self.bounds = [
             {name: bound for name, bound in level.bounds.items() if name in measured}
--- a/burlloom/metrics/exposed.py
+++ b/burlloom/metrics/exposed.py
@@ -21,7 +21,8 @@
     """A collector over plain numbers that others keep: nothing is counted twice, and nothing costs until it is read.
 
     `counts`: whole numbers that only grow, a dataclass, a dictionary or what gives one; `gauges` gives what stands
-    now."""
+    now.
+    """
 
     def __init__(self, prefix: str, counts: Any, gauges: Callable[[], dict[str, float]]) -> None:
         self.prefix, self.counts, self.gauges = prefix, counts, gauges
--- a/burlloom/operator/__init__.py
+++ b/burlloom/operator/__init__.py
@@ -2,8 +2,8 @@
 
 from .distribution import DistributionPart
 from .fleet import FleetPart
-from .load import Faults, load
 from .levels import LevelsPart
+from .load import Faults, load
 from .part import Part
 from .recovery import RecoveryPart
 from .rollout import RolloutPart
--- a/burlloom/operator/distribution.py
+++ b/burlloom/operator/distribution.py
@@ -1,5 +1,6 @@
 """The operator's word on configuration that is carried to the servers: who is followed, by which keys,
-what is told where."""
+what is told where.
+"""
 
 from dataclasses import replace
 from pathlib import Path
@@ -37,7 +38,8 @@
     well; the first chains changes, any is believed: the same for all, and for nobody else.
     `followers_most` and `page_rate` (bytes/s, for whole tables): what a control machine bears. `wait_ms`:
     how long a server waits for its first sync before it listens; then it serves with its configuration's
-    tenants. `state_file`: written each second."""
+    tenants. `state_file`: written each second.
+    """
 
     listen: Host
     advertise: Host | None = None
--- a/burlloom/operator/fleet.py
+++ b/burlloom/operator/fleet.py
@@ -24,7 +24,8 @@
 
     `calls`: in hand at once, that the services below bear from all servers together. `least`: more than half
     of the servers that there usually are. `weight`: this one's, against the others'. `services`: the
-    addresses below, in place of the platform's one; this server talks to `subset` of them or more."""
+    addresses below, in place of the platform's one; this server talks to `subset` of them or more.
+    """
 
     listen: Host
     advertise: Host | None = None
--- a/burlloom/operator/levels.py
+++ b/burlloom/operator/levels.py
@@ -1,5 +1,6 @@
 """The operator's levels of reduced service, as the file tells them; turned into the plan that the ladder
-walks."""
+walks.
+"""
 
 from pathlib import Path
 from typing import Annotated, Literal, Self
@@ -24,7 +25,8 @@
 
 class OneLevel(Part):
     """One level. `gives_up`: of the values that products have, so many of the lowest; "all-but-highest";
-    or "all"."""
+    or "all".
+    """
 
     name: str = Field(min_length=1, max_length=32)
     when: dict[str, Bound] = {}
@@ -64,7 +66,8 @@
 
     `kept_ms`: by product, for how long a kept result may stand in where a level says so. `pin_file` is
     read each second, `state_file` written at each step and each 5 s; `burlloom levels` reads and writes
-    them."""
+    them.
+    """
 
     levels: list[OneLevel] | None = None
     emergencies: dict[str, Emergency] | None = None
@@ -113,7 +116,8 @@
 
     def faults(self) -> list[str]:
         """What the file alone can tell; products are held against the platform's configuration by `check`
-        and a start."""
+        and a start.
+        """
         found = faults(self.plan(), (), NAMES)
         if not found:
             try:
--- a/burlloom/operator/recovery.py
+++ b/burlloom/operator/recovery.py
@@ -22,7 +22,8 @@
     calls come back well; `begin_warm`: of the last share, where what was left is believed. `ask_ms`: how long
     peers and the store are waited for. `age_ms`: what is older is not believed. `retries`: marked retries for
     each first try, while service comes back. `fence`: "retries": those that may have run in a life whose
-    marks are lost are voided for one window; "off": they are taken for new."""
+    marks are lost are voided for one window; "off": they are taken for new.
+    """
 
     state_file: str | None = None
     step_ms: Span = 500
@@ -46,7 +47,8 @@
 
     def terms(self, window: int, durable: bool) -> "Terms":
         """`window`: the longest of the products', ns. `durable`: no run begins before its mark is in the
-        record."""
+        record.
+        """
         from ..recovery import Terms
 
         return Terms(
--- a/burlloom/operator/rollout.py
+++ b/burlloom/operator/rollout.py
@@ -1,5 +1,6 @@
 """The operator's word on drains and releases: where the fleet agrees, how many may be out, how a release is
-judged."""
+judged.
+"""
 
 from typing import TYPE_CHECKING, Annotated, Self
 
@@ -9,8 +10,7 @@
 from .part import Part
 
 if TYPE_CHECKING:
-    from ..rollout import Budget, Terms
-    from ..rollout import plan
+    from ..rollout import Budget, Terms, plan
 
 MS = 1_000_000
 Span = Annotated[int, Field(ge=1, le=86_400_000)]
@@ -21,7 +21,8 @@
 
 class Below(Part):
     """A service below and its instances, as they stand in `fleet.services`; so many of them, or such a part,
-    may be out at once."""
+    may be out at once.
+    """
 
     addresses: Annotated[list[Host], Field(min_length=2, max_length=1000)]
     out_most: Most = 1
@@ -38,7 +39,8 @@
     `back_ms`, `settle_ms`, `write_off_ms` (0: never): docs/rollout.md. `judge_ms`: what counts of both sides;
     `judge_least`: txns of the changed; `judge_margin`, `judge_sigmas`: by how much they may do worse;
     `judge_worst`: a share that is bad whatever the others do; `quiet_ms`: for so many to come, and whether a
-    wave without them passes."""
+    wave without them passes.
+    """
 
     version: Annotated[str, Field(max_length=200)] = ""
     leads: bool = True
--- a/burlloom/record/admin.py
+++ b/burlloom/record/admin.py
@@ -158,7 +158,8 @@
     def doubts(self, now: int) -> Iterator[tuple[Row, str]]:
         """Begun by a life that is over, with no end and the window not over; and the verdict that waits, if any.
 
-        Where no server has the file, the life that is written there is over too."""
+        Where no server has the file, the life that is written there is over too.
+        """
         with self.reading() as db:
             lives = dict(db.execute("SELECT name, life FROM node").fetchall())
             said = {
@@ -292,7 +293,8 @@
         """Adds what a snapshot has and the record has not, also while it is served: how many were added, and looked at.
 
         Nothing that stands is changed, and what is over is left out. A server learns of them by its claims: a repeat
-        of what had ended gets its first answer, and of what a former life had begun it is voided, as it is after a start."""
+        of what had ended gets its first answer, and of what a former life had begun it is voided, as it is after a start.
+        """
         copy = Admin(source, self.sealer)
         found = copy.verify()
         if found.faults:
@@ -316,7 +318,8 @@
         """Puts a snapshot in place; until when the record stays closed, 0 where it does not.
 
         What ran between the snapshot and now is not in it, and a repeat of that would run again: so the record
-        stays closed for charges for one whole window. `nothing_lost`: the operator knows that nothing ran since."""
+        stays closed for charges for one whole window. `nothing_lost`: the operator knows that nothing ran since.
+        """
         copy = Admin(source, self.sealer)
         found = copy.verify()
         if found.faults:
--- a/burlloom/record/keeper.py
+++ b/burlloom/record/keeper.py
@@ -139,7 +139,8 @@
     def executor(self, began: int) -> list[tuple[bytes, int, bool]]:
         """The executor is there, and started at `began`: what became of what former lives had begun.
 
-        Gives mark, end of window, and whether its end may still be told."""
+        Gives mark, end of window, and whether its end may still be told.
+        """
         told: list[tuple[bytes, int, bool]] = []
         rows, self.began = self.began, []
         for row in rows:
--- a/burlloom/record/schema.py
+++ b/burlloom/record/schema.py
@@ -71,7 +71,7 @@
     ),
 }
 LATEST = max(SQLITE)
-assert LATEST == max(POSTGRES)
+assert max(POSTGRES) == LATEST
 
 
 def steps(have: int, known: dict[int, tuple[str, ...]]) -> list[int]:
--- a/burlloom/record/shared_postgres.py
+++ b/burlloom/record/shared_postgres.py
@@ -12,7 +12,8 @@
 class SharedDatabase:
     """`record`: a store of record that was not opened: where the database is, and its schema's steps. One
     connection, made anew after any error: of a statement whose answer was lost nobody knows whether it
-    holds."""
+    holds.
+    """
 
     def __init__(self, record: Postgres) -> None:
         self.record = record
--- a/burlloom/record/sqlite.py
+++ b/burlloom/record/sqlite.py
@@ -83,7 +83,8 @@
 def connect(path: Path, pages: int = 0, turns: Turns | None = None) -> sqlite3.Connection:
     """Of a record's file, made if there is none. Raises `Refused`, or what sqlite3 raises.
 
-    `turns`: of whoever has each statement wait for the file's lock by them; without, SQLite waits for it."""
+    `turns`: of whoever has each statement wait for the file's lock by them; without, SQLite waits for it.
+    """
     db = (turns or Turns()).take(lambda: connected(path, pages))
     if turns is None:
         db.execute(f"PRAGMA busy_timeout = {WAIT * 1000:.0f}")
--- a/burlloom/record/store.py
+++ b/burlloom/record/store.py
@@ -27,7 +27,8 @@
     """Who we are in the store from now on.
 
     `shift` is by how much the clock was stepped since it was last used. Until `closed_until` nothing may be claimed:
-    the store was put back from a snapshot, and what ran since then is not in it. `note`: what this node noted last."""
+    the store was put back from a snapshot, and what ran since then is not in it. `note`: what this node noted last.
+    """
 
     node: str
     life: int
--- a/burlloom/recovery/kept.py
+++ b/burlloom/recovery/kept.py
@@ -31,7 +31,8 @@
 @dataclass(frozen=True, slots=True)
 class Kept:
     """`life`: Unix ms, of the life that wrote it, `told_at` when; `record_life`: of the store of record, -1
-    for none; `share` in calls; `clean`: it drained, so that nothing was in doubt when it went."""
+    for none; `share` in calls; `clean`: it drained, so that nothing was in doubt when it went.
+    """
 
     node: str
     life: int
--- a/burlloom/recovery/recovery.py
+++ b/burlloom/recovery/recovery.py
@@ -1,5 +1,6 @@
 """One server's way back, whole: what was kept is judged, the ramp rises, retries are held, the fence stands.
-No I/O."""
+No I/O.
+"""
 
 from dataclasses import dataclass
 
@@ -19,7 +20,8 @@
     """ns. `step` of the ramp; `begin`: the part of an equal share that it begins with; `begin_warm`: of what
     was held last, where what was kept is used; `least`: calls, the cap is never lower. `ask`: for how long
     peers and the store may say something of a later life. `age_most` of what was kept. `retry_part`,
-    `retry_few` a second, over `retry_span`."""
+    `retry_few` a second, over `retry_span`.
+    """
 
     window: int
     step: int = 500 * MS
--- a/burlloom/recovery/start.py
+++ b/burlloom/recovery/start.py
@@ -66,7 +66,8 @@
 
 class Start:
     """`lonely`: there are neither peers nor a store to ask. `clean`: the life that wrote had drained. Times
-    in ns."""
+    in ns.
+    """
 
     def __init__(self, lonely: bool, clean: bool, window: int) -> None:
         self.lonely_here, self.clean, self.window = lonely, clean, window
--- a/burlloom/rollout/book.py
+++ b/burlloom/rollout/book.py
@@ -29,7 +29,8 @@
 @dataclass(frozen=True, slots=True)
 class Budget:
     """At most `most` out at once, or, where it is not 0, such a `share` of all, rounded down, but one at
-    least; and never all."""
+    least; and never all.
+    """
 
     most: int = 1
     share: float = 0.0
@@ -57,7 +58,8 @@
 class Book:
     """`holder`, `epoch`: who leads, and how often that changed. `steps`: how many there were. `good`: the
     version that all are to run where nothing is changed. `notes`: the last moves, each with its step, in
-    words."""
+    words.
+    """
 
     holder: str = ""
     epoch: int = 0
--- a/burlloom/rollout/judge.py
+++ b/burlloom/rollout/judge.py
@@ -17,7 +17,6 @@
 from .plan import Rates
 from .watch import Counts
 
-
 FEW_BAD = 5  # txns: one or two that fail by chance are a large share of a few
 PAST = 3  # margins that are wanted where nobody is left to compare with at the same time
 PARTS, PARTS_BAD = (
@@ -36,7 +35,8 @@
 class Measure:
     """`span`: ns that count at least. `least`: txns of the changed, before they are good. `margin`: of a
     share; `sigmas`: how far out. `worst`: a share of the changed that is bad, unless the others do as
-    badly."""
+    badly.
+    """
 
     span: int = 30_000_000_000
     least: int = 100
@@ -85,7 +85,8 @@
 class Evidence:
     """What was counted on both sides, over the last `span`; further back, up to `longest`, as long as the
     changed were asked for under `least` txns. A server counts from a look at which it was in service to the
-    next, if it lived through it."""
+    next, if it lived through it.
+    """
 
     def __init__(self, span: int, least: int, longest: int) -> None:
         self.span, self.least, self.longest = span, least, longest
--- a/burlloom/rollout/lead.py
+++ b/burlloom/rollout/lead.py
@@ -29,7 +29,8 @@
     serves for so long before it counts as back; `write_off`: a missing one is gone for good after, 0: only by
     an operator's word; `quiet`: for the changed to be asked enough. `lost_most`: changed servers that may be
     lost before the change is halted. `pause_at`: share declined or voided of all servers, from which on
-    nobody new is sent out. `quiet_passes`: a wave of which too little was asked is taken for good."""
+    nobody new is sent out. `quiet_passes`: a wave of which too little was asked is taken for good.
+    """
 
     fresh: int = 5 * SECOND
     lead: int = 5 * SECOND
@@ -57,7 +58,8 @@
 class Lead:
     """One that may lead, under a `name` that nobody else has. `budgets`: by group, for those that the book
     does not have yet; what stands there is changed by an operator's word alone. `services`: the instances of
-    each service below."""
+    each service below.
+    """
 
     def __init__(
         self,
--- a/burlloom/rollout/plan.py
+++ b/burlloom/rollout/plan.py
@@ -63,7 +63,8 @@
 @dataclass(frozen=True, slots=True)
 class Rates:
     """Of what was asked: shares declined, voided, and settled after the SLA time (of those settled); `asked`:
-    of how many."""
+    of how many.
+    """
 
     declined: float = 0.0
     voided: float = 0.0
@@ -76,7 +77,8 @@
     """`version`: that is brought in; `former`: that the way back leads to; `restart`: all start anew,
     whatever they run. `backing`: whether the way back was begun; `auto`: taken by itself when a wave is bad.
     `since`: the book's step of the last move. `reference`: what the unchanged did last, for when there are
-    none left. `lost`: changed servers that were lost."""
+    none left. `lost`: changed servers that were lost.
+    """
 
     number: int = 0
     phase: Phase = Phase.IDLE
--- a/burlloom/rollout/stores/leading.py
+++ b/burlloom/rollout/stores/leading.py
@@ -1,5 +1,6 @@
 """A round of whoever may lead, between its decisions and the shelf; servers and `burlloom rollout drive`
-share it."""
+share it.
+"""
 
 from ..lead import Lead
 from .shelf import Page, Shelf
@@ -7,7 +8,8 @@
 
 async def led(lead: Lead, shelf: Shelf, page: Page, now: int) -> list[tuple[int, str]]:
     """Takes the lead where nobody has it; where we have it, decides. Gives the steps that were taken, in
-    words; none where another wrote before us: the next round looks anew. Raises `Away`."""
+    words; none where another wrote before us: the next round looks anew. Raises `Away`.
+    """
     taken = lead.take(now, page.book, page.beat)
     if taken is not None:
         return list(taken.notes[-1:]) if await shelf.swap(page, taken) else []
--- a/burlloom/rollout/stores/tables.py
+++ b/burlloom/rollout/stores/tables.py
@@ -1,5 +1,6 @@
 """The book in two tables. Each step is one statement that holds or does not: no transaction is open between
-two."""
+two.
+"""
 
 import logging
 import time
--- a/burlloom/rollout/units.py
+++ b/burlloom/rollout/units.py
@@ -78,7 +78,8 @@
     """`life`: the one that served last; `left`: one that is known to leave, 0 where none is. `since`: the
     book's step that brought it to this state. `version`: that it served with last; `to`: that it is to start
     with next, empty: the good one. `moved`: the plan that sent it out last. `asked`: the ticket of an
-    operator's order to take it out, 0: none. `span_ms`: for how long, 0: as long as any other."""
+    operator's order to take it out, 0: none. `span_ms`: for how long, 0: as long as any other.
+    """
 
     state: State = State.GONE
     life: int = 0
@@ -109,7 +110,8 @@
 class News:
     """What goes with an input. `life`: of who speaks; `ticket`: of the order on which it acts; `room`:
     whether the budget has any; `few`: whether fewer were sent out by it than it allows, whoever else is away;
-    `below`: an instance of a service below, of which nobody starts a new life."""
+    `below`: an instance of a service below, of which nobody starts a new life.
+    """
 
     step: int
     life: int = 0
@@ -139,7 +141,8 @@
 
 def stays(unit: Unit, news: News) -> bool:
     """It counts already, but may be serving all the same: it waits for those who were sent out, as any
-    other."""
+    other.
+    """
     return news.few and unit.left < unit.life
 
 
@@ -191,7 +194,8 @@
 
 def meet(unit: Unit, what: Input, news: News) -> tuple[Unit, str] | None:
     """By the first row whose test holds: the unit after it and the effect's name; None where there is
-    none."""
+    none.
+    """
     for test, after, effect in RULES.get((unit.state, what), ()):
         if test(unit, news):
             made = EFFECTS[effect](unit, news)
--- a/burlloom/rollout/watch.py
+++ b/burlloom/rollout/watch.py
@@ -44,7 +44,8 @@
     """What a server says of itself. `life` grows from one start to the next; `beat` counts up in a life.
     `well`: callers are sent to it, and it is past its way back. `heeded`: the book's step that it has acted
     on. `below`: calls to each instance of the services below that came back well and not, in its last
-    seconds. `former`: the life before, if that said that it leaves; else 0."""
+    seconds. `former`: the life before, if that said that it leaves; else 0.
+    """
 
     name: str
     life: int
@@ -75,9 +76,10 @@
 
     def begins(self, now: int) -> None:
         """A look at all of it. Where we did not look for long (the store was away, or we stood still), that
-        time is nobody's silence, and nobody was seen to serve in it."""
+        time is nobody's silence, and nobody was seen to serve in it.
+        """
         gap = now - self.looked_at
-        if 0 <= self.looked_at and gap > self.fresh // 2:
+        if self.looked_at >= 0 and gap > self.fresh // 2:
             for seen in self.seen.values():
                 seen.at, seen.first = seen.at + gap, True
         self.looked_at = now
--- a/burlloom/server/assembly.py
+++ b/burlloom/server/assembly.py
@@ -376,7 +376,8 @@
 
     def leave(self, noticed: int = 0) -> None:
         """`noticed`: when the clock was last looked at before the notice was heard. It was sent after that; by how
-        much, a process that had stood still can't tell, and counts grace and kill from the earlier."""
+        much, a process that had stood still can't tell, and counts grace and kill from the earlier.
+        """
         if self.leaving:
             return
         self.leaving = True
--- a/burlloom/server/distributing.py
+++ b/burlloom/server/distributing.py
@@ -1,7 +1,8 @@
 """Between the server and the configuration that is distributed to it: datagrams, the tenants in force,
 what is told of both.
 
-Where distribution is off, `NoDistribution` stands here, and nothing of it is imported."""
+Where distribution is off, `NoDistribution` stands here, and nothing of it is imported.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +19,7 @@
     import asyncio
     import socket
 
-    from ..distribution import Replica, Follower
+    from ..distribution import Follower, Replica
     from ..distribution.table import Place
     from ..metrics import Exposed
     from ..operator import DistributionPart
@@ -107,7 +108,8 @@
 
 class Portions:
     """What all tenants' portions come to: counted through the table some at a time, again some minutes
-    after a change. Until then each is taken for one."""
+    after a change. Until then each is taken for one.
+    """
 
     def __init__(self, replica: Replica) -> None:
         self.replica = replica
--- a/burlloom/server/logs.py
+++ b/burlloom/server/logs.py
@@ -4,7 +4,6 @@
 import sys
 import time
 
-
 log = logging.getLogger(__name__)
 
 LINES_MOST = 50  # a second, of no more weight than info
--- a/burlloom/server/parts.py
+++ b/burlloom/server/parts.py
@@ -14,8 +14,8 @@
 from ..levels.plan import faults
 from ..operator import Faults, Metrics, Operator, load
 from ..record.keeper import Keeper, Terms
-from ..record.store import Refused
 from ..record.opening import store_of
+from ..record.store import Refused
 from ..sockets import MS, SECOND
 from .configuration import Orders
 from .distributing import Distributed
--- a/burlloom/server/recording.py
+++ b/burlloom/server/recording.py
@@ -110,8 +110,8 @@
             clock,
             execute,
         )
-        self.keeper: "Keeper"
-        self.exposed: "Exposed | None" = None
+        self.keeper: Keeper
+        self.exposed: Exposed | None = None
         self.desk: Desk | None = None
         self.former = Packed()
         self.noted, self.life = "", -1
--- a/burlloom/server/recovering.py
+++ b/burlloom/server/recovering.py
@@ -84,7 +84,8 @@
 
 class Recovered:
     """`fleet` gives the server's fleet once there is one; `alone`: calls that we may have where there is
-    none."""
+    none.
+    """
 
     def __init__(
         self,
--- a/burlloom/server/rolling.py
+++ b/burlloom/server/rolling.py
@@ -212,7 +212,8 @@
 
     def heed(self, page: Page) -> None:
         """Instances below that are out are not called. What was acted on is told once no call is there any
-        more."""
+        more.
+        """
         shunned = frozenset(address for _, address in page.book.shunned())
         if self.fleet().shun(shunned):
             self.heeded = page.book.steps
--- a/burlloom/standins/parts.py
+++ b/burlloom/standins/parts.py
@@ -104,7 +104,8 @@
 
 class Catalogue:
     """Answers each call as `reply` says: a reply, or `close`, `reset`, `half`, `garbage` or
-    `silence`."""
+    `silence`.
+    """
 
     def __init__(self, reply: Callable[[str], Awaitable[Reply]]) -> None:
         self.reply = reply
--- a/burlloom/standins/postgres.py
+++ b/burlloom/standins/postgres.py
@@ -253,7 +253,8 @@
     def end_statement(self, kind: bytes) -> None:
         """A cancelled one: what was asked up to the next Sync is passed over, and then all is well again.
 
-        Not the statement's first message alone: the rest of what the client had sent would hang in its turn."""
+        Not the statement's first message alone: the rest of what the client had sent would hang in its turn.
+        """
         if not self.skipping:
             self.skipping = True
             self.status = "E" if self.status == "T" else self.status
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -2,11 +2,11 @@
 the store's tables say and what each server's log told.
 
 The checker shares no code with the program: what is to be in force is its own model of what was put,
-digests are its own, the chain's tags are read from the store's file by sqlite3."""
+digests are its own, the chain's tags are read from the store's file by sqlite3.
+"""
 
 import asyncio
 import json
-import os
 import re
 import signal
 import sqlite3
@@ -184,7 +184,8 @@
 
 class World:
     """`postgres`: the store is the stand-in for PostgreSQL; else one SQLite file. `parts`: further ones of the
-    servers' operator file."""
+    servers' operator file.
+    """
 
     def __init__(
         self, folder: Path, postgres: bool = False, parts: dict[str, Any] | None = None
@@ -346,7 +347,8 @@
 
     def in_order(self) -> None:
         """Each server applied revisions one after the other, each with the store's own tag, from a sync
-        on; and went back in none."""
+        on; and went back in none.
+        """
         tags = {
             (epoch, revision): bytes(tag).hex()
             for epoch, revision, tag in self.rows(
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -17,10 +17,10 @@
 
 from burlloom.distribution import (
     Change,
-    Replica,
     Entry,
     Follower,
     Head,
+    Replica,
     Source,
     Table,
     Terms,
--- a/tests/explore_distribution.py
+++ b/tests/explore_distribution.py
@@ -23,10 +23,10 @@
 
 from burlloom.distribution import (
     Change,
-    Replica,
     Entry,
     Follower,
     Head,
+    Replica,
     Source,
     Terms,
     Upstream,
@@ -362,7 +362,8 @@
 
 class Explorer:
     """So many changes, beats, losses, doubles, restarts of either, new epochs, forged changes at most; `broken`: a rule
-    left out, to show that the walk notices."""
+    left out, to show that the walk notices.
+    """
 
     def __init__(
         self, begun: int = 0, newcomer: bool = False, broken: str = "", flying: int = 4, **most: int
--- a/tests/explore_fleet.py
+++ b/tests/explore_fleet.py
@@ -104,7 +104,8 @@
 
 class Explorer:
     """Begins with all calls held by the first member, which has them in hand. `broken`: a rule left out, to
-    show that the walk would notice."""
+    show that the walk would notice.
+    """
 
     def __init__(
         self,
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -143,7 +143,8 @@
 
 class Fleet:
     """`calls`: what the services bear together; `alone`: what each server believes to be its share without
-    the others."""
+    the others.
+    """
 
     def __init__(
         self,
@@ -204,7 +205,8 @@
         """Begins to look anew. What is bounded at any one moment is the calls of those who hold a call or more: a
         share of under one call is a share of time, its one call is as whole as any other's, and a sum of shares
         says nothing of the moment. So a single call of a `part_time` one does not count to `worst`, but all to
-        `mean`; a second one of it does."""
+        `mean`; a second one of it does.
+        """
         self.worst = self.area = self.looks = 0
 
     @property
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -16,10 +16,10 @@
 
 from rig import PATIENCE, ROOT, Rig, until
 
+from burlloom.operator import load
 from burlloom.rollout import Book, Phase
 from burlloom.rollout.stores import Away, Shelf
 from burlloom.rollout.stores.opening import shelf_of
-from burlloom.operator import load
 from burlloom.standins.parts import Balancer, Catalogue, fields
 
 QUICK = {
@@ -356,7 +356,8 @@
 
     def nothing_lost(self, killed: bool = False) -> None:
         """Each txn has its answer, none ran twice, none is settled that did not run. Prints the story's
-        figures, for `pytest -s`."""
+        figures, for `pytest -s`.
+        """
         twice = [body for body, count in self.runs.items() if count > 1]
         print(
             f"\n| {len(self.nodes)} | {self.worst} of {self.most} | {self.over} | {self.ends} |"
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -10,7 +10,6 @@
 import socket
 from collections import Counter
 from collections.abc import Callable, Iterator
-from typing import Any
 
 from burlloom.executor import End
 from burlloom.facts import facts
@@ -224,7 +223,8 @@
         self.link.replay(server)
 
     def crash(self) -> None:
-        assert self.server is not None and self.store is not None
+        assert self.server is not None
+        assert self.store is not None
         self.store.crash()
         recorded = self.server.record
         assert isinstance(recorded, Recorded)
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -18,17 +18,22 @@
         assert budget.over(budget.posted(now), now, False) == (
             "cut" if n == BAD_MOST - 1 else "count"
         )
-    assert not budget.accepts(now) and budget.round(now) == ""
+    assert not budget.accepts(now)
+    assert budget.round(now) == ""
     now += budget.rest
-    assert budget.round(now) == "beat" and not budget.accepts(now)
-    assert budget.beat_over(now + MS, True) == "beat_more" and not budget.accepts(now)
-    assert budget.beat_over(now + 2 * MS, True) == "mend" and budget.accepts(now)
+    assert budget.round(now) == "beat"
+    assert not budget.accepts(now)
+    assert budget.beat_over(now + MS, True) == "beat_more"
+    assert not budget.accepts(now)
+    assert budget.beat_over(now + 2 * MS, True) == "mend"
+    assert budget.accepts(now)
 
 
 def test_a_write_that_hangs_cuts_it_off_though_nothing_failed() -> None:
     budget = Budget(10, PATIENCE)
     budget.posted(0)
-    assert budget.accepts(HANGS * PATIENCE) and not budget.accepts(HANGS * PATIENCE + 1)
+    assert budget.accepts(HANGS * PATIENCE)
+    assert not budget.accepts(HANGS * PATIENCE + 1)
     assert budget.round(HANGS * PATIENCE + 1) == "cut"
 
 
@@ -64,7 +69,8 @@
                 if budget.beat_over(now, what == "beat-good").startswith(("beat", "mend"))
                 else 0
             )
-        assert budget.rest <= REST_MOST and len(budget.open) <= 8
+        assert budget.rest <= REST_MOST
+        assert len(budget.open) <= 8
         if before is not State.FLOW:
             assert budget.state is not State.FLOW or good_beats == 2
             assert budget.state is State.FLOW or not budget.accepts(now)
@@ -88,7 +94,8 @@
     assert len(runs) + len(ends) <= 1, seen
     assert prefer or "run_unkept" not in seen
     if fate.state is Stand.RUN:
-        assert runs and not ends
+        assert runs
+        assert not ends
 
 
 @given(st.integers(0, 10**18), st.integers(0, 10**15), st.integers(-(10**15), 10**15))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -135,7 +135,8 @@
 
 
 @pytest.mark.parametrize(
-    "rows, words", [((), "not measured"), ((slope("a cpu", (1.0,) * 5, by="moons"),), "by moons")]
+    ("rows", "words"),
+    [((), "not measured"), ((slope("a cpu", (1.0,) * 5, by="moons"),), "by moons")],
 )
 def test_what_was_not_measured_says_so(rows: tuple[Row, ...], words: str) -> None:
     one = worked_out(role_of(NEED), NEED, by_key(*rows))
@@ -167,7 +168,8 @@
 
 def test_what_is_missing_first_stands_first() -> None:
     """By the part of the size at which it is passed, then by how far it is over; what nothing carries before
-    all; what is built but not run, within its budget, or without one is not there."""
+    all; what is built but not run, within its budget, or without one is not there.
+    """
     steep = slope("b cpu", tuple(0.1 * size for size in SIZES))
     needs = (
         NEED,
@@ -197,7 +199,7 @@
 
 
 @pytest.mark.parametrize(
-    "page, reason",
+    ("page", "reason"),
     [
         ("<!-- table: a -->\n<!-- end -->\n", "lacks: b"),
         ("<!-- table: a -->\n", "no <!-- end -->"),
--- a/tests/test_cold_processes.py
+++ b/tests/test_cold_processes.py
@@ -8,11 +8,11 @@
 from cold_start import play, ready
 
 
-@pytest.mark.parametrize("story, total", [("together", 1), ("restarts", 2)])
+@pytest.mark.parametrize(("story", "total"), [("together", 1), ("restarts", 2)])
 def test_what_processes_have_in_hand_together_from_their_start(story: str, total: int) -> None:
     """Six share a budget of one or two calls: none is too small for it, and together they stay within it and chance."""
     worst, made = asyncio.run(play(6, total, 0.05, story, 6.0))
-    assert 0 < made and worst <= bound(total), (worst, made)
+    assert made > 0 and worst <= bound(total), (worst, made)
 
 
 def test_restarted_processes_are_ready_within_the_terms() -> None:
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -94,9 +94,8 @@
     assert "exists already" in burlloom("record", "snapshot", copy, "-o", path, status=2)
     (tmp_path / "record.db").write_bytes(b"gone")
     said = burlloom("record", "restore", copy, "--window-s", 18, "-o", path)
-    assert "closed for charges until" in said and "2 records, 0 faults" in burlloom(
-        "record", "verify", "-o", path
-    )
+    assert "closed for charges until" in said
+    assert "2 records, 0 faults" in burlloom("record", "verify", "-o", path)
     (aside,) = [
         one
         for one in tmp_path.glob("record.db.before-*")
@@ -104,7 +103,8 @@
     ]
     assert aside.read_bytes() == b"gone"
     stats = json.loads(burlloom("record", "stats", "--json", "-o", path))
-    assert stats["closed_until"] > NOW + 17 * 10**9 and stats["nodes"]["n1"] > 1000
+    assert stats["closed_until"] > NOW + 17 * 10**9
+    assert stats["nodes"]["n1"] > 1000
     with sqlite3.connect(copy) as db:
         db.execute("UPDATE fate SET result = x'00'")
     assert "its seal does not hold" in burlloom(
@@ -175,7 +175,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    ("text", "said"),
     [
         ("{ record: ", "operator.jsonnet:1:11"),
         ("{ record: import 'none.libsonnet' }", "none.libsonnet"),
@@ -197,7 +197,7 @@
 
 
 @pytest.mark.parametrize(
-    "what, not_with",
+    ("what", "not_with"),
     [
         (
             "burlloom.server.__main__",
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -13,7 +13,8 @@
 
 def test_a_txn_that_is_over_before_its_first_pick_keeps_its_answer() -> None:
     """Hundreds read in one turn of the loop: a timer round released the index before the coroutine came to
-    `pick`, which failed; the txn was voided where it had been declined."""
+    `pick`, which failed; the txn was voided where it had been declined.
+    """
     now = [1000 * SECOND]
     known, _ = facts(GIVEN["settings"])
 
@@ -27,7 +28,8 @@
             Leaving(now[0], now[0])
         )  # the held are given up; their answers are not handed out yet
         late = desk.take(tried("late"))
-        assert isinstance(late, Seat) and desk.knows("late")
+        assert isinstance(late, Seat)
+        assert desk.knows("late")
         for _ in range(3):
             now[0] += SECOND // 5
             desk.tick(Gauges())
--- a/tests/test_distributing.py
+++ b/tests/test_distributing.py
@@ -1,5 +1,6 @@
 """What the server and a control machine make of a copy, without processes: tenants in force, their
-shares, the store as it is followed."""
+shares, the store as it is followed.
+"""
 
 import asyncio
 import logging
@@ -18,7 +19,8 @@
 from burlloom.distribution.stores.sqlite import Sqlite
 from burlloom.distribution.table import Table
 from burlloom.distribution.telling import Keys, Telling
-from burlloom.levels.signals import RINGS_MOST, Tenants as Shares
+from burlloom.levels.signals import RINGS_MOST
+from burlloom.levels.signals import Tenants as Shares
 from burlloom.rpc.requests import Known, Malformed, request
 from burlloom.server.distributing import COUNT_EVERY, Portions, Tenants
 from burlloom.standins.parts import fields
@@ -54,15 +56,16 @@
         except Malformed:
             return False
 
-    assert serves("acme") and not serves("blue") and not serves(7) and not serves(["acme"])
+    assert serves("acme")
+    assert not serves("blue")
+    assert not serves(7)
+    assert not serves(["acme"])
     held.begin(first_head(1, 0), [tenant("blue")])
-    assert (
-        serves("blue")
-        and not serves("acme")
-        and not serves(7)
-        and not serves(["blue"])
-        and not serves("\ud800")
-    )
+    assert serves("blue")
+    assert not serves("acme")
+    assert not serves(7)
+    assert not serves(["blue"])
+    assert not serves("\ud800")
     assert (
         held.take(change(held.head or first_head(1, 0), Entry("", "tenant", "blue", None))) is None
     )
@@ -83,35 +86,34 @@
     )
     for at in range(256):
         portions.step(at)
-    assert (
-        portions.whole == 5.0
-        and portions.share("a") == pytest.approx(0.6)
-        and portions.share("none") is None
-    )
+    assert portions.whole == 5.0
+    assert portions.share("a") == pytest.approx(0.6)
+    assert portions.share("none") is None
     assert held.take(change(held.head or first_head(1, 0), tenant("a", portion=8))) is None
     portions.step(1000)
     assert portions.bucket < 0, "again only some minutes later"
     for at in range(256):
         portions.step(COUNT_EVERY + 1000 + at)
-    assert portions.whole == 10.0 and portions.share("a") == pytest.approx(0.8)
+    assert portions.whole == 10.0
+    assert portions.share("a") == pytest.approx(0.8)
 
     shares = Shares((), share=portions.share)
     chance, past = Random(1), {"a": 0, "b": 0}
     for n in range(3000):
         name = "b" if chance.random() < 0.6 else "a"
         past[name] += shares.read(n * SECOND // 100, name)
-    assert past["b"] > 1000 and not past["a"] and not shares.read(0, "none")
+    assert past["b"] > 1000
+    assert not past["a"]
+    assert not shares.read(0, "none")
 
 
 def test_reads_of_many_tenants_are_counted_for_a_bounded_number() -> None:
     shares = Shares((), share=lambda name: 1e-5)
     for n in range(RINGS_MOST + 100):
         shares.read(n, f"t{n}")
-    assert (
-        len(shares.rings) == RINGS_MOST
-        and len(shares.past) <= RINGS_MOST
-        and "t0" not in shares.rings
-    )
+    assert len(shares.rings) == RINGS_MOST
+    assert len(shares.past) <= RINGS_MOST
+    assert "t0" not in shares.rings
 
 
 class Told:
@@ -140,21 +142,22 @@
         await put(tenant("a"))
         reading = Reading(store, held, lambda: Table(None), told)
         await reading.round()
-        assert held.head == await store.head() and held.table.has("tenant", "a") and told.loads == 1
+        assert held.head == await store.head()
+        assert held.table.has("tenant", "a")
+        assert told.loads == 1
         for n in range(100):
             await put(tenant(f"t{n}"))
         await reading.round()
-        assert (
-            held.head == await store.head()
-            and held.table.count("tenant") == 101
-            and told.loads == 1
-        )
+        assert held.head == await store.head()
+        assert held.table.count("tenant") == 101
+        assert told.loads == 1
         assert len(held.log) == 100
 
         # A sync with a peer was under way as the store came back.
         held.patched = True
         await reading.round()
-        assert held.whole and told.loads == 2
+        assert held.whole
+        assert told.loads == 2
 
         # Away for longer than the log reaches.
         far = held.head
@@ -164,9 +167,9 @@
         )
         await put(tenant("far"))
         await reading.round()
-        assert (
-            told.loads == 3 and held.head == await store.head() and held.table.has("tenant", "far")
-        )
+        assert told.loads == 3
+        assert held.head == await store.head()
+        assert held.table.has("tenant", "far")
 
         # Put back, and written to past where we are, before we looked.
         await store.run("UPDATE distribution_head SET revision = 1, tag = $1::bytea", b"t" * 16)
@@ -178,8 +181,11 @@
         await reading.round()  # it is behind
         assert told.renewals == 1
         await reading.round()
-        assert told.loads == 4 and held.head is not None and held.head.epoch > before.epoch
-        assert held.table.has("tenant", "other0") and not held.table.has("tenant", "far")
+        assert told.loads == 4
+        assert held.head is not None
+        assert held.head.epoch > before.epoch
+        assert held.table.has("tenant", "other0")
+        assert not held.table.has("tenant", "far")
         await put(tenant("x"))
         await reading.round()
         mark = held.head
@@ -198,13 +204,15 @@
         await reading.round()
         assert told.renewals == 2
         await reading.round()
-        assert held.head == await store.head() and held.table.has("tenant", "zz")
+        assert held.head == await store.head()
+        assert held.table.has("tenant", "zz")
 
         # Chained with another key: not believed, and no epoch begun for it.
         await put(tenant("evil"), key=b"e" * 32)
         with pytest.raises(Broken, match="its tag does not follow"):
             await reading.round()
-        assert told.renewals == 2 and not held.table.has("tenant", "evil")
+        assert told.renewals == 2
+        assert not held.table.has("tenant", "evil")
         await store.close()
 
     asyncio.run(play())
@@ -217,10 +225,12 @@
         telling.look()
         held.begin(first_head(7, 0))
         for n in range(3):
-            assert held.head is not None and held.take(change(held.head, tenant(f"t{n}"))) is None
+            assert held.head is not None
+            assert held.take(change(held.head, tenant(f"t{n}"))) is None
         telling.look()
         telling.look()
-        assert held.head is not None and held.take(change(held.head, tenant("u"))) is None
+        assert held.head is not None
+        assert held.take(change(held.head, tenant("u"))) is None
         telling.look()
         held.settle(held.head._replace(revision=20))
         telling.look()
@@ -251,4 +261,5 @@
         path.write_text(text)
 
         os.utime(path, (at, at))
-        assert keys.changed() == changed and len(keys.keys) == count
+        assert keys.changed() == changed
+        assert len(keys.keys) == count
--- a/tests/test_distribution_core.py
+++ b/tests/test_distribution_core.py
@@ -1,5 +1,6 @@
 """Carrying configuration without I/O: the chain, messages, the copy, the follower's states, and whole networks in
-simulated time."""
+simulated time.
+"""
 
 from itertools import permutations
 from random import Random
@@ -14,11 +15,11 @@
 
 from burlloom.distribution import (
     Change,
-    Replica,
     Entry,
     Follower,
     Head,
     Refused,
+    Replica,
     Source,
     Table,
     Terms,
@@ -30,7 +31,6 @@
 from burlloom.distribution import messages as m
 from burlloom.distribution.changes import (
     BODY_MOST,
-    ENTRIES_MOST,
     KEY_MOST,
     NUMBER_MOST,
     VALUE_MOST,
@@ -118,7 +118,9 @@
             other = bytearray(held)
             other[bit // 8] ^= 1 << bit % 8
             assert replica.take(one._replace(**{field: bytes(other)}))
-    assert replica.head is not None and replica.head.revision == 0 and replica.take(one) is None
+    assert replica.head is not None
+    assert replica.head.revision == 0
+    assert replica.take(one) is None
 
 
 def test_a_foreign_signing_key_is_refused_and_a_second_one_of_ours_is_not() -> None:
@@ -144,7 +146,8 @@
         head = head_of(listed[-1])
     for one in listed:
         assert replica.take(one.without_body() if one.scope == "b" else one) is None
-    assert replica.table.get("tenant", "t") == value(2) and replica.head == head
+    assert replica.table.get("tenant", "t") == value(2)
+    assert replica.head == head
     with_bodies = empty(("", "a"))
     assert [with_bodies.take(one) for one in listed] == [None] * 5
     assert with_bodies.table.digest() == replica.table.digest()
@@ -225,11 +228,9 @@
     one = chained(first_head(1, 0), "", body, 1, SIGN)
     before = replica.table.digest()
     assert (replica.take(one) or "").startswith(fault)
-    assert (
-        replica.table.digest() == before
-        and replica.head == first_head(1, 0)
-        and len(replica.log) == 0
-    )
+    assert replica.table.digest() == before
+    assert replica.head == first_head(1, 0)
+    assert len(replica.log) == 0
 
 
 def test_a_table_that_refuses_leaves_the_copy_as_it_was(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -239,7 +240,8 @@
     replica, (one,) = empty(), history(1)
     monkeypatch.setattr(replica.table, "put", refuses)
     assert replica.take(one) == "the table refuses: full"
-    assert replica.head == first_head(1, 0) and len(replica.log) == 0
+    assert replica.head == first_head(1, 0)
+    assert len(replica.log) == 0
 
 
 def test_times_never_step_back_along_the_chain() -> None:
@@ -268,7 +270,8 @@
     if faults("a", entries) or len(encode(entries)) > BODY_MOST:
         return
     one = propose(first_head(1, 0), "a", entries, 1, SIGN)
-    assert one.body is not None and decode("a", one.body) == entries
+    assert one.body is not None
+    assert decode("a", one.body) == entries
 
 
 # The log.
@@ -305,10 +308,10 @@
             assert replica.digest_at(number, scopes) == (told[number][at] if number >= 30 else None)
     assert replica.digest_at(41, None) is None
     assert [one.revision for one in replica.log.since(30, 4) or ()] == [31, 32, 33, 34]
-    assert replica.log.since(29, 4) is None and replica.log.since(40, 4) == [] == replica.log.since(
-        99, 4
-    )
-    assert len(replica.log) == 10 and Log(5).since(5, 1) == []
+    assert replica.log.since(29, 4) is None
+    assert replica.log.since(40, 4) == [] == replica.log.since(99, 4)
+    assert len(replica.log) == 10
+    assert Log(5).since(5, 1) == []
 
 
 # Messages.
@@ -352,9 +355,8 @@
 def test_messages_are_read_as_they_were_sealed(body: m.Body) -> None:
     sender = Sender(LONG, NUMBER_MOST, NUMBER_MOST)
     data = seal(sender, body, SEAL)
-    assert len(data) <= m.MESSAGE_MOST and unseal(data, (b"another key" * 2, SEAL)) == m.Message(
-        sender, body
-    )
+    assert len(data) <= m.MESSAGE_MOST
+    assert unseal(data, (b"another key" * 2, SEAL)) == m.Message(sender, body)
     assert to_source(data) == (type(body) in (m.Report, m.Pull, m.DigestsAsk, m.PagesAsk, m.Bye))
     with pytest.raises(Unreadable, match="not sealed with our key"):
         unseal(data, (b"another key" * 2,))
@@ -488,7 +490,8 @@
     for number in range(5000):
         one = max(0, number - chance.randrange(100))
         new = window.new(one)
-        assert not (new and one in taken) and (new or one in taken or max(taken) - one >= 64)
+        assert not (new and one in taken)
+        assert new or one in taken or max(taken) - one >= 64
         taken |= {one} if new else set()
 
 
@@ -530,7 +533,8 @@
 @pytest.mark.parametrize("newcomer", [False, True])
 def test_long_histories_of_one_source_and_one_follower(newcomer: bool) -> None:
     steps, fault = Explorer(1, newcomer, flying=8, **MUCH).wander(1000, 40, 1)
-    assert not fault and steps > 30_000
+    assert not fault
+    assert steps > 30_000
 
 
 @pytest.mark.parametrize("newcomer", [False, True])
@@ -648,7 +652,8 @@
 @pytest.mark.parametrize("seed", range(24))
 def test_all_agree_soon_after_any_trouble(seed: int) -> None:
     """Kills, pauses, cuts both ways and one, regions and stores cut off, new epochs, losses to 20%, delays to 150 ms; in
-    three levels for every other seed."""
+    three levels for every other seed.
+    """
     chaos(seed, seed % 2 * 3)
 
 
@@ -663,7 +668,8 @@
 
 def soon(rate: float, seed: int, relays: int, seconds: float = 60) -> float:
     """With 1% loss and delays of up to 150 ms: the longest from a change in the store until it is in force at one of
-    thirty followers, s."""
+    thirty followers, s.
+    """
     world = World(seed, (0.001, 0.15), 0.01)
     fleet(world, 30, 3, relays)
     world.run(10)
@@ -738,8 +744,10 @@
         states.add(node.follower.state)
         heads.add(node.replica.head)
     world.run(10)
-    assert {State.EMPTY, State.SYNCING, State.CURRENT} <= states and len(heads) > 20
-    assert not world.agreed() and node.follower.counts.syncs == 1
+    assert {State.EMPTY, State.SYNCING, State.CURRENT} <= states
+    assert len(heads) > 20
+    assert not world.agreed()
+    assert node.follower.counts.syncs == 1
 
 
 def test_a_flipped_entry_is_found_and_mended_and_nothing_else_is_fetched() -> None:
@@ -749,15 +757,18 @@
     fleet(world, 3)
     world.run(5)
     node = world.nodes["server-0"]
-    assert node.follower is not None and not world.agreed()
+    assert node.follower is not None
+    assert not world.agreed()
     pages = node.follower.counts.pages
     world.checks = False
     node.replica.table.put([Entry("", "tenant", "old-7", value(8))])
     node.replica.table.put([Entry("", "tenant", "old-9", None)])
     node.replica.table.put([Entry("a", "tenant", "stranger", value(8))])
     world.run(3)
-    assert not world.agreed() and node.follower.counts.mended == 403
-    assert node.follower.counts.pages - pages <= 6 and node.follower.counts.settled == 2
+    assert not world.agreed()
+    assert node.follower.counts.mended == 403
+    assert node.follower.counts.pages - pages <= 6
+    assert node.follower.counts.settled == 2
     world.run(20)
     assert node.follower.counts.settled == 2
 
@@ -786,10 +797,12 @@
     for _ in range(40):
         change(world)
         world.run(0.1)
-    assert node.follower.state is State.ALONE and node.follower.counts.syncs == 1
+    assert node.follower.state is State.ALONE
+    assert node.follower.counts.syncs == 1
     world.cut.clear()
     world.run(5)
-    assert not world.agreed() and node.follower.counts.syncs == 2
+    assert not world.agreed()
+    assert node.follower.counts.syncs == 2
 
 
 def test_a_later_epoch_is_taken_by_a_sync_and_an_older_one_never() -> None:
@@ -807,9 +820,8 @@
     world.cut = {("control-a0", f"server-{at}") for at in (0, 1)}
     world.run(30)
     refused = [node.follower.counts.refused for node in world.nodes.values() if node.follower]
-    assert all(one["an older epoch"] for one in refused) and not world.agreed(
-        ["server-0", "server-1"]
-    )
+    assert all(one["an older epoch"] for one in refused)
+    assert not world.agreed(["server-0", "server-1"])
 
 
 def test_another_history_of_an_epoch_is_refused_and_what_is_in_force_stays() -> None:
@@ -824,13 +836,16 @@
     other.put(0, "", [("tenant", "other", value(1))])
     control.replica = Replica(Table(None), [SIGN])
     control.replica.begin(first_head(1, 0))
-    assert control.replica.take(other.changes[1, 1]) is None and control.source is not None
+    assert control.replica.take(other.changes[1, 1]) is None
+    assert control.source is not None
     control.source.replica, control.store = control.replica, False
     world.nodes["control-a0"].turn = lambda: None  # type: ignore[method-assign]
     world.run(30)
-    assert node.follower is not None and node.follower.state is State.ALONE
+    assert node.follower is not None
+    assert node.follower.state is State.ALONE
     assert node.follower.counts.refused["another history of this epoch"] > 5
-    assert node.replica.table.digest() == held and (node.follower.age(world.now) or 0) > 25_000
+    assert node.replica.table.digest() == held
+    assert (node.follower.age(world.now) or 0) > 25_000
 
 
 # Whom to follow.
@@ -844,11 +859,14 @@
         name: sum(found[0].name == name for found in firsts)
         for name in {found[0].name for found in firsts}
     }
-    assert len(counts) == 7 and max(counts.values()) < 130 and min(counts.values()) > 50
+    assert len(counts) == 7
+    assert max(counts.values()) < 130
+    assert min(counts.values()) > 50
     lost = [found for found in firsts if found[0].name == "c0"]
     nexts = {found[1].name for found in lost}
     assert len(nexts) == 6
-    assert preferred("c0", "a", ups)[0].name != "c0" and len(preferred("c0", "a", ups)) == 18
+    assert preferred("c0", "a", ups)[0].name != "c0"
+    assert len(preferred("c0", "a", ups)) == 18
 
 
 def upstream_of(world: World, name: str = "server-0") -> str:
@@ -871,7 +889,8 @@
     assert not world.agreed(["server-0"])
     world.nodes[first].start()
     world.run(13)
-    assert upstream_of(world) == first and not world.agreed()
+    assert upstream_of(world) == first
+    assert not world.agreed()
     other = world.nodes["control-b1"].source
     assert other is not None
     world.run(5)
@@ -888,11 +907,9 @@
     world.run(15)
     assert not world.agreed()
     sources = [world.nodes[name].source for name in names]
-    assert (
-        [len(one.followers) for one in sources if one] == [4, 4, 4]
-        and sources[0]
-        and sources[0].counts.redirects > 7
-    )
+    assert [len(one.followers) for one in sources if one] == [4, 4, 4]
+    assert sources[0]
+    assert sources[0].counts.redirects > 7
     held = {name: upstream_of(world, name) for name in world.nodes if name.startswith("server")}
     world.run(40)
     assert held == {name: upstream_of(world, name) for name in held}
@@ -928,7 +945,8 @@
     world.run(0.5)
     assert upstream_of(world) != "control-a0"
     world.run(12)
-    assert upstream_of(world) != "control-a0" and not control.source.followers
+    assert upstream_of(world) != "control-a0"
+    assert not control.source.followers
 
 
 def test_alone_keeps_what_is_in_force_and_the_age_grows_and_is_told() -> None:
@@ -938,28 +956,26 @@
         change(world)
     world.run(5)
     node = world.nodes["server-0"]
-    assert node.follower is not None and (node.follower.age(world.now) or 0) < 1500
+    assert node.follower is not None
+    assert (node.follower.age(world.now) or 0) < 1500
     held, before = node.replica.table.digest(), node.replica.head
     world.cut = {(name, "server-0") for name in world.nodes}
     for _ in range(30):
         change(world)
         world.run(1)
-    assert (
-        node.follower.state is State.ALONE
-        and node.replica.table.digest() == held
-        and node.replica.head == before
-    )
+    assert node.follower.state is State.ALONE
+    assert node.replica.table.digest() == held
+    assert node.replica.head == before
     told = summary(node.follower, world.now)
-    assert told["state"] == "alone" and 29_000 < (node.follower.age(world.now) or 0) < 32_000
+    assert told["state"] == "alone"
+    assert 29_000 < (node.follower.age(world.now) or 0) < 32_000
     assert told["age_ms"] == node.follower.age(world.now)
     world.cut.clear()
     taken = node.follower.counts.taken
     world.run(4)
-    assert (
-        not world.agreed()
-        and node.follower.counts.taken - taken == 30
-        and node.follower.counts.syncs == 1
-    )
+    assert not world.agreed()
+    assert node.follower.counts.taken - taken == 30
+    assert node.follower.counts.syncs == 1
     assert (node.follower.age(world.now) or 0) < 1500
 
 
@@ -972,9 +988,8 @@
     world.nodes["control-a0"].store = False
     change(world)
     world.run(12)
-    assert upstream_of(world) != "control-a0" and not world.agreed(
-        ["server-0", "server-1", "server-2"]
-    )
+    assert upstream_of(world) != "control-a0"
+    assert not world.agreed(["server-0", "server-1", "server-2"])
     world.nodes["control-a0"].store = True
     world.run(15)
     assert upstream_of(world) == "control-a0"
@@ -982,7 +997,8 @@
         node.store = False
     world.run(60)
     ages = [node.follower.age(world.now) or 0 for node in world.nodes.values() if node.follower]
-    assert min(ages) > 59_000 and max(ages) < 63_000
+    assert min(ages) > 59_000
+    assert max(ages) < 63_000
 
 
 def test_one_that_stood_still_for_minutes_is_right_again() -> None:
@@ -999,7 +1015,8 @@
     node.wake()
     assert (node.follower.age(world.now) or 0) >= 170_000  # until new words come
     world.run(5)
-    assert not world.agreed() and (node.follower.age(world.now) or 0) < 1500
+    assert not world.agreed()
+    assert (node.follower.age(world.now) or 0) < 1500
 
 
 def test_a_source_started_again_behind_its_followers_never_takes_them_back() -> None:
@@ -1017,16 +1034,15 @@
         assert control.replica.take(world.truth.changes[1, number]) is None
     control.seen = (1, 4)
     world.run(20)
-    assert (
-        node.replica.head == before
-        and node.follower is not None
-        and (node.follower.age(world.now) or 0) > 18_000
-    )
+    assert node.replica.head == before
+    assert node.follower is not None
+    assert (node.follower.age(world.now) or 0) > 18_000
     assert node.follower.counts.syncs == 1
     control.store = True
     change(world)
     world.run(3)
-    assert not world.agreed() and (node.follower.age(world.now) or 0) < 1500
+    assert not world.agreed()
+    assert (node.follower.age(world.now) or 0) < 1500
 
 
 def test_a_relay_of_three_levels() -> None:
@@ -1049,11 +1065,11 @@
     world.cut = {("control-a0", "relay-0")}
     world.run(60)
     follower = world.nodes["server-0"].follower
-    assert follower is not None and 59_000 < (follower.age(world.now) or 0) < 66_000
+    assert follower is not None
+    assert 59_000 < (follower.age(world.now) or 0) < 66_000
     told = summary_of_source(world.nodes["relay-2"].source, world.now)  # type: ignore[arg-type]
-    assert told["followers"] == 3 and told["age_ms"] == world.nodes["relay-2"].follower.age(
-        world.now
-    )  # type: ignore[union-attr]
+    assert told["followers"] == 3
+    assert told["age_ms"] == world.nodes["relay-2"].follower.age(world.now)
 
 
 def test_a_relay_refuses_scopes_that_it_does_not_hold() -> None:
@@ -1062,7 +1078,8 @@
     world.add("relay-a", "a", ["control-a0"], relays=True)
     world.add("server-b", "b", ["relay-a", "control-a0"])
     world.run(8)
-    assert upstream_of(world, "server-b") == "control-a0" and not world.agreed()
+    assert upstream_of(world, "server-b") == "control-a0"
+    assert not world.agreed()
 
 
 # Strangers.
@@ -1135,7 +1152,8 @@
     ]:
         was = follower.counts.refused.get(reason, 0)
         follower.hear(NOW, data, HERE)
-        assert follower.counts.refused.get(reason) == was + 1 and follower.refusals[-1] == (
+        assert follower.counts.refused.get(reason) == was + 1
+        assert follower.refusals[-1] == (
             reason,
             HERE,
         )
@@ -1149,17 +1167,16 @@
     said = [data for data in exchange(source, follower, NOW) if to_source(data)]
     for data in said:
         source.hear(NOW, data, ("10.9.9.9", 9))
-    assert not source.out and sum(source.counts.refused.values()) == len(said)
+    assert not source.out
+    assert sum(source.counts.refused.values()) == len(said)
     assert source.followers["server"].address == HERE
     stranger = Sender("nobody", LIFE, 1)
     for body in (m.Pull(1, 0, 32), m.DigestsAsk(), m.PagesAsk(0, None, 4), m.Bye()):
         source.hear(NOW, seal(stranger, body, SEAL), HERE)
     source.hear(NOW, seal(Sender("server", LIFE - 1, 1), m.Report(None, 1, 1, 1), SEAL), HERE)
-    assert (
-        not source.out
-        and source.counts.refused["an older life"] == 1
-        and "server" in source.followers
-    )
+    assert not source.out
+    assert source.counts.refused["an older life"] == 1
+    assert "server" in source.followers
 
 
 def test_an_answer_to_an_earlier_life_says_nothing_to_a_later_one() -> None:
@@ -1179,7 +1196,8 @@
     later.tick(NOW)
     for data in answers:
         later.hear(NOW, data, HERE)
-    assert later.state is State.EMPTY and later.age(NOW) is None
+    assert later.state is State.EMPTY
+    assert later.age(NOW) is None
 
 
 def test_what_waits_and_what_is_counted_is_bounded() -> None:
@@ -1187,15 +1205,14 @@
     exchange(source, follower, NOW)
     for one in history(1000)[1:]:
         follower.hear(NOW, seal(Sender("source", LIFE, 0), m.Pushed(one), SEAL), HERE)
-    assert len(follower.early) == 256 and follower.state is State.BEHIND
+    assert len(follower.early) == 256
+    assert follower.state is State.BEHIND
     for number in range(200):
         follower.refuse(f"reason {number}", HERE)
         source.refuse(f"reason {number}", HERE)
-    assert (
-        len(follower.counts.refused) <= 65
-        and len(source.counts.refused) <= 65
-        and len(follower.refusals) == 32
-    )
+    assert len(follower.counts.refused) <= 65
+    assert len(source.counts.refused) <= 65
+    assert len(follower.refusals) == 32
     for at in range(1000):
         source.hear(NOW, seal(Sender(f"s{at}", LIFE, 1), m.Report(None, 1, 1, 1), SEAL), HERE)
     assert len(source.followers) == 400
@@ -1204,7 +1221,9 @@
         follower.pull(NOW)
         for _ in range(20):
             follower.report(NOW)
-    assert len(follower.out) <= 256 and len(follower.reports) <= 4 and follower.counts.dropped
+    assert len(follower.out) <= 256
+    assert len(follower.reports) <= 4
+    assert follower.counts.dropped
 
 
 def test_pages_keep_to_their_rate() -> None:
@@ -1225,7 +1244,8 @@
         )
         while source.out:
             heard += len(source.out.popleft()[1])
-    assert heard < 5000 + 10_000 * 3 + 1400 and source.counts.held_back
+    assert heard < 5000 + 10_000 * 3 + 1400
+    assert source.counts.held_back
 
 
 def test_terms_and_upstreams_that_cannot_be_are_refused() -> None:
@@ -1240,7 +1260,8 @@
 
 def replaying(in_force: bool) -> tuple[Source, Follower]:
     """One that has a page of a later revision than its base, and lacks the changes between them: a newcomer, or one with
-    a revision in force that fell out of the log."""
+    a revision in force that fell out of the log.
+    """
     source, follower = pair()
     if in_force:
         follower.replica.begin(first_head(1, 0))
@@ -1256,18 +1277,18 @@
             if type(unseal(data, (SEAL,)).body) is m.PagesAsk and source.replica.head == head_of(
                 listed[0]
             ):
-                assert (
-                    source.replica.take(listed[1]) is None
-                    and source.replica.take(listed[2]) is None
-                )
+                assert source.replica.take(listed[1]) is None
+                assert source.replica.take(listed[2]) is None
             source.hear(NOW, data, HERE)
         while source.out:
             data = source.out.popleft()[1]
             if type(unseal(data, (SEAL,)).body) is not m.Pushed:
                 follower.hear(NOW, data, HERE)
-    assert follower.state is State.REPLAYING and follower.sync is not None
+    assert follower.state is State.REPLAYING
+    assert follower.sync is not None
     assert follower.replica.head == (first_head(1, 0) if in_force else None)
-    assert follower.sync.base == head_of(listed[0]) and follower.sync.target == 3
+    assert follower.sync.base == head_of(listed[0])
+    assert follower.sync.target == 3
     return source, follower
 
 
@@ -1277,9 +1298,11 @@
     before = follower.replica.head
     two, three = history(3)[1:]
     follower.hear(NOW, seal(Sender("source", LIFE, 0), m.Pushed(two), SEAL), HERE)
-    assert follower.state is State.REPLAYING and follower.replica.head == before
+    assert follower.state is State.REPLAYING
+    assert follower.replica.head == before
     follower.hear(NOW, seal(Sender("source", LIFE, 0), m.Pushed(three), SEAL), HERE)
-    assert follower.state is State.CURRENT and follower.replica.head == head_of(three)
+    assert follower.state is State.CURRENT
+    assert follower.replica.head == head_of(three)
     assert follower.replica.table.digest() == source.replica.table.digest_of(("", "a"))
 
 
@@ -1289,7 +1312,8 @@
     source, follower = replaying(in_force)
     source.leave()
     follower.hear(NOW, source.out.popleft()[1], HERE)
-    assert follower.state is State.ALONE and follower.patched_to == (1, 3)
+    assert follower.state is State.ALONE
+    assert follower.patched_to == (1, 3)
     held = follower.replica.table.digest()
     behind = Replica(Table(None), [SIGN])
     behind.begin(first_head(1, 0))
@@ -1297,21 +1321,26 @@
     other = Source(behind, "source", LIFE + 9, (SEAL,), Terms(), Random(1), NOW, lambda now: None)
     exchange(other, follower, NOW + SECOND)
     if in_force:
-        assert follower.state is State.ALONE and follower.replica.table.digest() == held
+        assert follower.state is State.ALONE
+        assert follower.replica.table.digest() == held
         assert follower.counts.refused == {"a base that is older than what is in force": 1}
     else:
-        assert follower.state is State.CURRENT and follower.replica.head == behind.head
-    assert behind.take(history(3)[1]) is None and behind.take(history(3)[2]) is None
+        assert follower.state is State.CURRENT
+        assert follower.replica.head == behind.head
+    assert behind.take(history(3)[1]) is None
+    assert behind.take(history(3)[2]) is None
     other.push(NOW + 2 * SECOND)
     exchange(other, follower, NOW + 2 * SECOND)
-    assert follower.state is State.CURRENT and follower.replica.head == head_of(history(3)[2])
+    assert follower.state is State.CURRENT
+    assert follower.replica.head == head_of(history(3)[2])
     assert follower.replica.table.digest() == behind.table.digest_of(("", "a"))
 
 
 def test_the_table_of_states_is_whole() -> None:
     """Each state knows what to do when its upstream speaks or is lost; the others matter where something is on its way."""
     for state in State:
-        assert (state, Input.HEAD) in RULES and (state, Input.LOST) in RULES
+        assert (state, Input.HEAD) in RULES
+        assert (state, Input.LOST) in RULES
     met = set()
     world = World(5, (0.001, 0.15), 0.1, log_most=8)
     for number in range(400):
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -2,7 +2,8 @@
 store fail.
 
 What is asserted at the end of each story: every server has in force exactly what was put, and applied it
-in the store's order (`World.in_order`, a checker outside of the program)."""
+in the store's order (`World.in_order`, a checker outside of the program).
+"""
 
 import asyncio
 import hashlib
@@ -74,14 +75,14 @@
 @world(2, 4, regions=("north", "south"))
 async def test_a_change_reaches_all(made: World) -> None:
     """A tenant that is added is served without a restart, one that is removed is refused; a region's own
-    only there."""
+    only there.
+    """
     north, south = made.nodes[0], made.nodes[1]
-    assert (
-        await north.serves("acme")
-        and not await north.serves("new")
-        and await north.serves("only-north")
-    )
-    assert not await south.serves("only-north") and await south.serves("only-south")
+    assert await north.serves("acme")
+    assert not await north.serves("new")
+    assert await north.serves("only-north")
+    assert not await south.serves("only-north")
+    assert await south.serves("only-south")
     assert "1 changes taken" in await made.put(tenant("new", portion=1))
     await made.reaches()
     assert all([await node.serves("new") for node in made.nodes])
@@ -95,11 +96,9 @@
     )
 
     said = await made.command(north, "show")
-    assert (
-        "n0 (server, north): epoch" in said
-        and "current, surely the newest" in said
-        and "follows c0" in said
-    )
+    assert "n0 (server, north): epoch" in said
+    assert "current, surely the newest" in said
+    assert "follows c0" in said
     await patiently(lambda: made.machines[0].state()["behind"] == 0)
     said = await made.command(made.machines[0], "show")
     assert (
@@ -121,10 +120,8 @@
         assert (
             'tenant blue: {"portion": 9}, of north' in said and "in force" in said.splitlines()[1]
         ), said
-        assert (
-            'tenant blue: {"portion": 2.5}, of everywhere' in said
-            and "hidden by the region's own" in said
-        )
+        assert 'tenant blue: {"portion": 2.5}, of everywhere' in said
+        assert "hidden by the region's own" in said
         assert "tenant acme: not in force in north" in await made.command(
             asked, "explain", "tenant", "acme"
         )
@@ -177,7 +174,8 @@
         {"entries": [{"kind": "tenant", "key": "p", "value": {"portion": -1}}]}, status=2
     )
     assert "line 1: entries[0].value.portion: -1 is no number over 0" in said
-    assert made.head() == before and not await made.nodes[0].serves("good")
+    assert made.head() == before
+    assert not await made.nodes[0].serves("good")
 
 
 @world(1, 0)
@@ -185,10 +183,13 @@
     """Cut off from the start, it serves its configuration's tenants; healed, those of the table."""
     made.relay.cut({"n0"}, {"c0"})
     (node,) = await made.add(1, wait_ms=300)
-    assert "event=distribution-not-in-force" in node.log() and "tenants=1" in node.log()
-    assert await node.serves("acme") and not await node.serves("blue")
+    assert "event=distribution-not-in-force" in node.log()
+    assert "tenants=1" in node.log()
+    assert await node.serves("acme")
+    assert not await node.serves("blue")
     await patiently(lambda: node.state().get("state") == "alone")
-    assert node.state()["age_ms"] is None and node.state()["revision"] is None
+    assert node.state()["age_ms"] is None
+    assert node.state()["revision"] is None
     made.relay.heal()
     await made.reaches()
     assert await node.serves("blue")
@@ -205,7 +206,8 @@
         await starting
     node = made.nodes.pop()
     assert await soon(node.process.wait()) == 0, node.log()
-    assert "event=stopped" in node.log() and "level=error" not in node.log()
+    assert "event=stopped" in node.log()
+    assert "level=error" not in node.log()
 
 
 @world(3, 4)
@@ -243,7 +245,8 @@
     assert await killed.serves("while-away")
     paused.signal(signal.SIGCONT)
     await made.reaches(paused)
-    assert await paused.serves("while-away") and not await paused.serves("acme")
+    assert await paused.serves("while-away")
+    assert not await paused.serves("acme")
     assert paused.log().count("event=distribution-synced") == 1, "it was to catch up by changes"
 
 
@@ -268,7 +271,8 @@
             lambda: [node.state() for node in cut],
         )
         assert all(node.state()["revision"] == before for node in cut)
-        assert await cut[0].serves("acme") and not await cut[0].serves(f"cut-{both}")
+        assert await cut[0].serves("acme")
+        assert not await cut[0].serves(f"cut-{both}")
         made.relay.heal()
         await made.reaches()
         await patiently(
@@ -277,7 +281,8 @@
             ),
             lambda: [node.state() for node in cut],
         )
-        assert await cut[0].serves(f"cut-{both}") and await cut[0].serves("south-too")
+        assert await cut[0].serves(f"cut-{both}")
+        assert await cut[0].serves("south-too")
     assert all(node.log().count("event=distribution-synced") == 1 for node in cut)
 
 
@@ -327,9 +332,8 @@
     await patiently(lambda: set(follows(made).values()) == {"c0"}, lambda: follows(made))
     await made.put(tenant("by-peers"), by=1)
     await made.reaches()
-    assert lost.state()["role"] == "relay" and all(
-        node.state()["age_ms"] < 5000 for node in made.nodes
-    )
+    assert lost.state()["role"] == "relay"
+    assert all(node.state()["age_ms"] < 5000 for node in made.nodes)
     await patiently(lambda: lost.state()["followers"] == 3)
     made.relay.heal()
 
@@ -390,20 +394,22 @@
     """Reads are held against the shares of the table; what is in force stands in the metrics."""
     node = made.nodes[0]
     for _ in range(20):
-        assert await node.serves("blue") and not await node.serves("nobody")
+        assert await node.serves("blue")
+        assert not await node.serves("nobody")
     await made.put(without("blue"))
     await made.reaches()
-    assert not await node.serves("blue") and await node.serves("acme")
+    assert not await node.serves("blue")
+    assert await node.serves("acme")
     revision, text = made.head()[1], node.folder / "metrics"
     await patiently(
         lambda: f"burlloom_distribution_revision {float(revision)}\n" in text.read_text(),
         text.read_text,
     )
     said = text.read_text()
-    assert (
-        "burlloom_distribution_in_force 1.0" in said and "burlloom_distribution_tenants 2.0" in said
-    )
-    assert "burlloom_levels_level" in said and "burlloom_distribution_taken_total 1.0" in said
+    assert "burlloom_distribution_in_force 1.0" in said
+    assert "burlloom_distribution_tenants 2.0" in said
+    assert "burlloom_levels_level" in said
+    assert "burlloom_distribution_taken_total 1.0" in said
     (age,) = re.findall(r"^burlloom_distribution_age_seconds (\S+)$", said, re.MULTILINE)
     assert 0 <= float(age) < 5
 
@@ -432,7 +438,8 @@
 @world(1, 2, wait_ms=500)
 async def test_foreign_keys_are_refused_and_counted(made: World) -> None:
     """A server with another key is not told anything; a change that is chained with another is not
-    believed."""
+    believed.
+    """
     right = made.key
     made.key = made.folder / "other"
     made.key.write_text("aa" * 32 + "\n")
@@ -440,11 +447,10 @@
     made.key = right
     reason = "not sealed with our key"
     await patiently(lambda: made.machines[0].state()["counts"]["refused"].get(reason, 0) > 2)
-    assert (
-        "event=distribution-not-in-force" in stranger.log()
-        and f"reason='{reason}'" in made.machines[0].log()
-    )
-    assert "n2" not in made.machines[0].log() and stranger.state()["revision"] is None
+    assert "event=distribution-not-in-force" in stranger.log()
+    assert f"reason='{reason}'" in made.machines[0].log()
+    assert "n2" not in made.machines[0].log()
+    assert stranger.state()["revision"] is None
     await patiently(lambda: stranger.state()["state"] == "alone", stranger.state)
     assert f": {reason}" in await made.command(made.machines[0], "show")
     made.nodes.remove(stranger)
@@ -477,7 +483,8 @@
             lambda: node.state()["counts"]["refused"].get("its tag does not follow", 0) == 1,
             lambda: node.state(),
         )
-    assert not await node.serves("evil") and node.state()["revision"] == revision
+    assert not await node.serves("evil")
+    assert node.state()["revision"] == revision
 
 
 @world(1, 2)
@@ -502,7 +509,8 @@
 @world(2, 2)
 async def test_a_store_that_is_put_back_begins_an_epoch(made: World) -> None:
     """Revisions that were given before are not believed a second time: all sync anew, and what was lost
-    is gone."""
+    is gone.
+    """
     await made.put(tenant("kept"))
     await made.reaches()
     model = dict(made.model)
@@ -523,20 +531,20 @@
         one.signal(signal.SIGCONT)
     await patiently(lambda: made.head()[0] > epoch)
     await made.reaches()
-    assert not await made.nodes[0].serves("lost") and await made.nodes[0].serves("kept")
+    assert not await made.nodes[0].serves("lost")
+    assert await made.nodes[0].serves("kept")
     await made.put(tenant("new"))
 
 
 def test_keys_are_made(tmp_path: Path) -> None:
     path = tmp_path / "key"
-    assert "1 keys" in burlloom("distribution", "key", path) and "2 keys" in burlloom(
-        "distribution", "key", path
-    )
+    assert "1 keys" in burlloom("distribution", "key", path)
+    assert "2 keys" in burlloom("distribution", "key", path)
     assert path.stat().st_mode & 0o777 == 0o600
 
 
 @pytest.mark.parametrize(
-    "told, said",
+    ("told", "said"),
     [
         ({"listen": "here:1"}, ["distribution.listen: "]),
         ({"region": "a b"}, ["distribution.region: "]),
--- a/tests/test_distribution_stores.py
+++ b/tests/test_distribution_stores.py
@@ -58,24 +58,25 @@
 async def promises(first: ChangeStore, second: ChangeStore) -> None:
     await asyncio.gather(first.open(), second.open())  # at once: one of them makes the tables
     head = await first.head()
-    assert head == await second.head() and head.revision == 0 and head.epoch > 1_700_000_000_000
+    assert head == await second.head()
+    assert head.revision == 0
+    assert head.epoch > 1_700_000_000_000
     one, other = (
         change(head, ("tenant", "a", value(portion=1))),
         change(head, ("tenant", "b", value())),
     )
     assert await second.append(one)
     assert not await first.append(other), "written over what another wrote"
-    assert (
-        await first.head() == head_of(one)
-        and await first.at(1) == one
-        and await first.at(2) is None
-    )
+    assert await first.head() == head_of(one)
+    assert await first.at(1) == one
+    assert await first.at(2) is None
     assert not await second.append(one), "the same once more"
     two = await append(
         first, ("tenant", "c", value()), ("tenant", "a", None), ("route", "é", value(to="x"))
     )
     three = await append(second, ("tenant", "c", value(portion=2.5)), scope="north")
-    assert await first.since(0, 2) == [one, two] and await second.since(1, 9) == [two, three]
+    assert await first.since(0, 2) == [one, two]
+    assert await second.since(1, 9) == [two, three]
     assert (
         break_of(head_of(one), two, (SIGNING,)) == break_of(head_of(two), three, (SIGNING,)) == ""
     )
@@ -85,7 +86,8 @@
         ("north", "tenant", "c"): (value(portion=2.5), 3),
     }
     stored = await first.entry("north", "tenant", "c")
-    assert stored is not None and (stored.epoch, stored.revision) == (head.epoch, 3)
+    assert stored is not None
+    assert (stored.epoch, stored.revision) == (head.epoch, 3)
     assert await first.entry("", "tenant", "a") is None
 
     # Many at once: each revision is written once, in the chain's order, whoever writes.
@@ -106,9 +108,12 @@
     # A store that was put back: whoever knows better begins a new epoch, once.
     seen = await first.head()
     held = await asyncio.gather(first.renew(seen, seen.epoch), second.renew(seen, seen.epoch))
-    assert sorted(held) == [False, True] and not await first.renew(seen, seen.epoch)
+    assert sorted(held) == [False, True]
+    assert not await first.renew(seen, seen.epoch)
     new = await second.head()
-    assert new.epoch > seen.epoch and new.revision == 0 and await first.since(0, 9) == []
+    assert new.epoch > seen.epoch
+    assert new.revision == 0
+    assert await first.since(0, 9) == []
     assert len(await all_of(second, 7)) == 3 + 20
     assert not await first.append(change(seen, ("tenant", "z", value()))), (
         "of an epoch that is over"
@@ -154,7 +159,9 @@
             await first.append(change(before, ("tenant", "a", value())))
         await first.open()
         head = await first.head()
-        assert head.epoch > before.epoch and head.revision == 0 and await all_of(first, 10) == {}
+        assert head.epoch > before.epoch
+        assert head.revision == 0
+        assert await all_of(first, 10) == {}
         await first.close()
         await second.close()
 
@@ -176,7 +183,9 @@
         store = Sqlite(tmp_path / "record.db")
         await store.open()
         head = await store.head()
-        assert head.epoch > before.epoch and head.revision == 0 and await store.since(0, 9) == []
+        assert head.epoch > before.epoch
+        assert head.revision == 0
+        assert await store.since(0, 9) == []
         assert list(await all_of(store, 9)) == [("", "tenant", "kept")]
         await store.close()
 
@@ -222,7 +231,8 @@
         assert worst < 1.0, worst  # the lock was waited for twice as long
         other.execute("ROLLBACK")
         other.close()
-        assert (await store.head()).revision == 0 and await store.append(made)
+        assert (await store.head()).revision == 0
+        assert await store.append(made)
         await store.close()
 
     asyncio.run(play())
@@ -246,12 +256,14 @@
         server.orders.reset_after_commit = 1  # taken, and nobody is told
         with pytest.raises(Away):
             await first.append(made)
-        assert await first.at(made.revision) == made and not await first.append(made)
+        assert await first.at(made.revision) == made
+        assert not await first.append(made)
         made = change(await first.head(), ("tenant", "r", value()))
         server.orders.reset_before_commit = 1  # not taken, and nobody is told
         with pytest.raises(Away):
             await first.append(made)
-        assert await first.at(made.revision) is None and await first.append(made)
+        assert await first.at(made.revision) is None
+        assert await first.append(made)
         server.orders.hang = True
         with pytest.raises(Away):
             await first.head()
@@ -272,15 +284,14 @@
         await store.open()
         held = Held(tmp_path / "changes.db", 1.9)
         store.turns = held.turns()
-        assert (
-            await store.append(change(await store.head(), ("tenant", "a", value())))
-            and held.looks >= 100
-        )
+        assert await store.append(change(await store.head(), ("tenant", "a", value())))
+        assert held.looks >= 100
         held = Held(tmp_path / "changes.db", 9.0)
         store.turns = held.turns()
         with pytest.raises(Away, match="database is locked"):
             await store.append(change(await store.head(), ("tenant", "b", value())))
-        assert 2.0 <= held.now < 2.1 and (await store.head()).revision == 1
+        assert 2.0 <= held.now < 2.1
+        assert (await store.head()).revision == 1
         held.db.close()
         await store.close()
 
--- a/tests/test_distribution_table.py
+++ b/tests/test_distribution_table.py
@@ -238,7 +238,7 @@
 
 
 @pytest.mark.parametrize(
-    "wrong, reason",
+    ("wrong", "reason"),
     [
         (Entry("", "tenant", "k" * (KEY_MOST + 1), b""), "key: 129 bytes, 1 to 128 allowed"),
         (Entry("", "tenant", "é" * 65, b""), "key: 130 bytes"),
@@ -297,7 +297,7 @@
 
 
 @pytest.mark.parametrize(
-    "page, reason",
+    ("page", "reason"),
     [
         (
             Page((Entry("", "tenant", CROWDED[0], None),), ("", "tenant", CROWDED[0]), True),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -54,7 +54,8 @@
     last = told.sizes_last
     assert last["live"] == last["serving"] == last["outbox"] == last["copies"] == 0
     assert last["seats"] == last["refs"] == last["cases"] <= last["marks"] + last["spent"]
-    assert last["tasks"] <= 1 and last["callers"] <= 30
+    assert last["tasks"] <= 1
+    assert last["callers"] <= 30
 
 
 def test_the_same_world_tells_the_same_story() -> None:
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -1,5 +1,6 @@
 """The fleet's decisions without I/O: words about members, the dealing walked whole, chance in simulated time,
-subsets."""
+subsets.
+"""
 
 from itertools import product
 from random import Random
@@ -67,7 +68,8 @@
         said = Word("own", "10.9.9.9:1", life, incarnation, state)
         view.said(0, said)
         assert view.own.rank > said.rank or view.own.rank == said.rank == OWN.rank
-        assert view.own.state is State.ALIVE and view.own.address == OWN.address
+        assert view.own.state is State.ALIVE
+        assert view.own.address == OWN.address
         if said.rank != OWN.rank:
             other = Members(OWN._replace(name="other"), 0)
             other.said(0, said)
@@ -75,14 +77,17 @@
             assert (other.by_name["own"].word == view.own) == (view.own.rank > said.rank)
     view = Members(OWN, 0)
     view.leave(0)
-    assert not view.said(0, OWN._replace(incarnation=9)) and view.own.state is State.LEFT
+    assert not view.said(0, OWN._replace(incarnation=9))
+    assert view.own.state is State.LEFT
 
 
 def test_dealing_walked_whole() -> None:
     """One dealer, two holders, two reports each, any letter late or lost or doubled: never more in hand than
-    there is."""
+    there is.
+    """
     worlds, worst = Explorer().walk(1 << 20)
-    assert worlds > 5000 and worst == 2 * CALL
+    assert worlds > 5000
+    assert worst == 2 * CALL
 
 
 @pytest.mark.parametrize("broken", ["", "in-hand", "old-report", "old-grant"])
@@ -222,10 +227,8 @@
     assert before.worst <= 1.1
     load: dict[str, float] = {}
     for choice in before.choices.values():
-        assert (
-            abs(sum(choice.parts.values()) - 1) < 1e-9
-            and len(choice.parts) <= max(8, before.size) + 1
-        )
+        assert abs(sum(choice.parts.values()) - 1) < 1e-9
+        assert len(choice.parts) <= max(8, before.size) + 1
         for service, part in choice.parts.items():
             load[service] = load.get(service, 0.0) + part
     assert max(load.values()) <= 1.1 * servers / services
@@ -260,7 +263,8 @@
     words = tuple(WORDS[:10])
     letter = Letter(Kind.PAGE, OWN, 7, (1, 2, 3, 4), "name", words)
     data = seal(letter, key)
-    assert len(data) < 600 and unseal(data, (b"x" * 32, key)) == letter
+    assert len(data) < 600
+    assert unseal(data, (b"x" * 32, key)) == letter
     longest = Letter(
         Kind.PAGE,
         OWN._replace(name="n" * 64),
@@ -276,7 +280,8 @@
             spoilt[chance.randrange(len(spoilt))] = chance.randrange(256)
         cut = bytes(spoilt[: chance.randrange(len(spoilt) + 1)]) if n % 2 else bytes(spoilt)
         try:
-            assert cut == data and unseal(cut, (key,)) == letter
+            assert cut == data
+            assert unseal(cut, (key,)) == letter
         except Unreadable:
             pass
         except AssertionError:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -229,10 +229,8 @@
         )
 
     said = await command("show")
-    assert (
-        f"{here[0].name}: share 6 of 24 calls, holding; dealt by n" in said
-        and said.count(" alive ") == 4
-    )
+    assert f"{here[0].name}: share 6 of 24 calls, holding; dealt by n" in said
+    assert said.count(" alive ") == 4
     assert "n1: is alive to n2; say --force" in await command("forget", "n1", "nobody", status=2)
     for server in gone:
         await server.kill()
@@ -250,7 +248,8 @@
 
 def test_a_key_is_made_and_a_change_planned(tmp_path: Path) -> None:
     key, path = tmp_path / "key", tmp_path / "operator.jsonnet"
-    assert "1 keys" in burlloom("fleet", "key", key) and "2 keys" in burlloom("fleet", "key", key)
+    assert "1 keys" in burlloom("fleet", "key", key)
+    assert "2 keys" in burlloom("fleet", "key", key)
     assert key.stat().st_mode & 0o777 == 0o600
     part = {
         "listen": "127.0.0.1:7946",
@@ -269,7 +268,7 @@
 
 
 @pytest.mark.parametrize(
-    "told, said",
+    ("told", "said"),
     [
         (
             {"cut_ms": 9000, "redeal_ms": 9000},
--- a/tests/test_fleet_sums.py
+++ b/tests/test_fleet_sums.py
@@ -1,5 +1,6 @@
 """Whoever deals keeps sums from report to report: they equal a plain walk in any history, and a report's work does not
-grow with the fleet."""
+grow with the fleet.
+"""
 
 import sys
 from random import Random
@@ -132,7 +133,8 @@
         one.report(now, "n0", 1, 1, Told(0, 0, 0, 1))
     for ms in (0, 1601, 1600, 14_000, 13_999, 0):
         assert seen(pair[0], now + ms * MS) == seen(pair[1], now + ms * MS)
-    assert pair[0].reporting(now) == 1 and pair[0].unknown(now) == 20 * CALL
+    assert pair[0].reporting(now) == 1
+    assert pair[0].unknown(now) == 20 * CALL
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -241,4 +243,5 @@
 
     monkeypatch.setattr(deal, "set", counted, raising=False)
     given = fair(4000 * 1000, [at % 2 * 10**6 for at in range(1000)], [1000] * 1000)
-    assert gathered == 500 and sum(given) == pytest.approx(4000 * 1000)
+    assert gathered == 500
+    assert sum(given) == pytest.approx(4000 * 1000)
--- a/tests/test_fleet_walks.py
+++ b/tests/test_fleet_walks.py
@@ -1,5 +1,6 @@
 """What a member's view keeps beside its members equals a plain walk in any history, and neither a turn nor a page of
-the view costs more the larger the fleet."""
+the view costs more the larger the fleet.
+"""
 
 from collections import Counter
 from random import Random
@@ -106,9 +107,8 @@
         if looks:
             before, version = fleet.present, fleet.seen
             fleet.look()
-            assert fleet.seen == view.version and (fleet.present is before) == (
-                version == view.version
-            )
+            assert fleet.seen == view.version
+            assert (fleet.present is before) == (version == view.version)
         if fleet.seen == view.version and not view.changed:
             assert fleet.present == {
                 member.word.name: Present(member.word.life, member.there, member.since)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -7,6 +7,7 @@
 from pathlib import Path
 
 from rig import GIVEN, soon, until
+
 from burlloom.catalogue import Pool
 from burlloom.facts import facts
 from burlloom.server.__main__ import bound
--- a/tests/test_leveling.py
+++ b/tests/test_leveling.py
@@ -43,12 +43,16 @@
         said = await fails(
             balancer.ask(product, fields(once="k2") if product == "pay" else fields()), "Backoff"
         )
-        assert said["say"] == "1.0000" and said["last"] == "1" and int(said["after"]) >= 1
+        assert said["say"] == "1.0000"
+        assert said["last"] == "1"
+        assert int(said["after"]) >= 1
     await gets(
         balancer.ask("pay", {**told, "id": fields()["id"], "retry": "1"}, b"charge"), b"receipt"
     )
     state = await command(rig, "show")
-    assert "* 4 drain" in state and "at drain (pinned)" in state and "at most 4 changes" in state
+    assert "* 4 drain" in state
+    assert "at drain (pinned)" in state
+    assert "at most 4 changes" in state
     assert "pinned: drain (drill)" in await command(rig, "explain")
     assert "released" in await command(rig, "release")
     await until(lambda: "event=level effect=release from=drain to=highest" in rig.log())
@@ -157,12 +161,14 @@
     ]
     series.write_text("\n".join(["at_s,press,use", *rows]))
     said = burlloom("levels", "try", series, "--chart", chart)
-    assert "normal -> lean  by press" in said and "essential -> lean  by calm" in said
+    assert "normal -> lean  by press" in said
+    assert "essential -> lean  by calm" in said
     assert "4 changes, at most 4 in a minute" in said or "changes, at most" in said
     assert chart.read_text().startswith("<?xml")
     series.write_text("at_s,press\n1,0.5\n1,x\n")
     said = burlloom("levels", "try", series, status=2)
-    assert "line 3, press: 'x' is no number" in said and "line 3, at_s: 1 is not after 1" in said
+    assert "line 3, press: 'x' is no number" in said
+    assert "line 3, at_s: 1 is not after 1" in said
 
 
 def test_an_experiment_is_run_compared_and_reported(tmp_path: Path) -> None:
@@ -171,7 +177,8 @@
     path.write_text(f"{{ name: 'tiny', seeds: [1, 2], worlds: [{world}] }}")
     assert "4 plays" in burlloom("lab", "run", path, "--results", table, "--workers", "2")
     said = burlloom("lab", "compare", "tiny", "--results", table)
-    assert "w: levels against none, 2 seeds" in said and "| value |" in said
+    assert "w: levels against none, 2 seeds" in said
+    assert "| value |" in said
     burlloom("lab", "report", "tiny", "--results", table, "--to", tmp_path / "report")
     assert "<h2>w: levels against none" in (tmp_path / "report" / "index.html").read_text()
     assert (tmp_path / "report" / "w-levels.svg").exists()
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    "levels, most, tick, states",
+    ("levels", "most", "tick", "states"),
     [(2, 2, 10, 60), (3, 3, 10, 400), (4, 4, 10, 2000), (4, 6, 15, 400)],
 )
 @pytest.mark.parametrize("trials", [True, False])
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(
-    "row, broken",
+    ("row", "broken"),
     [
         (
             "TRIAL  BETTER     tried widest room    STEADY up",
@@ -162,11 +162,13 @@
 def test_it_steps_down_and_works_its_way_back() -> None:
     levels = of_plan()
     now = after(levels, replace(CALM, press=0.6, use=1.0), 6, NOW)
-    assert levels.level == "essential" and levels.standing.phase is Phase.STEADY
+    assert levels.level == "essential"
+    assert levels.standing.phase is Phase.STEADY
     now = after(levels, CALM, 20, now)
     assert levels.level in ("essential", "lean") and levels.part > 0 or levels.level == "lean"
     now = after(levels, CALM, 150, now)
-    assert levels.level == "normal" and levels.steps["up"] == 2
+    assert levels.level == "normal"
+    assert levels.steps["up"] == 2
     assert sum(levels.spent.values()) == now - NOW
 
 
@@ -174,10 +176,12 @@
     levels = of_plan()
     now = after(levels, replace(CALM, press=0.6, use=1.0), 6, NOW)
     after(levels, Readings(), 300, now)
-    assert levels.level == "essential" and not levels.part
+    assert levels.level == "essential"
+    assert not levels.part
     signals = Signals()
     signals.take(NOW, CALM)
-    assert set(signals.values(NOW)) == set(NAMES) and signals.values(NOW + 20 * SECOND) == {}
+    assert set(signals.values(NOW)) == set(NAMES)
+    assert signals.values(NOW + 20 * SECOND) == {}
 
 
 def test_cold_nodes_and_those_that_died_low_start_low() -> None:
@@ -190,12 +194,14 @@
 def test_an_emergency_goes_at_once_and_a_pin_holds() -> None:
     levels = of_plan()
     after(levels, replace(CALM, memory=0.99), 0.1, NOW)
-    assert levels.level == "highest" and levels.steps["drop"] == 1
+    assert levels.level == "highest"
+    assert levels.steps["drop"] == 1
     now = after(levels, CALM, 2, NOW)
     levels.pinned(now, Pin("normal", NOW + 9 * SECOND))
     assert levels.level == "normal"
     after(levels, replace(CALM, press=1.0, use=1.0), 3, now)
-    assert levels.level == "normal" and levels.standing.phase is Phase.PINNED
+    assert levels.level == "normal"
+    assert levels.standing.phase is Phase.PINNED
     after(levels, replace(CALM, memory=0.99), 1, NOW + 6 * SECOND)
     assert levels.level == "highest"  # not even a pin stands against it
     after(levels, CALM, 5, NOW + 7 * SECOND)
@@ -205,12 +211,15 @@
 def test_what_the_shipped_levels_take_away() -> None:
     normal, lean, essential, highest, drain = reliefs(DEFAULT, PRODUCTS)
     assert normal == Relief()
-    assert (
-        lean.declined == (False, False, False) and lean.repeats == (True, True, False) and lean.over
-    )
-    assert essential.declined == (True, False, False) and round(essential.floor, 2) == 0.33
-    assert highest.declined == (True, True, False) and highest.hold == 0.5
-    assert drain.declined == (True, True, True) and drain.floor == 1
+    assert lean.declined == (False, False, False)
+    assert lean.repeats == (True, True, False)
+    assert lean.over
+    assert essential.declined == (True, False, False)
+    assert round(essential.floor, 2) == 0.33
+    assert highest.declined == (True, True, False)
+    assert highest.hold == 0.5
+    assert drain.declined == (True, True, True)
+    assert drain.floor == 1
 
 
 def test_all_faults_of_a_plan_at_once() -> None:
@@ -253,7 +262,9 @@
         tenant = "a" if chance.random() < 0.8 else "b"
         past[tenant] += tenants.read(NOW + n * SECOND // 100, tenant)
     # Of four in five it may have as much as the other: three in four of its txns are past its share.
-    assert 2200 < past["a"] < 2500 and not past["b"] and not tenants.read(NOW, "unknown")
+    assert 2200 < past["a"] < 2500
+    assert not past["b"]
+    assert not tenants.read(NOW, "unknown")
     fair = Tenants([("a", 0.6), ("b", 0.4)])
     assert not any(
         fair.read(NOW + n * SECOND // 10, "a" if chance.random() < 0.6 else "b")
@@ -262,7 +273,7 @@
 
 
 @pytest.mark.parametrize(
-    "low, high, period",
+    ("low", "high", "period"),
     [(0.6, 1.5, 2), (0.6, 1.5, 5), (0.6, 1.5, 10), (0.6, 1.5, 30), (0.2, 0.4, 5)],
 )
 def test_a_sawtooth_changes_levels_a_few_times_a_minute(
@@ -303,7 +314,9 @@
         ),
         leveling=leveler(shut, Terms(2)),
     )
-    assert not told.faults and told.count["declined"] > 200 and told.count["settled"] > 5
+    assert not told.faults
+    assert told.count["declined"] > 200
+    assert told.count["settled"] > 5
 
 
 def test_without_an_operators_file_nothing_changes() -> None:
--- a/tests/test_marks.py
+++ b/tests/test_marks.py
@@ -20,7 +20,8 @@
     plain: dict[bytes, int], others: list[bytes]
 ) -> None:
     packed = Packed(plain.items())
-    assert len(packed) == len(plain) and packed.last == max(plain.values(), default=0)
+    assert len(packed) == len(plain)
+    assert packed.last == max(plain.values(), default=0)
     for mark in [*plain, *others]:
         assert packed.until(mark) == plain.get(mark, 0)
 
@@ -64,4 +65,5 @@
     ledger.drop(b"b" * 16)  # it never ran after all: that it was read back counts no more
     assert ledger.holder(b"b" * 16, 9 * SLOT) == -1
     ledger.sweep(13 * SLOT)
-    assert not len(ledger.former) and not ledger.records
+    assert not len(ledger.former)
+    assert not ledger.records
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -1,5 +1,6 @@
 """Rare moments: what comes in the very turn in which something else ends. Each test forces the bad order on real
-connections; docs/races.md lists the places and the findings."""
+connections; docs/races.md lists the places and the findings.
+"""
 
 import asyncio
 import os
@@ -16,6 +17,7 @@
 import pytest
 import uvloop
 from rig import Rig, gets, played, soon, until
+
 from burlloom.catalogue import Answer, Pool
 from burlloom.executor import Link
 from burlloom.rpc import Front, Known, Request
@@ -107,7 +109,8 @@
 
 async def is_served(place: Place, client: Client) -> None:
     """Its one request was taken, and its answer comes, with an end in good order."""
-    assert [asked.number for asked in place.asked] == [1] and not place.lost
+    assert [asked.number for asked in place.asked] == [1]
+    assert not place.lost
     place.asked[0].settle(b"served")
     client.sock.shutdown(socket.SHUT_WR)
     assert await client.rest() == [[1, 1, None, [b"served", {}]]]
@@ -209,7 +212,8 @@
     for _ in range(4):
         place.now += SECOND
         place.front.sweep()
-    assert await client.rest() == [] and client.there.ended
+    assert await client.rest() == []
+    assert client.there.ended
 
 
 @on_loop
@@ -223,7 +227,8 @@
     place.front.swept = place.now - 250 * MS
     in_one_turn(lambda: client.sock.sendall(ask(1, place.now)[3:9]), place.front.sweep)
     await turns()
-    assert client.there.ended and await client.rest() == []
+    assert client.there.ended
+    assert await client.rest() == []
 
 
 @on_loop
@@ -371,7 +376,8 @@
     for client in clients:
         client.there.stop(Reason.UNREADABLE)
         most = max(most, sum(parting.writer.size for parting in place.front.partings))
-    assert 4 << 20 < most <= 8 << 20 and not place.front.connections
+    assert 4 << 20 < most <= 8 << 20
+    assert not place.front.connections
     await until(lambda: not place.front.partings)
 
 
@@ -388,7 +394,8 @@
     await balancer.writer.drain()
     rig.process.send_signal(signal.SIGCONT)
     error, _ = await soon(answer)
-    assert error[0] == "Backoff" and rig.executor.commands.empty()
+    assert error[0] == "Backoff"
+    assert rig.executor.commands.empty()
     balancer.close()
 
 
@@ -516,7 +523,8 @@
 @on_loop
 async def test_a_dial_that_nobody_answers_is_made_again() -> None:
     """Older systems dial again only 1, 3, 7 and 15 s after the first (newer ones each second at first, where this held
-    before): the link is found within the next second or two on either."""
+    before): the link is found within the next second or two on either.
+    """
     loop = asyncio.get_running_loop()
     listener, dials = unanswered()
     link = linked(listener.getsockname())
@@ -582,7 +590,8 @@
     await asyncio.sleep(0.5)  # the window is over, the run is not
     inside = other.ask("pay", fields(once="k", at=str(at + 299), retry="1"))
     await soon(other.health())
-    assert rig.executor.commands.empty() and not inside.done()
+    assert rig.executor.commands.empty()
+    assert not inside.done()
     rig.executor.exit(id, result=b"paid")
     await gets(answer, b"paid")
     await gets(inside, b"paid")
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -10,6 +10,7 @@
 import pytest
 from rig import Rig, fails, gets, soon, until
 from rig import played as rig_played
+
 from burlloom.standins.parts import Executor, fields
 from burlloom.standins.postgres import Postgres
 
@@ -78,7 +79,8 @@
     rig.executor.restart()
     await rig.begin()
     await fails((await rig.balancer()).ask("pay", fields(once="k", retry="1")), "Voided")
-    assert rig.executor.commands.empty() and "event=record-doubts count=1" in rig.log()
+    assert rig.executor.commands.empty()
+    assert "event=record-doubts count=1" in rig.log()
 
 
 def test_an_executor_that_lived_on_tells_the_end(tmp_path: Path) -> None:
@@ -121,7 +123,8 @@
         await other.begin()
     except AssertionError:
         pass
-    assert other.process.returncode == 2 and "in use by another process (pid " in other.log()
+    assert other.process.returncode == 2
+    assert "in use by another process (pid " in other.log()
     await until(lambda: not rig.executor.commands.qsize())
 
 
@@ -244,7 +247,8 @@
     await one.begin()
     await fails(there.ask("pay", fields(once="k", retry="1")), "Voided")
     await fails((await one.balancer()).ask("pay", fields(once="k", retry="1")), "Voided")
-    assert two.executor.commands.empty() and one.executor.commands.empty()
+    assert two.executor.commands.empty()
+    assert one.executor.commands.empty()
 
 
 @fleet(2)
@@ -304,4 +308,5 @@
 
     session = Session(kind, 11)
     asyncio.run(session.play(2, (moment, "random")))
-    assert not session.book.faults and session.book.count["settled"]
+    assert not session.book.faults
+    assert session.book.count["settled"]
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,5 +1,6 @@
 """Coming back: what a life left is judged, the ramp is bounded, retries are held, nothing is run twice.
-Processes at the end."""
+Processes at the end.
+"""
 
 import asyncio
 import json
@@ -44,15 +45,15 @@
 
 def test_what_was_kept_is_read_whole_or_not_at_all() -> None:
     text, chance = write(KEPT), Random(1)
-    assert read(text) == KEPT and read(None) is Verdict.MISSING
+    assert read(text) == KEPT
+    assert read(None) is Verdict.MISSING
     for cut in range(len(text) - 1):
         assert read(text[:cut]) is Verdict.TORN
     for _ in range(20_000):
         at = chance.randrange(len(text))
         spoilt = text[:at] + chr(chance.randrange(32, 127)) + text[at + 1 :]
-        assert read(spoilt) in (KEPT, Verdict.TORN) and (
-            read(spoilt) is Verdict.TORN or spoilt.split() == text.split()
-        )
+        assert read(spoilt) in (KEPT, Verdict.TORN)
+        assert read(spoilt) is Verdict.TORN or spoilt.split() == text.split()
     for text in ("", "null", "[]", "{}", "[" * 9000, '{"kept": 5, "sum": "x"}'):
         assert read(text) is Verdict.TORN
     for told, now, verdict in (
@@ -66,7 +67,8 @@
 
 def test_the_start_walked_whole() -> None:
     """Every sequence of what may be told: what is kept is used only where nothing spoke against it, and the
-    fence stands wherever a life is known whose marks may be lost."""
+    fence stands wherever a life is known whose marks may be lost.
+    """
     met = set()
     for lonely, clean in product((False, True), repeat=2):
         for told in product(Input, repeat=4):
@@ -100,7 +102,8 @@
 
 def test_the_ramp_is_bounded_whatever_comes() -> None:
     """All histories of 11 steps: never past twice for each step, never under the least, never up after a push
-    in a step."""
+    in a step.
+    """
     highest = [0.0] * 12
     for told in product(Push, repeat=11):
         ramp = Ramp(2.0, 1.0, 100, 0)
@@ -135,33 +138,44 @@
 
     warm, cold = begun(KEPT), begun(Verdict.MISSING)
     for one in (warm, cold):
-        assert one.cap == 0 and one.round(0, 10.0, 0.0) and one.cap == 2.5
+        assert one.cap == 0
+        assert one.round(0, 10.0, 0.0)
+        assert one.cap == 2.5
     warm.store(4, 0)
-    assert warm.round(10 * MS, 10.0, 10.0) and warm.cap == 3.25  # half of what it held
+    assert warm.round(10 * MS, 10.0, 10.0)
+    assert warm.cap == 3.25
     cold.store(1, 0)
-    assert not cold.fenced(1) and warm.fenced(17_999 * MS) and not warm.fenced(18_001 * MS)
+    assert not cold.fenced(1)
+    assert warm.fenced(17_999 * MS)
+    assert not warm.fenced(18_001 * MS)
     kept = Recovery(Terms(window=18_000 * MS, durable=True), KEPT, "n1", 0, 6000, False)
     kept.store(4, 0)
-    assert not kept.fenced(1) and kept.start.used
+    assert not kept.fenced(1)
+    assert kept.start.used
     for lost in (3, 1):  # the store counts us as a life that we had before
         again = begun(KEPT)
         again.store(lost, 0)
         again.round(0, 10.0, 0.0)
         again.round(10 * MS, 10.0, 10.0)
-        assert again.cap == 2.5 and again.start.state is State.COLD
+        assert again.cap == 2.5
+        assert again.start.state is State.COLD
     cold.peer(900, 5)
-    assert cold.fenced(18_000 * MS) and not cold.fenced(18_006 * MS)
+    assert cold.fenced(18_000 * MS)
+    assert not cold.fenced(18_006 * MS)
     silent = begun(KEPT)
     silent.round(0, 10.0, 0.0)
     silent.round(2000 * MS, 10.0, 10.0)
-    assert silent.start.state is State.COLD and begun(KEPT, True).start.state is State.ASKING
+    assert silent.start.state is State.COLD
+    assert begun(KEPT, True).start.state is State.ASKING
     at = 0
     while not cold.over:
         at += 500
         for _ in range(5):
             cold.called(True)
         cold.round(at * MS, 10.0, 10.0)
-    assert at <= 3000 and cold.cap == float("inf") and not cold.holds_back(at * MS, True)
+    assert at <= 3000
+    assert cold.cap == float("inf")
+    assert not cold.holds_back(at * MS, True)
 
 
 # On processes.
@@ -215,9 +229,8 @@
             for server in killed
         )
     )
-    assert "kept=torn" in torn.log() and any(
-        "input=kept_bad effect=fence state=cold" in said for said in life(torn)
-    )
+    assert "kept=torn" in torn.log()
+    assert any("input=kept_bad effect=fence state=cold" in said for said in life(torn))
     assert any("input=said_lived effect=fence state=cold" in said for said in life(gone)), life(
         gone
     )
@@ -230,7 +243,8 @@
 @fleet(3, calls=24, more=coming_back)
 async def test_retries_are_held_and_not_amplified(made: Fleet) -> None:
     """Callers that try again at once and without end, marked: what is read of them is bounded until service
-    is back."""
+    is back.
+    """
     await made.settles(full(made))
     server = made.servers[1]
     await server.kill()
@@ -260,7 +274,8 @@
 )
 async def test_a_lost_record_is_not_taken_for_a_new_one(rig: Rig) -> None:
     """A charge ran; the store that knows is gone: its retry is voided, not run again. With the store it is
-    settled."""
+    settled.
+    """
 
     async def charge(key: str) -> dict[str, str]:
         told = fields(once=key)
@@ -328,7 +343,8 @@
 @fleet(3, calls=24, more=recorded)
 async def test_charges_through_a_mass_kill(made: Fleet) -> None:
     """Two of three are killed under charges, with one's kept file torn; their callers ask again, marked. No
-    charge runs twice, none that ran to its end is declined or answered otherwise, each has a final answer."""
+    charge runs twice, none that ran to its end is declined or answered otherwise, each has a final answer.
+    """
     runs: dict[bytes, int] = {}
     ended: set[bytes] = set()
     for server in made.servers:
--- a/tests/test_rollout_core.py
+++ b/tests/test_rollout_core.py
@@ -1,5 +1,6 @@
 """Drains and releases without I/O: tables walked whole, the budget in every history, the judge against
-chance."""
+chance.
+"""
 
 from dataclasses import replace
 from itertools import product
@@ -22,8 +23,12 @@
     Member,
     Phase,
     Plan,
+    State,
+    Unit,
+    hand,
+    plan,
+    units,
 )
-from burlloom.rollout import State, Unit, hand, plan, units
 from burlloom.rollout.judge import Evidence, Look, Verdict, judge, rates
 from burlloom.rollout.plan import faults, wave_of
 from burlloom.rollout.stores import Unreadable, book_of, text_of
@@ -77,7 +82,8 @@
                 met.add((before.phase, what))
                 now = moved[0]
             if moved is not None and moved[1] == "finish":
-                assert before.wave == 1 and what is plan.Input.GOOD
+                assert before.wave == 1
+                assert what is plan.Input.GOOD
             if before.phase is Phase.HALTED and now.phase is not Phase.HALTED:
                 assert what in (plan.Input.RESUME, plan.Input.ROLLBACK)
             assert not (
@@ -102,7 +108,8 @@
     whole = Plan(waves=(1, 0.1, 0.5, 1.0))
     assert [replace(whole, wave=at).wanted(30) for at in range(4)] == [1, 3, 15, 30]
     assert [wave_of(told) for told in (3, "3", "10%", "100%")] == [3, 3, 0.1, 1.0]
-    assert not faults((1, 5, 0.5, 1.0)) and not faults((1.0,))
+    assert not faults((1, 5, 0.5, 1.0))
+    assert not faults((1.0,))
     for wrong in ((), (1,), (0.5, 1, 1.0), (1, 1, 1.0), (0, 1.0), (0.5, 1.5)):
         assert faults(wrong)
 
@@ -112,7 +119,8 @@
     units = {"n1": Unit(State.OUT, 5, 5, version="v1")}
     book = Book("n1/5", 3, 9, "v1", now, {SERVERS: Group(Budget(2), units)}, ((1, "began"),))
     again = book_of(text_of(book))
-    assert again == book and [type(wave) for wave in again.plan.waves] == [int, float]
+    assert again == book
+    assert [type(wave) for wave in again.plan.waves] == [int, float]
     for at in range(0, len(text_of(book)) - 1, 7):
         with pytest.raises(Unreadable):
             book_of(text_of(book)[:at])
@@ -123,7 +131,8 @@
         world = World(size, budget).settled()
         world.book = world.book.start("v2", (1, 0.1, 0.5, 1.0), False)
         world.until(Phase.IDLE)
-        assert world.book.good == "v2" and world.worst == budget.bound(size)
+        assert world.book.good == "v2"
+        assert world.worst == budget.bound(size)
         assert {member.version for member in world.members.values()} == {"v2"}
         world.voids["v3"] = 0.3
         world.book = world.book.start("v3", (1, 0.1, 0.5, 1.0), False)
@@ -134,9 +143,8 @@
             world.book.start("v4", (1.0,), False)
         world.book = world.book.order(plan.Input.ROLLBACK, "")
         world.until(Phase.IDLE)
-        assert world.book.good == "v2" and {
-            member.version for member in world.members.values()
-        } == {"v2"}
+        assert world.book.good == "v2"
+        assert {member.version for member in world.members.values()} == {"v2"}
         assert world.worst == budget.bound(size)
 
 
@@ -150,18 +158,18 @@
     world.lead = world.new_lead("b")
     for _ in range(60):
         world.second()
-    assert (
-        world.lead.leads(world.book)
-        and world.worst == 1
-        and world.book.servers[gone].state is State.OUT
-    )
+    assert world.lead.leads(world.book)
+    assert world.worst == 1
+    assert world.book.servers[gone].state is State.OUT
     world.until(Phase.HALTED)
-    assert world.book.servers[gone].state is State.MISSING and "missing" in world.book.plan.why
+    assert world.book.servers[gone].state is State.MISSING
+    assert "missing" in world.book.plan.why
     world.book = world.book.retire(SERVERS, gone).order(plan.Input.RESUME, "")
     del world.members[gone]
     del world.down[gone]
     world.until(Phase.IDLE)
-    assert world.worst == 1 and world.book.good == "v2"
+    assert world.worst == 1
+    assert world.book.good == "v2"
 
 
 def test_one_that_is_silent_holds_the_budget_until_it_is_heard() -> None:
@@ -170,12 +178,14 @@
     world.book = world.book.start("v2", (1.0,), False)
     for _ in range(30):
         world.second()
-    assert world.book.servers["n2"].state is State.MISSING and world.worst <= 1
+    assert world.book.servers["n2"].state is State.MISSING
+    assert world.worst <= 1
     # Sent out before it fell silent.
     assert sum(unit.version == "v2" for unit in world.book.servers.values()) <= 2
     world.frozen.clear()
     world.until(Phase.IDLE)
-    assert world.worst == 1 and world.book.good == "v2"
+    assert world.worst == 1
+    assert world.book.good == "v2"
 
 
 def test_permits_go_back_where_a_crash_has_taken_the_budget() -> None:
@@ -189,22 +199,24 @@
     now = world.lead.round(
         world.now, now, [one for name, one in world.members.items() if name != gone]
     )
-    assert len(sent) == 2 and [now.servers[name].state for name in sent].count(State.GRANTED) == 1
+    assert len(sent) == 2
+    assert [now.servers[name].state for name in sent].count(State.GRANTED) == 1
 
 
 def test_who_did_not_look_takes_nobody_for_silent() -> None:
     """The store is away for a minute: nobody is missing because of that, nor sent out on what was seen
-    before."""
+    before.
+    """
     world = World(4, Budget(1)).settled()
     world.book = world.book.start("v2", (1.0,), False)
     world.until(Phase.JUDGING)
     world.now += 60 * S
     after = world.lead.round(world.now, world.book, list(world.members.values()))
-    assert not after.groups[SERVERS].taken and after.plan.phase is not Phase.HALTED
+    assert not after.groups[SERVERS].taken
+    assert after.plan.phase is not Phase.HALTED
     other = world.new_lead("b")
-    assert (
-        other.take(world.now, after, 1) is None and other.take(world.now + 70 * S, after, 1) is None
-    )
+    assert other.take(world.now, after, 1) is None
+    assert other.take(world.now + 70 * S, after, 1) is None
 
 
 def test_a_life_that_left_in_good_order_is_no_loss() -> None:
@@ -247,11 +259,13 @@
         book.meet("db", below[0], Input.BEGIN, life=1, ticket=second.asked)[1] == ""
     )  # another's order
     book, effect = book.meet("db", below[0], Input.BEGIN, life=1, ticket=first.asked)
-    assert effect and book.shunned() == [("db", below[0])]
+    assert effect
+    assert book.shunned() == [("db", below[0])]
     book = run(book, 4)
     assert book.groups["db"].units[below[1]].state is State.IN  # no room yet
     book = run(book, 3)  # its five seconds are over: it is called again, and the next may leave
-    assert book.shunned() == [] and book.groups["db"].units[below[1]].state in (
+    assert book.shunned() == []
+    assert book.groups["db"].units[below[1]].state in (
         State.GRANTED,
         State.BACK,
     )
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -22,8 +22,11 @@
     said = await made.says("start", "v2")
     assert "change 1 to v2, wave 1 of 3: rolling" in said, said
     book = await made.idle("v2")
-    assert made.worst == 1 and not made.over and {node.version for node in made.nodes} == {"v2"}
-    assert made.ends == 4 and sum("complete" in said for _, said in book.notes) == 3
+    assert made.worst == 1
+    assert not made.over
+    assert {node.version for node in made.nodes} == {"v2"}
+    assert made.ends == 4
+    assert sum("complete" in said for _, said in book.notes) == 3
     made.nothing_lost()
     assert "all servers run v2" in await made.says("start", "v2", status=2)
     assert "nothing to halt" in await made.says("halt", status=2)
@@ -42,10 +45,13 @@
     assert book.plan.why.split()[0] in ("voided", "declined", "not"), book.plan.why
     assert sum(unit.version == "v2" for unit in book.servers.values()) == 1
     await asyncio.sleep(0.5)
-    assert made.out == 0 and "halted" in await made.says("show")
+    assert made.out == 0
+    assert "halted" in await made.says("show")
     await made.says("rollback", "--reason", "bad")
     await made.idle("v1")
-    assert made.worst == 1 and made.ends == 2 and {node.version for node in made.nodes} == {"v1"}
+    assert made.worst == 1
+    assert made.ends == 2
+    assert {node.version for node in made.nodes} == {"v1"}
     made.nothing_lost()
 
 
@@ -59,19 +65,23 @@
     )
     ends = made.ends
     await asyncio.sleep(0.5)
-    assert made.ends == ends == 2 and made.out == 0
+    assert made.ends == ends == 2
+    assert made.out == 0
     made.bad.add("v2")
     await made.says("resume")
     await made.comes_to(lambda book: book.plan.backing)
     await made.idle("v1")
-    assert made.worst == 2 and not made.over and {node.version for node in made.nodes} == {"v1"}
+    assert made.worst == 2
+    assert not made.over
+    assert {node.version for node in made.nodes} == {"v1"}
     made.nothing_lost()
 
 
 @rolled(4, on={"leads": False})
 async def test_who_leads_is_killed_and_paused_in_a_wave(made: Rollout) -> None:
     """Three that may lead: the first is killed while a server is out, the second stands still and wakes while
-    the third leads: what it wrote on is over."""
+    the third leads: what it wrote on is over.
+    """
     # The servers do not lead here, so that who leads can go without taking a server with it.
     await made.says("start", "v2")
     first = made.drivers[0]
@@ -93,7 +103,9 @@
         finally:
             second.send_signal(signal.SIGCONT)
     book = await made.idle("v2")
-    assert made.worst == 1 and not made.over and book.epoch >= 3
+    assert made.worst == 1
+    assert not made.over
+    assert book.epoch >= 3
     made.nothing_lost()
 
 
@@ -113,21 +125,24 @@
     )
     await made.idle("v2")
     # One more than the budget only by the kill itself; who had a permit then may begin on it.
-    assert made.worst <= 3 and made.over <= 1
+    assert made.worst <= 3
+    assert made.over <= 1
     made.nothing_lost(killed=True)
 
 
 @rolled(3, waves=["100%"])
 async def test_one_never_comes_back(made: Rollout) -> None:
     """Its place in the budget is not freed by time; the change halts, and goes on once somebody says that it
-    is gone."""
+    is gone.
+    """
     for node in made.nodes:
         node.dead = True
     await made.says("start", "v2")
     await until(lambda: made.ends == 1)
     gone = next(node for node in made.nodes if node.out)
     book = await made.comes_to(lambda book: book.plan.phase is Phase.HALTED)
-    assert made.out == 1 and f"{gone.name} is missing" in book.plan.why
+    assert made.out == 1
+    assert f"{gone.name} is missing" in book.plan.why
     for node in made.nodes:
         node.dead = node is gone
     await made.says("resume")
@@ -136,7 +151,8 @@
     gone.retired = True
     await made.says("retire", gone.name)
     await made.comes_to(lambda book: len(book.servers) == 2 and book.plan.phase is Phase.IDLE)
-    assert made.worst == 1 and not made.over
+    assert made.worst == 1
+    assert not made.over
     gone.dead = False
     await made.comes_to(lambda book: len(book.servers) == 3)
     await made.idle("v2")
@@ -145,7 +161,8 @@
 
 def test_one_is_cut_off_from_the_store(tmp_path: Path) -> None:
     """All agree in the store of record that keeps their charges. One is cut off: it serves on and is not sent
-    out; the rest wait, since it may be gone. Then the store itself restarts, in the middle of a drain."""
+    out; the rest wait, since it may be gone. Then the store itself restarts, in the middle of a drain.
+    """
 
     async def play() -> None:
         database = await Postgres(tmp_path).start()
@@ -183,12 +200,14 @@
             await made.says("start", "v2")
             settled = made.nodes[1].settled
             await asyncio.sleep(1.0)
-            assert made.out == 0 and made.nodes[1].settled > settled
+            assert made.out == 0
+            assert made.nodes[1].settled > settled
             pipes[1].heal()
             await until(lambda: made.out == 1)
             await database.restart()
             await made.idle("v2")
-            assert made.worst == 1 and not made.over
+            assert made.worst == 1
+            assert not made.over
             made.nothing_lost()
         for pipe in pipes:
             await pipe.stop()
@@ -203,7 +222,8 @@
     first, second = made.services[0].address, made.services[1].address
     await until(lambda: all(service.calls for service in made.services))
     said = await made.says("take", "db", first, "--for-s", "60")
-    assert "no server calls it" in said and not made.services[0].open
+    assert "no server calls it" in said
+    assert not made.services[0].open
     count = len(made.services[0].calls)
     assert "no room in the budget of db" in await made.says(
         "take", "db", second, "--for-s", "60", "--wait-s", "1", status=1
@@ -219,19 +239,22 @@
 async def test_a_drain_and_the_commands_around_it(made: Rollout) -> None:
     await made.says("drain", "n0", "n1", "--for-s", "30")
     await made.comes_to(lambda book: made.ends == 2 and not book.groups["servers"].taken)
-    assert made.worst == 1 and not made.over
+    assert made.worst == 1
+    assert not made.over
     assert (await made.says("version", "n2")).strip() in ("", "v1")
     assert "servers has no 'n9'" in await made.says("drain", "n9", status=2)
     await made.says("budget", "--share", "0.7")
     made.most = 2
     await made.says("start", "v1", "--restart", "--wave", "100%")
     await made.comes_to(lambda book: book.plan.phase is Phase.IDLE and book.plan.number == 1)
-    assert made.ends == 5 and made.worst == 2 and not made.over
+    assert made.ends == 5
+    assert made.worst == 2
+    assert not made.over
     made.nothing_lost()
 
 
 @pytest.mark.parametrize(
-    "told, said",
+    ("told", "said"),
     [
         ({"waves": [1, "50%"]}, "waves: the last one is 100%"),
         ({"waves": ["50%", 1, "100%"]}, "waves: numbers first"),
--- a/tests/test_rollout_stores.py
+++ b/tests/test_rollout_stores.py
@@ -4,7 +4,6 @@
 import json
 from dataclasses import replace
 from pathlib import Path
-from typing import Any
 
 import pytest
 from click.testing import CliRunner
@@ -34,9 +33,11 @@
     assert (await first.read(page)).beat == page.beat
     await second.beat(3)
     again = await first.read(page)
-    assert again.beat == page.beat + 1 and again.book is page.book
+    assert again.beat == page.beat + 1
+    assert again.book is page.book
     one = Member("n1", 5, 1, Says.SERVING, below={"10.0.0.1:1": (3, 1)})
-    assert await first.tell(one) and await second.tell(replace(one, life=6, says=Says.LEAVING))
+    assert await first.tell(one)
+    assert await second.tell(replace(one, life=6, says=Says.LEAVING))
     assert not await first.tell(replace(one, beat=2)), "a life that is over spoke last"
     assert (
         await first.members()
@@ -60,12 +61,14 @@
         page = await shelf.read()
         held = Held(tmp_path / "agreed.db", 1.9)
         shelf.turns = held.turns()
-        assert await shelf.swap(page, Book("a")) and held.looks >= 100
+        assert await shelf.swap(page, Book("a"))
+        assert held.looks >= 100
         page, held = await shelf.read(), Held(tmp_path / "agreed.db", 9.0)
         shelf.turns = held.turns()
         with pytest.raises(Away, match="database is locked"):
             await shelf.swap(page, Book("b"))
-        assert 2.0 <= held.now < 2.1 and (await shelf.read()).book.holder == "a"
+        assert 2.0 <= held.now < 2.1
+        assert (await shelf.read()).book.holder == "a"
         before = held.looks
         shelf.turns = held.turns(
             over=lambda: held.looks == before + 50
@@ -106,11 +109,9 @@
             await first.swap(before, Book("c"))
         await first.open()
         new = await first.read()
-        assert (
-            new.book == Book()
-            and new.revision > before.revision
-            and not await first.swap(before, Book("c"))
-        )
+        assert new.book == Book()
+        assert new.revision > before.revision
+        assert not await first.swap(before, Book("c"))
         await first.close()
         await second.close()
 
--- a/tests/test_scale_configuration.py
+++ b/tests/test_scale_configuration.py
@@ -55,7 +55,8 @@
     )
     assert done.exit_code == 0, (done.output, done.exception)
     (row,) = kept(place)
-    assert "YARDSTICK" in row.note and row.values[0] < row.values[-1]
+    assert "YARDSTICK" in row.note
+    assert row.values[0] < row.values[-1]
 
 
 def test_a_dry_run_keeps_nothing_and_bad_sizes_are_refused(tmp_path: Path) -> None:
@@ -77,5 +78,6 @@
 
 def test_a_change_moves_portions_and_nobody_goes() -> None:
     before, after = tenants(50), tenants(50, 1)
-    assert before != after and [one["name"] for one in before] == [one["name"] for one in after]
+    assert before != after
+    assert [one["name"] for one in before] == [one["name"] for one in after]
     assert before[0]["name"] == "acme"
--- a/tests/test_scale_request.py
+++ b/tests/test_scale_request.py
@@ -1,5 +1,6 @@
 """The small forms of benchmarks/scale_request.py: whole rows, every request accounted for, and the stand-ins' own time
-taken off. Nothing here asserts how long anything takes by the wall."""
+taken off. Nothing here asserts how long anything takes by the wall.
+"""
 
 from pathlib import Path
 
@@ -20,7 +21,7 @@
     return done.output
 
 
-@pytest.mark.parametrize("more, kind", [((), ""), (("--calls",), " with calls")])
+@pytest.mark.parametrize(("more", "kind"), [((), ""), (("--calls",), " with calls")])
 def test_rows_of_requests(tmp_path: Path, more: tuple[str, ...], kind: str) -> None:
     place = tmp_path / "rows"
     said = run(place, "request", "--rates", "20,40,60,80,100", "--seconds", "0.4", *more)
@@ -44,7 +45,8 @@
 
 def test_every_request_is_accounted_for_and_had_its_run_and_call() -> None:
     play = uvloop.run(played(Load(100, 0.8, warm=0.2, work=0.05, call=0.05)))
-    assert len(play.sent) > 50 and {one.how for one in play.sent} == {"settled"}
+    assert len(play.sent) > 50
+    assert {one.how for one in play.sent} == {"settled"}
     assert len({one.id for one in play.sent}) == len(play.sent)
     # 100 ms, in ns; the loop's timers may be early by the length of a turn, and what they took is what counts
     assert all(play.own[one.id] >= 75_000_000 for one in play.sent), min(play.own.values())
@@ -84,9 +86,8 @@
     told = told_of(sent, {"a": 10 * ms}, until=SECOND)
     assert (told.count, told.how, told.longest) == (2, {"settled": 1, "Backoff": 1}, 40.0)
     assert told.p50 == told.p99 == pytest.approx(2.0, rel=0.01)
-    assert told.whole_p99 == pytest.approx(12.0, rel=0.01) and told.late_p99 == pytest.approx(
-        1.0, rel=0.01
-    )
+    assert told.whole_p99 == pytest.approx(12.0, rel=0.01)
+    assert told.late_p99 == pytest.approx(1.0, rel=0.01)
     assert windows(type("Play", (), {"sent": sent, "own": {}})(), [SECOND]).how == {"lost": 1}
 
 
@@ -108,7 +109,7 @@
     assert all(row.by == "members" and "hollow" in row.note for row in found.values())
 
 
-@pytest.mark.parametrize("more, who", [((), "while it deals"), (("--plain",), "as a member")])
+@pytest.mark.parametrize(("more", "who"), [((), "while it deals"), (("--plain",), "as a member")])
 def test_a_member_deals_or_another_does(tmp_path: Path, more: tuple[str, ...], who: str) -> None:
     """Each play begins only once all agree who is there and whether it is this server that deals."""
     run(
