--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 import pytest
-from rig import ROOT, until  # first: it has the benchmarks found
 from hollow_hosts import KEY, Hosts, clock, spread
-from scale_run import Setting, played
+from rig import ROOT, until  # first: it has the benchmarks found
 from scale_checker import SECOND, Budget, Checker, Contents, Faults, digest_of, worst_rate
+from scale_run import Setting, played
 
 from burlloom.lab.distances import Cut, laid_out, place
 
@@ -102,7 +102,8 @@
         "8.100: h2 applies 1/8 after 6: and lost 1 before it"
     ]
     found = Checker().check(without(changes(), "h2", 20)).faults
-    assert found.count == 1 and "h2 never has 1/20 in force" in found.told[0]
+    assert found.count == 1
+    assert "h2 never has 1/20 in force" in found.told[0]
 
 
 def test_a_change_out_of_order_is_caught():
@@ -142,7 +143,8 @@
     assert "7.00 s after" in Checker().check(late).faults.told[0]
     out = [[19 * SECOND + SECOND // 2, "h1", "cut"], [26 * SECOND, "h1", "healed"]]
     found = Checker().check(late + out)
-    assert found.faults.told == [] and found.order.caught[-1] == (26 * SECOND, SECOND)
+    assert found.faults.told == []
+    assert found.order.caught[-1] == (26 * SECOND, SECOND)
     never = Checker().check([*without(changes(), "h1", 20), *out])
     assert "never caught up" in never.faults.told[0]
 
@@ -174,10 +176,8 @@
         for at in range(0, 60)
     ]
     found = Checker(budgets={"server": Budget()}).check(told)
-    assert (
-        found.faults.count == 1
-        and "server1: 50.0 ms of processor time a second over 10 s" in found.faults.told[0]
-    )
+    assert found.faults.count == 1
+    assert "server1: 50.0 ms of processor time a second over 10 s" in found.faults.told[0]
     assert worst_rate([(0, 0.0), (SECOND, 5.0)], 10.0) == 5.0
     heavy = [[at * SECOND, "server1", "traffic", at * 10_000] for at in range(20)] + [
         [0, "server2", "process", 0.0, 2**30]
@@ -188,13 +188,15 @@
 def test_cuts_of_groups():
     one, same, far = place("a", 0, 0, 0), place("b", 0, 0, 1), place("c", 2, 7, 0)
     away = Cut(frozenset({"zone:0"}))
-    assert away.parts(one, far) and away.parts(far, one) and not away.parts(one, same)
+    assert away.parts(one, far)
+    assert away.parts(far, one)
+    assert not away.parts(one, same)
     deaf = Cut(frozenset({"name:c"}), frozenset({"rack:0.1"}), both=False)
-    assert deaf.parts(far, same) and not deaf.parts(same, far) and not deaf.parts(far, one)
-    assert (
-        len({where.zone for where in laid_out(30)}) == 14
-        and len({where.region for where in laid_out(30)}) == 6
-    )
+    assert deaf.parts(far, same)
+    assert not deaf.parts(same, far)
+    assert not deaf.parts(far, one)
+    assert len({where.zone for where in laid_out(30)}) == 14
+    assert len({where.region for where in laid_out(30)}) == 6
 
 
 def read(folder: Path) -> list[list[Any]]:
@@ -264,13 +266,18 @@
 def test_the_small_form_of_the_scale_run():
     run, found = played(SMALL, print)
     assert found.faults.told == []
-    assert run.faults == [] and run.rules.faults == []
-    assert found.contents.looked_at == 60 and found.order.applied > 100 and found.order.caught
-    assert found.sums.worst > 0.5 and sum(real.settled for real in run.reals) > 0
-    assert len(run.configured) == 2 and all(run.configured.values())
-
-
-@pytest.mark.parametrize("plant, word", [("gap", "lost"), ("content", "something else")])
+    assert run.faults == []
+    assert run.rules.faults == []
+    assert found.contents.looked_at == 60
+    assert found.order.applied > 100
+    assert found.order.caught
+    assert found.sums.worst > 0.5
+    assert sum(real.settled for real in run.reals) > 0
+    assert len(run.configured) == 2
+    assert all(run.configured.values())
+
+
+@pytest.mark.parametrize(("plant", "word"), [("gap", "lost"), ("content", "something else")])
 def test_a_run_with_a_planted_fault_is_caught(plant: str, word: str):
     _, found = played(
         replace(PLANT, main=(str(ROOT / "tests" / "planted_host.py"), plant), patience=5.0), print
--- a/tests/test_scale_servers.py
+++ b/tests/test_scale_servers.py
@@ -1,5 +1,6 @@
 """The slopes by servers, in their small form: what a scripted crowd asks of its one real member is what a swarm of
-real ones does, and each part gives all of its slopes."""
+real ones does, and each part gives all of its slopes.
+"""
 
 import pytest
 import rig  # noqa: F401  (finds benchmarks/)
@@ -32,11 +33,9 @@
             < 2 * (crowd.tally.bytes_sent - before[1])
         )
     members = crowd.fleet.members
-    assert (
-        len(members.there()) == 30
-        and not crowd.fleet.counts.suspected
-        and not crowd.fleet.counts.unreadable
-    )
+    assert len(members.there()) == 30
+    assert not crowd.fleet.counts.suspected
+    assert not crowd.fleet.counts.unreadable
 
 
 def test_one_that_deals_deals_to_its_crowd() -> None:
@@ -59,12 +58,14 @@
     crowd.later(2_000_000_000, crowd.comes, left)
     crowd.run(20)
     view = crowd.fleet.members
-    assert view.by_name["n10"].word == left.word and view.by_name["n10"].state is State.ALIVE
+    assert view.by_name["n10"].word == left.word
+    assert view.by_name["n10"].state is State.ALIVE
     assert view.by_name["n11"].state is State.DEAD
     assert {peer.digest for peer in crowd.peers if peer.up and peer.at != at} == {view.digest}
     crowd.tally.kinds.clear()
     crowd.run(5)
-    assert not crowd.tally.kinds.keys() & {"SYNC", "PAGE"} and crowd.tally.kinds.keys() & {
+    assert not crowd.tally.kinds.keys() & {"SYNC", "PAGE"}
+    assert crowd.tally.kinds.keys() & {
         "PING",
         "ACK",
     }
@@ -112,7 +113,8 @@
     with swarm_of(12, terms(12)) as swarm:
         assert swarm.agreed()
         took, back = after_deaths(swarm, swarm.up()[4:5])
-        assert 2 < took < 12 and 0 < back < 5
+        assert 2 < took < 12
+        assert 0 < back < 5
 
 
 def test_the_bound_of_a_view_is_raised_for_the_benchmark_alone() -> None:
@@ -182,18 +184,15 @@
 
     monkeypatch.setitem(PARTS, "member", (work, (10, 20, 30, 40, 50), ("rest",)))
     a, b = measured("member", (), (), "now", lambda said: None)
-    assert (
-        a.sizes == (10, 20, 30, 40, 50)
-        and a.values == (20, 40, 60, 80, 100)
-        and b.sizes == (30, 40, 50)
-    )
-    assert (
-        passed(a) == "19"
-        and a.command == "python benchmarks/scale.py servers --part member --state rest"
-    )
+    assert a.sizes == (10, 20, 30, 40, 50)
+    assert a.values == (20, 40, 60, 80, 100)
+    assert b.sizes == (30, 40, 50)
+    assert passed(a) == "19"
+    assert a.command == "python benchmarks/scale.py servers --part member --state rest"
     assert passed(Row("c", "servers", "1/s", "rest", a.sizes, a.values, "", "")) == "-"
 
 
 def test_the_command_prints_a_table() -> None:
     told = CliRunner().invoke(scale, ["servers", "--part", "discovery", "--sizes", "30,100"])
-    assert told.exit_code == 0 and "| discovery bytes | rest | B/s |" in told.output
+    assert told.exit_code == 0
+    assert "| discovery bytes | rest | B/s |" in told.output
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -17,11 +17,11 @@
 import msgpack
 import pytest
 from rig import GIVEN, ROOT, Rig, fails, gets, played, soon, until
+
 from burlloom.naming import Reports
 from burlloom.sockets import MS, SECOND
 from burlloom.standins.parts import Catalogue, Executor, NameService, fields
 
-
 TRAP = re.search(r'run = "(.*;) exec ', (ROOT / "deploy" / "balancer.toml").read_text())[1]  # type: ignore[index]
 
 
@@ -63,11 +63,13 @@
     said: dict[str, str] = {}
     while not said:
         error, (good, said) = await soon(balancer.health())
-        assert error is None and good is True
+        assert error is None
+        assert good is True
     for _ in range(20):  # how long to stay away is drawn
         told = await fails(balancer.ask("look", fields(kb="990")), "Backoff")
         assert {"say"} <= set(told) <= {"say", "after", "last"}
-        assert float(told["say"]) >= 0 and 1 <= int(told.get("after", 1)) <= 1000
+        assert float(told["say"]) >= 0
+        assert 1 <= int(told.get("after", 1)) <= 1000
     assert rig.naming.reports.get_nowait() == "renew n1 yes"
     assert rig.executor.commands.empty()
 
@@ -132,7 +134,8 @@
     await gets(third, b"found")
     executor.exit(called, result=b"paid")
     await gets(second, b"paid")
-    assert executor.commands.empty() and executor.joins == [0, 1]
+    assert executor.commands.empty()
+    assert executor.joins == [0, 1]
 
 
 @played()
@@ -350,7 +353,8 @@
         answer = balancer.ask("look", fields())
         id = await rig.command("EXEC", "look")
         rig.executor.callout(id)
-        assert await rig.command("RETURN") == id and rig.executor.bodies[id] == b"well"
+        assert await rig.command("RETURN") == id
+        assert rig.executor.bodies[id] == b"well"
         rig.executor.exit(id, result=b"done")
         await gets(answer, b"done")
     assert rig.catalogue.links == len(GOOD)
@@ -426,7 +430,8 @@
     reports = [await soon(rig.naming.reports.get()) for _ in range(32)]
     # Four a second at least, by the rounds of the decisions, each of which asks for the gauges: one in four is lost.
     # Over so many that a moment in which we stand still ourselves, and do not count what comes, weighs little.
-    assert set(reports) == {"renew n1 yes"} and rig.executor.asked - asked < 80
+    assert set(reports) == {"renew n1 yes"}
+    assert rig.executor.asked - asked < 80
     await gets_one(rig, await rig.balancer())
     rig.process.send_signal(signal.SIGTERM)
     while reports[-1] == "renew n1 yes":
@@ -456,7 +461,8 @@
     asyncio.run(play())
     assert at[49] - at[0] <= 49 * SECOND // 5 + 90 * MS  # five a second, one late
     spans = [after - before for before, after in zip(at, at[1:], strict=False)]
-    assert max(spans) > 10 * SECOND and min(spans) >= 90 * MS  # no burst for what was missed
+    assert max(spans) > 10 * SECOND
+    assert min(spans) >= 90 * MS
     assert at[99] - at[50] <= 49 * SECOND // 5 + 90 * MS
 
 
@@ -491,7 +497,8 @@
     balancer.close()
     backlog.close()
     assert await soon(rig.process.wait()) == 0
-    assert "unanswered=0" in rig.log() and rig.log().count("reason=leaving") == 2
+    assert "unanswered=0" in rig.log()
+    assert rig.log().count("reason=leaving") == 2
 
 
 @played(n_cores=1, stop_ms=2000)
@@ -555,7 +562,8 @@
     await gets_one(rig, first)
     others = [await rig.balancer() for _ in range(24)]
     assert (await soon(others[-1].health()))[1][0] is True
-    assert "reason=full" in rig.log() and not first.ended.is_set()
+    assert "reason=full" in rig.log()
+    assert not first.ended.is_set()
     await gets_one(rig, first)
 
 
@@ -581,7 +589,8 @@
     await until(lambda: "event=accept-failed" in rig.log())
     before, began = used(rig), time.monotonic()
     await asyncio.sleep(0.5)
-    assert used(rig) - before < 0.5 * (time.monotonic() - began) and not checked.done()
+    assert used(rig) - before < 0.5 * (time.monotonic() - began)
+    assert not checked.done()
     for id in ids:
         rig.executor.exit(id, result=b"done")
     for answer in answers:
@@ -802,7 +811,8 @@
     while "event=lines-left-out" not in rig.log():
         (await rig.balancer()).close()
     count = int(re.search(r"lines-left-out count=(\d+)", rig.log())[1])  # type: ignore[index]
-    assert 0 < count and rig.log().count("side=balancer") < count + 200
+    assert count > 0
+    assert rig.log().count("side=balancer") < count + 200
 
 
 @played(idle=200000)
@@ -945,7 +955,9 @@
 ]
 
 
-@pytest.mark.parametrize("path, value", ABSURD, ids=[f"{path}={value}" for path, value in ABSURD])
+@pytest.mark.parametrize(
+    ("path", "value"), ABSURD, ids=[f"{path}={value}" for path, value in ABSURD]
+)
 def test_absurd_settings_end_the_start_with_their_place(
     path: str, value: Any, tmp_path: Path
 ) -> None:
@@ -1074,14 +1086,17 @@
         rig.told[name] = (await part.start()).address
     rig.reload()
     again = await rig.command("EXEC", "look")
-    assert rig.executor.bodies[again] == b"lost" and rig.executor.joins == [1]
+    assert rig.executor.bodies[again] == b"lost"
+    assert rig.executor.joins == [1]
     assert await soon(rig.naming.reports.get()) == "renew n1 yes"
     rig.executor.callout(again)
-    assert await rig.command("RETURN") == again and len(rig.catalogue.calls) == 1
+    assert await rig.command("RETURN") == again
+    assert len(rig.catalogue.calls) == 1
     for id, answer in ((again, third), (ran, first)):
         rig.executor.exit(id, result=id.encode())
         await gets(answer, id.encode())
-    assert not called.done() and len(below.calls) == 1
+    assert not called.done()
+    assert len(below.calls) == 1
     rig.executor.exit(calling, result=b"paid")
     await gets(called, b"paid")
     rig.told["catalog"] = "nowhere"
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -26,7 +26,8 @@
         world = simulate(seed, nodes, trouble, crashes=seed % 5)
         assert not world.faults, (seed, world.faults)
         count += world.count
-    assert count["settled"] > 20 and count["crashes"] > 8
+    assert count["settled"] > 20
+    assert count["crashes"] > 8
 
 
 def test_the_same_seed_tells_the_same_story() -> None:
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    "shape, cost",
+    ("shape", "cost"),
     [
         ("flat", lambda n: 7.0),
         ("log", lambda n: 1 + 2 * log2(n)),
@@ -42,7 +42,8 @@
     rows = kept(place)
     assert [row.values[0] for row in rows] == [1.0, 2.0]
     assert newest(rows)["a", "rest", "now"].values[0] == 2.0
-    assert rows[1].at and rows[1].cores
+    assert rows[1].at
+    assert rows[1].cores
 
 
 def test_an_unknown_state_is_refused(tmp_path: Path):
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -13,13 +13,13 @@
 from hypothesis import strategies as st
 
 from burlloom.record.admin import Admin
-from burlloom.record.store import Refused
 from burlloom.record.fate import Input
 from burlloom.record.postgres import Postgres
 from burlloom.record.recovery import Tick
 from burlloom.record.rows import BEGUN, KEPT, SPENT, Kind, Row, Word, Write, answer, applied
 from burlloom.record.seal import Sealer, key
 from burlloom.record.sqlite import Sqlite, connect
+from burlloom.record.store import Refused
 from burlloom.standins.postgres import Postgres as StandIn
 
 SEALER = Sealer(b"k" * 32)
@@ -232,7 +232,9 @@
         assert (await two.ask(finish(node="n2")))[0].how is Input.TAKEN
         assert (await one.ask(finish(b"first")))[0].how is Input.HELD
         (word,) = await two.ask(claim(node="n2"))
-        assert word.how is Input.FOUND and word.row is not None and word.row.result == b"first"
+        assert word.how is Input.FOUND
+        assert word.row is not None
+        assert word.row.result == b"first"
         await one.ask(claim(mark=MARKS[1]))
         standin.db.execute("UPDATE node SET fenced = 1 WHERE name = 'n1'")
         assert (await two.ask(claim(node="n2", mark=MARKS[1])))[0].how is Input.BARE
@@ -276,7 +278,8 @@
         await standin.restart()
         while (word := (await store.ask(finish()))[0]).how is Input.LOST:
             await asyncio.sleep(0.01)
-        assert word.how is Input.HELD and store.store.connects > 1
+        assert word.how is Input.HELD
+        assert store.store.connects > 1
 
     with_store("postgres", story)
 
@@ -291,7 +294,8 @@
         again.page = 5
         await again.open()
         pages = list(again.known(0))
-        assert [len(page) for page in pages] == [5, 5, 5, 5, 3] and not list(again.known(0))
+        assert [len(page) for page in pages] == [5, 5, 5, 5, 3]
+        assert not list(again.known(0))
         assert {mark: until for page in pages for mark, until in page} == dict.fromkeys(marks, FAR)
         assert len(list(again.begun(0))) == 14
         await again.close()
@@ -308,7 +312,8 @@
         # The next waits for the cancelled one's end, and is answered on the same connection.
         asyncio.get_running_loop().call_later(0.05, setattr, standin.orders, "hang", False)
         assert [row[0] for row in await link.fetch("SELECT name FROM node")] == ["n1"]
-        assert standin.cancels == 1 and not link.is_closed()
+        assert standin.cancels == 1
+        assert not link.is_closed()
         link.terminate()
 
     with_store("postgres", story)
@@ -326,13 +331,15 @@
         admin.snapshot(tmp_path / "copy.db")
         store.db.execute("DELETE FROM fate WHERE mark = ?", (MARKS[0],))
         await log.ask(finish(mark=MARKS[1], result=b"since"), claim(mark=MARKS[2]))
-        assert admin.served() and admin.merge(tmp_path / "copy.db", 1) == (1, 2)
+        assert admin.served()
+        assert admin.merge(tmp_path / "copy.db", 1) == (1, 2)
         words = await log.ask(*(claim(mark=mark, turn=9) for mark in MARKS[:2]))
         assert [(word.how, word.row and word.row.result) for word in words] == [
             (Input.FOUND, b"paid"),
             (Input.FOUND, b"since"),
         ]
-        assert admin.merge(tmp_path / "copy.db", FAR) == (0, 0) and not admin.verify().faults
+        assert admin.merge(tmp_path / "copy.db", FAR) == (0, 0)
+        assert not admin.verify().faults
         await store.close()
 
     asyncio.run(play())
@@ -372,7 +379,8 @@
             if word.how is not Input.HELD:
                 break
             held.append(mark)
-        assert word.how is Input.LOST and 20 < len(held) < 400
+        assert word.how is Input.LOST
+        assert 20 < len(held) < 400
         for mark in held:
             assert (await log.ask(Write(Kind.FIND, row(mark, turn=2))))[0].how is Input.FOUND
         assert store.db is not None
@@ -484,7 +492,8 @@
 def test_the_key_is_made_once_and_guarded(tmp_path: Path) -> None:
     path = tmp_path / "key"
     made = key(path, True)
-    assert key(path, False) == made and path.stat().st_mode & 0o777 == 0o600
+    assert key(path, False) == made
+    assert path.stat().st_mode & 0o777 == 0o600
     path.chmod(0o644)
     with pytest.raises(ValueError, match="chmod 600"):
         key(path, False)
@@ -498,7 +507,8 @@
 
 def test_the_record_waits_for_the_lock_as_the_book_does(tmp_path: Path) -> None:
     """A batch finds it taken a hundred times and is written; past its time it surely was not; nor does a start take
-    a file that is busy for one that is damaged."""
+    a file that is busy for one that is damaged.
+    """
 
     async def play() -> None:
         path = tmp_path / "record.db"
@@ -507,10 +517,12 @@
         await store.start()
         held = Held(path, 1.9)
         store.turns = held.turns()
-        assert await Log(store).ask(claim()) == [Word(Input.HELD)] and held.looks >= 100
+        assert await Log(store).ask(claim()) == [Word(Input.HELD)]
+        assert held.looks >= 100
         held = Held(path, 9.0)
         store.turns = held.turns()
-        assert await Log(store).ask(finish()) == [Word(Input.LOST)] and 2.0 <= held.now < 2.1
+        assert await Log(store).ask(finish()) == [Word(Input.LOST)]
+        assert 2.0 <= held.now < 2.1
         held.db.execute("ROLLBACK")
         assert await Log(store).ask(finish()) == [Word(Input.HELD)]
         await store.close()
@@ -520,7 +532,8 @@
             await again.open()
         held.until, held.now = 1.9, 0.0
         again.turns = held.turns()
-        assert (await again.open()).life == 2 and held.looks >= 100
+        assert (await again.open()).life == 2
+        assert held.looks >= 100
         await again.close()
 
     asyncio.run(play())
@@ -532,7 +545,8 @@
     other = sqlite3.connect(path, isolation_level=None)
     other.execute("PRAGMA auto_vacuum = INCREMENTAL")
     other.execute("VACUUM")
-    assert path.stat().st_size and other.execute("PRAGMA application_id").fetchone() == (0,)
+    assert path.stat().st_size
+    assert other.execute("PRAGMA application_id").fetchone() == (0,)
     connect(path).close()
     assert other.execute("PRAGMA application_id").fetchone() != (0,)
     other.execute("PRAGMA application_id = 0")
