--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -1,6 +1,6 @@
-"""Twenty and thirty processes of the program that start together, in waves, or again and again in mid-ramp, between our
-own stand-ins on loopback: what they have in hand together at the dependency that they share, and how long each takes from
-its start until it is listed and answers.
+"""Twenty and thirty processes of the program that start together, in waves, or again and again in
+mid-ramp, between our own stand-ins on loopback: what they have in hand together at the dependency
+that they share, and how long each takes from its start until it is listed and answers.
 
     python benchmarks/cold_start.py calls together   # the sum at the stand-in, of one story; five plays of each
     python benchmarks/cold_start.py ready            # starts and restarts, with cores busy and with an executor that is late
@@ -161,7 +161,9 @@
 
 
 async def ready(processes: int, busy: int, late: float, rounds: int) -> list[float]:
-    """All start together, then most of them again, `rounds` times, while `busy` others keep the cores from them."""
+    """All start together, then most of them again, `rounds` times, while `busy` others keep the
+    cores from them.
+    """
     spans: list[float] = []
     others = [await asyncio.create_subprocess_exec(sys.executable, "-c", BUSY) for _ in range(busy)]
     try:
--- a/benchmarks/distribution_core.py
+++ b/benchmarks/distribution_core.py
@@ -1,9 +1,11 @@
-"""Processor time of following and of being followed, without sockets; and what a network in simulated time carries.
+"""Processor time of following and of being followed, without sockets; and what a network in
+simulated time carries.
 
     PYTHONPATH=.:tests python benchmarks/distribution_core.py
 
-Prints: one follower and its share of a source at rest, a change, a push, a newcomer's sync; a follower's datagrams and bytes;
-the longest from the store to in force everywhere. Processor time of this process only; a busy machine makes it longer.
+Prints: one follower and its share of a source at rest, a change, a push, a newcomer's sync; a
+follower's datagrams and bytes; the longest from the store to in force everywhere. Processor time of
+this process only; a busy machine makes it longer.
 """
 
 from random import Random
--- a/benchmarks/fleet_shares.py
+++ b/benchmarks/fleet_shares.py
@@ -1,5 +1,5 @@
-"""Do the shares of a fleet add up? Simulated, 3, 30 and 300 servers, against each server alone; takes some
-minutes.
+"""Do the shares of a fleet add up? Simulated, 3, 30 and 300 servers, against each server alone;
+takes some minutes.
 
     python benchmarks/fleet_shares.py [--members] [--servers] [--subsets] [--chance SEEDS]
 
@@ -56,7 +56,9 @@
         self.peak = max(self.peak, self.swarm.total())
 
     def settles(self, fair: float, most: float = 60) -> float:
-        """s until all shares lie within a tenth, or one call, of the fair one, and all of it is dealt."""
+        """s until all shares lie within a tenth, or one call, of the fair one, and all of it is
+        dealt.
+        """
         began = self.swarm.loop.now
         while self.swarm.loop.now - began < most:
             shares = self.swarm.shares()
@@ -137,7 +139,9 @@
 
 
 def world(size: int) -> World:
-    """Calls that the runs want are twice what the catalogue bears; a tenth of the servers at first."""
+    """Calls that the runs want are twice what the catalogue bears; a tenth of the servers at
+    first.
+    """
     first, slots = max(3, size // 10) if size > 3 else 0, size
     return World.model_validate(
         {
@@ -208,8 +212,8 @@
 
 
 def in_rounds(names: list[str], below: list[str], size: int) -> dict[str, list[str]]:
-    """Deterministic subsetting as Google's book has it: each round of servers deals out one shuffle of the
-    services.
+    """Deterministic subsetting as Google's book has it: each round of servers deals out one shuffle
+    of the services.
     """
     count = max(1, len(below) // size)
     found = {}
@@ -243,8 +247,8 @@
     services: int,
     size: int,
 ) -> tuple[float, float, float]:
-    """Load of the most loaded over the mean, calls spread evenly; pairs moved by a leave and by a lost
-    service, times N.
+    """Load of the most loaded over the mean, calls spread evenly; pairs moved by a leave and by a
+    lost service, times N.
     """
     names, below = [f"n{at}" for at in range(count)], [f"10.0.0.{at}:80" for at in range(services)]
     before = way(names, below, size)
--- a/benchmarks/hollow_hosts.py
+++ b/benchmarks/hollow_hosts.py
@@ -1,6 +1,8 @@
-"""The processes of a scale run that hold hollow servers, as whoever runs it sees them: orders out, reports in.
+"""The processes of a scale run that hold hollow servers, as whoever runs it sees them: orders out,
+reports in.
 
-Looks at each process from outside too, by /proc. Nothing is left running: a host ends when its input does.
+Looks at each process from outside too, by /proc. Nothing is left running: a host ends when its
+input does.
 """
 
 import asyncio
@@ -116,8 +118,8 @@
 
 
 class Hosts:
-    """All of them. `groups`: of each process, the servers, and what their cores are told. `main`: what Python is to
-    run.
+    """All of them. `groups`: of each process, the servers, and what their cores are told. `main`:
+    what Python is to run.
     """
 
     def __init__(
@@ -173,7 +175,9 @@
                 host.order(do, names=by_host[host.name], **told)
 
     def lag(self, since: int) -> float:
-        """The worst lag of a host's loop, ms, in reports since then (ns of the clock that goes on)."""
+        """The worst lag of a host's loop, ms, in reports since then (ns of the clock that goes
+        on).
+        """
         return max(
             (one["lag_ms"] for host in self.hosts for one in host.seconds if one["at"] >= since),
             default=0.0,
--- a/benchmarks/hollow_members.py
+++ b/benchmarks/hollow_members.py
@@ -1,4 +1,6 @@
-"""Members of a fleet without a serving part: the real core and letters on loopback, some hundreds in a process."""
+"""Members of a fleet without a serving part: the real core and letters on loopback, some hundreds
+in a process.
+"""
 
 import asyncio
 import socket
@@ -121,7 +123,9 @@
 
 
 def hollow(pipe: Pipe, names: list[str], life: int, told_part: dict[str, Any]) -> None:
-    """A process of these: tells their addresses, is told of all, then does what the pipe says, until that ends."""
+    """A process of these: tells their addresses, is told of all, then does what the pipe says,
+    until that ends.
+    """
     part = FleetPart(**told_part)
     socks = []
     for _ in names:
--- a/benchmarks/hollow_releases.py
+++ b/benchmarks/hollow_releases.py
@@ -1,5 +1,5 @@
-"""Servers of a release without a serving part: they tell of themselves in the store, and leave and come back as the
-book lets them. All share a process; a round of theirs is written in one go.
+"""Servers of a release without a serving part: they tell of themselves in the store, and leave and
+come back as the book lets them. All share a process; a round of theirs is written in one go.
 """
 
 import asyncio
--- a/benchmarks/kill_restart.py
+++ b/benchmarks/kill_restart.py
@@ -1,16 +1,21 @@
-"""Charges with repeats through the real program, which is killed and started again, and a checker of its own.
+"""Charges with repeats through the real program, which is killed and started again, and a checker
+of its own.
 
     python benchmarks/kill_restart.py sqlite 1000 --seed 1 --workers 6
 
-Kinds: `sqlite`; `postgres` (the stand-in resets connections around commits, refuses and stalls at random);
-`postgres-killed` (it runs as a process and is killed too). At random the executor goes down with the program, or
-lives on and tells its ends afterwards. Every mark's runs are counted at the executor, every answer at the caller:
+Kinds: `sqlite`; `postgres` (the stand-in resets connections around commits, refuses and stalls at
+random); `postgres-killed` (it runs as a process and is killed too). At random the executor goes
+down with the program, or lives on and tells its ends afterwards. Every mark's runs are counted at
+the executor, every answer at the caller:
 
-- twice: a mark that ran more than once; otherwise: a mark whose settled answers differ, or are no run's result
+- twice: a mark that ran more than once; otherwise: a mark whose settled answers differ, or are no
+run's result
 - refused: a try that was declined though its mark had been settled, or had run, before it was sent
 - unanswered: a try on a connection that lived, without an answer by its due time
-- early: a mark that was settled before its end was durable, since the store took longer than an answer may be
-  held, and was in doubt after the crash that followed: the design's one exception, told by its own log line
+- early: a mark that was settled before its end was durable, since the store took longer than an
+answer may be
+  held, and was in doubt after the crash that followed: the design's one exception, told by its own
+  log line
 - doubts: marks that were voided since nobody could tell; not a fault, but counted
 """
 
@@ -80,7 +85,9 @@
 
 
 class Executing:
-    """Runs what the server orders; a run's effect is had at a moment of its own, before it is told."""
+    """Runs what the server orders; a run's effect is had at a moment of its own, before it is
+    told.
+    """
 
     def __init__(self, rig: Rig, book: Book, chance: random.Random) -> None:
         self.rig, self.book, self.chance = rig, book, chance
@@ -258,7 +265,8 @@
         if moment == "random":
             await asyncio.sleep(chance.random() * 0.15)
         else:
-            # Named moments may be out of reach (a store that is down): then it is as good as random.
+            # Named moments may be out of reach (a store that is down): then it is as good as
+            # random.
             await asyncio.wait({asyncio.create_task(rig.process.wait())}, timeout=1.0)
         self.kills[
             moment if rig.process.returncode == -signal.SIGKILL or moment == "random" else "random"
--- a/benchmarks/killed.py
+++ b/benchmarks/killed.py
@@ -1,4 +1,6 @@
-"""The program as it is, but ended by SIGKILL at a named moment: KILL_AT=NAME:COUNT in its environment."""
+"""The program as it is, but ended by SIGKILL at a named moment: KILL_AT=NAME:COUNT in its
+environment.
+"""
 
 import os
 import signal
--- a/benchmarks/log_lines.py
+++ b/benchmarks/log_lines.py
@@ -1,4 +1,5 @@
-"""What a log line costs: the formatter of burlloom/server/logs.py against structlog's, in time and resident memory.
+"""What a log line costs: the formatter of burlloom/server/logs.py against structlog's, in time and
+resident memory.
 
 python benchmarks/log_lines.py
 """
--- a/benchmarks/marks.py
+++ b/benchmarks/marks.py
@@ -1,4 +1,5 @@
-"""Marks in memory: what was (an ordered dictionary, swept whole each second) against what is, and plain ones.
+"""Marks in memory: what was (an ordered dictionary, swept whole each second) against what is, and
+plain ones.
 
 python benchmarks/marks.py [COUNT ...]
 """
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,4 +1,6 @@
-"""What a process has cost so far, as the system tells it: processor time and memory; and what a slope is told with."""
+"""What a process has cost so far, as the system tells it: processor time and memory; and what a
+slope is told with.
+"""
 
 import json
 import os
@@ -41,7 +43,9 @@
 
 
 def gauge_ms() -> float:
-    """Processor time of a fixed piece of work: a core that shares caches with busy ones takes more for the same."""
+    """Processor time of a fixed piece of work: a core that shares caches with busy ones takes more
+    for the same.
+    """
     text = json.dumps([{"name": f"n{at:06d}", "portion": at / 7} for at in range(20_000)])
     took = []
     for _ in range(5):
--- a/benchmarks/record_rates.py
+++ b/benchmarks/record_rates.py
@@ -58,7 +58,9 @@
 
 
 class Slower(Sqlite):
-    """On a disk whose sync takes two milliseconds, as many a server's does: slept before each COMMIT."""
+    """On a disk whose sync takes two milliseconds, as many a server's does: slept before each
+    COMMIT.
+    """
 
     def moment(self, batch: Any, name: str) -> None:
         if name == "commit":
@@ -282,7 +284,9 @@
 
 
 async def slow() -> None:
-    """Rates of bergen-hall's kind: balance views ten to each charge, near what 32 runs at a time carry."""
+    """Rates of bergen-hall's kind: balance views ten to each charge, near what 32 runs at a time
+    carry.
+    """
     for label, delay in (
         ("no record", None),
         ("store at ease", 0.0),
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,4 +1,5 @@
-"""How long until full service after nine in ten servers restart at once? Simulated, 3, 30 and 300 servers.
+"""How long until full service after nine in ten servers restart at once? Simulated, 3, 30 and 300
+servers.
 
     python benchmarks/recovery.py [--chart FOLDER] [--sizes 3 30] [--seeds 1 2 3]
 
@@ -33,9 +34,9 @@
 
 
 def world(size: int, seed: int, grown: bool) -> World:
-    """Runs want about as many calls as the catalogue bears well; callers retry without limit, half heed
-    nothing. `grown`: two thirds of the servers come at the beginning, and were not thought of when shares
-    were told.
+    """Runs want about as many calls as the catalogue bears well; callers retry without limit, half
+    heed nothing. `grown`: two thirds of the servers come at the beginning, and were not thought of
+    when shares were told.
     """
     joins = [{"kind": "join", "at_s": 0.5, "for_s": 0.5, "size": size - size // 3}] if grown else []
     return World.model_validate(
--- a/benchmarks/rollout_core.py
+++ b/benchmarks/rollout_core.py
@@ -31,8 +31,8 @@
 
 
 class World:
-    """A fleet of the core alone: servers that do as the book lets them, on a clock of its own; `share`: of
-    txns that a version voids.
+    """A fleet of the core alone: servers that do as the book lets them, on a clock of its own;
+    `share`: of txns that a version voids.
     """
 
     def __init__(self, size: int, budget: Budget, terms: Terms = TERMS, seed: int = 1) -> None:
--- a/benchmarks/rollout_waves.py
+++ b/benchmarks/rollout_waves.py
@@ -1,11 +1,11 @@
-"""Do drains and releases keep their budget, whatever fails? Simulated, 3, 30 and 300 servers, against plain
-scripts.
+"""Do drains and releases keep their budget, whatever fails? Simulated, 3, 30 and 300 servers,
+against plain scripts.
 
     python benchmarks/rollout_waves.py [--sizes 3 30] [--seeds 1 2 3] [--judge] [--walk]
 
-A release begins; while it goes on, a tenth of the servers is killed for some seconds, a second operator
-drains a tenth for work on their machines, and one step in fifty at the store is lost. Then a release that
-voids a share of what it runs. Processes take 0.5 to 8 s to be there again.
+A release begins; while it goes on, a tenth of the servers is killed for some seconds, a second
+operator drains a tenth for work on their machines, and one step in fifty at the store is lost. Then
+a release that voids a share of what it runs. Processes take 0.5 to 8 s to be there again.
 
 clock:   a script that restarts a tenth at a time, every 6 s.
 waiting: one that waits until each of a batch is up, for 20 s at the most. Both operators use the same script.
@@ -108,8 +108,9 @@
 
 
 class Seen:
-    """Looked at each 50 ms: `most` out at once by anyone's doing; `over`: drains begun while as many as
-    allowed, or more, were out; `unseen`: of these, those within a sign of life's time of a kill.
+    """Looked at each 50 ms: `most` out at once by anyone's doing; `over`: drains begun while as
+    many as allowed, or more, were out; `unseen`: of these, those within a sign of life's time of a
+    kill.
     """
 
     def __init__(self, releases: Releases, bound: int) -> None:
@@ -226,8 +227,8 @@
 def judged(
     share: float, spread: float, changed: int, others: int, plays: int = 400
 ) -> tuple[float, float]:
-    """Share of waves found bad by ours, and by a plain bound at twice the others' share plus one point.
-    Judged each half second over a minute; `spread`: by which servers differ by themselves.
+    """Share of waves found bad by ours, and by a plain bound at twice the others' share plus one
+    point. Judged each half second over a minute; `spread`: by which servers differ by themselves.
     """
     chance, found, plain = Random(hash((share, spread, changed))), 0, 0
     measure = Measure(span=30_000_000_000, least=100)
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,5 +1,5 @@
-"""Slopes of what the program costs by size: each command measures some, prints them with their fits and keeps
-them in `benchmarks/slopes.jsonl`.
+"""Slopes of what the program costs by size: each command measures some, prints them with their fits
+and keeps them in `benchmarks/slopes.jsonl`.
 
     python benchmarks/scale.py --help
 """
--- a/benchmarks/scale_callers.py
+++ b/benchmarks/scale_callers.py
@@ -2,8 +2,9 @@
 
     python benchmarks/scale.py callers                    # 50 to 5,000 connections, some two minutes
 
-How many callers reach one server is arithmetic and no measurement: 140,000 callers over 2,600 servers are 54 each if
-every caller holds one connection to one server; a caller that holds one to each of S servers makes that 54 times S.
+How many callers reach one server is arithmetic and no measurement: 140,000 callers over 2,600
+servers are 54 each if every caller holds one connection to one server; a caller that holds one to
+each of S servers makes that 54 times S.
 """
 
 import asyncio
@@ -40,7 +41,9 @@
 
 
 def held(pipe: Any, address: str, count: int) -> None:
-    """A process that holds so many connections, each with a request behind it, and says nothing more."""
+    """A process that holds so many connections, each with a request behind it, and says nothing
+    more.
+    """
     lines = []
     for _ in range(count):
         lines.append(Line(address))
@@ -51,7 +54,9 @@
 
 
 async def idle(count: int, span: float) -> tuple[float, float]:
-    """MB that a server holds more for so many silent connections, and ms of processor time a second for them."""
+    """MB that a server holds more for so many silent connections, and ms of processor time a second
+    for them.
+    """
     with tempfile.TemporaryDirectory() as folder:
         rig = Rig(Path(folder), **SERVER)
         rig.executor.commands = Runs(rig.executor, Load(1, 1, work=0.0))  # type: ignore[assignment]
@@ -78,7 +83,9 @@
 
 
 async def busy(count: int, span: float) -> tuple[float, float]:
-    """MB that a server holds more, and ms of processor time a request, while requests go round all connections."""
+    """MB that a server holds more, and ms of processor time a request, while requests go round all
+    connections.
+    """
     with tempfile.TemporaryDirectory() as folder:
         rig = Rig(Path(folder), **SERVER)
         load = Load(RATE, span, warm=0.5, connections=count, work=0.005)
--- a/benchmarks/scale_checker.py
+++ b/benchmarks/scale_checker.py
@@ -1,18 +1,17 @@
-"""Watches a scale run from outside: imports nothing of the program's, and knows only what was ordered and what was
-seen.
+"""Watches a scale run from outside: imports nothing of the program's, and knows only what was
+ordered and what was seen.
 
 It is told events in the order of their time, each `[at, name, what, ...]` with `at` in ns:
 
-- of a server: `began`, `ended`, `stands` (for s), `wakes`, `share` (thousandths of a call that it may have in hand;
-  `in hand`, that
-  it has), `applied` (epoch,
-  revision, a digest of what the change said, or none where that is not for it), `synced` (epoch, revision: what is
-  in force came as a
-  whole), `holds` (at the end: a digest of all that is in force there);
-- of whoever runs it: `put` (epoch, revision, digest), `cut` and `healed` (names that can't be reached), `process`
-  (name, processor time
-  so far in s, resident bytes), `traffic` (name, bytes so far), `on` and `off` (whether budgets of time and bytes
-  count).
+- of a server: `began`, `ended`, `stands` (for s), `wakes`, `share` (thousandths of a call that it
+may have in hand;
+  `in hand`, that it has), `applied` (epoch, revision, a digest of what the change said, or none
+  where that is not for it), `synced` (epoch, revision: what is in force came as a whole), `holds`
+  (at the end: a digest of all that is in force there);
+- of whoever runs it: `put` (epoch, revision, digest), `cut` and `healed` (names that can't be
+reached), `process`
+  (name, processor time so far in s, resident bytes), `traffic` (name, bytes so far), `on` and `off`
+  (whether budgets of time and bytes count).
 """
 
 import hashlib
@@ -29,8 +28,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """Of one process: ms of processor time a second, bytes, bytes a second; over means of `span`, since a moment is
-    no budget.
+    """Of one process: ms of processor time a second, bytes, bytes a second; over means of `span`,
+    since a moment is no budget.
     """
 
     cpu: float = 37.0
@@ -51,10 +50,9 @@
 
 
 class Sums:
-    """Calls below: what all may have in hand together, at each moment. `within`: of the total, what may be passed;
-    `spare`: thousandths
-    of a call on top, one call for each server whose calls are seen and not its share, since a share under one call
-    is one at times.
+    """Calls below: what all may have in hand together, at each moment. `within`: of the total, what
+    may be passed; `spare`: thousandths of a call on top, one call for each server whose calls are
+    seen and not its share, since a share under one call is one at times.
     """
 
     def __init__(
@@ -118,7 +116,9 @@
 
 @dataclass(slots=True)
 class Waiting:
-    """A change that is not yet in force on some who were up and reached all the while since it was put."""
+    """A change that is not yet in force on some who were up and reached all the while since it was
+    put.
+    """
 
     at: int
     names: set[str]
@@ -238,7 +238,9 @@
         )
 
     def sweep(self, at: int) -> None:
-        """What all have is waited for no more; what is waited for far too long is a change that was lost."""
+        """What all have is waited for no more; what is waited for far too long is a change that was
+        lost.
+        """
         for key, waiting in list(self.waiting.items()):
             if not waiting.names:
                 del self.waiting[key]
@@ -271,7 +273,9 @@
 
 
 class Contents:
-    """At the end: what is in force is what was put, by a digest that whoever runs it makes from what it put."""
+    """At the end: what is in force is what was put, by a digest that whoever runs it makes from
+    what it put.
+    """
 
     def __init__(self, wanted: dict[str, str], faults: Faults) -> None:
         """`wanted`: by the group of servers that hold the same, as `region:2`."""
@@ -286,8 +290,8 @@
 
 
 class Budgets:
-    """Of each process, at rest and under ordinary churn: `off` and `on` say what does not count. Memory counts
-    always.
+    """Of each process, at rest and under ordinary churn: `off` and `on` say what does not count.
+    Memory counts always.
     """
 
     def __init__(self, budgets: dict[str, Budget], faults: Faults) -> None:
@@ -350,8 +354,8 @@
 
 
 def worst_rate(told: Sequence[tuple[int, float]], span: float) -> float:
-    """The largest growth a second of what only grows, over spans of that length; over all of it where that is
-    less.
+    """The largest growth a second of what only grows, over spans of that length; over all of it
+    where that is less.
     """
     worst, first = 0.0, 0
     for now, value in told:
@@ -398,7 +402,8 @@
         for event in sorted(events, key=lambda event: event[0]):
             at, name, what, *told = event
             if what in ("began", "ended", "stands", "wakes"):
-                # Of one core of a server: that of the fleet says nothing of configuration, and the other way round.
+                # Of one core of a server: that of the fleet says nothing of configuration, and the
+                # other way round.
                 kind = told[0]
                 if kind == "fleet":
                     self.sums.event(at, name, what, told[1:])
--- a/benchmarks/scale_configuration.py
+++ b/benchmarks/scale_configuration.py
@@ -1,5 +1,6 @@
-"""What a server's configuration costs by the number of tenants in it: file, memory, start, and one change, which is a
-reload of the whole today. Routes stand in no configuration of ours yet: for them a plain dict is measured.
+"""What a server's configuration costs by the number of tenants in it: file, memory, start, and one
+change, which is a reload of the whole today. Routes stand in no configuration of ours yet: for them
+a plain dict is measured.
 
     python benchmarks/scale.py configuration                      # five sizes, some two minutes
     python benchmarks/scale.py configuration --sizes 100,200,300,400,500 --rounds 1 --dry
@@ -61,7 +62,9 @@
 
 
 class Pings(threading.Thread):
-    """One connection that asks for health again and again; the longest wait for an answer since `begin`."""
+    """One connection that asks for health again and again; the longest wait for an answer since
+    `begin`.
+    """
 
     def __init__(self, address: str) -> None:
         super().__init__(daemon=True)
@@ -94,7 +97,9 @@
 
 @dataclass
 class Found:
-    """Of one size. Times in ms, sizes in MB. `still`: the longest wait for an answer without a reload."""
+    """Of one size. Times in ms, sizes in MB. `still`: the longest wait for an answer without a
+    reload.
+    """
 
     file: float = 0.0
     listens: list[float] = field(default_factory=list)
@@ -149,7 +154,9 @@
 
 
 async def changed(rig: Rig, count: int, rounds: int, found: Found) -> None:
-    """Reloads, first without pings, for their processor time; then with them, for how long nobody else has a turn."""
+    """Reloads, first without pings, for their processor time; then with them, for how long nobody
+    else has a turn.
+    """
     pid = rig.process.pid
 
     async def idle(span: float) -> float:
--- a/benchmarks/scale_crowd.py
+++ b/benchmarks/scale_crowd.py
@@ -1,9 +1,10 @@
-"""One real member among scripted peers, in simulated time: what it costs at any size, without the square of work
-of a whole swarm.
+"""One real member among scripted peers, in simulated time: what it costs at any size, without the
+square of work of a whole swarm.
 
-The peers speak the real messages to the member, and answer it; among themselves they only pass on news, by the
-membership's own rules (six words a message, each so often; views that differ are read whole), without messages. What
-they do costs the member nothing: its processor time is taken around its own `tick` and `hear` alone.
+The peers speak the real messages to the member, and answer it; among themselves they only pass on
+news, by the membership's own rules (six words a message, each so often; views that differ are read
+whole), without messages. What they do costs the member nothing: its processor time is taken around
+its own `tick` and `hear` alone.
 """
 
 import heapq
@@ -91,8 +92,9 @@
 
 @dataclass(slots=True)
 class Peer:
-    """`seen`: what it knows otherwise than the crowd began with. `stale`: messages that are full of words which are no
-    news to anybody, as of one that came lately and has learned all of its view as news.
+    """`seen`: what it knows otherwise than the crowd began with. `stale`: messages that are full of
+    words which are no news to anybody, as of one that came lately and has learned all of its view
+    as news.
     """
 
     at: int
@@ -108,7 +110,9 @@
 
 
 class Crowd:
-    """`fleet`: the real member, whose place is `at`. `churn`: restarts and deaths a server a second."""
+    """`fleet`: the real member, whose place is `at`. `churn`: restarts and deaths a server a
+    second.
+    """
 
     def __init__(
         self, size: int, at: int, fleet: Fleet | None = None, churn: float = 0.0, seed: int = 1
--- a/benchmarks/scale_followers.py
+++ b/benchmarks/scale_followers.py
@@ -1,6 +1,6 @@
-"""What following configuration costs a server and the control machine that it follows, on sockets: hollow servers in
-two hosts, one
-control machine with the real core in a process of its own, so that /proc tells what it costs.
+"""What following configuration costs a server and the control machine that it follows, on sockets:
+hollow servers in two hosts, one control machine with the real core in a process of its own, so that
+/proc tells what it costs.
 
     python benchmarks/scale_followers.py --by followers [--keep]    # 25 to 400 of them, 0.4 changes a second
     python benchmarks/scale_followers.py --by changes [--keep]      # 0.4 to 8 a second, 100 followers
@@ -24,7 +24,8 @@
 from burlloom.lab.slopes import Row, exponent_word, fit, keep  # noqa: E402
 
 SIZES = {"followers": (25.0, 50.0, 100.0, 200.0, 400.0), "changes": (0.4, 1.0, 2.0, 4.0, 8.0)}
-# ms, after which a follower gives its upstream up: hosts that were later were starved, and count for nothing.
+# ms, after which a follower gives its upstream up: hosts that were later were starved, and count
+# for nothing.
 LAG_MOST = 3000.0
 
 
--- a/benchmarks/scale_members.py
+++ b/benchmarks/scale_members.py
@@ -1,6 +1,6 @@
-"""What a member of a fleet costs on sockets, by how many servers the fleet has: hollow ones, in hosts of some forty,
-with the one
-that deals and one other alone in a process each, so that /proc tells what they cost.
+"""What a member of a fleet costs on sockets, by how many servers the fleet has: hollow ones, in
+hosts of some forty, with the one that deals and one other alone in a process each, so that /proc
+tells what they cost.
 
     python benchmarks/scale_members.py --sizes 30,100,200,300,450,600 [--keep]
 """
@@ -21,7 +21,8 @@
 from burlloom.lab.distances import laid_out  # noqa: E402
 from burlloom.lab.slopes import Row, exponent_word, fit, keep  # noqa: E402
 
-# ms, what an answer to a probe may take; a host's loop that was later was starved, and counts for nothing.
+# ms, what an answer to a probe may take; a host's loop that was later was starved, and counts for
+# nothing.
 LAG_MOST = 200.0
 SHARE = 4.0  # calls a server
 EACH = 5  # that begin at once, four times a second
--- a/benchmarks/scale_real.py
+++ b/benchmarks/scale_real.py
@@ -1,8 +1,8 @@
-"""Real servers of a scale run: processes of the program between stand-ins of our own, under an open-loop load.
+"""Real servers of a scale run: processes of the program between stand-ins of our own, under an
+open-loop load.
 
-What the server adds to a request is counted from the moment at which it was to be sent, less what the stand-ins
-took. Every
-request, run and answer is told to the lab's checker of the four rules.
+What the server adds to a request is counted from the moment at which it was to be sent, less what
+the stand-ins took. Every request, run and answer is told to the lab's checker of the four rules.
 """
 
 import asyncio
@@ -31,7 +31,9 @@
 
 
 class Below(Catalogue):
-    """The dependency that all share; tells the checker, as thousandths of a call, when how many were in hand."""
+    """The dependency that all share; tells the checker, as thousandths of a call, when how many
+    were in hand.
+    """
 
     def __init__(self, events: list[list[Any]]) -> None:
         super().__init__(self.answer)
@@ -61,8 +63,8 @@
 
 
 class Real(Rig):
-    """One server, its executor, and who asks it. `started`: called after each start, with its log's newest
-    addresses.
+    """One server, its executor, and who asks it. `started`: called after each start, with its log's
+    newest addresses.
     """
 
     def __init__(
@@ -123,8 +125,8 @@
         ]  # type: ignore[attr-defined]
 
     def configured(self) -> list[list[Any]]:
-        """What its log says of the changes in force, for the checker; without what they say, which stands in no
-        log.
+        """What its log says of the changes in force, for the checker; without what they say, which
+        stands in no log.
         """
         ahead = time.clock_gettime_ns(time.CLOCK_BOOTTIME) - time.time_ns()
         found: list[list[Any]] = []
@@ -171,7 +173,9 @@
             self.took[id] = time.monotonic() - self.ran.pop(id, now)
 
     async def load(self, life: int) -> None:
-        """Sends when it is time to, however late the answers are; nothing while the server is down."""
+        """Sends when it is time to, however late the answers are; nothing while the server is
+        down.
+        """
         balancer = await self.balancer()
         at = time.monotonic()
         while not balancer.ended.is_set():
--- a/benchmarks/scale_request.py
+++ b/benchmarks/scale_request.py
@@ -1,4 +1,5 @@
-"""What the way of a request costs by requests a second, and what it costs while the server does something for control.
+"""What the way of a request costs by requests a second, and what it costs while the server does
+something for control.
 
     python benchmarks/scale.py request                    # without calls below, some two minutes
     python benchmarks/scale.py request --calls
@@ -8,8 +9,9 @@
     python benchmarks/scale.py lead                       # while it leads a release, by servers
     python benchmarks/scale.py deal                       # while it deals, by members; --plain: while another does
 
-Open loop: Poisson arrivals from a seed, latency from the intended moment, in an HDR histogram. Latency wants a machine
-at rest: each line says its load, and a row from a busy machine says so. Processor time counts then too.
+Open loop: Poisson arrivals from a seed, latency from the intended moment, in an HDR histogram.
+Latency wants a machine at rest: each line says its load, and a row from a busy machine says so.
+Processor time counts then too.
 """
 
 import asyncio
@@ -58,7 +60,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Played:
-    """Of one run. `cpu`: processor time of the server's loop, ms a request, less what it takes at rest."""
+    """Of one run. `cpu`: processor time of the server's loop, ms a request, less what it takes at
+    rest.
+    """
 
     sent: list[Sent]
     own: dict[str, int]  # ns that the stand-ins had each
@@ -350,7 +354,9 @@
 
 
 class Members(Reloads):
-    """The server is one of `count` members, all others hollow. `deals`: by its life it is the one that deals."""
+    """The server is one of `count` members, all others hollow. `deals`: by its life it is the one
+    that deals.
+    """
 
     by = "members"
 
@@ -389,8 +395,9 @@
             pipe.send(words)
 
     async def ready(self, rig: Rig) -> None:
-        """Until nearly all know nearly all (of few, all of them) and who deals, and the server's view is another's too;
-        or nearly so for a while, as on a busy machine there is always somebody who is suspected.
+        """Until nearly all know nearly all (of few, all of them) and who deals, and the server's
+        view is another's too; or nearly so for a while, as on a busy machine there is always
+        somebody who is suspected.
         """
         self.tell("real", re.findall(r"event=fleet-open .* address=(\S+)", rig.log())[-1])
         async with asyncio.timeout(60):
@@ -408,15 +415,18 @@
                 await asyncio.sleep(0.2)
 
     async def seen(self) -> tuple[bool, list[tuple[str, int]]]:
-        """Whether the server's view is that of others; by each hollow member, who deals, and how many are there."""
+        """Whether the server's view is that of others; by each hollow member, who deals, and how
+        many are there.
+        """
         self.tell("see")
         found = [await word_of(pipe) for _, pipe in self.processes]
         return any(same for same, _ in found), [one for _, members in found for one in members]
 
 
 class Rejoins(Members):
-    """It is cut off for so long that it is taken for dead, and healed: that is the moment. Where the row says that it was
-    gone to 0% of the others, it was not: nothing but a suspicion was refuted.
+    """It is cut off for so long that it is taken for dead, and healed: that is the moment. Where
+    the row says that it was gone to 0% of the others, it was not: nothing but a suspicion was
+    refuted.
     """
 
     def __init__(self, count: int, times: int, gap: float) -> None:
@@ -440,7 +450,9 @@
 
 
 class Leads(Reloads):
-    """The server leads a release of `count` servers, all others hollow; it runs the next version already."""
+    """The server leads a release of `count` servers, all others hollow; it runs the next version
+    already.
+    """
 
     by = "servers"
 
@@ -512,7 +524,9 @@
 def during(
     what: str, sizes: str, rate: int, times: int, gap: float, seed: int, dry: bool, to: Path
 ) -> None:
-    """p99 and the longest answer around what a server does for control, against the same without."""
+    """p99 and the longest answer around what a server does for control, against the same
+    without.
+    """
     kind: type[Reloads] = {"reload": Reloads, "rejoin": Rejoins}[what]
     counts = whole(sizes or (TENANTS if kind is Reloads else MEMBERS))
     command = (
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -1,17 +1,15 @@
-"""The scale run: thousands of hollow servers that follow configuration, control machines, and real servers under
-load, while
-faults are played from a seed and a checker of its own watches.
+"""The scale run: thousands of hollow servers that follow configuration, control machines, and real
+servers under load, while faults are played from a seed and a checker of its own watches.
 
     python benchmarks/scale.py run --servers 2600 --control 19 --real 8 --rate 0.4         # some five minutes
     python benchmarks/scale_run.py --servers 60 --hosts 2 --control 3 --real 2 --pace 0.17    # what the tests play
 
-Churn is sped up 60 times (11,000 restarts and 740 deaths a day over 2,600 servers come to 8.6 a second); cuts of
-regions last half
-a minute in place of minutes. The fleet that shares out calls is a rack of one zone with the real servers: one of all
-is past
-what a member keeps (`MEMBERS_MOST`), and one of a zone past what a machine with slow sockets carries
-(docs/results.md). The
-network delays by distance and loses; a run for which the machine was too busy says so and counts for nothing.
+Churn is sped up 60 times (11,000 restarts and 740 deaths a day over 2,600 servers come to 8.6 a
+second); cuts of regions last half a minute in place of minutes. The fleet that shares out calls is
+a rack of one zone with the real servers: one of all is past what a member keeps (`MEMBERS_MOST`),
+and one of a zone past what a machine with slow sockets carries (docs/results.md). The network
+delays by distance and loses; a run for which the machine was too busy says so and counts for
+nothing.
 """
 
 import asyncio
@@ -42,10 +40,11 @@
 from burlloom.lab.rules import Rules  # noqa: E402
 
 SIGNING = "7c" * 32
-# ms, of 99 in 100 seconds of hosts: a sixth of what a change may take. Later loops were starved, and say nothing of
-# the program.
+# ms, of 99 in 100 seconds of hosts: a sixth of what a change may take. Later loops were starved,
+# and say nothing of the program.
 LAG_MOST = 1000.0
-# ms, by which 99 in 100 looks of whoever asks the real servers may be late, for what they add to a request to count.
+# ms, by which 99 in 100 looks of whoever asks the real servers may be late, for what they add to a
+# request to count.
 ASKER_LAG_MOST = 1.0
 FASTER = 60  # that the churn is sped up by
 RESTARTS, DEATHS, FLEET = 11_000 / 86_400, 740 / 86_400, 2600  # a second, over so many
@@ -78,7 +77,8 @@
     pace: float = 1.0  # how long each phase is, against what the story says
     only: tuple[str, ...] = ()
     fleet: int = 24  # of a zone, that share out calls below with the real ones
-    beat: float = 1.0  # s, between reports; all other spans of following go with it, as in the operator's file
+    # s, between reports; all other spans of following go with it, as in the operator's file
+    beat: float = 1.0
     begin: int = 700  # servers that begin in a second
     opening: int = 100  # processes that are started at a time
     asked: float = 30.0  # requests a second to each real one
@@ -719,9 +719,8 @@
 
 
 def starved(run: Run, phase: Phase | None = None) -> float:
-    """ms: what the worst lag of a second of a host was over in one of a hundred, in that phase, or from the first
-    one on: before it
-    nothing is measured, and all hosts begin at once.
+    """ms: what the worst lag of a second of a host was over in one of a hundred, in that phase, or
+    from the first one on: before it nothing is measured, and all hosts begin at once.
     """
     began, ended = (
         (phase.began, phase.ended)
--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -1,8 +1,9 @@
-"""What control costs by servers: a plain member, the one that deals, a newcomer, a release, agreement, discovery.
+"""What control costs by servers: a plain member, the one that deals, a newcomer, a release,
+agreement, discovery.
 
-Processor time is that of the member's own `tick` and `hear`; bytes are of the messages, without the 28 that IP and
-UDP add to each. One real member stands among scripted peers (scale_crowd.py); agreement and cold starts play whole
-swarms of real members in simulated time.
+Processor time is that of the member's own `tick` and `hear`; bytes are of the messages, without the
+28 that IP and UDP add to each. One real member stands among scripted peers (scale_crowd.py);
+agreement and cold starts play whole swarms of real members in simulated time.
 """
 
 import asyncio
@@ -85,8 +86,8 @@
 
 
 def play(crowd: Crowd, warm: float, seconds: float) -> Tally:
-    """What the real member did in the seconds after the first `warm`; without churn, its processor time is the median of
-    five spans, as that of a busy machine's core comes in bursts.
+    """What the real member did in the seconds after the first `warm`; without churn, its processor
+    time is the median of five spans, as that of a busy machine's core comes in bursts.
     """
     crowd.run(warm)
     crowd.tally, crowd.events, costs = Tally(), 0, []
@@ -211,7 +212,9 @@
 
 @part("newcomer", states=("rest",))
 def newcomer(size: int, state: str) -> Found:
-    """One that knows three addresses, until its view is the crowd's; and one of whom a whole view is asked once."""
+    """One that knows three addresses, until its view is the crowd's; and one of whom a whole view
+    is asked once.
+    """
     all_of = words(size)
     at = size // 2
     fresh = Fleet(
@@ -394,7 +397,9 @@
 
 @part("subset", states=("rest",))
 def subset(size: int, state: str) -> Found:
-    """What a server works out anew whenever somebody comes or goes, off the loop and on the same core."""
+    """What a server works out anew whenever somebody comes or goes, off the loop and on the same
+    core.
+    """
     names, services = (
         [word.name for word in words(size)],
         [f"10.0.0.{at}:80" for at in range(SERVICES)],
--- a/benchmarks/scale_swarms.py
+++ b/benchmarks/scale_swarms.py
@@ -1,4 +1,6 @@
-"""Whole swarms of real members in simulated time: how long until all agree, and what a start of all at once costs."""
+"""Whole swarms of real members in simulated time: how long until all agree, and what a start of all
+at once costs.
+"""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -13,7 +15,9 @@
 
 
 class Agreeing(Swarm):
-    """`agreed` once a look, over hundreds of members: what a view shows is worked out anew only where it changed."""
+    """`agreed` once a look, over hundreds of members: what a view shows is worked out anew only
+    where it changed.
+    """
 
     shown: dict[str, tuple[object, int, frozenset[str]]]
 
--- a/benchmarks/scale_table.py
+++ b/benchmarks/scale_table.py
@@ -3,13 +3,14 @@
     python benchmarks/scale_table.py                          all ways and sizes, kept in slopes.jsonl
     python benchmarks/scale_table.py --way table --no-keep    one way, only shown
 
-Each way and size has a process of its own. Entries are 64 tenants to 36 routes, keys of 12 to 40 bytes,
-values as MessagePack maps of 10 to 60. All ways are filled by changes of 64 in an order of chance, the
-dearest for what is sorted; `pages` fills the table bucket by bucket, as a newcomer does. Figures: resident
-memory beyond the empty process, processor time of a lookup (half of them of keys that are not there), of a
-change of 64 entries (half of them new), of a page of 1,300 bytes, of the whole fill, and of the longest single step of it (the
-collector is off, as nothing here makes cycles). All but the dicts and sorted arrays look in two scopes; all
-check the entries and keep the digests.
+Each way and size has a process of its own. Entries are 64 tenants to 36 routes, keys of 12 to 40
+bytes, values as MessagePack maps of 10 to 60. All ways are filled by changes of 64 in an order of
+chance, the dearest for what is sorted; `pages` fills the table bucket by bucket, as a newcomer
+does. Figures: resident memory beyond the empty process, processor time of a lookup (half of them of
+keys that are not there), of a change of 64 entries (half of them new), of a page of 1,300 bytes, of
+the whole fill, and of the longest single step of it (the collector is off, as nothing here makes
+cycles). All but the dicts and sorted arrays look in two scopes; all check the entries and keep the
+digests.
 """
 
 import gc
@@ -153,7 +154,9 @@
 
 
 class SortedArrays(Digests):
-    """A bucket is one sorted run with an overlay that is folded in when it has as many as `FOLD`."""
+    """A bucket is one sorted run with an overlay that is folded in when it has as many as
+    `FOLD`.
+    """
 
     FOLD = 64
 
@@ -319,7 +322,9 @@
 )
 @click.option("--one", type=int, hidden=True, help="One size in this process, told as JSON.")
 def table(ways: tuple[str, ...], kept: bool, one: int | None) -> None:
-    """Ways to hold what is in force, by entries: memory, lookup, change, page, longest step, fill."""
+    """Ways to hold what is in force, by entries: memory, lookup, change, page, longest step,
+    fill.
+    """
     if one is not None:
         print(json.dumps(measured(ways[0], one)))
         return
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -1,8 +1,10 @@
-"""Requests at a rate that waits for no answer, from a process of its own, and what runs and calls them in others.
+"""Requests at a rate that waits for no answer, from a process of its own, and what runs and calls
+them in others.
 
-Times are ns of CLOCK_MONOTONIC, which all processes of a machine share. A request's latency counts from the moment at
-which it was to be sent. What the server added to it is that, less what the stand-ins for its run and its call had it:
-from a command's reading to the write of its answer, told by themselves for each request.
+Times are ns of CLOCK_MONOTONIC, which all processes of a machine share. A request's latency counts
+from the moment at which it was to be sent. What the server added to it is that, less what the
+stand-ins for its run and its call had it: from a command's reading to the write of its answer, told
+by themselves for each request.
 """
 
 import asyncio
@@ -36,7 +38,9 @@
 
 
 class Sent(NamedTuple):
-    """One request and what became of it. `how`: settled, or the error's name, or lost with its connection."""
+    """One request and what became of it. `how`: settled, or the error's name, or lost with its
+    connection.
+    """
 
     id: str
     intended: int
@@ -47,7 +51,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """`work`, `call`: s that the stand-ins take for a run, and for the call below of each (None: it makes none)."""
+    """`work`, `call`: s that the stand-ins take for a run, and for the call below of each (None: it
+    makes none).
+    """
 
     rate: float
     seconds: float
@@ -126,7 +132,8 @@
 def generate(pipe: Pipe, address: str, load: Load) -> None:
     """Says when it is ready; is told when to begin; tells all that became of its requests."""
     chance = random.Random(load.seed)
-    # Itself waited for by `select`, whose time-outs are finer than 1 ms: made first, as that takes low numbers.
+    # Itself waited for by `select`, whose time-outs are finer than 1 ms: made first, as that takes
+    # low numbers.
     heard = select.epoll()
     lines = [Line(address) for _ in range(load.connections)]
     for line in lines:
@@ -177,7 +184,9 @@
 
 
 class Runs:
-    """Stands in the place of the executor's queue of commands: each run takes `work`, and one call before it if any."""
+    """Stands in the place of the executor's queue of commands: each run takes `work`, and one call
+    before it if any.
+    """
 
     def __init__(self, executor: Executor, load: Load) -> None:
         self.executor, self.load, self.own = executor, load, dict[str, int]()
@@ -200,7 +209,9 @@
 
 
 def below(pipe: Pipe, takes: float) -> None:
-    """The process of what is called: tells its address, then, asked to end, how long it had each."""
+    """The process of what is called: tells its address, then, asked to end, how long it had
+    each.
+    """
     own: dict[str, int] = {}
 
     async def reply(id: str) -> Reply:
@@ -245,8 +256,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """Of the requests of a span, ms. `p50`, `p99`: added by the server to those that were settled; `longest`: to any;
-    `whole_p99`: from the intended moment to the answer; `late_p99`: by which the generator was late.
+    """Of the requests of a span, ms. `p50`, `p99`: added by the server to those that were settled;
+    `longest`: to any; `whole_p99`: from the intended moment to the answer; `late_p99`: by which the
+    generator was late.
     """
 
     count: int
--- a/burlloom/catalogue/pool.py
+++ b/burlloom/catalogue/pool.py
@@ -37,7 +37,8 @@
 class Reply:
     """Collects one reply for httptools.
 
-    1xx may come before it. What comes behind it is nothing to it, but ends the connection's further use.
+    1xx may come before it. What comes behind it is nothing to it, but ends the connection's further
+    use.
     """
 
     def __init__(self) -> None:
@@ -84,7 +85,8 @@
         self.pieces.append(body)
 
     def on_message_complete(self) -> None:
-        # Asked only here is the parser's answer of this reply: right after, it is of the next, and no.
+        # Asked only here is the parser's answer of this reply: right after, it is of the next, and
+        # no.
         status = self.parser.get_status_code()
         if not self.over and status >= 200:
             self.over, self.keep, self.status = True, self.parser.should_keep_alive(), status
@@ -105,7 +107,9 @@
     def __init__(
         self, address: tuple[str, int] | None, spare: Callable[[], bool] = lambda: False
     ) -> None:
-        """`None`: this server was told of no catalogue, and reaches none. `spare` frees a descriptor elsewhere."""
+        """`None`: this server was told of no catalogue, and reaches none. `spare` frees a
+        descriptor elsewhere.
+        """
         self.aim(address)
         self.spare = spare
         self.kept: list[tuple[socket.socket, int]] = []
@@ -131,8 +135,9 @@
     async def call(self, id: str, body: bytes, patience: int, kept: bool) -> tuple[Answer, bytes]:
         """One call; given up when `patience` is over, or the task is cancelled.
 
-        A kept connection may have been forgotten at its other end, and a reset then looks like one of a call
-        that ran: where that may not be repeated, `kept` is false and the call has a connection of its own.
+        A kept connection may have been forgotten at its other end, and a reset then looks like one
+        of a call that ran: where that may not be repeated, `kept` is false and the call has a
+        connection of its own.
         """
         sock: socket.socket | None = None
         address = self.address
@@ -147,14 +152,16 @@
                 if new:
                     await loop.sock_connect(sock, address)
                 wrote = True
-                # What the dial took is no longer ours to wait: the other side would work on for nobody.
+                # What the dial took is no longer ours to wait: the other side would work on for
+                # nobody.
                 await loop.sock_sendall(sock, self.text(id, body, until - time.monotonic_ns()))
                 await self.read(sock, reply)
             keep = reply.keep
             reason = Reason.NOT_KEPT
             return reply.answer(), reply.body()
         except TimeoutError:
-            # After a pause of the process its timers fire before anything is read: the reply may lie there.
+            # After a pause of the process its timers fire before anything is read: the reply may
+            # lie there.
             if sock is not None and wrote and waits(sock, reply):
                 return reply.answer(), reply.body()
             return Answer.OUT_OF_TIME if wrote else Answer.UNREACHED, b""
@@ -192,7 +199,9 @@
             reply.feed(room[:size])
 
     def take(self) -> tuple[socket.socket, bool]:
-        """A kept connection that is still good, the last used first; or else a new one, and whether it is."""
+        """A kept connection that is still good, the last used first; or else a new one, and whether
+        it is.
+        """
         while self.kept:
             sock, since = self.kept.pop()
             if time.monotonic_ns() - since < KEPT_FOR and quiet(sock):
--- a/burlloom/catalogue/spread.py
+++ b/burlloom/catalogue/spread.py
@@ -9,8 +9,9 @@
 
 
 class Pools:
-    """As `Pool`, over a set of addresses that may change. `next` names where a call goes, `told` hears what
-    became of it; neither may be asked of twice for one call: a repeat is a call of its own.
+    """As `Pool`, over a set of addresses that may change. `next` names where a call goes, `told`
+    hears what became of it; neither may be asked of twice for one call: a repeat is a call of its
+    own.
     """
 
     def __init__(
--- a/burlloom/choice.py
+++ b/burlloom/choice.py
@@ -1,12 +1,12 @@
 """The decisions of one server: what it takes, starts, turns away and calls.
 
-A host makes one `Choice` for each life of a server, calls `begin`, and from then on hands it each thing
-that happens, in order and with the time: `arrived`, `ended`, `at_call`, `call_ended`, `left`, `leaving`,
-`woke` and, where they are on, `serve_at` for levels of reduced service and `share_calls` for a share of
-the calls that the fleet deals. Each acts at once through `interface.Effects`; the types are in
-`interface.py`, the reasons in `docs/design.md`. Read TABLE first: a txn in a state meets an input; the
-first row whose tests all hold moves it and has its effect. Tests and effects are methods of `Choice`, or
-else of `interface.Effects`.
+A host makes one `Choice` for each life of a server, calls `begin`, and from then on hands it each
+thing that happens, in order and with the time: `arrived`, `ended`, `at_call`, `call_ended`, `left`,
+`leaving`, `woke` and, where they are on, `serve_at` for levels of reduced service and `share_calls`
+for a share of the calls that the fleet deals. Each acts at once through `interface.Effects`; the
+types are in `interface.py`, the reasons in `docs/design.md`. Read TABLE first: a txn in a state
+meets an input; the first row whose tests all hold moves it and has its effect. Tests and effects
+are methods of `Choice`, or else of `interface.Effects`.
 """
 
 from collections import OrderedDict, deque
@@ -48,7 +48,8 @@
     5,
     500 * MS,
 )  # calls failed in a row until calling stops; between its single trials
-CALL_ROOM = 8  # a share under one call is metered over a span in which it comes to this many times the linger
+# a share under one call is metered over a span in which it comes to this many times the linger
+CALL_ROOM = 8
 CALLS_MIN, CROWDED, CREEP, REBASE = (
     5,
     3.0,
@@ -260,14 +261,18 @@
         self.meet(now, ref, Input.BACK if outcome is Outcome.OK else Input.BROKE)
 
     def leaving(self, now: int, noticed: int, stop: int) -> None:
-        """`noticed` is when the notice came, by the most cautious reckoning: the grace counts from there."""
+        """`noticed` is when the notice came, by the most cautious reckoning: the grace counts from
+        there.
+        """
         self.tick(now)
         self.stop, self.last_arrival = stop, noticed + self.facts.grace
         self.signal()
         self.advance()
 
     def serve_at(self, now: int, service: Service) -> None:
-        """A level of reduced service holds from now on: what it takes away of the held is told at once."""
+        """A level of reduced service holds from now on: what it takes away of the held is told at
+        once.
+        """
         self.tick(now)
         self.service = service
         for case in list(self.hold_list.values()):
@@ -276,7 +281,9 @@
         self.advance()
 
     def share_calls(self, now: int, share: float) -> None:
-        """Our share of the calls below from now on, above 0. Those in hand stay; none is added past it."""
+        """Our share of the calls below from now on, above 0. Those in hand stay; none is added past
+        it.
+        """
         self.tick(now)
         self.facts, self.call_most = replace(self.facts, calls_share=share), share
         if 0 < share < 1 and self.call_quota() < CALL_ROOM * self.facts.linger:
@@ -299,8 +306,8 @@
     # The loop.
 
     def tick(self, now: int) -> None:
-        # A pause of the whole process lets every held txn look stale though no newcomer waited longer:
-        # the part of a gap that no timer round explains is left out of their ages.
+        # A pause of the whole process lets every held txn look stale though no newcomer waited
+        # longer: the part of a gap that no timer round explains is left out of their ages.
         if now - self.now > GAP:
             self.slept += now - self.now - ROUND
             self.moved += now - self.now - ROUND
@@ -343,7 +350,9 @@
             self.spent.append(case)
 
     def advance(self) -> None:
-        """Fills what is free: calls, first to those that can't go without, then runs from the newest held."""
+        """Fills what is free: calls, first to those that can't go without, then runs from the
+        newest held.
+        """
         while self.door and self.may_call():
             self.feed(min(self.door.values(), key=self.can_skip), Input.GRANT)
         while (
@@ -360,7 +369,9 @@
         return sum(self.count[State.RUN : State.COPY + 1])
 
     def running(self) -> int:
-        """Those at a call leave the count, up to as many as may call: the rest would only queue there."""
+        """Those at a call leave the count, up to as many as may call: the rest would only queue
+        there.
+        """
         away = self.count[State.DOOR] + self.count[State.CALL]
         return (
             self.count[State.RUN]
@@ -395,7 +406,8 @@
         ends = [end for end in self.took[case.txn.product] if end[0] > self.now - ENDS_FOR]
         if not ends:
             return 0.0
-        # Against a slow spell that is over: while most newcomers are thought too late, few new ends say so.
+        # Against a slow spell that is over: while most newcomers are thought too late, few new ends
+        # say so.
         all_take, new_take = (
             sum(end[1] for end in part) / sum(end[2] for end in part)
             for part in (ends, ends[-NEWEST:])
@@ -419,7 +431,8 @@
         return share if share >= AILING_FROM else 0.0
 
     def struck(self) -> bool:
-        # Against a crawling server that draws arrivals to decline them late; less may be a jam of all.
+        # Against a crawling server that draws arrivals to decline them late; less may be a jam of
+        # all.
         return self.unread_mean() > self.lag or self.hung() or self.ailing() >= 0.5
 
     def calls_in_hand(self) -> int:
@@ -427,7 +440,9 @@
         return self.count[State.CALL] + len(self.lingering)
 
     def forerunner(self, case: Case) -> Case | None:
-        """The try that now stands for this one's effect: a batch may name one that was since replaced."""
+        """The try that now stands for this one's effect: a batch may name one that was since
+        replaced.
+        """
         first = self.cases.get(case.txn.repeat_of)
         while first is not None and first.heir is not None:
             first = first.heir
@@ -450,7 +465,8 @@
     def late(self, case: Case) -> bool:
         """It can't make its SLA time here, or not here but perhaps elsewhere (harms without hints).
 
-        Alone it costs nobody a turn, but a faster server may make it. With others, newer ones go first.
+        Alone it costs nobody a turn, but a faster server may make it. With others, newer ones go
+        first.
         """
         end = min(case.wanted, self.stop) - MARGIN
         sure = SURE if len(self.hold_list) <= (case.state == State.HELD) else 1.0
@@ -522,7 +538,9 @@
         )
 
     def no_call(self, case: Case) -> bool:
-        """Calling has stopped, or its queue has taken so long that even a poorer answer is at stake."""
+        """Calling has stopped, or its queue has taken so long that even a poorer answer is at
+        stake.
+        """
         relief = self.relief(case)
         return (
             self.broken >= BREAK_AFTER
@@ -533,10 +551,12 @@
         )
 
     def meter_calls(self) -> None:
-        """Where our share is under one call it is a share of time, metered over a span in which calls fit.
+        """Where our share is under one call it is a share of time, metered over a span in which
+        calls fit.
 
-        A life begins as if its share were just used up, but for a part by chance: nobody spends a whole one at
-        a start, whatever the life before had spent, nor do all servers that start together call in step.
+        A life begins as if its share were just used up, but for a part by chance: nobody spends a
+        whole one at a start, whatever the life before had spent, nor do all servers that start
+        together call in step.
         """
         facts, share = self.facts, self.facts.calls_share
         self.call_span, self.call_need, self.phase = max(facts.calls_span, 10), 2 * facts.linger, 0
@@ -610,9 +630,9 @@
         )
 
     def relieve(self, case: Case) -> None:
-        """It does not press: what a level takes away is no strain. Final only where whole products are given
-        up: every other server would read it too. Where callers hear a floor, that keeps its likes away; a
-        long advice would keep away what is still served.
+        """It does not press: what a level takes away is no strain. Final only where whole products
+        are given up: every other server would read it too. Where callers hear a floor, that keeps
+        its likes away; a long advice would keep away what is still served.
         """
         self.drop(case)
         floor = self.facts.free_value is FreeValue.FLOOR
@@ -648,7 +668,8 @@
         if 0 < self.facts.calls_share < 1:
             stop = min(stop, self.now + int(self.call_room()) - self.facts.linger)
         elif self.broken < BREAK_AFTER and self.call_base:
-            # Against calls that are never answered: waited for until the end, a few fill all there may be.
+            # Against calls that are never answered: waited for until the end, a few fill all there
+            # may be.
             usual = max(
                 self.call_base, self.call_times.total(self.now) / (self.calls.total(self.now) or 1)
             )
@@ -668,7 +689,8 @@
                 self.do.release(case.txn.ref)
 
     def pace(self, gauges: Gauges) -> None:
-        # The use of the cores is a late mean; by it alone the limit overshoots: who wants one now counts.
+        # The use of the cores is a late mean; by it alone the limit overshoots: who wants one now
+        # counts.
         oldest = self.oldest()
         want = (gauges.on_cores if gauges.on_cores >= 0 else self.started()) / self.facts.cores
         if oldest is not None and want < 1 and gauges.core_use < IDLE_USE:
@@ -685,9 +707,11 @@
         self.press = max(0.0, min(1.0, self.press + PRESS_GAIN * (strain - PRESS_AIM)))
 
     def pace_links(self, gauges: Gauges) -> None:
-        """Against more callers than the table holds, most of whom come back only after their connection went.
+        """Against more callers than the table holds, most of whom come back only after their
+        connection went.
 
-        Those far beyond use go early. But a full table turns newcomers back unread: cheap in a flood.
+        Those far beyond use go early. But a full table turns newcomers back unread: cheap in a
+        flood.
         """
         spare = gauges.links > SPARE_LINKS * (self.facts.cores + len(self.live)) and not (
             gauges.core_use >= FLOOD_USE and self.turned_share() > FLOOD
@@ -701,11 +725,13 @@
             self.do.idle(idle)
 
     def pace_calls(self) -> None:
-        # Queued calls press while they queue, or what is worth least takes as many of them as the rest.
+        # Queued calls press while they queue, or what is worth least takes as many of them as the
+        # rest.
         more = min(1.0, self.call_press + PRESS_GAIN * self.turned_share())
         self.call_press = more if self.door else self.call_press * CUT
-        # What lies below slows all its callers long before our share is up: calls are paced as runs are.
-        # At a quarter of our share, longer ones have another reason: their base follows (harms in crowds).
+        # What lies below slows all its callers long before our share is up: calls are paced as runs
+        # are. At a quarter of our share, longer ones have another reason: their base follows (harms
+        # in crowds).
         count = self.calls.total(self.now)
         if count >= CALLS_MIN:
             mean, least = self.call_times.total(self.now) / count, self.call_most / 4
--- a/burlloom/command/demo.py
+++ b/burlloom/command/demo.py
@@ -1,4 +1,6 @@
-"""Shows the server at work between stand-ins of our own: charges, a crash, and the repeat settled from the record."""
+"""Shows the server at work between stand-ins of our own: charges, a crash, and the repeat settled
+from the record.
+"""
 
 import asyncio
 import json
@@ -100,7 +102,9 @@
         )
 
     async def execute(self) -> None:
-        """The executor's side: a charge makes a call, then takes 50 ms, and says how often it ran."""
+        """The executor's side: a charge makes a call, then takes 50 ms, and says how often it
+        ran.
+        """
         while True:
             name, id, *_ = await self.executor.commands.get()
             body = self.executor.bodies[id]
--- a/burlloom/command/distribution.py
+++ b/burlloom/command/distribution.py
@@ -31,7 +31,9 @@
 
 @click.group()
 def distribution() -> None:
-    """Configuration that is distributed: run a control machine, put changes, see what is in force."""
+    """Configuration that is distributed: run a control machine, put changes, see what is in
+    force.
+    """
 
 
 def part_of(operator: Path | None) -> tuple["Operator", "Distribution"]:
@@ -148,7 +150,9 @@
 
 
 def change_of(got: Any) -> tuple[str, list["Entry"], list[str]]:
-    """Of a line `{"scope": "", "entries": [{"kind": "tenant", "key": "acme", "value": {"portion": 2}}]}`."""
+    """Of a line `{"scope": "", "entries": [{"kind": "tenant", "key": "acme", "value": {"portion":
+    2}}]}`.
+    """
     import msgpack
 
     from ..distribution.changes import Entry
@@ -203,9 +207,9 @@
 def put(operator: Path | None, file: Path) -> None:
     """Put the changes of FILE, a line of JSON each, into the store, in order.
 
-    {"scope": "", "entries": [{"kind": "tenant", "key": "acme", "value": {"portion": 2}}, ...]}; a value
-    of null deletes. Of a file with any fault nothing is taken: all are told, each with its line and
-    place.
+    {"scope": "", "entries": [{"kind": "tenant", "key": "acme", "value": {"portion": 2}}, ...]}; a
+    value of null deletes. Of a file with any fault nothing is taken: all are told, each with its
+    line and place.
     """
     told, part = part_of(operator)
     try:
@@ -285,7 +289,9 @@
     "--json", "as_json", is_flag=True, help="The state as the process wrote it, one JSON object."
 )
 def show(operator: Path | None, as_json: bool) -> None:
-    """What is in force here, how old that is, and, at a control machine, how far its followers are."""
+    """What is in force here, how old that is, and, at a control machine, how far its followers
+    are.
+    """
     _, part = part_of(operator)
     state = state_told(part.state_file, "distribution.state_file", "what is in force")
     if as_json:
@@ -335,8 +341,8 @@
 @click.argument("kind", type=click.Choice(KINDS))
 @click.argument("key")
 def explain(operator: Path | None, kind: str, key: str) -> None:
-    """The value in force of KIND KEY, in which scope, and the revision that wrote it: of the store, or,
-    where this file names none, of the first upstream that answers.
+    """The value in force of KIND KEY, in which scope, and the revision that wrote it: of the store,
+    or, where this file names none, of the first upstream that answers.
     """
     import msgpack
 
@@ -399,11 +405,11 @@
 @distribution.command()
 @click.argument("file", type=click.Path(dir_okay=False, path_type=Path))
 def key(file: Path) -> None:
-    """Add a new key as the last line of FILE, which is made if there is none (mode 600); for `key_file`
-    and for `signing_key_file`, one file each.
+    """Add a new key as the last line of FILE, which is made if there is none (mode 600); for
+    `key_file` and for `signing_key_file`, one file each.
 
-    To change keys while all runs: add it everywhere, then move it to the first line everywhere, then take
-    the old one away. Each process looks at its files once a second.
+    To change keys while all runs: add it everywhere, then move it to the first line everywhere,
+    then take the old one away. Each process looks at its files once a second.
     """
     made = secrets.token_hex(32)
     handle = os.open(file, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o600)
--- a/burlloom/command/fleet.py
+++ b/burlloom/command/fleet.py
@@ -1,5 +1,5 @@
-"""`burlloom fleet ...`: keys, what a server sees of the fleet, what a change of it would move, members who
-are gone.
+"""`burlloom fleet ...`: keys, what a server sees of the fleet, what a change of it would move,
+members who are gone.
 """
 
 import json
@@ -24,7 +24,9 @@
 
 @click.group()
 def fleet() -> None:
-    """The fleet: make its key, show a server's view, try a change of the subsets, forget members."""
+    """The fleet: make its key, show a server's view, try a change of the subsets, forget
+    members.
+    """
 
 
 def part_of(operator: Path | None) -> "FleetPart":
@@ -43,9 +45,8 @@
 def key(file: Path) -> None:
     """Add a new key as the last line of FILE, which is made if there is none (mode 600).
 
-    To change keys while the fleet runs: add it on all servers, then move it to the first line on all, then
-    take the
-    old one away. Each server looks at its file once a second.
+    To change keys while the fleet runs: add it on all servers, then move it to the first line on
+    all, then take the old one away. Each server looks at its file once a second.
     """
     made = secrets.token_hex(32)
     handle = os.open(file, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o600)
@@ -62,7 +63,9 @@
     "--json", "as_json", is_flag=True, help="The state as the server wrote it, one JSON object."
 )
 def show(operator: Path | None, as_json: bool) -> None:
-    """What this server holds, who deals, whom it sees in which state, and which services it calls."""
+    """What this server holds, who deals, whom it sees in which state, and which services it
+    calls.
+    """
     state = state_of(part_of(operator))
     if as_json:
         click.echo(json.dumps(state))
@@ -130,9 +133,9 @@
 def forget(operator: Path | None, names: tuple[str, ...], force: bool) -> None:
     """Say of NAMES that they left and will not come back: what they held is dealt anew at once.
 
-    Only for servers that surely call nothing below any more: one that lives says so and is back. For when
-    more than
-    half of the fleet was lost for good, so that the rest may not deal its calls by itself.
+    Only for servers that surely call nothing below any more: one that lives says so and is back.
+    For when more than half of the fleet was lost for good, so that the rest may not deal its calls
+    by itself.
     """
     from ..fleet import State, Word
     from ..fleet.letters import Kind, Letter, seal
--- a/burlloom/command/lab.py
+++ b/burlloom/command/lab.py
@@ -15,8 +15,8 @@
 
 @click.group()
 def lab() -> None:
-    """Whole fleets in simulated time: the real server and decisions between emulated machines, callers and
-    a catalogue.
+    """Whole fleets in simulated time: the real server and decisions between emulated machines,
+    callers and a catalogue.
     """
 
 
@@ -53,8 +53,8 @@
     show_default=True,
 )
 def run(file: Path, results: Path, workers: int) -> None:
-    """Play all that FILE asks for, side by side over the cores, and keep the results. Status 1 if a rule
-    was broken.
+    """Play all that FILE asks for, side by side over the cores, and keep the results. Status 1 if a
+    rule was broken.
     """
     from rich.console import Console
     from rich.progress import Progress
@@ -94,8 +94,8 @@
 @click.option("--text", help="Of this text of the program; else of the newest that was played.")
 @click.option("--base", help="The variant compared with; else the first.")
 def compare(name: str, results: Path, text: str | None, base: str | None) -> None:
-    """Each variant of the experiment NAME against its base: means, spread, paired differences with their
-    95%.
+    """Each variant of the experiment NAME against its base: means, spread, paired differences with
+    their 95%.
     """
     from ..lab.charts import table
 
@@ -124,7 +124,9 @@
 def report(
     name: str, results: Path, text: str | None, base: str | None, to: Path, ending: str
 ) -> None:
-    """A page with tables, and charts of load, answers by product and levels, of the experiment NAME."""
+    """A page with tables, and charts of load, answers by product and levels, of the experiment
+    NAME.
+    """
     from ..lab.charts import page, play_chart
 
     to.mkdir(parents=True, exist_ok=True)
--- a/burlloom/command/levels.py
+++ b/burlloom/command/levels.py
@@ -1,5 +1,5 @@
-"""`burlloom levels ...`: what the levels are, in which one a node is and why, what a recorded day would
-have led to; pins.
+"""`burlloom levels ...`: what the levels are, in which one a node is and why, what a recorded day
+would have led to; pins.
 """
 
 import csv
@@ -24,8 +24,8 @@
 
 @click.group()
 def levels() -> None:
-    """Levels of reduced service: show them, explain a node's, try a plan on recorded signals, pin and
-    release.
+    """Levels of reduced service: show them, explain a node's, try a plan on recorded signals, pin
+    and release.
     """
 
 
@@ -75,7 +75,9 @@
     "--json", "as_json", is_flag=True, help="The node's state as it wrote it, one JSON object."
 )
 def show(operator: Path | None, as_json: bool) -> None:
-    """What each level takes away and when it is entered and left; and where the node stands, if it tells."""
+    """What each level takes away and when it is entered and left; and where the node stands, if it
+    tells.
+    """
     from ..levels.plan import NEVER
 
     part = part_of(operator)
@@ -116,8 +118,8 @@
 @levels.command()
 @operator_option
 def explain(operator: Path | None) -> None:
-    """Why the node stands where it stands: its last step, and each signal against the bounds that hold it
-    there.
+    """Why the node stands where it stands: its last step, and each signal against the bounds that
+    hold it there.
     """
     part = part_of(operator)
     plan, state = part.plan(), state_of(part)
@@ -174,10 +176,11 @@
     help="Draw it, as SVG or PNG by its ending.",
 )
 def try_(series: Path, operator: Path | None, chart: Path | None) -> None:
-    """Which levels a recorded series of signals would have led to. SERIES is CSV: at_s and any of the
-    signals, in order.
+    """Which levels a recorded series of signals would have led to. SERIES is CSV: at_s and any of
+    the signals, in order.
 
-    The answers that callers would have had, and so the signals that would have followed, are not in it.
+    The answers that callers would have had, and so the signals that would have followed, are not in
+    it.
     """
     from ..levels import NAMES, Levels, Readings
 
@@ -268,8 +271,8 @@
 @click.option("--force", is_flag=True, help="Also a level that forbids all service.")
 @operator_option
 def pin(level: str, span: float, reason: str, force: bool, operator: Path | None) -> None:
-    """Hold the node on LEVEL, until then. The server takes it up within a second; an emergency may still
-    go lower.
+    """Hold the node on LEVEL, until then. The server takes it up within a second; an emergency may
+    still go lower.
     """
     from ..levels.plan import ALL
 
--- a/burlloom/command/record.py
+++ b/burlloom/command/record.py
@@ -107,7 +107,9 @@
 @operator_option
 @click.option("--json", "as_json", is_flag=True, help="As JSON lines.")
 def doubts(operator: Path | None, as_json: bool) -> None:
-    """List charges that were begun and of whose end nobody knows. Their repeats are voided till their window ends."""
+    """List charges that were begun and of whose end nobody knows. Their repeats are voided till
+    their window ends.
+    """
     from ..record.admin import clock_text
 
     now = time.time_ns()
@@ -160,7 +162,9 @@
 @click.option("--reason", required=True, help="How you know; it is kept with the verdict.")
 @operator_option
 def resolve(mark: str, ran: str | None, reason: str, operator: Path | None) -> None:
-    """Say of a doubt whether the charge ran. Look it up at the executor first: never-ran lets it run again."""
+    """Say of a doubt whether the charge ran. Look it up at the executor first: never-ran lets it
+    run again.
+    """
     if ran is None:
         raise click.UsageError("say --ran or --never-ran")
     with told_plainly():
@@ -201,7 +205,9 @@
 @click.argument("to", type=click.Path(dir_okay=False, path_type=Path))
 @operator_option
 def snapshot(to: Path, operator: Path | None) -> None:
-    """Copy the record to a file, whole and verified, also while it is served. The key is not copied."""
+    """Copy the record to a file, whole and verified, also while it is served. The key is not
+    copied.
+    """
     with told_plainly():
         found = admin_of(operator).snapshot(to)
         click.echo(f"{to}: {found.rows} records, verified")
@@ -223,7 +229,9 @@
 )
 @operator_option
 def restore(source: Path, window_s: float, nothing_lost: bool, operator: Path | None) -> None:
-    """Put a snapshot in place. Wants the file alone; what was there is kept beside it under another name."""
+    """Put a snapshot in place. Wants the file alone; what was there is kept beside it under another
+    name.
+    """
     from ..record.admin import clock_text
 
     with told_plainly():
@@ -243,7 +251,9 @@
 @click.argument("source", type=click.Path(dir_okay=False, exists=True, path_type=Path))
 @operator_option
 def merge(source: Path, operator: Path | None) -> None:
-    """Add what a snapshot has and the record lacks, also while it is served; what stands is left as it is."""
+    """Add what a snapshot has and the record lacks, also while it is served; what stands is left as
+    it is.
+    """
     with told_plainly():
         added, looked_at = admin_of(operator).merge(source, time.time_ns())
         click.echo(f"{added} records added of {looked_at} whose window is not over")
@@ -275,7 +285,9 @@
 @record.command()
 @click.argument("file", type=click.Path(dir_okay=False, path_type=Path))
 def key(file: Path) -> None:
-    """Make the key that the nodes of one PostgreSQL record share; give each node a copy, readable to its owner."""
+    """Make the key that the nodes of one PostgreSQL record share; give each node a copy, readable
+    to its owner.
+    """
     from ..record.seal import key as key_in
 
     if file.exists():
@@ -293,7 +305,9 @@
 @click.argument("node")
 @operator_option
 def fence(node: str, operator: Path | None) -> None:
-    """Shut a node out of the shared record: it writes nothing any more, and what it had begun is in doubt."""
+    """Shut a node out of the shared record: it writes nothing any more, and what it had begun is in
+    doubt.
+    """
     fencing(node, operator, True)
 
 
--- a/burlloom/command/recovery.py
+++ b/burlloom/command/recovery.py
@@ -1,4 +1,6 @@
-"""`burlloom recovery ...`: what a server's last life left, and whether the next one would believe it."""
+"""`burlloom recovery ...`: what a server's last life left, and whether the next one would believe
+it.
+"""
 
 import sys
 import time
@@ -27,8 +29,8 @@
 @operator_option
 @click.option("--node", help="The server's name; by default the one in the file.")
 def show(operator: Path | None, node: str | None) -> None:
-    """What stands in the state file, and what a start now would make of it. Status 1 if it would not be
-    believed.
+    """What stands in the state file, and what a start now would make of it. Status 1 if it would
+    not be believed.
     """
     from ..recovery import Kept, Verdict, judge, read
 
--- a/burlloom/command/rollout.py
+++ b/burlloom/command/rollout.py
@@ -42,7 +42,9 @@
 def with_shelf(
     operator: Path | None, work: "Callable[[Shelf], Awaitable[Any]]", wait: float = LOCK_S
 ) -> Any:
-    """`wait`: s for a lock that another holds. Ends with one line and status 2 where the store can't be used, or says no."""
+    """`wait`: s for a lock that another holds. Ends with one line and status 2 where the store
+    can't be used, or says no.
+    """
     from ..rollout import Denied
     from ..rollout.stores import Away, Unreadable
     from ..rollout.stores.opening import shelf_of
@@ -66,8 +68,8 @@
 
 
 async def step(shelf: "Shelf", order: "Callable[[Book], Book]") -> "Page":
-    """Written on the book as it stands then, however many others write. Raises `Denied`, or `Away` where
-    nobody knows whether it was taken.
+    """Written on the book as it stands then, however many others write. Raises `Denied`, or `Away`
+    where nobody knows whether it was taken.
     """
     from ..rollout import Denied
     from ..rollout.stores import Page
@@ -236,8 +238,8 @@
     "--wait-s", type=click.IntRange(1, 86_400), default=600, help="For room in the budget."
 )
 def take(operator: Path | None, service: str, address: str, for_s: int, wait_s: int) -> None:
-    """Take an instance of a service below out: waits until no server calls it any more. Status 1 if there was
-    no room.
+    """Take an instance of a service below out: waits until no server calls it any more. Status 1 if
+    there was no room.
     """
     _, part = part_of(operator)
 
@@ -280,8 +282,8 @@
 
 
 def emptied(page: "Page", members: Any, step: int) -> bool:
-    """All servers that may call below have acted on this step. One that is missing may be calling still: it
-    holds this up until it is back, or retired.
+    """All servers that may call below have acted on this step. One that is missing may be calling
+    still: it holds this up until it is back, or retired.
     """
     heeded = {member.name: member.heeded for member in members}
     from ..rollout import State
@@ -298,8 +300,8 @@
 @click.argument("service")
 @click.argument("address")
 def give(operator: Path | None, service: str, address: str) -> None:
-    """An instance below may be called again; it counts as out until calls to it have gone well for a
-    while.
+    """An instance below may be called again; it counts as out until calls to it have gone well for
+    a while.
     """
     ordered(operator, lambda book: book.give(service, address))
 
@@ -370,7 +372,9 @@
 @operator_option
 @click.option("--name", default=f"driver-{os.getpid()}", help="Under which it leads.")
 def drive(operator: Path | None, name: str) -> None:
-    """Lead the fleet's changes from here, in the foreground, where servers are not to; any number may run."""
+    """Lead the fleet's changes from here, in the foreground, where servers are not to; any number
+    may run.
+    """
     _, part = part_of(operator)
 
     async def work(shelf: "Shelf") -> None:
--- a/burlloom/command/root.py
+++ b/burlloom/command/root.py
@@ -21,7 +21,8 @@
 def main() -> None:
     """An overload controller and the server around it.
 
-    Begin with `burlloom demo`. `burlloom check` tells every fault of an operator's file and of a configuration.
+    Begin with `burlloom demo`. `burlloom check` tells every fault of an operator's file and of a
+    configuration.
     """
 
 
@@ -42,7 +43,8 @@
         os.environ[OPERATOR] = str(operator)
     if config is not None:
         os.environ["EDGE_CONFIG"] = str(config)
-    # In place of this process: the server blocks SIGHUP before its first import, which a command can't any more.
+    # In place of this process: the server blocks SIGHUP before its first import, which a command
+    # can't any more.
     os.execv(sys.executable, [sys.executable, "-m", "burlloom.server"])
 
 
@@ -55,7 +57,9 @@
     help="What the server is told by its platform (JSON); else EDGE_CONFIG.",
 )
 def check(operator: Path | None, config: Path | None) -> None:
-    """Check an operator's file and a configuration: a line for each fault, with its place; status 2 if any."""
+    """Check an operator's file and a configuration: a line for each fault, with its place; status 2
+    if any.
+    """
     from ..operator import Faults, load
     from ..server.configuration import Broken, read
 
@@ -96,7 +100,8 @@
     help="Where the record is kept; a temporary folder by default.",
 )
 def demo(folder: Path | None) -> None:
-    """Show it at work, in under a minute: serves between our own stand-ins, is killed after a charge, comes back.
+    """Show it at work, in under a minute: serves between our own stand-ins, is killed after a
+    charge, comes back.
 
     The charge's repeat is then settled from the record, and not run again.
     """
--- a/burlloom/command/shared.py
+++ b/burlloom/command/shared.py
@@ -48,8 +48,8 @@
 
 
 def state_told(path: str | None, setting: str, what: str) -> dict[str, Any]:
-    """What a server wrote of itself to the file that `setting` names; else says why there is none, and
-    ends.
+    """What a server wrote of itself to the file that `setting` names; else says why there is none,
+    and ends.
     """
     if path is None:
         raise click.UsageError(f"{setting} is not set: the server tells {what} nowhere")
--- a/burlloom/desk/desk.py
+++ b/burlloom/desk/desk.py
@@ -1,7 +1,7 @@
 """The one place in the server that speaks to the decisions.
 
-`take` reads a txn; where its final answer is not known at once, its coroutine calls `pick` until it is. What
-happens outside is told by `report`, time by `tick`.
+`take` reads a txn; where its final answer is not known at once, its coroutine calls `pick` until it
+is. What happens outside is told by `report`, time by `tick`.
 
 The steps of one event leave in the order in which they were decided: they are handed out from
 the loop, one by one, and the coroutine that waits for each acts without waiting for anything else.
@@ -66,9 +66,12 @@
         results: int,
         recalls: bool = False,
     ) -> None:
-        """`names` are the products'. `recalls`: results that are not in our memory may be kept elsewhere."""
-        # This protocol has no command to leave a call out, so the decisions never hear that one may be. Marks
-        # are kept in our own memory, not the executor's that the decisions count: a bound on them is left.
+        """`names` are the products'. `recalls`: results that are not in our memory may be kept
+        elsewhere.
+        """
+        # This protocol has no command to leave a call out, so the decisions never hear that one may
+        # be. Marks are kept in our own memory, not the executor's that the decisions count: a bound
+        # on them is left.
         products = tuple(replace(product, skip_share=0.0) for product in facts.products)
         self.facts = replace(facts, products=products, key_kb=facts.memory_kb / MARKS_MOST)
         self.names, self.recalls, self.clock = names, recalls, clock
@@ -99,8 +102,8 @@
         return id in self.refs
 
     def take(self, txn: Try) -> Step | Seat:
-        """Reads a txn. Most that are not held or run are over at once: those cost no coroutine. Else its seat, for
-        `pick`.
+        """Reads a txn. Most that are not held or run are over at once: those cost no coroutine.
+        Else its seat, for `pick`.
         """
         seat = self.admit(txn)
         if (
@@ -114,8 +117,8 @@
         return seat
 
     async def pick(self, seat: Seat) -> Step:
-        """The next step of this txn. Its index may be released by then: where hundreds are read in one turn of the
-        loop, a timer round comes between a txn's reading and its first `pick`.
+        """The next step of this txn. Its index may be released by then: where hundreds are read in
+        one turn of the loop, a timer round comes between a txn's reading and its first `pick`.
         """
         while not seat.steps:
             seat.waiter = self.loop.create_future()
@@ -194,7 +197,9 @@
         return self.choice.calls_in_hand(), len(self.choice.door)
 
     def strain(self) -> tuple[float, float, float]:
-        """The age of the oldest held txn, of its SLA time; the lag of reading, of the shortest one; the pressure."""
+        """The age of the oldest held txn, of its SLA time; the lag of reading, of the shortest one;
+        the pressure.
+        """
         choice, oldest = self.choice, self.choice.oldest()
         age = 0.0
         if oldest is not None:
@@ -204,7 +209,9 @@
         return age, choice.unread_mean() / choice.lag, choice.press
 
     def settle(self, mark: bytes, result: bytes | None) -> None:
-        """What became of a txn that ran elsewhere or in a former life; None: there is nothing to give."""
+        """What became of a txn that ran elsewhere or in a former life; None: there is nothing to
+        give.
+        """
         record = self.ledger.records.get(mark)
         if record is not None and not record.well:
             self.ledger.settle(record, result)
@@ -290,7 +297,9 @@
         return seat
 
     def counts(self, mark: bytes, txn: Try, now: int) -> bool:
-        """Whether what is known of this mark is to answer: what is only kept for a level does so only there."""
+        """Whether what is known of this mark is to answer: what is only kept for a level does so
+        only there.
+        """
         product, record = self.facts.products[txn.product], self.ledger.records.get(mark)
         if not product.stale or record is None or record.waiting:
             return True
@@ -305,7 +314,8 @@
 
     def run_ended(self, now: int, ref: int, news: RunEnded) -> None:
         if news.outcome not in (Outcome.UNKEPT, Outcome.TAKEN):
-            # A run that was begun for nobody is over unrun; whoever may still listen is told it came to nothing.
+            # A run that was begun for nobody is over unrun; whoever may still listen is told it
+            # came to nothing.
             good = news.outcome is Outcome.OK
             self.put(
                 ref,
@@ -342,7 +352,8 @@
         self.outbox.append((seat, step))
 
     def flush(self) -> None:
-        # Not at once: a txn just read does not wait at `pick` yet, and would be overtaken by its own steps.
+        # Not at once: a txn just read does not wait at `pick` yet, and would be overtaken by its
+        # own steps.
         if not self.handing and (self.outbox or self.copies):
             self.handing = True
             self.loop.call_soon(self.hand_out)
--- a/burlloom/desk/ledger.py
+++ b/burlloom/desk/ledger.py
@@ -10,7 +10,8 @@
 
 
 def mark_of(kind: str, name: str, body: bytes) -> bytes:
-    """What all tries of one txn share: 16 bytes of BLAKE2b (RFC 7693) over its product, its name and its body.
+    """What all tries of one txn share: 16 bytes of BLAKE2b (RFC 7693) over its product, its name
+    and its body.
 
     The body is part of it: with another one it is another txn, for the executor to know or not.
     """
@@ -20,7 +21,9 @@
 
 
 class Record:
-    """The try that holds a mark. `result` is None until its run ended `well`; `waiting` are its repeats."""
+    """The try that holds a mark. `result` is None until its run ended `well`; `waiting` are its
+    repeats.
+    """
 
     __slots__ = ("ref", "until", "forget_at", "over", "well", "result", "waiting")
 
@@ -48,8 +51,9 @@
     def holder(self, mark: bytes, at: int, shared: bool = False) -> int:
         """The try whose repeat one of this arrival is, or -1.
 
-        In doubt a keyed one counts as a repeat, so that it runs once; a read that would share (`shared`) an answer does
-        not, so that it gets none that is too old. Arrivals are told in whole milliseconds, cut off.
+        In doubt a keyed one counts as a repeat, so that it runs once; a read that would share
+        (`shared`) an answer does not, so that it gets none that is too old. Arrivals are told in
+        whole milliseconds, cut off.
         """
         record = self.records.get(mark)
         if record is None and (until := self.ended_before(mark)) and at <= until + self.slack:
@@ -58,11 +62,15 @@
         return record.ref if record is not None and at <= record.until + slack else -1
 
     def ended_before(self, mark: bytes) -> int:
-        """When the window of what a former life ended is over; 0 where there is none of this mark."""
+        """When the window of what a former life ended is over; 0 where there is none of this
+        mark.
+        """
         return self.former.until(mark) if len(self.former) and mark not in self.planted else 0
 
     def plant(self, mark: bytes, until: int, over: bool) -> None:
-        """A mark of a former life whose end is in doubt (`over`), or may still be told; after `plant_ended`."""
+        """A mark of a former life whose end is in doubt (`over`), or may still be told; after
+        `plant_ended`.
+        """
         if self.former.until(mark):
             self.planted.add(mark)
         record = self.records[mark] = Record(FORMER)
@@ -74,7 +82,9 @@
         self.former = marks
 
     def keep(self, mark: bytes, ref: int, until: int) -> list[int]:
-        """Lays or prolongs the mark; the repeats that waited for a try it is taken from are given back."""
+        """Lays or prolongs the mark; the repeats that waited for a try it is taken from are given
+        back.
+        """
         record = self.records.get(mark)
         stranded: list[int] = []
         if record is None or record.ref != ref:
@@ -83,7 +93,8 @@
             self.marks[ref] = mark
             self.wheel.add(mark, until + self.linger)
         record.until = until
-        # A try that came while the mark held may be read only after: it is known for as long as one can live.
+        # A try that came while the mark held may be read only after: it is known for as long as one
+        # can live.
         record.forget_at = until + self.linger
         return stranded
 
--- a/burlloom/desk/marks.py
+++ b/burlloom/desk/marks.py
@@ -1,4 +1,5 @@
-"""Two structures made for marks: what was read back at a start, packed; and when what is laid now ends, a wheel.
+"""Two structures made for marks: what was read back at a start, packed; and when what is laid now
+ends, a wheel.
 
 Against plain ones they are measured by benchmarks/marks.py; the figures stand in docs/results.md.
 """
@@ -11,16 +12,19 @@
 
 
 class Packed:
-    """Marks of former lives and when their windows end: sorted, 24 bytes each, never changed, dropped as one.
+    """Marks of former lives and when their windows end: sorted, 24 bytes each, never changed,
+    dropped as one.
 
-    Marks are digests, so evenly spread: where one stands is guessed from its value, and the guess is off by a few
-    hundred in a million. From there the search widens by doubling and ends in a bisection.
+    Marks are digests, so evenly spread: where one stands is guessed from its value, and the guess
+    is off by a few hundred in a million. From there the search widens by doubling and ends in a
+    bisection.
     """
 
     __slots__ = ("data", "count", "last")
 
     def __init__(self, pairs: Iterable[tuple[bytes, int]] = ()) -> None:
-        # By first byte, then each part sorted: no list of all is ever made, so a start takes little more than this.
+        # By first byte, then each part sorted: no list of all is ever made, so a start takes little
+        # more than this.
         parts = [bytearray() for _ in range(256)]
         self.last = 0
         for mark, until in pairs:
@@ -64,8 +68,8 @@
 class Wheel:
     """What is due when, in slots of a second. To look costs what is due, not what there is.
 
-    An entry whose time was moved stays where it was; whoever takes it out looks whether it is due, and puts it in
-    again if not.
+    An entry whose time was moved stays where it was; whoever takes it out looks whether it is due,
+    and puts it in again if not.
     """
 
     __slots__ = ("slots", "next")
--- a/burlloom/desk/steps.py
+++ b/burlloom/desk/steps.py
@@ -31,7 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Try:
-    """One try of a txn, as its caller sent it; `cost` is 0 and the marks empty where none were told."""
+    """One try of a txn, as its caller sent it; `cost` is 0 and the marks empty where none were
+    told.
+    """
 
     id: str
     at: int
--- a/burlloom/distribution/__init__.py
+++ b/burlloom/distribution/__init__.py
@@ -1,7 +1,8 @@
-"""Carrying configuration to a fleet: changes in a chain, pushed down a tree, with repair by digests.
+"""Carrying configuration to a fleet: changes in a chain, pushed down a tree, with repair by
+digests.
 
-Without I/O: `Follower` is a server's side, `Source` the side that is followed, both on a `Replica`; a relay has
-both. `docs/distribution.md` has the choice and why nothing is lost or reordered.
+Without I/O: `Follower` is a server's side, `Source` the side that is followed, both on a `Replica`;
+a relay has both. `docs/distribution.md` has the choice and why nothing is lost or reordered.
 """
 
 from .changes import Change, Entry, Head, Refused, first_head
--- a/burlloom/distribution/asking.py
+++ b/burlloom/distribution/asking.py
@@ -76,8 +76,8 @@
 async def ask(
     upstreams: Iterable[Upstream], region: str, key: bytes, kind: str, name: str
 ) -> tuple[list[tuple[str, bytes, str]] | None, str]:
-    """Scope and value of each that is found, the one in force first, and who said so; None where nobody
-    did.
+    """Scope and value of each that is found, the one in force first, and who said so; None where
+    nobody did.
     """
     asking = Asking(key)
     transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
--- a/burlloom/distribution/changes.py
+++ b/burlloom/distribution/changes.py
@@ -1,14 +1,15 @@
-"""Changes of configuration: entries, the chain that seals their order, and what is wrong with a bad one. No
-I/O.
-
-A change sets some entries of one scope, all or none; each sets an absolute value, so a change that is applied
-again after later state does no harm once those after it are applied as well. Revisions are dense within an
-epoch. The tag of a change is a keyed BLAKE2b (RFC 7693) over the tag before it and all that it says: whoever
-has the key notices one that is missing, moved or altered. The chain covers the digest of the body in place of
-the body, so that a follower which does not hold the scope checks it without the body.
-
-Source: hash chains of logs, Schneier and Kelsey, "Secure Audit Logs" (1999); here with one key for all, which
-keeps strangers out and not a holder of the key.
+"""Changes of configuration: entries, the chain that seals their order, and what is wrong with a bad
+one. No I/O.
+
+A change sets some entries of one scope, all or none; each sets an absolute value, so a change that
+is applied again after later state does no harm once those after it are applied as well. Revisions
+are dense within an epoch. The tag of a change is a keyed BLAKE2b (RFC 7693) over the tag before it
+and all that it says: whoever has the key notices one that is missing, moved or altered. The chain
+covers the digest of the body in place of the body, so that a follower which does not hold the scope
+checks it without the body.
+
+Source: hash chains of logs, Schneier and Kelsey, "Secure Audit Logs" (1999); here with one key for
+all, which keeps strangers out and not a holder of the key.
 """
 
 import hashlib
@@ -32,7 +33,9 @@
 
 
 class Entry(NamedTuple):
-    """`scope`: "" holds everywhere, else a region's name. `value`: MessagePack of a map; None deletes."""
+    """`scope`: "" holds everywhere, else a region's name. `value`: MessagePack of a map; None
+    deletes.
+    """
 
     scope: str
     kind: str
@@ -41,9 +44,9 @@
 
 
 class Change(NamedTuple):
-    """`time_ms`: Unix ms at the origin, never less than of the change before. `body`: MessagePack of a list
-    of [kind, key, value or nil]; None where it was left out for who does not hold the scope. `body_digest`:
-    BLAKE2b-128 of it.
+    """`time_ms`: Unix ms at the origin, never less than of the change before. `body`: MessagePack
+    of a list of [kind, key, value or nil]; None where it was left out for who does not hold the
+    scope. `body_digest`: BLAKE2b-128 of it.
     """
 
     epoch: int
@@ -76,8 +79,8 @@
 
 
 def first_head(epoch: int, time_ms: int) -> Head:
-    """Where an epoch begins, before its first change. What lies in the table then is whatever the store
-    had.
+    """Where an epoch begins, before its first change. What lies in the table then is whatever the
+    store had.
     """
     return Head(epoch, 0, hashlib.blake2b(b"epoch %d" % epoch, digest_size=TAG).digest(), time_ms)
 
@@ -130,7 +133,9 @@
 
 
 def faults(scope: Any, entries: Sequence[Entry]) -> list[str]:
-    """All that is wrong with what a change would set, each with its place; empty where it may be."""
+    """All that is wrong with what a change would set, each with its place; empty where it may
+    be.
+    """
     found = (
         [] if is_text(scope, 0, SCOPE_MOST) else [f"scope: not text of {SCOPE_MOST} bytes at most"]
     )
@@ -192,8 +197,8 @@
 
 
 def break_of(before: Head, change: Change, keys: Sequence[bytes]) -> str:
-    """Why that change does not come right after `before`; empty where it does. Any of the keys will do, so
-    that they can be changed while the fleet runs.
+    """Why that change does not come right after `before`; empty where it does. Any of the keys will
+    do, so that they can be changed while the fleet runs.
     """
     if change.epoch != before.epoch:
         return "another epoch"
--- a/burlloom/distribution/control.py
+++ b/burlloom/distribution/control.py
@@ -50,8 +50,8 @@
 
 
 class Control:
-    """`store`: None at a relay, which follows `upstreams` alone; with one, they are followed while it is
-    away.
+    """`store`: None at a relay, which follows `upstreams` alone; with one, they are followed while
+    it is away.
     """
 
     def __init__(
@@ -256,8 +256,8 @@
             write_state(self.state_file, self.summary(now))
 
     def lowest(self) -> tuple[int | None, int]:
-        """Of who follows, within our epoch: the lowest revision, and for how many ms the first change
-        that one of them lacks has been there. One of another epoch has 0.
+        """Of who follows, within our epoch: the lowest revision, and for how many ms the first
+        change that one of them lacks has been there. One of another epoch has 0.
         """
         head = self.replica.head
         if head is None or not self.source.followers:
--- a/burlloom/distribution/endpoint.py
+++ b/burlloom/distribution/endpoint.py
@@ -32,7 +32,9 @@
 
 
 class Endpoint(asyncio.DatagramProtocol):
-    """`hear`: called with each datagram and where it came from; an error of it is logged, and that is all."""
+    """`hear`: called with each datagram and where it came from; an error of it is logged, and that
+    is all.
+    """
 
     def __init__(self, sock: socket.socket, hear: Callable[[bytes, Address], None]) -> None:
         self.sock, self.heard = sock, hear
--- a/burlloom/distribution/follower.py
+++ b/burlloom/distribution/follower.py
@@ -1,13 +1,14 @@
 """One server's side: it follows one upstream of several, and holds what that has. No I/O.
 
-A host gives it the time (`tick`, at `due` or several times a second) and what datagrams come (`hear`), and
-sends what lies in `out`. Times are ns of a clock that never steps back.
-
-The applied revisions of an epoch are dense whatever the network does, since only the change right after the
-head whose tag continues the head's is taken (`Replica.take`); the rest is held for its turn, or asked for again.
-A sync makes the table the upstream's by pages: it remembers the head from before the first page (the base),
-folds the changes after the base, and ends at a revision not before that of any page. Within an epoch nothing
-goes back; what the head of a later epoch says is taken by a sync.
+A host gives it the time (`tick`, at `due` or several times a second) and what datagrams come
+(`hear`), and sends what lies in `out`. Times are ns of a clock that never steps back.
+
+The applied revisions of an epoch are dense whatever the network does, since only the change right
+after the head whose tag continues the head's is taken (`Replica.take`); the rest is held for its
+turn, or asked for again. A sync makes the table the upstream's by pages: it remembers the head from
+before the first page (the base), folds the changes after the base, and ends at a revision not
+before that of any page. Within an epoch nothing goes back; what the head of a later epoch says is
+taken by a sync.
 """
 
 from collections import deque
@@ -135,9 +136,9 @@
 
 @dataclass(slots=True)
 class Fetch:
-    """A bucket on its way: behind `after` nothing came yet; `early` pages wait for those before them.
-    `tries`: since one came; each waits twice as long, as a source that has no bytes left for pages answers
-    nothing.
+    """A bucket on its way: behind `after` nothing came yet; `early` pages wait for those before
+    them. `tries`: since one came; each waits twice as long, as a source that has no bytes left for
+    pages answers nothing.
     """
 
     after: Place | None
@@ -148,8 +149,8 @@
 
 @dataclass(slots=True)
 class Sync:
-    """`base`: the head from before the first page; `tip`: how far the changes after it are folded; `target`:
-    the latest revision that a page was of.
+    """`base`: the head from before the first page; `tip`: how far the changes after it are folded;
+    `target`: the latest revision that a page was of.
     """
 
     first: int  # number of the first DIGESTS_ASK
@@ -165,8 +166,8 @@
 
 
 class Follower:
-    """`life`: Unix ms of the start. `upstreams`: own region's come first, each part in rendezvous order. The
-    first key seals. Raises `ValueError` for terms or upstreams that can't be.
+    """`life`: Unix ms of the start. `upstreams`: own region's come first, each part in rendezvous
+    order. The first key seals. Raises `ValueError` for terms or upstreams that can't be.
     """
 
     def __init__(
@@ -195,7 +196,8 @@
         self.refusals: deque[tuple[str, Address]] = deque(
             maxlen=REFUSALS_MOST
         )  # until the host takes them
-        # Numbers of two lives are never the same: an answer to an earlier life means nothing to this one.
+        # Numbers of two lives are never the same: an answer to an earlier life means nothing to
+        # this one.
         self.number = life << 20 & NUMBER_MOST
         self.at = 0  # whom we follow, of `upstreams`
         self.answered = False  # whether it ever did, since we came to it
@@ -302,7 +304,9 @@
         return Report(table.scopes, head.epoch, head.revision, table.digest())
 
     def look_around(self, now: int) -> None:
-        """A report to one of the better upstreams, each in turn; to any where the own one has old news."""
+        """A report to one of the better upstreams, each in turn; to any where the own one has old
+        news.
+        """
         most = len(self.upstreams) if self.poor() else self.at
         self.probe_at = now + self.jittered(
             self.terms.beat
@@ -440,7 +444,9 @@
         return reason
 
     def tip(self) -> Head | None:
-        """The revision that the next change is to follow: of the table, or of what a sync folded."""
+        """The revision that the next change is to follow: of the table, or of what a sync
+        folded.
+        """
         if self.sync is not None:
             return self.sync.tip
         return None if self.replica.patched else self.replica.head
@@ -533,8 +539,8 @@
     # Tests.
 
     def apart(self) -> bool:
-        """Whether only a sync helps: nothing whole here, a later epoch, changes that can't be pulled any
-        more, or digests that differ at the same revision.
+        """Whether only a sync helps: nothing whole here, a later epoch, changes that can't be
+        pulled any more, or digests that differ at the same revision.
         """
         told, head = self.told, self.replica.head
         if told is None:
@@ -656,7 +662,8 @@
         if head != high.head:
             del sync.halves[number, 0], sync.halves[number, 1]
             return "DIGESTS of two moments"
-        # Where something is in force no key may go back, also not behind pages of a sync that did not end.
+        # Where something is in force no key may go back, also not behind pages of a sync that did
+        # not end.
         if own is not None and head[:2] < max(own[:2], self.patched_to):
             self.lose(now)
             return "a base that is older than what is in force"
@@ -756,8 +763,8 @@
 
 
 def preferred(name: str, region: str, upstreams: Iterable[Upstream]) -> list[Upstream]:
-    """Own region's first, each part in rendezvous order (Thaler and Ravishankar, 1998), so that each follower
-    has its own and a lost one's followers spread over all others.
+    """Own region's first, each part in rendezvous order (Thaler and Ravishankar, 1998), so that
+    each follower has its own and a lost one's followers spread over all others.
     """
 
     def weight(one: Upstream) -> tuple[bool, int]:
--- a/burlloom/distribution/log.py
+++ b/burlloom/distribution/log.py
@@ -1,7 +1,7 @@
 """The last changes, in order, with what each did to the digest of its scope. No I/O.
 
-The digest of a table is an XOR over its entries, so a change moves it by an XOR too: the digest that a table
-had at an earlier revision is today's with the moves since then taken back.
+The digest of a table is an XOR over its entries, so a change moves it by an XOR too: the digest
+that a table had at an earlier revision is today's with the moves since then taken back.
 """
 
 from collections import deque
@@ -34,14 +34,18 @@
         self.base = base
 
     def since(self, revision: int, most: int) -> list[Change] | None:
-        """Up to so many changes after that revision, in order; None where they are not kept any more."""
+        """Up to so many changes after that revision, in order; None where they are not kept any
+        more.
+        """
         at = revision - self.base
         if at < 0:
             return None
         return [self.kept[place][0] for place in range(at, min(at + most, len(self.kept)))]
 
     def moved(self, revision: int, scopes: Container[str] | None) -> int | None:
-        """By what the digest of those scopes moved since that revision; None where that is not kept."""
+        """By what the digest of those scopes moved since that revision; None where that is not
+        kept.
+        """
         at = revision - self.base
         if not 0 <= at <= len(self.kept):
             return None
--- a/burlloom/distribution/messages.py
+++ b/burlloom/distribution/messages.py
@@ -1,9 +1,9 @@
 """What followers and those whom they follow send to each other: one datagram each, sealed. No I/O.
 
-A message is 16 bytes of a keyed BLAKE2b (RFC 7693) over the rest, then MessagePack: version, kind, the
-sender's name, its life, a number, and the kind's own fields. What is not exactly that is refused with a
-reason. A message that is played again does nothing: requests count up and each counts once (`Window`),
-answers carry the number of the request, and changes are in a chain.
+A message is 16 bytes of a keyed BLAKE2b (RFC 7693) over the rest, then MessagePack: version, kind,
+the sender's name, its life, a number, and the kind's own fields. What is not exactly that is
+refused with a reason. A message that is played again does nothing: requests count up and each
+counts once (`Window`), answers carry the number of the request, and changes are in a chain.
 """
 
 import hashlib
@@ -64,7 +64,9 @@
 
 
 class Report(NamedTuple):
-    """`epoch` 0: nothing whole here. `scopes` None: all. `digest`: of these scopes at that revision."""
+    """`epoch` 0: nothing whole here. `scopes` None: all. `digest`: of these scopes at that
+    revision.
+    """
 
     scopes: tuple[str, ...] | None
     epoch: int
@@ -73,8 +75,8 @@
 
 
 class Told(NamedTuple):
-    """HEAD. `age`: ms since the teller surely had the newest; None: never. `differs`: at the revision of the
-    REPORT the digests differ. `oldest`: changes after this revision can be pulled.
+    """HEAD. `age`: ms since the teller surely had the newest; None: never. `differs`: at the
+    revision of the REPORT the digests differ. `oldest`: changes after this revision can be pulled.
     """
 
     head: Head
@@ -112,8 +114,8 @@
 
 
 class Paged(NamedTuple):
-    """One page, the `place`th of its PAGES_ASK; `epoch` and `revision`: of the table that it was read
-    from.
+    """One page, the `place`th of its PAGES_ASK; `epoch` and `revision`: of the table that it was
+    read from.
     """
 
     epoch: int
@@ -156,7 +158,9 @@
 
 
 def unseal(data: bytes, keys: Sequence[bytes]) -> Message:
-    """Any of the keys will do, so that keys can be changed while the fleet runs. Raises `Unreadable`."""
+    """Any of the keys will do, so that keys can be changed while the fleet runs. Raises
+    `Unreadable`.
+    """
     if not SEAL < len(data) <= MESSAGE_MOST:
         raise Unreadable("too short" if len(data) <= SEAL else "too long")
     mark, text = data[:SEAL], data[SEAL:]
--- a/burlloom/distribution/origin.py
+++ b/burlloom/distribution/origin.py
@@ -13,9 +13,9 @@
     key: bytes,
     check: Check | None = None,
 ) -> Change:
-    """The change that follows `head`, signed with `key`. `time_ms`: Unix ms. `check`: faults of an entry's
-    meaning. Whoever appends it does so only where `head` is still the last; else it is proposed anew. Raises
-    `Refused` with all faults and their places.
+    """The change that follows `head`, signed with `key`. `time_ms`: Unix ms. `check`: faults of an
+    entry's meaning. Whoever appends it does so only where `head` is still the last; else it is
+    proposed anew. Raises `Refused` with all faults and their places.
     """
     found = faults(scope, entries)
     if not found and check is not None:
--- a/burlloom/distribution/replica.py
+++ b/burlloom/distribution/replica.py
@@ -1,4 +1,6 @@
-"""What one process holds: the table, its head and the last changes; how it moves on by one change. No I/O."""
+"""What one process holds: the table, its head and the last changes; how it moves on by one change.
+No I/O.
+"""
 
 from collections.abc import Iterable, Sequence
 
@@ -8,9 +10,9 @@
 
 
 class Replica:
-    """`head`: None until a first revision was whole here. `patched`: the table is on its way from the head's
-    revision to a later one, pages of which lie in it already: it is served on, but is nothing to copy from.
-    `keys`: of signing, any of them will do.
+    """`head`: None until a first revision was whole here. `patched`: the table is on its way from
+    the head's revision to a later one, pages of which lie in it already: it is served on, but is
+    nothing to copy from. `keys`: of signing, any of them will do.
     """
 
     def __init__(self, table: Table, keys: Sequence[bytes], log_most: int = LOG_MOST) -> None:
@@ -61,7 +63,9 @@
         return self.table.scopes is None or scope in self.table.scopes
 
     def begin(self, head: Head, entries: Iterable[Entry] = ()) -> None:
-        """Of a store: the table is made exactly those entries beforehand or by them, in their thousands."""
+        """Of a store: the table is made exactly those entries beforehand or by them, in their
+        thousands.
+        """
         self.table.put(entries)
         self.settle(head)
 
--- a/burlloom/distribution/source.py
+++ b/burlloom/distribution/source.py
@@ -1,9 +1,9 @@
-"""The side that is followed: of a control machine, or of a relay (a Follower beside it on the same Replica). No
-I/O.
+"""The side that is followed: of a control machine, or of a relay (a Follower beside it on the same
+Replica). No I/O.
 
-A host gives it the time (`tick`, once a beat or so) and what datagrams come (`hear`), calls `push` after
-anything that may have moved the copy, and sends what lies in `out`. A change is sealed once for all
-followers: nothing in it is of one of them. Times are ns of a clock that never steps back.
+A host gives it the time (`tick`, once a beat or so) and what datagrams come (`hear`), calls `push`
+after anything that may have moved the copy, and sends what lies in `out`. A change is sealed once
+for all followers: nothing in it is of one of them. Times are ns of a clock that never steps back.
 """
 
 from collections import deque
@@ -77,7 +77,9 @@
 
 
 class Source:
-    """`age`: ms since the copy was surely the newest, at a time; None: never. The first key seals."""
+    """`age`: ms since the copy was surely the newest, at a time; None: never. The first key
+    seals.
+    """
 
     def __init__(
         self,
@@ -224,7 +226,8 @@
 
     def tell(self, now: int, number: int, to: Address, differs: bool) -> None:
         assert self.replica.head is not None
-        # A copy on its way to a later revision is nothing to pull from or sync with, and says no other head.
+        # A copy on its way to a later revision is nothing to pull from or sync with, and says no
+        # other head.
         self.send(
             to, number, Told(self.replica.head, self.age(now), differs, self.replica.log.base)
         )
--- a/burlloom/distribution/stores/__init__.py
+++ b/burlloom/distribution/stores/__init__.py
@@ -1,5 +1,5 @@
-"""Where changes of configuration are kept: the record's SQLite file or PostgreSQL database, behind one
-interface.
+"""Where changes of configuration are kept: the record's SQLite file or PostgreSQL database, behind
+one interface.
 """
 
 from .store import Away, ChangeStore, Stored
--- a/burlloom/distribution/stores/postgres.py
+++ b/burlloom/distribution/stores/postgres.py
@@ -10,8 +10,8 @@
     async def together(self, guard: Statement, rest: list[Statement]) -> bool:
         async def work(link: Any) -> bool:
             async with link.transaction():
-                # The head's row is locked by the first: a second writer waits for our end, and then finds its
-                # revision written.
+                # The head's row is locked by the first: a second writer waits for our end, and then
+                # finds its revision written.
                 if not await link.fetch(guard[0], *guard[1]):
                     return False
                 for sql, values in rest:
--- a/burlloom/distribution/stores/reading.py
+++ b/burlloom/distribution/stores/reading.py
@@ -14,8 +14,8 @@
 
 
 class Broken(Exception):
-    """What the store has does not follow from what it had, and nobody put it back: another signing key, or
-    somebody wrote to its tables.
+    """What the store has does not follow from what it had, and nobody put it back: another signing
+    key, or somebody wrote to its tables.
     """
 
 
@@ -77,7 +77,9 @@
                     return
 
     async def renew(self, seen: Head, own: Head) -> None:
-        """The store is not where it was: it was put back. Others look too; one of us begins the epoch."""
+        """The store is not where it was: it was put back. Others look too; one of us begins the
+        epoch.
+        """
         if await self.store.renew(seen, max(seen.epoch, own.epoch)):
             self.told.renewed(seen, own)
 
--- a/burlloom/distribution/stores/sqlite.py
+++ b/burlloom/distribution/stores/sqlite.py
@@ -1,4 +1,6 @@
-"""In one SQLite file, the record's or one of its own, that all control machines of one machine share."""
+"""In one SQLite file, the record's or one of its own, that all control machines of one machine
+share.
+"""
 
 import sqlite3
 from pathlib import Path
--- a/burlloom/distribution/stores/store.py
+++ b/burlloom/distribution/stores/store.py
@@ -24,8 +24,8 @@
 
     async def head(self) -> Head: ...
     async def since(self, revision: int, most: int) -> list[Change]:
-        """The changes after it that are still in the log, in order; the first is a later one where it was
-        pruned.
+        """The changes after it that are still in the log, in order; the first is a later one where
+        it was pruned.
         """
 
     async def at(self, revision: int) -> Change | None:
@@ -35,9 +35,9 @@
         """In one step, if nobody wrote its revision before. On disk when it says yes."""
 
     async def entries(self, after: Place | None, most: int) -> list[Stored]:
-        """A page of what is in force, in order. The table may move between two pages: entries that were read,
-        and then all changes after the head that was read before, in order, are what is in force at the
-        last.
+        """A page of what is in force, in order. The table may move between two pages: entries that
+        were read, and then all changes after the head that was read before, in order, are what is
+        in force at the last.
         """
 
     async def entry(self, scope: str, kind: str, key: str) -> Stored | None: ...
--- a/burlloom/distribution/stores/tables.py
+++ b/burlloom/distribution/stores/tables.py
@@ -1,5 +1,5 @@
-"""The changes in three tables. Each write is one transaction, begun by a statement that holds only if nobody
-wrote before.
+"""The changes in three tables. Each write is one transaction, begun by a statement that holds only
+if nobody wrote before.
 """
 
 import time
@@ -87,8 +87,8 @@
 
 
 class Tables:
-    """`ChangeStore` over `run`, one statement and its rows, and `together`, a transaction, which a store
-    gives. Both raise `Away`.
+    """`ChangeStore` over `run`, one statement and its rows, and `together`, a transaction, which a
+    store gives. Both raise `Away`.
     """
 
     async def run(self, sql: str, *values: Any) -> list[Any]:
--- a/burlloom/distribution/table.py
+++ b/burlloom/distribution/table.py
@@ -1,13 +1,16 @@
-"""What is in force, compact: entries in 256 buckets a scope, each bucket a sorted run of small leaves.
+"""What is in force, compact: entries in 256 buckets a scope, each bucket a sorted run of small
+leaves.
 
-It is a B+ tree of two levels (Bayer and McCreight's; one index a bucket, and leaves). A leaf is one `bytes`
-of at most 64 entries, so that the interpreter holds one object for some 40 entries in place of two for each:
+It is a B+ tree of two levels (Bayer and McCreight's; one index a bucket, and leaves). A leaf is one
+`bytes` of at most 64 entries, so that the interpreter holds one object for some 40 entries in place
+of two for each:
 
     count (2 bytes), length of the keys' part (2), length of each value (2 each), keys, values
 
-Keys stand between bytes 0xFF, which UTF-8 never has, so one search of the keys' part finds a key or tells
-that it is not there. A change rewrites the leaves that it touches and no other: nothing is ever hashed anew
-as a whole. `benchmarks/scale_table.py` measures it beside plain dicts, SQLite in memory and sorted arrays.
+Keys stand between bytes 0xFF, which UTF-8 never has, so one search of the keys' part finds a key or
+tells that it is not there. A change rewrites the leaves that it touches and no other: nothing is
+ever hashed anew as a whole. `benchmarks/scale_table.py` measures it beside plain dicts, SQLite in
+memory and sorted arrays.
 
 Digests (XOR of the entries' xxh3) tell of slips between copies; they keep no stranger out.
 """
@@ -45,8 +48,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Entries of one bucket in the order of (scope, kind, key); `last`: the place of the last one, None if
-    there is none; `done`: the bucket has no more behind them.
+    """Entries of one bucket in the order of (scope, kind, key); `last`: the place of the last one,
+    None if there is none; `done`: the bucket has no more behind them.
     """
 
     entries: tuple[Entry, ...]
@@ -108,8 +111,8 @@
 
 
 class Bucket:
-    """The entries of one scope and one bucket, by code of the kind and key. `firsts[i]`: the least key that
-    leaf i may hold; the first leaf's is empty, so that every key has a leaf.
+    """The entries of one scope and one bucket, by code of the kind and key. `firsts[i]`: the least
+    key that leaf i may hold; the first leaf's is empty, so that every key has a leaf.
     """
 
     __slots__ = ("firsts", "leaves")
@@ -240,9 +243,9 @@
 class Table:
     """`scopes`: those that are held, as ("", own region); None: all that come.
 
-    A lookup sees the own region's entry first, then that of everywhere. With all scopes it sees those of
-    everywhere alone; `held` tells the others. All arguments are checked before anything is changed; what is
-    refused raises `ValueError` with all faults, each with its place.
+    A lookup sees the own region's entry first, then that of everywhere. With all scopes it sees
+    those of everywhere alone; `held` tells the others. All arguments are checked before anything is
+    changed; what is refused raises `ValueError` with all faults, each with its place.
     """
 
     def __init__(self, scopes: tuple[str, ...] | None) -> None:
@@ -292,8 +295,8 @@
         return sum(sum(part.counts.values()) for part in self.parts.values())
 
     def keys(self, kind: str) -> Iterator[str]:
-        """The keys that `get` finds, in no order of theirs; a leaf is unpacked at a time, and the table may
-        change in between: what is there all the while comes once.
+        """The keys that `get` finds, in no order of theirs; a leaf is unpacked at a time, and the
+        table may change in between: what is there all the while comes once.
         """
         code = CODES[kind]
         for bucket in range(BUCKETS):
@@ -348,9 +351,9 @@
     def page(
         self, bucket: int, after: Place | None, scopes: Iterable[str] | None, most_bytes: int
     ) -> Page:
-        """The bucket's next entries of these scopes (None: all) behind `after`, of at most so many bytes as
-        MessagePack, each a list of scope, kind, key and value. Raises `ValueError` for a bucket that is none, or
-        where not even one entry is sure to have room.
+        """The bucket's next entries of these scopes (None: all) behind `after`, of at most so many
+        bytes as MessagePack, each a list of scope, kind, key and value. Raises `ValueError` for a
+        bucket that is none, or where not even one entry is sure to have room.
         """
         no_place(after)
         if not 0 <= bucket < BUCKETS or most_bytes < ENTRY_BYTES:
@@ -373,8 +376,9 @@
         return Page(tuple(found), found[-1][:3] if found else None, True)
 
     def replace(self, bucket: int, after: Place | None, page: Page) -> int:
-        """Makes what stands behind `after` up to `page.last` (to the bucket's end if the page is its last)
-        exactly what the page says, in all scopes held, and gives how many entries differed.
+        """Makes what stands behind `after` up to `page.last` (to the bucket's end if the page is
+        its last) exactly what the page says, in all scopes held, and gives how many entries
+        differed.
         """
         no_place(after)
         taken = self.checked(page.entries)
@@ -481,9 +485,9 @@
 
 
 class Tenants(Mapping[str, float]):
-    """The tenants in force, each with its portion of the service, as a view of a table that changes under it.
-    What is not text is in no table. Raises `ValueError` for a value that is no map, or whose portion is no
-    number.
+    """The tenants in force, each with its portion of the service, as a view of a table that changes
+    under it. What is not text is in no table. Raises `ValueError` for a value that is no map, or
+    whose portion is no number.
     """
 
     def __init__(self, table: Table) -> None:
--- a/burlloom/distribution/telling.py
+++ b/burlloom/distribution/telling.py
@@ -13,9 +13,9 @@
 
 
 class Telling:
-    """Looked at some times a second. From line to line `from` is the revision after the last `to`: all
-    that was applied in between, in the chain's order, of which `tag` is the end; or else a sync set all
-    at once.
+    """Looked at some times a second. From line to line `from` is the revision after the last `to`:
+    all that was applied in between, in the chain's order, of which `tag` is the end; or else a sync
+    set all at once.
     """
 
     def __init__(self, replica: Replica) -> None:
@@ -44,7 +44,9 @@
 
 
 class Keys:
-    """The keys of a file, looked at once a second. A file that can't be used leaves them as they are."""
+    """The keys of a file, looked at once a second. A file that can't be used leaves them as they
+    are.
+    """
 
     def __init__(self, path: Path, read: Callable[[], tuple[bytes, ...]], what: str) -> None:
         self.path, self.read, self.what = path, read, what
--- a/burlloom/distribution/terms.py
+++ b/burlloom/distribution/terms.py
@@ -7,11 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """Times in ns, jittered by a tenth where they repeat. `silence`: an upstream that answered is given up
-    after it; `knock`: one that never did; `retry`: a request is sent again; `prefer`: better upstreams are
-    tried again; `stale`: an upstream whose word is older than that is left for a fresher one; `stuck`: a sync
-    without any progress is begun anew elsewhere. `lease`: a follower that does not report is forgotten.
-    `page_rate`: bytes/s of pages that one source gives to all; `page_burst`: bytes at once.
+    """Times in ns, jittered by a tenth where they repeat. `silence`: an upstream that answered is
+    given up after it; `knock`: one that never did; `retry`: a request is sent again; `prefer`:
+    better upstreams are tried again; `stale`: an upstream whose word is older than that is left for
+    a fresher one; `stuck`: a sync without any progress is begun anew elsewhere. `lease`: a follower
+    that does not report is forgotten. `page_rate`: bytes/s of pages that one source gives to all;
+    `page_burst`: bytes at once.
     """
 
     beat: int = 1000 * MS
--- a/burlloom/executor/link.py
+++ b/burlloom/executor/link.py
@@ -1,4 +1,6 @@
-"""Keeps the link to the executor; what was said on a lost one is said again only where that is safe."""
+"""Keeps the link to the executor; what was said on a lost one is said again only where that is
+safe.
+"""
 
 import asyncio
 import contextlib
@@ -41,8 +43,9 @@
         self.address, self.tasks, self.spare = address, tasks, spare
         self.welcome, self.ended, self.at_call = welcome, ended, at_call
         self.read_last = 0
-        # Commands that no later answer proves to have arrived, in order; only these are in doubt when a link
-        # is lost. All others must not be repeated: their run may have ended, and would run again.
+        # Commands that no later answer proves to have arrived, in order; only these are in doubt
+        # when a link is lost. All others must not be repeated: their run may have ended, and would
+        # run again.
         self.doubtful: dict[tuple[str, str], tuple[int, bytes]] = {}
         self.said = 0  # commands so far; a METER proves those up to its own place in the order
         self.metered: dict[str, tuple[asyncio.Future[list[float] | None], int]] = {}
@@ -67,8 +70,9 @@
         if self.joined and self.writer is not None:
             self.writer.post(text)
             if self.proof is None:
-                # Not only once a round: what is in doubt when a link is lost is said again, and the less of
-                # it had arrived after all, the less a repeat can find its run one call further, or over.
+                # Not only once a round: what is in doubt when a link is lost is said again, and the
+                # less of it had arrived after all, the less a repeat can find its run one call
+                # further, or over.
                 self.proof = asyncio.get_running_loop().call_later(PROVE_AFTER / SECOND, self.prove)
 
     def prove(self) -> None:
@@ -87,7 +91,8 @@
         )
         self.silent = 0 if done else self.silent + 1
         if self.silent > SILENT_AFTER and self.writer is not None:
-            # Against a link that stays open with nobody at its other end: a new one brings what was missed.
+            # Against a link that stays open with nobody at its other end: a new one brings what was
+            # missed.
             log.warning("event=executor-silent rounds=%d", self.silent)
             self.silent = 0
             with contextlib.suppress(
@@ -106,7 +111,9 @@
         return asked
 
     def move(self, address: tuple[str, int]) -> None:
-        """The executor is found here from now on; what was said in vain on the link before is said again."""
+        """The executor is found here from now on; what was said in vain on the link before is said
+        again.
+        """
         if address != self.address:
             self.address = address
             if self.trying is not None:
@@ -144,8 +151,8 @@
                 async with asyncio.timeout(self.dial_most / SECOND):
                     await asyncio.get_running_loop().sock_connect(sock, self.address)
             except TimeoutError:
-                # The system would dial again later and later, so that a machine that is back is found late. Where
-                # dials are slow by themselves, the next has longer.
+                # The system would dial again later and later, so that a machine that is back is
+                # found late. Where dials are slow by themselves, the next has longer.
                 self.dial_most = min(DIAL_LONGEST, 2 * self.dial_most)
                 return Reason.NO_ANSWER, ""
             self.dial_most = DIAL
@@ -196,7 +203,8 @@
                 raise Ended(Reason.UNREADABLE, f"state {values[0]}")
             self.replaying = True
             self.welcome(values[0] == "EMPTY", lines.whole(values[1]))
-            # The replay ends where this is answered: only then is it known which commands were heard.
+            # The replay ends where this is answered: only then is it known which commands were
+            # heard.
             self.meter()
             self.barrier = f"m{self.tags}"
         elif name == "METERS":
@@ -226,8 +234,9 @@
         if number > self.read_last + 1 and not self.replaying:
             raise Ended(Reason.UNREADABLE, f"notice {number} after {self.read_last}")
         if number > self.read_last + 1:
-            # More than the executor keeps was said while there was no link: some ends are never learnt, and
-            # what was in doubt may be among them. Not said again, it is voided in time and never run twice.
+            # More than the executor keeps was said while there was no link: some ends are never
+            # learnt, and what was in doubt may be among them. Not said again, it is voided in time
+            # and never run twice.
             log.error("event=notices-lost from=%d to=%d", self.read_last + 1, number - 1)
             self.doubtful.clear()
         self.replaying = False
--- a/burlloom/fleet/__init__.py
+++ b/burlloom/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""What a fleet does as a whole: who is in it, how the calls below are shared out, who talks to which
-services.
+"""What a fleet does as a whole: who is in it, how the calls below are shared out, who talks to
+which services.
 
 Without I/O; `server/fleeting.py` has the sockets, `lab/fleets.py` a network in simulated time.
 """
--- a/burlloom/fleet/deal.py
+++ b/burlloom/fleet/deal.py
@@ -1,23 +1,29 @@
 """How the calls that the services below bear are shared out over the fleet. No I/O.
 
-One member deals, whoever has lived longest of those who are there. Each round every member reports to it
-what it holds and what it could use, and is granted a share for the length of a lease. Shares are
-thousandths of a call in hand. What keeps the sum within `total`, whatever the network does:
+One member deals, whoever has lived longest of those who are there. Each round every member reports
+to it what it holds and what it could use, and is granted a share for the length of a lease. Shares
+are thousandths of a call in hand. What keeps the sum within `total`, whatever the network does:
 
-- The dealer counts as bound, for each member, the larger of what its last report said that it holds and of
+- The dealer counts as bound, for each member, the larger of what its last report said that it holds
+and of
   what was granted on it; a raise comes only out of what is not bound.
-- A holder takes a grant only on its newest report, so an older one that is late does nothing, and it reports
+- A holder takes a grant only on its newest report, so an older one that is late does nothing, and
+it reports
   what it holds with the calls still in hand: a cut share is free once its calls are.
-- A member that was not heard is bound as before. What it is bound by is dealt anew once it left, was started
-  again, or was dead for `redeal`; by then it is at its floor by itself (`hold.py`), if it lives: a grant says
-  whether half of the fleet reports to the one that gave it, and without such a grant for `cut` it sinks.
-- Only a dealer to whom more than half of the fleet reports may raise. One that comes new to it first learns:
-  until all have reported, or for as long as an older dealer could still have raised and its grants hold.
-
-Source: Google's Doorman (2016) hands out leases of a capacity from an elected server with a learning mode;
-Breakwater (Cho and others, OSDI 2020) grants credits by demand. The split is max-min fair, by weight; whole
-calls go round in turns by error diffusion, so that each has its exact share over some turns and the sum is
-exact in each.
+- A member that was not heard is bound as before. What it is bound by is dealt anew once it left,
+was started
+  again, or was dead for `redeal`; by then it is at its floor by itself (`hold.py`), if it lives: a
+  grant says whether half of the fleet reports to the one that gave it, and without such a grant for
+  `cut` it sinks.
+- Only a dealer to whom more than half of the fleet reports may raise. One that comes new to it
+first learns:
+  until all have reported, or for as long as an older dealer could still have raised and its grants
+  hold.
+
+Source: Google's Doorman (2016) hands out leases of a capacity from an elected server with a
+learning mode; Breakwater (Cho and others, OSDI 2020) grants credits by demand. The split is max-min
+fair, by weight; whole calls go round in turns by error diffusion, so that each has its exact share
+over some turns and the sum is exact in each.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -68,12 +74,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """Of the whole fleet, the same on each member. `total`: calls in hand that the services below bear,
-    thousandths. `least`: the fleet is never thought smaller. Times in ns: `round` between reports;
-    `lease` of a grant; `turn` between two dealings; `cut` after which one that was granted nothing in the
-    name of half of the fleet falls to its floor; `redeal` after which what the dead held is dealt anew.
-    `floor`: the part of an equal share that is kept when cut off; `idle`: by one that wants nothing, for its
-    first call.
+    """Of the whole fleet, the same on each member. `total`: calls in hand that the services below
+    bear, thousandths. `least`: the fleet is never thought smaller. Times in ns: `round` between
+    reports; `lease` of a grant; `turn` between two dealings; `cut` after which one that was granted
+    nothing in the name of half of the fleet falls to its floor; `redeal` after which what the dead
+    held is dealt anew. `floor`: the part of an equal share that is kept when cut off; `idle`: by
+    one that wants nothing, for its first call.
     """
 
     total: int
@@ -107,7 +113,9 @@
 
     @property
     def learns(self) -> int:
-        """As long as a dealer of whom we know nothing could still raise, and what it granted holds."""
+        """As long as a dealer of whom we know nothing could still raise, and what it granted
+        holds.
+        """
         return self.fresh + 2 * self.lease
 
     def equal(self, members: int) -> int:
@@ -118,8 +126,8 @@
 
 
 class Told(NamedTuple):
-    """A report, thousandths of a call: `held` is the share in force, or what is in hand where that is more;
-    `want` is what could be used. `roster`: equal where two members count the same fleet.
+    """A report, thousandths of a call: `held` is the share in force, or what is in hand where that
+    is more; `want` is what could be used. `roster`: equal where two members count the same fleet.
     """
 
     held: int
@@ -145,7 +153,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Present:
-    """A member as the view has it: `there` or dead since then. Those who left are not among them."""
+    """A member as the view has it: `there` or dead since then. Those who left are not among
+    them.
+    """
 
     life: int
     there: bool
@@ -177,8 +187,8 @@
         gap: bool = False,
         roster: int = 0,
     ) -> None:
-        """`fleet`: all that may hold something, by name, another mapping where that changed; `roster`: as in a
-        report. `gap`: nothing was done here for long.
+        """`fleet`: all that may hold something, by name, another mapping where that changed;
+        `roster`: as in a report. `gap`: nothing was done here for long.
         """
         self.fleet, self.is_first, self.roster = fleet, first, roster
         if self.many(now):
@@ -215,8 +225,9 @@
         return grant
 
     def disown(self, name: str, life: int, number: int) -> None:
-        """It may be raised by another from now on, and does not count as one that reports to us until it does
-        anew; a report up to that number that is still on its way does not change that.
+        """It may be raised by another from now on, and does not count as one that reports to us
+        until it does anew; a report up to that number that is still on its way does not change
+        that.
         """
         account = self.accounts.get(name)
         sums = self.kept if self.kept is not None and self.kept.accounts is self.accounts else None
@@ -262,7 +273,9 @@
         return self.kept
 
     def lost(self, now: int, present: Present) -> bool:
-        """Dead for so long that it is at its floor by itself. Told only where most of the fleet reports."""
+        """Dead for so long that it is at its floor by itself. Told only where most of the fleet
+        reports.
+        """
         return (
             not present.there
             and now - present.since >= self.terms.redeal
@@ -270,7 +283,9 @@
         )
 
     def sure(self, now: int) -> bool:
-        """Whether a grant is in the name of half of the fleet: then no other part of it can deal it anew."""
+        """Whether a grant is in the name of half of the fleet: then no other part of it can deal it
+        anew.
+        """
         return 2 * self.reporting(now) >= self.size()
 
     def size(self) -> int:
@@ -298,15 +313,16 @@
         return 2 * self.reporting(now) > self.size()
 
     def few(self, now: int) -> bool:
-        """For so long that it is no moment in which many came at once and have not reported yet, or have not
-        yet come to a new dealer. Raises stop at once all the same.
+        """For so long that it is no moment in which many came at once and have not reported yet, or
+        have not yet come to a new dealer. Raises stop at once all the same.
         """
         return now - max(self.many_at, self.since) > self.terms.fresh
 
     def learned(self, now: int) -> bool:
         if not self.many(now):
             return False
-        # Who all count the same fleet as we do leave nobody out who holds something that one of them granted.
+        # Who all count the same fleet as we do leave nobody out who holds something that one of
+        # them granted.
         known = [
             name
             for name, account in self.accounts.items()
@@ -334,8 +350,8 @@
         self.since = now
 
     def deal(self, now: int) -> None:
-        """New targets once a turn, for those who report; what the others are bound by is not there to be
-        dealt.
+        """New targets once a turn, for those who report; what the others are bound by is not there
+        to be dealt.
         """
         if now - self.turned < (self.terms.turn // 8 if self.hurried else self.terms.turn):
             return
@@ -366,8 +382,8 @@
 
 
 def fair(total: int, wants: Sequence[int], weights: Sequence[int]) -> list[float]:
-    """Max-min fair by weight: nobody has less than it wants while another has more by weight; what nobody
-    wants is spread by weight on top, so that the sum is `total`.
+    """Max-min fair by weight: nobody has less than it wants while another has more by weight; what
+    nobody wants is spread by weight on top, so that the sum is `total`.
     """
     given = [0.0] * len(wants)
     left, open = float(total), [at for at, weight in enumerate(weights) if weight > 0]
@@ -391,9 +407,10 @@
 
 
 def turns(total: int, ideal: Sequence[float], accounts: Sequence[Account]) -> list[int]:
-    """Whole calls where a share is one or more, thousandths; the sum is at most `total`. What a share is
-    rounded by is carried on, and a member keeps what it has until STICKS is owed to it or by it: each change
-    costs the time in which one has given a call back and the other has not yet taken it.
+    """Whole calls where a share is one or more, thousandths; the sum is at most `total`. What a
+    share is rounded by is carried on, and a member keeps what it has until STICKS is owed to it or
+    by it: each change costs the time in which one has given a call back and the other has not yet
+    taken it.
     """
     owed, given = [0.0] * len(accounts), [0] * len(accounts)
     lows = [int(share // CALL) * CALL for share in ideal]
@@ -409,7 +426,8 @@
         )
         given[at] = account.target if stays else lows[at]
     left = total - sum(given)
-    # Never more than a call off the ideal share: what is owed is paid by rounding, and in no other way.
+    # Never more than a call off the ideal share: what is owed is paid by rounding, and in no other
+    # way.
     for at in sorted(large, key=lambda at: given[at] - owed[at]):
         if left >= CALL and given[at] == lows[at]:
             given[at] += CALL
--- a/burlloom/fleet/fleet.py
+++ b/burlloom/fleet/fleet.py
@@ -1,8 +1,9 @@
-"""One member of the fleet, whole: who else is there, the share of the calls below, what is sent to whom. No
-I/O.
+"""One member of the fleet, whole: who else is there, the share of the calls below, what is sent to
+whom. No I/O.
 
-A host gives it a clock's time, what datagrams come (`hear`) and what is in use (`uses`), calls `tick` several
-times a round, and sends what lies in `out`. Times are ns of a clock that never steps back; lives are Unix ms.
+A host gives it a clock's time, what datagrams come (`hear`) and what is in use (`uses`), calls
+`tick` several times a round, and sends what lies in `out`. Times are ns of a clock that never steps
+back; lives are Unix ms.
 """
 
 from collections import deque
@@ -29,9 +30,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Habits:
-    """Of the membership, ns. `probe`: between probes of one member after the other; `ack`: until others are
-    asked to ask it; `suspicion`: for refuting; `forget`: until one that is over leaves the view, and only
-    where most are there; `others`: how many are asked.
+    """Of the membership, ns. `probe`: between probes of one member after the other; `ack`: until
+    others are asked to ask it; `suspicion`: for refuting; `forget`: until one that is over leaves
+    the view, and only where most are there; `others`: how many are asked.
     """
 
     probe: int = 500 * MS
@@ -90,7 +91,9 @@
         chance: Random,
         now: int,
     ) -> None:
-        """`seeds`: addresses where others may be, our own may be among them. The first key seals."""
+        """`seeds`: addresses where others may be, our own may be among them. The first key
+        seals.
+        """
         self.terms, self.habits, self.chance, self.keys = terms, habits, chance, keys
         self.seeds = tuple(seed for seed in seeds if seed != own.address)
         self.members = Members(own, now)
@@ -132,8 +135,8 @@
         return self.holder.share
 
     def good(self, now: int) -> bool:
-        """Whether the share is one that we may still act on: else `tick` comes first. Guards against a
-        process that was paused and wakes with what was dealt to others meanwhile.
+        """Whether the share is one that we may still act on: else `tick` comes first. Guards
+        against a process that was paused and wakes with what was dealt to others meanwhile.
         """
         return now - self.last <= self.terms.lease
 
@@ -230,7 +233,9 @@
         elif self.tied[0] in members.by_name:
             self.send(members.by_name[self.tied[0]].word.address, Kind.UNTIE, self.tied[1])
         if now - self.born < WATCH * self.terms.round and self.dealt_by != self.own.name:
-            return  # who deals is not known yet; one that is reported to by mistake may count us for a while
+            # who deals is not known yet; one that is reported to by mistake may count us for a
+            # while
+            return
         if (
             self.report_number >= 0
             and now - self.report_at < RESEND * self.terms.round
@@ -251,7 +256,9 @@
             self.send(first.address, Kind.REPORT, self.number, tuple(told))
 
     def look(self) -> None:
-        """What the dealing is told of the view, where that changed: a new mapping, from the one before."""
+        """What the dealing is told of the view, where that changed: a new mapping, from the one
+        before.
+        """
         members = self.members
         if self.seen == members.version:
             return
@@ -277,7 +284,8 @@
     def granted(self, now: int, share: int, sure: bool) -> None:
         self.report_number = -1
         if now - self.switched < self.terms.fresh:
-            # The one that dealt before may still count us among those who report to it, and raise others.
+            # The one that dealt before may still count us among those who report to it, and raise
+            # others.
             share = min(share, self.holder.share)
         self.counts.grants += 1
         self.holder.grant(now, share, self.report_at, sure)
@@ -309,7 +317,9 @@
             self.ping(self.members.by_name[name].word, self.number)
 
     def next_name(self) -> str | None:
-        """All that are there, one after the other in an order drawn anew each time: none waits for long."""
+        """All that are there, one after the other in an order drawn anew each time: none waits for
+        long.
+        """
         for _ in range(2):
             while self.queue:
                 name = self.queue.pop()
@@ -335,9 +345,9 @@
         )
 
     def knock(self) -> None:
-        """At the doors of some that are dead, and of addresses where nobody is known: so a cut that heals is
-        noticed, and those who were all started anew hear of the ones that lived on before they deal among
-        themselves.
+        """At the doors of some that are dead, and of addresses where nobody is known: so a cut that
+        heals is noticed, and those who were all started anew hear of the ones that lived on before
+        they deal among themselves.
         """
         dead = [
             member.word.address
@@ -402,8 +412,8 @@
             self.send(letter.sender.address, Kind.SYNC, letter.number)
 
     def synced_by(self, now: int, letter: Letter) -> None:
-        """Those who are over are told of for half the time that they are kept: else views would hand them
-        back and forth for ever.
+        """Those who are over are told of for half the time that they are kept: else views would
+        hand them back and forth for ever.
         """
         by_name, recent = self.members.by_name, self.habits.forget // 2
         told = (
@@ -493,7 +503,9 @@
         name: str = "",
         about: str = "",
     ) -> None:
-        """`about`: whom we send it to. What we think of it goes first, so that it may refute that."""
+        """`about`: whom we send it to. What we think of it goes first, so that it may refute
+        that.
+        """
         words = (
             [self.members.by_name[about].word]
             if about in self.members.by_name
@@ -511,7 +523,9 @@
             self.post(address, Letter(Kind.FORMER, self.own, 0, (life,)))
 
     def gossip(self, about: str) -> list[Word]:
-        """What was passed on least often so far; each of our news some times the logarithm of the fleet."""
+        """What was passed on least often so far; each of our news some times the logarithm of the
+        fleet.
+        """
         most = 3 * len(self.members.by_name).bit_length()
         found = []
         for name in sorted(self.news, key=self.news.__getitem__)[:NEWS_MOST]:
--- a/burlloom/fleet/hold.py
+++ b/burlloom/fleet/hold.py
@@ -1,11 +1,12 @@
-"""One member's share of the calls below: what was granted, and what is left of it where no grant comes. No
-I/O.
-
-States: COLD nothing was granted in this life, so nothing is held; HOLDING a grant's lease runs; ADRIFT it ran
-out: an equal share is kept, or what was held if that is less, as nobody deals that anew yet; CUT nothing was
-granted in the name of half of the fleet for `Terms.cut`, or we stood still for so long: the floor, since the
-others may share out the rest by now. No state goes up but by a grant. What we hear does not count: where
-letters pass one way only, who hears all may be dead to all.
+"""One member's share of the calls below: what was granted, and what is left of it where no grant
+comes. No I/O.
+
+States: COLD nothing was granted in this life, so nothing is held; HOLDING a grant's lease runs;
+ADRIFT it ran out: an equal share is kept, or what was held if that is less, as nobody deals that
+anew yet; CUT nothing was granted in the name of half of the fleet for `Terms.cut`, or we stood
+still for so long: the floor, since the others may share out the rest by now. No state goes up but
+by a grant. What we hear does not count: where letters pass one way only, who hears all may be dead
+to all.
 """
 
 from collections.abc import Callable
@@ -96,7 +97,8 @@
 
     def sink(self, now: int) -> None:
         lowest = self.terms.lowest(self.members)
-        # A cold one has nothing that could be dealt anew, but must not stay without a call for good.
+        # A cold one has nothing that could be dealt anew, but must not stay without a call for
+        # good.
         self.share = lowest if not self.granted else min(self.share, lowest)
 
 
--- a/burlloom/fleet/letters.py
+++ b/burlloom/fleet/letters.py
@@ -1,9 +1,9 @@
 """What members send to each other: one datagram each, sealed with the fleet's key. No I/O.
 
-A letter is 16 bytes of a keyed BLAKE2b (RFC 7693) over the rest, then MessagePack: version, kind, the
-sender's own word, a number, up to four whole numbers, a name, words of others. What is not exactly that is
-refused. A letter that is played again says nothing new: words are ordered by themselves, answers carry the
-number that was asked with, reports count up.
+A letter is 16 bytes of a keyed BLAKE2b (RFC 7693) over the rest, then MessagePack: version, kind,
+the sender's own word, a number, up to four whole numbers, a name, words of others. What is not
+exactly that is refused. A letter that is played again says nothing new: words are ordered by
+themselves, answers carry the number that was asked with, reports count up.
 """
 
 import hashlib
@@ -35,9 +35,14 @@
         6  # to the REPORT of that number: the share, and 1 where half of the fleet reports to us
     )
     BYE = 7  # our own word says that we left
-    FORMER = 8  # to one that was started again: the life of its name that we knew, which did not say that it left
-    ELSEWHERE = 9  # to the REPORT of that number: we don't deal; the word of who does, as we see it, goes with it
-    UNTIE = 10  # we report to another now, and that was our last REPORT to you: don't count us; ELSEWHERE answers
+    # to one that was started again: the life of its name that we knew, which did not say that it
+    # left
+    FORMER = 8
+    # to the REPORT of that number: we don't deal; the word of who does, as we see it, goes with it
+    ELSEWHERE = 9
+    # we report to another now, and that was our last REPORT to you: don't count us; ELSEWHERE
+    # answers
+    UNTIE = 10
 
 
 class Letter(NamedTuple):
@@ -66,7 +71,9 @@
 
 
 def unseal(data: bytes, keys: tuple[bytes, ...]) -> Letter:
-    """Any of the keys will do, so that keys can be changed while the fleet runs. Raises `Unreadable`."""
+    """Any of the keys will do, so that keys can be changed while the fleet runs. Raises
+    `Unreadable`.
+    """
     if not TAG < len(data) <= LETTER_MOST:
         raise Unreadable(f"of {len(data)} bytes")
     mark, text = data[:TAG], data[TAG:]
--- a/burlloom/fleet/members.py
+++ b/burlloom/fleet/members.py
@@ -1,14 +1,16 @@
 """Who is in the fleet, as one member sees it: SWIM's states with incarnations, by a table. No I/O.
 
-After Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-Protocol" (2002): whoever does not answer, directly nor through others, is suspected before it is held to be
-dead, and may refute that itself by a higher incarnation. Ours differs in three ways. An incarnation belongs
-to a life, so that a member that was started again is told from one that lived on. Who leaves says so. The
-dead stay in the view until they are forgotten: what they held below counts as taken meanwhile (`deal.py`).
-
-States: ALIVE; SUSPECT it did not answer and may still; DEAD it did not refute that in time; LEFT by its own
-word; GONE not in the view. What others say moves a member by (life, incarnation, state) alone, each word to
-the larger of the two: so the order in which words come, and how often, does not matter.
+After Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
+Membership Protocol" (2002): whoever does not answer, directly nor through others, is suspected
+before it is held to be dead, and may refute that itself by a higher incarnation. Ours differs in
+three ways. An incarnation belongs to a life, so that a member that was started again is told from
+one that lived on. Who leaves says so. The dead stay in the view until they are forgotten: what they
+held below counts as taken meanwhile (`deal.py`).
+
+States: ALIVE; SUSPECT it did not answer and may still; DEAD it did not refute that in time; LEFT by
+its own word; GONE not in the view. What others say moves a member by (life, incarnation, state)
+alone, each word to the larger of the two: so the order in which words come, and how often, does not
+matter.
 """
 
 from bisect import bisect_right
@@ -77,8 +79,8 @@
 
 
 class Word(NamedTuple):
-    """What is said of a member. `life`: when it was started, Unix ms, or later where that was taken;
-    `incarnation`: how often it refuted in that life.
+    """What is said of a member. `life`: when it was started, Unix ms, or later where that was
+    taken; `incarnation`: how often it refuted in that life.
     """
 
     name: str
@@ -116,14 +118,15 @@
 
 
 class Members:
-    """The view. `meet` is all that changes it; who is ourselves never stands in it as anything but alive
-    or left: what others say else of us is refuted.
+    """The view. `meet` is all that changes it; who is ourselves never stands in it as anything but
+    alive or left: what others say else of us is refuted.
     """
 
     def __init__(self, own: Word, now: int) -> None:
         self.own = own
         self.by_name: dict[str, Member] = {}
-        # Kept up by `put`, as a walk of the view at each turn would cost a member the more the larger the fleet.
+        # Kept up by `put`, as a walk of the view at each turn would cost a member the more the
+        # larger the fleet.
         self.unsettled: dict[str, Member] = {}  # all but the ALIVE
         self.addresses: dict[str, int] = {}  # of those that are there, by how many
         self.sorted: tuple[int, list[str]] = (-1, [])  # names, and the version that they are of
@@ -170,8 +173,8 @@
         return self.meet(now, word.name, Input(int(word.state)), word)
 
     def said_of_us(self, now: int, word: Word) -> bool:
-        """An older life's words are no concern of ours; one of ours that we did not say is refuted; another's
-        under our name, or a later life than ours after a step of the clock, is outbid.
+        """An older life's words are no concern of ours; one of ours that we did not say is refuted;
+        another's under our name, or a later life than ours after a step of the clock, is outbid.
         """
         own = self.own
         if own.state is State.LEFT or word.rank <= own.rank:
@@ -221,8 +224,8 @@
     # What the view shows.
 
     def roster(self) -> int:
-        """Equal where two views count the same lives of the same members, whatever state they think them
-        in.
+        """Equal where two views count the same lives of the same members, whatever state they think
+        them in.
         """
         return self.lives >> 1
 
@@ -242,8 +245,8 @@
         return sum(member.state is not State.LEFT for member in self)
 
     def first(self) -> Word:
-        """Who deals: the one that has lived longest of those who are there, so that newcomers change
-        nothing.
+        """Who deals: the one that has lived longest of those who are there, so that newcomers
+        change nothing.
         """
         return min((member.word for member in self if member.there), key=lived, default=self.own)
 
@@ -292,8 +295,8 @@
 def due(
     members: Iterable[Member], now: int, suspicion: int, forget: int
 ) -> list[tuple[str, Input]]:
-    """Whose time for refuting is over, and who is over for long. Whoever keeps the view hands these to
-    `meet`.
+    """Whose time for refuting is over, and who is over for long. Whoever keeps the view hands these
+    to `meet`.
     """
     found = []
     for member in members:
--- a/burlloom/fleet/subset.py
+++ b/burlloom/fleet/subset.py
@@ -1,14 +1,16 @@
-"""Which of the services below a server talks to, and in which shares. No I/O, no state: all that see the same
-fleet choose the same.
-
-Each server takes the services that rank highest for it by rendezvous hashing (Thaler and Ravishankar, 1998):
-a server that comes or goes changes its own pairs and nobody else's. Chance alone would leave some services
-with far more servers than others, so each server spreads its calls by weights instead of evenly, such that
-all services together have the same load: the pairs are a matrix whose rows (a server's calls) and columns (a
-service's load) have given sums, fitted by turns (iterative proportional fitting, Sinkhorn and Knopp, 1967).
-
-Where even that leaves a service past its bound, all subsets are made larger until it does not. docs/fleet.md
-has this against the ways of Google's book on site reliability and of consistent hashing with bounded loads.
+"""Which of the services below a server talks to, and in which shares. No I/O, no state: all that
+see the same fleet choose the same.
+
+Each server takes the services that rank highest for it by rendezvous hashing (Thaler and
+Ravishankar, 1998): a server that comes or goes changes its own pairs and nobody else's. Chance
+alone would leave some services with far more servers than others, so each server spreads its calls
+by weights instead of evenly, such that all services together have the same load: the pairs are a
+matrix whose rows (a server's calls) and columns (a service's load) have given sums, fitted by turns
+(iterative proportional fitting, Sinkhorn and Knopp, 1967).
+
+Where even that leaves a service past its bound, all subsets are made larger until it does not.
+docs/fleet.md has this against the ways of Google's book on site reliability and of consistent
+hashing with bounded loads.
 """
 
 from collections.abc import Mapping, Sequence
@@ -25,15 +27,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """Of one server: the services by rank, each with its part of the server's calls. The parts sum to 1."""
+    """Of one server: the services by rank, each with its part of the server's calls. The parts sum
+    to 1.
+    """
 
     parts: Mapping[str, float]
 
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """Of the whole fleet: each server's choice; `worst`: the load of the most loaded service over the
-    mean.
+    """Of the whole fleet: each server's choice; `worst`: the load of the most loaded service over
+    the mean.
     """
 
     choices: Mapping[str, Choice]
@@ -61,8 +65,8 @@
 
 
 def size_of(server: str, mean: float) -> int:
-    """Whole, and `mean` on average over the servers: as the mean moves with the size of the fleet, a few
-    servers at a time take one more or less, and not all at once.
+    """Whole, and `mean` on average over the servers: as the mean moves with the size of the fleet,
+    a few servers at a time take one more or less, and not all at once.
     """
     return int(mean + rank(server, "") / (1 << 64))
 
@@ -70,8 +74,9 @@
 def spread(
     servers: Sequence[str], services: Sequence[str], least: int, bound: float = 1.1
 ) -> Spread:
-    """The subsets of all servers, with weights such that no service has more than `bound` times the mean
-    load, where each server calls as much as the next. Raises `ValueError` where there is none to talk to.
+    """The subsets of all servers, with weights such that no service has more than `bound` times the
+    mean load, where each server calls as much as the next. Raises `ValueError` where there is none
+    to talk to.
     """
     if not services:
         raise ValueError("there are no services to talk to")
@@ -108,9 +113,9 @@
 
 
 class Turns:
-    """Calls of one server spread over its subset: smooth weighted round robin, so that any stretch of them
-    is split as the parts say, within one call each. A service that could not be reached is left out for a
-    while, longer each time.
+    """Calls of one server spread over its subset: smooth weighted round robin, so that any stretch
+    of them is split as the parts say, within one call each. A service that could not be reached is
+    left out for a while, longer each time.
     """
 
     SKIP, SKIP_MOST = 500_000_000, 16_000_000_000  # ns
@@ -141,7 +146,9 @@
         self.out.pop(service, None)
 
     def next(self, now: int) -> str:
-        """Those that are left out count again once all are. Raises `ValueError` where there are none."""
+        """Those that are left out count again once all are. Raises `ValueError` where there are
+        none.
+        """
         open = [
             service for service in self.parts if self.out.get(service, (0, 0))[0] <= now
         ] or list(self.parts)
--- a/burlloom/fleet/sums.py
+++ b/burlloom/fleet/sums.py
@@ -1,9 +1,10 @@
-"""Sums over all accounts, kept up from report to report: a walk of the fleet for each report would cost whoever
-deals the square of the fleet. No I/O.
+"""Sums over all accounts, kept up from report to report: a walk of the fleet for each report would
+cost whoever deals the square of the fleet. No I/O.
 
-What moves with an account is moved by whoever changes it (`drop` before, `take` after). What moves with time alone, a
-report that is no longer fresh and a member that is dead for long, lies in the order in which it will: each query takes
-from the front what is over by then. All else makes a new one: another view, another phase, a clock that stepped back.
+What moves with an account is moved by whoever changes it (`drop` before, `take` after). What moves
+with time alone, a report that is no longer fresh and a member that is dead for long, lies in the
+order in which it will: each query takes from the front what is over by then. All else makes a new
+one: another view, another phase, a clock that stepped back.
 """
 
 from collections import OrderedDict
@@ -28,8 +29,9 @@
 
 
 class Sums:
-    """`since`: who has not reported from then on may hold an equal share at least, `equal`. `fresh`: how long a report
-    counts. `redeal`: how long one is dead before it counts as gone; None where nobody does.
+    """`since`: who has not reported from then on may hold an equal share at least, `equal`.
+    `fresh`: how long a report counts. `redeal`: how long one is dead before it counts as gone; None
+    where nobody does.
     """
 
     def __init__(
--- a/burlloom/interface.py
+++ b/burlloom/interface.py
@@ -1,8 +1,9 @@
 """What the decisions are told of a server and its txns, and what they may do to them.
 
-Whoever hosts a `Choice` (the server's desk, or the bench's adapter) builds a `ServerFacts`, implements
-`Effects`, and calls the methods that the head of `choice.py` lists. All times are whole nanoseconds on
-the host's clock; txns, products and callers are small indices that the host gives out.
+Whoever hosts a `Choice` (the server's desk, or the bench's adapter) builds a `ServerFacts`,
+implements `Effects`, and calls the methods that the head of `choice.py` lists. All times are whole
+nanoseconds on the host's clock; txns, products and callers are small indices that the host gives
+out.
 """
 
 from dataclasses import dataclass
@@ -80,10 +81,10 @@
 class Relief:
     """What a level of reduced service takes away, by product; the empty one takes nothing.
 
-    `declined`: newcomers; `kept`: they are answered with a kept result or declined; `repeats`: marked
-    retries and copies are declined; `skips`: calls are left out where an answer without is allowed. `over`:
-    those past their tenant's share are declined. `hold`: the part of the hold's length that is left.
-    `floor`: the part of all ranks that it takes away, for callers to hear.
+    `declined`: newcomers; `kept`: they are answered with a kept result or declined; `repeats`:
+    marked retries and copies are declined; `skips`: calls are left out where an answer without is
+    allowed. `over`: those past their tenant's share are declined. `hold`: the part of the hold's
+    length that is left. `floor`: the part of all ranks that it takes away, for callers to hear.
     """
 
     name: str = ""
@@ -98,7 +99,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """The level in force, and the one above it: who has a lot under `part` is served there on trial."""
+    """The level in force, and the one above it: who has a lot under `part` is served there on
+    trial.
+    """
 
     relief: Relief = Relief()
     above: Relief = Relief()
@@ -107,11 +110,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Txn:
-    """One try as it was read. `cost` and `expiry_at` are 0 where the caller told none, `repeat_of` -1.
+    """One try as it was read. `cost` and `expiry_at` are 0 where the caller told none, `repeat_of`
+    -1.
 
-    `entry` is false where an entry that it wants could not be kept now by whatever keeps them. `retry`: it
-    is marked as a further try or a copy. `over`: it is past its tenant's share. `lot`: its caller's own, from
-    0 to under 1.
+    `entry` is false where an entry that it wants could not be kept now by whatever keeps them.
+    `retry`: it is marked as a further try or a copy. `over`: it is past its tenant's share. `lot`:
+    its caller's own, from 0 to under 1.
     """
 
     ref: int
--- a/burlloom/lab/__init__.py
+++ b/burlloom/lab/__init__.py
@@ -1,7 +1,8 @@
-"""The lab: whole fleets in simulated time, driven by an open load, watched by a checker of the four rules.
+"""The lab: whole fleets in simulated time, driven by an open load, watched by a checker of the four
+rules.
 
-Nothing here decides for the program: each node is the real server with its desk and decisions, between
-emulated parts.
+Nothing here decides for the program: each node is the real server with its desk and decisions,
+between emulated parts.
 """
 
 from .emulator import Emulator, Outcome, play
--- a/burlloom/lab/below.py
+++ b/burlloom/lab/below.py
@@ -1,4 +1,6 @@
-"""The catalogue that all nodes share, and the stand-in for each node's pool of connections to it."""
+"""The catalogue that all nodes share, and the stand-in for each node's pool of connections to
+it.
+"""
 
 import asyncio
 
@@ -11,8 +13,8 @@
 
 
 class Catalogue:
-    """Calls take longer in proportion once more are in hand than it has slots; `slow` and `gone` are
-    faults.
+    """Calls take longer in proportion once more are in hand than it has slots; `slow` and `gone`
+    are faults.
     """
 
     def __init__(self, loop: SimulatedLoop, told: Below, chance: Generator) -> None:
--- a/burlloom/lab/callers.py
+++ b/burlloom/lab/callers.py
@@ -1,5 +1,5 @@
-"""Balancers with their habits: they go on down their list after a decline, heed or ignore what they are
-told.
+"""Balancers with their habits: they go on down their list after a decline, heed or ignore what they
+are told.
 """
 
 from typing import TYPE_CHECKING
--- a/burlloom/lab/capacity.py
+++ b/burlloom/lab/capacity.py
@@ -1,9 +1,10 @@
-"""What each role needs at the coming size, worked out from kept slopes: the tables of docs/CAPACITY.md.
+"""What each role needs at the coming size, worked out from kept slopes: the tables of
+docs/CAPACITY.md.
 
-A row is a sum of terms: a slope at a size of the plan times a factor, or a figure that is given or guessed.
-Between the sizes that were measured a cost is read from the measured ones, beyond them from the fit.
-`burlloom lab capacity` prints the tables, `--write` puts them between the page's markers, `--check` tells the
-lines that differ.
+A row is a sum of terms: a slope at a size of the plan times a factor, or a figure that is given or
+guessed. Between the sizes that were measured a cost is read from the measured ones, beyond them
+from the fit. `burlloom lab capacity` prints the tables, `--write` puts them between the page's
+markers, `--check` tells the lines that differ.
 """
 
 import math
@@ -64,8 +65,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """A kept row at the coming size of what it is measured by, or at `size`, times `factor` and where `times`
-    names one, another row of the same state there; `why`: what the factor is; `grows`: with the size.
+    """A kept row at the coming size of what it is measured by, or at `size`, times `factor` and
+    where `times` names one, another row of the same state there; `why`: what the factor is;
+    `grows`: with the size.
     """
 
     name: str
@@ -82,7 +84,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Given:
-    """A figure without a slope, in the row's unit. `how`: `plan`, `code`, `guess`. `grows`: with servers."""
+    """A figure without a slope, in the row's unit. `how`: `plan`, `code`, `guess`. `grows`: with
+    servers.
+    """
 
     value: float
     why: str
@@ -92,9 +96,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """A row of a role. `when`: `today`, or `built` for what
-    burlloom/distribution brings and nobody runs yet. Without terms it is not measured, or, where `nothing`,
-    nothing carries it.
+    """A row of a role. `when`: `today`, or `built` for what burlloom/distribution brings and nobody
+    runs yet. Without terms it is not measured, or, where `nothing`, nothing carries it.
     """
 
     what: str
@@ -115,8 +118,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """A row worked out. `need`: None where a term is missing. `passed`: the part of the coming size at which
-    the budget is passed, None where it is not up to a hundred times that, or can't be told.
+    """A row worked out. `need`: None where a term is missing. `passed`: the part of the coming size
+    at which the budget is passed, None where it is not up to a hundred times that, or can't be
+    told.
     """
 
     role: Role
@@ -963,7 +967,9 @@
 
 
 def cost(row: Row, size: float) -> float:
-    """Between measured sizes by those, beyond them by the fit; one that falls is held at its last size."""
+    """Between measured sizes by those, beyond them by the fit; one that falls is held at its last
+    size.
+    """
     if min(row.sizes) <= size <= max(row.sizes):
         pairs = sorted(zip(row.sizes, row.values, strict=True))
         return float(np.interp(size, [pair[0] for pair in pairs], [pair[1] for pair in pairs]))
@@ -972,7 +978,9 @@
 
 
 def latest(path: Path = KEPT) -> dict[tuple[str, str, str], Row]:
-    """By name, state and side the row that was kept last, in whatever order branches were joined."""
+    """By name, state and side the row that was kept last, in whatever order branches were
+    joined.
+    """
     return newest(sorted(kept(path), key=lambda row: row.at))
 
 
@@ -1065,8 +1073,9 @@
 
 
 def passed_at(cost_at: Callable[[float], float], budget: float) -> float | None:
-    """The part of the coming size from which on the budget is passed: where it is at the whole, the least
-    from which on it stays so; else the next past the whole, None where there is none up to `PART_MOST`.
+    """The part of the coming size from which on the budget is passed: where it is at the whole, the
+    least from which on it stays so; else the next past the whole, None where there is none up to
+    `PART_MOST`.
     """
     steps = [float(part) for part in np.geomspace(PART_LEAST, PART_MOST, 601)]
     at = min(range(len(steps)), key=lambda step: abs(steps[step] - 1.0))
@@ -1146,8 +1155,8 @@
 
 
 def ranking(found: Iterable[Figure]) -> list[Figure]:
-    """What is missing today, the first first: passed at the smallest part of the coming size, then the most
-    over. What was not measured, is a guess or comes from a busy machine is not ranked.
+    """What is missing today, the first first: passed at the smallest part of the coming size, then
+    the most over. What was not measured, is a guess or comes from a busy machine is not ranked.
     """
     real = [
         one
@@ -1209,8 +1218,8 @@
 
 
 def worst(found: Sequence[Figure]) -> Figure:
-    """Of a role's rows the one whose budget is passed first, of those the one most over; the first where none
-    has a budget and a figure.
+    """Of a role's rows the one whose budget is passed first, of those the one most over; the first
+    where none has a budget and a figure.
     """
     judged = [one for one in found if one.over is not None and counts(one)]
     early = [math.inf if one.passed is None else one.passed for one in judged]
@@ -1355,8 +1364,8 @@
 
 
 def written(page: str, made: Mapping[str, Sequence[str]]) -> str:
-    """The page with these tables between its markers. Raises `NoPage` for an unknown, double, missing or
-    unclosed marker.
+    """The page with these tables between its markers. Raises `NoPage` for an unknown, double,
+    missing or unclosed marker.
     """
     out, seen, lines, at = [], [], page.splitlines(), 0
     while at < len(lines):
--- a/burlloom/lab/charts.py
+++ b/burlloom/lab/charts.py
@@ -55,8 +55,8 @@
 def play_chart(
     path: Path, title: str, products: Sequence[str], rows: Sequence[dict[str, Any]]
 ) -> None:
-    """One world with one seed: what was asked, answers in time by product, and levels, a column for each
-    variant.
+    """One world with one seed: what was asked, answers in time by product, and levels, a column for
+    each variant.
     """
     figure, axes = pyplot.subplots(
         3, len(rows), figsize=(4.6 * len(rows), 6), sharex=True, sharey="row", squeeze=False
@@ -150,8 +150,8 @@
 def recovery_chart(
     path: Path, title: str, variants: dict[str, tuple[Sequence[float], Sequence[float]]], last: int
 ) -> None:
-    """For each way of coming back, by second: what is settled as a part of before, and the most calls below as a part of
-    the share. Up to `last` s.
+    """For each way of coming back, by second: what is settled as a part of before, and the most
+    calls below as a part of the share. Up to `last` s.
     """
     figure, (above, under) = pyplot.subplots(2, 1, figsize=(8, 5), sharex=True)
     for name, (rate, most) in variants.items():
--- a/burlloom/lab/clock.py
+++ b/burlloom/lab/clock.py
@@ -14,10 +14,11 @@
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """An event loop on which waiting costs nothing. Sockets may be made on it, but nobody hears from them.
+    """An event loop on which waiting costs nothing. Sockets may be made on it, but nobody hears
+    from them.
 
-    Timers are ordered by time, then by when they were set: asyncio's own heap leaves the order of equal
-    times to chance. One that is cancelled stays until its time.
+    Timers are ordered by time, then by when they were set: asyncio's own heap leaves the order of
+    equal times to chance. One that is cancelled stays until its time.
     """
 
     def __init__(self) -> None:
--- a/burlloom/lab/distances.py
+++ b/burlloom/lab/distances.py
@@ -1,5 +1,5 @@
-"""The network between the hosts of a scale run, as a table in each one's sending path: nobody carries all of the
-traffic.
+"""The network between the hosts of a scale run, as a table in each one's sending path: nobody
+carries all of the traffic.
 
 It delays by distance, loses, and cuts groups from each other, one way or both. No I/O.
 """
@@ -8,7 +8,8 @@
 from random import Random
 from typing import Any
 
-# One way, ms: within a zone, within a region, and between regions by how far they lie apart on a ring. A guess.
+# One way, ms: within a zone, within a region, and between regions by how far they lie apart on a
+# ring. A guess.
 SAME_ZONE, SAME_REGION, NEXT_REGION, EACH_REGION = 0.25, 0.75, 12.0, 11.0
 JITTER = 0.2  # of the delay, more or less
 ZONES = (3, 3, 2, 2, 2, 2)  # of each region: 14 in 6
@@ -17,7 +18,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a server stands. `marks`: what a cut may name it by, as `region:2`, `zone:5`, `rack:5.3`, `name:h12`."""
+    """Where a server stands. `marks`: what a cut may name it by, as `region:2`, `zone:5`,
+    `rack:5.3`, `name:h12`.
+    """
 
     name: str
     region: int
@@ -48,8 +51,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """`one` does not reach `other`, and with `both` is not reached either; `other` empty: all that are not in
-    `one`.
+    """`one` does not reach `other`, and with `both` is not reached either; `other` empty: all that
+    are not in `one`.
     """
 
     one: frozenset[str]
--- a/burlloom/lab/emulator.py
+++ b/burlloom/lab/emulator.py
@@ -1,5 +1,5 @@
-"""A fleet in simulated time: nodes, balancers, the list of nodes, the catalogue, an open load, and faults
-at times.
+"""A fleet in simulated time: nodes, balancers, the list of nodes, the catalogue, an open load, and
+faults at times.
 """
 
 import asyncio
@@ -362,7 +362,9 @@
                 node.executor.deaf = begins
 
     def release(self, nodes: list[Node], fault: Fault) -> None:
-        """Drained in steps, spread over the fault's time; each starts again cold when it has gone."""
+        """Drained in steps, spread over the fault's time; each starts again cold when it has
+        gone.
+        """
         batch = max(1, round(fault.size * len(self.nodes)))
         steps = (len(nodes) + batch - 1) // batch
         for at, node in enumerate(nodes):
--- a/burlloom/lab/experiment.py
+++ b/burlloom/lab/experiment.py
@@ -1,5 +1,5 @@
-"""Experiments: worlds, seeds and variants played side by side over the cores; results kept in a table that
-only grows.
+"""Experiments: worlds, seeds and variants played side by side over the cores; results kept in a
+table that only grows.
 """
 
 import json
@@ -30,8 +30,8 @@
 
 
 class Experiment(Part):
-    """What is compared. Each world is played with each seed and each variant; the first variant is the one
-    compared with.
+    """What is compared. Each world is played with each seed and each variant; the first variant is
+    the one compared with.
     """
 
     name: str
@@ -129,8 +129,8 @@
 
 
 def plays(experiment: Experiment, workers: int) -> Iterator[dict[str, Any]]:
-    """Each play's result as it is done, in no order; the seeds and so the figures do not depend on the
-    workers.
+    """Each play's result as it is done, in no order; the seeds and so the figures do not depend on
+    the workers.
     """
     with ProcessPoolExecutor(workers) as pool:
         waiting = [
@@ -169,8 +169,8 @@
             )
 
     def rows(self, experiment: str, text: str | None = None) -> list[dict[str, Any]]:
-        """The newest play of each world, variant and seed; of one text of the program, or of the newest
-        there is.
+        """The newest play of each world, variant and seed; of one text of the program, or of the
+        newest there is.
         """
         with closing(sqlite3.connect(self.path)) as db:
             if text is None:
@@ -210,8 +210,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Paired:
-    """A figure of one variant against another's on the same worlds and seeds: means, and the difference
-    with its 95%.
+    """A figure of one variant against another's on the same worlds and seeds: means, and the
+    difference with its 95%.
     """
 
     figure: str
@@ -229,7 +229,9 @@
 
 
 def paired(rows: list[dict[str, Any]], world: str, base: str, other: str) -> list[Paired]:
-    """Differences of pairs, resampled (percentile bootstrap, seeded): no shape of theirs is assumed."""
+    """Differences of pairs, resampled (percentile bootstrap, seeded): no shape of theirs is
+    assumed.
+    """
     by = {(row["variant"], row["seed"]): row["figures"] for row in rows if row["world"] == world}
     seeds = sorted(
         {seed for variant, seed in by if variant == base}
--- a/burlloom/lab/fleets.py
+++ b/burlloom/lab/fleets.py
@@ -1,4 +1,5 @@
-"""A network between members in simulated time, and swarms of members without servers for what needs no more.
+"""A network between members in simulated time, and swarms of members without servers for what needs
+no more.
 
 The network delays, loses, doubles and cuts; a member can be killed, paused and started again.
 """
@@ -26,8 +27,8 @@
 
 
 class Net:
-    """Datagrams between addresses. `cuts`: pairs of sides that do not hear each other, each a set of
-    addresses; one-way where only the first does not reach the second.
+    """Datagrams between addresses. `cuts`: pairs of sides that do not hear each other, each a set
+    of addresses; one-way where only the first does not reach the second.
     """
 
     def __init__(
--- a/burlloom/lab/hollow.py
+++ b/burlloom/lab/hollow.py
@@ -1,17 +1,14 @@
-"""A process that holds some hundreds of hollow servers: each speaks the real messages over a loopback socket of its
-own
-with the real cores, and has no serving part.
+"""A process that holds some hundreds of hollow servers: each speaks the real messages over a
+loopback socket of its own with the real cores, and has no serving part.
 
     python -m burlloom.lab.hollow    # a line of JSON in for each order, a line out each second; ends when its input
     does
 
-Whoever runs it sends `begin`, learns from `open` under which address each server is reached, and tells all hosts all
-of
-the addresses (`places`), since the network between them is in their sending path (`distances.py`). Then `start`,
-`kill`,
-`leave`, `stand` (still, for `for` seconds) with `names`, `tell` for what a core makes of it, `net` for delays,
-losses and cuts, `ask`
-for what each one cost, `end`. Events that a checker wants, each share and each life with its time, go to the file
+Whoever runs it sends `begin`, learns from `open` under which address each server is reached, and
+tells all hosts all of the addresses (`places`), since the network between them is in their sending
+path (`distances.py`). Then `start`, `kill`, `leave`, `stand` (still, for `for` seconds) with
+`names`, `tell` for what a core makes of it, `net` for delays, losses and cuts, `ask` for what each
+one cost, `end`. Events that a checker wants, each share and each life with its time, go to the file
 that `begin` names.
 """
 
@@ -46,7 +43,9 @@
 
 
 class Core(Protocol):
-    """What a hollow server runs. `out`: address and datagram, an address as text or as host and port."""
+    """What a hollow server runs. `out`: address and datagram, an address as text or as host and
+    port.
+    """
 
     out: deque[Any]
 
@@ -331,9 +330,8 @@
         self.say("open", pid=os.getpid(), addresses=found)
 
     async def know(self, message: dict[str, Any]) -> None:
-        """`places`: [address, name, region, zone, rack] of all; `outside`: the same, of those in no host, by the
-        address that
-        they send from; `seeds` and the like, by the kind of core.
+        """`places`: [address, name, region, zone, rack] of all; `outside`: the same, of those in no
+        host, by the address that they send from; `seeds` and the like, by the kind of core.
         """
         for address, name, region, zone, rack in message.get("places", ()):
             self.places[address] = self.places[pair(address)] = (
--- a/burlloom/lab/hollow_configuration.py
+++ b/burlloom/lab/hollow_configuration.py
@@ -1,8 +1,8 @@
-"""Hollow servers that follow configuration, and control machines that are followed, with the real cores.
+"""Hollow servers that follow configuration, and control machines that are followed, with the real
+cores.
 
-What each copy takes is told to the checker as it is seen from outside of it: the revision and a digest of the
-change's body
-that is not the program's own.
+What each copy takes is told to the checker as it is seen from outside of it: the revision and a
+digest of the change's body that is not the program's own.
 """
 
 import asyncio
--- a/burlloom/lab/load.py
+++ b/burlloom/lab/load.py
@@ -11,7 +11,9 @@
 
 @dataclass(slots=True, eq=False)
 class Order:
-    """A client's wish, and what became of it. Times in s of simulated time, work in core ms at speed 1."""
+    """A client's wish, and what became of it. Times in s of simulated time, work in core ms at
+    speed 1.
+    """
 
     number: int
     at: float
@@ -52,8 +54,8 @@
 
 
 def orders(world: World, capacity: float, chance: Generator) -> Iterator[Order]:
-    """`capacity`: core ms at speed 1 that the fleet does in a second. Poisson, thinned to the load's
-    shape.
+    """`capacity`: core ms at speed 1 that the fleet does in a second. Poisson, thinned to the
+    load's shape.
     """
     load, products = world.load, world.products
     most = load.high * (1 + load.noise) * capacity / world.cost_ms
--- a/burlloom/lab/machine.py
+++ b/burlloom/lab/machine.py
@@ -14,11 +14,11 @@
 
 
 class Cores:
-    """Processor sharing in virtual time: all jobs move at one rate, so a heap by where each ends holds
-    them.
+    """Processor sharing in virtual time: all jobs move at one rate, so a heap by where each ends
+    holds them.
 
-    One more or one less costs a logarithm and one timer, not a look at all that run. Work is in core ms at
-    speed 1.
+    One more or one less costs a logarithm and one timer, not a look at all that run. Work is in
+    core ms at speed 1.
     """
 
     def __init__(self, loop: SimulatedLoop, told: Machines, speed: float, born: float) -> None:
@@ -98,8 +98,8 @@
 
 
 class Executor:
-    """Stands where the server has its link: the same calls in, the same notices out, at once and without
-    loss.
+    """Stands where the server has its link: the same calls in, the same notices out, at once and
+    without loss.
     """
 
     def __init__(
--- a/burlloom/lab/node.py
+++ b/burlloom/lab/node.py
@@ -1,4 +1,6 @@
-"""A node: the real server with its desk and decisions, where its sockets would be the emulated parts."""
+"""A node: the real server with its desk and decisions, where its sockets would be the emulated
+parts.
+"""
 
 import socket
 from typing import TYPE_CHECKING
@@ -132,8 +134,8 @@
                 self.forget(attempt)
             return
         product = fleet.world.products[order.product]
-        # Nothing can be answered before it is read: where that alone takes past its expiry, it is due at
-        # once.
+        # Nothing can be answered before it is read: where that alone takes past its expiry, it is
+        # due at once.
         fleet.rules.read(
             came,
             self.name,
@@ -218,7 +220,8 @@
         if self.up:
             told = self.fleet.world.machines
             kb = self.booked + self.executor.held
-            # What reading takes of the cores is not in its hands: runs alone count. A cold one survives less.
+            # What reading takes of the cores is not in its hands: runs alone count. A cold one
+            # survives less.
             survives = 1 + (told.tip_multiple - 1) * self.cores.warmth()
             wanting = (len(self.cores.jobs) - self.reading) * told.tip_multiple / survives
             self.fleet.rules.sees(
--- a/burlloom/lab/rolls.py
+++ b/burlloom/lab/rolls.py
@@ -1,5 +1,5 @@
-"""Releases over a fleet in simulated time: the servers' real part in them, and the book in memory behind a
-way that takes its time and fails; or an operator's script that knows nothing of any of it.
+"""Releases over a fleet in simulated time: the servers' real part in them, and the book in memory
+behind a way that takes its time and fails; or an operator's script that knows nothing of any of it.
 """
 
 import asyncio
@@ -99,8 +99,8 @@
 
 
 class Releases:
-    """`bad`: the share of runs that fail, by version. `restart_s`: from a process's end to the next one's
-    start.
+    """`bad`: the share of runs that fail, by version. `restart_s`: from a process's end to the next
+    one's start.
     """
 
     def __init__(
@@ -184,9 +184,9 @@
 
 
 class Scripted(Releases):
-    """`most` at a time, the next ones when these are up again, or after `wait_s` at the latest; or, with
-    `pause_s`, by the clock alone. What else is out it does not know. Without a version, they start anew as
-    they are.
+    """`most` at a time, the next ones when these are up again, or after `wait_s` at the latest; or,
+    with `pause_s`, by the clock alone. What else is out it does not know. Without a version, they
+    start anew as they are.
     """
 
     def script(
--- a/burlloom/lab/rules.py
+++ b/burlloom/lab/rules.py
@@ -1,8 +1,8 @@
-"""A checker of the four rules, which knows nothing of the program: it is told what came, ran and was
-answered.
+"""A checker of the four rules, which knows nothing of the program: it is told what came, ran and
+was answered.
 
-Whoever plays a world (in simulated time or on sockets) hands it each thing as it happens, in order. Times
-are s.
+Whoever plays a world (in simulated time or on sockets) hands it each thing as it happens, in order.
+Times are s.
 """
 
 from collections import Counter
@@ -179,7 +179,9 @@
             self.fault(at, f"{mean:.0f} calls in hand below, which survives {self.calls_most:.0f}")
 
     def forget(self, before: float) -> None:
-        """Drops what can't matter any more, so that long plays take no more memory than short ones."""
+        """Drops what can't matter any more, so that long plays take no more memory than short
+        ones.
+        """
         for id, one in list(self.tries.items()):
             if max(one.due, one.at + one.window) + 10 < before:
                 del self.tries[id]
