--- a/burlloom/lab/slopes.py
+++ b/burlloom/lab/slopes.py
@@ -1,7 +1,9 @@
-"""Slopes: a cost measured at five sizes or more, the shape it grows by, and what it comes to at another size.
+"""Slopes: a cost measured at five sizes or more, the shape it grows by, and what it comes to at
+another size.
 
-Rows are kept in a file of JSON lines that only grows; whoever reads takes the newest row of a name, a state and a
-side. Costs are processor time, bytes, messages and resident memory, which a busy machine changes little.
+Rows are kept in a file of JSON lines that only grows; whoever reads takes the newest row of a name,
+a state and a side. Costs are processor time, bytes, messages and resident memory, which a busy
+machine changes little.
 """
 
 import json
@@ -24,8 +26,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """`cost = base + rate * g(size)`, g by the shape: 1, log2 size, size, size squared. `residual`: the root of the mean
-    square of (measured - fitted) / fitted. `exponent`: of a power law through the same points.
+    """`cost = base + rate * g(size)`, g by the shape: 1, log2 size, size, size squared. `residual`:
+    the root of the mean square of (measured - fitted) / fitted. `exponent`: of a power law through
+    the same points.
     """
 
     shape: str
@@ -40,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """`name`: what costs, as `member cpu`; `unit`: as `ms/s`; `by`: of what the sizes are, as `servers`. `side`: `now`, or
-    `before` for the text before a change. `command`: runs it again. `note`: where it was measured, what is
-    extrapolated, what is a guess.
+    """`name`: what costs, as `member cpu`; `unit`: as `ms/s`; `by`: of what the sizes are, as
+    `servers`. `side`: `now`, or `before` for the text before a change. `command`: runs it again.
+    `note`: where it was measured, what is extrapolated, what is a guess.
     """
 
     name: str
@@ -66,8 +69,8 @@
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """The plainest shape whose residual is within a tenth of the best one's, or under 5%. Raises `ValueError` for fewer
-    than five sizes, or for what is no finite positive size.
+    """The plainest shape whose residual is within a tenth of the best one's, or under 5%. Raises
+    `ValueError` for fewer than five sizes, or for what is no finite positive size.
     """
     if len(set(sizes)) < SIZES_LEAST or len(sizes) != len(values):
         raise ValueError(
@@ -114,7 +117,9 @@
 
 
 def keep(row: Row, path: Path = KEPT) -> Row:
-    """Appends the row, with when, on which text and on how many cores it was measured. Raises `ValueError` as `fit`."""
+    """Appends the row, with when, on which text and on how many cores it was measured. Raises
+    `ValueError` as `fit`.
+    """
     if row.state not in STATES or row.side not in ("now", "before"):
         raise ValueError(
             f"state {row.state!r} is none of {', '.join(STATES)}, or side {row.side!r} is neither now nor before"
@@ -131,7 +136,9 @@
 
 
 def text_now() -> str:
-    """The commit that is checked out, with + if files differ from it; empty outside of a checkout."""
+    """The commit that is checked out, with + if files differ from it; empty outside of a
+    checkout.
+    """
 
     def git(*words: str) -> str:
         return subprocess.run(
--- a/burlloom/lab/variants.py
+++ b/burlloom/lab/variants.py
@@ -1,5 +1,5 @@
-"""The ways that a world is played, side by side: without levels, with them, plain baselines, and levels
-with a part left out.
+"""The ways that a world is played, side by side: without levels, with them, plain baselines, and
+levels with a part left out.
 """
 
 from collections.abc import Callable
--- a/burlloom/lab/world.py
+++ b/burlloom/lab/world.py
@@ -1,7 +1,7 @@
 """What a world may be: a description that serves simulated time and loopback sockets alike.
 
-Units stand in the names; pairs are ranges that each machine or message draws from. Written as Jsonnet or
-JSON.
+Units stand in the names; pairs are ranges that each machine or message draws from. Written as
+Jsonnet or JSON.
 """
 
 from typing import Annotated, Any, Literal, Self
@@ -58,13 +58,13 @@
 
 
 class Machines(Part):
-    """Each of `count` has `cores` of a speed drawn from `speed`; what is read costs `intake` of the mean
-    work.
+    """Each of `count` has `cores` of a speed drawn from `speed`; what is read costs `intake` of the
+    mean work.
 
-    Past `thrash_at` that want a core each, every further one takes `thrash` of a core's work away. A cold
-    one starts at `cold_from` of its speed and is warm after `warm_s`. Past `tip_multiple` a core, for 3 s,
-    it falls over. `first`: so many are up as it begins, and each is told its share of the calls below as if
-    there were no more; 0: all.
+    Past `thrash_at` that want a core each, every further one takes `thrash` of a core's work away.
+    A cold one starts at `cold_from` of its speed and is warm after `warm_s`. Past `tip_multiple` a
+    core, for 3 s, it falls over. `first`: so many are up as it begins, and each is told its share
+    of the calls below as if there were no more; 0: all.
     """
 
     count: Annotated[int, Field(ge=1, le=1000)]
@@ -86,10 +86,10 @@
 
 
 class Callers(Part):
-    """Balancers. `tries`: at most so many for each txn, 0: without limit. `heed`: the share of them that
-    heeds what it is told; `checks`: the share that asks for health. Their lists are late by `notice_s`, or
-    by `silent_s` where a machine went without a word. `copies_after_ms`: a second copy of what may run
-    again, 0: none.
+    """Balancers. `tries`: at most so many for each txn, 0: without limit. `heed`: the share of them
+    that heeds what it is told; `checks`: the share that asks for health. Their lists are late by
+    `notice_s`, or by `silent_s` where a machine went without a word. `copies_after_ms`: a second
+    copy of what may run again, 0: none.
     """
 
     count: Annotated[int, Field(ge=1, le=1000)] = 4
@@ -104,8 +104,8 @@
 
 
 class Below(Part):
-    """The one catalogue: `slots` calls at once take `call_ms` each; more take longer in proportion. It
-    survives `headroom` times its slots; each node is told its share of that.
+    """The one catalogue: `slots` calls at once take `call_ms` each; more take longer in proportion.
+    It survives `headroom` times its slots; each node is told its share of that.
     """
 
     call_ms: Positive = 25
@@ -116,8 +116,8 @@
 
 
 class Load(Part):
-    """First tries, as a share of what all cores can do. `low` and `high` bound a sawtooth, step or burst
-    of `period_s`.
+    """First tries, as a share of what all cores can do. `low` and `high` bound a sawtooth, step or
+    burst of `period_s`.
     """
 
     shape: Literal["constant", "sawtooth", "step", "burst", "ramp"] = "constant"
@@ -134,13 +134,15 @@
 
 
 class Fault(Part):
-    """From `at_s` for `for_s`. `part`: of the machines, callers or zones; `size`: how much, by kind.
-
-    kill: those machines die and come back cold. join: `size` more machines start, one after the other; leave:
-    the last `size` of those that are up are drained and stay away. release: they are drained in steps of `size` of all. cut:
-    a zone's machines and callers hear nobody else. slow: the machines' cores, by `size`. below-slow,
-    below-gone: the catalogue. restart: those callers start again at once, with all open tries lost. flood:
-    `size` times the retries of one product, as from callers without limit. deaf: gauges are not told.
+    """From `at_s` for `for_s`. `part`: of the machines, callers or zones; `size`: how much, by
+    kind.
+
+    kill: those machines die and come back cold. join: `size` more machines start, one after the
+    other; leave: the last `size` of those that are up are drained and stay away. release: they are
+    drained in steps of `size` of all. cut: a zone's machines and callers hear nobody else. slow:
+    the machines' cores, by `size`. below-slow, below-gone: the catalogue. restart: those callers
+    start again at once, with all open tries lost. flood: `size` times the retries of one product,
+    as from callers without limit. deaf: gauges are not told.
     """
 
     kind: Literal[
--- a/burlloom/levels/__init__.py
+++ b/burlloom/levels/__init__.py
@@ -1,4 +1,6 @@
-"""Levels of reduced service: in which state a node is, why, and what each level takes away. No I/O."""
+"""Levels of reduced service: in which state a node is, why, and what each level takes away. No
+I/O.
+"""
 
 from .ladder import Change, Input, Ladder, Phase, Standing, Terms, most_changes
 from .plan import DEFAULT, Level, Plan, PlanFaults, reliefs
--- a/burlloom/levels/ladder.py
+++ b/burlloom/levels/ladder.py
@@ -1,18 +1,19 @@
-"""The ladder: a node stands on one level and moves by this table, one step at a time, and never often.
-
-Level 0 takes nothing away; each further one takes more. Once a round it is told how things look from where
-it stands: WORSE calls for the next level down, BETTER for a trial of the one above, and what is not known
-is neither. Its whole state is one small tuple, `Standing`, so that tests/explore_levels.py can walk every
-history of it.
-
-A trial is no change of level: all callers are served at this level or at the one above, and a trial that
-fails doubles the stay before the next. It lasts where the cap leaves no room to come up.
-
-Why it can't flap, whatever the signals do (`most_changes`): a step up is taken only if the changes of the
-last minute, this one, and a fall from there to the last level would together stay within `changes_most`.
-So look at any minute. If no step up lies in it, it holds at most as many changes as there are levels
-below. Else take its last step up: what came before it within the minute, itself, and all that can follow
-it are what the condition bounds.
+"""The ladder: a node stands on one level and moves by this table, one step at a time, and never
+often.
+
+Level 0 takes nothing away; each further one takes more. Once a round it is told how things look
+from where it stands: WORSE calls for the next level down, BETTER for a trial of the one above, and
+what is not known is neither. Its whole state is one small tuple, `Standing`, so that
+tests/explore_levels.py can walk every history of it.
+
+A trial is no change of level: all callers are served at this level or at the one above, and a trial
+that fails doubles the stay before the next. It lasts where the cap leaves no room to come up.
+
+Why it can't flap, whatever the signals do (`most_changes`): a step up is taken only if the changes
+of the last minute, this one, and a fall from there to the last level would together stay within
+`changes_most`. So look at any minute. If no step up lies in it, it holds at most as many changes as
+there are levels below. Else take its last step up: what came before it within the minute, itself,
+and all that can follow it are what the condition bounds.
 """
 
 from collections.abc import Callable
@@ -63,8 +64,8 @@
 
 
 class Standing(NamedTuple):
-    """Where a node stands; times are ns on the host's clock. `stays`: how many times its stay on each
-    level doubled.
+    """Where a node stands; times are ns on the host's clock. `stays`: how many times its stay on
+    each level doubled.
 
     `changes` are those of the last minute, the oldest first; an operator's are not among them.
     """
@@ -82,12 +83,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """The ladder's times, ns. `levels`: how many there are, counted without those that only a pin reaches.
+    """The ladder's times, ns. `levels`: how many there are, counted without those that only a pin
+    reaches.
 
-    dwell: between two steps down. stay: the least on a level before a trial of the one above; it doubles
-    each time that a trial fails or a level is left too early (it is back within `relapse`), up to
-    `stay_most`, and is forgiven one doubling for each `relapse` that was calm. trial: between two
-    widenings of a trial.
+    dwell: between two steps down. stay: the least on a level before a trial of the one above; it
+    doubles each time that a trial fails or a level is left too early (it is back within `relapse`),
+    up to `stay_most`, and is forgiven one doubling for each `relapse` that was calm. trial: between
+    two widenings of a trial.
     """
 
     levels: int
@@ -135,8 +137,8 @@
         return Standing(level, since=now, moved=now, stays=(0,) * self.terms.levels)
 
     def meet(self, at: Standing, what: Input, now: int, target: int = 0) -> Change:
-        """`target`: the level that an emergency or a pin names. The first row whose tests all hold moves
-        it.
+        """`target`: the level that an emergency or a pin names. The first row whose tests all hold
+        moves it.
         """
         kept = at._replace(changes=tuple(change for change in at.changes if change > now - MINUTE))
         for tests, phase, effect in RULES.get((at.phase, what), ()):
@@ -190,8 +192,8 @@
         return (*at.stays[:level], at.stays[level] + 1, *at.stays[level + 1 :])
 
     def calm(self, at: Standing, now: int) -> Standing:
-        """Time spent calm on a level that it came up to forgives the one below a doubling, each `relapse`
-        one.
+        """Time spent calm on a level that it came up to forgives the one below a doubling, each
+        `relapse` one.
         """
         below = at.level + 1
         if (
@@ -236,8 +238,8 @@
         return at._replace(level=target, part=-1, since=now, rose=0)
 
     def release(self, at: Standing, now: int, target: int) -> Standing:
-        """It works its way from the pinned level; one that only a pin reaches is left for the last that
-        counts.
+        """It works its way from the pinned level; one that only a pin reaches is left for the last
+        that counts.
         """
         return at._replace(level=min(at.level, self.terms.levels - 1), since=now, rose=0)
 
--- a/burlloom/levels/plan.py
+++ b/burlloom/levels/plan.py
@@ -13,12 +13,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Level:
-    """`gives_up`: of the values that products have, the lowest this many, all but the highest at the most;
-    or ALL.
+    """`gives_up`: of the values that products have, the lowest this many, all but the highest at
+    the most; or ALL.
 
     `products` names what goes beside them, `kept` what is then answered from kept results alone.
-    `repeats`: marked retries and copies of products up to the highest value are declined (inquiry-like
-    ones). Bounds that are empty are never entered: such a level is reached by an emergency or a pin alone.
+    `repeats`: marked retries and copies of products up to the highest value are declined
+    (inquiry-like ones). Bounds that are empty are never entered: such a level is reached by an
+    emergency or a pin alone.
     """
 
     name: str
@@ -39,8 +40,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Ordered levels, the first of which takes nothing away. `emergencies`: signal to entry and level's
-    name.
+    """Ordered levels, the first of which takes nothing away. `emergencies`: signal to entry and
+    level's name.
     """
 
     levels: tuple[Level, ...]
@@ -49,7 +50,9 @@
 
     @property
     def automatic(self) -> int:
-        """How many the ladder walks by itself: up to the last that has bounds, or that an emergency names."""
+        """How many the ladder walks by itself: up to the last that has bounds, or that an emergency
+        names.
+        """
         named = {name for _, name in self.emergencies.values()}
         return max(
             (at + 1 for at, level in enumerate(self.levels) if level.bounds or level.name in named),
@@ -71,7 +74,9 @@
 def faults(
     plan: Plan, products: Sequence[tuple[str, Product]] = (), signals: Sequence[str] = ()
 ) -> list[str]:
-    """All that is wrong with it, each with its place; against these products, where they are known."""
+    """All that is wrong with it, each with its place; against these products, where they are
+    known.
+    """
     found: list[str] = []
     names = [level.name for level in plan.levels]
     known = dict(products)
@@ -190,8 +195,8 @@
             product.value in gone or name in level.products for name, product in products
         )
         kept = tuple(name in level.kept for name, _ in products)
-        # Of what has an effect, a marked retry may be of one that ran elsewhere: only what may run again is
-        # refused for it.
+        # Of what has an effect, a marked retry may be of one that ran elsewhere: only what may run
+        # again is refused for it.
         repeats = tuple(
             level.repeats and product.repeatable is Repeatable.INQUIRY for _, product in products
         )
@@ -214,8 +219,8 @@
     return tuple(made)
 
 
-# Works without tuning: bounds are shares of the cores, of SLA times and of limits, none of one deployment's
-# figures.
+# Works without tuning: bounds are shares of the cores, of SLA times and of limits, none of one
+# deployment's figures.
 DEFAULT = Plan(
     levels=(
         Level("normal"),
--- a/burlloom/levels/signals.py
+++ b/burlloom/levels/signals.py
@@ -1,7 +1,7 @@
 """What a node measures of itself to know how things look: each signal over a ring of fixed buckets.
 
-A signal that was not told for as long as its ring spans is stale: it is neither high nor low, so it never
-raises service.
+A signal that was not told for as long as its ring spans is stale: it is neither high nor low, so it
+never raises service.
 """
 
 from collections import OrderedDict
@@ -18,10 +18,11 @@
 class Readings:
     """One round's; None where it is not known. All are shares, or multiples, of what there is.
 
-    use: of the cores, 0 to 1. crowd: what wants a core, each. age: the oldest held txn's, of its SLA time.
-    lag: of reading, of the shortest SLA time. press: the decisions' own pressure, 0 to 1. late: of those
-    settled, past their SLA time. calls: of them, refused, failed or given up. store: the record's time for
-    a claim, of what it may take; 1 and more where it is cut off. memory, sockets: of the limits.
+    use: of the cores, 0 to 1. crowd: what wants a core, each. age: the oldest held txn's, of its
+    SLA time. lag: of reading, of the shortest SLA time. press: the decisions' own pressure, 0 to 1.
+    late: of those settled, past their SLA time. calls: of them, refused, failed or given up. store:
+    the record's time for a claim, of what it may take; 1 and more where it is cut off. memory,
+    sockets: of the limits.
     """
 
     use: float | None = None
@@ -125,7 +126,9 @@
 
 
 class Shares:
-    """A count that turns over in time: of what was settled, how much was late; of calls, how many failed."""
+    """A count that turns over in time: of what was settled, how much was late; of calls, how many
+    failed.
+    """
 
     def __init__(self, span: int = 5 * SECOND, buckets: int = 10, least: int = 20) -> None:
         self.ring, self.least = Ring(span, buckets), least
@@ -141,15 +144,15 @@
 
 
 class Tenants:
-    """Which tenants take more than their share of what is read, over the last seconds, and which of their
-    txns that is.
+    """Which tenants take more than their share of what is read, over the last seconds, and which of
+    their txns that is.
 
-    One is past its share at `factor` times it and `sure` deviations beyond what chance alone makes of so
-    few reads, and no more at the share itself. Of its txns only the excess is marked, spread evenly: the
-    rest is within its share.
+    One is past its share at `factor` times it and `sure` deviations beyond what chance alone makes
+    of so few reads, and no more at the share itself. Of its txns only the excess is marked, spread
+    evenly: the rest is within its share.
 
-    `share`, where given, says a tenant's share of the whole at any time, None of one that is not known; then
-    `portions` count for nothing. The RINGS_MOST that were read last are measured.
+    `share`, where given, says a tenant's share of the whole at any time, None of one that is not
+    known; then `portions` count for nothing. The RINGS_MOST that were read last are measured.
     """
 
     def __init__(
@@ -169,7 +172,9 @@
         self.past: dict[str, float] = {}  # with the part of a txn that is owed to be marked
 
     def read(self, now: int, tenant: str) -> bool:
-        """Counts one read; whether it is past its tenant's share. Those that are not known have none."""
+        """Counts one read; whether it is past its tenant's share. Those that are not known have
+        none.
+        """
         portion = self.share(tenant)
         if portion is None:
             return False
--- a/burlloom/levels/watch.py
+++ b/burlloom/levels/watch.py
@@ -1,5 +1,5 @@
-"""A node's levels as a whole: readings in, the level in force and the reasons out. No I/O; times are the
-host's.
+"""A node's levels as a whole: readings in, the level in force and the reasons out. No I/O; times
+are the host's.
 """
 
 from collections.abc import Collection
@@ -22,8 +22,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Moved:
-    """A step of the ladder, for the log: its effect, from where to where, and the signal behind it with
-    its value.
+    """A step of the ladder, for the log: its effect, from where to where, and the signal behind it
+    with its value.
     """
 
     effect: str
@@ -49,9 +49,9 @@
         died_at: str = "",
         measured: Collection[str] = NAMES,
     ) -> None:
-        """`died_at`: the level that a record says this node's last life stood at. `measured`: the signals
-        that this node has at all; bounds on others do not count, else one that is never told would hold it
-        down for good.
+        """`died_at`: the level that a record says this node's last life stood at. `measured`: the
+        signals that this node has at all; bounds on others do not count, else one that is never
+        told would hold it down for good.
         """
         self.plan, self.reliefs = plan, reliefs
         self.bounds = [
@@ -63,7 +63,8 @@
         starts = [
             names.index(name) for name in (plan.cold if cold else "", died_at) if name in names
         ]
-        # One that died where only a pin puts a node comes back to the last level that it can leave by itself.
+        # One that died where only a pin puts a node comes back to the last level that it can leave
+        # by itself.
         first = min(max(starts, default=0), self.ladder.terms.levels - 1)
         self.standing = self.ladder.start(first, now)
         self.signals = Signals()
@@ -143,7 +144,9 @@
         return Input.SAME, 0, ("", 0.0, 0.0)
 
     def bounds_to_leave(self) -> dict[str, Bounds]:
-        """Those of the level, and of all between it and the first: none of them may call it back at once."""
+        """Those of the level, and of all between it and the first: none of them may call it back at
+        once.
+        """
         found: dict[str, Bounds] = {}
         for bounds in self.bounds[1 : self.standing.level + 1]:
             found.update(bounds)
--- a/burlloom/metrics/exposed.py
+++ b/burlloom/metrics/exposed.py
@@ -18,10 +18,11 @@
 
 
 class Numbers:
-    """A collector over plain numbers that others keep: nothing is counted twice, and nothing costs until it is read.
+    """A collector over plain numbers that others keep: nothing is counted twice, and nothing costs
+    until it is read.
 
-    `counts`: whole numbers that only grow, a dataclass, a dictionary or what gives one; `gauges` gives what stands
-    now.
+    `counts`: whole numbers that only grow, a dataclass, a dictionary or what gives one; `gauges`
+    gives what stands now.
     """
 
     def __init__(self, prefix: str, counts: Any, gauges: Callable[[], dict[str, float]]) -> None:
--- a/burlloom/naming/reports.py
+++ b/burlloom/naming/reports.py
@@ -1,4 +1,6 @@
-"""A datagram at each change and many in between; nothing ever comes back, and some are lost on their way."""
+"""A datagram at each change and many in between; nothing ever comes back, and some are lost on
+their way.
+"""
 
 import logging
 import socket
@@ -49,7 +51,9 @@
             log.info("event=naming trouble=%r", trouble)
 
     async def keep(self) -> None:
-        """Each is due a span after the one before was: by how much that came late is not added to every span."""
+        """Each is due a span after the one before was: by how much that came late is not added to
+        every span.
+        """
         due = self.clock()
         while True:
             if self.said is not None:
--- a/burlloom/operator/__init__.py
+++ b/burlloom/operator/__init__.py
@@ -1,4 +1,6 @@
-"""The operator's own file: a Jsonnet template, checked whole against a typed schema. Off unless a file is named."""
+"""The operator's own file: a Jsonnet template, checked whole against a typed schema. Off unless a
+file is named.
+"""
 
 from .distribution import DistributionPart
 from .fleet import FleetPart
--- a/burlloom/operator/distribution.py
+++ b/burlloom/operator/distribution.py
@@ -1,5 +1,5 @@
-"""The operator's word on configuration that is carried to the servers: who is followed, by which keys,
-what is told where.
+"""The operator's word on configuration that is carried to the servers: who is followed, by which
+keys, what is told where.
 """
 
 from dataclasses import replace
@@ -30,15 +30,15 @@
 
 
 class DistributionPart(Part):
-    """`listen`: where this one hears the others (UDP); `advertise`: where they reach it, if elsewhere.
-    `upstreams`: whom it may follow, its own region's first; at a control machine its peers, for when the
-    store is away.
-
-    `key_file`: one key in hex on a line; the first seals datagrams, all open. `signing_key_file`: as
-    well; the first chains changes, any is believed: the same for all, and for nobody else.
-    `followers_most` and `page_rate` (bytes/s, for whole tables): what a control machine bears. `wait_ms`:
-    how long a server waits for its first sync before it listens; then it serves with its configuration's
-    tenants. `state_file`: written each second.
+    """`listen`: where this one hears the others (UDP); `advertise`: where they reach it, if
+    elsewhere. `upstreams`: whom it may follow, its own region's first; at a control machine its
+    peers, for when the store is away.
+
+    `key_file`: one key in hex on a line; the first seals datagrams, all open. `signing_key_file`:
+    as well; the first chains changes, any is believed: the same for all, and for nobody else.
+    `followers_most` and `page_rate` (bytes/s, for whole tables): what a control machine bears.
+    `wait_ms`: how long a server waits for its first sync before it listens; then it serves with its
+    configuration's tenants. `state_file`: written each second.
     """
 
     listen: Host
--- a/burlloom/operator/fleet.py
+++ b/burlloom/operator/fleet.py
@@ -1,4 +1,6 @@
-"""The operator's word on the fleet: who may be in it, what the services below bear, which they are."""
+"""The operator's word on the fleet: who may be in it, what the services below bear, which they
+are.
+"""
 
 from pathlib import Path
 from typing import TYPE_CHECKING, Annotated, Self
@@ -18,13 +20,14 @@
 
 
 class FleetPart(Part):
-    """Servers that share out the calls below among themselves. `listen`: where this one hears the others
-    (UDP); `advertise`: where they reach it, if elsewhere. `seeds`: addresses of some others. `key_file`: one
-    key in hex on a line; the first seals, all open.
-
-    `calls`: in hand at once, that the services below bear from all servers together. `least`: more than half
-    of the servers that there usually are. `weight`: this one's, against the others'. `services`: the
-    addresses below, in place of the platform's one; this server talks to `subset` of them or more.
+    """Servers that share out the calls below among themselves. `listen`: where this one hears the
+    others (UDP); `advertise`: where they reach it, if elsewhere. `seeds`: addresses of some others.
+    `key_file`: one key in hex on a line; the first seals, all open.
+
+    `calls`: in hand at once, that the services below bear from all servers together. `least`: more
+    than half of the servers that there usually are. `weight`: this one's, against the others'.
+    `services`: the addresses below, in place of the platform's one; this server talks to `subset`
+    of them or more.
     """
 
     listen: Host
--- a/burlloom/operator/levels.py
+++ b/burlloom/operator/levels.py
@@ -1,5 +1,5 @@
-"""The operator's levels of reduced service, as the file tells them; turned into the plan that the ladder
-walks.
+"""The operator's levels of reduced service, as the file tells them; turned into the plan that the
+ladder walks.
 """
 
 from pathlib import Path
@@ -24,8 +24,8 @@
 
 
 class OneLevel(Part):
-    """One level. `gives_up`: of the values that products have, so many of the lowest; "all-but-highest";
-    or "all".
+    """One level. `gives_up`: of the values that products have, so many of the lowest;
+    "all-but-highest"; or "all".
     """
 
     name: str = Field(min_length=1, max_length=32)
@@ -64,9 +64,9 @@
 class LevelsPart(Part):
     """Levels of reduced service. `levels` left out: the shipped ones, which work without tuning.
 
-    `kept_ms`: by product, for how long a kept result may stand in where a level says so. `pin_file` is
-    read each second, `state_file` written at each step and each 5 s; `burlloom levels` reads and writes
-    them.
+    `kept_ms`: by product, for how long a kept result may stand in where a level says so. `pin_file`
+    is read each second, `state_file` written at each step and each 5 s; `burlloom levels` reads and
+    writes them.
     """
 
     levels: list[OneLevel] | None = None
@@ -115,8 +115,8 @@
         )
 
     def faults(self) -> list[str]:
-        """What the file alone can tell; products are held against the platform's configuration by `check`
-        and a start.
+        """What the file alone can tell; products are held against the platform's configuration by
+        `check` and a start.
         """
         found = faults(self.plan(), (), NAMES)
         if not found:
--- a/burlloom/operator/recovery.py
+++ b/burlloom/operator/recovery.py
@@ -16,13 +16,15 @@
 
 
 class RecoveryPart(Part):
-    """`state_file`: what a life leaves to the next, written each second; without one, each start is cold.
+    """`state_file`: what a life leaves to the next, written each second; without one, each start is
+    cold.
 
-    `begin`: the part of an equal share of the calls that a start begins with, doubled each `step_ms` while
-    calls come back well; `begin_warm`: of the last share, where what was left is believed. `ask_ms`: how long
-    peers and the store are waited for. `age_ms`: what is older is not believed. `retries`: marked retries for
-    each first try, while service comes back. `fence`: "retries": those that may have run in a life whose
-    marks are lost are voided for one window; "off": they are taken for new.
+    `begin`: the part of an equal share of the calls that a start begins with, doubled each
+    `step_ms` while calls come back well; `begin_warm`: of the last share, where what was left is
+    believed. `ask_ms`: how long peers and the store are waited for. `age_ms`: what is older is not
+    believed. `retries`: marked retries for each first try, while service comes back. `fence`:
+    "retries": those that may have run in a life whose marks are lost are voided for one window;
+    "off": they are taken for new.
     """
 
     state_file: str | None = None
@@ -46,8 +48,8 @@
         return self
 
     def terms(self, window: int, durable: bool) -> "Terms":
-        """`window`: the longest of the products', ns. `durable`: no run begins before its mark is in the
-        record.
+        """`window`: the longest of the products', ns. `durable`: no run begins before its mark is
+        in the record.
         """
         from ..recovery import Terms
 
--- a/burlloom/operator/rollout.py
+++ b/burlloom/operator/rollout.py
@@ -1,5 +1,5 @@
-"""The operator's word on drains and releases: where the fleet agrees, how many may be out, how a release is
-judged.
+"""The operator's word on drains and releases: where the fleet agrees, how many may be out, how a
+release is judged.
 """
 
 from typing import TYPE_CHECKING, Annotated, Self
@@ -20,8 +20,8 @@
 
 
 class Below(Part):
-    """A service below and its instances, as they stand in `fleet.services`; so many of them, or such a part,
-    may be out at once.
+    """A service below and its instances, as they stand in `fleet.services`; so many of them, or
+    such a part, may be out at once.
     """
 
     addresses: Annotated[list[Host], Field(min_length=2, max_length=1000)]
@@ -30,16 +30,17 @@
 
 
 class RolloutPart(Part):
-    """`version`: that this server runs; else `BURLLOOM_RELEASE`. `leads`: whether it may lead the fleet's
-    changes. `release_file`: written before a drain, with the version to be started next.
-
-    `out_most` servers, or the part `out_share` of them, may be out at once. `waves`: numbers of servers, then
-    parts of all such as "10%"; the last is "100%". `auto_back`: a bad release is taken back without a word of
-    an operator. `fresh_ms`: a sign of life counts for; `lead_ms`: until another leads; `permit_ms`,
-    `back_ms`, `settle_ms`, `write_off_ms` (0: never): docs/rollout.md. `judge_ms`: what counts of both sides;
-    `judge_least`: txns of the changed; `judge_margin`, `judge_sigmas`: by how much they may do worse;
-    `judge_worst`: a share that is bad whatever the others do; `quiet_ms`: for so many to come, and whether a
-    wave without them passes.
+    """`version`: that this server runs; else `BURLLOOM_RELEASE`. `leads`: whether it may lead the
+    fleet's changes. `release_file`: written before a drain, with the version to be started next.
+
+    `out_most` servers, or the part `out_share` of them, may be out at once. `waves`: numbers of
+    servers, then parts of all such as "10%"; the last is "100%". `auto_back`: a bad release is
+    taken back without a word of an operator. `fresh_ms`: a sign of life counts for; `lead_ms`:
+    until another leads; `permit_ms`, `back_ms`, `settle_ms`, `write_off_ms` (0: never):
+    docs/rollout.md. `judge_ms`: what counts of both sides; `judge_least`: txns of the changed;
+    `judge_margin`, `judge_sigmas`: by how much they may do worse; `judge_worst`: a share that is
+    bad whatever the others do; `quiet_ms`: for so many to come, and whether a wave without them
+    passes.
     """
 
     version: Annotated[str, Field(max_length=200)] = ""
--- a/burlloom/operator/schema.py
+++ b/burlloom/operator/schema.py
@@ -1,4 +1,6 @@
-"""What the operator's file may say. Units stand in the names; shares are parts of a product's SLA time."""
+"""What the operator's file may say. Units stand in the names; shares are parts of a product's SLA
+time.
+"""
 
 from pathlib import Path
 from typing import Annotated, Literal, Self
@@ -82,9 +84,9 @@
 class Record(Place):
     """The store of record.
 
-    `mode`: where the store is slow or gone, "require" declines charges before they run, "prefer" runs them on
-    memory's marks alone. `claim_share` of the SLA time may pass before a run begins, `hold_share` of it before an
-    answer leaves without its result being durable.
+    `mode`: where the store is slow or gone, "require" declines charges before they run, "prefer"
+    runs them on memory's marks alone. `claim_share` of the SLA time may pass before a run begins,
+    `hold_share` of it before an answer leaves without its result being durable.
     """
 
     node: NodeName | None = None
@@ -105,7 +107,9 @@
 
 
 class Metrics(Part):
-    """Counters and histograms, in the Prometheus text format: a file that is written anew, or a listener."""
+    """Counters and histograms, in the Prometheus text format: a file that is written anew, or a
+    listener.
+    """
 
     file: str | None = None
     every_ms: int = Field(default=5000, ge=100, le=3_600_000)
@@ -127,7 +131,9 @@
 
 
 class Distribution(DistributionPart):
-    """`store`: where control machines keep the changes, the same for all; left out: where the record is."""
+    """`store`: where control machines keep the changes, the same for all; left out: where the
+    record is.
+    """
 
     store: Place | None = None
 
--- a/burlloom/record/admin.py
+++ b/burlloom/record/admin.py
@@ -1,7 +1,8 @@
-"""What an operator does to a record: look, resolve, verify, copy, put back. Each is one call, and reports plainly.
+"""What an operator does to a record: look, resolve, verify, copy, put back. Each is one call, and
+reports plainly.
 
-While a server has the file, only what leaves its rows alone is allowed: looks, snapshots, and verdicts on doubts,
-which the server takes up within a second.
+While a server has the file, only what leaves its rows alone is allowed: looks, snapshots, and
+verdicts on doubts, which the server takes up within a second.
 """
 
 import fcntl
@@ -156,7 +157,8 @@
                 yield Row(*row)
 
     def doubts(self, now: int) -> Iterator[tuple[Row, str]]:
-        """Begun by a life that is over, with no end and the window not over; and the verdict that waits, if any.
+        """Begun by a life that is over, with no end and the window not over; and the verdict that
+        waits, if any.
 
         Where no server has the file, the life that is written there is over too.
         """
@@ -265,7 +267,9 @@
         return before, self.path.stat().st_size
 
     def snapshot(self, to: Path) -> Findings:
-        """A whole copy of one moment, also while a server writes; verified before it gets its name."""
+        """A whole copy of one moment, also while a server writes; verified before it gets its
+        name.
+        """
         if to.exists():
             raise Refused(f"{to}: exists already")
         part = to.with_name(to.name + ".part")
@@ -290,10 +294,12 @@
         return found
 
     def merge(self, source: Path, now: int) -> tuple[int, int]:
-        """Adds what a snapshot has and the record has not, also while it is served: how many were added, and looked at.
+        """Adds what a snapshot has and the record has not, also while it is served: how many were
+        added, and looked at.
 
-        Nothing that stands is changed, and what is over is left out. A server learns of them by its claims: a repeat
-        of what had ended gets its first answer, and of what a former life had begun it is voided, as it is after a start.
+        Nothing that stands is changed, and what is over is left out. A server learns of them by its
+        claims: a repeat of what had ended gets its first answer, and of what a former life had
+        begun it is voided, as it is after a start.
         """
         copy = Admin(source, self.sealer)
         found = copy.verify()
@@ -317,8 +323,9 @@
     def restore(self, source: Path, window: int, nothing_lost: bool, now: int) -> int:
         """Puts a snapshot in place; until when the record stays closed, 0 where it does not.
 
-        What ran between the snapshot and now is not in it, and a repeat of that would run again: so the record
-        stays closed for charges for one whole window. `nothing_lost`: the operator knows that nothing ran since.
+        What ran between the snapshot and now is not in it, and a repeat of that would run again: so
+        the record stays closed for charges for one whole window. `nothing_lost`: the operator knows
+        that nothing ran since.
         """
         copy = Admin(source, self.sealer)
         found = copy.verify()
@@ -335,7 +342,8 @@
             ):
                 db.backup(fresh)
                 closed = 0 if nothing_lost else now + window
-                # A life beyond all that there was: no claim of before may pass for one of the life to come.
+                # A life beyond all that there was: no claim of before may pass for one of the life
+                # to come.
                 fresh.execute("UPDATE node SET life = life + 1000")
                 fresh.execute(
                     "INSERT INTO meta (name, value) VALUES ('closed_until', ?) ON CONFLICT (name) DO UPDATE"
@@ -343,14 +351,15 @@
                     (str(closed),),
                 )
                 fresh.execute("DELETE FROM meta WHERE name IN ('boot', 'steady', 'wall')")
-                # What a fleet agreed on since is not in it: who was out then says nothing of who is out now.
+                # What a fleet agreed on since is not in it: who was out then says nothing of who is
+                # out now.
                 for (table,) in fresh.execute(
                     "SELECT name FROM sqlite_master WHERE name LIKE 'rollout\\_%' ESCAPE"
                     " '\\' AND type = 'table'"
                 ).fetchall():
                     fresh.execute(f"DELETE FROM {table}")
-                # Configuration stays in force as it is there. Revisions after it were given before, to others: with
-                # no head, whoever opens it next begins a new epoch.
+                # Configuration stays in force as it is there. Revisions after it were given before,
+                # to others: with no head, whoever opens it next begins a new epoch.
                 if fresh.execute(
                     "SELECT name FROM sqlite_master WHERE name = 'distribution_head'"
                 ).fetchone():
--- a/burlloom/record/budget.py
+++ b/burlloom/record/budget.py
@@ -1,8 +1,8 @@
 """What of the store may be used now: writes open at once, time for each, and a breaker. No I/O.
 
-One mechanism for one symptom: the store is slow or gone. A claim that has had its time, or surely failed, counts; so
-many in a row, or one that is open for far too long, cut the store off. Then only `beat`s, commits of their own that
-no txn waits for, try whether it works again, at growing rests.
+One mechanism for one symptom: the store is slow or gone. A claim that has had its time, or surely
+failed, counts; so many in a row, or one that is open for far too long, cut the store off. Then only
+`beat`s, commits of their own that no txn waits for, try whether it works again, at growing rests.
 """
 
 from collections import OrderedDict
@@ -45,7 +45,9 @@
         return self.state is State.FLOW and len(self.open) < self.most and not self.hangs(now)
 
     def strain(self, now: int) -> float:
-        """The age of the oldest open write, of what one may take; 1 and more where the store is cut off."""
+        """The age of the oldest open write, of what one may take; 1 and more where the store is cut
+        off.
+        """
         first = next(iter(self.open.values()), now)
         return max((now - first) / self.patience, float(self.state is not State.FLOW))
 
--- a/burlloom/record/fate.py
+++ b/burlloom/record/fate.py
@@ -1,15 +1,16 @@
 """The fate of a mark: what one node knows of a txn that must not have its effect twice.
 
-No I/O. A `Fate` stands for one try's hold on a mark, from the moment that the decisions start it until its end is
-durable; what a former life of this node left is read back into one too. Whoever keeps it hands each thing that
-happens to `meet`, which moves it by TABLE and names the effect that is to follow. The same table is walked
-exhaustively in tests/test_fate.py, with crashes at every step.
-
-States: NEW nothing known here; ASK a claim is on its way, nothing was begun; RUN the run may have begun; RAN and
-ILL it ended, with a result or without one to give, and that is on its way to the store; KEPT and SPENT that is
-durable; BACK it never ran, and its claim is being taken back; ELSE another life of some node holds the mark; OPEN a
-former life of this node began it, and its executor lived on; DOUBT nobody can tell whether it ran; GONE nothing
-is left to do.
+No I/O. A `Fate` stands for one try's hold on a mark, from the moment that the decisions start it
+until its end is durable; what a former life of this node left is read back into one too. Whoever
+keeps it hands each thing that happens to `meet`, which moves it by TABLE and names the effect that
+is to follow. The same table is walked exhaustively in tests/test_fate.py, with crashes at every
+step.
+
+States: NEW nothing known here; ASK a claim is on its way, nothing was begun; RUN the run may have
+begun; RAN and ILL it ended, with a result or without one to give, and that is on its way to the
+store; KEPT and SPENT that is durable; BACK it never ran, and its claim is being taken back; ELSE
+another life of some node holds the mark; OPEN a former life of this node began it, and its executor
+lived on; DOUBT nobody can tell whether it ran; GONE nothing is left to do.
 """
 
 from collections.abc import Callable
--- a/burlloom/record/keeper.py
+++ b/burlloom/record/keeper.py
@@ -1,6 +1,8 @@
-"""Keeps the record: hands what happens to the fates, and does what they say with the store and the server.
+"""Keeps the record: hands what happens to the fates, and does what they say with the store and the
+server.
 
-All that it decides stands in fate.py, budget.py, rows.py and recovery.py; here are the timers and the writes.
+All that it decides stands in fate.py, budget.py, rows.py and recovery.py; here are the timers and
+the writes.
 """
 
 import asyncio
@@ -29,7 +31,9 @@
 
 
 class Hand(Protocol):
-    """What the keeper tells the server, on the loop. `id` names a try, `mark` what all its tries share."""
+    """What the keeper tells the server, on the loop. `id` names a try, `mark` what all its tries
+    share.
+    """
 
     def run(self, id: str) -> None: ...
     def refuse(self, id: str) -> None: ...
@@ -43,7 +47,9 @@
 
 @dataclass(slots=True)
 class Counts:
-    """Since the start. `late`: claims that had had their time. `unkept`: runs begun on memory's marks alone."""
+    """Since the start. `late`: claims that had had their time. `unkept`: runs begun on memory's
+    marks alone.
+    """
 
     claims: int = 0
     refused: int = 0
@@ -91,7 +97,9 @@
         clock: Callable[[], int],
         hand: Hand,
     ) -> None:
-        """`slowest`: the longest SLA time there is, ns; a write may take its claim's share of it."""
+        """`slowest`: the longest SLA time there is, ns; a write may take its claim's share of
+        it.
+        """
         self.store, self.sealer, self.terms, self.clock, self.hand = (
             store,
             sealer,
@@ -124,7 +132,9 @@
         return opened
 
     def read_back(self) -> Iterator[list[tuple[bytes, int]]]:
-        """Marks and ends of windows of former lives; those that have no end are told once more, by `executor`."""
+        """Marks and ends of windows of former lives; those that have no end are told once more, by
+        `executor`.
+        """
         now = self.clock()
         for batch in self.store.known(now):
             self.counts.read_back += len(batch)
@@ -137,7 +147,8 @@
         self.round()
 
     def executor(self, began: int) -> list[tuple[bytes, int, bool]]:
-        """The executor is there, and started at `began`: what became of what former lives had begun.
+        """The executor is there, and started at `began`: what became of what former lives had
+        begun.
 
         Gives mark, end of window, and whether its end may still be told.
         """
@@ -183,7 +194,9 @@
     # What the server tells.
 
     def accepts(self) -> bool:
-        """Whether the decisions may take a txn that wants an entry; where memory's marks do, always."""
+        """Whether the decisions may take a txn that wants an entry; where memory's marks do,
+        always.
+        """
         now = self.clock()
         if now < self.closed_until:
             return False
@@ -215,7 +228,9 @@
         self.meet(fate, Input.START)
 
     async def look(self, mark: bytes, id: str, until: int, sla: int) -> None:
-        """A marked retry that is not known here: what the store knows of it is made known, if it says so in time."""
+        """A marked retry that is not known here: what the store knows of it is made known, if it
+        says so in time.
+        """
         now = self.clock()
         if (
             self.closed
@@ -240,7 +255,9 @@
             self.meet(fate, Input.LEFT)
 
     def ended(self, id: str, outcome: Outcome, result: bytes) -> None:
-        """The executor's word, of a run of a former life too. One that was stopped may have had its effect."""
+        """The executor's word, of a run of a former life too. One that was stopped may have had its
+        effect.
+        """
         fate = self.fates.get(id)
         if fate is not None:
             points.reached("ended")
@@ -252,7 +269,9 @@
         return id in self.fates
 
     async def durable(self, mark: bytes, until: int) -> None:
-        """Until the end of the mark's run is durable, but not past `until`: its beginning is, so no repeat runs."""
+        """Until the end of the mark's run is durable, but not past `until`: its beginning is, so no
+        repeat runs.
+        """
         fate = self.marks.get(mark)
         if fate is None or fate.state not in (State.RAN, State.ILL):
             return
@@ -268,7 +287,9 @@
         log.warning("event=record-answered-before id=%s state=%s", fate.id, fate.state.name)
 
     async def recall(self, mark: bytes, until: int) -> bytes | None:
-        """The result that is kept for a mark; None where there is none to give, or it can't be had in time."""
+        """The result that is kept for a mark; None where there is none to give, or it can't be had
+        in time.
+        """
         if self.recalls >= RECALLS_MOST or self.closed:
             self.counts.recalled_in_vain += 1
             return None
@@ -300,7 +321,9 @@
         return word
 
     def verdict(self, mark: bytes, life: int, turn: int, ran: bool) -> None:
-        """An operator's word on a doubt; on that claim alone, not on a later one of the same mark."""
+        """An operator's word on a doubt; on that claim alone, not on a later one of the same
+        mark.
+        """
         fate = self.marks.get(mark)
         if (
             fate is not None
@@ -396,7 +419,9 @@
         return row._replace(seal=self.sealer.seal(row))
 
     def write(self, fate: Fate, kind: Kind) -> None:
-        """Of the words on a fate only that on its last write counts: an earlier one speaks of what is past."""
+        """Of the words on a fate only that on its last write counts: an earlier one speaks of what
+        is past.
+        """
         fate.writes += 1
         turn, began = fate.writes, self.clock()
         number = self.budget.posted(began)
@@ -484,7 +509,9 @@
         self.write(fate, Kind.INSERT)
 
     def _alarm(self, fate: Fate) -> None:
-        """Another's row stands where ours should, or we were fenced off: what ran stays answered."""
+        """Another's row stands where ours should, or we were fenced off: what ran stays
+        answered.
+        """
         self.counts.conflicts += 1
         log.error(
             "event=record-conflict id=%s mark=%s state=%s",
--- a/burlloom/record/postgres.py
+++ b/burlloom/record/postgres.py
@@ -1,8 +1,9 @@
 """A store in PostgreSQL, shared by several nodes; through asyncpg.
 
-One connection writes: what is posted while a transaction is on its way goes into the next one together. Each
-transaction first locks its node's row for sharing, so that a fence or a newer life either comes before it, and it
-writes nothing, or waits for it. What a lost connection means is told by how far the transaction had come.
+One connection writes: what is posted while a transaction is on its way goes into the next one
+together. Each transaction first locks its node's row for sharing, so that a fence or a newer life
+either comes before it, and it writes nothing, or waits for it. What a lost connection means is told
+by how far the transaction had come.
 """
 
 import asyncio
@@ -108,7 +109,9 @@
         keep: int = 0,
         clock: Callable[[], int],
     ) -> None:
-        """`connect`, `hang`: s until a connection is not to be had, or one that says nothing is given up."""
+        """`connect`, `hang`: s until a connection is not to be had, or one that says nothing is
+        given up.
+        """
         self.address, self.database, self.user, self.password = address, database, user, password
         self.sealer, self.node, self.connect_for, self.hang = sealer, node, connect, hang
         self.batch, self.keep, self.clock = batch, keep, clock
@@ -191,7 +194,9 @@
         return tuple(taken)
 
     async def read_marks(self, since: int) -> None:
-        """By pages along their order, each packed before the next is asked for: 24 bytes a mark at the most."""
+        """By pages along their order, each packed before the next is asked for: 24 bytes a mark at
+        the most.
+        """
         last = b""
         self.known_raw.clear()
         while page := await self.link.fetch(KNOWN, self.node, since, last, self.page):
@@ -325,7 +330,8 @@
             raise
 
     async def commit(self, batch: list[tuple[Write, Done]]) -> None:
-        # Rows are touched in one order by all nodes: two that want the same ones do not wait for each other.
+        # Rows are touched in one order by all nodes: two that want the same ones do not wait for
+        # each other.
         order = sorted(
             range(len(batch)), key=lambda at: (ORDER[batch[at][0].kind], batch[at][0].row.mark)
         )
@@ -384,7 +390,8 @@
             these = [at for at in order if batch[at][0].kind is kind]
             if not these:
                 continue
-            # Each is a statement of its own, in one round trip; a row comes back for each that took hold.
+            # Each is a statement of its own, in one round trip; a row comes back for each that took
+            # hold.
             found = await self.many(link, sql, [arguments(batch[at][0].row) for at in these])
             for at, held in zip(these, found, strict=True):
                 if held:
@@ -404,8 +411,8 @@
     async def many(link: Any, sql: str, arguments: list[Any]) -> list[bool]:
         """Which of them took hold, told by the marks that come back.
 
-        Two of one kind on one mark in a batch are turns of ours: whichever of them took hold, the other's row is
-        gone or ours, which says the same to both.
+        Two of one kind on one mark in a batch are turns of ours: whichever of them took hold, the
+        other's row is gone or ours, which says the same to both.
         """
         held = Counter(row[0] for row in await link.fetchmany(sql, arguments))
         found = []
--- a/burlloom/record/rows.py
+++ b/burlloom/record/rows.py
@@ -49,7 +49,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """One thing asked of a store. `row` is what is to stand; for LOOK and FIND only its mark counts."""
+    """One thing asked of a store. `row` is what is to stand; for LOOK and FIND only its mark
+    counts.
+    """
 
     kind: Kind
     row: Row
@@ -57,7 +59,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Word:
-    """What a store says of one write: how it went, and the row that stands there where it is another's."""
+    """What a store says of one write: how it went, and the row that stands there where it is
+    another's.
+    """
 
     how: Input
     row: Row | None = None
@@ -73,9 +77,10 @@
 ) -> Input:
     """What a row that stands at a mark means to the one who claimed it as (node, life, turn).
 
-    `lives` has each node's present life, and whether it was fenced off. A claim of a life that is over has
-    nobody to end it: whether it ran is in doubt, which to a repeat is the same as an end without a result. So is
-    a row whose seal is broken: it may say that it ran, and what it says can't be served.
+    `lives` has each node's present life, and whether it was fenced off. A claim of a life that is
+    over has nobody to end it: whether it ran is in doubt, which to a repeat is the same as an end
+    without a result. So is a row whose seal is broken: it may say that it ran, and what it says
+    can't be served.
     """
     if row is None:
         return Input.ABSENT
@@ -107,9 +112,11 @@
 
 
 def applied(row: Row | None, write: Write, present: int) -> tuple[Row | None, bool]:
-    """What stands at a mark after a write, and whether the write took hold: what each store's SQL must do.
+    """What stands at a mark after a write, and whether the write took hold: what each store's SQL
+    must do.
 
-    `present` is the life that the store knows of the writing node: one that is over writes nothing any more.
+    `present` is the life that the store knows of the writing node: one that is over writes nothing
+    any more.
     """
     new = write.row
     ours = row is not None and (row.node, row.life, row.state) == (new.node, new.life, BEGUN)
--- a/burlloom/record/schema.py
+++ b/burlloom/record/schema.py
@@ -1,8 +1,11 @@
-"""The tables, by numbered steps. A step is never changed once it was released; a new one is added behind it."""
+"""The tables, by numbered steps. A step is never changed once it was released; a new one is added
+behind it.
+"""
 
 APPLICATION = 0x6275726C  # "burl", in the head of an SQLite file
 
-# number -> statements; SQLite keeps the number in `user_version`, PostgreSQL in the table `burlloom_schema`
+# number -> statements; SQLite keeps the number in `user_version`, PostgreSQL in the table
+# `burlloom_schema`
 SQLITE: dict[int, tuple[str, ...]] = {
     1: (
         "CREATE TABLE meta (name TEXT PRIMARY KEY, value TEXT NOT NULL) WITHOUT ROWID",
@@ -13,10 +16,12 @@
         " result BLOB NOT NULL, seal BLOB NOT NULL)",
         "CREATE UNIQUE INDEX fate_mark ON fate (mark)",
         "CREATE INDEX fate_until ON fate (until, mark)",  # all that a start reads of what ended
-        "CREATE INDEX fate_begun ON fate (until) WHERE state = 2",  # fate.State.RUN: few at any time
+        # fate.State.RUN: few at any time
+        "CREATE INDEX fate_begun ON fate (until) WHERE state = 2",
     ),
     2: (
-        # What an operator said of a doubt, for the node that serves to take up; of that one claim alone.
+        # What an operator said of a doubt, for the node that serves to take up; of that one claim
+        # alone.
         "CREATE TABLE verdict (mark BLOB PRIMARY KEY, life INTEGER NOT NULL, turn INTEGER NOT NULL,"
         " ran INTEGER NOT NULL, said_at INTEGER NOT NULL, reason TEXT NOT NULL) WITHOUT ROWID",
     ),
@@ -31,7 +36,8 @@
         " text TEXT NOT NULL) WITHOUT ROWID",
     ),
     5: (
-        # The configuration that is distributed: where its changes stand, the last of them, what is in force.
+        # The configuration that is distributed: where its changes stand, the last of them, what is
+        # in force.
         "CREATE TABLE distribution_head (id INTEGER PRIMARY KEY, epoch INTEGER NOT NULL, revision INTEGER NOT NULL,"
         " tag BLOB NOT NULL, time_ms INTEGER NOT NULL)",
         "CREATE TABLE distribution_change (revision INTEGER PRIMARY KEY, epoch INTEGER NOT NULL,"
--- a/burlloom/record/seal.py
+++ b/burlloom/record/seal.py
@@ -1,4 +1,6 @@
-"""The keyed checksum that each record carries: what was altered on disk is found and never served."""
+"""The keyed checksum that each record carries: what was altered on disk is found and never
+served.
+"""
 
 import hashlib
 import hmac
--- a/burlloom/record/shared_postgres.py
+++ b/burlloom/record/shared_postgres.py
@@ -1,4 +1,6 @@
-"""The record's PostgreSQL database as several machines agree through it: one connection; through asyncpg."""
+"""The record's PostgreSQL database as several machines agree through it: one connection; through
+asyncpg.
+"""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -10,9 +12,9 @@
 
 
 class SharedDatabase:
-    """`record`: a store of record that was not opened: where the database is, and its schema's steps. One
-    connection, made anew after any error: of a statement whose answer was lost nobody knows whether it
-    holds.
+    """`record`: a store of record that was not opened: where the database is, and its schema's
+    steps. One connection, made anew after any error: of a statement whose answer was lost nobody
+    knows whether it holds.
     """
 
     def __init__(self, record: Postgres) -> None:
--- a/burlloom/record/shared_sqlite.py
+++ b/burlloom/record/shared_sqlite.py
@@ -1,4 +1,6 @@
-"""One SQLite file that several processes of a machine agree through: a thread of its own, and turns at its lock."""
+"""One SQLite file that several processes of a machine agree through: a thread of its own, and turns
+at its lock.
+"""
 
 import asyncio
 import re
@@ -19,10 +21,14 @@
 
 
 class SharedFile:
-    """A disk that is slow, or a lock that another holds, never keeps the loop. Every method raises `Away`."""
+    """A disk that is slow, or a lock that another holds, never keeps the loop. Every method raises
+    `Away`.
+    """
 
     def __init__(self, path: Path, thread: str, wait: float = WAIT) -> None:
-        """`thread`: its name. `wait`: s for the lock that another holds, until the store counts as away."""
+        """`thread`: its name. `wait`: s for the lock that another holds, until the store counts as
+        away.
+        """
         self.path, self.closing = path, False
         self.turns = Turns(wait, over=lambda: self.closing)
         self.db: sqlite3.Connection | None = None
@@ -51,7 +57,9 @@
         await self.in_thread(work)
 
     async def take(self, work: Callable[[sqlite3.Connection], Result]) -> Result:
-        """A statement, or a whole transaction: one that was refused for the lock took no hold, and is said again."""
+        """A statement, or a whole transaction: one that was refused for the lock took no hold, and
+        is said again.
+        """
         return await self.in_thread(lambda: self.turns.take(lambda: work(self.opened())))
 
     async def run(self, sql: str, *values: Any) -> list[Any]:
--- a/burlloom/record/sqlite.py
+++ b/burlloom/record/sqlite.py
@@ -1,7 +1,8 @@
-"""A store in one SQLite file: write-ahead log, synced at each commit, one writer thread, group commit.
+"""A store in one SQLite file: write-ahead log, synced at each commit, one writer thread, group
+commit.
 
-What is posted while a commit is on its way waits and goes into the next one together: the busier it is, the more
-charges share one sync of the disk.
+What is posted while a commit is on its way waits and goes into the next one together: the busier it
+is, the more charges share one sync of the disk.
 """
 
 import asyncio
@@ -83,7 +84,8 @@
 def connect(path: Path, pages: int = 0, turns: Turns | None = None) -> sqlite3.Connection:
     """Of a record's file, made if there is none. Raises `Refused`, or what sqlite3 raises.
 
-    `turns`: of whoever has each statement wait for the file's lock by them; without, SQLite waits for it.
+    `turns`: of whoever has each statement wait for the file's lock by them; without, SQLite waits
+    for it.
     """
     db = (turns or Turns()).take(lambda: connected(path, pages))
     if turns is None:
@@ -106,7 +108,8 @@
             db.execute(f"PRAGMA application_id = {schema.APPLICATION}")
         (application,) = db.execute("PRAGMA application_id").fetchone()
         if not application and db.execute("SELECT 1 FROM sqlite_schema").fetchone() is None:
-            # Nothing is in it: another, who makes it just now, has written its first page and not yet whose it is.
+            # Nothing is in it: another, who makes it just now, has written its first page and not
+            # yet whose it is.
             db.execute(f"PRAGMA application_id = {schema.APPLICATION}")
             (application,) = db.execute("PRAGMA application_id").fetchone()
         if application != schema.APPLICATION:
@@ -125,7 +128,9 @@
 
 
 def migrate(db: sqlite3.Connection, path: Path, turns: Turns | None = None) -> tuple[int, ...]:
-    """The steps taken. Each looks anew under the lock: several processes may open one file at once."""
+    """The steps taken. Each looks anew under the lock: several processes may open one file at
+    once.
+    """
     done: list[int] = []
     turns = turns or Turns()
     while True:
@@ -162,7 +167,9 @@
         keep: int = 0,
         tick: Callable[[], Tick] = tick_now,
     ) -> None:
-        """`pages`: the most pages the file may have, 0 for no bound of ours. `keep`: ns past a window's end."""
+        """`pages`: the most pages the file may have, 0 for no bound of ours. `keep`: ns past a
+        window's end.
+        """
         self.path, self.sealer, self.node, self.pages, self.batch = path, sealer, node, pages, batch
         self.keep, self.tick = keep, tick
         self.life = 0
@@ -209,7 +216,9 @@
             raise
 
     def take_lock(self) -> None:
-        """Against a second process on the same file: both would take the other's claims for a former life's."""
+        """Against a second process on the same file: both would take the other's claims for a
+        former life's.
+        """
         try:
             self.lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT, 0o600)
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -243,8 +252,8 @@
         self.shift = shift(then, now)
         self.begin(db)
         if self.shift > 0:
-            # Windows are kept by the wall clock: it went ahead, so their ends go along. The rows say so of
-            # themselves from now on, or a further life would end them too early.
+            # Windows are kept by the wall clock: it went ahead, so their ends go along. The rows
+            # say so of themselves from now on, or a further life would end them too early.
             rows = [Row(*row) for row in db.execute(ALL, (then.wall if then else 0,))]
             db.executemany(
                 "UPDATE fate SET until = ?, seal = ? WHERE mark = ?",
@@ -345,7 +354,9 @@
         self.wake.set()
 
     async def close(self) -> None:
-        """Writes what is posted, then lets go; a store that hangs is left to itself after two seconds."""
+        """Writes what is posted, then lets go; a store that hangs is left to itself after two
+        seconds.
+        """
         self.stopping = True
         self.wake.set()
         if self.thread is not None:
@@ -404,15 +415,16 @@
             db.execute("COMMIT")
         except sqlite3.Error as error:
             self.roll_back()
-            # A commit that failed for want of room rolled back whole. Of any other the log may hold the frames,
-            # and a restart would find them: nobody knows.
+            # A commit that failed for want of room rolled back whole. Of any other the log may hold
+            # the frames, and a restart would find them: nobody knows.
             sure = not committing or any(known in str(error) for known in SURE)
             log.warning(
                 "event=record-write-failed count=%d sure=%s detail=%r", len(batch), sure, str(error)
             )
             words = [Word(Input.LOST if sure else Input.UNSURE)] * len(batch)
         except Exception:
-            # Against an error of ours that would end the thread: every later charge would wait for nobody.
+            # Against an error of ours that would end the thread: every later charge would wait for
+            # nobody.
             self.roll_back()
             log.exception("event=fault side=record")
             words = [Word(Input.UNSURE if committing else Input.LOST)] * len(batch)
@@ -436,7 +448,9 @@
             log.warning("event=record-rollback-failed detail=%r", str(error))
 
     def apply_all(self, db: sqlite3.Connection, writes: list[Write]) -> list[Word]:
-        """Those of one kind at a time where no mark is written twice: mostly all take hold, which a count tells."""
+        """Those of one kind at a time where no mark is written twice: mostly all take hold, which a
+        count tells.
+        """
         if len(writes) < BULK_LEAST or len({write.row.mark for write in writes}) < len(writes):
             return [self.apply(db, write) for write in writes]
         words: dict[int, Word] = {}
@@ -490,7 +504,9 @@
             log.warning("event=record-vacuum-failed detail=%r", str(error))
 
     def look_for_verdicts(self, db: sqlite3.Connection) -> None:
-        """Another process wrote to the file: an operator may have resolved a doubt. Asked once a second: it reads."""
+        """Another process wrote to the file: an operator may have resolved a doubt. Asked once a
+        second: it reads.
+        """
         if time.monotonic() < self.look_at:
             return
         self.look_at = time.monotonic() + LOOK_EVERY
--- a/burlloom/record/store.py
+++ b/burlloom/record/store.py
@@ -19,15 +19,18 @@
 
 
 class Away(Exception):
-    """The store can't be reached, or nobody knows whether it took what was written: read before you act."""
+    """The store can't be reached, or nobody knows whether it took what was written: read before you
+    act.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Opened:
     """Who we are in the store from now on.
 
-    `shift` is by how much the clock was stepped since it was last used. Until `closed_until` nothing may be claimed:
-    the store was put back from a snapshot, and what ran since then is not in it. `note`: what this node noted last.
+    `shift` is by how much the clock was stepped since it was last used. Until `closed_until`
+    nothing may be claimed: the store was put back from a snapshot, and what ran since then is not
+    in it. `note`: what this node noted last.
     """
 
     node: str
@@ -41,8 +44,8 @@
 class Store(Protocol):
     """`open`, `known` and `begun`, then `start`; from then on only `post` and `close`.
 
-    Writes take hold in the order in which they were posted. `done` is called on the loop, once for each write,
-    unless the store hangs: whoever posts keeps its own time.
+    Writes take hold in the order in which they were posted. `done` is called on the loop, once for
+    each write, unless the store hangs: whoever posts keeps its own time.
     """
 
     commits: int
@@ -53,7 +56,9 @@
 
     async def open(self) -> Opened: ...
     def known(self, now: int) -> Iterator[list[tuple[bytes, int]]]:
-        """Mark and end of window of all rows of this node; what they ended with stays there until it is asked for."""
+        """Mark and end of window of all rows of this node; what they ended with stays there until
+        it is asked for.
+        """
 
     def begun(self, now: int) -> Iterator[Row]:
         """Those without an end, by whatever life of this node."""
--- a/burlloom/record/turns.py
+++ b/burlloom/record/turns.py
@@ -1,9 +1,10 @@
 """Waiting for the one lock of an SQLite file.
 
-SQLite's own wait looks ever more seldom, in the end ten times a second and at the same moments for all who wait: in two
-seconds some twenty times. Where others write all the time, on a machine on which whoever holds the lock has to wait for
-a core, one may find it taken at each of them, and starve. Here looks are frequent and spread by chance. What was
-refused for the lock did not take hold: a statement or a whole transaction may be said again.
+SQLite's own wait looks ever more seldom, in the end ten times a second and at the same moments for
+all who wait: in two seconds some twenty times. Where others write all the time, on a machine on
+which whoever holds the lock has to wait for a core, one may find it taken at each of them, and
+starve. Here looks are frequent and spread by chance. What was refused for the lock did not take
+hold: a statement or a whole transaction may be said again.
 """
 
 import sqlite3
--- a/burlloom/recovery/__init__.py
+++ b/burlloom/recovery/__init__.py
@@ -1,5 +1,5 @@
-"""Coming back after a mass restart or with state lost: what of the last life may be acted on, and how service
-rises.
+"""Coming back after a mass restart or with state lost: what of the last life may be acted on, and
+how service rises.
 
 Without I/O, and importable alone; `server/recovering.py` has the file and the clock.
 """
--- a/burlloom/recovery/kept.py
+++ b/burlloom/recovery/kept.py
@@ -1,8 +1,9 @@
-"""What a server leaves to its next life, and whether that may be believed. No I/O: texts in, texts out.
+"""What a server leaves to its next life, and whether that may be believed. No I/O: texts in, texts
+out.
 
-One line of JSON with a BLAKE2b over the rest: written whole beside the old one and renamed, so that a crash
-leaves the old or the new. The sum finds what was torn all the same, or touched by hand; it keeps no secret
-and proves no author.
+One line of JSON with a BLAKE2b over the rest: written whole beside the old one and renamed, so that
+a crash leaves the old or the new. The sum finds what was torn all the same, or touched by hand; it
+keeps no secret and proves no author.
 """
 
 import hashlib
@@ -30,8 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Kept:
-    """`life`: Unix ms, of the life that wrote it, `told_at` when; `record_life`: of the store of record, -1
-    for none; `share` in calls; `clean`: it drained, so that nothing was in doubt when it went.
+    """`life`: Unix ms, of the life that wrote it, `told_at` when; `record_life`: of the store of
+    record, -1 for none; `share` in calls; `clean`: it drained, so that nothing was in doubt when it
+    went.
     """
 
     node: str
--- a/burlloom/recovery/ramp.py
+++ b/burlloom/recovery/ramp.py
@@ -1,10 +1,10 @@
-"""How the calls below rise after a start: slow start with a bound, as of a connection's window (RFC 5681). No
-I/O.
+"""How the calls below rise after a start: slow start with a bound, as of a connection's window (RFC
+5681). No I/O.
 
-States: RISE the cap doubles each `step`, if calls were made and came back well; HOLD it was pushed back, and
-stays for two steps; FULL there is no cap any more. Whatever happens, the cap never doubles more than once in
-a step, so T after the start it is at most what it began with times 2 to the T over step: the sum over a whole
-fleet is bounded by the same curve.
+States: RISE the cap doubles each `step`, if calls were made and came back well; HOLD it was pushed
+back, and stays for two steps; FULL there is no cap any more. Whatever happens, the cap never
+doubles more than once in a step, so T after the start it is at most what it began with times 2 to
+the T over step: the sum over a whole fleet is bounded by the same curve.
 """
 
 from collections.abc import Callable
@@ -58,7 +58,9 @@
         return False
 
     def warm(self, cap: float) -> bool:
-        """A hint of a former life lifts the beginning, once, and only while nothing speaks against it."""
+        """A hint of a former life lifts the beginning, once, and only while nothing speaks against
+        it.
+        """
         if self.state is not State.RISE or cap <= self.cap:
             return False
         self.cap = cap
--- a/burlloom/recovery/recovery.py
+++ b/burlloom/recovery/recovery.py
@@ -1,5 +1,5 @@
-"""One server's way back, whole: what was kept is judged, the ramp rises, retries are held, the fence stands.
-No I/O.
+"""One server's way back, whole: what was kept is judged, the ramp rises, retries are held, the
+fence stands. No I/O.
 """
 
 from dataclasses import dataclass
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """ns. `step` of the ramp; `begin`: the part of an equal share that it begins with; `begin_warm`: of what
-    was held last, where what was kept is used; `least`: calls, the cap is never lower. `ask`: for how long
-    peers and the store may say something of a later life. `age_most` of what was kept. `retry_part`,
-    `retry_few` a second, over `retry_span`.
+    """ns. `step` of the ramp; `begin`: the part of an equal share that it begins with;
+    `begin_warm`: of what was held last, where what was kept is used; `least`: calls, the cap is
+    never lower. `ask`: for how long peers and the store may say something of a later life.
+    `age_most` of what was kept. `retry_part`, `retry_few` a second, over `retry_span`.
     """
 
     window: int
@@ -41,11 +41,14 @@
     def __init__(
         self, terms: Terms, found: Kept | Verdict, node: str, now: int, wall: int, lonely: bool
     ) -> None:
-        """`now` in ns on the host's clock, `wall` in Unix ms. `lonely`: neither peers nor a store to ask."""
+        """`now` in ns on the host's clock, `wall` in Unix ms. `lonely`: neither peers nor a store
+        to ask.
+        """
         self.terms = terms
         self.kept = found if isinstance(found, Kept) else None
         self.verdict = judge(found, node, wall, terms.age_most // MS)
-        # What a crash left is in the store, if there is one; whether that is the same store, it says itself.
+        # What a crash left is in the store, if there is one; whether that is the same store, it
+        # says itself.
         stored = self.kept is not None and terms.durable and self.kept.record_life >= 0
         self.start = Start(
             lonely, self.kept is not None and (self.kept.clean or stored), terms.window
@@ -143,5 +146,7 @@
         return not self.over and self.retries.over(now, retry)
 
     def fenced(self, now: int) -> bool:
-        """Whether a marked retry that nothing is known of may have run in a life whose marks are lost."""
+        """Whether a marked retry that nothing is known of may have run in a life whose marks are
+        lost.
+        """
         return self.terms.fence != "off" and now < self.start.fenced_until
--- a/burlloom/recovery/retries.py
+++ b/burlloom/recovery/retries.py
@@ -1,10 +1,10 @@
-"""A budget for marked retries while service comes back: a part of the first tries, over fixed buckets. No
-I/O.
+"""A budget for marked retries while service comes back: a part of the first tries, over fixed
+buckets. No I/O.
 
-After a mass restart nearly all that comes is a retry. Without a bound they are read, held and turned away
-again and again, and keep first tries out. What is past the budget is given up by the decisions, with a time
-to come back. Source: the retry budgets of Google's book on site reliability (2016, chapter 21), here on the
-receiving side.
+After a mass restart nearly all that comes is a retry. Without a bound they are read, held and
+turned away again and again, and keep first tries out. What is past the budget is given up by the
+decisions, with a time to come back. Source: the retry budgets of Google's book on site reliability
+(2016, chapter 21), here on the receiving side.
 """
 
 
--- a/burlloom/recovery/start.py
+++ b/burlloom/recovery/start.py
@@ -1,12 +1,13 @@
 """Whether what a former life left is acted on: a table. No I/O.
 
-States: READING nothing is known yet; ASKING what was kept looks good, and peers or the store are asked
-whether a later life than that one is known; COLD nothing kept is acted on; WARM what was kept is.
-
-Two things are decided apart from each other. Hints (where to begin the ramp) are dropped at the least doubt:
-cold costs seconds. The fence is raised at the least doubt: while it stands, a marked retry of which nothing
-is known here is voided, as it may have run in a life of which the marks are lost. Addresses of others are no
-decision: they are asked in any case, and letters are sealed.
+States: READING nothing is known yet; ASKING what was kept looks good, and peers or the store are
+asked whether a later life than that one is known; COLD nothing kept is acted on; WARM what was kept
+is.
+
+Two things are decided apart from each other. Hints (where to begin the ramp) are dropped at the
+least doubt: cold costs seconds. The fence is raised at the least doubt: while it stands, a marked
+retry of which nothing is known here is voided, as it may have run in a life of which the marks are
+lost. Addresses of others are no decision: they are asked in any case, and letters are sealed.
 """
 
 from collections.abc import Callable
@@ -65,8 +66,8 @@
 
 
 class Start:
-    """`lonely`: there are neither peers nor a store to ask. `clean`: the life that wrote had drained. Times
-    in ns.
+    """`lonely`: there are neither peers nor a store to ask. `clean`: the life that wrote had
+    drained. Times in ns.
     """
 
     def __init__(self, lonely: bool, clean: bool, window: int) -> None:
@@ -96,7 +97,9 @@
         self.used = True
 
     def fence(self, now: int) -> None:
-        """A life that we know nothing of ended before now: what it ran is within its window until then."""
+        """A life that we know nothing of ended before now: what it ran is within its window until
+        then.
+        """
         self.used = False
         self.fenced_until = max(self.fenced_until, now + self.window)
 
--- a/burlloom/rollout/__init__.py
+++ b/burlloom/rollout/__init__.py
@@ -1,5 +1,5 @@
-"""Drains and releases agreed across the fleet: who may be out, waves, the halt, the way back. No I/O;
-`stores/` keeps what is agreed.
+"""Drains and releases agreed across the fleet: who may be out, waves, the halt, the way back. No
+I/O; `stores/` keeps what is agreed.
 """
 
 from .book import SERVERS, Book, Budget, Denied, Group
--- a/burlloom/rollout/book.py
+++ b/burlloom/rollout/book.py
@@ -1,9 +1,9 @@
 """All that is agreed: who leads, what is out, by which permit, and the change under way. No I/O.
 
-The book is one value. Each step makes a new one from one that was read; the store takes it only if nobody
-else wrote meanwhile. So every step is decided on what holds when it is written: a budget that is kept by each
-step is kept, however many decide, and however late. What is local to one of them (when it saw what, on its
-own clock) stands in `watch.py`.
+The book is one value. Each step makes a new one from one that was read; the store takes it only if
+nobody else wrote meanwhile. So every step is decided on what holds when it is written: a budget
+that is kept by each step is kept, however many decide, and however late. What is local to one of
+them (when it saw what, on its own clock) stands in `watch.py`.
 """
 
 from collections import Counter
@@ -17,8 +17,8 @@
 
 SERVERS = "servers"  # the group of ourselves; all others are services below
 NOTES_MOST = 40
-# Raised where an older program would lose something by writing the book anew; only in a release after one
-# that reads the new form already, as old and new run side by side in every release.
+# Raised where an older program would lose something by writing the book anew; only in a release
+# after one that reads the new form already, as old and new run side by side in every release.
 FORM = 1
 
 
@@ -28,8 +28,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """At most `most` out at once, or, where it is not 0, such a `share` of all, rounded down, but one at
-    least; and never all.
+    """At most `most` out at once, or, where it is not 0, such a `share` of all, rounded down, but
+    one at least; and never all.
     """
 
     most: int = 1
@@ -56,9 +56,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Book:
-    """`holder`, `epoch`: who leads, and how often that changed. `steps`: how many there were. `good`: the
-    version that all are to run where nothing is changed. `notes`: the last moves, each with its step, in
-    words.
+    """`holder`, `epoch`: who leads, and how often that changed. `steps`: how many there were.
+    `good`: the version that all are to run where nothing is changed. `notes`: the last moves, each
+    with its step, in words.
     """
 
     holder: str = ""
@@ -192,7 +192,9 @@
         return replace(self, groups={**self.groups, SERVERS: replace(servers, units=anew)})
 
     def called_in(self) -> "Book":
-        """Permits of the change that nobody has begun on are void; who is out comes back as it was good."""
+        """Permits of the change that nobody has begun on are void; who is out comes back as it was
+        good.
+        """
         book = self
         for name, unit in self.servers.items():
             if book.flying(unit):
--- a/burlloom/rollout/hand.py
+++ b/burlloom/rollout/hand.py
@@ -1,7 +1,8 @@
 """What a server does about the book's word on itself: a table. No I/O.
 
-States: SERVING; ASKING its step to leave is on its way to the book; DOUBT nobody knows whether that step was
-taken; LEAVING it was: the server drains. Nothing is drained on a permit alone, nor on a step in doubt.
+States: SERVING; ASKING its step to leave is on its way to the book; DOUBT nobody knows whether that
+step was taken; LEAVING it was: the server drains. Nothing is drained on a permit alone, nor on a
+step in doubt.
 """
 
 from enum import IntEnum
--- a/burlloom/rollout/judge.py
+++ b/burlloom/rollout/judge.py
@@ -1,11 +1,12 @@
-"""Whether the changed servers do worse than those that are not changed yet, over the same moments. No I/O.
-
-Both sides serve the same callers at the same time, so a crowd, a slow service below or an hour of the day is
-on both. Three shares are held against each other: declined, voided, settled after the SLA time. One is worse
-where it is larger by `margin` at least and by more than chance makes of it: a one-sided test of two
-proportions (as in Fleiss, "Statistical Methods for Rates and Proportions", 1981), with a bound far out, since
-it is asked anew each round. And one that is not well is sent nobody, so nothing speaks against it but that:
-it is held against the others too.
+"""Whether the changed servers do worse than those that are not changed yet, over the same moments.
+No I/O.
+
+Both sides serve the same callers at the same time, so a crowd, a slow service below or an hour of
+the day is on both. Three shares are held against each other: declined, voided, settled after the
+SLA time. One is worse where it is larger by `margin` at least and by more than chance makes of it:
+a one-sided test of two proportions (as in Fleiss, "Statistical Methods for Rates and Proportions",
+1981), with a bound far out, since it is asked anew each round. And one that is not well is sent
+nobody, so nothing speaks against it but that: it is held against the others too.
 """
 
 from collections import deque
@@ -33,9 +34,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Measure:
-    """`span`: ns that count at least. `least`: txns of the changed, before they are good. `margin`: of a
-    share; `sigmas`: how far out. `worst`: a share of the changed that is bad, unless the others do as
-    badly.
+    """`span`: ns that count at least. `least`: txns of the changed, before they are good. `margin`:
+    of a share; `sigmas`: how far out. `worst`: a share of the changed that is bad, unless the
+    others do as badly.
     """
 
     span: int = 30_000_000_000
@@ -83,9 +84,9 @@
 
 
 class Evidence:
-    """What was counted on both sides, over the last `span`; further back, up to `longest`, as long as the
-    changed were asked for under `least` txns. A server counts from a look at which it was in service to the
-    next, if it lived through it.
+    """What was counted on both sides, over the last `span`; further back, up to `longest`, as long
+    as the changed were asked for under `least` txns. A server counts from a look at which it was in
+    service to the next, if it lived through it.
     """
 
     def __init__(self, span: int, least: int, longest: int) -> None:
@@ -147,7 +148,9 @@
 
 
 def judge(measure: Measure, evidence: Evidence, reference: Rates | None) -> Found:
-    """`reference`: what the others did while there were enough of them; in their place where they are few."""
+    """`reference`: what the others did while there were enough of them; in their place where they
+    are few.
+    """
     changed, others = evidence.changed, evidence.beside
     if (
         evidence.whole
--- a/burlloom/rollout/lead.py
+++ b/burlloom/rollout/lead.py
@@ -1,9 +1,10 @@
-"""What whoever leads makes of the book, once a round. No I/O: `round` gives the book that it wants written.
+"""What whoever leads makes of the book, once a round. No I/O: `round` gives the book that it wants
+written.
 
-Any server, or a process of its own, may lead; who does, writes its name into the book and raises a count
-beside it. Another takes over where it has not seen that count rise for `lead`. That two believe to lead for a
-moment costs a write that fails, nothing else: each step is taken on the book as it was read, and written only
-if nobody wrote since.
+Any server, or a process of its own, may lead; who does, writes its name into the book and raises a
+count beside it. Another takes over where it has not seen that count rise for `lead`. That two
+believe to lead for a moment costs a write that fails, nothing else: each step is taken on the book
+as it was read, and written only if nobody wrote since.
 """
 
 from collections.abc import Hashable, Iterable, Mapping, Sequence
@@ -24,12 +25,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """Spans in ns. `fresh`: a sign of life counts for; `lead`: who leads is taken to be gone after; `permit`:
-    a permit that nobody begins on is taken back after; `back`: whoever is out is to be back in; `settle`: it
-    serves for so long before it counts as back; `write_off`: a missing one is gone for good after, 0: only by
-    an operator's word; `quiet`: for the changed to be asked enough. `lost_most`: changed servers that may be
-    lost before the change is halted. `pause_at`: share declined or voided of all servers, from which on
-    nobody new is sent out. `quiet_passes`: a wave of which too little was asked is taken for good.
+    """Spans in ns. `fresh`: a sign of life counts for; `lead`: who leads is taken to be gone after;
+    `permit`: a permit that nobody begins on is taken back after; `back`: whoever is out is to be
+    back in; `settle`: it serves for so long before it counts as back; `write_off`: a missing one is
+    gone for good after, 0: only by an operator's word; `quiet`: for the changed to be asked enough.
+    `lost_most`: changed servers that may be lost before the change is halted. `pause_at`: share
+    declined or voided of all servers, from which on nobody new is sent out. `quiet_passes`: a wave
+    of which too little was asked is taken for good.
     """
 
     fresh: int = 5 * SECOND
@@ -56,9 +58,9 @@
 
 
 class Lead:
-    """One that may lead, under a `name` that nobody else has. `budgets`: by group, for those that the book
-    does not have yet; what stands there is changed by an operator's word alone. `services`: the instances of
-    each service below.
+    """One that may lead, under a `name` that nobody else has. `budgets`: by group, for those that
+    the book does not have yet; what stands there is changed by an operator's word alone.
+    `services`: the instances of each service below.
     """
 
     def __init__(
@@ -313,8 +315,8 @@
         def send(
             book: Book, group: str, name: str, to: str = "", moved: int = 0
         ) -> tuple[Book, bool]:
-            # One that is not called anyway costs nobody anything: only those that serve wait for the
-            # doubtful.
+            # One that is not called anyway costs nobody anything: only those that serve wait for
+            # the doubtful.
             return book.permit(
                 group, name, doubtful if group == SERVERS and name in serving else 0, to, moved
             )
--- a/burlloom/rollout/plan.py
+++ b/burlloom/rollout/plan.py
@@ -1,7 +1,8 @@
 """The fleet's change: waves of a release, the halt, the way back; a table. No I/O.
 
-Phases: IDLE nothing is changed; ROLLING a wave is on its way; JUDGING all of a wave are back, and what they
-do is held against the others; HALTED nobody is sent out; BACKING all go back to the version that was good.
+Phases: IDLE nothing is changed; ROLLING a wave is on its way; JUDGING all of a wave are back, and
+what they do is held against the others; HALTED nobody is sent out; BACKING all go back to the
+version that was good.
 """
 
 from collections.abc import Callable
@@ -62,8 +63,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Rates:
-    """Of what was asked: shares declined, voided, and settled after the SLA time (of those settled); `asked`:
-    of how many.
+    """Of what was asked: shares declined, voided, and settled after the SLA time (of those
+    settled); `asked`: of how many.
     """
 
     declined: float = 0.0
@@ -74,10 +75,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """`version`: that is brought in; `former`: that the way back leads to; `restart`: all start anew,
-    whatever they run. `backing`: whether the way back was begun; `auto`: taken by itself when a wave is bad.
-    `since`: the book's step of the last move. `reference`: what the unchanged did last, for when there are
-    none left. `lost`: changed servers that were lost.
+    """`version`: that is brought in; `former`: that the way back leads to; `restart`: all start
+    anew, whatever they run. `backing`: whether the way back was begun; `auto`: taken by itself when
+    a wave is bad. `since`: the book's step of the last move. `reference`: what the unchanged did
+    last, for when there are none left. `lost`: changed servers that were lost.
     """
 
     number: int = 0
--- a/burlloom/rollout/stores/leading.py
+++ b/burlloom/rollout/stores/leading.py
@@ -1,5 +1,5 @@
-"""A round of whoever may lead, between its decisions and the shelf; servers and `burlloom rollout drive`
-share it.
+"""A round of whoever may lead, between its decisions and the shelf; servers and `burlloom rollout
+drive` share it.
 """
 
 from ..lead import Lead
@@ -7,8 +7,8 @@
 
 
 async def led(lead: Lead, shelf: Shelf, page: Page, now: int) -> list[tuple[int, str]]:
-    """Takes the lead where nobody has it; where we have it, decides. Gives the steps that were taken, in
-    words; none where another wrote before us: the next round looks anew. Raises `Away`.
+    """Takes the lead where nobody has it; where we have it, decides. Gives the steps that were
+    taken, in words; none where another wrote before us: the next round looks anew. Raises `Away`.
     """
     taken = lead.take(now, page.book, page.beat)
     if taken is not None:
--- a/burlloom/rollout/stores/opening.py
+++ b/burlloom/rollout/stores/opening.py
@@ -12,7 +12,9 @@
 
 
 def shelf_of(operator: "Operator", wait: float = WAIT) -> Shelf:
-    """`wait`: s for a lock that another holds, of a store that is one file. Raises `record.store.Refused`."""
+    """`wait`: s for a lock that another holds, of a store that is one file. Raises
+    `record.store.Refused`.
+    """
     place = operator.rollout_store()
     if place.sqlite is not None:
         from .sqlite import Sqlite
--- a/burlloom/rollout/stores/shelf.py
+++ b/burlloom/rollout/stores/shelf.py
@@ -31,7 +31,9 @@
         """`known`: a page read before, whose book is not read again if nothing was written."""
 
     async def swap(self, page: Page, book: Book) -> bool:
-        """Writes the book that was made from this page, if nobody wrote since. On disk when it says yes."""
+        """Writes the book that was made from this page, if nobody wrote since. On disk when it says
+        yes.
+        """
 
     async def beat(self, epoch: int) -> None: ...
     async def tell(self, member: Member) -> bool:
--- a/burlloom/rollout/stores/tables.py
+++ b/burlloom/rollout/stores/tables.py
@@ -1,5 +1,5 @@
-"""The book in two tables. Each step is one statement that holds or does not: no transaction is open between
-two.
+"""The book in two tables. Each step is one statement that holds or does not: no transaction is open
+between two.
 """
 
 import logging
@@ -12,7 +12,8 @@
 
 log = logging.getLogger(__name__)
 
-# A book that begins anew counts on from beyond all that there was: no page of the one before fits it.
+# A book that begins anew counts on from beyond all that there was: no page of the one before fits
+# it.
 BEGIN = (
     "INSERT INTO rollout_book (id, revision, epoch, beat, text) VALUES (1, $1::bigint, 0, 0, $2::text)"
     " ON CONFLICT (id) DO NOTHING RETURNING revision"
--- a/burlloom/rollout/units.py
+++ b/burlloom/rollout/units.py
@@ -1,15 +1,16 @@
-"""One server, or one instance of a service below, while it is taken out of service and comes back: a table.
-No I/O.
-
-States: IN it serves, as far as the book knows; GRANTED it may leave and has not begun; OUT it has begun to
-leave, or was told to by its platform; BACK it serves again, or kept on, and has not settled; MISSING it went
-without a word, or is not back in time; GONE not in the book.
-
-All but IN count against the budget, so a permit's or an absence's end never frees what is not back: an
-absence ends by a life later than the one that left, or by somebody's word that it is gone for good. Whoever
-holds a permit begins by a step in the book itself; where the permit was taken back before, there is none to
-begin on. A permit out of IN wants room; one out of BACK or MISSING, for who is to go back to an older
-version, wants that fewer were sent out than the budget allows: it may serve, though it counts as away.
+"""One server, or one instance of a service below, while it is taken out of service and comes back:
+a table. No I/O.
+
+States: IN it serves, as far as the book knows; GRANTED it may leave and has not begun; OUT it has
+begun to leave, or was told to by its platform; BACK it serves again, or kept on, and has not
+settled; MISSING it went without a word, or is not back in time; GONE not in the book.
+
+All but IN count against the budget, so a permit's or an absence's end never frees what is not back:
+an absence ends by a life later than the one that left, or by somebody's word that it is gone for
+good. Whoever holds a permit begins by a step in the book itself; where the permit was taken back
+before, there is none to begin on. A permit out of IN wants room; one out of BACK or MISSING, for
+who is to go back to an older version, wants that fewer were sent out than the budget allows: it may
+serve, though it counts as away.
 """
 
 from collections.abc import Callable
@@ -75,10 +76,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Unit:
-    """`life`: the one that served last; `left`: one that is known to leave, 0 where none is. `since`: the
-    book's step that brought it to this state. `version`: that it served with last; `to`: that it is to start
-    with next, empty: the good one. `moved`: the plan that sent it out last. `asked`: the ticket of an
-    operator's order to take it out, 0: none. `span_ms`: for how long, 0: as long as any other.
+    """`life`: the one that served last; `left`: one that is known to leave, 0 where none is.
+    `since`: the book's step that brought it to this state. `version`: that it served with last;
+    `to`: that it is to start with next, empty: the good one. `moved`: the plan that sent it out
+    last. `asked`: the ticket of an operator's order to take it out, 0: none. `span_ms`: for how
+    long, 0: as long as any other.
     """
 
     state: State = State.GONE
@@ -108,9 +110,10 @@
 
 @dataclass(frozen=True, slots=True)
 class News:
-    """What goes with an input. `life`: of who speaks; `ticket`: of the order on which it acts; `room`:
-    whether the budget has any; `few`: whether fewer were sent out by it than it allows, whoever else is away;
-    `below`: an instance of a service below, of which nobody starts a new life.
+    """What goes with an input. `life`: of who speaks; `ticket`: of the order on which it acts;
+    `room`: whether the budget has any; `few`: whether fewer were sent out by it than it allows,
+    whoever else is away; `below`: an instance of a service below, of which nobody starts a new
+    life.
     """
 
     step: int
@@ -140,8 +143,8 @@
 
 
 def stays(unit: Unit, news: News) -> bool:
-    """It counts already, but may be serving all the same: it waits for those who were sent out, as any
-    other.
+    """It counts already, but may be serving all the same: it waits for those who were sent out, as
+    any other.
     """
     return news.few and unit.left < unit.life
 
@@ -163,7 +166,9 @@
 
 
 def refuse(unit: Unit, news: News) -> Unit:
-    """Nothing has come of the permit. Whoever waited for an instance below is gone by now, or asks anew."""
+    """Nothing has come of the permit. Whoever waited for an instance below is gone by now, or asks
+    anew.
+    """
     return replace(unit, moved=0, to="", asked=0 if news.below else unit.asked)
 
 
@@ -193,8 +198,8 @@
 
 
 def meet(unit: Unit, what: Input, news: News) -> tuple[Unit, str] | None:
-    """By the first row whose test holds: the unit after it and the effect's name; None where there is
-    none.
+    """By the first row whose test holds: the unit after it and the effect's name; None where there
+    is none.
     """
     for test, after, effect in RULES.get((unit.state, what), ()):
         if test(unit, news):
--- a/burlloom/rollout/watch.py
+++ b/burlloom/rollout/watch.py
@@ -1,9 +1,11 @@
-"""What one of those who may lead has seen, and when, on its own clock. No I/O, nothing that others rely on.
-
-Nobody's time is compared with another's. That a server lives is told by a count that it raises; that it
-stopped raising it, by our own clock since we last saw it rise (the way of lock clients that watch a record's
-version). Whoever begins to watch knows nothing: it sees nobody serve until a count has risen before its eyes,
-and takes nobody for silent before it has waited for as long as anyone else would.
+"""What one of those who may lead has seen, and when, on its own clock. No I/O, nothing that others
+rely on.
+
+Nobody's time is compared with another's. That a server lives is told by a count that it raises;
+that it stopped raising it, by our own clock since we last saw it rise (the way of lock clients that
+watch a record's version). Whoever begins to watch knows nothing: it sees nobody serve until a count
+has risen before its eyes, and takes nobody for silent before it has waited for as long as anyone
+else would.
 """
 
 from collections.abc import Hashable, Mapping
@@ -41,10 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """What a server says of itself. `life` grows from one start to the next; `beat` counts up in a life.
-    `well`: callers are sent to it, and it is past its way back. `heeded`: the book's step that it has acted
-    on. `below`: calls to each instance of the services below that came back well and not, in its last
-    seconds. `former`: the life before, if that said that it leaves; else 0.
+    """What a server says of itself. `life` grows from one start to the next; `beat` counts up in a
+    life. `well`: callers are sent to it, and it is past its way back. `heeded`: the book's step
+    that it has acted on. `below`: calls to each instance of the services below that came back well
+    and not, in its last seconds. `former`: the life before, if that said that it leaves; else 0.
     """
 
     name: str
@@ -75,8 +77,8 @@
         self.looked_at = -1
 
     def begins(self, now: int) -> None:
-        """A look at all of it. Where we did not look for long (the store was away, or we stood still), that
-        time is nobody's silence, and nobody was seen to serve in it.
+        """A look at all of it. Where we did not look for long (the store was away, or we stood
+        still), that time is nobody's silence, and nobody was seen to serve in it.
         """
         gap = now - self.looked_at
         if self.looked_at >= 0 and gap > self.fresh // 2:
--- a/burlloom/rpc/connection.py
+++ b/burlloom/rpc/connection.py
@@ -61,7 +61,9 @@
         self.reader: asyncio.Task[None] | None = None
 
     async def serve(self) -> None:
-        """Its reader, from its start to its end; whoever ends it from outside calls `close` or `stop`."""
+        """Its reader, from its start to its end; whoever ends it from outside calls `close` or
+        `stop`.
+        """
         with self.ending():
             await self.read()
             self.close(
@@ -110,7 +112,8 @@
             self.partial_since = self.partial_since or now
 
     def last_call(self) -> None:
-        """Takes what lies unread before an end is decided: a whole request that lies there is answered.
+        """Takes what lies unread before an end is decided: a whole request that lies there is
+        answered.
 
         So many times at most: whoever sends without an end must not hold up everybody else.
         """
@@ -122,7 +125,8 @@
     def close(self, reason: Reason) -> None:
         """Every way out leads through here, once.
 
-        Whoever sent what no balancer sends is owed no result: what is open is answered with an error.
+        Whoever sent what no balancer sends is owed no result: what is open is answered with an
+        error.
         """
         if self.ended:
             return
@@ -197,7 +201,9 @@
         self.blame(why)
 
     def blame(self, what: str) -> None:
-        """A balancer is never at fault for long; against one that sends the same thing again and again."""
+        """A balancer is never at fault for long; against one that sends the same thing again and
+        again.
+        """
         self.bad += 1
         self.detail = what
         if self.bad >= BAD_MOST:
@@ -235,7 +241,9 @@
         return not self.open and not self.writer.unsent
 
     def shut(self, now: int) -> None:
-        """Asks the other side to close first: closing here could cross a request that was just written."""
+        """Asks the other side to close first: closing here could cross a request that was just
+        written.
+        """
         if not self.told_shutdown:
             self.told_shutdown, self.told_at = True, now
             self.writer.post(SHUTDOWN)
--- a/burlloom/rpc/frames.py
+++ b/burlloom/rpc/frames.py
@@ -1,7 +1,8 @@
 """MessagePack-RPC frames.
 
-Whole ones are read by msgpack off the slice of the buffer; what it can't read is read by hand, which tells
-the unfinished from the bad, and why. Written with msgpack, but for bodies, which go out as they are.
+Whole ones are read by msgpack off the slice of the buffer; what it can't read is read by hand,
+which tells the unfinished from the bad, and why. Written with msgpack, but for bodies, which go out
+as they are.
 """
 
 import struct
--- a/burlloom/rpc/front.py
+++ b/burlloom/rpc/front.py
@@ -24,11 +24,14 @@
 IDLE = 15 * SECOND  # until the decisions say
 PINCHED_IDLE = 2 * SECOND  # while the table is nearly full
 UNSENT_IN_ALL = 8 << 20
-ACCEPT_MOST = 32  # at one wake: a flood of newcomers must not hold up who is already here, nor outrun the table
+# at one wake: a flood of newcomers must not hold up who is already here, nor outrun the table
+ACCEPT_MOST = 32
 
 
 class Front:
-    """Accepts connections, hands each request that is read to `request`, and asks the rest of the server."""
+    """Accepts connections, hands each request that is read to `request`, and asks the rest of the
+    server.
+    """
 
     def __init__(
         self,
@@ -74,7 +77,8 @@
 
     def parting(self, parting: Parting) -> None:
         if parting.writer.size + sum(other.writer.size for other in self.partings) > UNSENT_IN_ALL:
-            parting.over()  # against those who never read and are owed much: closes under way would fill the memory
+            # against those who never read and are owed much: closes under way would fill the memory
+            parting.over()
             return
         task = self.partings[parting] = self.tasks.start(parting.run(), "parting")
         task.add_done_callback(lambda _: self.partings.pop(parting, None) and None)
@@ -89,7 +93,8 @@
             asyncio.get_running_loop().add_reader(self.listener, self.accept)
 
     def accept(self) -> None:
-        # Not `sock_accept`: one call a wake, and a connection it took in as it is cancelled is lost unseen.
+        # Not `sock_accept`: one call a wake, and a connection it took in as it is cancelled is lost
+        # unseen.
         if self.listener is not None and not self.take_in(self.listener, ACCEPT_MOST):
             loop = asyncio.get_running_loop()
             loop.remove_reader(self.listener)
@@ -131,10 +136,11 @@
             connection.shut(self.clock())
 
     def make_room(self) -> bool:
-        """No descriptor is left, or none that balancers may have: one is freed at once, if any can be.
+        """No descriptor is left, or none that balancers may have: one is freed at once, if any can
+        be.
 
-        First goes what is on its way out. Of those that nobody waits on, the silent go first, then the longest
-        unused; nobody goes whose bytes lie unread.
+        First goes what is on its way out. Of those that nobody waits on, the silent go first, then
+        the longest unused; nobody goes whose bytes lie unread.
         """
         for parting, task in self.partings.items():
             del self.partings[parting]
@@ -159,7 +165,9 @@
         return False
 
     async def keep(self) -> None:
-        """Lets go, in time, of whoever says nothing, never finishes, holds on for good or never reads."""
+        """Lets go, in time, of whoever says nothing, never finishes, holds on for good or never
+        reads.
+        """
         while True:
             await rest(SWEEP)
             try:
@@ -172,8 +180,8 @@
         self.swept = now
         self.spare.clear()
         if now - before > 2 * SWEEP and not self.passed_over:
-            # After a pause of the machine, what came or was to come meanwhile is read first. Not twice in a row:
-            # a process that is always this late would never let go of anybody.
+            # After a pause of the machine, what came or was to come meanwhile is read first. Not
+            # twice in a row: a process that is always this late would never let go of anybody.
             self.passed_over = True
             return
         self.passed_over = False
@@ -192,7 +200,8 @@
                 if now - one.used > SILENT_MOST:
                     one.last_call()
                     if not one.heard:
-                        # One that has begun to speak is not silent, though its first bytes came after it connected.
+                        # One that has begun to speak is not silent, though its first bytes came
+                        # after it connected.
                         one.stop(Reason.UNFINISHED if one.partial_since else Reason.SILENT)
             elif one.told_shutdown:
                 late = now - max(one.told_at, one.used) > DEAF_MOST and not one.partial_since
@@ -211,7 +220,9 @@
                 one.stop(Reason.NOT_READING)
 
     def leave(self) -> None:
-        """Takes in whoever was already connected, then listens no more; what is written is still answered."""
+        """Takes in whoever was already connected, then listens no more; what is written is still
+        answered.
+        """
         self.leaving = True
         if self.listener is not None:
             asyncio.get_running_loop().remove_reader(self.listener)
@@ -225,7 +236,9 @@
             connection.shut(now)
 
     async def close(self, most: int) -> None:
-        """The last of a drain: what lies unread is still answered, and every connection ends in good order."""
+        """The last of a drain: what lies unread is still answered, and every connection ends in
+        good order.
+        """
         for connection in list(self.connections):
             connection.last_call()
         await asyncio.sleep(0)  # answers leave at the end of a turn of the loop
--- a/burlloom/rpc/requests.py
+++ b/burlloom/rpc/requests.py
@@ -1,4 +1,6 @@
-"""A request as it is read: all that its frame alone can tell is checked here, whole, before it goes on."""
+"""A request as it is read: all that its frame alone can tell is checked here, whole, before it goes
+on.
+"""
 
 import re
 from collections.abc import Collection
@@ -28,7 +30,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Known:
-    """What a request's parts are held against: request classes, keyed or not, tenants, the longest deadline."""
+    """What a request's parts are held against: request classes, keyed or not, tenants, the longest
+    deadline.
+    """
 
     classes: dict[str, bool]
     tenants: Collection[str]
@@ -46,7 +50,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One try of a request as it was read, and the way back; its times and costs are in nanoseconds."""
+    """One try of a request as it was read, and the way back; its times and costs are in
+    nanoseconds.
+    """
 
     way: Way
     number: int
--- a/burlloom/server/__main__.py
+++ b/burlloom/server/__main__.py
@@ -12,7 +12,8 @@
 
 from ..signals import HEARD, block, unblock
 
-# Before the slow imports: a signal that comes while the program starts waits for its handler, and doesn't end it.
+# Before the slow imports: a signal that comes while the program starts waits for its handler, and
+# doesn't end it.
 block()
 
 import uvloop  # noqa: E402
@@ -54,12 +55,13 @@
         else:
             loop.call_soon_threadsafe(server.leave, server.clock.last)
 
-    # Not by the loop's handlers: the loop would restore the defaults as it closes, and a signal then would end
-    # what has gone well with another status. Ours stay until the signals are ignored for good.
+    # Not by the loop's handlers: the loop would restore the defaults as it closes, and a signal
+    # then would end what has gone well with another status. Ours stay until the signals are ignored
+    # for good.
     for number in HEARD:
         signal.signal(number, heard)
-    # Its other threads block them for good: libuv's, which it starts at its first look-up (this one asks nobody),
-    # and ours.
+    # Its other threads block them for good: libuv's, which it starts at its first look-up (this one
+    # asks nobody), and ours.
     await loop.getnameinfo(("127.0.0.1", 0), socket.NI_NUMERICHOST | socket.NI_NUMERICSERV)
     loop.set_default_executor(ThreadPoolExecutor(thread_name_prefix="work", initializer=block))
     unblock()
--- a/burlloom/server/assembly.py
+++ b/burlloom/server/assembly.py
@@ -1,4 +1,6 @@
-"""Puts the parts together: a request's way through them, the beat of the decisions, and the way out."""
+"""Puts the parts together: a request's way through them, the beat of the decisions, and the way
+out.
+"""
 
 import asyncio
 import logging
@@ -33,7 +35,8 @@
 RESERVE = (
     64  # descriptors, at least, for the link, calls, reports and what the process itself holds
 )
-OWN = 32  # of them without the calls on their way: what the process holds, and connections kept for calls
+# of them without the calls on their way: what the process holds, and connections kept for calls
+OWN = 32
 LAST_WRITES = 250 * MS  # before the kill: what the last answers and this process need to get out
 RUN_OUTCOME = {
     End.PASS: Outcome.OK,
@@ -54,7 +57,9 @@
 
 
 class Clock:
-    """Unix time in whole nanoseconds that never steps back, whatever is done to the system's clock."""
+    """Unix time in whole nanoseconds that never steps back, whatever is done to the system's
+    clock.
+    """
 
     def __init__(self) -> None:
         self.last = 0
@@ -65,7 +70,9 @@
 
 
 def room(sockets: int, facts: ServerFacts) -> int:
-    """How many connections of balancers there may be: so many calls as may be in hand find a descriptor besides."""
+    """How many connections of balancers there may be: so many calls as may be in hand find a
+    descriptor besides.
+    """
     calls = facts.calls_share or facts.crowd * facts.cores
     return max(sockets - max(RESERVE, OWN + math.ceil(calls)), sockets // 2)
 
@@ -157,12 +164,15 @@
         )
 
     def reload(self) -> None:
-        """Takes up the addresses that the configuration now names; all else holds until the next start."""
+        """Takes up the addresses that the configuration now names; all else holds until the next
+        start.
+        """
         try:
             try:
                 orders = read()
             except Broken as error:
-                # The file itself wants a descriptor: idle clients that hold them all must not hide where all went.
+                # The file itself wants a descriptor: idle clients that hold them all must not hide
+                # where all went.
                 if not out_of_descriptors(error.__cause__) or not self.front.make_room():
                     raise
                 orders = read()
@@ -280,7 +290,9 @@
         desk.report(Recalled(asked.id, await self.record.recall(mark, asked.at + deadline)))
 
     def execute(self, id: str) -> None:
-        """Its run may begin now. Where its connection went meanwhile it runs all the same: it was started."""
+        """Its run may begin now. Where its connection went meanwhile it runs all the same: it was
+        started.
+        """
         asked = self.serving.get(id)
         if asked is not None:
             self.link.run(id, asked.request_class, asked.body)
@@ -299,8 +311,9 @@
             took = (self.clock() - began) // MS
             log.info("event=call-failed id=%s answer=%s ms=%d", id, answer.value, took)
         if answer is Answer.UNWANTED:
-            # No run waits for it, so the end of the run is on its way, and cancels this. Told at once, the
-            # decisions would call again and again, and soon take the catalogue for one that is down.
+            # No run waits for it, so the end of the run is on its way, and cancels this. Told at
+            # once, the decisions would call again and again, and soon take the catalogue for one
+            # that is down.
             await rest(UNWANTED_WAIT)
         self.levels.called(answer is Answer.WELL)
         self.recovery.called(answer is Answer.WELL)
@@ -368,15 +381,17 @@
                 self.front.idle = desk.idle_for
                 self.pool.sweep()
             except Exception:
-                # The next round is due all the same: without it no request in hand would ever be given up.
+                # The next round is due all the same: without it no request in hand would ever be
+                # given up.
                 log.exception("event=fault side=beat")
                 due = desk.due
 
     # The way out.
 
     def leave(self, noticed: int = 0) -> None:
-        """`noticed`: when the clock was last looked at before the notice was heard. It was sent after that; by how
-        much, a process that had stood still can't tell, and counts grace and kill from the earlier.
+        """`noticed`: when the clock was last looked at before the notice was heard. It was sent
+        after that; by how much, a process that had stood still can't tell, and counts grace and
+        kill from the earlier.
         """
         if self.leaving:
             return
@@ -390,7 +405,9 @@
         self.tasks.start(self.drain(now, stop), "drain")
 
     async def drain(self, now: int, stop: int) -> None:
-        """Serves on while newcomers may still be run; then asks the callers to go and waits for them."""
+        """Serves on while newcomers may still be run; then asks the callers to go and waits for
+        them.
+        """
         if self.desk is not None:
             serve_until = min(now + self.orders.facts.grace, stop - 2 * LAST_WRITES)
             await rest(serve_until - self.clock())
--- a/burlloom/server/checked.py
+++ b/burlloom/server/checked.py
@@ -1,4 +1,6 @@
-"""What a configuration must hold before anything of it is used: all its faults at once, each with its place."""
+"""What a configuration must hold before anything of it is used: all its faults at once, each with
+its place.
+"""
 
 import math
 import re
@@ -59,7 +61,8 @@
 
 
 SHARE = Number(0, 1)
-# place -> what stands there, and whether it is needed; `[]` is each of a list. What no line names is not read.
+# place -> what stands there, and whether it is needed; `[]` is each of a list. What no line names
+# is not read.
 PLACES: tuple[tuple[str, Number | Text | Address, str], ...] = (
     ("executor", Address(), NEEDED),
     ("naming", Address(), NEEDED),
@@ -104,7 +107,9 @@
 
 
 def found(value: Any, names: list[str], place: str = "") -> Iterator[tuple[str, Any]]:
-    """Each value of a place, with where exactly it stands. A part or a list that is left out holds nothing."""
+    """Each value of a place, with where exactly it stands. A part or a list that is left out holds
+    nothing.
+    """
     if not names:
         yield place, value
         return
--- a/burlloom/server/distributing.py
+++ b/burlloom/server/distributing.py
@@ -1,5 +1,5 @@
-"""Between the server and the configuration that is distributed to it: datagrams, the tenants in force,
-what is told of both.
+"""Between the server and the configuration that is distributed to it: datagrams, the tenants in
+force, what is told of both.
 
 Where distribution is off, `NoDistribution` stands here, and nothing of it is imported.
 """
@@ -39,10 +39,14 @@
     """What the server asks of the configuration that is distributed."""
 
     def tenants(self, told: Mapping[str, float]) -> Collection[str]:
-        """Those that are served, now and at any later time; `told`: by the server's own configuration."""
+        """Those that are served, now and at any later time; `told`: by the server's own
+        configuration.
+        """
 
     def share(self, told: Mapping[str, float]) -> Callable[[str], float | None] | None:
-        """A tenant's share of the service, None of one that is not served; None where `told` says all."""
+        """A tenant's share of the service, None of one that is not served; None where `told` says
+        all.
+        """
 
     async def open(self) -> None:
         """Waits for what is to be in force, as long as the operator allows."""
@@ -107,8 +111,8 @@
 
 
 class Portions:
-    """What all tenants' portions come to: counted through the table some at a time, again some minutes
-    after a change. Until then each is taken for one.
+    """What all tenants' portions come to: counted through the table some at a time, again some
+    minutes after a change. Until then each is taken for one.
     """
 
     def __init__(self, replica: Replica) -> None:
--- a/burlloom/server/fleeting.py
+++ b/burlloom/server/fleeting.py
@@ -1,5 +1,5 @@
-"""Between the server and the fleet: the datagrams, the share that the decisions are told, the services
-called.
+"""Between the server and the fleet: the datagrams, the share that the decisions are told, the
+services called.
 
 Where the fleet is off, `NoFleet` stands here, and nothing of it is imported.
 """
@@ -100,7 +100,9 @@
 
 
 class Share:
-    """What the fleet's share means to the decisions. Kept apart: the lab has it without datagrams."""
+    """What the fleet's share means to the decisions. Kept apart: the lab has it without
+    datagrams.
+    """
 
     def __init__(self, fleet: Fleet, cap: Callable[[], float]) -> None:
         """`cap`: calls that a start allows so far, beside the share."""
@@ -293,7 +295,9 @@
         return Path(self.part.key_file)
 
     def look_at_view(self) -> None:
-        """The subsets follow the view, off the loop: with hundreds of servers they take some tens of ms."""
+        """The subsets follow the view, off the loop: with hundreds of servers they take some tens
+        of ms.
+        """
         names = tuple(
             sorted(
                 {member.word.name for member in self.fleet.members.there()} | {self.fleet.own.name}
--- a/burlloom/server/leveling.py
+++ b/burlloom/server/leveling.py
@@ -1,4 +1,5 @@
-"""Between the server and its levels of reduced service: what it measures of itself, and what a step means to the desk.
+"""Between the server and its levels of reduced service: what it measures of itself, and what a step
+means to the desk.
 
 Where levels are off, `NoLevels` stands here, and nothing of them is imported.
 """
@@ -74,12 +75,16 @@
 
 
 def lot(caller: str) -> float:
-    """A caller's own from 0 to under 1, the same on every node and in every life: trials take the same ones first."""
+    """A caller's own from 0 to under 1, the same on every node and in every life: trials take the
+    same ones first.
+    """
     return zlib.crc32(caller.encode()) / (1 << 32)
 
 
 class Leveled:
-    """`plan` and `terms` are the operator's, or the shipped ones. `store` gives the record's strain, if one is kept."""
+    """`plan` and `terms` are the operator's, or the shipped ones. `store` gives the record's
+    strain, if one is kept.
+    """
 
     def __init__(
         self,
@@ -215,7 +220,9 @@
     # An operator's files.
 
     def look_for_pin(self, now: int) -> None:
-        """The pin's file is read anew each second: what can't be used leaves the pin as it was, with one line."""
+        """The pin's file is read anew each second: what can't be used leaves the pin as it was,
+        with one line.
+        """
         if self.pin_file is None or self.levels is None:
             return
         try:
--- a/burlloom/server/logs.py
+++ b/burlloom/server/logs.py
@@ -22,7 +22,9 @@
 
 
 class Bound(logging.Filter):
-    """Against those who connect by the hundreds, to leave a line each: past so many a second, lines count."""
+    """Against those who connect by the hundreds, to leave a line each: past so many a second, lines
+    count.
+    """
 
     def __init__(self) -> None:
         super().__init__()
--- a/burlloom/server/parts.py
+++ b/burlloom/server/parts.py
@@ -148,7 +148,9 @@
 
 
 def spanned(operator: Operator, orders: Orders) -> Orders:
-    """The orders with a span over which a share of under one call is a share of time, where none is told."""
+    """The orders with a span over which a share of under one call is a share of time, where none is
+    told.
+    """
     if operator.fleet is None or orders.facts.calls_span:
         return orders
     return replace(orders, facts=replace(orders.facts, calls_span=CALLS_SPAN))
--- a/burlloom/server/recording.py
+++ b/burlloom/server/recording.py
@@ -1,4 +1,5 @@
-"""Between the server and its store of record: who keeps a charge, and what the store's words mean to the desk.
+"""Between the server and its store of record: who keeps a charge, and what the store's words mean
+to the desk.
 
 Where no record is kept, `NoRecord` stands here, and nothing of the record is imported.
 """
--- a/burlloom/server/recovering.py
+++ b/burlloom/server/recovering.py
@@ -1,5 +1,5 @@
-"""Between the server and its way back from a restart: the file that a life leaves, the ramp, the retries held
-back.
+"""Between the server and its way back from a restart: the file that a life leaves, the ramp, the
+retries held back.
 
 Where it is off, `NoRecovery` stands here, and nothing of it is imported.
 """
@@ -83,8 +83,8 @@
 
 
 class Recovered:
-    """`fleet` gives the server's fleet once there is one; `alone`: calls that we may have where there is
-    none.
+    """`fleet` gives the server's fleet once there is one; `alone`: calls that we may have where
+    there is none.
     """
 
     def __init__(
--- a/burlloom/server/rolling.py
+++ b/burlloom/server/rolling.py
@@ -1,4 +1,5 @@
-"""Between the server and the fleet's drains and releases: what it tells, what it heeds, when it leaves.
+"""Between the server and the fleet's drains and releases: what it tells, what it heeds, when it
+leaves.
 
 Where they are off, `NoRolling` stands here, and nothing of them is imported.
 """
@@ -103,7 +104,9 @@
         self.task: asyncio.Task[None] | None = None
 
     def open(self) -> None:
-        """Serving does not wait for the store: whoever can't reach it serves on, and is not sent out."""
+        """Serving does not wait for the store: whoever can't reach it serves on, and is not sent
+        out.
+        """
         self.task = self.tasks.start(self.keep(), "rollout")
 
     def answered(self, kind: Kind, product: int, at: int) -> None:
@@ -211,8 +214,8 @@
         self.said, self.told_at = says, now
 
     def heed(self, page: Page) -> None:
-        """Instances below that are out are not called. What was acted on is told once no call is there any
-        more.
+        """Instances below that are out are not called. What was acted on is told once no call is
+        there any more.
         """
         shunned = frozenset(address for _, address in page.book.shunned())
         if self.fleet().shun(shunned):
--- a/burlloom/signals.py
+++ b/burlloom/signals.py
@@ -1,8 +1,8 @@
 """Signals that the program heeds go to its main thread alone.
 
-The kernel hands one to any thread that does not block it. Handed to another, it is noted by that one, and the main
-thread, whose work it is to act on it, may have taken in requests meanwhile: after a pause of the process, and on a
-machine on which the other thread has to wait for a core, many.
+The kernel hands one to any thread that does not block it. Handed to another, it is noted by that
+one, and the main thread, whose work it is to act on it, may have taken in requests meanwhile: after
+a pause of the process, and on a machine on which the other thread has to wait for a core, many.
 """
 
 import signal
--- a/burlloom/sockets/__init__.py
+++ b/burlloom/sockets/__init__.py
@@ -1,5 +1,5 @@
-"""What every connection here is made of: a read buffer and its inlet, one ordered writer, an orderly close, a reason
-for its end.
+"""What every connection here is made of: a read buffer and its inlet, one ordered writer, an
+orderly close, a reason for its end.
 
 And what keeps it going: its socket as the loop wants it, its tasks, spans of time.
 """
--- a/burlloom/sockets/inlet.py
+++ b/burlloom/sockets/inlet.py
@@ -5,7 +5,8 @@
 
 
 class Inlet:
-    """Not `sock_recv_into`: what that took in as it is cancelled is lost unseen, a whole request with it.
+    """Not `sock_recv_into`: what that took in as it is cancelled is lost unseen, a whole request
+    with it.
 
     Here the wait alone can be cancelled, and bytes that came meanwhile still lie in the kernel.
     """
@@ -34,7 +35,9 @@
             waiter.set_result(None)
 
     def rest(self) -> None:
-        """Waits no more. The socket may be closed only after this: its descriptor would soon be another's."""
+        """Waits no more. The socket may be closed only after this: its descriptor would soon be
+        another's.
+        """
         if self.waiter is not None:
             self.loop.remove_reader(self.sock)
             self.waiter = None
--- a/burlloom/sockets/parting.py
+++ b/burlloom/sockets/parting.py
@@ -12,10 +12,12 @@
 
 
 class Parting:
-    """Sends what is owed, closes our half, and reads to the other side's end, all within `PART_MOST`.
+    """Sends what is owed, closes our half, and reads to the other side's end, all within
+    `PART_MOST`.
 
-    A close over bytes that nobody has read resets the connection, and the other side loses what it had not yet
-    taken of our answers. What is read here is never acted on: there is no way back for an answer to it.
+    A close over bytes that nobody has read resets the connection, and the other side loses what it
+    had not yet taken of our answers. What is read here is never acted on: there is no way back for
+    an answer to it.
     """
 
     def __init__(self, sock: socket.socket, writer: Writer) -> None:
--- a/burlloom/sockets/streams.py
+++ b/burlloom/sockets/streams.py
@@ -6,7 +6,9 @@
 
 
 def ready(sock: socket.socket) -> socket.socket:
-    """Its messages are small and waited for: none may block, nor be held back to be sent with the next."""
+    """Its messages are small and waited for: none may block, nor be held back to be sent with the
+    next.
+    """
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
--- a/burlloom/sockets/writer.py
+++ b/burlloom/sockets/writer.py
@@ -10,8 +10,9 @@
 class Writer:
     """What is posted leaves in order and whole, at the peer's pace; nobody waits for it.
 
-    What is posted in one turn of the loop leaves at its end, as one piece and mostly in one call. Only the
-    rest that the kernel doesn't take waits in a `sock_sendall`: one at a time, as two would interleave.
+    What is posted in one turn of the loop leaves at its end, as one piece and mostly in one call.
+    Only the rest that the kernel doesn't take waits in a `sock_sendall`: one at a time, as two
+    would interleave.
     """
 
     def __init__(self, sock: socket.socket, tasks: Tasks, broken: Callable[[], None]) -> None:
@@ -61,7 +62,8 @@
                 data = b"".join(self.posted)
                 self.posted.clear()
         except OSError:
-            # The peer is gone: what it was owed is lost with the connection, and the reader must learn of it.
+            # The peer is gone: what it was owed is lost with the connection, and the reader must
+            # learn of it.
             self.end()
             self.broken()
         finally:
--- a/burlloom/standins/parts.py
+++ b/burlloom/standins/parts.py
@@ -1,7 +1,7 @@
 """Small stand-ins for what a burlloom server talks to, written from the published protocol.
 
-The toy in this folder and the integration tests run the same ones. Each listens on the loopback and does only
-what it is told: nothing here decides or measures anything.
+The toy in this folder and the integration tests run the same ones. Each listens on the loopback and
+does only what it is told: nothing here decides or measures anything.
 """
 
 import asyncio
@@ -18,7 +18,9 @@
 
 
 class Executor:
-    """Owns the link: keeps numbered notices, replays them to a new link, and answers METER by itself."""
+    """Owns the link: keeps numbered notices, replays them to a new link, and answers METER by
+    itself.
+    """
 
     def __init__(self) -> None:
         self.commands: asyncio.Queue[tuple[str, ...]] = (
@@ -98,7 +100,8 @@
         self.notify(f"CALLOUT {id}", body)
 
 
-# Status, whether the call is declined, and body; or what else befalls it; or all that is said, to the byte.
+# Status, whether the call is declined, and body; or what else befalls it; or all that is said, to
+# the byte.
 Reply = tuple[int, bool, bytes] | str | bytes
 
 
--- a/burlloom/standins/pgwire.py
+++ b/burlloom/standins/pgwire.py
@@ -1,4 +1,5 @@
-"""The messages of PostgreSQL's frontend/backend protocol 3.0, as far as our client uses them. No I/O.
+"""The messages of PostgreSQL's frontend/backend protocol 3.0, as far as our client uses them. No
+I/O.
 
 Source: the chapter "Frontend/Backend Protocol" of PostgreSQL's manual.
 """
--- a/burlloom/standins/pipe.py
+++ b/burlloom/standins/pipe.py
@@ -1,5 +1,5 @@
-"""A way for TCP between one client and one server that a story can cut: what is on it hangs until it is healed, as
-where packets are dropped on the way.
+"""A way for TCP between one client and one server that a story can cut: what is on it hangs until
+it is healed, as where packets are dropped on the way.
 """
 
 import asyncio
--- a/burlloom/standins/postgres.py
+++ b/burlloom/standins/postgres.py
@@ -1,8 +1,10 @@
-"""A stand-in for a PostgreSQL server: the protocol as far as our client uses it, over one SQLite file.
+"""A stand-in for a PostgreSQL server: the protocol as far as our client uses it, over one SQLite
+file.
 
-What was committed is on disk, and there after a restart. On order it is slow, hangs, resets connections before or
-after a commit took hold, refuses, and answers with an error. One transaction writes at a time; a reader sees what
-was committed. SQL is passed to SQLite after small changes, so it understands what our store says, and no more.
+What was committed is on disk, and there after a restart. On order it is slow, hangs, resets
+connections before or after a commit took hold, refuses, and answers with an error. One transaction
+writes at a time; a reader sees what was committed. SQL is passed to SQLite after small changes, so
+it understands what our store says, and no more.
 
     python -m burlloom.standins.postgres FOLDER [PORT [PASSWORD]]
 """
@@ -125,7 +127,9 @@
         await self.start(address)
 
     def cancel(self, number: int, key: int) -> None:
-        """Ends what that session hangs in; one that does nothing just now goes on as if it had not been asked."""
+        """Ends what that session hangs in; one that does nothing just now goes on as if it had not
+        been asked.
+        """
         self.cancels += 1
         for session in self.sessions:
             if (session.number, session.key) == (number, key) and self.orders.hang:
@@ -180,7 +184,9 @@
                 await self.take(kind, wire.Reader(body))
 
     async def next_kind(self) -> bytes:
-        """Its client may be gone without a word; what it locked is free after a while, as the real one can be told."""
+        """Its client may be gone without a word; what it locked is free after a while, as the real
+        one can be told.
+        """
         try:
             async with asyncio.timeout(
                 self.server.orders.idle if self.holds and self.server.orders.idle else None
@@ -251,9 +257,11 @@
     # Messages.
 
     def end_statement(self, kind: bytes) -> None:
-        """A cancelled one: what was asked up to the next Sync is passed over, and then all is well again.
+        """A cancelled one: what was asked up to the next Sync is passed over, and then all is well
+        again.
 
-        Not the statement's first message alone: the rest of what the client had sent would hang in its turn.
+        Not the statement's first message alone: the rest of what the client had sent would hang in
+        its turn.
         """
         if not self.skipping:
             self.skipping = True
--- a/burlloom/standins/relay.py
+++ b/burlloom/standins/relay.py
@@ -1,8 +1,10 @@
-"""A network for datagrams that a story can spoil: delays, losses, cuts, doubles. One address for each member.
+"""A network for datagrams that a story can spoil: delays, losses, cuts, doubles. One address for
+each member.
 
-Whoever is reached through a relay advertises the relay's address for it. Who sent a datagram is told by the
-socket that it came from: `sent_from` tells the relay each member's own address. It goes on from the address under
-which its sender is reached, so that an answer to where it came from passes through the relay as well.
+Whoever is reached through a relay advertises the relay's address for it. Who sent a datagram is
+told by the socket that it came from: `sent_from` tells the relay each member's own address. It goes
+on from the address under which its sender is reached, so that an answer to where it came from
+passes through the relay as well.
 """
 
 import asyncio
--- a/burlloom/tables.py
+++ b/burlloom/tables.py
@@ -17,8 +17,8 @@
     test: Callable[[str], Test],
     effect: Callable[[str], Effect],
 ) -> dict[tuple[State, Input], list[tuple[Test, State, Effect]]]:
-    """By state and input, in order: the first whose test holds moves. `test` and `effect` give what a word
-    stands for; a row of other than five words is a `ValueError`.
+    """By state and input, in order: the first whose test holds moves. `test` and `effect` give what
+    a word stands for; a row of other than five words is a `ValueError`.
     """
     found: dict[tuple[State, Input], list[tuple[Test, State, Effect]]] = {}
     for state, what, passes, after, does in filter(None, map(str.split, table.split("\n"))):
--- a/burlloom/wirehost/__main__.py
+++ b/burlloom/wirehost/__main__.py
@@ -1,4 +1,6 @@
-"""`python -m burlloom.wirehost`: reads batches on standard input, answers each on standard output."""
+"""`python -m burlloom.wirehost`: reads batches on standard input, answers each on standard
+output.
+"""
 
 import sys
 
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -3,8 +3,8 @@
     python examples/toy.py world     an executor, a catalogue and a name service, until Ctrl-C
     python examples/toy.py ask 5     a balancer that asks for five txns, and once more for the last
 
-The executor's runs make one call each and take a tenth of a second after it; their result is the body in
-capitals.
+The executor's runs make one call each and take a tenth of a second after it; their result is the
+body in capitals.
 """
 
 import asyncio
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -1,7 +1,8 @@
-"""Many servers' decisions side by side against one dependency that they share, in simulated time and with nothing
-between them: what they have in hand there together, from their first moment on.
+"""Many servers' decisions side by side against one dependency that they share, in simulated time
+and with nothing between them: what they have in hand there together, from their first moment on.
 
-As a program, `python tests/cold_fleet.py`, it plays the large form and prints the table of docs/results.md.
+As a program, `python tests/cold_fleet.py`, it plays the large form and prints the table of
+docs/results.md.
 """
 
 import heapq
@@ -46,7 +47,9 @@
 
 
 class Server:
-    """One life after another; `wanting` requests at a time stand at their call or wait for their run."""
+    """One life after another; `wanting` requests at a time stand at their call or wait for their
+    run.
+    """
 
     def __init__(self, world: "World", seed: int) -> None:
         self.world, self.chance = world, Random(seed)
@@ -197,7 +200,9 @@
 
 
 def worst_mean(steps: Sequence[tuple[float, int]], span: float) -> float:
-    """The largest mean over any span; `steps` tell when, and how many are in hand from then on, up to the last."""
+    """The largest mean over any span; `steps` tell when, and how many are in hand from then on, up
+    to the last.
+    """
     sums, most, first = [0.0], 0.0, 0
     for (began, count), (ended, _) in zip(steps, steps[1:], strict=False):
         sums.append(sums[-1] + (ended - began) * count)
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -1,8 +1,8 @@
-"""Control machines and servers as processes, with one relay between them, and a checker that reads what
-the store's tables say and what each server's log told.
+"""Control machines and servers as processes, with one relay between them, and a checker that reads
+what the store's tables say and what each server's log told.
 
-The checker shares no code with the program: what is to be in force is its own model of what was put,
-digests are its own, the chain's tags are read from the store's file by sqlite3.
+The checker shares no code with the program: what is to be in force is its own model of what was
+put, digests are its own, the chain's tags are read from the store's file by sqlite3.
 """
 
 import asyncio
@@ -183,8 +183,8 @@
 
 
 class World:
-    """`postgres`: the store is the stand-in for PostgreSQL; else one SQLite file. `parts`: further ones of the
-    servers' operator file.
+    """`postgres`: the store is the stand-in for PostgreSQL; else one SQLite file. `parts`: further
+    ones of the servers' operator file.
     """
 
     def __init__(
@@ -346,8 +346,8 @@
         )
 
     def in_order(self) -> None:
-        """Each server applied revisions one after the other, each with the store's own tag, from a sync
-        on; and went back in none.
+        """Each server applied revisions one after the other, each with the store's own tag, from a
+        sync on; and went back in none.
         """
         tags = {
             (epoch, revision): bytes(tag).hex()
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -1,7 +1,9 @@
-"""A network of control machines, relays and servers in simulated time, with a checker of what must hold.
+"""A network of control machines, relays and servers in simulated time, with a checker of what must
+hold.
 
-Messages are late, lost, doubled and cut by chance from one seed; processes stand still, are killed and started
-again. The truth is a list of changes that only the world has. After each step of a node the checker looks:
+Messages are late, lost, doubled and cut by chance from one seed; processes stand still, are killed
+and started again. The truth is a list of changes that only the world has. After each step of a node
+the checker looks:
 
 - within an epoch a head never goes back, and moves by one unless a sync settled;
 - a whole table is exactly the truth at its head's revision, for its scopes;
@@ -110,7 +112,9 @@
 
 
 class Node:
-    """A process. `control`: reads the truth; else it follows, and where `relays` it is followed too."""
+    """A process. `control`: reads the truth; else it follows, and where `relays` it is followed
+    too.
+    """
 
     def __init__(
         self,
--- a/tests/explore.py
+++ b/tests/explore.py
@@ -1,7 +1,9 @@
-"""Walks every history of a small world: nodes with a store between them, two tries of one txn, crashes and faults.
+"""Walks every history of a small world: nodes with a store between them, two tries of one txn,
+crashes and faults.
 
-The fates move by the very table of `burlloom.record.fate`, the store by `rows.applied`. A broken rule ends the
-walk with the steps that led to it. What is not modelled: time (whatever may happen, may happen now).
+The fates move by the very table of `burlloom.record.fate`, the store by `rows.applied`. A broken
+rule ends the walk with the steps that led to it. What is not modelled: time (whatever may happen,
+may happen now).
 """
 
 from collections import deque
@@ -100,7 +102,9 @@
         self.seen: dict[World, tuple[World | None, str]] = {}
 
     def walk(self) -> int:
-        """The number of worlds there are; raises `Broken` with a shortest history that breaks a rule."""
+        """The number of worlds there are; raises `Broken` with a shortest history that breaks a
+        rule.
+        """
         self.seen = {self.start: (None, "start")}
         waiting = deque([self.start])
         while waiting:
--- a/tests/explore_distribution.py
+++ b/tests/explore_distribution.py
@@ -1,8 +1,9 @@
-"""Walks every history of one source and one follower: messages late, lost, doubled, out of order, a forged change,
-either side started again, the source also with a copy that is behind, and a new epoch.
+"""Walks every history of one source and one follower: messages late, lost, doubled, out of order, a
+forged change, either side started again, the source also with a copy that is behind, and a new
+epoch.
 
-Source, Follower and Replica are those of burlloom.distribution, with a table of a few keys. What is true is kept
-here: the head and the table at each revision. In each world that is met:
+Source, Follower and Replica are those of burlloom.distribution, with a table of a few keys. What is
+true is kept here: the head and the table at each revision. In each world that is met:
 
 - a head of the follower is a true one, and never goes back in one life;
 - a whole table is the true one at its head;
@@ -361,8 +362,8 @@
 
 
 class Explorer:
-    """So many changes, beats, losses, doubles, restarts of either, new epochs, forged changes at most; `broken`: a rule
-    left out, to show that the walk notices.
+    """So many changes, beats, losses, doubles, restarts of either, new epochs, forged changes at
+    most; `broken`: a rule left out, to show that the walk notices.
     """
 
     def __init__(
--- a/tests/explore_fleet.py
+++ b/tests/explore_fleet.py
@@ -1,8 +1,8 @@
-"""Walks every history of one dealer and its holders: letters late, lost, doubled, out of order, members
-started again.
+"""Walks every history of one dealer and its holders: letters late, lost, doubled, out of order,
+members started again.
 
-Dealer and holder are those of burlloom.fleet. What is counted is counted here: what all may have in hand
-below, at once.
+Dealer and holder are those of burlloom.fleet. What is counted is counted here: what all may have in
+hand below, at once.
 """
 
 import copy
@@ -103,8 +103,8 @@
 
 
 class Explorer:
-    """Begins with all calls held by the first member, which has them in hand. `broken`: a rule left out, to
-    show that the walk would notice.
+    """Begins with all calls held by the first member, which has them in hand. `broken`: a rule left
+    out, to show that the walk would notice.
     """
 
     def __init__(
@@ -199,7 +199,9 @@
         world.dealer.deal(NOW)
 
     def walk(self, most: int) -> tuple[int, int]:
-        """How many worlds were seen, at most so many; the most that was ever in hand, thousandths."""
+        """How many worlds were seen, at most so many; the most that was ever in hand,
+        thousandths.
+        """
         first = self.begun()
         known, waiting, worst = {first.key()}, deque([first]), 0
         while waiting and len(known) < most:
--- a/tests/explore_levels.py
+++ b/tests/explore_levels.py
@@ -1,7 +1,8 @@
 """Walks every history of the ladder of levels: each round any input at all, time in whole ticks.
 
-The ladder moves by the very table of burlloom.levels.ladder. What is counted is counted here: how often the level changed
-within any minute. Ages past all that the terms ask about are the same state.
+The ladder moves by the very table of burlloom.levels.ladder. What is counted is counted here: how
+often the level changed within any minute. Ages past all that the terms ask about are the same
+state.
 """
 
 from collections import deque
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -99,7 +99,8 @@
                 self.executor.exit(id, result=b"made")
 
     async def load(self) -> None:
-        # One that connects and says nothing is closed after 1.5 s, which others may need to come up.
+        # One that connects and says nothing is closed after 1.5 s, which others may need to come
+        # up.
         while not self.open_most:
             await asyncio.sleep(0.005)
         balancer = await self.balancer()
@@ -142,8 +143,8 @@
 
 
 class Fleet:
-    """`calls`: what the services bear together; `alone`: what each server believes to be its share without
-    the others.
+    """`calls`: what the services bear together; `alone`: what each server believes to be its share
+    without the others.
     """
 
     def __init__(
@@ -202,10 +203,10 @@
             await asyncio.sleep(0.005)
 
     def again(self) -> None:
-        """Begins to look anew. What is bounded at any one moment is the calls of those who hold a call or more: a
-        share of under one call is a share of time, its one call is as whole as any other's, and a sum of shares
-        says nothing of the moment. So a single call of a `part_time` one does not count to `worst`, but all to
-        `mean`; a second one of it does.
+        """Begins to look anew. What is bounded at any one moment is the calls of those who hold a
+        call or more: a share of under one call is a share of time, its one call is as whole as any
+        other's, and a sum of shares says nothing of the moment. So a single call of a `part_time`
+        one does not count to `worst`, but all to `mean`; a second one of it does.
         """
         self.worst = self.area = self.looks = 0
 
--- a/tests/held.py
+++ b/tests/held.py
@@ -8,7 +8,9 @@
 
 
 class Held:
-    """The file's lock, in another's hands until a clock of its own says so; that goes on only while one waits."""
+    """The file's lock, in another's hands until a clock of its own says so; that goes on only while
+    one waits.
+    """
 
     def __init__(self, path: Path, until: float) -> None:
         self.until, self.now, self.looks = until, 0.0, 0
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -42,7 +42,9 @@
         catalogue: Catalogue | None = None,
         **changes: Any,
     ) -> None:
-        """`catalogue`: one that several share, started by whoever made it. `operator`: what the operator's file says, none if there is none. `main`: what Python is to run."""
+        """`catalogue`: one that several share, started by whoever made it. `operator`: what the
+        operator's file says, none if there is none. `main`: what Python is to run.
+        """
         self.folder, self.before, self.operator, self.main = folder, before, operator, main
         self.told = copy.deepcopy(GIVEN)
         known = self.told["settings"]
@@ -173,7 +175,9 @@
 def played(
     operator: Callable[[Path], Any] | None = None, **changes: Any
 ) -> Callable[[Any], Callable[..., None]]:
-    """Makes a test of a story that is told with a rig; `operator` gives what the operator's file says, for a folder."""
+    """Makes a test of a story that is told with a rig; `operator` gives what the operator's file
+    says, for a folder.
+    """
 
     def wrap(story: Callable[..., Awaitable[None]]) -> Callable[..., None]:
         def test(tmp_path: Path) -> None:
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -1,7 +1,8 @@
-"""Several processes of the program under a small platform that starts again whatever ends, with the version
-that the book names, and callers that go wherever is open.
+"""Several processes of the program under a small platform that starts again whatever ends, with the
+version that the book names, and callers that go wherever is open.
 
-Who is out is seen from outside: a process that has said that it leaves, has ended, or has not come up yet.
+Who is out is seen from outside: a process that has said that it leaves, has ended, or has not come
+up yet.
 """
 
 import asyncio
@@ -188,7 +189,9 @@
         fleet: bool = False,
         **part: Any,
     ) -> None:
-        """`fleet`: the servers spread their calls over the services, which are instances of `db`."""
+        """`fleet`: the servers spread their calls over the services, which are instances of
+        `db`.
+        """
         self.folder, self.most, self.fleet = folder, most, fleet
         self.more: Callable[[Node], dict[str, Any]] = self.joined
         self.part = {
@@ -355,8 +358,8 @@
             await service.stop()
 
     def nothing_lost(self, killed: bool = False) -> None:
-        """Each txn has its answer, none ran twice, none is settled that did not run. Prints the story's
-        figures, for `pytest -s`.
+        """Each txn has its answer, none ran twice, none is settled that did not run. Prints the
+        story's figures, for `pytest -s`.
         """
         twice = [body for body, count in self.runs.items() if count > 1]
         print(
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -1,8 +1,10 @@
-"""Whole nodes in simulated time: the real server, desk, decisions, keeper and fates over a store that misbehaves.
+"""Whole nodes in simulated time: the real server, desk, decisions, keeper and fates over a store
+that misbehaves.
 
-Nothing waits and nothing is random but by seed: the loop's clock jumps to the next timer. Sockets, executor and store
-are stand-ins of a few lines; the store's rows change by `rows.applied` alone. Nodes crash and come back, writes take
-long, hang, are lost, unsure, or take hold late. A checker counts runs and answers.
+Nothing waits and nothing is random but by seed: the loop's clock jumps to the next timer. Sockets,
+executor and store are stand-ins of a few lines; the store's rows change by `rows.applied` alone.
+Nodes crash and come back, writes take long, hang, are lost, unsure, or take hold late. A checker
+counts runs and answers.
 """
 
 import asyncio
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -83,7 +83,9 @@
 def test_one_fate_runs_once_and_says_one_thing(
     prefer: bool, story: list[tuple[Input, int]]
 ) -> None:
-    """Whatever it is told, in whatever order: it starts its run at most once, and tells the server one end of it."""
+    """Whatever it is told, in whatever order: it starts its run at most once, and tells the server
+    one end of it.
+    """
     fate = Fate(b"m" * 16, "id", 1, 1, 0, 1000, ask_until=100, prefer=prefer)
     now, seen = 0, list(fate.meet(Input.START, 0))
     for what, passed in story:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,6 @@
-"""The page of capacity: its tables are of the kept slopes, its sums hold, and what is missing is ranked."""
+"""The page of capacity: its tables are of the kept slopes, its sums hold, and what is missing is
+ranked.
+"""
 
 import json
 from dataclasses import asdict, replace
@@ -109,7 +111,9 @@
 
 
 def test_a_fit_that_falls_is_held_beyond_what_was_measured() -> None:
-    """As processor time a request by rate: it comes to no less for ever, and never to less than nothing."""
+    """As processor time a request by rate: it comes to no less for ever, and never to less than
+    nothing.
+    """
     row = slope("a cpu", (50.0, 40.0, 33.0, 30.0, 24.0))
     assert fit(row.sizes, row.values).rate < 0
     assert cost(row, 1e6) == pytest.approx(fit(row.sizes, row.values).at(2000))
@@ -167,8 +171,8 @@
 
 
 def test_what_is_missing_first_stands_first() -> None:
-    """By the part of the size at which it is passed, then by how far it is over; what nothing carries before
-    all; what is built but not run, within its budget, or without one is not there.
+    """By the part of the size at which it is passed, then by how far it is over; what nothing
+    carries before all; what is built but not run, within its budget, or without one is not there.
     """
     steep = slope("b cpu", tuple(0.1 * size for size in SIZES))
     needs = (
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,4 +1,6 @@
-"""A cold start that holds for the fleet: the sum of what all servers have in hand below, from the first moment on."""
+"""A cold start that holds for the fleet: the sum of what all servers have in hand below, from the
+first moment on.
+"""
 
 import pytest
 from cold_fleet import MS, SECOND, SPAN, STORIES, bound, story
@@ -21,7 +23,9 @@
 @pytest.mark.parametrize("total", [1, 2, 5, 10])
 @pytest.mark.parametrize("processes", [20, 30])
 def test_servers_that_start_together_do_not_call_in_step(processes: int, total: int) -> None:
-    """At no moment of a start are more in hand than the budget and chance: not one each, as each may have one."""
+    """At no moment of a start are more in hand than the budget and chance: not one each, as each
+    may have one.
+    """
     for seed in range(1, 6):
         world = story("together", processes, total, 50 * MS, seed, SECOND)
         assert max(count for _, count in world.steps) <= bound(total), seed
@@ -29,7 +33,9 @@
 
 @pytest.mark.parametrize("total", [2, 5])
 def test_a_life_does_not_spend_again_what_the_one_before_had_spent(total: int) -> None:
-    """All are killed once they have used what they may, and start at once: together no more over any span."""
+    """All are killed once they have used what they may, and start at once: together no more over
+    any span.
+    """
     world = story("together", 20, total, 400 * MS, 3, 0)
     for server in world.servers:
         world.at(world.begun + SPAN, "dies", server, 1 * MS)
@@ -39,7 +45,9 @@
 
 
 def test_no_server_spends_after_a_pause_what_it_saved_up_in_it() -> None:
-    """Each slept as long as it likes: in any span after it no more than its share, and those in hand as it slept."""
+    """Each slept as long as it likes: in any span after it no more than its share, and those in
+    hand as it slept.
+    """
     for sleep in (1, 6, 60):
         world = story("together", 20, 5, 50 * MS, 4, 4 * SECOND)
         for server in world.servers:
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -12,8 +12,8 @@
 
 
 def test_a_txn_that_is_over_before_its_first_pick_keeps_its_answer() -> None:
-    """Hundreds read in one turn of the loop: a timer round released the index before the coroutine came to
-    `pick`, which failed; the txn was voided where it had been declined.
+    """Hundreds read in one turn of the loop: a timer round released the index before the coroutine
+    came to `pick`, which failed; the txn was voided where it had been declined.
     """
     now = [1000 * SECOND]
     known, _ = facts(GIVEN["settings"])
--- a/tests/test_distribution_core.py
+++ b/tests/test_distribution_core.py
@@ -1,5 +1,5 @@
-"""Carrying configuration without I/O: the chain, messages, the copy, the follower's states, and whole networks in
-simulated time.
+"""Carrying configuration without I/O: the chain, messages, the copy, the follower's states, and
+whole networks in simulated time.
 """
 
 from itertools import permutations
@@ -651,8 +651,8 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_all_agree_soon_after_any_trouble(seed: int) -> None:
-    """Kills, pauses, cuts both ways and one, regions and stores cut off, new epochs, losses to 20%, delays to 150 ms; in
-    three levels for every other seed.
+    """Kills, pauses, cuts both ways and one, regions and stores cut off, new epochs, losses to 20%,
+    delays to 150 ms; in three levels for every other seed.
     """
     chaos(seed, seed % 2 * 3)
 
@@ -667,8 +667,8 @@
 
 
 def soon(rate: float, seed: int, relays: int, seconds: float = 60) -> float:
-    """With 1% loss and delays of up to 150 ms: the longest from a change in the store until it is in force at one of
-    thirty followers, s.
+    """With 1% loss and delays of up to 150 ms: the longest from a change in the store until it is
+    in force at one of thirty followers, s.
     """
     world = World(seed, (0.001, 0.15), 0.01)
     fleet(world, 30, 3, relays)
@@ -698,7 +698,9 @@
 
 
 def cost(rate: float, seconds: float = 60) -> list[float]:
-    """Of a follower, a second: datagrams and bytes sent, datagrams and bytes heard. Changes of 300 bytes."""
+    """Of a follower, a second: datagrams and bytes sent, datagrams and bytes heard. Changes of 300
+    bytes.
+    """
     world = World(1, (0.001, 0.15), 0.01)
     fleet(world, 9)
     world.run(10)
@@ -1259,8 +1261,8 @@
 
 
 def replaying(in_force: bool) -> tuple[Source, Follower]:
-    """One that has a page of a later revision than its base, and lacks the changes between them: a newcomer, or one with
-    a revision in force that fell out of the log.
+    """One that has a page of a later revision than its base, and lacks the changes between them: a
+    newcomer, or one with a revision in force that fell out of the log.
     """
     source, follower = pair()
     if in_force:
@@ -1308,7 +1310,9 @@
 
 @pytest.mark.parametrize("in_force", [False, True])
 def test_a_sync_that_lost_its_source_is_done_anew_and_takes_nothing_back(in_force: bool) -> None:
-    """A newcomer, that has nothing in force yet, may end at an earlier revision; another one waits."""
+    """A newcomer, that has nothing in force yet, may end at an earlier revision; another one
+    waits.
+    """
     source, follower = replaying(in_force)
     source.leave()
     follower.hear(NOW, source.out.popleft()[1], HERE)
@@ -1337,7 +1341,9 @@
 
 
 def test_the_table_of_states_is_whole() -> None:
-    """Each state knows what to do when its upstream speaks or is lost; the others matter where something is on its way."""
+    """Each state knows what to do when its upstream speaks or is lost; the others matter where
+    something is on its way.
+    """
     for state in State:
         assert (state, Input.HEAD) in RULES
         assert (state, Input.LOST) in RULES
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -1,8 +1,8 @@
-"""Changes of configuration go from control machines to real servers, while processes, the network and the
-store fail.
+"""Changes of configuration go from control machines to real servers, while processes, the network
+and the store fail.
 
-What is asserted at the end of each story: every server has in force exactly what was put, and applied it
-in the store's order (`World.in_order`, a checker outside of the program).
+What is asserted at the end of each story: every server has in force exactly what was put, and
+applied it in the store's order (`World.in_order`, a checker outside of the program).
 """
 
 import asyncio
@@ -74,8 +74,8 @@
 
 @world(2, 4, regions=("north", "south"))
 async def test_a_change_reaches_all(made: World) -> None:
-    """A tenant that is added is served without a restart, one that is removed is refused; a region's own
-    only there.
+    """A tenant that is added is served without a restart, one that is removed is refused; a
+    region's own only there.
     """
     north, south = made.nodes[0], made.nodes[1]
     assert await north.serves("acme")
@@ -129,7 +129,9 @@
 
 @world(control=1, servers=0)
 async def test_a_control_machine_ends_though_its_parent_blocks_the_signals(made: World) -> None:
-    """A mask is handed on to whoever is started; `World` asserts at its end that each ended by itself."""
+    """A mask is handed on to whoever is started; `World` asserts at its end that each ended by
+    itself.
+    """
     heard = {signal.SIGTERM, signal.SIGINT}
     before = signal.pthread_sigmask(signal.SIG_BLOCK, heard)
     try:
@@ -212,7 +214,9 @@
 
 @world(3, 4)
 async def test_a_control_machine_is_killed_and_another_stands_still(made: World) -> None:
-    """Their followers go to another; changes go on meanwhile. What was asleep wakes, and misses nothing."""
+    """Their followers go to another; changes go on meanwhile. What was asleep wakes, and misses
+    nothing.
+    """
     gone = next(one for one in made.machines if one.name == follows(made)["n0"])
     rest = [at for at, one in enumerate(made.machines) if one is not gone]
     await gone.kill()
@@ -252,7 +256,9 @@
 
 @world(2, 4, regions=("north", "south"))
 async def test_a_region_is_cut_off_and_catches_up_in_order(made: World) -> None:
-    """It serves on with what it has, and knows how old that is; first a full cut, then one way only."""
+    """It serves on with what it has, and knows how old that is; first a full cut, then one way
+    only.
+    """
     north = {one.name for one in (*made.nodes, *made.machines) if one.region == "north"}
     south = {one.name for one in (*made.nodes, *made.machines)} - north
     cut = [node for node in made.nodes if node.region == "south"]
@@ -288,7 +294,9 @@
 
 @world(2, 3, postgres=True)
 async def test_the_store_is_away_for_a_while(made: World) -> None:
-    """What is in force stays, and its age grows; nothing is put, and that is said. Then it goes on."""
+    """What is in force stays, and its age grows; nothing is put, and that is said. Then it goes
+    on.
+    """
     assert made.postgres is not None
     address = made.postgres.address
     await made.postgres.stop()
@@ -340,7 +348,9 @@
 
 @world(2, 2)
 async def test_two_put_at_once_and_one_is_killed(made: World) -> None:
-    """Each revision is written once, whoever writes; of a file whose put is killed a beginning was taken."""
+    """Each revision is written once, whoever writes; of a file whose put is killed a beginning was
+    taken.
+    """
     files = []
     for name, count in (("one", 300), ("two", 300), ("three", 1500)):
         files.append(made.folder / f"{name}.jsonl")
@@ -458,8 +468,8 @@
         task.cancel()
     await stranger.__aexit__(None)
 
-    # Sealed with the right key, but chained with another: by the protocol's letter, without the program's
-    # code.
+    # Sealed with the right key, but chained with another: by the protocol's letter, without the
+    # program's code.
     import msgpack
 
     node = made.nodes[0]
@@ -508,8 +518,8 @@
 
 @world(2, 2)
 async def test_a_store_that_is_put_back_begins_an_epoch(made: World) -> None:
-    """Revisions that were given before are not believed a second time: all sync anew, and what was lost
-    is gone.
+    """Revisions that were given before are not believed a second time: all sync anew, and what was
+    lost is gone.
     """
     await made.put(tenant("kept"))
     await made.reaches()
--- a/tests/test_distribution_stores.py
+++ b/tests/test_distribution_stores.py
@@ -277,7 +277,9 @@
 
 
 def test_a_change_waits_for_a_lock_that_others_have(tmp_path: Path) -> None:
-    """Found taken a hundred times, and then had; past its time the store is away, and nothing was written."""
+    """Found taken a hundred times, and then had; past its time the store is away, and nothing was
+    written.
+    """
 
     async def play() -> None:
         store = Sqlite(tmp_path / "changes.db")
--- a/tests/test_distribution_table.py
+++ b/tests/test_distribution_table.py
@@ -412,7 +412,9 @@
 
 
 def test_a_value_that_looks_like_a_key_is_none() -> None:
-    """Keys of a leaf are found by one search; what stands in its values must never be taken for one."""
+    """Keys of a leaf are found by one search; what stands in its values must never be taken for
+    one.
+    """
     table, hidden = Table(None), CROWDED[1]
     lie = b"\xfft" + hidden.encode() + b"\xff"
     table.put([Entry("", "tenant", CROWDED[0], lie)])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,6 @@
-"""Whole fleets in simulated time (burlloom/lab): cut zones, releases in steps, balancers that all come back at once."""
+"""Whole fleets in simulated time (burlloom/lab): cut zones, releases in steps, balancers that all
+come back at once.
+"""
 
 import pytest
 
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -1,5 +1,5 @@
-"""The fleet's decisions without I/O: words about members, the dealing walked whole, chance in simulated time,
-subsets.
+"""The fleet's decisions without I/O: words about members, the dealing walked whole, chance in
+simulated time, subsets.
 """
 
 from itertools import product
@@ -24,7 +24,9 @@
 
 
 def test_words_come_to_the_same_in_any_order() -> None:
-    """Each word moves a member to the larger of the two, from whatever stands; so three and more do too."""
+    """Each word moves a member to the larger of the two, from whatever stands; so three and more do
+    too.
+    """
     met = set()
     for first, then in product(WORDS, WORDS):
         view = Members(OWN, 0)
@@ -82,8 +84,8 @@
 
 
 def test_dealing_walked_whole() -> None:
-    """One dealer, two holders, two reports each, any letter late or lost or doubled: never more in hand than
-    there is.
+    """One dealer, two holders, two reports each, any letter late or lost or doubled: never more in
+    hand than there is.
     """
     worlds, worst = Explorer().walk(1 << 20)
     assert worlds > 5000
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,7 +1,8 @@
-"""Several processes of the program share out the calls below, while processes and the network between them
-fail.
+"""Several processes of the program share out the calls below, while processes and the network
+between them fail.
 
-What is asserted is seen by the services below: calls that are open there at once, looked at every 5 ms.
+What is asserted is seen by the services below: calls that are open there at once, looked at every 5
+ms.
 """
 
 import asyncio
@@ -90,7 +91,9 @@
 
 @fleet(4)
 async def test_a_server_is_paused_and_wakes(made: Fleet) -> None:
-    """Its share is dealt anew meanwhile; what it held when it fell asleep counts for nothing then."""
+    """Its share is dealt anew meanwhile; what it held when it fell asleep counts for nothing
+    then.
+    """
     await made.settles(full(made))
     paused = made.servers[1]
     made.again()
@@ -122,7 +125,9 @@
 
 @fleet(5, calls=30)
 async def test_cuts_and_their_healing(made: Fleet) -> None:
-    """Two of five: they sink to their floor before the others take what they had. Then one who only hears."""
+    """Two of five: they sink to their floor before the others take what they had. Then one who only
+    hears.
+    """
     await made.settles(full(made))
     few, most = {"n0", "n1"}, {"n2", "n3", "n4"}
     made.relay.cut(few, most)
@@ -195,7 +200,9 @@
 
 @fleet(3)
 async def test_keys_change_while_it_runs(made: Fleet) -> None:
-    """The new one is opened by all before the first seals with it; who has another key is nobody."""
+    """The new one is opened by all before the first seals with it; who has another key is
+    nobody.
+    """
     await made.settles(full(made))
     for keys in ((KEY, "aa" * 32), ("aa" * 32, KEY), ("aa" * 32,)):
         made.key.write_text("\n".join(keys) + "\n")
@@ -219,7 +226,9 @@
 
 @fleet(4, least=2)
 async def test_an_operator_looks_and_forgets(made: Fleet) -> None:
-    """Half of the fleet is lost: the rest may not tell that from a cut, until somebody who knows says so."""
+    """Half of the fleet is lost: the rest may not tell that from a cut, until somebody who knows
+    says so.
+    """
     await made.settles(full(made))
     gone, here = made.servers[:2], made.servers[2:]
 
--- a/tests/test_fleet_sums.py
+++ b/tests/test_fleet_sums.py
@@ -1,5 +1,5 @@
-"""Whoever deals keeps sums from report to report: they equal a plain walk in any history, and a report's work does not
-grow with the fleet.
+"""Whoever deals keeps sums from report to report: they equal a plain walk in any history, and a
+report's work does not grow with the fleet.
 """
 
 import sys
@@ -139,7 +139,9 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_kept_sums_equal_a_plain_walk_while_a_fleet_lives(seed: int) -> None:
-    """Long histories that mostly deal: members report, fall silent, die, are started again, come and leave."""
+    """Long histories that mostly deal: members report, fall silent, die, are started again, come
+    and leave.
+    """
     chance, now, number = Random(seed), 10**13, 0
     terms = Terms(40 * CALL, 2)
     pair = Dealer(terms, now), Plain(terms, now)
@@ -203,7 +205,9 @@
 
 
 def second_of_reports(kind: type[Dealer], size: int) -> int:
-    """Instructions a report, over five rounds in which all report; the rounds themselves are not counted."""
+    """Instructions a report, over five rounds in which all report; the rounds themselves are not
+    counted.
+    """
     now = 10**13
     dealer, told = kind(Terms(4 * size * CALL), now), Told(CALL, CALL, 100 * CALL, 1, 7)
     fleet = {f"n{at}": Present(1, True, now) for at in range(size)}
--- a/tests/test_fleet_walks.py
+++ b/tests/test_fleet_walks.py
@@ -1,5 +1,5 @@
-"""What a member's view keeps beside its members equals a plain walk in any history, and neither a turn nor a page of
-the view costs more the larger the fleet.
+"""What a member's view keeps beside its members equals a plain walk in any history, and neither a
+turn nor a page of the view costs more the larger the fleet.
 """
 
 from collections import Counter
@@ -78,7 +78,9 @@
 def test_what_the_dealing_is_told_equals_a_plain_walk(
     steps: list[tuple[tuple[str, object], bool]],
 ) -> None:
-    """It looks now and then, also after the process stood still; who deals is the one that has lived longest."""
+    """It looks now and then, also after the process stood still; who deals is the one that has
+    lived longest.
+    """
     fleet, now = (
         Fleet(
             Word("own", "10.0.0.9:1", 2, 0, State.ALIVE),
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,4 +1,6 @@
-"""The real server on sockets, in this process: whatever it keeps returns once ten times as many as ever at once have gone."""
+"""The real server on sockets, in this process: whatever it keeps returns once ten times as many as
+ever at once have gone.
+"""
 
 import asyncio
 import copy
@@ -17,12 +19,16 @@
 from burlloom.standins.parts import Balancer, Catalogue, Executor, NameService, Reply, fields
 
 AT_ONCE, ROUNDS = 20, 10
-CALL_S = 0.2  # 25 times the usual are waited for: a late reply, on a machine that is late itself, is none that failed
+# 25 times the usual are waited for: a late reply, on a machine that is late itself, is none that
+# failed
+CALL_S = 0.2
 LIFE, WINDOW = 60 * SECOND, 30 * SECOND  # no answer comes as late, on however busy a machine
 
 
 class Ahead(Clock):
-    """Goes as any other, and on order ahead at once: what lives for a time is over, without waiting for that."""
+    """Goes as any other, and on order ahead at once: what lives for a time is over, without waiting
+    for that.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -106,7 +112,9 @@
         await until(lambda: server.desk is not None and server.link.joined)
 
         async def a_round(first: int) -> dict[str, int]:
-            """So many callers at once, each on a connection of its own, each with a name never heard before."""
+            """So many callers at once, each on a connection of its own, each with a name never
+            heard before.
+            """
             balancers, answers = [], []
             for at in range(AT_ONCE):
                 # Each asks as soon as it is there: one that says nothing for long is closed.
@@ -125,7 +133,9 @@
             return most
 
         async def over() -> None:
-            """A mark lives through its window and the longest life of a txn after it; a caller, ten seconds."""
+            """A mark lives through its window and the longest life of a txn after it; a caller, ten
+            seconds.
+            """
             clock.by += WINDOW + 2 * LIFE
             await until(rested)
 
@@ -160,7 +170,8 @@
                 name: max(size, later[name])
                 for name, size in (await a_round(1 + turn * AT_ONCE)).items()
             }
-        # A mark lives through its window and the longest life of a txn after it: all of this play's may stand at once.
+        # A mark lives through its window and the longest life of a txn after it: all of this play's
+        # may stand at once.
         assert later["callers"] <= ROUNDS * AT_ONCE and later["connections"] <= 2 * AT_ONCE, (
             first,
             later,
--- a/tests/test_leveling.py
+++ b/tests/test_leveling.py
@@ -1,4 +1,6 @@
-"""Levels on the real program over sockets, and the commands that an operator has for them and for the lab."""
+"""Levels on the real program over sockets, and the commands that an operator has for them and for
+the lab.
+"""
 
 import asyncio
 import json
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -1,4 +1,6 @@
-"""The ladder walked whole, plans with faults, signals, and what a level does to txns at the decisions and in a fleet."""
+"""The ladder walked whole, plans with faults, signals, and what a level does to txns at the
+decisions and in a fleet.
+"""
 
 import json
 from dataclasses import replace
@@ -261,7 +263,8 @@
     for n in range(4000):
         tenant = "a" if chance.random() < 0.8 else "b"
         past[tenant] += tenants.read(NOW + n * SECOND // 100, tenant)
-    # Of four in five it may have as much as the other: three in four of its txns are past its share.
+    # Of four in five it may have as much as the other: three in four of its txns are past its
+    # share.
     assert 2200 < past["a"] < 2500
     assert not past["b"]
     assert not tenants.read(NOW, "unknown")
@@ -301,7 +304,9 @@
 
 
 def test_charges_that_ran_are_settled_at_every_level() -> None:
-    """A level that gives everything up from the start on: nothing new is taken, and no rule is broken."""
+    """A level that gives everything up from the start on: nothing new is taken, and no rule is
+    broken.
+    """
     shut = Plan((Level("normal"), Level("shut", {"use": Bounds(0.2, 0.01)}, gives_up=ALL)))
     told = play(
         fleet(
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -1,5 +1,5 @@
-"""Rare moments: what comes in the very turn in which something else ends. Each test forces the bad order on real
-connections; docs/races.md lists the places and the findings.
+"""Rare moments: what comes in the very turn in which something else ends. Each test forces the bad
+order on real connections; docs/races.md lists the places and the findings.
 """
 
 import asyncio
@@ -28,7 +28,9 @@
 
 
 class Place:
-    """A front on the loopback, with a clock that we move; every request it hands over is kept, unanswered."""
+    """A front on the loopback, with a clock that we move; every request it hands over is kept,
+    unanswered.
+    """
 
     def __init__(self, most: int = 8) -> None:
         self.now, self.asked, self.lost = time.time_ns(), list[Request](), list[Request]()
@@ -102,7 +104,9 @@
 
 
 def in_one_turn(first: Callable[[], Any], then: Callable[[], Any]) -> None:
-    """What `first` sends is seen by the loop before `then` runs, and by whoever waits for it only after."""
+    """What `first` sends is seen by the loop before `then` runs, and by whoever waits for it only
+    after.
+    """
     first()
     asyncio.get_running_loop().call_soon(then)
 
@@ -158,7 +162,9 @@
 
 @on_loop
 async def test_an_answer_on_its_way_is_not_cut_by_the_close() -> None:
-    """The kernel takes a part of what a slow reader is owed; then bytes come that end the connection."""
+    """The kernel takes a part of what a slow reader is owed; then bytes come that end the
+    connection.
+    """
     place = Place()
     client = await place.client()
     client.there.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 32768)
@@ -176,7 +182,9 @@
 
 @on_loop
 async def test_a_close_over_unread_bytes_is_no_reset() -> None:
-    """Whoever goes on sending as we end the connection still gets its answers, and an end in good order."""
+    """Whoever goes on sending as we end the connection still gets its answers, and an end in good
+    order.
+    """
     place = Place()
     client = await place.client()
     client.sock.sendall(ask(1, place.now))
@@ -206,7 +214,9 @@
 
 @on_loop
 async def test_no_process_is_too_late_to_let_go_of_the_silent() -> None:
-    """Each look comes long after the one before, as where the cores are short; the silent go all the same."""
+    """Each look comes long after the one before, as where the cores are short; the silent go all
+    the same.
+    """
     place = Place()
     client = await place.client()
     for _ in range(4):
@@ -218,7 +228,9 @@
 
 @on_loop
 async def test_bytes_that_lie_unread_prolong_no_unfinished_message() -> None:
-    """A message that never ends goes on at each look: its time is over all the same, and 1.5 s after it connected."""
+    """A message that never ends goes on at each look: its time is over all the same, and 1.5 s
+    after it connected.
+    """
     place = Place()
     client = await place.client()
     client.sock.sendall(ask(1, place.now)[:3])
@@ -247,7 +259,9 @@
 
 @on_loop
 async def test_closes_under_way_count_as_connections() -> None:
-    """Those who never close their half hold a descriptor: a newcomer takes the place of the oldest of them."""
+    """Those who never close their half hold a descriptor: a newcomer takes the place of the oldest
+    of them.
+    """
     place = Place(most=3)
     clients = [await place.client() for _ in range(3)]
     for client in clients:
@@ -338,7 +352,8 @@
 
 MOMENTS = {
     "the-loop-has-closed": "uvloop.run = lambda work: (run(work), os.kill(os.getpid(), signal.NUMBER))",
-    # Python looks for its last garbage after it has put back the defaults of all signals that it handled.
+    # Python looks for its last garbage after it has put back the defaults of all signals that it
+    # handled.
     "python-has-let-go-of-signals": "Last = type('Last', (), {'__del__': lambda self, kill=os.kill, pid=os.getpid(), "
     "number=signal.NUMBER: kill(pid, number)}); uvloop.run = lambda work: "
     "(run(work), (lambda last: setattr(last, 'itself', last))(Last()))",
@@ -383,7 +398,9 @@
 
 @played(drain_grace=300000)
 async def test_the_grace_counts_from_the_notice_not_from_its_hearing(rig: Rig) -> None:
-    """The process stood still as the notice came: what arrives past the grace is not run, however late it hears."""
+    """The process stood still as the notice came: what arrives past the grace is not run, however
+    late it hears.
+    """
     balancer = await rig.balancer()
     await soon(balancer.health())
     rig.process.send_signal(signal.SIGSTOP)
@@ -417,7 +434,9 @@
 
 @pytest.mark.parametrize("operator", [None, everything_on])
 def test_signals_go_to_the_thread_that_acts_on_them(tmp_path: Path, operator: Any) -> None:
-    """Noted by another, a notice would be acted on after what the main thread takes in meanwhile."""
+    """Noted by another, a notice would be acted on after what the main thread takes in
+    meanwhile.
+    """
     heard = sum(1 << number - 1 for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
 
     @played(operator=operator)
@@ -522,8 +541,8 @@
 
 @on_loop
 async def test_a_dial_that_nobody_answers_is_made_again() -> None:
-    """Older systems dial again only 1, 3, 7 and 15 s after the first (newer ones each second at first, where this held
-    before): the link is found within the next second or two on either.
+    """Older systems dial again only 1, 3, 7 and 15 s after the first (newer ones each second at
+    first, where this held before): the link is found within the next second or two on either.
     """
     loop = asyncio.get_running_loop()
     listener, dials = unanswered()
@@ -563,7 +582,9 @@
 
 @played(n_cores=4, window=60_000_000)
 async def test_a_repeat_comes_as_the_first_ends(rig: Rig) -> None:
-    """Both lie in the kernel as the process goes on, on two connections; whichever is taken first, it runs once."""
+    """Both lie in the kernel as the process goes on, on two connections; whichever is taken first,
+    it runs once.
+    """
     first, second = await rig.balancer(), await rig.balancer()
     for count in range(10):
         key, at = f"k{count}", str(time.time_ns() // MS)
@@ -582,7 +603,9 @@
 
 @played(n_cores=4, window=300_000)
 async def test_a_window_that_is_over_before_the_run_is(rig: Rig) -> None:
-    """Short windows: what was written within one is never run again, however late it is read; what came after may be."""
+    """Short windows: what was written within one is never run again, however late it is read; what
+    came after may be.
+    """
     balancer, other = await rig.balancer(), await rig.balancer()
     at = time.time_ns() // MS
     answer = balancer.ask("pay", fields(once="k", at=str(at)))
@@ -605,7 +628,9 @@
 
 @played(n_cores=4, fresh_for=400_000)
 async def test_a_read_shares_no_answer_that_is_too_old(rig: Rig) -> None:
-    """The last moments of the time in which answers may be shared: within it, and some milliseconds past it."""
+    """The last moments of the time in which answers may be shared: within it, and some milliseconds
+    past it.
+    """
     balancer = await rig.balancer()
     for count in range(5):
         key = f"k{count}"
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -1,4 +1,6 @@
-"""The store of record in the program: killed with SIGKILL at chosen moments, started again, asked again."""
+"""The store of record in the program: killed with SIGKILL at chosen moments, started again, asked
+again.
+"""
 
 import asyncio
 import re
@@ -212,7 +214,9 @@
 async def test_a_retry_is_looked_up_before_it_could_be_declined(
     standin: Postgres, one: Rig, two: Rig
 ) -> None:
-    """There is no room for it there, but it ran: it is settled all the same. One that did not run is declined."""
+    """There is no room for it there, but it ran: it is settled all the same. One that did not run
+    is declined.
+    """
     first = (await one.balancer()).ask("pay", fields(once="k"))
     one.executor.exit(await one.command("EXEC", "pay"), result=b"paid")
     await gets(first, b"paid")
@@ -264,7 +268,9 @@
 
 @fleet(1, {"mode": "require", "claim_share": 0.1}, n_cores=4)
 async def test_a_store_that_hangs_declines_charges_at_once(standin: Postgres, rig: Rig) -> None:
-    """With a time to come back; inquiry-like txns never wait for it; and charges are taken again once it is back."""
+    """With a time to come back; inquiry-like txns never wait for it; and charges are taken again
+    once it is back.
+    """
     standin.orders.hang = True
     balancer = await rig.balancer()
     for n in range(8):
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,5 +1,5 @@
-"""Coming back: what a life left is judged, the ramp is bounded, retries are held, nothing is run twice.
-Processes at the end.
+"""Coming back: what a life left is judged, the ramp is bounded, retries are held, nothing is run
+twice. Processes at the end.
 """
 
 import asyncio
@@ -66,8 +66,8 @@
 
 
 def test_the_start_walked_whole() -> None:
-    """Every sequence of what may be told: what is kept is used only where nothing spoke against it, and the
-    fence stands wherever a life is known whose marks may be lost.
+    """Every sequence of what may be told: what is kept is used only where nothing spoke against it,
+    and the fence stands wherever a life is known whose marks may be lost.
     """
     met = set()
     for lonely, clean in product((False, True), repeat=2):
@@ -101,8 +101,8 @@
 
 
 def test_the_ramp_is_bounded_whatever_comes() -> None:
-    """All histories of 11 steps: never past twice for each step, never under the least, never up after a push
-    in a step.
+    """All histories of 11 steps: never past twice for each step, never under the least, never up
+    after a push in a step.
     """
     highest = [0.0] * 12
     for told in product(Push, repeat=11):
@@ -192,7 +192,9 @@
 
 @fleet(5, calls=30, more=coming_back)
 async def test_most_are_killed_at_once_with_their_state_lost(made: Fleet) -> None:
-    """Four of five: one's file torn, one's gone, one's put back from an older life, one's as it was."""
+    """Four of five: one's file torn, one's gone, one's put back from an older life, one's as it
+    was.
+    """
     await made.settles(full(made))
     older = made.servers[3]
     shutil.copy(older.folder / "kept", older.folder / "older")
@@ -242,8 +244,8 @@
 
 @fleet(3, calls=24, more=coming_back)
 async def test_retries_are_held_and_not_amplified(made: Fleet) -> None:
-    """Callers that try again at once and without end, marked: what is read of them is bounded until service
-    is back.
+    """Callers that try again at once and without end, marked: what is read of them is bounded until
+    service is back.
     """
     await made.settles(full(made))
     server = made.servers[1]
@@ -256,7 +258,8 @@
     first = balancer.ask("look", fields())
     await asyncio.wait_for(first, 5)
     await until(lambda: balancer.answers >= 150)
-    # A few a second and a fifth of the first tries: of 200 in a moment hardly any had to wait for a run.
+    # A few a second and a fifth of the first tries: of 200 in a moment hardly any had to wait for a
+    # run.
     assert len(server.executor.bodies) < ran + 40
     server.open_most = 20
     await until(lambda: "event=recovery-over" in server.log().rsplit("event=recovery ", 1)[-1])
@@ -273,8 +276,8 @@
     n_cores=4,
 )
 async def test_a_lost_record_is_not_taken_for_a_new_one(rig: Rig) -> None:
-    """A charge ran; the store that knows is gone: its retry is voided, not run again. With the store it is
-    settled.
+    """A charge ran; the store that knows is gone: its retry is voided, not run again. With the
+    store it is settled.
     """
 
     async def charge(key: str) -> dict[str, str]:
@@ -342,8 +345,9 @@
 
 @fleet(3, calls=24, more=recorded)
 async def test_charges_through_a_mass_kill(made: Fleet) -> None:
-    """Two of three are killed under charges, with one's kept file torn; their callers ask again, marked. No
-    charge runs twice, none that ran to its end is declined or answered otherwise, each has a final answer.
+    """Two of three are killed under charges, with one's kept file torn; their callers ask again,
+    marked. No charge runs twice, none that ran to its end is declined or answered otherwise, each
+    has a final answer.
     """
     runs: dict[bytes, int] = {}
     ended: set[bytes] = set()
--- a/tests/test_rollout_core.py
+++ b/tests/test_rollout_core.py
@@ -1,5 +1,5 @@
-"""Drains and releases without I/O: tables walked whole, the budget in every history, the judge against
-chance.
+"""Drains and releases without I/O: tables walked whole, the budget in every history, the judge
+against chance.
 """
 
 from dataclasses import replace
@@ -50,7 +50,9 @@
 
 
 def test_units_walked_whole() -> None:
-    """Every row is met; what has left counts until a later life is seen, or somebody says that it is gone."""
+    """Every row is met; what has left counts until a later life is seen, or somebody says that it
+    is gone.
+    """
     met = set()
     for told in product(Input, repeat=4):
         unit, life = Unit(State.IN, life=1), 1
@@ -72,7 +74,9 @@
 
 
 def test_the_change_walked_whole() -> None:
-    """Nobody is sent out in a change that was halted; good comes only of all waves, or of the way back."""
+    """Nobody is sent out in a change that was halted; good comes only of all waves, or of the way
+    back.
+    """
     met = set()
     for told in product(plan.Input, repeat=5):
         now = Plan(1, version="v2", former="v1", waves=(1, 1.0))
@@ -204,8 +208,8 @@
 
 
 def test_who_did_not_look_takes_nobody_for_silent() -> None:
-    """The store is away for a minute: nobody is missing because of that, nor sent out on what was seen
-    before.
+    """The store is away for a minute: nobody is missing because of that, nor sent out on what was
+    seen before.
     """
     world = World(4, Budget(1)).settled()
     world.book = world.book.start("v2", (1.0,), False)
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -1,4 +1,6 @@
-"""Releases and drains over several processes of the program, while processes and ways between them fail."""
+"""Releases and drains over several processes of the program, while processes and ways between them
+fail.
+"""
 
 import asyncio
 import json
@@ -79,8 +81,8 @@
 
 @rolled(4, on={"leads": False})
 async def test_who_leads_is_killed_and_paused_in_a_wave(made: Rollout) -> None:
-    """Three that may lead: the first is killed while a server is out, the second stands still and wakes while
-    the third leads: what it wrote on is over.
+    """Three that may lead: the first is killed while a server is out, the second stands still and
+    wakes while the third leads: what it wrote on is over.
     """
     # The servers do not lead here, so that who leads can go without taking a server with it.
     await made.says("start", "v2")
@@ -132,8 +134,8 @@
 
 @rolled(3, waves=["100%"])
 async def test_one_never_comes_back(made: Rollout) -> None:
-    """Its place in the budget is not freed by time; the change halts, and goes on once somebody says that it
-    is gone.
+    """Its place in the budget is not freed by time; the change halts, and goes on once somebody
+    says that it is gone.
     """
     for node in made.nodes:
         node.dead = True
@@ -160,8 +162,9 @@
 
 
 def test_one_is_cut_off_from_the_store(tmp_path: Path) -> None:
-    """All agree in the store of record that keeps their charges. One is cut off: it serves on and is not sent
-    out; the rest wait, since it may be gone. Then the store itself restarts, in the middle of a drain.
+    """All agree in the store of record that keeps their charges. One is cut off: it serves on and
+    is not sent out; the rest wait, since it may be gone. Then the store itself restarts, in the
+    middle of a drain.
     """
 
     async def play() -> None:
@@ -218,7 +221,9 @@
 
 @rolled(2, services=3, fleet=True)
 async def test_an_instance_below_is_drained(made: Rollout) -> None:
-    """Once the command is back, no server calls it; a second one waits; given back, it is called again."""
+    """Once the command is back, no server calls it; a second one waits; given back, it is called
+    again.
+    """
     first, second = made.services[0].address, made.services[1].address
     await until(lambda: all(service.calls for service in made.services))
     said = await made.says("take", "db", first, "--for-s", "60")
--- a/tests/test_rollout_stores.py
+++ b/tests/test_rollout_stores.py
@@ -53,7 +53,9 @@
 
 
 def test_a_lock_is_waited_for_while_others_have_it(tmp_path: Path) -> None:
-    """Found taken a hundred times, and then had; past its time the store is away, and nothing was written."""
+    """Found taken a hundred times, and then had; past its time the store is away, and nothing was
+    written.
+    """
 
     async def play() -> None:
         shelf = Sqlite(tmp_path / "agreed.db")
--- a/tests/test_scale_configuration.py
+++ b/tests/test_scale_configuration.py
@@ -1,4 +1,6 @@
-"""The small form of benchmarks/scale_configuration.py: its rows are whole, and what they must show by kind holds."""
+"""The small form of benchmarks/scale_configuration.py: its rows are whole, and what they must show
+by kind holds.
+"""
 
 from pathlib import Path
 
--- a/tests/test_scale_request.py
+++ b/tests/test_scale_request.py
@@ -1,5 +1,5 @@
-"""The small forms of benchmarks/scale_request.py: whole rows, every request accounted for, and the stand-ins' own time
-taken off. Nothing here asserts how long anything takes by the wall.
+"""The small forms of benchmarks/scale_request.py: whole rows, every request accounted for, and the
+stand-ins' own time taken off. Nothing here asserts how long anything takes by the wall.
 """
 
 from pathlib import Path
@@ -48,7 +48,8 @@
     assert len(play.sent) > 50
     assert {one.how for one in play.sent} == {"settled"}
     assert len({one.id for one in play.sent}) == len(play.sent)
-    # 100 ms, in ns; the loop's timers may be early by the length of a turn, and what they took is what counts
+    # 100 ms, in ns; the loop's timers may be early by the length of a turn, and what they took is
+    # what counts
     assert all(play.own[one.id] >= 75_000_000 for one in play.sent), min(play.own.values())
     assert all(one.intended <= one.sent <= one.answered for one in play.sent)
     assert play.cpu > 0
@@ -111,7 +112,9 @@
 
 @pytest.mark.parametrize(("more", "who"), [((), "while it deals"), (("--plain",), "as a member")])
 def test_a_member_deals_or_another_does(tmp_path: Path, more: tuple[str, ...], who: str) -> None:
-    """Each play begins only once all agree who is there and whether it is this server that deals."""
+    """Each play begins only once all agree who is there and whether it is this server that
+    deals.
+    """
     run(
         tmp_path / "rows", "deal", "--sizes", "2,3,4,5,6", "--rate", "30", "--seconds", "0.3", *more
     )
@@ -123,7 +126,9 @@
 
 
 def test_a_server_leads_a_release_while_requests_come(tmp_path: Path) -> None:
-    """The play begins once all stand in its book and a release is under way, and ends before that does."""
+    """The play begins once all stand in its book and a release is under way, and ends before that
+    does.
+    """
     run(tmp_path / "rows", "lead", "--sizes", "4,5,6,7,8", "--rate", "30", "--seconds", "0.3")
     found = newest(kept(tmp_path / "rows"))
     assert {name for name, _, _ in found} == {
