--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,4 +1,6 @@
-"""The scale run's checker notices what is planted, and its small form passes: hollow servers beside real ones."""
+"""The scale run's checker notices what is planted, and its small form passes: hollow servers beside
+real ones.
+"""
 
 import asyncio
 import json
@@ -18,7 +20,9 @@
 
 
 def shares() -> list[list[Any]]:
-    """Ten servers that begin one after the other and are given three calls each; one gives up one for another."""
+    """Ten servers that begin one after the other and are given three calls each; one gives up one
+    for another.
+    """
     told = [
         event
         for at in range(10)
@@ -208,7 +212,9 @@
 
 
 async def fleet_of_hollow_servers(folder: Path, main: tuple[str, ...], count: int = 12) -> Checker:
-    """In two processes; the one that deals is the first. Some give up calls, and others want them."""
+    """In two processes; the one that deals is the first. Some give up calls, and others want
+    them.
+    """
     places = laid_out(count)
     terms = {"total": 2000 * count, "least": count // 2 + 1}
     cores = {"fleet": {"key": KEY, "terms": terms, "seeds": [], "demand": 6.0}}
@@ -245,7 +251,8 @@
     assert "shared out" in found.faults.told[0]
 
 
-# Nothing here is judged by the clock: what is in force within a minute, or answered, is not late on a busy machine.
+# Nothing here is judged by the clock: what is in force within a minute, or answered, is not late on
+# a busy machine.
 SMALL = Setting(
     servers=60,
     hosts=2,
--- a/tests/test_scale_servers.py
+++ b/tests/test_scale_servers.py
@@ -1,5 +1,5 @@
-"""The slopes by servers, in their small form: what a scripted crowd asks of its one real member is what a swarm of
-real ones does, and each part gives all of its slopes.
+"""The slopes by servers, in their small form: what a scripted crowd asks of its one real member is
+what a swarm of real ones does, and each part gives all of its slopes.
 """
 
 import pytest
@@ -49,7 +49,9 @@
 
 @pytest.mark.parametrize("at", [0, 20])
 def test_news_of_the_crowd_come_to_the_member_and_end(at: int) -> None:
-    """Who leaves, comes back or dies: the member and all peers come to one view, and then nobody reads views any more."""
+    """Who leaves, comes back or dies: the member and all peers come to one view, and then nobody
+    reads views any more.
+    """
     crowd = Crowd(40, at, churn=1e-9)
     crowd.run(4)
     left, dead = crowd.peers[10], crowd.peers[11]
@@ -72,7 +74,9 @@
 
 
 def test_a_restart_and_a_death_are_as_many_bytes_in_a_crowd_as_in_a_swarm() -> None:
-    """What a member sends more than at rest until ten seconds after; in a swarm the mean of all, in crowds that of six."""
+    """What a member sends more than at rest until ten seconds after; in a swarm the mean of all, in
+    crowds that of six.
+    """
     with swarm_of(40, terms(40)) as swarm:
 
         def sends(seconds: float) -> float:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,15 +1,17 @@
 """Plays each file of tests/scenarios/ against the decisions alone.
 
-A line is either `set NAME=VALUE ...` (facts of the server), `product NAME=VALUE ...` (one more product; the
-first such line takes the place of the default), or a time in milliseconds, an event and what it must bring:
+A line is either `set NAME=VALUE ...` (facts of the server), `product NAME=VALUE ...` (one more
+product; the first such line takes the place of the default), or a time in milliseconds, an event
+and what it must bring:
 
     TIME read NAME [product=N] [cost=MS] [unread=MS] [expiry=MS] [kb=N] [rank=X] [caller=N] [of=NAME]
     TIME done NAME OUTCOME [MS]   TIME calls NAME   TIME called NAME OUTCOME   TIME left NAME
     TIME leave STOP   TIME wake [core_use=X] [on_cores=N] [links=N]
 
-A NAME may be several, `a,b`. What follows `->` is what the txns meet, in order: `start a, decline b`; `-` is
-none; `call a by TIME` looks at how long it is waited for too. A `wake` line repeated as `FROM..TO wake` plays a round each 100 ms and looks at all their effects.
-Effects not on a txn (health, tell, idle, wake, note, release) count only where the line names that effect.
+A NAME may be several, `a,b`. What follows `->` is what the txns meet, in order: `start a, decline
+b`; `-` is none; `call a by TIME` looks at how long it is waited for too. A `wake` line repeated as
+`FROM..TO wake` plays a round each 100 ms and looks at all their effects. Effects not on a txn
+(health, tell, idle, wake, note, release) count only where the line names that effect.
 """
 
 from dataclasses import fields, replace
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -140,7 +140,9 @@
 
 @played()
 async def test_notices_broken_off_and_told_twice(rig: Rig) -> None:
-    """Half a notice goes with its link and comes whole on the next; one of an old number is told in vain."""
+    """Half a notice goes with its link and comes whole on the next; one of an old number is told in
+    vain.
+    """
     balancer, executor = await rig.balancer(), rig.executor
     first = balancer.ask("look", fields())
     id = await rig.command("EXEC", "look")
@@ -164,7 +166,9 @@
 
 @played()
 async def test_an_earlier_meter_proves_no_later_reply(rig: Rig) -> None:
-    """One asked after the run's first reply and answered after its second: a lost second is said again."""
+    """One asked after the run's first reply and answered after its second: a lost second is said
+    again.
+    """
     balancer, executor = await rig.balancer(), rig.executor
     answer = balancer.ask("look", fields())
     id = await rig.command("EXEC", "look")
@@ -195,7 +199,9 @@
 
 @played(deadline=2200000)
 async def test_notices_that_are_kept_no_more(rig: Rig) -> None:
-    """A command in doubt whose end may be among them is not said again: it is voided, never run twice."""
+    """A command in doubt whose end may be among them is not said again: it is voided, never run
+    twice.
+    """
     balancer, executor = await rig.balancer(), rig.executor
     rig.errors = 1
     executor.deaf = True
@@ -230,7 +236,9 @@
 
 @played(n_cores=4)
 async def test_repeats_of_a_referenced_txn(rig: Rig) -> None:
-    """Running, at a call, or long answered, and on another connection: it runs once, each try is answered."""
+    """Running, at a call, or long answered, and on another connection: it runs once, each try is
+    answered.
+    """
     one, other = await rig.balancer(), await rig.balancer()
     rig.replies = ["silence"]
     first = one.ask("pay", fields(once="k"), b"b")
@@ -255,7 +263,9 @@
 
 @played(memory_kb=2000)
 async def test_marks_take_none_of_the_memory_of_runs(rig: Rig) -> None:
-    """They are ours to keep: at 50 KB each as on the simulator, forty would leave no room for a run."""
+    """They are ours to keep: at 50 KB each as on the simulator, forty would leave no room for a
+    run.
+    """
     balancer = await rig.balancer()
     for turn in range(60):
         answer = balancer.ask("pay", fields(once=f"k{turn}", kb="1.0"))
@@ -377,7 +387,8 @@
 @played(n_cores=4)
 async def test_catalogue_down_and_kept_connections_closed(rig: Rig) -> None:
     balancer = await rig.balancer()
-    # A call that may not be repeated has a connection of its own: a kept one may be forgotten at its other end.
+    # A call that may not be repeated has a connection of its own: a kept one may be forgotten at
+    # its other end.
     for product, links in (("look", 1), ("look", 1), ("pay", 2), ("pay", 3)):
         answer = balancer.ask(product, fields(once=f"k{links}"))
         id = await rig.command("EXEC", product)
@@ -428,8 +439,9 @@
 async def test_reports_to_the_name_service(rig: Rig) -> None:
     asked = rig.executor.asked
     reports = [await soon(rig.naming.reports.get()) for _ in range(32)]
-    # Four a second at least, by the rounds of the decisions, each of which asks for the gauges: one in four is lost.
-    # Over so many that a moment in which we stand still ourselves, and do not count what comes, weighs little.
+    # Four a second at least, by the rounds of the decisions, each of which asks for the gauges: one
+    # in four is lost. Over so many that a moment in which we stand still ourselves, and do not
+    # count what comes, weighs little.
     assert set(reports) == {"renew n1 yes"}
     assert rig.executor.asked - asked < 80
     await gets_one(rig, await rig.balancer())
@@ -557,7 +569,9 @@
 
 @played(before="ulimit -n 24;")
 async def test_out_of_descriptors(rig: Rig) -> None:
-    """Those that never said anything go for whoever comes: the newest is served though nobody went by itself."""
+    """Those that never said anything go for whoever comes: the newest is served though nobody went
+    by itself.
+    """
     first = await rig.balancer()
     await gets_one(rig, first)
     others = [await rig.balancer() for _ in range(24)]
@@ -579,7 +593,9 @@
 
 @played(n_cores=64, memory_kb=200000)
 async def test_out_of_descriptors_with_all_in_use(rig: Rig) -> None:
-    """Nobody is cut off who waits for an answer; newcomers wait in the kernel, and accepting does not spin."""
+    """Nobody is cut off who waits for an answer; newcomers wait in the kernel, and accepting does
+    not spin.
+    """
     allow(rig, 4)
     balancers = [await rig.balancer() for _ in range(4)]
     answers = [balancer.ask("look", fields()) for balancer in balancers]
@@ -608,7 +624,9 @@
 def test_idle_clients_hold_every_descriptor_while_discovery_is_down(
     asked: bool, tmp_path: Path
 ) -> None:
-    """Requests that are open are answered; link, calls, a newcomer and a reload find descriptors."""
+    """Requests that are open are answered; link, calls, a newcomer and a reload find
+    descriptors.
+    """
 
     @played(n_cores=4)
     async def story(rig: Rig) -> None:
@@ -721,7 +739,9 @@
 
 @played()
 async def test_one_that_begins_late_is_unfinished_not_silent(rig: Rig) -> None:
-    """Its first bytes come well after it connected, so that a look at it falls between the two bounds."""
+    """Its first bytes come well after it connected, so that a look at it falls between the two
+    bounds.
+    """
     late = await rig.balancer()
     await asyncio.sleep(0.6)
     late.writer.write(b"\x94")
@@ -735,7 +755,9 @@
 
 @played(n_cores=1)
 async def test_bad_input_ends_what_else_is_open_there_at_once(rig: Rig) -> None:
-    """No result goes to whoever sends it; what was held leaves, and a referenced run is kept for its repeat."""
+    """No result goes to whoever sends it; what was held leaves, and a referenced run is kept for
+    its repeat.
+    """
     bad, other = await rig.balancer(), await rig.balancer()
     ran, held = bad.ask("pay", fields(once="k")), bad.ask("look", fields())
     id = await rig.command("EXEC", "pay")
@@ -792,7 +814,9 @@
 
 @played(sockets=72)
 async def test_the_silent_make_room_for_those_that_ask(rig: Rig) -> None:
-    """The table holds 36: one with a txn open stays, those that never asked go for whoever comes."""
+    """The table holds 36: one with a txn open stays, those that never asked go for whoever
+    comes.
+    """
     first = await rig.balancer()
     answer = first.ask("look", fields())
     id = await rig.command("EXEC", "look")
@@ -849,7 +873,9 @@
 
 @played(n_cores=2)
 async def test_a_mark_with_another_body_is_another_txn(rig: Rig) -> None:
-    """Unknown to the executor, it is voided; neither it nor an unknown id stops a true try, or its repeat."""
+    """Unknown to the executor, it is voided; neither it nor an unknown id stops a true try, or its
+    repeat.
+    """
     bad, good = await rig.balancer(), await rig.balancer()
     forged = bad.ask("pay", fields(once="k"), b"forged")
     unknown = await rig.command("EXEC", "pay")
@@ -1040,7 +1066,9 @@
 
 
 def test_a_server_that_calls_nothing_is_told_of_no_catalogue(tmp_path: Path) -> None:
-    """Those of a last tier: without `catalog`, they start, serve and reload. A run that calls all the same is ended."""
+    """Those of a last tier: without `catalog`, they start, serve and reload. A run that calls all
+    the same is ended.
+    """
 
     async def play() -> None:
         rig = Rig(tmp_path, depends_on="off")
@@ -1064,7 +1092,9 @@
 
 @played(n_cores=4)
 async def test_reloads_move_to_new_addresses(rig: Rig) -> None:
-    """Runs, notice numbers and a call in flight carry on; what the old link lost is said on the new one."""
+    """Runs, notice numbers and a call in flight carry on; what the old link lost is said on the new
+    one.
+    """
     balancer, old, below = await rig.balancer(), rig.executor, rig.catalogue
     first, called = balancer.ask("look", fields()), balancer.ask("pay", fields(once="k"))
     ran, calling = await rig.command("EXEC", "look"), await rig.command("EXEC", "pay")
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -1,4 +1,6 @@
-"""Seeded worlds of tests/simulate.py: whole nodes in simulated time, under crashes and a store that misbehaves."""
+"""Seeded worlds of tests/simulate.py: whole nodes in simulated time, under crashes and a store that
+misbehaves.
+"""
 
 import logging
 from collections import Counter
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -479,7 +479,8 @@
         later = opened(path, tick=lambda: Tick(boot, 15 * second, now))
         held = [mark for batch in later.known(now) for mark, _ in batch]
         assert later.shift == (ahead * second if boot == "same" else min(0, (5 + ahead) * second))
-        # Over a restart of the machine a clock that went ahead is not to be told from time that went by.
+        # Over a restart of the machine a clock that went ahead is not to be told from time that
+        # went by.
         assert held == ([] if ahead > 0 and boot == "another" else [MARKS[0]])
         later.release()
 
@@ -506,8 +507,8 @@
 
 
 def test_the_record_waits_for_the_lock_as_the_book_does(tmp_path: Path) -> None:
-    """A batch finds it taken a hundred times and is written; past its time it surely was not; nor does a start take
-    a file that is busy for one that is damaged.
+    """A batch finds it taken a hundred times and is written; past its time it surely was not; nor
+    does a start take a file that is busy for one that is damaged.
     """
 
     async def play() -> None:
@@ -540,7 +541,9 @@
 
 
 def test_a_file_that_another_makes_just_now_is_opened(tmp_path: Path) -> None:
-    """Its first page is there, and not yet whose it is; with anything in it, it is another program's."""
+    """Its first page is there, and not yet whose it is; with anything in it, it is another
+    program's.
+    """
     path = tmp_path / "record.db"
     other = sqlite3.connect(path, isolation_level=None)
     other.execute("PRAGMA auto_vacuum = INCREMENTAL")
