--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -92,11 +92,11 @@
 def recovering(server: Server) -> Recovering:
     facts = server.orders.facts
     return Recovered(
-        Terms(window=max(one.window for one in facts.products)),
+        Terms(window=max(one.idempotency_window_ns for one in facts.request_classes)),
         server.orders.name,
         lambda: server.clock(),
         lambda: server.fleet,
-        facts.calls_share,
+        facts.call_quota,
         False,
         None,
     )
--- a/burlloom/choice.py
+++ b/burlloom/choice.py
@@ -18,14 +18,14 @@
 
 from .interface import (
     Effects,
-    FreeValue,
+    LoadReportKind,
     Gauges,
     Outcome,
-    Relief,
-    Repeatable,
-    ServerFacts,
-    Service,
-    Txn,
+    Degradation,
+    Idempotency,
+    ServerSettings,
+    ServiceLevel,
+    Request,
 )
 
 MS = 1_000_000
@@ -79,52 +79,56 @@
 ROOMY = 4.0  # allowance at no pressure, over the run limit
 
 NEVER = 1 << 62
-PROVES_UNRUN = (Outcome.FULL, Outcome.UNREACHED, Outcome.MOOT)
+PROVES_UNRUN = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NO_LONGER_NEEDED)
 LEAVES_BEHIND = (
     Outcome.TIMED_OUT,
-    Outcome.BROKEN,
-    Outcome.STOPPED,
+    Outcome.CONNECTION_LOST,
+    Outcome.ABANDONED,
 )  # the call is still in hand below
 
 State = IntEnum("State", "NEW HELD RUN DOOR CALL TAIL COPY RAN GONE", start=0)
 Input = IntEnum(
     "Input", "READ PICK OUST ROUND LEFT LEVEL NEEDS GRANT BACK BROKE END MOOT UNRUN TAKEN", start=0
 )
-UNBEGUN = {Outcome.MOOT: Input.MOOT, Outcome.UNKEPT: Input.UNRUN, Outcome.TAKEN: Input.TAKEN}
+UNBEGUN = {
+    Outcome.NO_LONGER_NEEDED: Input.MOOT,
+    Outcome.NOT_RECORDED: Input.UNRUN,
+    Outcome.CLAIMED_ELSEWHERE: Input.TAKEN,
+}
 
 TABLE = """
-NEW   READ   ran_before past           GONE  void
-NEW   READ   ran_before no_copy_room   GONE  void
-NEW   READ   ran_before                COPY  reuse
+NEW   READ   ran_before past           GONE  fail
+NEW   READ   ran_before no_copy_room   GONE  fail
+NEW   READ   ran_before                COPY  reuse_result
 NEW   READ   reduced                   GONE  relieve
 NEW   READ   unwanted                  GONE  turn_away
 NEW   READ   no_entry                  GONE  turn_away
 NEW   READ   full                      GONE  exceed
 NEW   READ   -                         HELD  hold
 HELD  PICK   late                      GONE  turn_away
-HELD  PICK   -                         RUN   start
+HELD  PICK   -                         RUN   begin_run
 HELD  OUST   -                         GONE  overwrite
 HELD  ROUND  past                      GONE  turn_away
 HELD  ROUND  late                      GONE  turn_away
 HELD  LEFT   -                         GONE  drop
 HELD  LEVEL  reduced                   GONE  relieve
 RUN   NEEDS  -                         DOOR  queue
-RUN   ROUND  past                      TAIL  void
+RUN   ROUND  past                      TAIL  fail
 RUN   LEFT   -                         TAIL  -
 RUN   END    -                         RAN   finish
 RUN   MOOT   -                         GONE  drop
 RUN   UNRUN  -                         GONE  turn_away
-RUN   TAKEN  -                         COPY  reuse
+RUN   TAKEN  -                         COPY  reuse_result
 DOOR  GRANT  -                         CALL  dial
-DOOR  ROUND  past                      TAIL  void
-DOOR  ROUND  can_skip no_call          RUN   leave_out
+DOOR  ROUND  past                      TAIL  fail
+DOOR  ROUND  can_skip no_call          RUN   skip_call
 DOOR  LEFT   -                         TAIL  -
 DOOR  END    -                         RAN   finish
 CALL  BACK   -                         RUN   -
 CALL  BROKE  may_repeat                DOOR  queue
-CALL  BROKE  can_skip                  RUN   leave_out
-CALL  BROKE  -                         TAIL  void
-CALL  ROUND  past                      TAIL  void
+CALL  BROKE  can_skip                  RUN   skip_call
+CALL  BROKE  -                         TAIL  fail
+CALL  ROUND  past                      TAIL  fail
 CALL  LEFT   -                         TAIL  -
 CALL  END    -                         RAN   finish
 TAIL  END    -                         RAN   -
@@ -133,7 +137,7 @@
 TAIL  TAKEN  -                         GONE  drop
 COPY  END    -                         RAN   -
 COPY  MOOT   -                         GONE  -
-COPY  ROUND  past                      GONE  void
+COPY  ROUND  past                      GONE  fail
 COPY  LEFT   -                         GONE  -
 """
 
@@ -164,26 +168,31 @@
 
     __slots__ = tuple("txn state arrived wanted give_back due since kept over heir outcome".split())
 
-    def __init__(self, txn: Txn, now: int, facts: ServerFacts) -> None:
-        product = facts.products[txn.product]
+    def __init__(self, txn: Request, now: int, facts: ServerSettings) -> None:
+        product = facts.request_classes[txn.request_class]
         self.txn = txn
         self.state = State.NEW
-        self.arrived = now - txn.unread
-        self.due = max(now, txn.expiry_at or self.arrived + product.expiry)
-        sla_at = min(self.due, self.arrived + product.sla + int(product.sla_stretch * txn.cost))
-        self.wanted = self.due if product.late_share else sla_at
+        self.arrived = now - txn.unread_ns
+        self.due = max(now, txn.deadline or self.arrived + product.deadline_ns)
+        sla_at = min(
+            self.due,
+            self.arrived
+            + product.latency_objective_ns
+            + int(product.latency_objective_stretch * txn.cost),
+        )
+        self.wanted = self.due if product.late_value_share else sla_at
         self.give_back = self.wanted - int(REST * (self.wanted - self.arrived))
         self.since = self.kept = self.over = 0
         self.heir: Case | None = None
         self.outcome = Outcome.OK
 
 
-class Choice:
-    def __init__(self, facts: ServerFacts, seed: int, effects: Effects, now: int) -> None:
+class AdmissionController:
+    def __init__(self, facts: ServerSettings, seed: int, effects: Effects, now: int) -> None:
         self.facts, self.do, self.now, self.born = facts, effects, now, now
         self.chance = Random(seed).random
         self.limit = float(facts.cores)
-        self.weight = [1.0, 1.0] + [facts.run_factor] * 5 + [0.0, 0.0]
+        self.weight = [1.0, 1.0] + [facts.running_memory_factor] * 5 + [0.0, 0.0]
         self.count = [0] * len(State)
         self.cases: dict[int, Case] = {}
         self.live: dict[int, Case] = {}
@@ -194,53 +203,58 @@
         self.keys = self.overwritten = self.exceeded = self.call_need = 0
         self.slept, self.moved = 0, now
         self.stop, self.last_arrival = NEVER, NEVER
-        self.good, self.idle, self.press, self.told = True, facts.idle, 1 - self.warmth(), -1.0
+        self.good, self.idle, self.press, self.told = (
+            True,
+            facts.idle_timeout_ns,
+            1 - self.warmth(),
+            -1.0,
+        )
         self.lingering: list[int] = []
         self.broken = self.trial_at = self.timeouts = self.call_next = 0
-        self.call_most = facts.calls_share or facts.crowd * facts.cores
+        self.call_most = facts.call_quota or facts.max_runs_per_core * facts.cores
         self.call_limit = max(min(1.0, self.call_most), self.call_most / 2)
         self.call_times, self.calls = Ring(1000 * MS), Ring(1000 * MS)
         self.meter_calls()
-        self.took = [deque[tuple[int, int, int]](maxlen=ENDS) for _ in facts.products]
+        self.took = [deque[tuple[int, int, int]](maxlen=ENDS) for _ in facts.request_classes]
         self.ends, self.bad_ends = Ring(2000 * MS), Ring(2000 * MS)
         self.read, self.turned, self.unread = Ring(1000 * MS), Ring(1000 * MS), Ring(1000 * MS)
         self.top = 1 - 1 / len(
-            {product.value for product in facts.products}
+            {product.value for product in facts.request_classes}
         )  # the highest value stays above
-        self.lag = min(product.sla for product in facts.products)
-        self.service = Service()
+        self.lag = min(product.latency_objective_ns for product in facts.request_classes)
+        self.service = ServiceLevel()
 
     # What the host calls.
 
-    def begin(self, now: int) -> None:
-        self.do.health(True)
-        self.do.wake(ROUND, 0)
+    def start(self, now: int) -> None:
+        self.do.set_health(True)
+        self.do.schedule_timer(ROUND, 0)
 
-    def arrived(self, now: int, txn: Txn) -> None:
+    def request_arrived(self, now: int, txn: Request) -> None:
         self.tick(now)
         case = self.cases[txn.ref] = self.live[txn.ref] = Case(txn, now, self.facts)
         self.count[State.NEW] += 1
-        self.kb += txn.kb
+        self.kb += txn.memory_kb
         self.read.add(now, 1)
-        self.unread.add(now, txn.unread)
+        self.unread.add(now, txn.unread_ns)
         self.feed(case, Input.READ)
         self.advance()
 
-    def ended(self, now: int, ref: int, outcome: Outcome, took: int) -> None:
+    def run_ended(self, now: int, ref: int, outcome: Outcome, took: int) -> None:
         case = self.cases.get(ref)
         if case is not None:
             if case.state == State.RUN and outcome not in UNBEGUN:
                 self.ends.add(now, 1)
                 self.bad_ends.add(now, outcome is Outcome.FAILED)
                 if outcome is Outcome.OK:
-                    self.took[case.txn.product].append((now, took, case.txn.cost or 1))
+                    self.took[case.txn.request_class].append((now, took, case.txn.cost or 1))
             case.outcome = outcome
         self.meet(now, ref, UNBEGUN.get(outcome, Input.END))
 
-    def at_call(self, now: int, ref: int) -> None:
+    def call_requested(self, now: int, ref: int) -> None:
         self.meet(now, ref, Input.NEEDS)
 
-    def left(self, now: int, ref: int) -> None:
+    def caller_gone(self, now: int, ref: int) -> None:
         self.meet(now, ref, Input.LEFT)
 
     def call_ended(self, now: int, ref: int, outcome: Outcome, took: int) -> None:
@@ -250,9 +264,15 @@
             self.broken = 0 if outcome is Outcome.OK else self.broken + 1
             self.trial_at = now + TRIAL
             self.timeouts += outcome is Outcome.TIMED_OUT
-            need = self.facts.linger + 2 * took if outcome is Outcome.OK else 2 * self.call_need
+            need = (
+                self.facts.abandoned_call_linger_ns + 2 * took
+                if outcome is Outcome.OK
+                else 2 * self.call_need
+            )
             if outcome in (Outcome.OK, Outcome.TIMED_OUT):
-                self.call_need = int(max(2 * self.facts.linger, min(need, self.call_quota() / 2)))
+                self.call_need = int(
+                    max(2 * self.facts.abandoned_call_linger_ns, min(need, self.call_quota() / 2))
+                )
             # Below one call the limit is a share of time, by chance: not all servers in step.
             rest = 2 * took * self.chance() * (1 / min(1.0, self.call_limit) - 1)
             self.call_next = now + int(min(2 * TRIAL, rest))
@@ -260,16 +280,16 @@
             self.calls.add(now, outcome is not Outcome.TIMED_OUT)
         self.meet(now, ref, Input.BACK if outcome is Outcome.OK else Input.BROKE)
 
-    def leaving(self, now: int, noticed: int, stop: int) -> None:
+    def drain(self, now: int, noticed: int, stop: int) -> None:
         """`noticed` is when the notice came, by the most cautious reckoning: the grace counts from
         there.
         """
         self.tick(now)
-        self.stop, self.last_arrival = stop, noticed + self.facts.grace
+        self.stop, self.last_arrival = stop, noticed + self.facts.drain_grace_ns
         self.signal()
         self.advance()
 
-    def serve_at(self, now: int, service: Service) -> None:
+    def set_service_level(self, now: int, service: ServiceLevel) -> None:
         """A level of reduced service holds from now on: what it takes away of the held is told at
         once.
         """
@@ -280,20 +300,20 @@
         self.signal()
         self.advance()
 
-    def share_calls(self, now: int, share: float) -> None:
+    def set_call_quota(self, now: int, share: float) -> None:
         """Our share of the calls below from now on, above 0. Those in hand stay; none is added past
         it.
         """
         self.tick(now)
-        self.facts, self.call_most = replace(self.facts, calls_share=share), share
-        if 0 < share < 1 and self.call_quota() < CALL_ROOM * self.facts.linger:
+        self.facts, self.call_most = replace(self.facts, call_quota=share), share
+        if 0 < share < 1 and self.call_quota() < CALL_ROOM * self.facts.abandoned_call_linger_ns:
             self.meter_calls()
         self.call_limit = min(max(min(1.0, share), self.call_limit), share)
         self.advance()
 
-    def woke(self, now: int, handle: int, gauges: Gauges) -> None:
+    def timer_fired(self, now: int, handle: int, gauges: Gauges) -> None:
         self.tick(now)
-        self.do.wake(ROUND, handle)
+        self.do.schedule_timer(ROUND, handle)
         for case in list(self.live.values()):
             self.feed(case, Input.ROUND)
         self.clear(now)
@@ -336,11 +356,11 @@
         old, case.state = case.state, state
         self.count[old] -= 1
         self.count[state] += 1
-        self.kb += (self.weight[state] - self.weight[old]) * case.txn.kb
+        self.kb += (self.weight[state] - self.weight[old]) * case.txn.memory_kb
         if old == State.CALL and case.outcome in LEAVES_BEHIND:
-            self.lingering.append(self.now + self.facts.linger)
+            self.lingering.append(self.now + self.facts.abandoned_call_linger_ns)
         if old == State.HELD:
-            self.held_kb -= case.txn.kb
+            self.held_kb -= case.txn.memory_kb
             del self.hold_list[case.txn.ref]
         elif old == State.DOOR:
             del self.door[case.txn.ref]
@@ -381,20 +401,32 @@
 
     def warmth(self) -> float:
         facts, age = self.facts, self.now - self.born
-        warm = not facts.cold or age >= facts.warm_up
-        return 1.0 if warm else facts.cold_from + (1 - facts.cold_from) * age / facts.warm_up
+        warm = not facts.starts_cold or age >= facts.warm_up_ns
+        return (
+            1.0
+            if warm
+            else facts.cold_speed_share + (1 - facts.cold_speed_share) * age / facts.warm_up_ns
+        )
 
     def ceiling(self) -> int:
         """Counts all that has started, as if all calls and disks came back together."""
         return max(
-            1, int(CROWD_SHARE * (1 + (self.facts.crowd - 1) * self.warmth()) * self.facts.cores)
+            1,
+            int(
+                CROWD_SHARE
+                * (1 + (self.facts.max_runs_per_core - 1) * self.warmth())
+                * self.facts.cores
+            ),
         )
 
     def fits(self, kb: float) -> bool:
-        return self.kb + self.keys * self.facts.key_kb + kb <= MEMORY_SHARE * self.facts.memory_kb
+        return (
+            self.kb + self.keys * self.facts.idempotency_key_kb + kb
+            <= MEMORY_SHARE * self.facts.memory_kb
+        )
 
     def fits_run(self, case: Case) -> bool:
-        return self.fits(case.txn.kb * (self.facts.run_factor - 1))
+        return self.fits(case.txn.memory_kb * (self.facts.running_memory_factor - 1))
 
     def turned_share(self) -> float:
         return min(1.0, self.turned.total(self.now) / max(1.0, self.read.total(self.now)))
@@ -403,7 +435,7 @@
         return self.unread.total(self.now) / max(1.0, self.read.total(self.now))
 
     def needs(self, case: Case) -> float:
-        ends = [end for end in self.took[case.txn.product] if end[0] > self.now - ENDS_FOR]
+        ends = [end for end in self.took[case.txn.request_class] if end[0] > self.now - ENDS_FOR]
         if not ends:
             return 0.0
         # Against a slow spell that is over: while most newcomers are thought too late, few new ends
@@ -481,28 +513,32 @@
             or self.chance() < self.ailing()
         )
 
-    def relief(self, case: Case) -> Relief:
-        return self.service.above if case.txn.lot < self.service.part else self.service.relief
+    def relief(self, case: Case) -> Degradation:
+        return (
+            self.service.trial_degradation
+            if case.txn.sampling_draw < self.service.trial_share
+            else self.service.degradation
+        )
 
     def reduced(self, case: Case) -> bool:
         """Never one that ran, nor its repeat: those rows come first."""
-        relief, product = self.relief(case), case.txn.product
+        relief, product = self.relief(case), case.txn.request_class
         return bool(relief.name) and (
-            relief.declined[product]
-            or relief.kept[product]
-            or relief.over
-            and case.txn.over
-            or relief.repeats[product]
-            and case.txn.retry
+            relief.rejected_classes[product]
+            or relief.cached_only_classes[product]
+            or relief.rejects_over_share
+            and case.txn.over_share
+            or relief.retry_rejecting_classes[product]
+            and case.txn.is_retry
         )
 
     def no_entry(self, case: Case) -> bool:
-        product = self.facts.products[case.txn.product]
-        reserve = self.facts.cores * self.facts.run_factor * case.txn.kb
-        return product.repeatable is Repeatable.REFERENCED and (
-            not case.txn.entry
-            or case.arrived + product.window <= self.now
-            or not self.fits(self.facts.key_kb + reserve)
+        product = self.facts.request_classes[case.txn.request_class]
+        reserve = self.facts.cores * self.facts.running_memory_factor * case.txn.memory_kb
+        return product.idempotency is Idempotency.KEYED and (
+            not case.txn.is_recordable
+            or case.arrived + product.idempotency_window_ns <= self.now
+            or not self.fits(self.facts.idempotency_key_kb + reserve)
         )
 
     def full(self, case: Case) -> bool:
@@ -512,17 +548,18 @@
         return (
             oldest is None
             or not self.stale(oldest)
-            or not self.fits(-oldest.txn.kb)
-            or case.txn.rank < self.level()
+            or not self.fits(-oldest.txn.memory_kb)
+            or case.txn.priority < self.level()
         )
 
     def crammed(self, case: Case) -> bool:
         return (
             not self.fits(0)
             or len(self.hold_list) >= self.limit
-            and case.txn.rank < self.level()
-            or len(self.hold_list) >= max(1.0, self.relief(case).hold * HOLD_RUNS * self.limit)
-            or self.held_kb + case.txn.kb > HOLD_SHARE * self.facts.memory_kb
+            and case.txn.priority < self.level()
+            or len(self.hold_list)
+            >= max(1.0, self.relief(case).queue_share * HOLD_RUNS * self.limit)
+            or self.held_kb + case.txn.memory_kb > HOLD_SHARE * self.facts.memory_kb
         )
 
     def level(self) -> float:
@@ -532,7 +569,7 @@
         if self.broken >= BREAK_AFTER and (self.now < self.trial_at or self.count[State.CALL]):
             return False
         return self.calls_in_hand() < max(1, int(self.call_limit)) and (
-            not 0 < self.facts.calls_share < 1
+            not 0 < self.facts.call_quota < 1
             or self.now >= self.call_next
             and self.call_room() > self.call_need
         )
@@ -547,7 +584,7 @@
             or self.stale(case)
             and self.now > case.give_back
             or bool(relief.name)
-            and relief.skips[case.txn.product]
+            and relief.call_skipping_classes[case.txn.request_class]
         )
 
     def meter_calls(self) -> None:
@@ -558,10 +595,16 @@
         whole one at a start, whatever the life before had spent, nor do all servers that start
         together call in step.
         """
-        facts, share = self.facts, self.facts.calls_share
-        self.call_span, self.call_need, self.phase = max(facts.calls_span, 10), 2 * facts.linger, 0
+        facts, share = self.facts, self.facts.call_quota
+        self.call_span, self.call_need, self.phase = (
+            max(facts.call_quota_window_ns, 10),
+            2 * facts.abandoned_call_linger_ns,
+            0,
+        )
         if 0 < share < 1:
-            self.call_span = max(self.call_span, int(CALL_ROOM * facts.linger / share))
+            self.call_span = max(
+                self.call_span, int(CALL_ROOM * facts.abandoned_call_linger_ns / share)
+            )
         self.in_hand = Ring(self.call_span * 11 // 10, 11)  # never less than the span is looked at
         if 0 < share < 1:
             width = self.in_hand.width
@@ -571,7 +614,7 @@
                 self.in_hand.add(self.now + self.phase - (10 - bucket) * width, used)
 
     def call_quota(self) -> float:
-        return self.facts.calls_share * self.call_span
+        return self.facts.call_quota * self.call_span
 
     def call_room(self) -> float:
         """What is left of our share, as time of one call in hand."""
@@ -581,10 +624,12 @@
         return not self.past(case) and (self.inquiry(case) or case.outcome in PROVES_UNRUN)
 
     def inquiry(self, case: Case) -> bool:
-        return self.facts.products[case.txn.product].repeatable is Repeatable.INQUIRY
+        return (
+            self.facts.request_classes[case.txn.request_class].idempotency is Idempotency.IDEMPOTENT
+        )
 
     def can_skip(self, case: Case) -> bool:
-        return self.facts.products[case.txn.product].skip_share > 0
+        return self.facts.request_classes[case.txn.request_class].value_share_without_call > 0
 
     # Effects.
 
@@ -598,21 +643,21 @@
             self.feed(oldest, Input.OUST)
         case.since = self.now - self.slept
         self.hold_list[case.txn.ref] = case
-        self.held_kb += case.txn.kb
-        product = self.facts.products[case.txn.product]
-        if product.repeatable is Repeatable.REFERENCED:
-            self.keep(case, case.arrived + product.window)
+        self.held_kb += case.txn.memory_kb
+        product = self.facts.request_classes[case.txn.request_class]
+        if product.idempotency is Idempotency.KEYED:
+            self.keep(case, case.arrived + product.idempotency_window_ns)
         elif (
-            (self.facts.fresh or product.stale)
+            (self.facts.result_cache_ttl_ns or product.max_staleness_ns)
             and self.inquiry(case)
-            and self.fits(self.facts.key_kb)
+            and self.fits(self.facts.idempotency_key_kb)
         ):
             self.keep(case, case.due)
 
     def keep(self, case: Case, until: int) -> None:
         self.keys += not case.kept
         case.kept = until
-        self.do.keep(case.txn.ref, until - self.now)
+        self.do.remember(case.txn.ref, until - self.now)
 
     def drop(self, case: Case) -> None:
         if case.kept:
@@ -625,8 +670,10 @@
         self.turned.add(self.now, 1)
         alone = self.stop < NEVER or self.struck()
         share = 1.0 if alone else self.turned_share() * self.chance()  # not all back at one time
-        self.do.decline(
-            case.txn.ref, int(share * self.facts.advice_max), self.press > FINAL and not alone
+        self.do.reject(
+            case.txn.ref,
+            int(share * self.facts.max_retry_after_ns),
+            self.press > FINAL and not alone,
         )
 
     def relieve(self, case: Case) -> None:
@@ -635,9 +682,13 @@
         its likes away; a long advice would keep away what is still served.
         """
         self.drop(case)
-        floor = self.facts.free_value is FreeValue.FLOOR
-        away = ROUND if floor else int((1 - 0.5 * self.chance()) * self.facts.advice_max)
-        self.do.decline(case.txn.ref, min(away, self.facts.advice_max), self.relief(case).floor > 0)
+        floor = self.facts.load_report_kind is LoadReportKind.PRIORITY_FLOOR
+        away = ROUND if floor else int((1 - 0.5 * self.chance()) * self.facts.max_retry_after_ns)
+        self.do.reject(
+            case.txn.ref,
+            min(away, self.facts.max_retry_after_ns),
+            self.relief(case).priority_floor > 0,
+        )
 
     def overwrite(self, case: Case) -> None:
         self.overwritten += 1
@@ -647,26 +698,31 @@
         self.exceeded += 1
         self.turn_away(case)
 
-    def start(self, case: Case) -> None:
+    def begin_run(self, case: Case) -> None:
         if self.running() <= 1:
             self.moved = self.now
-        self.do.start(case.txn.ref)
+        self.do.start_run(case.txn.ref)
 
     def finish(self, case: Case) -> None:
         if case.kept and self.inquiry(case):
             self.keep(
-                case, self.now + max(self.facts.fresh, self.facts.products[case.txn.product].stale)
+                case,
+                self.now
+                + max(
+                    self.facts.result_cache_ttl_ns,
+                    self.facts.request_classes[case.txn.request_class].max_staleness_ns,
+                ),
             )
 
     def queue(self, case: Case) -> None:
-        case.outcome = Outcome.STOPPED  # until a call ends well, leaving it abandons it
+        case.outcome = Outcome.ABANDONED  # until a call ends well, leaving it abandons it
         case.since = self.now - self.slept
         self.door[case.txn.ref] = case
 
     def dial(self, case: Case) -> None:
         stop = min(case.due, self.stop) - ROUND
-        if 0 < self.facts.calls_share < 1:
-            stop = min(stop, self.now + int(self.call_room()) - self.facts.linger)
+        if 0 < self.facts.call_quota < 1:
+            stop = min(stop, self.now + int(self.call_room()) - self.facts.abandoned_call_linger_ns)
         elif self.broken < BREAK_AFTER and self.call_base:
             # Against calls that are never answered: waited for until the end, a few fill all there
             # may be.
@@ -674,7 +730,7 @@
                 self.call_base, self.call_times.total(self.now) / (self.calls.total(self.now) or 1)
             )
             stop = min(stop, self.now + max(PATIENCE_MIN, int(PATIENCE * usual)))
-        self.do.call(case.txn.ref, max(stop, self.now + MS))
+        self.do.start_call(case.txn.ref, max(stop, self.now + MS))
 
     # Timer rounds.
 
@@ -692,8 +748,8 @@
         # The use of the cores is a late mean; by it alone the limit overshoots: who wants one now
         # counts.
         oldest = self.oldest()
-        want = (gauges.on_cores if gauges.on_cores >= 0 else self.started()) / self.facts.cores
-        if oldest is not None and want < 1 and gauges.core_use < IDLE_USE:
+        want = (gauges.runnable if gauges.runnable >= 0 else self.started()) / self.facts.cores
+        if oldest is not None and want < 1 and gauges.cpu_utilization < IDLE_USE:
             self.limit += not self.door  # cores that idle behind crowded calls need no more starts
         elif want > JAMMED and (self.timeouts or oldest is not None and self.stale(oldest)):
             self.limit *= CUT
@@ -702,7 +758,7 @@
         # A lag presses too, though nobody turns it away yet. Chance on few cores counts little.
         strain = (
             min(1.0, max(self.turned_share(), self.unread_mean() / self.lag))
-            * abs(gauges.core_use) ** 3
+            * abs(gauges.cpu_utilization) ** 3
         )
         self.press = max(0.0, min(1.0, self.press + PRESS_GAIN * (strain - PRESS_AIM)))
 
@@ -713,16 +769,16 @@
         Those far beyond use go early. But a full table turns newcomers back unread: cheap in a
         flood.
         """
-        spare = gauges.links > SPARE_LINKS * (self.facts.cores + len(self.live)) and not (
-            gauges.core_use >= FLOOD_USE and self.turned_share() > FLOOD
+        spare = gauges.connections > SPARE_LINKS * (self.facts.cores + len(self.live)) and not (
+            gauges.cpu_utilization >= FLOOD_USE and self.turned_share() > FLOOD
         )
         idle = min(
-            self.facts.idle,
+            self.facts.idle_timeout_ns,
             max(SPARE_IDLE, int(self.idle * CUT)) if spare else int(self.idle / CUT),
         )
         if idle != self.idle:
             self.idle = idle
-            self.do.idle(idle)
+            self.do.set_idle_timeout(idle)
 
     def pace_calls(self) -> None:
         # Queued calls press while they queue, or what is worth least takes as many of them as the
@@ -747,15 +803,19 @@
         facts, good = self.facts, self.stop == NEVER and not self.struck()
         if good != self.good:
             self.good = good
-            self.do.health(good)
-        if facts.free_value is FreeValue.FLOOR:
-            value = max(self.level(), self.service.relief.floor) if good else 1.0
-            if self.service.part:
-                self.do.tell_trial(max(self.level(), self.service.above.floor) if good else 1.0)
-        elif facts.free_value is FreeValue.WEIGHT:
+            self.do.set_health(good)
+        if facts.load_report_kind is LoadReportKind.PRIORITY_FLOOR:
+            value = max(self.level(), self.service.degradation.priority_floor) if good else 1.0
+            if self.service.trial_share:
+                self.do.report_trial_load(
+                    max(self.level(), self.service.trial_degradation.priority_floor)
+                    if good
+                    else 1.0
+                )
+        elif facts.load_report_kind is LoadReportKind.ROUTING_WEIGHT:
             value = 1 - self.press if good else 0.0
         elif (
-            facts.free_value is FreeValue.ALLOWANCE
+            facts.load_report_kind is LoadReportKind.CONCURRENCY_ALLOWANCE
         ):  # split over those with a txn here, of thousands
             here = len({case.txn.caller for case in self.live.values()})
             value = self.limit * (1 + ROOMY * (1 - self.press)) / max(1, here) if good else 0.0
@@ -763,17 +823,17 @@
             return
         if abs(value - self.told) > 0.01:
             self.told = value
-            self.do.tell(value)
+            self.do.report_load(value)
 
 
-Step = Callable[[Choice, Case], Any]
+Step = Callable[[AdmissionController, Case], Any]
 
 
 def _step(name: str) -> Step:
     """A method of `Choice`, or else an effect that is passed on as it is; `-` is none."""
     if name == "-":
         return lambda choice, case: None
-    return getattr(Choice, name, None) or (
+    return getattr(AdmissionController, name, None) or (
         lambda choice, case: getattr(choice.do, name)(case.txn.ref)
     )
 
--- a/burlloom/command/levels.py
+++ b/burlloom/command/levels.py
@@ -218,9 +218,9 @@
 
 
 def bare(plan: "Plan") -> list[Any]:
-    from ..interface import Relief
+    from ..interface import Degradation
 
-    return [Relief(level.name) for level in plan.levels]
+    return [Degradation(level.name) for level in plan.levels]
 
 
 def read_series(path: Path, names: tuple[str, ...]) -> list[tuple[float, dict[str, float]]]:
--- a/burlloom/desk/__init__.py
+++ b/burlloom/desk/__init__.py
@@ -2,7 +2,7 @@
 
 from .desk import Desk, Seat
 from .marks import Packed
-from .steps import AtCall, CallEnded, Kind, Leaving, Recalled, RunEnded, Step, Try
+from .steps import AtCall, CallEnded, Kind, Leaving, Recalled, RunEnded, Step, RequestAttempt
 
 __all__ = [
     "AtCall",
@@ -15,5 +15,5 @@
     "RunEnded",
     "Seat",
     "Step",
-    "Try",
+    "RequestAttempt",
 ]
--- a/burlloom/desk/desk.py
+++ b/burlloom/desk/desk.py
@@ -14,15 +14,27 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from ..choice import Choice
-from ..interface import Gauges, Outcome, Relief, Repeatable, ServerFacts, Service, Txn
+from ..choice import AdmissionController
+from ..interface import (
+    Gauges,
+    Outcome,
+    Degradation,
+    Idempotency,
+    ServerSettings,
+    ServiceLevel,
+    Request,
+)
 from .ledger import Ledger, Record, mark_of
-from .steps import AtCall, CallEnded, Kind, Leaving, Recalled, RunEnded, Step, Try
+from .steps import AtCall, CallEnded, Kind, Leaving, Recalled, RunEnded, Step, RequestAttempt
 
 log = logging.getLogger(__name__)
 
 MARKS_MOST = 40_000  # at some 500 bytes each
-COPY_OUTCOME = {Kind.SETTLE_AS: Outcome.OK, Kind.VOID: Outcome.FAILED, Kind.DECLINE: Outcome.MOOT}
+COPY_OUTCOME = {
+    Kind.SETTLE_AS: Outcome.OK,
+    Kind.VOID: Outcome.FAILED,
+    Kind.DECLINE: Outcome.NO_LONGER_NEEDED,
+}
 SLACK = 50_000_000  # by which the time limits are longer on sockets
 
 
@@ -58,7 +70,7 @@
 
     def __init__(
         self,
-        facts: ServerFacts,
+        facts: ServerSettings,
         names: tuple[str, ...],
         seed: int,
         clock: Callable[[], int],
@@ -72,8 +84,12 @@
         # This protocol has no command to leave a call out, so the decisions never hear that one may
         # be. Marks are kept in our own memory, not the executor's that the decisions count: a bound
         # on them is left.
-        products = tuple(replace(product, skip_share=0.0) for product in facts.products)
-        self.facts = replace(facts, products=products, key_kb=facts.memory_kb / MARKS_MOST)
+        products = tuple(
+            replace(product, value_share_without_call=0.0) for product in facts.request_classes
+        )
+        self.facts = replace(
+            facts, request_classes=products, idempotency_key_kb=facts.memory_kb / MARKS_MOST
+        )
         self.names, self.recalls, self.clock = names, recalls, clock
         self.loop = asyncio.get_running_loop()
         self.seats: dict[int, Seat] = {}
@@ -82,26 +98,28 @@
             str, list[int]
         ] = {}  # each with its index and how many of its txns have a seat
         self.given = self.indices = self.unanswered = 0
-        self.ledger = Ledger(max(product.expiry for product in facts.products), SLACK, results)
+        self.ledger = Ledger(
+            max(product.deadline_ns for product in facts.request_classes), SLACK, results
+        )
         self.wakes: list[tuple[int, int]] = []
         self.outbox: deque[tuple[Seat, Step]] = deque()
         self.copies: deque[tuple[int, Step]] = deque()
         self.handing = False
-        self.service = self.told_service = Service()
+        self.service = self.told_service = ServiceLevel()
         self.by_share = self.holding_back = False
         self.said_trial = ""
-        self.healthy, self.said, self.idle_for = True, "", facts.idle
+        self.healthy, self.said, self.idle_for = True, "", facts.idle_timeout_ns
         now = clock()
         # Its age is the executor's, which may be warm long before this process came.
-        self.choice = Choice(self.facts, seed, self, now - age)
-        self.choice.begin(now)
+        self.choice = AdmissionController(self.facts, seed, self, now - age)
+        self.choice.start(now)
 
     # What the server calls.
 
     def knows(self, id: str) -> bool:
         return id in self.refs
 
-    def take(self, txn: Try) -> Step | Seat:
+    def take(self, txn: RequestAttempt) -> Step | Seat:
         """Reads a txn. Most that are not held or run are over at once: those cost no coroutine.
         Else its seat, for `pick`.
         """
@@ -130,18 +148,18 @@
         ref = self.refs.get(id, -1)
         if ref >= 0 and not self.seats[ref].started and not self.seats[ref].answered:
             self.put(ref, Step(Kind.VOID))
-            self.choice.left(self.clock(), ref)
+            self.choice.caller_gone(self.clock(), ref)
             self.flush()
 
     def report(self, news: AtCall | RunEnded | CallEnded | Recalled | Leaving) -> None:
         now = self.clock()
         if isinstance(news, Leaving):
-            self.choice.leaving(now, news.noticed, news.stop)
+            self.choice.drain(now, news.noticed, news.stop)
         elif (ref := self.refs.get(news.id, -1)) < 0:
             log.info("event=late news=%s id=%s", type(news).__name__, news.id)
         elif isinstance(news, AtCall):
             self.seats[ref].body = news.body
-            self.choice.at_call(now, ref)
+            self.choice.call_requested(now, ref)
         elif isinstance(news, CallEnded):
             self.choice.call_ended(now, ref, news.outcome, news.took)
         elif isinstance(news, Recalled):
@@ -150,9 +168,11 @@
             self.run_ended(now, ref, news)
         self.flush()
 
-    def serve_at(self, service: Service) -> None:
+    def serve_at(self, service: ServiceLevel) -> None:
         """The level of service that holds from now on."""
-        self.by_share = service.relief.over or service.above.over
+        self.by_share = (
+            service.degradation.rejects_over_share or service.trial_degradation.rejects_over_share
+        )
         self.told_service = service
         self.serve()
 
@@ -165,31 +185,33 @@
         service = self.told_service
         if self.holding_back:
             service = replace(
-                service, relief=self.held(service.relief), above=self.held(service.above)
+                service,
+                degradation=self.held(service.degradation),
+                trial_degradation=self.held(service.trial_degradation),
             )
         self.service = service
-        self.choice.serve_at(self.clock(), service)
+        self.choice.set_service_level(self.clock(), service)
         self.flush()
 
-    def held(self, relief: Relief) -> Relief:
+    def held(self, relief: Degradation) -> Degradation:
         none = (False,) * len(self.names)
         return (
             relief
-            if relief.over
+            if relief.rejects_over_share
             else replace(
                 relief,
                 name=relief.name or "coming-back",
-                declined=relief.declined or none,
-                kept=relief.kept or none,
-                repeats=relief.repeats or none,
-                skips=relief.skips or none,
-                over=True,
+                rejected_classes=relief.rejected_classes or none,
+                cached_only_classes=relief.cached_only_classes or none,
+                retry_rejecting_classes=relief.retry_rejecting_classes or none,
+                call_skipping_classes=relief.call_skipping_classes or none,
+                rejects_over_share=True,
             )
         )
 
     def share_calls(self, share: float) -> None:
         """Our share of the calls below from now on, as the fleet deals it."""
-        self.choice.share_calls(self.clock(), share)
+        self.choice.set_call_quota(self.clock(), share)
         self.flush()
 
     def calls(self) -> tuple[int, int]:
@@ -203,9 +225,9 @@
         choice, oldest = self.choice, self.choice.oldest()
         age = 0.0
         if oldest is not None:
-            age = (self.clock() - choice.slept - oldest.since) / self.facts.products[
-                oldest.txn.product
-            ].sla
+            age = (self.clock() - choice.slept - oldest.since) / self.facts.request_classes[
+                oldest.txn.request_class
+            ].latency_objective_ns
         return age, choice.unread_mean() / choice.lag, choice.press
 
     def settle(self, mark: bytes, result: bytes | None) -> None:
@@ -227,9 +249,9 @@
         self.copies.extend((copy, Step(Kind.VOID)) for copy in self.ledger.drop(mark))
         self.flush()
 
-    def unknown(self, txn: Try) -> bytes:
+    def unknown(self, txn: RequestAttempt) -> bytes:
         """The mark of a referenced txn that nothing is known of here; else empty."""
-        if self.facts.products[txn.product].repeatable is not Repeatable.REFERENCED:
+        if self.facts.request_classes[txn.product].idempotency is not Idempotency.KEYED:
             return b""
         mark = mark_of(self.names[txn.product], txn.once, txn.body)
         return mark if self.ledger.holder(mark, txn.at) == -1 else b""
@@ -239,7 +261,7 @@
         now = self.clock()
         while self.wakes and self.wakes[0][0] <= now:
             _, handle = heapq.heappop(self.wakes)
-            self.choice.woke(now, handle, gauges)
+            self.choice.timer_fired(now, handle, gauges)
         self.ledger.sweep(now)
         self.flush()
         return self.due
@@ -250,15 +272,15 @@
 
     # Within.
 
-    def admit(self, txn: Try) -> Seat:
+    def admit(self, txn: RequestAttempt) -> Seat:
         now = self.clock()
-        product = self.facts.products[txn.product]
+        product = self.facts.request_classes[txn.product]
         mark = b""
-        if product.repeatable is Repeatable.REFERENCED:
+        if product.idempotency is Idempotency.KEYED:
             mark = mark_of(self.names[txn.product], txn.once, txn.body)
         elif (
-            (self.facts.fresh or product.stale)
-            and product.repeatable is Repeatable.INQUIRY
+            (self.facts.result_cache_ttl_ns or product.max_staleness_ns)
+            and product.idempotency is Idempotency.IDEMPOTENT
             and txn.key
         ):
             mark = mark_of(self.names[txn.product], txn.key, b"")
@@ -270,50 +292,50 @@
         ref = self.given
         self.given += 1
         seat = self.seats[ref] = Seat(
-            txn.id, txn.caller, mark, product.repeatable is Repeatable.INQUIRY
+            txn.id, txn.caller, mark, product.idempotency is Idempotency.IDEMPOTENT
         )
         self.refs[txn.id] = ref
         self.unanswered += 1
-        self.choice.arrived(
+        self.choice.request_arrived(
             now,
-            Txn(
+            Request(
                 ref=ref,
                 caller=caller[0],
-                product=txn.product,
+                request_class=txn.product,
                 cost=txn.cost,
-                unread=max(0, now - txn.at),
-                expiry_at=0,
-                kb=txn.kb,
-                rank=txn.rank,
+                unread_ns=max(0, now - txn.at),
+                deadline=0,
+                memory_kb=txn.kb,
+                priority=txn.rank,
                 repeat_of=self.ledger.holder(mark, txn.at, seat.inquiry)
                 if mark and self.counts(mark, txn, now)
                 else -1,
-                entry=txn.entry,
-                retry=txn.retry,
-                over=txn.over and self.by_share or txn.held_back,
-                lot=txn.lot,
+                is_recordable=txn.entry,
+                is_retry=txn.retry,
+                over_share=txn.over and self.by_share or txn.held_back,
+                sampling_draw=txn.lot,
             ),
         )
         return seat
 
-    def counts(self, mark: bytes, txn: Try, now: int) -> bool:
+    def counts(self, mark: bytes, txn: RequestAttempt, now: int) -> bool:
         """Whether what is known of this mark is to answer: what is only kept for a level does so
         only there.
         """
-        product, record = self.facts.products[txn.product], self.ledger.records.get(mark)
-        if not product.stale or record is None or record.waiting:
+        product, record = self.facts.request_classes[txn.product], self.ledger.records.get(mark)
+        if not product.max_staleness_ns or record is None or record.waiting:
             return True
         service = self.service
-        relief = service.above if txn.lot < service.part else service.relief
-        if relief.name and relief.kept[txn.product]:
+        relief = service.trial_degradation if txn.lot < service.trial_share else service.degradation
+        if relief.name and relief.cached_only_classes[txn.product]:
             return True
-        fresh = self.facts.fresh
+        fresh = self.facts.result_cache_ttl_ns
         return fresh > 0 and (
-            not record.over or now <= record.until - max(0, product.stale - fresh)
+            not record.over or now <= record.until - max(0, product.max_staleness_ns - fresh)
         )
 
     def run_ended(self, now: int, ref: int, news: RunEnded) -> None:
-        if news.outcome not in (Outcome.UNKEPT, Outcome.TAKEN):
+        if news.outcome not in (Outcome.NOT_RECORDED, Outcome.CLAIMED_ELSEWHERE):
             # A run that was begun for nobody is over unrun; whoever may still listen is told it
             # came to nothing.
             good = news.outcome is Outcome.OK
@@ -324,15 +346,15 @@
                 else Step(Kind.VOID),
             )
         record = self.ledger.of(ref)
-        if record is not None and not record.over and news.outcome is not Outcome.TAKEN:
+        if record is not None and not record.over and news.outcome is not Outcome.CLAIMED_ELSEWHERE:
             self.ledger.settle(record, news.result if news.outcome is Outcome.OK else None)
             # Where nothing ran, or the executor knew no such txn, its repeats have not run either.
-            unrun = news.outcome in (Outcome.MOOT, Outcome.UNKEPT)
+            unrun = news.outcome in (Outcome.NO_LONGER_NEEDED, Outcome.NOT_RECORDED)
             self.answer_copies(
                 record,
                 Step(Kind.DECLINE) if unrun else settled(record.result, self.seats[ref].mark),
             )
-        self.choice.ended(now, ref, news.outcome, news.took)
+        self.choice.run_ended(now, ref, news.outcome, news.took)
 
     def answer_copies(self, record: Record, told: Step) -> None:
         self.copies.extend((copy, told) for copy in record.waiting)
@@ -370,27 +392,27 @@
                 ref, step = self.copies.popleft()
                 if ref in self.seats and not self.seats[ref].answered:
                     self.put(ref, step)
-                    self.choice.ended(self.clock(), ref, COPY_OUTCOME[step.kind], 0)
+                    self.choice.run_ended(self.clock(), ref, COPY_OUTCOME[step.kind], 0)
 
     # What the decisions call.
 
-    def start(self, ref: int) -> None:
+    def start_run(self, ref: int) -> None:
         self.put(ref, Step(Kind.RUN, mark=self.seats[ref].mark))
 
-    def decline(self, ref: int, stay_away: int, final: bool) -> None:
+    def reject(self, ref: int, stay_away: int, final: bool) -> None:
         self.put(ref, Step(Kind.DECLINE, stay_away=stay_away, final=final))
 
-    def void(self, ref: int) -> None:
+    def fail(self, ref: int) -> None:
         self.put(ref, Step(Kind.VOID))
 
-    def call(self, ref: int, stop_at: int) -> None:
+    def start_call(self, ref: int, stop_at: int) -> None:
         seat = self.seats[ref]
         self.put(ref, Step(Kind.CALL, until=stop_at, repeatable=seat.inquiry, body=seat.body))
 
-    def leave_out(self, ref: int) -> None:
+    def skip_call(self, ref: int) -> None:
         raise NotImplementedError("this protocol has no command to leave a call out")
 
-    def keep(self, ref: int, lifetime: int) -> None:
+    def remember(self, ref: int, lifetime: int) -> None:
         if self.seats[ref].mark:
             stranded = self.ledger.keep(self.seats[ref].mark, ref, self.clock() + lifetime)
             self.copies.extend((copy, Step(Kind.VOID)) for copy in stranded)
@@ -401,7 +423,7 @@
                 (copy, Step(Kind.VOID)) for copy in self.ledger.drop(self.seats[ref].mark)
             )
 
-    def reuse(self, ref: int) -> None:
+    def reuse_result(self, ref: int) -> None:
         mark = self.seats[ref].mark
         record = self.ledger.records.get(mark)
         kept = (
@@ -416,22 +438,22 @@
         else:
             record.waiting.append(ref)
 
-    def health(self, good: bool) -> None:
+    def set_health(self, good: bool) -> None:
         self.healthy = good
 
-    def tell(self, value: float) -> None:
+    def report_load(self, value: float) -> None:
         self.said = f"{value:.4f}"
 
-    def tell_trial(self, value: float) -> None:
+    def report_trial_load(self, value: float) -> None:
         self.said_trial = f"{value:.4f}"
 
-    def idle(self, lifetime: int) -> None:
+    def set_idle_timeout(self, lifetime: int) -> None:
         self.idle_for = lifetime
 
-    def wake(self, delay: int, handle: int) -> None:
+    def schedule_timer(self, delay: int, handle: int) -> None:
         heapq.heappush(self.wakes, (self.clock() + delay, handle))
 
-    def note(self, text: str) -> None:
+    def log(self, text: str) -> None:
         log.info("event=note text=%r", text)
 
     def release(self, ref: int) -> None:
--- a/burlloom/desk/steps.py
+++ b/burlloom/desk/steps.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Try:
+class RequestAttempt:
     """One try of a txn, as its caller sent it; `cost` is 0 and the marks empty where none were
     told.
     """
--- a/burlloom/facts/__init__.py
+++ b/burlloom/facts/__init__.py
@@ -3,26 +3,26 @@
 from collections.abc import Sequence
 from typing import Any
 
-from ..interface import FreeValue, Gauges, Product, Repeatable, ServerFacts
+from ..interface import LoadReportKind, Gauges, RequestClass, Idempotency, ServerSettings
 
 MICRO = 1000
 
 REPEATABLE = {
-    "retryable": Repeatable.INQUIRY,
-    "dedup": Repeatable.REFERENCED,
-    "fragile": Repeatable.ONCE,
+    "retryable": Idempotency.IDEMPOTENT,
+    "dedup": Idempotency.KEYED,
+    "fragile": Idempotency.NON_IDEMPOTENT,
 }
 FREE_VALUE = {
-    "off": FreeValue.NONE,
-    "floor": FreeValue.FLOOR,
-    "allowance": FreeValue.ALLOWANCE,
-    "weight": FreeValue.WEIGHT,
+    "off": LoadReportKind.NONE,
+    "floor": LoadReportKind.PRIORITY_FLOOR,
+    "allowance": LoadReportKind.CONCURRENCY_ALLOWANCE,
+    "weight": LoadReportKind.ROUTING_WEIGHT,
 }
 GAUGE = {
-    "core_use": "core_use",
-    "on_cores": "on_cores",
-    "heap_share": "memory_share",
-    "links": "links",
+    "core_use": "cpu_utilization",
+    "on_cores": "runnable",
+    "heap_share": "memory_utilization",
+    "links": "connections",
 }
 
 
@@ -32,19 +32,19 @@
     )
 
 
-def facts(got: dict[str, Any]) -> tuple[ServerFacts, tuple[str, ...]]:
+def facts(got: dict[str, Any]) -> tuple[ServerSettings, tuple[str, ...]]:
     """The settings that the decisions read, and the order of the gauges."""
     extra, rules = got["extra"], got["rules"]
     skips = extra.get("class_skip_worth") or []
     products = tuple(
-        Product(
-            sla=int(c["aim"]) * MICRO,
-            sla_stretch=float(c.get("aim_stretch") or 0.0),
-            expiry=int(c["deadline"]) * MICRO,
-            repeatable=REPEATABLE[c["idempotency"]],
-            window=int(c.get("window") or 0) * MICRO,
-            late_share=float(c.get("late_share") or 0.0),
-            skip_share=float(skips[i]) if i < len(skips) else 0.0,
+        RequestClass(
+            latency_objective_ns=int(c["aim"]) * MICRO,
+            latency_objective_stretch=float(c.get("aim_stretch") or 0.0),
+            deadline_ns=int(c["deadline"]) * MICRO,
+            idempotency=REPEATABLE[c["idempotency"]],
+            idempotency_window_ns=int(c.get("window") or 0) * MICRO,
+            late_value_share=float(c.get("late_share") or 0.0),
+            value_share_without_call=float(skips[i]) if i < len(skips) else 0.0,
             value=float(c["worth"]),
         )
         for i, c in enumerate(got["categories"])
@@ -52,23 +52,23 @@
     limits = got.get("limits") or {}
     advice = int(limits.get("max_retry_after") or 0) if limits.get("retry_after", True) else 0
     shared = extra.get("depends_on") == "one_for_all"
-    known = ServerFacts(
+    known = ServerSettings(
         cores=int(extra["n_cores"]),
         memory_kb=float(extra["memory_kb"]),
-        run_factor=float(extra["blowup"]),
-        key_kb=float(extra.get("key_kb") or 0.0),
-        crowd=float(rules["tip_multiple"]),
-        cold=bool(extra.get("fresh_start")),
-        cold_from=float(rules["cold_from"]),
-        warm_up=int(rules["warm_up"]) * MICRO,
-        calls_share=float(extra.get("calls_out") or 0.0) if shared else 0.0,
-        calls_span=int(extra.get("calls_over") or 0) * MICRO,
-        linger=int(extra.get("lingers") or 0) * MICRO,
-        grace=int(rules["drain_grace"]) * MICRO,
-        advice_max=advice * MICRO,
-        fresh=int(extra.get("fresh_for") or 0) * MICRO,
-        idle=int(extra.get("idle") or 0) * MICRO,
-        free_value=FREE_VALUE[extra.get("say", "off")],
-        products=products,
+        running_memory_factor=float(extra["blowup"]),
+        idempotency_key_kb=float(extra.get("key_kb") or 0.0),
+        max_runs_per_core=float(rules["tip_multiple"]),
+        starts_cold=bool(extra.get("fresh_start")),
+        cold_speed_share=float(rules["cold_from"]),
+        warm_up_ns=int(rules["warm_up"]) * MICRO,
+        call_quota=float(extra.get("calls_out") or 0.0) if shared else 0.0,
+        call_quota_window_ns=int(extra.get("calls_over") or 0) * MICRO,
+        abandoned_call_linger_ns=int(extra.get("lingers") or 0) * MICRO,
+        drain_grace_ns=int(rules["drain_grace"]) * MICRO,
+        max_retry_after_ns=advice * MICRO,
+        result_cache_ttl_ns=int(extra.get("fresh_for") or 0) * MICRO,
+        idle_timeout_ns=int(extra.get("idle") or 0) * MICRO,
+        load_report_kind=FREE_VALUE[extra.get("say", "off")],
+        request_classes=products,
     )
     return known, tuple(extra.get("meters") or ())
--- a/burlloom/interface.py
+++ b/burlloom/interface.py
@@ -11,12 +11,12 @@
 from typing import Protocol
 
 
-class Repeatable(IntEnum):
+class Idempotency(IntEnum):
     """What a second run of a txn would do."""
 
-    INQUIRY = 0
-    REFERENCED = 1
-    ONCE = 2
+    IDEMPOTENT = 0
+    KEYED = 1
+    NON_IDEMPOTENT = 2
 
 
 class Outcome(IntEnum):
@@ -24,61 +24,63 @@
 
     OK = 0
     FAILED = 1
-    FULL = 2
+    OVERLOADED = 2
     TIMED_OUT = 3
-    UNREACHED = 4
-    BROKEN = 5
-    STOPPED = 6
-    MOOT = 7
-    TAKEN = 8  # of a run that was not begun: another server runs or ran it
-    UNKEPT = 9  # of a run that was not begun: its entry could not be kept
+    UNREACHABLE = 4
+    CONNECTION_LOST = 5
+    ABANDONED = 6
+    NO_LONGER_NEEDED = 7
+    CLAIMED_ELSEWHERE = 8  # of a run that was not begun: another server runs or ran it
+    NOT_RECORDED = 9  # of a run that was not begun: its entry could not be kept
 
 
-class FreeValue(Enum):
+class LoadReportKind(Enum):
     """What the value that rides on answers means to callers."""
 
     NONE = 0
-    FLOOR = 1
-    ALLOWANCE = 2
-    WEIGHT = 3
+    PRIORITY_FLOOR = 1
+    CONCURRENCY_ALLOWANCE = 2
+    ROUTING_WEIGHT = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Product:
-    sla: int
-    sla_stretch: float
-    expiry: int
-    repeatable: Repeatable
-    window: int
-    late_share: float
-    skip_share: float
+class RequestClass:
+    latency_objective_ns: int
+    latency_objective_stretch: float
+    deadline_ns: int
+    idempotency: Idempotency
+    idempotency_window_ns: int
+    late_value_share: float
+    value_share_without_call: float
     value: float
-    stale: int = 0  # how long a kept result may stand in at a level of service that says so
+    max_staleness_ns: int = (
+        0  # how long a kept result may stand in at a level of service that says so
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class ServerFacts:
+class ServerSettings:
     cores: int
     memory_kb: float
-    run_factor: float
-    key_kb: float
-    crowd: float
-    cold: bool
-    cold_from: float
-    warm_up: int
-    calls_share: float
-    calls_span: int
-    linger: int
-    grace: int
-    advice_max: int
-    fresh: int
-    idle: int
-    free_value: FreeValue
-    products: tuple[Product, ...]
+    running_memory_factor: float
+    idempotency_key_kb: float
+    max_runs_per_core: float
+    starts_cold: bool
+    cold_speed_share: float
+    warm_up_ns: int
+    call_quota: float
+    call_quota_window_ns: int
+    abandoned_call_linger_ns: int
+    drain_grace_ns: int
+    max_retry_after_ns: int
+    result_cache_ttl_ns: int
+    idle_timeout_ns: int
+    load_report_kind: LoadReportKind
+    request_classes: tuple[RequestClass, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Relief:
+class Degradation:
     """What a level of reduced service takes away, by product; the empty one takes nothing.
 
     `declined`: newcomers; `kept`: they are answered with a kept result or declined; `repeats`:
@@ -88,28 +90,28 @@
     """
 
     name: str = ""
-    declined: tuple[bool, ...] = ()
-    kept: tuple[bool, ...] = ()
-    repeats: tuple[bool, ...] = ()
-    skips: tuple[bool, ...] = ()
-    over: bool = False
-    hold: float = 1.0
-    floor: float = 0.0
+    rejected_classes: tuple[bool, ...] = ()
+    cached_only_classes: tuple[bool, ...] = ()
+    retry_rejecting_classes: tuple[bool, ...] = ()
+    call_skipping_classes: tuple[bool, ...] = ()
+    rejects_over_share: bool = False
+    queue_share: float = 1.0
+    priority_floor: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Service:
+class ServiceLevel:
     """The level in force, and the one above it: who has a lot under `part` is served there on
     trial.
     """
 
-    relief: Relief = Relief()
-    above: Relief = Relief()
-    part: float = 0.0
+    degradation: Degradation = Degradation()
+    trial_degradation: Degradation = Degradation()
+    trial_share: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Txn:
+class Request:
     """One try as it was read. `cost` and `expiry_at` are 0 where the caller told none, `repeat_of`
     -1.
 
@@ -120,45 +122,45 @@
 
     ref: int
     caller: int
-    product: int
+    request_class: int
     cost: int
-    unread: int
-    expiry_at: int
-    kb: float
-    rank: float
+    unread_ns: int
+    deadline: int
+    memory_kb: float
+    priority: float
     repeat_of: int
-    entry: bool = True
-    retry: bool = False
-    over: bool = False
-    lot: float = 0.0
+    is_recordable: bool = True
+    is_retry: bool = False
+    over_share: bool = False
+    sampling_draw: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
     """What a server measures of itself; -1 where it does not."""
 
-    core_use: float = -1.0
-    on_cores: float = -1.0
-    memory_share: float = -1.0
-    links: float = -1.0
+    cpu_utilization: float = -1.0
+    runnable: float = -1.0
+    memory_utilization: float = -1.0
+    connections: float = -1.0
 
 
 class Effects(Protocol):
-    def start(self, ref: int) -> None: ...
-    def decline(self, ref: int, stay_away: int, final: bool) -> None: ...
-    def void(self, ref: int) -> None: ...
-    def call(self, ref: int, stop_at: int) -> None: ...
-    def leave_out(self, ref: int) -> None: ...
-    def keep(self, ref: int, lifetime: int) -> None: ...
+    def start_run(self, ref: int) -> None: ...
+    def reject(self, ref: int, stay_away: int, final: bool) -> None: ...
+    def fail(self, ref: int) -> None: ...
+    def start_call(self, ref: int, stop_at: int) -> None: ...
+    def skip_call(self, ref: int) -> None: ...
+    def remember(self, ref: int, lifetime: int) -> None: ...
     def forget(self, ref: int) -> None: ...
-    def reuse(self, ref: int) -> None: ...
-    def health(self, good: bool) -> None: ...
-    def tell(self, value: float) -> None: ...
-    def tell_trial(self, value: float) -> None:
+    def reuse_result(self, ref: int) -> None: ...
+    def set_health(self, good: bool) -> None: ...
+    def report_load(self, value: float) -> None: ...
+    def report_trial_load(self, value: float) -> None:
         """What callers in a trial of the level above hear in its place."""
 
-    def idle(self, lifetime: int) -> None: ...
-    def wake(self, delay: int, handle: int) -> None: ...
-    def note(self, text: str) -> None: ...
+    def set_idle_timeout(self, lifetime: int) -> None: ...
+    def schedule_timer(self, delay: int, handle: int) -> None: ...
+    def log(self, text: str) -> None: ...
     def release(self, ref: int) -> None:
         """The decisions will not name this index again."""
--- a/burlloom/lab/callers.py
+++ b/burlloom/lab/callers.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ..rpc import Request
+from ..rpc import IncomingRequest
 from .load import Order
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
     ) -> None:
         self.caller, self.node, self.order, self.id, self.retry = caller, node, order, id, retry
         self.number = 1
-        self.asked: Request | None = None
+        self.asked: IncomingRequest | None = None
         self.answer, self.cut = "", False
 
     def settle(self, number: int, result: bytes) -> None:
--- a/burlloom/lab/clock.py
+++ b/burlloom/lab/clock.py
@@ -35,11 +35,11 @@
         """Unix time in ns."""
         return EPOCH + int(self.now * SECOND)
 
-    def call_at(
+    def call_at(  # type: ignore[override]
         self,
         when: float,
         callback: Callable[..., Any],
-        *args: Any,  # type: ignore[override]
+        *args: Any,
         context: Context | None = None,
     ) -> TimerHandle:
         handle = TimerHandle(when, callback, args, self, context)
--- a/burlloom/lab/node.py
+++ b/burlloom/lab/node.py
@@ -7,7 +7,7 @@
 
 from ..executor import End
 from ..facts import facts
-from ..rpc import Request
+from ..rpc import IncomingRequest
 from ..server.assembly import Server
 from ..server.configuration import Orders
 from .below import Pool
@@ -147,7 +147,7 @@
             product.kind == "once",
         )
         once, tenants = order.mark if product.kind == "referenced" else "", fleet.world.tenants
-        attempt.asked = Request(
+        attempt.asked = IncomingRequest(
             attempt,
             attempt.number,
             product.name,
--- a/burlloom/lab/rolls.py
+++ b/burlloom/lab/rolls.py
@@ -160,7 +160,7 @@
                 self.shelf,
                 node.name,
                 node.version,
-                server.orders.facts.products,
+                server.orders.facts.request_classes,
                 loop.wall,
                 server.tasks,
                 Host(self.emulator, node, server),
--- a/burlloom/lab/variants.py
+++ b/burlloom/lab/variants.py
@@ -19,7 +19,7 @@
         facts, orders = server.orders.facts, server.orders
         return Leveled(
             plan,
-            tuple(zip(orders.products, facts.products, strict=True)),
+            tuple(zip(orders.products, facts.request_classes, strict=True)),
             orders.tenants,
             facts.cores,
             lambda: server.clock(),
--- a/burlloom/levels/plan.py
+++ b/burlloom/levels/plan.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from ..interface import Product, Relief, Repeatable
+from ..interface import RequestClass, Degradation, Idempotency
 from .signals import Bounds
 
 DRAIN = "drain"
@@ -72,7 +72,7 @@
 
 
 def faults(
-    plan: Plan, products: Sequence[tuple[str, Product]] = (), signals: Sequence[str] = ()
+    plan: Plan, products: Sequence[tuple[str, RequestClass]] = (), signals: Sequence[str] = ()
 ) -> list[str]:
     """All that is wrong with it, each with its place; against these products, where they are
     known.
@@ -122,16 +122,18 @@
                 elif (
                     product is not None
                     and what == "kept"
-                    and product.repeatable is not Repeatable.INQUIRY
+                    and product.idempotency is not Idempotency.IDEMPOTENT
                 ):
                     found.append(
                         f"{place}.kept: {name} has an effect: what is kept of it can't stand for another's"
                     )
-                elif product is not None and what == "kept" and not product.stale:
+                elif product is not None and what == "kept" and not product.max_staleness_ns:
                     found.append(
                         f"{place}.kept: {name} allows no kept result; say for how long in kept_ms"
                     )
-                elif product is not None and what == "skips" and not product.skip_share:
+                elif (
+                    product is not None and what == "skips" and not product.value_share_without_call
+                ):
                     found.append(
                         f"{place}.skips: an answer of {name} is worth nothing without its calls here"
                     )
@@ -175,7 +177,7 @@
     )
 
 
-def reliefs(plan: Plan, products: Sequence[tuple[str, Product]]) -> tuple[Relief, ...]:
+def reliefs(plan: Plan, products: Sequence[tuple[str, RequestClass]]) -> tuple[Degradation, ...]:
     """Each level as the decisions take it. Raises `PlanFaults`."""
     wrong = faults(plan, products)
     if wrong:
@@ -184,7 +186,7 @@
     made = []
     for at, level in enumerate(plan.levels):
         if not at:
-            made.append(Relief())
+            made.append(Degradation())
             continue
         gone = (
             set(values[: level.gives_up])
@@ -198,14 +200,15 @@
         # Of what has an effect, a marked retry may be of one that ran elsewhere: only what may run
         # again is refused for it.
         repeats = tuple(
-            level.repeats and product.repeatable is Repeatable.INQUIRY for _, product in products
+            level.repeats and product.idempotency is Idempotency.IDEMPOTENT
+            for _, product in products
         )
         lowest = [
             product.value for (_, product), away in zip(products, declined, strict=True) if not away
         ]
         floor = sum(value < min(lowest) for value in values) / len(values) if lowest else 1.0
         made.append(
-            Relief(
+            Degradation(
                 level.name,
                 tuple(away and not stays for away, stays in zip(declined, kept, strict=True)),
                 kept,
--- a/burlloom/levels/watch.py
+++ b/burlloom/levels/watch.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from ..interface import Relief, Service
+from ..interface import Degradation, ServiceLevel
 from .ladder import PARTS, Change, Input, Ladder, Phase, Terms
 from .plan import Plan
 from .signals import NAMES, Bounds, Readings, Signals, low, reached
@@ -41,7 +41,7 @@
     def __init__(
         self,
         plan: Plan,
-        reliefs: tuple[Relief, ...],
+        reliefs: tuple[Degradation, ...],
         now: int,
         terms: Terms | None = None,
         *,
@@ -88,9 +88,9 @@
     def optional(self) -> bool:
         return self.plan.levels[self.standing.level].optional
 
-    def service(self) -> Service:
+    def service(self) -> ServiceLevel:
         at = self.standing.level
-        return Service(self.reliefs[at], self.reliefs[max(0, at - 1)], self.part)
+        return ServiceLevel(self.reliefs[at], self.reliefs[max(0, at - 1)], self.part)
 
     def round(self, now: int, readings: Readings) -> Moved | None:
         """Once a timer round; what it changed, if anything."""
--- a/burlloom/record/keeper.py
+++ b/burlloom/record/keeper.py
@@ -261,7 +261,9 @@
         fate = self.fates.get(id)
         if fate is not None:
             points.reached("ended")
-            what = {Outcome.OK: Input.PASS, Outcome.MOOT: Input.NOOP}.get(outcome, Input.FAIL)
+            what = {Outcome.OK: Input.PASS, Outcome.NO_LONGER_NEEDED: Input.NOOP}.get(
+                outcome, Input.FAIL
+            )
             fate.result = result if what is Input.PASS else b""
             self.meet(fate, what)
 
--- a/burlloom/rpc/__init__.py
+++ b/burlloom/rpc/__init__.py
@@ -1,6 +1,6 @@
 """Requests over MessagePack-RPC: the listener, its connections and their frames."""
 
 from .front import Front
-from .requests import Known, Request
+from .requests import Known, IncomingRequest
 
-__all__ = ["Front", "Known", "Request"]
+__all__ = ["Front", "Known", "IncomingRequest"]
--- a/burlloom/rpc/connection.py
+++ b/burlloom/rpc/connection.py
@@ -9,7 +9,7 @@
 
 from ..sockets import MS, Buffer, Ended, Inlet, Parting, Reason, Tasks, Writer, unread
 from . import frames
-from .requests import Known, Malformed, Request, request
+from .requests import Known, Malformed, IncomingRequest, request
 
 log = logging.getLogger(__name__)
 
@@ -33,8 +33,8 @@
     known: Known
     tasks: Tasks
     clock: Callable[[], int]
-    request: Callable[[Request], None]
-    lost: Callable[[Request], None]
+    request: Callable[[IncomingRequest], None]
+    lost: Callable[[IncomingRequest], None]
     serves: Callable[[str], bool]
     good: Callable[[], bool]
     leaving: bool
@@ -50,7 +50,7 @@
         self.front, self.sock, self.peer = front, sock, peer
         self.buffer, self.inlet = Buffer(READ_BYTES, 2 * frames.MOST), Inlet(sock)
         self.writer = Writer(sock, front.tasks, self.broken)
-        self.open: dict[int, Request] = {}
+        self.open: dict[int, IncomingRequest] = {}
         self.last_number = -1
         self.used = self.told_at = front.clock()
         self.partial_since = 0  # when the message that is not yet whole began
--- a/burlloom/rpc/front.py
+++ b/burlloom/rpc/front.py
@@ -8,7 +8,7 @@
 
 from ..sockets import MS, SECOND, Parting, Reason, Tasks, out_of_descriptors, ready, rest, unread
 from .connection import Connection
-from .requests import Known, Request
+from .requests import Known, IncomingRequest
 
 log = logging.getLogger(__name__)
 
@@ -40,8 +40,8 @@
         most: int,
         tasks: Tasks,
         clock: Callable[[], int],
-        request: Callable[[Request], None],
-        lost: Callable[[Request], None],
+        request: Callable[[IncomingRequest], None],
+        lost: Callable[[IncomingRequest], None],
         serves: Callable[[str], bool],
         good: Callable[[], bool],
         said: Callable[[str], str],
--- a/burlloom/rpc/requests.py
+++ b/burlloom/rpc/requests.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
+class IncomingRequest:
     """One try of a request as it was read, and the way back; its times and costs are in
     nanoseconds.
     """
@@ -104,7 +104,7 @@
 
 def request(
     way: Way, number_: int, request_class: str, params: list[Any], known: Known, now: int
-) -> Request:
+) -> IncomingRequest:
     if request_class not in known.classes:
         raise Malformed(f"class {request_class!r:.40}")
     if (
@@ -124,7 +124,7 @@
     kb, rank = number(fields, "kb", 0, KB_MOST), number(fields, "rank", 0, 1)
     if kb == 0 or kb == KB_MOST or rank == 1:
         raise Malformed("kb or rank")
-    return Request(
+    return IncomingRequest(
         way,
         number_,
         request_class,
--- a/burlloom/server/assembly.py
+++ b/burlloom/server/assembly.py
@@ -11,12 +11,23 @@
 from dataclasses import replace
 
 from ..catalogue import Answer, Pool
-from ..desk import AtCall, CallEnded, Desk, Kind, Leaving, Recalled, RunEnded, Seat, Step, Try
+from ..desk import (
+    AtCall,
+    CallEnded,
+    Desk,
+    Kind,
+    Leaving,
+    Recalled,
+    RunEnded,
+    Seat,
+    Step,
+    RequestAttempt,
+)
 from ..executor import End, Link
 from ..facts import gauges
-from ..interface import Gauges, Outcome, Repeatable, ServerFacts
+from ..interface import Gauges, Outcome, Idempotency, ServerSettings
 from ..naming import Reports
-from ..rpc import Front, Known, Request
+from ..rpc import Front, Known, IncomingRequest
 from ..sockets import MS, Tasks, out_of_descriptors, rest
 from .configuration import Broken, Orders, read
 from .distributing import Distributing, NoDistribution
@@ -41,18 +52,18 @@
 RUN_OUTCOME = {
     End.PASS: Outcome.OK,
     End.FAIL: Outcome.FAILED,
-    End.KILLED: Outcome.STOPPED,
-    End.NOOP: Outcome.MOOT,
-    End.BAD: Outcome.MOOT,
+    End.KILLED: Outcome.ABANDONED,
+    End.NOOP: Outcome.NO_LONGER_NEEDED,
+    End.BAD: Outcome.NO_LONGER_NEEDED,
 }
 CALL_OUTCOME = {
     Answer.WELL: Outcome.OK,
-    Answer.DECLINED: Outcome.FULL,
-    Answer.UNWANTED: Outcome.MOOT,
-    Answer.UNREACHED: Outcome.UNREACHED,
+    Answer.DECLINED: Outcome.OVERLOADED,
+    Answer.UNWANTED: Outcome.NO_LONGER_NEEDED,
+    Answer.UNREACHED: Outcome.UNREACHABLE,
     Answer.FAILED: Outcome.FAILED,
     Answer.OUT_OF_TIME: Outcome.TIMED_OUT,
-    Answer.BROKEN: Outcome.BROKEN,
+    Answer.BROKEN: Outcome.CONNECTION_LOST,
 }
 
 
@@ -69,15 +80,15 @@
         return self.last
 
 
-def room(sockets: int, facts: ServerFacts) -> int:
+def room(sockets: int, facts: ServerSettings) -> int:
     """How many connections of balancers there may be: so many calls as may be in hand find a
     descriptor besides.
     """
-    calls = facts.calls_share or facts.crowd * facts.cores
+    calls = facts.call_quota or facts.max_runs_per_core * facts.cores
     return max(sockets - max(RESERVE, OWN + math.ceil(calls)), sockets // 2)
 
 
-def answer(asked: Request, step: Step) -> None:
+def answer(asked: IncomingRequest, step: Step) -> None:
     match step.kind:
         case Kind.SETTLE | Kind.SETTLE_AS:
             asked.settle(step.body)
@@ -111,17 +122,17 @@
         self.rolling: Rolling = rolling(self) if rolling is not None else NoRolling()
         self.class_index = {name: index for index, name in enumerate(orders.products)}
         keyed = {
-            name: orders.facts.products[index].repeatable is Repeatable.REFERENCED
+            name: orders.facts.request_classes[index].idempotency is Idempotency.KEYED
             for name, index in self.class_index.items()
         }
         self.desk: Desk | None = None
-        self.serving: dict[str, Request] = {}
+        self.serving: dict[str, IncomingRequest] = {}
         self.over = asyncio.Event()
         self.address = listener.getsockname()
         known = Known(
             keyed,
             self.distribution.tenants(orders.tenants),
-            max(product.expiry for product in orders.facts.products),
+            max(product.deadline_ns for product in orders.facts.request_classes),
         )
         self.front = Front(
             listener,
@@ -198,21 +209,21 @@
     def said(self, caller: str) -> str:
         if self.desk is None:
             return ""
-        part = self.desk.service.part
+        part = self.desk.service.trial_share
         return self.desk.said_trial if part and self.levels.lot(caller) < part else self.desk.said
 
-    def lost(self, asked: Request) -> None:
+    def lost(self, asked: IncomingRequest) -> None:
         if self.desk is not None and self.desk.knows(asked.id):
             self.desk.withdraw(asked.id)
         else:
             self.serving.pop(asked.id, None)  # it is being looked up, for nobody now
             self.record.answered(asked.id)
 
-    def asked(self, asked: Request) -> None:
+    def asked(self, asked: IncomingRequest) -> None:
         if self.desk is None:
             asked.refuse(0, False)
             return
-        tried = Try(
+        tried = RequestAttempt(
             asked.id,
             asked.at,
             asked.caller,
@@ -235,13 +246,15 @@
         else:
             self.take(self.desk, asked, tried)
 
-    async def look(self, desk: Desk, asked: Request, tried: Try, mark: bytes) -> None:
+    async def look(
+        self, desk: Desk, asked: IncomingRequest, tried: RequestAttempt, mark: bytes
+    ) -> None:
         """Another node may have run it: one that ran is not refused."""
         await self.record.look(mark, asked.id, asked.at, tried.product)
         if self.serving.pop(asked.id, None) is not None:
             self.take(desk, asked, tried)
 
-    def take(self, desk: Desk, asked: Request, tried: Try) -> None:
+    def take(self, desk: Desk, asked: IncomingRequest, tried: RequestAttempt) -> None:
         if asked.retry and self.recovery.fenced() and desk.unknown(tried):
             # It may have run in a life whose marks are lost: neither run again nor refused.
             asked.fail()
@@ -256,7 +269,7 @@
         self.serving[asked.id] = asked
         self.tasks.start(self.serve(desk, asked, step), "request")
 
-    async def serve(self, desk: Desk, asked: Request, seat: Seat) -> None:
+    async def serve(self, desk: Desk, asked: IncomingRequest, seat: Seat) -> None:
         below: asyncio.Task[None] | None = None
         answered = False
         product = self.class_index[asked.request_class]
@@ -285,8 +298,10 @@
                 below.cancel()
             self.serving.pop(asked.id, None)
 
-    async def recall(self, desk: Desk, asked: Request, mark: bytes) -> None:
-        deadline = self.orders.facts.products[self.class_index[asked.request_class]].expiry
+    async def recall(self, desk: Desk, asked: IncomingRequest, mark: bytes) -> None:
+        deadline = self.orders.facts.request_classes[
+            self.class_index[asked.request_class]
+        ].deadline_ns
         desk.report(Recalled(asked.id, await self.record.recall(mark, asked.at + deadline)))
 
     def execute(self, id: str) -> None:
@@ -302,7 +317,7 @@
     async def call(self, desk: Desk, id: str, step: Step) -> None:
         began = self.clock()
         if not self.fleet.may_call():
-            desk.report(CallEnded(id, Outcome.FULL, 0))
+            desk.report(CallEnded(id, Outcome.OVERLOADED, 0))
             return
         answer, reply = await self.pool.call(id, step.body, step.until - began, step.repeatable)
         if answer is Answer.WELL:
@@ -335,7 +350,7 @@
         if self.desk is not None or self.leaving:
             return
         log.info("event=welcome cold=%s age_ms=%d", cold, age_ms)
-        facts = replace(self.orders.facts, cold=cold)
+        facts = replace(self.orders.facts, starts_cold=cold)
         results = self.orders.memory // RESULTS_SHARE
         self.desk = Desk(
             facts,
@@ -409,7 +424,7 @@
         them.
         """
         if self.desk is not None:
-            serve_until = min(now + self.orders.facts.grace, stop - 2 * LAST_WRITES)
+            serve_until = min(now + self.orders.facts.drain_grace_ns, stop - 2 * LAST_WRITES)
             await rest(serve_until - self.clock())
         self.front.leave()
         while self.front.connections and self.clock() < stop:
--- a/burlloom/server/configuration.py
+++ b/burlloom/server/configuration.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ..facts import facts
-from ..interface import ServerFacts
+from ..interface import ServerSettings
 from ..sockets import MS
 from .checked import faults
 
@@ -27,7 +27,7 @@
     catalogue: Address | None  # None at servers that call nothing below: they are told no address
     seed: int
     stop: int
-    facts: ServerFacts
+    facts: ServerSettings
     sockets: int
     memory: int
     products: tuple[str, ...]
--- a/burlloom/server/leveling.py
+++ b/burlloom/server/leveling.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from ..desk import Desk
-from ..interface import Gauges, Product
+from ..interface import Gauges, RequestClass
 from ..sockets import MS, SECOND
 
 if TYPE_CHECKING:
@@ -89,7 +89,7 @@
     def __init__(
         self,
         plan: Plan,
-        products: tuple[tuple[str, Product], ...],
+        products: tuple[tuple[str, RequestClass], ...],
         tenants: dict[str, float],
         cores: int,
         clock: Callable[[], int],
@@ -161,7 +161,7 @@
 
     def settled(self, product: int, at: int) -> None:
         now = self.clock()
-        self.late.add(now, now - at > self.products[product][1].sla)
+        self.late.add(now, now - at > self.products[product][1].latency_objective_ns)
 
     def called(self, well: bool) -> None:
         self.calls.add(self.clock(), not well)
@@ -184,8 +184,8 @@
     def readings(self, now: int, measured: Gauges) -> Any:
         age, lag, press = self.desk.strain() if self.desk is not None else (None, None, None)
         return self.of.Readings(
-            use=known(measured.core_use),
-            crowd=known(measured.on_cores / self.cores),
+            use=known(measured.cpu_utilization),
+            crowd=known(measured.runnable / self.cores),
             age=age,
             lag=lag,
             press=press,
@@ -193,7 +193,7 @@
             late=self.late.share(now) or 0.0,
             calls=self.calls.share(now) or 0.0,
             store=self.store() if self.store is not None else None,
-            memory=known(measured.memory_share),
+            memory=known(measured.memory_utilization),
             sockets=self.sockets(),
         )
 
--- a/burlloom/server/parts.py
+++ b/burlloom/server/parts.py
@@ -56,7 +56,7 @@
     record = operator.record
     if record is None:
         return None
-    slack = max(product.expiry for product in orders.facts.products)
+    slack = max(product.deadline_ns for product in orders.facts.request_classes)
     store, sealer = store_of(record, record.node or orders.name, keep=slack)
     terms = Terms(
         record.mode == "prefer",
@@ -67,12 +67,17 @@
     )
 
     def make(server: Server) -> Recorded:
-        products = orders.facts.products
+        products = orders.facts.request_classes
         made = Recorded(
             products, record.hold_share, server.clock, server.execute, record.postgres is not None
         )
         keeper = made.keeper = Keeper(
-            store, sealer, terms, max(product.sla for product in products), server.clock, made
+            store,
+            sealer,
+            terms,
+            max(product.latency_objective_ns for product in products),
+            server.clock,
+            made,
         )
         if operator.metrics is not None:
             made.exposed = exposed(operator.metrics)
@@ -96,10 +101,10 @@
             ]
         )
     products = tuple(
-        replace(product, stale=levels.kept_ms.get(name, 0) * MS)
-        for name, product in zip(names, orders.facts.products, strict=True)
+        replace(product, max_staleness_ns=levels.kept_ms.get(name, 0) * MS)
+        for name, product in zip(names, orders.facts.request_classes, strict=True)
     )
-    return replace(orders, facts=replace(orders.facts, products=products))
+    return replace(orders, facts=replace(orders.facts, request_classes=products))
 
 
 def leveled(operator: Operator, orders: Orders) -> Callable[[Server], Leveled] | None:
@@ -107,7 +112,10 @@
     told = operator.levels
     if told is None:
         return None
-    plan, products = told.plan(), tuple(zip(orders.products, orders.facts.products, strict=True))
+    plan, products = (
+        told.plan(),
+        tuple(zip(orders.products, orders.facts.request_classes, strict=True)),
+    )
     if lines := faults(plan, products, NAMES):
         raise Faults([f"levels.{line}" for line in lines])
 
@@ -151,9 +159,9 @@
     """The orders with a span over which a share of under one call is a share of time, where none is
     told.
     """
-    if operator.fleet is None or orders.facts.calls_span:
+    if operator.fleet is None or orders.facts.call_quota_window_ns:
         return orders
-    return replace(orders, facts=replace(orders.facts, calls_span=CALLS_SPAN))
+    return replace(orders, facts=replace(orders.facts, call_quota_window_ns=CALLS_SPAN))
 
 
 def fleeted(operator: Operator, orders: Orders) -> Callable[[Server], Fleeted] | None:
@@ -199,9 +207,11 @@
     if part is None:
         return None
     durable = operator.record is not None and operator.record.mode == "require"
-    terms = part.terms(max(product.window for product in facts.products), durable)
+    terms = part.terms(
+        max(product.idempotency_window_ns for product in facts.request_classes), durable
+    )
     lonely = operator.fleet is None and operator.record is None
-    alone = facts.calls_share or facts.crowd * facts.cores
+    alone = facts.call_quota or facts.max_runs_per_core * facts.cores
     file = Path(part.state_file) if part.state_file is not None else None
     return lambda server: Recovered(
         terms, orders.name, server.clock, lambda: server.fleet, alone, lonely, file
@@ -223,7 +233,7 @@
             shelf,
             orders.name,
             version,
-            orders.facts.products,
+            orders.facts.request_classes,
             server.clock,
             server.tasks,
             server,
--- a/burlloom/server/recording.py
+++ b/burlloom/server/recording.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from ..desk import Desk, Packed, RunEnded
-from ..interface import Outcome, Product, Repeatable
+from ..interface import Outcome, RequestClass, Idempotency
 from ..sockets import MS
 from .configuration import Broken
 
@@ -95,7 +95,7 @@
 
     def __init__(
         self,
-        products: tuple[Product, ...],
+        products: tuple[RequestClass, ...],
         hold_share: float,
         clock: Callable[[], int],
         execute: Callable[[str], None],
@@ -153,8 +153,10 @@
 
     def begin(self, mark: bytes, id: str, at: int, product: int) -> None:
         known = self.products[product]
-        if known.repeatable is Repeatable.REFERENCED:
-            self.keeper.begin(mark, id, at, at + known.window, known.sla)
+        if known.idempotency is Idempotency.KEYED:
+            self.keeper.begin(
+                mark, id, at, at + known.idempotency_window_ns, known.latency_objective_ns
+            )
         else:
             self.execute(id)
 
@@ -163,9 +165,10 @@
 
     async def durable(self, mark: bytes, at: int, product: int) -> None:
         known = self.products[product]
-        if known.repeatable is Repeatable.REFERENCED:
+        if known.idempotency is Idempotency.KEYED:
             until = min(
-                self.clock() + int(self.hold_share * known.sla), at + known.expiry - WAY_OUT
+                self.clock() + int(self.hold_share * known.latency_objective_ns),
+                at + known.deadline_ns - WAY_OUT,
             )
             await self.keeper.durable(mark, until)
             self.points.reached("answering")
@@ -176,7 +179,9 @@
 
     async def look(self, mark: bytes, id: str, at: int, product: int) -> None:
         known = self.products[product]
-        await self.keeper.look(mark, id, at + known.window, known.sla)
+        await self.keeper.look(
+            mark, id, at + known.idempotency_window_ns, known.latency_objective_ns
+        )
 
     async def recall(self, mark: bytes, until: int) -> bytes | None:
         return await self.keeper.recall(mark, until - WAY_OUT)
@@ -208,13 +213,13 @@
         self.execute(id)
 
     def refuse(self, id: str) -> None:
-        self.report(id, Outcome.UNKEPT)
+        self.report(id, Outcome.NOT_RECORDED)
 
     def unrun(self, id: str) -> None:
-        self.report(id, Outcome.MOOT)
+        self.report(id, Outcome.NO_LONGER_NEEDED)
 
     def follow(self, id: str) -> None:
-        self.report(id, Outcome.TAKEN)
+        self.report(id, Outcome.CLAIMED_ELSEWHERE)
 
     def report(self, id: str, outcome: Outcome) -> None:
         if self.desk is not None:
--- a/burlloom/server/rolling.py
+++ b/burlloom/server/rolling.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from ..desk import Kind
-from ..interface import Product
+from ..interface import RequestClass
 from ..sockets import MS, Tasks, rest
 from .fleeting import since_start
 
@@ -71,7 +71,7 @@
         shelf: Shelf,
         name: str,
         version: str,
-        products: tuple[Product, ...],
+        products: tuple[RequestClass, ...],
         clock: Callable[[], int],
         tasks: Tasks,
         host: Host,
@@ -112,7 +112,7 @@
     def answered(self, kind: Kind, product: int, at: int) -> None:
         if kind in (Kind.SETTLE, Kind.SETTLE_AS):
             self.counts[0] += 1
-            self.counts[1] += self.clock() - at > self.products[product].sla
+            self.counts[1] += self.clock() - at > self.products[product].latency_objective_ns
         else:
             self.counts[2 if kind is Kind.DECLINE else 3] += 1
 
--- a/burlloom/wirehost/codec.py
+++ b/burlloom/wirehost/codec.py
@@ -4,17 +4,17 @@
 
 from .. import facts
 from ..facts import MICRO
-from ..interface import Gauges, Outcome, ServerFacts
+from ..interface import Gauges, Outcome, ServerSettings
 
 OUTCOME = {
     "Ok": Outcome.OK,
     "Failed": Outcome.FAILED,
-    "QueueFull": Outcome.FULL,
+    "QueueFull": Outcome.OVERLOADED,
     "TimedOut": Outcome.TIMED_OUT,
-    "ConnectError": Outcome.UNREACHED,
-    "ResetByPeer": Outcome.BROKEN,
-    "Canceled": Outcome.STOPPED,
-    "Ignored": Outcome.MOOT,
+    "ConnectError": Outcome.UNREACHABLE,
+    "ResetByPeer": Outcome.CONNECTION_LOST,
+    "Canceled": Outcome.ABANDONED,
+    "Ignored": Outcome.NO_LONGER_NEEDED,
 }
 # name -> number of values after the name; the last value of BOOT is text to the end of the line
 EVENTS = {
@@ -64,5 +64,5 @@
     )
 
 
-def told(text: str) -> tuple[ServerFacts, tuple[str, ...]]:
+def told(text: str) -> tuple[ServerSettings, tuple[str, ...]]:
     return facts.facts(json.loads(text))
--- a/burlloom/wirehost/host.py
+++ b/burlloom/wirehost/host.py
@@ -2,9 +2,9 @@
 
 from typing import Any
 
-from ..choice import Choice
+from ..choice import AdmissionController
 from ..facts import MICRO
-from ..interface import ServerFacts, Txn
+from ..interface import ServerSettings, Request
 from . import codec
 from .codec import BadInput
 
@@ -13,7 +13,7 @@
     """One life of one simulated server; implements `interface.Effects`."""
 
     def __init__(
-        self, who: str, seed: int, facts: ServerFacts, meters: tuple[str, ...], now: int
+        self, who: str, seed: int, facts: ServerSettings, meters: tuple[str, ...], now: int
     ) -> None:
         self.who = who
         self.out: list[str] = []
@@ -23,7 +23,7 @@
         self.released: list[int] = []
         self.given = 0
         self.meters = meters
-        self.choice = Choice(facts, seed, self, now)
+        self.choice = AdmissionController(facts, seed, self, now)
 
     def ref(self, name: str) -> int:
         return self.refs.get(name, -1)
@@ -44,46 +44,46 @@
     def put(self, action: str, *values: object) -> None:
         self.out.append(" ".join((action, self.who, *map(str, values))))
 
-    def start(self, ref: int) -> None:
+    def start_run(self, ref: int) -> None:
         self.put("ADMIT", self.names[ref])
 
-    def decline(self, ref: int, stay_away: int, final: bool) -> None:
+    def reject(self, ref: int, stay_away: int, final: bool) -> None:
         self.put("REFUSE", self.names[ref], stay_away // MICRO, int(final))
 
-    def void(self, ref: int) -> None:
+    def fail(self, ref: int) -> None:
         self.put("END_FAILED", self.names[ref])
 
-    def call(self, ref: int, stop_at: int) -> None:
+    def start_call(self, ref: int, stop_at: int) -> None:
         self.put("DIAL", self.names[ref], stop_at // MICRO)
 
-    def leave_out(self, ref: int) -> None:
+    def skip_call(self, ref: int) -> None:
         self.put("GO_ON", self.names[ref])
 
-    def keep(self, ref: int, lifetime: int) -> None:
+    def remember(self, ref: int, lifetime: int) -> None:
         self.put("STORE_KEY", self.names[ref], lifetime // MICRO)
 
     def forget(self, ref: int) -> None:
         self.put("UNPIN", self.names[ref])
 
-    def reuse(self, ref: int) -> None:
+    def reuse_result(self, ref: int) -> None:
         self.put("ANSWER_FROM", self.names[ref])
 
-    def health(self, good: bool) -> None:
+    def set_health(self, good: bool) -> None:
         self.put("SET_HEALTH", int(good), 1)
 
-    def tell(self, value: float) -> None:
+    def report_load(self, value: float) -> None:
         self.put("STAMP", f"{value:.4f}")
 
-    def tell_trial(self, value: float) -> None:
+    def report_trial_load(self, value: float) -> None:
         raise NotImplementedError("no levels of service are set on this wire")
 
-    def idle(self, lifetime: int) -> None:
+    def set_idle_timeout(self, lifetime: int) -> None:
         self.put("TRIM_AFTER", lifetime // MICRO)
 
-    def wake(self, delay: int, handle: int) -> None:
+    def schedule_timer(self, delay: int, handle: int) -> None:
         self.put("SCHEDULE", delay // MICRO, handle)
 
-    def note(self, text: str) -> None:
+    def log(self, text: str) -> None:
         self.put("EMIT", text)
 
     def release(self, ref: int) -> None:
@@ -140,30 +140,30 @@
         choice = instance.choice
         if name == "WAKE":
             handle, gauges = int(values[2]), codec.gauges(instance.meters, values[3])
-            return lambda: choice.woke(now, handle, gauges)
+            return lambda: choice.timer_fired(now, handle, gauges)
         if name == "WIND_DOWN":
             stop = codec.nanos(values[2])
-            return lambda: choice.leaving(now, now, stop)
+            return lambda: choice.drain(now, now, stop)
         if name == "ASK":
             txn = self.txn(instance, values)
-            return lambda: choice.arrived(now, txn)
+            return lambda: choice.request_arrived(now, txn)
         ref = instance.ref(values[2])
         if name == "NEEDS":
-            return lambda: choice.at_call(now, ref)
+            return lambda: choice.call_requested(now, ref)
         if name == "LEFT":
-            return lambda: choice.left(now, ref)
+            return lambda: choice.caller_gone(now, ref)
         if name == "COMPLETED":
             outcome, took = codec.OUTCOME[values[3]], codec.nanos(values[4])
-            return lambda: choice.ended(now, ref, outcome, took)
+            return lambda: choice.run_ended(now, ref, outcome, took)
         took, outcome = codec.nanos(values[3]), codec.OUTCOME[values[4]]
         return lambda: choice.call_ended(now, ref, outcome, took)
 
     def boot(self, instance: Instance, now: int) -> None:
         self.instances[instance.who] = instance
-        instance.choice.begin(now)
+        instance.choice.start(now)
 
     @staticmethod
-    def txn(instance: Instance, values: list[str]) -> Txn:
+    def txn(instance: Instance, values: list[str]) -> Request:
         _, _, name, caller, bits, _, cost, product, unread, _, expiry_at, kb, rank, original = (
             values
         )
@@ -171,15 +171,15 @@
         if original not in ("-", "0"):
             # one that this life was never given counts as run: nothing here proves that it was not
             forerunner = instance.refs.get(original, -2)
-        return Txn(
+        return Request(
             ref=instance.admit(name),
             caller=instance.callers.setdefault(caller, len(instance.callers)),
-            product=int(product),
+            request_class=int(product),
             cost=codec.nanos(cost) if codec.whole(bits) & 1 else 0,
-            unread=codec.nanos(unread),
-            expiry_at=codec.nanos(expiry_at),
-            kb=codec.real(kb),
-            rank=codec.real(rank),
+            unread_ns=codec.nanos(unread),
+            deadline=codec.nanos(expiry_at),
+            memory_kb=codec.real(kb),
+            priority=codec.real(rank),
             repeat_of=forerunner,
         )
 
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -15,17 +15,25 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from burlloom.choice import Choice  # noqa: E402
-from burlloom.interface import FreeValue, Gauges, Outcome, Product, Repeatable, ServerFacts, Txn  # noqa: E402
+from burlloom.choice import AdmissionController  # noqa: E402
+from burlloom.interface import (
+    LoadReportKind,
+    Gauges,
+    Outcome,
+    RequestClass,
+    Idempotency,
+    ServerSettings,
+    Request,
+)  # noqa: E402
 
 MS = 1_000_000
 SECOND = 1000 * MS
 SPAN, LINGER, ROUND = 5 * SECOND, 200 * MS, 100 * MS
 
 
-def facts(share: float) -> ServerFacts:
-    product = Product(60 * SECOND, 0.0, 120 * SECOND, Repeatable.INQUIRY, 0, 0.0, 0.0, 1.0)
-    return ServerFacts(
+def facts(share: float) -> ServerSettings:
+    product = RequestClass(60 * SECOND, 0.0, 120 * SECOND, Idempotency.IDEMPOTENT, 0, 0.0, 0.0, 1.0)
+    return ServerSettings(
         4,
         1e9,
         4.0,
@@ -41,7 +49,7 @@
         0,
         0,
         9 * SECOND,
-        FreeValue.NONE,
+        LoadReportKind.NONE,
         (product,),
     )
 
@@ -54,16 +62,16 @@
     def __init__(self, world: "World", seed: int) -> None:
         self.world, self.chance = world, Random(seed)
         self.life = 0
-        self.choice: Choice | None = None
+        self.choice: AdmissionController | None = None
 
     def begin_life(self) -> None:
         self.life += 1
         self.given = 0
         self.asleep = False
-        self.choice = Choice(
+        self.choice = AdmissionController(
             facts(self.world.share), self.chance.getrandbits(64), self, self.world.now
         )
-        self.choice.begin(self.world.now)
+        self.choice.start(self.world.now)
         for _ in range(4):
             self.ask()
 
@@ -78,7 +86,7 @@
     def ask(self) -> None:
         ref, self.given = self.given, self.given + 1
         assert self.choice is not None
-        self.choice.arrived(self.world.now, Txn(ref, 0, 0, 0, 0, 0, 10.0, 0.9, -1))
+        self.choice.request_arrived(self.world.now, Request(ref, 0, 0, 0, 0, 0, 10.0, 0.9, -1))
 
     # What the decisions do.
 
@@ -150,11 +158,11 @@
             if server.asleep:
                 self.at(self.now + ROUND, "round", server, life)
                 return
-            server.choice.woke(self.now, 0, Gauges(core_use=0.2, on_cores=0.5))
+            server.choice.timer_fired(self.now, 0, Gauges(cpu_utilization=0.2, runnable=0.5))
             for ref in [
                 ref for ref, case in server.choice.live.items() if case.state.name == "RUN"
             ]:
-                server.choice.at_call(self.now, ref)
+                server.choice.call_requested(self.now, ref)
             while len(server.choice.live) < 4:
                 server.ask()
 
@@ -172,12 +180,12 @@
         assert server.choice is not None
         server.choice.call_ended(self.now, ref, outcome, took)
         if outcome is Outcome.OK:
-            server.choice.ended(self.now, ref, Outcome.OK, took)
+            server.choice.run_ended(self.now, ref, Outcome.OK, took)
             server.ask()
             for other in [
                 ref for ref, case in server.choice.live.items() if case.state.name == "RUN"
             ]:
-                server.choice.at_call(self.now, other)
+                server.choice.call_requested(self.now, other)
 
     def starts(self, server: Server) -> None:
         server.begin_life()
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -21,7 +21,7 @@
 from burlloom.record.rows import BEGUN, Kind, Row, Word, Write, answer, applied
 from burlloom.record.seal import Sealer
 from burlloom.record.store import Done, Opened
-from burlloom.rpc import Request
+from burlloom.rpc import IncomingRequest
 from burlloom.server import assembly
 from burlloom.server.configuration import Orders
 from burlloom.server.recording import Recorded
@@ -209,7 +209,9 @@
 
         def make(server: assembly.Server) -> Recorded:
             server.clock = loop.wall  # type: ignore[assignment]
-            made = Recorded(known.products, 0.1, loop.wall, server.execute, world.nodes_count > 1)
+            made = Recorded(
+                known.request_classes, 0.1, loop.wall, server.execute, world.nodes_count > 1
+            )
             made.keeper = Keeper(store, SEALER, terms, 1500 * MS, loop.wall, made)
             return made
 
@@ -328,7 +330,7 @@
         self.count["tries"] += 1
         id = f"{self.chance.getrandbits(64):016x}"
         node.server.asked(
-            Request(
+            IncomingRequest(
                 way,
                 len(self.ways),
                 "pay",
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -4,7 +4,7 @@
 
 from rig import GIVEN
 
-from burlloom.desk import Desk, Kind, Leaving, Seat, Step, Try
+from burlloom.desk import Desk, Kind, Leaving, Seat, Step, RequestAttempt
 from burlloom.facts import facts
 from burlloom.interface import Gauges
 
@@ -18,8 +18,8 @@
     now = [1000 * SECOND]
     known, _ = facts(GIVEN["settings"])
 
-    def tried(id: str) -> Try:
-        return Try(id, now[0], "caller", 0, 0, 1.0, 0.5, "", "", b"")
+    def tried(id: str) -> RequestAttempt:
+        return RequestAttempt(id, now[0], "caller", 0, 0, 1.0, 0.5, "", "", b"")
 
     async def story() -> None:
         desk = Desk(known, ("look", "pay"), 1, lambda: now[0], 100 * SECOND, 1 << 20)
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from test_fleet import fleet
 
-from burlloom.interface import Product, Relief, Repeatable
+from burlloom.interface import RequestClass, Degradation, Idempotency
 from burlloom.lab import play
 from burlloom.lab.emulator import Watch
 from burlloom.lab.variants import VARIANTS, leveler
@@ -39,11 +39,13 @@
 from burlloom.levels.signals import NAMES, Signals
 
 
-def product(value: float, kind: Repeatable = Repeatable.INQUIRY, stale: int = 0) -> Product:
-    return Product(2 * SECOND, 0.0, 6 * SECOND, kind, 18 * SECOND, 0.0, 0.0, value, stale)
+def product(
+    value: float, kind: Idempotency = Idempotency.IDEMPOTENT, stale: int = 0
+) -> RequestClass:
+    return RequestClass(2 * SECOND, 0.0, 6 * SECOND, kind, 18 * SECOND, 0.0, 0.0, value, stale)
 
 
-PRODUCTS = (("look", product(1)), ("set", product(2)), ("pay", product(5, Repeatable.REFERENCED)))
+PRODUCTS = (("look", product(1)), ("set", product(2)), ("pay", product(5, Idempotency.KEYED)))
 
 
 def coarse(tick: int, levels: int, **more: Any) -> Terms:
@@ -212,16 +214,16 @@
 
 def test_what_the_shipped_levels_take_away() -> None:
     normal, lean, essential, highest, drain = reliefs(DEFAULT, PRODUCTS)
-    assert normal == Relief()
-    assert lean.declined == (False, False, False)
-    assert lean.repeats == (True, True, False)
-    assert lean.over
-    assert essential.declined == (True, False, False)
-    assert round(essential.floor, 2) == 0.33
-    assert highest.declined == (True, True, False)
-    assert highest.hold == 0.5
-    assert drain.declined == (True, True, True)
-    assert drain.floor == 1
+    assert normal == Degradation()
+    assert lean.rejected_classes == (False, False, False)
+    assert lean.retry_rejecting_classes == (True, True, False)
+    assert lean.rejects_over_share
+    assert essential.rejected_classes == (True, False, False)
+    assert round(essential.priority_floor, 2) == 0.33
+    assert highest.rejected_classes == (True, True, False)
+    assert highest.queue_share == 0.5
+    assert drain.rejected_classes == (True, True, True)
+    assert drain.priority_floor == 1
 
 
 def test_all_faults_of_a_plan_at_once() -> None:
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -20,7 +20,7 @@
 
 from burlloom.catalogue import Answer, Pool
 from burlloom.executor import Link
-from burlloom.rpc import Front, Known, Request
+from burlloom.rpc import Front, Known, IncomingRequest
 from burlloom.sockets import MS, SECOND, Reason, Tasks
 from burlloom.standins.parts import fields
 
@@ -33,7 +33,11 @@
     """
 
     def __init__(self, most: int = 8) -> None:
-        self.now, self.asked, self.lost = time.time_ns(), list[Request](), list[Request]()
+        self.now, self.asked, self.lost = (
+            time.time_ns(),
+            list[IncomingRequest](),
+            list[IncomingRequest](),
+        )
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = self.listener.getsockname()
         self.front = Front(
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -20,13 +20,21 @@
 
 import pytest
 
-from burlloom.choice import Choice
-from burlloom.interface import FreeValue, Gauges, Outcome, Product, Repeatable, ServerFacts, Txn
+from burlloom.choice import AdmissionController
+from burlloom.interface import (
+    LoadReportKind,
+    Gauges,
+    Outcome,
+    RequestClass,
+    Idempotency,
+    ServerSettings,
+    Request,
+)
 
 MS = 1_000_000
 SHOWN = {"start", "decline", "void", "call", "leave_out", "keep", "forget", "reuse"}
-PRODUCT = Product(2000 * MS, 0.0, 6000 * MS, Repeatable.INQUIRY, 0, 0.0, 0.0, 1.0)
-FACTS = ServerFacts(
+PRODUCT = RequestClass(2000 * MS, 0.0, 6000 * MS, Idempotency.IDEMPOTENT, 0, 0.0, 0.0, 1.0)
+FACTS = ServerSettings(
     2,
     1000.0,
     4.0,
@@ -42,7 +50,7 @@
     1000 * MS,
     0,
     9000 * MS,
-    FreeValue.NONE,
+    LoadReportKind.NONE,
     (PRODUCT,),
 )
 TIMES = {
@@ -74,7 +82,7 @@
         name, text = word.split("=")
         assert name in known, name
         if name in ("repeatable", "free_value"):
-            values[name] = (Repeatable if name == "repeatable" else FreeValue)[text]
+            values[name] = (Idempotency if name == "repeatable" else LoadReportKind)[text]
         else:
             values[name] = (
                 int(float(text) * MS) if name in TIMES else type(getattr(start, name))(float(text))
@@ -82,7 +90,7 @@
     return replace(start, **values)
 
 
-def send(choice: Choice, names: list[str], now: int, words: list[str]) -> None:
+def send(choice: AdmissionController, names: list[str], now: int, words: list[str]) -> None:
     event, *rest = words
     if rest and "," in rest[0]:
         for name in rest[0].split(","):
@@ -92,9 +100,9 @@
         told = dict(word.split("=") for word in rest[1:])
         names.append(rest[0])
         first = told.get("of", "-")
-        choice.arrived(
+        choice.request_arrived(
             now,
-            Txn(
+            Request(
                 len(names) - 1,
                 int(told.get("caller", 0)),
                 int(told.get("product", 0)),
@@ -108,17 +116,19 @@
         )
     elif event == "wake":
         told = dict(word.split("=") for word in rest)
-        gauges = Gauges(core_use=1.0, links=0.0)
-        choice.woke(now, 0, replace(gauges, **{name: float(value) for name, value in told.items()}))
+        gauges = Gauges(cpu_utilization=1.0, connections=0.0)
+        choice.timer_fired(
+            now, 0, replace(gauges, **{name: float(value) for name, value in told.items()})
+        )
     elif event == "leave":
-        choice.leaving(now, now, int(rest[0]) * MS)
+        choice.drain(now, now, int(rest[0]) * MS)
     else:
         ref = names.index(rest[0]) if rest[0] in names else len(names) + 7
         if event in ("done", "called"):
-            call = choice.ended if event == "done" else choice.call_ended
+            call = choice.run_ended if event == "done" else choice.call_ended
             call(now, ref, Outcome[rest[1]], int(rest[2]) * MS if len(rest) > 2 else 0)
         else:
-            {"calls": choice.at_call, "left": choice.left}[event](now, ref)
+            {"calls": choice.call_requested, "left": choice.caller_gone}[event](now, ref)
 
 
 SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
@@ -141,8 +151,8 @@
             products.append(changed(PRODUCT, words[1:]))
             continue
         if choice is None:
-            facts = replace(facts, products=tuple(products) or facts.products)
-            choice = Choice(facts, 1, recorder, 0)
+            facts = replace(facts, request_classes=tuple(products) or facts.request_classes)
+            choice = AdmissionController(facts, 1, recorder, 0)
             choice.begin(0)
         told, _, wanted = line.partition("->")
         when, *words = told.split()
