--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -22,7 +22,7 @@
 from cold_fleet import bound, worst_mean  # noqa: E402
 from rig import Rig, soon  # noqa: E402
 
-from burlloom.standins.parts import Catalogue, Reply, fields  # noqa: E402
+from burlloom.fakes.parts import Catalogue, Reply, fields  # noqa: E402
 
 SPAN = 5.0  # over which the budget of calls is a mean
 BUSY = "while True: pass"  # what keeps a core from those that start
--- a/benchmarks/kill_restart.py
+++ b/benchmarks/kill_restart.py
@@ -38,9 +38,9 @@
 
 from rig import Rig  # noqa: E402
 
+from burlloom.fakes.parts import fields  # noqa: E402
+from burlloom.fakes.postgres import Postgres  # noqa: E402
 from burlloom.record import points  # noqa: E402
-from burlloom.standins.parts import fields  # noqa: E402
-from burlloom.standins.postgres import Postgres  # noqa: E402
 
 DUE, WINDOW = 6.0, 18.0
 MOMENTS = ("random", *points.NAMES)
@@ -160,7 +160,7 @@
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "burlloom.standins.postgres",
+            "burlloom.fakes.postgres",
             str(self.folder),
             self.address.split(":")[1],
             cwd=ROOT,
--- a/benchmarks/marks.py
+++ b/benchmarks/marks.py
@@ -17,8 +17,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from burlloom.desk.ledger import Ledger  # noqa: E402
-from burlloom.desk.marks import Packed, Wheel  # noqa: E402
+from burlloom.dispatcher.ledger import Ledger  # noqa: E402
+from burlloom.dispatcher.marks import Packed, Wheel  # noqa: E402
 
 SECOND = 1_000_000_000
 WINDOW = 18 * SECOND
--- a/benchmarks/record_rates.py
+++ b/benchmarks/record_rates.py
@@ -26,13 +26,13 @@
 
 from rig import Rig  # noqa: E402
 
+from burlloom.fakes.parts import Balancer, fields  # noqa: E402
+from burlloom.fakes.postgres import Postgres as StandIn  # noqa: E402
 from burlloom.record.fate import Input  # noqa: E402
 from burlloom.record.postgres import Postgres  # noqa: E402
 from burlloom.record.rows import BEGUN, KEPT, Kind, Row, Word, Write  # noqa: E402
 from burlloom.record.seal import Sealer, key  # noqa: E402
 from burlloom.record.sqlite import Sqlite  # noqa: E402
-from burlloom.standins.parts import Balancer, fields  # noqa: E402
-from burlloom.standins.postgres import Postgres as StandIn  # noqa: E402
 
 SEALER = Sealer(b"k" * 32)
 RESULT = b"r" * 200
--- a/benchmarks/scale_real.py
+++ b/benchmarks/scale_real.py
@@ -22,8 +22,8 @@
 from hdrh.histogram import HdrHistogram  # noqa: E402
 from rig import Rig, until  # noqa: E402
 
+from burlloom.fakes.parts import Catalogue, Reply, fields  # noqa: E402
 from burlloom.lab.rules import Rules  # noqa: E402
-from burlloom.standins.parts import Catalogue, Reply, fields  # noqa: E402
 
 CALL_S = 0.02  # that a call below takes
 CALLING = 4  # one request in so many makes a call below
--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -40,11 +40,11 @@
 )
 from scale_swarms import after_cut, after_deaths, after_restart, metered, swarm_of
 
+from burlloom.discovery.reports import EVERY, Reports
 from burlloom.fleet import CALL, Fleet, Habits, State, Word, spread, summary
 from burlloom.fleet.deal import Told
 from burlloom.fleet.letters import Kind, Letter, seal, unseal
 from burlloom.lab.slopes import Row, exponent_word, fit, keep
-from burlloom.naming.reports import EVERY, Reports
 from burlloom.rollout import Book, Budget, Member, hand
 from burlloom.rollout.stores import book_of, text_of
 from burlloom.rollout.stores.sqlite import Sqlite
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -28,7 +28,7 @@
 
 sys.path[:0] = [str(Path(__file__).parent), str(Path(__file__).parent.parent / "tests")]
 
-from burlloom.standins.parts import Catalogue, Executor, Reply, fields  # noqa: E402
+from burlloom.fakes.parts import Catalogue, Executor, Reply, fields  # noqa: E402
 
 SECOND = 1_000_000_000
 OPEN_MOST = 32  # of one connection, as the server has it
--- a/burlloom/wirehost/__main__.py
+++ b/burlloom/bench_adapter/__main__.py
@@ -1,10 +1,10 @@
-"""`python -m burlloom.wirehost`: reads batches on standard input, answers each on standard
+"""`python -m burlloom.bench_adapter`: reads batches on standard input, answers each on standard
 output.
 """
 
 import sys
 
-from ..facts import MICRO
+from ..settings import MICRO
 from .codec import BadInput
 from .host import Host
 
@@ -43,7 +43,7 @@
     try:
         serve()
     except (BadInput, UnicodeDecodeError) as error:
-        print(f"burlloom.wirehost: {error}", file=sys.stderr)
+        print(f"burlloom.bench_adapter: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/burlloom/wirehost/codec.py
+++ b/burlloom/bench_adapter/codec.py
@@ -2,9 +2,9 @@
 
 import json
 
-from .. import facts
-from ..facts import MICRO
+from .. import settings as facts
 from ..interface import Gauges, Outcome, ServerSettings
+from ..settings import MICRO
 
 OUTCOME = {
     "Ok": Outcome.OK,
--- a/burlloom/wirehost/host.py
+++ b/burlloom/bench_adapter/host.py
@@ -3,8 +3,8 @@
 from typing import Any
 
 from ..choice import AdmissionController
-from ..facts import MICRO
-from ..interface import ServerSettings, Request
+from ..interface import Request, ServerSettings
+from ..settings import MICRO
 from . import codec
 from .codec import BadInput
 
--- a/burlloom/choice.py
+++ b/burlloom/choice.py
@@ -17,15 +17,15 @@
 from typing import Any
 
 from .interface import (
+    Degradation,
     Effects,
-    LoadReportKind,
     Gauges,
-    Outcome,
-    Degradation,
     Idempotency,
+    LoadReportKind,
+    Outcome,
+    Request,
     ServerSettings,
     ServiceLevel,
-    Request,
 )
 
 MS = 1_000_000
--- a/burlloom/command/demo.py
+++ b/burlloom/command/demo.py
@@ -16,7 +16,7 @@
 
 import click
 
-from ..standins.parts import Balancer, Catalogue, Executor, NameService, Reply, fields
+from ..fakes.parts import Balancer, Catalogue, Executor, NameService, Reply, fields
 
 START_WAIT = 20.0  # s
 SETTINGS = {
--- a/burlloom/desk/__init__.py
+++ b/burlloom/dispatcher/__init__.py
@@ -2,7 +2,7 @@
 
 from .desk import Desk, Seat
 from .marks import Packed
-from .steps import AtCall, CallEnded, Kind, Leaving, Recalled, RunEnded, Step, RequestAttempt
+from .steps import AtCall, CallEnded, Kind, Leaving, Recalled, RequestAttempt, RunEnded, Step
 
 __all__ = [
     "AtCall",
--- a/burlloom/desk/desk.py
+++ b/burlloom/dispatcher/desk.py
@@ -16,16 +16,16 @@
 
 from ..choice import AdmissionController
 from ..interface import (
-    Gauges,
-    Outcome,
     Degradation,
+    Gauges,
     Idempotency,
+    Outcome,
+    Request,
     ServerSettings,
     ServiceLevel,
-    Request,
 )
 from .ledger import Ledger, Record, mark_of
-from .steps import AtCall, CallEnded, Kind, Leaving, Recalled, RunEnded, Step, RequestAttempt
+from .steps import AtCall, CallEnded, Kind, Leaving, Recalled, RequestAttempt, RunEnded, Step
 
 log = logging.getLogger(__name__)
 
--- a/burlloom/standins/postgres.py
+++ b/burlloom/fakes/postgres.py
@@ -6,7 +6,7 @@
 writes at a time; a reader sees what was committed. SQL is passed to SQLite after small changes, so
 it understands what our store says, and no more.
 
-    python -m burlloom.standins.postgres FOLDER [PORT [PASSWORD]]
+    python -m burlloom.fakes.postgres FOLDER [PORT [PASSWORD]]
 """
 
 import asyncio
--- a/burlloom/lab/below.py
+++ b/burlloom/lab/below.py
@@ -6,7 +6,7 @@
 
 from numpy.random import Generator
 
-from ..catalogue import Answer
+from ..downstream import Answer
 from .clock import SECOND, SimulatedLoop
 from .load import lognormal
 from .world import Below
--- a/burlloom/lab/capacity.py
+++ b/burlloom/lab/capacity.py
@@ -146,7 +146,7 @@
 GOSSIP = "gossip in one view of all (burlloom/fleet, SWIM)"
 DEALING = "one dealer answers each report (burlloom/fleet)"
 CONNECTIONS = "a bound of connections, limits.sockets (burlloom/rpc)"
-NAMING = "a datagram each 200 ms (burlloom/naming)"
+NAMING = "a datagram each 200 ms (burlloom/discovery)"
 RELEASE = "one leader and one book (burlloom/rollout)"
 FILE = "a file a server, read whole at a reload"
 TABLE = "Table: sorted leaves in 256 buckets (burlloom/distribution/table.py)"
--- a/burlloom/lab/fleets.py
+++ b/burlloom/lab/fleets.py
@@ -11,9 +11,9 @@
 
 from numpy.random import default_rng
 
-from ..catalogue import Pool
-from ..catalogue.spread import Pools
-from ..desk import Desk
+from ..dispatcher import Desk
+from ..downstream import Pool
+from ..downstream.spread import Pools
 from ..fleet import CALL, Fleet, Habits, State, Terms, Word
 from ..server.assembly import Server
 from ..server.fleeting import Fleeting, Share, shares
--- a/burlloom/lab/node.py
+++ b/burlloom/lab/node.py
@@ -6,10 +6,10 @@
 from typing import TYPE_CHECKING
 
 from ..executor import End
-from ..facts import facts
 from ..rpc import IncomingRequest
 from ..server.assembly import Server
 from ..server.configuration import Orders
+from ..settings import facts
 from .below import Pool
 from .clock import SECOND
 from .load import Order
--- a/burlloom/levels/plan.py
+++ b/burlloom/levels/plan.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from ..interface import RequestClass, Degradation, Idempotency
+from ..interface import Degradation, Idempotency, RequestClass
 from .signals import Bounds
 
 DRAIN = "drain"
--- a/burlloom/rpc/connection.py
+++ b/burlloom/rpc/connection.py
@@ -9,7 +9,7 @@
 
 from ..sockets import MS, Buffer, Ended, Inlet, Parting, Reason, Tasks, Writer, unread
 from . import frames
-from .requests import Known, Malformed, IncomingRequest, request
+from .requests import IncomingRequest, Known, Malformed, request
 
 log = logging.getLogger(__name__)
 
--- a/burlloom/rpc/front.py
+++ b/burlloom/rpc/front.py
@@ -8,7 +8,7 @@
 
 from ..sockets import MS, SECOND, Parting, Reason, Tasks, out_of_descriptors, ready, rest, unread
 from .connection import Connection
-from .requests import Known, IncomingRequest
+from .requests import IncomingRequest, Known
 
 log = logging.getLogger(__name__)
 
--- a/burlloom/server/assembly.py
+++ b/burlloom/server/assembly.py
@@ -10,24 +10,24 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from ..catalogue import Answer, Pool
-from ..desk import (
+from ..discovery import Reports
+from ..dispatcher import (
     AtCall,
     CallEnded,
     Desk,
     Kind,
     Leaving,
     Recalled,
+    RequestAttempt,
     RunEnded,
     Seat,
     Step,
-    RequestAttempt,
 )
+from ..downstream import Answer, Pool
 from ..executor import End, Link
-from ..facts import gauges
-from ..interface import Gauges, Outcome, Idempotency, ServerSettings
-from ..naming import Reports
-from ..rpc import Front, Known, IncomingRequest
+from ..interface import Gauges, Idempotency, Outcome, ServerSettings
+from ..rpc import Front, IncomingRequest, Known
+from ..settings import gauges
 from ..sockets import MS, Tasks, out_of_descriptors, rest
 from .configuration import Broken, Orders, read
 from .distributing import Distributing, NoDistribution
--- a/burlloom/server/checked.py
+++ b/burlloom/server/checked.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..facts import FREE_VALUE, REPEATABLE
+from ..settings import FREE_VALUE, REPEATABLE
 
 ADDRESS = re.compile(r"[^\s:]+:([0-9]{1,5})")
 SOCKETS_LEAST = 24  # the process itself holds fifteen, its link among them
--- a/burlloom/server/configuration.py
+++ b/burlloom/server/configuration.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..facts import facts
 from ..interface import ServerSettings
+from ..settings import facts
 from ..sockets import MS
 from .checked import faults
 
--- a/burlloom/server/fleeting.py
+++ b/burlloom/server/fleeting.py
@@ -16,15 +16,15 @@
 from random import Random
 from typing import TYPE_CHECKING, Any, Protocol
 
-from ..desk import Desk
+from ..dispatcher import Desk
 from ..sockets import MS, SECOND, Tasks, rest
 
 if TYPE_CHECKING:
     import socket
     from pathlib import Path
 
-    from ..catalogue import Answer, Pool
-    from ..catalogue.spread import Pools
+    from ..downstream import Answer, Pool
+    from ..downstream.spread import Pools
     from ..fleet import Fleet, Spread
     from ..metrics import Exposed
     from ..operator import FleetPart
@@ -148,7 +148,7 @@
         recovery: Recovering,
     ) -> None:
         from .. import fleet
-        from ..catalogue.spread import Pools
+        from ..downstream.spread import Pools
 
         self.of, self.part, self.sock, self.tasks, self.clock = (
             fleet,
@@ -365,7 +365,7 @@
         return address_of(self.turns.next(self.clock()))
 
     def called(self, address: tuple[str, int], answer: Answer) -> None:
-        from ..catalogue import Answer
+        from ..downstream import Answer
 
         service = "%s:%d" % address
         if answer is Answer.UNREACHED:
--- a/burlloom/server/leveling.py
+++ b/burlloom/server/leveling.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Protocol
 
-from ..desk import Desk
+from ..dispatcher import Desk
 from ..interface import Gauges, RequestClass
 from ..sockets import MS, SECOND
 
--- a/burlloom/server/recovering.py
+++ b/burlloom/server/recovering.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
 
-from ..desk import Desk
+from ..dispatcher import Desk
 from ..sockets import MS, SECOND
 
 if TYPE_CHECKING:
--- a/burlloom/server/rolling.py
+++ b/burlloom/server/rolling.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Protocol
 
-from ..desk import Kind
+from ..dispatcher import Kind
 from ..interface import RequestClass
 from ..sockets import MS, Tasks, rest
 from .fleeting import since_start
--- a/burlloom/facts/__init__.py
+++ b/burlloom/settings/__init__.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from ..interface import LoadReportKind, Gauges, RequestClass, Idempotency, ServerSettings
+from ..interface import Gauges, Idempotency, LoadReportKind, RequestClass, ServerSettings
 
 MICRO = 1000
 
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -13,7 +13,7 @@
 import sys
 from pathlib import Path
 
-from burlloom.standins.parts import Balancer, Catalogue, Executor, NameService, Reply, fields
+from burlloom.fakes.parts import Balancer, Catalogue, Executor, NameService, Reply, fields
 
 TOLD = json.loads((Path(__file__).parent / "configuration.json").read_text())
 
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -17,13 +17,13 @@
 
 from burlloom.choice import AdmissionController  # noqa: E402
 from burlloom.interface import (
-    LoadReportKind,
     Gauges,
+    Idempotency,
+    LoadReportKind,
     Outcome,
+    Request,
     RequestClass,
-    Idempotency,
     ServerSettings,
-    Request,
 )  # noqa: E402
 
 MS = 1_000_000
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -21,9 +21,9 @@
 from rig import ROOT, Rig, soon, until
 from test_command import burlloom
 
-from burlloom.standins.parts import Catalogue, Reply, fields
-from burlloom.standins.postgres import Postgres
-from burlloom.standins.relay import Relay
+from burlloom.fakes.parts import Catalogue, Reply, fields
+from burlloom.fakes.postgres import Postgres
+from burlloom.fakes.relay import Relay
 
 KEY, SIGNING = "6b" * 32, "73" * 32
 BEAT = 300  # ms
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -14,8 +14,8 @@
 
 from rig import Rig, until
 
-from burlloom.standins.parts import Catalogue, Reply, fields
-from burlloom.standins.relay import Relay
+from burlloom.fakes.parts import Catalogue, Reply, fields
+from burlloom.fakes.relay import Relay
 
 QUICK = {
     "round_ms": 40,
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -14,7 +14,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT / "benchmarks"))
 
-from burlloom.standins.parts import Balancer, Catalogue, Executor, NameService, Reply  # noqa: E402
+from burlloom.fakes.parts import Balancer, Catalogue, Executor, NameService, Reply  # noqa: E402
 
 GIVEN = json.loads((ROOT / "examples" / "configuration.json").read_text())
 PATIENCE = 20.0
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -17,11 +17,11 @@
 
 from rig import PATIENCE, ROOT, Rig, until
 
+from burlloom.fakes.parts import Balancer, Catalogue, fields
 from burlloom.operator import load
 from burlloom.rollout import Book, Phase
 from burlloom.rollout.stores import Away, Shelf
 from burlloom.rollout.stores.opening import shelf_of
-from burlloom.standins.parts import Balancer, Catalogue, fields
 
 QUICK = {
     "poll_ms": 40,
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -14,7 +14,6 @@
 from collections.abc import Callable, Iterator
 
 from burlloom.executor import End
-from burlloom.facts import facts
 from burlloom.lab.clock import EPOCH, SECOND, SimulatedLoop, simulated
 from burlloom.record.fate import Input
 from burlloom.record.keeper import Keeper, Terms
@@ -25,6 +24,7 @@
 from burlloom.server import assembly
 from burlloom.server.configuration import Orders
 from burlloom.server.recording import Recorded
+from burlloom.settings import facts
 
 MS = 1_000_000
 SEALER = Sealer(b"s" * 32)
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -4,9 +4,9 @@
 
 from rig import GIVEN
 
-from burlloom.desk import Desk, Kind, Leaving, Seat, Step, RequestAttempt
-from burlloom.facts import facts
+from burlloom.dispatcher import Desk, Kind, Leaving, RequestAttempt, Seat, Step
 from burlloom.interface import Gauges
+from burlloom.settings import facts
 
 SECOND = 1_000_000_000
 
--- a/tests/test_distributing.py
+++ b/tests/test_distributing.py
@@ -19,11 +19,11 @@
 from burlloom.distribution.stores.sqlite import Sqlite
 from burlloom.distribution.table import Table
 from burlloom.distribution.telling import Keys, Telling
+from burlloom.fakes.parts import fields
 from burlloom.levels.signals import RINGS_MOST
 from burlloom.levels.signals import Tenants as Shares
 from burlloom.rpc.requests import Known, Malformed, request
 from burlloom.server.distributing import COUNT_EVERY, Portions, Tenants
-from burlloom.standins.parts import fields
 
 SIGNING = b"s" * 32
 SECOND = 1_000_000_000
--- a/tests/test_distribution_stores.py
+++ b/tests/test_distribution_stores.py
@@ -17,10 +17,10 @@
 from burlloom.distribution.stores import Away, ChangeStore
 from burlloom.distribution.stores.postgres import Postgres
 from burlloom.distribution.stores.sqlite import Sqlite
+from burlloom.fakes import postgres
 from burlloom.operator import Place
 from burlloom.operator import Postgres as Database
 from burlloom.record.opening import store_of
-from burlloom.standins import postgres
 
 SIGNING = b"s" * 32
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -10,13 +10,13 @@
 
 from rig import GIVEN, soon, until
 
-from burlloom.catalogue import Pool
-from burlloom.facts import facts
+from burlloom.downstream import Pool
+from burlloom.fakes.parts import Balancer, Catalogue, Executor, NameService, Reply, fields
 from burlloom.server.__main__ import bound
 from burlloom.server.assembly import Clock, Server
 from burlloom.server.configuration import Orders, address
+from burlloom.settings import facts
 from burlloom.sockets import MS, SECOND
-from burlloom.standins.parts import Balancer, Catalogue, Executor, NameService, Reply, fields
 
 AT_ONCE, ROUNDS = 20, 10
 # 25 times the usual are waited for: a late reply, on a machine that is late itself, is none that
--- a/tests/test_leveling.py
+++ b/tests/test_leveling.py
@@ -13,7 +13,7 @@
 from rig import ROOT, Rig, fails, gets, played, until
 from test_command import burlloom
 
-from burlloom.standins.parts import fields
+from burlloom.fakes.parts import fields
 
 
 def leveled(folder: Path) -> dict[str, Any]:
--- a/tests/test_marks.py
+++ b/tests/test_marks.py
@@ -3,8 +3,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from burlloom.desk.ledger import FORMER, Ledger
-from burlloom.desk.marks import SLOT, Packed, Wheel
+from burlloom.dispatcher.ledger import FORMER, Ledger
+from burlloom.dispatcher.marks import SLOT, Packed, Wheel
 
 MARKS = st.binary(min_size=16, max_size=16)
 # Evenly spread and not at all: the guess may be wrong by any amount, and only costs steps.
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -18,11 +18,11 @@
 import uvloop
 from rig import Rig, gets, played, soon, until
 
-from burlloom.catalogue import Answer, Pool
+from burlloom.downstream import Answer, Pool
 from burlloom.executor import Link
-from burlloom.rpc import Front, Known, IncomingRequest
+from burlloom.fakes.parts import fields
+from burlloom.rpc import Front, IncomingRequest, Known
 from burlloom.sockets import MS, SECOND, Reason, Tasks
-from burlloom.standins.parts import fields
 
 KNOWN = Known({"look": False}, (), 6 * SECOND)
 
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -13,8 +13,8 @@
 from rig import Rig, fails, gets, soon, until
 from rig import played as rig_played
 
-from burlloom.standins.parts import Executor, fields
-from burlloom.standins.postgres import Postgres
+from burlloom.fakes.parts import Executor, fields
+from burlloom.fakes.postgres import Postgres
 
 
 def recorded(folder: Path, **more: Any) -> dict[str, Any]:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -21,6 +21,7 @@
 from test_command import burlloom
 from test_fleet_processes import fleet, full
 
+from burlloom.fakes.parts import fields
 from burlloom.recovery import (
     Input,
     Kept,
@@ -37,7 +38,6 @@
 )
 from burlloom.recovery.ramp import Input as Push
 from burlloom.recovery.start import RULES
-from burlloom.standins.parts import fields
 
 MS = 1_000_000
 KEPT = Kept("n1", 1000, 5000, 3, 6.5, False, ("10.0.0.1:1", "10.0.0.2:1"))
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -13,10 +13,10 @@
 from rollout_rig import Rollout, rolled
 from test_command import burlloom
 
+from burlloom.fakes.pipe import Pipe
+from burlloom.fakes.postgres import Postgres
 from burlloom.operator import Faults, load
 from burlloom.rollout import Phase, State
-from burlloom.standins.pipe import Pipe
-from burlloom.standins.postgres import Postgres
 
 
 @rolled(4)
--- a/tests/test_rollout_stores.py
+++ b/tests/test_rollout_stores.py
@@ -11,6 +11,7 @@
 from held import Held
 
 from burlloom.command.rollout import rollout
+from burlloom.fakes import postgres
 from burlloom.operator import Place
 from burlloom.operator import Postgres as Database
 from burlloom.record import shared_sqlite
@@ -19,7 +20,6 @@
 from burlloom.rollout.stores import Away, Shelf
 from burlloom.rollout.stores.postgres import Postgres
 from burlloom.rollout.stores.sqlite import Sqlite
-from burlloom.standins import postgres
 
 
 async def promises(first: Shelf, second: Shelf) -> None:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,17 +1,23 @@
 """Plays each file of tests/scenarios/ against the decisions alone.
 
-A line is either `set NAME=VALUE ...` (facts of the server), `product NAME=VALUE ...` (one more
-product; the first such line takes the place of the default), or a time in milliseconds, an event
-and what it must bring:
-
-    TIME read NAME [product=N] [cost=MS] [unread=MS] [expiry=MS] [kb=N] [rank=X] [caller=N] [of=NAME]
-    TIME done NAME OUTCOME [MS]   TIME calls NAME   TIME called NAME OUTCOME   TIME left NAME
-    TIME leave STOP   TIME wake [core_use=X] [on_cores=N] [links=N]
-
-A NAME may be several, `a,b`. What follows `->` is what the txns meet, in order: `start a, decline
-b`; `-` is none; `call a by TIME` looks at how long it is waited for too. A `wake` line repeated as
-`FROM..TO wake` plays a round each 100 ms and looks at all their effects. Effects not on a txn
-(health, tell, idle, wake, note, release) count only where the line names that effect.
+A line is either `set NAME=VALUE ...` (settings of the server), `class NAME=VALUE ...` (one more
+request class; the first such line takes the place of the default), or a time in milliseconds, an
+event and what it must bring:
+
+    TIME request NAME [class=N] [cost_ms=MS] [unread_ms=MS] [deadline_ms=MS] [memory_kb=N]
+        [priority=X] [caller=N] [repeat_of=NAME]
+    TIME run_ended NAME OUTCOME [MS]
+    TIME call_requested NAME
+    TIME call_ended NAME OUTCOME [MS]
+    TIME caller_gone NAME
+    TIME drain STOP
+    TIME timer [cpu_utilization=X] [runnable=N] [connections=N]
+
+A NAME may be several, `a,b`. What follows `->` is what the requests meet, in order: `start_run a,
+reject b`; `-` is none; `start_call a by TIME` looks at the call's deadline too. A `timer` line
+repeated as `FROM..TO timer` plays a round each 100 ms and looks at all their effects. Effects not
+on a request (set_health, report_load, set_idle_timeout, schedule_timer, log, release) count only
+where the line names that effect. A setting whose field ends in `_ns` is given in ms as `_ms`.
 """
 
 from dataclasses import fields, replace
@@ -22,19 +28,28 @@
 
 from burlloom.choice import AdmissionController
 from burlloom.interface import (
-    LoadReportKind,
     Gauges,
+    Idempotency,
+    LoadReportKind,
     Outcome,
+    Request,
     RequestClass,
-    Idempotency,
     ServerSettings,
-    Request,
 )
 
 MS = 1_000_000
-SHOWN = {"start", "decline", "void", "call", "leave_out", "keep", "forget", "reuse"}
-PRODUCT = RequestClass(2000 * MS, 0.0, 6000 * MS, Idempotency.IDEMPOTENT, 0, 0.0, 0.0, 1.0)
-FACTS = ServerSettings(
+SHOWN = {
+    "start_run",
+    "reject",
+    "fail",
+    "start_call",
+    "skip_call",
+    "remember",
+    "forget",
+    "reuse_result",
+}
+REQUEST_CLASS = RequestClass(2000 * MS, 0.0, 6000 * MS, Idempotency.IDEMPOTENT, 0, 0.0, 0.0, 1.0)
+SETTINGS = ServerSettings(
     2,
     1000.0,
     4.0,
@@ -51,20 +66,9 @@
     0,
     9000 * MS,
     LoadReportKind.NONE,
-    (PRODUCT,),
+    (REQUEST_CLASS,),
 )
-TIMES = {
-    "sla",
-    "expiry",
-    "window",
-    "warm_up",
-    "calls_span",
-    "linger",
-    "grace",
-    "advice_max",
-    "fresh",
-    "idle",
-}
+ENUMS = {"idempotency": Idempotency, "load_report_kind": LoadReportKind}
 
 
 class Recorder:
@@ -76,17 +80,20 @@
 
 
 def changed(start: Any, words: list[str]) -> Any:
+    """The settings or class with the values that the words give; an unknown name fails."""
     known = {field.name for field in fields(start)}
     values: dict[str, Any] = {}
     for word in words:
         name, text = word.split("=")
-        assert name in known, name
-        if name in ("repeatable", "free_value"):
-            values[name] = (Idempotency if name == "repeatable" else LoadReportKind)[text]
+        field = name.removesuffix("_ms") + "_ns" if name.endswith("_ms") else name
+        assert field in known, name
+        assert not name.endswith("_ns"), name
+        if field in ENUMS:
+            values[field] = ENUMS[field][text]
+        elif field != name:
+            values[field] = int(float(text) * MS)
         else:
-            values[name] = (
-                int(float(text) * MS) if name in TIMES else type(getattr(start, name))(float(text))
-            )
+            values[field] = type(getattr(start, field))(float(text))
     return replace(start, **values)
 
 
@@ -96,39 +103,41 @@
         for name in rest[0].split(","):
             send(choice, names, now, [event, name, *rest[1:]])
         return
-    if event == "read":
+    if event == "request":
         told = dict(word.split("=") for word in rest[1:])
         names.append(rest[0])
-        first = told.get("of", "-")
+        first = told.get("repeat_of", "-")
         choice.request_arrived(
             now,
             Request(
                 len(names) - 1,
                 int(told.get("caller", 0)),
-                int(told.get("product", 0)),
-                int(told.get("cost", 0)) * MS,
-                int(told.get("unread", 0)) * MS,
-                int(told.get("expiry", 0)) * MS,
-                float(told.get("kb", 10)),
-                float(told.get("rank", 0.9)),
+                int(told.get("class", 0)),
+                int(told.get("cost_ms", 0)) * MS,
+                int(told.get("unread_ms", 0)) * MS,
+                int(told.get("deadline_ms", 0)) * MS,
+                float(told.get("memory_kb", 10)),
+                float(told.get("priority", 0.9)),
                 -1 if first == "-" else names.index(first) if first in names else -2,
             ),
         )
-    elif event == "wake":
+    elif event == "timer":
         told = dict(word.split("=") for word in rest)
         gauges = Gauges(cpu_utilization=1.0, connections=0.0)
         choice.timer_fired(
             now, 0, replace(gauges, **{name: float(value) for name, value in told.items()})
         )
-    elif event == "leave":
+    elif event == "drain":
         choice.drain(now, now, int(rest[0]) * MS)
     else:
         ref = names.index(rest[0]) if rest[0] in names else len(names) + 7
-        if event in ("done", "called"):
-            call = choice.run_ended if event == "done" else choice.call_ended
+        if event in ("run_ended", "call_ended"):
+            call = choice.run_ended if event == "run_ended" else choice.call_ended
             call(now, ref, Outcome[rest[1]], int(rest[2]) * MS if len(rest) > 2 else 0)
         else:
-            {"calls": choice.call_requested, "left": choice.caller_gone}[event](now, ref)
+            {"call_requested": choice.call_requested, "caller_gone": choice.caller_gone}[event](
+                now, ref
+            )
 
 
 SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
@@ -136,7 +145,7 @@
 
 @pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
 def test_scenario(path: Path) -> None:
-    facts, products, choice = FACTS, [], None
+    settings, request_classes, choice = SETTINGS, [], None
     names: list[str] = []
     recorder = Recorder()
     for number, line in enumerate(path.read_text().splitlines(), 1):
@@ -145,15 +154,17 @@
         if not words:
             continue
         if words[0] == "set":
-            facts = changed(facts, words[1:])
+            settings = changed(settings, words[1:])
             continue
-        if words[0] == "product":
-            products.append(changed(PRODUCT, words[1:]))
+        if words[0] == "class":
+            request_classes.append(changed(REQUEST_CLASS, words[1:]))
             continue
         if choice is None:
-            facts = replace(facts, request_classes=tuple(products) or facts.request_classes)
-            choice = AdmissionController(facts, 1, recorder, 0)
-            choice.begin(0)
+            settings = replace(
+                settings, request_classes=tuple(request_classes) or settings.request_classes
+            )
+            choice = AdmissionController(settings, 1, recorder, 0)
+            choice.start(0)
         told, _, wanted = line.partition("->")
         when, *words = told.split()
         first, _, last = when.partition("..")
@@ -161,11 +172,11 @@
         for now in range(int(first), int(last or first) + 1, 100):
             send(choice, names, now * MS, words)
         got = [
-            f"call {names[values[0]]} by {values[1] // MS}"
-            if effect == "call" and " by " in wanted
+            f"start_call {names[values[0]]} by {values[1] // MS}"
+            if effect == "start_call" and " by " in wanted
             else f"{effect} {names[values[0]]}"
             if effect in SHOWN
-            else f"{effect} {round(values[0], 3) if effect == 'tell' else values[0]}"
+            else f"{effect} {round(values[0], 3) if effect == 'report_load' else values[0]}"
             for effect, values in recorder.seen
             if effect in SHOWN or effect in wanted
         ]
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -18,9 +18,9 @@
 import pytest
 from rig import GIVEN, ROOT, Rig, fails, gets, played, soon, until
 
-from burlloom.naming import Reports
+from burlloom.discovery import Reports
+from burlloom.fakes.parts import Catalogue, Executor, NameService, fields
 from burlloom.sockets import MS, SECOND
-from burlloom.standins.parts import Catalogue, Executor, NameService, fields
 
 TRAP = re.search(r'run = "(.*;) exec ', (ROOT / "deploy" / "balancer.toml").read_text())[1]  # type: ignore[index]
 
@@ -461,7 +461,7 @@
         if len(at) == 100:
             raise asyncio.CancelledError
 
-    monkeypatch.setattr("burlloom.naming.reports.rest", late)
+    monkeypatch.setattr("burlloom.discovery.reports.rest", late)
 
     async def play() -> None:
         reports = Reports(("127.0.0.1", 9), "n1", lambda: now)
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -12,6 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from burlloom.fakes.postgres import Postgres as StandIn
 from burlloom.record.admin import Admin
 from burlloom.record.fate import Input
 from burlloom.record.postgres import Postgres
@@ -20,7 +21,6 @@
 from burlloom.record.seal import Sealer, key
 from burlloom.record.sqlite import Sqlite, connect
 from burlloom.record.store import Refused
-from burlloom.standins.postgres import Postgres as StandIn
 
 SEALER = Sealer(b"k" * 32)
 FAR = 1 << 62
