--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -93,10 +93,10 @@
     def __getattr__(self, effect: str) -> Any:
         return lambda *values: None
 
-    def call(self, ref: int, stop_at: int) -> None:
+    def start_call(self, ref: int, stop_at: int) -> None:
         self.world.begin_call(self, ref, stop_at)
 
-    def wake(self, delay: int, handle: int) -> None:
+    def schedule_timer(self, delay: int, handle: int) -> None:
         self.world.at(self.world.now + delay, "round", self, self.life)
 
 
