--- a/benchmarks/log_lines.py
+++ b/benchmarks/log_lines.py
@@ -21,10 +21,10 @@
 
 
 def ours() -> float:
-    from burlloom.server.logs import KeyValue
+    from burlloom.server.logs import KeyValueFormatter
 
     handler = logging.StreamHandler(io.StringIO())
-    handler.setFormatter(KeyValue())
+    handler.setFormatter(KeyValueFormatter())
     log = logging.getLogger("burlloom.bench")
     log.addHandler(handler)
     log.setLevel(logging.INFO)
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -26,8 +26,8 @@
 from burlloom.lab.emulator import Emulator, Watch
 from burlloom.lab.fleets import Joining
 from burlloom.recovery import Terms
-from burlloom.server.assembly import Server
-from burlloom.server.recovering import Recovered, Recovering
+from burlloom.server.recovery import ConfiguredRestartRecovery, RestartRecovery
+from burlloom.server.server import Server
 
 KILLED_AT, DOWN_FOR, SECONDS = 14, 2, 60
 VARIANTS = ("plain", "grown", "fleet", "recovery")
@@ -89,13 +89,13 @@
     )
 
 
-def recovering(server: Server) -> Recovering:
-    facts = server.orders.facts
-    return Recovered(
+def recovering(server: Server) -> RestartRecovery:
+    facts = server.config.settings
+    return ConfiguredRestartRecovery(
         Terms(window=max(one.idempotency_window_ns for one in facts.request_classes)),
-        server.orders.name,
+        server.config.name,
         lambda: server.clock(),
-        lambda: server.fleet,
+        lambda: server.membership,
         facts.call_quota,
         False,
         None,
@@ -113,7 +113,9 @@
         most, emulator.below.most = emulator.below.most, emulator.below.in_hand
         return {"most": most / calls}
 
-    recovers: Callable[[Server], Recovering] | None = recovering if variant == "recovery" else None
+    recovers: Callable[[Server], RestartRecovery] | None = (
+        recovering if variant == "recovery" else None
+    )
     outcome = play(
         told,
         watch=Watch(look),
--- a/benchmarks/rollout_waves.py
+++ b/benchmarks/rollout_waves.py
@@ -125,7 +125,7 @@
         new = {
             (node.name, node.life)
             for node in releases.emulator.nodes
-            if node.up and node.server is not None and node.server.leaving
+            if node.up and node.server is not None and node.server.is_shutting_down
         } - self.draining
         self.draining |= new
         self.drains += len(new)
--- a/burlloom/command/distribution.py
+++ b/burlloom/command/distribution.py
@@ -13,7 +13,7 @@
 
 import click
 
-from ..signals import unblock
+from ..signals import unblock_signals
 from .shared import operator_file, operator_option, state_told, told_plainly
 
 if TYPE_CHECKING:
@@ -68,7 +68,7 @@
     from ..distribution.control import Control
     from ..distribution.endpoint import bound
     from ..distribution.telling import Keys
-    from ..server.logs import set_up
+    from ..server.logs import configure_logging
 
     told, part = part_of(operator)
     store = store_of(told) if told.distribution_store() is not None else None
@@ -89,7 +89,7 @@
     except OSError as error:
         click.echo(f"burlloom: distribution.listen or metrics.listen: {error.strerror}", err=True)
         sys.exit(2)
-    set_up()
+    configure_logging()
 
     async def run() -> None:
         control = Control(
@@ -108,7 +108,7 @@
         signal.signal(signal.SIGHUP, signal.SIG_IGN)  # files are looked at each second anyway
         for number in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(number, control.stop)
-        unblock()  # whoever started us may have blocked them, and a start hands that on
+        unblock_signals()  # whoever started us may have blocked them, and a start hands that on
         await control.run()
         if exposed is not None:
             exposed.close()
--- a/burlloom/command/root.py
+++ b/burlloom/command/root.py
@@ -61,7 +61,7 @@
     if any.
     """
     from ..operator import Faults, load
-    from ..server.configuration import Broken, read
+    from ..server.configuration import ConfigurationError, read_config
 
     if operator is None and config is None:
         raise click.UsageError("nothing to check: name --operator, --config or both")
@@ -76,14 +76,14 @@
     if config is not None:
         os.environ["EDGE_CONFIG"] = str(config)
         try:
-            orders = read()
+            orders = read_config()
             click.echo(f"{config}: good")
             if told is not None:
                 # What only the two together can tell: products that a level names.
-                from ..server.parts import leveled, stale
+                from ..server.subsystems import leveled, stale
 
                 leveled(told, stale(told, orders))
-        except Broken as broken:
+        except ConfigurationError as broken:
             faults.append(str(broken))
         except Faults as found:
             faults += [f"{operator}: {line}" for line in found.lines]
--- a/burlloom/lab/callers.py
+++ b/burlloom/lab/callers.py
@@ -51,7 +51,7 @@
             return
         node, fleet = self.node, self.caller.fleet
         server = node.server
-        told = server.said(self.caller.name) if server is not None else ""
+        told = server.load_report(self.caller.name) if server is not None else ""
         node.answered(self, answer, result)
         self.answer = answer
         if fleet.hears(self.caller, node):
@@ -197,5 +197,5 @@
         for index in self.fleet.list:
             node = self.fleet.nodes[index]
             server = node.server
-            good = self.fleet.hears(self, node) and server is not None and server.good()
+            good = self.fleet.hears(self, node) and server is not None and server.is_healthy()
             (self.ill.discard if good else self.ill.add)(index)
--- a/burlloom/lab/emulator.py
+++ b/burlloom/lab/emulator.py
@@ -13,12 +13,12 @@
 from hdrh.histogram import HdrHistogram
 from numpy.random import Generator, default_rng
 
-from ..server.assembly import Server
-from ..server.fleeting import Fleeting
-from ..server.leveling import Leveling
-from ..server.recording import Keeping
-from ..server.recovering import Recovering
-from ..server.rolling import Rolling
+from ..server.membership import FleetMembership
+from ..server.recovery import RestartRecovery
+from ..server.request_record import RequestRecord
+from ..server.rollout import RolloutParticipation
+from ..server.server import Server
+from ..server.service_levels import ServiceLevels
 from .below import Catalogue
 from .callers import Balancer
 from .clock import SimulatedLoop, simulated
@@ -77,13 +77,13 @@
 class Fleets(Protocol):
     """What joins the nodes' servers into a fleet."""
 
-    def fleeting(self, node: Node) -> Callable[[Server], Fleeting]: ...
+    def fleeting(self, node: Node) -> Callable[[Server], FleetMembership]: ...
 
 
 class Rolls(Protocol):
     """What agrees on the nodes' releases, and when a new process is there."""
 
-    def rolling(self, node: Node) -> Callable[[Server], Rolling]: ...
+    def rolling(self, node: Node) -> Callable[[Server], RolloutParticipation]: ...
     def restarts(self) -> float: ...
 
 
@@ -96,11 +96,11 @@
         self,
         world: World,
         loop: SimulatedLoop,
-        keeping: Callable[[Server], Keeping] | None = None,
-        leveling: Callable[[Server], Leveling] | None = None,
+        keeping: Callable[[Server], RequestRecord] | None = None,
+        leveling: Callable[[Server], ServiceLevels] | None = None,
         watch: Watch | None = None,
         fleets: Callable[["Emulator"], Fleets] | None = None,
-        recovering: Callable[[Server], Recovering] | None = None,
+        recovering: Callable[[Server], RestartRecovery] | None = None,
         rolls: Callable[["Emulator"], Rolls] | None = None,
     ) -> None:
         self.world, self.loop, self.keeping, self.leveling, self.watch = (
@@ -379,7 +379,7 @@
         life = node.life
         try:
             async with asyncio.timeout(self.world.machines.stop_ms / 1000):
-                await server.over.wait()
+                await server.stopped.wait()
         except TimeoutError:
             pass
         if node.life == life and node.up:
@@ -424,11 +424,11 @@
 
 def play(
     world: World,
-    keeping: Callable[[Server], Keeping] | None = None,
-    leveling: Callable[[Server], Leveling] | None = None,
+    keeping: Callable[[Server], RequestRecord] | None = None,
+    leveling: Callable[[Server], ServiceLevels] | None = None,
     watch: Watch | None = None,
     fleets: Callable[[Emulator], Fleets] | None = None,
-    recovering: Callable[[Server], Recovering] | None = None,
+    recovering: Callable[[Server], RestartRecovery] | None = None,
     rolls: Callable[[Emulator], Rolls] | None = None,
 ) -> Outcome:
     """Plays it to its end. The same world gives the same outcome, to the last figure but `took`."""
--- a/burlloom/lab/fleets.py
+++ b/burlloom/lab/fleets.py
@@ -15,8 +15,8 @@
 from ..downstream import Pool
 from ..downstream.spread import Pools
 from ..fleet import CALL, Fleet, Habits, State, Terms, Word
-from ..server.assembly import Server
-from ..server.fleeting import Fleeting, Share, shares
+from ..server.membership import CallShare, FleetMembership, call_shares
+from ..server.server import Server
 from .clock import EPOCH, SECOND, SimulatedLoop
 from .emulator import Emulator
 from .node import Node
@@ -231,7 +231,7 @@
 
 
 class Joined:
-    """A node's server in the fleet: as `server.fleeting.Fleeted`, over the network of a world."""
+    """A node's server in the fleet: as `server.membership.ConfiguredFleetMembership`, over the network of a world."""
 
     def __init__(self, fleets: "Joining", node: Node, server: Server) -> None:
         self.fleets, self.node, self.server = fleets, node, server
@@ -248,7 +248,7 @@
             loop.wall(),
         )
         self.share, self.recovery, self.former = (
-            Share(self.fleet, server.recovery.cap),
+            CallShare(self.fleet, server.recovery.call_cap),
             server.recovery,
             0,
         )
@@ -257,19 +257,19 @@
 
     async def open(self) -> None: ...
 
-    def begin_desk(self, desk: Desk) -> None:
+    def attach_dispatcher(self, desk: Desk) -> None:
         self.share.desk = desk
-        self.share.tell()
+        self.share.apply()
 
     def may_call(self) -> bool:
         return self.fleet.good(self.fleets.loop.wall())
 
-    def pool(self, one: Pool) -> Pool | Pools:
+    def select_pool(self, one: Pool) -> Pool | Pools:
         return one
 
     async def keep(self) -> None:
         while True:
-            self.share.uses()
+            self.share.report_demand()
             self.fleet.tick(self.fleets.loop.wall())
             self.after()
             await asyncio.sleep(TICK)
@@ -279,23 +279,23 @@
             self.fleet.hear(self.fleets.loop.wall(), data)
             self.after()
 
-    def equal(self) -> tuple[float, float] | None:
-        return shares(self.fleet)
+    def call_shares(self) -> tuple[float, float] | None:
+        return call_shares(self.fleet)
 
-    def addresses(self) -> tuple[str, ...]:
+    def peer_addresses(self) -> tuple[str, ...]:
         return ()
 
-    def shun(self, addresses: frozenset[str]) -> bool:
+    def eject_services(self, addresses: frozenset[str]) -> bool:
         return True
 
-    def reports(self) -> dict[str, tuple[int, int]]:
+    def recent_call_counts(self) -> dict[str, tuple[int, int]]:
         return {}
 
     def after(self) -> None:
         if self.fleet.former != self.former:
             self.former = self.fleet.former
-            self.recovery.peer(self.former)
-        self.share.tell()
+            self.recovery.previous_incarnation_seen(self.former)
+        self.share.apply()
         self.fleet.moves = []
         while self.fleet.out:
             self.fleets.net.send(self.address, *self.fleet.out.popleft())
@@ -338,13 +338,13 @@
             and bool(cuts & {self.zone(source), self.zone(target)})
         )
 
-    def fleeting(self, node: Node) -> Callable[[Server], Fleeting]:
+    def fleeting(self, node: Node) -> Callable[[Server], FleetMembership]:
         return lambda server: Joined(self, node, server)
 
     def shares(self) -> dict[str, float]:
         """Of those that are up, calls."""
         return {
-            node.name: node.server.fleet.fleet.share / CALL
+            node.name: node.server.membership.fleet.share / CALL
             for node in self.emulator.nodes
-            if node.up and node.server is not None and isinstance(node.server.fleet, Joined)
+            if node.up and node.server is not None and isinstance(node.server.membership, Joined)
         }
--- a/burlloom/lab/node.py
+++ b/burlloom/lab/node.py
@@ -7,8 +7,8 @@
 
 from ..executor import End
 from ..rpc import IncomingRequest
-from ..server.assembly import Server
-from ..server.configuration import Orders
+from ..server.configuration import ServerConfig
+from ..server.server import Server
 from ..settings import facts
 from .below import Pool
 from .clock import SECOND
@@ -64,7 +64,7 @@
         self.cores = Cores(loop, told, self.speed, loop.now if cold else -1e6)
         self.cores.slow = self.slow
         known, meters = facts(fleet.settings)
-        orders = Orders(
+        orders = ServerConfig(
             self.name,
             ("", 0),
             ("", 0),
@@ -95,10 +95,14 @@
         server.reports = Reports(self)  # type: ignore[assignment]
         life = self.life
         self.executor = Executor(
-            self.cores, self.work, self.ran, lambda *told: self.ended(life, *told), server.at_call
+            self.cores,
+            self.work,
+            self.ran,
+            lambda *told: self.ended(life, *told),
+            server.run_reached_call,
         )
         server.link, server.pool = self.executor, Pool(fleet.below)  # type: ignore[assignment]
-        server.welcome(cold, 0 if cold else 600_000)
+        server.executor_welcomed(cold, 0 if cold else 600_000)
 
     def work(self, id: str) -> tuple[float, int, float]:
         order = self.attempts[id].order
@@ -163,7 +167,7 @@
             attempt.retry,
             tenants[order.tenant].name if tenants else "",
         )
-        server.asked(attempt.asked)
+        server.receive(attempt.asked)
 
     def forget(self, attempt: "Attempt") -> None:
         if self.attempts.pop(attempt.id, None) is not None:
@@ -190,12 +194,12 @@
             and attempt.id in self.attempts
             and attempt.asked is not None
         ):
-            self.server.lost(attempt.asked)
+            self.server.connection_lost(attempt.asked)
 
     def drain(self) -> None:
-        if self.up and self.server is not None and not self.server.leaving:
+        if self.up and self.server is not None and not self.server.is_shutting_down:
             self.fleet.rules.drained(self.fleet.loop.now, self.name, self.life)
-            self.server.leave()
+            self.server.begin_shutdown()
 
     def stop(self, killed: bool) -> None:
         """The end of its process: `killed` outright, or gone of its own once it has drained."""
@@ -205,9 +209,9 @@
         self.fleet.rules.stopped(self.fleet.loop.now, self.name, self.life, killed)
         self.executor.stop()
         if not killed:
-            self.server.fleet.close()
+            self.server.membership.close()
             if self.fleet.rolls is not None:
-                self.fleet.loop.create_task(self.server.rolling.close())
+                self.fleet.loop.create_task(self.server.rollout.close())
         for task in list(self.server.tasks.running):
             task.cancel()
         self.server = None
@@ -253,6 +257,6 @@
             "live": len(choice.live),
             "spent": len(choice.spent),
             "lingering": len(choice.lingering),
-            "serving": len(self.server.serving),
+            "serving": len(self.server.open_requests),
             "tasks": len(self.server.tasks.running),
         }
--- a/burlloom/lab/rolls.py
+++ b/burlloom/lab/rolls.py
@@ -12,8 +12,12 @@
 from ..rollout import Book, Denied
 from ..rollout.stores import Away, Page
 from ..rollout.watch import Member
-from ..server.assembly import Server
-from ..server.rolling import NoRolling, Rolled, Rolling
+from ..server.rollout import (
+    ConfiguredRolloutParticipation,
+    NoRolloutParticipation,
+    RolloutParticipation,
+)
+from ..server.server import Server
 from .emulator import Emulator
 from .node import Node
 
@@ -25,13 +29,14 @@
 
     def __init__(self, emulator: Emulator, node: Node, server: Server) -> None:
         self.emulator, self.node, self.server = emulator, node, server
-        self.ready, self.well = server.ready, server.well
+        self.is_ready = server.is_ready
+        self.is_healthy_and_recovered = server.is_healthy_and_recovered
 
     @property
-    def leaving(self) -> bool:
-        return self.server.leaving
+    def is_shutting_down(self) -> bool:
+        return self.server.is_shutting_down
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         self.emulator.replace(self.node)
 
 
@@ -123,14 +128,14 @@
         if node.fails:
             self.ever.add(node.name)
 
-    def rolling(self, node: Node) -> Callable[[Server], Rolling]:
+    def rolling(self, node: Node) -> Callable[[Server], RolloutParticipation]:
         self.begins(node, self.versions[node.name])
-        return lambda server: NoRolling()
+        return lambda server: NoRolloutParticipation()
 
     @property
     def out(self) -> int:
         return sum(
-            not node.up or node.server is None or node.server.leaving
+            not node.up or node.server is None or node.server.is_shutting_down
             for node in self.emulator.nodes
         )
 
@@ -151,20 +156,20 @@
         self.first, self.part = version, part
         self.shelf = Shelf(loses, emulator.world.seed)
 
-    def rolling(self, node: Node) -> Callable[[Server], Rolling]:
-        def make(server: Server) -> Rolled:
+    def rolling(self, node: Node) -> Callable[[Server], RolloutParticipation]:
+        def make(server: Server) -> ConfiguredRolloutParticipation:
             loop, book = self.emulator.loop, self.shelf.page.book
             self.begins(node, book.version_of(node.name) or self.first)
-            made = Rolled(
+            made = ConfiguredRolloutParticipation(
                 self.part,
                 self.shelf,
                 node.name,
                 node.version,
-                server.orders.facts.request_classes,
+                server.config.settings.request_classes,
                 loop.wall,
                 server.tasks,
                 Host(self.emulator, node, server),
-                lambda: server.fleet,
+                lambda: server.membership,
                 loop.wall,
             )
             loop.call_soon(made.open)
@@ -212,7 +217,10 @@
             for _ in range(int(wait_s / 0.25)):
                 await asyncio.sleep(0.25)
                 if all(
-                    node.up and node.life > life and node.server is not None and node.server.good()
+                    node.up
+                    and node.life > life
+                    and node.server is not None
+                    and node.server.is_healthy()
                     for node, life in zip(batch, lives, strict=True)
                 ):
                     break
--- a/burlloom/lab/variants.py
+++ b/burlloom/lab/variants.py
@@ -6,26 +6,26 @@
 from dataclasses import replace
 
 from ..levels import DEFAULT, Bounds, Plan, Terms
-from ..server.assembly import Server
-from ..server.leveling import Leveled, Leveling
+from ..server.server import Server
+from ..server.service_levels import ConfiguredServiceLevels, ServiceLevels
 
-Leveler = Callable[[Server], Leveling] | None
+Leveler = Callable[[Server], ServiceLevels] | None
 SECOND = 1_000_000_000
 UNBOUND = 1 << 30
 
 
 def leveler(plan: Plan, terms: Terms | None = None) -> Leveler:
-    def make(server: Server) -> Leveling:
-        facts, orders = server.orders.facts, server.orders
-        return Leveled(
+    def make(server: Server) -> ServiceLevels:
+        facts, orders = server.config.settings, server.config
+        return ConfiguredServiceLevels(
             plan,
-            tuple(zip(orders.products, facts.request_classes, strict=True)),
-            orders.tenants,
+            tuple(zip(orders.class_names, facts.request_classes, strict=True)),
+            orders.tenant_portions,
             facts.cores,
             lambda: server.clock(),
             lambda: len(server.front.connections) / server.front.most,
             terms=terms,
-            meters=frozenset(orders.meters),
+            meters=frozenset(orders.gauge_names),
         )
 
     return make
--- a/burlloom/record/shared_sqlite.py
+++ b/burlloom/record/shared_sqlite.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from ..signals import block
+from ..signals import block_signals
 from .sqlite import connect, migrate
 from .store import Away, Refused
 from .turns import WAIT, Turns
@@ -33,7 +33,7 @@
         self.turns = Turns(wait, over=lambda: self.closing)
         self.db: sqlite3.Connection | None = None
         self.file = 0
-        self.thread = ThreadPoolExecutor(1, thread, initializer=block)
+        self.thread = ThreadPoolExecutor(1, thread, initializer=block_signals)
 
     async def in_thread(self, work: Callable[[], Result]) -> Result:
         try:
--- a/burlloom/record/sqlite.py
+++ b/burlloom/record/sqlite.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..signals import blocked
+from ..signals import signals_blocked
 from . import points, schema
 from .fate import Input
 from .recovery import Tick, shift
@@ -308,7 +308,7 @@
     async def start(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.thread = threading.Thread(target=self.work, name="record", daemon=True)
-        with blocked():
+        with signals_blocked():
             self.thread.start()
 
     # On the loop.
--- a/burlloom/server/configuration.py
+++ b/burlloom/server/configuration.py
@@ -8,44 +8,46 @@
 from ..interface import ServerSettings
 from ..settings import facts
 from ..sockets import MS
-from .checked import faults
+from .configuration_schema import faults
 
 Address = tuple[str, int]
 SOCKETS, MEMORY_MB = 1024, 192  # where no limit is told
 
 
-class Broken(Exception):
+class ConfigurationError(Exception):
     """The configuration can't be used."""
 
 
 @dataclass(frozen=True, slots=True)
-class Orders:
+class ServerConfig:
     name: str
-    listen: Address
-    executor: Address
-    naming: Address
-    catalogue: Address | None  # None at servers that call nothing below: they are told no address
+    listen_address: Address
+    executor_address: Address
+    discovery_address: Address
+    downstream_address: (
+        Address | None
+    )  # None at servers that call nothing below: they are told no address
     seed: int
-    stop: int
-    facts: ServerSettings
-    sockets: int
-    memory: int
-    products: tuple[str, ...]
-    tenants: dict[str, float]  # each with its portion of the service
-    meters: tuple[str, ...]
+    stop_ns: int
+    settings: ServerSettings
+    max_sockets: int
+    memory_bytes: int
+    class_names: tuple[str, ...]
+    tenant_portions: dict[str, float]  # each with its portion of the service
+    gauge_names: tuple[str, ...]
 
 
-def address(text: Any) -> Address:
+def parse_address(text: Any) -> Address:
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
         raise ValueError(f"no address: {text!r}")
     return host, int(port)
 
 
-def read() -> Orders:
+def read_config() -> ServerConfig:
     path = os.environ.get("EDGE_CONFIG", "")
     if not path:
-        raise Broken("EDGE_CONFIG is not set")
+        raise ConfigurationError("EDGE_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as source:
             got: dict[str, Any] = json.load(source)
@@ -53,28 +55,28 @@
         if lines := faults(
             got, frozenset(name for name, told in elsewhere.items() if os.environ.get(told))
         ):
-            raise Broken(f"{path}: " + "; ".join(lines))
+            raise ConfigurationError(f"{path}: " + "; ".join(lines))
         known, meters = facts(got["settings"])
         limits = got.get("limits") or {}
-        return Orders(
+        return ServerConfig(
             name=os.environ.get("EDGE_NAME") or str(got["name"]),
-            listen=address(os.environ.get("EDGE_LISTEN") or got["listen"]),
-            executor=address(got["executor"]),
-            naming=address(got["naming"]),
-            catalogue=address(got["catalog"]) if got.get("catalog") else None,
+            listen_address=parse_address(os.environ.get("EDGE_LISTEN") or got["listen"]),
+            executor_address=parse_address(got["executor"]),
+            discovery_address=parse_address(got["naming"]),
+            downstream_address=parse_address(got["catalog"]) if got.get("catalog") else None,
             seed=int(got["seed"], 16),
-            stop=int(got["stop_ms"]) * MS,
-            sockets=int(limits.get("sockets", SOCKETS)),
-            memory=int(float(limits.get("memory_mb", MEMORY_MB)) * (1 << 20)),
-            facts=known,
-            products=tuple(str(product["name"]) for product in got["settings"]["categories"]),
-            tenants={
+            stop_ns=int(got["stop_ms"]) * MS,
+            max_sockets=int(limits.get("sockets", SOCKETS)),
+            memory_bytes=int(float(limits.get("memory_mb", MEMORY_MB)) * (1 << 20)),
+            settings=known,
+            class_names=tuple(str(product["name"]) for product in got["settings"]["categories"]),
+            tenant_portions={
                 str(tenant["name"]): float(tenant.get("portion") or 1.0)
                 for tenant in got["settings"].get("tenants") or ()
             },
-            meters=meters,
+            gauge_names=meters,
         )
     except OSError as error:
-        raise Broken(f"{path}: {error.strerror}") from error
+        raise ConfigurationError(f"{path}: {error.strerror}") from error
     except (ValueError, RecursionError) as error:
-        raise Broken(f"{path}: {error}") from error
+        raise ConfigurationError(f"{path}: {error}") from error
--- a/burlloom/server/distributing.py
+++ b/burlloom/server/configuration_distribution.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from ..sockets import MS, SECOND, Tasks, rest
-from .fleeting import since_start
+from .membership import monotonic_ns
 
 if TYPE_CHECKING:
     import asyncio
@@ -29,21 +29,21 @@
 TICK = 50 * MS
 LOOK_EVERY = SECOND  # at the keys, and for the state's file
 MOMENT = 5 * MS
-COUNT_EVERY = 300 * SECOND  # between two countings of all portions
+COUNT_INTERVAL_NS = 300 * SECOND  # between two countings of all portions
 COUNT_BYTES = 32 << 10  # of a page that is counted: about a millisecond
 PAGES_A_TICK, ENTRIES_A_TICK = 16, 400  # of portions counted in one tick
 PORTION_MOST = 1e9
 
 
-class Distributing(Protocol):
+class ConfigurationDistribution(Protocol):
     """What the server asks of the configuration that is distributed."""
 
-    def tenants(self, told: Mapping[str, float]) -> Collection[str]:
+    def served_tenants(self, told: Mapping[str, float]) -> Collection[str]:
         """Those that are served, now and at any later time; `told`: by the server's own
         configuration.
         """
 
-    def share(self, told: Mapping[str, float]) -> Callable[[str], float | None] | None:
+    def tenant_shares(self, told: Mapping[str, float]) -> Callable[[str], float | None] | None:
         """A tenant's share of the service, None of one that is not served; None where `told` says
         all.
         """
@@ -54,13 +54,13 @@
     def close(self) -> None: ...
 
 
-class NoDistribution:
+class NoConfigurationDistribution:
     """The server's own configuration says all."""
 
-    def tenants(self, told: Mapping[str, float]) -> Collection[str]:
+    def served_tenants(self, told: Mapping[str, float]) -> Collection[str]:
         return told
 
-    def share(self, told: Mapping[str, float]) -> Callable[[str], float | None] | None:
+    def tenant_shares(self, told: Mapping[str, float]) -> Callable[[str], float | None] | None:
         return None
 
     async def open(self) -> None:
@@ -70,7 +70,7 @@
         pass
 
 
-class Tenants(Collection[str]):
+class ServedTenants(Collection[str]):
     """Those of the table once it is in force, else those that the server's configuration told."""
 
     def __init__(self, replica: Replica, told: Collection[str]) -> None:
@@ -110,26 +110,26 @@
     )
 
 
-class Portions:
+class TenantPortions:
     """What all tenants' portions come to: counted through the table some at a time, again some
     minutes after a change. Until then each is taken for one.
     """
 
     def __init__(self, replica: Replica) -> None:
         self.replica = replica
-        self.whole = 0.0
+        self.total = 0.0
         self.sum, self.bucket = 0.0, -1  # the counting under way; no bucket: none is
         self.after: Place | None = None
         self.of: Any = None  # the epoch and revision that the last one began at
-        self.began_at = -COUNT_EVERY
+        self.began_at = -COUNT_INTERVAL_NS
 
-    def step(self, now: int) -> None:
+    def advance(self, now: int) -> None:
         """Once a tick: a bounded part."""
         head, table = self.replica.head, self.replica.table
         if head is None:
             return
         if self.bucket < 0:
-            if self.of == head[:2] or now - self.began_at < COUNT_EVERY:
+            if self.of == head[:2] or now - self.began_at < COUNT_INTERVAL_NS:
                 return
             self.of, self.began_at, self.sum, self.bucket, self.after = head[:2], now, 0.0, 0, None
         seen = 0
@@ -144,7 +144,7 @@
             if page.done:
                 self.bucket, self.after = self.bucket + 1, None
             if self.bucket == BUCKETS:
-                self.whole, self.bucket = self.sum, -1
+                self.total, self.bucket = self.sum, -1
                 return
             seen += len(page.entries)
             if seen >= ENTRIES_A_TICK:
@@ -154,14 +154,14 @@
         value = self.replica.table.get("tenant", name)
         if value is None:
             return None
-        whole = self.whole or float(self.replica.table.count("tenant"))
+        whole = self.total or float(self.replica.table.count("tenant"))
         return min(1.0, portion_of(value) / whole) if whole else 1.0
 
 
 BUCKETS = 256  # of `distribution.table`, which is imported only where this is on
 
 
-class Distributed:
+class FollowedConfiguration:
     """`sock`: bound, for datagrams. `leaving`: whether the server is on its way out."""
 
     def __init__(
@@ -184,7 +184,7 @@
             name,
             tasks,
             leaving,
-            since_start,
+            monotonic_ns,
         )
         life = time.time_ns() // MS
         self.seals = Keys(Path(part.key_file), part.keys, "seals")
@@ -203,7 +203,7 @@
             self.clock(),
         )
         self.endpoint = Endpoint(sock, self.hear)
-        self.telling, self.portions = Telling(self.replica), Portions(self.replica)
+        self.telling, self.portions = Telling(self.replica), TenantPortions(self.replica)
         self.state = self.follower.state
         self.looked_at = 0
         self.counting = False  # whether anybody asks for shares
@@ -211,11 +211,11 @@
         self.exposed: Exposed | None = None
         self.task: asyncio.Task[None] | None = None
 
-    def tenants(self, told: Mapping[str, float]) -> Collection[str]:
+    def served_tenants(self, told: Mapping[str, float]) -> Collection[str]:
         self.told = told
-        return Tenants(self.replica, told)
+        return ServedTenants(self.replica, told)
 
-    def share(self, told: Mapping[str, float]) -> Callable[[str], float | None]:
+    def tenant_shares(self, told: Mapping[str, float]) -> Callable[[str], float | None]:
         self.counting = True
         whole = sum(told.values()) or 1.0
         own = {name: portion / whole for name, portion in told.items()}
@@ -272,7 +272,7 @@
             )
             self.state = self.follower.state
         if self.counting:
-            self.portions.step(now)
+            self.portions.advance(now)
         if now - self.looked_at >= LOOK_EVERY:
             self.looked_at = now
             self.look(now)
--- a/burlloom/server/logs.py
+++ b/burlloom/server/logs.py
@@ -9,7 +9,7 @@
 LINES_MOST = 50  # a second, of no more weight than info
 
 
-class KeyValue(logging.Formatter):
+class KeyValueFormatter(logging.Formatter):
     def format(self, record: logging.LogRecord) -> str:
         stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         line = (
@@ -21,7 +21,7 @@
         return line.replace("\n", " ")
 
 
-class Bound(logging.Filter):
+class LineRateLimit(logging.Filter):
     """Against those who connect by the hundreds, to leave a line each: past so many a second, lines
     count.
     """
@@ -42,8 +42,8 @@
         return passes
 
 
-def set_up() -> None:
+def configure_logging() -> None:
     handler = logging.StreamHandler(sys.stdout)
-    handler.setFormatter(KeyValue())
-    handler.addFilter(Bound())
+    handler.setFormatter(KeyValueFormatter())
+    handler.addFilter(LineRateLimit())
     logging.basicConfig(level=logging.INFO, handlers=[handler], force=True)
--- a/burlloom/server/fleeting.py
+++ b/burlloom/server/membership.py
@@ -28,7 +28,7 @@
     from ..fleet import Fleet, Spread
     from ..metrics import Exposed
     from ..operator import FleetPart
-    from .recovering import Recovering
+    from .recovery import RestartRecovery
 
 log = logging.getLogger(__name__)
 
@@ -39,67 +39,67 @@
 FADES = 0.98  # a tick, of what was wanted: a peak counts for some seconds
 
 
-class Fleeting(Protocol):
+class FleetMembership(Protocol):
     """What the server asks of its fleet, and tells it."""
 
     async def open(self) -> None: ...
-    def begin_desk(self, desk: Desk) -> None: ...
+    def attach_dispatcher(self, desk: Desk) -> None: ...
     def may_call(self) -> bool:
         """Just before a call leaves: whether our share is still one that we know."""
 
-    def pool(self, one: Pool) -> Pool | Pools: ...
-    def equal(self) -> tuple[float, float] | None:
+    def select_pool(self, one: Pool) -> Pool | Pools: ...
+    def call_shares(self) -> tuple[float, float] | None:
         """An equal share and our own, calls; None where there is no fleet."""
 
-    def addresses(self) -> tuple[str, ...]:
+    def peer_addresses(self) -> tuple[str, ...]:
         """Of others, for our next life."""
 
-    def shun(self, addresses: frozenset[str]) -> bool:
+    def eject_services(self, addresses: frozenset[str]) -> bool:
         """From now on these services are not called; whether no call is there any more."""
 
-    def reports(self) -> dict[str, tuple[int, int]]:
+    def recent_call_counts(self) -> dict[str, tuple[int, int]]:
         """Of each service, calls of the last seconds that came back well, and that did not."""
 
     def close(self) -> None: ...
 
 
-class NoFleet:
+class NoFleetMembership:
     """Each server decides alone."""
 
     async def open(self) -> None:
         pass
 
-    def begin_desk(self, desk: Desk) -> None:
+    def attach_dispatcher(self, desk: Desk) -> None:
         pass
 
     def may_call(self) -> bool:
         return True
 
-    def pool(self, one: Pool) -> Pool | Pools:
+    def select_pool(self, one: Pool) -> Pool | Pools:
         return one
 
-    def equal(self) -> tuple[float, float] | None:
+    def call_shares(self) -> tuple[float, float] | None:
         return None
 
-    def addresses(self) -> tuple[str, ...]:
+    def peer_addresses(self) -> tuple[str, ...]:
         return ()
 
-    def shun(self, addresses: frozenset[str]) -> bool:
+    def eject_services(self, addresses: frozenset[str]) -> bool:
         return True
 
-    def reports(self) -> dict[str, tuple[int, int]]:
+    def recent_call_counts(self) -> dict[str, tuple[int, int]]:
         return {}
 
     def close(self) -> None:
         pass
 
 
-def since_start() -> int:
+def monotonic_ns() -> int:
     """ns of a clock that nobody sets, and that goes on while the machine sleeps."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
-class Share:
+class CallShare:
     """What the fleet's share means to the decisions. Kept apart: the lab has it without
     datagrams.
     """
@@ -108,34 +108,34 @@
         """`cap`: calls that a start allows so far, beside the share."""
         self.fleet, self.cap = fleet, cap
         self.desk: Desk | None = None
-        self.told = -1
-        self.wanted = 0.0
+        self.applied = -1
+        self.demand = 0.0
 
-    def uses(self) -> None:
+    def report_demand(self) -> None:
         """Before a tick of the fleet's."""
         from ..fleet import CALL
 
         in_hand, waiting = self.desk.calls() if self.desk is not None else (0, 0)
-        self.wanted = max(float(in_hand + waiting), FADES * self.wanted)
-        self.fleet.uses(int(min(self.wanted, self.cap()) * CALL), in_hand * CALL)
+        self.demand = max(float(in_hand + waiting), FADES * self.demand)
+        self.fleet.uses(int(min(self.demand, self.cap()) * CALL), in_hand * CALL)
 
-    def tell(self) -> None:
+    def apply(self) -> None:
         """After one, and after each letter."""
         from ..fleet import CALL
 
         share = min(self.fleet.share, int(min(self.cap(), 1e9) * CALL))
-        if self.desk is not None and share != self.told:
-            self.told = share
+        if self.desk is not None and share != self.applied:
+            self.applied = share
             self.desk.share_calls(max(NOTHING, share / CALL))
 
 
-def shares(fleet: Fleet) -> tuple[float, float]:
+def call_shares(fleet: Fleet) -> tuple[float, float]:
     from ..fleet import CALL
 
     return fleet.terms.equal(max(1, fleet.members.counted())) / CALL, fleet.share / CALL
 
 
-class Fleeted:
+class ConfiguredFleetMembership:
     """`sock`: bound, for datagrams."""
 
     def __init__(
@@ -145,7 +145,7 @@
         name: str,
         seed: int,
         tasks: Tasks,
-        recovery: Recovering,
+        recovery: RestartRecovery,
     ) -> None:
         from .. import fleet
         from ..downstream.spread import Pools
@@ -155,15 +155,17 @@
             part,
             sock,
             tasks,
-            since_start,
+            monotonic_ns,
         )
         host, port = sock.getsockname()
         self.address = f"{host}:{port}"
-        own = fleet.Word(name, part.advertise or self.address, recovery.life, 0, fleet.State.ALIVE)
+        own = fleet.Word(
+            name, part.advertise or self.address, recovery.incarnation, 0, fleet.State.ALIVE
+        )
         self.chance = Random(seed ^ own.life)
         self.fleet = fleet.Fleet(
             own,
-            (*part.seeds, *recovery.members),
+            (*part.seeds, *recovery.known_members),
             part.keys(),
             part.terms(),
             part.habits(),
@@ -171,7 +173,7 @@
             self.clock(),
         )
         self.fleet.weight = int(part.weight * 1000)
-        self.share, self.recovery = Share(self.fleet, recovery.cap), recovery
+        self.call_share, self.recovery = CallShare(self.fleet, recovery.call_cap), recovery
         self.transport: asyncio.DatagramTransport | None = None
         self.turns = fleet.Turns()
         self.spread_over: tuple[tuple[str, ...], frozenset[str]] = ((), frozenset())
@@ -207,9 +209,9 @@
             len(self.part.services),
         )
 
-    def begin_desk(self, desk: Desk) -> None:
-        self.share.desk = desk
-        self.share.tell()
+    def attach_dispatcher(self, desk: Desk) -> None:
+        self.call_share.desk = desk
+        self.call_share.apply()
 
     def may_call(self) -> bool:
         if self.fleet.good(self.clock()):
@@ -227,7 +229,7 @@
 
     def tick(self) -> None:
         now = self.clock()
-        self.share.uses()
+        self.call_share.report_demand()
         self.fleet.tick(now)
         self.after(now)
         if now - self.looked_at >= LOOK_EVERY:
@@ -246,8 +248,8 @@
         """What a tick or a letter has led to."""
         if self.fleet.former != self.former:
             self.former = self.fleet.former
-            self.recovery.peer(self.former)
-        self.share.tell()
+            self.recovery.previous_incarnation_seen(self.former)
+        self.call_share.apply()
         self.flush()
         for move in self.fleet.moves:
             word = move.after or move.before
@@ -320,7 +322,7 @@
         left = [service for service in self.part.services if service not in shunned]
         return self.of.spread(names, left or self.part.services, self.part.subset)
 
-    def shun(self, addresses: frozenset[str]) -> bool:
+    def eject_services(self, addresses: frozenset[str]) -> bool:
         if addresses != self.shunned:
             self.shunned = addresses
             self.look_at_view()
@@ -330,7 +332,7 @@
             and not any(self.pools.open[address_of(address)] for address in addresses)
         )
 
-    def reports(self) -> dict[str, tuple[int, int]]:
+    def recent_call_counts(self) -> dict[str, tuple[int, int]]:
         now = self.clock()
         if now - self.lately_at >= LATELY:
             # Of a span without a call nothing stays: what failed long ago says nothing of now.
@@ -358,7 +360,7 @@
 
     # Calls.
 
-    def pool(self, one: Pool) -> Pool | Pools:
+    def select_pool(self, one: Pool) -> Pool | Pools:
         return self.pools if self.pools is not None else one
 
     def next(self) -> tuple[str, int]:
@@ -378,10 +380,10 @@
 
     # For our next life.
 
-    def equal(self) -> tuple[float, float] | None:
-        return shares(self.fleet)
+    def call_shares(self) -> tuple[float, float] | None:
+        return call_shares(self.fleet)
 
-    def addresses(self) -> tuple[str, ...]:
+    def peer_addresses(self) -> tuple[str, ...]:
         return tuple(
             member.word.address
             for member in self.fleet.members.there()
--- a/burlloom/server/recovering.py
+++ b/burlloom/server/recovery.py
@@ -19,7 +19,7 @@
     from pathlib import Path
 
     from ..recovery import Recovery, Terms
-    from .fleeting import Fleeting
+    from .membership import FleetMembership
 
 log = logging.getLogger(__name__)
 
@@ -27,62 +27,62 @@
 FREE = float("inf")
 
 
-class Recovering(Protocol):
+class RestartRecovery(Protocol):
     """What the server tells its recovery, and asks of it."""
 
-    life: int  # of this process, Unix ms; the fleet knows it by the same
-    members: tuple[str, ...]  # addresses of others, of the last life
-
-    def begin_desk(self, desk: Desk, record_life: int) -> None: ...
-    def peer(self, life: int) -> None: ...
-    def cap(self) -> float: ...
-    def holds_back(self, retry: bool) -> bool: ...
-    def fenced(self) -> bool: ...
-    def called(self, well: bool) -> None: ...
-    def round(self) -> None: ...
-    def back(self) -> bool:
+    incarnation: int  # of this process, Unix ms; the fleet knows it by the same
+    known_members: tuple[str, ...]  # addresses of others, of the last life
+
+    def attach_dispatcher(self, desk: Desk, record_life: int) -> None: ...
+    def previous_incarnation_seen(self, life: int) -> None: ...
+    def call_cap(self) -> float: ...
+    def holds_back_retry(self, retry: bool) -> bool: ...
+    def is_fenced(self) -> bool: ...
+    def call_ended(self, well: bool) -> None: ...
+    def update(self) -> None: ...
+    def is_complete(self) -> bool:
         """Whether its way back is over."""
 
     def close(self) -> None: ...
 
 
-class NoRecovery:
+class NoRestartRecovery:
     """A start is like any other moment."""
 
-    members: tuple[str, ...] = ()
+    known_members: tuple[str, ...] = ()
 
     def __init__(self) -> None:
-        self.life = time.time_ns() // MS
+        self.incarnation = time.time_ns() // MS
 
-    def begin_desk(self, desk: Desk, record_life: int) -> None:
+    def attach_dispatcher(self, desk: Desk, record_life: int) -> None:
         pass
 
-    def peer(self, life: int) -> None:
+    def previous_incarnation_seen(self, life: int) -> None:
         pass
 
-    def cap(self) -> float:
+    def call_cap(self) -> float:
         return FREE
 
-    def holds_back(self, retry: bool) -> bool:
+    def holds_back_retry(self, retry: bool) -> bool:
         return False
 
-    def fenced(self) -> bool:
+    def is_fenced(self) -> bool:
         return False
 
-    def called(self, well: bool) -> None:
+    def call_ended(self, well: bool) -> None:
         pass
 
-    def round(self) -> None:
+    def update(self) -> None:
         pass
 
-    def back(self) -> bool:
+    def is_complete(self) -> bool:
         return True
 
     def close(self) -> None:
         pass
 
 
-class Recovered:
+class ConfiguredRestartRecovery:
     """`fleet` gives the server's fleet once there is one; `alone`: calls that we may have where
     there is none.
     """
@@ -92,7 +92,7 @@
         terms: Terms,
         name: str,
         clock: Callable[[], int],
-        fleet: Callable[[], Fleeting],
+        fleet: Callable[[], FleetMembership],
         alone: float,
         lonely: bool,
         state_file: Path | None,
@@ -107,12 +107,14 @@
             alone,
             state_file,
         )
-        self.life = time.time_ns() // MS
+        self.incarnation = time.time_ns() // MS
         found = recovery.read(self.text())
-        self.recovery: Recovery = recovery.Recovery(terms, found, name, clock(), self.life, lonely)
+        self.recovery: Recovery = recovery.Recovery(
+            terms, found, name, clock(), self.incarnation, lonely
+        )
         # Old addresses do no harm: whoever is there answers with a sealed letter.
         kept = self.recovery.kept
-        self.members = kept.members if kept is not None else ()
+        self.known_members = kept.members if kept is not None else ()
         self.desk: Desk | None = None
         self.record_life = -1
         self.told_at = 0
@@ -123,7 +125,7 @@
             "event=recovery kept=%s life=%d members=%d",
             self.recovery.verdict.name.lower(),
             kept.life if kept is not None else 0,
-            len(self.members),
+            len(self.known_members),
         )
 
     def text(self) -> str | None:
@@ -137,35 +139,35 @@
             log.warning("event=recovery-unread detail=%r", str(error))
             return ""
 
-    def begin_desk(self, desk: Desk, record_life: int) -> None:
+    def attach_dispatcher(self, desk: Desk, record_life: int) -> None:
         self.desk, self.record_life = desk, record_life
         if record_life >= 0:
             self.recovery.store(record_life, self.clock())
         self.holding = True
         desk.hold_back(True)
-        self.round()
+        self.update()
 
-    def peer(self, life: int) -> None:
+    def previous_incarnation_seen(self, life: int) -> None:
         self.recovery.peer(life, self.clock())
         self.say()
 
-    def cap(self) -> float:
+    def call_cap(self) -> float:
         return self.recovery.cap
 
-    def holds_back(self, retry: bool) -> bool:
+    def holds_back_retry(self, retry: bool) -> bool:
         return self.recovery.holds_back(self.clock(), retry)
 
-    def fenced(self) -> bool:
+    def is_fenced(self) -> bool:
         return self.recovery.fenced(self.clock())
 
-    def called(self, well: bool) -> None:
+    def call_ended(self, well: bool) -> None:
         self.recovery.called(well)
 
-    def round(self) -> None:
+    def update(self) -> None:
         now = self.clock()
         if self.desk is None:
             return
-        shared = self.fleet().equal()
+        shared = self.fleet().call_shares()
         equal, share = shared if shared is not None else (self.alone, self.alone)
         if self.recovery.round(now, equal, share):
             cap = self.recovery.cap
@@ -190,7 +192,7 @@
             self.told_at = now
             self.write(share, clean=False)
 
-    def back(self) -> bool:
+    def is_complete(self) -> bool:
         return self.recovery.over
 
     def say(self) -> None:
@@ -209,12 +211,12 @@
             return
         kept = self.of.Kept(
             self.name,
-            self.life,
+            self.incarnation,
             time.time_ns() // MS,
             self.record_life,
             share,
             clean,
-            self.of.kept.members(self.fleet().addresses()),
+            self.of.kept.members(self.fleet().peer_addresses()),
         )
         part = self.state_file.with_name(self.state_file.name + ".part")
         try:
@@ -225,5 +227,5 @@
 
     def close(self) -> None:
         self.closed = True
-        shared = self.fleet().equal()
+        shared = self.fleet().call_shares()
         self.write(shared[1] if shared is not None else self.alone, clean=True)
--- a/burlloom/server/recording.py
+++ b/burlloom/server/request_record.py
@@ -12,7 +12,7 @@
 from ..dispatcher import Desk, Packed, RunEnded
 from ..interface import Idempotency, Outcome, RequestClass
 from ..sockets import MS
-from .configuration import Broken
+from .configuration import ConfigurationError
 
 if TYPE_CHECKING:
     from ..metrics import Exposed
@@ -23,33 +23,33 @@
 WAY_OUT = 100 * MS  # that an answer keeps to its expiry, whatever it waits for
 
 
-class Keeping(Protocol):
+class RequestRecord(Protocol):
     """What the server asks of its record, on a txn's way."""
 
-    recalls: bool
-    looks: bool  # whether a retry that is not known here may be known to the record
-    life: int  # of this node in the store, from 1; -1 where there is none
-    noted: str  # what this node's last life left to this one
+    keeps_results: bool
+    is_shared: bool  # whether a retry that is not known here may be known to the record
+    incarnation: int  # of this node in the store, from 1; -1 where there is none
+    previous_note: str  # what this node's last life left to this one
 
     async def open(self) -> None: ...
-    def note(self, text: str) -> None: ...
-    def begin_desk(self, desk: Desk, executor_began: int) -> None: ...
-    def accepts(self) -> bool: ...
-    def begin(self, mark: bytes, id: str, at: int, product: int) -> None: ...
-    def ended(self, id: str, outcome: Outcome, result: bytes) -> None: ...
-    async def durable(self, mark: bytes, at: int, product: int) -> None: ...
-    async def look(self, mark: bytes, id: str, at: int, product: int) -> None: ...
-    def answered(self, id: str) -> None: ...
-    async def recall(self, mark: bytes, until: int) -> bytes | None: ...
+    def write_note(self, text: str) -> None: ...
+    def attach_dispatcher(self, desk: Desk, executor_began: int) -> None: ...
+    def accepts_claims(self) -> bool: ...
+    def begin_run(self, mark: bytes, id: str, at: int, product: int) -> None: ...
+    def run_ended(self, id: str, outcome: Outcome, result: bytes) -> None: ...
+    async def wait_until_durable(self, mark: bytes, at: int, product: int) -> None: ...
+    async def look_up(self, mark: bytes, id: str, at: int, product: int) -> None: ...
+    def request_answered(self, id: str) -> None: ...
+    async def read_result(self, mark: bytes, until: int) -> bytes | None: ...
     async def close(self) -> None: ...
 
 
-class NoRecord:
+class NoRequestRecord:
     """Memory's marks alone: every run begins at once."""
 
-    recalls = looks = False
-    life = -1
-    noted = ""
+    keeps_results = is_shared = False
+    incarnation = -1
+    previous_note = ""
 
     def __init__(self, execute: Callable[[str], None]) -> None:
         self.execute = execute
@@ -57,41 +57,41 @@
     async def open(self) -> None:
         pass
 
-    def note(self, text: str) -> None:
+    def write_note(self, text: str) -> None:
         pass
 
-    def begin_desk(self, desk: Desk, executor_began: int) -> None:
+    def attach_dispatcher(self, desk: Desk, executor_began: int) -> None:
         pass
 
-    def accepts(self) -> bool:
+    def accepts_claims(self) -> bool:
         return True
 
-    def begin(self, mark: bytes, id: str, at: int, product: int) -> None:
+    def begin_run(self, mark: bytes, id: str, at: int, product: int) -> None:
         self.execute(id)
 
-    def ended(self, id: str, outcome: Outcome, result: bytes) -> None:
+    def run_ended(self, id: str, outcome: Outcome, result: bytes) -> None:
         pass
 
-    async def durable(self, mark: bytes, at: int, product: int) -> None:
+    async def wait_until_durable(self, mark: bytes, at: int, product: int) -> None:
         pass
 
-    async def look(self, mark: bytes, id: str, at: int, product: int) -> None:
+    async def look_up(self, mark: bytes, id: str, at: int, product: int) -> None:
         pass
 
-    def answered(self, id: str) -> None:
+    def request_answered(self, id: str) -> None:
         pass
 
-    async def recall(self, mark: bytes, until: int) -> bytes | None:
+    async def read_result(self, mark: bytes, until: int) -> bytes | None:
         return None
 
     async def close(self) -> None:
         pass
 
 
-class Recorded:
+class ConfiguredRequestRecord:
     """Referenced txns run only once their claim is durable; implements `record.Hand`."""
 
-    recalls = True
+    keeps_results = True
 
     def __init__(
         self,
@@ -104,7 +104,7 @@
         """`looks`: other nodes write to the record too."""
         from ..record import points
 
-        self.points, self.looks = points, looks
+        self.points, self.is_shared = points, looks
         self.products, self.hold_share, self.clock, self.execute = (
             products,
             hold_share,
@@ -115,9 +115,9 @@
         self.exposed: Exposed | None = None
         self.desk: Desk | None = None
         self.former = Packed()
-        self.noted, self.life = "", -1
+        self.previous_note, self.incarnation = "", -1
 
-    def note(self, text: str) -> None:
+    def write_note(self, text: str) -> None:
         self.keeper.store.note(text)
 
     async def open(self) -> None:
@@ -127,8 +127,8 @@
         try:
             opened = await self.keeper.open()
         except Refused as error:
-            raise Broken(str(error)) from error
-        self.noted, self.life = self.keeper.noted, self.keeper.life
+            raise ConfigurationError(str(error)) from error
+        self.previous_note, self.incarnation = self.keeper.noted, self.keeper.life
         self.former = Packed(chain.from_iterable(self.keeper.read_back()))
         await self.keeper.start()
         log.info(
@@ -142,16 +142,16 @@
             (self.clock() - began) // MS,
         )
 
-    def begin_desk(self, desk: Desk, executor_began: int) -> None:
+    def attach_dispatcher(self, desk: Desk, executor_began: int) -> None:
         self.desk = desk
         desk.ledger.plant_ended(self.former)
         for mark, until, asked in self.keeper.executor(executor_began):
             desk.ledger.plant(mark, until, not asked)
 
-    def accepts(self) -> bool:
+    def accepts_claims(self) -> bool:
         return self.keeper.accepts()
 
-    def begin(self, mark: bytes, id: str, at: int, product: int) -> None:
+    def begin_run(self, mark: bytes, id: str, at: int, product: int) -> None:
         known = self.products[product]
         if known.idempotency is Idempotency.KEYED:
             self.keeper.begin(
@@ -160,10 +160,10 @@
         else:
             self.execute(id)
 
-    def ended(self, id: str, outcome: Outcome, result: bytes) -> None:
+    def run_ended(self, id: str, outcome: Outcome, result: bytes) -> None:
         self.keeper.ended(id, outcome, result)
 
-    async def durable(self, mark: bytes, at: int, product: int) -> None:
+    async def wait_until_durable(self, mark: bytes, at: int, product: int) -> None:
         known = self.products[product]
         if known.idempotency is Idempotency.KEYED:
             until = min(
@@ -173,17 +173,17 @@
             await self.keeper.durable(mark, until)
             self.points.reached("answering")
 
-    def answered(self, id: str) -> None:
+    def request_answered(self, id: str) -> None:
         self.keeper.left(id)
         self.points.reached_once_sent("answered")
 
-    async def look(self, mark: bytes, id: str, at: int, product: int) -> None:
+    async def look_up(self, mark: bytes, id: str, at: int, product: int) -> None:
         known = self.products[product]
         await self.keeper.look(
             mark, id, at + known.idempotency_window_ns, known.latency_objective_ns
         )
 
-    async def recall(self, mark: bytes, until: int) -> bytes | None:
+    async def read_result(self, mark: bytes, until: int) -> bytes | None:
         return await self.keeper.recall(mark, until - WAY_OUT)
 
     async def close(self) -> None:
--- a/burlloom/server/rolling.py
+++ b/burlloom/server/rollout.py
@@ -16,14 +16,14 @@
 from ..dispatcher import Kind
 from ..interface import RequestClass
 from ..sockets import MS, Tasks, rest
-from .fleeting import since_start
+from .membership import monotonic_ns
 
 if TYPE_CHECKING:
     from ..metrics import Exposed
     from ..operator import RolloutPart
     from ..rollout import Hand, Lead, Says
     from ..rollout.stores import Page, Shelf
-    from .fleeting import Fleeting
+    from .membership import FleetMembership
 
 log = logging.getLogger(__name__)
 
@@ -31,38 +31,38 @@
 LAST_WORD = 0.2  # s that a way out may wait for the store
 
 
-class Rolling(Protocol):
+class RolloutParticipation(Protocol):
     """What the server tells of itself."""
 
     def open(self) -> None: ...
-    def answered(self, kind: Kind, product: int, at: int) -> None: ...
+    def request_answered(self, kind: Kind, product: int, at: int) -> None: ...
     async def close(self) -> None: ...
 
 
-class NoRolling:
+class NoRolloutParticipation:
     """Its platform alone says when it starts and stops."""
 
     def open(self) -> None:
         pass
 
-    def answered(self, kind: Kind, product: int, at: int) -> None:
+    def request_answered(self, kind: Kind, product: int, at: int) -> None:
         pass
 
     async def close(self) -> None:
         pass
 
 
-class Host(Protocol):
+class RolloutHost(Protocol):
     """The server, as far as it is asked."""
 
     @property
-    def leaving(self) -> bool: ...
-    def well(self) -> bool: ...
-    def ready(self) -> bool: ...
-    def leave(self) -> None: ...
+    def is_shutting_down(self) -> bool: ...
+    def is_healthy_and_recovered(self) -> bool: ...
+    def is_ready(self) -> bool: ...
+    def begin_shutdown(self) -> None: ...
 
 
-class Rolled:
+class ConfiguredRolloutParticipation:
     """`version`: that we run; `terms` and the like stand in `part`."""
 
     def __init__(
@@ -74,9 +74,9 @@
         products: tuple[RequestClass, ...],
         clock: Callable[[], int],
         tasks: Tasks,
-        host: Host,
-        fleet: Callable[[], Fleeting],
-        steady: Callable[[], int] = since_start,
+        host: RolloutHost,
+        fleet: Callable[[], FleetMembership],
+        steady: Callable[[], int] = monotonic_ns,
     ) -> None:
         """`clock`: Unix ns; `steady`: ns of one that nobody sets."""
         from .. import rollout
@@ -109,7 +109,7 @@
         """
         self.task = self.tasks.start(self.keep(), "rollout")
 
-    def answered(self, kind: Kind, product: int, at: int) -> None:
+    def request_answered(self, kind: Kind, product: int, at: int) -> None:
         if kind in (Kind.SETTLE, Kind.SETTLE_AS):
             self.counts[0] += 1
             self.counts[1] += self.clock() - at > self.products[product].latency_objective_ns
@@ -171,9 +171,9 @@
             return
         self.page = page = await self.shelf.read(self.page)
         self.heed(page)
-        if not self.host.leaving:
+        if not self.host.is_shutting_down:
             await self.mind(page)
-        if not self.host.leaving and self.lead is not None and page is self.page:
+        if not self.host.is_shutting_down and self.lead is not None and page is self.page:
             await self.go_first(self.lead, page)
 
     # What we say.
@@ -182,9 +182,9 @@
         says = self.of.Says
         return (
             says.LEAVING
-            if self.host.leaving
+            if self.host.is_shutting_down
             else says.SERVING
-            if self.host.ready()
+            if self.host.is_ready()
             else says.STARTING
         )
 
@@ -199,11 +199,11 @@
                 self.life,
                 self.beat,
                 says,
-                self.host.well(),
+                self.host.is_healthy_and_recovered(),
                 self.version,
                 self.heeded,
                 self.of.Counts(*self.counts),
-                self.fleet().reports(),
+                self.fleet().recent_call_counts(),
                 self.former,
             )
         ):
@@ -218,7 +218,7 @@
         there any more.
         """
         shunned = frozenset(address for _, address in page.book.shunned())
-        if self.fleet().shun(shunned):
+        if self.fleet().eject_services(shunned):
             self.heeded = page.book.steps
 
     # What the book says of us.
@@ -252,7 +252,7 @@
                 os.replace(part, place)
             except OSError as error:
                 log.warning("event=release-not-written detail=%r", str(error))
-        self.host.leave()
+        self.host.begin_shutdown()
 
     # Leading.
 
--- a/burlloom/server/assembly.py
+++ b/burlloom/server/server.py
@@ -29,13 +29,13 @@
 from ..rpc import Front, IncomingRequest, Known
 from ..settings import gauges
 from ..sockets import MS, Tasks, out_of_descriptors, rest
-from .configuration import Broken, Orders, read
-from .distributing import Distributing, NoDistribution
-from .fleeting import Fleeting, NoFleet
-from .leveling import Leveling, NoLevels
-from .recording import Keeping, NoRecord
-from .recovering import NoRecovery, Recovering
-from .rolling import NoRolling, Rolling
+from .configuration import ConfigurationError, ServerConfig, read_config
+from .configuration_distribution import ConfigurationDistribution, NoConfigurationDistribution
+from .membership import FleetMembership, NoFleetMembership
+from .recovery import NoRestartRecovery, RestartRecovery
+from .request_record import NoRequestRecord, RequestRecord
+from .rollout import NoRolloutParticipation, RolloutParticipation
+from .service_levels import NoServiceLevels, ServiceLevels
 
 log = logging.getLogger(__name__)
 
@@ -73,14 +73,14 @@
     """
 
     def __init__(self) -> None:
-        self.last = 0
+        self.last_ns = 0
 
     def __call__(self) -> int:
-        self.last = max(self.last, time.time_ns())
-        return self.last
+        self.last_ns = max(self.last_ns, time.time_ns())
+        return self.last_ns
 
 
-def room(sockets: int, facts: ServerSettings) -> int:
+def max_connections(sockets: int, facts: ServerSettings) -> int:
     """How many connections of balancers there may be: so many calls as may be in hand find a
     descriptor besides.
     """
@@ -88,7 +88,7 @@
     return max(sockets - max(RESERVE, OWN + math.ceil(calls)), sockets // 2)
 
 
-def answer(asked: IncomingRequest, step: Step) -> None:
+def send_answer(asked: IncomingRequest, step: Step) -> None:
     match step.kind:
         case Kind.SETTLE | Kind.SETTLE_AS:
             asked.settle(step.body)
@@ -101,73 +101,86 @@
 class Server:
     def __init__(
         self,
-        orders: Orders,
+        orders: ServerConfig,
         listener: socket.socket,
-        keeping: Callable[["Server"], Keeping] | None = None,
-        leveling: Callable[["Server"], Leveling] | None = None,
-        fleeting: Callable[["Server"], Fleeting] | None = None,
-        recovering: Callable[["Server"], Recovering] | None = None,
-        rolling: Callable[["Server"], Rolling] | None = None,
-        distributing: Callable[["Server"], Distributing] | None = None,
+        keeping: Callable[["Server"], RequestRecord] | None = None,
+        leveling: Callable[["Server"], ServiceLevels] | None = None,
+        fleeting: Callable[["Server"], FleetMembership] | None = None,
+        recovering: Callable[["Server"], RestartRecovery] | None = None,
+        rolling: Callable[["Server"], RolloutParticipation] | None = None,
+        distributing: Callable[["Server"], ConfigurationDistribution] | None = None,
     ) -> None:
-        self.orders, self.clock, self.tasks = orders, Clock(), Tasks()
-        self.leaving = False
-        self.record: Keeping = keeping(self) if keeping is not None else NoRecord(self.execute)
-        self.distribution: Distributing = (
-            distributing(self) if distributing is not None else NoDistribution()
+        self.config, self.clock, self.tasks = orders, Clock(), Tasks()
+        self.is_shutting_down = False
+        self.record: RequestRecord = (
+            keeping(self) if keeping is not None else NoRequestRecord(self.start_run)
         )
-        self.levels: Leveling = leveling(self) if leveling is not None else NoLevels()
-        self.recovery: Recovering = recovering(self) if recovering is not None else NoRecovery()
-        self.fleet: Fleeting = fleeting(self) if fleeting is not None else NoFleet()
-        self.rolling: Rolling = rolling(self) if rolling is not None else NoRolling()
-        self.class_index = {name: index for index, name in enumerate(orders.products)}
+        self.distribution: ConfigurationDistribution = (
+            distributing(self) if distributing is not None else NoConfigurationDistribution()
+        )
+        self.levels: ServiceLevels = leveling(self) if leveling is not None else NoServiceLevels()
+        self.recovery: RestartRecovery = (
+            recovering(self) if recovering is not None else NoRestartRecovery()
+        )
+        self.membership: FleetMembership = (
+            fleeting(self) if fleeting is not None else NoFleetMembership()
+        )
+        self.rollout: RolloutParticipation = (
+            rolling(self) if rolling is not None else NoRolloutParticipation()
+        )
+        self.class_index = {name: index for index, name in enumerate(orders.class_names)}
         keyed = {
-            name: orders.facts.request_classes[index].idempotency is Idempotency.KEYED
+            name: orders.settings.request_classes[index].idempotency is Idempotency.KEYED
             for name, index in self.class_index.items()
         }
         self.desk: Desk | None = None
-        self.serving: dict[str, IncomingRequest] = {}
-        self.over = asyncio.Event()
+        self.open_requests: dict[str, IncomingRequest] = {}
+        self.stopped = asyncio.Event()
         self.address = listener.getsockname()
         known = Known(
             keyed,
-            self.distribution.tenants(orders.tenants),
-            max(product.deadline_ns for product in orders.facts.request_classes),
+            self.distribution.served_tenants(orders.tenant_portions),
+            max(product.deadline_ns for product in orders.settings.request_classes),
         )
         self.front = Front(
             listener,
             known,
-            room(orders.sockets, orders.facts),
+            max_connections(orders.max_sockets, orders.settings),
             self.tasks,
             self.clock,
-            self.asked,
-            self.lost,
-            self.serves,
-            self.good,
-            self.said,
+            self.receive,
+            self.connection_lost,
+            self.is_serving,
+            self.is_healthy,
+            self.load_report,
         )
         spare = self.front.make_room
         self.link = Link(
-            orders.executor, self.tasks, self.welcome, self.run_ended, self.at_call, spare
+            orders.executor_address,
+            self.tasks,
+            self.executor_welcomed,
+            self.run_ended,
+            self.run_reached_call,
+            spare,
         )
-        self.pool = self.fleet.pool(Pool(orders.catalogue, spare))
-        self.reports = Reports(orders.naming, orders.name)
+        self.pool = self.membership.select_pool(Pool(orders.downstream_address, spare))
+        self.reports = Reports(orders.discovery_address, orders.name)
 
     async def run(self) -> None:
         await self.record.open()
-        await self.fleet.open()
+        await self.membership.open()
         await self.distribution.open()
         self.front.listen()
         self.tasks.start(self.link.keep(), "executor")
         self.tasks.start(self.reports.keep(), "naming")
         self.tasks.start(self.front.keep(), "front")
-        self.rolling.open()
-        log.info("event=listening name=%s address=%s:%d", self.orders.name, *self.address)
-        await self.over.wait()
-        await self.rolling.close()
+        self.rollout.open()
+        log.info("event=listening name=%s address=%s:%d", self.config.name, *self.address)
+        await self.stopped.wait()
+        await self.rollout.close()
         self.levels.close()
         self.recovery.close()
-        self.fleet.close()
+        self.membership.close()
         self.distribution.close()
         await self.record.close()
         log.info(
@@ -180,46 +193,52 @@
         """
         try:
             try:
-                orders = read()
-            except Broken as error:
+                orders = read_config()
+            except ConfigurationError as error:
                 # The file itself wants a descriptor: idle clients that hold them all must not hide
                 # where all went.
                 if not out_of_descriptors(error.__cause__) or not self.front.make_room():
                     raise
-                orders = read()
-        except Broken as error:
+                orders = read_config()
+        except ConfigurationError as error:
             log.warning("event=reload-failed detail=%r", str(error))
             return
-        self.link.move(orders.executor)
-        self.pool.move(orders.catalogue)
-        self.reports.move(orders.naming)
-        self.front.most = room(orders.sockets, orders.facts)
+        self.link.move(orders.executor_address)
+        self.pool.move(orders.downstream_address)
+        self.reports.move(orders.discovery_address)
+        self.front.most = max_connections(orders.max_sockets, orders.settings)
         log.info(
             "event=reloaded executor=%s:%d catalogue=%s naming=%s:%d",
-            *orders.executor,
-            "%s:%d" % orders.catalogue if orders.catalogue is not None else "none",
-            *orders.naming,
+            *orders.executor_address,
+            "%s:%d" % orders.downstream_address
+            if orders.downstream_address is not None
+            else "none",
+            *orders.discovery_address,
         )
 
     # A request's way.
 
-    def serves(self, id: str) -> bool:
-        return id in self.serving or self.desk is not None and self.desk.knows(id)
+    def is_serving(self, id: str) -> bool:
+        return id in self.open_requests or self.desk is not None and self.desk.knows(id)
 
-    def said(self, caller: str) -> str:
+    def load_report(self, caller: str) -> str:
         if self.desk is None:
             return ""
         part = self.desk.service.trial_share
-        return self.desk.said_trial if part and self.levels.lot(caller) < part else self.desk.said
+        return (
+            self.desk.said_trial
+            if part and self.levels.sampling_draw(caller) < part
+            else self.desk.said
+        )
 
-    def lost(self, asked: IncomingRequest) -> None:
+    def connection_lost(self, asked: IncomingRequest) -> None:
         if self.desk is not None and self.desk.knows(asked.id):
             self.desk.withdraw(asked.id)
         else:
-            self.serving.pop(asked.id, None)  # it is being looked up, for nobody now
-            self.record.answered(asked.id)
+            self.open_requests.pop(asked.id, None)  # it is being looked up, for nobody now
+            self.record.request_answered(asked.id)
 
-    def asked(self, asked: IncomingRequest) -> None:
+    def receive(self, asked: IncomingRequest) -> None:
         if self.desk is None:
             asked.refuse(0, False)
             return
@@ -234,42 +253,42 @@
             asked.idempotency_key,
             asked.key,
             asked.body,
-            self.record.accepts(),
+            self.record.accepts_claims(),
             asked.retry,
-            self.levels.over(asked.tenant),
-            self.levels.lot(asked.caller),
-            self.recovery.holds_back(asked.retry),
+            self.levels.count_request(asked.tenant),
+            self.levels.sampling_draw(asked.caller),
+            self.recovery.holds_back_retry(asked.retry),
         )
-        if asked.retry and self.record.looks and (mark := self.desk.unknown(tried)):
-            self.serving[asked.id] = asked
-            self.tasks.start(self.look(self.desk, asked, tried, mark), "look")
+        if asked.retry and self.record.is_shared and (mark := self.desk.unknown(tried)):
+            self.open_requests[asked.id] = asked
+            self.tasks.start(self.look_up(self.desk, asked, tried, mark), "look")
         else:
-            self.take(self.desk, asked, tried)
+            self.dispatch(self.desk, asked, tried)
 
-    async def look(
+    async def look_up(
         self, desk: Desk, asked: IncomingRequest, tried: RequestAttempt, mark: bytes
     ) -> None:
         """Another node may have run it: one that ran is not refused."""
-        await self.record.look(mark, asked.id, asked.at, tried.product)
-        if self.serving.pop(asked.id, None) is not None:
-            self.take(desk, asked, tried)
+        await self.record.look_up(mark, asked.id, asked.at, tried.product)
+        if self.open_requests.pop(asked.id, None) is not None:
+            self.dispatch(desk, asked, tried)
 
-    def take(self, desk: Desk, asked: IncomingRequest, tried: RequestAttempt) -> None:
-        if asked.retry and self.recovery.fenced() and desk.unknown(tried):
+    def dispatch(self, desk: Desk, asked: IncomingRequest, tried: RequestAttempt) -> None:
+        if asked.retry and self.recovery.is_fenced() and desk.unknown(tried):
             # It may have run in a life whose marks are lost: neither run again nor refused.
             asked.fail()
-            self.record.answered(asked.id)
+            self.record.request_answered(asked.id)
             return
         step = desk.take(tried)
         if isinstance(step, Step):
-            answer(asked, step)
-            self.rolling.answered(step.kind, tried.product, asked.at)
-            self.record.answered(asked.id)
+            send_answer(asked, step)
+            self.rollout.request_answered(step.kind, tried.product, asked.at)
+            self.record.request_answered(asked.id)
             return
-        self.serving[asked.id] = asked
-        self.tasks.start(self.serve(desk, asked, step), "request")
+        self.open_requests[asked.id] = asked
+        self.tasks.start(self.serve_request(desk, asked, step), "request")
 
-    async def serve(self, desk: Desk, asked: IncomingRequest, seat: Seat) -> None:
+    async def serve_request(self, desk: Desk, asked: IncomingRequest, seat: Seat) -> None:
         below: asyncio.Task[None] | None = None
         answered = False
         product = self.class_index[asked.request_class]
@@ -278,121 +297,125 @@
                 step = await desk.pick(seat)
                 match step.kind:
                     case Kind.RUN:
-                        self.record.begin(step.mark, asked.id, asked.at, product)
+                        self.record.begin_run(step.mark, asked.id, asked.at, product)
                     case Kind.CALL:
-                        below = self.tasks.start(self.call(desk, asked.id, step), "call")
+                        below = self.tasks.start(self.call_downstream(desk, asked.id, step), "call")
                     case Kind.RECALL:
-                        below = self.tasks.start(self.recall(desk, asked, step.mark), "recall")
+                        below = self.tasks.start(self.read_result(desk, asked, step.mark), "recall")
                     case _:
                         if step.kind in (Kind.SETTLE, Kind.SETTLE_AS):
-                            await self.record.durable(step.mark, asked.at, product)
-                            self.levels.settled(product, asked.at)
+                            await self.record.wait_until_durable(step.mark, asked.at, product)
+                            self.levels.request_completed(product, asked.at)
                         answered = True
-                        answer(asked, step)
-                        self.rolling.answered(step.kind, product, asked.at)
-                        self.record.answered(asked.id)
+                        send_answer(asked, step)
+                        self.rollout.request_answered(step.kind, product, asked.at)
+                        self.record.request_answered(asked.id)
         finally:
             if not answered:
                 asked.fail()
             if below is not None:
                 below.cancel()
-            self.serving.pop(asked.id, None)
+            self.open_requests.pop(asked.id, None)
 
-    async def recall(self, desk: Desk, asked: IncomingRequest, mark: bytes) -> None:
-        deadline = self.orders.facts.request_classes[
+    async def read_result(self, desk: Desk, asked: IncomingRequest, mark: bytes) -> None:
+        deadline = self.config.settings.request_classes[
             self.class_index[asked.request_class]
         ].deadline_ns
-        desk.report(Recalled(asked.id, await self.record.recall(mark, asked.at + deadline)))
+        desk.report(Recalled(asked.id, await self.record.read_result(mark, asked.at + deadline)))
 
-    def execute(self, id: str) -> None:
+    def start_run(self, id: str) -> None:
         """Its run may begin now. Where its connection went meanwhile it runs all the same: it was
         started.
         """
-        asked = self.serving.get(id)
+        asked = self.open_requests.get(id)
         if asked is not None:
             self.link.run(id, asked.request_class, asked.body)
         else:
             self.run_ended(id, End.NOOP, 0, b"")
 
-    async def call(self, desk: Desk, id: str, step: Step) -> None:
+    async def call_downstream(self, desk: Desk, id: str, step: Step) -> None:
         began = self.clock()
-        if not self.fleet.may_call():
+        if not self.membership.may_call():
             desk.report(CallEnded(id, Outcome.OVERLOADED, 0))
             return
-        answer, reply = await self.pool.call(id, step.body, step.until - began, step.repeatable)
-        if answer is Answer.WELL:
+        send_answer, reply = await self.pool.call(
+            id, step.body, step.until - began, step.repeatable
+        )
+        if send_answer is Answer.WELL:
             self.link.give(id, reply)
         else:
             took = (self.clock() - began) // MS
-            log.info("event=call-failed id=%s answer=%s ms=%d", id, answer.value, took)
-        if answer is Answer.UNWANTED:
+            log.info("event=call-failed id=%s answer=%s ms=%d", id, send_answer.value, took)
+        if send_answer is Answer.UNWANTED:
             # No run waits for it, so the end of the run is on its way, and cancels this. Told at
             # once, the decisions would call again and again, and soon take the catalogue for one
             # that is down.
             await rest(UNWANTED_WAIT)
-        self.levels.called(answer is Answer.WELL)
-        self.recovery.called(answer is Answer.WELL)
-        desk.report(CallEnded(id, CALL_OUTCOME[answer], self.clock() - began))
+        self.levels.call_ended(send_answer is Answer.WELL)
+        self.recovery.call_ended(send_answer is Answer.WELL)
+        desk.report(CallEnded(id, CALL_OUTCOME[send_answer], self.clock() - began))
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         return self.desk is not None
 
-    def well(self) -> bool:
+    def is_healthy_and_recovered(self) -> bool:
         """Callers are sent here, and our way back is over."""
-        return self.good() and self.recovery.back()
+        return self.is_healthy() and self.recovery.is_complete()
 
-    def good(self) -> bool:
-        return self.desk is not None and self.desk.healthy and not self.leaving
+    def is_healthy(self) -> bool:
+        return self.desk is not None and self.desk.healthy and not self.is_shutting_down
 
     # What the executor says.
 
-    def welcome(self, cold: bool, age_ms: int) -> None:
-        if self.desk is not None or self.leaving:
+    def executor_welcomed(self, cold: bool, age_ms: int) -> None:
+        if self.desk is not None or self.is_shutting_down:
             return
         log.info("event=welcome cold=%s age_ms=%d", cold, age_ms)
-        facts = replace(self.orders.facts, starts_cold=cold)
-        results = self.orders.memory // RESULTS_SHARE
+        facts = replace(self.config.settings, starts_cold=cold)
+        results = self.config.memory_bytes // RESULTS_SHARE
         self.desk = Desk(
             facts,
-            self.orders.products,
-            self.orders.seed,
+            self.config.class_names,
+            self.config.seed,
             self.clock,
             age_ms * MS,
             results,
-            self.record.recalls,
+            self.record.keeps_results,
         )
-        self.levels.begin_desk(self.desk, cold, self.record)
-        self.recovery.begin_desk(self.desk, self.record.life)
-        self.fleet.begin_desk(self.desk)
-        self.record.begin_desk(self.desk, self.clock() - age_ms * MS)
+        self.levels.attach_dispatcher(self.desk, cold, self.record)
+        self.recovery.attach_dispatcher(self.desk, self.record.incarnation)
+        self.membership.attach_dispatcher(self.desk)
+        self.record.attach_dispatcher(self.desk, self.clock() - age_ms * MS)
         self.reports.tell(True)
-        self.tasks.start(self.beat(self.desk), "beat")
+        self.tasks.start(self.control_loop(self.desk), "beat")
 
     def run_ended(self, id: str, end: End, took: int, result: bytes) -> None:
-        if end is End.BAD and id in self.serving:
-            self.serving[id].blame()
-        self.record.ended(id, RUN_OUTCOME[end], result)
+        if end is End.BAD and id in self.open_requests:
+            self.open_requests[id].blame()
+        self.record.run_ended(id, RUN_OUTCOME[end], result)
         if self.desk is not None:
             self.desk.report(RunEnded(id, RUN_OUTCOME[end], took, result))
 
-    def at_call(self, id: str, body: bytes) -> None:
+    def run_reached_call(self, id: str, body: bytes) -> None:
         if self.desk is not None:
             self.desk.report(AtCall(id, body))
 
-    async def beat(self, desk: Desk) -> None:
+    async def control_loop(self, desk: Desk) -> None:
         due = desk.tick(Gauges())
         while True:
             await rest(due - self.clock())
             try:
                 values = await self.link.gauges(GAUGES_WAIT)
-                told = values is not None and len(values) == len(self.orders.meters)
+                told = values is not None and len(values) == len(self.config.gauge_names)
                 measured = (
-                    gauges(self.orders.meters, values) if told and values is not None else Gauges()
+                    gauges(self.config.gauge_names, values)
+                    if told and values is not None
+                    else Gauges()
                 )
                 due = desk.tick(measured)
-                self.levels.round(measured)
-                self.recovery.round()
-                self.reports.tell(self.good())
+                self.levels.update(measured)
+                self.recovery.update()
+                self.reports.tell(self.is_healthy())
                 self.front.idle = desk.idle_for
                 self.pool.sweep()
             except Exception:
@@ -403,17 +426,17 @@
 
     # The way out.
 
-    def leave(self, noticed: int = 0) -> None:
+    def begin_shutdown(self, noticed: int = 0) -> None:
         """`noticed`: when the clock was last looked at before the notice was heard. It was sent
         after that; by how much, a process that had stood still can't tell, and counts grace and
         kill from the earlier.
         """
-        if self.leaving:
+        if self.is_shutting_down:
             return
-        self.leaving = True
+        self.is_shutting_down = True
         now = noticed or self.clock()
-        stop = now + max(self.orders.stop - LAST_WRITES, 0)
-        log.info("event=leaving stop_ms=%d", self.orders.stop // MS)
+        stop = now + max(self.config.stop_ns - LAST_WRITES, 0)
+        log.info("event=leaving stop_ms=%d", self.config.stop_ns // MS)
         if self.desk is not None:
             self.desk.report(Leaving(now, stop))
             self.reports.tell(False)
@@ -424,12 +447,12 @@
         them.
         """
         if self.desk is not None:
-            serve_until = min(now + self.orders.facts.drain_grace_ns, stop - 2 * LAST_WRITES)
+            serve_until = min(now + self.config.settings.drain_grace_ns, stop - 2 * LAST_WRITES)
             await rest(serve_until - self.clock())
         self.front.leave()
         while self.front.connections and self.clock() < stop:
             await rest(MOMENT)
-        while (self.front.busy or self.serving) and self.clock() < stop + LAST_WRITES // 2:
+        while (self.front.busy or self.open_requests) and self.clock() < stop + LAST_WRITES // 2:
             await rest(MOMENT)
         await self.front.close(stop + LAST_WRITES * 3 // 4 - self.clock())
-        self.over.set()
+        self.stopped.set()
--- a/burlloom/server/leveling.py
+++ b/burlloom/server/service_levels.py
@@ -29,59 +29,59 @@
 TELL_EVERY = 5 * SECOND  # between writings of the state's file where nothing moved
 
 
-class Notes(Protocol):
+class NoteStore(Protocol):
     """Where a life leaves a word to the next one: the record, if one is kept."""
 
-    noted: str
+    previous_note: str
 
-    def note(self, text: str) -> None: ...
+    def write_note(self, text: str) -> None: ...
 
 
-class Leveling(Protocol):
+class ServiceLevels(Protocol):
     """What the server tells its levels, on a txn's way and once a round."""
 
-    def begin_desk(self, desk: Desk, cold: bool, notes: Notes) -> None: ...
-    def over(self, tenant: str) -> bool: ...
-    def lot(self, caller: str) -> float: ...
-    def settled(self, product: int, at: int) -> None: ...
-    def called(self, well: bool) -> None: ...
-    def round(self, measured: Gauges) -> None: ...
+    def attach_dispatcher(self, desk: Desk, cold: bool, notes: NoteStore) -> None: ...
+    def count_request(self, tenant: str) -> bool: ...
+    def sampling_draw(self, caller: str) -> float: ...
+    def request_completed(self, product: int, at: int) -> None: ...
+    def call_ended(self, well: bool) -> None: ...
+    def update(self, measured: Gauges) -> None: ...
     def close(self) -> None: ...
 
 
-class NoLevels:
+class NoServiceLevels:
     """All is served as the decisions alone have it."""
 
-    def begin_desk(self, desk: Desk, cold: bool, notes: Notes) -> None:
+    def attach_dispatcher(self, desk: Desk, cold: bool, notes: NoteStore) -> None:
         pass
 
-    def over(self, tenant: str) -> bool:
+    def count_request(self, tenant: str) -> bool:
         return False
 
-    def lot(self, caller: str) -> float:
+    def sampling_draw(self, caller: str) -> float:
         return 0.0
 
-    def settled(self, product: int, at: int) -> None:
+    def request_completed(self, product: int, at: int) -> None:
         pass
 
-    def called(self, well: bool) -> None:
+    def call_ended(self, well: bool) -> None:
         pass
 
-    def round(self, measured: Gauges) -> None:
+    def update(self, measured: Gauges) -> None:
         pass
 
     def close(self) -> None:
         pass
 
 
-def lot(caller: str) -> float:
+def sampling_draw(caller: str) -> float:
     """A caller's own from 0 to under 1, the same on every node and in every life: trials take the
     same ones first.
     """
     return zlib.crc32(caller.encode()) / (1 << 32)
 
 
-class Leveled:
+class ConfiguredServiceLevels:
     """`plan` and `terms` are the operator's, or the shipped ones. `store` gives the record's
     strain, if one is kept.
     """
@@ -114,7 +114,7 @@
             sockets,
         )
         self.terms, self.store = terms, store
-        self.notes: Notes | None = None
+        self.notes: NoteStore | None = None
         self.steps: dict[str, int] = {}
         self.exposed: Exposed | None = None  # where nothing else of the program closes it
         self.pin_file, self.state_file = pin_file, state_file
@@ -132,8 +132,8 @@
         self.looked_at = self.told_at = self.moved_at = 0
         self.pin_read = ""
 
-    def begin_desk(self, desk: Desk, cold: bool, notes: Notes) -> None:
-        self.desk, self.notes, died_at = desk, notes, notes.noted
+    def attach_dispatcher(self, desk: Desk, cold: bool, notes: NoteStore) -> None:
+        self.desk, self.notes, died_at = desk, notes, notes.previous_note
         self.levels = self.of.Levels(
             self.plan,
             self.reliefs,
@@ -153,24 +153,24 @@
         if self.levels.standing.level:
             desk.serve_at(self.levels.service())
 
-    def over(self, tenant: str) -> bool:
+    def count_request(self, tenant: str) -> bool:
         return self.tenants.read(self.clock(), tenant)
 
-    def lot(self, caller: str) -> float:
-        return lot(caller)
+    def sampling_draw(self, caller: str) -> float:
+        return sampling_draw(caller)
 
-    def settled(self, product: int, at: int) -> None:
+    def request_completed(self, product: int, at: int) -> None:
         now = self.clock()
         self.late.add(now, now - at > self.products[product][1].latency_objective_ns)
 
-    def called(self, well: bool) -> None:
+    def call_ended(self, well: bool) -> None:
         self.calls.add(self.clock(), not well)
 
     @property
     def optional(self) -> bool:
         return self.levels is None or self.levels.optional
 
-    def round(self, measured: Gauges) -> None:
+    def update(self, measured: Gauges) -> None:
         if self.levels is None or self.desk is None:
             return
         now = self.clock()
@@ -214,7 +214,7 @@
         self.desk.serve_at(self.levels.service())
         self.steps[step.effect] = self.steps.get(step.effect, 0) + 1
         if step.before != step.after and self.notes is not None:
-            self.notes.note(step.after)
+            self.notes.write_note(step.after)
         self.tell(now)
 
     # An operator's files.
--- a/burlloom/server/parts.py
+++ b/burlloom/server/subsystems.py
@@ -17,17 +17,17 @@
 from ..record.opening import store_of
 from ..record.store import Refused
 from ..sockets import MS, SECOND
-from .configuration import Orders
-from .distributing import Distributed
-from .fleeting import Fleeted
-from .leveling import Leveled
-from .recording import Recorded
-from .recovering import Recovered
-from .rolling import RELEASE, Rolled
+from .configuration import ServerConfig
+from .configuration_distribution import FollowedConfiguration
+from .membership import ConfiguredFleetMembership
+from .recovery import ConfiguredRestartRecovery
+from .request_record import ConfiguredRequestRecord
+from .rollout import RELEASE, ConfiguredRolloutParticipation
+from .service_levels import ConfiguredServiceLevels
 
 if TYPE_CHECKING:
     from ..metrics import Exposed
-    from .assembly import Server
+    from .server import Server
 
 __all__ = [
     "Operator",
@@ -51,12 +51,14 @@
     return load(Path(path))
 
 
-def recorded(operator: Operator, orders: Orders) -> Callable[[Server], Recorded] | None:
+def recorded(
+    operator: Operator, orders: ServerConfig
+) -> Callable[[Server], ConfiguredRequestRecord] | None:
     """Raises `Refused`."""
     record = operator.record
     if record is None:
         return None
-    slack = max(product.deadline_ns for product in orders.facts.request_classes)
+    slack = max(product.deadline_ns for product in orders.settings.request_classes)
     store, sealer = store_of(record, record.node or orders.name, keep=slack)
     terms = Terms(
         record.mode == "prefer",
@@ -66,10 +68,10 @@
         record.doubt_wait_ms * MS,
     )
 
-    def make(server: Server) -> Recorded:
-        products = orders.facts.request_classes
-        made = Recorded(
-            products, record.hold_share, server.clock, server.execute, record.postgres is not None
+    def make(server: Server) -> ConfiguredRequestRecord:
+        products = orders.settings.request_classes
+        made = ConfiguredRequestRecord(
+            products, record.hold_share, server.clock, server.start_run, record.postgres is not None
         )
         keeper = made.keeper = Keeper(
             store,
@@ -87,12 +89,12 @@
     return make
 
 
-def stale(operator: Operator, orders: Orders) -> Orders:
+def stale(operator: Operator, orders: ServerConfig) -> ServerConfig:
     """The orders with what the file says of kept results. Raises `Faults`."""
     levels = operator.levels
     if levels is None or not levels.kept_ms:
         return orders
-    names = orders.products
+    names = orders.class_names
     if unknown := [name for name in levels.kept_ms if name not in names]:
         raise Faults(
             [
@@ -102,47 +104,50 @@
         )
     products = tuple(
         replace(product, max_staleness_ns=levels.kept_ms.get(name, 0) * MS)
-        for name, product in zip(names, orders.facts.request_classes, strict=True)
+        for name, product in zip(names, orders.settings.request_classes, strict=True)
     )
-    return replace(orders, facts=replace(orders.facts, request_classes=products))
+    return replace(orders, settings=replace(orders.settings, request_classes=products))
 
 
-def leveled(operator: Operator, orders: Orders) -> Callable[[Server], Leveled] | None:
+def leveled(
+    operator: Operator, orders: ServerConfig
+) -> Callable[[Server], ConfiguredServiceLevels] | None:
     """Raises `Faults`, with all that does not fit the platform's products."""
     told = operator.levels
     if told is None:
         return None
     plan, products = (
         told.plan(),
-        tuple(zip(orders.products, orders.facts.request_classes, strict=True)),
+        tuple(zip(orders.class_names, orders.settings.request_classes, strict=True)),
     )
     if lines := faults(plan, products, NAMES):
         raise Faults([f"levels.{line}" for line in lines])
 
-    def make(server: Server) -> Leveled:
+    def make(server: Server) -> ConfiguredServiceLevels:
         record = server.record
-        made = Leveled(
+        made = ConfiguredServiceLevels(
             plan,
             products,
-            orders.tenants,
-            orders.facts.cores,
+            orders.tenant_portions,
+            orders.settings.cores,
             server.clock,
             lambda: len(server.front.connections) / server.front.most,
             terms=told.terms(),
             store=partial(strain, record.keeper, server.clock)
-            if isinstance(record, Recorded)
+            if isinstance(record, ConfiguredRequestRecord)
             else None,
-            meters=frozenset(orders.meters),
+            meters=frozenset(orders.gauge_names),
             pin_file=Path(told.pin_file) if told.pin_file is not None else None,
             state_file=Path(told.state_file) if told.state_file is not None else None,
-            share=server.distribution.share(orders.tenants),
+            share=server.distribution.tenant_shares(orders.tenant_portions),
         )
         if operator.metrics is not None:
             shown = next(
                 (
                     one.exposed
                     for one in (record, server.distribution)
-                    if isinstance(one, Recorded | Distributed) and one.exposed is not None
+                    if isinstance(one, ConfiguredRequestRecord | FollowedConfiguration)
+                    and one.exposed is not None
                 ),
                 None,
             )
@@ -155,16 +160,18 @@
     return make
 
 
-def spanned(operator: Operator, orders: Orders) -> Orders:
+def spanned(operator: Operator, orders: ServerConfig) -> ServerConfig:
     """The orders with a span over which a share of under one call is a share of time, where none is
     told.
     """
-    if operator.fleet is None or orders.facts.call_quota_window_ns:
+    if operator.fleet is None or orders.settings.call_quota_window_ns:
         return orders
-    return replace(orders, facts=replace(orders.facts, call_quota_window_ns=CALLS_SPAN))
+    return replace(orders, settings=replace(orders.settings, call_quota_window_ns=CALLS_SPAN))
 
 
-def fleeted(operator: Operator, orders: Orders) -> Callable[[Server], Fleeted] | None:
+def fleeted(
+    operator: Operator, orders: ServerConfig
+) -> Callable[[Server], ConfiguredFleetMembership] | None:
     """Raises `Refused`."""
     part = operator.fleet
     if part is None:
@@ -183,14 +190,20 @@
         raise Refused(f"fleet.listen: {part.listen}: {error.strerror}") from error
     sock.setblocking(False)
 
-    def make(server: Server) -> Fleeted:
-        made = Fleeted(part, sock, orders.name, orders.seed, server.tasks, server.recovery)
+    def make(server: Server) -> ConfiguredFleetMembership:
+        made = ConfiguredFleetMembership(
+            part, sock, orders.name, orders.seed, server.tasks, server.recovery
+        )
         if operator.metrics is not None:
             shown = next(
                 (
                     one.exposed
                     for one in (server.record, server.distribution, server.levels)
-                    if isinstance(one, Recorded | Distributed | Leveled) and one.exposed is not None
+                    if isinstance(
+                        one,
+                        ConfiguredRequestRecord | FollowedConfiguration | ConfiguredServiceLevels,
+                    )
+                    and one.exposed is not None
                 ),
                 None,
             )
@@ -202,8 +215,10 @@
     return make
 
 
-def recovered(operator: Operator, orders: Orders) -> Callable[[Server], Recovered] | None:
-    part, facts = operator.recovery, orders.facts
+def recovered(
+    operator: Operator, orders: ServerConfig
+) -> Callable[[Server], ConfiguredRestartRecovery] | None:
+    part, facts = operator.recovery, orders.settings
     if part is None:
         return None
     durable = operator.record is not None and operator.record.mode == "require"
@@ -213,12 +228,14 @@
     lonely = operator.fleet is None and operator.record is None
     alone = facts.call_quota or facts.max_runs_per_core * facts.cores
     file = Path(part.state_file) if part.state_file is not None else None
-    return lambda server: Recovered(
-        terms, orders.name, server.clock, lambda: server.fleet, alone, lonely, file
+    return lambda server: ConfiguredRestartRecovery(
+        terms, orders.name, server.clock, lambda: server.membership, alone, lonely, file
     )
 
 
-def rolled(operator: Operator, orders: Orders) -> Callable[[Server], Rolled] | None:
+def rolled(
+    operator: Operator, orders: ServerConfig
+) -> Callable[[Server], ConfiguredRolloutParticipation] | None:
     """Raises `Refused`."""
     part = operator.rollout
     if part is None:
@@ -227,24 +244,35 @@
 
     shelf, version = shelf_of(operator), os.environ.get(RELEASE) or part.version
 
-    def make(server: Server) -> Rolled:
-        made = Rolled(
+    def make(server: Server) -> ConfiguredRolloutParticipation:
+        made = ConfiguredRolloutParticipation(
             part,
             shelf,
             orders.name,
             version,
-            orders.facts.request_classes,
+            orders.settings.request_classes,
             server.clock,
             server.tasks,
             server,
-            lambda: server.fleet,
+            lambda: server.membership,
         )
         if operator.metrics is not None:
             shown = next(
                 (
                     one.exposed
-                    for one in (server.record, server.distribution, server.levels, server.fleet)
-                    if isinstance(one, Recorded | Distributed | Leveled | Fleeted)
+                    for one in (
+                        server.record,
+                        server.distribution,
+                        server.levels,
+                        server.membership,
+                    )
+                    if isinstance(
+                        one,
+                        ConfiguredRequestRecord
+                        | FollowedConfiguration
+                        | ConfiguredServiceLevels
+                        | ConfiguredFleetMembership,
+                    )
                     and one.exposed is not None
                 ),
                 None,
@@ -257,7 +285,9 @@
     return make
 
 
-def distributed(operator: Operator, orders: Orders) -> Callable[[Server], Distributed] | None:
+def distributed(
+    operator: Operator, orders: ServerConfig
+) -> Callable[[Server], FollowedConfiguration] | None:
     """Raises `Refused`."""
     part = operator.distribution
     if part is None:
@@ -277,12 +307,16 @@
     except OSError as error:
         raise Refused(f"distribution.listen: {part.listen}: {error.strerror}") from error
 
-    def make(server: Server) -> Distributed:
-        made = Distributed(
-            part, sock, orders.name, orders.seed, server.tasks, lambda: server.leaving
+    def make(server: Server) -> FollowedConfiguration:
+        made = FollowedConfiguration(
+            part, sock, orders.name, orders.seed, server.tasks, lambda: server.is_shutting_down
         )
         if operator.metrics is not None:
-            shown = server.record.exposed if isinstance(server.record, Recorded) else None
+            shown = (
+                server.record.exposed
+                if isinstance(server.record, ConfiguredRequestRecord)
+                else None
+            )
             if shown is None:
                 shown = made.exposed = exposed(operator.metrics)
             shown.numbers("burlloom_distribution", made.counts, made.gauges)
--- a/burlloom/signals.py
+++ b/burlloom/signals.py
@@ -9,22 +9,22 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-HEARD = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
-def block() -> None:
+def block_signals() -> None:
     """In this thread, and all that it starts from now on."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, HEARD)
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
-def unblock() -> None:
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, HEARD)
+def unblock_signals() -> None:
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
 
 
 @contextmanager
-def blocked() -> Iterator[None]:
+def signals_blocked() -> Iterator[None]:
     """For the start of a thread, which takes this over for good."""
-    before = signal.pthread_sigmask(signal.SIG_BLOCK, HEARD)
+    before = signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     try:
         yield
     finally:
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -21,9 +21,9 @@
 from burlloom.record.seal import Sealer
 from burlloom.record.store import Done, Opened
 from burlloom.rpc import IncomingRequest
-from burlloom.server import assembly
-from burlloom.server.configuration import Orders
-from burlloom.server.recording import Recorded
+from burlloom.server.configuration import ServerConfig
+from burlloom.server.request_record import ConfiguredRequestRecord
+from burlloom.server.server import Server
 from burlloom.settings import facts
 
 MS = 1_000_000
@@ -142,7 +142,7 @@
 
     def __init__(self, world: "World", chance: random.Random) -> None:
         self.world, self.chance = world, chance
-        self.server: assembly.Server | None = None
+        self.server: Server | None = None
         self.born = -90.0
         self.told: list[tuple[str, End, bytes]] = []
         self.runs: dict[str, list[asyncio.TimerHandle]] = {}
@@ -165,7 +165,7 @@
         if self.server is not None:
             self.server.run_ended(id, end, 12 * MS, self.told[-1][2])
 
-    def replay(self, server: assembly.Server) -> None:
+    def replay(self, server: Server) -> None:
         self.server = server
         for id, end, result in list(self.told):
             server.run_ended(id, end, 12 * MS, result)
@@ -183,13 +183,13 @@
     def __init__(self, world: "World", name: str) -> None:
         self.world, self.name = world, name
         self.link = FakeLink(world, world.chance)
-        self.server: assembly.Server | None = None
+        self.server: Server | None = None
         self.store: FakeStore | None = None
 
     async def start(self) -> None:
         world, loop = self.world, world_loop()
         known, meters = facts(SETTINGS)
-        orders = Orders(
+        orders = ServerConfig(
             self.name,
             ("", 0),
             ("", 0),
@@ -207,22 +207,22 @@
         store = self.store = FakeStore(world.base, self.name, world.chance, world.trouble)
         terms = Terms(world.prefer, 0.25, 0.1, 64, 3 * SECOND)
 
-        def make(server: assembly.Server) -> Recorded:
+        def make(server: Server) -> ConfiguredRequestRecord:
             server.clock = loop.wall  # type: ignore[assignment]
-            made = Recorded(
-                known.request_classes, 0.1, loop.wall, server.execute, world.nodes_count > 1
+            made = ConfiguredRequestRecord(
+                known.request_classes, 0.1, loop.wall, server.start_run, world.nodes_count > 1
             )
             made.keeper = Keeper(store, SEALER, terms, 1500 * MS, loop.wall, made)
             return made
 
         with socket.socket() as listener:
-            server = assembly.Server(orders, listener, make)
+            server = Server(orders, listener, make)
         server.front.clock = loop.wall
         server.reports.tell = lambda serving: None  # type: ignore[method-assign]
         server.link = self.link  # type: ignore[assignment]
         self.link.gauges = no_gauges  # type: ignore[attr-defined]
         await server.record.open()
-        server.welcome(False, int((loop.time() - self.link.born) * 1000))
+        server.executor_welcomed(False, int((loop.time() - self.link.born) * 1000))
         self.server = server
         self.link.replay(server)
 
@@ -231,7 +231,7 @@
         assert self.store is not None
         self.store.crash()
         recorded = self.server.record
-        assert isinstance(recorded, Recorded)
+        assert isinstance(recorded, ConfiguredRequestRecord)
         keeper = recorded.keeper
         keeper.closed = True
         for timer in [keeper.rounds, *keeper.timers.values()]:
@@ -329,7 +329,7 @@
         self.ways.append(way)
         self.count["tries"] += 1
         id = f"{self.chance.getrandbits(64):016x}"
-        node.server.asked(
+        node.server.receive(
             IncomingRequest(
                 way,
                 len(self.ways),
--- a/tests/test_distributing.py
+++ b/tests/test_configuration_distribution.py
@@ -23,7 +23,11 @@
 from burlloom.levels.signals import RINGS_MOST
 from burlloom.levels.signals import Tenants as Shares
 from burlloom.rpc.requests import Known, Malformed, request
-from burlloom.server.distributing import COUNT_EVERY, Portions, Tenants
+from burlloom.server.configuration_distribution import (
+    COUNT_INTERVAL_NS,
+    ServedTenants,
+    TenantPortions,
+)
 
 SIGNING = b"s" * 32
 SECOND = 1_000_000_000
@@ -45,7 +49,7 @@
 
 def test_requests_are_held_against_the_tenants_in_force() -> None:
     held = Replica(Table(("", "north")), (SIGNING,))
-    known = Known({"look": False}, Tenants(held, {"acme": 1.0}), 6 * SECOND)
+    known = Known({"look": False}, ServedTenants(held, {"acme": 1.0}), 6 * SECOND)
     told = fields()
     now = int(told["at"]) * 1_000_000
 
@@ -70,7 +74,9 @@
         held.take(change(held.head or first_head(1, 0), Entry("", "tenant", "blue", None))) is None
     )
     assert not serves("blue"), "a table without any tenant serves none"
-    assert not Tenants(Replica(Table(("",)), ()), {}), "a configuration without any serves all"
+    assert not ServedTenants(Replica(Table(("",)), ()), {}), (
+        "a configuration without any serves all"
+    )
 
 
 def test_shares_follow_the_table() -> None:
@@ -80,21 +86,21 @@
         tenant("odd", portion="many"),
         Entry("", "route", "r", msgpack.packb({})),
     )
-    portions = Portions(held)
+    portions = TenantPortions(held)
     assert portions.share("a") == 1.0 and portions.share("b") == pytest.approx(1 / 3), (
         "each for one, until counted"
     )
     for at in range(256):
-        portions.step(at)
-    assert portions.whole == 5.0
+        portions.advance(at)
+    assert portions.total == 5.0
     assert portions.share("a") == pytest.approx(0.6)
     assert portions.share("none") is None
     assert held.take(change(held.head or first_head(1, 0), tenant("a", portion=8))) is None
-    portions.step(1000)
+    portions.advance(1000)
     assert portions.bucket < 0, "again only some minutes later"
     for at in range(256):
-        portions.step(COUNT_EVERY + 1000 + at)
-    assert portions.whole == 10.0
+        portions.advance(COUNT_INTERVAL_NS + 1000 + at)
+    assert portions.total == 10.0
     assert portions.share("a") == pytest.approx(0.8)
 
     shares = Shares((), share=portions.share)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -12,9 +12,9 @@
 
 from burlloom.downstream import Pool
 from burlloom.fakes.parts import Balancer, Catalogue, Executor, NameService, Reply, fields
-from burlloom.server.__main__ import bound
-from burlloom.server.assembly import Clock, Server
-from burlloom.server.configuration import Orders, address
+from burlloom.server.__main__ import bind_listener
+from burlloom.server.configuration import ServerConfig, parse_address
+from burlloom.server.server import Clock, Server
 from burlloom.settings import facts
 from burlloom.sockets import MS, SECOND
 
@@ -35,8 +35,8 @@
         self.by = 0
 
     def __call__(self) -> int:
-        self.last = max(self.last, time.time_ns() + self.by)
-        return self.last
+        self.last_ns = max(self.last_ns, time.time_ns() + self.by)
+        return self.last_ns
 
 
 def sizes(server: Server) -> dict[str, int]:
@@ -54,7 +54,7 @@
         "bytes": desk.ledger.bytes,
         "cases": len(desk.choice.cases),
         "lingering": len(desk.choice.lingering),
-        "serving": len(server.serving),
+        "serving": len(server.open_requests),
         "tasks": len(server.tasks.running),
         "connections": len(server.front.connections),
         "spare": len(server.front.spare),
@@ -81,12 +81,12 @@
             if "window" in product:
                 product["window"] = WINDOW // 1000
         known, meters = facts(settings)
-        orders = Orders(
+        orders = ServerConfig(
             "n1",
             ("127.0.0.1", 0),
-            address(executor.address),
-            address(naming.address),
-            address(catalogue.address),
+            parse_address(executor.address),
+            parse_address(naming.address),
+            parse_address(catalogue.address),
             7,
             3_000_000_000,
             known,
@@ -96,7 +96,7 @@
             {one["name"]: 1.0 for one in settings["tenants"]},
             meters,
         )
-        listener = bound(orders)
+        listener = bind_listener(orders)
         server, clock = Server(orders, listener), Ahead()
         server.clock = server.front.clock = clock
         running = asyncio.create_task(server.run())
@@ -181,7 +181,7 @@
         assert {
             name: size for name, size in again.items() if size > at_rest[name] and name != "kept"
         } == {}, (at_rest, again)
-        server.leave()
+        server.begin_shutdown()
         await soon(running)
         working.cancel()
         await catalogue.stop()
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -304,12 +304,12 @@
 # The program, held between its last look at the connections and its end until the test says go on.
 LATE = f'''-c "
 import sys, time, os
-from burlloom.server import __main__, assembly
-class Late(assembly.Server):
+from burlloom.server import __main__, server
+class Late(server.Server):
     async def drain(self, now, stop):
         clock = self.clock
         class Held:
-            last = property(lambda self: clock.last)
+            last_ns = property(lambda self: clock.last_ns)
             def __call__(self):
                 at = clock()
                 if at >= stop and not os.path.exists('FOLDER/go'):
