--- a/benchmarks/record_rates.py
+++ b/benchmarks/record_rates.py
@@ -276,7 +276,7 @@
                     took.append(time.perf_counter() - began)
                     status = Path(f"/proc/{rig.process.pid}/status").read_text()
                     resident = int(status.split("VmRSS:")[1].split()[0])
-                    found = rig.log().split("event=record-open")[1].split("\n")[0]
+                    found = rig.log().split("event=record_opened")[1].split("\n")[0]
             print(
                 f"{count} records, {size >> 20} MiB: up after {statistics.median(took):.2f} s (median of 3, the"
                 f" interpreter's start with it), resident {resident >> 10} MiB;{found}"
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -26,7 +26,8 @@
 from burlloom.lab.emulator import Emulator, Watch
 from burlloom.lab.fleets import Joining
 from burlloom.recovery import Terms
-from burlloom.server.recovery import ConfiguredRestartRecovery, RestartRecovery
+from burlloom.server.configured_recovery import ConfiguredRestartRecovery
+from burlloom.server.recovery import RestartRecovery
 from burlloom.server.server import Server
 
 KILLED_AT, DOWN_FOR, SECONDS = 14, 2, 60
@@ -95,7 +96,7 @@
         Terms(window=max(one.idempotency_window_ns for one in facts.request_classes)),
         server.config.name,
         lambda: server.clock(),
-        lambda: server.membership,
+        lambda: server.subsystems.membership,
         facts.call_quota,
         False,
         None,
--- a/benchmarks/scale_request.py
+++ b/benchmarks/scale_request.py
@@ -399,7 +399,7 @@
         view is another's too; or nearly so for a while, as on a busy machine there is always
         somebody who is suspected.
         """
-        self.tell("real", re.findall(r"event=fleet-open .* address=(\S+)", rig.log())[-1])
+        self.tell("real", re.findall(r"event=membership_opened .* address=(\S+)", rig.log())[-1])
         async with asyncio.timeout(60):
             same, since = False, 0
             while True:
--- a/burlloom/command/demo.py
+++ b/burlloom/command/demo.py
@@ -196,7 +196,7 @@
                 (
                     f"    {line.split(' event=')[1]}"
                     for line in (folder / "log").read_text().splitlines()
-                    if "event=record-open" in line
+                    if "event=record_opened" in line
                 ),
                 "",
             )
--- a/burlloom/command/root.py
+++ b/burlloom/command/root.py
@@ -80,9 +80,9 @@
             click.echo(f"{config}: good")
             if told is not None:
                 # What only the two together can tell: products that a level names.
-                from ..server.subsystems import leveled, stale
+                from ..server.operator_subsystems import apply_operator_settings, check_levels
 
-                leveled(told, stale(told, orders))
+                check_levels(told, apply_operator_settings(told, orders))
         except ConfigurationError as broken:
             faults.append(str(broken))
         except Faults as found:
--- a/burlloom/lab/callers.py
+++ b/burlloom/lab/callers.py
@@ -51,7 +51,7 @@
             return
         node, fleet = self.node, self.caller.fleet
         server = node.server
-        told = server.load_report(self.caller.name) if server is not None else ""
+        told = server.requests.load_report(self.caller.name) if server is not None else ""
         node.answered(self, answer, result)
         self.answer = answer
         if fleet.hears(self.caller, node):
--- a/burlloom/lab/emulator.py
+++ b/burlloom/lab/emulator.py
@@ -77,7 +77,9 @@
 class Fleets(Protocol):
     """What joins the nodes' servers into a fleet."""
 
-    def fleeting(self, node: Node) -> Callable[[Server], FleetMembership]: ...
+    def membership(
+        self, node: Node, server: Server, recovery: RestartRecovery
+    ) -> FleetMembership: ...
 
 
 class Rolls(Protocol):
--- a/burlloom/lab/experiment.py
+++ b/burlloom/lab/experiment.py
@@ -70,10 +70,10 @@
     def look(self, fleet: Emulator) -> dict[str, float]:
         levels, press = [], []
         for node in fleet.nodes:
-            if node.server is None or node.server.desk is None:
+            if node.server is None or node.server.requests.dispatcher is None:
                 continue
-            press.append(node.server.desk.choice.press)
-            of = getattr(node.server.levels, "levels", None)
+            press.append(node.server.requests.dispatcher.choice.press)
+            of = getattr(node.server.subsystems.levels, "levels", None)
             if of is None:
                 continue
             levels.append(of.standing.level - of.part)
--- a/burlloom/lab/fleets.py
+++ b/burlloom/lab/fleets.py
@@ -15,7 +15,9 @@
 from ..downstream import Pool
 from ..downstream.spread import Pools
 from ..fleet import CALL, Fleet, Habits, State, Terms, Word
-from ..server.membership import CallShare, FleetMembership, call_shares
+from ..server.call_share import CallShare, call_shares
+from ..server.membership import FleetMembership
+from ..server.recovery import RestartRecovery
 from ..server.server import Server
 from .clock import EPOCH, SECOND, SimulatedLoop
 from .emulator import Emulator
@@ -231,9 +233,11 @@
 
 
 class Joined:
-    """A node's server in the fleet: as `server.membership.ConfiguredFleetMembership`, over the network of a world."""
+    """A node's server in the fleet: as `server.configured_membership.ConfiguredFleetMembership`, over the network of a world."""
 
-    def __init__(self, fleets: "Joining", node: Node, server: Server) -> None:
+    def __init__(
+        self, fleets: "Joining", node: Node, server: Server, recovery: RestartRecovery
+    ) -> None:
         self.fleets, self.node, self.server = fleets, node, server
         loop, world = fleets.loop, fleets.emulator.world
         self.address = address(node.index)
@@ -248,8 +252,8 @@
             loop.wall(),
         )
         self.share, self.recovery, self.former = (
-            CallShare(self.fleet, server.recovery.call_cap),
-            server.recovery,
+            CallShare(self.fleet, recovery.call_cap),
+            recovery,
             0,
         )
         fleets.net.places[self.address] = self.hear
@@ -258,7 +262,7 @@
     async def open(self) -> None: ...
 
     def attach_dispatcher(self, desk: Desk) -> None:
-        self.share.desk = desk
+        self.share.dispatcher = desk
         self.share.apply()
 
     def may_call(self) -> bool:
@@ -338,13 +342,15 @@
             and bool(cuts & {self.zone(source), self.zone(target)})
         )
 
-    def fleeting(self, node: Node) -> Callable[[Server], FleetMembership]:
-        return lambda server: Joined(self, node, server)
+    def membership(self, node: Node, server: Server, recovery: RestartRecovery) -> FleetMembership:
+        return Joined(self, node, server, recovery)
 
     def shares(self) -> dict[str, float]:
         """Of those that are up, calls."""
         return {
-            node.name: node.server.membership.fleet.share / CALL
+            node.name: node.server.subsystems.membership.fleet.share / CALL
             for node in self.emulator.nodes
-            if node.up and node.server is not None and isinstance(node.server.membership, Joined)
+            if node.up
+            and node.server is not None
+            and isinstance(node.server.subsystems.membership, Joined)
         }
--- a/burlloom/lab/node.py
+++ b/burlloom/lab/node.py
@@ -8,7 +8,14 @@
 from ..executor import End
 from ..rpc import IncomingRequest
 from ..server.configuration import ServerConfig
+from ..server.configuration_distribution import ConfigurationDistribution
+from ..server.membership import FleetMembership
+from ..server.recovery import RestartRecovery
+from ..server.request_record import RequestRecord
+from ..server.rollout import RolloutParticipation
 from ..server.server import Server
+from ..server.service_levels import ServiceLevels
+from ..server.subsystems import SubsystemFactory
 from ..settings import facts
 from .below import Pool
 from .clock import SECOND
@@ -20,6 +27,50 @@
     from .emulator import Emulator
 
 MS = 1_000_000
+NOWHERE = ("", 0)  # no socket is opened
+
+
+class EmulatedSubsystems(SubsystemFactory):
+    """The parts of one emulated node's server; those that no experiment asks for are off."""
+
+    def __init__(self, fleet: "Emulator", node: "Node") -> None:
+        """Creates the factory of one start of a node.
+
+        Args:
+            fleet: Has what makes the parts.
+            node: The machine that the server is on.
+        """
+        self.fleet = fleet
+        self.node = node
+        self.make_rollout = fleet.rolls.rolling(node) if fleet.rolls is not None else None
+
+    def create_record(self, server: Server) -> RequestRecord:
+        """Creates the record that the experiment asks for."""
+        make = self.fleet.keeping
+        return make(server) if make is not None else super().create_record(server)
+
+    def create_levels(
+        self, server: Server, distribution: ConfigurationDistribution
+    ) -> ServiceLevels:
+        """Creates the levels that the experiment asks for."""
+        make = self.fleet.leveling
+        return make(server) if make is not None else super().create_levels(server, distribution)
+
+    def create_recovery(self, server: Server) -> RestartRecovery:
+        """Creates the recovery that the experiment asks for."""
+        make = self.fleet.recovering
+        return make(server) if make is not None else super().create_recovery(server)
+
+    def create_membership(self, server: Server, recovery: RestartRecovery) -> FleetMembership:
+        """Creates the membership over the emulated network."""
+        if self.fleet.fleets is None:
+            return super().create_membership(server, recovery)
+        return self.fleet.fleets.membership(self.node, server, recovery)
+
+    def create_rollout(self, server: Server) -> RolloutParticipation:
+        """Creates the participation in the experiment's releases."""
+        make = self.make_rollout
+        return make(server) if make is not None else super().create_rollout(server)
 
 
 class Reports:
@@ -64,33 +115,25 @@
         self.cores = Cores(loop, told, self.speed, loop.now if cold else -1e6)
         self.cores.slow = self.slow
         known, meters = facts(fleet.settings)
-        orders = ServerConfig(
-            self.name,
-            ("", 0),
-            ("", 0),
-            ("", 0),
-            ("", 0),
-            fleet.seed_of(self),
-            int(told.stop_ms * MS),
-            known,
-            512,
-            64 << 20,
-            tuple(one.name for one in fleet.world.products),
-            {one.name: one.share for one in fleet.world.tenants},
-            meters,
+        config = ServerConfig(
+            name=self.name,
+            listen_address=NOWHERE,
+            executor_address=NOWHERE,
+            discovery_address=NOWHERE,
+            downstream_address=NOWHERE,
+            seed=fleet.seed_of(self),
+            stop_ns=int(told.stop_ms * MS),
+            settings=known,
+            max_sockets=512,
+            memory_bytes=64 << 20,
+            class_names=tuple(one.name for one in fleet.world.products),
+            tenant_portions={one.name: one.share for one in fleet.world.tenants},
+            gauge_names=meters,
         )
         with socket.socket() as listener:
-            server = self.server = Server(
-                orders,
-                listener,
-                fleet.keeping,
-                fleet.leveling,
-                fleet.fleets.fleeting(self) if fleet.fleets is not None else None,
-                fleet.recovering,
-                fleet.rolls.rolling(self) if fleet.rolls is not None else None,
-            )
+            server = self.server = Server(config, listener, EmulatedSubsystems(fleet, self))
         server.reports.sock.close()
-        server.clock = server.front.clock = loop.wall  # type: ignore[assignment]
+        server.clock = server.front.clock = server.requests.clock = loop.wall  # type: ignore[assignment]
         server.front.listener = None
         server.reports = Reports(self)  # type: ignore[assignment]
         life = self.life
@@ -99,10 +142,10 @@
             self.work,
             self.ran,
             lambda *told: self.ended(life, *told),
-            server.run_reached_call,
+            server.requests.run_reached_call,
         )
-        server.link, server.pool = self.executor, Pool(fleet.below)  # type: ignore[assignment]
-        server.executor_welcomed(cold, 0 if cold else 600_000)
+        server.connect(self.executor, Pool(fleet.below))  # type: ignore[arg-type]
+        server.executor_connected(cold, 0 if cold else 600_000)
 
     def work(self, id: str) -> tuple[float, int, float]:
         order = self.attempts[id].order
@@ -117,7 +160,7 @@
                 end, result = End.FAIL, b""
             if end is End.PASS:
                 self.fleet.rules.makes(id, result)
-            self.server.run_ended(id, end, took, result)
+            self.server.requests.run_ended(id, end, took, result)
 
     def reach(self, attempt: "Attempt") -> None:
         """A try's last byte comes to the machine; reading it takes its cores first."""
@@ -167,7 +210,7 @@
             attempt.retry,
             tenants[order.tenant].name if tenants else "",
         )
-        server.receive(attempt.asked)
+        server.requests.receive(attempt.asked)
 
     def forget(self, attempt: "Attempt") -> None:
         if self.attempts.pop(attempt.id, None) is not None:
@@ -194,7 +237,7 @@
             and attempt.id in self.attempts
             and attempt.asked is not None
         ):
-            self.server.connection_lost(attempt.asked)
+            self.server.requests.connection_lost(attempt.asked)
 
     def drain(self) -> None:
         if self.up and self.server is not None and not self.server.is_shutting_down:
@@ -209,9 +252,9 @@
         self.fleet.rules.stopped(self.fleet.loop.now, self.name, self.life, killed)
         self.executor.stop()
         if not killed:
-            self.server.membership.close()
+            self.server.subsystems.membership.close()
             if self.fleet.rolls is not None:
-                self.fleet.loop.create_task(self.server.rollout.close())
+                self.fleet.loop.create_task(self.server.subsystems.rollout.close())
         for task in list(self.server.tasks.running):
             task.cancel()
         self.server = None
@@ -240,7 +283,7 @@
 
     def sizes(self) -> dict[str, int]:
         """How many of everything that could grow."""
-        desk = self.server.desk if self.server is not None else None
+        desk = self.server.requests.dispatcher if self.server is not None else None
         if desk is None or self.server is None:
             return {}
         choice = desk.choice
@@ -257,6 +300,6 @@
             "live": len(choice.live),
             "spent": len(choice.spent),
             "lingering": len(choice.lingering),
-            "serving": len(self.server.open_requests),
+            "serving": len(self.server.requests.open_requests),
             "tasks": len(self.server.tasks.running),
         }
--- a/burlloom/lab/rolls.py
+++ b/burlloom/lab/rolls.py
@@ -12,11 +12,8 @@
 from ..rollout import Book, Denied
 from ..rollout.stores import Away, Page
 from ..rollout.watch import Member
-from ..server.rollout import (
-    ConfiguredRolloutParticipation,
-    NoRolloutParticipation,
-    RolloutParticipation,
-)
+from ..server.configured_rollout import ConfiguredRolloutParticipation
+from ..server.rollout import NoRolloutParticipation, RolloutParticipation
 from ..server.server import Server
 from .emulator import Emulator
 from .node import Node
@@ -169,7 +166,7 @@
                 loop.wall,
                 server.tasks,
                 Host(self.emulator, node, server),
-                lambda: server.membership,
+                lambda: server.subsystems.membership,
                 loop.wall,
             )
             loop.call_soon(made.open)
--- a/burlloom/lab/variants.py
+++ b/burlloom/lab/variants.py
@@ -6,8 +6,9 @@
 from dataclasses import replace
 
 from ..levels import DEFAULT, Bounds, Plan, Terms
+from ..server.configured_service_levels import ConfiguredServiceLevels
 from ..server.server import Server
-from ..server.service_levels import ConfiguredServiceLevels, ServiceLevels
+from ..server.service_levels import ServiceLevels
 
 Leveler = Callable[[Server], ServiceLevels] | None
 SECOND = 1_000_000_000
--- /dev/null
+++ b/burlloom/server/call_share.py
@@ -0,0 +1,58 @@
+"""What the fleet's share means to the decisions. The lab has it without datagrams."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from ..dispatcher import Desk
+from ..fleet import CALL
+
+if TYPE_CHECKING:
+    from ..fleet import Fleet
+
+# A share of none, as the decisions know it: 0 is no bound to them.
+MIN_CALL_SHARE = 0.001
+# What any number of calls is cut to before it is counted in the fleet's parts of a call.
+MAX_CALLS = 1e9
+# Of the demand that stays from one tick to the next: a peak counts for some seconds.
+DEMAND_DECAY = 0.98
+
+
+class CallShare:
+    """Reports the server's demand to the fleet and applies the fleet's share to the dispatcher.
+
+    Attributes:
+        dispatcher: Whose calls are bound; None until there is one.
+    """
+
+    def __init__(self, fleet: Fleet, call_cap: Callable[[], float]) -> None:
+        """Creates a share that is not applied yet.
+
+        Args:
+            fleet: What shares out the calls.
+            call_cap: Returns the calls that the recovery from a restart allows so far.
+        """
+        self.fleet, self.call_cap = fleet, call_cap
+        self.dispatcher: Desk | None = None
+        self._applied = -1
+        self._demand = 0.0
+
+    def report_demand(self) -> None:
+        """Reports to the fleet what is wanted and what is in use; before each of its ticks."""
+        in_use, waiting = self.dispatcher.calls() if self.dispatcher is not None else (0, 0)
+        self._demand = max(float(in_use + waiting), DEMAND_DECAY * self._demand)
+        self.fleet.uses(int(min(self._demand, self.call_cap()) * CALL), in_use * CALL)
+
+    def apply(self) -> None:
+        """Bounds the dispatcher's calls by the share; after each tick and message of the fleet."""
+        share = min(self.fleet.share, int(min(self.call_cap(), MAX_CALLS) * CALL))
+        if self.dispatcher is not None and share != self._applied:
+            self._applied = share
+            self.dispatcher.share_calls(max(MIN_CALL_SHARE, share / CALL))
+
+
+def call_shares(fleet: Fleet) -> tuple[float, float]:
+    """Returns an equal share of the calls and the one that the fleet gives this member."""
+    equal = fleet.terms.equal(max(1, fleet.members.counted()))
+    return equal / CALL, fleet.share / CALL
--- a/burlloom/server/configuration.py
+++ b/burlloom/server/configuration.py
@@ -1,82 +1,146 @@
-"""What the server is told, read at its start and again at each reload."""
+"""The server's configuration: read at its start and again at each reload."""
 
 import json
 import os
+from collections.abc import Sequence
 from dataclasses import dataclass
 from typing import Any
 
+from ..errors import BurlloomError
 from ..interface import ServerSettings
 from ..settings import facts
 from ..sockets import MS
-from .configuration_schema import faults
+from .configuration_schema import MAX_PORT, ConfigurationFault, find_faults
 
 Address = tuple[str, int]
-SOCKETS, MEMORY_MB = 1024, 192  # where no limit is told
 
+CONFIGURATION_VARIABLE = "EDGE_CONFIG"
+NAME_VARIABLE = "EDGE_NAME"
+LISTEN_VARIABLE = "EDGE_LISTEN"
+# Fields of the file that the environment may give in its place.
+VARIABLES_BY_FIELD = {"name": NAME_VARIABLE, "listen": LISTEN_VARIABLE}
+DEFAULT_MAX_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 192
+BYTES_PER_MB = 1 << 20
 
-class ConfigurationError(Exception):
-    """The configuration can't be used."""
+
+class ConfigurationError(BurlloomError):
+    """The server can't start, or reload, with what it is configured to do.
+
+    Attributes:
+        place: The file, address or setting that can't be used; empty where the message names it.
+        faults: What is wrong with a file, all at once.
+    """
+
+    def __init__(
+        self, message: str = "", *, place: str = "", faults: Sequence[ConfigurationFault] = ()
+    ) -> None:
+        """Creates an error.
+
+        Args:
+            message: What is wrong; made of the faults where it is empty.
+            place: The file, address or setting that can't be used.
+            faults: What is wrong with a file.
+        """
+        message = message or "; ".join(str(fault) for fault in faults)
+        super().__init__(f"{place}: {message}" if place else message)
+        self.place = place
+        self.faults = tuple(faults)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerConfig:
+    """What one server is and may use.
+
+    Attributes:
+        name: The server's name in the fleet.
+        listen_address: Where balancers connect; port 0 has the system choose one.
+        executor_address: The executor that runs requests.
+        discovery_address: The name service that is told whether this server takes requests.
+        downstream_address: What runs call; None at servers that call nothing.
+        seed: Of all random draws.
+        stop_ns: Time from the notice to leave until the process is killed.
+        settings: What the decisions read.
+        max_sockets: File descriptors that the process may hold.
+        memory_bytes: Memory that the process may hold.
+        class_names: Names of the request classes, in the order of `settings.request_classes`.
+        tenant_portions: Each tenant's portion of the service; relative to one another.
+        gauge_names: The executor's gauges, in the order in which it sends their values.
+    """
+
     name: str
     listen_address: Address
     executor_address: Address
     discovery_address: Address
-    downstream_address: (
-        Address | None
-    )  # None at servers that call nothing below: they are told no address
+    downstream_address: Address | None
     seed: int
     stop_ns: int
     settings: ServerSettings
     max_sockets: int
     memory_bytes: int
     class_names: tuple[str, ...]
-    tenant_portions: dict[str, float]  # each with its portion of the service
+    tenant_portions: dict[str, float]
     gauge_names: tuple[str, ...]
 
 
 def parse_address(text: Any) -> Address:
+    """Returns host and port of an address as `10.0.0.4:10080`.
+
+    Raises:
+        ValueError: It is no address.
+    """
     host, _, port = str(text).rpartition(":")
-    if not host or not port.isdigit() or int(port) > 65535:
+    if not host or not port.isdigit() or int(port) > MAX_PORT:
         raise ValueError(f"no address: {text!r}")
     return host, int(port)
 
 
 def read_config() -> ServerConfig:
-    path = os.environ.get("EDGE_CONFIG", "")
+    """Reads the file that the environment names; name and address may come from the environment.
+
+    Raises:
+        ConfigurationError: It can't be read, or holds faults, which are all named.
+    """
+    path = os.environ.get(CONFIGURATION_VARIABLE, "")
     if not path:
-        raise ConfigurationError("EDGE_CONFIG is not set")
+        raise ConfigurationError(f"{CONFIGURATION_VARIABLE} is not set")
     try:
-        with open(path, encoding="utf-8") as source:
-            got: dict[str, Any] = json.load(source)
-        elsewhere = {"name": "EDGE_NAME", "listen": "EDGE_LISTEN"}
-        if lines := faults(
-            got, frozenset(name for name, told in elsewhere.items() if os.environ.get(told))
-        ):
-            raise ConfigurationError(f"{path}: " + "; ".join(lines))
-        known, meters = facts(got["settings"])
-        limits = got.get("limits") or {}
-        return ServerConfig(
-            name=os.environ.get("EDGE_NAME") or str(got["name"]),
-            listen_address=parse_address(os.environ.get("EDGE_LISTEN") or got["listen"]),
-            executor_address=parse_address(got["executor"]),
-            discovery_address=parse_address(got["naming"]),
-            downstream_address=parse_address(got["catalog"]) if got.get("catalog") else None,
-            seed=int(got["seed"], 16),
-            stop_ns=int(got["stop_ms"]) * MS,
-            max_sockets=int(limits.get("sockets", SOCKETS)),
-            memory_bytes=int(float(limits.get("memory_mb", MEMORY_MB)) * (1 << 20)),
-            settings=known,
-            class_names=tuple(str(product["name"]) for product in got["settings"]["categories"]),
-            tenant_portions={
-                str(tenant["name"]): float(tenant.get("portion") or 1.0)
-                for tenant in got["settings"].get("tenants") or ()
-            },
-            gauge_names=meters,
+        with open(path, encoding="utf-8") as file:
+            configuration: dict[str, Any] = json.load(file)
+        given = frozenset(
+            field for field, variable in VARIABLES_BY_FIELD.items() if os.environ.get(variable)
         )
+        if faults := find_faults(configuration, given):
+            raise ConfigurationError(place=path, faults=faults)
+        return decode_config(configuration)
     except OSError as error:
-        raise ConfigurationError(f"{path}: {error.strerror}") from error
+        raise ConfigurationError(str(error.strerror), place=path) from error
     except (ValueError, RecursionError) as error:
-        raise ConfigurationError(f"{path}: {error}") from error
+        raise ConfigurationError(str(error), place=path) from error
+
+
+def decode_config(configuration: dict[str, Any]) -> ServerConfig:
+    """Maps the keys of a configuration without faults to the server's terms."""
+    settings, gauge_names = facts(configuration["settings"])
+    limits = configuration.get("limits") or {}
+    memory_mb = float(limits.get("memory_mb", DEFAULT_MEMORY_MB))
+    downstream = configuration.get("catalog")
+    classes = configuration["settings"]["categories"]
+    tenants = configuration["settings"].get("tenants") or ()
+    return ServerConfig(
+        name=os.environ.get(NAME_VARIABLE) or str(configuration["name"]),
+        listen_address=parse_address(os.environ.get(LISTEN_VARIABLE) or configuration["listen"]),
+        executor_address=parse_address(configuration["executor"]),
+        discovery_address=parse_address(configuration["naming"]),
+        downstream_address=parse_address(downstream) if downstream else None,
+        seed=int(configuration["seed"], 16),
+        stop_ns=int(configuration["stop_ms"]) * MS,
+        settings=settings,
+        max_sockets=int(limits.get("sockets", DEFAULT_MAX_SOCKETS)),
+        memory_bytes=int(memory_mb * BYTES_PER_MB),
+        class_names=tuple(str(request_class["name"]) for request_class in classes),
+        tenant_portions={
+            str(tenant["name"]): float(tenant.get("portion") or 1.0) for tenant in tenants
+        },
+        gauge_names=gauge_names,
+    )
--- /dev/null
+++ b/burlloom/server/configured_membership.py
@@ -0,0 +1,299 @@
+"""A server's membership of its fleet over datagrams; imported only where it is on."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import logging
+import os
+import socket
+import time
+from collections.abc import Callable
+from dataclasses import asdict
+from pathlib import Path
+from random import Random
+from typing import TYPE_CHECKING, Any
+
+from ..dispatcher import Desk
+from ..fleet import CALL, Fleet, State, Word, summary
+from ..operator import FleetPart
+from ..operator.fleet import read_keys
+from ..sockets import MS, SECOND, Tasks, rest
+from .call_share import CallShare, call_shares
+from .clock import boot_time_ns
+from .recovery import RestartRecovery
+from .service_subset import ServiceSubset, split_address
+
+if TYPE_CHECKING:
+    from ..downstream import Pool
+    from ..downstream.spread import Pools
+
+log = logging.getLogger(__name__)
+
+TICK_NS = 50 * MS
+# Between looks at the keys' file and at the members for the subset, and writings of the state file.
+REFRESH_INTERVAL_NS = SECOND
+WEIGHT_PARTS = 1000
+
+
+class ConfiguredFleetMembership:
+    """The membership that an operator's file configures.
+
+    Attributes:
+        fleet: What decides, without I/O.
+        call_share: Applies the fleet's share to the dispatcher.
+        subset: The services that this server calls; None where all call the platform's own.
+    """
+
+    def __init__(
+        self,
+        settings: FleetPart,
+        sock: socket.socket,
+        name: str,
+        seed: int,
+        tasks: Tasks,
+        recovery: RestartRecovery,
+    ) -> None:
+        """Creates a membership that is not joined yet.
+
+        Args:
+            settings: The operator's.
+            sock: Bound, for datagrams.
+            name: The server's, unique in the fleet.
+            seed: Of the fleet's random draws, together with the incarnation.
+            tasks: Where its ticks run.
+            recovery: Has the incarnation, and members that the last one knew.
+        """
+        self.settings, self.sock, self.tasks, self.clock = settings, sock, tasks, boot_time_ns
+        self.recovery = recovery
+        host, port = sock.getsockname()
+        self.address = f"{host}:{port}"
+        incarnation = recovery.incarnation
+        own = Word(name, settings.advertise or self.address, incarnation, 0, State.ALIVE)
+        random = Random(seed ^ own.life)
+        self.fleet = Fleet(
+            own,
+            (*settings.seeds, *recovery.known_members),
+            settings.keys(),
+            settings.terms(),
+            settings.habits(),
+            random,
+            self.clock(),
+        )
+        self.fleet.weight = int(settings.weight * WEIGHT_PARTS)
+        self.call_share = CallShare(self.fleet, recovery.call_cap)
+        self.subset: ServiceSubset | None = None
+        if settings.services:
+            self.subset = ServiceSubset(
+                settings.services,
+                settings.subset,
+                name,
+                self._member_names,
+                random,
+                self.clock,
+                tasks,
+            )
+        self._transport: asyncio.DatagramTransport | None = None
+        self._refreshed_ns = 0
+        self._previous_incarnation = 0
+        self._key_file_mtime = 0.0
+
+    async def open(self) -> None:
+        """Receives datagrams from now on and joins the fleet."""
+        loop = asyncio.get_running_loop()
+        self._transport, _ = await loop.create_datagram_endpoint(
+            lambda: DatagramReceiver(self._receive), sock=self.sock
+        )
+        self.tasks.start(self._keep_ticking(), "membership")
+        own = self.fleet.own
+        log.info(
+            "event=membership_opened name=%s address=%s advertised=%s incarnation=%d calls=%g"
+            " least=%d services=%d",
+            own.name,
+            self.address,
+            own.address,
+            own.life,
+            self.settings.calls,
+            self.settings.least,
+            len(self.settings.services),
+        )
+
+    def attach_dispatcher(self, dispatcher: Desk) -> None:
+        """Has this dispatcher's calls bound by the server's share from now on."""
+        self.call_share.dispatcher = dispatcher
+        self.call_share.apply()
+
+    def may_call(self) -> bool:
+        """Returns whether the server's share is still known; asked just before a call leaves."""
+        if self.fleet.good(self.clock()):
+            return True
+        # The process stood still: what it thought to hold may be another's by now.
+        self._tick()
+        return False
+
+    def select_pool(self, pool: Pool) -> Pool | Pools:
+        """Returns the pools for the subset's services, or `pool` where there is no subset."""
+        return self.subset.pools if self.subset is not None else pool
+
+    def call_shares(self) -> tuple[float, float] | None:
+        """Returns an equal share of the calls and the server's own."""
+        return call_shares(self.fleet)
+
+    def peer_addresses(self) -> tuple[str, ...]:
+        """Returns addresses of other members, for the server's next start."""
+        own_name = self.fleet.own.name
+        words = [member.word for member in self.fleet.members.there()]
+        return tuple(word.address for word in words if word.name != own_name)
+
+    def eject_services(self, addresses: frozenset[str]) -> bool:
+        """Has these services, and no others, not called from now on.
+
+        Returns:
+            Whether no call to them is in progress any more.
+        """
+        return self.subset.eject(addresses) if self.subset is not None else True
+
+    def recent_call_counts(self) -> dict[str, tuple[int, int]]:
+        """Returns, by service, calls of the last seconds that succeeded and that failed."""
+        return self.subset.recent_call_counts() if self.subset is not None else {}
+
+    def gauges(self) -> dict[str, float]:
+        """Returns what stands now, by the end of the metric's name."""
+        fleet = self.fleet
+        states = [member.state.name.lower() for member in fleet.members]
+        return {
+            "share": fleet.share / CALL,
+            "state": float(fleet.holder.state),
+            "deals": float(fleet.dealer.phase),
+            "strangers": float(fleet.strangers),
+            "worst_load": self._worst_load(),
+            **{
+                f"members_{name}": float(states.count(name))
+                for name in ("alive", "suspect", "dead", "left")
+            },
+        }
+
+    def close(self) -> None:
+        """Leaves the fleet: what the server held is free at once."""
+        self.fleet.leave(self.clock())
+        self._send_messages()
+        if self._transport is not None:
+            self._transport.close()
+            self._transport = None  # a tick may follow, and sends nothing any more
+        log.info(
+            "event=membership_closed %s",
+            " ".join(f"{name}={count}" for name, count in asdict(self.fleet.counts).items()),
+        )
+
+    # Ticks and messages.
+
+    async def _keep_ticking(self) -> None:
+        while True:
+            try:
+                self._tick()
+            except Exception:
+                # Without further ticks the server would lose its share for good.
+                log.exception("event=internal_error task=membership")
+            await rest(TICK_NS)
+
+    def _tick(self) -> None:
+        now = self.clock()
+        self.call_share.report_demand()
+        self.fleet.tick(now)
+        self._apply_changes()
+        if now - self._refreshed_ns >= REFRESH_INTERVAL_NS:
+            self._refreshed_ns = now
+            self._reload_keys()
+            if self.subset is not None:
+                self.subset.refresh()
+            if self.settings.state_file is not None:
+                self._write_state(self.settings.state_file, now)
+
+    def _receive(self, data: bytes) -> None:
+        self.fleet.hear(self.clock(), data)
+        self._apply_changes()
+
+    def _apply_changes(self) -> None:
+        """Does what a tick or a message has led to."""
+        if self.fleet.former != self._previous_incarnation:
+            self._previous_incarnation = self.fleet.former
+            self.recovery.previous_incarnation_seen(self._previous_incarnation)
+        self.call_share.apply()
+        self._send_messages()
+        for move in self.fleet.moves:
+            word = move.after or move.before
+            if word is not None and word.name != self.fleet.own.name:
+                log.info(
+                    "event=member_changed name=%s state=%s incarnation=%d refutation=%d",
+                    word.name,
+                    word.state.name.lower() if move.after else "gone",
+                    word.life,
+                    word.incarnation,
+                )
+        self.fleet.moves = []
+
+    def _send_messages(self) -> None:
+        messages = self.fleet.out
+        while messages and self._transport is not None:
+            address, data = messages.popleft()
+            self._transport.sendto(data, split_address(address))
+
+    def _member_names(self) -> tuple[str, ...]:
+        names = {member.word.name for member in self.fleet.members.there()}
+        return tuple(sorted(names | {self.fleet.own.name}))
+
+    # Files.
+
+    def _reload_keys(self) -> None:
+        """Reads the keys' file where it changed; one that can't be used changes nothing."""
+        path = Path(self.settings.key_file)
+        try:
+            mtime = path.stat().st_mtime
+            if mtime == self._key_file_mtime:
+                return
+            self._key_file_mtime, keys = mtime, read_keys(path)
+            if not keys:
+                raise ValueError("no key")
+        except (OSError, ValueError) as error:
+            log.warning("event=membership_keys_rejected detail=%r", str(error))
+            return
+        if keys != self.fleet.keys:
+            self.fleet.keys = keys
+            log.info("event=membership_keys_loaded count=%d", len(keys))
+
+    def _write_state(self, path: str, now: int) -> None:
+        state = {
+            "told_at": time.time_ns(),
+            **summary(self.fleet, now),
+            "subset": dict(self.subset.turns.parts) if self.subset is not None else {},
+            "worst": self._worst_load(),
+        }
+        temporary = path + ".part"
+        try:
+            with open(temporary, "w", encoding="utf-8") as file:
+                file.write(json.dumps(state) + "\n")
+            os.replace(temporary, path)
+        except OSError as error:
+            log.warning("event=state_file_not_written detail=%r", str(error))
+
+    def _worst_load(self) -> float:
+        return self.subset.worst_load if self.subset is not None else 1.0
+
+
+class DatagramReceiver(asyncio.DatagramProtocol):
+    """Hands each datagram to a function."""
+
+    def __init__(self, receive: Callable[[bytes], None]) -> None:
+        """Creates a receiver.
+
+        Args:
+            receive: Called with the bytes of each datagram.
+        """
+        self.receive = receive
+
+    def datagram_received(self, data: bytes, _: Any) -> None:
+        """Hands a datagram on."""
+        self.receive(data)
+
+    def error_received(self, error: Exception) -> None:
+        """Does nothing: whoever is not there will be found silent."""
--- /dev/null
+++ b/burlloom/server/configured_recovery.py
@@ -0,0 +1,199 @@
+"""A server's recovery from a restart, with its state file; imported only where it is on."""
+
+from __future__ import annotations
+
+import logging
+import os
+import time
+from collections.abc import Callable
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from .. import recovery as decisions
+from ..dispatcher import Desk
+from ..sockets import MS, SECOND
+
+if TYPE_CHECKING:
+    from ..recovery import Terms
+    from .membership import FleetMembership
+
+log = logging.getLogger(__name__)
+
+WRITE_INTERVAL_NS = SECOND
+# What an infinite cap is logged as.
+MAX_LOGGED_CALLS = 1e9
+
+
+class ConfiguredRestartRecovery:
+    """The recovery that an operator's file configures.
+
+    Attributes:
+        incarnation: Unix ms of this start.
+        known_members: Addresses of members that the last incarnation knew.
+        recovery: What decides, without I/O.
+    """
+
+    def __init__(
+        self,
+        terms: Terms,
+        name: str,
+        clock: Callable[[], int],
+        membership: Callable[[], FleetMembership],
+        calls_without_fleet: float,
+        is_alone: bool,
+        state_file: Path | None,
+    ) -> None:
+        """Reads what the last incarnation left.
+
+        Args:
+            terms: The operator's.
+            name: The server's.
+            clock: Unix ns.
+            membership: Returns the server's membership; called once there is one.
+            calls_without_fleet: Calls that the server may have where there is no fleet.
+            is_alone: Whether neither a fleet nor a record could prove what the file says.
+            state_file: What an incarnation leaves to the next; None where nothing is left.
+        """
+        self.name, self.clock, self.membership = name, clock, membership
+        self.calls_without_fleet, self.state_file = calls_without_fleet, state_file
+        self.incarnation = time.time_ns() // MS
+        found = decisions.read(self._read_state_file())
+        self.recovery = decisions.Recovery(terms, found, name, clock(), self.incarnation, is_alone)
+        # Old addresses do no harm: whoever is there answers with a sealed message.
+        kept = self.recovery.kept
+        self.known_members = kept.members if kept is not None else ()
+        self._dispatcher: Desk | None = None
+        self._record_incarnation = -1
+        self._written_ns = 0
+        self._holds_back = False
+        # Once the last state is written, rounds may follow, and must not write over it.
+        self._is_closed = False
+        log.info(
+            "event=recovery_started state_file=%s previous_incarnation=%d known_members=%d",
+            self.recovery.verdict.name.lower(),
+            kept.life if kept is not None else 0,
+            len(self.known_members),
+        )
+
+    def attach_dispatcher(self, dispatcher: Desk, record_incarnation: int) -> None:
+        """Begins the recovery, with the first request that may come.
+
+        Args:
+            dispatcher: Whose calls and retries are bound meanwhile.
+            record_incarnation: The server's in the store of record; -1 where there is none.
+        """
+        self._dispatcher, self._record_incarnation = dispatcher, record_incarnation
+        if record_incarnation >= 0:
+            self.recovery.store(record_incarnation, self.clock())
+        self._holds_back = True
+        dispatcher.hold_back(True)
+        self.update()
+
+    def previous_incarnation_seen(self, incarnation: int) -> None:
+        """Notes which incarnation of this server the fleet knew before this one."""
+        self.recovery.peer(incarnation, self.clock())
+        self._log_effects()
+
+    def call_cap(self) -> float:
+        """Returns how many calls are allowed so far, besides the fleet's share."""
+        return self.recovery.cap
+
+    def holds_back_retry(self, is_retry: bool) -> bool:
+        """Counts an attempt; returns whether it is a retry past what is taken for now."""
+        return self.recovery.holds_back(self.clock(), is_retry)
+
+    def is_fenced(self) -> bool:
+        """Returns whether keyed retries that are not known here must be neither run nor rejected."""
+        return self.recovery.fenced(self.clock())
+
+    def call_ended(self, succeeded: bool) -> None:
+        """Counts the end of a call."""
+        self.recovery.called(succeeded)
+
+    def update(self) -> None:
+        """Takes a round: raises the cap, ends the recovery, writes the state file."""
+        now = self.clock()
+        dispatcher = self._dispatcher
+        if dispatcher is None:
+            return
+        shares = self.membership().call_shares()
+        equal, own = shares or (self.calls_without_fleet, self.calls_without_fleet)
+        if self.recovery.round(now, equal, own):
+            cap = self.recovery.cap
+            log.info(
+                "event=recovery_call_cap calls=%.2f equal_share=%.2f elapsed_ms=%d",
+                min(cap, MAX_LOGGED_CALLS),
+                equal,
+                self._elapsed_ms(now),
+            )
+            if shares is None:
+                dispatcher.share_calls(min(cap, self.calls_without_fleet))
+        if self.recovery.over and self._holds_back:
+            self._holds_back = False
+            dispatcher.hold_back(False)
+            log.warning(
+                "event=recovery_completed elapsed_ms=%d held_back=%d",
+                self._elapsed_ms(now),
+                self.recovery.retries.refused,
+            )
+        self._log_effects()
+        if now - self._written_ns >= WRITE_INTERVAL_NS and not self._is_closed:
+            self._written_ns = now
+            self._write_state_file(own, clean=False)
+
+    def is_complete(self) -> bool:
+        """Returns whether the recovery is over."""
+        return self.recovery.over
+
+    def close(self) -> None:
+        """Writes the state file a last time, marked as left by a clean shutdown."""
+        self._is_closed = True
+        shares = self.membership().call_shares()
+        own = shares[1] if shares is not None else self.calls_without_fleet
+        self._write_state_file(own, clean=True)
+
+    def _elapsed_ms(self, now: int) -> int:
+        return (now - self.recovery.began) // MS
+
+    def _log_effects(self) -> None:
+        for cause, effect in self.recovery.effects:
+            # A few for each start, in the very moment in which info lines are dropped by the
+            # hundred.
+            log.warning(
+                "event=recovery_state_changed input=%s effect=%s state=%s",
+                cause,
+                effect,
+                self.recovery.start.state.name.lower(),
+            )
+        self.recovery.effects = []
+
+    def _read_state_file(self) -> str | None:
+        """Returns the file's text: None where there is none, empty where it can't be read."""
+        if self.state_file is None:
+            return None
+        try:
+            return self.state_file.read_text(encoding="utf-8")
+        except FileNotFoundError:
+            return None
+        except (OSError, UnicodeDecodeError) as error:
+            log.warning("event=recovery_state_unreadable detail=%r", str(error))
+            return ""
+
+    def _write_state_file(self, share: float, clean: bool) -> None:
+        if self.state_file is None:
+            return
+        kept = decisions.Kept(
+            self.name,
+            self.incarnation,
+            time.time_ns() // MS,
+            self._record_incarnation,
+            share,
+            clean,
+            decisions.kept.members(self.membership().peer_addresses()),
+        )
+        temporary = self.state_file.with_name(self.state_file.name + ".part")
+        try:
+            temporary.write_text(decisions.write(kept), encoding="utf-8")
+            os.replace(temporary, self.state_file)
+        except OSError as error:
+            log.warning("event=state_file_not_written detail=%r", str(error))
--- /dev/null
+++ b/burlloom/server/configured_request_record.py
@@ -0,0 +1,222 @@
+"""Between the server and its store of record: keyed requests run once their claim is durable.
+
+Imported only where a record is kept.
+"""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from itertools import chain
+
+from ..dispatcher import Desk, Packed, RunEnded
+from ..interface import Idempotency, Outcome, RequestClass
+from ..record import points
+from ..record.keeper import Keeper
+from ..record.store import Refused
+from ..sockets import MS
+from .configuration import ConfigurationError
+
+log = logging.getLogger(__name__)
+
+# That an answer keeps until its deadline, whatever it waits for.
+ANSWER_MARGIN_NS = 100 * MS
+
+
+class ConfiguredRequestRecord:
+    """The record that an operator's file configures; also what its keeper reports to.
+
+    Attributes:
+        keeper: Writes to the store and knows what is on its way there; set before `open`.
+        keeps_results: True.
+        is_shared: Whether other nodes write to the store too.
+        incarnation: This node's in the store; -1 until it is open.
+        previous_note: What this node's last incarnation wrote for this one.
+        dispatcher: What is told of runs; None until there is one.
+    """
+
+    keeps_results = True
+    keeper: Keeper
+
+    def __init__(
+        self,
+        request_classes: tuple[RequestClass, ...],
+        hold_share: float,
+        clock: Callable[[], int],
+        start_run: Callable[[str], None],
+        is_shared: bool,
+    ) -> None:
+        """Creates a record without its keeper.
+
+        Args:
+            request_classes: Those of the settings.
+            hold_share: Of a class's latency objective, how long an answer waits for its end to be
+                durable.
+            clock: Unix ns.
+            start_run: Has the executor run the request of an id.
+            is_shared: Whether other nodes write to the store too.
+        """
+        self.request_classes, self.hold_share = request_classes, hold_share
+        self.clock, self.start_run, self.is_shared = clock, start_run, is_shared
+        self.dispatcher: Desk | None = None
+        self.previous_note, self.incarnation = "", -1
+        self._read_back = Packed()
+
+    async def open(self) -> None:
+        """Opens the store and reads back what this node knew.
+
+        Raises:
+            ConfigurationError: The store can't be used.
+        """
+        began = self.clock()
+        try:
+            opened = await self.keeper.open()
+        except Refused as error:
+            raise ConfigurationError(str(error)) from error
+        self.previous_note, self.incarnation = self.keeper.noted, self.keeper.life
+        self._read_back = Packed(chain.from_iterable(self.keeper.read_back()))
+        await self.keeper.start()
+        log.info(
+            "event=record_opened node=%s incarnation=%d clock_shift_ms=%d migrated=%s keys=%d"
+            " unfinished_runs=%d elapsed_ms=%d",
+            opened.node,
+            opened.life,
+            opened.shift // MS,
+            ",".join(map(str, opened.migrated)) or "-",
+            len(self._read_back),
+            len(self.keeper.began),
+            (self.clock() - began) // MS,
+        )
+
+    def write_note(self, text: str) -> None:
+        """Writes a note for the node's next incarnation."""
+        self.keeper.store.note(text)
+
+    def attach_dispatcher(self, dispatcher: Desk, executor_began_ns: int) -> None:
+        """Hands the dispatcher what was read back; ends of runs are reported to it from now on.
+
+        Args:
+            dispatcher: Decides what the record's answers mean to a request.
+            executor_began_ns: Unix ns of the executor's start: runs from before it are over.
+        """
+        self.dispatcher = dispatcher
+        dispatcher.ledger.plant_ended(self._read_back)
+        for mark, until, asked in self.keeper.executor(executor_began_ns):
+            dispatcher.ledger.plant(mark, until, not asked)
+
+    def accepts_claims(self) -> bool:
+        """Returns whether a claim could be written now."""
+        return self.keeper.accepts()
+
+    def begin_run(self, mark: bytes, request_id: str, received_ns: int, request_class: int) -> None:
+        """Claims a keyed request, which then runs; has any other run at once."""
+        known = self.request_classes[request_class]
+        if known.idempotency is Idempotency.KEYED:
+            self.keeper.begin(
+                mark,
+                request_id,
+                received_ns,
+                received_ns + known.idempotency_window_ns,
+                known.latency_objective_ns,
+            )
+        else:
+            self.start_run(request_id)
+
+    def run_ended(self, request_id: str, outcome: Outcome, result: bytes) -> None:
+        """Writes the end of a run."""
+        self.keeper.ended(request_id, outcome, result)
+
+    async def wait_until_durable(self, mark: bytes, received_ns: int, request_class: int) -> None:
+        """Waits until the end of a keyed run is durable, for as long as the answer may wait."""
+        known = self.request_classes[request_class]
+        if known.idempotency is Idempotency.KEYED:
+            until = min(
+                self.clock() + int(self.hold_share * known.latency_objective_ns),
+                received_ns + known.deadline_ns - ANSWER_MARGIN_NS,
+            )
+            await self.keeper.durable(mark, until)
+            points.reached("answering")
+
+    async def look_up(
+        self, mark: bytes, request_id: str, received_ns: int, request_class: int
+    ) -> None:
+        """Asks the store what became of a request; the dispatcher is told what is found."""
+        known = self.request_classes[request_class]
+        window_end = received_ns + known.idempotency_window_ns
+        await self.keeper.look(mark, request_id, window_end, known.latency_objective_ns)
+
+    def request_answered(self, request_id: str) -> None:
+        """Notes that a request's answer was sent, or that nobody waits for it."""
+        self.keeper.left(request_id)
+        points.reached_once_sent("answered")
+
+    async def read_result(self, mark: bytes, deadline_ns: int) -> bytes | None:
+        """Returns a result from the store, None where none can be given in time."""
+        return await self.keeper.recall(mark, deadline_ns - ANSWER_MARGIN_NS)
+
+    async def close(self) -> None:
+        """Writes what is left and closes the store."""
+        await self.keeper.close()
+        counts = self.keeper.counts
+        log.info(
+            "event=record_stopped claims=%d rejected=%d late=%d not_recorded=%d claimed=%d"
+            " results_read=%d doubts=%d resolved=%d altered=%d conflicts=%d answered_before=%d",
+            counts.claims,
+            counts.refused,
+            counts.late,
+            counts.unkept,
+            counts.taken,
+            counts.recalled,
+            counts.doubts,
+            counts.resolved,
+            counts.altered,
+            counts.conflicts,
+            counts.held_past,
+        )
+
+    # What the keeper reports.
+
+    def run(self, request_id: str) -> None:
+        """Has a request run: its claim is durable, or needs not be."""
+        self.start_run(request_id)
+
+    def refuse(self, request_id: str) -> None:
+        """Reports that a request can't be claimed, so may not run."""
+        self._report_end(request_id, Outcome.NOT_RECORDED)
+
+    def unrun(self, request_id: str) -> None:
+        """Reports that a claimed request is not to run any more."""
+        self._report_end(request_id, Outcome.NO_LONGER_NEEDED)
+
+    def follow(self, request_id: str) -> None:
+        """Reports that another attempt has claimed the request."""
+        self._report_end(request_id, Outcome.CLAIMED_ELSEWHERE)
+
+    def settle(self, mark: bytes, result: bytes | None) -> None:
+        """Reports that a request has run, with its result where it is known."""
+        if self.dispatcher is not None:
+            self.dispatcher.settle(mark, result)
+
+    def free(self, mark: bytes) -> None:
+        """Reports that a request has not run, and may."""
+        if self.dispatcher is not None:
+            self.dispatcher.free(mark)
+
+    def plant(self, mark: bytes, until: int) -> None:
+        """Reports a request of another node's that may be running.
+
+        Args:
+            mark: The request's key digest.
+            until: Unix ns of the end of its window.
+        """
+        if self.dispatcher is not None:
+            self.dispatcher.ledger.plant(mark, until, False)
+
+    def lose(self, mark: bytes) -> None:
+        """Reports that nobody will ever know what became of a run."""
+        if self.dispatcher is not None:
+            self.dispatcher.lose(mark)
+
+    def _report_end(self, request_id: str, outcome: Outcome) -> None:
+        if self.dispatcher is not None:
+            self.dispatcher.report(RunEnded(request_id, outcome, 0, b""))
--- /dev/null
+++ b/burlloom/server/configured_rollout.py
@@ -0,0 +1,298 @@
+"""A server's part in drains and releases over the shared store; imported only where it is on."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import logging
+import os
+from collections.abc import Callable
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from ..dispatcher import Kind
+from ..interface import RequestClass
+from ..operator import RolloutPart
+from ..rollout import SERVERS, Counts, Hand, Lead, Member, Says
+from ..rollout.hand import Input
+from ..rollout.stores import Away, Page, Shelf, Unreadable
+from ..rollout.stores.leading import led
+from ..sockets import MS, Tasks, rest
+from .clock import boot_time_ns
+from .rollout import RolloutHost
+
+if TYPE_CHECKING:
+    from .membership import FleetMembership
+
+log = logging.getLogger(__name__)
+
+LAST_REPORT_TIMEOUT_S = 0.2
+# Of the time after which a silent server counts as missing: the longest pause between two polls.
+MAX_PAUSE_DIVISOR = 4
+
+
+class ConfiguredRolloutParticipation:
+    """The participation that an operator's file configures.
+
+    Attributes:
+        steps: Counts since the start, by the end of the metric's name.
+    """
+
+    def __init__(
+        self,
+        settings: RolloutPart,
+        store: Shelf,
+        name: str,
+        version: str,
+        request_classes: tuple[RequestClass, ...],
+        clock: Callable[[], int],
+        tasks: Tasks,
+        host: RolloutHost,
+        membership: Callable[[], FleetMembership],
+        interval_clock: Callable[[], int] = boot_time_ns,
+    ) -> None:
+        """Creates a participation that has not opened its store.
+
+        Args:
+            settings: The operator's.
+            store: What the fleet agrees in.
+            name: The server's.
+            version: The release that it runs; empty where it is not known.
+            request_classes: Those of the settings.
+            clock: Unix ns.
+            tasks: Where polls run.
+            host: The server.
+            membership: Returns the server's membership; called once there is one.
+            interval_clock: ns of a clock that nobody sets.
+        """
+        self.settings, self.store, self.name, self.version = settings, store, name, version
+        self.request_classes, self.clock, self.tasks = request_classes, clock, tasks
+        self.host, self.membership, self.interval_clock = host, membership, interval_clock
+        self.steps = {"drains": 0, "beaten": 0, "away": 0}
+        self._incarnation = self._previous_incarnation = 0
+        self._heartbeats = self._reported_ns = self._steps_applied = 0
+        self._completed = self._late = self._rejected = self._failed = 0
+        self._agent: Hand | None = None
+        self._leader: Lead | None = None
+        self._page: Page | None = None
+        self._reported_phase: Says | None = None
+        self._unreachable = ""  # why the store can't be used; empty where it can
+        self._is_superseded = False
+        self._task: asyncio.Task[None] | None = None
+
+    def open(self) -> None:
+        """Begins to poll the store.
+
+        Serving does not wait for it: a server that can't reach it serves on, and is not drained.
+        """
+        self._task = self.tasks.start(self._keep_polling(), "rollout")
+
+    def request_answered(self, kind: Kind, request_class: int, received_ns: int) -> None:
+        """Counts an answer.
+
+        Args:
+            kind: What was answered.
+            request_class: The request's class, its place in the settings.
+            received_ns: When it was read, in Unix ns.
+        """
+        if kind in (Kind.SETTLE, Kind.SETTLE_AS):
+            self._completed += 1
+            objective_ns = self.request_classes[request_class].latency_objective_ns
+            self._late += self.clock() - received_ns > objective_ns
+        elif kind is Kind.DECLINE:
+            self._rejected += 1
+        else:
+            self._failed += 1
+
+    def gauges(self) -> dict[str, float]:
+        """Returns what stands now, by the end of the metric's name."""
+        if self._page is None:
+            return {"away": float(bool(self._unreachable))}
+        book = self._page.book
+        servers = book.groups[SERVERS]
+        return {
+            "away": float(bool(self._unreachable)),
+            "phase": float(book.plan.phase),
+            "wave": float(book.plan.wave),
+            "servers": float(len(servers.units)),
+            "out": float(servers.taken),
+            "bound": float(servers.budget.bound(len(servers.units))),
+            "steps_read": float(book.steps),
+            "done": float(sum(book.done(unit) for unit in servers.units.values())),
+        }
+
+    async def close(self) -> None:
+        """Reports that the server leaves; a leader resigns, so that another need not wait."""
+        if self._task is not None:
+            self._task.cancel()
+        with contextlib.suppress(Away, Unreadable, TimeoutError):
+            async with asyncio.timeout(LAST_REPORT_TIMEOUT_S):
+                await self._report_leaving()
+        await self.store.close()
+        log.info(
+            "event=rollout_closed %s",
+            " ".join(f"{name}={count}" for name, count in self.steps.items()),
+        )
+
+    # Polls.
+
+    async def _keep_polling(self) -> None:
+        pause = 1
+        while True:
+            try:
+                await self._poll()
+                if self._unreachable:
+                    log.warning("event=rollout_store_reachable")
+                self._unreachable, pause = "", 1
+            except (Away, Unreadable) as error:
+                self._note_unreachable(error)
+                pause = min(self._max_pause(), 2 * pause)
+                await self._reopen()
+            except Exception:
+                # Without further polls the server would count as missing.
+                log.exception("event=internal_error task=rollout")
+            await rest(pause * self.settings.poll_ms * MS)
+
+    def _max_pause(self) -> int:
+        """Returns the longest pause, in polls: the server must not count as silent for it."""
+        settings = self.settings
+        return max(1, settings.fresh_ms // (MAX_PAUSE_DIVISOR * settings.poll_ms))
+
+    def _note_unreachable(self, error: Exception) -> None:
+        if not self._unreachable:
+            log.warning("event=rollout_store_unreachable detail=%r", str(error))
+        self._unreachable, self._page = str(error), None
+        self.steps["away"] += 1
+
+    async def _reopen(self) -> None:
+        if self._incarnation:
+            with contextlib.suppress(Away):
+                await self.store.open()  # its file may be another's by now, its tables gone
+
+    async def _poll(self) -> None:
+        if self._is_superseded:
+            return
+        if not self._incarnation:
+            await self._join()
+        await self._report()
+        if self._is_superseded:
+            return
+        self._page = page = await self.store.read(self._page)
+        self._eject_services(page)
+        if not self.host.is_shutting_down:
+            await self._follow(page)
+        if not self.host.is_shutting_down and self._leader is not None and page is self._page:
+            await self._lead(self._leader, page)
+
+    async def _join(self) -> None:
+        await self.store.open()
+        last = await self.store.last(self.name)
+        if last is not None:
+            self._previous_incarnation = last.life if last.says is Says.LEAVING else 0
+        self._incarnation = max(self.clock() // MS, last.life + 1 if last is not None else 0)
+        self._agent = Hand(self.name, self._incarnation)
+        if self.settings.leads:
+            self._leader = Lead(
+                f"{self.name}/{self._incarnation}",
+                self.settings.terms(),
+                self.settings.budgets(),
+                self.settings.services(),
+            )
+        log.info(
+            "event=rollout_joined name=%s incarnation=%d version=%s",
+            self.name,
+            self._incarnation,
+            self.version or "-",
+        )
+
+    # Reports.
+
+    def _phase(self) -> Says:
+        if self.host.is_shutting_down:
+            return Says.LEAVING
+        return Says.SERVING if self.host.is_ready() else Says.STARTING
+
+    async def _report(self) -> None:
+        now, phase = self.interval_clock(), self._phase()
+        is_due = now - self._reported_ns >= self.settings.beat_ms * MS
+        if phase == self._reported_phase and not is_due:
+            return
+        self._heartbeats += 1
+        member = Member(
+            self.name,
+            self._incarnation,
+            self._heartbeats,
+            phase,
+            self.host.is_healthy_and_recovered(),
+            self.version,
+            self._steps_applied,
+            Counts(self._completed, self._late, self._rejected, self._failed),
+            self.membership().recent_call_counts(),
+            self._previous_incarnation,
+        )
+        if not await self.store.tell(member):
+            self._is_superseded = True
+            # Another process was started under the name after this one.
+            log.error("event=rollout_superseded name=%s", self.name)
+        self._reported_phase, self._reported_ns = phase, now
+
+    async def _report_leaving(self) -> None:
+        if not self._incarnation or self._is_superseded or self._unreachable:
+            return
+        self._reported_phase = None
+        await self._report()
+        if self._leader is not None:
+            page = await self.store.read()
+            resigned = self._leader.resign(page.book)
+            if resigned is not None:
+                await self.store.swap(page, resigned)
+
+    def _eject_services(self, page: Page) -> None:
+        """Has services that are out not called; reported once no call to them is in progress."""
+        ejected = frozenset(address for _, address in page.book.shunned())
+        if self.membership().eject_services(ejected):
+            self._steps_applied = page.book.steps
+
+    # What the rollout state says of this server.
+
+    async def _follow(self, page: Page) -> None:
+        agent = self._agent
+        assert agent is not None
+        effect = agent.reads(page.book)
+        if effect == "ask":
+            wanted = agent.step(page.book)
+            try:
+                is_held = wanted is not None and await self.store.swap(page, wanted)
+            except Away:
+                agent.meet(Input.UNSURE)
+                raise
+            effect = agent.meet(Input.HELD if is_held else Input.BEATEN)
+            self._page = None
+            self.steps["beaten"] += not is_held
+        if effect == "drain":
+            self._begin_drain(page)
+
+    def _begin_drain(self, page: Page) -> None:
+        """Drains: the store has this server out, durably; no earlier."""
+        version = page.book.version_of(self.name)
+        log.info(
+            "event=rollout_drain_started incarnation=%d next_version=%s",
+            self._incarnation,
+            version or "-",
+        )
+        self.steps["drains"] += 1
+        if self.settings.release_file is not None:
+            self._write_release(Path(self.settings.release_file), version)
+        self.host.begin_shutdown()
+
+    def _write_release(self, path: Path, version: str) -> None:
+        try:
+            temporary = path.with_name(path.name + ".part")
+            temporary.write_text(version + "\n", encoding="utf-8")
+            os.replace(temporary, path)
+        except OSError as error:
+            log.warning("event=release_file_not_written detail=%r", str(error))
+
+    async def _lead(self, leader: Lead, page: Page) -> None:
+        for step, reason in await led(leader, self.store, page, self.interval_clock()):
+            log.info("event=rollout_step step=%d reason=%r", step, reason)
--- a/burlloom/server/logs.py
+++ b/burlloom/server/logs.py
@@ -1,4 +1,4 @@
-"""The log: one key=value line an event, on standard output."""
+"""The log: one line of key=value pairs an event, on standard output."""
 
 import logging
 import sys
@@ -6,11 +6,14 @@
 
 log = logging.getLogger(__name__)
 
-LINES_MOST = 50  # a second, of no more weight than info
+MAX_INFO_LINES_PER_SECOND = 50
 
 
 class KeyValueFormatter(logging.Formatter):
+    """Formats a record as one line: time, level, module, the message's pairs, the traceback."""
+
     def format(self, record: logging.LogRecord) -> str:
+        """Returns the record's line; line breaks in it become spaces."""
         stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         line = (
             f"ts={stamp}.{int(record.msecs):03d}Z level={record.levelname.lower()} "
@@ -22,27 +25,40 @@
 
 
 class LineRateLimit(logging.Filter):
-    """Against those who connect by the hundreds, to leave a line each: past so many a second, lines
-    count.
+    """Drops lines of level info and below past so many lines a second.
+
+    Clients that connect by the hundreds would fill the log with a line each. The number of dropped
+    lines is logged with the first line of a later second.
+
+    Attributes:
+        second: The Unix time in s that `lines` and `dropped` count in.
+        lines: All lines of that second, dropped ones among them.
+        dropped: Dropped lines of that second.
     """
 
     def __init__(self) -> None:
+        """Creates a limit that has counted no line."""
         super().__init__()
-        self.second = self.lines = self.left_out = 0
+        self.second = self.lines = self.dropped = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Counts the record; returns whether it is logged."""
         if int(record.created) != self.second:
-            left_out, self.left_out = self.left_out, 0
-            self.second, self.lines = int(record.created), 0
-            if left_out:
-                log.info("event=lines-left-out count=%d", left_out)
+            self._begin_second(int(record.created))
         self.lines += 1
-        passes = self.lines <= LINES_MOST or record.levelno > logging.INFO
-        self.left_out += not passes
+        passes = self.lines <= MAX_INFO_LINES_PER_SECOND or record.levelno > logging.INFO
+        self.dropped += not passes
         return passes
 
+    def _begin_second(self, second: int) -> None:
+        dropped, self.dropped = self.dropped, 0
+        self.second, self.lines = second, 0
+        if dropped:
+            log.info("event=log_lines_dropped count=%d", dropped)
+
 
 def configure_logging() -> None:
+    """Has all of the process's log written to standard output, in this form and bound."""
     handler = logging.StreamHandler(sys.stdout)
     handler.setFormatter(KeyValueFormatter())
     handler.addFilter(LineRateLimit())
--- /dev/null
+++ b/burlloom/server/operator_subsystems.py
@@ -0,0 +1,360 @@
+"""The parts that an operator's file switches on. Imported only where a file is named."""
+
+from __future__ import annotations
+
+import os
+import socket
+from collections.abc import Callable
+from dataclasses import replace
+from functools import partial
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from ..levels import NAMES, Plan
+from ..levels.plan import faults
+from ..operator import DistributionPart, Faults, FleetPart, Operator, load
+from ..record.store import Refused
+from ..sockets import MS, SECOND
+from .configuration import ConfigurationError, ServerConfig
+from .metrics_exposition import MetricsExposition
+from .subsystems import SubsystemFactory
+
+if TYPE_CHECKING:
+    from ..record.keeper import Keeper
+    from .configuration_distribution import ConfigurationDistribution
+    from .membership import FleetMembership
+    from .recovery import RestartRecovery
+    from .request_record import RequestRecord
+    from .rollout import RolloutParticipation
+    from .server import Server
+    from .service_levels import ServiceLevels
+
+__all__ = ["OperatorSubsystemFactory", "check_levels", "load_subsystems"]
+
+RELEASE_VARIABLE = "BURLLOOM_RELEASE"
+# Between faults of the operator's file: each is printed on a line of its own.
+FAULT_SEPARATOR = "\nburlloom.server: "
+# A share of less than one call is a share of this time, where the platform sets no other.
+DEFAULT_CALL_QUOTA_WINDOW_NS = 5 * SECOND
+
+
+def load_subsystems(
+    path: str, config: ServerConfig
+) -> tuple[ServerConfig, OperatorSubsystemFactory]:
+    """Reads an operator's file and opens what it names: sockets are bound, stores are not read yet.
+
+    Args:
+        path: The operator's file.
+        config: The platform's configuration.
+
+    Returns:
+        The configuration with what the operator's file changes in it, and the parts' factory.
+
+    Raises:
+        ConfigurationError: The file, or what it names, can't be used.
+    """
+    try:
+        operator = load(Path(path))
+        config = apply_operator_settings(operator, config)
+        return config, OperatorSubsystemFactory(operator, config)
+    except Faults as faults:
+        raise ConfigurationError(FAULT_SEPARATOR.join(faults.lines)) from faults
+    except Refused as refused:
+        raise ConfigurationError(str(refused)) from refused
+
+
+def apply_operator_settings(operator: Operator, config: ServerConfig) -> ServerConfig:
+    """Returns the configuration with what the operator's file changes in the decisions' settings.
+
+    Raises:
+        Faults: The file names classes that the platform does not have.
+    """
+    settings = config.settings
+    levels = operator.levels
+    if levels is not None and levels.kept_ms:
+        names = config.class_names
+        if unknown := [name for name in levels.kept_ms if name not in names]:
+            known = ", ".join(names)
+            raise Faults(
+                [
+                    f"levels.kept_ms: there is no product {name!r}; known are {known}"
+                    for name in unknown
+                ]
+            )
+        classes = tuple(
+            replace(request_class, max_staleness_ns=levels.kept_ms.get(name, 0) * MS)
+            for name, request_class in zip(names, settings.request_classes, strict=True)
+        )
+        settings = replace(settings, request_classes=classes)
+    if operator.fleet is not None and not settings.call_quota_window_ns:
+        settings = replace(settings, call_quota_window_ns=DEFAULT_CALL_QUOTA_WINDOW_NS)
+    return replace(config, settings=settings)
+
+
+def check_levels(operator: Operator, config: ServerConfig) -> Plan | None:
+    """Returns the operator's plan of service levels, None where there is none.
+
+    Raises:
+        Faults: The plan does not fit the platform's request classes; all that does not is named.
+    """
+    if operator.levels is None:
+        return None
+    plan = operator.levels.plan()
+    classes = tuple(zip(config.class_names, config.settings.request_classes, strict=True))
+    if lines := faults(plan, classes, NAMES):
+        raise Faults([f"levels.{line}" for line in lines])
+    return plan
+
+
+def bind_membership_socket(part: FleetPart, name: str) -> socket.socket:
+    """Binds the socket for the membership's datagrams.
+
+    Raises:
+        Refused: The server's name is too long for datagrams, or the address can't be bound.
+    """
+    from ..fleet.letters import NAME_MOST
+
+    if not 0 < len(name.encode()) <= NAME_MOST:
+        raise Refused(
+            f"fleet: the name {name!r:.80} is over {NAME_MOST} bytes; letters carry no longer one"
+        )
+    host, port = part.listen.rsplit(":", 1)
+    sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    try:
+        sock.bind((host, int(port)))
+    except OSError as error:
+        raise Refused(f"fleet.listen: {part.listen}: {error.strerror}") from error
+    sock.setblocking(False)
+    return sock
+
+
+def bind_distribution_socket(part: DistributionPart, name: str) -> socket.socket:
+    """Binds the socket for the datagrams of the configuration that is distributed.
+
+    Raises:
+        Refused: There is no upstream, the server's name is too long for datagrams, or the address
+            can't be bound.
+    """
+    if not part.upstreams:
+        raise Refused("distribution.upstreams: is empty: a server follows others")
+    from ..distribution.endpoint import bound
+    from ..distribution.messages import NAME_MOST
+
+    if not 0 < len(name.encode()) <= NAME_MOST:
+        raise Refused(
+            f"distribution: the name {name!r:.80} is over {NAME_MOST} bytes;"
+            " messages carry no longer one"
+        )
+    try:
+        return bound(part.listen)
+    except OSError as error:
+        raise Refused(f"distribution.listen: {part.listen}: {error.strerror}") from error
+
+
+def record_strain(keeper: Keeper, clock: Callable[[], int]) -> float:
+    """Returns how near the record's writes are to their limits, from 0 to 1."""
+    return keeper.budget.strain(clock())
+
+
+class OperatorSubsystemFactory(SubsystemFactory):
+    """Creates the parts that an operator's file asks for; the others stay off."""
+
+    def __init__(self, operator: Operator, config: ServerConfig) -> None:
+        """Opens what the parts need.
+
+        Args:
+            operator: What the operator's file holds.
+            config: The platform's configuration, as the file changes it.
+
+        Raises:
+            Faults: The file does not fit the platform's configuration.
+            Refused: A store, a socket or a key can't be used.
+        """
+        self.operator, self.config = operator, config
+        self.metrics = MetricsExposition(operator.metrics) if operator.metrics is not None else None
+        settings = config.settings
+        self.keeper: Keeper | None = None
+        if operator.record is not None:
+            from ..record.opening import store_of
+
+            longest_deadline = max(one.deadline_ns for one in settings.request_classes)
+            self.record_store, self.record_sealer = store_of(
+                operator.record, operator.record.node or config.name, keep=longest_deadline
+            )
+        self.plan = check_levels(operator, config)
+        if operator.fleet is not None:
+            self.membership_socket = bind_membership_socket(operator.fleet, config.name)
+        if operator.rollout is not None:
+            from ..rollout.stores.opening import shelf_of
+
+            self.rollout_store = shelf_of(operator)
+            self.release = os.environ.get(RELEASE_VARIABLE) or operator.rollout.version
+        if operator.distribution is not None:
+            self.distribution_socket = bind_distribution_socket(operator.distribution, config.name)
+
+    def create_record(self, server: Server) -> RequestRecord:
+        """Creates the record, not open yet.
+
+        Raises:
+            Refused: The metrics' address can't be used.
+        """
+        part = self.operator.record
+        if part is None:
+            return super().create_record(server)
+        from ..record.keeper import Keeper, Terms
+        from .configured_request_record import ConfiguredRequestRecord
+
+        classes = self.config.settings.request_classes
+        record = ConfiguredRequestRecord(
+            classes,
+            part.hold_share,
+            server.clock,
+            server.requests.start_run,
+            part.postgres is not None,
+        )
+        record.keeper = self.keeper = Keeper(
+            self.record_store,
+            self.record_sealer,
+            Terms(
+                part.mode == "prefer",
+                part.claim_share,
+                part.hold_share,
+                part.open_most,
+                part.doubt_wait_ms * MS,
+            ),
+            max(request_class.latency_objective_ns for request_class in classes),
+            server.clock,
+            record,
+        )
+        if self.metrics is not None:
+            self.metrics.register_record(record.keeper)
+        return record
+
+    def create_distribution(self, server: Server) -> ConfigurationDistribution:
+        """Creates the follower on the socket that is bound.
+
+        Raises:
+            Refused: The metrics' address can't be used.
+        """
+        part = self.operator.distribution
+        if part is None:
+            return super().create_distribution(server)
+        from .followed_configuration import FollowedConfiguration
+
+        followed = FollowedConfiguration(
+            part,
+            self.distribution_socket,
+            self.config.name,
+            self.config.seed,
+            server.tasks,
+            lambda: server.is_shutting_down,
+        )
+        if self.metrics is not None:
+            self.metrics.register("burlloom_distribution", followed.counts, followed.gauges)
+        return followed
+
+    def create_levels(
+        self, server: Server, distribution: ConfigurationDistribution
+    ) -> ServiceLevels:
+        """Creates the levels of the operator's plan.
+
+        Raises:
+            Refused: The metrics' address can't be used.
+        """
+        part, config = self.operator.levels, self.config
+        if part is None or self.plan is None:
+            return super().create_levels(server, distribution)
+        from .configured_service_levels import ConfiguredServiceLevels
+
+        levels = ConfiguredServiceLevels(
+            self.plan,
+            tuple(zip(config.class_names, config.settings.request_classes, strict=True)),
+            config.tenant_portions,
+            config.settings.cores,
+            server.clock,
+            lambda: len(server.front.connections) / server.front.most,
+            terms=part.terms(),
+            store=partial(record_strain, self.keeper, server.clock) if self.keeper else None,
+            meters=frozenset(config.gauge_names),
+            pin_file=Path(part.pin_file) if part.pin_file is not None else None,
+            state_file=Path(part.state_file) if part.state_file is not None else None,
+            share=distribution.tenant_shares(config.tenant_portions),
+        )
+        if self.metrics is not None:
+            self.metrics.register("burlloom_levels", levels.steps, levels.gauges)
+            self.metrics.write_only_while(levels.is_optional_work_served)
+        return levels
+
+    def create_recovery(self, server: Server) -> RestartRecovery:
+        """Creates the recovery; it reads what the last incarnation left."""
+        part, settings = self.operator.recovery, self.config.settings
+        if part is None:
+            return super().create_recovery(server)
+        from .configured_recovery import ConfiguredRestartRecovery
+
+        record = self.operator.record
+        is_durable = record is not None and record.mode == "require"
+        longest_window = max(one.idempotency_window_ns for one in settings.request_classes)
+        return ConfiguredRestartRecovery(
+            part.terms(longest_window, is_durable),
+            self.config.name,
+            server.clock,
+            lambda: server.subsystems.membership,
+            settings.call_quota or settings.max_runs_per_core * settings.cores,
+            self.operator.fleet is None and record is None,
+            Path(part.state_file) if part.state_file is not None else None,
+        )
+
+    def create_membership(self, server: Server, recovery: RestartRecovery) -> FleetMembership:
+        """Creates the membership on the socket that is bound.
+
+        Raises:
+            Refused: The metrics' address can't be used.
+        """
+        part = self.operator.fleet
+        if part is None:
+            return super().create_membership(server, recovery)
+        from .configured_membership import ConfiguredFleetMembership
+
+        membership = ConfiguredFleetMembership(
+            part,
+            self.membership_socket,
+            self.config.name,
+            self.config.seed,
+            server.tasks,
+            recovery,
+        )
+        if self.metrics is not None:
+            self.metrics.register("burlloom_fleet", membership.fleet.counts, membership.gauges)
+        return membership
+
+    def create_rollout(self, server: Server) -> RolloutParticipation:
+        """Creates the participation over the store of the operator's.
+
+        Raises:
+            Refused: The metrics' address can't be used.
+        """
+        part = self.operator.rollout
+        if part is None:
+            return super().create_rollout(server)
+        from .configured_rollout import ConfiguredRolloutParticipation
+
+        rollout = ConfiguredRolloutParticipation(
+            part,
+            self.rollout_store,
+            self.config.name,
+            self.release,
+            self.config.settings.request_classes,
+            server.clock,
+            server.tasks,
+            server,
+            lambda: server.subsystems.membership,
+        )
+        if self.metrics is not None:
+            self.metrics.register("burlloom_rollout", rollout.steps, rollout.gauges)
+        return rollout
+
+    def close(self) -> None:
+        """Closes the exposition of metrics."""
+        if self.metrics is not None:
+            self.metrics.close()
--- /dev/null
+++ b/burlloom/server/request_handler.py
@@ -0,0 +1,250 @@
+"""The way of one request: from its arrival through the dispatcher, a run and a call to its answer."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from ..dispatcher import (
+    AtCall,
+    CallEnded,
+    Desk,
+    Kind,
+    Recalled,
+    RequestAttempt,
+    RunEnded,
+    Seat,
+    Step,
+)
+from ..downstream import Answer, Pool
+from ..executor import End, Link
+from ..interface import Outcome
+from ..rpc import IncomingRequest
+from ..sockets import MS, Tasks, rest
+from .configuration import ServerConfig
+from .outcomes import CALL_OUTCOMES, RUN_OUTCOMES, send_answer
+
+if TYPE_CHECKING:
+    from ..downstream.spread import Pools
+    from .subsystems import Subsystems
+
+log = logging.getLogger(__name__)
+
+UNWANTED_CALL_DELAY_NS = 250 * MS
+
+
+class RequestHandler:
+    """Takes each request through the server; the dispatcher decides every step.
+
+    Attributes:
+        clock: Unix ns.
+        dispatcher: What decides; None until the executor has connected.
+        open_requests: Requests that wait for their answer, by id.
+        class_index: The place of each request class in the settings, by name.
+    """
+
+    def __init__(self, config: ServerConfig, clock: Callable[[], int], tasks: Tasks) -> None:
+        """Creates a handler, to be connected before it is used.
+
+        Args:
+            config: What the server is.
+            clock: Unix ns.
+            tasks: Where each request's task runs.
+        """
+        self.clock, self.tasks = clock, tasks
+        self.request_classes = config.settings.request_classes
+        self.class_index = {name: index for index, name in enumerate(config.class_names)}
+        self.dispatcher: Desk | None = None
+        self.open_requests: dict[str, IncomingRequest] = {}
+
+    def connect(self, subsystems: Subsystems, executor: Link, downstream: Pool | Pools) -> None:
+        """Sets what a request passes on its way.
+
+        Args:
+            subsystems: What is asked, and told, of each request.
+            executor: What runs requests.
+            downstream: What runs call.
+        """
+        self.record, self.levels = subsystems.record, subsystems.levels
+        self.recovery, self.membership = subsystems.recovery, subsystems.membership
+        self.rollout = subsystems.rollout
+        self.executor, self.downstream = executor, downstream
+
+    # What connections of balancers ask.
+
+    def is_serving(self, request_id: str) -> bool:
+        """Returns whether this request waits for its answer here."""
+        return request_id in self.open_requests or (
+            self.dispatcher is not None and self.dispatcher.knows(request_id)
+        )
+
+    def load_report(self, caller: str) -> str:
+        """Returns the load report for one caller; empty before there is a dispatcher.
+
+        Callers within the share of a level's trial are sent the report of that level.
+        """
+        if self.dispatcher is None:
+            return ""
+        share = self.dispatcher.service.trial_share
+        if share and self.levels.sampling_draw(caller) < share:
+            return self.dispatcher.said_trial
+        return self.dispatcher.said
+
+    def connection_lost(self, request: IncomingRequest) -> None:
+        """Gives up a request that nobody waits for any more."""
+        if self.dispatcher is not None and self.dispatcher.knows(request.id):
+            self.dispatcher.withdraw(request.id)
+        else:
+            # The record is asked about it; there is nobody to answer once that is known.
+            self.open_requests.pop(request.id, None)
+            self.record.request_answered(request.id)
+
+    def receive(self, request: IncomingRequest) -> None:
+        """Takes a request that was read; most that are rejected are answered before it returns."""
+        dispatcher = self.dispatcher
+        if dispatcher is None:
+            request.refuse(0, False)
+            return
+        attempt = self._attempt(request)
+        if request.retry and self.record.is_shared and (mark := dispatcher.unknown(attempt)):
+            self.open_requests[request.id] = request
+            self.tasks.start(self._look_up(dispatcher, request, attempt, mark), "look_up")
+        else:
+            self._dispatch(dispatcher, request, attempt)
+
+    def _attempt(self, request: IncomingRequest) -> RequestAttempt:
+        return RequestAttempt(
+            request.id,
+            request.at,
+            request.caller,
+            self.class_index[request.request_class],
+            request.cost,
+            request.kb,
+            request.rank,
+            request.idempotency_key,
+            request.key,
+            request.body,
+            self.record.accepts_claims(),
+            request.retry,
+            self.levels.count_request(request.tenant),
+            self.levels.sampling_draw(request.caller),
+            self.recovery.holds_back_retry(request.retry),
+        )
+
+    async def _look_up(
+        self, dispatcher: Desk, request: IncomingRequest, attempt: RequestAttempt, mark: bytes
+    ) -> None:
+        """Asks the record first: a request that ran on another node must not be rejected."""
+        await self.record.look_up(mark, request.id, request.at, attempt.product)
+        if self.open_requests.pop(request.id, None) is not None:
+            self._dispatch(dispatcher, request, attempt)
+
+    def _dispatch(
+        self, dispatcher: Desk, request: IncomingRequest, attempt: RequestAttempt
+    ) -> None:
+        if request.retry and self.recovery.is_fenced() and dispatcher.unknown(attempt):
+            # It may have run in an incarnation whose digests are lost: neither run again nor
+            # rejected.
+            request.fail()
+            self.record.request_answered(request.id)
+            return
+        step = dispatcher.take(attempt)
+        if isinstance(step, Step):
+            send_answer(request, step)
+            self.rollout.request_answered(step.kind, attempt.product, request.at)
+            self.record.request_answered(request.id)
+            return
+        self.open_requests[request.id] = request
+        self.tasks.start(self._serve(dispatcher, request, step), "request")
+
+    async def _serve(self, dispatcher: Desk, request: IncomingRequest, slot: Seat) -> None:
+        side_task: asyncio.Task[None] | None = None
+        answered = False
+        class_index = self.class_index[request.request_class]
+        try:
+            while not answered:
+                step = await dispatcher.pick(slot)
+                match step.kind:
+                    case Kind.RUN:
+                        self.record.begin_run(step.mark, request.id, request.at, class_index)
+                    case Kind.CALL:
+                        call = self._call_downstream(dispatcher, request.id, step)
+                        side_task = self.tasks.start(call, "call")
+                    case Kind.RECALL:
+                        read = self._read_result(dispatcher, request, step.mark)
+                        side_task = self.tasks.start(read, "read_result")
+                    case _:
+                        if step.kind in (Kind.SETTLE, Kind.SETTLE_AS):
+                            await self.record.wait_until_durable(step.mark, request.at, class_index)
+                            self.levels.request_completed(class_index, request.at)
+                        answered = True
+                        send_answer(request, step)
+                        self.rollout.request_answered(step.kind, class_index, request.at)
+                        self.record.request_answered(request.id)
+        finally:
+            if not answered:
+                request.fail()
+            if side_task is not None:
+                side_task.cancel()
+            self.open_requests.pop(request.id, None)
+
+    async def _read_result(self, dispatcher: Desk, request: IncomingRequest, mark: bytes) -> None:
+        class_index = self.class_index[request.request_class]
+        deadline_ns = request.at + self.request_classes[class_index].deadline_ns
+        result = await self.record.read_result(mark, deadline_ns)
+        dispatcher.report(Recalled(request.id, result))
+
+    async def _call_downstream(self, dispatcher: Desk, request_id: str, step: Step) -> None:
+        began = self.clock()
+        if not self.membership.may_call():
+            dispatcher.report(CallEnded(request_id, Outcome.OVERLOADED, 0))
+            return
+        answer, reply = await self.downstream.call(
+            request_id, step.body, step.until - began, step.repeatable
+        )
+        if answer is Answer.WELL:
+            self.executor.give(request_id, reply)
+        else:
+            log.info(
+                "event=call_failed id=%s outcome=%s elapsed_ms=%d",
+                request_id,
+                answer.value,
+                (self.clock() - began) // MS,
+            )
+        if answer is Answer.UNWANTED:
+            # No run waits for it, so the end of the run is on its way, and cancels this. Reported
+            # at once, the decisions would call again and again, and soon take the downstream for
+            # one that is down.
+            await rest(UNWANTED_CALL_DELAY_NS)
+        self.levels.call_ended(answer is Answer.WELL)
+        self.recovery.call_ended(answer is Answer.WELL)
+        dispatcher.report(CallEnded(request_id, CALL_OUTCOMES[answer], self.clock() - began))
+
+    # What the record and the executor say.
+
+    def start_run(self, request_id: str) -> None:
+        """Has the executor run a request that may run now.
+
+        It runs even where its connection was lost meanwhile: to the record it has begun.
+        """
+        request = self.open_requests.get(request_id)
+        if request is not None:
+            self.executor.run(request_id, request.request_class, request.body)
+        else:
+            self.run_ended(request_id, End.NOOP, 0, b"")
+
+    def run_ended(self, request_id: str, end: End, duration_ns: int, result: bytes) -> None:
+        """Reports the end of a run to the record and the dispatcher."""
+        if end is End.BAD and request_id in self.open_requests:
+            self.open_requests[request_id].blame()
+        self.record.run_ended(request_id, RUN_OUTCOMES[end], result)
+        if self.dispatcher is not None:
+            run_ended = RunEnded(request_id, RUN_OUTCOMES[end], duration_ns, result)
+            self.dispatcher.report(run_ended)
+
+    def run_reached_call(self, request_id: str, body: bytes) -> None:
+        """Reports to the dispatcher that a run waits for a call with this body."""
+        if self.dispatcher is not None:
+            self.dispatcher.report(AtCall(request_id, body))
--- a/burlloom/server/request_record.py
+++ b/burlloom/server/request_record.py
@@ -1,242 +1,139 @@
-"""Between the server and its store of record: who keeps a charge, and what the store's words mean
-to the desk.
+"""What a server asks of its record of keyed requests; the implementation for one without any."""
 
-Where no record is kept, `NoRecord` stands here, and nothing of the record is imported.
-"""
+from __future__ import annotations
 
-import logging
 from collections.abc import Callable
-from itertools import chain
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
-from ..dispatcher import Desk, Packed, RunEnded
-from ..interface import Idempotency, Outcome, RequestClass
-from ..sockets import MS
-from .configuration import ConfigurationError
-
-if TYPE_CHECKING:
-    from ..metrics import Exposed
-    from ..record.keeper import Keeper
-
-log = logging.getLogger(__name__)
-
-WAY_OUT = 100 * MS  # that an answer keeps to its expiry, whatever it waits for
+from ..dispatcher import Desk
+from ..interface import Outcome
 
 
 class RequestRecord(Protocol):
-    """What the server asks of its record, on a txn's way."""
-
-    keeps_results: bool
-    is_shared: bool  # whether a retry that is not known here may be known to the record
-    incarnation: int  # of this node in the store, from 1; -1 where there is none
-    previous_note: str  # what this node's last life left to this one
-
-    async def open(self) -> None: ...
-    def write_note(self, text: str) -> None: ...
-    def attach_dispatcher(self, desk: Desk, executor_began: int) -> None: ...
-    def accepts_claims(self) -> bool: ...
-    def begin_run(self, mark: bytes, id: str, at: int, product: int) -> None: ...
-    def run_ended(self, id: str, outcome: Outcome, result: bytes) -> None: ...
-    async def wait_until_durable(self, mark: bytes, at: int, product: int) -> None: ...
-    async def look_up(self, mark: bytes, id: str, at: int, product: int) -> None: ...
-    def request_answered(self, id: str) -> None: ...
-    async def read_result(self, mark: bytes, until: int) -> bytes | None: ...
-    async def close(self) -> None: ...
+    """Where keyed requests are claimed before they run, and their results kept.
 
+    `mark` is a request's key digest, `request_class` its place in the settings, `received_ns` when
+    it was read, in Unix ns.
 
-class NoRequestRecord:
-    """Memory's marks alone: every run begins at once."""
-
-    keeps_results = is_shared = False
-    incarnation = -1
-    previous_note = ""
+    Attributes:
+        keeps_results: Whether results may be read that memory no longer has.
+        is_shared: Whether a retry that is not known here may be known to the record, because other
+            nodes write to it.
+        incarnation: This node's in the store, from 1; -1 where there is none.
+        previous_note: What this node's last incarnation wrote for this one.
+    """
 
-    def __init__(self, execute: Callable[[str], None]) -> None:
-        self.execute = execute
+    keeps_results: bool
+    is_shared: bool
+    incarnation: int
+    previous_note: str
 
     async def open(self) -> None:
-        pass
+        """Opens the store and reads back what this node knew.
+
+        Raises:
+            ConfigurationError: The store can't be used.
+        """
 
     def write_note(self, text: str) -> None:
-        pass
+        """Writes a note for the node's next incarnation."""
 
-    def attach_dispatcher(self, desk: Desk, executor_began: int) -> None:
-        pass
+    def attach_dispatcher(self, dispatcher: Desk, executor_began_ns: int) -> None:
+        """Hands the dispatcher what was read back; ends of runs are reported to it from now on.
+
+        Args:
+            dispatcher: Decides what the record's answers mean to a request.
+            executor_began_ns: Unix ns of the executor's start: runs from before it are over.
+        """
 
     def accepts_claims(self) -> bool:
-        return True
+        """Returns whether a claim could be written now."""
 
-    def begin_run(self, mark: bytes, id: str, at: int, product: int) -> None:
-        self.execute(id)
+    def begin_run(self, mark: bytes, request_id: str, received_ns: int, request_class: int) -> None:
+        """Has a request run as soon as it may: a keyed one, once its claim is durable."""
 
-    def run_ended(self, id: str, outcome: Outcome, result: bytes) -> None:
-        pass
+    def run_ended(self, request_id: str, outcome: Outcome, result: bytes) -> None:
+        """Writes the end of a run."""
 
-    async def wait_until_durable(self, mark: bytes, at: int, product: int) -> None:
-        pass
+    async def wait_until_durable(self, mark: bytes, received_ns: int, request_class: int) -> None:
+        """Waits until the end of a run is durable, for as long as the answer may wait."""
 
-    async def look_up(self, mark: bytes, id: str, at: int, product: int) -> None:
-        pass
+    async def look_up(
+        self, mark: bytes, request_id: str, received_ns: int, request_class: int
+    ) -> None:
+        """Asks the store what became of a request; the dispatcher is told what is found."""
 
-    def request_answered(self, id: str) -> None:
-        pass
+    def request_answered(self, request_id: str) -> None:
+        """Notes that a request's answer was sent, or that nobody waits for it."""
 
-    async def read_result(self, mark: bytes, until: int) -> bytes | None:
-        return None
+    async def read_result(self, mark: bytes, deadline_ns: int) -> bytes | None:
+        """Returns a result from the store, None where none can be given in time.
+
+        Args:
+            mark: The request's key digest.
+            deadline_ns: The request's, in Unix ns.
+        """
 
     async def close(self) -> None:
-        pass
+        """Writes what is left and closes the store."""
+
 
+class NoRequestRecord:
+    """Memory alone knows keyed requests: every run begins at once.
 
-class ConfiguredRequestRecord:
-    """Referenced txns run only once their claim is durable; implements `record.Hand`."""
+    Attributes:
+        keeps_results: False.
+        is_shared: False.
+        incarnation: -1.
+        previous_note: Empty.
+    """
 
-    keeps_results = True
+    keeps_results = is_shared = False
+    incarnation = -1
+    previous_note = ""
 
-    def __init__(
-        self,
-        products: tuple[RequestClass, ...],
-        hold_share: float,
-        clock: Callable[[], int],
-        execute: Callable[[str], None],
-        looks: bool,
-    ) -> None:
-        """`looks`: other nodes write to the record too."""
-        from ..record import points
-
-        self.points, self.is_shared = points, looks
-        self.products, self.hold_share, self.clock, self.execute = (
-            products,
-            hold_share,
-            clock,
-            execute,
-        )
-        self.keeper: Keeper
-        self.exposed: Exposed | None = None
-        self.desk: Desk | None = None
-        self.former = Packed()
-        self.previous_note, self.incarnation = "", -1
+    def __init__(self, start_run: Callable[[str], None]) -> None:
+        """Creates a record that keeps nothing.
 
-    def write_note(self, text: str) -> None:
-        self.keeper.store.note(text)
+        Args:
+            start_run: Has the executor run the request of an id.
+        """
+        self.start_run = start_run
 
     async def open(self) -> None:
-        from ..record.store import Refused
-
-        began = self.clock()
-        try:
-            opened = await self.keeper.open()
-        except Refused as error:
-            raise ConfigurationError(str(error)) from error
-        self.previous_note, self.incarnation = self.keeper.noted, self.keeper.life
-        self.former = Packed(chain.from_iterable(self.keeper.read_back()))
-        await self.keeper.start()
-        log.info(
-            "event=record-open node=%s life=%d shift_ms=%d migrated=%s marks=%d begun=%d ms=%d",
-            opened.node,
-            opened.life,
-            opened.shift // MS,
-            ",".join(map(str, opened.migrated)) or "-",
-            len(self.former),
-            len(self.keeper.began),
-            (self.clock() - began) // MS,
-        )
-
-    def attach_dispatcher(self, desk: Desk, executor_began: int) -> None:
-        self.desk = desk
-        desk.ledger.plant_ended(self.former)
-        for mark, until, asked in self.keeper.executor(executor_began):
-            desk.ledger.plant(mark, until, not asked)
+        """Does nothing."""
+
+    def write_note(self, text: str) -> None:
+        """Does nothing."""
+
+    def attach_dispatcher(self, dispatcher: Desk, executor_began_ns: int) -> None:
+        """Does nothing."""
 
     def accepts_claims(self) -> bool:
-        return self.keeper.accepts()
-
-    def begin_run(self, mark: bytes, id: str, at: int, product: int) -> None:
-        known = self.products[product]
-        if known.idempotency is Idempotency.KEYED:
-            self.keeper.begin(
-                mark, id, at, at + known.idempotency_window_ns, known.latency_objective_ns
-            )
-        else:
-            self.execute(id)
-
-    def run_ended(self, id: str, outcome: Outcome, result: bytes) -> None:
-        self.keeper.ended(id, outcome, result)
-
-    async def wait_until_durable(self, mark: bytes, at: int, product: int) -> None:
-        known = self.products[product]
-        if known.idempotency is Idempotency.KEYED:
-            until = min(
-                self.clock() + int(self.hold_share * known.latency_objective_ns),
-                at + known.deadline_ns - WAY_OUT,
-            )
-            await self.keeper.durable(mark, until)
-            self.points.reached("answering")
-
-    def request_answered(self, id: str) -> None:
-        self.keeper.left(id)
-        self.points.reached_once_sent("answered")
-
-    async def look_up(self, mark: bytes, id: str, at: int, product: int) -> None:
-        known = self.products[product]
-        await self.keeper.look(
-            mark, id, at + known.idempotency_window_ns, known.latency_objective_ns
-        )
-
-    async def read_result(self, mark: bytes, until: int) -> bytes | None:
-        return await self.keeper.recall(mark, until - WAY_OUT)
+        """Returns True: nothing is claimed."""
+        return True
+
+    def begin_run(self, mark: bytes, request_id: str, received_ns: int, request_class: int) -> None:
+        """Has the request run at once."""
+        self.start_run(request_id)
+
+    def run_ended(self, request_id: str, outcome: Outcome, result: bytes) -> None:
+        """Does nothing."""
+
+    async def wait_until_durable(self, mark: bytes, received_ns: int, request_class: int) -> None:
+        """Returns at once."""
+
+    async def look_up(
+        self, mark: bytes, request_id: str, received_ns: int, request_class: int
+    ) -> None:
+        """Returns at once."""
+
+    def request_answered(self, request_id: str) -> None:
+        """Does nothing."""
+
+    async def read_result(self, mark: bytes, deadline_ns: int) -> bytes | None:
+        """Returns None."""
+        return None
 
     async def close(self) -> None:
-        await self.keeper.close()
-        counts = self.keeper.counts
-        log.info(
-            "event=record-closed-down claims=%d refused=%d late=%d unkept=%d taken=%d recalled=%d doubts=%d"
-            " resolved=%d altered=%d conflicts=%d answered_before=%d",
-            counts.claims,
-            counts.refused,
-            counts.late,
-            counts.unkept,
-            counts.taken,
-            counts.recalled,
-            counts.doubts,
-            counts.resolved,
-            counts.altered,
-            counts.conflicts,
-            counts.held_past,
-        )
-        if self.exposed is not None:
-            self.exposed.close()
-
-    # What the keeper tells.
-
-    def run(self, id: str) -> None:
-        self.execute(id)
-
-    def refuse(self, id: str) -> None:
-        self.report(id, Outcome.NOT_RECORDED)
-
-    def unrun(self, id: str) -> None:
-        self.report(id, Outcome.NO_LONGER_NEEDED)
-
-    def follow(self, id: str) -> None:
-        self.report(id, Outcome.CLAIMED_ELSEWHERE)
-
-    def report(self, id: str, outcome: Outcome) -> None:
-        if self.desk is not None:
-            self.desk.report(RunEnded(id, outcome, 0, b""))
-
-    def settle(self, mark: bytes, result: bytes | None) -> None:
-        if self.desk is not None:
-            self.desk.settle(mark, result)
-
-    def free(self, mark: bytes) -> None:
-        if self.desk is not None:
-            self.desk.free(mark)
-
-    def plant(self, mark: bytes, until: int) -> None:
-        if self.desk is not None:
-            self.desk.ledger.plant(mark, until, False)
-
-    def lose(self, mark: bytes) -> None:
-        if self.desk is not None:
-            self.desk.lose(mark)
+        """Does nothing."""
--- a/burlloom/server/server.py
+++ b/burlloom/server/server.py
@@ -1,458 +1,313 @@
-"""Puts the parts together: a request's way through them, the beat of the decisions, and the way
-out.
-"""
+"""One server: what it starts, the rounds of its decisions, and how it shuts down."""
+
+from __future__ import annotations
 
 import asyncio
 import logging
 import math
 import socket
-import time
-from collections.abc import Callable
 from dataclasses import replace
+from typing import TYPE_CHECKING
 
 from ..discovery import Reports
-from ..dispatcher import (
-    AtCall,
-    CallEnded,
-    Desk,
-    Kind,
-    Leaving,
-    Recalled,
-    RequestAttempt,
-    RunEnded,
-    Seat,
-    Step,
-)
-from ..downstream import Answer, Pool
-from ..executor import End, Link
-from ..interface import Gauges, Idempotency, Outcome, ServerSettings
-from ..rpc import Front, IncomingRequest, Known
+from ..dispatcher import Desk, Leaving
+from ..downstream import Pool
+from ..executor import Link
+from ..interface import Gauges, Idempotency, ServerSettings
+from ..rpc import Front, Known
 from ..settings import gauges
 from ..sockets import MS, Tasks, out_of_descriptors, rest
+from .clock import Clock
 from .configuration import ConfigurationError, ServerConfig, read_config
-from .configuration_distribution import ConfigurationDistribution, NoConfigurationDistribution
-from .membership import FleetMembership, NoFleetMembership
-from .recovery import NoRestartRecovery, RestartRecovery
-from .request_record import NoRequestRecord, RequestRecord
-from .rollout import NoRolloutParticipation, RolloutParticipation
-from .service_levels import NoServiceLevels, ServiceLevels
+from .request_handler import RequestHandler
+from .subsystems import SubsystemFactory
+
+if TYPE_CHECKING:
+    from ..downstream.spread import Pools
 
 log = logging.getLogger(__name__)
 
-MOMENT = 10 * MS
-GAUGES_WAIT = 30 * MS  # gauges later than this are of another moment
-UNWANTED_WAIT = 250 * MS
-RESULTS_SHARE = 8  # one part in this many of our own memory, for results that repeats may ask for
-RESERVE = (
-    64  # descriptors, at least, for the link, calls, reports and what the process itself holds
-)
-# of them without the calls on their way: what the process holds, and connections kept for calls
-OWN = 32
-LAST_WRITES = 250 * MS  # before the kill: what the last answers and this process need to get out
-RUN_OUTCOME = {
-    End.PASS: Outcome.OK,
-    End.FAIL: Outcome.FAILED,
-    End.KILLED: Outcome.ABANDONED,
-    End.NOOP: Outcome.NO_LONGER_NEEDED,
-    End.BAD: Outcome.NO_LONGER_NEEDED,
-}
-CALL_OUTCOME = {
-    Answer.WELL: Outcome.OK,
-    Answer.DECLINED: Outcome.OVERLOADED,
-    Answer.UNWANTED: Outcome.NO_LONGER_NEEDED,
-    Answer.UNREACHED: Outcome.UNREACHABLE,
-    Answer.FAILED: Outcome.FAILED,
-    Answer.OUT_OF_TIME: Outcome.TIMED_OUT,
-    Answer.BROKEN: Outcome.CONNECTION_LOST,
-}
-
-
-class Clock:
-    """Unix time in whole nanoseconds that never steps back, whatever is done to the system's
-    clock.
-    """
+SHUTDOWN_POLL_NS = 10 * MS
+GAUGES_TIMEOUT_NS = 30 * MS  # later ones would be of another moment
+# Of the process's memory, for results that retries may ask for: one part in so many.
+RESULT_MEMORY_DIVISOR = 8
+# File descriptors, at least, for the executor, calls, reports and what the process itself holds.
+MIN_RESERVED_DESCRIPTORS = 64
+# Of them, without calls: what the process holds, and idle connections that calls may use again.
+OWN_DESCRIPTORS = 32
+# Before the kill: what the last answers and this process need to get out.
+LAST_WRITES_NS = 250 * MS
 
-    def __init__(self) -> None:
-        self.last_ns = 0
 
-    def __call__(self) -> int:
-        self.last_ns = max(self.last_ns, time.time_ns())
-        return self.last_ns
+def max_connections(max_sockets: int, settings: ServerSettings) -> int:
+    """Returns how many connections of balancers there may be.
 
+    As many calls as may be in progress find a descriptor besides.
 
-def max_connections(sockets: int, facts: ServerSettings) -> int:
-    """How many connections of balancers there may be: so many calls as may be in hand find a
-    descriptor besides.
+    Args:
+        max_sockets: File descriptors that the process may hold.
+        settings: The bounds on calls and runs.
     """
-    calls = facts.call_quota or facts.max_runs_per_core * facts.cores
-    return max(sockets - max(RESERVE, OWN + math.ceil(calls)), sockets // 2)
-
-
-def send_answer(asked: IncomingRequest, step: Step) -> None:
-    match step.kind:
-        case Kind.SETTLE | Kind.SETTLE_AS:
-            asked.settle(step.body)
-        case Kind.DECLINE:
-            asked.refuse(step.stay_away, step.final)
-        case _:
-            asked.fail()
+    max_calls = settings.call_quota or settings.max_runs_per_core * settings.cores
+    reserved = max(MIN_RESERVED_DESCRIPTORS, OWN_DESCRIPTORS + math.ceil(max_calls))
+    return max(max_sockets - reserved, max_sockets // 2)
 
 
 class Server:
+    """One server between balancers, executor, downstream and name service.
+
+    Attributes:
+        config: What it is and may use.
+        clock: Unix ns.
+        tasks: All that runs in it.
+        requests: The way of each request.
+        subsystems: What it has beside its decisions.
+        front: The connections of balancers.
+        link: The connection to the executor.
+        pool: The connections to the downstream.
+        reports: Tells the name service whether requests are taken.
+        is_shutting_down: Whether it was told to leave.
+        stopped: Set once the last connection is closed, or had to be.
+        address: Where it listens.
+    """
+
     def __init__(
         self,
-        orders: ServerConfig,
+        config: ServerConfig,
         listener: socket.socket,
-        keeping: Callable[["Server"], RequestRecord] | None = None,
-        leveling: Callable[["Server"], ServiceLevels] | None = None,
-        fleeting: Callable[["Server"], FleetMembership] | None = None,
-        recovering: Callable[["Server"], RestartRecovery] | None = None,
-        rolling: Callable[["Server"], RolloutParticipation] | None = None,
-        distributing: Callable[["Server"], ConfigurationDistribution] | None = None,
+        factory: SubsystemFactory | None = None,
     ) -> None:
-        self.config, self.clock, self.tasks = orders, Clock(), Tasks()
+        """Creates a server that does nothing until `run`.
+
+        Args:
+            config: What it is and may use.
+            listener: Bound to the address for balancers, not listening yet.
+            factory: Creates the subsystems; all are off without one.
+        """
+        self.config, self.clock, self.tasks = config, Clock(), Tasks()
         self.is_shutting_down = False
-        self.record: RequestRecord = (
-            keeping(self) if keeping is not None else NoRequestRecord(self.start_run)
-        )
-        self.distribution: ConfigurationDistribution = (
-            distributing(self) if distributing is not None else NoConfigurationDistribution()
-        )
-        self.levels: ServiceLevels = leveling(self) if leveling is not None else NoServiceLevels()
-        self.recovery: RestartRecovery = (
-            recovering(self) if recovering is not None else NoRestartRecovery()
-        )
-        self.membership: FleetMembership = (
-            fleeting(self) if fleeting is not None else NoFleetMembership()
-        )
-        self.rollout: RolloutParticipation = (
-            rolling(self) if rolling is not None else NoRolloutParticipation()
-        )
-        self.class_index = {name: index for index, name in enumerate(orders.class_names)}
-        keyed = {
-            name: orders.settings.request_classes[index].idempotency is Idempotency.KEYED
-            for name, index in self.class_index.items()
-        }
-        self.desk: Desk | None = None
-        self.open_requests: dict[str, IncomingRequest] = {}
         self.stopped = asyncio.Event()
         self.address = listener.getsockname()
-        known = Known(
-            keyed,
-            self.distribution.served_tenants(orders.tenant_portions),
-            max(product.deadline_ns for product in orders.settings.request_classes),
-        )
+        self.requests = RequestHandler(config, self.clock, self.tasks)
+        self.factory = factory or SubsystemFactory()
+        self.subsystems = self.factory.create(self)
         self.front = Front(
             listener,
-            known,
-            max_connections(orders.max_sockets, orders.settings),
+            self._known_requests(),
+            max_connections(config.max_sockets, config.settings),
             self.tasks,
             self.clock,
-            self.receive,
-            self.connection_lost,
-            self.is_serving,
+            self.requests.receive,
+            self.requests.connection_lost,
+            self.requests.is_serving,
             self.is_healthy,
-            self.load_report,
+            self.requests.load_report,
         )
-        spare = self.front.make_room
-        self.link = Link(
-            orders.executor_address,
+        link = Link(
+            config.executor_address,
             self.tasks,
-            self.executor_welcomed,
-            self.run_ended,
-            self.run_reached_call,
-            spare,
+            self.executor_connected,
+            self.requests.run_ended,
+            self.requests.run_reached_call,
+            self.front.make_room,
         )
-        self.pool = self.membership.select_pool(Pool(orders.downstream_address, spare))
-        self.reports = Reports(orders.discovery_address, orders.name)
+        pool = Pool(config.downstream_address, self.front.make_room)
+        self.connect(link, self.subsystems.membership.select_pool(pool))
+        self.reports = Reports(config.discovery_address, config.name)
+
+    def connect(self, link: Link, pool: Pool | Pools) -> None:
+        """Sets what runs requests and what they call.
+
+        Args:
+            link: The connection to the executor.
+            pool: The connections to the downstream.
+        """
+        self.link, self.pool = link, pool
+        self.requests.connect(self.subsystems, link, pool)
+
+    def _known_requests(self) -> Known:
+        classes = self.config.settings.request_classes
+        is_keyed = {
+            name: request_class.idempotency is Idempotency.KEYED
+            for name, request_class in zip(self.config.class_names, classes, strict=True)
+        }
+        return Known(
+            is_keyed,
+            self.subsystems.distribution.served_tenants(self.config.tenant_portions),
+            max(request_class.deadline_ns for request_class in classes),
+        )
+
+    # The life cycle.
 
     async def run(self) -> None:
-        await self.record.open()
-        await self.membership.open()
-        await self.distribution.open()
+        """Serves until it was told to leave and the last answer is out.
+
+        Raises:
+            ConfigurationError: The store of record can't be used.
+        """
+        await self.startup()
+        await self.stopped.wait()
+        await self.shutdown()
+
+    async def startup(self) -> None:
+        """Opens the subsystems, then listens.
+
+        Raises:
+            ConfigurationError: The store of record can't be used.
+        """
+        await self.subsystems.open()
         self.front.listen()
         self.tasks.start(self.link.keep(), "executor")
         self.tasks.start(self.reports.keep(), "naming")
         self.tasks.start(self.front.keep(), "front")
-        self.rollout.open()
+        self.subsystems.rollout.open()
         log.info("event=listening name=%s address=%s:%d", self.config.name, *self.address)
-        await self.stopped.wait()
-        await self.rollout.close()
-        self.levels.close()
-        self.recovery.close()
-        self.membership.close()
-        self.distribution.close()
-        await self.record.close()
-        log.info(
-            "event=stopped unanswered=%d", self.desk.unanswered if self.desk is not None else 0
-        )
+
+    async def main_loop(self, dispatcher: Desk) -> None:
+        """Has the decisions take a round whenever the next one is due, without end."""
+        due = dispatcher.tick(Gauges())
+        while True:
+            await rest(due - self.clock())
+            try:
+                due = await self._round(dispatcher)
+            except Exception:
+                # The next round is due all the same: without it no open request would ever be
+                # given up.
+                log.exception("event=internal_error task=main_loop")
+                due = dispatcher.due
+
+    async def _round(self, dispatcher: Desk) -> int:
+        """Takes a round of the decisions; returns when the next one is due, in Unix ns."""
+        values = await self.link.gauges(GAUGES_TIMEOUT_NS)
+        names = self.config.gauge_names
+        is_complete = values is not None and len(values) == len(names)
+        measured = gauges(names, values) if is_complete and values is not None else Gauges()
+        due = dispatcher.tick(measured)
+        self.subsystems.levels.update(measured)
+        self.subsystems.recovery.update()
+        self.reports.tell(self.is_healthy())
+        self.front.idle = dispatcher.idle_for
+        self.pool.sweep()
+        return due
+
+    async def shutdown(self) -> None:
+        """Closes the subsystems, after the last connection of balancers."""
+        await self.subsystems.close()
+        self.factory.close()
+        dispatcher = self.requests.dispatcher
+        log.info("event=stopped unanswered=%d", dispatcher.unanswered if dispatcher else 0)
 
     def reload(self) -> None:
-        """Takes up the addresses that the configuration now names; all else holds until the next
-        start.
+        """Uses the addresses and limits that the configuration now holds.
+
+        All else holds until the next start. A configuration that can't be used changes nothing.
         """
         try:
-            try:
-                orders = read_config()
-            except ConfigurationError as error:
-                # The file itself wants a descriptor: idle clients that hold them all must not hide
-                # where all went.
-                if not out_of_descriptors(error.__cause__) or not self.front.make_room():
-                    raise
-                orders = read_config()
+            config = self._read_config_again()
         except ConfigurationError as error:
-            log.warning("event=reload-failed detail=%r", str(error))
+            log.warning("event=reload_failed detail=%r", str(error))
             return
-        self.link.move(orders.executor_address)
-        self.pool.move(orders.downstream_address)
-        self.reports.move(orders.discovery_address)
-        self.front.most = max_connections(orders.max_sockets, orders.settings)
+        self.link.move(config.executor_address)
+        self.pool.move(config.downstream_address)
+        self.reports.move(config.discovery_address)
+        self.front.most = max_connections(config.max_sockets, config.settings)
+        downstream = config.downstream_address
         log.info(
-            "event=reloaded executor=%s:%d catalogue=%s naming=%s:%d",
-            *orders.executor_address,
-            "%s:%d" % orders.downstream_address
-            if orders.downstream_address is not None
-            else "none",
-            *orders.discovery_address,
-        )
-
-    # A request's way.
-
-    def is_serving(self, id: str) -> bool:
-        return id in self.open_requests or self.desk is not None and self.desk.knows(id)
-
-    def load_report(self, caller: str) -> str:
-        if self.desk is None:
-            return ""
-        part = self.desk.service.trial_share
-        return (
-            self.desk.said_trial
-            if part and self.levels.sampling_draw(caller) < part
-            else self.desk.said
-        )
-
-    def connection_lost(self, asked: IncomingRequest) -> None:
-        if self.desk is not None and self.desk.knows(asked.id):
-            self.desk.withdraw(asked.id)
-        else:
-            self.open_requests.pop(asked.id, None)  # it is being looked up, for nobody now
-            self.record.request_answered(asked.id)
-
-    def receive(self, asked: IncomingRequest) -> None:
-        if self.desk is None:
-            asked.refuse(0, False)
-            return
-        tried = RequestAttempt(
-            asked.id,
-            asked.at,
-            asked.caller,
-            self.class_index[asked.request_class],
-            asked.cost,
-            asked.kb,
-            asked.rank,
-            asked.idempotency_key,
-            asked.key,
-            asked.body,
-            self.record.accepts_claims(),
-            asked.retry,
-            self.levels.count_request(asked.tenant),
-            self.levels.sampling_draw(asked.caller),
-            self.recovery.holds_back_retry(asked.retry),
+            "event=reloaded executor=%s:%d downstream=%s discovery=%s:%d",
+            *config.executor_address,
+            f"{downstream[0]}:{downstream[1]}" if downstream is not None else "none",
+            *config.discovery_address,
         )
-        if asked.retry and self.record.is_shared and (mark := self.desk.unknown(tried)):
-            self.open_requests[asked.id] = asked
-            self.tasks.start(self.look_up(self.desk, asked, tried, mark), "look")
-        else:
-            self.dispatch(self.desk, asked, tried)
-
-    async def look_up(
-        self, desk: Desk, asked: IncomingRequest, tried: RequestAttempt, mark: bytes
-    ) -> None:
-        """Another node may have run it: one that ran is not refused."""
-        await self.record.look_up(mark, asked.id, asked.at, tried.product)
-        if self.open_requests.pop(asked.id, None) is not None:
-            self.dispatch(desk, asked, tried)
-
-    def dispatch(self, desk: Desk, asked: IncomingRequest, tried: RequestAttempt) -> None:
-        if asked.retry and self.recovery.is_fenced() and desk.unknown(tried):
-            # It may have run in a life whose marks are lost: neither run again nor refused.
-            asked.fail()
-            self.record.request_answered(asked.id)
-            return
-        step = desk.take(tried)
-        if isinstance(step, Step):
-            send_answer(asked, step)
-            self.rollout.request_answered(step.kind, tried.product, asked.at)
-            self.record.request_answered(asked.id)
-            return
-        self.open_requests[asked.id] = asked
-        self.tasks.start(self.serve_request(desk, asked, step), "request")
 
-    async def serve_request(self, desk: Desk, asked: IncomingRequest, seat: Seat) -> None:
-        below: asyncio.Task[None] | None = None
-        answered = False
-        product = self.class_index[asked.request_class]
+    def _read_config_again(self) -> ServerConfig:
         try:
-            while not answered:
-                step = await desk.pick(seat)
-                match step.kind:
-                    case Kind.RUN:
-                        self.record.begin_run(step.mark, asked.id, asked.at, product)
-                    case Kind.CALL:
-                        below = self.tasks.start(self.call_downstream(desk, asked.id, step), "call")
-                    case Kind.RECALL:
-                        below = self.tasks.start(self.read_result(desk, asked, step.mark), "recall")
-                    case _:
-                        if step.kind in (Kind.SETTLE, Kind.SETTLE_AS):
-                            await self.record.wait_until_durable(step.mark, asked.at, product)
-                            self.levels.request_completed(product, asked.at)
-                        answered = True
-                        send_answer(asked, step)
-                        self.rollout.request_answered(step.kind, product, asked.at)
-                        self.record.request_answered(asked.id)
-        finally:
-            if not answered:
-                asked.fail()
-            if below is not None:
-                below.cancel()
-            self.open_requests.pop(asked.id, None)
-
-    async def read_result(self, desk: Desk, asked: IncomingRequest, mark: bytes) -> None:
-        deadline = self.config.settings.request_classes[
-            self.class_index[asked.request_class]
-        ].deadline_ns
-        desk.report(Recalled(asked.id, await self.record.read_result(mark, asked.at + deadline)))
-
-    def start_run(self, id: str) -> None:
-        """Its run may begin now. Where its connection went meanwhile it runs all the same: it was
-        started.
-        """
-        asked = self.open_requests.get(id)
-        if asked is not None:
-            self.link.run(id, asked.request_class, asked.body)
-        else:
-            self.run_ended(id, End.NOOP, 0, b"")
-
-    async def call_downstream(self, desk: Desk, id: str, step: Step) -> None:
-        began = self.clock()
-        if not self.membership.may_call():
-            desk.report(CallEnded(id, Outcome.OVERLOADED, 0))
-            return
-        send_answer, reply = await self.pool.call(
-            id, step.body, step.until - began, step.repeatable
-        )
-        if send_answer is Answer.WELL:
-            self.link.give(id, reply)
-        else:
-            took = (self.clock() - began) // MS
-            log.info("event=call-failed id=%s answer=%s ms=%d", id, send_answer.value, took)
-        if send_answer is Answer.UNWANTED:
-            # No run waits for it, so the end of the run is on its way, and cancels this. Told at
-            # once, the decisions would call again and again, and soon take the catalogue for one
-            # that is down.
-            await rest(UNWANTED_WAIT)
-        self.levels.call_ended(send_answer is Answer.WELL)
-        self.recovery.call_ended(send_answer is Answer.WELL)
-        desk.report(CallEnded(id, CALL_OUTCOME[send_answer], self.clock() - began))
+            return read_config()
+        except ConfigurationError as error:
+            # The file itself needs a descriptor: idle clients that hold them all must not hide
+            # where all went.
+            if not out_of_descriptors(error.__cause__) or not self.front.make_room():
+                raise
+            return read_config()
 
-    def is_ready(self) -> bool:
-        return self.desk is not None
+    # Health.
 
-    def is_healthy_and_recovered(self) -> bool:
-        """Callers are sent here, and our way back is over."""
-        return self.is_healthy() and self.recovery.is_complete()
+    def is_ready(self) -> bool:
+        """Returns whether the executor has connected."""
+        return self.requests.dispatcher is not None
 
     def is_healthy(self) -> bool:
-        return self.desk is not None and self.desk.healthy and not self.is_shutting_down
+        """Returns whether balancers should send requests here."""
+        dispatcher = self.requests.dispatcher
+        return dispatcher is not None and dispatcher.healthy and not self.is_shutting_down
 
-    # What the executor says.
+    def is_healthy_and_recovered(self) -> bool:
+        """Returns whether balancers should send requests here and the recovery is complete."""
+        return self.is_healthy() and self.subsystems.recovery.is_complete()
 
-    def executor_welcomed(self, cold: bool, age_ms: int) -> None:
-        if self.desk is not None or self.is_shutting_down:
+    def executor_connected(self, is_cold: bool, age_ms: int) -> None:
+        """Begins to take requests when the executor connects for the first time.
+
+        Args:
+            is_cold: Whether the executor has yet to warm up.
+            age_ms: Time since it started.
+        """
+        if self.requests.dispatcher is not None or self.is_shutting_down:
             return
-        log.info("event=welcome cold=%s age_ms=%d", cold, age_ms)
-        facts = replace(self.config.settings, starts_cold=cold)
-        results = self.config.memory_bytes // RESULTS_SHARE
-        self.desk = Desk(
-            facts,
+        log.info("event=executor_connected cold=%s age_ms=%d", is_cold, age_ms)
+        dispatcher = self.requests.dispatcher = Desk(
+            replace(self.config.settings, starts_cold=is_cold),
             self.config.class_names,
             self.config.seed,
             self.clock,
             age_ms * MS,
-            results,
-            self.record.keeps_results,
+            self.config.memory_bytes // RESULT_MEMORY_DIVISOR,
+            self.subsystems.record.keeps_results,
         )
-        self.levels.attach_dispatcher(self.desk, cold, self.record)
-        self.recovery.attach_dispatcher(self.desk, self.record.incarnation)
-        self.membership.attach_dispatcher(self.desk)
-        self.record.attach_dispatcher(self.desk, self.clock() - age_ms * MS)
+        record = self.subsystems.record
+        self.subsystems.levels.attach_dispatcher(dispatcher, is_cold, record)
+        self.subsystems.recovery.attach_dispatcher(dispatcher, record.incarnation)
+        self.subsystems.membership.attach_dispatcher(dispatcher)
+        record.attach_dispatcher(dispatcher, self.clock() - age_ms * MS)
         self.reports.tell(True)
-        self.tasks.start(self.control_loop(self.desk), "beat")
-
-    def run_ended(self, id: str, end: End, took: int, result: bytes) -> None:
-        if end is End.BAD and id in self.open_requests:
-            self.open_requests[id].blame()
-        self.record.run_ended(id, RUN_OUTCOME[end], result)
-        if self.desk is not None:
-            self.desk.report(RunEnded(id, RUN_OUTCOME[end], took, result))
-
-    def run_reached_call(self, id: str, body: bytes) -> None:
-        if self.desk is not None:
-            self.desk.report(AtCall(id, body))
-
-    async def control_loop(self, desk: Desk) -> None:
-        due = desk.tick(Gauges())
-        while True:
-            await rest(due - self.clock())
-            try:
-                values = await self.link.gauges(GAUGES_WAIT)
-                told = values is not None and len(values) == len(self.config.gauge_names)
-                measured = (
-                    gauges(self.config.gauge_names, values)
-                    if told and values is not None
-                    else Gauges()
-                )
-                due = desk.tick(measured)
-                self.levels.update(measured)
-                self.recovery.update()
-                self.reports.tell(self.is_healthy())
-                self.front.idle = desk.idle_for
-                self.pool.sweep()
-            except Exception:
-                # The next round is due all the same: without it no request in hand would ever be
-                # given up.
-                log.exception("event=fault side=beat")
-                due = desk.due
+        self.tasks.start(self.main_loop(dispatcher), "main_loop")
 
     # The way out.
 
-    def begin_shutdown(self, noticed: int = 0) -> None:
-        """`noticed`: when the clock was last looked at before the notice was heard. It was sent
-        after that; by how much, a process that had stood still can't tell, and counts grace and
-        kill from the earlier.
+    def begin_shutdown(self, noticed_ns: int = 0) -> None:
+        """Stops taking requests and lets those in progress end, as far as the time allows.
+
+        Args:
+            noticed_ns: When the clock was last read before the notice was handled; 0 for now. The
+                notice was sent after that; by how much, a process that had stood still can't tell,
+                and counts grace and kill from the earlier time.
         """
         if self.is_shutting_down:
             return
         self.is_shutting_down = True
-        now = noticed or self.clock()
-        stop = now + max(self.config.stop_ns - LAST_WRITES, 0)
-        log.info("event=leaving stop_ms=%d", self.config.stop_ns // MS)
-        if self.desk is not None:
-            self.desk.report(Leaving(now, stop))
+        now = noticed_ns or self.clock()
+        stop = now + max(self.config.stop_ns - LAST_WRITES_NS, 0)
+        log.info("event=shutdown_started stop_ms=%d", self.config.stop_ns // MS)
+        if self.requests.dispatcher is not None:
+            self.requests.dispatcher.report(Leaving(now, stop))
             self.reports.tell(False)
         self.tasks.start(self.drain(now, stop), "drain")
 
     async def drain(self, now: int, stop: int) -> None:
-        """Serves on while newcomers may still be run; then asks the callers to go and waits for
-        them.
+        """Serves on while new requests may still be run; then has balancers leave and waits.
+
+        Args:
+            now: Unix ns of the notice to leave.
+            stop: Unix ns by which connections are to be closed.
         """
-        if self.desk is not None:
-            serve_until = min(now + self.config.settings.drain_grace_ns, stop - 2 * LAST_WRITES)
+        if self.requests.dispatcher is not None:
+            grace_ns = self.config.settings.drain_grace_ns
+            serve_until = min(now + grace_ns, stop - 2 * LAST_WRITES_NS)
             await rest(serve_until - self.clock())
         self.front.leave()
         while self.front.connections and self.clock() < stop:
-            await rest(MOMENT)
-        while (self.front.busy or self.open_requests) and self.clock() < stop + LAST_WRITES // 2:
-            await rest(MOMENT)
-        await self.front.close(stop + LAST_WRITES * 3 // 4 - self.clock())
+            await rest(SHUTDOWN_POLL_NS)
+        answers_until = stop + LAST_WRITES_NS // 2
+        while (self.front.busy or self.requests.open_requests) and self.clock() < answers_until:
+            await rest(SHUTDOWN_POLL_NS)
+        await self.front.close(stop + LAST_WRITES_NS * 3 // 4 - self.clock())
         self.stopped.set()
--- a/burlloom/server/service_levels.py
+++ b/burlloom/server/service_levels.py
@@ -1,347 +1,100 @@
-"""Between the server and its levels of reduced service: what it measures of itself, and what a step
-means to the desk.
-
-Where levels are off, `NoLevels` stands here, and nothing of them is imported.
-"""
+"""What a server asks of its service levels; the implementation for one that has none."""
 
 from __future__ import annotations
 
-import json
-import logging
-import os
 import zlib
-from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import Protocol
 
 from ..dispatcher import Desk
-from ..interface import Gauges, RequestClass
-from ..sockets import MS, SECOND
-
-if TYPE_CHECKING:
-    from pathlib import Path
-
-    from ..levels import Levels, Moved, Plan, Terms
-    from ..metrics import Exposed
-
-log = logging.getLogger(__name__)
-
-LOOK_EVERY = SECOND  # between looks at the pin's file
-TELL_EVERY = 5 * SECOND  # between writings of the state's file where nothing moved
+from ..interface import Gauges
 
 
 class NoteStore(Protocol):
-    """Where a life leaves a word to the next one: the record, if one is kept."""
+    """Where an incarnation leaves a note to the next one: the record, if one is kept.
+
+    Attributes:
+        previous_note: What the last incarnation wrote; empty where it wrote nothing.
+    """
 
     previous_note: str
 
-    def write_note(self, text: str) -> None: ...
+    def write_note(self, text: str) -> None:
+        """Writes a note for the next incarnation."""
 
 
 class ServiceLevels(Protocol):
-    """What the server tells its levels, on a txn's way and once a round."""
-
-    def attach_dispatcher(self, desk: Desk, cold: bool, notes: NoteStore) -> None: ...
-    def count_request(self, tenant: str) -> bool: ...
-    def sampling_draw(self, caller: str) -> float: ...
-    def request_completed(self, product: int, at: int) -> None: ...
-    def call_ended(self, well: bool) -> None: ...
-    def update(self, measured: Gauges) -> None: ...
-    def close(self) -> None: ...
+    """Which request classes and answers are given up under load.
 
+    `request_class` is a class's place in the settings.
+    """
 
-class NoServiceLevels:
-    """All is served as the decisions alone have it."""
+    def attach_dispatcher(self, dispatcher: Desk, is_cold: bool, notes: NoteStore) -> None:
+        """Has this dispatcher serve at the present level from now on.
 
-    def attach_dispatcher(self, desk: Desk, cold: bool, notes: NoteStore) -> None:
-        pass
+        Args:
+            dispatcher: What serves.
+            is_cold: Whether the executor has yet to warm up.
+            notes: Has the level at which the last incarnation ended.
+        """
 
     def count_request(self, tenant: str) -> bool:
-        return False
+        """Counts a request of a tenant; returns whether the tenant is over its share."""
 
     def sampling_draw(self, caller: str) -> float:
-        return 0.0
+        """Returns a caller's draw: a level's trial takes those whose draw is under its share."""
 
-    def request_completed(self, product: int, at: int) -> None:
-        pass
+    def request_completed(self, request_class: int, received_ns: int) -> None:
+        """Counts a request that was answered without error.
 
-    def call_ended(self, well: bool) -> None:
-        pass
+        Args:
+            request_class: Its class.
+            received_ns: When it was read, in Unix ns.
+        """
 
-    def update(self, measured: Gauges) -> None:
-        pass
+    def call_ended(self, succeeded: bool) -> None:
+        """Counts the end of a call."""
 
-    def close(self) -> None:
-        pass
+    def update(self, measured: Gauges) -> None:
+        """Takes a round, which may change the level; once for each round of the decisions.
 
+        Args:
+            measured: The executor's gauges.
+        """
 
-def sampling_draw(caller: str) -> float:
-    """A caller's own from 0 to under 1, the same on every node and in every life: trials take the
-    same ones first.
-    """
-    return zlib.crc32(caller.encode()) / (1 << 32)
+    def close(self) -> None:
+        """Writes the state file a last time."""
 
 
-class ConfiguredServiceLevels:
-    """`plan` and `terms` are the operator's, or the shipped ones. `store` gives the record's
-    strain, if one is kept.
-    """
+class NoServiceLevels:
+    """All is served as the decisions alone have it."""
 
-    def __init__(
-        self,
-        plan: Plan,
-        products: tuple[tuple[str, RequestClass], ...],
-        tenants: dict[str, float],
-        cores: int,
-        clock: Callable[[], int],
-        sockets: Callable[[], float],
-        *,
-        terms: Terms | None = None,
-        store: Callable[[], float] | None = None,
-        meters: frozenset[str] = frozenset(),
-        pin_file: Path | None = None,
-        state_file: Path | None = None,
-        share: Callable[[str], float | None] | None = None,
-    ) -> None:
-        """`share`: of a tenant, where not `tenants` says it."""
-        from .. import levels
-
-        self.of = levels
-        self.plan, self.products, self.cores, self.clock, self.sockets = (
-            plan,
-            products,
-            cores,
-            clock,
-            sockets,
-        )
-        self.terms, self.store = terms, store
-        self.notes: NoteStore | None = None
-        self.steps: dict[str, int] = {}
-        self.exposed: Exposed | None = None  # where nothing else of the program closes it
-        self.pin_file, self.state_file = pin_file, state_file
-        self.reliefs = levels.reliefs(plan, products)
-        self.measured = frozenset(
-            {"age", "lag", "press", "late", "calls", "sockets"}
-            | ({"store"} if store is not None else set())
-            | {signal for meter, signal in METERED.items() if meter in meters}
-        )
-        self.tenants = levels.Tenants(tenants.items(), share=share)
-        self.late, self.calls = levels.signals.Shares(), levels.signals.Shares()
-        self.levels: Levels | None = None
-        self.desk: Desk | None = None
-        self.last: Moved | None = None
-        self.looked_at = self.told_at = self.moved_at = 0
-        self.pin_read = ""
-
-    def attach_dispatcher(self, desk: Desk, cold: bool, notes: NoteStore) -> None:
-        self.desk, self.notes, died_at = desk, notes, notes.previous_note
-        self.levels = self.of.Levels(
-            self.plan,
-            self.reliefs,
-            self.clock(),
-            self.terms,
-            cold=cold,
-            died_at=died_at,
-            measured=self.measured,
-        )
-        log.info(
-            "event=levels at=%s cold=%s died_at=%s changes_most=%d",
-            self.levels.level,
-            cold,
-            died_at or "-",
-            self.levels.ladder.terms.changes_most,
-        )
-        if self.levels.standing.level:
-            desk.serve_at(self.levels.service())
+    def attach_dispatcher(self, dispatcher: Desk, is_cold: bool, notes: NoteStore) -> None:
+        """Does nothing."""
 
     def count_request(self, tenant: str) -> bool:
-        return self.tenants.read(self.clock(), tenant)
+        """Returns False."""
+        return False
 
     def sampling_draw(self, caller: str) -> float:
-        return sampling_draw(caller)
-
-    def request_completed(self, product: int, at: int) -> None:
-        now = self.clock()
-        self.late.add(now, now - at > self.products[product][1].latency_objective_ns)
+        """Returns 0: there is no trial."""
+        return 0.0
 
-    def call_ended(self, well: bool) -> None:
-        self.calls.add(self.clock(), not well)
+    def request_completed(self, request_class: int, received_ns: int) -> None:
+        """Does nothing."""
 
-    @property
-    def optional(self) -> bool:
-        return self.levels is None or self.levels.optional
+    def call_ended(self, succeeded: bool) -> None:
+        """Does nothing."""
 
     def update(self, measured: Gauges) -> None:
-        if self.levels is None or self.desk is None:
-            return
-        now = self.clock()
-        if now - self.looked_at >= LOOK_EVERY:
-            self.looked_at = now
-            self.look_for_pin(now)
-        self.moved(now, self.levels.round(now, self.readings(now, measured)))
-        if self.state_file is not None and now - self.told_at >= TELL_EVERY:
-            self.tell(now)
-
-    def readings(self, now: int, measured: Gauges) -> Any:
-        age, lag, press = self.desk.strain() if self.desk is not None else (None, None, None)
-        return self.of.Readings(
-            use=known(measured.cpu_utilization),
-            crowd=known(measured.runnable / self.cores),
-            age=age,
-            lag=lag,
-            press=press,
-            # Our own counts are never stale: where nothing was settled or called, none was late.
-            late=self.late.share(now) or 0.0,
-            calls=self.calls.share(now) or 0.0,
-            store=self.store() if self.store is not None else None,
-            memory=known(measured.memory_utilization),
-            sockets=self.sockets(),
-        )
-
-    def moved(self, now: int, step: Moved | None) -> None:
-        if step is None or self.levels is None or self.desk is None:
-            return
-        self.last, self.moved_at = step, now
-        log.info(
-            "event=level effect=%s from=%s to=%s part=%.2f cause=%s value=%.3f bound=%.3f",
-            step.effect,
-            step.before,
-            step.after,
-            step.part,
-            step.cause,
-            step.value,
-            step.bound,
-        )
-        self.desk.serve_at(self.levels.service())
-        self.steps[step.effect] = self.steps.get(step.effect, 0) + 1
-        if step.before != step.after and self.notes is not None:
-            self.notes.write_note(step.after)
-        self.tell(now)
-
-    # An operator's files.
-
-    def look_for_pin(self, now: int) -> None:
-        """The pin's file is read anew each second: what can't be used leaves the pin as it was,
-        with one line.
-        """
-        if self.pin_file is None or self.levels is None:
-            return
-        try:
-            text = self.pin_file.read_text(encoding="utf-8")
-        except FileNotFoundError:
-            text = ""
-        except (OSError, UnicodeDecodeError) as error:
-            text = f"! {error}"
-        if text == self.pin_read:
-            return
-        self.pin_read = text
-        try:
-            pin = read_pin(text, self.plan) if text else None
-        except ValueError as error:
-            log.warning("event=pin-refused detail=%r", str(error))
-            return
-        if pin is not None and pin.until <= now:
-            pin = None
-        if pin != self.levels.pin:
-            log.info(
-                "event=pin level=%s until=%d reason=%r",
-                pin.level if pin else "-",
-                pin.until if pin else 0,
-                pin.reason if pin else "",
-            )
-            self.moved(now, self.levels.pinned(now, pin))
-
-    def tell(self, now: int) -> None:
-        if self.state_file is None or self.levels is None:
-            return
-        self.told_at = now
-        part = self.state_file.with_name(self.state_file.name + ".part")
-        try:
-            part.write_text(json.dumps(self.state(now)) + "\n", encoding="utf-8")
-            os.replace(part, self.state_file)
-        except OSError as error:
-            log.warning("event=state-not-written detail=%r", str(error))
-
-    def state(self, now: int) -> dict[str, Any]:
-        """What `burlloom levels show` and `explain` read."""
-        assert self.levels is not None
-        levels, last, at = self.levels, self.last, self.levels.standing
-        return {
-            "told_at": now,
-            "level": levels.level,
-            "phase": at.phase.name.lower(),
-            "part": levels.part,
-            "since": at.since,
-            "stay_ms": levels.ladder.stay(at) // MS,
-            "moved_at": self.moved_at,
-            "last": None
-            if last is None
-            else {
-                "effect": last.effect,
-                "from": last.before,
-                "to": last.after,
-                "cause": last.cause,
-                "value": last.value,
-                "bound": last.bound,
-            },
-            "pin": None
-            if levels.pin is None
-            else {
-                "level": levels.pin.level,
-                "until": levels.pin.until,
-                "reason": levels.pin.reason,
-            },
-            "changes_last_minute": len(at.changes),
-            "changes_most": levels.ladder.terms.changes_most,
-            "values": levels.values,
-            "measured": sorted(self.measured),
-            "steps": levels.steps,
-            "seconds": {name: round(spent / SECOND, 1) for name, spent in levels.spent.items()},
-        }
-
-    def gauges(self) -> dict[str, float]:
-        """For whoever reads metrics."""
-        if self.levels is None:
-            return {}
-        return {
-            "level": float(self.levels.standing.level),
-            "trial_part": self.levels.part,
-            **{
-                f"seconds_{name.replace('-', '_')}": spent / SECOND
-                for name, spent in self.levels.spent.items()
-            },
-            **{f"signal_{name}": value for name, value in self.levels.values.items()},
-        }
+        """Does nothing."""
 
     def close(self) -> None:
-        if self.exposed is not None:
-            self.exposed.close()
-        if self.levels is not None:
-            self.tell(self.clock())
-            log.info(
-                "event=levels-closed at=%s %s",
-                self.levels.level,
-                " ".join(f"{name}={count}" for name, count in self.levels.steps.items()),
-            )
-
-
-METERED = {"core_use": "use", "on_cores": "crowd", "heap_share": "memory"}
-
-
-def known(value: float) -> float | None:
-    return value if value >= 0 else None
-
-
-def read_pin(text: str, plan: Plan) -> Any:
-    """Raises `ValueError` with what is wrong with it."""
-    from ..levels import Pin
-
-    got = json.loads(text)
-    if not isinstance(got, dict):
-        raise ValueError("a pin is an object with level, until and reason")
-    names = [level.name for level in plan.levels]
-    level, until = got.get("level"), got.get("until")
-    if level not in names:
-        raise ValueError(f"level {level!r} is none of {', '.join(names)}")
-    if type(until) is not int or until <= 0:
-        raise ValueError(f"until {until!r} is no time in Unix nanoseconds")
-    return Pin(str(level), until, str(got.get("reason", ""))[:200])
+        """Does nothing."""
+
+
+def sampling_draw(caller: str) -> float:
+    """Returns a number from 0 to under 1 that is a caller's own.
+
+    It is the same on every node and in every incarnation: trials take the same callers first.
+    """
+    return zlib.crc32(caller.encode()) / (1 << 32)
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -148,15 +148,15 @@
         return self
 
     async def begin(self) -> None:
-        lives = self.log().count("event=distribution-open") if self.log_path.exists() else 0
+        lives = self.log().count("event=distribution_opened") if self.log_path.exists() else 0
 
         async def reached() -> None:
             await until(
                 lambda: (
-                    self.log_path.exists() and self.log().count("event=distribution-open") > lives
+                    self.log_path.exists() and self.log().count("event=distribution_opened") > lives
                 )
             )
-            address = re.findall(r"event=distribution-open .* address=(\S+)", self.log())[-1]
+            address = re.findall(r"event=distribution_opened .* address=(\S+)", self.log())[-1]
             self.world.relay.sent_from(self.name, address)
 
         await asyncio.gather(reached(), super().begin())
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -81,12 +81,12 @@
         return self
 
     async def begin(self) -> None:
-        lives = self.log().count("event=fleet-open") if self.log_path.exists() else 0
+        lives = self.log().count("event=membership_opened") if self.log_path.exists() else 0
         await super().begin()
         if self.fleet.on:
-            await until(lambda: self.log().count("event=fleet-open") > lives)
+            await until(lambda: self.log().count("event=membership_opened") > lives)
             self.fleet.relay.sent_from(
-                self.name, re.findall(r"event=fleet-open .* address=(\S+)", self.log())[-1]
+                self.name, re.findall(r"event=membership_opened .* address=(\S+)", self.log())[-1]
             )
         self.tasks.append(asyncio.create_task(self.load()))
 
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -101,7 +101,7 @@
             log.seek(self.log_at)
             new = log.read()
         self.log_at += len(new)
-        if b"event=leaving" in new and not self.out:
+        if b"event=shutdown_started" in new and not self.out:
             self.out = True
             if self.rollout.out - 1 >= self.rollout.most:
                 self.rollout.over += 1
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -22,11 +22,13 @@
 from burlloom.record.store import Done, Opened
 from burlloom.rpc import IncomingRequest
 from burlloom.server.configuration import ServerConfig
-from burlloom.server.request_record import ConfiguredRequestRecord
+from burlloom.server.configured_request_record import ConfiguredRequestRecord
 from burlloom.server.server import Server
+from burlloom.server.subsystems import SubsystemFactory
 from burlloom.settings import facts
 
 MS = 1_000_000
+NOWHERE = ("", 0)  # no socket is opened
 SEALER = Sealer(b"s" * 32)
 SETTINGS = {
     "categories": [
@@ -163,12 +165,12 @@
         del self.runs[id]
         self.told.append((id, end, b"receipt of " + id.encode() if end is End.PASS else b""))
         if self.server is not None:
-            self.server.run_ended(id, end, 12 * MS, self.told[-1][2])
+            self.server.requests.run_ended(id, end, 12 * MS, self.told[-1][2])
 
     def replay(self, server: Server) -> None:
         self.server = server
         for id, end, result in list(self.told):
-            server.run_ended(id, end, 12 * MS, result)
+            server.requests.run_ended(id, end, 12 * MS, result)
 
     def crash(self, now: float) -> None:
         for timers in self.runs.values():
@@ -189,40 +191,45 @@
     async def start(self) -> None:
         world, loop = self.world, world_loop()
         known, meters = facts(SETTINGS)
-        orders = ServerConfig(
-            self.name,
-            ("", 0),
-            ("", 0),
-            ("", 0),
-            ("", 0),
-            7,
-            3 * SECOND,
-            known,
-            100,
-            64 << 20,
-            ("pay",),
-            {},
-            meters,
+        config = ServerConfig(
+            name=self.name,
+            listen_address=NOWHERE,
+            executor_address=NOWHERE,
+            discovery_address=NOWHERE,
+            downstream_address=NOWHERE,
+            seed=7,
+            stop_ns=3 * SECOND,
+            settings=known,
+            max_sockets=100,
+            memory_bytes=64 << 20,
+            class_names=("pay",),
+            tenant_portions={},
+            gauge_names=meters,
         )
         store = self.store = FakeStore(world.base, self.name, world.chance, world.trouble)
         terms = Terms(world.prefer, 0.25, 0.1, 64, 3 * SECOND)
 
-        def make(server: Server) -> ConfiguredRequestRecord:
-            server.clock = loop.wall  # type: ignore[assignment]
-            made = ConfiguredRequestRecord(
-                known.request_classes, 0.1, loop.wall, server.start_run, world.nodes_count > 1
-            )
-            made.keeper = Keeper(store, SEALER, terms, 1500 * MS, loop.wall, made)
-            return made
+        class RecordOnly(SubsystemFactory):
+            def create_record(self, server: Server) -> ConfiguredRequestRecord:
+                server.clock = server.requests.clock = loop.wall  # type: ignore[assignment]
+                record = ConfiguredRequestRecord(
+                    known.request_classes,
+                    0.1,
+                    loop.wall,
+                    server.requests.start_run,
+                    world.nodes_count > 1,
+                )
+                record.keeper = Keeper(store, SEALER, terms, 1500 * MS, loop.wall, record)
+                return record
 
         with socket.socket() as listener:
-            server = Server(orders, listener, make)
+            server = Server(config, listener, RecordOnly())
         server.front.clock = loop.wall
         server.reports.tell = lambda serving: None  # type: ignore[method-assign]
-        server.link = self.link  # type: ignore[assignment]
+        server.connect(self.link, server.pool)  # type: ignore[arg-type]
         self.link.gauges = no_gauges  # type: ignore[attr-defined]
-        await server.record.open()
-        server.executor_welcomed(False, int((loop.time() - self.link.born) * 1000))
+        await server.subsystems.record.open()
+        server.executor_connected(False, int((loop.time() - self.link.born) * 1000))
         self.server = server
         self.link.replay(server)
 
@@ -230,7 +237,7 @@
         assert self.server is not None
         assert self.store is not None
         self.store.crash()
-        recorded = self.server.record
+        recorded = self.server.subsystems.record
         assert isinstance(recorded, ConfiguredRequestRecord)
         keeper = recorded.keeper
         keeper.closed = True
@@ -239,7 +246,7 @@
                 timer.cancel()
         for task in list(self.server.tasks.running):
             task.cancel()
-        recorded.desk = None
+        recorded.dispatcher = None
         self.server.reports.sock.close()
         self.server = self.link.server = None
         if self.world.chance.random() < 0.5:
@@ -329,7 +336,7 @@
         self.ways.append(way)
         self.count["tries"] += 1
         id = f"{self.chance.getrandbits(64):016x}"
-        node.server.receive(
+        node.server.requests.receive(
             IncomingRequest(
                 way,
                 len(self.ways),
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -23,11 +23,7 @@
 from burlloom.levels.signals import RINGS_MOST
 from burlloom.levels.signals import Tenants as Shares
 from burlloom.rpc.requests import Known, Malformed, request
-from burlloom.server.configuration_distribution import (
-    COUNT_INTERVAL_NS,
-    ServedTenants,
-    TenantPortions,
-)
+from burlloom.server.tenant_portions import COUNT_INTERVAL_NS, ServedTenants, TenantPortions
 
 SIGNING = b"s" * 32
 SECOND = 1_000_000_000
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -185,7 +185,7 @@
     """Cut off from the start, it serves its configuration's tenants; healed, those of the table."""
     made.relay.cut({"n0"}, {"c0"})
     (node,) = await made.add(1, wait_ms=300)
-    assert "event=distribution-not-in-force" in node.log()
+    assert "event=distribution_not_in_force" in node.log()
     assert "tenants=1" in node.log()
     assert await node.serves("acme")
     assert not await node.serves("blue")
@@ -203,7 +203,7 @@
     with pytest.raises(AssertionError):  # it leaves before it is ready
         starting = asyncio.create_task(made.add(1, wait_ms=60_000))
         log = made.folder / "n0" / "log"
-        await patiently(lambda: log.exists() and "event=distribution-open" in log.read_text())
+        await patiently(lambda: log.exists() and "event=distribution_opened" in log.read_text())
         made.nodes[0].signal(signal.SIGTERM)
         await starting
     node = made.nodes.pop()
@@ -457,7 +457,7 @@
     made.key = right
     reason = "not sealed with our key"
     await patiently(lambda: made.machines[0].state()["counts"]["refused"].get(reason, 0) > 2)
-    assert "event=distribution-not-in-force" in stranger.log()
+    assert "event=distribution_not_in_force" in stranger.log()
     assert f"reason='{reason}'" in made.machines[0].log()
     assert "n2" not in made.machines[0].log()
     assert stranger.state()["revision"] is None
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -208,12 +208,15 @@
         made.key.write_text("\n".join(keys) + "\n")
         await until(
             lambda: all(
-                f"event=fleet-keys count={len(keys)}" in server.log() for server in made.servers
+                f"event=membership_keys_loaded count={len(keys)}" in server.log()
+                for server in made.servers
             )
         )
         await within(made, 1.2)
     made.key.write_text("not hex\n")
-    await until(lambda: all("event=fleet-keys-refused" in server.log() for server in made.servers))
+    await until(
+        lambda: all("event=membership_keys_rejected" in server.log() for server in made.servers)
+    )
     await made.settles(full(made))
     assert not any("state=dead" in server.log() for server in made.servers)
     made.key = made.folder / "other"
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -13,8 +13,9 @@
 from burlloom.downstream import Pool
 from burlloom.fakes.parts import Balancer, Catalogue, Executor, NameService, Reply, fields
 from burlloom.server.__main__ import bind_listener
+from burlloom.server.clock import Clock
 from burlloom.server.configuration import ServerConfig, parse_address
-from burlloom.server.server import Clock, Server
+from burlloom.server.server import Server
 from burlloom.settings import facts
 from burlloom.sockets import MS, SECOND
 
@@ -40,7 +41,7 @@
 
 
 def sizes(server: Server) -> dict[str, int]:
-    desk = server.desk
+    desk = server.requests.dispatcher
     assert desk is not None
     return {
         "seats": len(desk.seats),
@@ -54,7 +55,7 @@
         "bytes": desk.ledger.bytes,
         "cases": len(desk.choice.cases),
         "lingering": len(desk.choice.lingering),
-        "serving": len(server.open_requests),
+        "serving": len(server.requests.open_requests),
         "tasks": len(server.tasks.running),
         "connections": len(server.front.connections),
         "spare": len(server.front.spare),
@@ -81,24 +82,24 @@
             if "window" in product:
                 product["window"] = WINDOW // 1000
         known, meters = facts(settings)
-        orders = ServerConfig(
-            "n1",
-            ("127.0.0.1", 0),
-            parse_address(executor.address),
-            parse_address(naming.address),
-            parse_address(catalogue.address),
-            7,
-            3_000_000_000,
-            known,
-            512,
-            64 << 20,
-            tuple(one["name"] for one in settings["categories"]),
-            {one["name"]: 1.0 for one in settings["tenants"]},
-            meters,
+        config = ServerConfig(
+            name="n1",
+            listen_address=("127.0.0.1", 0),
+            executor_address=parse_address(executor.address),
+            discovery_address=parse_address(naming.address),
+            downstream_address=parse_address(catalogue.address),
+            seed=7,
+            stop_ns=3_000_000_000,
+            settings=known,
+            max_sockets=512,
+            memory_bytes=64 << 20,
+            class_names=tuple(one["name"] for one in settings["categories"]),
+            tenant_portions={one["name"]: 1.0 for one in settings["tenants"]},
+            gauge_names=meters,
         )
-        listener = bind_listener(orders)
-        server, clock = Server(orders, listener), Ahead()
-        server.clock = server.front.clock = clock
+        listener = bind_listener(config)
+        server, clock = Server(config, listener), Ahead()
+        server.clock = server.front.clock = server.requests.clock = clock
         running = asyncio.create_task(server.run())
 
         async def work() -> None:
@@ -109,7 +110,7 @@
                 )
 
         working = asyncio.create_task(work())
-        await until(lambda: server.desk is not None and server.link.joined)
+        await until(lambda: server.requests.dispatcher is not None and server.link.joined)
 
         async def a_round(first: int) -> dict[str, int]:
             """So many callers at once, each on a connection of its own, each with a name never
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -288,7 +288,7 @@
 
     def row(play: Any) -> dict[str, float]:
         for node in play.nodes:
-            at = node.server.levels.levels.standing
+            at = node.server.subsystems.levels.levels.standing
             moves.setdefault(node.name, []).extend(
                 at.changes[-1:] if at.changes[-1:] != tuple(moves.get(node.name, [])[-1:]) else ()
             )
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -346,7 +346,9 @@
             stdout=asyncio.subprocess.PIPE,
         )
         out, _ = await soon(process.communicate())
-        assert process.returncode == 0 and b"event=leaving" in out and b"event=stopped" in out, (
+        assert (
+            process.returncode == 0 and b"event=shutdown_started" in out and b"event=stopped" in out
+        ), (
             process.returncode,
             out,
         )
@@ -449,7 +451,7 @@
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"seen")
         await gets(answer, b"seen")
         # A store's thread is started at its first use.
-        await until(lambda: operator is None or "event=rollout name=" in rig.log())
+        await until(lambda: operator is None or "event=rollout_joined name=" in rig.log())
         blocked: dict[int, int] = {}
         for thread in Path(f"/proc/{rig.process.pid}/task").iterdir():
             told = dict(line.split(":", 1) for line in (thread / "status").read_text().splitlines())
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -63,7 +63,7 @@
             writer.write(b"GET /metrics HTTP/1.0\r\n\r\n")
             assert b"burlloom_record_finish_seconds_count 1.0" in await soon(reader.read())
             writer.close()
-        assert "event=record-closed-down claims=1" in rig.log()
+        assert "event=record_stopped claims=1" in rig.log()
 
     asyncio.run(play())
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -187,7 +187,9 @@
 
 def life(server: Server) -> list[str]:
     """What this life's start said."""
-    return re.findall(r"event=recovery-start (.*)", server.log().rsplit("event=recovery ", 1)[-1])
+    return re.findall(
+        r"event=recovery_state_changed (.*)", server.log().rsplit("event=recovery_started ", 1)[-1]
+    )
 
 
 @fleet(5, calls=30, more=coming_back)
@@ -213,7 +215,7 @@
     await asyncio.gather(*(server.begin() for server in killed))
     await until(
         lambda: all(
-            "event=recovery-start" in server.log().rsplit("event=recovery ", 1)[-1]
+            "event=recovery_state_changed" in server.log().rsplit("event=recovery_started ", 1)[-1]
             for server in killed
         )
     )
@@ -227,11 +229,11 @@
     await made.settles(full(made))
     await until(
         lambda: all(
-            "event=recovery-over" in server.log().rsplit("event=recovery ", 1)[-1]
+            "event=recovery_completed" in server.log().rsplit("event=recovery_started ", 1)[-1]
             for server in killed
         )
     )
-    assert "kept=torn" in torn.log()
+    assert "state_file=torn" in torn.log()
     assert any("input=kept_bad effect=fence state=cold" in said for said in life(torn))
     assert any("input=said_lived effect=fence state=cold" in said for said in life(gone)), life(
         gone
@@ -262,9 +264,11 @@
     # run.
     assert len(server.executor.bodies) < ran + 40
     server.open_most = 20
-    await until(lambda: "event=recovery-over" in server.log().rsplit("event=recovery ", 1)[-1])
+    await until(
+        lambda: "event=recovery_completed" in server.log().rsplit("event=recovery_started ", 1)[-1]
+    )
     await made.settles(full(made))
-    held = re.findall(r"event=recovery-over .*held_back=(\d+)", server.log())[-1]
+    held = re.findall(r"event=recovery_completed .*held_back=(\d+)", server.log())[-1]
     assert int(held) >= 150
 
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -378,7 +378,7 @@
     answer = balancer.ask("look", fields())
     id = await rig.command("EXEC", "look")
     rig.executor.callout(id)
-    await until(lambda: "answer=unwanted" in rig.log())
+    await until(lambda: "outcome=unwanted" in rig.log())
     rig.executor.exit(id, "KILLED")
     await fails(answer, "Voided")
     assert len(rig.catalogue.calls) == 1
@@ -823,7 +823,7 @@
     for _ in range(80):
         await rig.balancer()
     await until(
-        lambda: "event=lines-left-out" in rig.log() or rig.log().count("reason=full") == 45
+        lambda: "event=log_lines_dropped" in rig.log() or rig.log().count("reason=full") == 45
     )  # of 81
     await gets_one(rig, await rig.balancer())
     rig.executor.exit(id, result=b"done")
@@ -832,9 +832,9 @@
 
 @played()
 async def test_a_flood_of_connections_leaves_few_lines(rig: Rig) -> None:
-    while "event=lines-left-out" not in rig.log():
+    while "event=log_lines_dropped" not in rig.log():
         (await rig.balancer()).close()
-    count = int(re.search(r"lines-left-out count=(\d+)", rig.log())[1])  # type: ignore[index]
+    count = int(re.search(r"log_lines_dropped count=(\d+)", rig.log())[1])  # type: ignore[index]
     assert count > 0
     assert rig.log().count("side=balancer") < count + 200
 
@@ -1035,7 +1035,7 @@
     for count, (path, value) in enumerate(ABSURD, 1):
         (rig.folder / "configuration.json").write_text(changed(path, value))
         rig.process.send_signal(signal.SIGHUP)
-        await until(lambda: rig.log().count("event=reload-failed") == count)
+        await until(lambda: rig.log().count("event=reload_failed") == count)
     await gets_one(rig, await rig.balancer())
 
 
@@ -1046,7 +1046,7 @@
     await rig.kill()
     await rig.begin()
     await gets_one(rig, await rig.balancer())
-    assert "event=welcome cold=True" in rig.log()
+    assert "event=executor_connected cold=True" in rig.log()
 
 
 @pytest.mark.parametrize("text", BROKEN, ids=range(len(BROKEN)))
@@ -1080,9 +1080,9 @@
             id = await rig.command("EXEC", "pay")
             rig.reload()
             await until(lambda: "event=reloaded" in rig.log())
-            assert " catalogue=none " in rig.log()
+            assert " downstream=none " in rig.log()
             rig.executor.callout(id)
-            await until(lambda: f"event=call-failed id={id} answer=unreached" in rig.log())
+            await until(lambda: f"event=call_failed id={id} outcome=unreached" in rig.log())
             rig.executor.exit(id, "KILLED")
             await fails(answer, "Voided")
             assert not rig.catalogue.calls
@@ -1131,7 +1131,7 @@
     await gets(called, b"paid")
     rig.told["catalog"] = "nowhere"
     rig.reload()
-    await until(lambda: "event=reload-failed" in rig.log())
+    await until(lambda: "event=reload_failed" in rig.log())
     rig.executor.drop()
     await gets_one(rig, balancer)
     await below.stop()
@@ -1143,7 +1143,7 @@
     answer = balancer.ask("look", fields())
     id = await rig.command("EXEC", "look")
     rig.process.send_signal(signal.SIGTERM)
-    await until(lambda: "event=leaving" in rig.log())
+    await until(lambda: "event=shutdown_started" in rig.log())
     rig.naming = await NameService().start()
     rig.told["naming"] = rig.naming.address
     rig.reload()
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -40,7 +40,7 @@
     assert "pinned to drain" in await command(
         rig, "pin", "drain", "--for-s", "60", "--force", "--reason", "drill"
     )
-    await until(lambda: "event=level effect=pin from=normal to=drain" in rig.log())
+    await until(lambda: "event=service_level_changed effect=pin from=normal to=drain" in rig.log())
     for product in ("look", "pay"):
         said = await fails(
             balancer.ask(product, fields(once="k2") if product == "pay" else fields()), "Backoff"
@@ -57,7 +57,9 @@
     assert "at most 4 changes" in state
     assert "pinned: drain (drill)" in await command(rig, "explain")
     assert "released" in await command(rig, "release")
-    await until(lambda: "event=level effect=release from=drain to=highest" in rig.log())
+    await until(
+        lambda: "event=service_level_changed effect=release from=drain to=highest" in rig.log()
+    )
     again = balancer.ask("pay", fields(once="k3"))
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"second")
     await gets(again, b"second")
@@ -85,7 +87,7 @@
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"read %d" % n)
         await gets(answer, b"read %d" % n)
     await command(rig, "pin", "kept", "--for-s", "60")
-    await until(lambda: "event=level effect=pin from=normal to=kept" in rig.log())
+    await until(lambda: "event=service_level_changed effect=pin from=normal to=kept" in rig.log())
     await gets(balancer.ask("look", fields(key="page1")), b"read 1")
     await fails(balancer.ask("look", fields(key="page2")), "Backoff")
     pay = balancer.ask("pay", fields(once="k1"))
@@ -113,7 +115,12 @@
     (rig.folder / "pin").unlink()
     await rig.kill()
     await rig.begin()
-    await until(lambda: "event=levels at=essential cold=False died_at=essential" in rig.log())
+    await until(
+        lambda: (
+            "event=service_levels_started level=essential cold=False previous_level=essential"
+            in rig.log()
+        )
+    )
 
 
 def test_levels_that_can_not_be(tmp_path: Path) -> None:
