--- /dev/null
+++ b/burlloom/admission/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions of one server: what it admits, starts, rejects and calls."""
--- a/burlloom/choice.py
+++ b/burlloom/admission/controller.py
@@ -14,9 +14,9 @@
 from dataclasses import replace
 from enum import IntEnum
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
-from .interface import (
+from .model import (
     Degradation,
     Effects,
     Gauges,
@@ -173,12 +173,12 @@
         self.txn = txn
         self.state = State.NEW
         self.arrived = now - txn.unread_ns
-        self.due = max(now, txn.deadline or self.arrived + product.deadline_ns)
+        self.due = max(now, txn.deadline_at_ns or self.arrived + product.deadline_ns)
         sla_at = min(
             self.due,
             self.arrived
             + product.latency_objective_ns
-            + int(product.latency_objective_stretch * txn.cost),
+            + int(product.latency_objective_stretch * txn.cost_ns),
         )
         self.wanted = self.due if product.late_value_share else sla_at
         self.give_back = self.wanted - int(REST * (self.wanted - self.arrived))
@@ -187,6 +187,22 @@
         self.outcome = Outcome.OK
 
 
+class ControllerSizes(NamedTuple):
+    """The number of objects that an `AdmissionController` holds.
+
+    Attributes:
+        requests: requests whose reference may still be named.
+        live: those of them that are not over.
+        ended: those of them that are over and not yet released.
+        lingering_calls: calls given up that the dependency may still work on.
+    """
+
+    requests: int
+    live: int
+    ended: int
+    lingering_calls: int
+
+
 class AdmissionController:
     def __init__(self, facts: ServerSettings, seed: int, effects: Effects, now: int) -> None:
         self.facts, self.do, self.now, self.born = facts, effects, now, now
@@ -194,7 +210,7 @@
         self.limit = float(facts.cores)
         self.weight = [1.0, 1.0] + [facts.running_memory_factor] * 5 + [0.0, 0.0]
         self.count = [0] * len(State)
-        self.cases: dict[int, Case] = {}
+        self.requests: dict[int, Case] = {}
         self.live: dict[int, Case] = {}
         self.hold_list: OrderedDict[int, Case] = OrderedDict()
         self.door: OrderedDict[int, Case] = OrderedDict()
@@ -203,7 +219,7 @@
         self.keys = self.overwritten = self.exceeded = self.call_need = 0
         self.slept, self.moved = 0, now
         self.stop, self.last_arrival = NEVER, NEVER
-        self.good, self.idle, self.press, self.told = (
+        self.good, self.idle, self.pressure, self.told = (
             True,
             facts.idle_timeout_ns,
             1 - self.warmth(),
@@ -232,7 +248,7 @@
 
     def request_arrived(self, now: int, txn: Request) -> None:
         self.tick(now)
-        case = self.cases[txn.ref] = self.live[txn.ref] = Case(txn, now, self.facts)
+        case = self.requests[txn.ref] = self.live[txn.ref] = Case(txn, now, self.facts)
         self.count[State.NEW] += 1
         self.kb += txn.memory_kb
         self.read.add(now, 1)
@@ -241,13 +257,13 @@
         self.advance()
 
     def run_ended(self, now: int, ref: int, outcome: Outcome, took: int) -> None:
-        case = self.cases.get(ref)
+        case = self.requests.get(ref)
         if case is not None:
             if case.state == State.RUN and outcome not in UNBEGUN:
                 self.ends.add(now, 1)
                 self.bad_ends.add(now, outcome is Outcome.FAILED)
                 if outcome is Outcome.OK:
-                    self.took[case.txn.request_class].append((now, took, case.txn.cost or 1))
+                    self.took[case.txn.request_class].append((now, took, case.txn.cost_ns or 1))
             case.outcome = outcome
         self.meet(now, ref, UNBEGUN.get(outcome, Input.END))
 
@@ -258,7 +274,7 @@
         self.meet(now, ref, Input.LEFT)
 
     def call_ended(self, now: int, ref: int, outcome: Outcome, took: int) -> None:
-        case = self.cases.get(ref)
+        case = self.requests.get(ref)
         if case is not None and case.state == State.CALL:
             case.outcome = outcome
             self.broken = 0 if outcome is Outcome.OK else self.broken + 1
@@ -323,6 +339,41 @@
         self.pace_links(gauges)
         self.advance()
 
+    # What the host may look at.
+
+    def queued_call_count(self) -> int:
+        """The number of requests that wait for their turn to call."""
+        return len(self.door)
+
+    def queue_age_share(self, now: int) -> float:
+        """The age of the oldest queued request, as a share of its latency objective.
+
+        Args:
+            now: the host's clock in ns.
+
+        Returns:
+            The share; 0 where none is queued.
+        """
+        oldest = self.oldest()
+        if oldest is None:
+            return 0.0
+        request_class = self.facts.request_classes[oldest.txn.request_class]
+        return (now - self.slept - oldest.since) / request_class.latency_objective_ns
+
+    def read_lag_share(self) -> float:
+        """How long requests lay unread in the last second, on the average.
+
+        Returns:
+            The lag as a share of the shortest latency objective.
+        """
+        return self.unread_mean() / self.lag
+
+    def sizes(self) -> ControllerSizes:
+        """The number of objects held, to watch that none grows without end."""
+        return ControllerSizes(
+            len(self.requests), len(self.live), len(self.spent), len(self.lingering)
+        )
+
     # The loop.
 
     def tick(self, now: int) -> None:
@@ -338,7 +389,7 @@
 
     def meet(self, now: int, ref: int, what: Input) -> None:
         self.tick(now)
-        case = self.cases.get(ref)
+        case = self.requests.get(ref)
         if case is not None:
             if what != Input.LEFT:
                 self.moved = now
@@ -444,7 +495,7 @@
             sum(end[1] for end in part) / sum(end[2] for end in part)
             for part in (ends, ends[-NEWEST:])
         )
-        return (new_take if new_take < QUICKER * all_take else all_take) * (case.txn.cost or 1)
+        return (new_take if new_take < QUICKER * all_take else all_take) * (case.txn.cost_ns or 1)
 
     def oldest(self) -> Case | None:
         return next(iter(self.hold_list.values()), None)
@@ -475,7 +526,7 @@
         """The try that now stands for this one's effect: a batch may name one that was since
         replaced.
         """
-        first = self.cases.get(case.txn.repeat_of)
+        first = self.requests.get(case.txn.original_ref)
         while first is not None and first.heir is not None:
             first = first.heir
         return first
@@ -488,7 +539,7 @@
     def ran_before(self, case: Case) -> bool:
         first = self.forerunner(case)
         if first is None:
-            return case.txn.repeat_of != -1
+            return case.txn.original_ref != -1
         return first.state != State.GONE and (first.state != State.HELD or self.inquiry(case))
 
     def no_copy_room(self, case: Case) -> bool:
@@ -527,7 +578,7 @@
             relief.rejected_classes[product]
             or relief.cached_only_classes[product]
             or relief.rejects_over_share
-            and case.txn.over_share
+            and case.txn.is_over_share
             or relief.retry_rejecting_classes[product]
             and case.txn.is_retry
         )
@@ -563,7 +614,7 @@
         )
 
     def level(self) -> float:
-        return max(self.press, self.call_press) * self.top
+        return max(self.pressure, self.call_press) * self.top
 
     def may_call(self) -> bool:
         if self.broken >= BREAK_AFTER and (self.now < self.trial_at or self.count[State.CALL]):
@@ -673,7 +724,7 @@
         self.do.reject(
             case.txn.ref,
             int(share * self.facts.max_retry_after_ns),
-            self.press > FINAL and not alone,
+            self.pressure > FINAL and not alone,
         )
 
     def relieve(self, case: Case) -> None:
@@ -741,7 +792,7 @@
                 self.spent.append(case)
             else:
                 self.keys -= bool(case.kept)
-                del self.cases[case.txn.ref]
+                del self.requests[case.txn.ref]
                 self.do.release(case.txn.ref)
 
     def pace(self, gauges: Gauges) -> None:
@@ -760,7 +811,7 @@
             min(1.0, max(self.turned_share(), self.unread_mean() / self.lag))
             * abs(gauges.cpu_utilization) ** 3
         )
-        self.press = max(0.0, min(1.0, self.press + PRESS_GAIN * (strain - PRESS_AIM)))
+        self.pressure = max(0.0, min(1.0, self.pressure + PRESS_GAIN * (strain - PRESS_AIM)))
 
     def pace_links(self, gauges: Gauges) -> None:
         """Against more callers than the table holds, most of whom come back only after their
@@ -813,12 +864,12 @@
                     else 1.0
                 )
         elif facts.load_report_kind is LoadReportKind.ROUTING_WEIGHT:
-            value = 1 - self.press if good else 0.0
+            value = 1 - self.pressure if good else 0.0
         elif (
             facts.load_report_kind is LoadReportKind.CONCURRENCY_ALLOWANCE
         ):  # split over those with a txn here, of thousands
             here = len({case.txn.caller for case in self.live.values()})
-            value = self.limit * (1 + ROOMY * (1 - self.press)) / max(1, here) if good else 0.0
+            value = self.limit * (1 + ROOMY * (1 - self.pressure)) / max(1, here) if good else 0.0
         else:
             return
         if abs(value - self.told) > 0.01:
--- a/burlloom/interface.py
+++ b/burlloom/admission/model.py
@@ -123,15 +123,15 @@
     ref: int
     caller: int
     request_class: int
-    cost: int
+    cost_ns: int
     unread_ns: int
-    deadline: int
+    deadline_at_ns: int
     memory_kb: float
     priority: float
-    repeat_of: int
+    original_ref: int
     is_recordable: bool = True
     is_retry: bool = False
-    over_share: bool = False
+    is_over_share: bool = False
     sampling_draw: float = 0.0
 
 
--- a/burlloom/bench_adapter/__main__.py
+++ b/burlloom/bench_adapter/__main__.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from ..settings import MICRO
+from ..settings import NS_PER_US
 from .codec import BadInput
 from .host import Host
 
@@ -23,7 +23,7 @@
             if name != "TURN":
                 raise BadInput(f"expected TURN, got {name[:40]!r}")
             try:
-                now = int(clock) * MICRO
+                now = int(clock) * NS_PER_US
             except ValueError as error:
                 raise BadInput(f"TURN: unreadable value ({error})") from error
         elif line == "FLUSH":
--- a/burlloom/bench_adapter/codec.py
+++ b/burlloom/bench_adapter/codec.py
@@ -3,8 +3,8 @@
 import json
 
 from .. import settings as facts
-from ..interface import Gauges, Outcome, ServerSettings
-from ..settings import MICRO
+from ..admission.model import Gauges, Outcome, ServerSettings
+from ..settings import NS_PER_US
 
 OUTCOME = {
     "Ok": Outcome.OK,
@@ -55,14 +55,16 @@
 
 
 def nanos(text: str) -> int:
-    return whole(text) * MICRO
+    return whole(text) * NS_PER_US
 
 
 def gauges(names: tuple[str, ...], text: str) -> Gauges:
     return (
-        Gauges() if text == "-" else facts.gauges(names, [real(value) for value in text.split(",")])
+        Gauges()
+        if text == "-"
+        else facts.parse_gauges(names, [real(value) for value in text.split(",")])
     )
 
 
 def told(text: str) -> tuple[ServerSettings, tuple[str, ...]]:
-    return facts.facts(json.loads(text))
+    return facts.parse_server_settings(json.loads(text))
--- a/burlloom/bench_adapter/host.py
+++ b/burlloom/bench_adapter/host.py
@@ -2,9 +2,9 @@
 
 from typing import Any
 
-from ..choice import AdmissionController
-from ..interface import Request, ServerSettings
-from ..settings import MICRO
+from ..admission.controller import AdmissionController
+from ..admission.model import Request, ServerSettings
+from ..settings import NS_PER_US
 from . import codec
 from .codec import BadInput
 
@@ -48,19 +48,19 @@
         self.put("ADMIT", self.names[ref])
 
     def reject(self, ref: int, stay_away: int, final: bool) -> None:
-        self.put("REFUSE", self.names[ref], stay_away // MICRO, int(final))
+        self.put("REFUSE", self.names[ref], stay_away // NS_PER_US, int(final))
 
     def fail(self, ref: int) -> None:
         self.put("END_FAILED", self.names[ref])
 
     def start_call(self, ref: int, stop_at: int) -> None:
-        self.put("DIAL", self.names[ref], stop_at // MICRO)
+        self.put("DIAL", self.names[ref], stop_at // NS_PER_US)
 
     def skip_call(self, ref: int) -> None:
         self.put("GO_ON", self.names[ref])
 
     def remember(self, ref: int, lifetime: int) -> None:
-        self.put("STORE_KEY", self.names[ref], lifetime // MICRO)
+        self.put("STORE_KEY", self.names[ref], lifetime // NS_PER_US)
 
     def forget(self, ref: int) -> None:
         self.put("UNPIN", self.names[ref])
@@ -78,10 +78,10 @@
         raise NotImplementedError("no levels of service are set on this wire")
 
     def set_idle_timeout(self, lifetime: int) -> None:
-        self.put("TRIM_AFTER", lifetime // MICRO)
+        self.put("TRIM_AFTER", lifetime // NS_PER_US)
 
     def schedule_timer(self, delay: int, handle: int) -> None:
-        self.put("SCHEDULE", delay // MICRO, handle)
+        self.put("SCHEDULE", delay // NS_PER_US, handle)
 
     def log(self, text: str) -> None:
         self.put("EMIT", text)
@@ -175,12 +175,12 @@
             ref=instance.admit(name),
             caller=instance.callers.setdefault(caller, len(instance.callers)),
             request_class=int(product),
-            cost=codec.nanos(cost) if codec.whole(bits) & 1 else 0,
+            cost_ns=codec.nanos(cost) if codec.whole(bits) & 1 else 0,
             unread_ns=codec.nanos(unread),
-            deadline=codec.nanos(expiry_at),
+            deadline_at_ns=codec.nanos(expiry_at),
             memory_kb=codec.real(kb),
             priority=codec.real(rank),
-            repeat_of=forerunner,
+            original_ref=forerunner,
         )
 
 
--- a/burlloom/command/levels.py
+++ b/burlloom/command/levels.py
@@ -218,7 +218,7 @@
 
 
 def bare(plan: "Plan") -> list[Any]:
-    from ..interface import Degradation
+    from ..admission.model import Degradation
 
     return [Degradation(level.name) for level in plan.levels]
 
--- a/burlloom/dispatcher/desk.py
+++ b/burlloom/dispatcher/desk.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from ..choice import AdmissionController
-from ..interface import (
+from ..admission.controller import AdmissionController
+from ..admission.model import (
     Degradation,
     Gauges,
     Idempotency,
@@ -66,7 +66,7 @@
 
 
 class Desk:
-    """Implements `interface.Effects`; only the decisions call those methods."""
+    """Implements `admission.model.Effects`; only the decisions call those methods."""
 
     def __init__(
         self,
@@ -216,19 +216,14 @@
 
     def calls(self) -> tuple[int, int]:
         """Calls in hand, with those left behind below; and how many txns wait for one."""
-        return self.choice.calls_in_hand(), len(self.choice.door)
+        return self.choice.calls_in_hand(), self.choice.queued_call_count()
 
     def strain(self) -> tuple[float, float, float]:
         """The age of the oldest held txn, of its SLA time; the lag of reading, of the shortest one;
         the pressure.
         """
-        choice, oldest = self.choice, self.choice.oldest()
-        age = 0.0
-        if oldest is not None:
-            age = (self.clock() - choice.slept - oldest.since) / self.facts.request_classes[
-                oldest.txn.request_class
-            ].latency_objective_ns
-        return age, choice.unread_mean() / choice.lag, choice.press
+        choice = self.choice
+        return choice.queue_age_share(self.clock()), choice.read_lag_share(), choice.pressure
 
     def settle(self, mark: bytes, result: bytes | None) -> None:
         """What became of a txn that ran elsewhere or in a former life; None: there is nothing to
@@ -302,17 +297,17 @@
                 ref=ref,
                 caller=caller[0],
                 request_class=txn.product,
-                cost=txn.cost,
+                cost_ns=txn.cost,
                 unread_ns=max(0, now - txn.at),
-                deadline=0,
+                deadline_at_ns=0,
                 memory_kb=txn.kb,
                 priority=txn.rank,
-                repeat_of=self.ledger.holder(mark, txn.at, seat.inquiry)
+                original_ref=self.ledger.holder(mark, txn.at, seat.inquiry)
                 if mark and self.counts(mark, txn, now)
                 else -1,
                 is_recordable=txn.entry,
                 is_retry=txn.retry,
-                over_share=txn.over and self.by_share or txn.held_back,
+                is_over_share=txn.over and self.by_share or txn.held_back,
                 sampling_draw=txn.lot,
             ),
         )
--- a/burlloom/dispatcher/steps.py
+++ b/burlloom/dispatcher/steps.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from ..interface import Outcome
+from ..admission.model import Outcome
 
 
 class Kind(Enum):
--- a/burlloom/lab/node.py
+++ b/burlloom/lab/node.py
@@ -9,7 +9,7 @@
 from ..rpc import IncomingRequest
 from ..server.assembly import Server
 from ..server.configuration import Orders
-from ..settings import facts
+from ..settings import parse_server_settings
 from .below import Pool
 from .clock import SECOND
 from .load import Order
@@ -63,7 +63,7 @@
         self.attempts = {}
         self.cores = Cores(loop, told, self.speed, loop.now if cold else -1e6)
         self.cores.slow = self.slow
-        known, meters = facts(fleet.settings)
+        known, meters = parse_server_settings(fleet.settings)
         orders = Orders(
             self.name,
             ("", 0),
@@ -239,7 +239,7 @@
         desk = self.server.desk if self.server is not None else None
         if desk is None or self.server is None:
             return {}
-        choice = desk.choice
+        sizes = desk.choice.sizes()
         return {
             "seats": len(desk.seats),
             "refs": len(desk.refs),
@@ -249,10 +249,10 @@
             "copies": len(desk.copies),
             "marks": len(desk.ledger.records),
             "wheel": sum(map(len, desk.ledger.wheel.slots.values())),
-            "cases": len(choice.cases),
-            "live": len(choice.live),
-            "spent": len(choice.spent),
-            "lingering": len(choice.lingering),
+            "cases": sizes.requests,
+            "live": sizes.live,
+            "spent": sizes.ended,
+            "lingering": sizes.lingering_calls,
             "serving": len(self.server.serving),
             "tasks": len(self.server.tasks.running),
         }
--- a/burlloom/levels/plan.py
+++ b/burlloom/levels/plan.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from ..interface import Degradation, Idempotency, RequestClass
+from ..admission.model import Degradation, Idempotency, RequestClass
 from .signals import Bounds
 
 DRAIN = "drain"
--- a/burlloom/levels/watch.py
+++ b/burlloom/levels/watch.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from ..interface import Degradation, ServiceLevel
+from ..admission.model import Degradation, ServiceLevel
 from .ladder import PARTS, Change, Input, Ladder, Phase, Terms
 from .plan import Plan
 from .signals import NAMES, Bounds, Readings, Signals, low, reached
--- a/burlloom/record/keeper.py
+++ b/burlloom/record/keeper.py
@@ -12,7 +12,7 @@
 from functools import partial
 from typing import Protocol
 
-from ..interface import Outcome
+from ..admission.model import Outcome
 from . import points
 from .budget import Budget
 from .fate import RULES, Fate, Input, State
--- a/burlloom/server/assembly.py
+++ b/burlloom/server/assembly.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
+from ..admission.model import Gauges, Idempotency, Outcome, ServerSettings
 from ..discovery import Reports
 from ..dispatcher import (
     AtCall,
@@ -25,9 +26,8 @@
 )
 from ..downstream import Answer, Pool
 from ..executor import End, Link
-from ..interface import Gauges, Idempotency, Outcome, ServerSettings
 from ..rpc import Front, IncomingRequest, Known
-from ..settings import gauges
+from ..settings import parse_gauges
 from ..sockets import MS, Tasks, out_of_descriptors, rest
 from .configuration import Broken, Orders, read
 from .distributing import Distributing, NoDistribution
@@ -387,7 +387,9 @@
                 values = await self.link.gauges(GAUGES_WAIT)
                 told = values is not None and len(values) == len(self.orders.meters)
                 measured = (
-                    gauges(self.orders.meters, values) if told and values is not None else Gauges()
+                    parse_gauges(self.orders.meters, values)
+                    if told and values is not None
+                    else Gauges()
                 )
                 due = desk.tick(measured)
                 self.levels.round(measured)
--- a/burlloom/server/checked.py
+++ b/burlloom/server/checked.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..settings import FREE_VALUE, REPEATABLE
+from ..settings import IDEMPOTENCY_KINDS, LOAD_REPORT_KINDS
 
 ADDRESS = re.compile(r"[^\s:]+:([0-9]{1,5})")
 SOCKETS_LEAST = 24  # the process itself holds fifteen, its link among them
@@ -75,7 +75,7 @@
     ("settings.categories[].aim", Number(0, 1e12, over=True), NEEDED),
     ("settings.categories[].deadline", Number(0, 1e12, over=True), NEEDED),
     ("settings.categories[].worth", Number(0, 1e12), NEEDED),
-    ("settings.categories[].idempotency", Text(known=tuple(REPEATABLE)), NEEDED),
+    ("settings.categories[].idempotency", Text(known=tuple(IDEMPOTENCY_KINDS)), NEEDED),
     ("settings.categories[].window", Number(0, 1e12), ""),
     ("settings.categories[].late_share", SHARE, ""),
     ("settings.categories[].aim_stretch", Number(0, 1e6), ""),
@@ -88,7 +88,7 @@
     ("settings.extra.lingers", Number(0, 1e12), ""),
     ("settings.extra.fresh_for", Number(0, 1e12), ""),
     ("settings.extra.idle", Number(0, 1e12), ""),
-    ("settings.extra.say", Text(known=tuple(FREE_VALUE)), ""),
+    ("settings.extra.say", Text(known=tuple(LOAD_REPORT_KINDS)), ""),
     ("settings.extra.depends_on", Text(), ""),
     ("settings.extra.meters[]", Text(), ""),
     ("settings.extra.class_skip_worth[]", SHARE, ""),
--- a/burlloom/server/configuration.py
+++ b/burlloom/server/configuration.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..interface import ServerSettings
-from ..settings import facts
+from ..admission.model import ServerSettings
+from ..settings import parse_server_settings
 from ..sockets import MS
 from .checked import faults
 
@@ -54,7 +54,7 @@
             got, frozenset(name for name, told in elsewhere.items() if os.environ.get(told))
         ):
             raise Broken(f"{path}: " + "; ".join(lines))
-        known, meters = facts(got["settings"])
+        known, meters = parse_server_settings(got["settings"])
         limits = got.get("limits") or {}
         return Orders(
             name=os.environ.get("EDGE_NAME") or str(got["name"]),
--- a/burlloom/server/leveling.py
+++ b/burlloom/server/leveling.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Protocol
 
+from ..admission.model import Gauges, RequestClass
 from ..dispatcher import Desk
-from ..interface import Gauges, RequestClass
 from ..sockets import MS, SECOND
 
 if TYPE_CHECKING:
--- a/burlloom/server/recording.py
+++ b/burlloom/server/recording.py
@@ -9,8 +9,8 @@
 from itertools import chain
 from typing import TYPE_CHECKING, Protocol
 
+from ..admission.model import Idempotency, Outcome, RequestClass
 from ..dispatcher import Desk, Packed, RunEnded
-from ..interface import Idempotency, Outcome, RequestClass
 from ..sockets import MS
 from .configuration import Broken
 
--- a/burlloom/server/rolling.py
+++ b/burlloom/server/rolling.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Protocol
 
+from ..admission.model import RequestClass
 from ..dispatcher import Kind
-from ..interface import RequestClass
 from ..sockets import MS, Tasks, rest
 from .fleeting import since_start
 
--- a/burlloom/settings/__init__.py
+++ b/burlloom/settings/__init__.py
@@ -3,16 +3,16 @@
 from collections.abc import Sequence
 from typing import Any
 
-from ..interface import Gauges, Idempotency, LoadReportKind, RequestClass, ServerSettings
+from ..admission.model import Gauges, Idempotency, LoadReportKind, RequestClass, ServerSettings
 
-MICRO = 1000
+NS_PER_US = 1000
 
-REPEATABLE = {
+IDEMPOTENCY_KINDS = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.KEYED,
     "fragile": Idempotency.NON_IDEMPOTENT,
 }
-FREE_VALUE = {
+LOAD_REPORT_KINDS = {
     "off": LoadReportKind.NONE,
     "floor": LoadReportKind.PRIORITY_FLOOR,
     "allowance": LoadReportKind.CONCURRENCY_ALLOWANCE,
@@ -26,23 +26,23 @@
 }
 
 
-def gauges(names: tuple[str, ...], values: Sequence[float]) -> Gauges:
+def parse_gauges(names: tuple[str, ...], values: Sequence[float]) -> Gauges:
     return Gauges(
         **{GAUGE[name]: value for name, value in zip(names, values, strict=True) if name in GAUGE}
     )
 
 
-def facts(got: dict[str, Any]) -> tuple[ServerSettings, tuple[str, ...]]:
+def parse_server_settings(got: dict[str, Any]) -> tuple[ServerSettings, tuple[str, ...]]:
     """The settings that the decisions read, and the order of the gauges."""
     extra, rules = got["extra"], got["rules"]
     skips = extra.get("class_skip_worth") or []
     products = tuple(
         RequestClass(
-            latency_objective_ns=int(c["aim"]) * MICRO,
+            latency_objective_ns=int(c["aim"]) * NS_PER_US,
             latency_objective_stretch=float(c.get("aim_stretch") or 0.0),
-            deadline_ns=int(c["deadline"]) * MICRO,
-            idempotency=REPEATABLE[c["idempotency"]],
-            idempotency_window_ns=int(c.get("window") or 0) * MICRO,
+            deadline_ns=int(c["deadline"]) * NS_PER_US,
+            idempotency=IDEMPOTENCY_KINDS[c["idempotency"]],
+            idempotency_window_ns=int(c.get("window") or 0) * NS_PER_US,
             late_value_share=float(c.get("late_share") or 0.0),
             value_share_without_call=float(skips[i]) if i < len(skips) else 0.0,
             value=float(c["worth"]),
@@ -60,15 +60,15 @@
         max_runs_per_core=float(rules["tip_multiple"]),
         starts_cold=bool(extra.get("fresh_start")),
         cold_speed_share=float(rules["cold_from"]),
-        warm_up_ns=int(rules["warm_up"]) * MICRO,
+        warm_up_ns=int(rules["warm_up"]) * NS_PER_US,
         call_quota=float(extra.get("calls_out") or 0.0) if shared else 0.0,
-        call_quota_window_ns=int(extra.get("calls_over") or 0) * MICRO,
-        abandoned_call_linger_ns=int(extra.get("lingers") or 0) * MICRO,
-        drain_grace_ns=int(rules["drain_grace"]) * MICRO,
-        max_retry_after_ns=advice * MICRO,
-        result_cache_ttl_ns=int(extra.get("fresh_for") or 0) * MICRO,
-        idle_timeout_ns=int(extra.get("idle") or 0) * MICRO,
-        load_report_kind=FREE_VALUE[extra.get("say", "off")],
+        call_quota_window_ns=int(extra.get("calls_over") or 0) * NS_PER_US,
+        abandoned_call_linger_ns=int(extra.get("lingers") or 0) * NS_PER_US,
+        drain_grace_ns=int(rules["drain_grace"]) * NS_PER_US,
+        max_retry_after_ns=advice * NS_PER_US,
+        result_cache_ttl_ns=int(extra.get("fresh_for") or 0) * NS_PER_US,
+        idle_timeout_ns=int(extra.get("idle") or 0) * NS_PER_US,
+        load_report_kind=LOAD_REPORT_KINDS[extra.get("say", "off")],
         request_classes=products,
     )
     return known, tuple(extra.get("meters") or ())
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -15,8 +15,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from burlloom.choice import AdmissionController  # noqa: E402
-from burlloom.interface import (
+from burlloom.admission.controller import AdmissionController  # noqa: E402
+from burlloom.admission.model import (
     Gauges,
     Idempotency,
     LoadReportKind,
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -24,7 +24,7 @@
 from burlloom.server import assembly
 from burlloom.server.configuration import Orders
 from burlloom.server.recording import Recorded
-from burlloom.settings import facts
+from burlloom.settings import parse_server_settings
 
 MS = 1_000_000
 SEALER = Sealer(b"s" * 32)
@@ -188,7 +188,7 @@
 
     async def start(self) -> None:
         world, loop = self.world, world_loop()
-        known, meters = facts(SETTINGS)
+        known, meters = parse_server_settings(SETTINGS)
         orders = Orders(
             self.name,
             ("", 0),
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -4,9 +4,9 @@
 
 from rig import GIVEN
 
+from burlloom.admission.model import Gauges
 from burlloom.dispatcher import Desk, Kind, Leaving, RequestAttempt, Seat, Step
-from burlloom.interface import Gauges
-from burlloom.settings import facts
+from burlloom.settings import parse_server_settings
 
 SECOND = 1_000_000_000
 
@@ -16,7 +16,7 @@
     came to `pick`, which failed; the txn was voided where it had been declined.
     """
     now = [1000 * SECOND]
-    known, _ = facts(GIVEN["settings"])
+    known, _ = parse_server_settings(GIVEN["settings"])
 
     def tried(id: str) -> RequestAttempt:
         return RequestAttempt(id, now[0], "caller", 0, 0, 1.0, 0.5, "", "", b"")
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -15,7 +15,7 @@
 from burlloom.server.__main__ import bound
 from burlloom.server.assembly import Clock, Server
 from burlloom.server.configuration import Orders, address
-from burlloom.settings import facts
+from burlloom.settings import parse_server_settings
 from burlloom.sockets import MS, SECOND
 
 AT_ONCE, ROUNDS = 20, 10
@@ -52,8 +52,8 @@
         "marks": len(desk.ledger.records),
         "wheel": sum(map(len, desk.ledger.wheel.slots.values())),
         "bytes": desk.ledger.bytes,
-        "cases": len(desk.choice.cases),
-        "lingering": len(desk.choice.lingering),
+        "cases": desk.choice.sizes().requests,
+        "lingering": desk.choice.sizes().lingering_calls,
         "serving": len(server.serving),
         "tasks": len(server.tasks.running),
         "connections": len(server.front.connections),
@@ -80,7 +80,7 @@
             product.update(deadline=LIFE // 1000, aim=LIFE // 2000)
             if "window" in product:
                 product["window"] = WINDOW // 1000
-        known, meters = facts(settings)
+        known, meters = parse_server_settings(settings)
         orders = Orders(
             "n1",
             ("127.0.0.1", 0),
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from test_fleet import fleet
 
-from burlloom.interface import Degradation, Idempotency, RequestClass
+from burlloom.admission.model import Degradation, Idempotency, RequestClass
 from burlloom.lab import play
 from burlloom.lab.emulator import Watch
 from burlloom.lab.variants import VARIANTS, leveler
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -26,8 +26,8 @@
 
 import pytest
 
-from burlloom.choice import AdmissionController
-from burlloom.interface import (
+from burlloom.admission.controller import AdmissionController
+from burlloom.admission.model import (
     Gauges,
     Idempotency,
     LoadReportKind,
