--- a/burlloom/lab/experiment.py
+++ b/burlloom/lab/experiment.py
@@ -72,7 +72,7 @@
         for node in fleet.nodes:
             if node.server is None or node.server.requests.dispatcher is None:
                 continue
-            press.append(node.server.requests.dispatcher.choice.press)
+            press.append(node.server.requests.dispatcher.choice.pressure)
             of = getattr(node.server.subsystems.levels, "levels", None)
             if of is None:
                 continue
--- a/burlloom/server/configuration.py
+++ b/burlloom/server/configuration.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import Any
 
+from ..admission.model import ServerSettings
 from ..errors import BurlloomError
-from ..interface import ServerSettings
-from ..settings import facts
+from ..settings import parse_server_settings
 from ..sockets import MS
 from .configuration_schema import MAX_PORT, ConfigurationFault, find_faults
 
@@ -121,7 +121,7 @@
 
 def decode_config(configuration: dict[str, Any]) -> ServerConfig:
     """Maps the keys of a configuration without faults to the server's terms."""
-    settings, gauge_names = facts(configuration["settings"])
+    settings, gauge_names = parse_server_settings(configuration["settings"])
     limits = configuration.get("limits") or {}
     memory_mb = float(limits.get("memory_mb", DEFAULT_MEMORY_MB))
     downstream = configuration.get("catalog")
--- a/burlloom/server/configuration_schema.py
+++ b/burlloom/server/configuration_schema.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from ..settings import FREE_VALUE, REPEATABLE
+from ..settings import IDEMPOTENCY_KINDS, LOAD_REPORT_KINDS
 
 ADDRESS_FORM = re.compile(r"[^\s:]+:([0-9]{1,5})")
 HEXADECIMAL_FORM = re.compile("[0-9a-fA-F]+")
@@ -136,7 +136,7 @@
     Field("settings.categories[].aim", POSITIVE_TIME, required=True),
     Field("settings.categories[].deadline", POSITIVE_TIME, required=True),
     Field("settings.categories[].worth", NumberRule(0, 1e12), required=True),
-    Field("settings.categories[].idempotency", TextRule(tuple(REPEATABLE)), required=True),
+    Field("settings.categories[].idempotency", TextRule(tuple(IDEMPOTENCY_KINDS)), required=True),
     Field("settings.categories[].window", TIME),
     Field("settings.categories[].late_share", SHARE),
     Field("settings.categories[].aim_stretch", NumberRule(0, 1e6)),
@@ -149,7 +149,7 @@
     Field("settings.extra.lingers", TIME),
     Field("settings.extra.fresh_for", TIME),
     Field("settings.extra.idle", TIME),
-    Field("settings.extra.say", TextRule(tuple(FREE_VALUE))),
+    Field("settings.extra.say", TextRule(tuple(LOAD_REPORT_KINDS))),
     Field("settings.extra.depends_on", TextRule()),
     Field("settings.extra.meters[]", TextRule()),
     Field("settings.extra.class_skip_worth[]", SHARE),
--- a/burlloom/server/configured_request_record.py
+++ b/burlloom/server/configured_request_record.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from itertools import chain
 
+from ..admission.model import Idempotency, Outcome, RequestClass
 from ..dispatcher import Desk, Packed, RunEnded
-from ..interface import Idempotency, Outcome, RequestClass
 from ..record import points
 from ..record.keeper import Keeper
 from ..record.store import Refused
--- a/burlloom/server/configured_rollout.py
+++ b/burlloom/server/configured_rollout.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
+from ..admission.model import RequestClass
 from ..dispatcher import Kind
-from ..interface import RequestClass
 from ..operator import RolloutPart
 from ..rollout import SERVERS, Counts, Hand, Lead, Member, Says
 from ..rollout.hand import Input
--- a/burlloom/server/configured_service_levels.py
+++ b/burlloom/server/configured_service_levels.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 from .. import levels as decisions
+from ..admission.model import Gauges, RequestClass
 from ..dispatcher import Desk
-from ..interface import Gauges, RequestClass
 from ..levels import Levels, Moved, Pin, Plan, Readings, Terms
 from ..sockets import MS, SECOND
 from .level_pin import PinFile
--- a/burlloom/server/outcomes.py
+++ b/burlloom/server/outcomes.py
@@ -1,9 +1,9 @@
 """What executor, downstream and dispatcher call the end of a run, of a call and of a request."""
 
+from ..admission.model import Outcome
 from ..dispatcher import Kind, Step
 from ..downstream import Answer
 from ..executor import End
-from ..interface import Outcome
 from ..rpc import IncomingRequest
 
 RUN_OUTCOMES = {
--- a/burlloom/server/request_handler.py
+++ b/burlloom/server/request_handler.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
+from ..admission.model import Outcome
 from ..dispatcher import (
     AtCall,
     CallEnded,
@@ -20,7 +21,6 @@
 )
 from ..downstream import Answer, Pool
 from ..executor import End, Link
-from ..interface import Outcome
 from ..rpc import IncomingRequest
 from ..sockets import MS, Tasks, rest
 from .configuration import ServerConfig
--- a/burlloom/server/request_record.py
+++ b/burlloom/server/request_record.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from ..admission.model import Outcome
 from ..dispatcher import Desk
-from ..interface import Outcome
 
 
 class RequestRecord(Protocol):
--- a/burlloom/server/server.py
+++ b/burlloom/server/server.py
@@ -9,13 +9,13 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
+from ..admission.model import Gauges, Idempotency, ServerSettings
 from ..discovery import Reports
 from ..dispatcher import Desk, Leaving
 from ..downstream import Pool
 from ..executor import Link
-from ..interface import Gauges, Idempotency, ServerSettings
 from ..rpc import Front, Known
-from ..settings import gauges
+from ..settings import parse_gauges
 from ..sockets import MS, Tasks, out_of_descriptors, rest
 from .clock import Clock
 from .configuration import ConfigurationError, ServerConfig, read_config
@@ -181,7 +181,7 @@
         values = await self.link.gauges(GAUGES_TIMEOUT_NS)
         names = self.config.gauge_names
         is_complete = values is not None and len(values) == len(names)
-        measured = gauges(names, values) if is_complete and values is not None else Gauges()
+        measured = parse_gauges(names, values) if is_complete and values is not None else Gauges()
         due = dispatcher.tick(measured)
         self.subsystems.levels.update(measured)
         self.subsystems.recovery.update()
--- a/burlloom/server/service_levels.py
+++ b/burlloom/server/service_levels.py
@@ -5,8 +5,8 @@
 import zlib
 from typing import Protocol
 
+from ..admission.model import Gauges
 from ..dispatcher import Desk
-from ..interface import Gauges
 
 
 class NoteStore(Protocol):
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -25,7 +25,7 @@
 from burlloom.server.configured_request_record import ConfiguredRequestRecord
 from burlloom.server.server import Server
 from burlloom.server.subsystems import SubsystemFactory
-from burlloom.settings import facts
+from burlloom.settings import parse_server_settings
 
 MS = 1_000_000
 NOWHERE = ("", 0)  # no socket is opened
@@ -190,7 +190,7 @@
 
     async def start(self) -> None:
         world, loop = self.world, world_loop()
-        known, meters = facts(SETTINGS)
+        known, meters = parse_server_settings(SETTINGS)
         config = ServerConfig(
             name=self.name,
             listen_address=NOWHERE,
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -16,7 +16,7 @@
 from burlloom.server.clock import Clock
 from burlloom.server.configuration import ServerConfig, parse_address
 from burlloom.server.server import Server
-from burlloom.settings import facts
+from burlloom.settings import parse_server_settings
 from burlloom.sockets import MS, SECOND
 
 AT_ONCE, ROUNDS = 20, 10
@@ -53,8 +53,8 @@
         "marks": len(desk.ledger.records),
         "wheel": sum(map(len, desk.ledger.wheel.slots.values())),
         "bytes": desk.ledger.bytes,
-        "cases": len(desk.choice.cases),
-        "lingering": len(desk.choice.lingering),
+        "cases": desk.choice.sizes().requests,
+        "lingering": desk.choice.sizes().lingering_calls,
         "serving": len(server.requests.open_requests),
         "tasks": len(server.tasks.running),
         "connections": len(server.front.connections),
@@ -81,7 +81,7 @@
             product.update(deadline=LIFE // 1000, aim=LIFE // 2000)
             if "window" in product:
                 product["window"] = WINDOW // 1000
-        known, meters = facts(settings)
+        known, meters = parse_server_settings(settings)
         config = ServerConfig(
             name="n1",
             listen_address=("127.0.0.1", 0),
