--- a/benchmarks/distribution_core.py
+++ b/benchmarks/distribution_core.py
@@ -15,7 +15,16 @@
 from distribution_world import SEAL, SECOND, SIGN, value
 from test_distribution_core import HERE, LIFE, NOW, cost, empty, soon
 
-from burlloom.distribution import Entry, Follower, Replica, Source, Table, Terms, Upstream, propose
+from burlloom.distribution import (
+    ConfigItem,
+    ConfigTable,
+    Follower,
+    Replica,
+    ReplicationSettings,
+    Source,
+    Upstream,
+    propose,
+)
 
 FOLLOWERS, BEATS, CHANGES, NEWCOMERS_ENTRIES = 300, 20, 20, 100_000
 
@@ -23,19 +32,19 @@
 class Pair:
     """One source and its followers; what each side spent, s."""
 
-    def __init__(self, entries: int, followers: int, terms: Terms) -> None:
+    def __init__(self, entries: int, followers: int, terms: ReplicationSettings) -> None:
         replica = empty(None)
         for at in range(0, entries, 64):
             replica.table.put(
                 [
-                    Entry("", "tenant", f"tenant-{one:06}", value(one))
+                    ConfigItem("", "tenant", f"tenant-{one:06}", value(one))
                     for one in range(at, min(entries, at + 64))
                 ]
             )
         self.source = Source(replica, "source", LIFE, (SEAL,), terms, Random(1), NOW, lambda now: 0)
         self.followers = [
             Follower(
-                Replica(Table(("", "a")), [SIGN]),
+                Replica(ConfigTable(("", "a")), [SIGN]),
                 f"s{at}",
                 LIFE,
                 "a",
@@ -63,18 +72,18 @@
             for at, one in enumerate(self.followers):
                 while one.out:
                     data, begun, busy = one.out.popleft()[1], process_time(), True
-                    self.source.hear(now, data, (str(at), 1))
+                    self.source.receive(now, data, (str(at), 1))
                     self.above += process_time() - begun
             while self.source.out:
                 (name, _), data = self.source.out.popleft()
                 begun, busy = process_time(), True
-                self.followers[int(name)].hear(now, data, HERE)
+                self.followers[int(name)].receive(now, data, HERE)
                 spent = process_time() - begun
                 self.below, self.worst = self.below + spent, max(self.worst, spent)
 
 
 def main() -> None:
-    pair, now = Pair(200, FOLLOWERS, Terms()), NOW
+    pair, now = Pair(200, FOLLOWERS, ReplicationSettings()), NOW
     while any(one.replica.head is None for one in pair.followers):
         pair.tick(now)
         pair.exchange(now)
@@ -94,20 +103,22 @@
             head = pair.source.replica.head
             assert head is not None
             entries = [
-                Entry(
+                ConfigItem(
                     "", "tenant", f"t{number * 9 + at}", msgpack.packb({"n": number, "x": "y" * 90})
                 )
                 for at in range(size)
             ]
-            assert pair.source.replica.take(propose(head, "", entries, 1, SIGN)) is None
+            assert pair.source.replica.apply_change(propose(head, "", entries, 1, SIGN)) is None
             begun = process_time()
-            pair.source.push(now)
+            pair.source.push_changes(now)
             push += process_time() - begun
             pair.exchange(now)
         print(
             f"a change of {size}: {pair.below * each / CHANGES:.3f} ms at a follower, pushed in {push * 1000 * each / CHANGES:.2f} us to one"
         )
-    newcomer = Pair(NEWCOMERS_ENTRIES, 1, Terms(page_rate=10**9, page_burst=10**9))
+    newcomer = Pair(
+        NEWCOMERS_ENTRIES, 1, ReplicationSettings(page_bytes_per_s=10**9, page_burst_bytes=10**9)
+    )
     newcomer.tick(NOW)
     newcomer.exchange(NOW)
     counts = newcomer.followers[0].counts
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -34,7 +34,7 @@
 from scale_checker import SECOND, Budget, Checker, digest_of  # noqa: E402
 from scale_real import Below, Real, ready  # noqa: E402
 
-from burlloom.distribution import Entry, Terms, propose  # noqa: E402
+from burlloom.distribution import ConfigItem, ReplicationSettings, propose  # noqa: E402
 from burlloom.distribution.stores.sqlite import Sqlite  # noqa: E402
 from burlloom.lab.distances import ZONES, laid_out, place  # noqa: E402
 from burlloom.lab.rules import Rules  # noqa: E402
@@ -136,14 +136,14 @@
         )
         return packed
 
-    def drawn(self, at: int | None = None) -> Entry:
+    def drawn(self, at: int | None = None) -> ConfigItem:
         at = self.chance.randrange(self.setting.entries * 2) if at is None else at
         scope = "" if at % 5 < 3 else f"r{at % len(ZONES)}"
         kind = "tenant" if at % 3 else "route"
         gone = (scope, kind, f"{kind}-{at}") in self.entries and self.chance.random() < 0.1
-        return Entry(scope, kind, f"{kind}-{at}", None if gone else self.value())
+        return ConfigItem(scope, kind, f"{kind}-{at}", None if gone else self.value())
 
-    async def put(self, entries: list[Entry]) -> None:
+    async def put(self, entries: list[ConfigItem]) -> None:
         """Until nobody else had written before; the moment counts from before the first try."""
         began = clock()
         while True:
@@ -200,14 +200,23 @@
         for at in range(0, setting.entries):
             await self.put([self.drawn(at)])
         await self.put(
-            [Entry("", "tenant", "acme", self.value())]
+            [ConfigItem("", "tenant", "acme", self.value())]
         )  # whose requests the real ones get
         self.events.clear()  # what was there before counts as a whole
         outside = [one for one in self.places if one not in self.zone]
-        plain = Terms()
+        plain = ReplicationSettings()
         spans = {
             name: int(getattr(plain, name) * setting.beat)
-            for name in ("beat", "silence", "knock", "retry", "prefer", "stale", "stuck", "lease")
+            for name in (
+                "heartbeat_ns",
+                "upstream_timeout_ns",
+                "first_answer_timeout_ns",
+                "request_retry_ns",
+                "preferred_retry_ns",
+                "stale_after_ns",
+                "sync_stall_timeout_ns",
+                "lease_ns",
+            )
         }
         follower = {"key": KEY, "signing_key": SIGNING, "terms": spans}
         control = {
--- a/benchmarks/scale_table.py
+++ b/benchmarks/scale_table.py
@@ -31,8 +31,15 @@
 import click
 import msgpack
 
-from burlloom.distribution.changes import Entry
-from burlloom.distribution.table import BUCKETS, Page, Table, bucket_of, digest_of_entry, faults
+from burlloom.distribution.changes import ConfigItem
+from burlloom.distribution.table import (
+    BUCKET_COUNT,
+    ConfigTable,
+    Page,
+    bucket_of,
+    item_digest,
+    item_faults,
+)
 from burlloom.lab.slopes import Row, exponent_word, fit, keep
 
 SIZES = (10_000, 30_000, 100_000, 200_000, 430_000, 670_000)
@@ -41,7 +48,7 @@
 WAYS = ("table", "plain dict", "bytes dict", "sqlite", "sorted arrays")
 
 
-def entry(number: int) -> Entry:
+def entry(number: int) -> ConfigItem:
     """The same for the same number."""
     chance = Random(number)
     kind = "tenant" if number % 100 < 64 else "route"
@@ -53,7 +60,7 @@
     )
     if (rest := chance.randint(0, 36)) > 6:
         told["note"] = "x" * (rest - 6)
-    return Entry("", kind, name, msgpack.packb(told))
+    return ConfigItem("", kind, name, msgpack.packb(told))
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,14 +75,14 @@
     """What all ways keep beside the entries."""
 
     def __init__(self) -> None:
-        self.digests = array("Q", bytes(8 * BUCKETS))
+        self.digests = array("Q", bytes(8 * BUCKET_COUNT))
 
-    def changed(self, one: Entry, old: bytes | None) -> None:
-        assert not faults(one)
+    def changed(self, one: ConfigItem, old: bytes | None) -> None:
+        assert not item_faults(one)
         bucket = bucket_of(one.kind, one.key)
         for value in (old, one.value):
             if value is not None:
-                self.digests[bucket] ^= digest_of_entry(one.scope, one.kind, one.key, value)
+                self.digests[bucket] ^= item_digest(one.scope, one.kind, one.key, value)
 
 
 class PlainDict(Digests):
@@ -83,7 +90,7 @@
         super().__init__()
         self.kinds: dict[str, dict[str, Held]] = {"tenant": {}, "route": {}, "setting": {}}
 
-    def put(self, entries: Sequence[Entry]) -> None:
+    def put(self, entries: Sequence[ConfigItem]) -> None:
         for one in entries:
             old = self.kinds[one.kind].get(one.key)
             self.changed(one, None if old is None else msgpack.packb(old.value))
@@ -98,7 +105,7 @@
         super().__init__()
         self.rows: dict[bytes, bytes] = {}
 
-    def put(self, entries: Sequence[Entry]) -> None:
+    def put(self, entries: Sequence[ConfigItem]) -> None:
         for one in entries:
             assert one.value is not None
             key = f"{one.kind[0]}{one.key}".encode()
@@ -120,7 +127,7 @@
             " value BLOB NOT NULL, PRIMARY KEY (bucket, scope, kind, key)) WITHOUT ROWID"
         )
 
-    def put(self, entries: Sequence[Entry]) -> None:
+    def put(self, entries: Sequence[ConfigItem]) -> None:
         self.db.execute("BEGIN")
         for one in entries:
             place = bucket_of(one.kind, one.key), one.scope, one.kind[0], one.key
@@ -149,7 +156,7 @@
             left -= len(key.encode()) + len(value) + 16
             if left < 0:
                 break
-            found += bool(Entry("", kind, key, value))
+            found += bool(ConfigItem("", kind, key, value))
         return found
 
 
@@ -162,8 +169,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.runs = [(b"", array("I"), b"", array("I")) for _ in range(BUCKETS)]
-        self.overlays: list[dict[bytes, bytes]] = [{} for _ in range(BUCKETS)]
+        self.runs = [(b"", array("I"), b"", array("I")) for _ in range(BUCKET_COUNT)]
+        self.overlays: list[dict[bytes, bytes]] = [{} for _ in range(BUCKET_COUNT)]
 
     def find(self, bucket: int, key: bytes) -> bytes | None:
         if (value := self.overlays[bucket].get(key)) is not None:
@@ -180,13 +187,13 @@
             return values[ends[low - 1] if low else 0 : ends[low]]
         return None
 
-    def put(self, entries: Sequence[Entry]) -> None:
+    def put(self, entries: Sequence[ConfigItem]) -> None:
         for one in entries:
             assert one.value is not None
             bucket, key = bucket_of(one.kind, one.key), f"{one.kind[0]}{one.key}".encode()
             self.changed(one, self.find(bucket, key))
             self.overlays[bucket][key] = one.value
-        fullest = max(range(BUCKETS), key=lambda bucket: len(self.overlays[bucket]))
+        fullest = max(range(BUCKET_COUNT), key=lambda bucket: len(self.overlays[bucket]))
         if len(self.overlays[fullest]) >= self.FOLD:
             self.fold(fullest)
 
@@ -211,7 +218,7 @@
 
 
 MADE = {
-    "table": lambda: Table(("", "north")),
+    "table": lambda: ConfigTable(("", "north")),
     "plain dict": PlainDict,
     "bytes dict": BytesDict,
     "sqlite": Sqlite,
@@ -250,7 +257,7 @@
             page = Page(tuple(entries), entries[-1][:3], done)
             began = time.thread_time_ns()
             made.replace(bucket, after, page)
-            after = None if done else page.last
+            after = None if done else page.last_position
         else:
             began = time.thread_time_ns()
             made.put(entries)
@@ -275,10 +282,10 @@
     if hasattr(made, "page"):
         began = time.thread_time_ns()
         for number in range(PAGES):
-            if isinstance(made, Table):
-                made.page(number % BUCKETS, None, ("", "north"), PAGE_BYTES)
+            if isinstance(made, ConfigTable):
+                made.page(number % BUCKET_COUNT, None, ("", "north"), PAGE_BYTES)
             else:
-                made.page(number % BUCKETS)
+                made.page(number % BUCKET_COUNT)
         found["page"] = (time.thread_time_ns() - began) / PAGES / 1e3
     took = []
     for number in range(CHANGES):
--- a/burlloom/command/distribution.py
+++ b/burlloom/command/distribution.py
@@ -17,7 +17,7 @@
 from .shared import operator_file, operator_option, state_told, told_plainly
 
 if TYPE_CHECKING:
-    from ..distribution.changes import Entry
+    from ..distribution.changes import ConfigItem
     from ..distribution.stores import ChangeStore
     from ..operator import Distribution, Operator
 
@@ -44,7 +44,7 @@
 
 
 def store_of(told: "Operator") -> "ChangeStore":
-    from ..distribution.stores.opening import store_at
+    from ..distribution.stores.factory import store_at
 
     place = told.distribution_store()
     if place is None:
@@ -65,9 +65,9 @@
 
     It follows the store each 200 ms, and its peers in `upstreams` while the store is away.
     """
-    from ..distribution.control import Control
-    from ..distribution.endpoint import bound
-    from ..distribution.telling import Keys
+    from ..distribution.control_node import ControlNode
+    from ..distribution.endpoint import bind_datagram_socket
+    from ..distribution.status_report import KeyFile
     from ..server.logs import set_up
 
     told, part = part_of(operator)
@@ -75,7 +75,7 @@
     if store is None and not part.upstreams:
         raise click.UsageError("neither a store nor upstreams: there is nothing to follow")
     try:
-        sock = bound(part.listen)
+        sock = bind_datagram_socket(part.listen)
         exposed = None
         if told.metrics is not None:
             from ..metrics import Exposed
@@ -92,12 +92,12 @@
     set_up()
 
     async def run() -> None:
-        control = Control(
+        control = ControlNode(
             name or socket.gethostname(),
             part.region,
             sock,
-            Keys(Path(part.key_file), part.keys, "seals"),
-            Keys(Path(part.signing_key_file), part.signing_keys, "signing"),
+            KeyFile(Path(part.key_file), part.keys, "seals"),
+            KeyFile(Path(part.signing_key_file), part.signing_keys, "signing"),
             part.terms(),
             part.followed(),
             store,
@@ -121,12 +121,12 @@
 # Changes.
 
 
-def read_changes(text: str) -> tuple[list[tuple[int, str, list["Entry"]]], list[str]]:
+def read_changes(text: str) -> tuple[list[tuple[int, str, list["ConfigItem"]]], list[str]]:
     """Line, scope and entries of each change, and all faults, each with line and place."""
-    from ..distribution.changes import Refused, first_head
-    from ..distribution.origin import propose
+    from ..distribution.changes import InvalidChangeError, initial_head
+    from ..distribution.proposal import propose
 
-    found: list[tuple[int, str, list[Entry]]] = []
+    found: list[tuple[int, str, list[ConfigItem]]] = []
     faults: list[str] = []
     for at, line in enumerate(text.splitlines(), 1):
         if not line.strip():
@@ -139,8 +139,8 @@
         scope, entries, wrong = change_of(got)
         if not wrong:
             try:  # as it will be, whatever stands before it
-                propose(first_head(1, 0), scope, entries, 0, b"-" * 16, meaning)
-            except Refused as refused:
+                propose(initial_head(1, 0), scope, entries, 0, b"-" * 16, meaning)
+            except InvalidChangeError as refused:
                 wrong = refused.faults
         faults += [f"line {at}: {one}" for one in wrong]
         found.append((at, scope, entries))
@@ -149,13 +149,13 @@
     return found, faults
 
 
-def change_of(got: Any) -> tuple[str, list["Entry"], list[str]]:
+def change_of(got: Any) -> tuple[str, list["ConfigItem"], list[str]]:
     """Of a line `{"scope": "", "entries": [{"kind": "tenant", "key": "acme", "value": {"portion":
     2}}]}`.
     """
     import msgpack
 
-    from ..distribution.changes import Entry
+    from ..distribution.changes import ConfigItem
 
     if not isinstance(got, dict):
         return "", [], ["no object"]
@@ -165,7 +165,7 @@
         wrong.append("scope: no text")
     if not isinstance(told, list):
         return "", [], [*wrong, "entries: no list"]
-    entries: list[Entry] = []
+    entries: list[ConfigItem] = []
     for at, one in enumerate(told):
         place = f"entries[{at}]"
         if not isinstance(one, dict):
@@ -185,11 +185,11 @@
                 wrong.append(f"{place}.value: can't be packed: {error}")
         elif value is not None:
             wrong.append(f"{place}.value: no object, and not null, which deletes")
-        entries.append(Entry(scope, one.get("kind", ""), one.get("key", ""), packed))
+        entries.append(ConfigItem(scope, one.get("kind", ""), one.get("key", ""), packed))
     return scope, entries, wrong
 
 
-def meaning(entry: "Entry") -> list[str]:
+def meaning(entry: "ConfigItem") -> list[str]:
     """Faults of what an entry says."""
     import msgpack
 
@@ -238,7 +238,7 @@
 
 
 async def append_all(
-    store: "ChangeStore", changes: list[tuple[int, str, list["Entry"]]], key: bytes
+    store: "ChangeStore", changes: list[tuple[int, str, list["ConfigItem"]]], key: bytes
 ) -> tuple[int, int, str]:
     """How many were taken, the last revision, and why not more."""
     from ..distribution.stores import Away
@@ -252,7 +252,7 @@
                 if not opened:
                     await store.open()
                     opened = True
-                if sent is not None and await store.at(sent.revision) == sent:
+                if sent is not None and await store.change_at(sent.revision) == sent:
                     held = True  # the answer was lost, and it was taken
                 else:
                     sent = await propose_next(store, scope, entries, key)
@@ -270,8 +270,10 @@
     return taken, last, said
 
 
-async def propose_next(store: "ChangeStore", scope: str, entries: list["Entry"], key: bytes) -> Any:
-    from ..distribution.origin import propose
+async def propose_next(
+    store: "ChangeStore", scope: str, entries: list["ConfigItem"], key: bytes
+) -> Any:
+    from ..distribution.proposal import propose
 
     return propose(await store.head(), scope, entries, time.time_ns() // MS, key, meaning)
 
@@ -350,9 +352,9 @@
     if told.distribution_store() is not None:
         found, where = asyncio.run(of_store(store_of(told), part.region, kind, key))
     else:
-        from ..distribution.asking import ask
+        from ..distribution.config_query import query
 
-        found, where = asyncio.run(ask(part.followed(), part.region, part.keys()[0], kind, key))
+        found, where = asyncio.run(query(part.followed(), part.region, part.keys()[0], kind, key))
     if found is None:
         click.echo(f"burlloom: {where}", err=True)
         sys.exit(1)
@@ -379,10 +381,12 @@
         head = await store.head()
         found: Found = []
         for scope in (region, ""):
-            stored = await store.entry(scope, kind, key)
+            stored = await store.item(scope, kind, key)
             if stored is not None:
-                assert stored.entry.value is not None
-                change = await store.at(stored.revision) if stored.epoch == head.epoch else None
+                assert stored.item.value is not None
+                change = (
+                    await store.change_at(stored.revision) if stored.epoch == head.epoch else None
+                )
                 old = (
                     f", {ms_told(time.time_ns() // MS - change.time_ms)} ago"
                     if change is not None
@@ -391,7 +395,7 @@
                 found.append(
                     (
                         scope,
-                        stored.entry.value,
+                        stored.item.value,
                         f", epoch {stored.epoch} revision {stored.revision}{old}",
                     )
                 )
--- a/burlloom/distribution/__init__.py
+++ b/burlloom/distribution/__init__.py
@@ -5,27 +5,27 @@
 a relay has both. `docs/distribution.md` has the choice and why nothing is lost or reordered.
 """
 
-from .changes import Change, Entry, Head, Refused, first_head
+from .changes import Change, ConfigItem, Head, InvalidChangeError, initial_head
 from .follower import Follower, Upstream
-from .messages import to_source
-from .origin import propose
+from .messages import is_for_source
+from .proposal import propose
 from .replica import Replica
+from .settings import ReplicationSettings
 from .source import Source
-from .table import Table
-from .terms import Terms
+from .table import ConfigTable
 
 __all__ = [
     "Change",
     "Replica",
-    "Entry",
+    "ConfigItem",
     "Follower",
     "Head",
-    "Refused",
+    "InvalidChangeError",
     "Source",
-    "Table",
-    "Terms",
+    "ConfigTable",
+    "ReplicationSettings",
     "Upstream",
-    "first_head",
+    "initial_head",
     "propose",
-    "to_source",
+    "is_for_source",
 ]
--- a/burlloom/distribution/changes.py
+++ b/burlloom/distribution/changes.py
@@ -20,19 +20,19 @@
 import msgpack
 
 KINDS = ("tenant", "route", "setting")
-KEY_MOST = 128  # bytes of UTF-8
-SCOPE_MOST = 64  # bytes of UTF-8: a region's name
-VALUE_MOST = 512  # bytes of MessagePack, a map
-BODY_MOST, ENTRIES_MOST = (
+MAX_KEY_BYTES = 128  # bytes of UTF-8
+MAX_SCOPE_BYTES = 64  # bytes of UTF-8: a region's name
+MAX_VALUE_BYTES = 512  # bytes of MessagePack, a map
+MAX_BODY_BYTES, MAX_CHANGE_ITEMS = (
     1000,
     64,
 )  # bytes and entries of one change: it fits a datagram with its seal
-TAG = 16  # bytes of a tag and of a body's digest
-NUMBER_MOST = (1 << 63) - 1
-FAULTS_MOST = 100  # that are told of one change
+TAG_BYTES = 16  # bytes of a tag and of a body's digest
+MAX_NUMBER = (1 << 63) - 1
+MAX_FAULTS = 100  # that are told of one change
 
 
-class Entry(NamedTuple):
+class ConfigItem(NamedTuple):
     """`scope`: "" holds everywhere, else a region's name. `value`: MessagePack of a map; None
     deletes.
     """
@@ -70,7 +70,7 @@
     time_ms: int
 
 
-class Refused(Exception):
+class InvalidChangeError(Exception):
     """A change that can't be; `faults`: all of them, each with its place."""
 
     def __init__(self, faults: Sequence[str]) -> None:
@@ -78,18 +78,20 @@
         self.faults = list(faults)
 
 
-def first_head(epoch: int, time_ms: int) -> Head:
+def initial_head(epoch: int, time_ms: int) -> Head:
     """Where an epoch begins, before its first change. What lies in the table then is whatever the
     store had.
     """
-    return Head(epoch, 0, hashlib.blake2b(b"epoch %d" % epoch, digest_size=TAG).digest(), time_ms)
+    return Head(
+        epoch, 0, hashlib.blake2b(b"epoch %d" % epoch, digest_size=TAG_BYTES).digest(), time_ms
+    )
 
 
-def digest_of_body(body: bytes) -> bytes:
-    return hashlib.blake2b(body, digest_size=TAG).digest()
+def hash_body(body: bytes) -> bytes:
+    return hashlib.blake2b(body, digest_size=TAG_BYTES).digest()
 
 
-def tag_of(
+def chain_tag(
     key: bytes,
     before: bytes,
     epoch: int,
@@ -100,64 +102,66 @@
 ) -> bytes:
     """`before`: the tag of the change before, 16 bytes."""
     text = b"%b%d %d %d " % (before, epoch, revision, time_ms) + body_digest + scope.encode()
-    return hashlib.blake2b(text, key=key, digest_size=TAG).digest()
+    return hashlib.blake2b(text, key=key, digest_size=TAG_BYTES).digest()
 
 
-def encode(entries: Iterable[Entry]) -> bytes:
+def encode_items(entries: Iterable[ConfigItem]) -> bytes:
     body: bytes = msgpack.packb([[entry.kind, entry.key, entry.value] for entry in entries])
     return body
 
 
-def decode(scope: str, body: bytes) -> list[Entry]:
+def decode_items(scope: str, body: bytes) -> list[ConfigItem]:
     """Raises `Refused` with all faults of the body and of what it sets."""
-    if len(body) > BODY_MOST:
-        raise Refused([f"body: {len(body)} bytes, {BODY_MOST} at most"])
+    if len(body) > MAX_BODY_BYTES:
+        raise InvalidChangeError([f"body: {len(body)} bytes, {MAX_BODY_BYTES} at most"])
     try:
-        got = msgpack.unpackb(body, max_array_len=ENTRIES_MOST, max_map_len=0, max_ext_len=0)
+        got = msgpack.unpackb(body, max_array_len=MAX_CHANGE_ITEMS, max_map_len=0, max_ext_len=0)
     except (ValueError, msgpack.UnpackException, RecursionError) as error:
-        raise Refused([f"body: no MessagePack that may be here: {error}"]) from error
+        raise InvalidChangeError([f"body: no MessagePack that may be here: {error}"]) from error
     if type(got) is not list:
-        raise Refused(["body: no list"])
+        raise InvalidChangeError(["body: no list"])
     found = [
         f"entries[{at}]: not of kind, key and value"
         for at, part in enumerate(got)
         if type(part) is not list or len(part) != 3
     ]
     if found:
-        raise Refused(found)
-    entries = [Entry(scope, *part) for part in got]
-    found = faults(scope, entries)
+        raise InvalidChangeError(found)
+    entries = [ConfigItem(scope, *part) for part in got]
+    found = change_faults(scope, entries)
     if found:
-        raise Refused(found)
+        raise InvalidChangeError(found)
     return entries
 
 
-def faults(scope: Any, entries: Sequence[Entry]) -> list[str]:
+def change_faults(scope: Any, entries: Sequence[ConfigItem]) -> list[str]:
     """All that is wrong with what a change would set, each with its place; empty where it may
     be.
     """
     found = (
-        [] if is_text(scope, 0, SCOPE_MOST) else [f"scope: not text of {SCOPE_MOST} bytes at most"]
+        []
+        if is_text(scope, 0, MAX_SCOPE_BYTES)
+        else [f"scope: not text of {MAX_SCOPE_BYTES} bytes at most"]
     )
-    if not 0 < len(entries) <= ENTRIES_MOST:
-        found.append(f"entries: {len(entries)}, of 1 to {ENTRIES_MOST}")
+    if not 0 < len(entries) <= MAX_CHANGE_ITEMS:
+        found.append(f"entries: {len(entries)}, of 1 to {MAX_CHANGE_ITEMS}")
     known: dict[Any, int] = {}
-    for at, entry in enumerate(entries[:ENTRIES_MOST]):
+    for at, entry in enumerate(entries[:MAX_CHANGE_ITEMS]):
         place = f"entries[{at}]"
         if entry.scope != scope:
             found.append(f"{place}.scope: {entry.scope!r:.80}, and the change's is {scope!r:.80}")
         kind = type(entry.kind) is str and entry.kind in KINDS
         if not kind:
             found.append(f"{place}.kind: {entry.kind!r:.80}, of {', '.join(KINDS)}")
-        key = is_text(entry.key, 1, KEY_MOST)
+        key = is_text(entry.key, 1, MAX_KEY_BYTES)
         if not key:
-            found.append(f"{place}.key: not text of 1 to {KEY_MOST} bytes")
+            found.append(f"{place}.key: not text of 1 to {MAX_KEY_BYTES} bytes")
         if kind and key and known.setdefault((entry.kind, entry.key), at) != at:
             found.append(f"{place}.key: set by entries[{known[entry.kind, entry.key]}] already")
         fault = value_fault(entry.value)
         if fault:
             found.append(f"{place}.value: {fault}")
-    return found[:FAULTS_MOST]
+    return found[:MAX_FAULTS]
 
 
 def value_fault(value: Any) -> str:
@@ -166,8 +170,8 @@
         return ""
     if type(value) is not bytes:
         return "not bytes"
-    if len(value) > VALUE_MOST:
-        return f"{len(value)} bytes, {VALUE_MOST} at most"
+    if len(value) > MAX_VALUE_BYTES:
+        return f"{len(value)} bytes, {MAX_VALUE_BYTES} at most"
     try:
         got = msgpack.unpackb(value, max_ext_len=0)
     except (ValueError, TypeError, msgpack.UnpackException, RecursionError) as error:
@@ -185,18 +189,18 @@
         return False
 
 
-def chained(before: Head, scope: str, body: bytes, time_ms: int, key: bytes) -> Change:
+def next_change(before: Head, scope: str, body: bytes, time_ms: int, key: bytes) -> Change:
     """The change that comes after `before`, sealed. Time never steps back."""
     revision, time_ms, digest = (
         before.revision + 1,
         max(before.time_ms, time_ms),
-        digest_of_body(body),
+        hash_body(body),
     )
-    tag = tag_of(key, before.tag, before.epoch, revision, time_ms, scope, digest)
+    tag = chain_tag(key, before.tag, before.epoch, revision, time_ms, scope, digest)
     return Change(before.epoch, revision, time_ms, scope, body, tag, digest)
 
 
-def break_of(before: Head, change: Change, keys: Sequence[bytes]) -> str:
+def chain_break(before: Head, change: Change, keys: Sequence[bytes]) -> str:
     """Why that change does not come right after `before`; empty where it does. Any of the keys will
     do, so that they can be changed while the fleet runs.
     """
@@ -206,12 +210,12 @@
         return "an older revision" if change.revision <= before.revision else "a gap before it"
     if change.time_ms < before.time_ms:
         return "its time steps back"
-    if change.body is not None and digest_of_body(change.body) != change.body_digest:
+    if change.body is not None and hash_body(change.body) != change.body_digest:
         return "its body was altered"
     if not any(
         hmac.compare_digest(
             change.tag,
-            tag_of(
+            chain_tag(
                 key,
                 before.tag,
                 change.epoch,
@@ -227,10 +231,10 @@
     return ""
 
 
-def head_of(change: Change) -> Head:
+def head_after(change: Change) -> Head:
     return Head(change.epoch, change.revision, change.tag, change.time_ms)
 
 
-Check = Callable[
-    [Entry], list[str]
+ItemCheck = Callable[
+    [ConfigItem], list[str]
 ]  # faults of one entry by its meaning, with places within the value
--- a/burlloom/distribution/asking.py
+++ b/burlloom/distribution/config_query.py
@@ -11,28 +11,28 @@
 from .follower import Upstream
 from .messages import (
     Body,
+    HeadStatus,
     Message,
-    Paged,
-    PagesAsk,
+    MessageDecodeError,
+    PageResponse,
+    PagesRequest,
     Redirect,
     Report,
     Sender,
-    Told,
-    Unreadable,
     seal,
     unseal,
 )
-from .table import Place, bucket_of
+from .table import ItemPosition, bucket_of
 
-PATIENCE, TRIES = 0.5, 3  # s for an answer; how often each is asked
+ANSWER_TIMEOUT_S, MAX_ATTEMPTS = 0.5, 3  # s for an answer; how often each is asked
 PAGES_MOST = 10_000  # of one bucket
 Result = TypeVar("Result")
 
 
-class Asking(asyncio.DatagramProtocol):
+class QueryClient(asyncio.DatagramProtocol):
     def __init__(self, key: bytes) -> None:
-        self.key, self.heard = key, asyncio.Queue[Message](256)
-        self.name, self.life, self.number = (
+        self.key, self.received = key, asyncio.Queue[Message](256)
+        self.name, self.incarnation, self.number = (
             f"explain-{secrets.token_hex(4)}",
             time.time_ns() // 1_000_000,
             0,
@@ -43,22 +43,22 @@
 
     def datagram_received(self, data: bytes, addr: object) -> None:
         try:
-            self.heard.put_nowait(unseal(data, (self.key,)))
-        except (Unreadable, asyncio.QueueFull):
+            self.received.put_nowait(unseal(data, (self.key,)))
+        except (MessageDecodeError, asyncio.QueueFull):
             pass
 
-    async def ask(
+    async def query(
         self, one: Upstream, body: Body, answer: Callable[[Message], Result | None]
     ) -> Result | None:
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             self.number += 1
             self.transport.sendto(
-                seal(Sender(self.name, self.life, self.number), body, self.key), one.address
+                seal(Sender(self.name, self.incarnation, self.number), body, self.key), one.address
             )
             try:
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(ANSWER_TIMEOUT_S):
                     while True:
-                        message = await self.heard.get()
+                        message = await self.received.get()
                         if (
                             message.sender.number == self.number
                             and (found := answer(message)) is not None
@@ -69,36 +69,36 @@
         return None
 
 
-def answered(message: Message) -> Told | Redirect | None:
-    return message.body if isinstance(message.body, Told | Redirect) else None
+def answered(message: Message) -> HeadStatus | Redirect | None:
+    return message.body if isinstance(message.body, HeadStatus | Redirect) else None
 
 
-async def ask(
+async def query(
     upstreams: Iterable[Upstream], region: str, key: bytes, kind: str, name: str
 ) -> tuple[list[tuple[str, bytes, str]] | None, str]:
     """Scope and value of each that is found, the one in force first, and who said so; None where
     nobody did.
     """
-    asking = Asking(key)
+    asking = QueryClient(key)
     transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
         lambda: asking, local_addr=("0.0.0.0", 0)
     )
     said = "no upstream answers"
     try:
         for one in upstreams:
-            told: Told | Redirect | None = await asking.ask(
+            told: HeadStatus | Redirect | None = await asking.query(
                 one, Report(("", region), 0, 0, 0), answered
             )
             if isinstance(told, Redirect):
                 said = f"{one.name} sends on: {told.reason}"
             elif (
                 told is not None
-                and (found := await look(asking, one, region, kind, name)) is not None
+                and (found := await query_item(asking, one, region, kind, name)) is not None
             ):
                 age = (
                     "never surely the newest"
-                    if told.age is None
-                    else f"surely the newest {told.age / 1000:.1f} s ago"
+                    if told.age_ms is None
+                    else f"surely the newest {told.age_ms / 1000:.1f} s ago"
                 )
                 return (
                     found,
@@ -109,24 +109,24 @@
         transport.close()
 
 
-async def look(
-    asking: Asking, one: Upstream, region: str, kind: str, name: str
+async def query_item(
+    asking: QueryClient, one: Upstream, region: str, kind: str, name: str
 ) -> list[tuple[str, bytes, str]] | None:
     bucket = bucket_of(kind, name)
-    after: Place | None = None
+    after: ItemPosition | None = None
     found: dict[str, bytes] = {}
     for _ in range(PAGES_MOST):
-        paged = await asking.ask(
+        paged = await asking.query(
             one,
-            PagesAsk(bucket, after, 1),
-            lambda message: message.body if isinstance(message.body, Paged) else None,
+            PagesRequest(bucket, after, 1),
+            lambda message: message.body if isinstance(message.body, PageResponse) else None,
         )
         if paged is None:
             return None
-        for entry in paged.page.entries:
+        for entry in paged.page.items:
             if entry[1:3] == (kind, name) and entry.value is not None:
                 found[entry.scope] = entry.value
-        if paged.page.done:
+        if paged.page.is_last:
             return [(scope, found[scope], "") for scope in (region, "") if scope in found]
-        after = paged.page.last
+        after = paged.page.last_position
     return None
--- a/burlloom/distribution/control.py
+++ b/burlloom/distribution/control_node.py
@@ -12,15 +12,15 @@
 from .endpoint import Endpoint
 from .follower import Follower, Upstream
 from .follower import summary as follower_summary
-from .messages import to_source
+from .messages import is_for_source
 from .replica import Replica
+from .settings import ReplicationSettings
 from .source import Source
 from .source import summary as source_summary
+from .status_report import HeadLogger, KeyFile, replica_summary, write_state
 from .stores import Away, ChangeStore
-from .stores.reading import Broken, Reading
-from .table import Table
-from .telling import Keys, Telling, held, write_state
-from .terms import Terms
+from .stores.store_follower import StoreFollower, StoreInconsistentError
+from .table import ConfigTable
 
 log = logging.getLogger(__name__)
 
@@ -49,7 +49,7 @@
     renewals: int = 0
 
 
-class Control:
+class ControlNode:
     """`store`: None at a relay, which follows `upstreams` alone; with one, they are followed while
     it is away.
     """
@@ -59,15 +59,15 @@
         name: str,
         region: str,
         sock: socket.socket,
-        seals: Keys,
-        signing: Keys,
-        terms: Terms,
+        seals: KeyFile,
+        signing: KeyFile,
+        terms: ReplicationSettings,
         upstreams: Iterable[Upstream],
         store: ChangeStore | None,
         state_file: str | None = None,
         seed: int | None = None,
     ) -> None:
-        self.name, self.region, self.seals, self.signing, self.terms = (
+        self.name, self.region, self.seal_keys, self.signing_keys, self.settings = (
             name,
             region,
             seals,
@@ -76,29 +76,31 @@
         )
         self.upstreams = [one for one in upstreams if one.name != name]
         self.store, self.state_file = store, state_file
-        self.chance = Random(seed)
+        self.random = Random(seed)
         self.counts = Counts()
-        self.life, now = time.time_ns() // MS, since_start()
-        self.replica = Replica(Table(None), signing.keys)
+        self.incarnation, now = time.time_ns() // MS, since_start()
+        self.replica = Replica(ConfigTable(None), signing.keys)
         self.source = Source(
-            self.replica, name, self.life, seals.keys, terms, self.chance, now, self.age
+            self.replica, name, self.incarnation, seals.keys, terms, self.random, now, self.age
         )
         self.follower: Follower | None = None
-        self.reading = (
-            Reading(store, self.replica, lambda: Table(None), self) if store is not None else None
+        self.store_follower = (
+            StoreFollower(store, self.replica, lambda: ConfigTable(None), self)
+            if store is not None
+            else None
         )
-        self.endpoint = Endpoint(sock, self.hear)
-        self.telling = Telling(self.replica)
+        self.endpoint = Endpoint(sock, self.receive)
+        self.head_logger = HeadLogger(self.replica)
         self.began_at = now
-        self.read_at: int | None = None  # when the last look that worked began
-        self.away = ""
-        self.said_broken = -FAULTY_EVERY
-        self.looked_at = 0
+        self.store_read_at: int | None = None  # when the last look that worked began
+        self.store_error = ""
+        self.inconsistency_logged_at = -FAULTY_EVERY
+        self.status_reported_at = 0
         self.stopping = asyncio.Event()
 
     def age(self, now: int) -> int | None:
         """ms since what we have was surely the newest: of the store, or of whom we follow."""
-        ages = [] if self.read_at is None else [max(0, now - self.read_at) // MS]
+        ages = [] if self.store_read_at is None else [max(0, now - self.store_read_at) // MS]
         told = self.follower.age(now) if self.follower is not None else None
         return min([*ages, *([] if told is None else [told])], default=None)
 
@@ -112,19 +114,19 @@
             "yes" if self.store is not None else "no",
             len(self.upstreams),
         )
-        tasks = [asyncio.create_task(self.keep(), name="distribution")]
-        if self.reading is not None:
-            tasks.append(asyncio.create_task(self.follow_store(self.reading), name="store"))
+        tasks = [asyncio.create_task(self.tick_forever(), name="distribution")]
+        if self.store_follower is not None:
+            tasks.append(asyncio.create_task(self.follow_store(self.store_follower), name="store"))
         await self.stopping.wait()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        self.source.leave()
+        self.source.drain()
         if self.follower is not None:
             self.follower.leave()
         self.flush()
         await asyncio.sleep(LAST_WORDS)
-        self.look(since_start())
+        self.report_status(since_start())
         self.endpoint.close()
         if self.store is not None:
             await self.store.close()
@@ -135,30 +137,30 @@
 
     # The store.
 
-    async def follow_store(self, reading: Reading) -> None:
+    async def follow_store(self, reading: StoreFollower) -> None:
         wait = READ_EVERY
         while True:
             began = since_start()
             try:
-                await reading.round()
-                self.read_at, wait = began, READ_EVERY
+                await reading.poll()
+                self.store_read_at, wait = began, READ_EVERY
                 self.counts.reads += 1
-                if self.away:
+                if self.store_error:
                     log.warning("event=distribution-store-back")
-                    self.away = ""
-                self.source.push(since_start())
+                    self.store_error = ""
+                self.source.push_changes(since_start())
                 self.flush()
             except Away as error:
                 self.counts.away += 1
-                if not self.away:
+                if not self.store_error:
                     log.warning("event=distribution-store-away detail=%r", str(error))
-                self.away = str(error) or "away"
+                self.store_error = str(error) or "away"
                 # Opened anew: its file may be another's by now, its tables gone.
-                reading.opened, wait = False, min(AGAIN_MOST, 2 * wait)
-            except Broken as error:
+                reading.is_open, wait = False, min(AGAIN_MOST, 2 * wait)
+            except StoreInconsistentError as error:
                 self.counts.broken += 1
-                if began - self.said_broken >= FAULTY_EVERY:
-                    self.said_broken = began
+                if began - self.inconsistency_logged_at >= FAULTY_EVERY:
+                    self.inconsistency_logged_at = began
                     log.error("event=distribution-store-broken detail=%r", str(error))
                 wait = AGAIN_MOST
             except Exception:
@@ -166,11 +168,11 @@
                 wait = AGAIN_MOST
             await asyncio.sleep(wait)
 
-    def loaded(self, head: Head) -> None:
+    def on_table_loaded(self, head: Head) -> None:
         self.counts.loads += 1
         log.info("event=distribution-loaded epoch=%d revision=%d", head.epoch, head.revision)
 
-    def renewed(self, seen: Head, own: Head) -> None:
+    def on_epoch_begun(self, seen: Head, own: Head) -> None:
         self.counts.renewals += 1
         log.warning(
             "event=distribution-epoch-begun was=%d store_had=%d we_had=%d detail='the store was put back'",
@@ -181,7 +183,7 @@
 
     # Datagrams.
 
-    async def keep(self) -> None:
+    async def tick_forever(self) -> None:
         while True:
             try:
                 self.tick()
@@ -191,32 +193,32 @@
 
     def tick(self) -> None:
         now = since_start()
-        self.choose(now)
+        self.choose_upstream(now)
         if self.follower is not None:
             self.follower.tick(now)
         self.source.tick(now)
         self.flush()
-        self.telling.look()
-        if now - self.looked_at >= SECOND:
-            self.looked_at = now
-            self.look(now)
+        self.head_logger.log_moves()
+        if now - self.status_reported_at >= SECOND:
+            self.status_reported_at = now
+            self.report_status(now)
 
-    def choose(self, now: int) -> None:
+    def choose_upstream(self, now: int) -> None:
         """Whether peers are followed: not while the store answers."""
-        lately = self.read_at if self.read_at is not None else self.began_at
+        lately = self.store_read_at if self.store_read_at is not None else self.began_at
         wanted = bool(self.upstreams) and (self.store is None or now - lately > AWAY_AFTER)
         if wanted and self.follower is None:
             # A life of its own: its numbers begin anew.
-            self.life = max(self.life + 1, time.time_ns() // MS)
+            self.incarnation = max(self.incarnation + 1, time.time_ns() // MS)
             self.follower = Follower(
                 self.replica,
                 self.name,
-                self.life,
+                self.incarnation,
                 self.region,
                 self.upstreams,
-                self.seals.keys,
-                self.terms,
-                self.chance,
+                self.seal_keys.keys,
+                self.settings,
+                self.random,
                 now,
             )
             log.info("event=distribution-follows-peers peers=%d", len(self.upstreams))
@@ -226,13 +228,13 @@
             self.follower = None
             log.info("event=distribution-follows-store")
 
-    def hear(self, data: bytes, source: tuple[str, int]) -> None:
+    def receive(self, data: bytes, source: tuple[str, int]) -> None:
         now = since_start()
-        if to_source(data):
-            self.source.hear(now, data, source)
+        if is_for_source(data):
+            self.source.receive(now, data, source)
         elif self.follower is not None:
-            self.follower.hear(now, data, source)
-            self.source.push(now)
+            self.follower.receive(now, data, source)
+            self.source.push_changes(now)
         self.flush()
 
     def flush(self) -> None:
@@ -242,20 +244,20 @@
 
     # Once a second.
 
-    def look(self, now: int) -> None:
-        if self.seals.changed():
-            self.source.keys = self.seals.keys
+    def report_status(self, now: int) -> None:
+        if self.seal_keys.reload_if_changed():
+            self.source.keys = self.seal_keys.keys
             if self.follower is not None:
-                self.follower.keys = self.seals.keys
-        if self.signing.changed():
-            self.replica.keys = self.signing.keys
-        self.endpoint.tell_refusals(now // SECOND, self.source.refusals)
+                self.follower.keys = self.seal_keys.keys
+        if self.signing_keys.reload_if_changed():
+            self.replica.keys = self.signing_keys.keys
+        self.endpoint.log_refusals(now // SECOND, self.source.refusals)
         if self.follower is not None:
-            self.endpoint.tell_refusals(now // SECOND, self.follower.refusals)
+            self.endpoint.log_refusals(now // SECOND, self.follower.refusals)
         if self.state_file is not None:
             write_state(self.state_file, self.summary(now))
 
-    def lowest(self) -> tuple[int | None, int]:
+    def lowest_follower(self) -> tuple[int | None, int]:
         """Of who follows, within our epoch: the lowest revision, and for how many ms the first
         change that one of them lacks has been there. One of another epoch has 0.
         """
@@ -266,24 +268,24 @@
             lease.revision if lease.epoch == head.epoch else 0
             for lease in self.source.followers.values()
         )
-        lacked = self.replica.log.since(lowest, 1)
+        lacked = self.replica.log.changes_since(lowest, 1)
         if lowest >= head.revision:
             return lowest, 0
         since = lacked[0].time_ms if lacked else head.time_ms
         return lowest, max(0, time.time_ns() // MS - since)
 
     def summary(self, now: int) -> dict[str, object]:
-        lowest, lacking = self.lowest()
+        lowest, lacking = self.lowest_follower()
         return {
             "told_at": time.time_ns(),
             "role": "control" if self.store is not None else "relay",
             "region": self.region,
             "address": self.endpoint.address,
             **source_summary(self.source, now),
-            **held(self.replica),
+            **replica_summary(self.replica),
             "lowest_revision": lowest,
             "lacking_ms": lacking,
-            "store_away": self.away,
+            "store_away": self.store_error,
             "store": {name: getattr(self.counts, name) for name in Counts.__slots__},
             "follows": follower_summary(self.follower, now) if self.follower is not None else None,
         }
@@ -294,20 +296,20 @@
         return {
             **told,
             "refused": sum(counts.refused.values()),
-            "unsent": self.endpoint.unsent,
+            "unsent": self.endpoint.dropped,
             **{f"store_{name}": getattr(self.counts, name) for name in Counts.__slots__},
         }
 
     def gauges(self) -> dict[str, float]:
         """The age is NaN where nothing is in force."""
         head, age = self.replica.head, self.age(since_start())
-        lowest, lacking = self.lowest()
+        lowest, lacking = self.lowest_follower()
         return {
             "epoch": float(head.epoch) if head else 0.0,
             "revision": float(head.revision) if head else 0.0,
             "age_seconds": age / 1000 if age is not None else float("nan"),
             "followers": float(len(self.source.followers)),
-            "store_away_now": float(bool(self.away)),
+            "store_away_now": float(bool(self.store_error)),
             "follows_peers": float(self.follower is not None),
             "lacking_seconds": lacking / 1000,
             "lowest_revision": float(lowest) if lowest is not None else float("nan"),
--- a/burlloom/distribution/endpoint.py
+++ b/burlloom/distribution/endpoint.py
@@ -17,7 +17,7 @@
 REFUSED_EACH = 10  # lines a second about what is refused; the rest is counted
 
 
-def bound(listen: str) -> socket.socket:
+def bind_datagram_socket(listen: str) -> socket.socket:
     """Raises `OSError`."""
     host, port = listen.rsplit(":", 1)
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -37,14 +37,14 @@
     """
 
     def __init__(self, sock: socket.socket, hear: Callable[[bytes, Address], None]) -> None:
-        self.sock, self.heard = sock, hear
+        self.sock, self.on_datagram = sock, hear
         host, port = sock.getsockname()
         self.address = f"{host}:{port}"
         self.transport: Any = (
             None  # typeshed's datagram transport lacks the size of what was not taken
         )
-        self.unsent = 0  # datagrams that were dropped here
-        self.said_at, self.said = 0, 0
+        self.dropped = 0  # datagrams that were dropped here
+        self.logged_second, self.logged_count = 0, 0
 
     async def open(self) -> None:
         self.transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
@@ -55,18 +55,18 @@
         while out:
             address, data = out.popleft()
             if self.transport is None or self.transport.get_write_buffer_size() > UNSENT_MOST:
-                self.unsent += 1
+                self.dropped += 1
             else:
                 self.transport.sendto(data, address)
 
-    def tell_refusals(self, now_s: int, refusals: deque[tuple[str, Address]]) -> None:
+    def log_refusals(self, now_s: int, refusals: deque[tuple[str, Address]]) -> None:
         """Some lines a second: whoever sends rubbish does not fill the disk."""
-        if now_s != self.said_at:
-            self.said_at, self.said = now_s, 0
+        if now_s != self.logged_second:
+            self.logged_second, self.logged_count = now_s, 0
         while refusals:
             reason, (host, port) = refusals.popleft()
-            self.said += 1
-            if self.said <= REFUSED_EACH:
+            self.logged_count += 1
+            if self.logged_count <= REFUSED_EACH:
                 log.info("event=distribution-refused peer=%s:%d reason=%r", host, port, reason)
 
     def close(self) -> None:
@@ -78,7 +78,7 @@
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         try:
-            self.heard(data, (addr[0], addr[1]))
+            self.on_datagram(data, (addr[0], addr[1]))
         except Exception:
             log.exception("event=fault side=distribution")
 
--- a/burlloom/distribution/follower.py
+++ b/burlloom/distribution/follower.py
@@ -21,43 +21,53 @@
 import xxhash
 
 from ..tables import rows
-from .changes import NUMBER_MOST, Change, Entry, Head, Refused, break_of, head_of
+from .changes import (
+    MAX_NUMBER,
+    Change,
+    ConfigItem,
+    Head,
+    InvalidChangeError,
+    chain_break,
+    head_after,
+)
 from .messages import (
-    PAGES_MOST,
-    PULL_MOST,
+    MAX_PAGES_PER_REQUEST,
+    MAX_PULL_CHANGES,
     Body,
-    Bye,
-    Digests,
-    DigestsAsk,
+    DigestsRequest,
+    DigestsResponse,
+    HeadStatus,
+    Leave,
     Message,
-    Paged,
-    PagesAsk,
-    Pull,
-    Pushed,
+    MessageDecodeError,
+    PageResponse,
+    PagesRequest,
+    PullRequest,
+    PushedChange,
     Redirect,
     Report,
     Sender,
-    Told,
-    Unreadable,
     seal,
     unseal,
 )
-from .refusals import REFUSALS_MOST, counted
+from .refusals import MAX_PENDING_REFUSALS, count_refusal
 from .replica import Replica
-from .table import BUCKETS, Place
-from .terms import MS, Terms
-
-EARLY_MOST = 256  # changes that wait for those before them, the earliest; 280 KB at most
-FOLD_MOST = 65_536  # keys that change while a sync runs: at four changes a second that is hours
-PUT_MOST = 64  # entries at once, of what was folded
-TRIES_MOST = 4  # after which a try waits no longer than the one before
-FETCH_MOST = 16  # buckets that are fetched at once, of PAGES_MOST pages each
-REPORTS_MOST = 4  # that may still be answered
-WORDS_MOST = 8  # of an upstream's age, for revisions that are still to come
-REFUSED_MOST = 3  # changes in a row that don't follow: then another upstream is asked
-UPSTREAMS_MOST = 64
-OUT_MOST = 256  # datagrams that wait for the host
-JITTER = 0.1
+from .settings import MS, ReplicationSettings
+from .table import BUCKET_COUNT, ItemPosition
+
+MAX_EARLY_CHANGES = 256  # changes that wait for those before them, the earliest; 280 KB at most
+MAX_FOLDED_ITEMS = (
+    65_536  # keys that change while a sync runs: at four changes a second that is hours
+)
+ITEMS_PER_PUT = 64  # entries at once, of what was folded
+MAX_BACKOFF_DOUBLINGS = 4  # after which a try waits no longer than the one before
+MAX_FETCHES = 16  # buckets that are fetched at once, of PAGES_MOST pages each
+MAX_OPEN_REPORTS = 4  # that may still be answered
+MAX_PENDING_AGES = 8  # of an upstream's age, for revisions that are still to come
+MAX_REFUSED_IN_A_ROW = 3  # changes in a row that don't follow: then another upstream is asked
+MAX_UPSTREAMS = 64
+MAX_OUT_DATAGRAMS = 256  # datagrams that wait for the host
+JITTER_SHARE = 0.1
 
 Address = tuple[str, int]
 
@@ -85,33 +95,33 @@
 
 
 TABLE = """
-EMPTY     HEAD    -       SYNCING   sync
-EMPTY     LOST    -       ALONE     next
-SYNCING   HEAD    unbased SYNCING   sync
-SYNCING   HEAD    -       SYNCING   pull
-SYNCING   CHANGE  -       SYNCING   pull
-SYNCING   FETCHED short   REPLAYING pull
-SYNCING   FETCHED -       CURRENT   settle
-SYNCING   LOST    -       ALONE     next
-REPLAYING HEAD    unbased SYNCING   sync
-REPLAYING HEAD    short   REPLAYING pull
-REPLAYING CHANGE  short   REPLAYING pull
-REPLAYING CHANGE  -       CURRENT   settle
-REPLAYING LOST    -       ALONE     next
-CURRENT   HEAD    apart   SYNCING   sync
-CURRENT   HEAD    behind  BEHIND    pull
-CURRENT   CHANGE  behind  BEHIND    pull
-CURRENT   LOST    -       ALONE     next
-BEHIND    HEAD    apart   SYNCING   sync
-BEHIND    HEAD    behind  BEHIND    pull
-BEHIND    HEAD    -       CURRENT   -
-BEHIND    CHANGE  behind  BEHIND    pull
-BEHIND    CHANGE  -       CURRENT   -
-BEHIND    LOST    -       ALONE     next
-ALONE     HEAD    apart   SYNCING   sync
-ALONE     HEAD    behind  BEHIND    pull
-ALONE     HEAD    -       CURRENT   -
-ALONE     LOST    -       ALONE     next
+EMPTY      HEAD     -                   SYNCING    start_sync
+EMPTY      LOST     -                   ALONE      follow_next_upstream
+SYNCING    HEAD     has_lost_sync_base  SYNCING    start_sync
+SYNCING    HEAD     -                   SYNCING    pull_changes
+SYNCING    CHANGE   -                   SYNCING    pull_changes
+SYNCING    FETCHED  is_sync_unfinished  REPLAYING  pull_changes
+SYNCING    FETCHED  -                   CURRENT    finish_sync
+SYNCING    LOST     -                   ALONE      follow_next_upstream
+REPLAYING  HEAD     has_lost_sync_base  SYNCING    start_sync
+REPLAYING  HEAD     is_sync_unfinished  REPLAYING  pull_changes
+REPLAYING  CHANGE   is_sync_unfinished  REPLAYING  pull_changes
+REPLAYING  CHANGE   -                   CURRENT    finish_sync
+REPLAYING  LOST     -                   ALONE      follow_next_upstream
+CURRENT    HEAD     needs_sync          SYNCING    start_sync
+CURRENT    HEAD     is_behind           BEHIND     pull_changes
+CURRENT    CHANGE   is_behind           BEHIND     pull_changes
+CURRENT    LOST     -                   ALONE      follow_next_upstream
+BEHIND     HEAD     needs_sync          SYNCING    start_sync
+BEHIND     HEAD     is_behind           BEHIND     pull_changes
+BEHIND     HEAD     -                   CURRENT    -
+BEHIND     CHANGE   is_behind           BEHIND     pull_changes
+BEHIND     CHANGE   -                   CURRENT    -
+BEHIND     LOST     -                   ALONE      follow_next_upstream
+ALONE      HEAD     needs_sync          SYNCING    start_sync
+ALONE      HEAD     is_behind           BEHIND     pull_changes
+ALONE      HEAD     -                   CURRENT    -
+ALONE      LOST     -                   ALONE      follow_next_upstream
 """
 
 
@@ -141,10 +151,10 @@
     pages answers nothing.
     """
 
-    after: Place | None
-    again_at: int
+    after: ItemPosition | None
+    retry_at: int
     tries: int = 0
-    early: dict[Place, Paged] = field(default_factory=dict)
+    early_pages: dict[ItemPosition, PageResponse] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -153,16 +163,16 @@
     `target`: the latest revision that a page was of.
     """
 
-    first: int  # number of the first DIGESTS_ASK
-    again_at: int
-    moved_at: int  # when anything last came of it
-    halves: dict[tuple[int, int], Digests] = field(default_factory=dict)
+    first_number: int  # number of the first DIGESTS_ASK
+    retry_at: int
+    last_progress_at: int  # when anything last came of it
+    digest_halves: dict[tuple[int, int], DigestsResponse] = field(default_factory=dict)
     base: Head | None = None
     tip: Head | None = None
-    target: int = 0
-    wanted: list[int] = field(default_factory=list)
+    target_revision: int = 0
+    buckets_left: list[int] = field(default_factory=list)
     fetching: dict[int, Fetch] = field(default_factory=dict)
-    fold: dict[Place, Entry] = field(default_factory=dict)
+    folded_items: dict[ItemPosition, ConfigItem] = field(default_factory=dict)
 
 
 class Follower:
@@ -178,215 +188,247 @@
         region: str,
         upstreams: Iterable[Upstream],
         keys: tuple[bytes, ...],
-        terms: Terms,
+        terms: ReplicationSettings,
         chance: Random,
         now: int,
     ) -> None:
-        self.replica, self.name, self.life, self.keys = replica, name, life, keys
-        self.terms, self.chance = terms, chance
-        self.upstreams = preferred(name, region, upstreams)
-        if not 0 < len(self.upstreams) <= UPSTREAMS_MOST or terms.faults():
+        self.replica, self.name, self.incarnation, self.keys = replica, name, life, keys
+        self.settings, self.random = terms, chance
+        self.upstreams = by_preference(name, region, upstreams)
+        if not 0 < len(self.upstreams) <= MAX_UPSTREAMS or terms.faults():
             raise ValueError(
                 "; ".join(terms.faults())
-                or f"{len(self.upstreams)} upstreams, of 1 to {UPSTREAMS_MOST}"
+                or f"{len(self.upstreams)} upstreams, of 1 to {MAX_UPSTREAMS}"
             )
         self.state = State.EMPTY if replica.head is None else State.ALONE
         self.out: deque[tuple[Address, bytes]] = deque()
         self.counts = Counts()
         self.refusals: deque[tuple[str, Address]] = deque(
-            maxlen=REFUSALS_MOST
+            maxlen=MAX_PENDING_REFUSALS
         )  # until the host takes them
         # Numbers of two lives are never the same: an answer to an earlier life means nothing to
         # this one.
-        self.number = life << 20 & NUMBER_MOST
-        self.at = 0  # whom we follow, of `upstreams`
-        self.answered = False  # whether it ever did, since we came to it
-        self.tried = 0  # upstreams, since one answered
-        self.upstream_life = 0
-        self.told: Told | None = None  # its last word
-        self.told_number = 0  # of the report that it answered
+        self.number = life << 20 & MAX_NUMBER
+        self.upstream_index = 0  # whom we follow, of `upstreams`
+        self.has_answered = False  # whether it ever did, since we came to it
+        self.upstreams_tried = 0  # upstreams, since one answered
+        self.upstream_incarnation = 0
+        self.upstream_head: HeadStatus | None = None  # its last word
+        self.upstream_head_number = 0  # of the report that it answered
         self.latest = 0  # revision that it is known to have
-        self.heard_at = self.last = now  # its last answer, or our coming to it; the last tick
+        self.last_answer_at = self.last_tick_at = (
+            now  # its last answer, or our coming to it; the last tick
+        )
         self.reports: dict[int, int] = {}  # by number, when it left
-        self.report_at = now  # the next
+        self.next_report_at = now  # the next
         self.probe = (
             -1,
             -1,
             now,
         )  # of a better upstream: which, our report's number, and when it left
-        self.probe_last = -1
-        self.probe_at = now + self.jittered(terms.prefer)
-        self.early: dict[int, Change] = {}
-        self.pull_number, self.pulled_at, self.pulled_to, self.pull_again = -1, -1, 0, now
-        self.refused_row = 0
+        self.last_probe_index = -1
+        self.next_probe_at = now + self.jittered(terms.preferred_retry_ns)
+        self.early_changes: dict[int, Change] = {}
+        self.pull_number, self.pull_sent_at, self.pull_up_to, self.pull_retry_at = -1, -1, 0, now
+        self.refused_in_a_row = 0
         self.sync: Sync | None = None
-        self.patched_to = (
+        self.pages_up_to = (
             0,
             0,
         )  # epoch and revision that pages lie in the table of, where no sync ended since
-        self.judged = self.number  # reports before this number say nothing of the table any more
-        self.sure_at: int | None = None
-        self.words: deque[tuple[int, int, int]] = deque(
-            maxlen=WORDS_MOST
+        self.first_judged_number = (
+            self.number
+        )  # reports before this number say nothing of the table any more
+        self.confirmed_newest_at: int | None = None
+        self.pending_ages: deque[tuple[int, int, int]] = deque(
+            maxlen=MAX_PENDING_AGES
         )  # epoch, revision, newest when
 
     # What others ask.
 
     @property
     def upstream(self) -> Upstream:
-        return self.upstreams[self.at]
+        return self.upstreams[self.upstream_index]
 
     def age(self, now: int) -> int | None:
         """ms since what is in force was surely the newest; None where it never was."""
-        return None if self.sure_at is None else max(0, now - self.sure_at) // MS
+        return (
+            None
+            if self.confirmed_newest_at is None
+            else max(0, now - self.confirmed_newest_at) // MS
+        )
 
     @property
-    def due(self) -> int:
+    def next_due(self) -> int:
         """When `tick` has something to do."""
-        found = min(self.report_at, self.probe_at, self.heard_at + self.patience())
-        if self.pulled_at >= 0:
-            found = min(found, self.pull_again)
+        found = min(
+            self.next_report_at, self.next_probe_at, self.last_answer_at + self.answer_timeout_ns()
+        )
+        if self.pull_sent_at >= 0:
+            found = min(found, self.pull_retry_at)
         if self.sync is not None:
             found = min(
                 found,
-                self.sync.moved_at + self.terms.stuck,
-                *[fetch.again_at for fetch in self.sync.fetching.values()],
+                self.sync.last_progress_at + self.settings.sync_stall_timeout_ns,
+                *[fetch.retry_at for fetch in self.sync.fetching.values()],
             )
             if self.sync.base is None:
-                found = min(found, self.sync.again_at)
+                found = min(found, self.sync.retry_at)
         return found
 
-    def patience(self) -> int:
-        return self.terms.silence if self.answered else self.terms.knock
+    def answer_timeout_ns(self) -> int:
+        return (
+            self.settings.upstream_timeout_ns
+            if self.has_answered
+            else self.settings.first_answer_timeout_ns
+        )
 
     def jittered(self, span: int) -> int:
-        return int(span * (1 + JITTER * (2 * self.chance.random() - 1)))
+        return int(span * (1 + JITTER_SHARE * (2 * self.random.random() - 1)))
 
     # Once in a while.
 
     def tick(self, now: int) -> None:
-        if now - self.last > self.terms.silence:
-            self.awoken(now)
-        self.last = now
-        if now - self.heard_at >= self.patience():
-            self.lose(now)
-        if self.sync is not None and now - self.sync.moved_at >= self.terms.stuck:
-            self.lose(now)
-        if now >= self.report_at:
-            self.report(now)
-        if now >= self.probe_at:
-            self.look_around(now)
-        if self.pulled_at >= 0 and now >= self.pull_again:
-            self.pulled_at = -1
-            self.pull(now)
+        if now - self.last_tick_at > self.settings.upstream_timeout_ns:
+            self.resume_after_pause(now)
+        self.last_tick_at = now
+        if now - self.last_answer_at >= self.answer_timeout_ns():
+            self.lose_upstream(now)
+        if (
+            self.sync is not None
+            and now - self.sync.last_progress_at >= self.settings.sync_stall_timeout_ns
+        ):
+            self.lose_upstream(now)
+        if now >= self.next_report_at:
+            self.send_report(now)
+        if now >= self.next_probe_at:
+            self.probe_preferred_upstream(now)
+        if self.pull_sent_at >= 0 and now >= self.pull_retry_at:
+            self.pull_sent_at = -1
+            self.pull_changes(now)
         if self.sync is not None:
-            self.ask_again(now, self.sync)
+            self.repeat_requests(now, self.sync)
 
-    def awoken(self, now: int) -> None:
+    def resume_after_pause(self, now: int) -> None:
         """We stood still; that the upstream was not heard meanwhile says nothing of it."""
-        self.heard_at = self.report_at = now
+        self.last_answer_at = self.next_report_at = now
         if self.sync is not None:
-            self.sync.moved_at = now
+            self.sync.last_progress_at = now
 
-    def report(self, now: int) -> None:
+    def send_report(self, now: int) -> None:
         """Until an upstream answers, twice a beat."""
-        self.report_at = now + self.jittered(
-            self.terms.beat if self.answered else self.terms.beat // 2
+        self.next_report_at = now + self.jittered(
+            self.settings.heartbeat_ns if self.has_answered else self.settings.heartbeat_ns // 2
         )
         self.reports[self.send(self.upstream, self.own_report())] = now
-        while len(self.reports) > REPORTS_MOST:
+        while len(self.reports) > MAX_OPEN_REPORTS:
             del self.reports[next(iter(self.reports))]
 
     def own_report(self) -> Report:
         head, table = self.replica.head, self.replica.table
-        if head is None or self.replica.patched:
+        if head is None or self.replica.is_partial:
             return Report(table.scopes, 0, 0, 0)
         return Report(table.scopes, head.epoch, head.revision, table.digest())
 
-    def look_around(self, now: int) -> None:
+    def probe_preferred_upstream(self, now: int) -> None:
         """A report to one of the better upstreams, each in turn; to any where the own one has old
         news.
         """
-        most = len(self.upstreams) if self.poor() else self.at
-        self.probe_at = now + self.jittered(
-            self.terms.beat
-            if self.poor()
-            else max(self.terms.beat, self.terms.prefer // max(1, most))
+        most = len(self.upstreams) if self.upstream_is_stale() else self.upstream_index
+        self.next_probe_at = now + self.jittered(
+            self.settings.heartbeat_ns
+            if self.upstream_is_stale()
+            else max(self.settings.heartbeat_ns, self.settings.preferred_retry_ns // max(1, most))
         )
-        if not most or not self.answered or self.sync is not None:
+        if not most or not self.has_answered or self.sync is not None:
             return
-        self.probe_last = (self.probe_last + 1) % most
-        if self.probe_last != self.at:
+        self.last_probe_index = (self.last_probe_index + 1) % most
+        if self.last_probe_index != self.upstream_index:
             self.probe = (
-                self.probe_last,
-                self.send(self.upstreams[self.probe_last], self.own_report()),
+                self.last_probe_index,
+                self.send(self.upstreams[self.last_probe_index], self.own_report()),
                 now,
             )
 
-    def poor(self) -> bool:
+    def upstream_is_stale(self) -> bool:
         """Whether the upstream itself has old news, or none."""
-        return self.told is not None and (
-            self.told.age is None or self.told.age * MS > self.terms.stale
+        return self.upstream_head is not None and (
+            self.upstream_head.age_ms is None
+            or self.upstream_head.age_ms * MS > self.settings.stale_after_ns
         )
 
     # What comes.
 
-    def hear(self, now: int, data: bytes, source: Address) -> None:
+    def receive(self, now: int, data: bytes, source: Address) -> None:
         self.counts.heard += 1
         self.counts.heard_bytes += len(data)
         try:
             message = unseal(data, self.keys)
-        except Unreadable as error:
-            self.refuse(str(error), source)
+        except MessageDecodeError as error:
+            self.count_refusal(str(error), source)
             return
-        does = HEARD.get(type(message.body))
+        does = HANDLERS.get(type(message.body))
         reason = does(self, now, message) if does else "nothing for a follower"
         if reason:
-            self.refuse(reason, source)
+            self.count_refusal(reason, source)
 
-    def refuse(self, reason: str, source: Address) -> None:
-        self.refusals.append((counted(self.counts.refused, reason), source))
+    def count_refusal(self, reason: str, source: Address) -> None:
+        self.refusals.append((count_refusal(self.counts.refused, reason), source))
 
-    def headed(self, now: int, message: Message) -> str:
-        assert isinstance(message.body, Told)
+    def on_head(self, now: int, message: Message) -> str:
+        assert isinstance(message.body, HeadStatus)
         sender, told = message.sender, message.body
         which, number, left_at = self.probe
         if number == sender.number and self.upstreams[which].name == sender.name:
             self.probe = -1, -1, now
-            if not self.better(told, which):
-                self.send(self.upstreams[which], Bye())
+            if not self.is_preferable(told, which):
+                self.send(self.upstreams[which], Leave())
                 return ""
-            self.move(now, which)
+            self.follow_upstream(now, which)
             self.reports[number] = left_at
         elif sender.name != self.upstream.name:
             return "a HEAD of another"
         elif sender.number == self.pull_number:
-            self.pulled_at = -1
+            self.pull_sent_at = -1
         elif sender.number not in self.reports:
             return "a HEAD that was not asked for"
-        self.heard_at, self.answered, self.upstream_life = now, True, sender.life
+        self.last_answer_at, self.has_answered, self.upstream_incarnation = (
+            now,
+            True,
+            sender.incarnation,
+        )
         asked_at = self.reports.pop(sender.number, None)
-        fault = self.fault_of(told.head)
+        fault = self.reason_not_to_follow(told.head)
         if fault:
-            self.lose(now)
+            self.lose_upstream(now)
             return fault
-        if self.poor() != (told.age is None or told.age * MS > self.terms.stale):
-            self.probe_at = min(self.probe_at, now + self.jittered(self.terms.beat))
+        if self.upstream_is_stale() != (
+            told.age_ms is None or told.age_ms * MS > self.settings.stale_after_ns
+        ):
+            self.next_probe_at = min(
+                self.next_probe_at, now + self.jittered(self.settings.heartbeat_ns)
+            )
         back = (
-            self.told is not None
-            and told.head[:2] < self.told.head[:2]
-            and sender.number > self.told_number
+            self.upstream_head is not None
+            and told.head[:2] < self.upstream_head.head[:2]
+            and sender.number > self.upstream_head_number
+        )
+        same = (
+            self.upstream_head is not None
+            and self.upstream_head.head.epoch == told.head.epoch
+            and not back
         )
-        same = self.told is not None and self.told.head.epoch == told.head.epoch and not back
         self.latest = max(self.latest if same else 0, told.head.revision)
-        self.told, self.told_number, self.tried = told, sender.number, 0
-        if asked_at is not None and told.age is not None:
-            self.words.append((told.head.epoch, told.head.revision, asked_at - told.age * MS))
-            self.reckon()
-        self.meet(now, Input.HEAD)
+        self.upstream_head, self.upstream_head_number, self.upstreams_tried = told, sender.number, 0
+        if asked_at is not None and told.age_ms is not None:
+            self.pending_ages.append(
+                (told.head.epoch, told.head.revision, asked_at - told.age_ms * MS)
+            )
+            self.update_confirmed_age()
+        self.handle(now, Input.HEAD)
         return ""
 
-    def fault_of(self, head: Head) -> str:
+    def reason_not_to_follow(self, head: Head) -> str:
         """Why nobody with that head may be followed; empty where one may."""
         own = self.replica.head
         if own is None:
@@ -397,28 +439,30 @@
             return "another history of this epoch"
         return ""
 
-    def better(self, told: Told, which: int) -> bool:
+    def is_preferable(self, told: HeadStatus, which: int) -> bool:
         """Whether that upstream is to be followed in place of the own one."""
-        if self.fault_of(told.head) or told.age is None:
+        if self.reason_not_to_follow(told.head) or told.age_ms is None:
             return False
-        own = self.told.age if self.told is not None else None
-        if which < self.at and told.age * MS <= self.terms.stale:
+        own = self.upstream_head.age_ms if self.upstream_head is not None else None
+        if which < self.upstream_index and told.age_ms * MS <= self.settings.stale_after_ns:
             return True
-        return self.poor() and (own is None or 2 * told.age < own)
+        return self.upstream_is_stale() and (own is None or 2 * told.age_ms < own)
 
-    def reckon(self) -> None:
+    def update_confirmed_age(self) -> None:
         """Words about revisions that we have say when what is in force was surely the newest."""
         head = self.replica.head
-        while head is not None and self.words:
-            epoch, revision, at = self.words[0]
+        while head is not None and self.pending_ages:
+            epoch, revision, at = self.pending_ages[0]
             if epoch == head.epoch and revision > head.revision or epoch > head.epoch:
                 return
-            self.words.popleft()
+            self.pending_ages.popleft()
             if epoch == head.epoch:
-                self.sure_at = at if self.sure_at is None else max(self.sure_at, at)
+                self.confirmed_newest_at = (
+                    at if self.confirmed_newest_at is None else max(self.confirmed_newest_at, at)
+                )
 
-    def changed(self, now: int, message: Message) -> str:
-        assert isinstance(message.body, Pushed)
+    def on_change(self, now: int, message: Message) -> str:
+        assert isinstance(message.body, PushedChange)
         change = message.body.change
         tip = self.tip()
         if tip is None:
@@ -434,13 +478,13 @@
         if message.sender.name == self.upstream.name:
             self.latest = max(self.latest, change.revision)
         if (
-            change.revision in self.early
-            or len(self.early) < EARLY_MOST
+            change.revision in self.early_changes
+            or len(self.early_changes) < MAX_EARLY_CHANGES
             or change.revision == tip.revision + 1
         ):
-            self.early[change.revision] = change
-        reason = self.drain(now)
-        self.meet(now, Input.CHANGE)
+            self.early_changes[change.revision] = change
+        reason = self.apply_early_changes(now)
+        self.handle(now, Input.CHANGE)
         return reason
 
     def tip(self) -> Head | None:
@@ -449,46 +493,48 @@
         """
         if self.sync is not None:
             return self.sync.tip
-        return None if self.replica.patched else self.replica.head
+        return None if self.replica.is_partial else self.replica.head
 
-    def drain(self, now: int) -> str:
+    def apply_early_changes(self, now: int) -> str:
         """Takes what follows, as far as it goes; says why a change was refused."""
         while True:
             tip = self.tip()
-            change = self.early.pop(tip.revision + 1, None) if tip is not None else None
+            change = self.early_changes.pop(tip.revision + 1, None) if tip is not None else None
             if change is None:
                 return ""
             reason = (
-                self.replica.take(change) if self.sync is None else self.fold(self.sync, change)
+                self.replica.apply_change(change)
+                if self.sync is None
+                else self.fold_change(self.sync, change)
             )
             if reason:
-                self.refused_row += 1
-                if self.refused_row >= REFUSED_MOST:
-                    self.refused_row = 0
-                    self.lose(now)
+                self.refused_in_a_row += 1
+                if self.refused_in_a_row >= MAX_REFUSED_IN_A_ROW:
+                    self.refused_in_a_row = 0
+                    self.lose_upstream(now)
                 return reason
-            self.refused_row = 0
+            self.refused_in_a_row = 0
             self.counts.taken += 1
             if self.sync is not None:
-                self.sync.moved_at = now
-            self.reckon()
+                self.sync.last_progress_at = now
+            self.update_confirmed_age()
 
-    def fold(self, sync: Sync, change: Change) -> str:
+    def fold_change(self, sync: Sync, change: Change) -> str:
         """The next change after the base: for the end of the sync."""
         assert sync.tip is not None
-        reason = break_of(sync.tip, change, self.replica.keys)
-        if not reason and self.replica.holds(change.scope):
+        reason = chain_break(sync.tip, change, self.replica.keys)
+        if not reason and self.replica.holds_scope(change.scope):
             try:
-                entries = self.replica.entries_of(change)
-            except Refused as refused:
+                entries = self.replica.items_of(change)
+            except InvalidChangeError as refused:
                 return str(refused)
             for entry in entries:
-                sync.fold[entry[:3]] = entry
+                sync.folded_items[entry[:3]] = entry
         if not reason:
-            sync.tip = head_of(change)
+            sync.tip = head_after(change)
         return reason
 
-    def redirected(self, now: int, message: Message) -> str:
+    def on_redirect(self, now: int, message: Message) -> str:
         sender, body = message.sender, message.body
         assert isinstance(body, Redirect)
         if sender.number == self.probe[1]:
@@ -496,40 +542,46 @@
             return ""
         if sender.name != self.upstream.name or (
             sender.number not in self.reports
-            and not (sender.number == 0 and sender.life == self.upstream_life and self.answered)
+            and not (
+                sender.number == 0
+                and sender.incarnation == self.upstream_incarnation
+                and self.has_answered
+            )
         ):
             return "a REDIRECT that was not asked for"
-        self.lose(now)
+        self.lose_upstream(now)
         return ""
 
     # Whom we follow.
 
-    def lose(self, now: int) -> None:
-        self.meet(now, Input.LOST)
+    def lose_upstream(self, now: int) -> None:
+        self.handle(now, Input.LOST)
 
-    def next(self, now: int) -> None:
-        self.move(now, (self.at + 1) % len(self.upstreams))
+    def follow_next_upstream(self, now: int) -> None:
+        self.follow_upstream(now, (self.upstream_index + 1) % len(self.upstreams))
 
-    def move(self, now: int, which: int) -> None:
+    def follow_upstream(self, now: int, which: int) -> None:
         """What a sync has fetched stays in the table; the next one finds it by its digests."""
-        if self.answered and which != self.at:
-            self.send(self.upstream, Bye())
-        self.at, self.answered, self.upstream_life = which, False, 0
-        self.told, self.latest, self.refused_row = None, 0, 0
-        self.tried += 1
+        if self.has_answered and which != self.upstream_index:
+            self.send(self.upstream, Leave())
+        self.upstream_index, self.has_answered, self.upstream_incarnation = which, False, 0
+        self.upstream_head, self.latest, self.refused_in_a_row = None, 0, 0
+        self.upstreams_tried += 1
         self.counts.moves += 1
         # Where none is of use they are not asked round and round as fast as they refuse.
-        self.heard_at = self.report_at = (
-            now if self.tried < len(self.upstreams) else now + self.jittered(self.terms.beat // 2)
+        self.last_answer_at = self.next_report_at = (
+            now
+            if self.upstreams_tried < len(self.upstreams)
+            else now + self.jittered(self.settings.heartbeat_ns // 2)
         )
         self.reports.clear()
         self.probe = -1, -1, now
-        self.pulled_at = self.pull_number = -1
+        self.pull_sent_at = self.pull_number = -1
         self.sync = None
 
     # The table of states.
 
-    def meet(self, now: int, what: Input) -> None:
+    def handle(self, now: int, what: Input) -> None:
         for test, state, effect in RULES.get((self.state, what), ()):
             if test(self):
                 self.state = state
@@ -538,161 +590,169 @@
 
     # Tests.
 
-    def apart(self) -> bool:
+    def needs_sync(self) -> bool:
         """Whether only a sync helps: nothing whole here, a later epoch, changes that can't be
         pulled any more, or digests that differ at the same revision.
         """
-        told, head = self.told, self.replica.head
+        told, head = self.upstream_head, self.replica.head
         if told is None:
             return False
-        if head is None or self.replica.patched or told.head.epoch > head.epoch:
+        if head is None or self.replica.is_partial or told.head.epoch > head.epoch:
             return True
         return (
             told.head.revision > head.revision
-            and told.oldest > head.revision
+            and told.oldest_revision > head.revision
             or told.differs
-            and self.told_number >= self.judged
+            and self.upstream_head_number >= self.first_judged_number
         )
 
-    def unbased(self) -> bool:
+    def has_lost_sync_base(self) -> bool:
         """Whether what a sync was begun from is gone."""
-        sync, told = self.sync, self.told
+        sync, told = self.sync, self.upstream_head
         if sync is None:
             return True
         return (
             told is not None
             and sync.tip is not None
-            and (told.head.epoch != sync.tip.epoch or told.oldest > sync.tip.revision)
+            and (told.head.epoch != sync.tip.epoch or told.oldest_revision > sync.tip.revision)
         )
 
-    def behind(self) -> bool:
+    def is_behind(self) -> bool:
         head = self.replica.head
         return head is not None and self.latest > head.revision
 
-    def short(self) -> bool:
+    def is_sync_unfinished(self) -> bool:
         """Whether a sync is not at its end yet."""
         sync = self.sync
         return (
             sync is None
             or sync.tip is None
-            or bool(sync.wanted or sync.fetching)
-            or sync.tip.revision < sync.target
+            or bool(sync.buckets_left or sync.fetching)
+            or sync.tip.revision < sync.target_revision
         )
 
     # Effects.
 
-    def pull(self, now: int) -> None:
+    def pull_changes(self, now: int) -> None:
         """Asks for the next changes, unless asked for just now."""
         tip = self.tip()
         if tip is None or tip.revision >= self.wanted_revision():
-            self.pulled_at = -1
+            self.pull_sent_at = -1
             return
-        if self.pulled_at >= 0 and tip.revision < self.pulled_to and now < self.pull_again:
+        if self.pull_sent_at >= 0 and tip.revision < self.pull_up_to and now < self.pull_retry_at:
             return
         # Changes that are here already need not come again.
         most = next(
-            (ahead for ahead in range(PULL_MOST) if tip.revision + 1 + ahead in self.early),
-            PULL_MOST,
+            (
+                ahead
+                for ahead in range(MAX_PULL_CHANGES)
+                if tip.revision + 1 + ahead in self.early_changes
+            ),
+            MAX_PULL_CHANGES,
         )
         most = max(1, min(most, self.wanted_revision() - tip.revision))
         self.counts.pulls += 1
-        self.pulled_at, self.pulled_to = now, tip.revision + most
-        self.pull_again = now + self.jittered(self.terms.retry)
-        self.pull_number = self.send(self.upstream, Pull(tip.epoch, tip.revision, most))
+        self.pull_sent_at, self.pull_up_to = now, tip.revision + most
+        self.pull_retry_at = now + self.jittered(self.settings.request_retry_ns)
+        self.pull_number = self.send(self.upstream, PullRequest(tip.epoch, tip.revision, most))
 
     def wanted_revision(self) -> int:
         """The latest that we know of."""
-        return max(self.latest, self.sync.target if self.sync is not None else 0)
+        return max(self.latest, self.sync.target_revision if self.sync is not None else 0)
 
-    def sync_anew(self, now: int) -> None:
+    def start_sync(self, now: int) -> None:
         """Asks for the digests of all buckets."""
         self.counts.syncs += 1
-        self.pulled_at = self.pull_number = -1
+        self.pull_sent_at = self.pull_number = -1
         self.sync = Sync(
-            self.send(self.upstream, DigestsAsk()), now + self.jittered(self.terms.retry), now
+            self.send(self.upstream, DigestsRequest()),
+            now + self.jittered(self.settings.request_retry_ns),
+            now,
         )
 
-    def settle(self, now: int) -> None:
+    def finish_sync(self, now: int) -> None:
         """The end of a sync: what was folded lies over the pages."""
         sync = self.sync
         assert sync is not None
         assert sync.tip is not None
-        entries = list(sync.fold.values())
+        entries = list(sync.folded_items.values())
         try:
-            for at in range(0, len(entries), PUT_MOST):
-                self.replica.table.put(entries[at : at + PUT_MOST])
+            for at in range(0, len(entries), ITEMS_PER_PUT):
+                self.replica.table.put(entries[at : at + ITEMS_PER_PUT])
         except ValueError as error:  # a table's own bounds
-            self.refuse(f"the table refuses: {error!s:.100}", self.upstream.address)
-            self.lose(now)
+            self.count_refusal(f"the table refuses: {error!s:.100}", self.upstream.address)
+            self.lose_upstream(now)
             return
         if (
-            self.replica.patched or self.replica.head != sync.tip
+            self.replica.is_partial or self.replica.head != sync.tip
         ):  # else nothing was to be done: the log stays
-            self.replica.settle(sync.tip)
-        self.sync, self.judged, self.patched_to = None, self.number + 1, (0, 0)
-        self.early = {
+            self.replica.complete_at(sync.tip)
+        self.sync, self.first_judged_number, self.pages_up_to = None, self.number + 1, (0, 0)
+        self.early_changes = {
             revision: change
-            for revision, change in self.early.items()
+            for revision, change in self.early_changes.items()
             if change.epoch == sync.tip.epoch and revision > sync.tip.revision
         }
         self.counts.settled += 1
-        self.drain(now)
-        self.reckon()
-        if self.behind():
+        self.apply_early_changes(now)
+        self.update_confirmed_age()
+        if self.is_behind():
             self.state = State.BEHIND
-            self.pull(now)
+            self.pull_changes(now)
 
     # A sync on its way.
 
-    def digests_came(self, now: int, message: Message) -> str:
+    def on_digests(self, now: int, message: Message) -> str:
         body, sync = message.body, self.sync
-        assert isinstance(body, Digests)
+        assert isinstance(body, DigestsResponse)
         number = message.sender.number
-        if sync is None or sync.base is not None or not sync.first <= number <= self.number:
+        if sync is None or sync.base is not None or not sync.first_number <= number <= self.number:
             return (
                 ""
-                if sync is not None and number >= sync.first
+                if sync is not None and number >= sync.first_number
                 else "DIGESTS that were not asked for"
             )
-        sync.halves[number, body.half] = body
-        low, high = sync.halves.get((number, 0)), sync.halves.get((number, 1))
+        sync.digest_halves[number, body.half] = body
+        low, high = sync.digest_halves.get((number, 0)), sync.digest_halves.get((number, 1))
         if low is None or high is None:
             return ""
         head, own = low.head, self.replica.head
         if head != high.head:
-            del sync.halves[number, 0], sync.halves[number, 1]
+            del sync.digest_halves[number, 0], sync.digest_halves[number, 1]
             return "DIGESTS of two moments"
         # Where something is in force no key may go back, also not behind pages of a sync that did
         # not end.
-        if own is not None and head[:2] < max(own[:2], self.patched_to):
-            self.lose(now)
+        if own is not None and head[:2] < max(own[:2], self.pages_up_to):
+            self.lose_upstream(now)
             return "a base that is older than what is in force"
         theirs = low.digests + high.digests
         ours = self.replica.table.digests()
         sync.base = sync.tip = head
-        sync.moved_at, sync.halves = now, {}
-        sync.wanted = [bucket for bucket in range(BUCKETS) if theirs[bucket] != ours[bucket]]
-        self.chance.shuffle(sync.wanted)  # many newcomers at once ask for other parts each
-        self.fetch(now, sync)
+        sync.last_progress_at, sync.digest_halves = now, {}
+        sync.buckets_left = [
+            bucket for bucket in range(BUCKET_COUNT) if theirs[bucket] != ours[bucket]
+        ]
+        self.random.shuffle(sync.buckets_left)  # many newcomers at once ask for other parts each
+        self.fetch_buckets(now, sync)
         return ""
 
-    def fetch(self, now: int, sync: Sync) -> None:
+    def fetch_buckets(self, now: int, sync: Sync) -> None:
         """Asks for the next buckets, or goes on where none is left."""
-        while sync.wanted and len(sync.fetching) < FETCH_MOST:
-            bucket = sync.wanted.pop()
+        while sync.buckets_left and len(sync.fetching) < MAX_FETCHES:
+            bucket = sync.buckets_left.pop()
             sync.fetching[bucket] = Fetch(None, now)
-            self.ask_pages(now, bucket, sync.fetching[bucket])
+            self.request_pages(now, bucket, sync.fetching[bucket])
         if not sync.fetching:
-            self.meet(now, Input.FETCHED)
+            self.handle(now, Input.FETCHED)
 
-    def paged(self, now: int, message: Message) -> str:
+    def on_page(self, now: int, message: Message) -> str:
         body, sync = message.body, self.sync
-        assert isinstance(body, Paged)
+        assert isinstance(body, PageResponse)
         if (
             sync is None
             or sync.base is None
             or body.bucket not in sync.fetching
-            or message.sender.number < sync.first
+            or message.sender.number < sync.first_number
         ):
             return ""  # doubled or late
         if body.epoch != sync.base.epoch or body.revision < sync.base.revision:
@@ -702,67 +762,72 @@
             if (
                 body.after is not None
                 and (fetch.after is None or body.after > fetch.after)
-                and len(fetch.early) < PAGES_MOST
+                and len(fetch.early_pages) < MAX_PAGES_PER_REQUEST
             ):
-                fetch.early[body.after] = body
+                fetch.early_pages[body.after] = body
             return ""
-        page: Paged | None = body
+        page: PageResponse | None = body
         while page is not None:
-            sync.target = max(sync.target, page.revision)
-            self.patched_to = max(self.patched_to, (page.epoch, page.revision))
-            self.replica.patched = self.replica.head is not None
+            sync.target_revision = max(sync.target_revision, page.revision)
+            self.pages_up_to = max(self.pages_up_to, (page.epoch, page.revision))
+            self.replica.is_partial = self.replica.head is not None
             try:
                 self.counts.mended += self.replica.table.replace(page.bucket, page.after, page.page)
             except ValueError as error:
                 return f"a PAGE that the table refuses: {error!s:.100}"
             self.counts.pages += 1
-            sync.moved_at = now
-            if page.page.done:
+            sync.last_progress_at = now
+            if page.page.is_last:
                 del sync.fetching[page.bucket]
-                self.fetch(now, sync)
+                self.fetch_buckets(now, sync)
                 return ""
-            fetch.after, last = page.page.last, page.place == PAGES_MOST - 1
-            page = fetch.early.pop(fetch.after, None) if fetch.after is not None else None
+            fetch.after, last = (
+                page.page.last_position,
+                page.page_index == MAX_PAGES_PER_REQUEST - 1,
+            )
+            page = fetch.early_pages.pop(fetch.after, None) if fetch.after is not None else None
             fetch.tries = 0
             if page is None and last:
-                self.ask_pages(now, body.bucket, fetch)
+                self.request_pages(now, body.bucket, fetch)
         return ""
 
-    def ask_pages(self, now: int, bucket: int, fetch: Fetch) -> None:
-        fetch.again_at = now + self.jittered(self.terms.retry << min(fetch.tries, TRIES_MOST))
+    def request_pages(self, now: int, bucket: int, fetch: Fetch) -> None:
+        fetch.retry_at = now + self.jittered(
+            self.settings.request_retry_ns << min(fetch.tries, MAX_BACKOFF_DOUBLINGS)
+        )
         fetch.tries += 1
-        self.send(self.upstream, PagesAsk(bucket, fetch.after, PAGES_MOST))
+        self.send(self.upstream, PagesRequest(bucket, fetch.after, MAX_PAGES_PER_REQUEST))
 
-    def ask_again(self, now: int, sync: Sync) -> None:
-        if sync.base is None and now >= sync.again_at:
-            sync.again_at = now + self.jittered(self.terms.retry)
-            self.send(self.upstream, DigestsAsk())
+    def repeat_requests(self, now: int, sync: Sync) -> None:
+        if sync.base is None and now >= sync.retry_at:
+            sync.retry_at = now + self.jittered(self.settings.request_retry_ns)
+            self.send(self.upstream, DigestsRequest())
         for bucket, fetch in sync.fetching.items():
-            if now >= fetch.again_at:
-                fetch.early.clear()
-                self.ask_pages(now, bucket, fetch)
-        if len(sync.fold) > FOLD_MOST:
-            self.lose(now)
+            if now >= fetch.retry_at:
+                fetch.early_pages.clear()
+                self.request_pages(now, bucket, fetch)
+        if len(sync.folded_items) > MAX_FOLDED_ITEMS:
+            self.lose_upstream(now)
 
     # What leaves.
 
     def leave(self) -> None:
-        self.send(self.upstream, Bye())
+        self.send(self.upstream, Leave())
 
     def send(self, to: Upstream, body: Body) -> int:
         """The message's number."""
         self.number += 1
-        if len(self.out) >= OUT_MOST:
+        if len(self.out) >= MAX_OUT_DATAGRAMS:
             self.counts.dropped += 1
             return self.number
-        data = seal(Sender(self.name, self.life, self.number), body, self.keys[0])
+        data = seal(Sender(self.name, self.incarnation, self.number), body, self.keys[0])
         self.counts.sent += 1
         self.counts.sent_bytes += len(data)
         self.out.append((to.address, data))
         return self.number
 
 
-def preferred(name: str, region: str, upstreams: Iterable[Upstream]) -> list[Upstream]:
+def by_preference(name: str, region: str, upstreams: Iterable[Upstream]) -> list[Upstream]:
     """Own region's first, each part in rendezvous order (Thaler and Ravishankar, 1998), so that
     each follower has its own and a lost one's followers spread over all others.
     """
@@ -784,15 +849,14 @@
         "revision": head.revision if head else None,
         "latest": follower.latest,
         "age_ms": follower.age(now),
-        "mixed": follower.replica.patched,
-        "buckets_left": len(sync.wanted) + len(sync.fetching) if sync else 0,
+        "mixed": follower.replica.is_partial,
+        "buckets_left": len(sync.buckets_left) + len(sync.fetching) if sync else 0,
         "counts": {name: getattr(counts, name) for name in counts.__slots__},
     }
 
 
 Test = Callable[[Follower], bool]
 Effect = Callable[[Follower, int], None]
-RENAMED = {"sync": "sync_anew"}
 
 
 def _test(name: str) -> Test:
@@ -800,16 +864,14 @@
 
 
 def _effect(name: str) -> Effect:
-    return (
-        (lambda follower, now: None) if name == "-" else getattr(Follower, RENAMED.get(name, name))
-    )
+    return (lambda follower, now: None) if name == "-" else getattr(Follower, name)
 
 
 RULES = rows(TABLE, State, Input, _test, _effect)
-HEARD: dict[type[Body], Callable[[Follower, int, Message], str]] = {
-    Told: Follower.headed,
-    Pushed: Follower.changed,
-    Redirect: Follower.redirected,
-    Digests: Follower.digests_came,
-    Paged: Follower.paged,
+HANDLERS: dict[type[Body], Callable[[Follower, int, Message], str]] = {
+    HeadStatus: Follower.on_head,
+    PushedChange: Follower.on_change,
+    Redirect: Follower.on_redirect,
+    DigestsResponse: Follower.on_digests,
+    PageResponse: Follower.on_page,
 }
--- a/burlloom/distribution/replica.py
+++ b/burlloom/distribution/replica.py
@@ -4,9 +4,17 @@
 
 from collections.abc import Iterable, Sequence
 
-from .changes import Change, Entry, Head, Refused, break_of, decode, head_of
-from .log import LOG_MOST, Log
-from .table import Table
+from .change_log import MAX_LOGGED_CHANGES, ChangeLog
+from .changes import (
+    Change,
+    ConfigItem,
+    Head,
+    InvalidChangeError,
+    chain_break,
+    decode_items,
+    head_after,
+)
+from .table import ConfigTable
 
 
 class Replica:
@@ -15,33 +23,35 @@
     nothing to copy from. `keys`: of signing, any of them will do.
     """
 
-    def __init__(self, table: Table, keys: Sequence[bytes], log_most: int = LOG_MOST) -> None:
+    def __init__(
+        self, table: ConfigTable, keys: Sequence[bytes], log_most: int = MAX_LOGGED_CHANGES
+    ) -> None:
         self.table, self.keys = table, tuple(keys)
-        self.log = Log(0, log_most)
+        self.log = ChangeLog(0, log_most)
         self.head: Head | None = None
-        self.patched = False
+        self.is_partial = False
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the table is exactly the head's revision."""
-        return self.head is not None and not self.patched
+        return self.head is not None and not self.is_partial
 
-    def take(self, change: Change) -> str | None:
+    def apply_change(self, change: Change) -> str | None:
         """The next change, all of it or nothing. None where it holds now, else why it does not."""
-        if self.head is None or self.patched:
+        if self.head is None or self.is_partial:
             return "no whole revision to follow"
-        reason = break_of(self.head, change, self.keys) or self.put(change)
+        reason = chain_break(self.head, change, self.keys) or self.apply_to_table(change)
         if reason:
             return reason
-        self.head = head_of(change)
+        self.head = head_after(change)
         return None
 
-    def put(self, change: Change) -> str:
+    def apply_to_table(self, change: Change) -> str:
         moved = 0
-        if self.holds(change.scope):
+        if self.holds_scope(change.scope):
             try:
-                entries = self.entries_of(change)
-            except Refused as refused:
+                entries = self.items_of(change)
+            except InvalidChangeError as refused:
                 return str(refused)
             scopes = (change.scope,)
             before = self.digest_of(scopes)
@@ -50,35 +60,35 @@
             except ValueError as error:  # a table's own bounds, before it touched anything
                 return f"the table refuses: {error!s:.200}"
             moved = before ^ self.digest_of(scopes)
-        self.log.add(change, moved)
+        self.log.append(change, moved)
         return ""
 
-    def entries_of(self, change: Change) -> list[Entry]:
+    def items_of(self, change: Change) -> list[ConfigItem]:
         """Raises `Refused`."""
         if change.body is None:
-            raise Refused(["body: left out, and the scope is held here"])
-        return decode(change.scope, change.body)
+            raise InvalidChangeError(["body: left out, and the scope is held here"])
+        return decode_items(change.scope, change.body)
 
-    def holds(self, scope: str) -> bool:
+    def holds_scope(self, scope: str) -> bool:
         return self.table.scopes is None or scope in self.table.scopes
 
-    def begin(self, head: Head, entries: Iterable[Entry] = ()) -> None:
+    def load(self, head: Head, entries: Iterable[ConfigItem] = ()) -> None:
         """Of a store: the table is made exactly those entries beforehand or by them, in their
         thousands.
         """
         self.table.put(entries)
-        self.settle(head)
+        self.complete_at(head)
 
-    def settle(self, head: Head) -> None:
+    def complete_at(self, head: Head) -> None:
         """The table is that revision now, by another way than change after change."""
-        self.head, self.patched = head, False
+        self.head, self.is_partial = head, False
         self.log.restart(head.revision)
 
     def digest_at(self, revision: int, scopes: tuple[str, ...] | None) -> int | None:
         """The digest that those scopes had at that revision; None where that can't be told."""
-        if self.head is None or self.patched or revision > self.head.revision:
+        if self.head is None or self.is_partial or revision > self.head.revision:
             return None
-        moved = self.log.moved(revision, scopes)
+        moved = self.log.digest_delta_since(revision, scopes)
         return None if moved is None else moved ^ self.digest_of(scopes)
 
     def digest_of(self, scopes: tuple[str, ...] | None) -> int:
--- a/burlloom/distribution/source.py
+++ b/burlloom/distribution/source.py
@@ -13,34 +13,34 @@
 
 from .changes import Change
 from .messages import (
-    HALF,
-    PAGE_BYTES,
+    HALF_BUCKETS,
+    MAX_PAGE_BYTES,
     Body,
-    Bye,
-    Digests,
-    DigestsAsk,
+    DigestsRequest,
+    DigestsResponse,
+    HeadStatus,
+    Leave,
     Message,
-    Paged,
-    PagesAsk,
-    Pull,
-    Pushed,
+    MessageDecodeError,
+    PageResponse,
+    PagesRequest,
+    PullRequest,
+    PushedChange,
     Redirect,
+    ReplayWindow,
     Report,
     Sender,
-    Told,
-    Unreadable,
-    Window,
     seal,
     unseal,
 )
-from .refusals import REFUSALS_MOST, counted
+from .refusals import MAX_PENDING_REFUSALS, count_refusal
 from .replica import Replica
-from .terms import MS, Terms
+from .settings import MS, ReplicationSettings
 
-PUSH_MOST = 64  # changes that are pushed at once; who misses more pulls
-SEALED_MOST = 512  # changes kept sealed, with and without bodies: 1.2 MB at most
-JUDGED_MOST = 64  # revisions back that a report's digest is still compared
-OUT_MOST = 32_768  # datagrams that wait for the host
+MAX_PUSH_CHANGES = 64  # changes that are pushed at once; who misses more pulls
+MAX_SEALED_CHANGES = 512  # changes kept sealed, with and without bodies: 1.2 MB at most
+MAX_COMPARED_REVISIONS = 64  # revisions back that a report's digest is still compared
+MAX_OUT_DATAGRAMS = 32_768  # datagrams that wait for the host
 
 Address = tuple[str, int]
 
@@ -49,11 +49,11 @@
 class Lease:
     """One that follows. `until`: ns."""
 
-    life: int
+    incarnation: int
     address: Address
     scopes: tuple[str, ...] | None
-    until: int
-    window: Window
+    expires_at: int
+    replay_window: ReplayWindow
     epoch: int = 0
     revision: int = 0
 
@@ -87,117 +87,131 @@
         name: str,
         life: int,
         keys: tuple[bytes, ...],
-        terms: Terms,
+        terms: ReplicationSettings,
         chance: Random,
         now: int,
         age: Callable[[int], int | None],
     ) -> None:
-        self.replica, self.name, self.life, self.keys = replica, name, life, keys
-        self.terms, self.chance = terms, chance
-        self.age = age
+        self.replica, self.name, self.incarnation, self.keys = replica, name, life, keys
+        self.settings, self.random = terms, chance
+        self.age_ms = age
         self.out: deque[tuple[Address, bytes]] = deque()
         self.counts = Counts()
         self.refusals: deque[tuple[str, Address]] = deque(
-            maxlen=REFUSALS_MOST
+            maxlen=MAX_PENDING_REFUSALS
         )  # until the host takes them
         self.followers: dict[str, Lease] = {}
-        self.pushed = (
+        self.pushed_up_to = (
             (replica.head.epoch, replica.head.revision) if replica.head is not None else (0, 0)
         )
-        self.sealed: dict[tuple[int, int, bool], bytes] = {}
-        self.tokens, self.filled_at = float(terms.page_burst), now
-        self.leaving = False
+        self.sealed_changes: dict[tuple[int, int, bool], bytes] = {}
+        self.tokens, self.tokens_filled_at = float(terms.page_burst_bytes), now
+        self.is_draining = False
 
     # Once in a while.
 
     def tick(self, now: int) -> None:
-        for name in [name for name, lease in self.followers.items() if lease.until <= now]:
+        for name in [name for name, lease in self.followers.items() if lease.expires_at <= now]:
             del self.followers[name]
-        self.push(now)
+        self.push_changes(now)
 
-    def push(self, now: int) -> None:
+    def push_changes(self, now: int) -> None:
         """What is new goes to all who follow. After a sync, or where it is very much, they pull."""
         head = self.replica.head
-        if head is None or not self.replica.whole or self.pushed == head[:2]:
+        if head is None or not self.replica.is_complete or self.pushed_up_to == head[:2]:
             return
-        epoch, revision = self.pushed
+        epoch, revision = self.pushed_up_to
         changes = None
-        if epoch == head.epoch and head.revision - revision <= PUSH_MOST:
-            changes = self.replica.log.since(revision, PUSH_MOST)
-        self.pushed = head.epoch, head.revision
+        if epoch == head.epoch and head.revision - revision <= MAX_PUSH_CHANGES:
+            changes = self.replica.log.changes_since(revision, MAX_PUSH_CHANGES)
+        self.pushed_up_to = head.epoch, head.revision
         for change in changes or ():
-            full, bare = self.sealed_of(change, True), b""
+            full, bare = self.sealed_change(change, True), b""
             for lease in self.followers.values():
-                if lease.until <= now:
+                if lease.expires_at <= now:
                     continue
                 if lease.scopes is None or change.scope in lease.scopes:
                     self.post(lease.address, full)
                 else:
-                    bare = bare or self.sealed_of(change, False)
+                    bare = bare or self.sealed_change(change, False)
                     self.post(lease.address, bare)
                 self.counts.pushed += 1
 
-    def sealed_of(self, change: Change, full: bool) -> bytes:
+    def sealed_change(self, change: Change, full: bool) -> bytes:
         key = change.epoch, change.revision, full
-        data = self.sealed.get(key)
+        data = self.sealed_changes.get(key)
         if data is None:
-            if len(self.sealed) >= SEALED_MOST:
-                del self.sealed[next(iter(self.sealed))]
-            data = self.sealed[key] = seal(
-                Sender(self.name, self.life, 0),
-                Pushed(change if full else change.without_body()),
+            if len(self.sealed_changes) >= MAX_SEALED_CHANGES:
+                del self.sealed_changes[next(iter(self.sealed_changes))]
+            data = self.sealed_changes[key] = seal(
+                Sender(self.name, self.incarnation, 0),
+                PushedChange(change if full else change.without_body()),
                 self.keys[0],
             )
         return data
 
     # What comes.
 
-    def hear(self, now: int, data: bytes, source: Address) -> None:
+    def receive(self, now: int, data: bytes, source: Address) -> None:
         self.counts.heard += 1
         self.counts.heard_bytes += len(data)
         try:
             message = unseal(data, self.keys)
-        except Unreadable as error:
-            self.refuse(str(error), source)
+        except MessageDecodeError as error:
+            self.count_refusal(str(error), source)
             return
-        does = HEARD.get(type(message.body))
+        does = HANDLERS.get(type(message.body))
         reason = does(self, now, message, source) if does else "nothing for who is followed"
         if reason:
-            self.refuse(reason, source)
+            self.count_refusal(reason, source)
 
-    def refuse(self, reason: str, source: Address) -> None:
-        self.refusals.append((counted(self.counts.refused, reason), source))
+    def count_refusal(self, reason: str, source: Address) -> None:
+        self.refusals.append((count_refusal(self.counts.refused, reason), source))
 
-    def reported(self, now: int, message: Message, source: Address) -> str:
+    def on_report(self, now: int, message: Message, source: Address) -> str:
         sender, body, head = message.sender, message.body, self.replica.head
         assert isinstance(body, Report)
         lease = self.followers.get(sender.name)
-        if lease is not None and lease.until <= now and lease.life != sender.life:
+        if (
+            lease is not None
+            and lease.expires_at <= now
+            and lease.incarnation != sender.incarnation
+        ):
             lease = None
-        if lease is not None and sender.life < lease.life:
+        if lease is not None and sender.incarnation < lease.incarnation:
             return "an older life"
-        if lease is not None and sender.life == lease.life and not lease.window.new(sender.number):
+        if (
+            lease is not None
+            and sender.incarnation == lease.incarnation
+            and not lease.replay_window.accept(sender.number)
+        ):
             return "a number that was there"
-        no = self.unfit(body) or ("full" if lease is None and self.crowded(now) else "")
+        no = self.reason_not_to_serve(body) or (
+            "full" if lease is None and self.is_full(now) else ""
+        )
         if head is None or no:
             self.counts.redirects += 1
             self.followers.pop(sender.name, None)
             self.send(source, sender.number, Redirect(no))
             return ""
-        if lease is None or sender.life > lease.life:
+        if lease is None or sender.incarnation > lease.incarnation:
             lease = self.followers[sender.name] = Lease(
-                sender.life, source, body.scopes, 0, Window()
+                sender.incarnation, source, body.scopes, 0, ReplayWindow()
             )
-            lease.window.new(sender.number)
-        lease.address, lease.scopes, lease.until = source, body.scopes, now + self.terms.lease
+            lease.replay_window.accept(sender.number)
+        lease.address, lease.scopes, lease.expires_at = (
+            source,
+            body.scopes,
+            now + self.settings.lease_ns,
+        )
         lease.epoch, lease.revision = body.epoch, body.revision
-        self.tell(now, sender.number, source, self.differs(body))
+        self.send_head(now, sender.number, source, self.differs(body))
         return ""
 
-    def unfit(self, body: Report) -> str:
+    def reason_not_to_serve(self, body: Report) -> str:
         """Why we can't be followed by that one; empty where we can."""
         held = self.replica.table.scopes
-        if self.leaving:
+        if self.is_draining:
             return "leaving"
         if self.replica.head is None:
             return "nothing here yet"
@@ -205,18 +219,18 @@
             return "scopes that are not held here"
         return ""
 
-    def crowded(self, now: int) -> bool:
-        if len(self.followers) >= self.terms.followers_most:
-            for name in [name for name, lease in self.followers.items() if lease.until <= now]:
+    def is_full(self, now: int) -> bool:
+        if len(self.followers) >= self.settings.max_followers:
+            for name in [name for name, lease in self.followers.items() if lease.expires_at <= now]:
                 del self.followers[name]
-        return len(self.followers) >= self.terms.followers_most
+        return len(self.followers) >= self.settings.max_followers
 
     def differs(self, body: Report) -> bool:
         head = self.replica.head
         if (
             head is None
             or body.epoch != head.epoch
-            or not 0 <= head.revision - body.revision <= JUDGED_MOST
+            or not 0 <= head.revision - body.revision <= MAX_COMPARED_REVISIONS
         ):
             return False
         digest = self.replica.digest_at(body.revision, body.scopes)
@@ -224,12 +238,16 @@
         self.counts.differing += found
         return found
 
-    def tell(self, now: int, number: int, to: Address, differs: bool) -> None:
+    def send_head(self, now: int, number: int, to: Address, differs: bool) -> None:
         assert self.replica.head is not None
         # A copy on its way to a later revision is nothing to pull from or sync with, and says no
         # other head.
         self.send(
-            to, number, Told(self.replica.head, self.age(now), differs, self.replica.log.base)
+            to,
+            number,
+            HeadStatus(
+                self.replica.head, self.age_ms(now), differs, self.replica.log.base_revision
+            ),
         )
 
     def lease_of(self, now: int, message: Message) -> Lease | None:
@@ -238,95 +256,100 @@
         lease = self.followers.get(sender.name)
         if (
             lease is None
-            or lease.until <= now
-            or lease.life != sender.life
-            or not lease.window.new(sender.number)
+            or lease.expires_at <= now
+            or lease.incarnation != sender.incarnation
+            or not lease.replay_window.accept(sender.number)
         ):
             return None
         return lease
 
-    def pulled(self, now: int, message: Message, source: Address) -> str:
+    def on_pull(self, now: int, message: Message, source: Address) -> str:
         lease, body, head = self.lease_of(now, message), message.body, self.replica.head
-        assert isinstance(body, Pull)
+        assert isinstance(body, PullRequest)
         if lease is None or head is None:
             return "a PULL of none that follows, or played again"
         changes = (
-            self.replica.log.since(body.after, body.most) if body.epoch == head.epoch else None
+            self.replica.log.changes_since(body.after_revision, body.max_changes)
+            if body.epoch == head.epoch
+            else None
         )
         if changes is None:
-            self.tell(now, message.sender.number, lease.address, False)
+            self.send_head(now, message.sender.number, lease.address, False)
         for change in changes or ():
             self.counts.pulled += 1
             full = lease.scopes is None or change.scope in lease.scopes
-            self.post(lease.address, self.sealed_of(change, full))
+            self.post(lease.address, self.sealed_change(change, full))
         return ""
 
-    def digests_asked(self, now: int, message: Message, source: Address) -> str:
+    def on_digests_request(self, now: int, message: Message, source: Address) -> str:
         lease, head = self.lease_of(now, message), self.replica.head
         if lease is None:
             return "a DIGESTS_ASK of none that follows, or played again"
-        if head is None or not self.replica.whole:
+        if head is None or not self.replica.is_complete:
             return "a DIGESTS_ASK while there is no whole revision here"
         digests = self.replica.digests_of(lease.scopes)
         for half in (0, 1):
             self.send(
                 lease.address,
                 message.sender.number,
-                Digests(head, half, tuple(digests[half * HALF : (half + 1) * HALF])),
+                DigestsResponse(
+                    head, half, tuple(digests[half * HALF_BUCKETS : (half + 1) * HALF_BUCKETS])
+                ),
             )
         return ""
 
-    def pages_asked(self, now: int, message: Message, source: Address) -> str:
+    def on_pages_request(self, now: int, message: Message, source: Address) -> str:
         lease, body, head = self.lease_of(now, message), message.body, self.replica.head
-        assert isinstance(body, PagesAsk)
+        assert isinstance(body, PagesRequest)
         if lease is None:
             return "a PAGES_ASK of none that follows, or played again"
-        if head is None or not self.replica.whole:
+        if head is None or not self.replica.is_complete:
             return "a PAGES_ASK while there is no whole revision here"
         self.tokens = min(
-            float(self.terms.page_burst),
-            self.tokens + (now - self.filled_at) * self.terms.page_rate / (1000 * MS),
+            float(self.settings.page_burst_bytes),
+            self.tokens
+            + (now - self.tokens_filled_at) * self.settings.page_bytes_per_s / (1000 * MS),
         )
-        self.filled_at = now
+        self.tokens_filled_at = now
         after = body.after
-        for place in range(body.pages):
+        for place in range(body.page_count):
             if self.tokens <= 0:
                 self.counts.held_back += 1
                 return ""
-            page = self.replica.table.page(body.bucket, after, lease.scopes, PAGE_BYTES)
+            page = self.replica.table.page(body.bucket, after, lease.scopes, MAX_PAGE_BYTES)
             self.tokens -= self.send(
                 lease.address,
                 message.sender.number,
-                Paged(head.epoch, head.revision, body.bucket, place, after, page),
+                PageResponse(head.epoch, head.revision, body.bucket, place, after, page),
             )
             self.counts.pages += 1
-            after = page.last
-            if page.done:
+            after = page.last_position
+            if page.is_last:
                 break
         return ""
 
-    def left(self, now: int, message: Message, source: Address) -> str:
+    def on_leave(self, now: int, message: Message, source: Address) -> str:
         if self.lease_of(now, message) is not None:
             del self.followers[message.sender.name]
         return ""
 
     # What leaves.
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Sends all followers on; whoever reports later is sent on too."""
-        self.leaving = True
+        self.is_draining = True
         for lease in self.followers.values():
             self.send(lease.address, 0, Redirect("leaving"))
         self.followers.clear()
 
     def send(self, to: Address, number: int, body: Body) -> int:
         """The bytes that it took."""
-        data = seal(Sender(self.name, self.life, number), body, self.keys[0])
+        data = seal(Sender(self.name, self.incarnation, number), body, self.keys[0])
         self.post(to, data)
         return len(data)
 
     def post(self, to: Address, data: bytes) -> None:
-        if len(self.out) >= OUT_MOST:
+        if len(self.out) >= MAX_OUT_DATAGRAMS:
             self.counts.dropped += 1
             return
         self.counts.sent += 1
@@ -341,11 +364,11 @@
         "name": source.name,
         "epoch": head.epoch if head else None,
         "revision": head.revision if head else None,
-        "age_ms": source.age(now),
-        "whole": source.replica.whole,
+        "age_ms": source.age_ms(now),
+        "whole": source.replica.is_complete,
         "log": len(source.replica.log),
         "followers": len(source.followers),
-        "followers_most": source.terms.followers_most,
+        "followers_most": source.settings.max_followers,
         "behind": sum(
             1
             for lease in source.followers.values()
@@ -355,10 +378,10 @@
     }
 
 
-HEARD: dict[type[Body], Callable[[Source, int, Message, Address], str]] = {
-    Report: Source.reported,
-    Pull: Source.pulled,
-    DigestsAsk: Source.digests_asked,
-    PagesAsk: Source.pages_asked,
-    Bye: Source.left,
+HANDLERS: dict[type[Body], Callable[[Source, int, Message, Address], str]] = {
+    Report: Source.on_report,
+    PullRequest: Source.on_pull,
+    DigestsRequest: Source.on_digests_request,
+    PagesRequest: Source.on_pages_request,
+    Leave: Source.on_leave,
 }
--- a/burlloom/distribution/telling.py
+++ b/burlloom/distribution/status_report.py
@@ -12,7 +12,7 @@
 log = logging.getLogger(__name__)
 
 
-class Telling:
+class HeadLogger:
     """Looked at some times a second. From line to line `from` is the revision after the last `to`:
     all that was applied in between, in the chain's order, of which `tag` is the end; or else a sync
     set all at once.
@@ -21,14 +21,14 @@
     def __init__(self, replica: Replica) -> None:
         self.replica, self.head = replica, replica.head
 
-    def look(self) -> None:
+    def log_moves(self) -> None:
         head, before = self.replica.head, self.head
         if head == before or head is None:
             return
         self.head, log_ = head, self.replica.log
-        if before is None or before.epoch != head.epoch or log_.base > before.revision:
+        if before is None or before.epoch != head.epoch or log_.base_revision > before.revision:
             # Of a sync that ended, and of what was applied after it: one line each.
-            at = log_.base
+            at = log_.base_revision
             log.info("event=distribution-synced epoch=%d revision=%d", head.epoch, at)
             if at == head.revision:
                 return
@@ -43,7 +43,7 @@
         )
 
 
-class Keys:
+class KeyFile:
     """The keys of a file, looked at once a second. A file that can't be used leaves them as they
     are.
     """
@@ -51,7 +51,7 @@
     def __init__(self, path: Path, read: Callable[[], tuple[bytes, ...]], what: str) -> None:
         self.path, self.read, self.what = path, read, what
         self.keys = read()
-        self.seen = self.modified()
+        self.seen_mtime = self.modified()
 
     def modified(self) -> float:
         try:
@@ -59,11 +59,11 @@
         except OSError:
             return 0.0
 
-    def changed(self) -> bool:
+    def reload_if_changed(self) -> bool:
         seen = self.modified()
-        if seen == self.seen:
+        if seen == self.seen_mtime:
             return False
-        self.seen = seen
+        self.seen_mtime = seen
         try:
             keys = self.read()
             if not keys:
@@ -88,7 +88,7 @@
         log.warning("event=state-not-written detail=%r", str(error))
 
 
-def held(replica: Replica) -> dict[str, object]:
+def replica_summary(replica: Replica) -> dict[str, object]:
     """Of a copy, for the state's file."""
     table = replica.table
     return {
--- a/burlloom/distribution/stores/__init__.py
+++ b/burlloom/distribution/stores/__init__.py
@@ -2,6 +2,6 @@
 one interface.
 """
 
-from .store import Away, ChangeStore, Stored
+from .change_store import Away, ChangeStore, StoredItem
 
-__all__ = ["Away", "ChangeStore", "Stored"]
+__all__ = ["Away", "ChangeStore", "StoredItem"]
--- a/burlloom/distribution/stores/store.py
+++ b/burlloom/distribution/stores/change_store.py
@@ -3,15 +3,15 @@
 from typing import NamedTuple, Protocol
 
 from ...record.store import Away as Away
-from ..changes import Change, Entry, Head
+from ..changes import Change, ConfigItem, Head
 
 Place = tuple[str, str, str]  # scope, kind, key: the order in which entries are read
 
 
-class Stored(NamedTuple):
+class StoredItem(NamedTuple):
     """An entry in force, and the epoch and revision that wrote it last."""
 
-    entry: Entry
+    item: ConfigItem
     epoch: int
     revision: int
 
@@ -23,25 +23,25 @@
         """Takes missing schema steps, and begins an epoch where there is none."""
 
     async def head(self) -> Head: ...
-    async def since(self, revision: int, most: int) -> list[Change]:
+    async def changes_since(self, revision: int, most: int) -> list[Change]:
         """The changes after it that are still in the log, in order; the first is a later one where
         it was pruned.
         """
 
-    async def at(self, revision: int) -> Change | None:
+    async def change_at(self, revision: int) -> Change | None:
         """That change, if it is still in the log."""
 
     async def append(self, change: Change) -> bool:
         """In one step, if nobody wrote its revision before. On disk when it says yes."""
 
-    async def entries(self, after: Place | None, most: int) -> list[Stored]:
+    async def items(self, after: Place | None, most: int) -> list[StoredItem]:
         """A page of what is in force, in order. The table may move between two pages: entries that
         were read, and then all changes after the head that was read before, in order, are what is
         in force at the last.
         """
 
-    async def entry(self, scope: str, kind: str, key: str) -> Stored | None: ...
-    async def renew(self, seen: Head, beyond: int) -> bool:
+    async def item(self, scope: str, kind: str, key: str) -> StoredItem | None: ...
+    async def begin_epoch(self, seen: Head, beyond: int) -> bool:
         """A new epoch, later than `beyond`, if that is still the head: the store was put back, and
         revisions that it gives from now on were given before. What is in force stays; the log goes.
         """
--- a/burlloom/distribution/stores/opening.py
+++ b/burlloom/distribution/stores/factory.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from ...record.opening import store_of
-from .store import ChangeStore
+from .change_store import ChangeStore
 
 if TYPE_CHECKING:
     from ...operator import Place
--- a/burlloom/distribution/stores/postgres.py
+++ b/burlloom/distribution/stores/postgres.py
@@ -7,7 +7,7 @@
 
 
 class Postgres(SharedDatabase, Tables):
-    async def together(self, guard: Statement, rest: list[Statement]) -> bool:
+    async def transaction(self, guard: Statement, rest: list[Statement]) -> bool:
         async def work(link: Any) -> bool:
             async with link.transaction():
                 # The head's row is locked by the first: a second writer waits for our end, and then
--- a/burlloom/distribution/stores/sqlite.py
+++ b/burlloom/distribution/stores/sqlite.py
@@ -15,7 +15,7 @@
         """`wait`: s for the lock that another holds, until the store counts as away."""
         super().__init__(path, "distribution", wait)
 
-    async def together(self, guard: Statement, rest: list[Statement]) -> bool:
+    async def transaction(self, guard: Statement, rest: list[Statement]) -> bool:
         def work(db: sqlite3.Connection) -> bool:
             db.execute("BEGIN IMMEDIATE")
             try:
--- a/burlloom/distribution/stores/tables.py
+++ b/burlloom/distribution/stores/tables.py
@@ -5,9 +5,9 @@
 import time
 from typing import Any
 
-from ..changes import Change, Entry, Head, decode, digest_of_body, first_head
-from ..log import LOG_MOST
-from .store import Away, Place, Stored
+from ..change_log import MAX_LOGGED_CHANGES
+from ..changes import Change, ConfigItem, Head, decode_items, hash_body, initial_head
+from .change_store import Away, Place, StoredItem
 
 Statement = tuple[str, tuple[Any, ...]]
 
@@ -68,14 +68,14 @@
         bytes(scope).decode(),
         bytes(body),
         bytes(tag),
-        digest_of_body(bytes(body)),
+        hash_body(bytes(body)),
     )
 
 
-def stored_of(row: Any) -> Stored:
+def stored_of(row: Any) -> StoredItem:
     scope, kind, key, value, epoch, revision = row
-    return Stored(
-        Entry(bytes(scope).decode(), bytes(kind).decode(), bytes(key).decode(), bytes(value)),
+    return StoredItem(
+        ConfigItem(bytes(scope).decode(), bytes(kind).decode(), bytes(key).decode(), bytes(value)),
         epoch,
         revision,
     )
@@ -94,7 +94,7 @@
     async def run(self, sql: str, *values: Any) -> list[Any]:
         raise NotImplementedError
 
-    async def together(self, guard: Statement, rest: list[Statement]) -> bool:
+    async def transaction(self, guard: Statement, rest: list[Statement]) -> bool:
         """All of them, if the guard gives a row; else none."""
         raise NotImplementedError
 
@@ -103,7 +103,7 @@
 
     async def open(self) -> None:
         await self.prepare()
-        head = first_head(time.time_ns() // 1_000_000, time.time_ns() // 1_000_000)
+        head = initial_head(time.time_ns() // 1_000_000, time.time_ns() // 1_000_000)
         await self.run(BEGIN, head.epoch, head.tag, head.time_ms)
 
     async def head(self) -> Head:
@@ -113,11 +113,11 @@
         ((epoch, revision, tag, time_ms),) = found
         return Head(epoch, revision, bytes(tag), time_ms)
 
-    async def since(self, revision: int, most: int) -> list[Change]:
+    async def changes_since(self, revision: int, most: int) -> list[Change]:
         return [change_of(row) for row in await self.run(SINCE, revision, most)]
 
-    async def at(self, revision: int) -> Change | None:
-        found = await self.since(revision - 1, 1)
+    async def change_at(self, revision: int) -> Change | None:
+        found = await self.changes_since(revision - 1, 1)
         return found[0] if found and found[0].revision == revision else None
 
     async def append(self, change: Change) -> bool:
@@ -126,33 +126,33 @@
         rest: list[Statement] = [
             (INSERT, (revision, change.epoch, change.time_ms, scope, change.body, change.tag))
         ]
-        for entry in decode(change.scope, change.body):
+        for entry in decode_items(change.scope, change.body):
             place = place_of(entry.scope, entry.kind, entry.key)
             rest.append(
                 (DELETE, place)
                 if entry.value is None
                 else (PUT, (*place, entry.value, change.epoch, revision))
             )
-        rest.append((PRUNE, (revision - LOG_MOST,)))
-        return await self.together(
+        rest.append((PRUNE, (revision - MAX_LOGGED_CHANGES,)))
+        return await self.transaction(
             (ADVANCE, (revision, change.tag, change.time_ms, change.epoch)), rest
         )
 
-    async def entries(self, after: Place | None, most: int) -> list[Stored]:
+    async def items(self, after: Place | None, most: int) -> list[StoredItem]:
         rows = await (
             self.run(PAGE, most) if after is None else self.run(PAGE_AFTER, most, *place_of(*after))
         )
         return [stored_of(row) for row in rows]
 
-    async def entry(self, scope: str, kind: str, key: str) -> Stored | None:
+    async def item(self, scope: str, kind: str, key: str) -> StoredItem | None:
         return next(
             (stored_of(row) for row in await self.run(ENTRY, *place_of(scope, kind, key))), None
         )
 
-    async def renew(self, seen: Head, beyond: int) -> bool:
+    async def begin_epoch(self, seen: Head, beyond: int) -> bool:
         now = time.time_ns() // 1_000_000
-        head = first_head(max(seen.epoch + 1, beyond + 1, now), max(seen.time_ms, now))
-        return await self.together(
+        head = initial_head(max(seen.epoch + 1, beyond + 1, now), max(seen.time_ms, now))
+        return await self.transaction(
             (RENEW, (head.epoch, head.tag, head.time_ms, seen.epoch, seen.revision, seen.tag)),
             [(FORGET, ())],
         )
--- a/burlloom/lab/hollow_configuration.py
+++ b/burlloom/lab/hollow_configuration.py
@@ -17,13 +17,21 @@
 
 import msgpack
 
-from ..distribution import Change, Follower, Head, Replica, Table, Terms, Upstream
-from ..distribution.control import Control
-from ..distribution.stores.reading import Reading
+from ..distribution import (
+    Change,
+    ConfigTable,
+    Follower,
+    Head,
+    Replica,
+    ReplicationSettings,
+    Upstream,
+)
+from ..distribution.control_node import ControlNode
+from ..distribution.status_report import KeyFile
+from ..distribution.stores.change_store import Away
 from ..distribution.stores.sqlite import Sqlite
-from ..distribution.stores.store import Away
-from ..distribution.table import BUCKETS
-from ..distribution.telling import Keys
+from ..distribution.stores.store_follower import StoreFollower
+from ..distribution.table import BUCKET_COUNT
 from .distances import Place
 
 PAGE = 32_768  # bytes, when the contents are read for the checker
@@ -41,35 +49,35 @@
 class Witnessed(Replica):
     """A copy, and what it took in which order."""
 
-    def __init__(self, table: Table, keys: tuple[bytes, ...]) -> None:
+    def __init__(self, table: ConfigTable, keys: tuple[bytes, ...]) -> None:
         super().__init__(table, keys)
         self.seen: list[list[Any]] = []
 
-    def take(self, change: Change) -> str | None:
-        reason = super().take(change)
+    def apply_change(self, change: Change) -> str | None:
+        reason = super().apply_change(change)
         if reason is None:
             self.seen.append(
                 [clock(), "applied", change.epoch, change.revision, digest_of(change.body)]
             )
         return reason
 
-    def settle(self, head: Head) -> None:
-        super().settle(head)
+    def complete_at(self, head: Head) -> None:
+        super().complete_at(head)
         self.seen.append([clock(), "synced", head.epoch, head.revision])
 
     def contents(self) -> str:
         """A digest of all that is in force, in an order that is not the table's."""
         texts = []
-        for bucket in range(BUCKETS):
+        for bucket in range(BUCKET_COUNT):
             after = None
             while True:
                 page = self.table.page(bucket, after, self.table.scopes, PAGE)
                 texts += [
                     msgpack.packb([entry.scope, entry.kind, entry.key, entry.value])
-                    for entry in page.entries
+                    for entry in page.items
                 ]
-                after = page.last
-                if page.done:
+                after = page.last_position
+                if page.is_last:
                     break
         whole = hashlib.sha256()
         for text in sorted(texts):
@@ -89,7 +97,7 @@
     head = replica.head
     return {
         f"revision {head.revision if head else -1}": 1,
-        "whole": int(replica.whole),
+        "whole": int(replica.is_complete),
         "age_ms": age or 0,
         "ageless": int(age is None),
     }
@@ -102,7 +110,7 @@
         self, own: Place, address: str, life: int, told: dict[str, Any], chance: Random, now: int
     ) -> None:
         region = f"r{own.region}"
-        self.replica = Witnessed(Table(("", region)), keys(told)[1])
+        self.replica = Witnessed(ConfigTable(("", region)), keys(told)[1])
         self.follower = Follower(
             self.replica,
             own.name,
@@ -110,7 +118,7 @@
             region,
             upstreams(told),
             keys(told)[0],
-            Terms(**told.get("terms", {})),
+            ReplicationSettings(**told.get("terms", {})),
             chance,
             now,
         )
@@ -121,7 +129,7 @@
         self.follower.tick(now)
 
     def hear(self, now: int, data: bytes, source: tuple[str, int]) -> None:
-        self.follower.hear(now, data, source)
+        self.follower.receive(now, data, source)
 
     def leave(self, now: int) -> None:
         self.follower.leave()
@@ -204,18 +212,18 @@
         pass
 
 
-class Machine(Control):
+class Machine(ControlNode):
     """Can be killed: its tasks are known."""
 
     def __init__(self, *told: Any) -> None:
         super().__init__(*told)
         self.tasks: list[asyncio.Task[Any] | None] = []
 
-    async def keep(self) -> None:
+    async def tick_forever(self) -> None:
         self.tasks.append(asyncio.current_task())
-        await super().keep()
+        await super().tick_forever()
 
-    async def follow_store(self, reading: Reading) -> None:
+    async def follow_store(self, reading: StoreFollower) -> None:
         self.tasks.append(asyncio.current_task())
         await super().follow_store(reading)
 
@@ -226,8 +234,8 @@
     def __init__(
         self, own: Place, address: str, life: int, told: dict[str, Any], chance: Random, now: int
     ) -> None:
-        seals = Keys(Path(told["key_file"]), lambda: keys(told)[0], "seals")
-        signing = Keys(Path(told["signing_key_file"]), lambda: keys(told)[1], "signing")
+        seals = KeyFile(Path(told["key_file"]), lambda: keys(told)[0], "seals")
+        signing = KeyFile(Path(told["signing_key_file"]), lambda: keys(told)[1], "signing")
         self.store = Reach(Sqlite(Path(told["store"])))
         self.out: deque[Any] = deque()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as nowhere:
@@ -237,7 +245,7 @@
                 nowhere,
                 seals,
                 signing,
-                Terms(**told.get("terms", {})),
+                ReplicationSettings(**told.get("terms", {})),
                 upstreams(told),
                 self.store,
                 None,
@@ -250,10 +258,10 @@
         pass  # it does so by itself
 
     def hear(self, now: int, data: bytes, source: tuple[str, int]) -> None:
-        self.control.hear(data, source)
+        self.control.receive(data, source)
 
     def leave(self, now: int) -> None:
-        self.control.source.leave()
+        self.control.source.drain()
         self.control.flush()
 
     def woke(self, now: int) -> None:
--- a/burlloom/operator/distribution.py
+++ b/burlloom/operator/distribution.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from ..distribution.follower import Upstream as Follows
-    from ..distribution.terms import Terms
+    from ..distribution.settings import ReplicationSettings
 
 MS = 1_000_000
 SIGNING_LEAST, KEYS_MOST = 16, 8  # bytes; lines of a file
@@ -114,25 +114,25 @@
         """Raises `OSError` or `ValueError`."""
         return read_keys(Path(self.signing_key_file))
 
-    def terms(self) -> "Terms":
+    def terms(self) -> "ReplicationSettings":
         """What is not told follows the beat."""
-        from ..distribution.terms import Terms
+        from ..distribution.settings import ReplicationSettings
 
-        plain, beat = Terms(), self.beat_ms * MS
-        part = beat / plain.beat
+        plain, beat = ReplicationSettings(), self.beat_ms * MS
+        part = beat / plain.heartbeat_ns
         return replace(
             plain,
-            beat=beat,
-            silence=int(plain.silence * part),
-            knock=int(plain.knock * part),
-            retry=int(plain.retry * part),
-            prefer=int(plain.prefer * part),
-            stale=int(plain.stale * part),
-            stuck=int(plain.stuck * part),
-            lease=int(plain.lease * part),
-            followers_most=self.followers_most,
-            page_rate=self.page_rate,
-            page_burst=max(1, self.page_rate // 10),
+            heartbeat_ns=beat,
+            upstream_timeout_ns=int(plain.upstream_timeout_ns * part),
+            first_answer_timeout_ns=int(plain.first_answer_timeout_ns * part),
+            request_retry_ns=int(plain.request_retry_ns * part),
+            preferred_retry_ns=int(plain.preferred_retry_ns * part),
+            stale_after_ns=int(plain.stale_after_ns * part),
+            sync_stall_timeout_ns=int(plain.sync_stall_timeout_ns * part),
+            lease_ns=int(plain.lease_ns * part),
+            max_followers=self.followers_most,
+            page_bytes_per_s=self.page_rate,
+            page_burst_bytes=max(1, self.page_rate // 10),
         )
 
     def followed(self) -> "list[Follows]":
--- a/burlloom/server/distributing.py
+++ b/burlloom/server/distributing.py
@@ -20,7 +20,7 @@
     import socket
 
     from ..distribution import Follower, Replica
-    from ..distribution.table import Place
+    from ..distribution.table import ItemPosition
     from ..metrics import Exposed
     from ..operator import DistributionPart
 
@@ -119,7 +119,7 @@
         self.replica = replica
         self.whole = 0.0
         self.sum, self.bucket = 0.0, -1  # the counting under way; no bucket: none is
-        self.after: Place | None = None
+        self.after: ItemPosition | None = None
         self.of: Any = None  # the epoch and revision that the last one began at
         self.began_at = -COUNT_EVERY
 
@@ -137,16 +137,16 @@
             page = table.page(self.bucket, self.after, table.scopes or ("",), COUNT_BYTES)
             self.sum += sum(
                 portion_of(entry.value)
-                for entry in page.entries
+                for entry in page.items
                 if entry.kind == "tenant" and entry.value is not None
             )
-            self.after = page.last
-            if page.done:
+            self.after = page.last_position
+            if page.is_last:
                 self.bucket, self.after = self.bucket + 1, None
             if self.bucket == BUCKETS:
                 self.whole, self.bucket = self.sum, -1
                 return
-            seen += len(page.entries)
+            seen += len(page.items)
             if seen >= ENTRIES_A_TICK:
                 return
 
@@ -177,7 +177,7 @@
 
         from .. import distribution
         from ..distribution.endpoint import Endpoint
-        from ..distribution.telling import Keys, Telling
+        from ..distribution.status_report import HeadLogger, KeyFile
 
         self.part, self.name, self.tasks, self.leaving, self.clock = (
             part,
@@ -187,10 +187,12 @@
             since_start,
         )
         life = time.time_ns() // MS
-        self.seals = Keys(Path(part.key_file), part.keys, "seals")
-        self.signing = Keys(Path(part.signing_key_file), part.signing_keys, "signing")
+        self.seals = KeyFile(Path(part.key_file), part.keys, "seals")
+        self.signing = KeyFile(Path(part.signing_key_file), part.signing_keys, "signing")
         scopes = ("", part.region)
-        self.replica: Replica = distribution.Replica(distribution.Table(scopes), self.signing.keys)
+        self.replica: Replica = distribution.Replica(
+            distribution.ConfigTable(scopes), self.signing.keys
+        )
         self.follower: Follower = distribution.Follower(
             self.replica,
             name,
@@ -203,7 +205,7 @@
             self.clock(),
         )
         self.endpoint = Endpoint(sock, self.hear)
-        self.telling, self.portions = Telling(self.replica), Portions(self.replica)
+        self.telling, self.portions = HeadLogger(self.replica), Portions(self.replica)
         self.state = self.follower.state
         self.looked_at = 0
         self.counting = False  # whether anybody asks for shares
@@ -240,7 +242,7 @@
             and self.clock() - began < self.part.wait_ms * MS
         ):
             await rest(MOMENT)
-        self.telling.look()
+        self.telling.log_moves()
         if self.replica.head is None:
             log.warning(
                 "event=distribution-not-in-force waited_ms=%d tenants=%d detail='the configuration file holds"
@@ -261,7 +263,7 @@
         now = self.clock()
         self.follower.tick(now)
         self.endpoint.flush(self.follower.out)
-        self.telling.look()
+        self.telling.log_moves()
         if self.follower.state != self.state:
             log.info(
                 "event=distribution-state from=%s to=%s upstream=%s age_ms=%s",
@@ -279,7 +281,7 @@
 
     def hear(self, data: bytes, source: tuple[str, int]) -> None:
         """Between two requests: a change, or a page, and no more."""
-        self.follower.hear(self.clock(), data, source)
+        self.follower.receive(self.clock(), data, source)
         self.endpoint.flush(self.follower.out)
 
     def age(self, now: int) -> str:
@@ -288,19 +290,19 @@
 
     def look(self, now: int) -> None:
         """Once a second."""
-        if self.seals.changed():
+        if self.seals.reload_if_changed():
             self.follower.keys = self.seals.keys
-        if self.signing.changed():
+        if self.signing.reload_if_changed():
             self.replica.keys = self.signing.keys
-        self.endpoint.tell_refusals(now // SECOND, self.follower.refusals)
+        self.endpoint.log_refusals(now // SECOND, self.follower.refusals)
         if self.part.state_file is not None:
-            from ..distribution.telling import write_state
+            from ..distribution.status_report import write_state
 
             write_state(self.part.state_file, self.summary(now))
 
     def summary(self, now: int) -> dict[str, object]:
         from ..distribution.follower import summary
-        from ..distribution.telling import held
+        from ..distribution.status_report import replica_summary
 
         return {
             "told_at": time.time_ns(),
@@ -308,7 +310,7 @@
             "region": self.part.region,
             "address": self.endpoint.address,
             **summary(self.follower, now),
-            **held(self.replica),
+            **replica_summary(self.replica),
         }
 
     # For whoever reads metrics.
@@ -316,7 +318,7 @@
     def counts(self) -> dict[str, int]:
         counts = self.follower.counts
         told = {name: getattr(counts, name) for name in counts.__slots__ if name != "refused"}
-        return {**told, "refused": sum(counts.refused.values()), "unsent": self.endpoint.unsent}
+        return {**told, "refused": sum(counts.refused.values()), "unsent": self.endpoint.dropped}
 
     def gauges(self) -> dict[str, float]:
         """The age is NaN where nothing is in force."""
@@ -337,7 +339,7 @@
             self.task.cancel()
         self.follower.leave()
         self.endpoint.flush(self.follower.out)
-        self.telling.look()
+        self.telling.log_moves()
         if self.part.state_file is not None and self.task is not None:
             self.look(self.clock())
         self.endpoint.close()
--- a/burlloom/server/parts.py
+++ b/burlloom/server/parts.py
@@ -264,16 +264,16 @@
         return None
     if not part.upstreams:
         raise Refused("distribution.upstreams: is empty: a server follows others")
-    from ..distribution.endpoint import bound
-    from ..distribution.messages import NAME_MOST
+    from ..distribution.endpoint import bind_datagram_socket
+    from ..distribution.messages import MAX_NAME_BYTES
 
-    if not 0 < len(orders.name.encode()) <= NAME_MOST:
+    if not 0 < len(orders.name.encode()) <= MAX_NAME_BYTES:
         raise Refused(
-            f"distribution: the name {orders.name!r:.80} is over {NAME_MOST} bytes; messages carry no longer"
+            f"distribution: the name {orders.name!r:.80} is over {MAX_NAME_BYTES} bytes; messages carry no longer"
             " one"
         )
     try:
-        sock = bound(part.listen)
+        sock = bind_datagram_socket(part.listen)
     except OSError as error:
         raise Refused(f"distribution.listen: {part.listen}: {error.strerror}") from error
 
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -19,17 +19,17 @@
 
 from burlloom.distribution import (
     Change,
-    Entry,
+    ConfigItem,
+    ConfigTable,
     Follower,
     Head,
     Replica,
+    ReplicationSettings,
     Source,
-    Table,
-    Terms,
     Upstream,
-    first_head,
+    initial_head,
+    is_for_source,
     propose,
-    to_source,
 )
 
 MS = 1_000_000
@@ -48,9 +48,9 @@
 
     def __init__(self, kept: int = 1 << 30) -> None:
         self.epoch, self.kept = 1, kept
-        self.heads: dict[tuple[int, int], Head] = {(1, 0): first_head(1, 0)}
+        self.heads: dict[tuple[int, int], Head] = {(1, 0): initial_head(1, 0)}
         self.changes: dict[tuple[int, int], Change] = {}
-        self.table = Table(None)
+        self.table = ConfigTable(None)
         self.digests: dict[tuple[int, int], dict[str, int]] = {(1, 0): {}}
         self.born: dict[tuple[int, int], int] = {(1, 0): 0}
         self.ended: dict[int, int] = {}  # when an epoch did
@@ -61,7 +61,7 @@
         return max(self.heads.values())
 
     def put(self, now: int, scope: str, entries: Iterable[tuple[str, str, bytes | None]]) -> Change:
-        listed = [Entry(scope, *entry) for entry in entries]
+        listed = [ConfigItem(scope, *entry) for entry in entries]
         head = self.heads[self.epoch, self.revision]
         change = propose(head, scope, listed, now // MS, SIGN)
         key = change.epoch, change.revision
@@ -90,9 +90,9 @@
         self.ended[self.epoch] = now
         self.epoch += 1
         for place in list(self.entries)[:back]:
-            self.table.put([Entry(*place, None)])
+            self.table.put([ConfigItem(*place, None)])
             del self.entries[place]
-        self.heads[self.epoch, 0] = first_head(self.epoch, now // MS)
+        self.heads[self.epoch, 0] = initial_head(self.epoch, now // MS)
         self.note((self.epoch, 0), now)
 
     def digest(self, key: tuple[int, int], scopes: tuple[str, ...] | None) -> int:
@@ -102,8 +102,8 @@
                 found ^= digest
         return found
 
-    def load(self) -> list[Entry]:
-        return [Entry(*place, held) for place, held in self.entries.items()]
+    def load(self) -> list[ConfigItem]:
+        return [ConfigItem(*place, held) for place, held in self.entries.items()]
 
     def newest_at(self, key: tuple[int, int]) -> int | None:
         """Until when that revision was the newest; None while it is."""
@@ -155,7 +155,7 @@
         self.inbox, self.keys = [], {}
         self.follower = self.source = None
         self.replica = Replica(
-            Table(None if self.control else tuple({"", self.region})), [SIGN], world.log_most
+            ConfigTable(None if self.control else tuple({"", self.region})), [SIGN], world.log_most
         )
         chance = Random(world.chance.random())
         if self.control:
@@ -205,7 +205,7 @@
             assert held is not None
             fresh = truth.load()
             gone = [
-                Entry(*entry[:3], None)
+                ConfigItem(*entry[:3], None)
                 for entry in self.all_of(replica.table)
                 if entry[:3] not in truth.entries
             ]
@@ -213,22 +213,22 @@
                 replica.table.put(fresh[at : at + 64])
             for at in range(0, len(gone), 64):
                 replica.table.put(gone[at : at + 64])
-            replica.begin(truth.heads[truth.epoch, truth.revision])
+            replica.load(truth.heads[truth.epoch, truth.revision])
         while (truth.epoch, replica.head.revision + 1) in truth.changes:
-            reason = replica.take(truth.changes[truth.epoch, replica.head.revision + 1])
+            reason = replica.apply_change(truth.changes[truth.epoch, replica.head.revision + 1])
             assert reason is None, reason
         self.read_at = self.world.now
 
     @staticmethod
-    def all_of(table: Table) -> list[Entry]:
-        found: list[Entry] = []
+    def all_of(table: ConfigTable) -> list[ConfigItem]:
+        found: list[ConfigItem] = []
         for bucket in range(256):
             after = None
             while True:
                 page = table.page(bucket, after, table.scopes, 1050)
-                found += page.entries
-                after = page.last
-                if page.done:
+                found += page.items
+                after = page.last_position
+                if page.is_last:
                     break
         return found
 
@@ -255,11 +255,11 @@
             return
         self.spent[2] += 1
         self.spent[3] += len(data)
-        if to_source(data):
+        if is_for_source(data):
             if self.source is not None:
-                self.source.hear(now, data, source)
+                self.source.receive(now, data, source)
         elif self.follower is not None:
-            self.follower.hear(now, data, source)
+            self.follower.receive(now, data, source)
         self.done()
 
     def wake(self) -> None:
@@ -271,7 +271,7 @@
 
     def done(self) -> None:
         if self.source is not None:
-            self.source.push(self.world.now)
+            self.source.push_changes(self.world.now)
         for part in (self.follower, self.source):
             while part is not None and part.out:
                 to, data = part.out.popleft()
@@ -288,13 +288,18 @@
         delay: tuple[float, float] = (0.0005, 0.15),
         loss: float = 0.0,
         double: float = 0.0,
-        terms: Terms | None = None,
+        terms: ReplicationSettings | None = None,
         log_most: int = 4096,
         step: int = 100 * MS,
     ) -> None:
         """`delay`: least and most, s."""
         self.chance, self.now, self.log_most = Random(seed), 10**12, log_most
-        self.delay, self.loss, self.double, self.terms = delay, loss, double, terms or Terms()
+        self.delay, self.loss, self.double, self.terms = (
+            delay,
+            loss,
+            double,
+            terms or ReplicationSettings(),
+        )
         self.truth = Truth()
         self.nodes: dict[str, Node] = {}
         self.cut: set[tuple[str, str]] = set()  # one way: from, to
@@ -379,12 +384,12 @@
                 node.in_force.setdefault((head.epoch, revision), self.now)
         if follower is not None:
             node.settled = follower.counts.settled
-        if replica.whole:
+        if replica.is_complete:
             assert replica.table.digest() == truth.digest(key, replica.table.scopes), (
                 "another table",
                 where,
             )
-        if not replica.patched or follower is not None and follower.patched_to[0] == key[0]:
+        if not replica.is_partial or follower is not None and follower.pages_up_to[0] == key[0]:
             for name in self.watch:
                 held = replica.table.get("tenant", name)
                 number = msgpack.unpackb(held)["n"] if held is not None else 0
@@ -393,7 +398,7 @@
         if follower is not None:
             age = follower.age(self.now)
             newest = truth.newest_at(key)
-            if newest is not None and age is not None and not replica.patched:
+            if newest is not None and age is not None and not replica.is_partial:
                 assert age >= (self.now - newest) // MS - 1, ("younger than it is", age, where)
 
     def agreed(self, names: Iterable[str] | None = None) -> list[str]:
@@ -406,7 +411,7 @@
             and not self.nodes[name].paused
             and (
                 self.nodes[name].replica.head != head
-                or not self.nodes[name].replica.whole
+                or not self.nodes[name].replica.is_complete
                 or self.nodes[name].replica.table.digest()
                 != self.truth.digest(head[:2], self.nodes[name].replica.table.scopes)
             )
--- a/tests/explore_distribution.py
+++ b/tests/explore_distribution.py
@@ -24,21 +24,21 @@
 
 from burlloom.distribution import (
     Change,
-    Entry,
+    ConfigItem,
     Follower,
     Head,
     Replica,
+    ReplicationSettings,
     Source,
-    Terms,
     Upstream,
-    first_head,
+    initial_head,
     propose,
 )
 from burlloom.distribution import follower as following
 from burlloom.distribution import replica as replicating
-from burlloom.distribution.changes import break_of
-from burlloom.distribution.messages import to_source
-from burlloom.distribution.table import BUCKETS, Page, Place, bucket_of
+from burlloom.distribution.changes import chain_break
+from burlloom.distribution.messages import is_for_source
+from burlloom.distribution.table import BUCKET_COUNT, ItemPosition, Page, bucket_of
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -60,7 +60,7 @@
     scopes: tuple[str, ...] | None = ("",)
 
     def __init__(self) -> None:
-        self.held: dict[Place, bytes] = {}
+        self.held: dict[ItemPosition, bytes] = {}
 
     def put(self, entries: Any) -> None:
         for scope, kind, key, held in entries:
@@ -81,7 +81,7 @@
         return self.digest()
 
     def digests(self) -> tuple[int, ...]:
-        found = [0] * BUCKETS
+        found = [0] * BUCKET_COUNT
         for place, held in self.held.items():
             found[bucket_of(*place[1:])] ^= xxhash.xxh3_64_intdigest(repr((place, held)).encode())
         return tuple(found)
@@ -89,24 +89,24 @@
     def digests_of(self, scopes: Any) -> tuple[int, ...]:
         return self.digests()
 
-    def page(self, bucket: int, after: Place | None, scopes: Any, most_bytes: int) -> Page:
+    def page(self, bucket: int, after: ItemPosition | None, scopes: Any, most_bytes: int) -> Page:
         found = tuple(
-            Entry(*place, self.held[place])
+            ConfigItem(*place, self.held[place])
             for place in sorted(self.held)
             if bucket_of(*place[1:]) == bucket and (after is None or place > after)
         )
         return Page(found, found[-1][:3] if found else None, True)
 
-    def replace(self, bucket: int, after: Place | None, page: Page) -> int:
+    def replace(self, bucket: int, after: ItemPosition | None, page: Page) -> int:
         before = dict(self.held)
         for place in before:
             if bucket_of(*place[1:]) == bucket and (after is None or place > after):
                 del self.held[place]
-        self.put(page.entries)
+        self.put(page.items)
         return before != self.held
 
 
-DIGESTS: dict[tuple[Place, bytes], int] = {}
+DIGESTS: dict[tuple[ItemPosition, bytes], int] = {}
 
 
 def twin(one: Any) -> Any:
@@ -133,16 +133,16 @@
 class World:
     """`flying`: datagrams on their way."""
 
-    def __init__(self, changes: int, newcomer: bool, terms: Terms) -> None:
+    def __init__(self, changes: int, newcomer: bool, terms: ReplicationSettings) -> None:
         self.terms, self.now, self.lives, self.source_lives = terms, BEGIN, 1, 1
         self.epoch, self.left = 1, Counter[str]()
-        self.heads: dict[tuple[int, int], Head] = {(1, 0): first_head(1, 0)}
+        self.heads: dict[tuple[int, int], Head] = {(1, 0): initial_head(1, 0)}
         self.changes: dict[tuple[int, int], Change] = {}
-        self.tables: dict[tuple[int, int], dict[Place, bytes]] = {(1, 0): {}}
+        self.tables: dict[tuple[int, int], dict[ItemPosition, bytes]] = {(1, 0): {}}
         self.born = {(1, 0): BEGIN}
         self.ended: dict[int, int] = {}
         self.flying: list[bytes] = []
-        self.high, self.low = (0, 0), dict[Place, int]()
+        self.high, self.low = (0, 0), dict[ItemPosition, int]()
         for _ in range(changes):
             self.append()
         self.start_source(0)
@@ -158,7 +158,7 @@
         one = propose(
             self.heads[before],
             "",
-            [Entry("", "tenant", KEYS[before[1] % len(KEYS)], value(number))],
+            [ConfigItem("", "tenant", KEYS[before[1] % len(KEYS)], value(number))],
             1,
             SIGN,
         )
@@ -175,7 +175,7 @@
         few = Few()
         few.held = dict(self.tables[epoch, last])
         replica: Any = Replica(few, [SIGN])  # type: ignore[arg-type]
-        replica.begin(self.heads[epoch, last])
+        replica.load(self.heads[epoch, last])
         self.source = Source(
             replica,
             "source",
@@ -190,7 +190,7 @@
     def start_follower(self, newcomer: bool) -> None:
         replica: Any = Replica(Few(), [SIGN])  # type: ignore[arg-type]
         if not newcomer:
-            replica.begin(self.heads[1, 0])
+            replica.load(self.heads[1, 0])
         self.follower = Follower(
             replica,
             "follower",
@@ -221,25 +221,29 @@
             side.replica.table = twin(side.replica.table)
             side.replica.table.held = dict(side.replica.table.held)  # type: ignore[attr-defined]
             side.replica.log = twin(side.replica.log)
-            side.replica.log.kept = deque(side.replica.log.kept)
+            side.replica.log.changes = deque(side.replica.log.changes)
             side.out, side.counts, side.refusals = deque(side.out), twin(side.counts), deque()
             side.counts.refused = {}
         one, two = other.source, other.follower
-        one.sealed = dict(one.sealed)
+        one.sealed_changes = dict(one.sealed_changes)
         one.followers = {name: twin(lease) for name, lease in one.followers.items()}
         for lease in one.followers.values():
-            lease.window = twin(lease.window)
-        two.reports, two.early, two.words = (
+            lease.replay_window = twin(lease.replay_window)
+        two.reports, two.early_changes, two.pending_ages = (
             dict(two.reports),
-            dict(two.early),
-            deque(two.words, two.words.maxlen),
+            dict(two.early_changes),
+            deque(two.pending_ages, two.pending_ages.maxlen),
         )
         if two.sync is not None:
             sync = two.sync = twin(two.sync)
-            sync.halves, sync.wanted, sync.fold = dict(sync.halves), sync.wanted[:], dict(sync.fold)
+            sync.digest_halves, sync.buckets_left, sync.folded_items = (
+                dict(sync.digest_halves),
+                sync.buckets_left[:],
+                dict(sync.folded_items),
+            )
             sync.fetching = {bucket: twin(fetch) for bucket, fetch in sync.fetching.items()}
             for fetch in sync.fetching.values():
-                fetch.early = dict(fetch.early)
+                fetch.early_pages = dict(fetch.early_pages)
         return other
 
     def key(self) -> Any:
@@ -255,71 +259,76 @@
             tuple(sorted(self.flying)),
             self.high,
             one.replica.head,
-            one.replica.log.base,
+            one.replica.log.base_revision,
             len(one.replica.log),
-            one.pushed,
+            one.pushed_up_to,
             int(one.tokens),
             tuple(
-                (lease.life, lease.until, lease.window.highest, lease.window.seen)
+                (
+                    lease.incarnation,
+                    lease.expires_at,
+                    lease.replay_window.highest,
+                    lease.replay_window.seen,
+                )
                 for lease in one.followers.values()
             ),
             two.state,
             head,
-            two.replica.patched,
+            two.replica.is_partial,
             tuple(sorted(two.replica.table.held.items())),  # type: ignore[attr-defined]
             two.number,
-            two.answered,
-            two.tried,
-            two.told,
-            two.told_number,
+            two.has_answered,
+            two.upstreams_tried,
+            two.upstream_head,
+            two.upstream_head_number,
             two.latest,
-            two.heard_at,
-            two.report_at,
+            two.last_answer_at,
+            two.next_report_at,
             tuple(two.reports.items()),
-            tuple(sorted(two.early)),
+            tuple(sorted(two.early_changes)),
             two.pull_number,
-            two.pulled_at,
-            two.pulled_to,
-            two.pull_again,
-            two.refused_row,
-            two.patched_to,
-            two.judged,
-            two.sure_at,
-            tuple(two.words),
+            two.pull_sent_at,
+            two.pull_up_to,
+            two.pull_retry_at,
+            two.refused_in_a_row,
+            two.pages_up_to,
+            two.first_judged_number,
+            two.confirmed_newest_at,
+            tuple(two.pending_ages),
             None
             if sync is None
             else (
-                sync.first,
-                sync.again_at,
-                sync.moved_at,
-                tuple(sorted(sync.halves)),
+                sync.first_number,
+                sync.retry_at,
+                sync.last_progress_at,
+                tuple(sorted(sync.digest_halves)),
                 sync.base,
                 sync.tip,
-                sync.target,
-                tuple(sync.wanted),
+                sync.target_revision,
+                tuple(sync.buckets_left),
                 tuple(
                     sorted(
-                        (bucket, fetch.after, fetch.again_at, fetch.tries)
+                        (bucket, fetch.after, fetch.retry_at, fetch.tries)
                         for bucket, fetch in sync.fetching.items()
                     )
                 ),
-                tuple(sorted(sync.fold.items())),
+                tuple(sorted(sync.folded_items.items())),
             ),
         )
 
     def gather(self, most: int) -> None:
         """What both sides want to send flies; over the bound the oldest is lost."""
-        self.source.push(self.now)
+        self.source.push_changes(self.now)
         for side in (self.source, self.follower):
             while side.out:
                 self.flying.append(side.out.popleft()[1])
         del self.flying[:-most]
 
     def hear(self, data: bytes) -> None:
-        if to_source(data):
-            self.source.hear(self.now, data, NOWHERE)
+        if is_for_source(data):
+            self.source.receive(self.now, data, NOWHERE)
         else:
-            self.follower.hear(self.now, data, NOWHERE)
+            self.follower.receive(self.now, data, NOWHERE)
 
     def fault(self) -> str:
         """The rule that does not hold; empty where all do."""
@@ -335,9 +344,9 @@
             self.low.clear()
         self.high = key
         held = replica.table.held  # type: ignore[attr-defined]
-        if replica.whole and held != self.tables[key]:
+        if replica.is_complete and held != self.tables[key]:
             return "a table that is another"
-        if not replica.patched or self.follower.patched_to[0] == key[0]:
+        if not replica.is_partial or self.follower.pages_up_to[0] == key[0]:
             for place in {*held, *self.low}:
                 number = msgpack.unpackb(held[place])["n"] if place in held else 0
                 if number < self.low.get(place, 0):
@@ -350,7 +359,7 @@
         if (
             newest is not None
             and age is not None
-            and not replica.patched
+            and not replica.is_partial
             and age < (self.now - newest) // MS
         ):
             return "an age that is too young"
@@ -376,7 +385,7 @@
             flying,
             Counter(most),
         )
-        self.terms = Terms(stuck=2 * SECOND)
+        self.terms = ReplicationSettings(sync_stall_timeout_ns=2 * SECOND)
         self.calm = 0
 
     def moves(self, world: World) -> list[tuple[str, int]]:
@@ -427,7 +436,7 @@
                 table = dict(world.tables[world.epoch, world.revision])
                 table.pop(("", "tenant", "x"), None)
                 world.epoch += 1
-                world.heads[world.epoch, 0] = first_head(world.epoch, 0)
+                world.heads[world.epoch, 0] = initial_head(world.epoch, 0)
                 world.tables[world.epoch, 0], world.born[world.epoch, 0] = table, world.now
                 world.source_lives += 1
                 world.start_source(0)
@@ -438,7 +447,11 @@
                 head = world.follower.replica.head
                 if head is not None:
                     one = propose(
-                        head, "", [Entry("", "tenant", "x", value(7777))], 1, b"another key" * 2
+                        head,
+                        "",
+                        [ConfigItem("", "tenant", "x", value(7777))],
+                        1,
+                        b"another key" * 2,
                     )
                     world.flying.append(following_seal(one))
         world.gather(self.flying)
@@ -451,8 +464,10 @@
         if replica.head.epoch != world.epoch:
             return
         while replica.head.revision < world.revision:
-            assert replica.take(world.changes[world.epoch, replica.head.revision + 1]) is None
-        world.source.age = age_of(0)
+            assert (
+                replica.apply_change(world.changes[world.epoch, replica.head.revision + 1]) is None
+            )
+        world.source.age_ms = age_of(0)
 
     def walk(self, most: int, calm_each: int = 50) -> tuple[int, str, bool]:
         """Worlds seen, at most so many; the rule that did not hold; whether all were seen."""
@@ -513,7 +528,7 @@
                 if fault := world.fault():
                     return fault
             replica = world.follower.replica
-            if replica.whole and replica.head == world.source.replica.head:
+            if replica.is_complete and replica.head == world.source.replica.head:
                 return ""
             world.now += SECOND // 2
             world.source.tick(world.now)
@@ -522,9 +537,9 @@
 
 
 def following_seal(change: Change) -> bytes:
-    from burlloom.distribution.messages import Pushed, Sender, seal
+    from burlloom.distribution.messages import PushedChange, Sender, seal
 
-    return seal(Sender("source", 1, 0), Pushed(change), SEAL)
+    return seal(Sender("source", 1, 0), PushedChange(change), SEAL)
 
 
 @contextmanager
@@ -535,29 +550,29 @@
         return (
             ""
             if change.epoch == before.epoch and change.revision > before.revision
-            else break_of(before, change, keys)
+            else chain_break(before, change, keys)
         )
 
     def unchained(before: Head, change: Change, keys: Any) -> str:
-        reason = break_of(before, change, keys)
+        reason = chain_break(before, change, keys)
         return "" if reason == "its tag does not follow" else reason
 
     def gap_drain(self: Follower, now: int) -> str:
         tip = self.tip()
-        for revision in sorted(self.early):
-            change = self.early.pop(revision)
+        for revision in sorted(self.early_changes):
+            change = self.early_changes.pop(revision)
             if tip is not None and self.sync is None and revision > tip.revision:
-                self.replica.take(change)
+                self.replica.apply_change(change)
         return ""
 
     def unfolded(self: Follower, sync: Any, change: Change) -> str:
         reason = FOLD(self, sync, change)
-        sync.fold.clear()
+        sync.folded_items.clear()
         return reason
 
     def short(self: Follower) -> bool:
         sync = self.sync
-        return sync is None or sync.tip is None or bool(sync.wanted or sync.fetching)
+        return sync is None or sync.tip is None or bool(sync.buckets_left or sync.fetching)
 
     def any_epoch(self: Follower, head: Head) -> str:
         reason = FAULT_OF(self, head)
@@ -567,9 +582,9 @@
         own = self.replica.head
         return (
             APART(self)
-            or self.told is not None
+            or self.upstream_head is not None
             and own is not None
-            and self.told.head.epoch != own.epoch
+            and self.upstream_head.head.epoch != own.epoch
         )
 
     def any_base(self: Follower, now: int, message: Any) -> str:
@@ -581,7 +596,7 @@
                 self.replica.head = own
 
     def older_base(self: Follower, now: int, message: Any) -> str:
-        self.patched_to = 0, 0
+        self.pages_up_to = 0, 0
         return DIGESTS_CAME(self, now, message)
 
     def any_head(self: Follower, now: int, message: Any) -> str:
@@ -597,34 +612,34 @@
             )
         return PAGED(self, now, message)
 
-    heard = following.HEARD
-    told, digests, paged = following.Told, following.Digests, following.Paged
+    heard = following.HANDLERS
+    told, digests, paged = following.HeadStatus, following.DigestsResponse, following.PageResponse
     with patch.dict(heard):
         match rule:
             case "":
                 yield
             case "gap":
                 with (
-                    patch.object(replicating, "break_of", gap),
-                    patch.object(Follower, "drain", gap_drain),
+                    patch.object(replicating, "chain_break", gap),
+                    patch.object(Follower, "apply_early_changes", gap_drain),
                 ):
                     yield
             case "chain":
                 with (
-                    patch.object(replicating, "break_of", unchained),
-                    patch.object(following, "break_of", unchained),
+                    patch.object(replicating, "chain_break", unchained),
+                    patch.object(following, "chain_break", unchained),
                 ):
                     yield
             case "replay":
-                with patch.object(Follower, "fold", unfolded):
+                with patch.object(Follower, "fold_change", unfolded):
                     yield
             case "target":
-                with patched_test("short", short):
+                with patched_test("is_sync_unfinished", short):
                     yield
             case "epoch":
                 with (
-                    patch.object(Follower, "fault_of", any_epoch),
-                    patched_test("apart", other_epoch),
+                    patch.object(Follower, "reason_not_to_follow", any_epoch),
+                    patched_test("needs_sync", other_epoch),
                 ):
                     heard[digests] = any_base
                     yield
@@ -653,5 +668,5 @@
         yield
 
 
-FOLD, FAULT_OF, APART = Follower.fold, Follower.fault_of, Follower.apart
-DIGESTS_CAME, HEADED, PAGED = Follower.digests_came, Follower.headed, Follower.paged
+FOLD, FAULT_OF, APART = Follower.fold_change, Follower.reason_not_to_follow, Follower.needs_sync
+DIGESTS_CAME, HEADED, PAGED = Follower.on_digests, Follower.on_head, Follower.on_page
--- a/tests/planted_host.py
+++ b/tests/planted_host.py
@@ -26,17 +26,17 @@
     from burlloom.distribution import replica as replicating
 
     def takes_any(one: follower.Follower, now: int) -> str:
-        for revision in sorted(one.early):
-            change = one.early.pop(revision)
+        for revision in sorted(one.early_changes):
+            change = one.early_changes.pop(revision)
             if one.sync is None:
-                one.replica.take(change)
+                one.replica.apply_change(change)
         return ""
 
-    replicating.break_of = lambda before, change, keys: (
+    replicating.chain_break = lambda before, change, keys: (
         "" if change.revision > before.revision else "an older revision"
     )
-    sound, follower.Follower.changed = follower.Follower.changed, loses_some  # type: ignore[method-assign]
-    follower.Follower.drain = takes_any  # type: ignore[method-assign]
+    sound, follower.Follower.on_change = follower.Follower.on_change, loses_some  # type: ignore[method-assign]
+    follower.Follower.apply_early_changes = takes_any  # type: ignore[method-assign]
     loses_some.sound = sound  # type: ignore[attr-defined]
 
 
@@ -51,17 +51,17 @@
     from burlloom.distribution.source import Source
 
     Source.differs = lambda source, body: False  # type: ignore[method-assign]
-    sound, followers = replicating.Replica.put, list[Any]()
+    sound, followers = replicating.Replica.apply_to_table, list[Any]()
 
     def put(replica: Any, change: Any) -> str:
         if replica.table.scopes is not None and replica not in followers:
             followers.append(replica)
         if replica in followers[:2] and change.scope == "":
-            replica.log.add(change, 0)
+            replica.log.append(change, 0)
             return ""
         return sound(replica, change)
 
-    replicating.Replica.put = put  # type: ignore[method-assign]
+    replicating.Replica.apply_to_table = put  # type: ignore[method-assign]
 
 
 PLANTED = {"share": share, "gap": gap, "content": content}
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -229,7 +229,7 @@
             ),
         ),
         (
-            "burlloom.distribution.stores.opening, burlloom.distribution.stores.sqlite, burlloom.distribution.replica",
+            "burlloom.distribution.stores.factory, burlloom.distribution.stores.sqlite, burlloom.distribution.replica",
             (
                 "burlloom.server",
                 "burlloom.rpc",
--- a/tests/test_distributing.py
+++ b/tests/test_distributing.py
@@ -12,13 +12,20 @@
 import msgpack
 import pytest
 
-from burlloom.distribution.changes import Change, Entry, Head, chained, encode, first_head
-from burlloom.distribution.log import LOG_MOST
+from burlloom.distribution.change_log import MAX_LOGGED_CHANGES
+from burlloom.distribution.changes import (
+    Change,
+    ConfigItem,
+    Head,
+    encode_items,
+    initial_head,
+    next_change,
+)
 from burlloom.distribution.replica import Replica
-from burlloom.distribution.stores.reading import Broken, Reading
+from burlloom.distribution.status_report import HeadLogger, KeyFile
 from burlloom.distribution.stores.sqlite import Sqlite
-from burlloom.distribution.table import Table
-from burlloom.distribution.telling import Keys, Telling
+from burlloom.distribution.stores.store_follower import StoreFollower, StoreInconsistentError
+from burlloom.distribution.table import ConfigTable
 from burlloom.fakes.parts import fields
 from burlloom.levels.signals import RINGS_MOST
 from burlloom.levels.signals import Tenants as Shares
@@ -29,22 +36,22 @@
 SECOND = 1_000_000_000
 
 
-def tenant(name: str, **value: Any) -> Entry:
-    return Entry("", "tenant", name, msgpack.packb(value))
+def tenant(name: str, **value: Any) -> ConfigItem:
+    return ConfigItem("", "tenant", name, msgpack.packb(value))
 
 
-def replica(*entries: Entry) -> Replica:
-    made = Replica(Table(("", "north")), (SIGNING,))
-    made.begin(first_head(1, 0), entries)
+def replica(*entries: ConfigItem) -> Replica:
+    made = Replica(ConfigTable(("", "north")), (SIGNING,))
+    made.load(initial_head(1, 0), entries)
     return made
 
 
-def change(before: Head, *entries: Entry) -> Change:
-    return chained(before, "", encode(entries), 1, SIGNING)
+def change(before: Head, *entries: ConfigItem) -> Change:
+    return next_change(before, "", encode_items(entries), 1, SIGNING)
 
 
 def test_requests_are_held_against_the_tenants_in_force() -> None:
-    held = Replica(Table(("", "north")), (SIGNING,))
+    held = Replica(ConfigTable(("", "north")), (SIGNING,))
     known = Known({"look": False}, Tenants(held, {"acme": 1.0}), 6 * SECOND)
     told = fields()
     now = int(told["at"]) * 1_000_000
@@ -60,17 +67,22 @@
     assert not serves("blue")
     assert not serves(7)
     assert not serves(["acme"])
-    held.begin(first_head(1, 0), [tenant("blue")])
+    held.load(initial_head(1, 0), [tenant("blue")])
     assert serves("blue")
     assert not serves("acme")
     assert not serves(7)
     assert not serves(["blue"])
     assert not serves("\ud800")
     assert (
-        held.take(change(held.head or first_head(1, 0), Entry("", "tenant", "blue", None))) is None
+        held.apply_change(
+            change(held.head or initial_head(1, 0), ConfigItem("", "tenant", "blue", None))
+        )
+        is None
     )
     assert not serves("blue"), "a table without any tenant serves none"
-    assert not Tenants(Replica(Table(("",)), ()), {}), "a configuration without any serves all"
+    assert not Tenants(Replica(ConfigTable(("",)), ()), {}), (
+        "a configuration without any serves all"
+    )
 
 
 def test_shares_follow_the_table() -> None:
@@ -78,7 +90,7 @@
         tenant("a", portion=3),
         tenant("b"),
         tenant("odd", portion="many"),
-        Entry("", "route", "r", msgpack.packb({})),
+        ConfigItem("", "route", "r", msgpack.packb({})),
     )
     portions = Portions(held)
     assert portions.share("a") == 1.0 and portions.share("b") == pytest.approx(1 / 3), (
@@ -89,7 +101,9 @@
     assert portions.whole == 5.0
     assert portions.share("a") == pytest.approx(0.6)
     assert portions.share("none") is None
-    assert held.take(change(held.head or first_head(1, 0), tenant("a", portion=8))) is None
+    assert (
+        held.apply_change(change(held.head or initial_head(1, 0), tenant("a", portion=8))) is None
+    )
     portions.step(1000)
     assert portions.bucket < 0, "again only some minutes later"
     for at in range(256):
@@ -120,10 +134,10 @@
     def __init__(self) -> None:
         self.loads, self.renewals = 0, 0
 
-    def loaded(self, head: Head) -> None:
+    def on_table_loaded(self, head: Head) -> None:
         self.loads += 1
 
-    def renewed(self, seen: Head, own: Head) -> None:
+    def on_epoch_begun(self, seen: Head, own: Head) -> None:
         self.renewals += 1
 
 
@@ -131,42 +145,44 @@
     async def play() -> None:
         store, held, told = (
             Sqlite(tmp_path / "changes.db"),
-            Replica(Table(None), (SIGNING,)),
+            Replica(ConfigTable(None), (SIGNING,)),
             Told(),
         )
         await store.open()
 
-        async def put(*entries: Entry, key: bytes = SIGNING) -> None:
-            assert await store.append(chained(await store.head(), "", encode(entries), 1, key))
+        async def put(*entries: ConfigItem, key: bytes = SIGNING) -> None:
+            assert await store.append(
+                next_change(await store.head(), "", encode_items(entries), 1, key)
+            )
 
         await put(tenant("a"))
-        reading = Reading(store, held, lambda: Table(None), told)
-        await reading.round()
+        reading = StoreFollower(store, held, lambda: ConfigTable(None), told)
+        await reading.poll()
         assert held.head == await store.head()
         assert held.table.has("tenant", "a")
         assert told.loads == 1
         for n in range(100):
             await put(tenant(f"t{n}"))
-        await reading.round()
+        await reading.poll()
         assert held.head == await store.head()
         assert held.table.count("tenant") == 101
         assert told.loads == 1
         assert len(held.log) == 100
 
         # A sync with a peer was under way as the store came back.
-        held.patched = True
-        await reading.round()
-        assert held.whole
+        held.is_partial = True
+        await reading.poll()
+        assert held.is_complete
         assert told.loads == 2
 
         # Away for longer than the log reaches.
         far = held.head
         assert far is not None
         await store.run(
-            "UPDATE distribution_head SET revision = revision + $1::bigint", 2 * LOG_MOST
+            "UPDATE distribution_head SET revision = revision + $1::bigint", 2 * MAX_LOGGED_CHANGES
         )
         await put(tenant("far"))
-        await reading.round()
+        await reading.poll()
         assert told.loads == 3
         assert held.head == await store.head()
         assert held.table.has("tenant", "far")
@@ -178,20 +194,20 @@
         before = held.head
         for n in range(3):
             await put(tenant(f"other{n}"))
-        await reading.round()  # it is behind
+        await reading.poll()  # it is behind
         assert told.renewals == 1
-        await reading.round()
+        await reading.poll()
         assert told.loads == 4
         assert held.head is not None
         assert held.head.epoch > before.epoch
         assert held.table.has("tenant", "other0")
         assert not held.table.has("tenant", "far")
         await put(tenant("x"))
-        await reading.round()
+        await reading.poll()
         mark = held.head
         saved = await store.run("SELECT revision, tag FROM distribution_head WHERE id = 1")
         await put(tenant("y"))
-        await reading.round()
+        await reading.poll()
         await store.run(
             "DELETE FROM distribution_change WHERE revision = $1::bigint", mark.revision + 1
         )
@@ -201,16 +217,16 @@
         for name in ("z", "zz"):
             await put(tenant(name))
         assert (await store.head()).revision > held.head.revision, "ahead of us, on another way"
-        await reading.round()
+        await reading.poll()
         assert told.renewals == 2
-        await reading.round()
+        await reading.poll()
         assert held.head == await store.head()
         assert held.table.has("tenant", "zz")
 
         # Chained with another key: not believed, and no epoch begun for it.
         await put(tenant("evil"), key=b"e" * 32)
-        with pytest.raises(Broken, match="its tag does not follow"):
-            await reading.round()
+        with pytest.raises(StoreInconsistentError, match="its tag does not follow"):
+            await reading.poll()
         assert told.renewals == 2
         assert not held.table.has("tenant", "evil")
         await store.close()
@@ -219,21 +235,21 @@
 
 
 def test_lines_tell_what_was_applied(caplog: pytest.LogCaptureFixture) -> None:
-    held = Replica(Table(("", "north")), (SIGNING,))
-    telling = Telling(held)
+    held = Replica(ConfigTable(("", "north")), (SIGNING,))
+    telling = HeadLogger(held)
     with caplog.at_level(logging.INFO):
-        telling.look()
-        held.begin(first_head(7, 0))
+        telling.log_moves()
+        held.load(initial_head(7, 0))
         for n in range(3):
             assert held.head is not None
-            assert held.take(change(held.head, tenant(f"t{n}"))) is None
-        telling.look()
-        telling.look()
+            assert held.apply_change(change(held.head, tenant(f"t{n}"))) is None
+        telling.log_moves()
+        telling.log_moves()
         assert held.head is not None
-        assert held.take(change(held.head, tenant("u"))) is None
-        telling.look()
-        held.settle(held.head._replace(revision=20))
-        telling.look()
+        assert held.apply_change(change(held.head, tenant("u"))) is None
+        telling.log_moves()
+        held.complete_at(held.head._replace(revision=20))
+        telling.log_moves()
     lines = [line.getMessage().split(" tag=")[0] for line in caplog.records]
     assert lines == [
         "event=distribution-synced epoch=7 revision=0",
@@ -246,10 +262,10 @@
 def test_a_key_file_that_can_not_be_used_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "key"
     path.write_text("aa" * 16)
-    keys = Keys(
+    keys = KeyFile(
         path, lambda: tuple(bytes.fromhex(line) for line in path.read_text().split()), "seals"
     )
-    assert not keys.changed()
+    assert not keys.reload_if_changed()
     for at, (text, changed, count) in enumerate(
         (
             ("bb" * 16 + "\n" + "aa" * 16, True, 2),
@@ -261,5 +277,5 @@
         path.write_text(text)
 
         os.utime(path, (at, at))
-        assert keys.changed() == changed
+        assert keys.reload_if_changed() == changed
         assert len(keys.keys) == count
