--- a/tests/test_distribution_core.py
+++ b/tests/test_distribution_core.py
@@ -15,34 +15,34 @@
 
 from burlloom.distribution import (
     Change,
-    Entry,
+    ConfigItem,
+    ConfigTable,
     Follower,
     Head,
-    Refused,
+    InvalidChangeError,
     Replica,
+    ReplicationSettings,
     Source,
-    Table,
-    Terms,
     Upstream,
-    first_head,
+    initial_head,
+    is_for_source,
     propose,
-    to_source,
 )
 from burlloom.distribution import messages as m
+from burlloom.distribution.change_log import ChangeLog
 from burlloom.distribution.changes import (
-    BODY_MOST,
-    KEY_MOST,
-    NUMBER_MOST,
-    VALUE_MOST,
-    chained,
-    decode,
-    encode,
-    faults,
-    head_of,
+    MAX_BODY_BYTES,
+    MAX_KEY_BYTES,
+    MAX_NUMBER,
+    MAX_VALUE_BYTES,
+    change_faults,
+    decode_items,
+    encode_items,
+    head_after,
+    next_change,
 )
-from burlloom.distribution.follower import RULES, Input, State, preferred, summary
-from burlloom.distribution.log import Log
-from burlloom.distribution.messages import Sender, Unreadable, Window, seal, unseal
+from burlloom.distribution.follower import RULES, Input, State, by_preference, summary
+from burlloom.distribution.messages import MessageDecodeError, ReplayWindow, Sender, seal, unseal
 from burlloom.distribution.source import summary as summary_of_source
 from burlloom.distribution.table import Page
 
@@ -53,20 +53,24 @@
 
 
 def history(count: int, scope: str = "", epoch: int = 1) -> list[Change]:
-    head, found = first_head(epoch, 0), []
+    head, found = initial_head(epoch, 0), []
     for number in range(1, count + 1):
         found.append(
             propose(
-                head, scope, [Entry(scope, "tenant", f"t{number % 5}", value(number))], number, SIGN
+                head,
+                scope,
+                [ConfigItem(scope, "tenant", f"t{number % 5}", value(number))],
+                number,
+                SIGN,
             )
         )
-        head = head_of(found[-1])
+        head = head_after(found[-1])
     return found
 
 
 def empty(scopes: tuple[str, ...] | None = ("", "a"), epoch: int = 1) -> Replica:
-    replica = Replica(Table(scopes), [SIGN])
-    replica.begin(first_head(epoch, 0))
+    replica = Replica(ConfigTable(scopes), [SIGN])
+    replica.load(initial_head(epoch, 0))
     return replica
 
 
@@ -77,11 +81,11 @@
     listed = history(4)
     for order in permutations(listed):
         replica = empty()
-        taken = [one.revision for one in order if replica.take(one) is None]
+        taken = [one.revision for one in order if replica.apply_change(one) is None]
         assert taken == list(range(1, len(taken) + 1))
         for one in listed[len(taken) :]:
-            assert replica.take(one) is None
-        assert replica.head == head_of(listed[-1])
+            assert replica.apply_change(one) is None
+        assert replica.head == head_after(listed[-1])
 
 
 @pytest.mark.parametrize(
@@ -102,11 +106,11 @@
 )
 def test_an_altered_change_is_refused_whole(what: dict[str, Any], reason: str) -> None:
     replica, (first, then) = empty(), history(2)
-    assert replica.take(first) is None
+    assert replica.apply_change(first) is None
     before = replica.head, replica.table.digest(), len(replica.log)
-    assert replica.take(then._replace(**what)) == reason
+    assert replica.apply_change(then._replace(**what)) == reason
     assert (replica.head, replica.table.digest(), len(replica.log)) == before
-    assert replica.take(then) is None
+    assert replica.apply_change(then) is None
 
 
 def test_each_bit_of_a_change_is_under_the_chain() -> None:
@@ -117,39 +121,41 @@
         for bit in range(8 * len(held)):
             other = bytearray(held)
             other[bit // 8] ^= 1 << bit % 8
-            assert replica.take(one._replace(**{field: bytes(other)}))
+            assert replica.apply_change(one._replace(**{field: bytes(other)}))
     assert replica.head is not None
     assert replica.head.revision == 0
-    assert replica.take(one) is None
+    assert replica.apply_change(one) is None
 
 
 def test_a_foreign_signing_key_is_refused_and_a_second_one_of_ours_is_not() -> None:
     foreign = propose(
-        first_head(1, 0), "", [Entry("", "tenant", "t", value(1))], 1, b"another key" * 2
+        initial_head(1, 0), "", [ConfigItem("", "tenant", "t", value(1))], 1, b"another key" * 2
     )
-    assert empty().take(foreign) == "its tag does not follow"
-    replica = Replica(Table(None), [SIGN, b"another key" * 2])
-    replica.begin(first_head(1, 0))
-    assert replica.take(foreign) is None
+    assert empty().apply_change(foreign) == "its tag does not follow"
+    replica = Replica(ConfigTable(None), [SIGN, b"another key" * 2])
+    replica.load(initial_head(1, 0))
+    assert replica.apply_change(foreign) is None
     assert (
-        replica.take(propose(head_of(foreign), "", [Entry("", "tenant", "t", value(2))], 1, SIGN))
+        replica.apply_change(
+            propose(head_after(foreign), "", [ConfigItem("", "tenant", "t", value(2))], 1, SIGN)
+        )
         is None
     )
 
 
 def test_the_body_of_another_scope_may_be_left_out_and_the_chain_holds() -> None:
-    replica, listed, head = empty(("", "a")), [], first_head(1, 0)
+    replica, listed, head = empty(("", "a")), [], initial_head(1, 0)
     for number, scope in enumerate(["", "b", "a", "b", ""]):
         listed.append(
-            propose(head, scope, [Entry(scope, "tenant", "t", value(number))], number, SIGN)
+            propose(head, scope, [ConfigItem(scope, "tenant", "t", value(number))], number, SIGN)
         )
-        head = head_of(listed[-1])
+        head = head_after(listed[-1])
     for one in listed:
-        assert replica.take(one.without_body() if one.scope == "b" else one) is None
+        assert replica.apply_change(one.without_body() if one.scope == "b" else one) is None
     assert replica.table.get("tenant", "t") == value(2)
     assert replica.head == head
     with_bodies = empty(("", "a"))
-    assert [with_bodies.take(one) for one in listed] == [None] * 5
+    assert [with_bodies.apply_change(one) for one in listed] == [None] * 5
     assert with_bodies.table.digest() == replica.table.digest()
 
 
@@ -157,20 +163,20 @@
 
 
 def bad(entries: list[Any], scope: str = "") -> list[str]:
-    with pytest.raises(Refused) as refused:
-        propose(first_head(1, 0), scope, entries, 1, SIGN)
+    with pytest.raises(InvalidChangeError) as refused:
+        propose(initial_head(1, 0), scope, entries, 1, SIGN)
     return refused.value.faults
 
 
 def test_a_bad_change_is_refused_whole_with_all_faults_and_places() -> None:
-    good = Entry("", "tenant", "t", value(1))
+    good = ConfigItem("", "tenant", "t", value(1))
     assert bad(
         [
             good,
-            Entry("a", "tennant", "", b"\xc1"),
-            Entry("", "route", "x" * 129, b"x" * 513),
+            ConfigItem("a", "tennant", "", b"\xc1"),
+            ConfigItem("", "route", "x" * 129, b"x" * 513),
             good,
-            Entry("", "setting", "s", msgpack.packb([1])),
+            ConfigItem("", "setting", "s", msgpack.packb([1])),
         ]
     ) == [
         "entries[1].scope: 'a', and the change's is ''",
@@ -183,24 +189,26 @@
         "entries[4].value: no map",
     ]
     assert bad([]) == ["entries: 0, of 1 to 64"]
-    assert bad([Entry("", "tenant", f"{at}", None) for at in range(65)]) == [
+    assert bad([ConfigItem("", "tenant", f"{at}", None) for at in range(65)]) == [
         "entries: 65, of 1 to 64"
     ]
-    assert bad([Entry("r" * 65, "tenant", "t", None)], "r" * 65) == [
+    assert bad([ConfigItem("r" * 65, "tenant", "t", None)], "r" * 65) == [
         "scope: not text of 64 bytes at most"
     ]
-    assert bad([Entry("", "tenant", "\ud800", None)]) == [
+    assert bad([ConfigItem("", "tenant", "\ud800", None)]) == [
         "entries[0].key: not text of 1 to 128 bytes"
     ]
     assert bad(
-        [Entry("", "tenant", f"{at}", msgpack.packb({"x": "y" * 400})) for at in range(3)]
+        [ConfigItem("", "tenant", f"{at}", msgpack.packb({"x": "y" * 400})) for at in range(3)]
     ) == ["body: 1258 bytes, 1000 at most"]
 
-    def check(entry: Entry) -> list[str]:
+    def check(entry: ConfigItem) -> list[str]:
         return ["value.n: not under 2"] if entry.value == value(2) else []
 
-    with pytest.raises(Refused) as refused:
-        propose(first_head(1, 0), "", [good, Entry("", "tenant", "u", value(2))], 1, SIGN, check)
+    with pytest.raises(InvalidChangeError) as refused:
+        propose(
+            initial_head(1, 0), "", [good, ConfigItem("", "tenant", "u", value(2))], 1, SIGN, check
+        )
     assert refused.value.faults == ["entries[1].value.n: not under 2"]
 
 
@@ -225,11 +233,11 @@
     body: bytes, fault: str
 ) -> None:
     replica = empty()
-    one = chained(first_head(1, 0), "", body, 1, SIGN)
+    one = next_change(initial_head(1, 0), "", body, 1, SIGN)
     before = replica.table.digest()
-    assert (replica.take(one) or "").startswith(fault)
+    assert (replica.apply_change(one) or "").startswith(fault)
     assert replica.table.digest() == before
-    assert replica.head == first_head(1, 0)
+    assert replica.head == initial_head(1, 0)
     assert len(replica.log) == 0
 
 
@@ -239,13 +247,13 @@
 
     replica, (one,) = empty(), history(1)
     monkeypatch.setattr(replica.table, "put", refuses)
-    assert replica.take(one) == "the table refuses: full"
-    assert replica.head == first_head(1, 0)
+    assert replica.apply_change(one) == "the table refuses: full"
+    assert replica.head == initial_head(1, 0)
     assert len(replica.log) == 0
 
 
 def test_times_never_step_back_along_the_chain() -> None:
-    first = propose(first_head(1, 50), "", [Entry("", "tenant", "t", None)], 7, SIGN)
+    first = propose(initial_head(1, 50), "", [ConfigItem("", "tenant", "t", None)], 7, SIGN)
     assert first.time_ms == 50
 
 
@@ -264,32 +272,32 @@
 @settings(max_examples=200, deadline=None)
 def test_what_is_proposed_is_read_the_same(listed: list[Any]) -> None:
     entries = [
-        Entry("a", kind, key, None if held is None else msgpack.packb(held))
+        ConfigItem("a", kind, key, None if held is None else msgpack.packb(held))
         for kind, key, held in listed
     ]
-    if faults("a", entries) or len(encode(entries)) > BODY_MOST:
+    if change_faults("a", entries) or len(encode_items(entries)) > MAX_BODY_BYTES:
         return
-    one = propose(first_head(1, 0), "a", entries, 1, SIGN)
+    one = propose(initial_head(1, 0), "a", entries, 1, SIGN)
     assert one.body is not None
-    assert decode("a", one.body) == entries
+    assert decode_items("a", one.body) == entries
 
 
 # The log.
 
 
 def test_the_log_tells_earlier_digests_and_forgets_the_oldest() -> None:
-    replica, chance, told = Replica(Table(None), [SIGN], 10), Random(1), {}
-    replica.begin(first_head(1, 0))
+    replica, chance, told = Replica(ConfigTable(None), [SIGN], 10), Random(1), {}
+    replica.load(initial_head(1, 0))
     for number in range(1, 41):
         scope = chance.choice(["", "a", "b"])
         assert replica.head is not None
         assert (
-            replica.take(
+            replica.apply_change(
                 propose(
                     replica.head,
                     scope,
                     [
-                        Entry(
+                        ConfigItem(
                             scope,
                             "route",
                             f"r{chance.randrange(4)}",
@@ -307,74 +315,82 @@
         for at, scopes in enumerate([("", "a"), ("b",), None]):
             assert replica.digest_at(number, scopes) == (told[number][at] if number >= 30 else None)
     assert replica.digest_at(41, None) is None
-    assert [one.revision for one in replica.log.since(30, 4) or ()] == [31, 32, 33, 34]
-    assert replica.log.since(29, 4) is None
-    assert replica.log.since(40, 4) == [] == replica.log.since(99, 4)
+    assert [one.revision for one in replica.log.changes_since(30, 4) or ()] == [31, 32, 33, 34]
+    assert replica.log.changes_since(29, 4) is None
+    assert replica.log.changes_since(40, 4) == [] == replica.log.changes_since(99, 4)
     assert len(replica.log) == 10
-    assert Log(5).since(5, 1) == []
+    assert ChangeLog(5).changes_since(5, 1) == []
 
 
 # Messages.
 
 LONG = "n" * 64
-ENTRY = Entry("r" * 64, "setting", "k" * KEY_MOST, b"x" * VALUE_MOST)
-HEAD = Head(NUMBER_MOST, NUMBER_MOST, b"t" * 16, NUMBER_MOST)
+ENTRY = ConfigItem("r" * 64, "setting", "k" * MAX_KEY_BYTES, b"x" * MAX_VALUE_BYTES)
+HEAD = Head(MAX_NUMBER, MAX_NUMBER, b"t" * 16, MAX_NUMBER)
 BODIES: list[m.Body] = [
     m.Report(("", "a"), 1, 7, (1 << 64) - 1),
     m.Report(None, 0, 0, 0),
     m.Report(tuple(f"{at:064}" for at in range(16)), 1, 1, 1),
-    m.Told(HEAD, None, True, 0),
-    m.Told(HEAD, 12, False, NUMBER_MOST),
-    m.Pushed(history(1)[0]),
-    m.Pushed(history(1)[0].without_body()),
-    m.Pushed(
+    m.HeadStatus(HEAD, None, True, 0),
+    m.HeadStatus(HEAD, 12, False, MAX_NUMBER),
+    m.PushedChange(history(1)[0]),
+    m.PushedChange(history(1)[0].without_body()),
+    m.PushedChange(
         Change(
-            NUMBER_MOST, NUMBER_MOST, NUMBER_MOST, "r" * 64, b"x" * BODY_MOST, b"t" * 16, b"d" * 16
+            MAX_NUMBER,
+            MAX_NUMBER,
+            MAX_NUMBER,
+            "r" * 64,
+            b"x" * MAX_BODY_BYTES,
+            b"t" * 16,
+            b"d" * 16,
         )
     ),
-    m.Pull(1, 2, 32),
-    m.DigestsAsk(),
-    m.Digests(HEAD, 1, tuple((1 << 64) - 1 - at for at in range(128))),
-    m.PagesAsk(255, ENTRY[:3], 4),
-    m.PagesAsk(0, None, 1),
-    m.Paged(
-        NUMBER_MOST,
-        NUMBER_MOST,
+    m.PullRequest(1, 2, 32),
+    m.DigestsRequest(),
+    m.DigestsResponse(HEAD, 1, tuple((1 << 64) - 1 - at for at in range(128))),
+    m.PagesRequest(255, ENTRY[:3], 4),
+    m.PagesRequest(0, None, 1),
+    m.PageResponse(
+        MAX_NUMBER,
+        MAX_NUMBER,
         255,
         3,
         ENTRY._replace(kind="route")[:3],
         Page((ENTRY,), ENTRY[:3], False),
     ),
-    m.Paged(1, 1, 0, 0, None, Page((), None, True)),
+    m.PageResponse(1, 1, 0, 0, None, Page((), None, True)),
     m.Redirect("full"),
-    m.Bye(),
+    m.Leave(),
 ]
 
 
 @pytest.mark.parametrize("body", BODIES, ids=lambda body: type(body).__name__)
 def test_messages_are_read_as_they_were_sealed(body: m.Body) -> None:
-    sender = Sender(LONG, NUMBER_MOST, NUMBER_MOST)
+    sender = Sender(LONG, MAX_NUMBER, MAX_NUMBER)
     data = seal(sender, body, SEAL)
-    assert len(data) <= m.MESSAGE_MOST
+    assert len(data) <= m.MAX_MESSAGE_BYTES
     assert unseal(data, (b"another key" * 2, SEAL)) == m.Message(sender, body)
-    assert to_source(data) == (type(body) in (m.Report, m.Pull, m.DigestsAsk, m.PagesAsk, m.Bye))
-    with pytest.raises(Unreadable, match="not sealed with our key"):
+    assert is_for_source(data) == (
+        type(body) in (m.Report, m.PullRequest, m.DigestsRequest, m.PagesRequest, m.Leave)
+    )
+    with pytest.raises(MessageDecodeError, match="not sealed with our key"):
         unseal(data, (b"another key" * 2,))
     for length in range(len(data)):
-        with pytest.raises(Unreadable):
+        with pytest.raises(MessageDecodeError):
             unseal(data[:length], (SEAL,))
     for bit in range(0, 8 * len(data), 7):
         other = bytearray(data)
         other[bit // 8] ^= 1 << bit % 8
-        with pytest.raises(Unreadable):
+        with pytest.raises(MessageDecodeError):
             unseal(bytes(other), (SEAL,))
 
 
 def test_a_full_page_fits_the_datagram() -> None:
-    table = Table(None)
+    table = ConfigTable(None)
     table.put(
         [
-            Entry(
+            ConfigItem(
                 "r" * 64,
                 "setting",
                 f"{at:0128}",
@@ -386,21 +402,21 @@
     for bucket in range(256):
         after: Any = ("r" * 64, "route", "k" * 128)
         while True:
-            page = table.page(bucket, after, None, m.PAGE_BYTES)
+            page = table.page(bucket, after, None, m.MAX_PAGE_BYTES)
             data = seal(
-                Sender(LONG, NUMBER_MOST, NUMBER_MOST),
-                m.Paged(NUMBER_MOST, NUMBER_MOST, bucket, 3, after, page),
+                Sender(LONG, MAX_NUMBER, MAX_NUMBER),
+                m.PageResponse(MAX_NUMBER, MAX_NUMBER, bucket, 3, after, page),
                 SEAL,
             )
-            assert len(data) <= m.MESSAGE_MOST
-            if page.done:
+            assert len(data) <= m.MAX_MESSAGE_BYTES
+            if page.is_last:
                 break
-            after = page.last
+            after = page.last_position
 
 
 def sealed(got: Any) -> bytes:
     text = msgpack.packb(got)
-    return m.mark_of(SEAL, text) + text
+    return m.compute_seal(SEAL, text) + text
 
 
 @pytest.mark.parametrize(
@@ -459,7 +475,7 @@
     ],
 )
 def test_what_nobody_of_ours_would_send_is_refused_with_a_reason(got: Any, reason: str) -> None:
-    with pytest.raises(Unreadable, match=reason):
+    with pytest.raises(MessageDecodeError, match=reason):
         unseal(sealed(got), (SEAL,))
 
 
@@ -468,11 +484,11 @@
     for _ in range(20_000):
         text = chance.randbytes(chance.randrange(40)) if chance.random() < 0.3 else mutated(chance)
         try:
-            unseal(m.mark_of(SEAL, text) + text, (SEAL,))
-        except Unreadable:
+            unseal(m.compute_seal(SEAL, text) + text, (SEAL,))
+        except MessageDecodeError:
             pass
     for data in (b"", b"x" * 16, b"x" * 1401):
-        with pytest.raises(Unreadable, match="too short|too long"):
+        with pytest.raises(MessageDecodeError, match="too short|too long"):
             unseal(data, (SEAL,))
 
 
@@ -486,10 +502,10 @@
 
 
 def test_each_number_counts_once_though_some_overtake_others() -> None:
-    chance, window, taken = Random(1), Window(), set[int]()
+    chance, window, taken = Random(1), ReplayWindow(), set[int]()
     for number in range(5000):
         one = max(0, number - chance.randrange(100))
-        new = window.new(one)
+        new = window.accept(one)
         assert not (new and one in taken)
         assert new or one in taken or max(taken) - one >= 64
         taken |= {one} if new else set()
@@ -763,9 +779,9 @@
     assert not world.agreed()
     pages = node.follower.counts.pages
     world.checks = False
-    node.replica.table.put([Entry("", "tenant", "old-7", value(8))])
-    node.replica.table.put([Entry("", "tenant", "old-9", None)])
-    node.replica.table.put([Entry("a", "tenant", "stranger", value(8))])
+    node.replica.table.put([ConfigItem("", "tenant", "old-7", value(8))])
+    node.replica.table.put([ConfigItem("", "tenant", "old-9", None)])
+    node.replica.table.put([ConfigItem("a", "tenant", "stranger", value(8))])
     world.run(3)
     assert not world.agreed()
     assert node.follower.counts.mended == 403
@@ -784,7 +800,7 @@
     assert not world.agreed()
     world.checks = False
     for at, name in enumerate(["relay-a0", "relay-b1"]):
-        world.nodes[name].replica.table.put([Entry("", "tenant", f"old-{at}", value(77))])
+        world.nodes[name].replica.table.put([ConfigItem("", "tenant", f"old-{at}", value(77))])
     world.run(15)
     assert not world.agreed()
 
@@ -836,9 +852,9 @@
     world.checks = False
     other = Truth()
     other.put(0, "", [("tenant", "other", value(1))])
-    control.replica = Replica(Table(None), [SIGN])
-    control.replica.begin(first_head(1, 0))
-    assert control.replica.take(other.changes[1, 1]) is None
+    control.replica = Replica(ConfigTable(None), [SIGN])
+    control.replica.load(initial_head(1, 0))
+    assert control.replica.apply_change(other.changes[1, 1]) is None
     assert control.source is not None
     control.source.replica, control.store = control.replica, False
     world.nodes["control-a0"].turn = lambda: None  # type: ignore[method-assign]
@@ -855,7 +871,7 @@
 
 def test_preference_is_by_region_and_spreads_a_lost_ones_followers() -> None:
     ups = [Upstream(f"c{at}", "abc"[at % 3], ("10.0.0.1", at)) for at in range(19)]
-    firsts = [preferred(f"s{at}", "a", ups) for at in range(600)]
+    firsts = [by_preference(f"s{at}", "a", ups) for at in range(600)]
     assert all([one.region for one in found][:7] == ["a"] * 7 for found in firsts)
     counts = {
         name: sum(found[0].name == name for found in firsts)
@@ -867,8 +883,8 @@
     lost = [found for found in firsts if found[0].name == "c0"]
     nexts = {found[1].name for found in lost}
     assert len(nexts) == 6
-    assert preferred("c0", "a", ups)[0].name != "c0"
-    assert len(preferred("c0", "a", ups)) == 18
+    assert by_preference("c0", "a", ups)[0].name != "c0"
+    assert len(by_preference("c0", "a", ups)) == 18
 
 
 def upstream_of(world: World, name: str = "server-0") -> str:
@@ -900,7 +916,7 @@
 
 
 def test_a_full_source_sends_newcomers_on_and_keeps_those_it_has() -> None:
-    world = World(1, (0.001, 0.02), terms=Terms(followers_most=4))
+    world = World(1, (0.001, 0.02), terms=ReplicationSettings(max_followers=4))
     names = ["control-a0", "control-b1", "control-c2"]
     for name in names:
         world.add(name, name[8], control=True)
@@ -922,7 +938,7 @@
 
 
 def test_too_many_for_all_sources_are_not_asked_round_and_round() -> None:
-    world = World(1, (0.001, 0.002), terms=Terms(followers_most=1))
+    world = World(1, (0.001, 0.002), terms=ReplicationSettings(max_followers=1))
     for name in ("control-a0", "control-b1"):
         world.add(name, name[8], control=True)
     for at in range(3):
@@ -942,7 +958,7 @@
     world.run(5)
     control = world.nodes["control-a0"]
     assert control.source is not None
-    control.source.leave()
+    control.source.drain()
     control.done()
     world.run(0.5)
     assert upstream_of(world) != "control-a0"
@@ -1031,9 +1047,9 @@
     before = node.replica.head
     control.start()
     control.store = False
-    control.replica.begin(first_head(1, 0))
+    control.replica.load(initial_head(1, 0))
     for number in (1, 2, 3, 4):
-        assert control.replica.take(world.truth.changes[1, number]) is None
+        assert control.replica.apply_change(world.truth.changes[1, number]) is None
     control.seen = (1, 4)
     world.run(20)
     assert node.replica.head == before
@@ -1088,10 +1104,20 @@
 
 
 def pair() -> tuple[Source, Follower]:
-    one, two = empty(None), Replica(Table(("", "a")), [SIGN])
-    source = Source(one, "source", LIFE, (SEAL,), Terms(), Random(1), NOW, lambda now: 0)
+    one, two = empty(None), Replica(ConfigTable(("", "a")), [SIGN])
+    source = Source(
+        one, "source", LIFE, (SEAL,), ReplicationSettings(), Random(1), NOW, lambda now: 0
+    )
     follower = Follower(
-        two, "server", LIFE, "a", [Upstream("source", "a", HERE)], (SEAL,), Terms(), Random(1), NOW
+        two,
+        "server",
+        LIFE,
+        "a",
+        [Upstream("source", "a", HERE)],
+        (SEAL,),
+        ReplicationSettings(),
+        Random(1),
+        NOW,
     )
     return source, follower
 
@@ -1103,10 +1129,10 @@
     while follower.out or source.out:
         while follower.out:
             said.append(follower.out.popleft()[1])
-            source.hear(now, said[-1], HERE)
+            source.receive(now, said[-1], HERE)
         while source.out:
             said.append(source.out.popleft()[1])
-            follower.hear(now, said[-1], HERE)
+            follower.receive(now, said[-1], HERE)
     return said
 
 
@@ -1115,24 +1141,24 @@
     exchange(source, follower, NOW)
     assert follower.state is State.CURRENT
     before = follower.replica.head, follower.replica.table.digest(), follower.state
-    good = seal(Sender("source", LIFE, 0), m.Pushed(history(1)[0]), SEAL)
+    good = seal(Sender("source", LIFE, 0), m.PushedChange(history(1)[0]), SEAL)
     text = msgpack.packb([0, 9, "n", 1, 1])
     for data, reason in [
         (
-            seal(Sender("source", LIFE, 0), m.Pushed(history(1)[0]), b"another key" * 2),
+            seal(Sender("source", LIFE, 0), m.PushedChange(history(1)[0]), b"another key" * 2),
             "not sealed with our key",
         ),
-        (m.mark_of(SEAL, text) + text, "an older version"),
+        (m.compute_seal(SEAL, text) + text, "an older version"),
         (good + b"x" * 1400, "too long"),
         (good[:-1], "not sealed with our key"),
         (b"", "too short"),
-        (seal(Sender("source", LIFE, 0), m.Pull(1, 1, 1), SEAL), "nothing for a follower"),
+        (seal(Sender("source", LIFE, 0), m.PullRequest(1, 1, 1), SEAL), "nothing for a follower"),
         (
-            seal(Sender("source", LIFE, 5), m.Told(first_head(9, 0), 0, False, 0), SEAL),
+            seal(Sender("source", LIFE, 5), m.HeadStatus(initial_head(9, 0), 0, False, 0), SEAL),
             "a HEAD that was not asked for",
         ),
         (
-            seal(Sender("other", LIFE, 5), m.Told(first_head(9, 0), 0, False, 0), SEAL),
+            seal(Sender("other", LIFE, 5), m.HeadStatus(initial_head(9, 0), 0, False, 0), SEAL),
             "a HEAD of another",
         ),
         (
@@ -1144,38 +1170,47 @@
             "a REDIRECT that was not asked for",
         ),
         (
-            seal(Sender("source", LIFE, 5), m.Digests(first_head(9, 0), 0, (0,) * 128), SEAL),
+            seal(
+                Sender("source", LIFE, 5),
+                m.DigestsResponse(initial_head(9, 0), 0, (0,) * 128),
+                SEAL,
+            ),
             "DIGESTS that were not asked for",
         ),
         (
-            seal(Sender("source", LIFE, 0), m.Pushed(history(1, epoch=2)[0]), SEAL),
+            seal(Sender("source", LIFE, 0), m.PushedChange(history(1, epoch=2)[0]), SEAL),
             "a change of another epoch",
         ),
     ]:
         was = follower.counts.refused.get(reason, 0)
-        follower.hear(NOW, data, HERE)
+        follower.receive(NOW, data, HERE)
         assert follower.counts.refused.get(reason) == was + 1
         assert follower.refusals[-1] == (
             reason,
             HERE,
         )
         assert (follower.replica.head, follower.replica.table.digest(), follower.state) == before
-    follower.hear(NOW, good, HERE)
-    assert follower.replica.head == head_of(history(1)[0])
+    follower.receive(NOW, good, HERE)
+    assert follower.replica.head == head_after(history(1)[0])
 
 
 def test_requests_played_again_are_answered_once() -> None:
     source, follower = pair()
-    said = [data for data in exchange(source, follower, NOW) if to_source(data)]
+    said = [data for data in exchange(source, follower, NOW) if is_for_source(data)]
     for data in said:
-        source.hear(NOW, data, ("10.9.9.9", 9))
+        source.receive(NOW, data, ("10.9.9.9", 9))
     assert not source.out
     assert sum(source.counts.refused.values()) == len(said)
     assert source.followers["server"].address == HERE
     stranger = Sender("nobody", LIFE, 1)
-    for body in (m.Pull(1, 0, 32), m.DigestsAsk(), m.PagesAsk(0, None, 4), m.Bye()):
-        source.hear(NOW, seal(stranger, body, SEAL), HERE)
-    source.hear(NOW, seal(Sender("server", LIFE - 1, 1), m.Report(None, 1, 1, 1), SEAL), HERE)
+    for body in (
+        m.PullRequest(1, 0, 32),
+        m.DigestsRequest(),
+        m.PagesRequest(0, None, 4),
+        m.Leave(),
+    ):
+        source.receive(NOW, seal(stranger, body, SEAL), HERE)
+    source.receive(NOW, seal(Sender("server", LIFE - 1, 1), m.Report(None, 1, 1, 1), SEAL), HERE)
     assert not source.out
     assert source.counts.refused["an older life"] == 1
     assert "server" in source.followers
@@ -1183,21 +1218,21 @@
 
 def test_an_answer_to_an_earlier_life_says_nothing_to_a_later_one() -> None:
     source, follower = pair()
-    answers = [data for data in exchange(source, follower, NOW) if not to_source(data)]
+    answers = [data for data in exchange(source, follower, NOW) if not is_for_source(data)]
     later = Follower(
-        Replica(Table(("", "a")), [SIGN]),
+        Replica(ConfigTable(("", "a")), [SIGN]),
         "server",
         LIFE + 5,
         "a",
         [Upstream("source", "a", HERE)],
         (SEAL,),
-        Terms(),
+        ReplicationSettings(),
         Random(1),
         NOW,
     )
     later.tick(NOW)
     for data in answers:
-        later.hear(NOW, data, HERE)
+        later.receive(NOW, data, HERE)
     assert later.state is State.EMPTY
     assert later.age(NOW) is None
 
@@ -1206,23 +1241,23 @@
     source, follower = pair()
     exchange(source, follower, NOW)
     for one in history(1000)[1:]:
-        follower.hear(NOW, seal(Sender("source", LIFE, 0), m.Pushed(one), SEAL), HERE)
-    assert len(follower.early) == 256
+        follower.receive(NOW, seal(Sender("source", LIFE, 0), m.PushedChange(one), SEAL), HERE)
+    assert len(follower.early_changes) == 256
     assert follower.state is State.BEHIND
     for number in range(200):
-        follower.refuse(f"reason {number}", HERE)
-        source.refuse(f"reason {number}", HERE)
+        follower.count_refusal(f"reason {number}", HERE)
+        source.count_refusal(f"reason {number}", HERE)
     assert len(follower.counts.refused) <= 65
     assert len(source.counts.refused) <= 65
     assert len(follower.refusals) == 32
     for at in range(1000):
-        source.hear(NOW, seal(Sender(f"s{at}", LIFE, 1), m.Report(None, 1, 1, 1), SEAL), HERE)
+        source.receive(NOW, seal(Sender(f"s{at}", LIFE, 1), m.Report(None, 1, 1, 1), SEAL), HERE)
     assert len(source.followers) == 400
     for number in range(40):
-        follower.pulled_at = -1
-        follower.pull(NOW)
+        follower.pull_sent_at = -1
+        follower.pull_changes(NOW)
         for _ in range(20):
-            follower.report(NOW)
+            follower.send_report(NOW)
     assert len(follower.out) <= 256
     assert len(follower.reports) <= 4
     assert follower.counts.dropped
@@ -1230,18 +1265,18 @@
 
 def test_pages_keep_to_their_rate() -> None:
     source, _ = pair()
-    source.terms = Terms(page_rate=10_000, page_burst=5000)
+    source.settings = ReplicationSettings(page_bytes_per_s=10_000, page_burst_bytes=5000)
     source.tokens = 5000.0
     source.replica.table.put(
-        [Entry("", "tenant", f"t{at}", msgpack.packb({"x": "y" * 400})) for at in range(250)]
+        [ConfigItem("", "tenant", f"t{at}", msgpack.packb({"x": "y" * 400})) for at in range(250)]
     )
-    source.hear(NOW, seal(Sender("s", LIFE, 1), m.Report(None, 0, 0, 0), SEAL), HERE)
+    source.receive(NOW, seal(Sender("s", LIFE, 1), m.Report(None, 0, 0, 0), SEAL), HERE)
     heard = 0
     for number in range(300):
-        source.followers["s"].until = NOW + 10**12
-        source.hear(
+        source.followers["s"].expires_at = NOW + 10**12
+        source.receive(
             NOW + number * 10 * MS,
-            seal(Sender("s", LIFE, 2 + number), m.PagesAsk(number % 256, None, 4), SEAL),
+            seal(Sender("s", LIFE, 2 + number), m.PagesRequest(number % 256, None, 4), SEAL),
             HERE,
         )
         while source.out:
@@ -1251,13 +1286,13 @@
 
 
 def test_terms_and_upstreams_that_cannot_be_are_refused() -> None:
-    assert Terms().faults() == []
-    assert Terms(retry=3000 * MS, beat=0).faults() == [
-        "beat: 0, 1 at least",
-        "retry: not under silence",
+    assert ReplicationSettings().faults() == []
+    assert ReplicationSettings(request_retry_ns=3000 * MS, heartbeat_ns=0).faults() == [
+        "heartbeat_ns: 0, 1 at least",
+        "request_retry_ns: not under upstream_timeout_ns",
     ]
     with pytest.raises(ValueError, match="0 upstreams"):
-        Follower(empty(), "s", LIFE, "a", [], (SEAL,), Terms(), Random(1), NOW)
+        Follower(empty(), "s", LIFE, "a", [], (SEAL,), ReplicationSettings(), Random(1), NOW)
 
 
 def replaying(in_force: bool) -> tuple[Source, Follower]:
@@ -1266,31 +1301,31 @@
     """
     source, follower = pair()
     if in_force:
-        follower.replica.begin(first_head(1, 0))
-        source.replica.log.most = 0
+        follower.replica.load(initial_head(1, 0))
+        source.replica.log.max_changes = 0
     listed = history(3)
-    assert source.replica.take(listed[0]) is None
-    source.replica.log.most = 4096
-    source.push(NOW)
+    assert source.replica.apply_change(listed[0]) is None
+    source.replica.log.max_changes = 4096
+    source.push_changes(NOW)
     follower.tick(NOW)
     while follower.out or source.out:
         while follower.out:
             data = follower.out.popleft()[1]
-            if type(unseal(data, (SEAL,)).body) is m.PagesAsk and source.replica.head == head_of(
-                listed[0]
-            ):
-                assert source.replica.take(listed[1]) is None
-                assert source.replica.take(listed[2]) is None
-            source.hear(NOW, data, HERE)
+            if type(
+                unseal(data, (SEAL,)).body
+            ) is m.PagesRequest and source.replica.head == head_after(listed[0]):
+                assert source.replica.apply_change(listed[1]) is None
+                assert source.replica.apply_change(listed[2]) is None
+            source.receive(NOW, data, HERE)
         while source.out:
             data = source.out.popleft()[1]
-            if type(unseal(data, (SEAL,)).body) is not m.Pushed:
-                follower.hear(NOW, data, HERE)
+            if type(unseal(data, (SEAL,)).body) is not m.PushedChange:
+                follower.receive(NOW, data, HERE)
     assert follower.state is State.REPLAYING
     assert follower.sync is not None
-    assert follower.replica.head == (first_head(1, 0) if in_force else None)
-    assert follower.sync.base == head_of(listed[0])
-    assert follower.sync.target == 3
+    assert follower.replica.head == (initial_head(1, 0) if in_force else None)
+    assert follower.sync.base == head_after(listed[0])
+    assert follower.sync.target_revision == 3
     return source, follower
 
 
@@ -1299,12 +1334,12 @@
     source, follower = replaying(in_force)
     before = follower.replica.head
     two, three = history(3)[1:]
-    follower.hear(NOW, seal(Sender("source", LIFE, 0), m.Pushed(two), SEAL), HERE)
+    follower.receive(NOW, seal(Sender("source", LIFE, 0), m.PushedChange(two), SEAL), HERE)
     assert follower.state is State.REPLAYING
     assert follower.replica.head == before
-    follower.hear(NOW, seal(Sender("source", LIFE, 0), m.Pushed(three), SEAL), HERE)
+    follower.receive(NOW, seal(Sender("source", LIFE, 0), m.PushedChange(three), SEAL), HERE)
     assert follower.state is State.CURRENT
-    assert follower.replica.head == head_of(three)
+    assert follower.replica.head == head_after(three)
     assert follower.replica.table.digest() == source.replica.table.digest_of(("", "a"))
 
 
@@ -1314,15 +1349,17 @@
     waits.
     """
     source, follower = replaying(in_force)
-    source.leave()
-    follower.hear(NOW, source.out.popleft()[1], HERE)
+    source.drain()
+    follower.receive(NOW, source.out.popleft()[1], HERE)
     assert follower.state is State.ALONE
-    assert follower.patched_to == (1, 3)
+    assert follower.pages_up_to == (1, 3)
     held = follower.replica.table.digest()
-    behind = Replica(Table(None), [SIGN])
-    behind.begin(first_head(1, 0))
-    assert behind.take(history(1)[0]) is None
-    other = Source(behind, "source", LIFE + 9, (SEAL,), Terms(), Random(1), NOW, lambda now: None)
+    behind = Replica(ConfigTable(None), [SIGN])
+    behind.load(initial_head(1, 0))
+    assert behind.apply_change(history(1)[0]) is None
+    other = Source(
+        behind, "source", LIFE + 9, (SEAL,), ReplicationSettings(), Random(1), NOW, lambda now: None
+    )
     exchange(other, follower, NOW + SECOND)
     if in_force:
         assert follower.state is State.ALONE
@@ -1331,12 +1368,12 @@
     else:
         assert follower.state is State.CURRENT
         assert follower.replica.head == behind.head
-    assert behind.take(history(3)[1]) is None
-    assert behind.take(history(3)[2]) is None
-    other.push(NOW + 2 * SECOND)
+    assert behind.apply_change(history(3)[1]) is None
+    assert behind.apply_change(history(3)[2]) is None
+    other.push_changes(NOW + 2 * SECOND)
     exchange(other, follower, NOW + 2 * SECOND)
     assert follower.state is State.CURRENT
-    assert follower.replica.head == head_of(history(3)[2])
+    assert follower.replica.head == head_after(history(3)[2])
     assert follower.replica.table.digest() == behind.table.digest_of(("", "a"))
 
 
@@ -1352,13 +1389,13 @@
     for number in range(400):
         world.truth.put(0, "", [("tenant", f"old-{number}", value(number))])
     fleet(world, 6)
-    was = Follower.meet
+    was = Follower.handle
 
     def meet(self: Follower, now: int, what: Input) -> None:
         met.add((self.state, what))
         was(self, now, what)
 
-    Follower.meet = meet  # type: ignore[method-assign]
+    Follower.handle = meet  # type: ignore[method-assign]
     try:
         for _ in range(200):
             change(world)
@@ -1380,5 +1417,5 @@
                 change(world)
                 world.run(0.05)
     finally:
-        Follower.meet = was  # type: ignore[method-assign]
+        Follower.handle = was  # type: ignore[method-assign]
     assert met >= set(RULES), set(RULES) - met
--- a/tests/test_distribution_stores.py
+++ b/tests/test_distribution_stores.py
@@ -12,8 +12,16 @@
 from held import Held
 from test_command import burlloom, filled
 
-from burlloom.distribution.changes import Change, Entry, Head, break_of, chained, encode, head_of
-from burlloom.distribution.log import LOG_MOST
+from burlloom.distribution.change_log import MAX_LOGGED_CHANGES
+from burlloom.distribution.changes import (
+    Change,
+    ConfigItem,
+    Head,
+    chain_break,
+    encode_items,
+    head_after,
+    next_change,
+)
 from burlloom.distribution.stores import Away, ChangeStore
 from burlloom.distribution.stores.postgres import Postgres
 from burlloom.distribution.stores.sqlite import Sqlite
@@ -31,7 +39,9 @@
 
 
 def change(before: Head, *told: tuple[str, str, bytes | None], scope: str = "") -> Change:
-    return chained(before, scope, encode(Entry(scope, *one) for one in told), 5, SIGNING)
+    return next_change(
+        before, scope, encode_items(ConfigItem(scope, *one) for one in told), 5, SIGNING
+    )
 
 
 async def append(
@@ -46,12 +56,12 @@
     store: ChangeStore, most: int
 ) -> dict[tuple[str, str, str], tuple[bytes | None, int]]:
     found, after = {}, None
-    while page := await store.entries(after, most):
+    while page := await store.items(after, most):
         assert len(page) <= most
         for one in page:
-            place = one.entry[:3]
+            place = one.item[:3]
             assert after is None or place > after
-            found[place], after = (one.entry.value, one.revision), place
+            found[place], after = (one.item.value, one.revision), place
     return found
 
 
@@ -67,28 +77,30 @@
     )
     assert await second.append(one)
     assert not await first.append(other), "written over what another wrote"
-    assert await first.head() == head_of(one)
-    assert await first.at(1) == one
-    assert await first.at(2) is None
+    assert await first.head() == head_after(one)
+    assert await first.change_at(1) == one
+    assert await first.change_at(2) is None
     assert not await second.append(one), "the same once more"
     two = await append(
         first, ("tenant", "c", value()), ("tenant", "a", None), ("route", "é", value(to="x"))
     )
     three = await append(second, ("tenant", "c", value(portion=2.5)), scope="north")
-    assert await first.since(0, 2) == [one, two]
-    assert await second.since(1, 9) == [two, three]
+    assert await first.changes_since(0, 2) == [one, two]
+    assert await second.changes_since(1, 9) == [two, three]
     assert (
-        break_of(head_of(one), two, (SIGNING,)) == break_of(head_of(two), three, (SIGNING,)) == ""
+        chain_break(head_after(one), two, (SIGNING,))
+        == chain_break(head_after(two), three, (SIGNING,))
+        == ""
     )
     assert await all_of(first, 1) == {
         ("", "route", "é"): (value(to="x"), 2),
         ("", "tenant", "c"): (value(), 2),
         ("north", "tenant", "c"): (value(portion=2.5), 3),
     }
-    stored = await first.entry("north", "tenant", "c")
+    stored = await first.item("north", "tenant", "c")
     assert stored is not None
     assert (stored.epoch, stored.revision) == (head.epoch, 3)
-    assert await first.entry("", "tenant", "a") is None
+    assert await first.item("", "tenant", "a") is None
 
     # Many at once: each revision is written once, in the chain's order, whoever writes.
     async def writes(store: ChangeStore, name: str, left: int) -> None:
@@ -97,23 +109,25 @@
             left -= await store.append(made)
 
     await asyncio.gather(writes(first, "x", 10), writes(second, "y", 10))
-    log = await first.since(3, 100)
+    log = await first.changes_since(3, 100)
     assert [one.revision for one in log] == list(range(4, 24))
-    before = head_of(three)
+    before = head_after(three)
     for made in log:
-        assert break_of(before, made, (SIGNING,)) == ""
-        before = head_of(made)
+        assert chain_break(before, made, (SIGNING,)) == ""
+        before = head_after(made)
     assert len(await all_of(second, 7)) == 3 + 20
 
     # A store that was put back: whoever knows better begins a new epoch, once.
     seen = await first.head()
-    held = await asyncio.gather(first.renew(seen, seen.epoch), second.renew(seen, seen.epoch))
+    held = await asyncio.gather(
+        first.begin_epoch(seen, seen.epoch), second.begin_epoch(seen, seen.epoch)
+    )
     assert sorted(held) == [False, True]
-    assert not await first.renew(seen, seen.epoch)
+    assert not await first.begin_epoch(seen, seen.epoch)
     new = await second.head()
     assert new.epoch > seen.epoch
     assert new.revision == 0
-    assert await first.since(0, 9) == []
+    assert await first.changes_since(0, 9) == []
     assert len(await all_of(second, 7)) == 3 + 20
     assert not await first.append(change(seen, ("tenant", "z", value()))), (
         "of an epoch that is over"
@@ -126,9 +140,9 @@
     for n in range(60):
         await append(writer, ("tenant", f"t{n:02}", value(n=n)))
     head, names, found, after = await reader.head(), count(), {}, None
-    while page := await reader.entries(after, 8):
+    while page := await reader.items(after, 8):
         for one in page:
-            found[one.entry[:3]], after = one.entry.value, one.entry[:3]
+            found[one.item[:3]], after = one.item.value, one.item[:3]
         n = next(names)  # behind, ahead of and at the place that was read
         await append(
             writer,
@@ -136,7 +150,7 @@
             ("tenant", f"t{59 - n:02}", value(again=n)),
             ("tenant", f"t{n:02}x", value()),
         )
-    for made in await reader.since(head.revision, 1000):
+    for made in await reader.changes_since(head.revision, 1000):
         assert made.body is not None
         for kind, key, told in msgpack.unpackb(made.body):
             found[made.scope, kind, key] = told
@@ -185,7 +199,7 @@
         head = await store.head()
         assert head.epoch > before.epoch
         assert head.revision == 0
-        assert await store.since(0, 9) == []
+        assert await store.changes_since(0, 9) == []
         assert list(await all_of(store, 9)) == [("", "tenant", "kept")]
         await store.close()
 
@@ -197,18 +211,24 @@
         store = Sqlite(tmp_path / "changes.db")
         await store.open()
         with sqlite3.connect(tmp_path / "changes.db") as db:  # as if so many had been written
-            db.execute("UPDATE distribution_head SET revision = ?", (LOG_MOST + 8,))
+            db.execute("UPDATE distribution_head SET revision = ?", (MAX_LOGGED_CHANGES + 8,))
             db.executemany(
                 "INSERT INTO distribution_change (revision, epoch, time_ms, scope, body, tag)"
                 " VALUES (?, 1, 1, x'', x'90', x'')",
-                [(n + 1,) for n in range(LOG_MOST + 8)],
+                [(n + 1,) for n in range(MAX_LOGGED_CHANGES + 8)],
             )
         last = await append(store, ("tenant", "a", value()))
         with sqlite3.connect(tmp_path / "changes.db") as db:
             assert db.execute(
                 "SELECT count(*), min(revision), max(revision) FROM distribution_change"
-            ).fetchone() == (LOG_MOST, last.revision - LOG_MOST + 1, last.revision)
-        assert (await store.since(1, 1))[0].revision == last.revision - LOG_MOST + 1
+            ).fetchone() == (
+                MAX_LOGGED_CHANGES,
+                last.revision - MAX_LOGGED_CHANGES + 1,
+                last.revision,
+            )
+        assert (await store.changes_since(1, 1))[
+            0
+        ].revision == last.revision - MAX_LOGGED_CHANGES + 1
         await store.close()
 
     asyncio.run(play())
@@ -256,19 +276,19 @@
         server.orders.reset_after_commit = 1  # taken, and nobody is told
         with pytest.raises(Away):
             await first.append(made)
-        assert await first.at(made.revision) == made
+        assert await first.change_at(made.revision) == made
         assert not await first.append(made)
         made = change(await first.head(), ("tenant", "r", value()))
         server.orders.reset_before_commit = 1  # not taken, and nobody is told
         with pytest.raises(Away):
             await first.append(made)
-        assert await first.at(made.revision) is None
+        assert await first.change_at(made.revision) is None
         assert await first.append(made)
         server.orders.hang = True
         with pytest.raises(Away):
             await first.head()
         server.orders.hang = False
-        assert await first.head() == head_of(made)
+        assert await first.head() == head_after(made)
         await first.close()
         await second.close()
         await server.stop()
--- a/tests/test_distribution_table.py
+++ b/tests/test_distribution_table.py
@@ -8,17 +8,23 @@
 from hypothesis import strategies as st
 
 from burlloom.distribution import table as module
-from burlloom.distribution.changes import KEY_MOST, KINDS, SCOPE_MOST, VALUE_MOST, Entry
+from burlloom.distribution.changes import (
+    KINDS,
+    MAX_KEY_BYTES,
+    MAX_SCOPE_BYTES,
+    MAX_VALUE_BYTES,
+    ConfigItem,
+)
 from burlloom.distribution.table import (
-    BUCKETS,
-    ENTRY_BYTES,
-    PUT_MOST,
-    SCOPES_MOST,
+    BUCKET_COUNT,
+    MAX_ITEM_BYTES,
+    MAX_PUT_ITEMS,
+    MAX_SCOPES,
+    ConfigTable,
     Page,
-    Table,
-    Tenants,
+    TenantShares,
     bucket_of,
-    digest_of_entry,
+    item_digest,
 )
 
 REGION = "north"
@@ -46,7 +52,7 @@
         self.rows: dict[tuple[str, str, str], bytes] = {}
         self.scopes = scopes
 
-    def put(self, entries: Iterable[Entry]) -> None:
+    def put(self, entries: Iterable[ConfigItem]) -> None:
         for entry in entries:
             if entry.value is None:
                 self.rows.pop(entry[:3], None)
@@ -59,40 +65,42 @@
                 return self.rows[scope, kind, key]
         return None
 
-    def bucket(self, bucket: int, scopes: Iterable[str]) -> list[Entry]:
+    def bucket(self, bucket: int, scopes: Iterable[str]) -> list[ConfigItem]:
         return [
-            Entry(*place, value)
+            ConfigItem(*place, value)
             for place, value in sorted(self.rows.items())
             if place[0] in set(scopes) and bucket_of(*place[1:]) == bucket
         ]
 
     def digests(self, scopes: Iterable[str]) -> tuple[int, ...]:
-        whole = [0] * BUCKETS
+        whole = [0] * BUCKET_COUNT
         for place, value in self.rows.items():
             if place[0] in set(scopes):
-                whole[bucket_of(*place[1:])] ^= digest_of_entry(*place, value)
+                whole[bucket_of(*place[1:])] ^= item_digest(*place, value)
         return tuple(whole)
 
 
 def whole(
-    table: Table, bucket: int, scopes: Iterable[str] | None, most: int = ENTRY_BYTES
-) -> list[Entry]:
-    found: list[Entry] = []
+    table: ConfigTable, bucket: int, scopes: Iterable[str] | None, most: int = MAX_ITEM_BYTES
+) -> list[ConfigItem]:
+    found: list[ConfigItem] = []
     after = None
     while True:
         page = table.page(bucket, after, scopes, most)
-        assert page.last == (page.entries[-1][:3] if page.entries else None)
-        assert sum(len(msgpack.packb(entry)) for entry in page.entries) <= most
-        assert after is None or page.last is None or page.last > after  # or a test would never end
-        found += page.entries
-        if page.done:
+        assert page.last_position == (page.items[-1][:3] if page.items else None)
+        assert sum(len(msgpack.packb(entry)) for entry in page.items) <= most
+        assert (
+            after is None or page.last_position is None or page.last_position > after
+        )  # or a test would never end
+        found += page.items
+        if page.is_last:
             return found
-        assert page.entries
-        after = page.last
+        assert page.items
+        after = page.last_position
 
 
-def same(table: Table, model: Model) -> None:
-    assert table.entries() == len(model.rows)
+def same(table: ConfigTable, model: Model) -> None:
+    assert table.item_count() == len(model.rows)
     for kind in KINDS:
         seen = {place[2] for place in model.rows if place[1] == kind}
         assert table.count(kind) == len(seen)
@@ -111,12 +119,12 @@
     st.sampled_from(CROWDED), st.text(st.characters(codec="utf-8"), min_size=1, max_size=8)
 )
 value = st.one_of(
-    st.none(), st.binary(max_size=40), st.just(b"\xfft1\xff"), st.just(b"x" * VALUE_MOST)
+    st.none(), st.binary(max_size=40), st.just(b"\xfft1\xff"), st.just(b"x" * MAX_VALUE_BYTES)
 )
-entry = st.builds(Entry, st.sampled_from(SCOPES), st.sampled_from(KINDS), key, value)
+entry = st.builds(ConfigItem, st.sampled_from(SCOPES), st.sampled_from(KINDS), key, value)
 crowd = st.builds(
     lambda scope, start, count, value: [
-        Entry(scope, "tenant", one, value) for one in CROWDED[start : start + count]
+        ConfigItem(scope, "tenant", one, value) for one in CROWDED[start : start + count]
     ],
     st.sampled_from(SCOPES),
     st.integers(0, 199),
@@ -128,8 +136,8 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(puts, max_size=14))
-def test_any_history_is_as_a_plain_dict(history: list[list[Entry]]) -> None:
-    table, model = Table(SCOPES), Model(SCOPES)
+def test_any_history_is_as_a_plain_dict(history: list[list[ConfigItem]]) -> None:
+    table, model = ConfigTable(SCOPES), Model(SCOPES)
     for entries in history:
         table.put(entries)
         model.put(entries)
@@ -138,8 +146,8 @@
     for one in named | {("tenant", one) for one in CROWDED[:9]}:
         assert table.get(*one) == model.get(*one)
         assert table.has(*one) == (model.get(*one) is not None)
-        assert table.held(*one) == [
-            Entry(scope, *one, model.rows[scope, *one])
+        assert table.items_of_key(*one) == [
+            ConfigItem(scope, *one, model.rows[scope, *one])
             for scope in SCOPES
             if (scope, *one) in model.rows
         ]
@@ -150,34 +158,34 @@
 
 
 @settings(max_examples=100, deadline=None)
-@given(st.lists(puts, max_size=8), st.lists(puts, max_size=8), st.integers(ENTRY_BYTES, 3_000))
+@given(st.lists(puts, max_size=8), st.lists(puts, max_size=8), st.integers(MAX_ITEM_BYTES, 3_000))
 def test_pages_of_another_table_make_it_the_same(
-    ours: list[list[Entry]], theirs: list[list[Entry]], most: int
+    ours: list[list[ConfigItem]], theirs: list[list[ConfigItem]], most: int
 ) -> None:
     """Only the buckets that differ are laid anew, and the count is of the entries that differed."""
-    there, here, model = Table(None), Table(SCOPES), Model(SCOPES)
+    there, here, model = ConfigTable(None), ConfigTable(SCOPES), Model(SCOPES)
     for entries in theirs:
         there.put(entries)
     there.put(
-        [Entry("south", "tenant", one, b"\x80") for one in CROWDED[:9]]
+        [ConfigItem("south", "tenant", one, b"\x80") for one in CROWDED[:9]]
     )  # a scope not held here
     for entries in ours:
         here.put(entries)
         model.put(entries)
     before, differed, after_all = dict(model.rows), 0, Model(SCOPES)
-    for bucket in range(BUCKETS):
+    for bucket in range(BUCKET_COUNT):
         if here.digests()[bucket] != there.digests_of(SCOPES)[bucket]:
             after = None
             while True:
                 page = there.page(bucket, after, SCOPES, most)
                 differed += here.replace(bucket, after, page)
                 assert here.replace(bucket, after, page) == 0
-                if page.done:
+                if page.is_last:
                     break
-                assert page.last is not None
-                assert after is None or page.last > after
-                after = page.last
-    for bucket in range(BUCKETS):
+                assert page.last_position is not None
+                assert after is None or page.last_position > after
+                after = page.last_position
+    for bucket in range(BUCKET_COUNT):
         after_all.put(whole(there, bucket, SCOPES))
     same(here, after_all)
     assert differed == len(
@@ -192,76 +200,85 @@
 @settings(max_examples=60, deadline=None)
 @given(crowd, crowd, st.integers(0, 199))
 def test_a_page_touches_nothing_outside_of_its_range(
-    ours: list[Entry], theirs: list[Entry], start: int
+    ours: list[ConfigItem], theirs: list[ConfigItem], start: int
 ) -> None:
-    here, there, model = Table(SCOPES), Table(SCOPES), Model(SCOPES)
+    here, there, model = ConfigTable(SCOPES), ConfigTable(SCOPES), Model(SCOPES)
     for table, entries in ((here, ours), (there, theirs)):
         table.put(entries)
     model.put(ours)
     after = ("", "tenant", sorted(CROWDED)[start])
-    page = there.page(7, after, SCOPES, ENTRY_BYTES)
+    page = there.page(7, after, SCOPES, MAX_ITEM_BYTES)
     here.replace(7, after, page)
     outside = [
         one
         for one in model.bucket(7, SCOPES)
-        if one[:3] <= after or not page.done and page.last is not None and one[:3] > page.last
+        if one[:3] <= after
+        or not page.is_last
+        and page.last_position is not None
+        and one[:3] > page.last_position
     ]
-    expected = sorted([*outside, *page.entries])
+    expected = sorted([*outside, *page.items])
     assert whole(here, 7, SCOPES) == expected
 
 
 def test_the_own_region_comes_before_everywhere() -> None:
-    table = Table(SCOPES)
+    table = ConfigTable(SCOPES)
     table.put(
         [
-            Entry("", "tenant", "a", b"1"),
-            Entry(REGION, "tenant", "a", b"2"),
-            Entry("", "tenant", "b", b"3"),
+            ConfigItem("", "tenant", "a", b"1"),
+            ConfigItem(REGION, "tenant", "a", b"2"),
+            ConfigItem("", "tenant", "b", b"3"),
         ]
     )
     assert (table.get("tenant", "a"), table.get("tenant", "b")) == (b"2", b"3")
-    assert (table.count("tenant"), table.entries()) == (2, 3)
-    table.put([Entry(REGION, "tenant", "a", None)])
-    assert (table.get("tenant", "a"), table.count("tenant"), table.entries()) == (b"1", 2, 2)
+    assert (table.count("tenant"), table.item_count()) == (2, 3)
+    table.put([ConfigItem(REGION, "tenant", "a", None)])
+    assert (table.get("tenant", "a"), table.count("tenant"), table.item_count()) == (b"1", 2, 2)
 
 
 def test_a_control_machine_holds_every_scope() -> None:
-    table = Table(None)
+    table = ConfigTable(None)
     table.put(
-        [Entry("", "route", "a", b"1"), *(Entry(f"r{n}", "route", "a", b"2") for n in range(6))]
+        [
+            ConfigItem("", "route", "a", b"1"),
+            *(ConfigItem(f"r{n}", "route", "a", b"2") for n in range(6)),
+        ]
     )
     assert (table.get("route", "a"), table.count("route")) == (b"1", 1)
-    assert (table.entries(), len(table.held("route", "a"))) == (7, 7)
+    assert (table.item_count(), len(table.items_of_key("route", "a"))) == (7, 7)
     with pytest.raises(ValueError, match="scopes: over"):
-        table.put([Entry(f"x{n}", "route", "a", b"2") for n in range(SCOPES_MOST)])
-    assert table.entries() == 7
+        table.put([ConfigItem(f"x{n}", "route", "a", b"2") for n in range(MAX_SCOPES)])
+    assert table.item_count() == 7
 
 
 @pytest.mark.parametrize(
     ("wrong", "reason"),
     [
-        (Entry("", "tenant", "k" * (KEY_MOST + 1), b""), "key: 129 bytes, 1 to 128 allowed"),
-        (Entry("", "tenant", "é" * 65, b""), "key: 130 bytes"),
-        (Entry("", "tenant", "", b""), "key: 0 bytes"),
-        (Entry("", "tenant", "\ud800", b""), "key: not text of UTF-8"),
-        (Entry("", "tenant", 7, b""), "key: not text of UTF-8"),  # type: ignore[arg-type]
         (
-            Entry("", "tenant", "k", b"v" * (VALUE_MOST + 1)),
+            ConfigItem("", "tenant", "k" * (MAX_KEY_BYTES + 1), b""),
+            "key: 129 bytes, 1 to 128 allowed",
+        ),
+        (ConfigItem("", "tenant", "é" * 65, b""), "key: 130 bytes"),
+        (ConfigItem("", "tenant", "", b""), "key: 0 bytes"),
+        (ConfigItem("", "tenant", "\ud800", b""), "key: not text of UTF-8"),
+        (ConfigItem("", "tenant", 7, b""), "key: not text of UTF-8"),  # type: ignore[arg-type]
+        (
+            ConfigItem("", "tenant", "k", b"v" * (MAX_VALUE_BYTES + 1)),
             "value: 513 bytes, at most 512 allowed",
         ),
-        (Entry("", "tenant", "k", "text"), "value: not bytes"),  # type: ignore[arg-type]
-        (Entry("", ["route"], "k", b""), "kind: ['route'] is none of"),  # type: ignore[arg-type]
-        (Entry("", "caller", "k", b""), "kind: 'caller' is none of route, setting, tenant"),
-        (Entry("s" * (SCOPE_MOST + 1), "tenant", "k", b""), "scope: 65 bytes"),
-        (Entry("south", "tenant", "k", b""), "scope: 'south' is not held here"),
+        (ConfigItem("", "tenant", "k", "text"), "value: not bytes"),  # type: ignore[arg-type]
+        (ConfigItem("", ["route"], "k", b""), "kind: ['route'] is none of"),  # type: ignore[arg-type]
+        (ConfigItem("", "caller", "k", b""), "kind: 'caller' is none of route, setting, tenant"),
+        (ConfigItem("s" * (MAX_SCOPE_BYTES + 1), "tenant", "k", b""), "scope: 65 bytes"),
+        (ConfigItem("south", "tenant", "k", b""), "scope: 'south' is not held here"),
     ],
 )
-def test_what_cant_be_held_is_refused_whole_with_its_place(wrong: Entry, reason: str) -> None:
-    table = Table(SCOPES)
+def test_what_cant_be_held_is_refused_whole_with_its_place(wrong: ConfigItem, reason: str) -> None:
+    table = ConfigTable(SCOPES)
     with pytest.raises(ValueError) as caught:
-        table.put([Entry("", "tenant", "good", b""), wrong])
+        table.put([ConfigItem("", "tenant", "good", b""), wrong])
     assert f"entries[1].{reason}" in str(caught.value)
-    assert table.entries() == 0
+    assert table.item_count() == 0
     assert table.digest() == 0
 
 
@@ -269,66 +286,73 @@
     with pytest.raises(
         ValueError, match=r"entries\[0\]\.key: .*entries\[0\]\.value: .*entries\[2\]\.kind: "
     ):
-        Table(None).put(
+        ConfigTable(None).put(
             [
-                Entry("", "tenant", "", b"v" * 600),
-                Entry("", "tenant", "k", b""),
-                Entry("", "x", "k", b""),
+                ConfigItem("", "tenant", "", b"v" * 600),
+                ConfigItem("", "tenant", "k", b""),
+                ConfigItem("", "x", "k", b""),
             ]
         )
 
 
 def test_more_entries_than_a_put_may_have() -> None:
-    table = Table(None)
-    with pytest.raises(ValueError, match=f"over {PUT_MOST} entries"):
-        table.put(Entry("", "tenant", f"k{n}", b"") for n in range(10**9))
-    assert table.entries() == 0
+    table = ConfigTable(None)
+    with pytest.raises(ValueError, match=f"over {MAX_PUT_ITEMS} entries"):
+        table.put(ConfigItem("", "tenant", f"k{n}", b"") for n in range(10**9))
+    assert table.item_count() == 0
 
 
 def test_the_largest_entries_fill_a_leaf_and_a_page() -> None:
-    table, model = Table(None), Model(("",))
-    names = (f"{n}".ljust(KEY_MOST, "z") for n in range(60_000))
+    table, model = ConfigTable(None), Model(("",))
+    names = (f"{n}".ljust(MAX_KEY_BYTES, "z") for n in range(60_000))
     keys = [one for one in names if bucket_of("tenant", one) == 3][:150]
-    entries = [Entry("", "tenant", one, b"\xff" * VALUE_MOST) for one in keys]
+    entries = [ConfigItem("", "tenant", one, b"\xff" * MAX_VALUE_BYTES) for one in keys]
     table.put(entries)
     model.put(entries)
     assert whole(table, 3, ("",)) == model.bucket(3, ("",))
-    assert len(table.page(3, None, ("",), 1_400).entries) == 2
+    assert len(table.page(3, None, ("",), 1_400).items) == 2
 
 
 @pytest.mark.parametrize(
     ("page", "reason"),
     [
         (
-            Page((Entry("", "tenant", CROWDED[0], None),), ("", "tenant", CROWDED[0]), True),
+            Page((ConfigItem("", "tenant", CROWDED[0], None),), ("", "tenant", CROWDED[0]), True),
             "deletes",
         ),
-        (Page((Entry("", "tenant", CROWDED[0], b""),), None, True), "last: is not the last entry"),
+        (
+            Page((ConfigItem("", "tenant", CROWDED[0], b""),), None, True),
+            "last: is not the last entry",
+        ),
         (Page((), None, False), "done: a page of nothing"),
         (Page((), ("", "tenant", "a"), False), "last: is not the last entry"),
         (
             Page(
-                tuple(Entry("", "tenant", one, b"") for one in sorted(CROWDED[:3], reverse=True)),
+                tuple(
+                    ConfigItem("", "tenant", one, b"") for one in sorted(CROWDED[:3], reverse=True)
+                ),
                 ("", "tenant", min(CROWDED[:3])),
                 True,
             ),
             "is not behind the one before",
         ),
         (
-            Page((Entry("", "tenant", "elsewhere", b""),), ("", "tenant", "elsewhere"), True),
+            Page((ConfigItem("", "tenant", "elsewhere", b""),), ("", "tenant", "elsewhere"), True),
             "is of another bucket",
         ),
         (
             Page(
-                (Entry("south", "tenant", CROWDED[0], b""),), ("south", "tenant", CROWDED[0]), True
+                (ConfigItem("south", "tenant", CROWDED[0], b""),),
+                ("south", "tenant", CROWDED[0]),
+                True,
             ),
             "is not held here",
         ),
     ],
 )
 def test_a_page_that_contradicts_itself_is_refused_whole(page: Page, reason: str) -> None:
-    table = Table(SCOPES)
-    table.put([Entry("", "tenant", one, b"kept") for one in CROWDED[:20]])
+    table = ConfigTable(SCOPES)
+    table.put([ConfigItem("", "tenant", one, b"kept") for one in CROWDED[:20]])
     before = table.digests()
     with pytest.raises(ValueError, match=reason):
         table.replace(7, None, page)
@@ -336,8 +360,8 @@
 
 
 def test_bounds_of_buckets_scopes_and_pages() -> None:
-    table = Table(SCOPES)
-    for bucket, most in ((-1, 2000), (BUCKETS, 2000), (0, ENTRY_BYTES - 1)):
+    table = ConfigTable(SCOPES)
+    for bucket, most in ((-1, 2000), (BUCKET_COUNT, 2000), (0, MAX_ITEM_BYTES - 1)):
         with pytest.raises(ValueError):
             table.page(bucket, None, SCOPES, most)
     for after in (("", "caller", "k"), ("", "tenant", "\ud800"), ("", "tenant", "k" * 200)):
@@ -346,40 +370,40 @@
         with pytest.raises(ValueError, match=r"after\."):
             table.replace(0, after, Page((), None, True))
     with pytest.raises(ValueError):
-        table.replace(BUCKETS, None, Page((), None, True))
-    for scopes in ((), tuple(str(n) for n in range(SCOPES_MOST + 1))):
+        table.replace(BUCKET_COUNT, None, Page((), None, True))
+    for scopes in ((), tuple(str(n) for n in range(MAX_SCOPES + 1))):
         with pytest.raises(ValueError):
-            Table(scopes)
+            ConfigTable(scopes)
 
 
 def test_leaves_stay_small_and_join_again() -> None:
     """Beyond what a history of a few puts reaches: a bucket of 3,000, then most of them deleted."""
     keys = keys_of_bucket(9, 3_000)
-    table = Table(None)
+    table = ConfigTable(None)
     for start in range(0, 3_000, 50):
-        table.put([Entry("", "tenant", one, b"v") for one in keys[start : start + 50]])
+        table.put([ConfigItem("", "tenant", one, b"v") for one in keys[start : start + 50]])
     bucket = table.parts[""].buckets[9]
-    sizes = [len(module.unpacked(leaf)[0]) for leaf in bucket.leaves]
-    assert max(sizes) <= module.LEAF_MOST
-    assert min(sizes) >= module.LEAF_LEAST
+    sizes = [len(module.unpack_leaf(leaf)[0]) for leaf in bucket.leaves]
+    assert max(sizes) <= module.MAX_LEAF_ITEMS
+    assert min(sizes) >= module.MIN_LEAF_ITEMS
     for start in range(0, 2_950, 50):
-        table.put([Entry("", "tenant", one, None) for one in keys[start : start + 50]])
-    assert len(bucket.leaves) <= 50 // module.LEAF_LEAST + 1
+        table.put([ConfigItem("", "tenant", one, None) for one in keys[start : start + 50]])
+    assert len(bucket.leaves) <= 50 // module.MIN_LEAF_ITEMS + 1
     assert sorted(table.keys("tenant")) == sorted(keys[2_950:])
-    table.put([Entry("", "tenant", one, None) for one in keys[2_950:]])
-    assert (len(bucket.leaves), table.digest(), table.digests()) == (1, 0, (0,) * BUCKETS)
+    table.put([ConfigItem("", "tenant", one, None) for one in keys[2_950:]])
+    assert (len(bucket.leaves), table.digest(), table.digests()) == (1, 0, (0,) * BUCKET_COUNT)
 
 
 def test_keys_that_stay_come_once_while_the_table_changes() -> None:
-    table = Table(SCOPES)
-    table.put([Entry("", "tenant", one, b"v") for one in CROWDED])
+    table = ConfigTable(SCOPES)
+    table.put([ConfigItem("", "tenant", one, b"v") for one in CROWDED])
     seen = []
     for number, one in enumerate(table.keys("tenant")):
         seen.append(one)
         table.put(
             [
-                Entry("", "tenant", f"new{number}", b"v"),
-                Entry("", "tenant", CROWDED[number % 100], None),
+                ConfigItem("", "tenant", f"new{number}", b"v"),
+                ConfigItem("", "tenant", CROWDED[number % 100], None),
             ]
         )
         if number > 5_000:
@@ -388,17 +412,17 @@
 
 
 def test_tenants_as_the_server_reads_them() -> None:
-    table = Table(SCOPES)
-    tenants = Tenants(table)
+    table = ConfigTable(SCOPES)
+    tenants = TenantShares(table)
     assert not tenants
     table.put(
         [
-            Entry("", "tenant", "a", msgpack.packb({"portion": 2})),
-            Entry(REGION, "tenant", "a", msgpack.packb({"portion": 0.5})),
-            Entry("", "tenant", "b", msgpack.packb({})),
-            Entry("", "route", "c", b"\x80"),
-            Entry("", "tenant", "bad", b"\xc1"),
-            Entry("", "tenant", "word", msgpack.packb({"portion": "much"})),
+            ConfigItem("", "tenant", "a", msgpack.packb({"portion": 2})),
+            ConfigItem(REGION, "tenant", "a", msgpack.packb({"portion": 0.5})),
+            ConfigItem("", "tenant", "b", msgpack.packb({})),
+            ConfigItem("", "route", "c", b"\x80"),
+            ConfigItem("", "tenant", "bad", b"\xc1"),
+            ConfigItem("", "tenant", "word", msgpack.packb({"portion": "much"})),
         ]
     )
     assert len(tenants) == 4
@@ -415,13 +439,13 @@
     """Keys of a leaf are found by one search; what stands in its values must never be taken for
     one.
     """
-    table, hidden = Table(None), CROWDED[1]
+    table, hidden = ConfigTable(None), CROWDED[1]
     lie = b"\xfft" + hidden.encode() + b"\xff"
-    table.put([Entry("", "tenant", CROWDED[0], lie)])
+    table.put([ConfigItem("", "tenant", CROWDED[0], lie)])
     assert (table.get("tenant", hidden), table.has("tenant", hidden)) == (None, False)
     assert table.count("tenant") == 1
-    table.put([Entry("", "tenant", hidden, None)])
+    table.put([ConfigItem("", "tenant", hidden, None)])
     assert table.get("tenant", CROWDED[0]) == lie
-    table.put([Entry("", "tenant", hidden, b"true")])
+    table.put([ConfigItem("", "tenant", hidden, b"true")])
     assert (table.get("tenant", hidden), table.get("tenant", CROWDED[0])) == (b"true", lie)
     assert table.count("tenant") == 2
