--- a/burlloom/server/followed_configuration.py
+++ b/burlloom/server/followed_configuration.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 from random import Random
 
-from ..distribution import Follower, Replica, Table
+from ..distribution import ConfigTable, Follower, Replica
 from ..distribution.endpoint import Endpoint
 from ..distribution.follower import summary
-from ..distribution.telling import Keys, Telling, held, write_state
+from ..distribution.status_report import HeadLogger, KeyFile, replica_summary, write_state
 from ..operator import DistributionPart
 from ..sockets import MS, SECOND, Tasks, rest
 from .clock import boot_time_ns
@@ -59,9 +59,11 @@
         self.settings, self.name, self.tasks = settings, name, tasks
         self.is_shutting_down, self.clock = is_shutting_down, boot_time_ns
         incarnation = time.time_ns() // MS
-        self._seal_keys = Keys(Path(settings.key_file), settings.keys, "seals")
-        self._signing_keys = Keys(Path(settings.signing_key_file), settings.signing_keys, "signing")
-        self.replica = Replica(Table(("", settings.region)), self._signing_keys.keys)
+        self._seal_keys = KeyFile(Path(settings.key_file), settings.keys, "seals")
+        self._signing_keys = KeyFile(
+            Path(settings.signing_key_file), settings.signing_keys, "signing"
+        )
+        self.replica = Replica(ConfigTable(("", settings.region)), self._signing_keys.keys)
         self.follower = Follower(
             self.replica,
             name,
@@ -75,7 +77,7 @@
         )
         self.endpoint = Endpoint(sock, self._receive)
         self.tenant_portions = TenantPortions(self.replica)
-        self._reporter = Telling(self.replica)
+        self._head_logger = HeadLogger(self.replica)
         self._state = self.follower.state
         self._refreshed_ns = 0
         self._counts_portions = False
@@ -114,7 +116,7 @@
         began = self.clock()
         while self._must_wait(began):
             await rest(IN_FORCE_POLL_NS)
-        self._reporter.look()
+        self._head_logger.log_moves()
         if self.replica.head is None:
             log.warning(
                 "event=distribution_not_in_force waited_ms=%d tenants=%d"
@@ -133,7 +135,7 @@
         counts = self.follower.counts
         plain = {name: getattr(counts, name) for name in counts.__slots__ if name != "refused"}
         refused = sum(counts.refused.values())
-        return {**plain, "refused": refused, "unsent": self.endpoint.unsent}
+        return {**plain, "refused": refused, "unsent": self.endpoint.dropped}
 
     def gauges(self) -> dict[str, float]:
         """Returns what stands now, by the end of the metric's name.
@@ -159,7 +161,7 @@
             self._task.cancel()
         self.follower.leave()
         self.endpoint.flush(self.follower.out)
-        self._reporter.look()
+        self._head_logger.log_moves()
         if self.settings.state_file is not None and self._task is not None:
             self._refresh(self.clock())
         self.endpoint.close()
@@ -181,7 +183,7 @@
         now = self.clock()
         self.follower.tick(now)
         self.endpoint.flush(self.follower.out)
-        self._reporter.look()
+        self._head_logger.log_moves()
         if self.follower.state != self._state:
             self._log_state_change(now)
         if self._counts_portions:
@@ -203,15 +205,15 @@
 
     def _receive(self, data: bytes, source: tuple[str, int]) -> None:
         """Takes one datagram between two requests: a change, or a page, and no more."""
-        self.follower.hear(self.clock(), data, source)
+        self.follower.receive(self.clock(), data, source)
         self.endpoint.flush(self.follower.out)
 
     def _refresh(self, now: int) -> None:
-        if self._seal_keys.changed():
+        if self._seal_keys.reload_if_changed():
             self.follower.keys = self._seal_keys.keys
-        if self._signing_keys.changed():
+        if self._signing_keys.reload_if_changed():
             self.replica.keys = self._signing_keys.keys
-        self.endpoint.tell_refusals(now // SECOND, self.follower.refusals)
+        self.endpoint.log_refusals(now // SECOND, self.follower.refusals)
         if self.settings.state_file is not None:
             write_state(self.settings.state_file, self._summary(now))
 
@@ -222,5 +224,5 @@
             "region": self.settings.region,
             "address": self.endpoint.address,
             **summary(self.follower, now),
-            **held(self.replica),
+            **replica_summary(self.replica),
         }
--- a/burlloom/server/operator_subsystems.py
+++ b/burlloom/server/operator_subsystems.py
@@ -137,16 +137,16 @@
     """
     if not part.upstreams:
         raise Refused("distribution.upstreams: is empty: a server follows others")
-    from ..distribution.endpoint import bound
-    from ..distribution.messages import NAME_MOST
+    from ..distribution.endpoint import bind_datagram_socket
+    from ..distribution.messages import MAX_NAME_BYTES
 
-    if not 0 < len(name.encode()) <= NAME_MOST:
+    if not 0 < len(name.encode()) <= MAX_NAME_BYTES:
         raise Refused(
-            f"distribution: the name {name!r:.80} is over {NAME_MOST} bytes;"
+            f"distribution: the name {name!r:.80} is over {MAX_NAME_BYTES} bytes;"
             " messages carry no longer one"
         )
     try:
-        return bound(part.listen)
+        return bind_datagram_socket(part.listen)
     except OSError as error:
         raise Refused(f"distribution.listen: {part.listen}: {error.strerror}") from error
 
--- a/burlloom/server/tenant_portions.py
+++ b/burlloom/server/tenant_portions.py
@@ -8,11 +8,11 @@
 import msgpack
 
 from ..distribution import Replica
-from ..distribution.table import BUCKETS
+from ..distribution.table import BUCKET_COUNT
 from ..sockets import SECOND
 
 if TYPE_CHECKING:
-    from ..distribution.table import Place
+    from ..distribution.table import ItemPosition
 
 TENANT_KIND = "tenant"
 COUNT_INTERVAL_NS = 300 * SECOND  # between two counts of all portions
@@ -94,7 +94,7 @@
         self.total = 0.0
         self.bucket = -1
         self._sum = 0.0
-        self._after: Place | None = None
+        self._after: ItemPosition | None = None
         # Epoch and revision at which the last count began.
         self._counted: tuple[int, int] | None = None
         self._began_ns = -COUNT_INTERVAL_NS
@@ -110,7 +110,7 @@
         entries = 0
         for _ in range(MAX_PAGES_PER_STEP):
             entries += self._count_page()
-            if self.bucket == BUCKETS:
+            if self.bucket == BUCKET_COUNT:
                 self.total, self.bucket = self._sum, -1
                 return
             if entries >= MAX_ENTRIES_PER_STEP:
@@ -142,10 +142,10 @@
         page = table.page(self.bucket, self._after, table.scopes or ("",), PAGE_BYTES)
         self._sum += sum(
             decode_portion(entry.value)
-            for entry in page.entries
+            for entry in page.items
             if entry.kind == TENANT_KIND and entry.value is not None
         )
-        self._after = page.last
-        if page.done:
+        self._after = page.last_position
+        if page.is_last:
             self.bucket, self._after = self.bucket + 1, None
-        return len(page.entries)
+        return len(page.items)
