--- a/benchmarks/hollow_releases.py
+++ b/benchmarks/hollow_releases.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from burlloom.rollout import Counts, Hand, Member, Says
-from burlloom.rollout.stores import Away
+from burlloom.rollout.stores import StoreUnavailableError
 from burlloom.rollout.stores.sqlite import Sqlite
 
 ROUND = 0.5  # s
@@ -60,11 +60,11 @@
         try:
             if now - told_at >= BEAT:
                 told_at = now
-                await shelf.run("BEGIN IMMEDIATE")
+                await shelf.execute("BEGIN IMMEDIATE")
                 for one in tellers:
                     if now >= one.down_until:
                         await shelf.tell(one.word())
-                await shelf.run("COMMIT")
+                await shelf.execute("COMMIT")
             page = await shelf.read(page)
             while pipe.poll():
                 match pipe.recv():
@@ -87,7 +87,7 @@
                     else:
                         one.hand = Hand(one.name, one.life)
                     page = await shelf.read(page)
-        except Away:
+        except StoreUnavailableError:
             page = None  # the store was held by another for long: a round is left out
         await asyncio.sleep(ROUND)
     await shelf.close()
--- a/benchmarks/kill_restart.py
+++ b/benchmarks/kill_restart.py
@@ -40,10 +40,10 @@
 
 from burlloom.fakes.parts import fields  # noqa: E402
 from burlloom.fakes.postgres import Postgres  # noqa: E402
-from burlloom.record import points  # noqa: E402
+from burlloom.record import failpoints as points  # noqa: E402
 
 DUE, WINDOW = 6.0, 18.0
-MOMENTS = ("random", *points.NAMES)
+MOMENTS = ("random", *points.FAILPOINT_NAMES)
 
 
 class Book:
--- a/benchmarks/killed.py
+++ b/benchmarks/killed.py
@@ -6,7 +6,7 @@
 import signal
 import sys
 
-from burlloom.record import points
+from burlloom.record import failpoints as points
 from burlloom.server.__main__ import main
 
 name, _, count = os.environ.get("KILL_AT", "").partition(":")
@@ -22,6 +22,6 @@
 
 
 if name:
-    assert name in points.NAMES, name
+    assert name in points.FAILPOINT_NAMES, name
     points.hook = hook
 sys.exit(main())
--- a/benchmarks/record_rates.py
+++ b/benchmarks/record_rates.py
@@ -28,13 +28,20 @@
 
 from burlloom.fakes.parts import Balancer, fields  # noqa: E402
 from burlloom.fakes.postgres import Postgres as StandIn  # noqa: E402
-from burlloom.record.fate import Input  # noqa: E402
-from burlloom.record.postgres import Postgres  # noqa: E402
-from burlloom.record.rows import BEGUN, KEPT, Kind, Row, Word, Write  # noqa: E402
-from burlloom.record.seal import Sealer, key  # noqa: E402
-from burlloom.record.sqlite import Sqlite  # noqa: E402
-
-SEALER = Sealer(b"k" * 32)
+from burlloom.record.authentication import RowAuthenticator, load_key  # noqa: E402
+from burlloom.record.postgres import PostgresStore  # noqa: E402
+from burlloom.record.request_lifecycle import RequestEvent  # noqa: E402
+from burlloom.record.rows import (
+    ROW_COMPLETED,
+    ROW_STARTED,
+    RecordRow,
+    RecordWrite,
+    WriteKind,
+    WriteResult,
+)  # noqa: E402
+from burlloom.record.sqlite import SqliteStore  # noqa: E402
+
+SEALER = RowAuthenticator(b"k" * 32)
 RESULT = b"r" * 200
 
 
@@ -51,13 +58,13 @@
     return statistics.median(times) * 1e3
 
 
-async def ask(store: Any, kind: Kind, row: Row) -> Word:
-    future: asyncio.Future[Word] = asyncio.get_running_loop().create_future()
-    store.post(Write(kind, row._replace(seal=SEALER.seal(row))), future.set_result)
+async def ask(store: Any, kind: WriteKind, row: RecordRow) -> WriteResult:
+    future: asyncio.Future[WriteResult] = asyncio.get_running_loop().create_future()
+    store.submit(RecordWrite(kind, row._replace(mac=SEALER.compute_mac(row))), future.set_result)
     return await future
 
 
-class Slower(Sqlite):
+class Slower(SqliteStore):
     """On a disk whose sync takes two milliseconds, as many a server's does: slept before each
     COMMIT.
     """
@@ -75,22 +82,22 @@
     async def one() -> None:
         nonlocal done
         while time.perf_counter() < until:
-            row = Row(
+            row = RecordRow(
                 os.urandom(16),
-                BEGUN,
+                ROW_STARTED,
                 store.node,
-                store.life,
+                store.incarnation,
                 1,
                 "0" * 16,
                 1,
                 time.time_ns() + 18 * 10**9,
             )
             began = time.perf_counter()
-            assert (await ask(store, Kind.CLAIM, row)).how is Input.HELD
+            assert (await ask(store, WriteKind.CLAIM, row)).outcome is RequestEvent.WRITE_APPLIED
             told.record_value(int((time.perf_counter() - began) * 1e6))
             assert (
-                await ask(store, Kind.FINISH, row._replace(state=KEPT, result=RESULT))
-            ).how is Input.HELD
+                await ask(store, WriteKind.FINISH, row._replace(state=ROW_COMPLETED, result=RESULT))
+            ).outcome is RequestEvent.WRITE_APPLIED
             done += 1
 
     await asyncio.gather(*(one() for _ in range(opened)))
@@ -107,7 +114,7 @@
         print("| --- | --- | --- | --- | --- | --- |")
         rates: dict[str, list[float]] = {}
         for turn in range(3):
-            for disk, make in (("this disk", Sqlite), ("2 ms a sync", Slower)):
+            for disk, make in (("this disk", SqliteStore), ("2 ms a sync", Slower)):
                 for label, batch in (("a commit for each", 1), ("group commit", 256)):
                     path = folder / f"{batch}-{turn}-{disk[0]}.db"
                     store = make(path, SEALER, "n1", batch=batch)
@@ -125,7 +132,7 @@
                     )
         standin = await StandIn(folder).start()
         host, port = standin.address.split(":")
-        pg = Postgres((host, int(port)), "b", "b", "", SEALER, "n1", clock=lambda: 0)
+        pg = PostgresStore((host, int(port)), "b", "b", "", SEALER, "n1", clock=lambda: 0)
         await pg.open()
         await pg.start()
         got, told = await rate(pg, 4)
@@ -143,7 +150,7 @@
 def line(label: str, got: float, told: HdrHistogram, store: Any, size: float) -> None:
     print(
         f"| {label} | {got:.0f} | {told.get_value_at_percentile(50) / 1e3:.1f} |"
-        f" {told.get_value_at_percentile(99) / 1e3:.1f} | {store.written / max(1, store.commits):.1f} |"
+        f" {told.get_value_at_percentile(99) / 1e3:.1f} | {store.write_count / max(1, store.commits):.1f} |"
         f" {size:.0f} |",
         flush=True,
     )
@@ -222,7 +229,7 @@
         with tempfile.TemporaryDirectory(dir=os.environ.get("BENCH_DIR")) as name:
             folder = Path(name)
             standin = await StandIn(folder).start()
-            key(folder / "key", True)
+            load_key(folder / "key", True)
             record: dict[str, Any] | None = {
                 "sqlite": {"path": str(folder / "record.db"), "batch_most": 256}
             }
@@ -249,15 +256,15 @@
     for count in (10_000, 1_000_000):
         with tempfile.TemporaryDirectory(dir=os.environ.get("BENCH_DIR")) as name:
             folder = Path(name)
-            sealer = Sealer(key(folder / "record.db.key", True))
-            store = Sqlite(folder / "record.db", sealer, "n1")
+            sealer = RowAuthenticator(load_key(folder / "record.db.key", True))
+            store = SqliteStore(folder / "record.db", sealer, "n1")
             store.open_now()
             assert store.db is not None
             until = time.time_ns() + 600 * 10**9
             rows = (
-                row._replace(seal=sealer.seal(row))
+                row._replace(mac=sealer.compute_mac(row))
                 for row in (
-                    Row(os.urandom(16), KEPT, "n1", 1, 1, "0" * 16, 1, until, RESULT)
+                    RecordRow(os.urandom(16), ROW_COMPLETED, "n1", 1, 1, "0" * 16, 1, until, RESULT)
                     for _ in range(count)
                 )
             )
@@ -295,7 +302,7 @@
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             standin = await StandIn(folder).start()
-            key(folder / "key", True)
+            load_key(folder / "key", True)
             operator = (
                 None
                 if delay is None
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -25,7 +25,7 @@
 from burlloom.lab.charts import recovery_chart
 from burlloom.lab.emulator import Emulator, Watch
 from burlloom.lab.fleets import Joining
-from burlloom.recovery import Terms
+from burlloom.recovery import RecoveryPolicy
 from burlloom.server.assembly import Server
 from burlloom.server.recovering import Recovered, Recovering
 
@@ -92,7 +92,9 @@
 def recovering(server: Server) -> Recovering:
     facts = server.orders.facts
     return Recovered(
-        Terms(window=max(one.idempotency_window_ns for one in facts.request_classes)),
+        RecoveryPolicy(
+            idempotency_window_ns=max(one.idempotency_window_ns for one in facts.request_classes)
+        ),
         server.orders.name,
         lambda: server.clock(),
         lambda: server.fleet,
--- a/burlloom/command/distribution.py
+++ b/burlloom/command/distribution.py
@@ -241,7 +241,7 @@
     store: "ChangeStore", changes: list[tuple[int, str, list["Entry"]]], key: bytes
 ) -> tuple[int, int, str]:
     """How many were taken, the last revision, and why not more."""
-    from ..distribution.stores import Away
+    from ..distribution.stores import StoreUnavailableError
 
     taken = last = tries = 0
     opened, sent, said = False, None, ""
@@ -260,7 +260,7 @@
                 if held:
                     taken, last, tries = taken + 1, sent.revision, 0
                 sent = None
-            except Away as error:
+            except StoreUnavailableError as error:
                 opened, tries, said = False, tries + 1, str(error)
                 if tries >= TRIES:
                     break
@@ -372,7 +372,7 @@
 async def of_store(
     store: "ChangeStore", region: str, kind: str, key: str
 ) -> tuple[Found | None, str]:
-    from ..distribution.stores import Away
+    from ..distribution.stores import StoreUnavailableError
 
     try:
         await store.open()
@@ -396,7 +396,7 @@
                     )
                 )
         return found, f"store: epoch {head.epoch} revision {head.revision}"
-    except Away as error:
+    except StoreUnavailableError as error:
         return None, str(error)
     finally:
         await store.close()
--- a/burlloom/command/levels.py
+++ b/burlloom/command/levels.py
@@ -15,7 +15,7 @@
 from .shared import operator_file, operator_option, state_told
 
 if TYPE_CHECKING:
-    from ..levels import Bounds, Moved, Plan
+    from ..levels import LevelChange, LevelPlan, SignalBounds
     from ..operator import LevelsPart
 
 SECOND = 1_000_000_000
@@ -44,27 +44,27 @@
     return state_told(part.state_file, "levels.state_file", "its level")
 
 
-def takes_away(plan: "Plan", at: int) -> str:
-    from ..levels.plan import ALL
+def takes_away(plan: "LevelPlan", at: int) -> str:
+    from ..levels.plan import ALL_VALUES
 
     level = plan.levels[at]
     said = []
-    if level.gives_up:
+    if level.dropped_values:
         said.append(
-            {ALL: "all newcomers", ALL - 1: "all but the highest value"}.get(
-                level.gives_up, f"the lowest {level.gives_up} of the values"
+            {ALL_VALUES: "all newcomers", ALL_VALUES - 1: "all but the highest value"}.get(
+                level.dropped_values, f"the lowest {level.dropped_values} of the values"
             )
         )
-    said += [f"{name}" for name in level.products]
-    said += [f"{name} but for kept results" for name in level.kept]
-    said += [f"the calls of {name}" for name in level.skips]
-    if level.repeats:
+    said += [f"{name}" for name in level.dropped_classes]
+    said += [f"{name} but for kept results" for name in level.cached_classes]
+    said += [f"the calls of {name}" for name in level.classes_without_calls]
+    if level.rejects_retries:
         said.append("marked retries and copies of what may run again")
-    if level.over_share:
+    if level.rejects_over_share:
         said.append("tenants past their share")
-    if level.hold < 1:
-        said.append(f"{1 - level.hold:.0%} of the hold")
-    if not level.optional:
+    if level.queue_share < 1:
+        said.append(f"{1 - level.queue_share:.0%} of the hold")
+    if not level.allows_optional_work:
         said.append("the node's optional work")
     return ", ".join(said) or "nothing"
 
@@ -78,7 +78,7 @@
     """What each level takes away and when it is entered and left; and where the node stands, if it
     tells.
     """
-    from ..levels.plan import NEVER
+    from ..levels.plan import UNREACHABLE
 
     part = part_of(operator)
     plan = part.plan()
@@ -92,12 +92,12 @@
         here = "*" if state is not None and state["level"] == level.name else " "
         click.echo(f"{here} {at} {level.name:12} takes away {takes_away(plan, at)}")
         for signal, bound in level.bounds.items():
-            entered = "never alone" if bound.enter >= NEVER else f"from {bound.enter:g}"
+            entered = "never alone" if bound.enter >= UNREACHABLE else f"from {bound.enter:g}"
             click.echo(f"     {signal:8} entered {entered}, left at {bound.leave:g}")
     for signal, (enter, name) in plan.emergencies.items():
         click.echo(f"  ! {signal} from {enter:g}: at once to {name}")
     click.echo(
-        f"  at most {part.terms().changes_most} changes in any minute, whatever the signals do"
+        f"  at most {part.terms().max_changes_per_minute} changes in any minute, whatever the signals do"
     )
     if state is not None:
         click.echo(told(state))
@@ -146,7 +146,7 @@
             f"the node is at {state['level']!r}, which this file does not know: is it the node's own?"
         )
     at = names.index(state["level"])
-    held: dict[str, Bounds] = {}
+    held: dict[str, SignalBounds] = {}
     for level in plan.levels[1 : at + 1]:
         held.update(level.bounds)
     for signal, bound in held.items():
@@ -182,21 +182,21 @@
     The answers that callers would have had, and so the signals that would have followed, are not in
     it.
     """
-    from ..levels import NAMES, Levels, Readings
+    from ..levels import SIGNAL_NAMES, DegradationController, SignalReadings
 
     part = part_of(operator)
     plan = part.plan()
-    rows = read_series(series, NAMES)
-    walker = Levels(
+    rows = read_series(series, SIGNAL_NAMES)
+    walker = DegradationController(
         plan, tuple(bare(plan)), 0, part.terms(), measured={name for _, row in rows for name in row}
     )
-    moves: list[tuple[float, Moved]] = []
-    points = [(rows[0][0], float(walker.standing.level))]
+    moves: list[tuple[float, LevelChange]] = []
+    points = [(rows[0][0], float(walker.status.level))]
     for at, row in rows:
-        moved = walker.round(int(at * SECOND), Readings(**row))
+        moved = walker.tick(int(at * SECOND), SignalReadings(**row))
         if moved is not None:
             moves.append((at, moved))
-        points.append((at, walker.standing.level - walker.part))
+        points.append((at, walker.status.level - walker.trial_share))
     for at, moved in moves:
         if moved.before != moved.after:
             click.echo(
@@ -207,7 +207,9 @@
     click.echo(
         f"{len(changes)} changes, at most {most} in a minute; "
         + ", ".join(
-            f"{name} {spent / SECOND:.0f} s" for name, spent in walker.spent.items() if spent
+            f"{name} {spent / SECOND:.0f} s"
+            for name, spent in walker.time_at_level_ns.items()
+            if spent
         )
     )
     if chart is not None:
@@ -217,7 +219,7 @@
         click.echo(f"{chart}: drawn")
 
 
-def bare(plan: "Plan") -> list[Any]:
+def bare(plan: "LevelPlan") -> list[Any]:
     from ..interface import Degradation
 
     return [Degradation(level.name) for level in plan.levels]
@@ -274,7 +276,7 @@
     """Hold the node on LEVEL, until then. The server takes it up within a second; an emergency may
     still go lower.
     """
-    from ..levels.plan import ALL
+    from ..levels.plan import ALL_VALUES
 
     part = part_of(operator)
     plan = part.plan()
@@ -283,7 +285,7 @@
     known = {one.name: one for one in plan.levels}
     if level not in known:
         raise click.BadParameter(f"{level!r} is none of {', '.join(known)}")
-    if known[level].gives_up == ALL and not force:
+    if known[level].dropped_values == ALL_VALUES and not force:
         raise click.UsageError(f"{level} forbids all service: say --force if that is what you want")
     until = time.time_ns() + int(span * SECOND)
     replace(Path(part.pin_file), json.dumps({"level": level, "until": until, "reason": reason}))
--- a/burlloom/command/record.py
+++ b/burlloom/command/record.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from ..operator import Record
-    from ..record.admin import Admin
+    from ..record.sqlite_admin import SqliteRecordAdmin
 
 FLEET_ONLY = "this is for a record in PostgreSQL, which several nodes share; here it is SQLite"
 FILE_ONLY = "this is for a record in SQLite; PostgreSQL has tools of its own for it"
@@ -34,14 +34,14 @@
     return found
 
 
-def admin_of(operator: Path | None, make: bool = False) -> "Admin":
-    from ..record.admin import Admin
-    from ..record.opening import sealer_of
+def admin_of(operator: Path | None, make: bool = False) -> "SqliteRecordAdmin":
+    from ..record.factory import load_authenticator
+    from ..record.sqlite_admin import SqliteRecordAdmin
 
     told = section(operator)
     if told.sqlite is None:
         raise click.UsageError(FILE_ONLY)
-    return Admin(told.sqlite.place(), sealer_of(told, make))
+    return SqliteRecordAdmin(told.sqlite.place(), load_authenticator(told, make))
 
 
 def node_of(operator: Path | None) -> str:
@@ -67,12 +67,12 @@
     """What the record holds: nodes and their lives, marks by fate, doubts, sizes."""
     from dataclasses import asdict
 
-    from ..record.admin import clock_text
+    from ..record.sqlite_admin import format_time
 
     with told_plainly():
         told = section(operator)
         if told.sqlite is None:
-            from ..record import fleet
+            from ..record import postgres_admin as fleet
 
             got = asyncio.run(fleet.stats(told, time.time_ns()))
             click.echo(
@@ -95,12 +95,12 @@
         click.echo(f"{name:14} {count}")
     click.echo(f"in doubt       {found.doubts}")
     click.echo(f"over           {found.over}")
-    click.echo(f"windows end    {clock_text(found.first_end)} to {clock_text(found.last_end)}")
+    click.echo(f"windows end    {format_time(found.first_end)} to {format_time(found.last_end)}")
     click.echo(
         f"file           {found.file_bytes} bytes, {found.free_bytes} free, results {found.result_bytes}"
     )
     if found.closed_until > time.time_ns():
-        click.echo(f"closed until   {clock_text(found.closed_until)}, since it was restored")
+        click.echo(f"closed until   {format_time(found.closed_until)}, since it was restored")
 
 
 @record.command()
@@ -110,36 +110,36 @@
     """List charges that were begun and of whose end nobody knows. Their repeats are voided till
     their window ends.
     """
-    from ..record.admin import clock_text
+    from ..record.sqlite_admin import format_time
 
     now = time.time_ns()
     with told_plainly():
         told = section(operator)
         if told.sqlite is None:
-            from ..record import fleet
+            from ..record import postgres_admin as fleet
 
             found = asyncio.run(fleet.doubts(told, now))
         else:
-            found = list(admin_of(operator).doubts(now))
+            found = list(admin_of(operator).list_in_doubt(now))
     for row, verdict in found:
         if as_json:
             click.echo(
                 json.dumps(
                     {
-                        "mark": row.mark.hex(),
-                        "id": row.id,
+                        "mark": row.key_digest.hex(),
+                        "id": row.request_id,
                         "node": row.node,
-                        "life": row.life,
-                        "at": row.at,
-                        "until": row.until,
+                        "life": row.incarnation,
+                        "at": row.started_at_ns,
+                        "until": row.expires_at_ns,
                         "verdict": verdict,
                     }
                 )
             )
         else:
             click.echo(
-                f"{row.mark.hex()}  id={row.id} node={row.node} life={row.life} at={clock_text(row.at)}"
-                f" until={clock_text(row.until)}{f' verdict={verdict!r}' if verdict else ''}"
+                f"{row.key_digest.hex()}  id={row.request_id} node={row.node} life={row.incarnation} at={format_time(row.started_at_ns)}"
+                f" until={format_time(row.expires_at_ns)}{f' verdict={verdict!r}' if verdict else ''}"
             )
     if not found and not as_json:
         click.echo("none")
@@ -170,7 +170,7 @@
     with told_plainly():
         told = section(operator)
         if told.sqlite is None:
-            from ..record import fleet
+            from ..record import postgres_admin as fleet
 
             said = asyncio.run(
                 fleet.resolve(told, mark_of(mark), ran == "ran", reason, time.time_ns())
@@ -188,7 +188,7 @@
         found = admin_of(operator).verify()
     for fault in found.faults:
         click.echo(fault, err=True)
-    click.echo(f"{found.rows} records, {len(found.faults)} faults")
+    click.echo(f"{found.row_count} records, {len(found.faults)} faults")
     sys.exit(1 if found.faults else 0)
 
 
@@ -210,7 +210,7 @@
     """
     with told_plainly():
         found = admin_of(operator).snapshot(to)
-        click.echo(f"{to}: {found.rows} records, verified")
+        click.echo(f"{to}: {found.row_count} records, verified")
 
 
 @record.command()
@@ -232,7 +232,7 @@
     """Put a snapshot in place. Wants the file alone; what was there is kept beside it under another
     name.
     """
-    from ..record.admin import clock_text
+    from ..record.sqlite_admin import format_time
 
     with told_plainly():
         admin = admin_of(operator, make=False)
@@ -240,7 +240,7 @@
         click.echo(
             f"{admin.path}: restored; "
             + (
-                f"closed for charges until {clock_text(closed)}"
+                f"closed for charges until {format_time(closed)}"
                 if closed
                 else "open at once, on your word that nothing ran since"
             )
@@ -288,7 +288,7 @@
     """Make the key that the nodes of one PostgreSQL record share; give each node a copy, readable
     to its owner.
     """
-    from ..record.seal import key as key_in
+    from ..record.authentication import load_key as key_in
 
     if file.exists():
         click.echo(f"burlloom: {file}: exists already", err=True)
@@ -324,7 +324,7 @@
         told = section(operator)
         if told.postgres is None:
             raise click.UsageError(FLEET_ONLY)
-        from ..record import fleet
+        from ..record import postgres_admin as fleet
 
         asyncio.run(fleet.fence(told, node, out))
         click.echo(f"{node}: {'fenced off' if out else 'may start again'}")
--- a/burlloom/command/recovery.py
+++ b/burlloom/command/recovery.py
@@ -32,26 +32,26 @@
     """What stands in the state file, and what a start now would make of it. Status 1 if it would
     not be believed.
     """
-    from ..recovery import Kept, Verdict, judge, read
+    from ..recovery import RecoverySnapshot, SnapshotValidity, parse_snapshot, validate_snapshot
 
     part = operator_file(operator).recovery
     if part is None or part.state_file is None:
         raise click.UsageError(f"{operator} has no recovery.state_file: each start is cold")
     path = Path(part.state_file)
     try:
-        found = read(path.read_text(encoding="utf-8") if path.exists() else None)
+        found = parse_snapshot(path.read_text(encoding="utf-8") if path.exists() else None)
     except (OSError, UnicodeDecodeError) as error:
         click.echo(f"burlloom: {path}: {error}", err=True)
         sys.exit(2)
     now = time.time_ns() // 1_000_000
-    verdict = judge(
-        found, node or (found.node if isinstance(found, Kept) else ""), now, part.age_ms
+    verdict = validate_snapshot(
+        found, node or (found.node if isinstance(found, RecoverySnapshot) else ""), now, part.age_ms
     )
-    if isinstance(found, Kept):
+    if isinstance(found, RecoverySnapshot):
         click.echo(
-            f"{found.node}: life {found.life}, told {(now - found.told_at) / 1000:.1f} s ago,"
-            f" {'drained' if found.clean else 'serving when it was told'}; share {found.share:g},"
-            f" record life {found.record_life}, {len(found.members)} addresses"
+            f"{found.node}: life {found.incarnation}, told {(now - found.written_at_ms) / 1000:.1f} s ago,"
+            f" {'drained' if found.was_drained else 'serving when it was told'}; share {found.call_share:g},"
+            f" record life {found.record_incarnation}, {len(found.peer_addresses)} addresses"
         )
     click.echo(f"{path}: {verdict.name.lower()}: {MEANS[verdict.name.lower()]}")
-    sys.exit(0 if verdict is Verdict.GOOD else 1)
+    sys.exit(0 if verdict is SnapshotValidity.GOOD else 1)
--- a/burlloom/command/rollout.py
+++ b/burlloom/command/rollout.py
@@ -46,7 +46,7 @@
     can't be used, or says no.
     """
     from ..rollout import Denied
-    from ..rollout.stores import Away, Unreadable
+    from ..rollout.stores import StoreUnavailableError, Unreadable
     from ..rollout.stores.opening import shelf_of
 
     told, _ = part_of(operator)
@@ -62,7 +62,7 @@
     with told_plainly():
         try:
             return asyncio.run(whole())
-        except (Denied, Away, Unreadable) as error:
+        except (Denied, StoreUnavailableError, Unreadable) as error:
             click.echo(f"burlloom: {error}", err=True)
             sys.exit(2)
 
@@ -348,14 +348,14 @@
     told, part = part_of(operator)
 
     async def ask() -> str:
-        from ..rollout.stores import Away, Unreadable
+        from ..rollout.stores import StoreUnavailableError, Unreadable
         from ..rollout.stores.opening import shelf_of
 
         shelf = shelf_of(told)
         try:
             await shelf.open()
             return (await shelf.read()).book.version_of(name)
-        except (Away, Unreadable) as error:
+        except (StoreUnavailableError, Unreadable) as error:
             if part.release_file is None or not os.path.exists(part.release_file):
                 click.echo(f"burlloom: {error}", err=True)
                 sys.exit(2)
@@ -379,7 +379,7 @@
 
     async def work(shelf: "Shelf") -> None:
         from ..rollout import Lead
-        from ..rollout.stores import Away
+        from ..rollout.stores import StoreUnavailableError
         from ..rollout.stores.leading import led
 
         lead = Lead(name, part.terms(), part.budgets(), part.services())
@@ -391,7 +391,7 @@
                     lead, shelf, page, time.clock_gettime_ns(time.CLOCK_BOOTTIME)
                 ):
                     click.echo(json.dumps({"step": at, "said": said}))
-            except Away as error:
+            except StoreUnavailableError as error:
                 click.echo(json.dumps({"away": str(error)}))
                 page = None
             await asyncio.sleep(part.poll_ms / 1000)
--- a/burlloom/command/shared.py
+++ b/burlloom/command/shared.py
@@ -25,11 +25,11 @@
 @contextmanager
 def told_plainly() -> Iterator[None]:
     """What is refused is one line on standard error and status 2."""
-    from ..record.store import Refused
+    from ..record.store import StoreRefusedError
 
     try:
         yield
-    except Refused as refused:
+    except StoreRefusedError as refused:
         click.echo(f"burlloom: {refused}", err=True)
         sys.exit(2)
 
--- a/burlloom/distribution/control.py
+++ b/burlloom/distribution/control.py
@@ -16,7 +16,7 @@
 from .replica import Replica
 from .source import Source
 from .source import summary as source_summary
-from .stores import Away, ChangeStore
+from .stores import ChangeStore, StoreUnavailableError
 from .stores.reading import Broken, Reading
 from .table import Table
 from .telling import Keys, Telling, held, write_state
@@ -148,7 +148,7 @@
                     self.away = ""
                 self.source.push(since_start())
                 self.flush()
-            except Away as error:
+            except StoreUnavailableError as error:
                 self.counts.away += 1
                 if not self.away:
                     log.warning("event=distribution-store-away detail=%r", str(error))
--- a/burlloom/distribution/stores/__init__.py
+++ b/burlloom/distribution/stores/__init__.py
@@ -2,6 +2,6 @@
 one interface.
 """
 
-from .store import Away, ChangeStore, Stored
+from .store import ChangeStore, Stored, StoreUnavailableError
 
-__all__ = ["Away", "ChangeStore", "Stored"]
+__all__ = ["StoreUnavailableError", "ChangeStore", "Stored"]
--- a/burlloom/distribution/stores/opening.py
+++ b/burlloom/distribution/stores/opening.py
@@ -3,7 +3,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from ...record.opening import store_of
+from ...record.factory import create_store
 from .store import ChangeStore
 
 if TYPE_CHECKING:
@@ -16,9 +16,9 @@
         from .sqlite import Sqlite
 
         return Sqlite(place.sqlite.place())
-    from ...record.postgres import Postgres as Record
+    from ...record.postgres import PostgresStore as Record
     from .postgres import Postgres
 
-    record, _ = store_of(place, "-", keep=0, clock=time.time_ns)
+    record, _ = create_store(place, "-", keep=0, clock=time.time_ns)
     assert isinstance(record, Record)
     return Postgres(record)
--- a/burlloom/distribution/stores/postgres.py
+++ b/burlloom/distribution/stores/postgres.py
@@ -2,11 +2,11 @@
 
 from typing import Any
 
-from ...record.shared_postgres import SharedDatabase
+from ...record.shared_postgres import SharedPostgresDatabase
 from .tables import Statement, Tables
 
 
-class Postgres(SharedDatabase, Tables):
+class Postgres(SharedPostgresDatabase, Tables):
     async def together(self, guard: Statement, rest: list[Statement]) -> bool:
         async def work(link: Any) -> bool:
             async with link.transaction():
@@ -18,5 +18,5 @@
                     await link.fetch(sql, *values)
             return True
 
-        held: bool = await self.guarded(work)
+        held: bool = await self.run_guarded(work)
         return held
--- a/burlloom/distribution/stores/sqlite.py
+++ b/burlloom/distribution/stores/sqlite.py
@@ -5,13 +5,13 @@
 import sqlite3
 from pathlib import Path
 
-from ...record.shared_sqlite import SharedFile, execute
-from ...record.turns import WAIT
+from ...record.lock_retry import LOCK_TIMEOUT_S
+from ...record.shared_sqlite import SharedSqliteFile, execute
 from .tables import Statement, Tables
 
 
-class Sqlite(SharedFile, Tables):
-    def __init__(self, path: Path, wait: float = WAIT) -> None:
+class Sqlite(SharedSqliteFile, Tables):
+    def __init__(self, path: Path, wait: float = LOCK_TIMEOUT_S) -> None:
         """`wait`: s for the lock that another holds, until the store counts as away."""
         super().__init__(path, "distribution", wait)
 
@@ -29,4 +29,4 @@
                     db.execute("ROLLBACK")
                 raise
 
-        return await self.take(work)
+        return await self.run_transaction(work)
--- a/burlloom/distribution/stores/store.py
+++ b/burlloom/distribution/stores/store.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple, Protocol
 
-from ...record.store import Away as Away
+from ...record.store import StoreUnavailableError as StoreUnavailableError
 from ..changes import Change, Entry, Head
 
 Place = tuple[str, str, str]  # scope, kind, key: the order in which entries are read
--- a/burlloom/distribution/stores/tables.py
+++ b/burlloom/distribution/stores/tables.py
@@ -7,7 +7,7 @@
 
 from ..changes import Change, Entry, Head, decode, digest_of_body, first_head
 from ..log import LOG_MOST
-from .store import Away, Place, Stored
+from .store import Place, Stored, StoreUnavailableError
 
 Statement = tuple[str, tuple[Any, ...]]
 
@@ -91,7 +91,7 @@
     store gives. Both raise `Away`.
     """
 
-    async def run(self, sql: str, *values: Any) -> list[Any]:
+    async def execute(self, sql: str, *values: Any) -> list[Any]:
         raise NotImplementedError
 
     async def together(self, guard: Statement, rest: list[Statement]) -> bool:
@@ -104,17 +104,17 @@
     async def open(self) -> None:
         await self.prepare()
         head = first_head(time.time_ns() // 1_000_000, time.time_ns() // 1_000_000)
-        await self.run(BEGIN, head.epoch, head.tag, head.time_ms)
+        await self.execute(BEGIN, head.epoch, head.tag, head.time_ms)
 
     async def head(self) -> Head:
-        found = await self.run(HEAD)
+        found = await self.execute(HEAD)
         if not found:
-            raise Away("the head is gone: its table is empty")
+            raise StoreUnavailableError("the head is gone: its table is empty")
         ((epoch, revision, tag, time_ms),) = found
         return Head(epoch, revision, bytes(tag), time_ms)
 
     async def since(self, revision: int, most: int) -> list[Change]:
-        return [change_of(row) for row in await self.run(SINCE, revision, most)]
+        return [change_of(row) for row in await self.execute(SINCE, revision, most)]
 
     async def at(self, revision: int) -> Change | None:
         found = await self.since(revision - 1, 1)
@@ -140,13 +140,15 @@
 
     async def entries(self, after: Place | None, most: int) -> list[Stored]:
         rows = await (
-            self.run(PAGE, most) if after is None else self.run(PAGE_AFTER, most, *place_of(*after))
+            self.execute(PAGE, most)
+            if after is None
+            else self.execute(PAGE_AFTER, most, *place_of(*after))
         )
         return [stored_of(row) for row in rows]
 
     async def entry(self, scope: str, kind: str, key: str) -> Stored | None:
         return next(
-            (stored_of(row) for row in await self.run(ENTRY, *place_of(scope, kind, key))), None
+            (stored_of(row) for row in await self.execute(ENTRY, *place_of(scope, kind, key))), None
         )
 
     async def renew(self, seen: Head, beyond: int) -> bool:
--- a/burlloom/lab/experiment.py
+++ b/burlloom/lab/experiment.py
@@ -76,8 +76,12 @@
             of = getattr(node.server.levels, "levels", None)
             if of is None:
                 continue
-            levels.append(of.standing.level - of.part)
-            total = of.steps["up"] + of.steps["down"] + of.steps["drop"]
+            levels.append(of.status.level - of.trial_share)
+            total = (
+                of.transition_counts["up"]
+                + of.transition_counts["down"]
+                + of.transition_counts["drop"]
+            )
             before = self.totals.get((node.name, node.life), 0)
             self.totals[node.name, node.life] = total
             self.changes.setdefault(node.name, []).append(total - before)
--- a/burlloom/lab/hollow_configuration.py
+++ b/burlloom/lab/hollow_configuration.py
@@ -21,7 +21,7 @@
 from ..distribution.control import Control
 from ..distribution.stores.reading import Reading
 from ..distribution.stores.sqlite import Sqlite
-from ..distribution.stores.store import Away
+from ..distribution.stores.store import StoreUnavailableError
 from ..distribution.table import BUCKETS
 from ..distribution.telling import Keys
 from .distances import Place
@@ -171,10 +171,10 @@
     def __getattr__(self, name: str) -> Callable[..., Awaitable[Any]]:
         async def asked(*told: Any) -> Any:
             if self.away and name != "close":
-                raise Away("cut off")
+                raise StoreUnavailableError("cut off")
             found = await getattr(self.store, name)(*told)
             if self.away and name != "close":
-                raise Away("cut off")
+                raise StoreUnavailableError("cut off")
             return found
 
         return asked
--- a/burlloom/lab/rolls.py
+++ b/burlloom/lab/rolls.py
@@ -10,7 +10,7 @@
 
 from ..operator import RolloutPart
 from ..rollout import Book, Denied
-from ..rollout.stores import Away, Page
+from ..rollout.stores import Page, StoreUnavailableError
 from ..rollout.watch import Member
 from ..server.assembly import Server
 from ..server.rolling import NoRolling, Rolled, Rolling
@@ -48,11 +48,11 @@
         lost = self.chance.random()
         if lost < self.loses / 2:
             await asyncio.sleep(GIVEN_UP)
-            raise Away("lost on the way there")
+            raise StoreUnavailableError("lost on the way there")
         found = step()
         if lost < self.loses:
             await asyncio.sleep(GIVEN_UP)
-            raise Away("lost on the way back")
+            raise StoreUnavailableError("lost on the way back")
         return found
 
     async def open(self) -> None: ...
--- a/burlloom/lab/variants.py
+++ b/burlloom/lab/variants.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from ..levels import DEFAULT, Bounds, Plan, Terms
+from ..levels import DEFAULT_PLAN, HysteresisPolicy, LevelPlan, SignalBounds
 from ..server.assembly import Server
 from ..server.leveling import Leveled, Leveling
 
@@ -14,7 +14,7 @@
 UNBOUND = 1 << 30
 
 
-def leveler(plan: Plan, terms: Terms | None = None) -> Leveler:
+def leveler(plan: LevelPlan, terms: HysteresisPolicy | None = None) -> Leveler:
     def make(server: Server) -> Leveling:
         facts, orders = server.orders.facts, server.orders
         return Leveled(
@@ -31,13 +31,13 @@
     return make
 
 
-def without_hysteresis(plan: Plan) -> Plan:
+def without_hysteresis(plan: LevelPlan) -> LevelPlan:
     """Each level is left where it was entered."""
     levels = tuple(
         replace(
             level,
             bounds={
-                name: Bounds(bound.enter, bound.enter * 0.999)
+                name: SignalBounds(bound.enter, bound.enter * 0.999)
                 for name, bound in level.bounds.items()
             },
         )
@@ -46,34 +46,35 @@
     return replace(plan, levels=levels)
 
 
-def base() -> Terms:
-    return Terms(DEFAULT.automatic)
+def base() -> HysteresisPolicy:
+    return HysteresisPolicy(DEFAULT_PLAN.automatic_levels)
 
 
-def threshold() -> Terms:
+def threshold() -> HysteresisPolicy:
     """Moves each round that says so."""
-    return Terms(
-        DEFAULT.automatic,
-        dwell=0,
-        stay=0,
-        stay_most=0,
-        relapse=0,
-        trial=0,
-        changes_most=UNBOUND,
-        grows=False,
-        trials=False,
+    return HysteresisPolicy(
+        DEFAULT_PLAN.automatic_levels,
+        dwell_ns=0,
+        min_stay_ns=0,
+        max_stay_ns=0,
+        relapse_ns=0,
+        trial_step_ns=0,
+        max_changes_per_minute=UNBOUND,
+        stay_doubles=False,
+        uses_trials=False,
     )
 
 
 VARIANTS: dict[str, Callable[[], Leveler]] = {
     "none": lambda: None,
-    "levels": lambda: leveler(DEFAULT),
-    "threshold": lambda: leveler(without_hysteresis(DEFAULT), threshold()),
+    "levels": lambda: leveler(DEFAULT_PLAN),
+    "threshold": lambda: leveler(without_hysteresis(DEFAULT_PLAN), threshold()),
     "threshold-hold": lambda: leveler(
-        without_hysteresis(DEFAULT), replace(threshold(), dwell=SECOND, stay=3 * SECOND)
+        without_hysteresis(DEFAULT_PLAN),
+        replace(threshold(), dwell_ns=SECOND, min_stay_ns=3 * SECOND),
     ),
-    "no-stay": lambda: leveler(DEFAULT, replace(base(), stay=0, grows=False)),
-    "no-growth": lambda: leveler(DEFAULT, replace(base(), grows=False)),
-    "no-trial": lambda: leveler(DEFAULT, replace(base(), trials=False)),
-    "no-cap": lambda: leveler(DEFAULT, replace(base(), changes_most=UNBOUND)),
+    "no-stay": lambda: leveler(DEFAULT_PLAN, replace(base(), min_stay_ns=0, stay_doubles=False)),
+    "no-growth": lambda: leveler(DEFAULT_PLAN, replace(base(), stay_doubles=False)),
+    "no-trial": lambda: leveler(DEFAULT_PLAN, replace(base(), uses_trials=False)),
+    "no-cap": lambda: leveler(DEFAULT_PLAN, replace(base(), max_changes_per_minute=UNBOUND)),
 }
--- a/burlloom/levels/__init__.py
+++ b/burlloom/levels/__init__.py
@@ -2,30 +2,38 @@
 I/O.
 """
 
-from .ladder import Change, Input, Ladder, Phase, Standing, Terms, most_changes
-from .plan import DEFAULT, Level, Plan, PlanFaults, reliefs
-from .signals import NAMES, Bounds, Readings, Signals, Tenants
-from .watch import Levels, Moved, Pin
+from .controller import DegradationController, LevelChange, LevelPin
+from .plan import DEFAULT_PLAN, InvalidPlanError, LevelDefinition, LevelPlan, degradations
+from .signals import SIGNAL_NAMES, SignalAggregator, SignalBounds, SignalReadings, TenantShares
+from .state_machine import (
+    DegradationEvent,
+    DegradationPhase,
+    DegradationStateMachine,
+    DegradationStatus,
+    HysteresisPolicy,
+    Transition,
+    max_changes_per_minute,
+)
 
 __all__ = [
-    "DEFAULT",
-    "Bounds",
-    "Change",
-    "Input",
-    "Ladder",
-    "Level",
-    "Levels",
-    "Moved",
-    "NAMES",
-    "Phase",
-    "Pin",
-    "Plan",
-    "PlanFaults",
-    "Readings",
-    "Signals",
-    "Standing",
-    "Tenants",
-    "Terms",
-    "most_changes",
-    "reliefs",
+    "DEFAULT_PLAN",
+    "SignalBounds",
+    "Transition",
+    "DegradationEvent",
+    "DegradationStateMachine",
+    "LevelDefinition",
+    "DegradationController",
+    "LevelChange",
+    "SIGNAL_NAMES",
+    "DegradationPhase",
+    "LevelPin",
+    "LevelPlan",
+    "InvalidPlanError",
+    "SignalReadings",
+    "SignalAggregator",
+    "DegradationStatus",
+    "TenantShares",
+    "HysteresisPolicy",
+    "max_changes_per_minute",
+    "degradations",
 ]
--- a/burlloom/levels/plan.py
+++ b/burlloom/levels/plan.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass, field
 
 from ..interface import Degradation, Idempotency, RequestClass
-from .signals import Bounds
+from .signals import SignalBounds
 
 DRAIN = "drain"
 
 
 @dataclass(frozen=True, slots=True)
-class Level:
+class LevelDefinition:
     """`gives_up`: of the values that products have, the lowest this many, all but the highest at
     the most; or ALL.
 
@@ -23,33 +23,35 @@
     """
 
     name: str
-    bounds: Mapping[str, Bounds] = field(default_factory=dict)
-    gives_up: int = 0
-    products: tuple[str, ...] = ()
-    kept: tuple[str, ...] = ()
-    skips: tuple[str, ...] = ()
-    repeats: bool = False
-    over_share: bool = False
-    hold: float = 1.0
-    optional: bool = True  # whether the node's own optional work goes on
+    bounds: Mapping[str, SignalBounds] = field(default_factory=dict)
+    dropped_values: int = 0
+    dropped_classes: tuple[str, ...] = ()
+    cached_classes: tuple[str, ...] = ()
+    classes_without_calls: tuple[str, ...] = ()
+    rejects_retries: bool = False
+    rejects_over_share: bool = False
+    queue_share: float = 1.0
+    allows_optional_work: bool = True  # whether the node's own optional work goes on
 
 
-ALL = 1 << 30
-NEVER = 1e9  # an entry that no signal reaches: such a bound only says when a level may be left
+ALL_VALUES = 1 << 30
+UNREACHABLE = (
+    1e9  # an entry that no signal reaches: such a bound only says when a level may be left
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class LevelPlan:
     """Ordered levels, the first of which takes nothing away. `emergencies`: signal to entry and
     level's name.
     """
 
-    levels: tuple[Level, ...]
+    levels: tuple[LevelDefinition, ...]
     emergencies: Mapping[str, tuple[float, str]] = field(default_factory=dict)
-    cold: str = ""  # where a cold node starts; empty: at the first
+    cold_start_level: str = ""  # where a cold node starts; empty: at the first
 
     @property
-    def automatic(self) -> int:
+    def automatic_levels(self) -> int:
         """How many the ladder walks by itself: up to the last that has bounds, or that an emergency
         names.
         """
@@ -59,11 +61,11 @@
             default=1,
         )
 
-    def index(self, name: str) -> int:
+    def index_of(self, name: str) -> int:
         return next(at for at, level in enumerate(self.levels) if level.name == name)
 
 
-class PlanFaults(Exception):
+class InvalidPlanError(Exception):
     """The plan can't be used: a line for each fault, with its place."""
 
     def __init__(self, lines: list[str]) -> None:
@@ -71,8 +73,8 @@
         self.lines = lines
 
 
-def faults(
-    plan: Plan, products: Sequence[tuple[str, RequestClass]] = (), signals: Sequence[str] = ()
+def find_plan_faults(
+    plan: LevelPlan, products: Sequence[tuple[str, RequestClass]] = (), signals: Sequence[str] = ()
 ) -> list[str]:
     """All that is wrong with it, each with its place; against these products, where they are
     known.
@@ -106,12 +108,12 @@
                     f"{place}.{signal}: it is left at {bound.leave:g}, which is not below its entry"
                     f" {bound.enter:g}"
                 )
-        if not 0 <= level.hold <= 1:
-            found.append(f"{place}.hold: {level.hold:g} is no share from 0 to 1")
+        if not 0 <= level.queue_share <= 1:
+            found.append(f"{place}.hold: {level.queue_share:g} is no share from 0 to 1")
         for what, listed in (
-            ("products", level.products),
-            ("kept", level.kept),
-            ("skips", level.skips),
+            ("products", level.dropped_classes),
+            ("kept", level.cached_classes),
+            ("skips", level.classes_without_calls),
         ):
             for name in listed:
                 product = known.get(name)
@@ -158,30 +160,34 @@
             found.append(
                 f"emergencies.{signal}: there is no level {name!r}; known are {', '.join(names)}"
             )
-    if plan.cold and plan.cold not in names:
-        found.append(f"cold: there is no level {plan.cold!r}; known are {', '.join(names)}")
+    if plan.cold_start_level and plan.cold_start_level not in names:
+        found.append(
+            f"cold: there is no level {plan.cold_start_level!r}; known are {', '.join(names)}"
+        )
     return found
 
 
-def takes(level: Level) -> bool:
+def takes(level: LevelDefinition) -> bool:
     """Whether it takes anything away at all."""
     return bool(
-        level.gives_up
-        or level.products
-        or level.kept
-        or level.skips
-        or level.repeats
-        or level.over_share
-        or level.hold < 1
+        level.dropped_values
+        or level.dropped_classes
+        or level.cached_classes
+        or level.classes_without_calls
+        or level.rejects_retries
+        or level.rejects_over_share
+        or level.queue_share < 1
         or level.bounds
     )
 
 
-def reliefs(plan: Plan, products: Sequence[tuple[str, RequestClass]]) -> tuple[Degradation, ...]:
+def degradations(
+    plan: LevelPlan, products: Sequence[tuple[str, RequestClass]]
+) -> tuple[Degradation, ...]:
     """Each level as the decisions take it. Raises `PlanFaults`."""
-    wrong = faults(plan, products)
+    wrong = find_plan_faults(plan, products)
     if wrong:
-        raise PlanFaults(wrong)
+        raise InvalidPlanError(wrong)
     values = sorted({product.value for _, product in products})
     made = []
     for at, level in enumerate(plan.levels):
@@ -189,18 +195,18 @@
             made.append(Degradation())
             continue
         gone = (
-            set(values[: level.gives_up])
-            if level.gives_up == ALL
-            else set(values[:-1][: level.gives_up])
+            set(values[: level.dropped_values])
+            if level.dropped_values == ALL_VALUES
+            else set(values[:-1][: level.dropped_values])
         )
         declined = tuple(
-            product.value in gone or name in level.products for name, product in products
+            product.value in gone or name in level.dropped_classes for name, product in products
         )
-        kept = tuple(name in level.kept for name, _ in products)
+        kept = tuple(name in level.cached_classes for name, _ in products)
         # Of what has an effect, a marked retry may be of one that ran elsewhere: only what may run
         # again is refused for it.
         repeats = tuple(
-            level.repeats and product.idempotency is Idempotency.IDEMPOTENT
+            level.rejects_retries and product.idempotency is Idempotency.IDEMPOTENT
             for _, product in products
         )
         lowest = [
@@ -213,9 +219,9 @@
                 tuple(away and not stays for away, stays in zip(declined, kept, strict=True)),
                 kept,
                 repeats,
-                tuple(name in level.skips for name, _ in products),
-                level.over_share,
-                level.hold,
+                tuple(name in level.classes_without_calls for name, _ in products),
+                level.rejects_over_share,
+                level.queue_share,
                 floor,
             )
         )
@@ -224,59 +230,66 @@
 
 # Works without tuning: bounds are shares of the cores, of SLA times and of limits, none of one
 # deployment's figures.
-DEFAULT = Plan(
+DEFAULT_PLAN = LevelPlan(
     levels=(
-        Level("normal"),
-        Level(
+        LevelDefinition("normal"),
+        LevelDefinition(
             "lean",
             {
-                "press": Bounds(0.15, 0.05),
-                "use": Bounds(NEVER, 0.90),
-                "age": Bounds(0.30, 0.10),
-                "lag": Bounds(0.25, 0.10),
-                "late": Bounds(0.05, 0.02),
-                "calls": Bounds(0.20, 0.05),
-                "memory": Bounds(0.85, 0.70),
-                "sockets": Bounds(0.85, 0.70),
+                "press": SignalBounds(0.15, 0.05),
+                "use": SignalBounds(UNREACHABLE, 0.90),
+                "age": SignalBounds(0.30, 0.10),
+                "lag": SignalBounds(0.25, 0.10),
+                "late": SignalBounds(0.05, 0.02),
+                "calls": SignalBounds(0.20, 0.05),
+                "memory": SignalBounds(0.85, 0.70),
+                "sockets": SignalBounds(0.85, 0.70),
             },
-            repeats=True,
-            over_share=True,
-            optional=False,
+            rejects_retries=True,
+            rejects_over_share=True,
+            allows_optional_work=False,
         ),
-        Level(
+        LevelDefinition(
             "essential",
             {
-                "press": Bounds(0.50, 0.05),
-                "use": Bounds(NEVER, 0.75),
-                "age": Bounds(0.40, 0.10),
-                "lag": Bounds(0.40, 0.10),
-                "late": Bounds(0.10, 0.02),
-                "calls": Bounds(0.40, 0.05),
-                "memory": Bounds(0.90, 0.70),
+                "press": SignalBounds(0.50, 0.05),
+                "use": SignalBounds(UNREACHABLE, 0.75),
+                "age": SignalBounds(0.40, 0.10),
+                "lag": SignalBounds(0.40, 0.10),
+                "late": SignalBounds(0.10, 0.02),
+                "calls": SignalBounds(0.40, 0.05),
+                "memory": SignalBounds(0.90, 0.70),
             },
-            gives_up=1,
-            repeats=True,
-            over_share=True,
-            optional=False,
+            dropped_values=1,
+            rejects_retries=True,
+            rejects_over_share=True,
+            allows_optional_work=False,
         ),
-        Level(
+        LevelDefinition(
             "highest",
             {
-                "press": Bounds(0.95, 0.05),
-                "use": Bounds(NEVER, 0.60),
-                "lag": Bounds(1.00, 0.15),
-                "late": Bounds(0.35, 0.02),
-                "calls": Bounds(0.70, 0.05),
-                "memory": Bounds(0.95, 0.70),
+                "press": SignalBounds(0.95, 0.05),
+                "use": SignalBounds(UNREACHABLE, 0.60),
+                "lag": SignalBounds(1.00, 0.15),
+                "late": SignalBounds(0.35, 0.02),
+                "calls": SignalBounds(0.70, 0.05),
+                "memory": SignalBounds(0.95, 0.70),
             },
-            gives_up=ALL - 1,
-            repeats=True,
-            over_share=True,
-            hold=0.5,
-            optional=False,
+            dropped_values=ALL_VALUES - 1,
+            rejects_retries=True,
+            rejects_over_share=True,
+            queue_share=0.5,
+            allows_optional_work=False,
+        ),
+        LevelDefinition(
+            DRAIN,
+            dropped_values=ALL_VALUES,
+            rejects_retries=True,
+            rejects_over_share=True,
+            queue_share=0.0,
+            allows_optional_work=False,
         ),
-        Level(DRAIN, gives_up=ALL, repeats=True, over_share=True, hold=0.0, optional=False),
     ),
     emergencies={"memory": (0.98, "highest")},
-    cold="lean",
+    cold_start_level="lean",
 )
--- a/burlloom/levels/signals.py
+++ b/burlloom/levels/signals.py
@@ -6,16 +6,16 @@
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable, Mapping
-from dataclasses import dataclass, fields
+from dataclasses import dataclass
 from typing import NamedTuple
 
 SECOND = 1_000_000_000
 MS = 1_000_000
-RINGS_MOST = 4096  # tenants whose reads are counted: some hundred bytes each
+MAX_TENANTS = 4096  # tenants whose reads are counted: some hundred bytes each
 
 
 @dataclass(frozen=True, slots=True)
-class Readings:
+class SignalReadings:
     """One round's; None where it is not known. All are shares, or multiples, of what there is.
 
     use: of the cores, 0 to 1. crowd: what wants a core, each. age: the oldest held txn's, of its
@@ -25,19 +25,31 @@
     sockets: of the limits.
     """
 
-    use: float | None = None
-    crowd: float | None = None
-    age: float | None = None
-    lag: float | None = None
-    press: float | None = None
-    late: float | None = None
-    calls: float | None = None
-    store: float | None = None
-    memory: float | None = None
-    sockets: float | None = None
-
-
-NAMES = tuple(field.name for field in fields(Readings))
+    cpu_utilization: float | None = None
+    contention: float | None = None
+    queue_age: float | None = None
+    read_lag: float | None = None
+    pressure: float | None = None
+    late_share: float | None = None
+    call_failure_share: float | None = None
+    store_load: float | None = None
+    memory_utilization: float | None = None
+    socket_utilization: float | None = None
+
+
+SIGNAL_FIELDS = {
+    "use": "cpu_utilization",
+    "crowd": "contention",
+    "age": "queue_age",
+    "lag": "read_lag",
+    "press": "pressure",
+    "late": "late_share",
+    "calls": "call_failure_share",
+    "store": "store_load",
+    "memory": "memory_utilization",
+    "sockets": "socket_utilization",
+}  # the operators' name of each signal, and its reading
+SIGNAL_NAMES = tuple(SIGNAL_FIELDS)
 PEAKS = {"memory", "sockets", "store"}  # the highest of the ring counts; of the others, the mean
 
 
@@ -77,16 +89,16 @@
         return max(self.peaks) if any(self.counts) else None
 
 
-class Signals:
+class SignalAggregator:
     """The rings of all signals: a second and a half, and five for what turns over slowly."""
 
     def __init__(self, buckets: int = 10) -> None:
         told = {"late": 5 * SECOND, "calls": 5 * SECOND}
-        self.rings = {name: Ring(told.get(name, 1500 * MS), buckets) for name in NAMES}
+        self.rings = {name: Ring(told.get(name, 1500 * MS), buckets) for name in SIGNAL_NAMES}
 
-    def take(self, now: int, readings: Readings) -> None:
+    def take(self, now: int, readings: SignalReadings) -> None:
         for name, ring in self.rings.items():
-            value = getattr(readings, name)
+            value = getattr(readings, SIGNAL_FIELDS[name])
             if value is not None:
                 ring.add(now, value)
 
@@ -99,7 +111,7 @@
         return {name: value for name, value in found.items() if value is not None}
 
 
-class Bounds(NamedTuple):
+class SignalBounds(NamedTuple):
     """A level is entered from `enter` on and may be left at `leave` or below: between them nothing
     changes.
     """
@@ -109,7 +121,7 @@
 
 
 def reached(
-    bounds: Mapping[str, Bounds], values: Mapping[str, float]
+    bounds: Mapping[str, SignalBounds], values: Mapping[str, float]
 ) -> tuple[str, float, float] | None:
     """The signal that calls for a level, the one furthest past its entry: name, value, entry."""
     found = [
@@ -120,12 +132,12 @@
     return max(found)[1:] if found else None
 
 
-def low(bounds: Mapping[str, Bounds], values: Mapping[str, float]) -> bool:
+def low(bounds: Mapping[str, SignalBounds], values: Mapping[str, float]) -> bool:
     """Whether all of them are known, and at or under their exit."""
     return all(name in values and values[name] <= bound.leave for name, bound in bounds.items())
 
 
-class Shares:
+class RecentShare:
     """A count that turns over in time: of what was settled, how much was late; of calls, how many
     failed.
     """
@@ -143,7 +155,7 @@
         return self.ring.mean(now, self.least) or 0.0
 
 
-class Tenants:
+class TenantShares:
     """Which tenants take more than their share of what is read, over the last seconds, and which of
     their txns that is.
 
@@ -171,7 +183,7 @@
         self.all, self.factor, self.sure = Ring(span, 10), factor, sure
         self.past: dict[str, float] = {}  # with the part of a txn that is owed to be marked
 
-    def read(self, now: int, tenant: str) -> bool:
+    def is_over_share(self, now: int, tenant: str) -> bool:
         """Counts one read; whether it is past its tenant's share. Those that are not known have
         none.
         """
@@ -181,7 +193,7 @@
         ring = self.rings.get(tenant)
         if ring is None:
             ring = self.rings[tenant] = Ring(self.span, 10)
-            if len(self.rings) > RINGS_MOST:
+            if len(self.rings) > MAX_TENANTS:
                 self.past.pop(self.rings.popitem(last=False)[0], None)
         else:
             self.rings.move_to_end(tenant)
--- a/burlloom/operator/levels.py
+++ b/burlloom/operator/levels.py
@@ -7,8 +7,15 @@
 
 from pydantic import Field, model_validator
 
-from ..levels import DEFAULT, NAMES, Bounds, Level, Plan, Terms
-from ..levels.plan import ALL, faults
+from ..levels import (
+    DEFAULT_PLAN,
+    SIGNAL_NAMES,
+    HysteresisPolicy,
+    LevelDefinition,
+    LevelPlan,
+    SignalBounds,
+)
+from ..levels.plan import ALL_VALUES, find_plan_faults
 from .part import Part
 
 MS = 1_000_000
@@ -39,12 +46,14 @@
     hold: float = 1.0
     optional: bool = True
 
-    def level(self) -> Level:
-        gone = {"all": ALL, "all-but-highest": ALL - 1}.get(str(self.gives_up), self.gives_up)
+    def level(self) -> LevelDefinition:
+        gone = {"all": ALL_VALUES, "all-but-highest": ALL_VALUES - 1}.get(
+            str(self.gives_up), self.gives_up
+        )
         assert isinstance(gone, int)
-        return Level(
+        return LevelDefinition(
             self.name,
-            {name: Bounds(bound.enter, bound.leave) for name, bound in self.when.items()},
+            {name: SignalBounds(bound.enter, bound.leave) for name, bound in self.when.items()},
             gone,
             tuple(self.products),
             tuple(self.kept),
@@ -89,22 +98,26 @@
                 raise ValueError(f"{what}: the folder {Path(place).parent} does not exist")
         return self
 
-    def plan(self) -> Plan:
+    def plan(self) -> LevelPlan:
         if self.levels is None:
-            levels, emergencies, cold = DEFAULT.levels, DEFAULT.emergencies, DEFAULT.cold
+            levels, emergencies, cold = (
+                DEFAULT_PLAN.levels,
+                DEFAULT_PLAN.emergencies,
+                DEFAULT_PLAN.cold_start_level,
+            )
         else:
             levels, emergencies, cold = tuple(one.level() for one in self.levels), {}, ""
         if self.emergencies is not None:
             emergencies = {
                 signal: (told.enter, told.level) for signal, told in self.emergencies.items()
             }
-        return Plan(levels, emergencies, self.cold if self.cold is not None else cold)
+        return LevelPlan(levels, emergencies, self.cold if self.cold is not None else cold)
 
-    def terms(self) -> Terms:
+    def terms(self) -> HysteresisPolicy:
         """Raises `ValueError`, which `faults` has told by then."""
-        automatic = self.plan().automatic
+        automatic = self.plan().automatic_levels
         most = self.changes_a_minute if self.changes_a_minute is not None else max(4, automatic)
-        return Terms(
+        return HysteresisPolicy(
             automatic,
             self.dwell_ms * MS,
             self.stay_ms * MS,
@@ -118,7 +131,7 @@
         """What the file alone can tell; products are held against the platform's configuration by
         `check` and a start.
         """
-        found = faults(self.plan(), (), NAMES)
+        found = find_plan_faults(self.plan(), (), SIGNAL_NAMES)
         if not found:
             try:
                 self.terms()
--- a/burlloom/operator/recovery.py
+++ b/burlloom/operator/recovery.py
@@ -8,7 +8,7 @@
 from .part import Part
 
 if TYPE_CHECKING:
-    from ..recovery import Terms
+    from ..recovery import RecoveryPolicy
 
 MS = 1_000_000
 Span = Annotated[int, Field(ge=1, le=86_400_000)]
@@ -47,21 +47,21 @@
             raise ValueError(f"begin_warm {self.begin_warm:g} is under begin, {self.begin:g}")
         return self
 
-    def terms(self, window: int, durable: bool) -> "Terms":
+    def terms(self, window: int, durable: bool) -> "RecoveryPolicy":
         """`window`: the longest of the products', ns. `durable`: no run begins before its mark is
         in the record.
         """
-        from ..recovery import Terms
+        from ..recovery import RecoveryPolicy
 
-        return Terms(
+        return RecoveryPolicy(
             window,
             self.step_ms * MS,
             self.begin,
             self.begin_warm,
-            ask=self.ask_ms * MS,
-            age_most=self.age_ms * MS,
-            retry_part=self.retries,
-            retry_few=self.retries_few,
+            verification_timeout_ns=self.ask_ms * MS,
+            max_snapshot_age_ns=self.age_ms * MS,
+            retry_ratio=self.retries,
+            min_retries_per_second=self.retries_few,
             fence=self.fence,
-            durable=durable,
+            requires_record=durable,
         )
--- a/burlloom/record/seal.py
+++ b/burlloom/record/authentication.py
@@ -7,33 +7,33 @@
 import os
 from pathlib import Path
 
-from .rows import Row
+from .rows import RecordRow
 
 KEY_BYTES, SEAL_BYTES = 32, 16
 
 
-class Sealer:
+class RowAuthenticator:
     def __init__(self, key: bytes) -> None:
         self.key = key
 
-    def seal(self, row: Row) -> bytes:
-        head = f"{row.state} {row.node} {row.life} {row.turn} {row.id} {row.at} {row.until} {len(row.result)}\0"
+    def compute_mac(self, row: RecordRow) -> bytes:
+        head = f"{row.state} {row.node} {row.incarnation} {row.claim_number} {row.request_id} {row.started_at_ns} {row.expires_at_ns} {len(row.result)}\0"
         digest = hashlib.blake2b(
             head.encode(), key=self.key, digest_size=SEAL_BYTES, person=b"burlloom seal"
         )
-        digest.update(row.mark)
+        digest.update(row.key_digest)
         digest.update(row.result)
         return digest.digest()
 
-    def holds(self, row: Row) -> bool:
+    def is_authentic(self, row: RecordRow) -> bool:
         """A row whose very types were altered does not hold either."""
         try:
-            return hmac.compare_digest(self.seal(row), row.seal)
+            return hmac.compare_digest(self.compute_mac(row), row.mac)
         except (TypeError, AttributeError):
             return False
 
 
-def key(path: Path, make: bool) -> bytes:
+def load_key(path: Path, make: bool) -> bytes:
     """The key in this file, of 32 bytes as hex; made where there is none yet and `make` allows it.
 
     Raises `OSError`, and `ValueError` where it is no key or others may read it.
--- /dev/null
+++ b/burlloom/record/circuit_breaker.py
@@ -0,0 +1,215 @@
+"""A circuit breaker around the store: which writes may be sent now, and when the store is cut off.
+
+No I/O. It has one mechanism for one symptom, a store that is slow or gone. A write that took longer
+than its timeout or surely failed counts as bad. `MAX_CONSECUTIVE_FAILURES` bad ones in a row, or one
+write that hangs, open the breaker. From then on only probes, commits of their own that no request
+waits for, test whether the store works again, after pauses that grow.
+"""
+
+from collections import OrderedDict
+from enum import IntEnum
+
+__all__ = ["BreakerEffect", "BreakerEvent", "BreakerState", "CircuitBreaker"]
+
+MS = 1_000_000
+MAX_CONSECUTIVE_FAILURES = 5
+MIN_PAUSE_NS = 250 * MS
+MAX_PAUSE_NS = 4000 * MS
+HANG_TIMEOUT_MULTIPLE = 4  # a write older than so many timeouts: none behind it will fare better
+PROBES_TO_CLOSE = 2  # in a row, each within its timeout
+
+
+class BreakerState(IntEnum):
+    """The usual three states of a circuit breaker; CLOSED is the one in which writes pass."""
+
+    CLOSED = 0
+    OPEN = 1
+    HALF_OPEN = 2
+
+
+class BreakerEvent(IntEnum):
+    """What moves the breaker."""
+
+    WRITE_SUCCEEDED = 0
+    WRITE_FAILED = 1
+    WRITE_HANGS = 2
+    TICK = 3
+    PROBE_SUCCEEDED = 4
+    PROBE_FAILED = 5
+
+
+class BreakerEffect(IntEnum):
+    """What follows a move."""
+
+    NONE = 0
+    RESET_FAILURES = 1
+    COUNT_FAILURE = 2
+    OPEN = 3
+    OPEN_LONGER = 4
+    PROBE = 5
+    PROBE_AGAIN = 6
+    CLOSE = 7
+
+
+# State, event, test (or "-"), next state, effect. The first row whose test holds applies.
+TABLE = """
+CLOSED    WRITE_SUCCEEDED -                 CLOSED    RESET_FAILURES
+CLOSED    WRITE_FAILED    has_few_failures  CLOSED    COUNT_FAILURE
+CLOSED    WRITE_FAILED    -                 OPEN      OPEN
+CLOSED    WRITE_HANGS     -                 OPEN      OPEN
+OPEN      TICK            has_paused        HALF_OPEN PROBE
+HALF_OPEN PROBE_SUCCEEDED needs_more_probes HALF_OPEN PROBE_AGAIN
+HALF_OPEN PROBE_SUCCEEDED -                 CLOSED    CLOSE
+HALF_OPEN PROBE_FAILED    -                 OPEN      OPEN_LONGER
+HALF_OPEN TICK            is_probe_hanging  OPEN      OPEN_LONGER
+"""
+
+
+class CircuitBreaker:
+    """Decides whether a write may go to the store. All times are wall-clock nanoseconds.
+
+    Attributes:
+        max_in_flight: The most writes without an answer at a time.
+        write_timeout_ns: How long a write or a probe may take before it counts as bad.
+        state: The present state.
+        in_flight: Start of each write without an answer, by its number, oldest first.
+        pause_ns: The pause before the next probe.
+        times_opened: How often the breaker opened since the start.
+    """
+
+    def __init__(self, max_in_flight: int, write_timeout_ns: int) -> None:
+        """Starts closed; takes the attributes of the same names."""
+        self.max_in_flight = max_in_flight
+        self.write_timeout_ns = write_timeout_ns
+        self.state = BreakerState.CLOSED
+        self.in_flight: OrderedDict[int, int] = OrderedDict()
+        self.pause_ns = MIN_PAUSE_NS
+        self.times_opened = 0
+        self._last_write = 0
+        self._failures_in_row = 0
+        self._probes_in_row = 0
+        self._paused_until_ns = 0
+        self._probe_started_ns = 0
+
+    def may_write(self, now_ns: int) -> bool:
+        """Whether one more claim or lookup may go to the store."""
+        return (
+            self.state is BreakerState.CLOSED
+            and len(self.in_flight) < self.max_in_flight
+            and not self.is_write_hanging(now_ns)
+        )
+
+    def load(self, now_ns: int) -> float:
+        """Age of the oldest write in flight over the timeout; at least 1 while not closed."""
+        oldest_ns = next(iter(self.in_flight.values()), now_ns)
+        return max(
+            (now_ns - oldest_ns) / self.write_timeout_ns,
+            float(self.state is not BreakerState.CLOSED),
+        )
+
+    def write_started(self, now_ns: int) -> int:
+        """Notes a write that was sent and returns its number for `write_finished`."""
+        self._last_write += 1
+        self.in_flight[self._last_write] = now_ns
+        return self._last_write
+
+    def write_finished(self, number: int, now_ns: int, succeeded: bool) -> BreakerEffect:
+        """Notes the store's answer to a write; a late success counts as a failure."""
+        started_ns = self.in_flight.pop(number, now_ns)
+        in_time = succeeded and now_ns - started_ns <= self.write_timeout_ns
+        return self._handle(
+            BreakerEvent.WRITE_SUCCEEDED if in_time else BreakerEvent.WRITE_FAILED, now_ns
+        )
+
+    def tick(self, now_ns: int) -> BreakerEffect:
+        """Lets time pass. The caller sends a probe on PROBE, and on PROBE_AGAIN after a probe."""
+        if self.state is BreakerState.CLOSED and self.is_write_hanging(now_ns):
+            return self._handle(BreakerEvent.WRITE_HANGS, now_ns)
+        return self._handle(BreakerEvent.TICK, now_ns)
+
+    def probe_finished(self, now_ns: int, succeeded: bool) -> BreakerEffect:
+        """Notes the end of a probe; a late success counts as a failure."""
+        in_time = succeeded and now_ns - self._probe_started_ns <= self.write_timeout_ns
+        return self._handle(
+            BreakerEvent.PROBE_SUCCEEDED if in_time else BreakerEvent.PROBE_FAILED, now_ns
+        )
+
+    def is_write_hanging(self, now_ns: int) -> bool:
+        """Whether the oldest write in flight is far older than its timeout."""
+        oldest_ns = next(iter(self.in_flight.values()), now_ns)
+        return now_ns - oldest_ns > HANG_TIMEOUT_MULTIPLE * self.write_timeout_ns
+
+    def has_few_failures(self, now_ns: int) -> bool:
+        """Whether one more failure is still below the limit."""
+        return self._failures_in_row + 1 < MAX_CONSECUTIVE_FAILURES
+
+    def has_paused(self, now_ns: int) -> bool:
+        """Whether the pause before the next probe is over."""
+        return now_ns >= self._paused_until_ns
+
+    def needs_more_probes(self, now_ns: int) -> bool:
+        """Whether one more success is not yet enough to close."""
+        return self._probes_in_row + 1 < PROBES_TO_CLOSE
+
+    def is_probe_hanging(self, now_ns: int) -> bool:
+        """Whether the probe is far older than its timeout."""
+        return now_ns - self._probe_started_ns > HANG_TIMEOUT_MULTIPLE * self.write_timeout_ns
+
+    def _handle(self, event: BreakerEvent, now_ns: int) -> BreakerEffect:
+        for test, next_state, effect in RULES.get((self.state, event), ()):
+            if test == NO_TEST or getattr(self, test)(now_ns):
+                self.state = next_state
+                self._apply(effect, now_ns)
+                return effect
+        return BreakerEffect.NONE
+
+    def _apply(self, effect: BreakerEffect, now_ns: int) -> None:
+        match effect:
+            case BreakerEffect.RESET_FAILURES:
+                self._failures_in_row = 0
+            case BreakerEffect.COUNT_FAILURE:
+                self._failures_in_row += 1
+            case BreakerEffect.OPEN:
+                self._open(now_ns)
+            case BreakerEffect.OPEN_LONGER:
+                self.pause_ns = min(MAX_PAUSE_NS, 2 * self.pause_ns)
+                self._open(now_ns)
+            case BreakerEffect.PROBE:
+                self._probes_in_row = 0
+                self._probe_started_ns = now_ns
+            case BreakerEffect.PROBE_AGAIN:
+                self._probes_in_row += 1
+                self._probe_started_ns = now_ns
+            case BreakerEffect.CLOSE:
+                self._failures_in_row = 0
+                self._probes_in_row = 0
+                self._probe_started_ns = 0
+                self.pause_ns = MIN_PAUSE_NS
+
+    def _open(self, now_ns: int) -> None:
+        self.times_opened += 1
+        self._failures_in_row = 0
+        self._probes_in_row = 0
+        self._paused_until_ns = now_ns + self.pause_ns
+
+
+NO_TEST = "-"
+Rules = dict[tuple[BreakerState, BreakerEvent], list[tuple[str, BreakerState, BreakerEffect]]]
+
+
+def parse_rules(table: str) -> Rules:
+    """Reads a table in the form of `TABLE`.
+
+    Raises:
+        KeyError: A state, an event or an effect is unknown.
+    """
+    parsed: Rules = {}
+    for line in filter(None, table.split("\n")):
+        state, event, test, next_state, effect = line.split()
+        parsed.setdefault((BreakerState[state], BreakerEvent[event]), []).append(
+            (test, BreakerState[next_state], BreakerEffect[effect])
+        )
+    return parsed
+
+
+RULES = parse_rules(TABLE)
--- a/burlloom/record/opening.py
+++ b/burlloom/record/factory.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from .seal import Sealer, key
-from .store import Refused, Store
+from .authentication import RowAuthenticator, load_key
+from .store import RecordStore, StoreRefusedError
 
 if TYPE_CHECKING:
     from ..operator import Place
@@ -14,42 +14,42 @@
 PAGE_BYTES = 4096
 
 
-def sealer_of(record: "Place", make: bool) -> Sealer:
+def load_authenticator(record: "Place", make: bool) -> RowAuthenticator:
     """Raises `Refused`."""
     place = record.sqlite.key_place() if record.sqlite is not None else None
     if place is None:
         assert record.postgres is not None
         place, make = record.postgres.key_place(), False
     if make and record.sqlite is not None and record.sqlite.place().exists() and not place.exists():
-        raise Refused(
+        raise StoreRefusedError(
             f"{place}: the key of {record.sqlite.path} is missing: without it nothing there can be proven."
             " Put it back, or move the file away to begin with an empty one"
         )
     try:
-        return Sealer(key(place, make))
+        return RowAuthenticator(load_key(place, make))
     except OSError as error:
-        raise Refused(f"{place}: {error.strerror}") from error
+        raise StoreRefusedError(f"{place}: {error.strerror}") from error
     except ValueError as error:
-        raise Refused(str(error)) from error
+        raise StoreRefusedError(str(error)) from error
 
 
-def password_of(file: str | None) -> str:
+def read_password(file: str | None) -> str:
     """Raises `Refused`."""
     try:
         return Path(file).read_text(encoding="utf-8").strip() if file is not None else ""
     except (OSError, UnicodeDecodeError) as error:
-        raise Refused(f"{file}: {error}") from error
+        raise StoreRefusedError(f"{file}: {error}") from error
 
 
-def store_of(
+def create_store(
     record: "Place", node: str, keep: int, clock: Callable[[], int] = time.time_ns
-) -> tuple[Store, Sealer]:
+) -> tuple[RecordStore, RowAuthenticator]:
     """`keep`: ns that a mark stays past the end of its window. Raises `Refused`."""
-    sealer = sealer_of(record, True)
+    sealer = load_authenticator(record, True)
     if record.sqlite is not None:
-        from .sqlite import Sqlite
+        from .sqlite import SqliteStore
 
-        return Sqlite(
+        return SqliteStore(
             record.sqlite.place(),
             sealer,
             node,
@@ -58,15 +58,15 @@
             keep=keep,
         ), sealer
     assert record.postgres is not None
-    from .postgres import Postgres
+    from .postgres import PostgresStore
 
     told = record.postgres
     host, port = told.address.rsplit(":", 1)
-    return Postgres(
+    return PostgresStore(
         (host, int(port)),
         told.database,
         told.user,
-        password_of(told.password_file),
+        read_password(told.password_file),
         sealer,
         node,
         connect=told.connect_ms / 1000,
--- a/burlloom/record/points.py
+++ b/burlloom/record/failpoints.py
@@ -6,7 +6,7 @@
 import asyncio
 from collections.abc import Callable
 
-NAMES = (
+FAILPOINT_NAMES = (
     "claim-posted",
     "claim-commit",
     "claim-durable",
@@ -21,21 +21,21 @@
 hook: Callable[[str], None] | None = None
 
 
-def reached(name: str) -> None:
+def hit(name: str) -> None:
     if hook is not None:
         hook(name)
 
 
-def reached_once_sent(name: str) -> None:
+def hit_after_send(name: str) -> None:
     """After what was posted in this turn of the loop has left."""
     if hook is not None:
         loop = asyncio.get_running_loop()
-        loop.call_soon(loop.call_soon, loop.call_soon, reached, name)
+        loop.call_soon(loop.call_soon, loop.call_soon, hit, name)
 
 
-def reached_by(kinds: set[str], moment: str) -> None:
+def hit_for_batch(kinds: set[str], moment: str) -> None:
     """Of a batch with writes of these kinds; those without a name here are passed over."""
     if hook is not None:
         for kind in ("claim", "finish"):
             if kind in kinds:
-                reached(f"{kind}-{moment}")
+                hit(f"{kind}-{moment}")
--- a/burlloom/record/turns.py
+++ b/burlloom/record/lock_retry.py
@@ -13,39 +13,47 @@
 from random import Random
 from typing import TypeVar
 
-WAIT = 2.0  # s, of a server: whoever waits for its store is served without it, or declined
+LOCK_TIMEOUT_S = (
+    2.0  # s, of a server: whoever waits for its store is served without it, or declined
+)
 LOOK_LEAST, LOOK_MOST = 0.001, 0.015  # s between two looks at the lock
 
 Result = TypeVar("Result")
 
 
-def taken(error: BaseException) -> bool:
+def is_lock_error(error: BaseException) -> bool:
     """Whether it says that another holds the lock."""
     return isinstance(error, sqlite3.OperationalError) and (
         getattr(error, "sqlite_errorcode", 0) & 0xFF == sqlite3.SQLITE_BUSY
     )
 
 
-class Turns:
-    """`wait`: s until what is asked for is given up. `over` ends that early."""
+class LockRetry:
+    """`wait`: s until what is asked for is given up. `is_cancelled` ends that early."""
 
     def __init__(
         self,
-        wait: float = WAIT,
+        wait: float = LOCK_TIMEOUT_S,
         *,
         clock: Callable[[], float] = time.monotonic,
-        rest: Callable[[float], None] = time.sleep,
-        over: Callable[[], bool] = lambda: False,
+        sleep: Callable[[float], None] = time.sleep,
+        is_cancelled: Callable[[], bool] = lambda: False,
     ) -> None:
-        self.wait, self.clock, self.rest, self.over, self.chance = wait, clock, rest, over, Random()
-
-    def take(self, work: Callable[[], Result]) -> Result:
+        self.timeout_s, self.clock, self.sleep, self.is_cancelled, self.chance = (
+            wait,
+            clock,
+            sleep,
+            is_cancelled,
+            Random(),
+        )
+
+    def run(self, work: Callable[[], Result]) -> Result:
         """`work` leaves no transaction open where it raises."""
-        until = self.clock() + self.wait
+        until = self.clock() + self.timeout_s
         while True:
             try:
                 return work()
             except sqlite3.OperationalError as error:
-                if not taken(error) or self.over() or self.clock() >= until:
+                if not is_lock_error(error) or self.is_cancelled() or self.clock() >= until:
                     raise
-            self.rest(self.chance.uniform(LOOK_LEAST, LOOK_MOST))
+            self.sleep(self.chance.uniform(LOOK_LEAST, LOOK_MOST))
--- a/burlloom/record/postgres.py
+++ b/burlloom/record/postgres.py
@@ -15,12 +15,23 @@
 
 import asyncpg
 
-from . import points, schema
-from .fate import Input
-from .recovery import Stage, meaning
-from .rows import BEGUN, MARK_BYTES, Kind, Row, Word, Write, answer, of_finish, of_withdraw
-from .seal import Sealer
-from .store import Done, Opened, Refused, Verdicts, deliver
+from . import failpoints as points
+from . import schema
+from .authentication import RowAuthenticator
+from .recovery_rules import TransactionStage, classify_broken_transaction
+from .request_lifecycle import RequestEvent
+from .rows import (
+    KEY_DIGEST_BYTES,
+    ROW_STARTED,
+    RecordRow,
+    RecordWrite,
+    WriteKind,
+    WriteResult,
+    of_finish,
+    of_withdraw,
+    result_of_unapplied_write,
+)
+from .store import StoreRefusedError, StoreSession, VerdictCallback, WriteCallback, deliver
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +39,7 @@
 AGAIN_LEAST, AGAIN_MOST = 0.05, 2.0  # s between tries to connect
 LOOK_EVERY = 1.0  # s between looks for verdicts and rows to be given up
 PRUNE_ROWS = 2_000
-ENTRY = MARK_BYTES + 8  # a mark read back, and the end of its window
+ENTRY = KEY_DIGEST_BYTES + 8  # a mark read back, and the end of its window
 LOCK = 0x6275726C6F6F  # "burloo": the advisory lock under which the tables are changed
 COLUMNS = "mark, state, node, life, turn, id, at, until, result, seal"
 ROW = (
@@ -38,17 +49,17 @@
 CLAIM = (
     f"INSERT INTO fate ({COLUMNS}) VALUES ({ROW}) ON CONFLICT (mark) DO UPDATE SET"
     " turn = excluded.turn, id = excluded.id, at = excluded.at, until = excluded.until, seal = excluded.seal"
-    f" WHERE fate.state = {BEGUN} AND fate.node = excluded.node AND fate.life = excluded.life"
+    f" WHERE fate.state = {ROW_STARTED} AND fate.node = excluded.node AND fate.life = excluded.life"
     " AND fate.turn <= excluded.turn RETURNING mark"
 )
 INSERT = f"INSERT INTO fate ({COLUMNS}) VALUES ({ROW}) ON CONFLICT (mark) DO NOTHING RETURNING mark"
 FINISH = (
     "UPDATE fate SET state = $1::bigint, result = $2::bytea, seal = $3::bytea WHERE mark = $4::bytea AND"
-    f" node = $5::text AND life = $6::bigint AND turn = $7::bigint AND state = {BEGUN} RETURNING mark"
+    f" node = $5::text AND life = $6::bigint AND turn = $7::bigint AND state = {ROW_STARTED} RETURNING mark"
 )
 WITHDRAW = (
     "DELETE FROM fate WHERE mark = $1::bytea AND node = $2::text AND life = $3::bigint AND"
-    f" turn = $4::bigint AND state = {BEGUN} RETURNING mark"
+    f" turn = $4::bigint AND state = {ROW_STARTED} RETURNING mark"
 )
 LOOK = f"SELECT {COLUMNS} FROM fate WHERE mark = $1::bytea"
 PRESENT = "SELECT life, fenced FROM node WHERE name = $1::text FOR SHARE"
@@ -63,9 +74,7 @@
 )
 NOTE = "UPDATE node SET note = $1::text WHERE name = $2::text AND life = $3::bigint"
 PAGE = 10_000  # marks that are read back at a time, some 100 bytes each until they are packed
-OPEN = (
-    f"SELECT {COLUMNS} FROM fate WHERE node = $1::text AND until > $2::bigint AND state = {BEGUN}"
-)
+OPEN = f"SELECT {COLUMNS} FROM fate WHERE node = $1::text AND until > $2::bigint AND state = {ROW_STARTED}"
 PRUNE = (
     "DELETE FROM fate WHERE mark IN (SELECT mark FROM fate WHERE until <= $1::bigint LIMIT"
     f" {PRUNE_ROWS}) RETURNING mark"
@@ -73,14 +82,14 @@
 VERDICTS = "SELECT mark, life, turn, ran FROM verdict"
 VERSION = "SELECT version FROM burlloom_schema"
 ORDER = {
-    Kind.CLAIM: 0,
-    Kind.INSERT: 1,
-    Kind.FINISH: 2,
-    Kind.WITHDRAW: 3,
-    Kind.LOOK: 4,
-    Kind.FIND: 4,
+    WriteKind.CLAIM: 0,
+    WriteKind.INSERT: 1,
+    WriteKind.FINISH: 2,
+    WriteKind.WITHDRAW: 3,
+    WriteKind.LOOK: 4,
+    WriteKind.FIND: 4,
 }
-LOST = (
+CONNECTION_ERRORS = (
     OSError,
     asyncpg.InterfaceError,
     asyncpg.PostgresConnectionError,
@@ -89,18 +98,18 @@
 )
 
 
-def row_of(record: Any) -> Row:
-    return Row(*record)
+def row_of(record: Any) -> RecordRow:
+    return RecordRow(*record)
 
 
-class Postgres:
+class PostgresStore:
     def __init__(
         self,
         address: tuple[str, int],
         database: str,
         user: str,
         password: str,
-        sealer: Sealer,
+        sealer: RowAuthenticator,
         node: str,
         *,
         connect: float = 2.0,
@@ -113,18 +122,20 @@
         given up.
         """
         self.address, self.database, self.user, self.password = address, database, user, password
-        self.sealer, self.node, self.connect_for, self.hang = sealer, node, connect, hang
+        self.authenticator, self.node, self.connect_for, self.hang = sealer, node, connect, hang
         self.batch, self.keep, self.clock = batch, keep, clock
-        self.life = 0
-        self.link: Any = None
-        self.posted: deque[tuple[Write, Done] | Callable[[bool], None]] = deque()
+        self.incarnation = 0
+        self.connection: Any = None
+        self.posted: deque[tuple[RecordWrite, WriteCallback] | Callable[[bool], None]] = deque()
         self.wake = asyncio.Event()
         self.stopping = False
         self.worker: asyncio.Task[None] | None = None
-        self.verdicts: Verdicts | None = None
+        self.on_verdict: VerdictCallback | None = None
         self.known_raw, self.page = bytearray(), PAGE
-        self.begun_rows: list[Row] = []
-        self.commits = self.written = self.largest = self.pruned = self.connects = 0
+        self.begun_rows: list[RecordRow] = []
+        self.commit_count = self.write_count = self.largest_batch = self.pruned_rows = (
+            self.connects
+        ) = 0
         self.look_at = 0.0
         self.noted: str | None = None
 
@@ -143,35 +154,35 @@
             ssl=False,
         )
 
-    async def open(self) -> Opened:
+    async def open(self) -> StoreSession:
         where = f"{self.address[0]}:{self.address[1]}/{self.database}"
         try:
-            self.link = await self.connect()
+            self.connection = await self.connect()
             self.connects += 1
             migrated = await self.migrate(where)
-            async with self.link.transaction():
-                ((life, fenced, note),) = await self.link.fetch(BIRTH, self.node)
+            async with self.connection.transaction():
+                ((life, fenced, note),) = await self.connection.fetch(BIRTH, self.node)
                 if fenced:
-                    raise Refused(
+                    raise StoreRefusedError(
                         f"{where}: node {self.node} was fenced off by an operator; `burlloom record unfence"
                         f" {self.node}` lets it back in"
                     )
                 since = self.clock() - self.keep
                 await self.read_marks(since)
                 self.begun_rows = [
-                    row_of(row) for row in await self.link.fetch(OPEN, self.node, since)
+                    row_of(row) for row in await self.connection.fetch(OPEN, self.node, since)
                 ]
-            self.life = life
-        except Refused:
-            await self.let_go()
+            self.incarnation = life
+        except StoreRefusedError:
+            await self.disconnect()
             raise
-        except (*LOST, asyncpg.PostgresError) as error:
-            await self.let_go()
-            raise Refused(f"{where}: {str(error) or type(error).__name__}") from error
-        return Opened(self.node, self.life, 0, migrated, note=note)
+        except (*CONNECTION_ERRORS, asyncpg.PostgresError) as error:
+            await self.disconnect()
+            raise StoreRefusedError(f"{where}: {str(error) or type(error).__name__}") from error
+        return StoreSession(self.node, self.incarnation, 0, migrated, previous_notice=note)
 
     async def migrate(self, where: str) -> tuple[int, ...]:
-        link = self.link
+        link = self.connection
         async with link.transaction():
             await link.fetch("SELECT pg_advisory_xact_lock($1::bigint)", LOCK)
             await link.execute(
@@ -179,7 +190,7 @@
             )
             have = max((row[0] for row in await link.fetch(VERSION)), default=0)
             if have > schema.LATEST:
-                raise Refused(
+                raise StoreRefusedError(
                     f"{where}: schema {have} is newer than {schema.LATEST}, the newest this program knows;"
                     " start the newer program"
                 )
@@ -199,26 +210,26 @@
         """
         last = b""
         self.known_raw.clear()
-        while page := await self.link.fetch(KNOWN, self.node, since, last, self.page):
+        while page := await self.connection.fetch(KNOWN, self.node, since, last, self.page):
             self.known_raw += b"".join(mark + until.to_bytes(8, "big") for mark, until in page)
             last = page[-1][0]
             if len(page) < self.page:
                 break
 
-    def known(self, now: int) -> Iterator[list[tuple[bytes, int]]]:
+    def read_recorded_keys(self, now: int) -> Iterator[list[tuple[bytes, int]]]:
         raw = bytes(self.known_raw)
         self.known_raw.clear()
         for start in range(0, len(raw), ENTRY * self.page):
             part = raw[start : start + ENTRY * self.page]
             yield [
                 (
-                    part[at : at + MARK_BYTES],
-                    int.from_bytes(part[at + MARK_BYTES : at + ENTRY], "big"),
+                    part[at : at + KEY_DIGEST_BYTES],
+                    int.from_bytes(part[at + KEY_DIGEST_BYTES : at + ENTRY], "big"),
                 )
                 for at in range(0, len(part), ENTRY)
             ]
 
-    def begun(self, now: int) -> Iterator[Row]:
+    def read_started_rows(self, now: int) -> Iterator[RecordRow]:
         yield from self.begun_rows
         self.begun_rows = []
 
@@ -227,15 +238,15 @@
 
     # On the loop.
 
-    def post(self, write: Write, done: Done) -> None:
+    def submit(self, write: RecordWrite, done: WriteCallback) -> None:
         self.posted.append((write, done))
         self.wake.set()
 
-    def beat(self, now: int, done: Callable[[bool], None]) -> None:
+    def probe(self, now: int, done: Callable[[bool], None]) -> None:
         self.posted.append(done)
         self.wake.set()
 
-    def note(self, text: str) -> None:
+    def save_notice(self, text: str) -> None:
         self.noted = text
         self.wake.set()
 
@@ -245,10 +256,10 @@
         if self.worker is not None:
             await asyncio.wait({self.worker}, timeout=2.0)
             self.worker.cancel()
-        await self.let_go()
+        await self.disconnect()
 
-    async def let_go(self) -> None:
-        link, self.link = self.link, None
+    async def disconnect(self) -> None:
+        link, self.connection = self.connection, None
         if link is not None:
             link.terminate()
 
@@ -262,8 +273,8 @@
                 pass
             self.wake.clear()
             try:
-                if self.link is None or self.link.is_closed():
-                    self.link = await self.connect()
+                if self.connection is None or self.connection.is_closed():
+                    self.connection = await self.connect()
                     self.connects += 1
                     log.info("event=record-connected address=%s:%d", *self.address)
                 again = AGAIN_LEAST
@@ -271,10 +282,10 @@
                     await self.one()
                 if self.noted is not None:
                     text, self.noted = self.noted, None
-                    await self.link.execute(NOTE, text, self.node, self.life)
+                    await self.connection.execute(NOTE, text, self.node, self.incarnation)
                 await self.look_round()
-            except (*LOST, asyncpg.PostgresError) as error:
-                await self.let_go()
+            except (*CONNECTION_ERRORS, asyncpg.PostgresError) as error:
+                await self.disconnect()
                 self.fail_posted()
                 log.warning(
                     "event=record-unreached address=%s:%d detail=%r",
@@ -291,7 +302,7 @@
         posted, self.posted = self.posted, deque()
         for one in posted:
             if isinstance(one, tuple):
-                deliver([one], [Word(Input.LOST)])
+                deliver([one], [WriteResult(RequestEvent.WRITE_FAILED)])
             else:
                 one(False)
 
@@ -314,43 +325,44 @@
         await self.commit(batch)
 
     @asynccontextmanager
-    async def transaction(self, stage: list[Stage]) -> AsyncIterator[Any]:
+    async def transaction(self, stage: list[TransactionStage]) -> AsyncIterator[Any]:
         """Says in `stage` how far it came."""
-        stage.append(Stage.BEFORE)
-        link = self.link
+        stage.append(TransactionStage.BEFORE)
+        link = self.connection
         await link.execute("BEGIN")
         try:
             yield link
-            stage.append(Stage.COMMITTING)
+            stage.append(TransactionStage.COMMITTING)
             await link.execute("COMMIT")
-            stage.append(Stage.DONE)
+            stage.append(TransactionStage.DONE)
         except asyncpg.PostgresError:
             if not link.is_closed():
                 await link.execute("ROLLBACK")
             raise
 
-    async def commit(self, batch: list[tuple[Write, Done]]) -> None:
+    async def commit(self, batch: list[tuple[RecordWrite, WriteCallback]]) -> None:
         # Rows are touched in one order by all nodes: two that want the same ones do not wait for
         # each other.
         order = sorted(
-            range(len(batch)), key=lambda at: (ORDER[batch[at][0].kind], batch[at][0].row.mark)
+            range(len(batch)),
+            key=lambda at: (ORDER[batch[at][0].kind], batch[at][0].row.key_digest),
         )
-        stage: list[Stage] = []
-        words: dict[int, Word] = {}
+        stage: list[TransactionStage] = []
+        words: dict[int, WriteResult] = {}
         trouble: BaseException | None = None
         try:
             async with self.transaction(stage) as link:
                 words = await self.apply(link, batch, order)
                 self.moment(batch, "commit")
-        except (*LOST, asyncpg.PostgresError, asyncio.CancelledError) as error:
+        except (*CONNECTION_ERRORS, asyncpg.PostgresError, asyncio.CancelledError) as error:
             trouble = error
             code = (
                 getattr(error, "sqlstate", None)
                 if isinstance(error, asyncpg.PostgresError)
                 else None
             )
-            how = meaning(stage[-1] if stage else Stage.BEFORE, code)
-            words = dict.fromkeys(range(len(batch)), Word(how))
+            how = classify_broken_transaction(stage[-1] if stage else TransactionStage.BEFORE, code)
+            words = dict.fromkeys(range(len(batch)), WriteResult(how))
             log.warning(
                 "event=record-write-failed count=%d how=%s detail=%r",
                 len(batch),
@@ -358,34 +370,34 @@
                 str(error) or type(error).__name__,
             )
         self.moment(batch, "durable")
-        self.commits += 1
-        self.written += len(batch)
-        self.largest = max(self.largest, len(batch))
+        self.commit_count += 1
+        self.write_count += len(batch)
+        self.largest_batch = max(self.largest_batch, len(batch))
         deliver(batch, [words[at] for at in range(len(batch))])
         if trouble is not None and not (
             isinstance(trouble, asyncpg.PostgresError)
-            and self.link is not None
-            and not self.link.is_closed()
+            and self.connection is not None
+            and not self.connection.is_closed()
         ):
             raise trouble
 
-    def moment(self, batch: list[tuple[Write, Done]], name: str) -> None:
-        points.reached_by({write.kind.name.lower() for write, _ in batch}, name)
+    def moment(self, batch: list[tuple[RecordWrite, WriteCallback]], name: str) -> None:
+        points.hit_for_batch({write.kind.name.lower() for write, _ in batch}, name)
 
     async def apply(
-        self, link: Any, batch: list[tuple[Write, Done]], order: list[int]
-    ) -> dict[int, Word]:
+        self, link: Any, batch: list[tuple[RecordWrite, WriteCallback]], order: list[int]
+    ) -> dict[int, WriteResult]:
         present = await link.fetch(PRESENT, self.node)
-        if not present or (present[0][0], present[0][1]) != (self.life, 0):
-            log.error("event=record-fenced node=%s life=%d", self.node, self.life)
-            return dict.fromkeys(order, Word(Input.FENCED))
-        words: dict[int, Word] = {}
+        if not present or (present[0][0], present[0][1]) != (self.incarnation, 0):
+            log.error("event=record-fenced node=%s life=%d", self.node, self.incarnation)
+            return dict.fromkeys(order, WriteResult(RequestEvent.FENCED))
+        words: dict[int, WriteResult] = {}
         left: list[int] = []
         for kind, sql, arguments in (
-            (Kind.CLAIM, CLAIM, tuple),
-            (Kind.INSERT, INSERT, tuple),
-            (Kind.FINISH, FINISH, of_finish),
-            (Kind.WITHDRAW, WITHDRAW, of_withdraw),
+            (WriteKind.CLAIM, CLAIM, tuple),
+            (WriteKind.INSERT, INSERT, tuple),
+            (WriteKind.FINISH, FINISH, of_finish),
+            (WriteKind.WITHDRAW, WITHDRAW, of_withdraw),
         ):
             these = [at for at in order if batch[at][0].kind is kind]
             if not these:
@@ -395,15 +407,15 @@
             found = await self.many(link, sql, [arguments(batch[at][0].row) for at in these])
             for at, held in zip(these, found, strict=True):
                 if held:
-                    words[at] = Word(Input.HELD)
+                    words[at] = WriteResult(RequestEvent.WRITE_APPLIED)
                 else:
                     left.append(at)
-        left += [at for at in order if batch[at][0].kind in (Kind.LOOK, Kind.FIND)]
+        left += [at for at in order if batch[at][0].kind in (WriteKind.LOOK, WriteKind.FIND)]
         if left:
             lives = {name: (life, bool(fenced)) for name, life, fenced in await link.fetch(LIVES)}
             for at in left:
                 words[at] = self.word(
-                    batch[at][0], await link.fetch(LOOK, batch[at][0].row.mark), lives
+                    batch[at][0], await link.fetch(LOOK, batch[at][0].row.key_digest), lives
                 )
         return words
 
@@ -417,17 +429,21 @@
         held = Counter(row[0] for row in await link.fetchmany(sql, arguments))
         found = []
         for one in arguments:
-            mark = next(part for part in one if isinstance(part, bytes) and len(part) == MARK_BYTES)
+            mark = next(
+                part for part in one if isinstance(part, bytes) and len(part) == KEY_DIGEST_BYTES
+            )
             found.append(held[mark] > 0)
             held[mark] -= 1
         return found
 
-    def word(self, write: Write, there: list[Any], lives: dict[str, tuple[int, bool]]) -> Word:
+    def word(
+        self, write: RecordWrite, there: list[Any], lives: dict[str, tuple[int, bool]]
+    ) -> WriteResult:
         row, found = write.row, row_of(there[0]) if there else None
-        sound = found is None or self.sealer.holds(found)
+        sound = found is None or self.authenticator.is_authentic(found)
         if not sound:
-            log.error("event=record-altered mark=%s", row.mark.hex())
-        return answer(write, found, lives, sound)
+            log.error("event=record-altered mark=%s", row.key_digest.hex())
+        return result_of_unapplied_write(write, found, lives, sound)
 
     async def look_round(self) -> None:
         """Now and then: what an operator said, and rows whose window is long over."""
@@ -435,7 +451,7 @@
         if now < self.look_at:
             return
         self.look_at = now + LOOK_EVERY
-        if self.verdicts is not None:
-            for mark, life, turn, ran in await self.link.fetch(VERDICTS):
-                self.verdicts(mark, life, turn, bool(ran))
-        self.pruned += len(await self.link.fetch(PRUNE, self.clock() - self.keep))
+        if self.on_verdict is not None:
+            for mark, life, turn, ran in await self.connection.fetch(VERDICTS):
+                self.on_verdict(mark, life, turn, bool(ran))
+        self.pruned_rows += len(await self.connection.fetch(PRUNE, self.clock() - self.keep))
--- a/burlloom/record/fleet.py
+++ b/burlloom/record/postgres_admin.py
@@ -7,11 +7,17 @@
 
 import asyncpg
 
-from .fate import Input
-from .opening import store_of
-from .postgres import COLUMNS, LIVES, LOST, Postgres, row_of
-from .rows import BEGUN, NAMES, SPENT, Row, whose
-from .store import Refused
+from .factory import create_store
+from .postgres import COLUMNS, CONNECTION_ERRORS, LIVES, PostgresStore, row_of
+from .request_lifecycle import RequestEvent
+from .rows import (
+    ROW_COMPLETED_WITHOUT_RESULT,
+    ROW_STARTED,
+    ROW_STATE_NAMES,
+    RecordRow,
+    classify_row,
+)
+from .store import StoreRefusedError
 
 if TYPE_CHECKING:
     from ..operator import Record
@@ -20,8 +26,8 @@
 @asynccontextmanager
 async def link_of(record: "Record") -> AsyncIterator[Any]:
     """A connection that starts no life. Raises `Refused`."""
-    store, _ = store_of(record, "-", keep=0, clock=time.time_ns)
-    assert isinstance(store, Postgres)
+    store, _ = create_store(record, "-", keep=0, clock=time.time_ns)
+    assert isinstance(store, PostgresStore)
     where = f"{store.address[0]}:{store.address[1]}/{store.database}"
     try:
         link = await store.connect()
@@ -29,8 +35,8 @@
             yield link
         finally:
             await link.close()
-    except (*LOST, asyncpg.PostgresError) as error:
-        raise Refused(f"{where}: {str(error) or type(error).__name__}") from error
+    except (*CONNECTION_ERRORS, asyncpg.PostgresError) as error:
+        raise StoreRefusedError(f"{where}: {str(error) or type(error).__name__}") from error
 
 
 async def lives(link: Any) -> dict[str, tuple[int, bool]]:
@@ -41,19 +47,19 @@
     async with link_of(record) as link:
         nodes = await lives(link)
         rows = await link.fetch("SELECT state, count(*) AS count FROM fate GROUP BY state")
-    counted = {NAMES.get(state, str(state)): count for state, count in rows}
+    counted = {ROW_STATE_NAMES.get(state, str(state)): count for state, count in rows}
     told = {
         name: f"life {life}{', fenced off' if fenced else ''}"
         for name, (life, fenced) in nodes.items()
     }
     return {
-        **{name: counted.get(name, 0) for name in NAMES.values()},
+        **{name: counted.get(name, 0) for name in ROW_STATE_NAMES.values()},
         "in doubt": len(await doubts(record, now)),
         **told,
     }
 
 
-async def doubts(record: "Record", now: int) -> list[tuple[Row, str]]:
+async def doubts(record: "Record", now: int) -> list[tuple[RecordRow, str]]:
     async with link_of(record) as link:
         nodes = await lives(link)
         said = {
@@ -63,22 +69,25 @@
         rows = [
             row_of(row)
             for row in await link.fetch(
-                f"SELECT {COLUMNS} FROM fate WHERE state = {BEGUN} AND until > $1::bigint", now
+                f"SELECT {COLUMNS} FROM fate WHERE state = {ROW_STARTED} AND until > $1::bigint",
+                now,
             )
         ]
     # Whose it is to somebody else: bare, where no life may end it any more.
     return [
-        (row, said.get(row.mark, "")) for row in rows if whose(row, "", 0, 0, nodes) is Input.BARE
+        (row, said.get(row.key_digest, ""))
+        for row in rows
+        if classify_row(row, "", 0, 0, nodes) is RequestEvent.FOUND_NO_RESULT
     ]
 
 
 async def resolve(record: "Record", mark: bytes, ran: bool, reason: str, now: int) -> str:
-    doubt = next((row for row, _ in await doubts(record, now) if row.mark == mark), None)
+    doubt = next((row for row, _ in await doubts(record, now) if row.key_digest == mark), None)
     if doubt is None:
-        raise Refused(
+        raise StoreRefusedError(
             f"mark {mark.hex()} is not in doubt; `burlloom record doubts` lists those that are"
         )
-    _, sealer = store_of(record, "-", keep=0, clock=time.time_ns)
+    _, sealer = create_store(record, "-", keep=0, clock=time.time_ns)
     async with link_of(record) as link, link.transaction():
         await link.fetch(
             "INSERT INTO verdict (mark, life, turn, ran, said_at, reason) VALUES ($1::bytea, $2::bigint, $3::bigint,"
@@ -86,8 +95,8 @@
             " turn = excluded.turn, ran = excluded.ran, said_at = excluded.said_at, reason = excluded.reason"
             " RETURNING mark",
             mark,
-            doubt.life,
-            doubt.turn,
+            doubt.incarnation,
+            doubt.claim_number,
             int(ran),
             now,
             reason,
@@ -96,20 +105,20 @@
         if ran:
             await link.fetch(
                 "UPDATE fate SET state = $1::bigint, seal = $2::bytea WHERE mark = $3::bytea AND"
-                f" life = $4::bigint AND turn = $5::bigint AND state = {BEGUN} RETURNING mark",
-                SPENT,
-                sealer.seal(doubt._replace(state=SPENT)),
+                f" life = $4::bigint AND turn = $5::bigint AND state = {ROW_STARTED} RETURNING mark",
+                ROW_COMPLETED_WITHOUT_RESULT,
+                sealer.compute_mac(doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)),
                 mark,
-                doubt.life,
-                doubt.turn,
+                doubt.incarnation,
+                doubt.claim_number,
             )
         else:
             await link.fetch(
                 "DELETE FROM fate WHERE mark = $1::bytea AND life = $2::bigint AND turn = $3::bigint"
-                f" AND state = {BEGUN} RETURNING mark",
+                f" AND state = {ROW_STARTED} RETURNING mark",
                 mark,
-                doubt.life,
-                doubt.turn,
+                doubt.incarnation,
+                doubt.claim_number,
             )
     return "done; its node takes it up within a second"
 
@@ -122,4 +131,4 @@
             node,
         )
         if not rows:
-            raise Refused(f"no node {node!r} is known to the record")
+            raise StoreRefusedError(f"no node {node!r} is known to the record")
--- a/burlloom/record/recovery.py
+++ b/burlloom/record/recovery_rules.py
@@ -3,25 +3,25 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from .fate import Input
-from .rows import BEGUN, KEPT, SPENT, Row
+from .request_lifecycle import RequestEvent
+from .rows import ROW_COMPLETED, ROW_COMPLETED_WITHOUT_RESULT, ROW_STARTED, RecordRow
 
 SECOND = 1_000_000_000
-STEP_LEAST = SECOND // 2  # a smaller difference between two clocks is their drift
+CLOCK_STEP_MIN_NS = SECOND // 2  # a smaller difference between two clocks is their drift
 
 
 @dataclass(frozen=True, slots=True)
-class Tick:
+class ClockReading:
     """One reading of both clocks: `boot` names the kernel's run, within which `steady` (ns) never
     steps.
     """
 
-    boot: str
-    steady: int
-    wall: int
+    boot_id: str
+    monotonic_ns: int
+    wall_ns: int
 
 
-def shift(then: Tick | None, now: Tick) -> int:
+def clock_shift(then: ClockReading | None, now: ClockReading) -> int:
     """By how many nanoseconds the wall clock was stepped between two readings, 0 where that can't
     be told.
 
@@ -32,26 +32,30 @@
     """
     if then is None:
         return 0
-    if then.boot and then.boot == now.boot:
-        stepped = (now.wall - then.wall) - (now.steady - then.steady)
-        return stepped if abs(stepped) >= STEP_LEAST else 0
-    return min(0, now.wall - then.wall)
+    if then.boot_id and then.boot_id == now.boot_id:
+        stepped = (now.wall_ns - then.wall_ns) - (now.monotonic_ns - then.monotonic_ns)
+        return stepped if abs(stepped) >= CLOCK_STEP_MIN_NS else 0
+    return min(0, now.wall_ns - then.wall_ns)
 
 
-def read(row: Row, sound: bool, executor_began: int) -> Input | None:
+def classify_recovered_row(row: RecordRow, sound: bool, executor_began: int) -> RequestEvent | None:
     """What a row that was read back becomes; None: its mark is known, and its end is in the store.
 
     `executor_began` is when the executor that is there now started, by the wall clock: a run begun
     before then went down with the one before, and nobody can tell how far it had come.
     """
-    if row.state in (KEPT, SPENT):
+    if row.state in (ROW_COMPLETED, ROW_COMPLETED_WITHOUT_RESULT):
         return None
-    if row.state != BEGUN or not sound:
-        return Input.READ_DOUBT
-    return Input.READ_OPEN if row.at >= executor_began else Input.READ_DOUBT
+    if row.state != ROW_STARTED or not sound:
+        return RequestEvent.RECOVERED_IN_DOUBT
+    return (
+        RequestEvent.RECOVERED_RUNNING
+        if row.started_at_ns >= executor_began
+        else RequestEvent.RECOVERED_IN_DOUBT
+    )
 
 
-Stage = IntEnum("Stage", "BEFORE COMMITTING DONE", start=0)
+TransactionStage = IntEnum("TransactionStage", "BEFORE COMMITTING DONE", start=0)
 UNKNOWN_CODES = (
     "08",
     "57P0",
@@ -60,7 +64,7 @@
 )  # SQLSTATEs (prefixes) that at a commit leave its fate open
 
 
-def meaning(stage: Stage, code: str | None) -> Input:
+def classify_broken_transaction(stage: TransactionStage, code: str | None) -> RequestEvent:
     """What a transaction that broke off means for what it wrote. `code`: the server's SQLSTATE,
     None if it said none.
 
@@ -69,8 +73,16 @@
     server does, but for those that say that the connection or the server went down or that it does
     not know itself (classes 08, 57P0, 58 and XX).
     """
-    if stage is Stage.BEFORE:
-        return Input.LOST
-    if stage is Stage.COMMITTING and code is not None and not code.startswith(UNKNOWN_CODES):
-        return Input.LOST
-    return Input.UNSURE if stage is Stage.COMMITTING else Input.HELD
+    if stage is TransactionStage.BEFORE:
+        return RequestEvent.WRITE_FAILED
+    if (
+        stage is TransactionStage.COMMITTING
+        and code is not None
+        and not code.startswith(UNKNOWN_CODES)
+    ):
+        return RequestEvent.WRITE_FAILED
+    return (
+        RequestEvent.WRITE_UNCERTAIN
+        if stage is TransactionStage.COMMITTING
+        else RequestEvent.WRITE_APPLIED
+    )
--- a/burlloom/record/rows.py
+++ b/burlloom/record/rows.py
@@ -4,32 +4,40 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from .fate import Input, State
+from .request_lifecycle import RequestEvent, RequestState
 
 # The states that a row can have: begun, ended with its result, ended without one to give.
-MARK_BYTES = 16
-BEGUN, KEPT, SPENT = int(State.RUN), int(State.KEPT), int(State.SPENT)
+KEY_DIGEST_BYTES = 16
+ROW_STARTED, ROW_COMPLETED, ROW_COMPLETED_WITHOUT_RESULT = (
+    int(RequestState.RUNNING),
+    int(RequestState.SUCCESS_RECORDED),
+    int(RequestState.FAILURE_RECORDED),
+)
 
 
-class Row(NamedTuple):
+class RecordRow(NamedTuple):
     """One mark in the store; times are wall-clock nanoseconds."""
 
-    mark: bytes
+    key_digest: bytes
     state: int
     node: str
-    life: int
-    turn: int
-    id: str
-    at: int
-    until: int
+    incarnation: int
+    claim_number: int
+    request_id: str
+    started_at_ns: int
+    expires_at_ns: int
     result: bytes = b""
-    seal: bytes = b""
+    mac: bytes = b""
 
 
-NAMES = {BEGUN: "begun", KEPT: "ran", SPENT: "ran-without-result"}  # as an operator reads them
+ROW_STATE_NAMES = {
+    ROW_STARTED: "begun",
+    ROW_COMPLETED: "ran",
+    ROW_COMPLETED_WITHOUT_RESULT: "ran-without-result",
+}  # as an operator reads them
 
 
-class Kind(IntEnum):
+class WriteKind(IntEnum):
     CLAIM = 0  # lays a row where there is none, or an older turn of the same life
     FINISH = 1  # its end, on the row of this life and turn
     WITHDRAW = 2  # takes it away again
@@ -38,43 +46,51 @@
     FIND = 5  # any row, for a retry that is not known here
 
 
-def of_finish(row: Row) -> tuple[object, ...]:
+def of_finish(row: RecordRow) -> tuple[object, ...]:
     """The values of a FINISH, in the order of both stores' statements."""
-    return row.state, row.result, row.seal, row.mark, row.node, row.life, row.turn
+    return (
+        row.state,
+        row.result,
+        row.mac,
+        row.key_digest,
+        row.node,
+        row.incarnation,
+        row.claim_number,
+    )
 
 
-def of_withdraw(row: Row) -> tuple[object, ...]:
-    return row.mark, row.node, row.life, row.turn
+def of_withdraw(row: RecordRow) -> tuple[object, ...]:
+    return row.key_digest, row.node, row.incarnation, row.claim_number
 
 
 @dataclass(frozen=True, slots=True)
-class Write:
+class RecordWrite:
     """One thing asked of a store. `row` is what is to stand; for LOOK and FIND only its mark
     counts.
     """
 
-    kind: Kind
-    row: Row
+    kind: WriteKind
+    row: RecordRow
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class WriteResult:
     """What a store says of one write: how it went, and the row that stands there where it is
     another's.
     """
 
-    how: Input
-    row: Row | None = None
+    outcome: RequestEvent
+    row: RecordRow | None = None
 
 
-def whose(
-    row: Row | None,
+def classify_row(
+    row: RecordRow | None,
     node: str,
     life: int,
     turn: int,
     lives: dict[str, tuple[int, bool]],
     sound: bool = True,
-) -> Input:
+) -> RequestEvent:
     """What a row that stands at a mark means to the one who claimed it as (node, life, turn).
 
     `lives` has each node's present life, and whether it was fenced off. A claim of a life that is
@@ -83,35 +99,44 @@
     can't be served.
     """
     if row is None:
-        return Input.ABSENT
-    if not sound or row.state == SPENT:
-        return Input.BARE
-    if row.state == KEPT:
-        return Input.FOUND
-    if (row.node, row.life, row.turn) == (node, life, turn):
-        return Input.HELD
-    present, fenced = lives.get(row.node, (row.life, False))
-    return Input.BARE if fenced or row.life != present else Input.TAKEN
-
-
-def answer(
-    write: Write, there: Row | None, lives: dict[str, tuple[int, bool]], sound: bool = True
-) -> Word:
+        return RequestEvent.NOT_FOUND
+    if not sound or row.state == ROW_COMPLETED_WITHOUT_RESULT:
+        return RequestEvent.FOUND_NO_RESULT
+    if row.state == ROW_COMPLETED:
+        return RequestEvent.FOUND_RESULT
+    if (row.node, row.incarnation, row.claim_number) == (node, life, turn):
+        return RequestEvent.WRITE_APPLIED
+    present, fenced = lives.get(row.node, (row.incarnation, False))
+    return (
+        RequestEvent.FOUND_NO_RESULT
+        if fenced or row.incarnation != present
+        else RequestEvent.FOUND_CLAIMED
+    )
+
+
+def result_of_unapplied_write(
+    write: RecordWrite,
+    there: RecordRow | None,
+    lives: dict[str, tuple[int, bool]],
+    sound: bool = True,
+) -> WriteResult:
     """The word on a write that changed nothing, by the row that stands there."""
     row = write.row
-    how = whose(there, row.node, row.life, row.turn, lives, sound)
+    how = classify_row(there, row.node, row.incarnation, row.claim_number, lives, sound)
     if (
-        write.kind is Kind.FINISH
+        write.kind is WriteKind.FINISH
         and there is not None
         and sound
-        and (there.node, there.life, there.turn, there.state)
-        == (row.node, row.life, row.turn, row.state)
+        and (there.node, there.incarnation, there.claim_number, there.state)
+        == (row.node, row.incarnation, row.claim_number, row.state)
     ):
-        how = Input.HELD  # said again, after a word that was lost
-    return Word(how, there if how is Input.FOUND else None)
+        how = RequestEvent.WRITE_APPLIED  # said again, after a word that was lost
+    return WriteResult(how, there if how is RequestEvent.FOUND_RESULT else None)
 
 
-def applied(row: Row | None, write: Write, present: int) -> tuple[Row | None, bool]:
+def apply_write(
+    row: RecordRow | None, write: RecordWrite, present: int
+) -> tuple[RecordRow | None, bool]:
     """What stands at a mark after a write, and whether the write took hold: what each store's SQL
     must do.
 
@@ -119,17 +144,26 @@
     any more.
     """
     new = write.row
-    ours = row is not None and (row.node, row.life, row.state) == (new.node, new.life, BEGUN)
-    if write.kind in (Kind.LOOK, Kind.FIND):
+    ours = row is not None and (row.node, row.incarnation, row.state) == (
+        new.node,
+        new.incarnation,
+        ROW_STARTED,
+    )
+    if write.kind in (WriteKind.LOOK, WriteKind.FIND):
         return row, False
-    if write.kind in (Kind.CLAIM, Kind.INSERT) and new.life != present:
+    if write.kind in (WriteKind.CLAIM, WriteKind.INSERT) and new.incarnation != present:
         return row, False
-    if write.kind is Kind.CLAIM and row is not None and ours and row.turn <= new.turn:
+    if (
+        write.kind is WriteKind.CLAIM
+        and row is not None
+        and ours
+        and row.claim_number <= new.claim_number
+    ):
         return new, True
-    if write.kind in (Kind.CLAIM, Kind.INSERT):
+    if write.kind in (WriteKind.CLAIM, WriteKind.INSERT):
         return (new, True) if row is None else (row, False)
-    if row is None or not ours or row.turn != new.turn:
+    if row is None or not ours or row.claim_number != new.claim_number:
         return row, False
-    if write.kind is Kind.WITHDRAW:
+    if write.kind is WriteKind.WITHDRAW:
         return None, True
-    return row._replace(state=new.state, result=new.result, seal=new.seal), True
+    return row._replace(state=new.state, result=new.result, mac=new.mac), True
--- a/burlloom/record/sqlite.py
+++ b/burlloom/record/sqlite.py
@@ -19,13 +19,23 @@
 from typing import Any
 
 from ..signals import blocked
-from . import points, schema
-from .fate import Input
-from .recovery import Tick, shift
-from .rows import BEGUN, Kind, Row, Word, Write, answer, of_finish, of_withdraw
-from .seal import Sealer
-from .store import Done, Opened, Refused, Verdicts, deliver
-from .turns import WAIT, Turns, taken
+from . import failpoints as points
+from . import schema
+from .authentication import RowAuthenticator
+from .lock_retry import LOCK_TIMEOUT_S, LockRetry, is_lock_error
+from .recovery_rules import ClockReading, clock_shift
+from .request_lifecycle import RequestEvent
+from .rows import (
+    ROW_STARTED,
+    RecordRow,
+    RecordWrite,
+    WriteKind,
+    WriteResult,
+    of_finish,
+    of_withdraw,
+    result_of_unapplied_write,
+)
+from .store import StoreRefusedError, StoreSession, VerdictCallback, WriteCallback, deliver
 
 log = logging.getLogger(__name__)
 
@@ -44,52 +54,50 @@
 CLAIM = (
     f"INSERT INTO fate ({COLUMNS}) VALUES (?,?,?,?,?,?,?,?,?,?) ON CONFLICT (mark) DO UPDATE SET"
     " turn = excluded.turn, id = excluded.id, at = excluded.at, until = excluded.until, seal = excluded.seal"
-    f" WHERE state = {BEGUN} AND node = excluded.node AND life = excluded.life AND turn <= excluded.turn"
+    f" WHERE state = {ROW_STARTED} AND node = excluded.node AND life = excluded.life AND turn <= excluded.turn"
 )
 INSERT = f"INSERT INTO fate ({COLUMNS}) VALUES (?,?,?,?,?,?,?,?,?,?) ON CONFLICT (mark) DO NOTHING"
 FINISH = (
     "UPDATE fate SET state = ?, result = ?, seal = ? WHERE mark = ? AND node = ? AND life = ? AND turn = ?"
-    f" AND state = {BEGUN}"
-)
-WITHDRAW = (
-    f"DELETE FROM fate WHERE mark = ? AND node = ? AND life = ? AND turn = ? AND state = {BEGUN}"
+    f" AND state = {ROW_STARTED}"
 )
+WITHDRAW = f"DELETE FROM fate WHERE mark = ? AND node = ? AND life = ? AND turn = ? AND state = {ROW_STARTED}"
 LOOK = f"SELECT {COLUMNS} FROM fate WHERE mark = ?"
 ALL = f"SELECT {COLUMNS} FROM fate WHERE until > ?"
 KNOWN = (
     "SELECT mark, until FROM fate INDEXED BY fate_until WHERE until > ? AND typeof(mark) = 'blob'"
     " AND length(mark) = 16 AND typeof(until) = 'integer'"
 )  # off the index alone: the rows are far larger
-OPEN = f"SELECT {COLUMNS} FROM fate INDEXED BY fate_begun WHERE until > ? AND state = {BEGUN}"
+OPEN = f"SELECT {COLUMNS} FROM fate INDEXED BY fate_begun WHERE until > ? AND state = {ROW_STARTED}"
 PRUNE = "DELETE FROM fate WHERE rowid IN (SELECT rowid FROM fate WHERE until <= ? LIMIT ?)"
 
 
-Arguments = Callable[[Row], tuple[Any, ...]]
-STATEMENTS: dict[Kind, tuple[str, Arguments]] = {
-    Kind.CLAIM: (CLAIM, tuple),
-    Kind.INSERT: (INSERT, tuple),
-    Kind.FINISH: (FINISH, of_finish),
-    Kind.WITHDRAW: (WITHDRAW, of_withdraw),
+Arguments = Callable[[RecordRow], tuple[Any, ...]]
+STATEMENTS: dict[WriteKind, tuple[str, Arguments]] = {
+    WriteKind.CLAIM: (CLAIM, tuple),
+    WriteKind.INSERT: (INSERT, tuple),
+    WriteKind.FINISH: (FINISH, of_finish),
+    WriteKind.WITHDRAW: (WITHDRAW, of_withdraw),
 }
 
 
-def tick_now() -> Tick:
+def read_clocks() -> ClockReading:
     try:
         boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     except OSError:
         boot = ""
-    return Tick(boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME), time.time_ns())
+    return ClockReading(boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME), time.time_ns())
 
 
-def connect(path: Path, pages: int = 0, turns: Turns | None = None) -> sqlite3.Connection:
+def connect(path: Path, pages: int = 0, turns: LockRetry | None = None) -> sqlite3.Connection:
     """Of a record's file, made if there is none. Raises `Refused`, or what sqlite3 raises.
 
     `turns`: of whoever has each statement wait for the file's lock by them; without, SQLite waits
     for it.
     """
-    db = (turns or Turns()).take(lambda: connected(path, pages))
+    db = (turns or LockRetry()).run(lambda: connected(path, pages))
     if turns is None:
-        db.execute(f"PRAGMA busy_timeout = {WAIT * 1000:.0f}")
+        db.execute(f"PRAGMA busy_timeout = {LOCK_TIMEOUT_S * 1000:.0f}")
     return db
 
 
@@ -100,7 +108,7 @@
             path, isolation_level=None, check_same_thread=False, timeout=0.0, cached_statements=64
         )
     except sqlite3.OperationalError as error:
-        raise Refused(f"{path}: {error}") from error
+        raise StoreRefusedError(f"{path}: {error}") from error
     try:
         if fresh:
             os.chmod(path, 0o600)
@@ -113,7 +121,7 @@
             db.execute(f"PRAGMA application_id = {schema.APPLICATION}")
             (application,) = db.execute("PRAGMA application_id").fetchone()
         if application != schema.APPLICATION:
-            raise Refused(f"{path}: not a burlloom record but another program's database")
+            raise StoreRefusedError(f"{path}: not a burlloom record but another program's database")
         db.execute("PRAGMA journal_mode = WAL")
         db.execute("PRAGMA synchronous = FULL")
         db.execute(f"PRAGMA wal_autocheckpoint = {LOG_PAGES}")
@@ -127,18 +135,18 @@
     return db
 
 
-def migrate(db: sqlite3.Connection, path: Path, turns: Turns | None = None) -> tuple[int, ...]:
+def migrate(db: sqlite3.Connection, path: Path, turns: LockRetry | None = None) -> tuple[int, ...]:
     """The steps taken. Each looks anew under the lock: several processes may open one file at
     once.
     """
     done: list[int] = []
-    turns = turns or Turns()
+    turns = turns or LockRetry()
     while True:
-        turns.take(lambda: db.execute("BEGIN IMMEDIATE"))
+        turns.run(lambda: db.execute("BEGIN IMMEDIATE"))
         try:
             (have,) = db.execute("PRAGMA user_version").fetchone()
             if have > schema.LATEST:
-                raise Refused(
+                raise StoreRefusedError(
                     f"{path}: schema {have} is newer than {schema.LATEST}, the newest this program knows;"
                     " start the newer program, or restore a snapshot of the older one"
                 )
@@ -155,46 +163,52 @@
                 db.execute("ROLLBACK")
 
 
-class Sqlite:
+class SqliteStore:
     def __init__(
         self,
         path: Path,
-        sealer: Sealer,
+        sealer: RowAuthenticator,
         node: str,
         *,
         pages: int = 0,
         batch: int = BATCH_MOST,
         keep: int = 0,
-        tick: Callable[[], Tick] = tick_now,
+        tick: Callable[[], ClockReading] = read_clocks,
     ) -> None:
         """`pages`: the most pages the file may have, 0 for no bound of ours. `keep`: ns past a
         window's end.
         """
-        self.path, self.sealer, self.node, self.pages, self.batch = path, sealer, node, pages, batch
+        self.path, self.authenticator, self.node, self.pages, self.batch = (
+            path,
+            sealer,
+            node,
+            pages,
+            batch,
+        )
         self.keep, self.tick = keep, tick
-        self.life = 0
+        self.incarnation = 0
         self.shift = 0
         self.lock = -1
         self.db: sqlite3.Connection | None = None
-        self.posted: deque[tuple[Write, Done] | Callable[[], None]] = deque()
+        self.posted: deque[tuple[RecordWrite, WriteCallback] | Callable[[], None]] = deque()
         self.wake = threading.Event()
         self.stopping = False
         self.thread: threading.Thread | None = None
         self.loop: asyncio.AbstractEventLoop | None = None
-        self.commits = self.written = self.largest = self.pruned = 0
+        self.commit_count = self.write_count = self.largest_batch = self.pruned_rows = 0
         self.prune_at = 0
         self.version = 0
         self.free_pages = False
         self.look_at = 0.0
-        self.verdicts: Verdicts | None = None
-        self.turns = Turns()
+        self.on_verdict: VerdictCallback | None = None
+        self.turns = LockRetry()
 
     # Opening.
 
-    async def open(self) -> Opened:
+    async def open(self) -> StoreSession:
         return self.open_now()
 
-    def open_now(self) -> Opened:
+    def open_now(self) -> StoreSession:
         self.take_lock()
         try:
             self.db = connect(self.path, self.pages, self.turns)
@@ -202,16 +216,16 @@
             return self.begin_life(self.db, migrated)
         except sqlite3.DatabaseError as error:
             self.release()
-            if taken(error):
-                raise Refused(
-                    f"{self.path}: another process has held its lock for {self.turns.wait:g} s; start again"
+            if is_lock_error(error):
+                raise StoreRefusedError(
+                    f"{self.path}: another process has held its lock for {self.turns.timeout_s:g} s; start again"
                     " once that has ended"
                 ) from error
-            raise Refused(
+            raise StoreRefusedError(
                 f"{self.path}: {error}; the file is damaged or is no record. Nothing was changed: look at"
                 f" it with `burlloom record verify`, or restore a snapshot"
             ) from error
-        except Refused:
+        except StoreRefusedError:
             self.release()
             raise
 
@@ -226,12 +240,12 @@
             holder = os.pread(self.lock, 32, 0).decode("ascii", "replace").strip()
             os.close(self.lock)
             self.lock = -1
-            raise Refused(
+            raise StoreRefusedError(
                 f"{self.path}: in use by another process{f' ({holder})' if holder else ''}; one server"
                 " to a file"
             ) from error
         except OSError as error:
-            raise Refused(f"{self.path}: {error.strerror}") from error
+            raise StoreRefusedError(f"{self.path}: {error.strerror}") from error
         os.ftruncate(self.lock, 0)
         os.pwrite(self.lock, f"pid {os.getpid()}".encode(), 0)
 
@@ -243,28 +257,32 @@
             os.close(self.lock)
             self.lock = -1
 
-    def begin_life(self, db: sqlite3.Connection, migrated: tuple[int, ...]) -> Opened:
+    def begin_life(self, db: sqlite3.Connection, migrated: tuple[int, ...]) -> StoreSession:
         now = self.tick()
-        told = dict(self.turns.take(lambda: db.execute("SELECT name, value FROM meta").fetchall()))
+        told = dict(self.turns.run(lambda: db.execute("SELECT name, value FROM meta").fetchall()))
         then = (
-            Tick(told["boot"], int(told["steady"]), int(told["wall"])) if "wall" in told else None
+            ClockReading(told["boot"], int(told["steady"]), int(told["wall"]))
+            if "wall" in told
+            else None
         )
-        self.shift = shift(then, now)
+        self.shift = clock_shift(then, now)
         self.begin(db)
         if self.shift > 0:
             # Windows are kept by the wall clock: it went ahead, so their ends go along. The rows
             # say so of themselves from now on, or a further life would end them too early.
-            rows = [Row(*row) for row in db.execute(ALL, (then.wall if then else 0,))]
+            rows = [RecordRow(*row) for row in db.execute(ALL, (then.wall_ns if then else 0,))]
             db.executemany(
                 "UPDATE fate SET until = ?, seal = ? WHERE mark = ?",
                 [
                     (
-                        row.until + self.shift,
-                        self.sealer.seal(row._replace(until=row.until + self.shift)),
-                        row.mark,
+                        row.expires_at_ns + self.shift,
+                        self.authenticator.compute_mac(
+                            row._replace(expires_at_ns=row.expires_at_ns + self.shift)
+                        ),
+                        row.key_digest,
                     )
                     for row in rows
-                    if self.sealer.holds(row)
+                    if self.authenticator.is_authentic(row)
                 ],
             )
         db.execute(
@@ -272,38 +290,43 @@
             " fenced = 0",
             (self.node,),
         )
-        self.life, note = db.execute(
+        self.incarnation, note = db.execute(
             "SELECT life, note FROM node WHERE name = ?", (self.node,)
         ).fetchone()
         self.note_tick(db, now)
         db.execute("COMMIT")
-        return Opened(
-            self.node, self.life, self.shift, migrated, int(told.get("closed_until", 0)), note
+        return StoreSession(
+            self.node,
+            self.incarnation,
+            self.shift,
+            migrated,
+            int(told.get("closed_until", 0)),
+            note,
         )
 
     def begin(self, db: sqlite3.Connection) -> None:
         """A transaction that has the lock from its start: none of its statements waits for it."""
-        self.turns.take(lambda: db.execute("BEGIN IMMEDIATE"))
+        self.turns.run(lambda: db.execute("BEGIN IMMEDIATE"))
 
     @staticmethod
-    def note_tick(db: sqlite3.Connection, now: Tick) -> None:
+    def note_tick(db: sqlite3.Connection, now: ClockReading) -> None:
         db.executemany(
             "INSERT INTO meta (name, value) VALUES (?, ?) ON CONFLICT (name) DO UPDATE SET"
             " value = excluded.value",
-            [("boot", now.boot), ("steady", str(now.steady)), ("wall", str(now.wall))],
+            [("boot", now.boot_id), ("steady", str(now.monotonic_ns)), ("wall", str(now.wall_ns))],
         )
 
-    def known(self, now: int) -> Iterator[list[tuple[bytes, int]]]:
+    def read_recorded_keys(self, now: int) -> Iterator[list[tuple[bytes, int]]]:
         assert self.db is not None
         cursor = self.db.execute(KNOWN, (now - self.keep,))
         while rows := cursor.fetchmany(READ_AT_ONCE):
             yield rows
 
-    def begun(self, now: int) -> Iterator[Row]:
+    def read_started_rows(self, now: int) -> Iterator[RecordRow]:
         """What was begun and has no end, by whatever life of this node."""
         assert self.db is not None
         for row in self.db.execute(OPEN, (now - self.keep,)):
-            yield Row(*row)
+            yield RecordRow(*row)
 
     async def start(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -313,11 +336,11 @@
 
     # On the loop.
 
-    def post(self, write: Write, done: Done) -> None:
+    def submit(self, write: RecordWrite, done: WriteCallback) -> None:
         self.posted.append((write, done))
         self.wake.set()
 
-    def beat(self, now: int, done: Callable[[bool], None]) -> None:
+    def probe(self, now: int, done: Callable[[bool], None]) -> None:
         """A commit of its own, that tells whether the store works; `done` hears it on the loop."""
 
         def work() -> None:
@@ -337,14 +360,14 @@
         self.posted.append(work)
         self.wake.set()
 
-    def note(self, text: str) -> None:
+    def save_notice(self, text: str) -> None:
         def work() -> None:
             try:
                 assert (db := self.db) is not None
-                self.turns.take(
+                self.turns.run(
                     lambda: db.execute(
                         "UPDATE node SET note = ? WHERE name = ? AND life = ?",
-                        (text, self.node, self.life),
+                        (text, self.node, self.incarnation),
                     )
                 )
             except sqlite3.Error as error:
@@ -397,8 +420,8 @@
         except RuntimeError:
             pass  # the loop is gone, and whoever waited with it
 
-    def commit(self, batch: list[tuple[Write, Done]]) -> None:
-        words: list[Word] = []
+    def commit(self, batch: list[tuple[RecordWrite, WriteCallback]]) -> None:
+        words: list[WriteResult] = []
         db = self.db
         assert db is not None
         committing = False
@@ -421,24 +444,30 @@
             log.warning(
                 "event=record-write-failed count=%d sure=%s detail=%r", len(batch), sure, str(error)
             )
-            words = [Word(Input.LOST if sure else Input.UNSURE)] * len(batch)
+            words = [
+                WriteResult(RequestEvent.WRITE_FAILED if sure else RequestEvent.WRITE_UNCERTAIN)
+            ] * len(batch)
         except Exception:
             # Against an error of ours that would end the thread: every later charge would wait for
             # nobody.
             self.roll_back()
             log.exception("event=fault side=record")
-            words = [Word(Input.UNSURE if committing else Input.LOST)] * len(batch)
+            words = [
+                WriteResult(
+                    RequestEvent.WRITE_UNCERTAIN if committing else RequestEvent.WRITE_FAILED
+                )
+            ] * len(batch)
         self.moment(batch, "durable")
-        self.commits += 1
-        self.written += len(batch)
-        self.largest = max(self.largest, len(batch))
+        self.commit_count += 1
+        self.write_count += len(batch)
+        self.largest_batch = max(self.largest_batch, len(batch))
         self.hand(lambda: deliver(batch, words))
         self.look_for_verdicts(db)
         if self.free_pages:
             self.give_back(db)
 
-    def moment(self, batch: list[tuple[Write, Done]], name: str) -> None:
-        points.reached_by({write.kind.name.lower() for write, _ in batch}, name)
+    def moment(self, batch: list[tuple[RecordWrite, WriteCallback]], name: str) -> None:
+        points.hit_for_batch({write.kind.name.lower() for write, _ in batch}, name)
 
     def roll_back(self) -> None:
         try:
@@ -447,21 +476,23 @@
         except sqlite3.Error as error:
             log.warning("event=record-rollback-failed detail=%r", str(error))
 
-    def apply_all(self, db: sqlite3.Connection, writes: list[Write]) -> list[Word]:
+    def apply_all(self, db: sqlite3.Connection, writes: list[RecordWrite]) -> list[WriteResult]:
         """Those of one kind at a time where no mark is written twice: mostly all take hold, which a
         count tells.
         """
-        if len(writes) < BULK_LEAST or len({write.row.mark for write in writes}) < len(writes):
+        if len(writes) < BULK_LEAST or len({write.row.key_digest for write in writes}) < len(
+            writes
+        ):
             return [self.apply(db, write) for write in writes]
-        words: dict[int, Word] = {}
-        for kind in Kind:
+        words: dict[int, WriteResult] = {}
+        for kind in WriteKind:
             these = [at for at, write in enumerate(writes) if write.kind is kind]
             sql, arguments = STATEMENTS.get(kind, ("", None))
             if arguments is not None and these:
                 db.execute("SAVEPOINT bulk")
                 rows = [arguments(writes[at].row) for at in these]
                 if db.executemany(sql, rows).rowcount == len(rows):
-                    words.update(dict.fromkeys(these, Word(Input.HELD)))
+                    words.update(dict.fromkeys(these, WriteResult(RequestEvent.WRITE_APPLIED)))
                 else:
                     db.execute("ROLLBACK TO bulk")  # one by one, to learn which
                 db.execute("RELEASE bulk")
@@ -470,25 +501,27 @@
                     words[at] = self.apply(db, writes[at])
         return [words[at] for at in range(len(writes))]
 
-    def apply(self, db: sqlite3.Connection, write: Write) -> Word:
+    def apply(self, db: sqlite3.Connection, write: RecordWrite) -> WriteResult:
         row = write.row
         sql, arguments = STATEMENTS.get(write.kind, ("", None))
         done = db.execute(sql, arguments(row)).rowcount if arguments is not None else 0
         if done > 0:
-            return Word(Input.HELD)
-        there = db.execute(LOOK, (row.mark,)).fetchone()
-        found = Row(*there) if there is not None else None
-        sound = found is None or self.sealer.holds(found)
+            return WriteResult(RequestEvent.WRITE_APPLIED)
+        there = db.execute(LOOK, (row.key_digest,)).fetchone()
+        found = RecordRow(*there) if there is not None else None
+        sound = found is None or self.authenticator.is_authentic(found)
         if not sound:
-            log.error("event=record-altered mark=%s", row.mark.hex())
-        return answer(write, found, {self.node: (self.life, False)}, sound)
+            log.error("event=record-altered mark=%s", row.key_digest.hex())
+        return result_of_unapplied_write(
+            write, found, {self.node: (self.incarnation, False)}, sound
+        )
 
     def prune(self, now: int) -> None:
         db = self.db
         assert db is not None
         gone = db.execute(PRUNE, (now - self.keep, PRUNE_ROWS)).rowcount
         if gone > 0:
-            self.pruned += gone
+            self.pruned_rows += gone
             db.execute("DELETE FROM verdict WHERE mark NOT IN (SELECT mark FROM fate)")
             self.free_pages = True
 
@@ -497,7 +530,7 @@
         self.free_pages = False
         try:
             # `execute` takes one step of it: a page.
-            self.turns.take(
+            self.turns.run(
                 lambda: db.executescript(f"PRAGMA incremental_vacuum({GIVE_BACK_PAGES})")
             )
         except sqlite3.Error as error:
@@ -511,14 +544,14 @@
             return
         self.look_at = time.monotonic() + LOOK_EVERY
         try:
-            (version,) = self.turns.take(lambda: db.execute("PRAGMA data_version").fetchone())
-            if version == self.version or self.verdicts is None:
+            (version,) = self.turns.run(lambda: db.execute("PRAGMA data_version").fetchone())
+            if version == self.version or self.on_verdict is None:
                 return
-            said = self.turns.take(
+            said = self.turns.run(
                 lambda: db.execute("SELECT mark, life, turn, ran FROM verdict").fetchall()
             )
             self.version = version
             for mark, life, turn, ran in said:
-                self.hand(partial(self.verdicts, mark, life, turn, bool(ran)))
+                self.hand(partial(self.on_verdict, mark, life, turn, bool(ran)))
         except sqlite3.Error as error:
             log.warning("event=record-look-failed detail=%r", str(error))
--- a/burlloom/record/admin.py
+++ b/burlloom/record/sqlite_admin.py
@@ -16,17 +16,17 @@
 from typing import Any
 
 from . import schema
-from .rows import BEGUN, NAMES, SPENT, Row
-from .seal import Sealer
-from .sqlite import COLUMNS, INSERT, Sqlite, connect, migrate
-from .store import Refused
+from .authentication import RowAuthenticator
+from .rows import ROW_COMPLETED_WITHOUT_RESULT, ROW_STARTED, ROW_STATE_NAMES, RecordRow
+from .sqlite import COLUMNS, INSERT, SqliteStore, connect, migrate
+from .store import StoreRefusedError
 
 SECOND = 1_000_000_000
 MERGE_AT_ONCE = 500
 
 
 @dataclass(slots=True)
-class Stats:
+class RecordStats:
     schema: int
     nodes: dict[str, int]
     rows: dict[str, int]
@@ -42,59 +42,61 @@
 
 
 @dataclass(slots=True)
-class Findings:
+class VerificationReport:
     """What `verify` found; `faults` is empty where all is well."""
 
-    rows: int = 0
+    row_count: int = 0
     faults: list[str] = field(default_factory=list)
 
 
-class Admin:
+class SqliteRecordAdmin:
     """One SQLite record. Raises `Refused` with what is wrong and what to do."""
 
-    def __init__(self, path: Path, sealer: Sealer) -> None:
-        self.path, self.sealer = path, sealer
+    def __init__(self, path: Path, sealer: RowAuthenticator) -> None:
+        self.path, self.authenticator = path, sealer
 
     # Looks.
 
     @contextmanager
-    def reading(self) -> Iterator[sqlite3.Connection]:
+    def open_for_reading(self) -> Iterator[sqlite3.Connection]:
         if not self.path.is_file():
-            raise Refused(f"{self.path}: no such file; `burlloom record init` makes one")
+            raise StoreRefusedError(f"{self.path}: no such file; `burlloom record init` makes one")
         try:
             with closing(sqlite3.connect(f"file:{self.path}?mode=ro", uri=True, timeout=5.0)) as db:
                 self.check(db)
                 yield db
         except sqlite3.DatabaseError as error:
-            raise Refused(f"{self.path}: {error}") from error
+            raise StoreRefusedError(f"{self.path}: {error}") from error
 
     @contextmanager
-    def writing(self) -> Iterator[sqlite3.Connection]:
-        with self.reading():
+    def open_for_writing(self) -> Iterator[sqlite3.Connection]:
+        with self.open_for_reading():
             pass
         try:
             with closing(sqlite3.connect(self.path, isolation_level=None, timeout=5.0)) as db:
                 db.execute("PRAGMA synchronous = FULL")
                 yield db
         except sqlite3.DatabaseError as error:
-            raise Refused(f"{self.path}: {error}") from error
+            raise StoreRefusedError(f"{self.path}: {error}") from error
 
     def check(self, db: sqlite3.Connection) -> None:
         (application,) = db.execute("PRAGMA application_id").fetchone()
         (have,) = db.execute("PRAGMA user_version").fetchone()
         if application != schema.APPLICATION:
-            raise Refused(f"{self.path}: not a burlloom record but another program's database")
+            raise StoreRefusedError(
+                f"{self.path}: not a burlloom record but another program's database"
+            )
         if have > schema.LATEST:
-            raise Refused(
+            raise StoreRefusedError(
                 f"{self.path}: schema {have} is newer than {schema.LATEST}, the newest this program knows"
             )
         if have < schema.LATEST:
-            raise Refused(
+            raise StoreRefusedError(
                 f"{self.path}: schema {have} is older than {schema.LATEST}; `burlloom record migrate` takes"
                 " the steps between, and so does a server when it starts"
             )
 
-    def served(self) -> bool:
+    def is_served(self) -> bool:
         """Whether a server has the file."""
         try:
             handle = os.open(f"{self.path}.lock", os.O_RDWR)
@@ -109,19 +111,19 @@
             os.close(handle)
 
     @contextmanager
-    def alone(self, what: str) -> Iterator[None]:
-        holder = Sqlite(self.path, self.sealer, "-")
+    def exclusive(self, what: str) -> Iterator[None]:
+        holder = SqliteStore(self.path, self.authenticator, "-")
         try:
             holder.take_lock()
-        except Refused as error:
-            raise Refused(f"{error}: stop it before you {what}") from error
+        except StoreRefusedError as error:
+            raise StoreRefusedError(f"{error}: stop it before you {what}") from error
         try:
             yield
         finally:
             holder.release()
 
-    def stats(self, now: int) -> Stats:
-        with self.reading() as db:
+    def stats(self, now: int) -> RecordStats:
+        with self.open_for_reading() as db:
             nodes = dict(db.execute("SELECT name, life FROM node").fetchall())
             counted = dict(db.execute("SELECT state, count(*) FROM fate GROUP BY state").fetchall())
             first, last, size = db.execute(
@@ -133,11 +135,11 @@
                 for name in ("page_count", "freelist_count", "page_size", "user_version")
             )
             closed = db.execute("SELECT value FROM meta WHERE name = 'closed_until'").fetchone()
-        doubts = sum(1 for _ in self.doubts(now))
-        return Stats(
+        doubts = sum(1 for _ in self.list_in_doubt(now))
+        return RecordStats(
             version,
             nodes,
-            {name: counted.get(state, 0) for state, name in NAMES.items()},
+            {name: counted.get(state, 0) for state, name in ROW_STATE_NAMES.items()},
             doubts,
             over,
             first or 0,
@@ -145,146 +147,156 @@
             int(size),
             pages * page,
             free * page,
-            self.served(),
+            self.is_served(),
             int(closed[0]) if closed else 0,
         )
 
-    def rows(self, where: str = "1", values: tuple[Any, ...] = ()) -> Iterator[Row]:
-        with self.reading() as db:
+    def read_rows(self, where: str = "1", values: tuple[Any, ...] = ()) -> Iterator[RecordRow]:
+        with self.open_for_reading() as db:
             for row in db.execute(
                 f"SELECT {COLUMNS} FROM fate WHERE {where} ORDER BY until", values
             ):
-                yield Row(*row)
+                yield RecordRow(*row)
 
-    def doubts(self, now: int) -> Iterator[tuple[Row, str]]:
+    def list_in_doubt(self, now: int) -> Iterator[tuple[RecordRow, str]]:
         """Begun by a life that is over, with no end and the window not over; and the verdict that
         waits, if any.
 
         Where no server has the file, the life that is written there is over too.
         """
-        with self.reading() as db:
+        with self.open_for_reading() as db:
             lives = dict(db.execute("SELECT name, life FROM node").fetchall())
             said = {
                 mark: "ran" if ran else "never ran"
                 for mark, ran in db.execute("SELECT mark, ran FROM verdict")
             }
-        served = self.served()
-        for row in self.rows(f"state = {BEGUN} AND until > ?", (now,)):
-            if not served or row.life != lives.get(row.node):
-                yield row, said.get(row.mark, "")
+        served = self.is_served()
+        for row in self.read_rows(f"state = {ROW_STARTED} AND until > ?", (now,)):
+            if not served or row.incarnation != lives.get(row.node):
+                yield row, said.get(row.key_digest, "")
 
-    def verify(self) -> Findings:
+    def verify(self) -> VerificationReport:
         """The file's own structure, and the seal of each row."""
-        found = Findings()
-        with self.reading() as db:
+        found = VerificationReport()
+        with self.open_for_reading() as db:
             for (said,) in db.execute("PRAGMA integrity_check(20)"):
                 if said != "ok":
                     found.faults.append(f"structure: {said}")
-        for row in self.rows():
-            found.rows += 1
-            if not self.sealer.holds(row):
-                name = row.mark.hex() if isinstance(row.mark, bytes) else repr(row.mark)
+        for row in self.read_rows():
+            found.row_count += 1
+            if not self.authenticator.is_authentic(row):
+                name = (
+                    row.key_digest.hex()
+                    if isinstance(row.key_digest, bytes)
+                    else repr(row.key_digest)
+                )
                 found.faults.append(
                     f"mark {name}: its seal does not hold; it was altered, or sealed by another key"
                 )
         return found
 
     def export(self) -> Iterator[dict[str, Any]]:
-        for row in self.rows():
+        for row in self.read_rows():
             yield {
-                "mark": row.mark.hex(),
-                "state": NAMES.get(row.state, row.state),
+                "mark": row.key_digest.hex(),
+                "state": ROW_STATE_NAMES.get(row.state, row.state),
                 "node": row.node,
-                "life": row.life,
-                "turn": row.turn,
-                "id": row.id,
-                "at": row.at,
-                "until": row.until,
+                "life": row.incarnation,
+                "turn": row.claim_number,
+                "id": row.request_id,
+                "at": row.started_at_ns,
+                "until": row.expires_at_ns,
                 "result": row.result.hex(),
-                "sound": self.sealer.holds(row),
+                "sound": self.authenticator.is_authentic(row),
             }
 
     # Changes.
 
     def resolve(self, mark: bytes, ran: bool, reason: str, now: int) -> str:
         """An operator's word on a doubt; what was done with it."""
-        doubt = next((row for row, _ in self.doubts(now) if row.mark == mark), None)
+        doubt = next((row for row, _ in self.list_in_doubt(now) if row.key_digest == mark), None)
         if doubt is None:
-            raise Refused(
+            raise StoreRefusedError(
                 f"mark {mark.hex()} is not in doubt; `burlloom record doubts` lists those that are"
             )
-        served = self.served()
-        with self.writing() as db:
+        served = self.is_served()
+        with self.open_for_writing() as db:
             db.execute("BEGIN IMMEDIATE")
             db.execute(
                 "INSERT INTO verdict (mark, life, turn, ran, said_at, reason) VALUES (?,?,?,?,?,?)"
                 " ON CONFLICT (mark) DO UPDATE SET life = excluded.life, turn = excluded.turn,"
                 " ran = excluded.ran, said_at = excluded.said_at, reason = excluded.reason",
-                (mark, doubt.life, doubt.turn, int(ran), now, reason),
+                (mark, doubt.incarnation, doubt.claim_number, int(ran), now, reason),
             )
             if not served:
                 self.apply(db, doubt, ran)
             db.execute("COMMIT")
         return "the server takes it up within a second" if served else "done"
 
-    def apply(self, db: sqlite3.Connection, doubt: Row, ran: bool) -> None:
+    def apply(self, db: sqlite3.Connection, doubt: RecordRow, ran: bool) -> None:
         if ran:
-            spent = doubt._replace(state=SPENT)
+            spent = doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)
             db.execute(
                 "UPDATE fate SET state = ?, seal = ? WHERE mark = ? AND life = ? AND turn = ?",
-                (SPENT, self.sealer.seal(spent), doubt.mark, doubt.life, doubt.turn),
+                (
+                    ROW_COMPLETED_WITHOUT_RESULT,
+                    self.authenticator.compute_mac(spent),
+                    doubt.key_digest,
+                    doubt.incarnation,
+                    doubt.claim_number,
+                ),
             )
         else:
             db.execute(
                 "DELETE FROM fate WHERE mark = ? AND life = ? AND turn = ?",
-                (doubt.mark, doubt.life, doubt.turn),
+                (doubt.key_digest, doubt.incarnation, doubt.claim_number),
             )
 
     def init(self, node: str) -> None:
         if self.path.exists():
-            raise Refused(f"{self.path}: exists already")
+            raise StoreRefusedError(f"{self.path}: exists already")
         self.migrate(node)
 
     def migrate(self, node: str) -> tuple[int, ...]:
         """The steps that were taken; makes the file where there is none."""
-        store = Sqlite(self.path, self.sealer, node)
+        store = SqliteStore(self.path, self.authenticator, node)
         store.take_lock()
         try:
             db = store.db = connect(self.path)
             return migrate(db, self.path)
         except sqlite3.DatabaseError as error:
-            raise Refused(f"{self.path}: {error}") from error
+            raise StoreRefusedError(f"{self.path}: {error}") from error
         finally:
             store.release()
 
     def compact(self) -> tuple[int, int]:
         """Bytes before and after."""
-        with self.alone("compact it"), self.writing() as db:
+        with self.exclusive("compact it"), self.open_for_writing() as db:
             before = self.path.stat().st_size
             db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
             db.execute("VACUUM")
             db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
         return before, self.path.stat().st_size
 
-    def snapshot(self, to: Path) -> Findings:
+    def snapshot(self, to: Path) -> VerificationReport:
         """A whole copy of one moment, also while a server writes; verified before it gets its
         name.
         """
         if to.exists():
-            raise Refused(f"{to}: exists already")
+            raise StoreRefusedError(f"{to}: exists already")
         part = to.with_name(to.name + ".part")
         part.unlink(missing_ok=True)
         try:
-            with self.reading() as db, closing(sqlite3.connect(part)) as copy:
+            with self.open_for_reading() as db, closing(sqlite3.connect(part)) as copy:
                 db.backup(copy)
                 copy.execute("PRAGMA journal_mode = DELETE")
         except (sqlite3.Error, OSError) as error:
             part.unlink(missing_ok=True)
-            raise Refused(f"{to}: {error}") from error
-        found = Admin(part, self.sealer).verify()
+            raise StoreRefusedError(f"{to}: {error}") from error
+        found = SqliteRecordAdmin(part, self.authenticator).verify()
         if found.faults:
             part.unlink()
-            raise Refused(
+            raise StoreRefusedError(
                 f"{to}: the copy does not verify: {found.faults[0]} ({len(found.faults)} in all)"
             )
         sync(part)
@@ -301,15 +313,15 @@
         claims: a repeat of what had ended gets its first answer, and of what a former life had
         begun it is voided, as it is after a start.
         """
-        copy = Admin(source, self.sealer)
+        copy = SqliteRecordAdmin(source, self.authenticator)
         found = copy.verify()
         if found.faults:
-            raise Refused(
+            raise StoreRefusedError(
                 f"{source}: {found.faults[0]} ({len(found.faults)} faults in all); nothing was changed"
             )
-        rows = [tuple(row) for row in copy.rows("until > ?", (now,))]
+        rows = [tuple(row) for row in copy.read_rows("until > ?", (now,))]
         added = 0
-        with self.writing() as db:
+        with self.open_for_writing() as db:
             for start in range(
                 0, len(rows), MERGE_AT_ONCE
             ):  # the server's own commits wait for no more than these
@@ -327,17 +339,17 @@
         the record stays closed for charges for one whole window. `nothing_lost`: the operator knows
         that nothing ran since.
         """
-        copy = Admin(source, self.sealer)
+        copy = SqliteRecordAdmin(source, self.authenticator)
         found = copy.verify()
         if found.faults:
-            raise Refused(
+            raise StoreRefusedError(
                 f"{source}: {found.faults[0]} ({len(found.faults)} faults in all); nothing was changed"
             )
-        with self.alone("restore it"):
+        with self.exclusive("restore it"):
             part = self.path.with_name(self.path.name + ".part")
             part.unlink(missing_ok=True)
             with (
-                copy.reading() as db,
+                copy.open_for_reading() as db,
                 closing(sqlite3.connect(part, isolation_level=None)) as fresh,
             ):
                 db.backup(fresh)
@@ -386,5 +398,5 @@
         os.close(handle)
 
 
-def clock_text(at: int) -> str:
+def format_time(at: int) -> str:
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(at // SECOND)) if at else "-"
--- a/burlloom/record/store.py
+++ b/burlloom/record/store.py
@@ -5,27 +5,27 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from .rows import Row, Word, Write
+from .rows import RecordRow, RecordWrite, WriteResult
 
 log = logging.getLogger(__name__)
-Done = Callable[[Word], None]
-Verdicts = Callable[
+WriteCallback = Callable[[WriteResult], None]
+VerdictCallback = Callable[
     [bytes, int, int, bool], None
 ]  # mark, life and turn of the claim, whether it ran
 
 
-class Refused(Exception):
+class StoreRefusedError(Exception):
     """The store can't be used as it is; one line that says why and what to do."""
 
 
-class Away(Exception):
+class StoreUnavailableError(Exception):
     """The store can't be reached, or nobody knows whether it took what was written: read before you
     act.
     """
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class StoreSession:
     """Who we are in the store from now on.
 
     `shift` is by how much the clock was stepped since it was last used. Until `closed_until`
@@ -34,45 +34,47 @@
     """
 
     node: str
-    life: int
-    shift: int
+    incarnation: int
+    clock_shift_ns: int
     migrated: tuple[int, ...] = ()
-    closed_until: int = 0
-    note: str = ""
+    closed_until_ns: int = 0
+    previous_notice: str = ""
 
 
-class Store(Protocol):
+class RecordStore(Protocol):
     """`open`, `known` and `begun`, then `start`; from then on only `post` and `close`.
 
     Writes take hold in the order in which they were posted. `done` is called on the loop, once for
     each write, unless the store hangs: whoever posts keeps its own time.
     """
 
-    commits: int
-    written: int
-    largest: int
-    pruned: int
-    verdicts: Verdicts | None  # called for each doubt that an operator resolved, more than once
+    commit_count: int
+    write_count: int
+    largest_batch: int
+    pruned_rows: int
+    on_verdict: (
+        VerdictCallback | None
+    )  # called for each doubt that an operator resolved, more than once
 
-    async def open(self) -> Opened: ...
-    def known(self, now: int) -> Iterator[list[tuple[bytes, int]]]:
+    async def open(self) -> StoreSession: ...
+    def read_recorded_keys(self, now: int) -> Iterator[list[tuple[bytes, int]]]:
         """Mark and end of window of all rows of this node; what they ended with stays there until
         it is asked for.
         """
 
-    def begun(self, now: int) -> Iterator[Row]:
+    def read_started_rows(self, now: int) -> Iterator[RecordRow]:
         """Those without an end, by whatever life of this node."""
 
     async def start(self) -> None: ...
-    def post(self, write: Write, done: Done) -> None: ...
-    def beat(self, now: int, done: Callable[[bool], None]) -> None: ...
-    def note(self, text: str) -> None:
+    def submit(self, write: RecordWrite, done: WriteCallback) -> None: ...
+    def probe(self, now: int, done: Callable[[bool], None]) -> None: ...
+    def save_notice(self, text: str) -> None:
         """Leaves a word to this node's next life; where it can't be written now, it is not."""
 
     async def close(self) -> None: ...
 
 
-def deliver(batch: list[tuple[Write, Done]], words: list[Word]) -> None:
+def deliver(batch: list[tuple[RecordWrite, WriteCallback]], words: list[WriteResult]) -> None:
     """An error of one that is told must not keep the word from the rest."""
     for (_, done), word in zip(batch, words, strict=True):
         try:
--- a/burlloom/recovery/__init__.py
+++ b/burlloom/recovery/__init__.py
@@ -4,23 +4,31 @@
 Without I/O, and importable alone; `server/recovering.py` has the file and the clock.
 """
 
-from .kept import Kept, Verdict, judge, read, write
-from .ramp import Ramp
-from .recovery import Recovery, Terms
-from .retries import Retries
-from .start import Input, Start, State
+from .bootstrap import Bootstrap, BootstrapEvent, BootstrapState
+from .controller import RecoveryController, RecoveryPolicy
+from .retry_budget import RetryBudget
+from .slow_start import SlowStart
+from .snapshot import (
+    RecoverySnapshot,
+    SnapshotValidity,
+    limit_members,
+    parse_snapshot,
+    serialize_snapshot,
+    validate_snapshot,
+)
 
 __all__ = [
-    "Input",
-    "Kept",
-    "Ramp",
-    "Recovery",
-    "Retries",
-    "Start",
-    "State",
-    "Terms",
-    "Verdict",
-    "judge",
-    "read",
-    "write",
+    "BootstrapEvent",
+    "RecoverySnapshot",
+    "SlowStart",
+    "RecoveryController",
+    "RetryBudget",
+    "Bootstrap",
+    "BootstrapState",
+    "RecoveryPolicy",
+    "SnapshotValidity",
+    "validate_snapshot",
+    "limit_members",
+    "parse_snapshot",
+    "serialize_snapshot",
 ]
--- a/burlloom/recovery/start.py
+++ b/burlloom/recovery/bootstrap.py
@@ -14,17 +14,17 @@
 from enum import IntEnum
 
 from ..tables import rows
-from .kept import Verdict
+from .snapshot import SnapshotValidity
 
 
-class State(IntEnum):
+class BootstrapState(IntEnum):
     READING = 0
     ASKING = 1
     COLD = 2
     WARM = 3
 
 
-class Input(IntEnum):
+class BootstrapEvent(IntEnum):
     KEPT_GOOD = 0
     KEPT_BAD = 1  # torn, another's, of the future
     KEPT_OLD = 2
@@ -56,27 +56,27 @@
 """
 
 OF_VERDICT = {
-    Verdict.GOOD: Input.KEPT_GOOD,
-    Verdict.OLD: Input.KEPT_OLD,
-    Verdict.MISSING: Input.KEPT_NONE,
-    Verdict.TORN: Input.KEPT_BAD,
-    Verdict.FOREIGN: Input.KEPT_BAD,
-    Verdict.FUTURE: Input.KEPT_BAD,
+    SnapshotValidity.GOOD: BootstrapEvent.KEPT_GOOD,
+    SnapshotValidity.OLD: BootstrapEvent.KEPT_OLD,
+    SnapshotValidity.MISSING: BootstrapEvent.KEPT_NONE,
+    SnapshotValidity.TORN: BootstrapEvent.KEPT_BAD,
+    SnapshotValidity.FOREIGN: BootstrapEvent.KEPT_BAD,
+    SnapshotValidity.FUTURE: BootstrapEvent.KEPT_BAD,
 }
 
 
-class Start:
+class Bootstrap:
     """`lonely`: there are neither peers nor a store to ask. `clean`: the life that wrote had
     drained. Times in ns.
     """
 
     def __init__(self, lonely: bool, clean: bool, window: int) -> None:
-        self.lonely_here, self.clean, self.window = lonely, clean, window
-        self.state = State.READING
-        self.fenced_until = 0
-        self.used = False
+        self.has_no_peers, self.was_drained, self.idempotency_window_ns = lonely, clean, window
+        self.state = BootstrapState.READING
+        self.fenced_until_ns = 0
+        self.uses_snapshot = False
 
-    def meet(self, what: Input, now: int) -> str:
+    def handle(self, what: BootstrapEvent, now: int) -> str:
         """Gives the effect; empty where no row holds."""
         for test, state, effect in RULES.get((self.state, what), ()):
             if test(self):
@@ -86,7 +86,7 @@
         return ""
 
     def lonely(self) -> bool:
-        return self.lonely_here
+        return self.has_no_peers
 
     # Effects.
 
@@ -94,25 +94,27 @@
         pass
 
     def use(self, now: int) -> None:
-        self.used = True
+        self.uses_snapshot = True
 
     def fence(self, now: int) -> None:
         """A life that we know nothing of ended before now: what it ran is within its window until
         then.
         """
-        self.used = False
-        self.fenced_until = max(self.fenced_until, now + self.window)
+        self.uses_snapshot = False
+        self.fenced_until_ns = max(self.fenced_until_ns, now + self.idempotency_window_ns)
 
     def fence_unclean(self, now: int) -> None:
-        if not self.clean:
-            self.fenced_until = max(self.fenced_until, now + self.window)
+        if not self.was_drained:
+            self.fenced_until_ns = max(self.fenced_until_ns, now + self.idempotency_window_ns)
 
 
-Test = Callable[[Start], bool]
+Test = Callable[[Bootstrap], bool]
 
 
 def _test(name: str) -> Test:
-    return (lambda start: True) if name == "-" else getattr(Start, name)
+    return (lambda start: True) if name == "-" else getattr(Bootstrap, name)
 
 
-RULES = rows(TABLE, State, Input, _test, lambda name: "nothing" if name == "-" else name)
+RULES = rows(
+    TABLE, BootstrapState, BootstrapEvent, _test, lambda name: "nothing" if name == "-" else name
+)
--- a/burlloom/recovery/retries.py
+++ b/burlloom/recovery/retry_budget.py
@@ -8,7 +8,7 @@
 """
 
 
-class Retries:
+class RetryBudget:
     """`part`: how many retries for each first try; `few` a second are taken whatever comes."""
 
     BUCKETS = 10
@@ -18,7 +18,7 @@
         self.part, self.few, self.width = part, few * span / 1e9, max(1, span // self.BUCKETS)
         self.firsts, self.retries = [0] * self.BUCKETS, [0] * self.BUCKETS
         self.last = 0
-        self.refused = 0
+        self.rejected = 0
 
     def turn(self, now: int) -> int:
         bucket = now // self.width
@@ -28,14 +28,14 @@
             self.last = bucket
         return self.last % self.BUCKETS
 
-    def over(self, now: int, retry: bool) -> bool:
+    def is_over_budget(self, now: int, retry: bool) -> bool:
         """Counts one that was read; whether it is past the budget."""
         at = self.turn(now)
         if not retry:
             self.firsts[at] += 1
             return False
         if sum(self.retries) + 1 > self.few + self.part * sum(self.firsts):
-            self.refused += 1
+            self.rejected += 1
             return True
         self.retries[at] += 1
         return False
--- a/burlloom/recovery/ramp.py
+++ b/burlloom/recovery/slow_start.py
@@ -13,13 +13,13 @@
 from ..tables import rows
 
 
-class State(IntEnum):
+class SlowStartState(IntEnum):
     RISE = 0
     HOLD = 1
     FULL = 2
 
 
-class Input(IntEnum):
+class StepOutcome(IntEnum):
     WELL = 0  # calls of this step came back well
     PUSHED = 1  # too many were refused, failed or late
     QUIET = 2  # too few were made to say anything
@@ -38,18 +38,18 @@
 REST = 20  # steps without a call that matters: there is nothing to be careful of
 
 
-class Ramp:
+class SlowStart:
     """`start`, and `most` as it is told each round: calls in hand. `step` in ns."""
 
     def __init__(self, start: float, least: float, step: int, now: int) -> None:
-        self.cap, self.least, self.step = max(start, least), least, step
-        self.state = State.RISE
-        self.moved = now
-        self.most = float("inf")
+        self.cap, self.min_cap, self.step_ns = max(start, least), least, step
+        self.state = SlowStartState.RISE
+        self.changed_at_ns = now
+        self.call_quota = float("inf")
 
-    def round(self, now: int, what: Input, most: float) -> bool:
+    def tick(self, now: int, what: StepOutcome, most: float) -> bool:
         """Once a round; `most`: what we may have at all. Whether the cap changed."""
-        self.most = most
+        self.call_quota = most
         for test, state, effect in RULES.get((self.state, what), ()):
             if test(self, now):
                 before, self.state = self.cap, state
@@ -57,55 +57,55 @@
                 return self.cap != before
         return False
 
-    def warm(self, cap: float) -> bool:
+    def raise_initial_cap(self, cap: float) -> bool:
         """A hint of a former life lifts the beginning, once, and only while nothing speaks against
         it.
         """
-        if self.state is not State.RISE or cap <= self.cap:
+        if self.state is not SlowStartState.RISE or cap <= self.cap:
             return False
         self.cap = cap
         return True
 
     @property
-    def full(self) -> bool:
-        return self.state is State.FULL
+    def is_complete(self) -> bool:
+        return self.state is SlowStartState.FULL
 
     # Tests.
 
     def stepped(self, now: int) -> bool:
-        return now - self.moved >= self.step
+        return now - self.changed_at_ns >= self.step_ns
 
     def held(self, now: int) -> bool:
-        return now - self.moved >= 2 * self.step
+        return now - self.changed_at_ns >= 2 * self.step_ns
 
     def covered(self, now: int) -> bool:
-        return self.stepped(now) and self.cap >= self.most
+        return self.stepped(now) and self.cap >= self.call_quota
 
     def rested(self, now: int) -> bool:
-        return now - self.moved >= REST * self.step
+        return now - self.changed_at_ns >= REST * self.step_ns
 
     # Effects.
 
     def widen(self, now: int) -> None:
-        self.cap, self.moved = 2 * self.cap, now
+        self.cap, self.changed_at_ns = 2 * self.cap, now
 
     def narrow(self, now: int) -> None:
-        self.cap, self.moved = max(self.least, self.cap / 2), now
+        self.cap, self.changed_at_ns = max(self.min_cap, self.cap / 2), now
 
     def free(self, now: int) -> None:
         self.cap = float("inf")
 
 
-Test = Callable[[Ramp, int], bool]
-Effect = Callable[[Ramp, int], None]
+Test = Callable[[SlowStart, int], bool]
+Effect = Callable[[SlowStart, int], None]
 
 
 def _test(name: str) -> Test:
-    return (lambda ramp, now: True) if name == "-" else getattr(Ramp, name)
+    return (lambda ramp, now: True) if name == "-" else getattr(SlowStart, name)
 
 
 def _effect(name: str) -> Effect:
-    return (lambda ramp, now: None) if name == "-" else getattr(Ramp, name)
+    return (lambda ramp, now: None) if name == "-" else getattr(SlowStart, name)
 
 
-RULES = rows(TABLE, State, Input, _test, _effect)
+RULES = rows(TABLE, SlowStartState, StepOutcome, _test, _effect)
--- a/burlloom/recovery/kept.py
+++ b/burlloom/recovery/snapshot.py
@@ -9,7 +9,7 @@
 import hashlib
 import json
 from collections.abc import Sequence
-from dataclasses import asdict, dataclass, fields
+from dataclasses import dataclass
 from enum import IntEnum
 from typing import Any
 
@@ -18,7 +18,7 @@
 MEMBERS_MOST = 64  # addresses of others that are kept: some of them will be there
 
 
-class Verdict(IntEnum):
+class SnapshotValidity(IntEnum):
     """The first of these that is true."""
 
     MISSING = 0
@@ -30,23 +30,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class RecoverySnapshot:
     """`life`: Unix ms, of the life that wrote it, `told_at` when; `record_life`: of the store of
     record, -1 for none; `share` in calls; `clean`: it drained, so that nothing was in doubt when it
     went.
     """
 
     node: str
-    life: int
-    told_at: int
-    record_life: int
-    share: float
-    clean: bool
-    members: tuple[str, ...]
-
-
-def write(kept: Kept) -> str:
-    body = json.dumps({"version": VERSION, **asdict(kept)}, sort_keys=True, separators=(",", ":"))
+    incarnation: int
+    written_at_ms: int
+    record_incarnation: int
+    call_share: float
+    was_drained: bool
+    peer_addresses: tuple[str, ...]
+
+
+STORED_NAMES = {
+    "node": "node",
+    "life": "incarnation",
+    "told_at": "written_at_ms",
+    "record_life": "record_incarnation",
+    "share": "call_share",
+    "clean": "was_drained",
+    "members": "peer_addresses",
+}
+
+
+def serialize_snapshot(kept: RecoverySnapshot) -> str:
+    stored = {name: getattr(kept, field) for name, field in STORED_NAMES.items()}
+    body = json.dumps({"version": VERSION, **stored}, sort_keys=True, separators=(",", ":"))
     return json.dumps({"kept": body, "sum": total(body)}) + "\n"
 
 
@@ -54,27 +66,27 @@
     return hashlib.blake2b(body.encode(), digest_size=16, person=b"burlloom-kept").hexdigest()
 
 
-def read(text: str | None) -> Kept | Verdict:
+def parse_snapshot(text: str | None) -> RecoverySnapshot | SnapshotValidity:
     """What was written, or MISSING, or TORN."""
     if text is None:
-        return Verdict.MISSING
+        return SnapshotValidity.MISSING
     try:
         got = json.loads(text[:TEXT_MOST])
         body = got["kept"]
         if got["sum"] != total(body):
-            return Verdict.TORN
+            return SnapshotValidity.TORN
         told = json.loads(body)
         if told.pop("version") != VERSION:
-            return Verdict.TORN
+            return SnapshotValidity.TORN
         return checked(told)
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError):
-        return Verdict.TORN
+        return SnapshotValidity.TORN
 
 
-def checked(told: dict[str, Any]) -> Kept | Verdict:
+def checked(told: dict[str, Any]) -> RecoverySnapshot | SnapshotValidity:
     """A sum can be right over values that nobody wrote."""
-    if set(told) != {field.name for field in fields(Kept)}:
-        return Verdict.TORN
+    if set(told) != set(STORED_NAMES):
+        return SnapshotValidity.TORN
     whole = all(type(told[name]) is int for name in ("life", "told_at", "record_life"))
     names = told["members"]
     if (
@@ -85,8 +97,8 @@
         or not all(type(name) is str for name in names)
         or type(told["share"]) not in (int, float)
     ):
-        return Verdict.TORN
-    return Kept(
+        return SnapshotValidity.TORN
+    return RecoverySnapshot(
         told["node"],
         told["life"],
         told["told_at"],
@@ -97,16 +109,18 @@
     )
 
 
-def judge(found: Kept | Verdict, node: str, now: int, age_most: int) -> Verdict:
+def validate_snapshot(
+    found: RecoverySnapshot | SnapshotValidity, node: str, now: int, age_most: int
+) -> SnapshotValidity:
     """`now` and `age_most` in ms."""
-    if not isinstance(found, Kept):
+    if not isinstance(found, RecoverySnapshot):
         return found
     if found.node != node:
-        return Verdict.FOREIGN
-    if found.told_at > now or found.life > now:
-        return Verdict.FUTURE
-    return Verdict.OLD if now - found.told_at > age_most else Verdict.GOOD
+        return SnapshotValidity.FOREIGN
+    if found.written_at_ms > now or found.incarnation > now:
+        return SnapshotValidity.FUTURE
+    return SnapshotValidity.OLD if now - found.written_at_ms > age_most else SnapshotValidity.GOOD
 
 
-def members(addresses: Sequence[str]) -> tuple[str, ...]:
+def limit_members(addresses: Sequence[str]) -> tuple[str, ...]:
     return tuple(sorted(set(addresses)))[:MEMBERS_MOST]
--- a/burlloom/rollout/stores/opening.py
+++ b/burlloom/rollout/stores/opening.py
@@ -3,15 +3,15 @@
 import time
 from typing import TYPE_CHECKING
 
-from ...record.opening import store_of
-from ...record.turns import WAIT
+from ...record.factory import create_store
+from ...record.lock_retry import LOCK_TIMEOUT_S
 from .shelf import Shelf
 
 if TYPE_CHECKING:
     from ...operator import Operator
 
 
-def shelf_of(operator: "Operator", wait: float = WAIT) -> Shelf:
+def shelf_of(operator: "Operator", wait: float = LOCK_TIMEOUT_S) -> Shelf:
     """`wait`: s for a lock that another holds, of a store that is one file. Raises
     `record.store.Refused`.
     """
@@ -20,9 +20,9 @@
         from .sqlite import Sqlite
 
         return Sqlite(place.sqlite.place(), wait)
-    from ...record.postgres import Postgres as Record
+    from ...record.postgres import PostgresStore as Record
     from .postgres import Postgres
 
-    record, _ = store_of(place, "-", keep=0, clock=time.time_ns)
+    record, _ = create_store(place, "-", keep=0, clock=time.time_ns)
     assert isinstance(record, Record)
     return Postgres(record)
--- a/burlloom/rollout/stores/shelf.py
+++ b/burlloom/rollout/stores/shelf.py
@@ -4,7 +4,7 @@
 
 from pydantic import TypeAdapter, ValidationError
 
-from ...record.store import Away as Away
+from ...record.store import StoreUnavailableError as StoreUnavailableError
 from ..book import FORM, Book
 from ..watch import Member
 
--- a/burlloom/rollout/stores/sqlite.py
+++ b/burlloom/rollout/stores/sqlite.py
@@ -2,12 +2,12 @@
 
 from pathlib import Path
 
-from ...record.shared_sqlite import SharedFile
-from ...record.turns import WAIT
+from ...record.lock_retry import LOCK_TIMEOUT_S
+from ...record.shared_sqlite import SharedSqliteFile
 from .tables import Tables
 
 
-class Sqlite(SharedFile, Tables):
-    def __init__(self, path: Path, wait: float = WAIT) -> None:
+class Sqlite(SharedSqliteFile, Tables):
+    def __init__(self, path: Path, wait: float = LOCK_TIMEOUT_S) -> None:
         """`wait`: s for the lock that another holds, until the store counts as away."""
         super().__init__(path, "rollout", wait)
--- a/burlloom/rollout/stores/tables.py
+++ b/burlloom/rollout/stores/tables.py
@@ -38,7 +38,7 @@
 class Tables:
     """`Shelf` over `run`, which a store gives: one statement, and its rows. Raises `Away`."""
 
-    async def run(self, sql: str, *values: Any) -> list[Any]:
+    async def execute(self, sql: str, *values: Any) -> list[Any]:
         raise NotImplementedError
 
     async def prepare(self) -> None:
@@ -46,34 +46,36 @@
 
     async def open(self) -> None:
         await self.prepare()
-        await self.run(BEGIN, time.time_ns() // 1_000_000, text_of(Book()))
+        await self.execute(BEGIN, time.time_ns() // 1_000_000, text_of(Book()))
 
     async def read(self, known: Page | None = None) -> Page:
         if known is not None:
-            ((revision, beat),) = await self.run(LOOK)
+            ((revision, beat),) = await self.execute(LOOK)
             if revision == known.revision:
                 return Page(revision, beat, known.book)
-        found = await self.run(READ)
+        found = await self.execute(READ)
         if not found:
             raise Unreadable("the book is gone: its table is empty")
         ((revision, beat, text),) = found
         return Page(revision, beat, book_of(text))
 
     async def swap(self, page: Page, book: Book) -> bool:
-        return bool(await self.run(SWAP, book.epoch, text_of(book), page.revision))
+        return bool(await self.execute(SWAP, book.epoch, text_of(book), page.revision))
 
     async def beat(self, epoch: int) -> None:
-        await self.run(BEAT, epoch)
+        await self.execute(BEAT, epoch)
 
     async def tell(self, member: Member) -> bool:
-        return bool(await self.run(TELL, member.name, member.life, member.beat, text_of(member)))
+        return bool(
+            await self.execute(TELL, member.name, member.life, member.beat, text_of(member))
+        )
 
     async def last(self, name: str) -> Member | None:
-        return next((member_of(row[0]) for row in await self.run(LAST, name)), None)
+        return next((member_of(row[0]) for row in await self.execute(LAST, name)), None)
 
     async def members(self) -> list[Member]:
         found = []
-        for (text,) in await self.run(MEMBERS):
+        for (text,) in await self.execute(MEMBERS):
             try:
                 found.append(member_of(text))
             except Unreadable as error:  # of a newer program perhaps; it counts as silent
@@ -81,4 +83,4 @@
         return found
 
     async def forget(self, name: str) -> None:
-        await self.run(FORGET, name)
+        await self.execute(FORGET, name)
--- a/burlloom/server/__main__.py
+++ b/burlloom/server/__main__.py
@@ -76,7 +76,7 @@
     """What the operator's file asks for. Raises `Broken`, with a line for each fault."""
     from ..operator import Faults
     from .parts import (
-        Refused,
+        StoreRefusedError,
         distributed,
         fleeted,
         leveled,
@@ -102,7 +102,7 @@
         )
     except Faults as faults:
         raise Broken("\nburlloom.server: ".join(faults.lines)) from faults
-    except Refused as refused:
+    except StoreRefusedError as refused:
         raise Broken(str(refused)) from refused
 
 
--- a/burlloom/server/leveling.py
+++ b/burlloom/server/leveling.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from ..levels import Levels, Moved, Plan, Terms
+    from ..levels import DegradationController, HysteresisPolicy, LevelChange, LevelPlan
     from ..metrics import Exposed
 
 log = logging.getLogger(__name__)
@@ -88,14 +88,14 @@
 
     def __init__(
         self,
-        plan: Plan,
+        plan: LevelPlan,
         products: tuple[tuple[str, RequestClass], ...],
         tenants: dict[str, float],
         cores: int,
         clock: Callable[[], int],
         sockets: Callable[[], float],
         *,
-        terms: Terms | None = None,
+        terms: HysteresisPolicy | None = None,
         store: Callable[[], float] | None = None,
         meters: frozenset[str] = frozenset(),
         pin_file: Path | None = None,
@@ -118,23 +118,23 @@
         self.steps: dict[str, int] = {}
         self.exposed: Exposed | None = None  # where nothing else of the program closes it
         self.pin_file, self.state_file = pin_file, state_file
-        self.reliefs = levels.reliefs(plan, products)
+        self.reliefs = levels.degradations(plan, products)
         self.measured = frozenset(
             {"age", "lag", "press", "late", "calls", "sockets"}
             | ({"store"} if store is not None else set())
             | {signal for meter, signal in METERED.items() if meter in meters}
         )
-        self.tenants = levels.Tenants(tenants.items(), share=share)
-        self.late, self.calls = levels.signals.Shares(), levels.signals.Shares()
-        self.levels: Levels | None = None
+        self.tenants = levels.TenantShares(tenants.items(), share=share)
+        self.late, self.calls = levels.signals.RecentShare(), levels.signals.RecentShare()
+        self.levels: DegradationController | None = None
         self.desk: Desk | None = None
-        self.last: Moved | None = None
+        self.last: LevelChange | None = None
         self.looked_at = self.told_at = self.moved_at = 0
         self.pin_read = ""
 
     def begin_desk(self, desk: Desk, cold: bool, notes: Notes) -> None:
         self.desk, self.notes, died_at = desk, notes, notes.noted
-        self.levels = self.of.Levels(
+        self.levels = self.of.DegradationController(
             self.plan,
             self.reliefs,
             self.clock(),
@@ -148,13 +148,13 @@
             self.levels.level,
             cold,
             died_at or "-",
-            self.levels.ladder.terms.changes_most,
+            self.levels.state_machine.policy.max_changes_per_minute,
         )
-        if self.levels.standing.level:
-            desk.serve_at(self.levels.service())
+        if self.levels.status.level:
+            desk.serve_at(self.levels.service_level())
 
     def over(self, tenant: str) -> bool:
-        return self.tenants.read(self.clock(), tenant)
+        return self.tenants.is_over_share(self.clock(), tenant)
 
     def lot(self, caller: str) -> float:
         return lot(caller)
@@ -168,7 +168,7 @@
 
     @property
     def optional(self) -> bool:
-        return self.levels is None or self.levels.optional
+        return self.levels is None or self.levels.allows_optional_work
 
     def round(self, measured: Gauges) -> None:
         if self.levels is None or self.desk is None:
@@ -177,27 +177,27 @@
         if now - self.looked_at >= LOOK_EVERY:
             self.looked_at = now
             self.look_for_pin(now)
-        self.moved(now, self.levels.round(now, self.readings(now, measured)))
+        self.moved(now, self.levels.tick(now, self.readings(now, measured)))
         if self.state_file is not None and now - self.told_at >= TELL_EVERY:
             self.tell(now)
 
     def readings(self, now: int, measured: Gauges) -> Any:
         age, lag, press = self.desk.strain() if self.desk is not None else (None, None, None)
-        return self.of.Readings(
-            use=known(measured.cpu_utilization),
-            crowd=known(measured.runnable / self.cores),
-            age=age,
-            lag=lag,
-            press=press,
+        return self.of.SignalReadings(
+            cpu_utilization=known(measured.cpu_utilization),
+            contention=known(measured.runnable / self.cores),
+            queue_age=age,
+            read_lag=lag,
+            pressure=press,
             # Our own counts are never stale: where nothing was settled or called, none was late.
-            late=self.late.share(now) or 0.0,
-            calls=self.calls.share(now) or 0.0,
-            store=self.store() if self.store is not None else None,
-            memory=known(measured.memory_utilization),
-            sockets=self.sockets(),
+            late_share=self.late.share(now) or 0.0,
+            call_failure_share=self.calls.share(now) or 0.0,
+            store_load=self.store() if self.store is not None else None,
+            memory_utilization=known(measured.memory_utilization),
+            socket_utilization=self.sockets(),
         )
 
-    def moved(self, now: int, step: Moved | None) -> None:
+    def moved(self, now: int, step: LevelChange | None) -> None:
         if step is None or self.levels is None or self.desk is None:
             return
         self.last, self.moved_at = step, now
@@ -206,12 +206,12 @@
             step.effect,
             step.before,
             step.after,
-            step.part,
+            step.trial_share,
             step.cause,
             step.value,
             step.bound,
         )
-        self.desk.serve_at(self.levels.service())
+        self.desk.serve_at(self.levels.service_level())
         self.steps[step.effect] = self.steps.get(step.effect, 0) + 1
         if step.before != step.after and self.notes is not None:
             self.notes.note(step.after)
@@ -248,7 +248,7 @@
                 pin.until if pin else 0,
                 pin.reason if pin else "",
             )
-            self.moved(now, self.levels.pinned(now, pin))
+            self.moved(now, self.levels.set_pin(now, pin))
 
     def tell(self, now: int) -> None:
         if self.state_file is None or self.levels is None:
@@ -264,14 +264,14 @@
     def state(self, now: int) -> dict[str, Any]:
         """What `burlloom levels show` and `explain` read."""
         assert self.levels is not None
-        levels, last, at = self.levels, self.last, self.levels.standing
+        levels, last, at = self.levels, self.last, self.levels.status
         return {
             "told_at": now,
             "level": levels.level,
             "phase": at.phase.name.lower(),
-            "part": levels.part,
-            "since": at.since,
-            "stay_ms": levels.ladder.stay(at) // MS,
+            "part": levels.trial_share,
+            "since": at.since_ns,
+            "stay_ms": levels.state_machine.min_stay_ns(at) // MS,
             "moved_at": self.moved_at,
             "last": None
             if last is None
@@ -287,15 +287,17 @@
             if levels.pin is None
             else {
                 "level": levels.pin.level,
-                "until": levels.pin.until,
+                "until": levels.pin.until_ns,
                 "reason": levels.pin.reason,
             },
-            "changes_last_minute": len(at.changes),
-            "changes_most": levels.ladder.terms.changes_most,
+            "changes_last_minute": len(at.recent_changes),
+            "changes_most": levels.state_machine.policy.max_changes_per_minute,
             "values": levels.values,
             "measured": sorted(self.measured),
-            "steps": levels.steps,
-            "seconds": {name: round(spent / SECOND, 1) for name, spent in levels.spent.items()},
+            "steps": levels.transition_counts,
+            "seconds": {
+                name: round(spent / SECOND, 1) for name, spent in levels.time_at_level_ns.items()
+            },
         }
 
     def gauges(self) -> dict[str, float]:
@@ -303,11 +305,11 @@
         if self.levels is None:
             return {}
         return {
-            "level": float(self.levels.standing.level),
-            "trial_part": self.levels.part,
+            "level": float(self.levels.status.level),
+            "trial_part": self.levels.trial_share,
             **{
                 f"seconds_{name.replace('-', '_')}": spent / SECOND
-                for name, spent in self.levels.spent.items()
+                for name, spent in self.levels.time_at_level_ns.items()
             },
             **{f"signal_{name}": value for name, value in self.levels.values.items()},
         }
@@ -320,7 +322,9 @@
             log.info(
                 "event=levels-closed at=%s %s",
                 self.levels.level,
-                " ".join(f"{name}={count}" for name, count in self.levels.steps.items()),
+                " ".join(
+                    f"{name}={count}" for name, count in self.levels.transition_counts.items()
+                ),
             )
 
 
@@ -331,9 +335,9 @@
     return value if value >= 0 else None
 
 
-def read_pin(text: str, plan: Plan) -> Any:
+def read_pin(text: str, plan: LevelPlan) -> Any:
     """Raises `ValueError` with what is wrong with it."""
-    from ..levels import Pin
+    from ..levels import LevelPin
 
     got = json.loads(text)
     if not isinstance(got, dict):
@@ -344,4 +348,4 @@
         raise ValueError(f"level {level!r} is none of {', '.join(names)}")
     if type(until) is not int or until <= 0:
         raise ValueError(f"until {until!r} is no time in Unix nanoseconds")
-    return Pin(str(level), until, str(got.get("reason", ""))[:200])
+    return LevelPin(str(level), until, str(got.get("reason", ""))[:200])
--- a/burlloom/server/parts.py
+++ b/burlloom/server/parts.py
@@ -10,12 +10,12 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from ..levels import NAMES
-from ..levels.plan import faults
+from ..levels import SIGNAL_NAMES
+from ..levels.plan import find_plan_faults
 from ..operator import Faults, Metrics, Operator, load
-from ..record.keeper import Keeper, Terms
-from ..record.opening import store_of
-from ..record.store import Refused
+from ..record.coordinator import RecordCoordinator, RecordPolicy
+from ..record.factory import create_store
+from ..record.store import StoreRefusedError
 from ..sockets import MS, SECOND
 from .configuration import Orders
 from .distributing import Distributed
@@ -31,7 +31,7 @@
 
 __all__ = [
     "Operator",
-    "Refused",
+    "StoreRefusedError",
     "distributed",
     "fleeted",
     "leveled",
@@ -57,8 +57,8 @@
     if record is None:
         return None
     slack = max(product.deadline_ns for product in orders.facts.request_classes)
-    store, sealer = store_of(record, record.node or orders.name, keep=slack)
-    terms = Terms(
+    store, sealer = create_store(record, record.node or orders.name, keep=slack)
+    terms = RecordPolicy(
         record.mode == "prefer",
         record.claim_share,
         record.hold_share,
@@ -71,7 +71,7 @@
         made = Recorded(
             products, record.hold_share, server.clock, server.execute, record.postgres is not None
         )
-        keeper = made.keeper = Keeper(
+        keeper = made.keeper = RecordCoordinator(
             store,
             sealer,
             terms,
@@ -116,7 +116,7 @@
         told.plan(),
         tuple(zip(orders.products, orders.facts.request_classes, strict=True)),
     )
-    if lines := faults(plan, products, NAMES):
+    if lines := find_plan_faults(plan, products, SIGNAL_NAMES):
         raise Faults([f"levels.{line}" for line in lines])
 
     def make(server: Server) -> Leveled:
@@ -172,7 +172,7 @@
     from ..fleet.letters import NAME_MOST
 
     if not 0 < len(orders.name.encode()) <= NAME_MOST:
-        raise Refused(
+        raise StoreRefusedError(
             f"fleet: the name {orders.name!r:.80} is over {NAME_MOST} bytes; letters carry no longer one"
         )
     host, port = part.listen.rsplit(":", 1)
@@ -180,7 +180,7 @@
     try:
         sock.bind((host, int(port)))
     except OSError as error:
-        raise Refused(f"fleet.listen: {part.listen}: {error.strerror}") from error
+        raise StoreRefusedError(f"fleet.listen: {part.listen}: {error.strerror}") from error
     sock.setblocking(False)
 
     def make(server: Server) -> Fleeted:
@@ -263,19 +263,19 @@
     if part is None:
         return None
     if not part.upstreams:
-        raise Refused("distribution.upstreams: is empty: a server follows others")
+        raise StoreRefusedError("distribution.upstreams: is empty: a server follows others")
     from ..distribution.endpoint import bound
     from ..distribution.messages import NAME_MOST
 
     if not 0 < len(orders.name.encode()) <= NAME_MOST:
-        raise Refused(
+        raise StoreRefusedError(
             f"distribution: the name {orders.name!r:.80} is over {NAME_MOST} bytes; messages carry no longer"
             " one"
         )
     try:
         sock = bound(part.listen)
     except OSError as error:
-        raise Refused(f"distribution.listen: {part.listen}: {error.strerror}") from error
+        raise StoreRefusedError(f"distribution.listen: {part.listen}: {error.strerror}") from error
 
     def make(server: Server) -> Distributed:
         made = Distributed(
@@ -291,8 +291,8 @@
     return make
 
 
-def strain(keeper: Keeper, clock: Callable[[], int]) -> float:
-    return keeper.budget.strain(clock())
+def strain(keeper: RecordCoordinator, clock: Callable[[], int]) -> float:
+    return keeper.breaker.load(clock())
 
 
 def exposed(told: Metrics) -> Exposed:
@@ -308,30 +308,30 @@
             Path(told.file) if told.file is not None else None, told.every_ms / 1000, listen
         )
     except OSError as error:
-        raise Refused(f"metrics.listen: {told.listen}: {error.strerror}") from error
+        raise StoreRefusedError(f"metrics.listen: {told.listen}: {error.strerror}") from error
     return made
 
 
-def expose_record(made: Exposed, keeper: Keeper) -> None:
-    keeper.watch.claim = made.histogram(
+def expose_record(made: Exposed, keeper: RecordCoordinator) -> None:
+    keeper.observer.observe_claim = made.histogram(
         "burlloom_record_claim_seconds", "from a claim's posting to its word"
     )
-    keeper.watch.finish = made.histogram(
+    keeper.observer.observe_finish = made.histogram(
         "burlloom_record_finish_seconds", "from an end's posting to its word"
     )
     store = keeper.store
     made.numbers(
         "burlloom_record",
-        keeper.counts,
+        keeper.counters.as_metrics,
         lambda: {
-            "open_writes": len(keeper.budget.open),
-            "fates": len(keeper.fates),
-            "cut_off": float(keeper.budget.state != 0),
-            "cuts": keeper.budget.cuts,
-            "commits": store.commits,
-            "writes": store.written,
-            "largest_batch": store.largest,
-            "pruned": store.pruned,
-            "life": keeper.life,
+            "open_writes": len(keeper.breaker.in_flight),
+            "fates": len(keeper.requests),
+            "cut_off": float(keeper.breaker.state != 0),
+            "cuts": keeper.breaker.times_opened,
+            "commits": store.commit_count,
+            "writes": store.write_count,
+            "largest_batch": store.largest_batch,
+            "pruned": store.pruned_rows,
+            "life": keeper.incarnation,
         },
     )
