--- a/burlloom/server/recording.py
+++ b/burlloom/server/recording.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from ..metrics import Exposed
-    from ..record.keeper import Keeper
+    from ..record.coordinator import RecordCoordinator
 
 log = logging.getLogger(__name__)
 
@@ -102,7 +102,7 @@
         looks: bool,
     ) -> None:
         """`looks`: other nodes write to the record too."""
-        from ..record import points
+        from ..record import failpoints as points
 
         self.points, self.looks = points, looks
         self.products, self.hold_share, self.clock, self.execute = (
@@ -111,57 +111,57 @@
             clock,
             execute,
         )
-        self.keeper: Keeper
+        self.keeper: RecordCoordinator
         self.exposed: Exposed | None = None
         self.desk: Desk | None = None
         self.former = Packed()
         self.noted, self.life = "", -1
 
     def note(self, text: str) -> None:
-        self.keeper.store.note(text)
+        self.keeper.store.save_notice(text)
 
     async def open(self) -> None:
-        from ..record.store import Refused
+        from ..record.store import StoreRefusedError
 
         began = self.clock()
         try:
             opened = await self.keeper.open()
-        except Refused as error:
+        except StoreRefusedError as error:
             raise Broken(str(error)) from error
-        self.noted, self.life = self.keeper.noted, self.keeper.life
-        self.former = Packed(chain.from_iterable(self.keeper.read_back()))
+        self.noted, self.life = self.keeper.previous_notice, self.keeper.incarnation
+        self.former = Packed(chain.from_iterable(self.keeper.read_recorded_keys()))
         await self.keeper.start()
         log.info(
             "event=record-open node=%s life=%d shift_ms=%d migrated=%s marks=%d begun=%d ms=%d",
             opened.node,
-            opened.life,
-            opened.shift // MS,
+            opened.incarnation,
+            opened.clock_shift_ns // MS,
             ",".join(map(str, opened.migrated)) or "-",
             len(self.former),
-            len(self.keeper.began),
+            len(self.keeper.started_rows),
             (self.clock() - began) // MS,
         )
 
     def begin_desk(self, desk: Desk, executor_began: int) -> None:
         self.desk = desk
         desk.ledger.plant_ended(self.former)
-        for mark, until, asked in self.keeper.executor(executor_began):
+        for mark, until, asked in self.keeper.resume_after_restart(executor_began):
             desk.ledger.plant(mark, until, not asked)
 
     def accepts(self) -> bool:
-        return self.keeper.accepts()
+        return self.keeper.may_claim()
 
     def begin(self, mark: bytes, id: str, at: int, product: int) -> None:
         known = self.products[product]
         if known.idempotency is Idempotency.KEYED:
-            self.keeper.begin(
+            self.keeper.begin_claim(
                 mark, id, at, at + known.idempotency_window_ns, known.latency_objective_ns
             )
         else:
             self.execute(id)
 
     def ended(self, id: str, outcome: Outcome, result: bytes) -> None:
-        self.keeper.ended(id, outcome, result)
+        self.keeper.finish_run(id, outcome, result)
 
     async def durable(self, mark: bytes, at: int, product: int) -> None:
         known = self.products[product]
@@ -170,73 +170,73 @@
                 self.clock() + int(self.hold_share * known.latency_objective_ns),
                 at + known.deadline_ns - WAY_OUT,
             )
-            await self.keeper.durable(mark, until)
-            self.points.reached("answering")
+            await self.keeper.wait_until_durable(mark, until)
+            self.points.hit("answering")
 
     def answered(self, id: str) -> None:
-        self.keeper.left(id)
-        self.points.reached_once_sent("answered")
+        self.keeper.abandon(id)
+        self.points.hit_after_send("answered")
 
     async def look(self, mark: bytes, id: str, at: int, product: int) -> None:
         known = self.products[product]
-        await self.keeper.look(
+        await self.keeper.look_up(
             mark, id, at + known.idempotency_window_ns, known.latency_objective_ns
         )
 
     async def recall(self, mark: bytes, until: int) -> bytes | None:
-        return await self.keeper.recall(mark, until - WAY_OUT)
+        return await self.keeper.fetch_result(mark, until - WAY_OUT)
 
     async def close(self) -> None:
         await self.keeper.close()
-        counts = self.keeper.counts
+        counts = self.keeper.counters
         log.info(
             "event=record-closed-down claims=%d refused=%d late=%d unkept=%d taken=%d recalled=%d doubts=%d"
             " resolved=%d altered=%d conflicts=%d answered_before=%d",
             counts.claims,
-            counts.refused,
-            counts.late,
-            counts.unkept,
-            counts.taken,
-            counts.recalled,
+            counts.rejected,
+            counts.store_timeouts,
+            counts.unrecorded_runs,
+            counts.claimed_elsewhere,
+            counts.results_fetched,
             counts.doubts,
             counts.resolved,
-            counts.altered,
+            counts.altered_rows,
             counts.conflicts,
-            counts.held_past,
+            counts.answered_before_durable,
         )
         if self.exposed is not None:
             self.exposed.close()
 
     # What the keeper tells.
 
-    def run(self, id: str) -> None:
+    def start_run(self, id: str) -> None:
         self.execute(id)
 
-    def refuse(self, id: str) -> None:
+    def reject(self, id: str) -> None:
         self.report(id, Outcome.NOT_RECORDED)
 
-    def unrun(self, id: str) -> None:
+    def report_never_ran(self, id: str) -> None:
         self.report(id, Outcome.NO_LONGER_NEEDED)
 
-    def follow(self, id: str) -> None:
+    def report_claimed_elsewhere(self, id: str) -> None:
         self.report(id, Outcome.CLAIMED_ELSEWHERE)
 
     def report(self, id: str, outcome: Outcome) -> None:
         if self.desk is not None:
             self.desk.report(RunEnded(id, outcome, 0, b""))
 
-    def settle(self, mark: bytes, result: bytes | None) -> None:
+    def complete(self, mark: bytes, result: bytes | None) -> None:
         if self.desk is not None:
             self.desk.settle(mark, result)
 
-    def free(self, mark: bytes) -> None:
+    def release(self, mark: bytes) -> None:
         if self.desk is not None:
             self.desk.free(mark)
 
-    def plant(self, mark: bytes, until: int) -> None:
+    def register(self, mark: bytes, until: int) -> None:
         if self.desk is not None:
             self.desk.ledger.plant(mark, until, False)
 
-    def lose(self, mark: bytes) -> None:
+    def forget(self, mark: bytes) -> None:
         if self.desk is not None:
             self.desk.lose(mark)
--- a/burlloom/server/recovering.py
+++ b/burlloom/server/recovering.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from ..recovery import Recovery, Terms
+    from ..recovery import RecoveryController, RecoveryPolicy
     from .fleeting import Fleeting
 
 log = logging.getLogger(__name__)
@@ -89,7 +89,7 @@
 
     def __init__(
         self,
-        terms: Terms,
+        terms: RecoveryPolicy,
         name: str,
         clock: Callable[[], int],
         fleet: Callable[[], Fleeting],
@@ -108,11 +108,13 @@
             state_file,
         )
         self.life = time.time_ns() // MS
-        found = recovery.read(self.text())
-        self.recovery: Recovery = recovery.Recovery(terms, found, name, clock(), self.life, lonely)
+        found = recovery.parse_snapshot(self.text())
+        self.recovery: RecoveryController = recovery.RecoveryController(
+            terms, found, name, clock(), self.life, lonely
+        )
         # Old addresses do no harm: whoever is there answers with a sealed letter.
-        kept = self.recovery.kept
-        self.members = kept.members if kept is not None else ()
+        kept = self.recovery.snapshot
+        self.members = kept.peer_addresses if kept is not None else ()
         self.desk: Desk | None = None
         self.record_life = -1
         self.told_at = 0
@@ -121,8 +123,8 @@
         )
         log.info(
             "event=recovery kept=%s life=%d members=%d",
-            self.recovery.verdict.name.lower(),
-            kept.life if kept is not None else 0,
+            self.recovery.validity.name.lower(),
+            kept.incarnation if kept is not None else 0,
             len(self.members),
         )
 
@@ -140,26 +142,26 @@
     def begin_desk(self, desk: Desk, record_life: int) -> None:
         self.desk, self.record_life = desk, record_life
         if record_life >= 0:
-            self.recovery.store(record_life, self.clock())
+            self.recovery.record_opened(record_life, self.clock())
         self.holding = True
         desk.hold_back(True)
         self.round()
 
     def peer(self, life: int) -> None:
-        self.recovery.peer(life, self.clock())
+        self.recovery.peer_reported_incarnation(life, self.clock())
         self.say()
 
     def cap(self) -> float:
-        return self.recovery.cap
+        return self.recovery.call_cap
 
     def holds_back(self, retry: bool) -> bool:
-        return self.recovery.holds_back(self.clock(), retry)
+        return self.recovery.should_hold_back_retry(self.clock(), retry)
 
     def fenced(self) -> bool:
-        return self.recovery.fenced(self.clock())
+        return self.recovery.is_fenced(self.clock())
 
     def called(self, well: bool) -> None:
-        self.recovery.called(well)
+        self.recovery.record_call(well)
 
     def round(self) -> None:
         now = self.clock()
@@ -167,23 +169,23 @@
             return
         shared = self.fleet().equal()
         equal, share = shared if shared is not None else (self.alone, self.alone)
-        if self.recovery.round(now, equal, share):
-            cap = self.recovery.cap
+        if self.recovery.tick(now, equal, share):
+            cap = self.recovery.call_cap
             log.info(
                 "event=recovery-cap calls=%.2f equal=%.2f ms=%d",
                 min(cap, 1e9),
                 equal,
-                (now - self.recovery.began) // MS,
+                (now - self.recovery.started_at_ns) // MS,
             )
             if shared is None:
                 self.desk.share_calls(min(cap, self.alone))
-        if self.recovery.over and self.holding:
+        if self.recovery.is_complete and self.holding:
             self.holding = False
             self.desk.hold_back(False)
             log.warning(
                 "event=recovery-over ms=%d held_back=%d",
-                (now - self.recovery.began) // MS,
-                self.recovery.retries.refused,
+                (now - self.recovery.started_at_ns) // MS,
+                self.recovery.retry_budget.rejected,
             )
         self.say()
         if now - self.told_at >= TELL_EVERY and not self.closed:
@@ -191,34 +193,34 @@
             self.write(share, clean=False)
 
     def back(self) -> bool:
-        return self.recovery.over
+        return self.recovery.is_complete
 
     def say(self) -> None:
-        for what, effect in self.recovery.effects:
+        for what, effect in self.recovery.pending_log_entries:
             # A few a life, in the very moment in which info lines are left out by the hundred.
             log.warning(
                 "event=recovery-start input=%s effect=%s state=%s",
                 what,
                 effect,
-                self.recovery.start.state.name.lower(),
+                self.recovery.bootstrap.state.name.lower(),
             )
-        self.recovery.effects = []
+        self.recovery.pending_log_entries = []
 
     def write(self, share: float, clean: bool) -> None:
         if self.state_file is None:
             return
-        kept = self.of.Kept(
+        kept = self.of.RecoverySnapshot(
             self.name,
             self.life,
             time.time_ns() // MS,
             self.record_life,
             share,
             clean,
-            self.of.kept.members(self.fleet().addresses()),
+            self.of.limit_members(self.fleet().addresses()),
         )
         part = self.state_file.with_name(self.state_file.name + ".part")
         try:
-            part.write_text(self.of.write(kept), encoding="utf-8")
+            part.write_text(self.of.serialize_snapshot(kept), encoding="utf-8")
             os.replace(part, self.state_file)
         except OSError as error:
             log.warning("event=state-not-written detail=%r", str(error))
--- a/burlloom/server/rolling.py
+++ b/burlloom/server/rolling.py
@@ -124,7 +124,7 @@
                 if self.away:
                     log.warning("event=rollout-back")
                 self.away, wait = "", 1
-            except (self.stores.Away, self.stores.Unreadable) as error:
+            except (self.stores.StoreUnavailableError, self.stores.Unreadable) as error:
                 if not self.away:
                     log.warning("event=rollout-away detail=%r", str(error))
                 self.away, self.page = str(error), None
@@ -140,7 +140,7 @@
         if self.life:
             try:
                 await self.shelf.open()  # its file may be another's by now, its tables gone
-            except self.stores.Away:
+            except self.stores.StoreUnavailableError:
                 pass
 
     async def round(self) -> None:
@@ -230,7 +230,7 @@
             wanted, of = self.hand.step(page.book), self.of.hand.Input
             try:
                 held = wanted is not None and await self.shelf.swap(page, wanted)
-            except self.stores.Away:
+            except self.stores.StoreUnavailableError:
                 self.hand.meet(of.UNSURE)
                 raise
             effect = self.hand.meet(of.HELD if held else of.BEATEN)
@@ -286,7 +286,7 @@
         try:
             async with asyncio.timeout(LAST_WORD):
                 await self.last_word()
-        except (self.stores.Away, self.stores.Unreadable, TimeoutError):
+        except (self.stores.StoreUnavailableError, self.stores.Unreadable, TimeoutError):
             pass
         await self.shelf.close()
         if self.exposed is not None:
--- a/tests/explore.py
+++ b/tests/explore.py
@@ -1,7 +1,7 @@
 """Walks every history of a small world: nodes with a store between them, two tries of one txn,
 crashes and faults.
 
-The fates move by the very table of `burlloom.record.fate`, the store by `rows.applied`. A broken
+The fates move by the very table of `burlloom.record.request_lifecycle`, the store by `rows.applied`. A broken
 rule ends the walk with the steps that led to it. What is not modelled: time (whatever may happen,
 may happen now).
 """
@@ -10,34 +10,50 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from burlloom.record.fate import Fate, Input, State
-from burlloom.record.rows import BEGUN, KEPT, SPENT, Kind, Row, Write, answer, applied, whose
+from burlloom.record.request_lifecycle import DurableRequest, RequestEvent, RequestState
+from burlloom.record.rows import (
+    ROW_COMPLETED,
+    ROW_COMPLETED_WITHOUT_RESULT,
+    ROW_STARTED,
+    RecordRow,
+    RecordWrite,
+    WriteKind,
+    apply_write,
+    classify_row,
+    result_of_unapplied_write,
+)
 
 MARK = b"m" * 16
 WRITES = {
-    "claim": Kind.CLAIM,
-    "claim_later": Kind.CLAIM,
-    "finish": Kind.FINISH,
-    "finish_later": Kind.FINISH,
-    "withdraw": Kind.WITHDRAW,
-    "withdraw_later": Kind.WITHDRAW,
-    "insert": Kind.INSERT,
-    "follow": Kind.LOOK,
-    "follow_later": Kind.LOOK,
-    "found_ran": Kind.FINISH,
-    "found_ill": Kind.FINISH,
-    "found_unrun": Kind.WITHDRAW,
+    "claim": WriteKind.CLAIM,
+    "retry_claim": WriteKind.CLAIM,
+    "finish": WriteKind.FINISH,
+    "retry_finish": WriteKind.FINISH,
+    "withdraw": WriteKind.WITHDRAW,
+    "retry_withdraw": WriteKind.WITHDRAW,
+    "insert": WriteKind.INSERT,
+    "poll": WriteKind.LOOK,
+    "resolve_as_succeeded": WriteKind.FINISH,
+    "resolve_as_failed": WriteKind.FINISH,
+    "resolve_as_never_ran": WriteKind.WITHDRAW,
 }
-FREES = {"refuse", "unrun", "freed", "found_unrun", "lose"}
-KNOWS = {"give", "void", "doubt", "found_ran", "found_ill", "plant"}
-DECLINES = {"refuse", "unrun", "freed", "found_unrun"}
+FREES = {"reject", "report_never_ran", "release", "resolve_as_never_ran", "forget"}
+KNOWS = {
+    "deliver_result",
+    "fail",
+    "mark_in_doubt",
+    "resolve_as_succeeded",
+    "resolve_as_failed",
+    "register",
+}
+DECLINES = {"reject", "report_never_ran", "release", "resolve_as_never_ran"}
 
 
 class F(NamedTuple):
     """A fate in hand, and which of its writes in the queue counts."""
 
     tried: int
-    state: State
+    state: RequestState
     life: int
     turn: int
     given_up: bool
@@ -46,7 +62,7 @@
 
 class W(NamedTuple):
     tried: int
-    kind: Kind
+    kind: WriteKind
     state: int
     life: int
     turn: int
@@ -66,7 +82,7 @@
 
 class World(NamedTuple):
     nodes: tuple[Node, ...]
-    row: Row | None = None
+    row: RecordRow | None = None
     late: tuple[
         tuple[int, W], ...
     ] = ()  # writes whose fate is unknown, and that may still take hold
@@ -141,17 +157,26 @@
                 if world.tries and len(world.nodes) > 1 and not node.known:
                     yield f"try {world.tries} comes to {n} as a retry", self.look(world, n)
             for fate in node.fates:
-                if fate.state == State.ASK and not fate.given_up:
-                    yield f"{n} gives try {fate.tried} up", self.meet(world, n, fate, Input.LEFT)
-                if fate.state == State.ASK:
+                if fate.state == RequestState.CLAIMING and not fate.given_up:
+                    yield (
+                        f"{n} gives try {fate.tried} up",
+                        self.meet(world, n, fate, RequestEvent.ABANDONED),
+                    )
+                if fate.state == RequestState.CLAIMING:
                     yield (
                         f"the claim of try {fate.tried} at {n} takes too long",
-                        self.meet(world, n, fate, Input.SLOW),
+                        self.meet(world, n, fate, RequestEvent.STORE_TIMED_OUT),
+                    )
+                if fate.state == RequestState.CLAIMED_ELSEWHERE:
+                    yield (
+                        f"{n} gives try {fate.tried} up",
+                        self.meet(world, n, fate, RequestEvent.ABANDONED),
+                    )
+                if fate.state == RequestState.AWAITING_EXECUTOR:
+                    yield (
+                        f"{n} waits no more",
+                        self.meet(world, n, fate, RequestEvent.EXECUTOR_SILENT),
                     )
-                if fate.state == State.ELSE:
-                    yield f"{n} gives try {fate.tried} up", self.meet(world, n, fate, Input.LEFT)
-                if fate.state == State.OPEN:
-                    yield f"{n} waits no more", self.meet(world, n, fate, Input.DEAD)
             if node.queue:
                 yield from self.write(world, n)
             for at, run in enumerate(node.runs):
@@ -159,7 +184,7 @@
             if world.crashes < self.crashes:
                 yield from self.crash(world, n)
         for at, (n, write) in enumerate(world.late):
-            row, _ = applied(world.row, self.asked(n, write), world.lives[n])
+            row, _ = apply_write(world.row, self.asked(n, write), world.lives[n])
             yield (
                 f"a late {write.kind.name} of {n} takes hold",
                 world._replace(row=row, late=world.late[:at] + world.late[at + 1 :]),
@@ -172,20 +197,20 @@
         world = world._replace(tries=tried + 1)
         if node.known:
             return world
-        fate = F(tried, State.NEW, node.life, node.turn + 1, False, b"")
+        fate = F(tried, RequestState.NEW, node.life, node.turn + 1, False, b"")
         node = node._replace(known=True, turn=node.turn + 1, fates=node.fates + (fate,))
-        return self.meet(self.put(world, n, node), n, fate, Input.START)
+        return self.meet(self.put(world, n, node), n, fate, RequestEvent.STARTED)
 
     def look(self, world: World, n: int) -> World:
         """Its mark is looked up at the door; where it is not known, it goes on as any other."""
         node, tried = world.nodes[n], world.tries
         lives = {f"n{at}": (life, False) for at, life in enumerate(world.lives)}
-        how = whose(world.row, f"n{n}", node.life, 0, lives)
-        if how in (Input.ABSENT, Input.HELD):
+        how = classify_row(world.row, f"n{n}", node.life, 0, lives)
+        if how in (RequestEvent.NOT_FOUND, RequestEvent.WRITE_APPLIED):
             return self.come(world, n)
         fate = F(
             tried,
-            State.NEW,
+            RequestState.NEW,
             node.life,
             0,
             False,
@@ -194,20 +219,20 @@
         world = self.put(
             world._replace(tries=tried + 1), n, node._replace(fates=node.fates + (fate,))
         )
-        return self.meet(self.meet(world, n, fate, Input.LOOKED), n, fate, how)
+        return self.meet(self.meet(world, n, fate, RequestEvent.RETRY_RECEIVED), n, fate, how)
 
     def write(self, world: World, n: int) -> Iterator[tuple[str, World]]:
         node = world.nodes[n]
         write, left = node.queue[0], node._replace(queue=node.queue[1:])
         asked = self.asked(n, write)
-        row, done = applied(world.row, asked, world.lives[n])
+        row, done = apply_write(world.row, asked, world.lives[n])
         lives = {f"n{at}": (life, False) for at, life in enumerate(world.lives)}
         how = (
-            Input.HELD
+            RequestEvent.WRITE_APPLIED
             if done
-            else Input.FENCED
-            if write.kind in (Kind.CLAIM, Kind.INSERT) and write.life != world.lives[n]
-            else answer(asked, world.row, lives).how
+            else RequestEvent.FENCED
+            if write.kind in (WriteKind.CLAIM, WriteKind.INSERT) and write.life != world.lives[n]
+            else result_of_unapplied_write(asked, world.row, lives).outcome
         )
         name = f"{write.kind.name} of try {write.tried} at {n}"
         yield (
@@ -218,7 +243,7 @@
             spoilt = world._replace(faults=world.faults + 1)
             yield (
                 f"{name} is lost",
-                self.told(self.put(spoilt, n, left), n, write, Input.LOST, None),
+                self.told(self.put(spoilt, n, left), n, write, RequestEvent.WRITE_FAILED, None),
             )
             late = spoilt._replace(late=spoilt.late + ((n, write._replace(counts=False)),))
             for over in (False, True):
@@ -229,18 +254,26 @@
                         self.put(spoilt._replace(row=row), n, left),
                         n,
                         write,
-                        Input.UNSURE,
+                        RequestEvent.WRITE_UNCERTAIN,
                         None,
                         over,
                     ),
                 )
                 yield (
                     f"{name} may come late, unsure{when}",
-                    self.told(self.put(late, n, left), n, write, Input.UNSURE, None, over),
+                    self.told(
+                        self.put(late, n, left), n, write, RequestEvent.WRITE_UNCERTAIN, None, over
+                    ),
                 )
 
     def told(
-        self, world: World, n: int, write: W, how: Input, row: Row | None, over: bool = False
+        self,
+        world: World,
+        n: int,
+        write: W,
+        how: RequestEvent,
+        row: RecordRow | None,
+        over: bool = False,
     ) -> World:
         fate = next(
             (
@@ -254,7 +287,7 @@
         )
         if fate is None:
             return world
-        if how is Input.FOUND:
+        if how is RequestEvent.FOUND_RESULT:
             assert world.row is not None
             if not world.ran or world.row.result != b"r%d" % world.ran[0]:
                 raise Broken("a result that no run made", world)
@@ -271,23 +304,23 @@
             began = world._replace(ran=world.ran + (tried,))
             yield (
                 f"try {tried} runs at {n}",
-                self.put(began, n, node._replace(runs=rest + ((tried, life, "PASS"),))),
+                self.put(began, n, node._replace(runs=rest + ((tried, life, "RUN_SUCCEEDED"),))),
             )
             yield (
                 f"try {tried} runs and fails at {n}",
-                self.put(began, n, node._replace(runs=rest + ((tried, life, "FAIL"),))),
+                self.put(began, n, node._replace(runs=rest + ((tried, life, "RUN_FAILED"),))),
             )
             yield (
                 f"try {tried} never runs at {n}",
-                self.put(world, n, node._replace(runs=rest + ((tried, life, "NOOP"),))),
+                self.put(world, n, node._replace(runs=rest + ((tried, life, "NEVER_RAN"),))),
             )
             return
         after = self.put(world, n, node._replace(runs=rest))
         fate = next((one for one in node.fates if one.tried == tried), None)
         if fate is not None:
-            result = b"r%d" % tried if phase == "PASS" else b""
+            result = b"r%d" % tried if phase == "RUN_SUCCEEDED" else b""
             after, fate = self.change(after, n, fate, result=result)
-            after = self.meet(after, n, fate, Input[phase])
+            after = self.meet(after, n, fate, RequestEvent[phase])
         yield f"{n} hears {phase} of try {tried}", after
 
     def crash(self, world: World, n: int) -> Iterator[tuple[str, World]]:
@@ -296,7 +329,7 @@
         row = world.row
         for done in range(len(node.queue) + 1):
             if done:
-                row, _ = applied(row, self.asked(n, node.queue[done - 1]), world.lives[n])
+                row, _ = apply_write(row, self.asked(n, node.queue[done - 1]), world.lives[n])
             for runs in {(), node.runs}:
                 dead = Node(False, node.life, 0, False, (), (), runs)
                 yield (
@@ -313,29 +346,36 @@
         if row is None or row.node != f"n{n}":
             return world
         world = self.put(world, n, fresh._replace(known=True))
-        if row.state in (KEPT, SPENT):
+        if row.state in (ROW_COMPLETED, ROW_COMPLETED_WITHOUT_RESULT):
             return world
-        fate = F(int(row.id), State.NEW, row.life, row.turn, False, b"")
+        fate = F(
+            int(row.request_id), RequestState.NEW, row.incarnation, row.claim_number, False, b""
+        )
         world = self.put(world, n, world.nodes[n]._replace(fates=(fate,)))
-        return self.meet(world, n, fate, Input.READ_OPEN if node.runs else Input.READ_DOUBT)
+        return self.meet(
+            world,
+            n,
+            fate,
+            RequestEvent.RECOVERED_RUNNING if node.runs else RequestEvent.RECOVERED_IN_DOUBT,
+        )
 
     # How.
 
-    def meet(self, world: World, n: int, was: F, what: Input, over: bool = False) -> World:
-        fate = Fate(
+    def meet(self, world: World, n: int, was: F, what: RequestEvent, over: bool = False) -> World:
+        fate = DurableRequest(
             MARK,
             str(was.tried),
             was.life,
             was.turn,
             0,
             1,
-            ask_until=0 if over else 1,
-            prefer=self.prefer,
+            claim_deadline_ns=0 if over else 1,
+            may_run_unrecorded=self.prefer,
         )
-        fate.state, fate.given_up, fate.result = was.state, was.given_up, was.result
-        effects = fate.meet(what, 0)
+        fate.state, fate.is_abandoned, fate.result = was.state, was.given_up, was.result
+        effects = fate.handle(what, 0)
         node = world.nodes[n]
-        now = F(was.tried, fate.state, was.life, was.turn, fate.given_up, fate.result)
+        now = F(was.tried, fate.state, was.life, was.turn, fate.is_abandoned, fate.result)
         known, queue, runs = node.known, node.queue, node.runs
         others = [one for one in node.fates if one != was]
         holder = not any(one.turn > was.turn and one.life == was.life for one in others)
@@ -351,23 +391,26 @@
                     W(
                         was.tried,
                         WRITES[effect],
-                        int(fate.written),
+                        int(fate.row_state),
                         was.life,
                         was.turn,
-                        fate.result if fate.written is State.KEPT else b"",
+                        fate.result if fate.row_state is RequestState.SUCCESS_RECORDED else b"",
                         True,
                     ),
                 )
-            if effect in ("run", "run_unkept"):
+            if effect in ("start_run", "start_run_unrecorded"):
                 runs += ((was.tried, was.life, "sent"),)
             if effect in FREES and holder:
                 known = False
             if effect in KNOWS:
                 known = True
-            if effect in DECLINES and was.tried in world.ran and effect != "freed":
+            if effect in DECLINES and was.tried in world.ran and effect != "release":
                 raise Broken("one that ran was declined", world)
         fates = (
-            tuple(others) if fate.state in (State.GONE, State.KEPT, State.SPENT) else (*others, now)
+            tuple(others)
+            if fate.state
+            in (RequestState.CLOSED, RequestState.SUCCESS_RECORDED, RequestState.FAILURE_RECORDED)
+            else (*others, now)
         )
         return self.put(world, n, node._replace(known=known, queue=queue, runs=runs, fates=fates))
 
@@ -382,9 +425,11 @@
         return world._replace(nodes=world.nodes[:n] + (node,) + world.nodes[n + 1 :])
 
     @staticmethod
-    def asked(n: int, write: W) -> Write:
-        state = BEGUN if write.kind is Kind.CLAIM else write.state
-        return Write(
+    def asked(n: int, write: W) -> RecordWrite:
+        state = ROW_STARTED if write.kind is WriteKind.CLAIM else write.state
+        return RecordWrite(
             write.kind,
-            Row(MARK, state, f"n{n}", write.life, write.turn, str(write.tried), 0, 1, write.result),
+            RecordRow(
+                MARK, state, f"n{n}", write.life, write.turn, str(write.tried), 0, 1, write.result
+            ),
         )
--- a/tests/held.py
+++ b/tests/held.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 from typing import Any
 
-from burlloom.record.turns import WAIT, Turns
+from burlloom.record.lock_retry import LOCK_TIMEOUT_S, LockRetry
 
 
 class Held:
@@ -26,5 +26,5 @@
         if self.now >= self.until and self.db.in_transaction:
             self.db.execute("ROLLBACK")
 
-    def turns(self, wait: float = WAIT, **told: Any) -> Turns:
-        return Turns(wait, clock=self.clock, rest=self.rest, **told)
+    def turns(self, wait: float = LOCK_TIMEOUT_S, **told: Any) -> LockRetry:
+        return LockRetry(wait, clock=self.clock, sleep=self.rest, **told)
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -20,7 +20,7 @@
 from burlloom.fakes.parts import Balancer, Catalogue, fields
 from burlloom.operator import load
 from burlloom.rollout import Book, Phase
-from burlloom.rollout.stores import Away, Shelf
+from burlloom.rollout.stores import Shelf, StoreUnavailableError
 from burlloom.rollout.stores.opening import shelf_of
 
 QUICK = {
@@ -91,7 +91,7 @@
                 await asyncio.sleep(0.02)
             try:
                 self.version = (await self.rollout.book()).version_of(self.name) or self.version
-            except Away:
+            except StoreUnavailableError:
                 self.version = (self.folder / "release").read_text().strip()
             await self.begin()
 
@@ -287,7 +287,7 @@
                     try:
                         if test(book := await self.book()):
                             return book
-                    except Away:
+                    except StoreUnavailableError:
                         pass
                     await asyncio.sleep(0.02)
         except TimeoutError:
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -15,11 +15,19 @@
 
 from burlloom.executor import End
 from burlloom.lab.clock import EPOCH, SECOND, SimulatedLoop, simulated
-from burlloom.record.fate import Input
-from burlloom.record.keeper import Keeper, Terms
-from burlloom.record.rows import BEGUN, Kind, Row, Word, Write, answer, applied
-from burlloom.record.seal import Sealer
-from burlloom.record.store import Done, Opened
+from burlloom.record.authentication import RowAuthenticator
+from burlloom.record.coordinator import RecordCoordinator, RecordPolicy
+from burlloom.record.request_lifecycle import RequestEvent
+from burlloom.record.rows import (
+    ROW_STARTED,
+    RecordRow,
+    RecordWrite,
+    WriteKind,
+    WriteResult,
+    apply_write,
+    result_of_unapplied_write,
+)
+from burlloom.record.store import StoreSession, WriteCallback
 from burlloom.rpc import IncomingRequest
 from burlloom.server import assembly
 from burlloom.server.configuration import Orders
@@ -27,7 +35,7 @@
 from burlloom.settings import facts
 
 MS = 1_000_000
-SEALER = Sealer(b"s" * 32)
+SEALER = RowAuthenticator(b"s" * 32)
 SETTINGS = {
     "categories": [
         {
@@ -49,55 +57,63 @@
     """The rows, and each node's present life."""
 
     def __init__(self) -> None:
-        self.rows: dict[bytes, Row] = {}
+        self.rows: dict[bytes, RecordRow] = {}
         self.lives: dict[str, tuple[int, bool]] = {}
 
-    def write(self, write: Write) -> Word:
+    def write(self, write: RecordWrite) -> WriteResult:
         row = write.row
         life = self.lives[row.node][0]
-        there = self.rows.get(row.mark)
-        after, held = applied(there, write, life)
+        there = self.rows.get(row.key_digest)
+        after, held = apply_write(there, write, life)
         if held:
             if after is None:
-                self.rows.pop(row.mark)
+                self.rows.pop(row.key_digest)
             else:
-                self.rows[row.mark] = after
-            return Word(Input.HELD)
-        if write.kind in (Kind.CLAIM, Kind.INSERT) and row.life != life:
-            return Word(Input.FENCED)
-        return answer(write, there, self.lives)
+                self.rows[row.key_digest] = after
+            return WriteResult(RequestEvent.WRITE_APPLIED)
+        if write.kind in (WriteKind.CLAIM, WriteKind.INSERT) and row.incarnation != life:
+            return WriteResult(RequestEvent.FENCED)
+        return result_of_unapplied_write(write, there, self.lives)
 
 
 class FakeStore:
     """One node's way to the base, in order, with troubles drawn by chance."""
 
-    commits = written = largest = pruned = 0
+    commit_count = write_count = largest_batch = pruned_rows = 0
 
     def __init__(self, base: Base, node: str, chance: random.Random, trouble: float) -> None:
         self.base, self.node, self.chance, self.trouble = base, node, chance, trouble
-        self.verdicts = None
-        self.queue: list[Write] = []
+        self.on_verdict = None
+        self.queue: list[RecordWrite] = []
         self.free_at = 0.0
         self.dead = False
 
-    async def open(self) -> Opened:
+    async def open(self) -> StoreSession:
         life = self.base.lives.get(self.node, (0, False))[0] + 1
         self.base.lives[self.node] = life, False
-        return Opened(self.node, life, 0)
+        return StoreSession(self.node, life, 0)
 
-    def known(self, now: int) -> Iterator[list[tuple[bytes, int]]]:
-        yield [(row.mark, row.until) for row in self.base.rows.values() if row.node == self.node]
+    def read_recorded_keys(self, now: int) -> Iterator[list[tuple[bytes, int]]]:
+        yield [
+            (row.key_digest, row.expires_at_ns)
+            for row in self.base.rows.values()
+            if row.node == self.node
+        ]
 
-    def begun(self, now: int) -> Iterator[Row]:
+    def read_started_rows(self, now: int) -> Iterator[RecordRow]:
         return iter(
-            [row for row in self.base.rows.values() if row.node == self.node and row.state == BEGUN]
+            [
+                row
+                for row in self.base.rows.values()
+                if row.node == self.node and row.state == ROW_STARTED
+            ]
         )
 
     async def start(self) -> None: ...
 
-    def note(self, text: str) -> None: ...
+    def save_notice(self, text: str) -> None: ...
 
-    def post(self, write: Write, done: Done) -> None:
+    def submit(self, write: RecordWrite, done: WriteCallback) -> None:
         loop = asyncio.get_running_loop()
         latency = self.chance.expovariate(1 / 0.004)
         if self.chance.random() < self.trouble:
@@ -106,7 +122,7 @@
         self.queue.append(write)
         loop.call_at(self.free_at, self.serve, write, done)
 
-    def serve(self, write: Write, done: Done) -> None:
+    def serve(self, write: RecordWrite, done: WriteCallback) -> None:
         if self.dead:
             return
         self.queue.remove(write)
@@ -114,16 +130,16 @@
         if trouble > self.trouble:
             done(self.base.write(write))
         elif trouble < self.trouble * 0.4:
-            done(Word(Input.LOST))
+            done(WriteResult(RequestEvent.WRITE_FAILED))
         elif trouble < self.trouble * 0.7:
             self.base.write(write)
-            done(Word(Input.UNSURE))
+            done(WriteResult(RequestEvent.WRITE_UNCERTAIN))
         else:
             # As from a server's session that outlives its connection: it may take hold long after.
             asyncio.get_running_loop().call_later(self.chance.random() * 8, self.base.write, write)
-            done(Word(Input.UNSURE))
+            done(WriteResult(RequestEvent.WRITE_UNCERTAIN))
 
-    def beat(self, now: int, done: Callable[[bool], None]) -> None:
+    def probe(self, now: int, done: Callable[[bool], None]) -> None:
         good = self.chance.random() > self.trouble
         asyncio.get_running_loop().call_later(0.002, lambda: None if self.dead else done(good))
 
@@ -205,14 +221,14 @@
             meters,
         )
         store = self.store = FakeStore(world.base, self.name, world.chance, world.trouble)
-        terms = Terms(world.prefer, 0.25, 0.1, 64, 3 * SECOND)
+        terms = RecordPolicy(world.prefer, 0.25, 0.1, 64, 3 * SECOND)
 
         def make(server: assembly.Server) -> Recorded:
             server.clock = loop.wall  # type: ignore[assignment]
             made = Recorded(
                 known.request_classes, 0.1, loop.wall, server.execute, world.nodes_count > 1
             )
-            made.keeper = Keeper(store, SEALER, terms, 1500 * MS, loop.wall, made)
+            made.keeper = RecordCoordinator(store, SEALER, terms, 1500 * MS, loop.wall, made)
             return made
 
         with socket.socket() as listener:
@@ -234,7 +250,7 @@
         assert isinstance(recorded, Recorded)
         keeper = recorded.keeper
         keeper.closed = True
-        for timer in [keeper.rounds, *keeper.timers.values()]:
+        for timer in [keeper.tick_timer, *keeper.claim_timers.values()]:
             if timer is not None:
                 timer.cancel()
         for task in list(self.server.tasks.running):
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -12,9 +12,9 @@
 from rig import ROOT
 
 from burlloom.operator import Faults, load
-from burlloom.record.rows import BEGUN, KEPT, Row
-from burlloom.record.seal import Sealer, key
-from burlloom.record.sqlite import Sqlite
+from burlloom.record.authentication import RowAuthenticator, load_key
+from burlloom.record.rows import ROW_COMPLETED, ROW_STARTED, RecordRow
+from burlloom.record.sqlite import SqliteStore
 
 NOW = time.time_ns()
 
@@ -41,11 +41,11 @@
     """A record in which one charge ran and one is in doubt."""
     path = operator(folder)
     burlloom("record", "init", "-o", path)
-    sealer = Sealer(key(folder / "record.db.key", False))
-    store = Sqlite(folder / "record.db", sealer, "n1")
+    sealer = RowAuthenticator(load_key(folder / "record.db.key", False))
+    store = SqliteStore(folder / "record.db", sealer, "n1")
     store.open_now()
-    for n, state in enumerate((KEPT, BEGUN)):
-        row = Row(
+    for n, state in enumerate((ROW_COMPLETED, ROW_STARTED)):
+        row = RecordRow(
             bytes([n]) * 16,
             state,
             "n1",
@@ -54,11 +54,12 @@
             f"id{n}",
             NOW,
             NOW + 10**12,
-            b"paid" if state == KEPT else b"",
+            b"paid" if state == ROW_COMPLETED else b"",
         )
         assert store.db is not None
         store.db.execute(
-            "INSERT INTO fate VALUES (?,?,?,?,?,?,?,?,?,?)", row._replace(seal=sealer.seal(row))
+            "INSERT INTO fate VALUES (?,?,?,?,?,?,?,?,?,?)",
+            row._replace(mac=sealer.compute_mac(row)),
         )
     store.release()
     return path
@@ -138,7 +139,7 @@
     with sqlite3.connect(tmp_path / "record.db") as db:
         db.execute("UPDATE fate SET id = 'other'")
     assert burlloom("record", "verify", "-o", path, status=1).count("seal does not hold") == 2
-    store = Sqlite(tmp_path / "record.db", Sealer(b"k" * 32), "n1")
+    store = SqliteStore(tmp_path / "record.db", RowAuthenticator(b"k" * 32), "n1")
     store.take_lock()
     assert "stop it before you compact it" in burlloom("record", "compact", "-o", path, status=2)
     store.release()
@@ -218,12 +219,12 @@
             ),
         ),
         (
-            "burlloom.record.fate, burlloom.record.budget, burlloom.record.rows, burlloom.record.recovery",
+            "burlloom.record.request_lifecycle, burlloom.record.circuit_breaker, burlloom.record.rows, burlloom.record.recovery_rules",
             (
                 "asyncio",
                 "sqlite3",
                 "asyncpg",
-                "burlloom.record.keeper",
+                "burlloom.record.coordinator",
                 "burlloom.server",
                 "burlloom.dispatcher",
             ),
--- a/tests/test_distributing.py
+++ b/tests/test_distributing.py
@@ -20,8 +20,8 @@
 from burlloom.distribution.table import Table
 from burlloom.distribution.telling import Keys, Telling
 from burlloom.fakes.parts import fields
-from burlloom.levels.signals import RINGS_MOST
-from burlloom.levels.signals import Tenants as Shares
+from burlloom.levels.signals import MAX_TENANTS
+from burlloom.levels.signals import TenantShares as Shares
 from burlloom.rpc.requests import Known, Malformed, request
 from burlloom.server.distributing import COUNT_EVERY, Portions, Tenants
 
@@ -101,18 +101,18 @@
     chance, past = Random(1), {"a": 0, "b": 0}
     for n in range(3000):
         name = "b" if chance.random() < 0.6 else "a"
-        past[name] += shares.read(n * SECOND // 100, name)
+        past[name] += shares.is_over_share(n * SECOND // 100, name)
     assert past["b"] > 1000
     assert not past["a"]
-    assert not shares.read(0, "none")
+    assert not shares.is_over_share(0, "none")
 
 
 def test_reads_of_many_tenants_are_counted_for_a_bounded_number() -> None:
     shares = Shares((), share=lambda name: 1e-5)
-    for n in range(RINGS_MOST + 100):
-        shares.read(n, f"t{n}")
-    assert len(shares.rings) == RINGS_MOST
-    assert len(shares.past) <= RINGS_MOST
+    for n in range(MAX_TENANTS + 100):
+        shares.is_over_share(n, f"t{n}")
+    assert len(shares.rings) == MAX_TENANTS
+    assert len(shares.past) <= MAX_TENANTS
     assert "t0" not in shares.rings
 
 
@@ -162,7 +162,7 @@
         # Away for longer than the log reaches.
         far = held.head
         assert far is not None
-        await store.run(
+        await store.execute(
             "UPDATE distribution_head SET revision = revision + $1::bigint", 2 * LOG_MOST
         )
         await put(tenant("far"))
@@ -172,9 +172,9 @@
         assert held.table.has("tenant", "far")
 
         # Put back, and written to past where we are, before we looked.
-        await store.run("UPDATE distribution_head SET revision = 1, tag = $1::bytea", b"t" * 16)
-        await store.run("DELETE FROM distribution_change WHERE revision > $1::bigint", 0)
-        await store.run("DELETE FROM distribution_entry WHERE key = $1::bytea", b"far")
+        await store.execute("UPDATE distribution_head SET revision = 1, tag = $1::bytea", b"t" * 16)
+        await store.execute("DELETE FROM distribution_change WHERE revision > $1::bigint", 0)
+        await store.execute("DELETE FROM distribution_entry WHERE key = $1::bytea", b"far")
         before = held.head
         for n in range(3):
             await put(tenant(f"other{n}"))
@@ -189,13 +189,13 @@
         await put(tenant("x"))
         await reading.round()
         mark = held.head
-        saved = await store.run("SELECT revision, tag FROM distribution_head WHERE id = 1")
+        saved = await store.execute("SELECT revision, tag FROM distribution_head WHERE id = 1")
         await put(tenant("y"))
         await reading.round()
-        await store.run(
+        await store.execute(
             "DELETE FROM distribution_change WHERE revision = $1::bigint", mark.revision + 1
         )
-        await store.run(
+        await store.execute(
             "UPDATE distribution_head SET revision = $1::bigint, tag = $2::bytea", *saved[0]
         )
         for name in ("z", "zz"):
--- a/tests/test_distribution_stores.py
+++ b/tests/test_distribution_stores.py
@@ -14,13 +14,13 @@
 
 from burlloom.distribution.changes import Change, Entry, Head, break_of, chained, encode, head_of
 from burlloom.distribution.log import LOG_MOST
-from burlloom.distribution.stores import Away, ChangeStore
+from burlloom.distribution.stores import ChangeStore, StoreUnavailableError
 from burlloom.distribution.stores.postgres import Postgres
 from burlloom.distribution.stores.sqlite import Sqlite
 from burlloom.fakes import postgres
 from burlloom.operator import Place
 from burlloom.operator import Postgres as Database
-from burlloom.record.opening import store_of
+from burlloom.record.factory import create_store
 
 SIGNING = b"s" * 32
 
@@ -152,10 +152,10 @@
         await replayed(first, second)
         before = await first.head()
         (tmp_path / "changes.db").rename(tmp_path / "before.db")
-        with pytest.raises(Away, match="No such file"):
+        with pytest.raises(StoreUnavailableError, match="No such file"):
             await first.head()
         await second.open()
-        with pytest.raises(Away):
+        with pytest.raises(StoreUnavailableError):
             await first.append(change(before, ("tenant", "a", value())))
         await first.open()
         head = await first.head()
@@ -226,7 +226,7 @@
         while not waits.done():
             await asyncio.sleep(0.005)
             worst, last = max(worst, time.monotonic() - last), time.monotonic()
-        with pytest.raises(Away, match="locked"):
+        with pytest.raises(StoreUnavailableError, match="locked"):
             await waits
         assert worst < 1.0, worst  # the lock was waited for twice as long
         other.execute("ROLLBACK")
@@ -249,23 +249,23 @@
                 address=server.address, key_file=str(key), hang_ms=300, connect_ms=500
             )
         )
-        first, second = (Postgres(store_of(told, "-", keep=0)[0]) for _ in range(2))  # type: ignore[arg-type]
+        first, second = (Postgres(create_store(told, "-", keep=0)[0]) for _ in range(2))  # type: ignore[arg-type]
         await promises(first, second)
         await replayed(first, second)
         made = change(await first.head(), ("tenant", "q", value()))
         server.orders.reset_after_commit = 1  # taken, and nobody is told
-        with pytest.raises(Away):
+        with pytest.raises(StoreUnavailableError):
             await first.append(made)
         assert await first.at(made.revision) == made
         assert not await first.append(made)
         made = change(await first.head(), ("tenant", "r", value()))
         server.orders.reset_before_commit = 1  # not taken, and nobody is told
-        with pytest.raises(Away):
+        with pytest.raises(StoreUnavailableError):
             await first.append(made)
         assert await first.at(made.revision) is None
         assert await first.append(made)
         server.orders.hang = True
-        with pytest.raises(Away):
+        with pytest.raises(StoreUnavailableError):
             await first.head()
         server.orders.hang = False
         assert await first.head() == head_of(made)
@@ -285,12 +285,12 @@
         store = Sqlite(tmp_path / "changes.db")
         await store.open()
         held = Held(tmp_path / "changes.db", 1.9)
-        store.turns = held.turns()
+        store.lock_retry = held.turns()
         assert await store.append(change(await store.head(), ("tenant", "a", value())))
         assert held.looks >= 100
         held = Held(tmp_path / "changes.db", 9.0)
-        store.turns = held.turns()
-        with pytest.raises(Away, match="database is locked"):
+        store.lock_retry = held.turns()
+        with pytest.raises(StoreUnavailableError, match="database is locked"):
             await store.append(change(await store.head(), ("tenant", "b", value())))
         assert 2.0 <= held.now < 2.1
         assert (await store.head()).revision == 1
--- a/tests/test_fate.py
+++ b/tests/test_fate.py
@@ -3,7 +3,7 @@
 import pytest
 from explore import Broken, Explorer
 
-from burlloom.record import fate
+from burlloom.record import request_lifecycle as fate
 
 # Small enough for CI; larger ones are in docs/results.md.
 WORLDS = {
@@ -20,40 +20,40 @@
 
 BROKEN = {
     "runs though its claim was lost": (
-        "ASK   LOST                       GONE   refuse",
-        "ASK   LOST                       RUN    run",
+        "CLAIMING          WRITE_FAILED                       CLOSED            reject",
+        "CLAIMING          WRITE_FAILED                       RUNNING           start_run",
     ),
     "runs though nobody knows of its claim": (
-        "ASK   UNSURE                     ASK    claim_later",
-        "ASK   UNSURE                     RUN    run",
+        "CLAIMING          WRITE_UNCERTAIN                    CLAIMING          retry_claim",
+        "CLAIMING          WRITE_UNCERTAIN                    RUNNING           start_run",
     ),
     "runs though another has it": (
-        "ASK   TAKEN                      ELSE   copy+follow",
-        "ASK   TAKEN                      RUN    run",
+        "CLAIMING          FOUND_CLAIMED                      CLAIMED_ELSEWHERE follow+poll",
+        "CLAIMING          FOUND_CLAIMED                      RUNNING           start_run",
     ),
     "runs though it ran": (
-        "ASK   FOUND                      GONE   copy+give",
-        "ASK   FOUND                      RUN    run",
+        "CLAIMING          FOUND_RESULT                       CLOSED            follow+deliver_result",
+        "CLAIMING          FOUND_RESULT                       RUNNING           start_run",
     ),
     "runs what is in doubt": (
-        "ASK   BARE                       GONE   copy+void",
-        "ASK   BARE                       RUN    run",
+        "CLAIMING          FOUND_NO_RESULT                    CLOSED            follow+fail",
+        "CLAIMING          FOUND_NO_RESULT                    RUNNING           start_run",
     ),
     "takes a claim back that ran": (
-        "RUN   FAIL                       ILL    finish",
-        "RUN   FAIL                       BACK   withdraw",
+        "RUNNING           RUN_FAILED                         FAILED            finish",
+        "RUNNING           RUN_FAILED                         WITHDRAWING       withdraw",
     ),
     "takes doubt for nothing": (
-        "OPEN  DEAD                       DOUBT  doubt",
-        "OPEN  DEAD                       BACK   found_unrun",
+        "AWAITING_EXECUTOR EXECUTOR_SILENT                    IN_DOUBT          mark_in_doubt",
+        "AWAITING_EXECUTOR EXECUTOR_SILENT                    WITHDRAWING       resolve_as_never_ran",
     ),
     "runs without a claim in time": (
-        "ASK   SLOW                       BACK   refuse+withdraw",
-        "ASK   SLOW                       RUN    run",
+        "CLAIMING          STORE_TIMED_OUT                    WITHDRAWING       reject+withdraw",
+        "CLAIMING          STORE_TIMED_OUT                    RUNNING           start_run",
     ),
     "forgets to take its claim back": (
-        "ASK   HELD       given_up        BACK   unrun+withdraw",
-        "ASK   HELD       given_up        RUN    run+unrun",
+        "CLAIMING          WRITE_APPLIED      abandoned       WITHDRAWING       report_never_ran+withdraw",
+        "CLAIMING          WRITE_APPLIED      abandoned       RUNNING           start_run+report_never_ran",
     ),
 }
 
@@ -62,7 +62,7 @@
 def test_a_broken_row_is_caught(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     row, instead = BROKEN[name]
     assert row in fate.TABLE
-    monkeypatch.setattr(fate, "RULES", fate.rules(fate.TABLE.replace(row, instead)))
+    monkeypatch.setattr(fate, "RULES", fate.parse_rules(fate.TABLE.replace(row, instead)))
     with pytest.raises(Broken):
         for world in WORLDS.values():
             Explorer(*world).walk()
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -18,25 +18,25 @@
 from burlloom.lab.emulator import Watch
 from burlloom.lab.variants import VARIANTS, leveler
 from burlloom.levels import (
-    DEFAULT,
-    Bounds,
-    Input,
-    Ladder,
-    Level,
-    Levels,
-    Phase,
-    Pin,
-    Plan,
-    PlanFaults,
-    Readings,
-    Tenants,
-    Terms,
-    ladder,
-    most_changes,
-    reliefs,
+    DEFAULT_PLAN,
+    DegradationController,
+    DegradationEvent,
+    DegradationPhase,
+    DegradationStateMachine,
+    HysteresisPolicy,
+    InvalidPlanError,
+    LevelDefinition,
+    LevelPin,
+    LevelPlan,
+    SignalBounds,
+    SignalReadings,
+    TenantShares,
+    degradations,
+    max_changes_per_minute,
 )
-from burlloom.levels.plan import ALL, faults
-from burlloom.levels.signals import NAMES, Signals
+from burlloom.levels import state_machine as ladder
+from burlloom.levels.plan import ALL_VALUES, find_plan_faults
+from burlloom.levels.signals import SIGNAL_NAMES, SignalAggregator
 
 
 def product(
@@ -48,15 +48,15 @@
 PRODUCTS = (("look", product(1)), ("set", product(2)), ("pay", product(5, Idempotency.KEYED)))
 
 
-def coarse(tick: int, levels: int, **more: Any) -> Terms:
-    return Terms(
+def coarse(tick: int, levels: int, **more: Any) -> HysteresisPolicy:
+    return HysteresisPolicy(
         **{
-            "levels": levels,
-            "dwell": tick,
-            "stay": tick,
-            "stay_most": 4 * tick,
-            "relapse": 2 * tick,
-            "trial": tick,
+            "level_count": levels,
+            "dwell_ns": tick,
+            "min_stay_ns": tick,
+            "max_stay_ns": 4 * tick,
+            "relapse_ns": 2 * tick,
+            "trial_step_ns": tick,
             **more,
         }
     )
@@ -70,10 +70,10 @@
 def test_no_history_has_more_changes_a_minute_than_stated(
     levels: int, most: int, tick: int, states: int, trials: bool
 ) -> None:
-    terms = coarse(tick * SECOND, levels, changes_most=most, trials=trials)
+    terms = coarse(tick * SECOND, levels, max_changes_per_minute=most, uses_trials=trials)
     explorer = Explorer(terms, tick * SECOND)
     assert explorer.walk(range(levels)) > (states if trials else states // 8)
-    assert explorer.most <= most_changes(terms) == most
+    assert explorer.most <= max_changes_per_minute(terms) == most
 
 
 @pytest.mark.parametrize(
@@ -92,7 +92,9 @@
 def test_a_broken_row_is_caught(row: str, broken: str, monkeypatch: pytest.MonkeyPatch) -> None:
     assert row in ladder.TABLE
     monkeypatch.setattr(ladder, "RULES", ladder.rules(ladder.TABLE.replace(row, broken)))
-    explorer = Explorer(coarse(10 * SECOND, 3, changes_most=3, trials=False), 10 * SECOND)
+    explorer = Explorer(
+        coarse(10 * SECOND, 3, max_changes_per_minute=3, uses_trials=False), 10 * SECOND
+    )
     with pytest.raises(AssertionError):
         explorer.walk(range(3))
         assert explorer.most <= 3
@@ -102,89 +104,100 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from([Input.SAME, Input.WORSE, Input.BETTER, Input.EMERGENCY]),
+            st.sampled_from(
+                [
+                    DegradationEvent.SAME,
+                    DegradationEvent.WORSE,
+                    DegradationEvent.BETTER,
+                    DegradationEvent.EMERGENCY,
+                ]
+            ),
             st.integers(1, 200),
         ),
         max_size=400,
     ),
     st.integers(0, 3),
 )
-def test_long_histories_at_full_resolution(history: list[tuple[Input, int]], start: int) -> None:
-    terms = Terms(4)
-    walker, now, moves = Ladder(terms), NOW, []
+def test_long_histories_at_full_resolution(
+    history: list[tuple[DegradationEvent, int]], start: int
+) -> None:
+    terms = HysteresisPolicy(4)
+    walker, now, moves = DegradationStateMachine(terms), NOW, []
     at = walker.start(start, now)
     for what, rounds in history:
         now += rounds * SECOND // 10
-        change = walker.meet(at, what, now, 3)
+        change = walker.handle(at, what, now, 3)
         at = change.after
-        if change.moved:
+        if change.has_changed_level:
             moves.append(now)
             assert len([move for move in moves if move > now - 60 * SECOND]) <= 4
-        assert walker.stay(at) <= terms.stay_most
+        assert walker.min_stay_ns(at) <= terms.max_stay_ns
 
 
 def test_a_level_left_too_early_is_kept_longer_each_time() -> None:
-    walker, now = Ladder(Terms(2, changes_most=100)), NOW
+    walker, now = DegradationStateMachine(HysteresisPolicy(2, max_changes_per_minute=100)), NOW
     at = walker.start(1, now)
     waits = []
     for _ in range(4):
         began = now
         while at.level:
             now += SECOND // 10
-            at = walker.meet(at, Input.BETTER, now).after
+            at = walker.handle(at, DegradationEvent.BETTER, now).after
         waits.append((now - began) // SECOND)
         now += 2 * SECOND
-        at = walker.meet(at, Input.WORSE, now).after
+        at = walker.handle(at, DegradationEvent.WORSE, now).after
     assert waits == sorted(waits) and waits[-1] >= 2 * waits[0], waits
 
 
-def of_plan(**more: Any) -> Levels:
-    return Levels(DEFAULT, reliefs(DEFAULT, PRODUCTS), NOW, **more)
+def of_plan(**more: Any) -> DegradationController:
+    return DegradationController(DEFAULT_PLAN, degradations(DEFAULT_PLAN, PRODUCTS), NOW, **more)
 
 
-CALM = Readings(
-    use=0.3,
-    crowd=0.3,
-    age=0.0,
-    lag=0.0,
-    press=0.0,
-    late=0.0,
-    calls=0.0,
-    store=0.0,
-    memory=0.3,
-    sockets=0.1,
+CALM = SignalReadings(
+    cpu_utilization=0.3,
+    contention=0.3,
+    queue_age=0.0,
+    read_lag=0.0,
+    pressure=0.0,
+    late_share=0.0,
+    call_failure_share=0.0,
+    store_load=0.0,
+    memory_utilization=0.3,
+    socket_utilization=0.1,
 )
 
 
-def after(levels: Levels, readings: Readings, seconds: float, now: int) -> int:
+def after(levels: DegradationController, readings: SignalReadings, seconds: float, now: int) -> int:
     for _ in range(int(seconds * 10)):
         now += SECOND // 10
-        levels.round(now, readings)
+        levels.tick(now, readings)
     return now
 
 
 def test_it_steps_down_and_works_its_way_back() -> None:
     levels = of_plan()
-    now = after(levels, replace(CALM, press=0.6, use=1.0), 6, NOW)
+    now = after(levels, replace(CALM, pressure=0.6, cpu_utilization=1.0), 6, NOW)
     assert levels.level == "essential"
-    assert levels.standing.phase is Phase.STEADY
+    assert levels.status.phase is DegradationPhase.STEADY
     now = after(levels, CALM, 20, now)
-    assert levels.level in ("essential", "lean") and levels.part > 0 or levels.level == "lean"
+    assert (
+        levels.level in ("essential", "lean") and levels.trial_share > 0 or levels.level == "lean"
+    )
     now = after(levels, CALM, 150, now)
     assert levels.level == "normal"
-    assert levels.steps["up"] == 2
-    assert sum(levels.spent.values()) == now - NOW
+    assert levels.transition_counts["up"] == 2
+    assert sum(levels.time_at_level_ns.values()) == now - NOW
 
 
 def test_signals_that_are_missing_or_stale_never_raise_service() -> None:
     levels = of_plan()
-    now = after(levels, replace(CALM, press=0.6, use=1.0), 6, NOW)
-    after(levels, Readings(), 300, now)
+    now = after(levels, replace(CALM, pressure=0.6, cpu_utilization=1.0), 6, NOW)
+    after(levels, SignalReadings(), 300, now)
     assert levels.level == "essential"
-    assert not levels.part
-    signals = Signals()
+    assert not levels.trial_share
+    signals = SignalAggregator()
     signals.take(NOW, CALM)
-    assert set(signals.values(NOW)) == set(NAMES)
+    assert set(signals.values(NOW)) == set(SIGNAL_NAMES)
     assert signals.values(NOW + 20 * SECOND) == {}
 
 
@@ -197,23 +210,23 @@
 
 def test_an_emergency_goes_at_once_and_a_pin_holds() -> None:
     levels = of_plan()
-    after(levels, replace(CALM, memory=0.99), 0.1, NOW)
+    after(levels, replace(CALM, memory_utilization=0.99), 0.1, NOW)
     assert levels.level == "highest"
-    assert levels.steps["drop"] == 1
+    assert levels.transition_counts["drop"] == 1
     now = after(levels, CALM, 2, NOW)
-    levels.pinned(now, Pin("normal", NOW + 9 * SECOND))
+    levels.set_pin(now, LevelPin("normal", NOW + 9 * SECOND))
     assert levels.level == "normal"
-    after(levels, replace(CALM, press=1.0, use=1.0), 3, now)
+    after(levels, replace(CALM, pressure=1.0, cpu_utilization=1.0), 3, now)
     assert levels.level == "normal"
-    assert levels.standing.phase is Phase.PINNED
-    after(levels, replace(CALM, memory=0.99), 1, NOW + 6 * SECOND)
+    assert levels.status.phase is DegradationPhase.PINNED
+    after(levels, replace(CALM, memory_utilization=0.99), 1, NOW + 6 * SECOND)
     assert levels.level == "highest"  # not even a pin stands against it
     after(levels, CALM, 5, NOW + 7 * SECOND)
-    assert levels.standing.phase is not Phase.PINNED  # its time was over
+    assert levels.status.phase is not DegradationPhase.PINNED  # its time was over
 
 
 def test_what_the_shipped_levels_take_away() -> None:
-    normal, lean, essential, highest, drain = reliefs(DEFAULT, PRODUCTS)
+    normal, lean, essential, highest, drain = degradations(DEFAULT_PLAN, PRODUCTS)
     assert normal == Degradation()
     assert lean.rejected_classes == (False, False, False)
     assert lean.retry_rejecting_classes == (True, True, False)
@@ -227,16 +240,26 @@
 
 
 def test_all_faults_of_a_plan_at_once() -> None:
-    plan = Plan(
+    plan = LevelPlan(
         (
-            Level("normal", hold=0.5),
-            Level("a", {"age": Bounds(0.2, 0.3), "heat": Bounds(2, 1)}, products=("buy",)),
-            Level("a", {"age": Bounds(0.1, 0.05)}, kept=("pay", "look"), skips=("set",), hold=2.0),
+            LevelDefinition("normal", queue_share=0.5),
+            LevelDefinition(
+                "a",
+                {"age": SignalBounds(0.2, 0.3), "heat": SignalBounds(2, 1)},
+                dropped_classes=("buy",),
+            ),
+            LevelDefinition(
+                "a",
+                {"age": SignalBounds(0.1, 0.05)},
+                cached_classes=("pay", "look"),
+                classes_without_calls=("set",),
+                queue_share=2.0,
+            ),
         ),
         {"memory": (0.9, "b")},
-        cold="c",
+        cold_start_level="c",
     )
-    told = faults(plan, PRODUCTS, NAMES)
+    told = find_plan_faults(plan, PRODUCTS, SIGNAL_NAMES)
     for expected in (
         "levels.0 (normal): the first level takes nothing",
         "levels.2 (a): the name stands twice",
@@ -253,26 +276,26 @@
     ):
         assert any(line.startswith(expected) for line in told), (expected, told)
     assert len(told) == 12
-    with pytest.raises(PlanFaults):
-        reliefs(plan, PRODUCTS)
+    with pytest.raises(InvalidPlanError):
+        degradations(plan, PRODUCTS)
     with pytest.raises(ValueError, match="could never come back"):
-        Terms(5, changes_most=4)
+        HysteresisPolicy(5, max_changes_per_minute=4)
 
 
 def test_tenants_past_their_share() -> None:
-    tenants = Tenants([("a", 0.5), ("b", 0.5)])
+    tenants = TenantShares([("a", 0.5), ("b", 0.5)])
     chance, past = Random(1), {"a": 0, "b": 0}
     for n in range(4000):
         tenant = "a" if chance.random() < 0.8 else "b"
-        past[tenant] += tenants.read(NOW + n * SECOND // 100, tenant)
+        past[tenant] += tenants.is_over_share(NOW + n * SECOND // 100, tenant)
     # Of four in five it may have as much as the other: three in four of its txns are past its
     # share.
     assert 2200 < past["a"] < 2500
     assert not past["b"]
-    assert not tenants.read(NOW, "unknown")
-    fair = Tenants([("a", 0.6), ("b", 0.4)])
+    assert not tenants.is_over_share(NOW, "unknown")
+    fair = TenantShares([("a", 0.6), ("b", 0.4)])
     assert not any(
-        fair.read(NOW + n * SECOND // 10, "a" if chance.random() < 0.6 else "b")
+        fair.is_over_share(NOW + n * SECOND // 10, "a" if chance.random() < 0.6 else "b")
         for n in range(5000)
     )
 
@@ -288,9 +311,11 @@
 
     def row(play: Any) -> dict[str, float]:
         for node in play.nodes:
-            at = node.server.levels.levels.standing
+            at = node.server.levels.levels.status
             moves.setdefault(node.name, []).extend(
-                at.changes[-1:] if at.changes[-1:] != tuple(moves.get(node.name, [])[-1:]) else ()
+                at.recent_changes[-1:]
+                if at.recent_changes[-1:] != tuple(moves.get(node.name, [])[-1:])
+                else ()
             )
         return {}
 
@@ -309,7 +334,12 @@
     """A level that gives everything up from the start on: nothing new is taken, and no rule is
     broken.
     """
-    shut = Plan((Level("normal"), Level("shut", {"use": Bounds(0.2, 0.01)}, gives_up=ALL)))
+    shut = LevelPlan(
+        (
+            LevelDefinition("normal"),
+            LevelDefinition("shut", {"use": SignalBounds(0.2, 0.01)}, dropped_values=ALL_VALUES),
+        )
+    )
     told = play(
         fleet(
             3,
@@ -319,7 +349,7 @@
             low=0.9,
             high=0.9,
         ),
-        leveling=leveler(shut, Terms(2)),
+        leveling=leveler(shut, HysteresisPolicy(2)),
     )
     assert not told.faults
     assert told.count["declined"] > 200
@@ -328,7 +358,12 @@
 
 def test_without_an_operators_file_nothing_changes() -> None:
     world = fleet(3, 8, 6, low=1.2, high=1.2)
-    idle = Plan((Level("normal"), Level("never", {"use": Bounds(1e9, 1)}, gives_up=1)))
+    idle = LevelPlan(
+        (
+            LevelDefinition("normal"),
+            LevelDefinition("never", {"use": SignalBounds(1e9, 1)}, dropped_values=1),
+        )
+    )
     assert json.dumps(play(world).count) == json.dumps(
-        play(world, leveling=leveler(idle, Terms(2))).count
+        play(world, leveling=leveler(idle, HysteresisPolicy(2))).count
     )
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -23,46 +23,46 @@
 
 from burlloom.fakes.parts import fields
 from burlloom.recovery import (
-    Input,
-    Kept,
-    Ramp,
-    Recovery,
-    Retries,
-    Start,
-    State,
-    Terms,
-    Verdict,
-    judge,
-    read,
-    write,
+    Bootstrap,
+    BootstrapEvent,
+    BootstrapState,
+    RecoveryController,
+    RecoveryPolicy,
+    RecoverySnapshot,
+    RetryBudget,
+    SlowStart,
+    SnapshotValidity,
+    parse_snapshot,
+    serialize_snapshot,
+    validate_snapshot,
 )
-from burlloom.recovery.ramp import Input as Push
-from burlloom.recovery.start import RULES
+from burlloom.recovery.bootstrap import RULES
+from burlloom.recovery.slow_start import StepOutcome as Push
 
 MS = 1_000_000
-KEPT = Kept("n1", 1000, 5000, 3, 6.5, False, ("10.0.0.1:1", "10.0.0.2:1"))
+KEPT = RecoverySnapshot("n1", 1000, 5000, 3, 6.5, False, ("10.0.0.1:1", "10.0.0.2:1"))
 
 
 def test_what_was_kept_is_read_whole_or_not_at_all() -> None:
-    text, chance = write(KEPT), Random(1)
-    assert read(text) == KEPT
-    assert read(None) is Verdict.MISSING
+    text, chance = serialize_snapshot(KEPT), Random(1)
+    assert parse_snapshot(text) == KEPT
+    assert parse_snapshot(None) is SnapshotValidity.MISSING
     for cut in range(len(text) - 1):
-        assert read(text[:cut]) is Verdict.TORN
+        assert parse_snapshot(text[:cut]) is SnapshotValidity.TORN
     for _ in range(20_000):
         at = chance.randrange(len(text))
         spoilt = text[:at] + chr(chance.randrange(32, 127)) + text[at + 1 :]
-        assert read(spoilt) in (KEPT, Verdict.TORN)
-        assert read(spoilt) is Verdict.TORN or spoilt.split() == text.split()
+        assert parse_snapshot(spoilt) in (KEPT, SnapshotValidity.TORN)
+        assert parse_snapshot(spoilt) is SnapshotValidity.TORN or spoilt.split() == text.split()
     for text in ("", "null", "[]", "{}", "[" * 9000, '{"kept": 5, "sum": "x"}'):
-        assert read(text) is Verdict.TORN
+        assert parse_snapshot(text) is SnapshotValidity.TORN
     for told, now, verdict in (
-        (KEPT, 6000, Verdict.GOOD),
-        (replace(KEPT, node="n2"), 6000, Verdict.FOREIGN),
-        (KEPT, 4999, Verdict.FUTURE),
-        (KEPT, 99_000, Verdict.OLD),
+        (KEPT, 6000, SnapshotValidity.GOOD),
+        (replace(KEPT, node="n2"), 6000, SnapshotValidity.FOREIGN),
+        (KEPT, 4999, SnapshotValidity.FUTURE),
+        (KEPT, 99_000, SnapshotValidity.OLD),
     ):
-        assert judge(told, "n1", now, 60_000) is verdict
+        assert validate_snapshot(told, "n1", now, 60_000) is verdict
 
 
 def test_the_start_walked_whole() -> None:
@@ -71,32 +71,36 @@
     """
     met = set()
     for lonely, clean in product((False, True), repeat=2):
-        for told in product(Input, repeat=4):
-            start = Start(lonely, clean, 100)
+        for told in product(BootstrapEvent, repeat=4):
+            start = Bootstrap(lonely, clean, 100)
             for at, what in enumerate(told):
                 met.add((start.state, what))
-                start.meet(what, at)
-            against = {Input.SAID_LATER, Input.SAID_EARLIER}
-            if start.used:
+                start.handle(what, at)
+            against = {BootstrapEvent.SAID_LATER, BootstrapEvent.SAID_EARLIER}
+            if start.uses_snapshot:
                 assert (
-                    start.state is State.WARM
-                    and told[0] is Input.KEPT_GOOD
-                    or Input.KEPT_GOOD in told
+                    start.state is BootstrapState.WARM
+                    and told[0] is BootstrapEvent.KEPT_GOOD
+                    or BootstrapEvent.KEPT_GOOD in told
                 )
-                after = told[told.index(Input.KEPT_GOOD) :]
+                after = told[told.index(BootstrapEvent.KEPT_GOOD) :]
                 assert not against & set(after), told
-            if told[0] is Input.KEPT_OLD and not clean:
-                assert start.fenced_until >= 100, told
-            if told[0] is Input.KEPT_GOOD and (not clean or against & set(told[1:])):
-                assert start.fenced_until >= 100, told
-            if told[0] is Input.KEPT_BAD or told[0] is Input.KEPT_NONE and Input.SAID_LIVED in told:
-                assert start.fenced_until >= 100, told
+            if told[0] is BootstrapEvent.KEPT_OLD and not clean:
+                assert start.fenced_until_ns >= 100, told
+            if told[0] is BootstrapEvent.KEPT_GOOD and (not clean or against & set(told[1:])):
+                assert start.fenced_until_ns >= 100, told
             if (
-                told[0] is Input.KEPT_GOOD
+                told[0] is BootstrapEvent.KEPT_BAD
+                or told[0] is BootstrapEvent.KEPT_NONE
+                and BootstrapEvent.SAID_LIVED in told
+            ):
+                assert start.fenced_until_ns >= 100, told
+            if (
+                told[0] is BootstrapEvent.KEPT_GOOD
                 and clean
-                and not (against | {Input.SAID_LIVED}) & set(told)
+                and not (against | {BootstrapEvent.SAID_LIVED}) & set(told)
             ):
-                assert not start.fenced_until
+                assert not start.fenced_until_ns
     assert met >= set(RULES)
 
 
@@ -106,11 +110,11 @@
     """
     highest = [0.0] * 12
     for told in product(Push, repeat=11):
-        ramp = Ramp(2.0, 1.0, 100, 0)
+        ramp = SlowStart(2.0, 1.0, 100, 0)
         for at, what in enumerate(told, 1):
             before = ramp.cap
-            ramp.round(at * 100, what, 64.0)
-            if not ramp.full:
+            ramp.tick(at * 100, what, 64.0)
+            if not ramp.is_complete:
                 highest[at] = max(highest[at], ramp.cap)
                 assert 1.0 <= ramp.cap <= 2.0 * 2**at
                 assert ramp.cap <= before or what is Push.WELL
@@ -120,62 +124,73 @@
 
 
 def test_retries_are_a_part_of_first_tries() -> None:
-    budget, taken = Retries(0.2, 2.0, 2_000_000_000), [0, 0]
+    budget, taken = RetryBudget(0.2, 2.0, 2_000_000_000), [0, 0]
     for ms in range(0, 20_000, 10):
         taken[0] += 1
-        budget.over(ms * MS, False)
+        budget.is_over_budget(ms * MS, False)
         for _ in range(5):
-            taken[1] += not budget.over(ms * MS, True)
+            taken[1] += not budget.is_over_budget(ms * MS, True)
     assert 0.2 * taken[0] <= taken[1] <= 0.25 * taken[0] + 50
-    quiet = Retries(0.2, 2.0, 2_000_000_000)
-    assert [quiet.over(0, True) for _ in range(6)] == [False] * 4 + [True] * 2
-    assert not quiet.over(4_000_000_000, True)
+    quiet = RetryBudget(0.2, 2.0, 2_000_000_000)
+    assert [quiet.is_over_budget(0, True) for _ in range(6)] == [False] * 4 + [True] * 2
+    assert not quiet.is_over_budget(4_000_000_000, True)
 
 
 def test_a_recovery_as_a_whole() -> None:
-    def begun(found: Kept | Verdict, lonely: bool = False) -> Recovery:
-        return Recovery(Terms(window=18_000 * MS), found, "n1", 0, 6000, lonely)
+    def begun(
+        found: RecoverySnapshot | SnapshotValidity, lonely: bool = False
+    ) -> RecoveryController:
+        return RecoveryController(
+            RecoveryPolicy(idempotency_window_ns=18_000 * MS), found, "n1", 0, 6000, lonely
+        )
 
-    warm, cold = begun(KEPT), begun(Verdict.MISSING)
+    warm, cold = begun(KEPT), begun(SnapshotValidity.MISSING)
     for one in (warm, cold):
-        assert one.cap == 0
-        assert one.round(0, 10.0, 0.0)
-        assert one.cap == 2.5
-    warm.store(4, 0)
-    assert warm.round(10 * MS, 10.0, 10.0)
-    assert warm.cap == 3.25
-    cold.store(1, 0)
-    assert not cold.fenced(1)
-    assert warm.fenced(17_999 * MS)
-    assert not warm.fenced(18_001 * MS)
-    kept = Recovery(Terms(window=18_000 * MS, durable=True), KEPT, "n1", 0, 6000, False)
-    kept.store(4, 0)
-    assert not kept.fenced(1)
-    assert kept.start.used
+        assert one.call_cap == 0
+        assert one.tick(0, 10.0, 0.0)
+        assert one.call_cap == 2.5
+    warm.record_opened(4, 0)
+    assert warm.tick(10 * MS, 10.0, 10.0)
+    assert warm.call_cap == 3.25
+    cold.record_opened(1, 0)
+    assert not cold.is_fenced(1)
+    assert warm.is_fenced(17_999 * MS)
+    assert not warm.is_fenced(18_001 * MS)
+    kept = RecoveryController(
+        RecoveryPolicy(idempotency_window_ns=18_000 * MS, requires_record=True),
+        KEPT,
+        "n1",
+        0,
+        6000,
+        False,
+    )
+    kept.record_opened(4, 0)
+    assert not kept.is_fenced(1)
+    assert kept.bootstrap.uses_snapshot
     for lost in (3, 1):  # the store counts us as a life that we had before
         again = begun(KEPT)
-        again.store(lost, 0)
-        again.round(0, 10.0, 0.0)
-        again.round(10 * MS, 10.0, 10.0)
-        assert again.cap == 2.5
-        assert again.start.state is State.COLD
-    cold.peer(900, 5)
-    assert cold.fenced(18_000 * MS)
-    assert not cold.fenced(18_006 * MS)
+        again.record_opened(lost, 0)
+        again.tick(0, 10.0, 0.0)
+        again.tick(10 * MS, 10.0, 10.0)
+        assert again.call_cap == 2.5
+        assert again.bootstrap.state is BootstrapState.COLD
+    cold.peer_reported_incarnation(900, 5)
+    assert cold.is_fenced(18_000 * MS)
+    assert not cold.is_fenced(18_006 * MS)
     silent = begun(KEPT)
-    silent.round(0, 10.0, 0.0)
-    silent.round(2000 * MS, 10.0, 10.0)
-    assert silent.start.state is State.COLD
-    assert begun(KEPT, True).start.state is State.ASKING
+    silent.tick(0, 10.0, 0.0)
+    silent.tick(2000 * MS, 10.0, 10.0)
+    assert silent.bootstrap.state is BootstrapState.COLD
+    assert begun(KEPT, True).bootstrap.state is BootstrapState.ASKING
     at = 0
-    while not cold.over:
+    while not cold.is_complete:
         at += 500
         for _ in range(5):
-            cold.called(True)
-        cold.round(at * MS, 10.0, 10.0)
+            cold.record_call(True)
+        cold.tick(at * MS, 10.0, 10.0)
     assert at <= 3000
-    assert cold.cap == float("inf")
-    assert not cold.holds_back(at * MS, True)
+    assert cold.call_cap == float("inf")
+    assert not cold.should_hold_back_retry(at * MS, True)
 
 
 # On processes.
@@ -292,8 +307,12 @@
         return (await rig.balancer()).ask("pay", fields(once=told["once"], retry="1"), b"charge")
 
     def of_the_record() -> int:
-        kept = read((rig.folder / "kept").read_text()) if (rig.folder / "kept").exists() else None
-        return kept.record_life if isinstance(kept, Kept) else 0
+        kept = (
+            parse_snapshot((rig.folder / "kept").read_text())
+            if (rig.folder / "kept").exists()
+            else None
+        )
+        return kept.record_incarnation if isinstance(kept, RecoverySnapshot) else 0
 
     told = await charge("k1")
     await until(lambda: of_the_record() == 1)
@@ -422,7 +441,7 @@
     path, kept = tmp_path / "operator.jsonnet", tmp_path / "kept"
     path.write_text(json.dumps({"recovery": {"state_file": str(kept)}}))
     told_at = time.time_ns() // MS - 2000
-    kept.write_text(write(replace(KEPT, told_at=told_at)))
+    kept.write_text(serialize_snapshot(replace(KEPT, written_at_ms=told_at)))
     said = burlloom("recovery", "show", "-o", path)
     ago = re.match(r"n1: life 1000, told (\d+\.\d) s ago, ", said)
     assert (
--- a/tests/test_rollout_stores.py
+++ b/tests/test_rollout_stores.py
@@ -15,9 +15,9 @@
 from burlloom.operator import Place
 from burlloom.operator import Postgres as Database
 from burlloom.record import shared_sqlite
-from burlloom.record.opening import store_of
+from burlloom.record.factory import create_store
 from burlloom.rollout import Book, Member, Says
-from burlloom.rollout.stores import Away, Shelf
+from burlloom.rollout.stores import Shelf, StoreUnavailableError
 from burlloom.rollout.stores.postgres import Postgres
 from burlloom.rollout.stores.sqlite import Sqlite
 
@@ -62,20 +62,20 @@
         await shelf.open()
         page = await shelf.read()
         held = Held(tmp_path / "agreed.db", 1.9)
-        shelf.turns = held.turns()
+        shelf.lock_retry = held.turns()
         assert await shelf.swap(page, Book("a"))
         assert held.looks >= 100
         page, held = await shelf.read(), Held(tmp_path / "agreed.db", 9.0)
-        shelf.turns = held.turns()
-        with pytest.raises(Away, match="database is locked"):
+        shelf.lock_retry = held.turns()
+        with pytest.raises(StoreUnavailableError, match="database is locked"):
             await shelf.swap(page, Book("b"))
         assert 2.0 <= held.now < 2.1
         assert (await shelf.read()).book.holder == "a"
         before = held.looks
-        shelf.turns = held.turns(
-            over=lambda: held.looks == before + 50
+        shelf.lock_retry = held.turns(
+            is_cancelled=lambda: held.looks == before + 50
         )  # it is being closed: nobody waits for it
-        with pytest.raises(Away, match="database is locked"):
+        with pytest.raises(StoreUnavailableError, match="database is locked"):
             await shelf.open()
         assert held.looks == before + 50
         held.db.close()
@@ -92,7 +92,7 @@
     assert CliRunner().invoke(rollout, ["show", "-o", str(path)]).exit_code == 0
     for until, status in ((20.0, 0), (60.0, 2)):
         held = Held(tmp_path / "agreed.db", until)
-        monkeypatch.setattr(shared_sqlite, "Turns", held.turns)
+        monkeypatch.setattr(shared_sqlite, "LockRetry", held.turns)
         got = CliRunner().invoke(rollout, ["budget", "--most", "3", "-o", str(path)])
         assert got.exit_code == status, got.output
         held.db.close()
@@ -104,10 +104,10 @@
         await promises(first, second)
         before = await first.read()
         (tmp_path / "agreed.db").rename(tmp_path / "before.db")  # as a restore does
-        with pytest.raises(Away, match="No such file"):
+        with pytest.raises(StoreUnavailableError, match="No such file"):
             await first.read()
         await second.open()
-        with pytest.raises(Away):
+        with pytest.raises(StoreUnavailableError):
             await first.swap(before, Book("c"))
         await first.open()
         new = await first.read()
@@ -131,15 +131,15 @@
                 address=server.address, key_file=str(key), hang_ms=300, connect_ms=500
             )
         )
-        first, second = (Postgres(store_of(told, "-", keep=0)[0]) for _ in range(2))  # type: ignore[arg-type]
+        first, second = (Postgres(create_store(told, "-", keep=0)[0]) for _ in range(2))  # type: ignore[arg-type]
         await promises(first, second)
         page = await first.read()
         server.orders.reset_after_commit = 1  # taken, and nobody is told
-        with pytest.raises(Away):
+        with pytest.raises(StoreUnavailableError):
             await first.swap(page, Book("d"))
         assert (await first.read()).book.holder == "d"
         server.orders.hang = True
-        with pytest.raises(Away):
+        with pytest.raises(StoreUnavailableError):
             await first.read()
         server.orders.hang = False
         assert (await first.read()).book.holder == "d"
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -8,7 +8,7 @@
 import pytest
 from simulate import simulate
 
-from burlloom.record import fate
+from burlloom.record import request_lifecycle as fate
 
 
 @pytest.fixture(autouse=True)
@@ -38,10 +38,10 @@
 
 def test_a_broken_row_is_seen_by_the_checker(monkeypatch: pytest.MonkeyPatch) -> None:
     broken = fate.TABLE.replace(
-        "ASK   SLOW                       BACK   refuse+withdraw",
-        "ASK   SLOW                       RUN    run",
+        "CLAIMING          STORE_TIMED_OUT                    WITHDRAWING       reject+withdraw",
+        "CLAIMING          STORE_TIMED_OUT                    RUNNING           start_run",
     )
-    monkeypatch.setattr(fate, "RULES", fate.rules(broken))
+    monkeypatch.setattr(fate, "RULES", fate.parse_rules(broken))
     assert any(
         "ran twice" in fault for seed in range(12) for fault in simulate(seed, 2, 0.3, 3).faults
     )
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -13,16 +13,26 @@
 from hypothesis import strategies as st
 
 from burlloom.fakes.postgres import Postgres as StandIn
-from burlloom.record.admin import Admin
-from burlloom.record.fate import Input
-from burlloom.record.postgres import Postgres
-from burlloom.record.recovery import Tick
-from burlloom.record.rows import BEGUN, KEPT, SPENT, Kind, Row, Word, Write, answer, applied
-from burlloom.record.seal import Sealer, key
-from burlloom.record.sqlite import Sqlite, connect
-from burlloom.record.store import Refused
-
-SEALER = Sealer(b"k" * 32)
+from burlloom.record.authentication import RowAuthenticator, load_key
+from burlloom.record.postgres import PostgresStore
+from burlloom.record.recovery_rules import ClockReading
+from burlloom.record.request_lifecycle import RequestEvent
+from burlloom.record.rows import (
+    ROW_COMPLETED,
+    ROW_COMPLETED_WITHOUT_RESULT,
+    ROW_STARTED,
+    RecordRow,
+    RecordWrite,
+    WriteKind,
+    WriteResult,
+    apply_write,
+    result_of_unapplied_write,
+)
+from burlloom.record.sqlite import SqliteStore, connect
+from burlloom.record.sqlite_admin import SqliteRecordAdmin
+from burlloom.record.store import StoreRefusedError
+
+SEALER = RowAuthenticator(b"k" * 32)
 FAR = 1 << 62
 MARKS = [bytes([n]) * 16 for n in range(3)]
 
@@ -33,36 +43,36 @@
     def __init__(self, store: Any) -> None:
         self.store = store
 
-    async def ask(self, *writes: Write) -> list[Word]:
+    async def ask(self, *writes: RecordWrite) -> list[WriteResult]:
         loop = asyncio.get_running_loop()
-        words: list[asyncio.Future[Word]] = [loop.create_future() for _ in writes]
+        words: list[asyncio.Future[WriteResult]] = [loop.create_future() for _ in writes]
         for write, word in zip(writes, words):
-            self.store.post(write, word.set_result)
+            self.store.submit(write, word.set_result)
         return await asyncio.wait_for(asyncio.gather(*words), 20)
 
 
 def row(
     mark: bytes = MARKS[0],
-    state: int = BEGUN,
+    state: int = ROW_STARTED,
     node: str = "n1",
     life: int = 1,
     turn: int = 1,
     result: bytes = b"",
-) -> Row:
-    bare = Row(mark, state, node, life, turn, "00ff", 5, FAR, result)
-    return bare._replace(seal=SEALER.seal(bare))
+) -> RecordRow:
+    bare = RecordRow(mark, state, node, life, turn, "00ff", 5, FAR, result)
+    return bare._replace(mac=SEALER.compute_mac(bare))
 
 
-def claim(**told: Any) -> Write:
-    return Write(Kind.CLAIM, row(**told))
+def claim(**told: Any) -> RecordWrite:
+    return RecordWrite(WriteKind.CLAIM, row(**told))
 
 
-def finish(result: bytes = b"paid", **told: Any) -> Write:
-    return Write(Kind.FINISH, row(state=KEPT, result=result, **told))
+def finish(result: bytes = b"paid", **told: Any) -> RecordWrite:
+    return RecordWrite(WriteKind.FINISH, row(state=ROW_COMPLETED, result=result, **told))
 
 
-def withdraw(**told: Any) -> Write:
-    return Write(Kind.WITHDRAW, row(**told))
+def withdraw(**told: Any) -> RecordWrite:
+    return RecordWrite(WriteKind.WITHDRAW, row(**told))
 
 
 def with_store(kind: str, story: Callable[[Any, Any], Awaitable[None]]) -> None:
@@ -86,9 +96,9 @@
 
 def made(kind: str, folder: Path, standin: StandIn | None, node: str = "n1", **more: Any) -> Any:
     if standin is None:
-        return Sqlite(folder / "record.db", SEALER, node, **more)
+        return SqliteStore(folder / "record.db", SEALER, node, **more)
     host, port = standin.address.split(":")
-    return Postgres(
+    return PostgresStore(
         (host, int(port)),
         "burlloom",
         "burlloom",
@@ -104,10 +114,18 @@
 KINDS = pytest.mark.parametrize("kind", ["sqlite", "postgres"])
 WRITES = st.lists(
     st.tuples(
-        st.sampled_from([Kind.CLAIM, Kind.FINISH, Kind.WITHDRAW, Kind.INSERT, Kind.FIND]),
+        st.sampled_from(
+            [
+                WriteKind.CLAIM,
+                WriteKind.FINISH,
+                WriteKind.WITHDRAW,
+                WriteKind.INSERT,
+                WriteKind.FIND,
+            ]
+        ),
         st.sampled_from(MARKS),
         st.integers(1, 3),
-        st.sampled_from([KEPT, SPENT]),
+        st.sampled_from([ROW_COMPLETED, ROW_COMPLETED_WITHOUT_RESULT]),
     ),
     max_size=14,
 )
@@ -117,38 +135,60 @@
 @settings(max_examples=25, deadline=None)
 @given(asked=WRITES)
 def test_each_write_means_what_it_is_to_mean(
-    kind: str, asked: list[tuple[Kind, bytes, int, int]]
+    kind: str, asked: list[tuple[WriteKind, bytes, int, int]]
 ) -> None:
     async def story(store: Log, _: Any) -> None:
-        there: dict[bytes, Row | None] = {}
+        there: dict[bytes, RecordRow | None] = {}
         for what, mark, turn, state in asked:
-            ends = what in (Kind.FINISH, Kind.INSERT)
-            write = Write(
+            ends = what in (WriteKind.FINISH, WriteKind.INSERT)
+            write = RecordWrite(
                 what,
                 row(
                     mark,
-                    state if ends else BEGUN,
+                    state if ends else ROW_STARTED,
                     turn=turn,
-                    result=b"r%d" % turn if ends and state == KEPT else b"",
+                    result=b"r%d" % turn if ends and state == ROW_COMPLETED else b"",
                 ),
             )
             stood = there.get(mark)
-            there[mark], held = applied(stood, write, 1)
+            there[mark], held = apply_write(stood, write, 1)
             (word,) = await store.ask(write)
-            assert word == (Word(Input.HELD) if held else answer(write, stood, {"n1": (1, False)}))
+            assert word == (
+                WriteResult(RequestEvent.WRITE_APPLIED)
+                if held
+                else result_of_unapplied_write(write, stood, {"n1": (1, False)})
+            )
         for mark, stood in there.items():
-            (word,) = await store.ask(Write(Kind.FIND, row(mark, turn=99)))
-            assert (word.how is Input.ABSENT) == (stood is None)
+            (word,) = await store.ask(RecordWrite(WriteKind.FIND, row(mark, turn=99)))
+            assert (word.outcome is RequestEvent.NOT_FOUND) == (stood is None)
 
     with_store(kind, story)
 
 
 KEPT_BEFORE = st.lists(
-    st.sampled_from([None, (BEGUN, 1), (BEGUN, 2), (KEPT, 1), (SPENT, 2)]), min_size=12, max_size=12
+    st.sampled_from(
+        [
+            None,
+            (ROW_STARTED, 1),
+            (ROW_STARTED, 2),
+            (ROW_COMPLETED, 1),
+            (ROW_COMPLETED_WITHOUT_RESULT, 2),
+        ]
+    ),
+    min_size=12,
+    max_size=12,
 )
 ASKED_TOGETHER = st.lists(
     st.tuples(
-        st.sampled_from([Kind.CLAIM, Kind.FINISH, Kind.WITHDRAW, Kind.INSERT, Kind.FIND]),
+        st.sampled_from(
+            [
+                WriteKind.CLAIM,
+                WriteKind.FINISH,
+                WriteKind.WITHDRAW,
+                WriteKind.INSERT,
+                WriteKind.FIND,
+            ]
+        ),
         st.integers(1, 2),
     ),
     min_size=12,
@@ -160,7 +200,7 @@
 @settings(max_examples=25, deadline=None)
 @given(before=KEPT_BEFORE, asked=ASKED_TOGETHER)
 def test_many_in_one_commit_mean_the_same_as_alone(
-    kind: str, before: list[Any], asked: list[tuple[Kind, int]]
+    kind: str, before: list[Any], asked: list[tuple[WriteKind, int]]
 ) -> None:
     async def story(store: Log, _: Any) -> None:
         marks = [bytes([n]) * 16 for n in range(12)]
@@ -168,16 +208,27 @@
             mark: row(mark, told[0], turn=told[1]) if told else None
             for mark, told in zip(marks, before)
         }
-        await store.ask(*(Write(Kind.INSERT, one) for one in there.values() if one is not None))
+        await store.ask(
+            *(RecordWrite(WriteKind.INSERT, one) for one in there.values() if one is not None)
+        )
         writes = [
-            Write(what, row(mark, KEPT if what in (Kind.FINISH, Kind.INSERT) else BEGUN, turn=turn))
+            RecordWrite(
+                what,
+                row(
+                    mark,
+                    ROW_COMPLETED if what in (WriteKind.FINISH, WriteKind.INSERT) else ROW_STARTED,
+                    turn=turn,
+                ),
+            )
             for mark, (what, turn) in zip(marks, asked)
         ]
         for write, word in zip(writes, await store.ask(*writes)):
-            stood = there[write.row.mark]
-            _, held = applied(stood, write, 1)
-            assert word.how is (
-                Input.HELD if held else answer(write, stood, {"n1": (1, False)}).how
+            stood = there[write.row.key_digest]
+            _, held = apply_write(stood, write, 1)
+            assert word.outcome is (
+                RequestEvent.WRITE_APPLIED
+                if held
+                else result_of_unapplied_write(write, stood, {"n1": (1, False)}).outcome
             )
 
     with_store(kind, story)
@@ -188,12 +239,14 @@
     async def story(store: Log, _: Any) -> None:
         marks = [bytes([n, 7]) * 8 for n in range(200)]
         words = await store.ask(*(claim(mark=mark) for mark in marks))
-        assert {word.how for word in words} == {Input.HELD}
+        assert {word.outcome for word in words} == {RequestEvent.WRITE_APPLIED}
         words = await store.ask(
             *(finish(mark=mark) for mark in marks), *(claim(mark=mark, turn=9) for mark in marks)
         )
-        assert [word.how for word in words] == [Input.HELD] * 200 + [Input.FOUND] * 200
-        assert store.store.commits < 40
+        assert [word.outcome for word in words] == [RequestEvent.WRITE_APPLIED] * 200 + [
+            RequestEvent.FOUND_RESULT
+        ] * 200
+        assert store.store.commit_count < 40
 
     with_store(kind, story)
 
@@ -203,19 +256,19 @@
     async def story(store: Log, standin: Any) -> None:
         await store.ask(claim())
         if standin is None:
-            path, old = store.store.path, store.store.life
+            path, old = store.store.path, store.store.incarnation
             await store.store.close()
-            later = Sqlite(path, SEALER, "n1")
+            later = SqliteStore(path, SEALER, "n1")
         else:
-            later, old = made(kind, Path(), standin), store.store.life
+            later, old = made(kind, Path(), standin), store.store.incarnation
         opened = await later.open()
-        assert opened.life == old + 1
-        assert [row.id for row in later.begun(0)] == ["00ff"]
+        assert opened.incarnation == old + 1
+        assert [row.request_id for row in later.read_started_rows(0)] == ["00ff"]
         await later.start()
         if standin is not None:
-            assert (await store.ask(finish()))[0].how is Input.FENCED
-            assert (await store.ask(claim(mark=MARKS[1])))[0].how is Input.FENCED
-        assert (await Log(later).ask(claim(life=2)))[0].how is Input.BARE
+            assert (await store.ask(finish()))[0].outcome is RequestEvent.FENCED
+            assert (await store.ask(claim(mark=MARKS[1])))[0].outcome is RequestEvent.FENCED
+        assert (await Log(later).ask(claim(life=2)))[0].outcome is RequestEvent.FOUND_NO_RESULT
         await later.close()
 
     with_store(kind, story)
@@ -227,30 +280,52 @@
         await store.open()
         await store.start()
         two = Log(store)
-        assert (await one.ask(claim()))[0].how is Input.HELD
-        assert (await two.ask(claim(node="n2")))[0].how is Input.TAKEN
-        assert (await two.ask(finish(node="n2")))[0].how is Input.TAKEN
-        assert (await one.ask(finish(b"first")))[0].how is Input.HELD
+        assert (await one.ask(claim()))[0].outcome is RequestEvent.WRITE_APPLIED
+        assert (await two.ask(claim(node="n2")))[0].outcome is RequestEvent.FOUND_CLAIMED
+        assert (await two.ask(finish(node="n2")))[0].outcome is RequestEvent.FOUND_CLAIMED
+        assert (await one.ask(finish(b"first")))[0].outcome is RequestEvent.WRITE_APPLIED
         (word,) = await two.ask(claim(node="n2"))
-        assert word.how is Input.FOUND
+        assert word.outcome is RequestEvent.FOUND_RESULT
         assert word.row is not None
         assert word.row.result == b"first"
         await one.ask(claim(mark=MARKS[1]))
         standin.db.execute("UPDATE node SET fenced = 1 WHERE name = 'n1'")
-        assert (await two.ask(claim(node="n2", mark=MARKS[1])))[0].how is Input.BARE
-        assert (await one.ask(claim(mark=MARKS[2])))[0].how is Input.FENCED
+        assert (await two.ask(claim(node="n2", mark=MARKS[1])))[
+            0
+        ].outcome is RequestEvent.FOUND_NO_RESULT
+        assert (await one.ask(claim(mark=MARKS[2])))[0].outcome is RequestEvent.FENCED
         await store.close()
 
     with_store("postgres", story)
 
 
 FAULTS = {
-    "reset before commit": ({"reset_before_commit": 1}, {Input.UNSURE}, Input.HELD),
-    "reset after commit": ({"reset_after_commit": 1}, {Input.UNSURE}, Input.HELD),
-    "refused by the server": ({"errors": ["53100"]}, {Input.LOST}, Input.HELD),
-    "refused at commit": ({"commit_errors": ["40001"]}, {Input.LOST}, Input.HELD),
-    "unknown to the server itself": ({"commit_errors": ["08007"]}, {Input.UNSURE}, Input.HELD),
-    "hangs": ({"hang": True}, {Input.LOST}, Input.HELD),
+    "reset before commit": (
+        {"reset_before_commit": 1},
+        {RequestEvent.WRITE_UNCERTAIN},
+        RequestEvent.WRITE_APPLIED,
+    ),
+    "reset after commit": (
+        {"reset_after_commit": 1},
+        {RequestEvent.WRITE_UNCERTAIN},
+        RequestEvent.WRITE_APPLIED,
+    ),
+    "refused by the server": (
+        {"errors": ["53100"]},
+        {RequestEvent.WRITE_FAILED},
+        RequestEvent.WRITE_APPLIED,
+    ),
+    "refused at commit": (
+        {"commit_errors": ["40001"]},
+        {RequestEvent.WRITE_FAILED},
+        RequestEvent.WRITE_APPLIED,
+    ),
+    "unknown to the server itself": (
+        {"commit_errors": ["08007"]},
+        {RequestEvent.WRITE_UNCERTAIN},
+        RequestEvent.WRITE_APPLIED,
+    ),
+    "hangs": ({"hang": True}, {RequestEvent.WRITE_FAILED}, RequestEvent.WRITE_APPLIED),
 }
 
 
@@ -263,11 +338,11 @@
         for order, value in orders.items():
             setattr(standin.orders, order, value)
         (word,) = await store.ask(claim())
-        assert word.how in meant
+        assert word.outcome in meant
         standin.orders.hang = False
-        while (word := (await store.ask(claim()))[0]).how is Input.LOST:
+        while (word := (await store.ask(claim()))[0]).outcome is RequestEvent.WRITE_FAILED:
             await asyncio.sleep(0.01)
-        assert word.how is after
+        assert word.outcome is after
 
     with_store("postgres", story)
 
@@ -276,9 +351,9 @@
     async def story(store: Log, standin: Any) -> None:
         await store.ask(claim())
         await standin.restart()
-        while (word := (await store.ask(finish()))[0]).how is Input.LOST:
+        while (word := (await store.ask(finish()))[0]).outcome is RequestEvent.WRITE_FAILED:
             await asyncio.sleep(0.01)
-        assert word.how is Input.HELD
+        assert word.outcome is RequestEvent.WRITE_APPLIED
         assert store.store.connects > 1
 
     with_store("postgres", story)
@@ -293,11 +368,11 @@
         again = made("postgres", standin.path.parent, standin)
         again.page = 5
         await again.open()
-        pages = list(again.known(0))
+        pages = list(again.read_recorded_keys(0))
         assert [len(page) for page in pages] == [5, 5, 5, 5, 3]
-        assert not list(again.known(0))
+        assert not list(again.read_recorded_keys(0))
         assert {mark: until for page in pages for mark, until in page} == dict.fromkeys(marks, FAR)
-        assert len(list(again.begun(0))) == 14
+        assert len(list(again.read_started_rows(0))) == 14
         await again.close()
 
     with_store("postgres", story)
@@ -326,17 +401,17 @@
         store = made("sqlite", tmp_path, None)
         await store.open()
         await store.start()
-        log, admin = Log(store), Admin(store.path, SEALER)
+        log, admin = Log(store), SqliteRecordAdmin(store.path, SEALER)
         await log.ask(claim(mark=MARKS[0]), finish(mark=MARKS[0]), claim(mark=MARKS[1]))
         admin.snapshot(tmp_path / "copy.db")
         store.db.execute("DELETE FROM fate WHERE mark = ?", (MARKS[0],))
         await log.ask(finish(mark=MARKS[1], result=b"since"), claim(mark=MARKS[2]))
-        assert admin.served()
+        assert admin.is_served()
         assert admin.merge(tmp_path / "copy.db", 1) == (1, 2)
         words = await log.ask(*(claim(mark=mark, turn=9) for mark in MARKS[:2]))
-        assert [(word.how, word.row and word.row.result) for word in words] == [
-            (Input.FOUND, b"paid"),
-            (Input.FOUND, b"since"),
+        assert [(word.outcome, word.row and word.row.result) for word in words] == [
+            (RequestEvent.FOUND_RESULT, b"paid"),
+            (RequestEvent.FOUND_RESULT, b"since"),
         ]
         assert admin.merge(tmp_path / "copy.db", FAR) == (0, 0)
         assert not admin.verify().faults
@@ -348,10 +423,10 @@
 def test_a_wrong_password_is_told(tmp_path: Path) -> None:
     async def play() -> None:
         standin = await StandIn(tmp_path, "other").start()
-        with pytest.raises(Refused, match="password authentication failed"):
+        with pytest.raises(StoreRefusedError, match="password authentication failed"):
             await made("postgres", tmp_path, standin).open()
         await standin.stop()
-        with pytest.raises(Refused, match=standin.address):
+        with pytest.raises(StoreRefusedError, match=standin.address):
             await made("postgres", tmp_path, standin).open()
 
     asyncio.run(play())
@@ -360,8 +435,8 @@
 # SQLite's own troubles.
 
 
-def opened(path: Path, **more: Any) -> Sqlite:
-    store = Sqlite(path, SEALER, "n1", **more)
+def opened(path: Path, **more: Any) -> SqliteStore:
+    store = SqliteStore(path, SEALER, "n1", **more)
     store.open_now()
     return store
 
@@ -372,20 +447,26 @@
     async def play() -> None:
         store = opened(tmp_path / "record.db", pages=40)
         await store.start()
-        log, held, word = Log(store), [], Word(Input.HELD)
+        log, held, word = Log(store), [], WriteResult(RequestEvent.WRITE_APPLIED)
         for n in range(400):
             mark = bytes([n % 256, n // 256]) * 8
-            (word,) = await log.ask(Write(Kind.INSERT, row(mark, KEPT, result=b"x" * 900)))
-            if word.how is not Input.HELD:
+            (word,) = await log.ask(
+                RecordWrite(WriteKind.INSERT, row(mark, ROW_COMPLETED, result=b"x" * 900))
+            )
+            if word.outcome is not RequestEvent.WRITE_APPLIED:
                 break
             held.append(mark)
-        assert word.how is Input.LOST
+        assert word.outcome is RequestEvent.WRITE_FAILED
         assert 20 < len(held) < 400
         for mark in held:
-            assert (await log.ask(Write(Kind.FIND, row(mark, turn=2))))[0].how is Input.FOUND
+            assert (await log.ask(RecordWrite(WriteKind.FIND, row(mark, turn=2))))[
+                0
+            ].outcome is RequestEvent.FOUND_RESULT
         assert store.db is not None
         store.db.execute("DELETE FROM fate WHERE rowid < 20")
-        assert (await log.ask(claim(mark=b"after space was" + b"!")))[0].how is Input.HELD
+        assert (await log.ask(claim(mark=b"after space was" + b"!")))[
+            0
+        ].outcome is RequestEvent.WRITE_APPLIED
         await store.close()
 
     asyncio.run(play())
@@ -398,7 +479,10 @@
         log = Log(store)
         store.prune_at = FAR
         old = [
-            Write(Kind.INSERT, row(bytes([n]) * 16, KEPT, result=b"x" * 4000)._replace(until=5))
+            RecordWrite(
+                WriteKind.INSERT,
+                row(bytes([n]) * 16, ROW_COMPLETED, result=b"x" * 4000)._replace(expires_at_ns=5),
+            )
             for n in range(200)
         ]
         await log.ask(*old)
@@ -406,7 +490,7 @@
         for n in range(6):
             store.prune_at = 0
             await log.ask(claim(mark=bytes([n, 1]) * 8))
-        assert store.pruned == 200
+        assert store.pruned_rows == 200
         assert store.db.execute("PRAGMA page_count").fetchone()[0] < size / 2  # type: ignore[union-attr]
         await store.close()
 
@@ -435,7 +519,7 @@
     ):
         path = tmp_path / f"{name}.db"
         before = path.read_bytes() if path.exists() else None
-        with pytest.raises(Refused, match=said):
+        with pytest.raises(StoreRefusedError, match=said):
             opened(path)
         assert before is None or path.read_bytes() == before
 
@@ -453,10 +537,12 @@
             "seal = 7",
             "turn = 2",
         ):
-            await log.ask(withdraw(), Write(Kind.INSERT, row(state=KEPT, result=b"paid")))
+            await log.ask(
+                withdraw(), RecordWrite(WriteKind.INSERT, row(state=ROW_COMPLETED, result=b"paid"))
+            )
             store.db.execute(f"UPDATE fate SET {change}")  # type: ignore[union-attr]
-            (word,) = await log.ask(Write(Kind.FIND, row(turn=2)))
-            assert word == Word(Input.BARE), change
+            (word,) = await log.ask(RecordWrite(WriteKind.FIND, row(turn=2)))
+            assert word == WriteResult(RequestEvent.FOUND_NO_RESULT), change
             store.db.execute("DELETE FROM fate")  # type: ignore[union-attr]
         await store.close()
 
@@ -469,15 +555,15 @@
     second = 1_000_000_000
     for boot in ("same", "another"):
         path = tmp_path / f"{boot}.db"
-        first = opened(path, tick=lambda: Tick("same", 10 * second, 100_000 * second))
+        first = opened(path, tick=lambda: ClockReading("same", 10 * second, 100_000 * second))
         first.db.execute(
             "INSERT INTO fate VALUES (?,?,?,?,?,?,?,?,?,?)",  # type: ignore[union-attr]
             sealed(100_018 * second),
         )
         first.release()
         now = (100_005 + ahead) * second
-        later = opened(path, tick=lambda: Tick(boot, 15 * second, now))
-        held = [mark for batch in later.known(now) for mark, _ in batch]
+        later = opened(path, tick=lambda: ClockReading(boot, 15 * second, now))
+        held = [mark for batch in later.read_recorded_keys(now) for mark, _ in batch]
         assert later.shift == (ahead * second if boot == "same" else min(0, (5 + ahead) * second))
         # Over a restart of the machine a clock that went ahead is not to be told from time that
         # went by.
@@ -485,25 +571,25 @@
         later.release()
 
 
-def sealed(until: int) -> Row:
-    bare = row(state=KEPT, result=b"paid")._replace(until=until)
-    return bare._replace(seal=SEALER.seal(bare))
+def sealed(until: int) -> RecordRow:
+    bare = row(state=ROW_COMPLETED, result=b"paid")._replace(expires_at_ns=until)
+    return bare._replace(mac=SEALER.compute_mac(bare))
 
 
 def test_the_key_is_made_once_and_guarded(tmp_path: Path) -> None:
     path = tmp_path / "key"
-    made = key(path, True)
-    assert key(path, False) == made
+    made = load_key(path, True)
+    assert load_key(path, False) == made
     assert path.stat().st_mode & 0o777 == 0o600
     path.chmod(0o644)
     with pytest.raises(ValueError, match="chmod 600"):
-        key(path, False)
+        load_key(path, False)
     path.chmod(0o600)
     path.write_text("short")
     with pytest.raises(ValueError, match="not a key"):
-        key(path, False)
+        load_key(path, False)
     with pytest.raises(OSError):
-        key(tmp_path / "none", False)
+        load_key(tmp_path / "none", False)
 
 
 def test_the_record_waits_for_the_lock_as_the_book_does(tmp_path: Path) -> None:
@@ -513,27 +599,29 @@
 
     async def play() -> None:
         path = tmp_path / "record.db"
-        store = Sqlite(path, SEALER, "n1")
+        store = SqliteStore(path, SEALER, "n1")
         await store.open()
         await store.start()
         held = Held(path, 1.9)
         store.turns = held.turns()
-        assert await Log(store).ask(claim()) == [Word(Input.HELD)]
+        assert await Log(store).ask(claim()) == [WriteResult(RequestEvent.WRITE_APPLIED)]
         assert held.looks >= 100
         held = Held(path, 9.0)
         store.turns = held.turns()
-        assert await Log(store).ask(finish()) == [Word(Input.LOST)]
+        assert await Log(store).ask(finish()) == [WriteResult(RequestEvent.WRITE_FAILED)]
         assert 2.0 <= held.now < 2.1
         held.db.execute("ROLLBACK")
-        assert await Log(store).ask(finish()) == [Word(Input.HELD)]
+        assert await Log(store).ask(finish()) == [WriteResult(RequestEvent.WRITE_APPLIED)]
         await store.close()
-        again, held = Sqlite(path, SEALER, "n1"), Held(path, 9.0)
+        again, held = SqliteStore(path, SEALER, "n1"), Held(path, 9.0)
         again.turns = held.turns()
-        with pytest.raises(Refused, match="record.db: another process has held its lock for 2 s"):
+        with pytest.raises(
+            StoreRefusedError, match="record.db: another process has held its lock for 2 s"
+        ):
             await again.open()
         held.until, held.now = 1.9, 0.0
         again.turns = held.turns()
-        assert (await again.open()).life == 2
+        assert (await again.open()).incarnation == 2
         assert held.looks >= 100
         await again.close()
 
@@ -555,5 +643,5 @@
     other.execute("PRAGMA application_id = 0")
     other.execute("CREATE TABLE theirs (id)")
     other.close()
-    with pytest.raises(Refused, match="another program"):
+    with pytest.raises(StoreRefusedError, match="another program"):
         connect(path)
