--- a/burlloom/distribution/control_node.py
+++ b/burlloom/distribution/control_node.py
@@ -18,7 +18,7 @@
 from .source import Source
 from .source import summary as source_summary
 from .status_report import HeadLogger, KeyFile, replica_summary, write_state
-from .stores import Away, ChangeStore
+from .stores import ChangeStore, StoreUnavailableError
 from .stores.store_follower import StoreFollower, StoreInconsistentError
 from .table import ConfigTable
 
@@ -150,7 +150,7 @@
                     self.store_error = ""
                 self.source.push_changes(since_start())
                 self.flush()
-            except Away as error:
+            except StoreUnavailableError as error:
                 self.counts.away += 1
                 if not self.store_error:
                     log.warning("event=distribution-store-away detail=%r", str(error))
--- a/burlloom/distribution/stores/__init__.py
+++ b/burlloom/distribution/stores/__init__.py
@@ -2,6 +2,6 @@
 one interface.
 """
 
-from .change_store import Away, ChangeStore, StoredItem
+from .change_store import ChangeStore, StoredItem, StoreUnavailableError
 
-__all__ = ["Away", "ChangeStore", "StoredItem"]
+__all__ = ["StoreUnavailableError", "ChangeStore", "StoredItem"]
--- a/burlloom/lab/hollow_configuration.py
+++ b/burlloom/lab/hollow_configuration.py
@@ -28,7 +28,7 @@
 )
 from ..distribution.control_node import ControlNode
 from ..distribution.status_report import KeyFile
-from ..distribution.stores.change_store import Away
+from ..distribution.stores.change_store import StoreUnavailableError
 from ..distribution.stores.sqlite import Sqlite
 from ..distribution.stores.store_follower import StoreFollower
 from ..distribution.table import BUCKET_COUNT
@@ -179,10 +179,10 @@
     def __getattr__(self, name: str) -> Callable[..., Awaitable[Any]]:
         async def asked(*told: Any) -> Any:
             if self.away and name != "close":
-                raise Away("cut off")
+                raise StoreUnavailableError("cut off")
             found = await getattr(self.store, name)(*told)
             if self.away and name != "close":
-                raise Away("cut off")
+                raise StoreUnavailableError("cut off")
             return found
 
         return asked
