--- a/benchmarks/fleet_shares.py
+++ b/benchmarks/fleet_shares.py
@@ -22,8 +22,8 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
-from burlloom.fleet import CALL, Terms, spread
-from burlloom.fleet.deal import MS
+from burlloom.fleet import MILLICALLS_PER_CALL, QuotaSettings, assign_subsets
+from burlloom.fleet.allocator import MS
 from burlloom.fleet.subset import rank, ranked
 from burlloom.lab import World, play
 from burlloom.lab.clock import simulated
@@ -33,11 +33,11 @@
 SIZES = (3, 30, 300)
 
 
-def terms(size: int, calls: int) -> Terms:
+def terms(size: int, calls: int) -> QuotaSettings:
     """Hundreds report half as often."""
     slow = 2 if size >= 100 else 1
-    return Terms(
-        calls * CALL,
+    return QuotaSettings(
+        calls * MILLICALLS_PER_CALL,
         max(2, size // 20 + 1),
         round=slow * 200 * MS,
         lease=slow * 2000 * MS,
@@ -283,10 +283,14 @@
             ("rendezvous, bounded", bounded),
         )
     ]
-    before = spread(names, below, size)
+    before = assign_subsets(names, below, size)
 
     def moved(names: list[str], below: list[str], of: int) -> float:
-        return len(spread(names, below, size).pairs() ^ before.pairs()) / len(before.pairs()) * of
+        return (
+            len(assign_subsets(names, below, size).pairs() ^ before.pairs())
+            / len(before.pairs())
+            * of
+        )
 
     rows.append(
         (
--- a/benchmarks/hollow_members.py
+++ b/benchmarks/hollow_members.py
@@ -12,8 +12,8 @@
 
 import uvloop
 
-from burlloom.fleet import Fleet, State, Word
-from burlloom.fleet.letters import Kind, unseal
+from burlloom.fleet import Fleet, MemberState, MemberUpdate
+from burlloom.fleet.messages import MessageKind, decode
 from burlloom.operator.fleet import FleetPart
 
 TICK = 0.05  # s, as the server's
@@ -44,12 +44,12 @@
         world: "World",
     ) -> None:
         self.sock, self.world = sock, world
-        word = Word(*own, 0, State.ALIVE)
+        word = MemberUpdate(*own, 0, MemberState.ALIVE)
         now = clock()
         self.fleet = Fleet(word, (), part.keys(), part.terms(), part.habits(), Random(own[0]), now)
         for other in all_of_them:
             if other != own:
-                self.fleet.members.said(now, Word(*other, 0, State.ALIVE))
+                self.fleet.members.said(now, MemberUpdate(*other, 0, MemberState.ALIVE))
         self.fleet.members.moves = []  # all are known to all: no news
 
     def readable(self) -> None:
@@ -67,8 +67,8 @@
 
     def look(self, data: bytes) -> None:
         """Whether the server's view, as it tells it, is ours."""
-        letter = unseal(data, self.fleet.keys)
-        if letter.kind in (Kind.PING, Kind.ACK) and len(letter.numbers) == 2:
+        letter = decode(data, self.fleet.keys)
+        if letter.kind in (MessageKind.PING, MessageKind.ACK) and len(letter.numbers) == 2:
             self.world.same = letter.numbers[0] == self.fleet.members.digest >> 1
 
     def tick(self) -> None:
--- a/benchmarks/hollow_releases.py
+++ b/benchmarks/hollow_releases.py
@@ -10,9 +10,9 @@
 
 import uvloop
 
-from burlloom.rollout import Counts, Hand, Member, Says
+from burlloom.rollout import DrainAgent, RequestCounts, ServerPhase, ServerReport
 from burlloom.rollout.stores import Away
-from burlloom.rollout.stores.sqlite import Sqlite
+from burlloom.rollout.stores.sqlite import SqliteRolloutStore
 
 ROUND = 0.5  # s
 BEAT = 1.0  # s
@@ -35,24 +35,24 @@
 class Teller:
     def __init__(self, name: str, life: int) -> None:
         self.name, self.life, self.version, self.beat = name, life, FORMER, 0
-        self.hand, self.down_until = Hand(name, life), 0.0
+        self.hand, self.down_until = DrainAgent(name, life), 0.0
 
-    def word(self) -> Member:
+    def word(self) -> ServerReport:
         self.beat += 1
-        return Member(
+        return ServerReport(
             self.name,
             self.life,
             self.beat,
-            Says.SERVING,
+            ServerPhase.SERVING,
             True,
             self.version,
             0,
-            Counts(ASKED * self.beat),
+            RequestCounts(ASKED * self.beat),
         )
 
 
 async def play(pipe: Pipe, path: Path, tellers: list[Teller]) -> None:
-    shelf = Sqlite(path)
+    shelf = SqliteRolloutStore(path)
     await shelf.open()
     page, told_at, over = None, 0.0, False
     while not over:
@@ -83,9 +83,9 @@
                     if wanted is not None and await shelf.swap(page, wanted):
                         one.version, one.down_until = wanted.version_of(one.name), now + DOWN
                         one.life, one.beat = one.life + 1, 0
-                        one.hand = Hand(one.name, one.life)
+                        one.hand = DrainAgent(one.name, one.life)
                     else:
-                        one.hand = Hand(one.name, one.life)
+                        one.hand = DrainAgent(one.name, one.life)
                     page = await shelf.read(page)
         except Away:
             page = None  # the store was held by another for long: a round is left out
--- a/benchmarks/rollout_core.py
+++ b/benchmarks/rollout_core.py
@@ -13,21 +13,23 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from burlloom.rollout import (
-    SERVERS,
-    Book,
-    Budget,
-    Counts,
-    Lead,
-    Measure,
-    Member,
-    Phase,
-    Terms,
-    hand,
+    SERVERS_GROUP,
+    CanarySettings,
+    DisruptionBudget,
+    ReleasePhase,
+    RequestCounts,
+    RolloutLeader,
+    RolloutSettings,
+    RolloutState,
+    ServerReport,
 )
-from burlloom.rollout.stores import book_of, text_of
+from burlloom.rollout import agent as hand
+from burlloom.rollout.stores import decode_state, encode_record
 
 S = 1_000_000_000
-TERMS = Terms(measure=Measure(span=2 * S, least=50), quiet=60 * S, settle=S, write_off=0)
+TERMS = RolloutSettings(
+    measure=CanarySettings(span=2 * S, least=50), quiet=60 * S, settle=S, write_off=0
+)
 
 
 class World:
@@ -35,11 +37,14 @@
     `share`: of txns that a version voids.
     """
 
-    def __init__(self, size: int, budget: Budget, terms: Terms = TERMS, seed: int = 1) -> None:
+    def __init__(
+        self, size: int, budget: DisruptionBudget, terms: RolloutSettings = TERMS, seed: int = 1
+    ) -> None:
         self.chance, self.now, self.terms = Random(seed), 0, terms
-        self.book, self.beat, self.budget = Book(), 0, budget
+        self.book, self.beat, self.budget = RolloutState(), 0, budget
         self.members = {
-            f"n{at}": Member(f"n{at}", 1, 0, version="v1", counts=Counts()) for at in range(size)
+            f"n{at}": ServerReport(f"n{at}", 1, 0, version="v1", counts=RequestCounts())
+            for at in range(size)
         }
         self.down: dict[str, int] = {}
         self.voids: dict[str, float] = {}
@@ -47,8 +52,8 @@
         self.lead = self.new_lead("a")
         self.worst = 0
 
-    def new_lead(self, name: str) -> Lead:
-        return Lead(name, self.terms, {SERVERS: self.budget})
+    def new_lead(self, name: str) -> RolloutLeader:
+        return RolloutLeader(name, self.terms, {SERVERS_GROUP: self.budget})
 
     def second(self) -> None:
         for _ in range(4):
@@ -59,7 +64,7 @@
                 if name in self.down:
                     if self.now >= self.down[name]:
                         del self.down[name]
-                        self.members[name] = Member(
+                        self.members[name] = ServerReport(
                             name, member.life + 1, 0, version=self.book.version_of(name)
                         )
                     continue
@@ -69,9 +74,9 @@
                 self.members[name] = replace(
                     member,
                     beat=member.beat + 1,
-                    counts=member.counts.plus(Counts(10 - bad, 0, 0, bad)),
+                    counts=member.counts.plus(RequestCounts(10 - bad, 0, 0, bad)),
                 )
-                one = hand.Hand(name, member.life)
+                one = hand.DrainAgent(name, member.life)
                 if one.reads(self.book) == "ask":
                     self.book = one.step(self.book) or self.book
                     self.down[name] = self.now + 2 * S
@@ -83,7 +88,7 @@
                 self.book = self.lead.round(self.now, self.book, list(self.members.values()))
             self.worst = max(self.worst, len(self.down))
 
-    def until(self, phase: Phase, most: int = 2000) -> int:
+    def until(self, phase: ReleasePhase, most: int = 2000) -> int:
         """Seconds that it took."""
         for at in range(most):
             if self.book.plan.phase is phase:
@@ -92,17 +97,17 @@
         raise AssertionError((self.book.plan, self.book.notes))
 
     def settled(self) -> "World":
-        while len(self.book.servers) < len(self.members) or self.book.groups[SERVERS].taken:
+        while len(self.book.servers) < len(self.members) or self.book.groups[SERVERS_GROUP].taken:
             self.second()
         return self
 
 
 def cost(size: int) -> str:
-    world = World(size, Budget(share=0.1)).settled()
+    world = World(size, DisruptionBudget(share=0.1)).settled()
     world.book = world.book.start("v2", (1, 0.1, 0.5, 1.0), False)
     spans, of = [], world.lead.round
 
-    def timed(now: int, book: Book, members: list[Member]) -> Book:
+    def timed(now: int, book: RolloutState, members: list[ServerReport]) -> RolloutState:
         began = time.perf_counter()
         try:
             return of(now, book, members)
@@ -113,9 +118,9 @@
     for _ in range(100):
         world.second()
     began = time.perf_counter()
-    text = text_of(world.book)
+    text = encode_record(world.book)
     written = time.perf_counter()
-    book_of(text)
+    decode_state(text)
     read = time.perf_counter()
     return (
         f"| {size} | {sum(spans) / len(spans):.1f} | {max(spans):.0f} | {len(text) / 1000:.0f} |"
--- a/benchmarks/rollout_waves.py
+++ b/benchmarks/rollout_waves.py
@@ -30,9 +30,9 @@
 from burlloom.lab.emulator import Emulator, Watch
 from burlloom.lab.rolls import Agreed, Releases, Scripted
 from burlloom.operator import RolloutPart
-from burlloom.rollout import SERVERS, Counts, Measure, Phase
-from burlloom.rollout.judge import Evidence, Look, Verdict, judge
-from burlloom.rollout.plan import Input
+from burlloom.rollout import SERVERS_GROUP, CanarySettings, ReleasePhase, RequestCounts
+from burlloom.rollout.canary import CanaryWindow, ServerSample, Verdict, evaluate_canary
+from burlloom.rollout.release import ReleaseInput
 
 VARIANTS = ("clock", "waiting", "agreed")
 BEGIN, KILLED, DOWN_FOR, SECOND_OPERATOR, RESTART_S = 10.0, 22.0, 12.0, 24.0, (0.5, 8.0)
@@ -142,7 +142,7 @@
         if (
             isinstance(releases, Agreed)
             and self.halted_at < 0
-            and releases.shelf.page.book.plan.phase is Phase.HALTED
+            and releases.shelf.page.book.plan.phase is ReleasePhase.HALTED
         ):
             self.halted_at = now - BEGIN
         if (
@@ -172,7 +172,7 @@
                     loop.call_later(
                         SECOND_OPERATOR,
                         agreed.order,
-                        lambda book, name=node.name: book.ask(SERVERS, name, 0),
+                        lambda book, name=node.name: book.ask(SERVERS_GROUP, name, 0),
                     )
             for at in range(
                 int(BEGIN), 200, 2
@@ -181,7 +181,9 @@
                     at,
                     agreed.order,
                     lambda book: (
-                        book.order(Input.ROLLBACK, "") if book.plan.phase is Phase.HALTED else book
+                        book.order(ReleaseInput.ROLLBACK, "")
+                        if book.plan.phase is ReleasePhase.HALTED
+                        else book
                     ),
                 )
             made.append(Seen(agreed, bound))
@@ -231,12 +233,12 @@
     point. Judged each half second over a minute; `spread`: by which servers differ by themselves.
     """
     chance, found, plain = Random(hash((share, spread, changed))), 0, 0
-    measure = Measure(span=30_000_000_000, least=100)
+    measure = CanarySettings(span=30_000_000_000, least=100)
     usual = 0.02
     for _ in range(plays):
         mine = max(0.0, usual + share + chance.gauss(0, spread))
-        evidence = Evidence(measure.span, measure.least, measure.span)
-        totals = {"a": Counts(), "b": Counts()}
+        evidence = CanaryWindow(measure.span, measure.least, measure.span)
+        totals = {"a": RequestCounts(), "b": RequestCounts()}
         bad = over = False
         for at in range(120):
             for name, rate, asked in (("a", mine, changed), ("b", usual, others)):
@@ -251,13 +253,13 @@
                         ),
                     )
                 )
-                totals[name] = totals[name].plus(Counts(asked - failed, 0, 0, failed))
+                totals[name] = totals[name].plus(RequestCounts(asked - failed, 0, 0, failed))
             evidence.add(
                 at * 500_000_000,
-                {"a": Look(1, totals["a"], True), "b": Look(1, totals["b"], False)},
+                {"a": ServerSample(1, totals["a"], True), "b": ServerSample(1, totals["b"], False)},
             )
             one, other = evidence.changed.counts, evidence.others.counts
-            bad = bad or judge(measure, evidence, None).verdict is Verdict.BAD
+            bad = bad or evaluate_canary(measure, evidence, None).verdict is Verdict.BAD
             over = (
                 over
                 or one.asked >= measure.least
--- a/benchmarks/scale_crowd.py
+++ b/benchmarks/scale_crowd.py
@@ -17,12 +17,19 @@
 from time import thread_time_ns
 from typing import Any
 
-import burlloom.fleet.fleet as whole
-from burlloom.fleet import CALL, Fleet, Habits, State, Terms, Word
-from burlloom.fleet.deal import MS
-from burlloom.fleet.fleet import NEWS_MOST, PAGE_WORDS
-from burlloom.fleet.letters import Kind, Letter, seal, unseal
-from burlloom.fleet.members import hash_of
+import burlloom.fleet.member as whole
+from burlloom.fleet import (
+    MILLICALLS_PER_CALL,
+    Fleet,
+    GossipSettings,
+    MemberState,
+    MemberUpdate,
+    QuotaSettings,
+)
+from burlloom.fleet.allocator import MS
+from burlloom.fleet.member import NEWS_MOST, PAGE_WORDS
+from burlloom.fleet.membership import hash_of
+from burlloom.fleet.messages import Message, MessageKind, decode, encode
 
 SECOND = 1_000_000_000
 KEY = b"the benchmark's own key"
@@ -47,28 +54,32 @@
         whole.MEMBERS_MOST = before
 
 
-def words(size: int) -> list[Word]:
+def words(size: int) -> list[MemberUpdate]:
     """The first has lived longest, and deals."""
     life = START // MS - DAY * 1000
     return [
-        Word(f"n{at}", f"10.1.{at // 200}.{at % 200 + 1}:7946", life + at, 0, State.ALIVE)
+        MemberUpdate(
+            f"n{at}", f"10.1.{at // 200}.{at % 200 + 1}:7946", life + at, 0, MemberState.ALIVE
+        )
         for at in range(size)
     ]
 
 
-def terms(size: int) -> Terms:
+def terms(size: int) -> QuotaSettings:
     """As an operator's file has them by default; four calls for each server."""
-    return Terms(4 * size * CALL, size // 2 + 1)
+    return QuotaSettings(4 * size * MILLICALLS_PER_CALL, size // 2 + 1)
 
 
-def filled(all_of: list[Word], at: int, now: int = START, seeds: tuple[str, ...] = ()) -> Fleet:
+def filled(
+    all_of: list[MemberUpdate], at: int, now: int = START, seeds: tuple[str, ...] = ()
+) -> Fleet:
     """The member `at` with the whole view, which it took in without messages."""
     fleet = Fleet(
         all_of[at],
         seeds or tuple(word.address for word in all_of[:3]),
         (KEY,),
         terms(len(all_of)),
-        Habits(),
+        GossipSettings(),
         Random(at),
         now,
     )
@@ -98,10 +109,10 @@
     """
 
     at: int
-    word: Word
+    word: MemberUpdate
     digest: int
     up: bool = True
-    seen: dict[str, Word] = field(default_factory=dict)
+    seen: dict[str, MemberUpdate] = field(default_factory=dict)
     news: dict[str, int] = field(default_factory=dict)
     synced: int = 0
     share: int = 0
@@ -165,7 +176,7 @@
 
     def tick(self) -> None:
         began = thread_time_ns()
-        self.fleet.uses(1000 * CALL, self.fleet.share)
+        self.fleet.uses(1000 * MILLICALLS_PER_CALL, self.fleet.share)
         self.fleet.tick(self.now)
         self.tally.cpu_ns += thread_time_ns() - began
         self.after()
@@ -194,27 +205,32 @@
         peer = self.peers[place]
         if not peer.up or place == self.at:
             return
-        letter = unseal(data, (KEY,))
+        letter = decode(data, (KEY,))
         self.tally.kinds[letter.kind.name] = self.tally.kinds.get(letter.kind.name, 0) + 1
         self.learns(peer, (letter.sender, *letter.words))
         match letter.kind:
-            case Kind.PING:
-                self.say(peer, Kind.ACK, letter.number, self.views(peer))
+            case MessageKind.PING:
+                self.say(peer, MessageKind.ACK, letter.number, self.views(peer))
                 self.compares(peer, letter)
-            case Kind.ACK:
+            case MessageKind.ACK:
                 self.compares(peer, letter)
-            case Kind.ASK:
+            case MessageKind.ASK:
                 if letter.name in self.by_name and self.peer_of(letter.name).up:
                     self.later(
-                        2 * self.delay(), self.say, peer, Kind.ACK, letter.number, self.views(peer)
+                        2 * self.delay(),
+                        self.say,
+                        peer,
+                        MessageKind.ACK,
+                        letter.number,
+                        self.views(peer),
                     )
-            case Kind.SYNC:
+            case MessageKind.SYNC:
                 self.pages(peer, letter)
-            case Kind.PAGE if letter.name and len(letter.words) == PAGE_WORDS:
-                self.say(peer, Kind.SYNC, letter.number, (), letter.name)
-            case Kind.REPORT:
-                self.say(peer, Kind.GRANT, letter.number, (4 * CALL, 1))
-            case Kind.GRANT:
+            case MessageKind.PAGE if letter.name and len(letter.words) == PAGE_WORDS:
+                self.say(peer, MessageKind.SYNC, letter.number, (), letter.name)
+            case MessageKind.REPORT:
+                self.say(peer, MessageKind.GRANT, letter.number, (4 * MILLICALLS_PER_CALL, 1))
+            case MessageKind.GRANT:
                 peer.share = letter.numbers[0]
             case _:
                 pass
@@ -226,17 +242,22 @@
         return peer.digest >> 1, self.fleet.terms_digest()
 
     def say(
-        self, peer: Peer, kind: Kind, number: int, numbers: tuple[int, ...] = (), name: str = ""
+        self,
+        peer: Peer,
+        kind: MessageKind,
+        number: int,
+        numbers: tuple[int, ...] = (),
+        name: str = "",
     ) -> None:
-        letter = Letter(kind, peer.word, number, numbers, name, tuple(self.gossip(peer)))
-        self.later(self.delay(), self.hears, seal(letter, KEY))
+        letter = Message(kind, peer.word, number, numbers, name, tuple(self.gossip(peer)))
+        self.later(self.delay(), self.hears, encode(letter, KEY))
 
-    def compares(self, peer: Peer, letter: Letter) -> None:
+    def compares(self, peer: Peer, letter: Message) -> None:
         if letter.numbers[0] != peer.digest >> 1 and self.now - peer.synced >= 200 * MS:
             peer.synced = self.now
-            self.say(peer, Kind.SYNC, letter.number)
+            self.say(peer, MessageKind.SYNC, letter.number)
 
-    def pages(self, peer: Peer, letter: Letter) -> None:
+    def pages(self, peer: Peer, letter: Message) -> None:
         begin = bisect_right(self.names, letter.name)
         names = self.names[begin : begin + PAGE_WORDS]
         more = names[-1] if begin + PAGE_WORDS < len(self.names) else ""
@@ -244,12 +265,12 @@
         self.later(
             self.delay(),
             self.hears,
-            seal(Letter(Kind.PAGE, peer.word, letter.number, (), more, page), KEY),
+            encode(Message(MessageKind.PAGE, peer.word, letter.number, (), more, page), KEY),
         )
 
     # Peers among themselves.
 
-    def learns(self, peer: Peer, said: tuple[Word, ...]) -> None:
+    def learns(self, peer: Peer, said: tuple[MemberUpdate, ...]) -> None:
         for word in said:
             known = peer.seen.get(word.name) or self.by_name.get(word.name)
             if known is not None and word.rank > known.rank and word.name != peer.word.name:
@@ -257,7 +278,7 @@
                 peer.seen[word.name] = word
                 peer.news[word.name] = 0
 
-    def becomes(self, peer: Peer, word: Word) -> None:
+    def becomes(self, peer: Peer, word: MemberUpdate) -> None:
         """Its own word from now on, which goes with each of its messages."""
         peer.word = word
         known = peer.seen.get(word.name) or self.by_name[word.name]
@@ -265,7 +286,7 @@
         peer.seen[word.name] = word
         peer.news[word.name] = 0
 
-    def gossip(self, peer: Peer) -> list[Word]:
+    def gossip(self, peer: Peer) -> list[MemberUpdate]:
         found = []
         for name in sorted(peer.news, key=peer.news.__getitem__)[:NEWS_MOST]:
             peer.news[name] += 1
@@ -310,7 +331,7 @@
         peer.number += 1
         other = self.peers[place]
         if place == self.at:
-            self.say(peer, Kind.PING, peer.number, self.views(peer))
+            self.say(peer, MessageKind.PING, peer.number, self.views(peer))
         elif (
             other.up
             and other is not peer
@@ -334,8 +355,8 @@
 
     def reports(self, peer: Peer) -> None:
         peer.number += 1
-        told = (peer.share, peer.share, 1000 * CALL, 1000, self.fleet.roster)
-        self.say(peer, Kind.REPORT, peer.number, told)
+        told = (peer.share, peer.share, 1000 * MILLICALLS_PER_CALL, 1000, self.fleet.roster)
+        self.say(peer, MessageKind.REPORT, peer.number, told)
 
     # Churn.
 
@@ -358,10 +379,12 @@
 
     def leaves(self, peer: Peer) -> None:
         """Says so to fifty, and goes."""
-        self.becomes(peer, peer.word._replace(state=State.LEFT))
+        self.becomes(peer, peer.word._replace(state=MemberState.LEFT))
         for place in {0, *self.chance.sample(range(len(self.peers)), min(50, len(self.peers)))}:
             if place == self.at:
-                self.later(self.delay(), self.hears, seal(Letter(Kind.BYE, peer.word, 0), KEY))
+                self.later(
+                    self.delay(), self.hears, encode(Message(MessageKind.BYE, peer.word, 0), KEY)
+                )
             elif place != peer.at:
                 self.learns(self.peers[place], (peer.word,))
         peer.up = False
@@ -375,10 +398,10 @@
             habits_of(self),
         )
         suspicion = habits.suspicion + habits.probe * len(self.words).bit_length() // 4
-        self.later(silent, self.holds, other, peer, State.SUSPECT)
-        self.later(silent + suspicion, self.holds, other, peer, State.DEAD)
+        self.later(silent, self.holds, other, peer, MemberState.SUSPECT)
+        self.later(silent + suspicion, self.holds, other, peer, MemberState.DEAD)
 
-    def holds(self, other: Peer, peer: Peer, state: State) -> None:
+    def holds(self, other: Peer, peer: Peer, state: MemberState) -> None:
         if not peer.up:
             word = peer.seen.get(peer.word.name) or peer.word
             self.learns(other, (word._replace(state=state),))
@@ -389,8 +412,11 @@
         peer.up, peer.share, peer.number = True, 0, 0
         peer.seen, peer.digest, peer.news = dict(former.seen), former.digest, {}
         peer.stale = len(self.words) * self.most // NEWS_MOST
-        self.becomes(peer, Word(peer.word.name, peer.word.address, self.now // MS, 0, State.ALIVE))
+        self.becomes(
+            peer,
+            MemberUpdate(peer.word.name, peer.word.address, self.now // MS, 0, MemberState.ALIVE),
+        )
 
 
-def habits_of(crowd: Crowd) -> Habits:
+def habits_of(crowd: Crowd) -> GossipSettings:
     return crowd.fleet.habits
--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -41,13 +41,22 @@
 from scale_swarms import after_cut, after_deaths, after_restart, metered, swarm_of
 
 from burlloom.discovery.reports import EVERY, Reports
-from burlloom.fleet import CALL, Fleet, Habits, State, Word, spread, summary
-from burlloom.fleet.deal import Told
-from burlloom.fleet.letters import Kind, Letter, seal, unseal
+from burlloom.fleet import (
+    MILLICALLS_PER_CALL,
+    Fleet,
+    GossipSettings,
+    MemberState,
+    MemberUpdate,
+    assign_subsets,
+    summarize,
+)
+from burlloom.fleet.allocator import ShareReport
+from burlloom.fleet.messages import Message, MessageKind, decode, encode
 from burlloom.lab.slopes import Row, exponent_word, fit, keep
-from burlloom.rollout import Book, Budget, Member, hand
-from burlloom.rollout.stores import book_of, text_of
-from burlloom.rollout.stores.sqlite import Sqlite
+from burlloom.rollout import DisruptionBudget, RolloutState, ServerReport
+from burlloom.rollout import agent as hand
+from burlloom.rollout.stores import decode_state, encode_record
+from burlloom.rollout.stores.sqlite import SqliteRolloutStore
 
 SIZES = (30, 100, 300, 600, 1000, 1500, 2600)
 BUDGETS = {"ms/s": 37.0, "B/s": 9000.0, "MB": 128.0}  # of a server for all of its control
@@ -171,7 +180,7 @@
 
     def view() -> Fleet:
         all_of = [
-            Word(
+            MemberUpdate(
                 *[
                     str(one) if isinstance(one, str) else one
                     for one in msgpack.unpackb(msgpack.packb([*word]))
@@ -179,7 +188,7 @@
             )
             for word in words(size)
         ]
-        all_of = [word._replace(state=State(word.state)) for word in all_of]
+        all_of = [word._replace(state=MemberState(word.state)) for word in all_of]
         fleet = filled(all_of, 0)
         fleet.look()
         fleet.next_name()
@@ -188,7 +197,13 @@
     def dealing(fleet: Fleet) -> None:
         fleet.dealer.round(START, fleet.present, True)
         for at, word in enumerate(words(size)):
-            fleet.dealer.report(START, word.name, word.life, at, Told(CALL, CALL, CALL, 1000, 7))
+            fleet.dealer.report(
+                START,
+                word.name,
+                word.life,
+                at,
+                ShareReport(MILLICALLS_PER_CALL, MILLICALLS_PER_CALL, MILLICALLS_PER_CALL, 1000, 7),
+            )
 
     gc.collect()
     tracemalloc.start()
@@ -222,7 +237,7 @@
         tuple(word.address for word in all_of[:3]),
         (KEY,),
         terms(size),
-        Habits(),
+        GossipSettings(),
         Random(1),
         START,
     )
@@ -235,12 +250,12 @@
     took, tally = (crowd.now - START) / SECOND, crowd.tally
     host, name, spent, pages, octets = filled(all_of, 0), "", 0, 0, 0
     while True:
-        data = seal(Letter(Kind.SYNC, all_of[at], 1, (), name), KEY)
+        data = encode(Message(MessageKind.SYNC, all_of[at], 1, (), name), KEY)
         began = thread_time_ns()
         host.hear(START, data)
         spent += thread_time_ns() - began
         page = host.out.pop()[1]
-        pages, octets, name = pages + 1, octets + len(data) + len(page), unseal(page, (KEY,)).name
+        pages, octets, name = pages + 1, octets + len(data) + len(page), decode(page, (KEY,)).name
         if not name:
             break
     note = (
@@ -268,12 +283,12 @@
 @part("release", states=("rest",))
 def release(size: int, state: str) -> Found:
     """A release under way, judged and sent out by waves: 25 s of it."""
-    world = World(size, Budget(share=0.1)).settled()
+    world = World(size, DisruptionBudget(share=0.1)).settled()
     idle: list[int] = []
     rounds: list[int] = []
-    steps, spans, of, step = 0, idle, world.lead.round, hand.Hand.step
+    steps, spans, of, step = 0, idle, world.lead.round, hand.DrainAgent.step
 
-    def timed(now: int, book: Book, members: list[Member]) -> Book:
+    def timed(now: int, book: RolloutState, members: list[ServerReport]) -> RolloutState:
         nonlocal steps
         began = thread_time_ns()
         made = of(now, book, members)
@@ -281,7 +296,7 @@
         steps += made is not book
         return made
 
-    def stepped(one: hand.Hand, book: Book) -> Book | None:
+    def stepped(one: hand.DrainAgent, book: RolloutState) -> RolloutState | None:
         nonlocal steps
         steps += 1
         return step(one, book)
@@ -290,15 +305,15 @@
     for _ in range(5):
         world.second()
     world.book, spans, steps = world.book.start("v2", (1, 0.1, 0.5, 1.0), False), rounds, 0
-    hand.Hand.step = stepped  # type: ignore[method-assign]
+    hand.DrainAgent.step = stepped  # type: ignore[method-assign]
     try:
         for _ in range(25):
             world.second()
     finally:
-        hand.Hand.step = step  # type: ignore[method-assign]
-    text, spent = text_of(world.book), [0, 0]
+        hand.DrainAgent.step = step  # type: ignore[method-assign]
+    text, spent = encode_record(world.book), [0, 0]
     for _ in range(5):
-        for at, work in enumerate((lambda: text_of(world.book), lambda: book_of(text))):
+        for at, work in enumerate((lambda: encode_record(world.book), lambda: decode_state(text))):
             began = thread_time_ns()
             work()
             spent[at] += thread_time_ns() - began
@@ -347,10 +362,10 @@
     }
 
 
-async def stored(book: Book, members: Sequence[Member]) -> tuple[float, float]:
+async def stored(book: RolloutState, members: Sequence[ServerReport]) -> tuple[float, float]:
     """ms of the process a step of the book, and a word of a server."""
     with tempfile.TemporaryDirectory() as folder:
-        shelf = Sqlite(Path(folder) / "store")
+        shelf = SqliteRolloutStore(Path(folder) / "store")
         await shelf.open()
         began = time.process_time_ns()
         for at in range(10):
@@ -405,11 +420,11 @@
         [f"10.0.0.{at}:80" for at in range(SERVICES)],
     )
     began = thread_time_ns()
-    spread(names, services, SUBSET)
+    assign_subsets(names, services, SUBSET)
     took = thread_time_ns() - began
     fleet = filled(words(size), 1)
     began = thread_time_ns()
-    json.dumps(summary(fleet, START))
+    json.dumps(summarize(fleet, START))
     told = thread_time_ns() - began
     note = (
         f"each server at each change of its view, {SERVICES} services below, subsets of {SUBSET}; all sizes measured; "
--- a/benchmarks/scale_swarms.py
+++ b/benchmarks/scale_swarms.py
@@ -7,7 +7,7 @@
 from time import thread_time_ns
 from typing import Any
 
-import burlloom.fleet.fleet as whole
+import burlloom.fleet.member as whole
 from burlloom.lab.clock import simulated
 from burlloom.lab.fleets import Body, Net, Swarm
 
--- a/burlloom/command/fleet.py
+++ b/burlloom/command/fleet.py
@@ -102,7 +102,7 @@
 @click.option("--leave", type=click.IntRange(0, 999), default=0, help="How many go.")
 def plan(operator: Path | None, servers: int, join: int, leave: int) -> None:
     """What the subsets would be with so many servers, and how many pairs a change would move."""
-    from ..fleet import spread
+    from ..fleet import assign_subsets
 
     part = part_of(operator)
     if not part.services:
@@ -110,13 +110,13 @@
     if leave >= servers + join:
         raise click.UsageError(f"--leave {leave}: of {servers + join} servers one must stay")
     names = [f"server-{at}" for at in range(servers)]
-    before = spread(names, part.services, part.subset)
+    before = assign_subsets(names, part.services, part.subset)
     click.echo(
         f"{servers} servers, {len(part.services)} services: each server calls {before.size:.1f} on average; the most loaded"
         f" service has {before.worst:.3f} times the mean; {part.calls / servers:.2f} calls in hand a server"
     )
     if join or leave:
-        after = spread(
+        after = assign_subsets(
             [*names, *(f"more-{at}" for at in range(join))][leave:], part.services, part.subset
         )
         moved, pairs = len(after.pairs() ^ before.pairs()), len(before.pairs())
@@ -137,8 +137,8 @@
     For when more than half of the fleet was lost for good, so that the rest may not deal its calls
     by itself.
     """
-    from ..fleet import State, Word
-    from ..fleet.letters import Kind, Letter, seal
+    from ..fleet import MemberState, MemberUpdate
+    from ..fleet.messages import Message, MessageKind, encode
 
     part = part_of(operator)
     state = state_of(part)
@@ -156,23 +156,26 @@
             click.echo(f"burlloom: {fault}", err=True)
         sys.exit(2)
     words = [
-        Word(
+        MemberUpdate(
             name,
             known[name]["address"],
             known[name]["life"],
             known[name]["incarnation"],
-            State.LEFT,
+            MemberState.LEFT,
         )
         for name in names
     ]
     own = known[state["name"]]["address"]
     # Nobody is there under this name: it has left as it is first heard of.
-    sender = Word("operator", "127.0.0.1:9", time.time_ns() // 1_000_000, 0, State.LEFT)
+    sender = MemberUpdate(
+        "operator", "127.0.0.1:9", time.time_ns() // 1_000_000, 0, MemberState.LEFT
+    )
     host, port = own.rsplit(":", 1)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for at in range(0, len(words), 6):
-            data = seal(
-                Letter(Kind.BYE, sender, 0, (), "", tuple(words[at : at + 6])), part.keys()[0]
+            data = encode(
+                Message(MessageKind.BYE, sender, 0, (), "", tuple(words[at : at + 6])),
+                part.keys()[0],
             )
             sock.sendto(data, (host, int(port)))
     for _ in range(50):
--- a/burlloom/command/rollout.py
+++ b/burlloom/command/rollout.py
@@ -15,8 +15,8 @@
 
 if TYPE_CHECKING:
     from ..operator import Operator, Rollout
-    from ..rollout import Book, Unit
-    from ..rollout.stores import Page, Shelf
+    from ..rollout import Instance, RolloutState
+    from ..rollout.stores import RolloutStore, StateSnapshot
 
 TRIES = 50  # at a step while others write too
 LOOK_S = 0.2
@@ -40,19 +40,19 @@
 
 
 def with_shelf(
-    operator: Path | None, work: "Callable[[Shelf], Awaitable[Any]]", wait: float = LOCK_S
+    operator: Path | None, work: "Callable[[RolloutStore], Awaitable[Any]]", wait: float = LOCK_S
 ) -> Any:
     """`wait`: s for a lock that another holds. Ends with one line and status 2 where the store
     can't be used, or says no.
     """
-    from ..rollout import Denied
-    from ..rollout.stores import Away, Unreadable
-    from ..rollout.stores.opening import shelf_of
+    from ..rollout import OrderRejectedError
+    from ..rollout.stores import Away, StateDecodeError
+    from ..rollout.stores.opening import create_store
 
     told, _ = part_of(operator)
 
     async def whole() -> Any:
-        shelf = shelf_of(told, wait)
+        shelf = create_store(told, wait)
         try:
             await shelf.open()
             return await work(shelf)
@@ -62,38 +62,40 @@
     with told_plainly():
         try:
             return asyncio.run(whole())
-        except (Denied, Away, Unreadable) as error:
+        except (OrderRejectedError, Away, StateDecodeError) as error:
             click.echo(f"burlloom: {error}", err=True)
             sys.exit(2)
 
 
-async def step(shelf: "Shelf", order: "Callable[[Book], Book]") -> "Page":
+async def step(
+    shelf: "RolloutStore", order: "Callable[[RolloutState], RolloutState]"
+) -> "StateSnapshot":
     """Written on the book as it stands then, however many others write. Raises `Denied`, or `Away`
     where nobody knows whether it was taken.
     """
-    from ..rollout import Denied
-    from ..rollout.stores import Page
+    from ..rollout import OrderRejectedError
+    from ..rollout.stores import StateSnapshot
 
     for _ in range(TRIES):
         page = await shelf.read()
         book = order(page.book)
         if await shelf.swap(page, book):
-            return Page(page.revision + 1, page.beat, book)
-    raise Denied(f"others wrote before us {TRIES} times in a row; try again")
+            return StateSnapshot(page.revision + 1, page.beat, book)
+    raise OrderRejectedError(f"others wrote before us {TRIES} times in a row; try again")
 
 
-def ordered(operator: Path | None, order: "Callable[[Book], Book]") -> None:
+def ordered(operator: Path | None, order: "Callable[[RolloutState], RolloutState]") -> None:
     page = with_shelf(operator, lambda shelf: step(shelf, order))
     click.echo(headline(page.book))
 
 
-def headline(book: "Book") -> str:
-    from ..rollout import SERVERS, Phase
+def headline(book: "RolloutState") -> str:
+    from ..rollout import SERVERS_GROUP, ReleasePhase
 
-    plan, servers = book.plan, book.groups[SERVERS]
+    plan, servers = book.plan, book.groups[SERVERS_GROUP]
     bound = servers.budget.bound(len(servers.units))
     said = f"{len(servers.units)} servers, {servers.taken} out of {bound} allowed; "
-    if plan.phase is Phase.IDLE:
+    if plan.phase is ReleasePhase.IDLE:
         return said + (
             f"nothing under way; good is {book.good}" if book.good else "nothing under way"
         )
@@ -116,12 +118,12 @@
 @click.option("--notes", type=click.IntRange(0, 40), default=8, help="How many of the last steps.")
 def show(operator: Path | None, as_json: bool, notes: int) -> None:
     """What is under way, who is out, who leads, and the last steps."""
-    from ..rollout import State
-    from ..rollout.stores import text_of
+    from ..rollout import InstanceState
+    from ..rollout.stores import encode_record
 
     book = with_shelf(operator, lambda shelf: shelf.read()).book
     if as_json:
-        click.echo(text_of(book))
+        click.echo(encode_record(book))
         return
     click.echo(headline(book))
     click.echo(f"led by {book.holder or 'nobody'}, epoch {book.epoch}, step {book.steps}")
@@ -132,7 +134,11 @@
             f" of {len(one.units)}"
         )
         for name, unit in sorted(one.units.items()):
-            if unit.state is not State.IN or unit.asked or unit.version not in ("", book.good):
+            if (
+                unit.state is not InstanceState.IN
+                or unit.asked
+                or unit.version not in ("", book.good)
+            ):
                 click.echo(
                     f"  {name:24} {unit.state.name.lower():8} {unit.version or '-'}" + detail(unit)
                 )
@@ -140,7 +146,7 @@
         click.echo(f"  step {at:6} {said}")
 
 
-def detail(unit: "Unit") -> str:
+def detail(unit: "Instance") -> str:
     return (f", next {unit.to}" if unit.to and unit.to != unit.version else "") + (
         ", asked for" if unit.asked else ""
     )
@@ -170,11 +176,11 @@
     """Bring VERSION to the whole fleet, in waves. With --restart it may be left out."""
     if not version and not restart:
         raise click.UsageError("which VERSION? Only with --restart may it be left out")
-    from ..rollout.plan import wave_of
+    from ..rollout.release import parse_wave
 
     _, part = part_of(operator)
     try:
-        told = tuple(wave_of(wave) for wave in waves) or part.plan_waves()
+        told = tuple(parse_wave(wave) for wave in waves) or part.plan_waves()
     except ValueError:
         raise click.UsageError(
             f"--wave: {', '.join(waves)}: each is a number such as 3, or a part such as 25%"
@@ -187,9 +193,9 @@
     @operator_option
     @reason_option
     def run(operator: Path | None, reason: str) -> None:
-        from ..rollout.plan import Input
+        from ..rollout.release import ReleaseInput
 
-        ordered(operator, lambda book: book.order(Input[name.upper()], reason))
+        ordered(operator, lambda book: book.order(ReleaseInput[name.upper()], reason))
 
     return click.command(name, help=said)(run)
 
@@ -214,11 +220,11 @@
 )
 def drain(operator: Path | None, names: tuple[str, ...], for_s: int) -> None:
     """Have servers leave, as the budget has room; what starts them again is yours."""
-    from ..rollout import SERVERS
+    from ..rollout import SERVERS_GROUP
 
-    def order(book: "Book") -> "Book":
+    def order(book: "RolloutState") -> "RolloutState":
         for name in names:
-            book = book.ask(SERVERS, name, for_s * 1000)
+            book = book.ask(SERVERS_GROUP, name, for_s * 1000)
         return book
 
     ordered(operator, order)
@@ -243,9 +249,9 @@
     """
     _, part = part_of(operator)
 
-    async def work(shelf: "Shelf") -> bool:
-        from ..rollout import Denied, State
-        from ..rollout.units import Input
+    async def work(shelf: "RolloutStore") -> bool:
+        from ..rollout import InstanceState, OrderRejectedError
+        from ..rollout.instance import InstanceInput
 
         page = await step(shelf, lambda book: book.ask(service, address, for_s * 1000))
         ticket, until = page.book.groups[service].units[address].asked, time.monotonic() + wait_s
@@ -253,10 +259,10 @@
             page = await shelf.read(page)
             unit = page.book.groups[service].units.get(address)
             if unit is None or unit.asked != ticket:
-                raise Denied(f"{address}: the order was taken back")
-            if unit.state is State.GRANTED:
+                raise OrderRejectedError(f"{address}: the order was taken back")
+            if unit.state is InstanceState.GRANTED:
                 book, effect = page.book.meet(
-                    service, address, Input.BEGIN, life=unit.life, ticket=ticket
+                    service, address, InstanceInput.BEGIN, life=unit.life, ticket=ticket
                 )
                 if effect and await shelf.swap(page, book):
                     break
@@ -266,8 +272,10 @@
             await asyncio.sleep(LOOK_S)
         while not emptied(page, await shelf.members(), book.steps):
             page = await shelf.read(page)
-            if page.book.groups[service].units[address].state is not State.OUT:
-                raise Denied(f"{address}: its time was over before all servers had left it")
+            if page.book.groups[service].units[address].state is not InstanceState.OUT:
+                raise OrderRejectedError(
+                    f"{address}: its time was over before all servers had left it"
+                )
             await asyncio.sleep(LOOK_S)
         return True
 
@@ -281,17 +289,17 @@
     )
 
 
-def emptied(page: "Page", members: Any, step: int) -> bool:
+def emptied(page: "StateSnapshot", members: Any, step: int) -> bool:
     """All servers that may call below have acted on this step. One that is missing may be calling
     still: it holds this up until it is back, or retired.
     """
     heeded = {member.name: member.heeded for member in members}
-    from ..rollout import State
+    from ..rollout import InstanceState
 
     return all(
         heeded.get(name, 0) >= step
         for name, unit in page.book.servers.items()
-        if unit.state is not State.OUT
+        if unit.state is not InstanceState.OUT
     )
 
 
@@ -313,7 +321,7 @@
 def retire(operator: Path | None, names: tuple[str, ...], group: str) -> None:
     """Servers, or instances below, that will not come back: they count for nothing any more."""
 
-    def order(book: "Book") -> "Book":
+    def order(book: "RolloutState") -> "RolloutState":
         for name in names:
             book = book.retire(group, name)
         return book
@@ -330,11 +338,11 @@
 )
 def budget(operator: Path | None, group: str, most: int | None, share: float | None) -> None:
     """Change how many may be out at once; the files only say with what a group begins."""
-    from ..rollout import Budget
+    from ..rollout import DisruptionBudget
 
     if (most is None) == (share is None):
         raise click.UsageError("name either --most or --share")
-    ordered(operator, lambda book: book.allow(group, Budget(most or 1, share or 0.0)))
+    ordered(operator, lambda book: book.allow(group, DisruptionBudget(most or 1, share or 0.0)))
 
 
 @rollout.command()
@@ -348,14 +356,14 @@
     told, part = part_of(operator)
 
     async def ask() -> str:
-        from ..rollout.stores import Away, Unreadable
-        from ..rollout.stores.opening import shelf_of
+        from ..rollout.stores import Away, StateDecodeError
+        from ..rollout.stores.opening import create_store
 
-        shelf = shelf_of(told)
+        shelf = create_store(told)
         try:
             await shelf.open()
             return (await shelf.read()).book.version_of(name)
-        except (Away, Unreadable) as error:
+        except (Away, StateDecodeError) as error:
             if part.release_file is None or not os.path.exists(part.release_file):
                 click.echo(f"burlloom: {error}", err=True)
                 sys.exit(2)
@@ -377,17 +385,17 @@
     """
     _, part = part_of(operator)
 
-    async def work(shelf: "Shelf") -> None:
-        from ..rollout import Lead
+    async def work(shelf: "RolloutStore") -> None:
+        from ..rollout import RolloutLeader
         from ..rollout.stores import Away
-        from ..rollout.stores.leading import led
+        from ..rollout.stores.leader_round import run_leader_round
 
-        lead = Lead(name, part.terms(), part.budgets(), part.services())
+        lead = RolloutLeader(name, part.terms(), part.budgets(), part.services())
         page = None
         while True:
             try:
                 page = await shelf.read(page)
-                for at, said in await led(
+                for at, said in await run_leader_round(
                     lead, shelf, page, time.clock_gettime_ns(time.CLOCK_BOOTTIME)
                 ):
                     click.echo(json.dumps({"step": at, "said": said}))
--- a/burlloom/fleet/__init__.py
+++ b/burlloom/fleet/__init__.py
@@ -4,20 +4,20 @@
 Without I/O; `server/fleeting.py` has the sockets, `lab/fleets.py` a network in simulated time.
 """
 
-from .deal import CALL, Terms
-from .fleet import Fleet, Habits, summary
-from .members import State, Word
-from .subset import Spread, Turns, spread
+from .allocator import MILLICALLS_PER_CALL, QuotaSettings
+from .member import Fleet, GossipSettings, summarize
+from .membership import MemberState, MemberUpdate
+from .subset import SubsetAssignment, WeightedRoundRobin, assign_subsets
 
 __all__ = [
-    "CALL",
+    "MILLICALLS_PER_CALL",
     "Fleet",
-    "Habits",
-    "Spread",
-    "State",
-    "Terms",
-    "Turns",
-    "Word",
-    "spread",
-    "summary",
+    "GossipSettings",
+    "SubsetAssignment",
+    "MemberState",
+    "QuotaSettings",
+    "WeightedRoundRobin",
+    "MemberUpdate",
+    "assign_subsets",
+    "summarize",
 ]
--- a/burlloom/fleet/deal.py
+++ b/burlloom/fleet/allocator.py
@@ -32,9 +32,9 @@
 from typing import NamedTuple
 
 from ..tables import rows
-from .sums import Sums
+from .totals import AllocationTotals
 
-CALL = 1000  # thousandths
+MILLICALLS_PER_CALL = 1000  # thousandths
 STICKS = 1500  # thousandths; see `turns`
 HEADROOM = 1.25  # of what a member uses: more is free for its next peak
 MS = 1_000_000
@@ -43,7 +43,7 @@
 )  # until a fleet in which nobody held anything is dealt to; knocks come each probe
 
 
-class Phase(IntEnum):
+class AllocatorPhase(IntEnum):
     IDLE = 0  # another one deals
     LEARNING = 1  # renews what is held, until all that may be held is known
     DEALING = 2
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class QuotaSettings:
     """Of the whole fleet, the same on each member. `total`: calls in hand that the services below
     bear, thousandths. `least`: the fleet is never thought smaller. Times in ns: `round` between
     reports; `lease` of a grant; `turn` between two dealings; `cut` after which one that was granted
@@ -125,7 +125,7 @@
         return int(self.floor * self.equal(members))
 
 
-class Told(NamedTuple):
+class ShareReport(NamedTuple):
     """A report, thousandths of a call: `held` is the share in force, or what is in hand where that
     is more; `want` is what could be used. `roster`: equal where two members count the same fleet.
     """
@@ -144,7 +144,7 @@
     life: int
     number: int
     at: int
-    told: Told
+    told: ShareReport
     bound: int
     target: int = 0
     wanted: int = 0  # when we last dealt
@@ -152,7 +152,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Present:
+class FleetMember:
     """A member as the view has it: `there` or dead since then. Those who left are not among
     them.
     """
@@ -162,27 +162,27 @@
     since: int
 
 
-class Dealer:
+class Allocator:
     """`round` once a round with the view; `report` for each that comes, which gives the grant."""
 
-    def __init__(self, terms: Terms, now: int) -> None:
+    def __init__(self, terms: QuotaSettings, now: int) -> None:
         self.terms = terms
-        self.phase = Phase.IDLE
+        self.phase = AllocatorPhase.IDLE
         self.since = self.turned = self.many_at = now
         self.hurried = False  # somebody wants far more than when we last dealt
         self.accounts: dict[
             str, Account
         ] = {}  # kept while another deals: old reports can't be played again
-        self.fleet: Mapping[str, Present] = {}
+        self.fleet: Mapping[str, FleetMember] = {}
         self.is_first, self.roster = False, 0
-        self.kept: Sums | None = None  # over all accounts, as they were last
+        self.kept: AllocationTotals | None = None  # over all accounts, as they were last
 
     # What the member calls.
 
     def round(
         self,
         now: int,
-        fleet: Mapping[str, Present],
+        fleet: Mapping[str, FleetMember],
         first: bool,
         gap: bool = False,
         roster: int = 0,
@@ -199,10 +199,10 @@
                 self.kept = None
         self.meet(now, Input.GAP if gap else Input.ROUND)
 
-    def report(self, now: int, name: str, life: int, number: int, told: Told) -> int | None:
+    def report(self, now: int, name: str, life: int, number: int, told: ShareReport) -> int | None:
         """The grant, thousandths; None: we don't deal, or it is of no use any more."""
         present, account = self.fleet.get(name), self.accounts.get(name)
-        if self.phase is Phase.IDLE or present is None or life < present.life:
+        if self.phase is AllocatorPhase.IDLE or present is None or life < present.life:
             return None
         if account is not None and (
             account.life > life or account.life == life and number <= account.number
@@ -217,7 +217,7 @@
         else:
             account.number, account.at, account.told, account.bound = number, now, told, told.held
         sums.take(name, account)
-        self.hurried |= told.want > 2 * account.wanted + CALL
+        self.hurried |= told.want > 2 * account.wanted + MILLICALLS_PER_CALL
         grant = self.grant(now, account)
         sums.drop(name, account)
         account.bound = max(told.held, grant)
@@ -234,7 +234,7 @@
         if sums is not None and account is not None:
             sums.drop(name, account)
         if account is None or account.life < life:
-            account = self.accounts[name] = Account(life, number, 0, Told(0, 0, 0, 1), 0)
+            account = self.accounts[name] = Account(life, number, 0, ShareReport(0, 0, 0, 1), 0)
         if account.life == life:
             account.number = max(account.number, number)
             account.at = min(account.at, self.since - 2 * self.terms.fresh)
@@ -245,13 +245,13 @@
 
     def grant(self, now: int, account: Account) -> int:
         share, held = account.told.share, account.told.held
-        if self.phase is Phase.BOUND:
+        if self.phase is AllocatorPhase.BOUND:
             return min(share, self.terms.equal(len(self.fleet)))
-        if self.phase is Phase.LEARNING:
+        if self.phase is AllocatorPhase.LEARNING:
             return share
         if account.target <= share or not self.many(now):
             return min(share, account.target)
-        return max(share, whole(min(account.target, held + max(0, self.free(now)))))
+        return max(share, round_down_to_calls(min(account.target, held + max(0, self.free(now)))))
 
     def free(self, now: int) -> int:
         """What is not bound by anyone."""
@@ -261,25 +261,25 @@
         """What those may hold of whom nothing is known yet: an equal share each."""
         return self.sums(now).unknown(now) * self.terms.equal(len(self.fleet))
 
-    def sums(self, now: int) -> Sums:
-        redeal = self.terms.redeal if self.phase is Phase.DEALING else None  # as `lost`
+    def sums(self, now: int) -> AllocationTotals:
+        redeal = self.terms.redeal if self.phase is AllocatorPhase.DEALING else None  # as `lost`
         if self.kept is None or not self.kept.fits(
             self.accounts, self.fleet, now, self.since, redeal
         ):
             equal = self.terms.equal(len(self.fleet))
-            self.kept = Sums(
+            self.kept = AllocationTotals(
                 self.accounts, self.fleet, now, self.since, equal, self.terms.fresh, redeal
             )
         return self.kept
 
-    def lost(self, now: int, present: Present) -> bool:
+    def lost(self, now: int, present: FleetMember) -> bool:
         """Dead for so long that it is at its floor by itself. Told only where most of the fleet
         reports.
         """
         return (
             not present.there
             and now - present.since >= self.terms.redeal
-            and self.phase is Phase.DEALING
+            and self.phase is AllocatorPhase.DEALING
         )
 
     def sure(self, now: int) -> bool:
@@ -367,21 +367,21 @@
         total = max(0, self.terms.total - kept - self.unknown(now))
         accounts = [self.accounts[name] for name in names]
         idle = int(self.terms.idle * self.terms.equal(len(self.fleet)))
-        ideal = fair(
+        ideal = max_min_fair(
             total,
             [max(idle, account.told.want) for account in accounts],
             [account.told.weight for account in accounts],
         )
-        for account, target in zip(accounts, turns(total, ideal, accounts), strict=True):
+        for account, target in zip(accounts, round_to_calls(total, ideal, accounts), strict=True):
             account.target, account.wanted = target, account.told.want
 
 
-def whole(share: int) -> int:
+def round_down_to_calls(share: int) -> int:
     """Past one call, whole calls."""
-    return share if share < CALL else share - share % CALL
+    return share if share < MILLICALLS_PER_CALL else share - share % MILLICALLS_PER_CALL
 
 
-def fair(total: int, wants: Sequence[int], weights: Sequence[int]) -> list[float]:
+def max_min_fair(total: int, wants: Sequence[int], weights: Sequence[int]) -> list[float]:
     """Max-min fair by weight: nobody has less than it wants while another has more by weight; what
     nobody wants is spread by weight on top, so that the sum is `total`.
     """
@@ -406,14 +406,14 @@
     ]
 
 
-def turns(total: int, ideal: Sequence[float], accounts: Sequence[Account]) -> list[int]:
+def round_to_calls(total: int, ideal: Sequence[float], accounts: Sequence[Account]) -> list[int]:
     """Whole calls where a share is one or more, thousandths; the sum is at most `total`. What a
     share is rounded by is carried on, and a member keeps what it has until STICKS is owed to it or
     by it: each change costs the time in which one has given a call back and the other has not yet
     taken it.
     """
     owed, given = [0.0] * len(accounts), [0] * len(accounts)
-    lows = [int(share // CALL) * CALL for share in ideal]
+    lows = [int(share // MILLICALLS_PER_CALL) * MILLICALLS_PER_CALL for share in ideal]
     large = [at for at, low in enumerate(lows) if low]
     for at, (share, account) in enumerate(zip(ideal, accounts, strict=True)):
         if not lows[at]:
@@ -421,7 +421,7 @@
             continue
         owed[at] = share + account.carry
         stays = (
-            account.target in (lows[at], lows[at] + CALL)
+            account.target in (lows[at], lows[at] + MILLICALLS_PER_CALL)
             and abs(owed[at] - account.target) < STICKS
         )
         given[at] = account.target if stays else lows[at]
@@ -429,28 +429,28 @@
     # Never more than a call off the ideal share: what is owed is paid by rounding, and in no other
     # way.
     for at in sorted(large, key=lambda at: given[at] - owed[at]):
-        if left >= CALL and given[at] == lows[at]:
-            given[at] += CALL
-            left -= CALL
+        if left >= MILLICALLS_PER_CALL and given[at] == lows[at]:
+            given[at] += MILLICALLS_PER_CALL
+            left -= MILLICALLS_PER_CALL
     for at in sorted(large, key=lambda at: owed[at] - given[at]):
         if left < 0 and given[at] > lows[at]:
-            given[at] -= CALL
-            left += CALL
+            given[at] -= MILLICALLS_PER_CALL
+            left += MILLICALLS_PER_CALL
     for at in large:
         accounts[at].carry = max(-2.0 * STICKS, min(2.0 * STICKS, owed[at] - given[at]))
     return given
 
 
-Test = Callable[[Dealer, int], bool]
-Effect = Callable[[Dealer, int], None]
+Test = Callable[[Allocator, int], bool]
+Effect = Callable[[Allocator, int], None]
 
 
 def _test(name: str) -> Test:
-    return (lambda dealer, now: True) if name == "-" else getattr(Dealer, name)
+    return (lambda dealer, now: True) if name == "-" else getattr(Allocator, name)
 
 
 def _effect(name: str) -> Effect:
-    return (lambda dealer, now: None) if name == "-" else getattr(Dealer, name)
+    return (lambda dealer, now: None) if name == "-" else getattr(Allocator, name)
 
 
-RULES = rows(TABLE, Phase, Input, _test, _effect)
+RULES = rows(TABLE, AllocatorPhase, Input, _test, _effect)
--- a/burlloom/fleet/hold.py
+++ b/burlloom/fleet/lease_holder.py
@@ -13,10 +13,10 @@
 from enum import IntEnum
 
 from ..tables import rows
-from .deal import Terms
+from .allocator import QuotaSettings
 
 
-class State(IntEnum):
+class LeaseState(IntEnum):
     COLD = 0
     HOLDING = 1
     ADRIFT = 2
@@ -45,11 +45,11 @@
 """
 
 
-class Holder:
+class LeaseHolder:
     """`share` in thousandths of a call. `members`: how many the fleet has, as we know it."""
 
-    def __init__(self, terms: Terms, now: int) -> None:
-        self.terms, self.state = terms, State.COLD
+    def __init__(self, terms: QuotaSettings, now: int) -> None:
+        self.terms, self.state = terms, LeaseState.COLD
         self.share = self.granted = 0
         self.until = now
         self.sure_at = now  # when the last grant in the name of half of the fleet was asked for
@@ -102,16 +102,16 @@
         self.share = lowest if not self.granted else min(self.share, lowest)
 
 
-Test = Callable[[Holder, int], bool]
-Effect = Callable[[Holder, int], None]
+Test = Callable[[LeaseHolder, int], bool]
+Effect = Callable[[LeaseHolder, int], None]
 
 
 def _test(name: str) -> Test:
-    return (lambda holder, now: True) if name == "-" else getattr(Holder, name)
+    return (lambda holder, now: True) if name == "-" else getattr(LeaseHolder, name)
 
 
 def _effect(name: str) -> Effect:
-    return (lambda holder, now: None) if name == "-" else getattr(Holder, name)
+    return (lambda holder, now: None) if name == "-" else getattr(LeaseHolder, name)
 
 
-RULES = rows(TABLE, State, Input, _test, _effect)
+RULES = rows(TABLE, LeaseState, Input, _test, _effect)
--- a/burlloom/fleet/fleet.py
+++ b/burlloom/fleet/member.py
@@ -12,11 +12,11 @@
 from itertools import islice
 from random import Random
 
-from .deal import CALL, MS, Dealer, Present, Terms, Told
-from .hold import Holder
-from .hold import State as Held
-from .letters import Kind, Letter, Unreadable, seal, unseal
-from .members import Input, Members, Moved, State, Word, due, lived
+from .allocator import MILLICALLS_PER_CALL, MS, Allocator, FleetMember, QuotaSettings, ShareReport
+from .lease_holder import LeaseHolder
+from .lease_holder import LeaseState as Held
+from .membership import Input, MembershipView, MemberState, MemberUpdate, Transition, due, lived
+from .messages import Message, MessageDecodeError, MessageKind, decode, encode
 
 NEWS_MOST, PAGE_WORDS = 6, 10  # words of others on a letter; on a page of a view
 MEMBERS_MOST = 1000  # that a view holds; a fleet is some hundreds
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Habits:
+class GossipSettings:
     """Of the membership, ns. `probe`: between probes of one member after the other; `ack`: until
     others are asked to ask it; `suspicion`: for refuting; `forget`: until one that is over leaves
     the view, and only where most are there; `others`: how many are asked.
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class Errand:
+class IndirectProbe:
     """We ask one member for another, and owe that an ACK of its own number."""
 
     address: str
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class Counts:
+class MemberCounters:
     """For whoever reads metrics."""
 
     sent: int = 0
@@ -83,11 +83,11 @@
 class Fleet:
     def __init__(
         self,
-        own: Word,
+        own: MemberUpdate,
         seeds: tuple[str, ...],
         keys: tuple[bytes, ...],
-        terms: Terms,
-        habits: Habits,
+        terms: QuotaSettings,
+        habits: GossipSettings,
         chance: Random,
         now: int,
     ) -> None:
@@ -96,16 +96,16 @@
         """
         self.terms, self.habits, self.chance, self.keys = terms, habits, chance, keys
         self.seeds = tuple(seed for seed in seeds if seed != own.address)
-        self.members = Members(own, now)
-        self.dealer, self.holder = Dealer(terms, now), Holder(terms, now)
+        self.members = MembershipView(own, now)
+        self.dealer, self.holder = Allocator(terms, now), LeaseHolder(terms, now)
         self.out: deque[tuple[str, bytes]] = deque()
-        self.counts = Counts()
-        self.moves: list[Moved] = []  # until the host takes them
+        self.counts = MemberCounters()
+        self.moves: list[Transition] = []  # until the host takes them
         self.news: dict[str, int] = {}  # names, each with how often it was passed on
         self.number = 0
         self.queue: list[str] = []  # of names that are still to be probed in this round of all
         self.probe: Probe | None = None
-        self.errands: dict[int, Errand] = {}
+        self.errands: dict[int, IndirectProbe] = {}
         self.probed = self.rounded = self.synced = now - 3600 * 1000 * MS
         self.last = now
         self.wants = self.in_hand = 0
@@ -117,7 +117,7 @@
         self.former = 0  # the latest life of our name before this one that others knew, Unix ms
         # Who was started again: the life before, and how often it is still told.
         self.formers: dict[str, tuple[int, int]] = {}
-        self.seen, self.first, self.present = -1, own, dict[str, Present]()
+        self.seen, self.first, self.present = -1, own, dict[str, FleetMember]()
         self.report_last = -1  # our last report to another
         self.tied = "", -1  # who may count us still, and by which report
         self.counted = (
@@ -126,7 +126,7 @@
         self.strangers = 0  # members whose terms are not ours
 
     @property
-    def own(self) -> Word:
+    def own(self) -> MemberUpdate:
         return self.members.own
 
     @property
@@ -168,7 +168,7 @@
         self.probe = None
         self.errands.clear()
         for member in self.members:
-            if member.state is State.SUSPECT:
+            if member.state is MemberState.SUSPECT:
                 member.since += gap
                 self.members.changed.add(member.word.name)
 
@@ -189,13 +189,13 @@
                 before is not None
                 and after is not None
                 and before.life < after.life
-                and before.state is not State.LEFT
+                and before.state is not MemberState.LEFT
             ):
                 self.formers[after.name] = before.life, FORMER_TIMES
             if move.after is not None:
                 self.news[move.after.name] = 0
-                self.counts.suspected += move.after.state is State.SUSPECT
-                self.counts.buried += move.after.state is State.DEAD
+                self.counts.suspected += move.after.state is MemberState.SUSPECT
+                self.counts.buried += move.after.state is MemberState.DEAD
             elif move.before is not None:
                 self.news.pop(move.before.name, None)
                 self.formers.pop(move.before.name, None)
@@ -231,7 +231,7 @@
         if now - self.switched >= self.terms.fresh:
             self.tied = "", -1
         elif self.tied[0] in members.by_name:
-            self.send(members.by_name[self.tied[0]].word.address, Kind.UNTIE, self.tied[1])
+            self.send(members.by_name[self.tied[0]].word.address, MessageKind.UNTIE, self.tied[1])
         if now - self.born < WATCH * self.terms.round and self.dealt_by != self.own.name:
             # who deals is not known yet; one that is reported to by mistake may count us for a
             # while
@@ -244,7 +244,7 @@
             return  # its grant may still be on its way, and holds only on the newest report
         self.number += 1
         self.report_number, self.report_at, self.asked_of = self.number, now, first.name
-        told = Told(
+        told = ShareReport(
             max(holder.share, self.in_hand), holder.share, self.wants, self.weight, self.roster
         )
         if first.name == self.own.name:
@@ -253,7 +253,7 @@
                 self.granted(now, grant, self.dealer.sure(now))
         else:
             self.counted, self.report_last = True, self.number
-            self.send(first.address, Kind.REPORT, self.number, tuple(told))
+            self.send(first.address, MessageKind.REPORT, self.number, tuple(told))
 
     def look(self) -> None:
         """What the dealing is told of the view, where that changed: a new mapping, from the one
@@ -266,12 +266,12 @@
         present = dict(self.present)
         for name in changed:
             member = members.by_name.get(name)
-            if member is None or member.state is State.LEFT:
+            if member is None or member.state is MemberState.LEFT:
                 present.pop(name, None)
             else:
-                present[name] = Present(member.word.life, member.there, member.since)
+                present[name] = FleetMember(member.word.life, member.there, member.since)
         if (
-            self.seen < 0 or self.first.name in changed or self.first.state > State.SUSPECT
+            self.seen < 0 or self.first.name in changed or self.first.state > MemberState.SUSPECT
         ):  # we, where nobody is there
             self.first = members.first()
         else:  # newcomers, mostly
@@ -302,7 +302,7 @@
                 if member.word.name not in (probe.name, self.own.name)
             ]
             for other in self.chance.sample(others, min(habits.others, len(others))):
-                self.send(other.address, Kind.ASK, probe.number, name=probe.name)
+                self.send(other.address, MessageKind.ASK, probe.number, name=probe.name)
         if now - self.probed < habits.probe:
             return
         if probe is not None:
@@ -330,8 +330,8 @@
             self.chance.shuffle(self.queue)
         return None
 
-    def ping(self, word: Word, number: int) -> None:
-        self.send(word.address, Kind.PING, number, self.views(), about=word.name)
+    def ping(self, word: MemberUpdate, number: int) -> None:
+        self.send(word.address, MessageKind.PING, number, self.views(), about=word.name)
 
     def views(self) -> tuple[int, int]:
         return self.members.digest >> 1, self.terms_digest()
@@ -352,21 +352,21 @@
         dead = [
             member.word.address
             for member in self.members.unsettled.values()
-            if member.state is State.DEAD
+            if member.state is MemberState.DEAD
         ]
         doors = [
             address for address in {*self.seeds, *dead} if address not in self.members.addresses
         ]
         for door in self.chance.sample(sorted(doors), min(KNOCKS, len(doors))):
             self.number += 1
-            self.send(door, Kind.PING, self.number, self.views())
+            self.send(door, MessageKind.PING, self.number, self.views())
 
     # What comes.
 
     def hear(self, now: int, data: bytes) -> None:
         try:
-            letter = unseal(data, self.keys)
-        except Unreadable:
+            letter = decode(data, self.keys)
+        except MessageDecodeError:
             self.counts.unreadable += 1
             return
         self.counts.heard += 1
@@ -381,37 +381,41 @@
         HEARD[letter.kind](self, now, letter)
         self.settle()
 
-    def pinged(self, now: int, letter: Letter) -> None:
+    def pinged(self, now: int, letter: Message) -> None:
         self.send(
-            letter.sender.address, Kind.ACK, letter.number, self.views(), about=letter.sender.name
+            letter.sender.address,
+            MessageKind.ACK,
+            letter.number,
+            self.views(),
+            about=letter.sender.name,
         )
         self.compare(now, letter)
 
-    def acked(self, now: int, letter: Letter) -> None:
+    def acked(self, now: int, letter: Message) -> None:
         if self.probe is not None and letter.number == self.probe.number:
             self.probe = None
         errand = self.errands.pop(letter.number, None)
         if errand is not None:
-            self.send(errand.address, Kind.ACK, errand.number, self.views())
+            self.send(errand.address, MessageKind.ACK, errand.number, self.views())
         self.compare(now, letter)
 
-    def asked(self, now: int, letter: Letter) -> None:
+    def asked(self, now: int, letter: Message) -> None:
         member = self.members.by_name.get(letter.name)
         if member is not None and len(self.errands) < MEMBERS_MOST:
             self.number += 1
-            self.errands[self.number] = Errand(letter.sender.address, letter.number, now)
+            self.errands[self.number] = IndirectProbe(letter.sender.address, letter.number, now)
             self.ping(member.word, self.number)
 
-    def compare(self, now: int, letter: Letter) -> None:
+    def compare(self, now: int, letter: Message) -> None:
         """Where its view is not ours, asks for it; it does the same on our next letter."""
         if len(letter.numbers) != 2:
             return
         self.strangers += letter.numbers[1] != self.terms_digest()
         if letter.numbers[0] != self.members.digest >> 1 and now - self.synced >= self.habits.ack:
             self.synced = now
-            self.send(letter.sender.address, Kind.SYNC, letter.number)
+            self.send(letter.sender.address, MessageKind.SYNC, letter.number)
 
-    def synced_by(self, now: int, letter: Letter) -> None:
+    def synced_by(self, now: int, letter: Message) -> None:
         """Those who are over are told of for half the time that they are kept: else views would
         hand them back and forth for ever.
         """
@@ -424,13 +428,16 @@
         names = list(islice(told, PAGE_WORDS + 1))
         page = tuple(by_name[name].word for name in names[:PAGE_WORDS])
         more = names[PAGE_WORDS - 1] if len(names) > PAGE_WORDS else ""
-        self.post(letter.sender.address, Letter(Kind.PAGE, self.own, letter.number, (), more, page))
+        self.post(
+            letter.sender.address,
+            Message(MessageKind.PAGE, self.own, letter.number, (), more, page),
+        )
 
-    def paged(self, now: int, letter: Letter) -> None:
+    def paged(self, now: int, letter: Message) -> None:
         if letter.name and len(letter.words) == PAGE_WORDS:
-            self.send(letter.sender.address, Kind.SYNC, letter.number, name=letter.name)
+            self.send(letter.sender.address, MessageKind.SYNC, letter.number, name=letter.name)
 
-    def reported_to(self, now: int, letter: Letter) -> None:
+    def reported_to(self, now: int, letter: Message) -> None:
         if len(letter.numbers) != 5:
             return
         sender = letter.sender
@@ -438,24 +445,24 @@
             self.look()
             self.dealer.fleet = self.present  # one that came since the last round
         grant = self.dealer.report(
-            now, sender.name, sender.life, letter.number, Told(*letter.numbers)
+            now, sender.name, sender.life, letter.number, ShareReport(*letter.numbers)
         )
         if grant is None and self.first.name != self.own.name and self.seen >= 0:
             self.dealer.disown(sender.name, sender.life, letter.number)
             self.post(
                 sender.address,
-                Letter(Kind.ELSEWHERE, self.own, letter.number, (), "", (self.first,)),
+                Message(MessageKind.ELSEWHERE, self.own, letter.number, (), "", (self.first,)),
             )
         elif grant is not None:
             self.send(
                 sender.address,
-                Kind.GRANT,
+                MessageKind.GRANT,
                 letter.number,
                 (grant, int(self.dealer.sure(now))),
                 about=sender.name,
             )
 
-    def grant_came(self, now: int, letter: Letter) -> None:
+    def grant_came(self, now: int, letter: Message) -> None:
         if (
             letter.sender.name == self.dealt_by
             and letter.number == self.report_number
@@ -463,24 +470,24 @@
         ):
             self.granted(now, letter.numbers[0], letter.numbers[1] == 1)
 
-    def sent_elsewhere(self, now: int, letter: Letter) -> None:
+    def sent_elsewhere(self, now: int, letter: Message) -> None:
         if letter.sender.name == self.asked_of and letter.number == self.report_number:
             self.report_number, self.counted = -1, False
             self.rounded = now - self.terms.round  # the next tick looks at who deals, and reports
         if (letter.sender.name, letter.number) == self.tied:
             self.tied, self.switched = ("", -1), now - self.terms.fresh
 
-    def untied(self, now: int, letter: Letter) -> None:
+    def untied(self, now: int, letter: Message) -> None:
         self.dealer.disown(letter.sender.name, letter.sender.life, letter.number)
         self.post(
             letter.sender.address,
-            Letter(Kind.ELSEWHERE, self.own, letter.number, (), "", (self.first,)),
+            Message(MessageKind.ELSEWHERE, self.own, letter.number, (), "", (self.first,)),
         )
 
-    def said_bye(self, now: int, letter: Letter) -> None:
+    def said_bye(self, now: int, letter: Message) -> None:
         pass  # its own word, which goes with each letter, has said it
 
-    def former_told(self, now: int, letter: Letter) -> None:
+    def former_told(self, now: int, letter: Message) -> None:
         if len(letter.numbers) == 1 and letter.numbers[0] < self.own.life:
             self.former = max(self.former, letter.numbers[0])
 
@@ -492,12 +499,12 @@
         words = [member.word for member in self.members.there()]
         first = self.members.first()
         for word in {first, *self.chance.sample(words, min(50, len(words)))}:
-            self.send(word.address, Kind.BYE, 0)
+            self.send(word.address, MessageKind.BYE, 0)
 
     def send(
         self,
         address: str,
-        kind: Kind,
+        kind: MessageKind,
         number: int,
         numbers: tuple[int, ...] = (),
         name: str = "",
@@ -509,20 +516,20 @@
         words = (
             [self.members.by_name[about].word]
             if about in self.members.by_name
-            and self.members.by_name[about].state is not State.ALIVE
+            and self.members.by_name[about].state is not MemberState.ALIVE
             else []
         )
         self.post(
             address,
-            Letter(kind, self.own, number, numbers, name, tuple(words + self.gossip(about))),
+            Message(kind, self.own, number, numbers, name, tuple(words + self.gossip(about))),
         )
         if about in self.formers:
             life, times = self.formers.pop(about)
             if times > 1:
                 self.formers[about] = life, times - 1
-            self.post(address, Letter(Kind.FORMER, self.own, 0, (life,)))
+            self.post(address, Message(MessageKind.FORMER, self.own, 0, (life,)))
 
-    def gossip(self, about: str) -> list[Word]:
+    def gossip(self, about: str) -> list[MemberUpdate]:
         """What was passed on least often so far; each of our news some times the logarithm of the
         fleet.
         """
@@ -537,41 +544,41 @@
                 del self.news[name]
         return found
 
-    def post(self, address: str, letter: Letter) -> None:
+    def post(self, address: str, letter: Message) -> None:
         if len(self.out) >= OUT_MOST:
             self.counts.dropped += 1
             return
         self.counts.sent += 1
-        self.out.append((address, seal(letter, self.keys[0])))
+        self.out.append((address, encode(letter, self.keys[0])))
 
 
 HEARD = {
-    Kind.PING: Fleet.pinged,
-    Kind.ACK: Fleet.acked,
-    Kind.ASK: Fleet.asked,
-    Kind.SYNC: Fleet.synced_by,
-    Kind.PAGE: Fleet.paged,
-    Kind.REPORT: Fleet.reported_to,
-    Kind.GRANT: Fleet.grant_came,
-    Kind.BYE: Fleet.said_bye,
-    Kind.FORMER: Fleet.former_told,
-    Kind.ELSEWHERE: Fleet.sent_elsewhere,
-    Kind.UNTIE: Fleet.untied,
+    MessageKind.PING: Fleet.pinged,
+    MessageKind.ACK: Fleet.acked,
+    MessageKind.ASK: Fleet.asked,
+    MessageKind.SYNC: Fleet.synced_by,
+    MessageKind.PAGE: Fleet.paged,
+    MessageKind.REPORT: Fleet.reported_to,
+    MessageKind.GRANT: Fleet.grant_came,
+    MessageKind.BYE: Fleet.said_bye,
+    MessageKind.FORMER: Fleet.former_told,
+    MessageKind.ELSEWHERE: Fleet.sent_elsewhere,
+    MessageKind.UNTIE: Fleet.untied,
 }
 
 
-def summary(fleet: Fleet, now: int) -> Mapping[str, object]:
+def summarize(fleet: Fleet, now: int) -> Mapping[str, object]:
     """For an operator's eyes; plain values."""
     members, dealer = fleet.members, fleet.dealer
     return {
         "name": fleet.own.name,
         "life": fleet.own.life,
         "incarnation": fleet.own.incarnation,
-        "share": fleet.share / CALL,
+        "share": fleet.share / MILLICALLS_PER_CALL,
         "state": fleet.holder.state.name.lower(),
         "dealt_by": fleet.dealt_by,
         "deals": dealer.phase.name.lower(),
-        "total": fleet.terms.total / CALL,
+        "total": fleet.terms.total / MILLICALLS_PER_CALL,
         "strangers": fleet.strangers,
         "members": [
             {
@@ -582,7 +589,7 @@
                 "state": member.state.name.lower(),
                 "since_ms": (now - member.since) // MS,
                 **(
-                    {"bound": dealer.accounts[member.word.name].bound / CALL}
+                    {"bound": dealer.accounts[member.word.name].bound / MILLICALLS_PER_CALL}
                     if member.word.name in dealer.accounts
                     else {}
                 ),
--- a/burlloom/fleet/members.py
+++ b/burlloom/fleet/membership.py
@@ -24,7 +24,7 @@
 from ..tables import rows
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """In the order in which a word of the same incarnation overrides another."""
 
     ALIVE = 0
@@ -78,7 +78,7 @@
 """
 
 
-class Word(NamedTuple):
+class MemberUpdate(NamedTuple):
     """What is said of a member. `life`: when it was started, Unix ms, or later where that was
     taken; `incarnation`: how often it refuted in that life.
     """
@@ -87,7 +87,7 @@
     address: str
     life: int
     incarnation: int
-    state: State
+    state: MemberState
 
     @property
     def rank(self) -> tuple[int, int, int]:
@@ -96,33 +96,33 @@
 
 @dataclass(slots=True)
 class Member:
-    word: Word
+    word: MemberUpdate
     since: int  # in this state, ns on our clock
 
     @property
-    def state(self) -> State:
+    def state(self) -> MemberState:
         return self.word.state
 
     @property
     def there(self) -> bool:
         """It may be calling below: nobody has said that it is over."""
-        return self.word.state <= State.SUSPECT
+        return self.word.state <= MemberState.SUSPECT
 
 
-class Moved(NamedTuple):
+class Transition(NamedTuple):
     """A member's step: before and after."""
 
-    before: Word | None
-    after: Word | None
+    before: MemberUpdate | None
+    after: MemberUpdate | None
     effect: str
 
 
-class Members:
+class MembershipView:
     """The view. `meet` is all that changes it; who is ourselves never stands in it as anything but
     alive or left: what others say else of us is refuted.
     """
 
-    def __init__(self, own: Word, now: int) -> None:
+    def __init__(self, own: MemberUpdate, now: int) -> None:
         self.own = own
         self.by_name: dict[str, Member] = {}
         # Kept up by `put`, as a walk of the view at each turn would cost a member the more the
@@ -135,7 +135,7 @@
         self.digest = 0  # equal where two views are
         self.version = 0  # counts changes
         self.put(own.name, Member(own, now))
-        self.moves: list[Moved] = []  # until whoever keeps us takes them
+        self.moves: list[Transition] = []  # until whoever keeps us takes them
 
     def put(self, name: str, member: Member | None) -> None:
         self.version += 1
@@ -150,7 +150,7 @@
         if member is not None:
             self.by_name[name] = member
             self.digest ^= hash_of(member.word)
-            if member.state is not State.ALIVE:
+            if member.state is not MemberState.ALIVE:
                 self.unsettled[name] = member
             if member.there:
                 self.at(member.word.address, 1)
@@ -163,7 +163,7 @@
     def __iter__(self) -> Iterator[Member]:
         return iter(self.by_name.values())
 
-    def said(self, now: int, word: Word) -> bool:
+    def said(self, now: int, word: MemberUpdate) -> bool:
         """Takes in what somebody said; whether it was news."""
         if word.name == self.own.name:
             return self.said_of_us(now, word)
@@ -172,12 +172,12 @@
             return False  # most words are no news; no row of the table moves by these
         return self.meet(now, word.name, Input(int(word.state)), word)
 
-    def said_of_us(self, now: int, word: Word) -> bool:
+    def said_of_us(self, now: int, word: MemberUpdate) -> bool:
         """An older life's words are no concern of ours; one of ours that we did not say is refuted;
         another's under our name, or a later life than ours after a step of the clock, is outbid.
         """
         own = self.own
-        if own.state is State.LEFT or word.rank <= own.rank:
+        if own.state is MemberState.LEFT or word.rank <= own.rank:
             return False
         if word.life > own.life:
             self.speak(now, own._replace(life=word.life + 1, incarnation=0))
@@ -185,22 +185,22 @@
             self.speak(now, own._replace(incarnation=word.incarnation + 1))
         return True
 
-    def speak(self, now: int, own: Word) -> None:
+    def speak(self, now: int, own: MemberUpdate) -> None:
         self.own = own
         self.put(own.name, Member(own, now))
 
     def leave(self, now: int) -> None:
-        self.speak(now, self.own._replace(state=State.LEFT))
+        self.speak(now, self.own._replace(state=MemberState.LEFT))
 
-    def meet(self, now: int, name: str, what: Input, word: Word | None = None) -> bool:
+    def meet(self, now: int, name: str, what: Input, word: MemberUpdate | None = None) -> bool:
         """Moves by the first row whose test holds. `word` goes with what is said."""
         member = self.by_name.get(name)
-        state = member.state if member is not None else State.GONE
+        state = member.state if member is not None else MemberState.GONE
         for test, after, effect in RULES.get((state, what), ()):
             if test(member, word):
                 EFFECTS[effect](self, now, name, after, word)
                 self.moves.append(
-                    Moved(
+                    Transition(
                         member.word if member is not None else None,
                         self.by_name[name].word if name in self.by_name else None,
                         effect,
@@ -211,14 +211,14 @@
 
     # Effects.
 
-    def enter(self, now: int, name: str, after: State, word: Word | None) -> None:
+    def enter(self, now: int, name: str, after: MemberState, word: MemberUpdate | None) -> None:
         assert word is not None
         self.put(name, Member(word, now))
 
-    def doubt(self, now: int, name: str, after: State, word: Word | None) -> None:
+    def doubt(self, now: int, name: str, after: MemberState, word: MemberUpdate | None) -> None:
         self.put(name, Member(self.by_name[name].word._replace(state=after), now))
 
-    def forget(self, now: int, name: str, after: State, word: Word | None) -> None:
+    def forget(self, now: int, name: str, after: MemberState, word: MemberUpdate | None) -> None:
         self.put(name, None)
 
     # What the view shows.
@@ -242,54 +242,54 @@
 
     def counted(self) -> int:
         """How many may hold something below: all but those who left."""
-        return sum(member.state is not State.LEFT for member in self)
+        return sum(member.state is not MemberState.LEFT for member in self)
 
-    def first(self) -> Word:
+    def first(self) -> MemberUpdate:
         """Who deals: the one that has lived longest of those who are there, so that newcomers
         change nothing.
         """
         return min((member.word for member in self if member.there), key=lived, default=self.own)
 
 
-def lived(word: Word) -> tuple[int, str]:
+def lived(word: MemberUpdate) -> tuple[int, str]:
     """In the order in which members deal."""
     return word.life, word.name
 
 
-def hash_of(word: Word) -> int:
+def hash_of(word: MemberUpdate) -> int:
     text = f"{word.name}|{word.address}|{word.life}|{word.incarnation}|{int(word.state)}"
     return int(xxhash.xxh3_64_intdigest(text.encode()))
 
 
 def life_of(member: Member | None) -> int:
     """Of a member that may hold something, whatever it is thought to be; 0 of none."""
-    if member is None or member.state is State.LEFT:
+    if member is None or member.state is MemberState.LEFT:
         return 0
-    return hash_of(member.word._replace(incarnation=0, state=State.ALIVE))
+    return hash_of(member.word._replace(incarnation=0, state=MemberState.ALIVE))
 
 
-Test = Callable[[Member | None, Word | None], bool]
+Test = Callable[[Member | None, MemberUpdate | None], bool]
 
 
-def newer(member: Member | None, word: Word | None) -> bool:
+def newer(member: Member | None, word: MemberUpdate | None) -> bool:
     return member is not None and word is not None and word.rank[:2] > member.word.rank[:2]
 
 
-def same(member: Member | None, word: Word | None) -> bool:
+def same(member: Member | None, word: MemberUpdate | None) -> bool:
     return member is not None and word is not None and word.rank[:2] == member.word.rank[:2]
 
 
 TESTS: dict[str, Test] = {"newer": newer, "same": same, "-": lambda member, word: True}
-Effect = Callable[[Members, int, str, State, Word | None], None]
+Effect = Callable[[MembershipView, int, str, MemberState, MemberUpdate | None], None]
 EFFECTS: dict[str, Effect] = {
-    "enter": Members.enter,
-    "renew": Members.enter,
-    "doubt": Members.doubt,
-    "bury": Members.doubt,
-    "part": Members.doubt,
-    "forget": Members.forget,
+    "enter": MembershipView.enter,
+    "renew": MembershipView.enter,
+    "doubt": MembershipView.doubt,
+    "bury": MembershipView.doubt,
+    "part": MembershipView.doubt,
+    "forget": MembershipView.forget,
 }
-RULES = rows(TABLE, State, Input, TESTS.__getitem__, str)
+RULES = rows(TABLE, MemberState, Input, TESTS.__getitem__, str)
 
 
 def due(
@@ -300,8 +300,8 @@
     """
     found = []
     for member in members:
-        if member.state is State.SUSPECT and now - member.since >= suspicion:
+        if member.state is MemberState.SUSPECT and now - member.since >= suspicion:
             found.append((member.word.name, Input.EXPIRED))
-        elif member.state >= State.DEAD and now - member.since >= forget:
+        elif member.state >= MemberState.DEAD and now - member.since >= forget:
             found.append((member.word.name, Input.OLD))
     return found
--- a/burlloom/fleet/letters.py
+++ b/burlloom/fleet/messages.py
@@ -14,17 +14,17 @@
 
 import msgpack
 
-from .members import State, Word
+from .membership import MemberState, MemberUpdate
 
 VERSION = 1
 TAG = 16
 LETTER_MOST = 1400  # bytes; fits a frame of Ethernet
 WORDS_MOST, NUMBERS_MOST, NAME_MOST = 10, 5, 64  # the longest name in bytes; a full page fits
 NUMBER_MOST = (1 << 63) - 1
-KEY_LEAST = 16
+MIN_KEY_BYTES = 16
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     PING = 0  # are you there; numbers: our view's digest
     ACK = 1  # we are, to the PING of that number; the same
     ASK = 2  # ping the one that is named, and pass on its ACK
@@ -45,16 +45,16 @@
     UNTIE = 10
 
 
-class Letter(NamedTuple):
-    kind: Kind
-    sender: Word
+class Message(NamedTuple):
+    kind: MessageKind
+    sender: MemberUpdate
     number: int
     numbers: tuple[int, ...] = ()
     name: str = ""
-    words: tuple[Word, ...] = ()
+    words: tuple[MemberUpdate, ...] = ()
 
 
-class Unreadable(Exception):
+class MessageDecodeError(Exception):
     """A datagram that no member with our key would send; says why."""
 
 
@@ -62,7 +62,7 @@
     return hashlib.blake2b(text, key=key, digest_size=TAG).digest()
 
 
-def seal(letter: Letter, key: bytes) -> bytes:
+def encode(letter: Message, key: bytes) -> bytes:
     sender, words = [*letter.sender], [[*word] for word in letter.words]
     text: bytes = msgpack.packb(
         [VERSION, int(letter.kind), sender, letter.number, letter.numbers, letter.name, words]
@@ -70,41 +70,41 @@
     return tag(key, text) + text
 
 
-def unseal(data: bytes, keys: tuple[bytes, ...]) -> Letter:
+def decode(data: bytes, keys: tuple[bytes, ...]) -> Message:
     """Any of the keys will do, so that keys can be changed while the fleet runs. Raises
     `Unreadable`.
     """
     if not TAG < len(data) <= LETTER_MOST:
-        raise Unreadable(f"of {len(data)} bytes")
+        raise MessageDecodeError(f"of {len(data)} bytes")
     mark, text = data[:TAG], data[TAG:]
     if not any(hmac.compare_digest(mark, tag(key, text)) for key in keys):
-        raise Unreadable("not sealed with our key")
+        raise MessageDecodeError("not sealed with our key")
     try:
         got = msgpack.unpackb(
             text, max_array_len=16, max_map_len=0, max_ext_len=0, max_str_len=NAME_MOST
         )
     except (ValueError, msgpack.UnpackException, RecursionError) as error:
-        raise Unreadable(f"no MessagePack: {error}") from error
+        raise MessageDecodeError(f"no MessagePack: {error}") from error
     return letter_of(got)
 
 
-def letter_of(got: Any) -> Letter:
+def letter_of(got: Any) -> Message:
     if type(got) is not list or len(got) != 7 or got[0] != VERSION:
-        raise Unreadable("of another version")
+        raise MessageDecodeError("of another version")
     _, kind, sender, number, numbers, name, words = got
-    if type(kind) is not int or not 0 <= kind < len(Kind):
-        raise Unreadable(f"of no kind: {kind!r}")
+    if type(kind) is not int or not 0 <= kind < len(MessageKind):
+        raise MessageDecodeError(f"of no kind: {kind!r}")
     if (
         not whole(number)
         or type(numbers) is not list
         or len(numbers) > NUMBERS_MOST
         or not all(map(whole, numbers))
     ):
-        raise Unreadable("numbers that are none")
+        raise MessageDecodeError("numbers that are none")
     if type(name) is not str or type(words) is not list or len(words) > WORDS_MOST:
-        raise Unreadable("names or words that are none")
-    return Letter(
-        Kind(kind), word_of(sender), number, tuple(numbers), name, tuple(map(word_of, words))
+        raise MessageDecodeError("names or words that are none")
+    return Message(
+        MessageKind(kind), word_of(sender), number, tuple(numbers), name, tuple(map(word_of, words))
     )
 
 
@@ -112,9 +112,9 @@
     return type(got) is int and 0 <= got <= NUMBER_MOST
 
 
-def word_of(got: Any) -> Word:
+def word_of(got: Any) -> MemberUpdate:
     if type(got) is not list or len(got) != 5:
-        raise Unreadable("a word that is none")
+        raise MessageDecodeError("a word that is none")
     name, address, life, incarnation, state = got
     if (
         type(name) is not str
@@ -123,16 +123,16 @@
         or not whole(life)
         or not whole(incarnation)
         or type(state) is not int
-        or not State.ALIVE <= state <= State.LEFT
+        or not MemberState.ALIVE <= state <= MemberState.LEFT
     ):
-        raise Unreadable("a word that is none")
-    if address_of(address) is None:
-        raise Unreadable(f"no address: {address!r:.80}")
-    return Word(name, address, life, incarnation, State(state))
+        raise MessageDecodeError("a word that is none")
+    if parse_address(address) is None:
+        raise MessageDecodeError(f"no address: {address!r:.80}")
+    return MemberUpdate(name, address, life, incarnation, MemberState(state))
 
 
 @lru_cache(maxsize=4096)
-def address_of(text: str) -> tuple[str, int] | None:
+def parse_address(text: str) -> tuple[str, int] | None:
     """Host, an IPv4 address, and port; None where it is none."""
     host, _, port = text.rpartition(":")
     parts = host.split(".")
--- a/burlloom/fleet/subset.py
+++ b/burlloom/fleet/subset.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
+class ServerSubset:
     """Of one server: the services by rank, each with its part of the server's calls. The parts sum
     to 1.
     """
@@ -35,12 +35,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spread:
+class SubsetAssignment:
     """Of the whole fleet: each server's choice; `worst`: the load of the most loaded service over
     the mean.
     """
 
-    choices: Mapping[str, Choice]
+    choices: Mapping[str, ServerSubset]
     worst: float
     size: float  # of the subsets, on average
 
@@ -71,9 +71,9 @@
     return int(mean + rank(server, "") / (1 << 64))
 
 
-def spread(
+def assign_subsets(
     servers: Sequence[str], services: Sequence[str], least: int, bound: float = 1.1
-) -> Spread:
+) -> SubsetAssignment:
     """The subsets of all servers, with weights such that no service has more than `bound` times the
     mean load, where each server calls as much as the next. Raises `ValueError` where there is none
     to talk to.
@@ -92,7 +92,9 @@
         mean = min(float(len(services)), mean * WIDER)
 
 
-def fitted(subsets: Mapping[str, Sequence[str]], services: Sequence[str], size: float) -> Spread:
+def fitted(
+    subsets: Mapping[str, Sequence[str]], services: Sequence[str], size: float
+) -> SubsetAssignment:
     parts = {server: dict.fromkeys(subset, 1 / len(subset)) for server, subset in subsets.items()}
     mean, worst = len(subsets) / len(services), 1.0
     for _ in range(ROUNDS_MOST):
@@ -109,10 +111,12 @@
             every = sum(part.values())
             for service in part:
                 part[service] /= every
-    return Spread({server: Choice(part) for server, part in parts.items()}, worst, size)
+    return SubsetAssignment(
+        {server: ServerSubset(part) for server, part in parts.items()}, worst, size
+    )
 
 
-class Turns:
+class WeightedRoundRobin:
     """Calls of one server spread over its subset: smooth weighted round robin, so that any stretch
     of them is split as the parts say, within one call each. A service that could not be reached is
     left out for a while, longer each time.
--- a/burlloom/fleet/sums.py
+++ b/burlloom/fleet/totals.py
@@ -28,7 +28,7 @@
     def since(self) -> int: ...
 
 
-class Sums:
+class AllocationTotals:
     """`since`: who has not reported from then on may hold an equal share at least, `equal`.
     `fresh`: how long a report counts. `redeal`: how long one is dead before it counts as gone; None
     where nobody does.
--- a/burlloom/lab/capacity.py
+++ b/burlloom/lab/capacity.py
@@ -15,7 +15,7 @@
 
 import numpy as np
 
-from ..fleet.fleet import MEMBERS_MOST
+from ..fleet.member import MEMBERS_MOST
 from .slopes import KEPT, Row, exponent_word, fit, kept, newest
 
 SERVERS, CALLERS, SERVICES, REGIONS, ZONES, CONTROL = 2_600, 140_000, 3_000, 6, 14, 19
--- a/burlloom/lab/fleets.py
+++ b/burlloom/lab/fleets.py
@@ -14,7 +14,14 @@
 from ..dispatcher import Desk
 from ..downstream import Pool
 from ..downstream.spread import Pools
-from ..fleet import CALL, Fleet, Habits, State, Terms, Word
+from ..fleet import (
+    MILLICALLS_PER_CALL,
+    Fleet,
+    GossipSettings,
+    MemberState,
+    MemberUpdate,
+    QuotaSettings,
+)
 from ..server.assembly import Server
 from ..server.fleeting import Fleeting, Share, shares
 from .clock import EPOCH, SECOND, SimulatedLoop
@@ -90,7 +97,11 @@
     @property
     def using(self) -> float:
         """Calls in hand: as many as it may, or would."""
-        return min(self.demand, self.fleet.share / CALL) if self.fleet is not None else 0.0
+        return (
+            min(self.demand, self.fleet.share / MILLICALLS_PER_CALL)
+            if self.fleet is not None
+            else 0.0
+        )
 
 
 class Swarm:
@@ -100,15 +111,15 @@
         self,
         loop: SimulatedLoop,
         net: Net,
-        terms: Terms,
-        habits: Habits | None = None,
+        terms: QuotaSettings,
+        habits: GossipSettings | None = None,
         seed: int = 1,
     ) -> None:
         self.loop, self.net, self.terms, self.habits, self.seed = (
             loop,
             net,
             terms,
-            habits or Habits(),
+            habits or GossipSettings(),
             seed,
         )
         self.bodies: dict[str, Body] = {}
@@ -140,7 +151,7 @@
         now, life = self.now(), (EPOCH + int(self.loop.now * SECOND)) // 1_000_000 + body.lives
         chance = Random(body.seed * 7 + body.lives)
         body.fleet = Fleet(
-            Word(body.name, body.address, life, 0, State.ALIVE),
+            MemberUpdate(body.name, body.address, life, 0, MemberState.ALIVE),
             self.seeds,
             (KEY,),
             self.terms,
@@ -184,7 +195,9 @@
             return
         if body.paused_at < 0:
             # One that may not call enough has the rest waiting.
-            fleet.uses(int(body.demand * CALL), int(body.using * CALL))
+            fleet.uses(
+                int(body.demand * MILLICALLS_PER_CALL), int(body.using * MILLICALLS_PER_CALL)
+            )
             fleet.tick(self.now())
             self.flush(body)
         self.loop.call_later(TICK, self.tick, body, fleet)
@@ -207,7 +220,9 @@
         )
 
     def shares(self) -> list[float]:
-        return [body.fleet.share / CALL for body in self.up() if body.fleet is not None]
+        return [
+            body.fleet.share / MILLICALLS_PER_CALL for body in self.up() if body.fleet is not None
+        ]
 
     def agreed(self) -> bool:
         """Whether all that are up, and are not paused, see exactly those as there."""
@@ -237,7 +252,9 @@
         self.fleets, self.node, self.server = fleets, node, server
         loop, world = fleets.loop, fleets.emulator.world
         self.address = address(node.index)
-        own = Word(node.name, self.address, loop.wall() // 1_000_000 + node.life, 0, State.ALIVE)
+        own = MemberUpdate(
+            node.name, self.address, loop.wall() // 1_000_000 + node.life, 0, MemberState.ALIVE
+        )
         self.fleet = Fleet(
             own,
             fleets.seeds,
@@ -313,13 +330,17 @@
     """Joins the nodes of a world; zones that are cut in the world are cut for letters too."""
 
     def __init__(
-        self, emulator: Emulator, terms: Terms, habits: Habits | None = None, loss: float = 0.0
+        self,
+        emulator: Emulator,
+        terms: QuotaSettings,
+        habits: GossipSettings | None = None,
+        loss: float = 0.0,
     ) -> None:
         self.emulator, self.loop, self.terms, self.habits = (
             emulator,
             emulator.loop,
             terms,
-            habits or Habits(),
+            habits or GossipSettings(),
         )
         low, high = emulator.world.callers.net_ms
         self.net = Net(self.loop, emulator.world.seed, (low / 1000, high / 1000), loss)
@@ -344,7 +365,7 @@
     def shares(self) -> dict[str, float]:
         """Of those that are up, calls."""
         return {
-            node.name: node.server.fleet.fleet.share / CALL
+            node.name: node.server.fleet.fleet.share / MILLICALLS_PER_CALL
             for node in self.emulator.nodes
             if node.up and node.server is not None and isinstance(node.server.fleet, Joined)
         }
--- a/burlloom/lab/hollow.py
+++ b/burlloom/lab/hollow.py
@@ -29,7 +29,14 @@
 
 import uvloop
 
-from ..fleet import CALL, Fleet, Habits, State, Terms, Word
+from ..fleet import (
+    MILLICALLS_PER_CALL,
+    Fleet,
+    GossipSettings,
+    MemberState,
+    MemberUpdate,
+    QuotaSettings,
+)
 from .distances import Distances, Place, place
 
 # s; a server ticks each 0.05, a control machine by itself
@@ -72,17 +79,21 @@
     def __init__(
         self, own: Place, address: str, life: int, told: dict[str, Any], chance: Random, now: int
     ) -> None:
-        word = Word(own.name, address, life, 0, State.ALIVE)
+        word = MemberUpdate(own.name, address, life, 0, MemberState.ALIVE)
         self.fleet = Fleet(
             word,
             tuple(told["seeds"]),
             (bytes.fromhex(told["key"]),),
-            Terms(**told["terms"]),
-            Habits(**told.get("habits", {})),
+            QuotaSettings(**told["terms"]),
+            GossipSettings(**told.get("habits", {})),
             chance,
             now,
         )
-        self.out, self.demand, self.share = self.fleet.out, int(told.get("demand", 8.0) * CALL), -1
+        self.out, self.demand, self.share = (
+            self.fleet.out,
+            int(told.get("demand", 8.0) * MILLICALLS_PER_CALL),
+            -1,
+        )
         self.seen: list[list[Any]] = []
 
     def tick(self, now: int) -> None:
@@ -114,7 +125,9 @@
 
     def told(self, message: dict[str, Any]) -> None:
         """`demand`: calls that it would have in hand."""
-        self.demand = int(float(message.get("demand", self.demand / CALL)) * CALL)
+        self.demand = int(
+            float(message.get("demand", self.demand / MILLICALLS_PER_CALL)) * MILLICALLS_PER_CALL
+        )
 
     def facts(self, now: int) -> dict[str, Any]:
         fleet = self.fleet
--- a/burlloom/lab/rolls.py
+++ b/burlloom/lab/rolls.py
@@ -9,9 +9,9 @@
 from numpy.random import default_rng
 
 from ..operator import RolloutPart
-from ..rollout import Book, Denied
-from ..rollout.stores import Away, Page
-from ..rollout.watch import Member
+from ..rollout import OrderRejectedError, RolloutState
+from ..rollout.liveness import ServerReport
+from ..rollout.stores import Away, StateSnapshot
 from ..server.assembly import Server
 from ..server.rolling import NoRolling, Rolled, Rolling
 from .emulator import Emulator
@@ -40,8 +40,8 @@
 
     def __init__(self, loses: float, seed: int) -> None:
         self.loses, self.chance = loses, default_rng(seed)
-        self.page = Page(1, 0, Book())
-        self.told: dict[str, Member] = {}
+        self.page = StateSnapshot(1, 0, RolloutState())
+        self.told: dict[str, ServerReport] = {}
 
     async def way(self, step: Callable[[], Any]) -> Any:
         await asyncio.sleep(float(self.chance.uniform(0.0005, 0.003)))
@@ -57,15 +57,15 @@
 
     async def open(self) -> None: ...
 
-    async def read(self, known: Page | None = None) -> Page:
-        found: Page = await self.way(lambda: self.page)
+    async def read(self, known: StateSnapshot | None = None) -> StateSnapshot:
+        found: StateSnapshot = await self.way(lambda: self.page)
         return found
 
-    async def swap(self, page: Page, book: Book) -> bool:
+    async def swap(self, page: StateSnapshot, book: RolloutState) -> bool:
         def step() -> bool:
             held = page.revision == self.page.revision
             if held:
-                self.page = Page(self.page.revision + 1, self.page.beat, book)
+                self.page = StateSnapshot(self.page.revision + 1, self.page.beat, book)
             return held
 
         return bool(await self.way(step))
@@ -77,7 +77,7 @@
 
         await self.way(step)
 
-    async def tell(self, member: Member) -> bool:
+    async def tell(self, member: ServerReport) -> bool:
         def step() -> bool:
             known = self.told.get(member.name)
             if known is None or known.life <= member.life:
@@ -86,10 +86,10 @@
 
         return bool(await self.way(step))
 
-    async def last(self, name: str) -> Member | None:
+    async def last(self, name: str) -> ServerReport | None:
         return self.told.get(name)
 
-    async def members(self) -> list[Member]:
+    async def members(self) -> list[ServerReport]:
         return list(self.told.values())
 
     async def forget(self, name: str) -> None:
@@ -172,13 +172,13 @@
 
         return make
 
-    def order(self, order: Callable[[Book], Book]) -> bool:
+    def order(self, order: Callable[[RolloutState], RolloutState]) -> bool:
         """An operator's, taken at once; False where it was denied."""
         try:
             self.shelf.page = self.shelf.page._replace(
                 revision=self.shelf.page.revision + 1, book=order(self.shelf.page.book)
             )
-        except Denied:
+        except OrderRejectedError:
             return False
         return True
 
--- a/burlloom/operator/distribution.py
+++ b/burlloom/operator/distribution.py
@@ -55,22 +55,22 @@
 
     def faults(self) -> list[str]:
         """What no single value can tell, each with its place."""
-        from ..fleet.letters import KEY_LEAST, address_of
+        from ..fleet.messages import MIN_KEY_BYTES, parse_address
 
         wrong = []
-        if address_of(self.listen) is None and not (
-            self.listen.endswith(":0") and address_of(self.listen + "1")
+        if parse_address(self.listen) is None and not (
+            self.listen.endswith(":0") and parse_address(self.listen + "1")
         ):
             wrong.append(
                 f"listen: {self.listen!r} is no IPv4 address with a port"
             )  # 0: one that the system gives
-        if self.advertise is not None and address_of(self.advertise) is None:
+        if self.advertise is not None and parse_address(self.advertise) is None:
             wrong.append(f"advertise: {self.advertise!r} is no IPv4 address with a port")
         names: dict[str, int] = {}
         addresses: dict[str, int] = {}
         for at, one in enumerate(self.upstreams):
             place = f"upstreams[{at}]"
-            if address_of(one.address) is None:
+            if parse_address(one.address) is None:
                 wrong.append(f"{place}.address: {one.address!r} is no IPv4 address with a port")
             for what, value, seen in (
                 ("name", one.name, names),
@@ -82,7 +82,7 @@
                     )
                 seen.setdefault(value, at)
         for what, file, least in (
-            ("key_file", self.key_file, KEY_LEAST),
+            ("key_file", self.key_file, MIN_KEY_BYTES),
             ("signing_key_file", self.signing_key_file, SIGNING_LEAST),
         ):
             try:
@@ -138,10 +138,10 @@
     def followed(self) -> "list[Follows]":
         """Whom this one may follow."""
         from ..distribution.follower import Upstream as Follows
-        from ..fleet.letters import address_of
+        from ..fleet.messages import parse_address
 
         return [
             Follows(one.name, one.region, address)
             for one in self.upstreams
-            if (address := address_of(one.address)) is not None
+            if (address := parse_address(one.address)) is not None
         ]
--- a/burlloom/operator/fleet.py
+++ b/burlloom/operator/fleet.py
@@ -10,7 +10,7 @@
 from .part import Part
 
 if TYPE_CHECKING:
-    from ..fleet import Habits, Terms
+    from ..fleet import GossipSettings, QuotaSettings
 
 MS = 1_000_000
 Host = Annotated[
@@ -59,7 +59,7 @@
         return self
 
     def faults(self) -> list[str]:
-        from ..fleet.letters import KEY_LEAST, address_of
+        from ..fleet.messages import MIN_KEY_BYTES, parse_address
 
         wrong = []
         # A port of 0 is one that the system gives.
@@ -71,10 +71,10 @@
         ):
             if (
                 address is not None
-                and address_of(address) is None
+                and parse_address(address) is None
                 and not (
                     what == "listen"
-                    and address_of(address + "1") is not None
+                    and parse_address(address + "1") is not None
                     and address.endswith(":0")
                 )
             ):
@@ -83,9 +83,9 @@
             wrong.append("services: an address stands twice")
         wrong += self.terms().faults() + self.habits().faults()
         try:
-            if any(len(key) < KEY_LEAST for key in self.keys()) or not self.keys():
+            if any(len(key) < MIN_KEY_BYTES for key in self.keys()) or not self.keys():
                 wrong.append(
-                    f"key_file: {self.key_file}: each line wants a key of at least {KEY_LEAST} bytes, in hex;"
+                    f"key_file: {self.key_file}: each line wants a key of at least {MIN_KEY_BYTES} bytes, in hex;"
                     " `burlloom fleet key` makes one"
                 )
         except OSError as error:
@@ -102,11 +102,11 @@
         """Raises `OSError` or `ValueError`."""
         return read_keys(Path(self.key_file))
 
-    def terms(self) -> "Terms":
-        from ..fleet import CALL, Terms
+    def terms(self) -> "QuotaSettings":
+        from ..fleet import MILLICALLS_PER_CALL, QuotaSettings
 
-        return Terms(
-            int(self.calls * CALL),
+        return QuotaSettings(
+            int(self.calls * MILLICALLS_PER_CALL),
             self.least,
             self.round_ms * MS,
             self.lease_ms * MS,
@@ -116,10 +116,10 @@
             self.floor,
         )
 
-    def habits(self) -> "Habits":
-        from ..fleet import Habits
+    def habits(self) -> "GossipSettings":
+        from ..fleet import GossipSettings
 
-        return Habits(
+        return GossipSettings(
             self.probe_ms * MS, self.ack_ms * MS, self.suspicion_ms * MS, self.forget_ms * MS
         )
 
--- a/burlloom/operator/rollout.py
+++ b/burlloom/operator/rollout.py
@@ -10,7 +10,7 @@
 from .part import Part
 
 if TYPE_CHECKING:
-    from ..rollout import Budget, Terms, plan
+    from ..rollout import DisruptionBudget, RolloutSettings, release
 
 MS = 1_000_000
 Span = Annotated[int, Field(ge=1, le=86_400_000)]
@@ -71,9 +71,9 @@
 
     @model_validator(mode="after")
     def it_can_be(self) -> Self:
-        from ..rollout import plan
+        from ..rollout import release
 
-        wrong = [*plan.faults(self.plan_waves()), *self.terms().faults()]
+        wrong = [*release.find_wave_faults(self.plan_waves()), *self.terms().faults()]
         if self.fresh_ms < 3 * max(self.beat_ms, self.poll_ms):
             wrong.append(
                 f"fresh_ms {self.fresh_ms} is under three of beat_ms and poll_ms: a server that is well would"
@@ -95,34 +95,34 @@
             raise ValueError("; ".join(wrong))
         return self
 
-    def plan_waves(self) -> "tuple[plan.Wave, ...]":
-        from ..rollout import plan
+    def plan_waves(self) -> "tuple[release.Wave, ...]":
+        from ..rollout import release
 
-        return tuple(plan.wave_of(wave) for wave in self.waves)
+        return tuple(release.parse_wave(wave) for wave in self.waves)
 
-    def budgets(self) -> "dict[str, Budget]":
-        from ..rollout import SERVERS, Budget
+    def budgets(self) -> "dict[str, DisruptionBudget]":
+        from ..rollout import SERVERS_GROUP, DisruptionBudget
 
         told = {
-            SERVERS: (self.out_most, self.out_share),
+            SERVERS_GROUP: (self.out_most, self.out_share),
             **{name: (one.out_most, one.out_share) for name, one in self.below.items()},
         }
-        return {name: Budget(most, share or 0.0) for name, (most, share) in told.items()}
+        return {name: DisruptionBudget(most, share or 0.0) for name, (most, share) in told.items()}
 
     def services(self) -> dict[str, list[str]]:
         return {name: list(one.addresses) for name, one in self.below.items()}
 
-    def terms(self) -> "Terms":
-        from ..rollout import Measure, Terms
+    def terms(self) -> "RolloutSettings":
+        from ..rollout import CanarySettings, RolloutSettings
 
-        measure = Measure(
+        measure = CanarySettings(
             self.judge_ms * MS,
             self.judge_least,
             self.judge_margin,
             self.judge_sigmas,
             self.judge_worst,
         )
-        return Terms(
+        return RolloutSettings(
             self.fresh_ms * MS,
             self.lead_ms * MS,
             self.permit_ms * MS,
--- a/burlloom/rollout/__init__.py
+++ b/burlloom/rollout/__init__.py
@@ -2,29 +2,29 @@
 I/O; `stores/` keeps what is agreed.
 """
 
-from .book import SERVERS, Book, Budget, Denied, Group
-from .hand import Hand
-from .judge import Measure
-from .lead import Lead, Terms
-from .plan import Phase, Plan
-from .units import State, Unit
-from .watch import Counts, Member, Says
+from .agent import DrainAgent
+from .canary import CanarySettings
+from .instance import Instance, InstanceState
+from .leader import RolloutLeader, RolloutSettings
+from .liveness import RequestCounts, ServerPhase, ServerReport
+from .release import Release, ReleasePhase
+from .state import SERVERS_GROUP, DisruptionBudget, InstanceGroup, OrderRejectedError, RolloutState
 
 __all__ = [
-    "SERVERS",
-    "Book",
-    "Budget",
-    "Counts",
-    "Denied",
-    "Group",
-    "Hand",
-    "Lead",
-    "Measure",
-    "Member",
-    "Phase",
-    "Plan",
-    "Says",
-    "State",
-    "Terms",
-    "Unit",
+    "SERVERS_GROUP",
+    "RolloutState",
+    "DisruptionBudget",
+    "RequestCounts",
+    "OrderRejectedError",
+    "InstanceGroup",
+    "DrainAgent",
+    "RolloutLeader",
+    "CanarySettings",
+    "ServerReport",
+    "ReleasePhase",
+    "Release",
+    "ServerPhase",
+    "InstanceState",
+    "RolloutSettings",
+    "Instance",
 ]
--- a/burlloom/rollout/hand.py
+++ b/burlloom/rollout/agent.py
@@ -8,19 +8,19 @@
 from enum import IntEnum
 
 from ..tables import rows
-from .book import SERVERS, Book
-from .units import Input as Step
-from .units import State as At
+from .instance import InstanceInput as Step
+from .instance import InstanceState as At
+from .state import SERVERS_GROUP, RolloutState
 
 
-class State(IntEnum):
+class AgentState(IntEnum):
     SERVING = 0
     ASKING = 1
     DOUBT = 2
     LEAVING = 3
 
 
-class Input(IntEnum):
+class AgentInput(IntEnum):
     PERMIT = 0  # the book, as it was read, allows us to leave
     SAYS_OUT = 1  # it says that this life of ours is leaving
     SAYS_ELSE = 2
@@ -39,34 +39,36 @@
 DOUBT   SAYS_OUT  - LEAVING drain
 DOUBT   SAYS_ELSE - SERVING -
 """
-RULES = rows(TABLE, State, Input, str, str)
+RULES = rows(TABLE, AgentState, AgentInput, str, str)
 
 
-class Hand:
+class DrainAgent:
     """Of one life of the server `name`."""
 
     def __init__(self, name: str, life: int) -> None:
         self.name, self.life = name, life
-        self.state = State.SERVING
+        self.state = AgentState.SERVING
 
-    def meet(self, what: Input) -> str:
+    def meet(self, what: AgentInput) -> str:
         """Gives the effect: `ask`, `drain`, `-`, or nothing where no row holds."""
         for _, state, effect in RULES.get((self.state, what), ()):
             self.state = state
             return effect
         return ""
 
-    def reads(self, book: Book) -> str:
+    def reads(self, book: RolloutState) -> str:
         """A book that was read after all that we know of our own steps."""
         unit = book.servers.get(self.name)
         if unit is not None and unit.left == self.life:
-            return self.meet(Input.SAYS_OUT)
+            return self.meet(AgentInput.SAYS_OUT)
         if unit is not None and unit.state is At.GRANTED and unit.life <= self.life:
-            return self.meet(Input.PERMIT)
-        return self.meet(Input.SAYS_ELSE)
+            return self.meet(AgentInput.PERMIT)
+        return self.meet(AgentInput.SAYS_ELSE)
 
-    def step(self, book: Book) -> Book | None:
+    def step(self, book: RolloutState) -> RolloutState | None:
         """The book in which we have begun to leave."""
         unit = book.servers[self.name]
-        made, effect = book.meet(SERVERS, self.name, Step.BEGIN, life=self.life, ticket=unit.asked)
+        made, effect = book.meet(
+            SERVERS_GROUP, self.name, Step.BEGIN, life=self.life, ticket=unit.asked
+        )
         return made if effect else None
--- a/burlloom/rollout/judge.py
+++ b/burlloom/rollout/canary.py
@@ -15,8 +15,8 @@
 from math import sqrt
 from typing import NamedTuple
 
-from .plan import Rates
-from .watch import Counts
+from .liveness import RequestCounts
+from .release import OutcomeRates
 
 FEW_BAD = 5  # txns: one or two that fail by chance are a large share of a few
 PAST = 3  # margins that are wanted where nobody is left to compare with at the same time
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Measure:
+class CanarySettings:
     """`span`: ns that count at least. `least`: txns of the changed, before they are good. `margin`:
     of a share; `sigmas`: how far out. `worst`: a share of the changed that is bad, unless the
     others do as badly.
@@ -47,25 +47,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class Evaluation:
     verdict: Verdict
     why: str = ""
 
 
-class Side(NamedTuple):
+class CohortSample(NamedTuple):
     """What one side was asked, and in how many looks at one of its servers it was not `well`."""
 
-    counts: Counts = Counts()
+    counts: RequestCounts = RequestCounts()
     looks: int = 0
     unwell: int = 0
 
-    def plus(self, other: "Side") -> "Side":
-        return Side(
+    def plus(self, other: "CohortSample") -> "CohortSample":
+        return CohortSample(
             self.counts.plus(other.counts), self.looks + other.looks, self.unwell + other.unwell
         )
 
-    def less(self, other: "Side") -> "Side":
-        return Side(
+    def less(self, other: "CohortSample") -> "CohortSample":
+        return CohortSample(
             self.counts.less(other.counts), self.looks - other.looks, self.unwell - other.unwell
         )
 
@@ -74,16 +74,16 @@
         return self.unwell / max(1, self.looks)
 
 
-class Look(NamedTuple):
+class ServerSample(NamedTuple):
     """At one server, in service."""
 
     life: int
-    counts: Counts
+    counts: RequestCounts
     changed: bool
     well: bool = True
 
 
-class Evidence:
+class CanaryWindow:
     """What was counted on both sides, over the last `span`; further back, up to `longest`, as long
     as the changed were asked for under `least` txns. A server counts from a look at which it was in
     service to the next, if it lived through it.
@@ -91,27 +91,34 @@
 
     def __init__(self, span: int, least: int, longest: int) -> None:
         self.span, self.least, self.longest = span, least, longest
-        self.last: dict[str, Look] = {}
-        self.rounds: deque[tuple[int, Side, Side]] = deque()
-        self.changed, self.others = Side(), Side()
-        self.beside = Side()  # of the others, in rounds in which one that is changed was looked at
+        self.last: dict[str, ServerSample] = {}
+        self.rounds: deque[tuple[int, CohortSample, CohortSample]] = deque()
+        self.changed, self.others = CohortSample(), CohortSample()
+        self.beside = (
+            CohortSample()
+        )  # of the others, in rounds in which one that is changed was looked at
         self.whole = False  # whether a whole span was looked at
 
     def clear(self) -> None:
         self.last.clear()
         self.rounds.clear()
-        self.changed, self.others, self.beside, self.whole = Side(), Side(), Side(), False
+        self.changed, self.others, self.beside, self.whole = (
+            CohortSample(),
+            CohortSample(),
+            CohortSample(),
+            False,
+        )
 
-    def add(self, now: int, looks: dict[str, Look]) -> None:
-        sides = [Side(), Side()]
+    def add(self, now: int, looks: dict[str, ServerSample]) -> None:
+        sides = [CohortSample(), CohortSample()]
         for name, look in looks.items():
             before = self.last.get(name)
             asked = (
                 look.counts.less(before.counts)
                 if before is not None and before.life == look.life
-                else Counts()
+                else RequestCounts()
             )
-            sides[look.changed] = sides[look.changed].plus(Side(asked, 1, not look.well))
+            sides[look.changed] = sides[look.changed].plus(CohortSample(asked, 1, not look.well))
         self.last = looks
         self.rounds.append((now, sides[1], sides[0]))
         self.changed, self.others = self.changed.plus(sides[1]), self.others.plus(sides[0])
@@ -137,9 +144,9 @@
         )
 
 
-def rates(counts: Counts) -> Rates:
+def outcome_rates(counts: RequestCounts) -> OutcomeRates:
     asked = max(1, counts.asked)
-    return Rates(
+    return OutcomeRates(
         counts.declined / asked,
         counts.voided / asked,
         counts.late / max(1, counts.settled),
@@ -147,7 +154,9 @@
     )
 
 
-def judge(measure: Measure, evidence: Evidence, reference: Rates | None) -> Found:
+def evaluate_canary(
+    measure: CanarySettings, evidence: CanaryWindow, reference: OutcomeRates | None
+) -> Evaluation:
     """`reference`: what the others did while there were enough of them; in their place where they
     are few.
     """
@@ -158,13 +167,13 @@
         and changed.ails >= measure.worst
         and others.ails < measure.worst / 2
     ):
-        return Found(
+        return Evaluation(
             Verdict.BAD, f"not well in {changed.ails:.0%} of looks, the others in {others.ails:.0%}"
         )
-    mine, its, margin = rates(changed.counts), rates(others.counts), measure.margin
+    mine, its, margin = outcome_rates(changed.counts), outcome_rates(others.counts), measure.margin
     if others.counts.asked < measure.least:
         # Of another hour: what differs may be the hour.
-        its, margin = reference or Rates(asked=0), PAST * measure.margin
+        its, margin = reference or OutcomeRates(asked=0), PAST * measure.margin
     for name in ("declined", "voided", "late"):
         share, usual = getattr(mine, name), getattr(its, name)
         count = changed.counts.settled if name == "late" else mine.asked
@@ -175,10 +184,10 @@
         )
         bad = worst or its.asked and worse(margin, measure.sigmas, share, count, usual, its.asked)
         if bad and evidence.lasting(name):
-            return Found(
+            return Evaluation(
                 Verdict.BAD, f"{name} {share:.1%} of {count}, the others {usual:.1%} of {its.asked}"
             )
-    return Found(Verdict.GOOD if changed.counts.asked >= measure.least else Verdict.MORE)
+    return Evaluation(Verdict.GOOD if changed.counts.asked >= measure.least else Verdict.MORE)
 
 
 def worse(margin: float, sigmas: float, share: float, count: int, usual: float, of: int) -> bool:
--- a/burlloom/rollout/units.py
+++ b/burlloom/rollout/instance.py
@@ -20,7 +20,7 @@
 from ..tables import rows
 
 
-class State(IntEnum):
+class InstanceState(IntEnum):
     IN = 0
     GRANTED = 1
     OUT = 2
@@ -29,7 +29,7 @@
     GONE = 5
 
 
-class Input(IntEnum):
+class InstanceInput(IntEnum):
     SEEN = 0  # it serves, in the life that is told with it
     SILENT = 1  # not heard for as long as a sign of life counts
     PARTS = 2  # it says that it is leaving: its platform told it to
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unit:
+class Instance:
     """`life`: the one that served last; `left`: one that is known to leave, 0 where none is.
     `since`: the book's step that brought it to this state. `version`: that it served with last;
     `to`: that it is to start with next, empty: the good one. `moved`: the plan that sent it out
@@ -83,7 +83,7 @@
     long, 0: as long as any other.
     """
 
-    state: State = State.GONE
+    state: InstanceState = InstanceState.GONE
     life: int = 0
     left: int = 0
     since: int = 0
@@ -96,20 +96,20 @@
     @property
     def counts(self) -> bool:
         """Against the budget."""
-        return self.state not in (State.IN, State.GONE)
+        return self.state not in (InstanceState.IN, InstanceState.GONE)
 
     @property
     def sent(self) -> bool:
         """It may have left with a permit, or may yet, and has not been seen since."""
         return (
-            self.state in (State.GRANTED, State.OUT)
-            or self.state is State.MISSING
+            self.state in (InstanceState.GRANTED, InstanceState.OUT)
+            or self.state is InstanceState.MISSING
             and self.left >= self.life
         )
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class InstanceEvent:
     """What goes with an input. `life`: of who speaks; `ticket`: of the order on which it acts;
     `room`: whether the budget has any; `few`: whether fewer were sent out by it than it allows,
     whoever else is away; `below`: an instance of a service below, of which nobody starts a new
@@ -124,59 +124,59 @@
     below: bool = False
 
 
-def newer(unit: Unit, news: News) -> bool:
+def newer(unit: Instance, news: InstanceEvent) -> bool:
     return news.life > unit.life
 
 
-def again(unit: Unit, news: News) -> bool:
+def again(unit: Instance, news: InstanceEvent) -> bool:
     """Later than the life that left: a letter of that one, late, does not bring it back."""
     return news.life > unit.left
 
 
-def mine(unit: Unit, news: News) -> bool:
+def mine(unit: Instance, news: InstanceEvent) -> bool:
     """Not another's order on the same instance, nor of a life before."""
     return news.ticket == unit.asked and news.life >= unit.life
 
 
-def room(unit: Unit, news: News) -> bool:
+def room(unit: Instance, news: InstanceEvent) -> bool:
     return news.room
 
 
-def stays(unit: Unit, news: News) -> bool:
+def stays(unit: Instance, news: InstanceEvent) -> bool:
     """It counts already, but may be serving all the same: it waits for those who were sent out, as
     any other.
     """
     return news.few and unit.left < unit.life
 
 
-def below(unit: Unit, news: News) -> bool:
+def below(unit: Instance, news: InstanceEvent) -> bool:
     return news.below
 
 
-def enter(unit: Unit, news: News) -> Unit:
+def enter(unit: Instance, news: InstanceEvent) -> Instance:
     return replace(unit, life=news.life)
 
 
-def come(unit: Unit, news: News) -> Unit:
+def come(unit: Instance, news: InstanceEvent) -> Instance:
     return replace(unit, life=max(news.life, unit.life), asked=0)
 
 
-def leave(unit: Unit, news: News) -> Unit:
+def leave(unit: Instance, news: InstanceEvent) -> Instance:
     return replace(unit, left=max(unit.left, news.life), asked=0)
 
 
-def refuse(unit: Unit, news: News) -> Unit:
+def refuse(unit: Instance, news: InstanceEvent) -> Instance:
     """Nothing has come of the permit. Whoever waited for an instance below is gone by now, or asks
     anew.
     """
     return replace(unit, moved=0, to="", asked=0 if news.below else unit.asked)
 
 
-def same(unit: Unit, news: News) -> Unit:
+def same(unit: Instance, news: InstanceEvent) -> Instance:
     return unit
 
 
-TESTS: dict[str, Callable[[Unit, News], bool]] = {
+TESTS: dict[str, Callable[[Instance, InstanceEvent], bool]] = {
     "-": lambda unit, news: True,
     "newer": newer,
     "again": again,
@@ -185,7 +185,7 @@
     "stays": stays,
     "below": below,
 }
-EFFECTS: dict[str, Callable[[Unit, News], Unit]] = {
+EFFECTS: dict[str, Callable[[Instance, InstanceEvent], Instance]] = {
     "-": same,
     "lose": same,
     "refuse": refuse,
@@ -194,10 +194,10 @@
     "come": come,
     "leave": leave,
 }
-RULES = rows(TABLE, State, Input, TESTS.__getitem__, str)
+RULES = rows(TABLE, InstanceState, InstanceInput, TESTS.__getitem__, str)
 
 
-def meet(unit: Unit, what: Input, news: News) -> tuple[Unit, str] | None:
+def meet(unit: Instance, what: InstanceInput, news: InstanceEvent) -> tuple[Instance, str] | None:
     """By the first row whose test holds: the unit after it and the effect's name; None where there
     is none.
     """
--- a/burlloom/rollout/lead.py
+++ b/burlloom/rollout/leader.py
@@ -12,19 +12,26 @@
 
 import xxhash
 
-from . import plan as plans
-from .book import SERVERS, Book, Budget
-from .judge import Evidence, Look, Measure, Verdict, judge, rates
-from .plan import Phase, Plan
-from .units import Input, State, Unit
-from .watch import SECOND, Member, Says, Watch
+from . import release as plans
+from .canary import (
+    CanarySettings,
+    CanaryWindow,
+    ServerSample,
+    Verdict,
+    evaluate_canary,
+    outcome_rates,
+)
+from .instance import Instance, InstanceInput, InstanceState
+from .liveness import SECOND, LivenessObserver, ServerPhase, ServerReport
+from .release import Release, ReleasePhase
+from .state import SERVERS_GROUP, DisruptionBudget, RolloutState
 
 BELOW_FAILS = 0.5  # of the calls to an instance below, by those who call it: it does not serve
 BELOW_FEW = 5  # calls, under which nothing is said
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class RolloutSettings:
     """Spans in ns. `fresh`: a sign of life counts for; `lead`: who leads is taken to be gone after;
     `permit`: a permit that nobody begins on is taken back after; `back`: whoever is out is to be
     back in; `settle`: it serves for so long before it counts as back; `write_off`: a missing one is
@@ -44,7 +51,7 @@
     lost_most: int = 0
     pause_at: float = 0.5
     quiet_passes: bool = False
-    measure: Measure = Measure()
+    measure: CanarySettings = CanarySettings()
 
     def faults(self) -> list[str]:
         found = []
@@ -57,7 +64,7 @@
         return found
 
 
-class Lead:
+class RolloutLeader:
     """One that may lead, under a `name` that nobody else has. `budgets`: by group, for those that
     the book does not have yet; what stands there is changed by an operator's word alone.
     `services`: the instances of each service below.
@@ -66,8 +73,8 @@
     def __init__(
         self,
         name: str,
-        terms: Terms,
-        budgets: Mapping[str, Budget] | None = None,
+        terms: RolloutSettings,
+        budgets: Mapping[str, DisruptionBudget] | None = None,
         services: Mapping[str, Sequence[str]] | None = None,
     ) -> None:
         self.name, self.terms, self.budgets, self.services = (
@@ -76,18 +83,18 @@
             budgets or {},
             services or {},
         )
-        self.watch = Watch(terms.fresh)
-        self.evidence = Evidence(
+        self.watch = LivenessObserver(terms.fresh)
+        self.evidence = CanaryWindow(
             terms.measure.span, terms.measure.least, max(terms.quiet, terms.measure.span)
         )
         self.judged: tuple[int, int, bool, int] | None = None  # which wave the evidence is of
         # Who told something once, is not in the book, and says nothing any more.
         self.strangers: list[str] = []
 
-    def leads(self, book: Book) -> bool:
+    def leads(self, book: RolloutState) -> bool:
         return book.holder == self.name
 
-    def take(self, now: int, book: Book, beat: int) -> Book | None:
+    def take(self, now: int, book: RolloutState, beat: int) -> RolloutState | None:
         """With us in the lead, where nobody has it or whoever had is gone."""
         if self.leads(book):
             return None
@@ -100,14 +107,14 @@
                 taken = taken.with_budget(group, budget)
         return taken.note(f"{self.name} leads" + (f" after {book.holder}" if book.holder else ""))
 
-    def resign(self, book: Book) -> Book | None:
+    def resign(self, book: RolloutState) -> RolloutState | None:
         return (
             replace(book, holder="").note(f"{self.name} leads no more")
             if self.leads(book)
             else None
         )
 
-    def round(self, now: int, book: Book, members: Iterable[Member]) -> Book:
+    def round(self, now: int, book: RolloutState, members: Iterable[ServerReport]) -> RolloutState:
         """Of a book in which we lead. The same one where there is nothing to do."""
         self.watch.begins(now)
         there = {member.name: member for member in members}
@@ -117,7 +124,7 @@
             book, why = self.server(now, book, name, there.get(name), name in fresh)
             lost += [why] if why else []
         for group in book.groups:
-            if group != SERVERS:
+            if group != SERVERS_GROUP:
                 book = self.below(now, book, group, [there[name] for name in sorted(fresh)])
         self.strangers = [
             name
@@ -135,22 +142,22 @@
     # What befell each of us.
 
     def server(
-        self, now: int, book: Book, name: str, member: Member | None, fresh: bool
-    ) -> tuple[Book, str]:
+        self, now: int, book: RolloutState, name: str, member: ServerReport | None, fresh: bool
+    ) -> tuple[RolloutState, str]:
         """The second: why the change has lost it, if it has."""
         before = book.servers.get(name)
         what, life = heard(member, fresh, member is not None and self.watch.silent(now, member))
         effect = ""
         if (
-            what is Input.SEEN
+            what is InstanceInput.SEEN
             and member is not None
             and before is not None
             and before.life == member.former
         ):
             # It was back before we looked.
-            book, _ = book.meet(SERVERS, name, Input.PARTS, life=member.former)
+            book, _ = book.meet(SERVERS_GROUP, name, InstanceInput.PARTS, life=member.former)
         if what is not None:
-            book, effect = book.meet(SERVERS, name, what, life=life)
+            book, effect = book.meet(SERVERS_GROUP, name, what, life=life)
         unit = book.servers.get(name)
         if unit is None:
             return book, ""
@@ -161,14 +168,16 @@
             and unit.version != member.version
         ):
             unit = replace(unit, version=member.version)
-            book = replace(book.put(SERVERS, name, unit), steps=book.steps + 1)
+            book = replace(book.put(SERVERS_GROUP, name, unit), steps=book.steps + 1)
         if not effect:
             well = member is not None and fresh and member.well
-            book, effect = self.by_time(now, book, SERVERS, name, well)
-            unit = book.servers.get(name, Unit())
+            book, effect = self.by_time(now, book, SERVERS_GROUP, name, well)
+            unit = book.servers.get(name, Instance())
         return book, self.loss(book.plan, name, before, unit, effect)
 
-    def by_time(self, now: int, book: Book, group: str, name: str, well: bool) -> tuple[Book, str]:
+    def by_time(
+        self, now: int, book: RolloutState, group: str, name: str, well: bool
+    ) -> tuple[RolloutState, str]:
         """What is due because of how long it has been so."""
         unit, terms = book.groups[group].units[name], self.terms
         age = self.watch.age(now, (group, name), unit.since)
@@ -176,32 +185,40 @@
             self.watch.seen.pop((group, name, "well"), None)
         served = self.watch.age(now, (group, name, "well"), unit.since) if well else 0
         span = unit.span_ms * 1_000_000
-        span = max(terms.back, span) if group == SERVERS else span or terms.back
+        span = max(terms.back, span) if group == SERVERS_GROUP else span or terms.back
         settled = well and served >= terms.settle
         due = {
-            State.GRANTED: (Input.EXPIRED, age >= terms.permit),
-            State.OUT: (Input.EXPIRED, age >= span),
-            State.BACK: (Input.SETTLED if settled else Input.EXPIRED, settled or age >= terms.back),
-            State.MISSING: (Input.RETIRE, bool(terms.write_off) and age >= terms.write_off),
+            InstanceState.GRANTED: (InstanceInput.EXPIRED, age >= terms.permit),
+            InstanceState.OUT: (InstanceInput.EXPIRED, age >= span),
+            InstanceState.BACK: (
+                InstanceInput.SETTLED if settled else InstanceInput.EXPIRED,
+                settled or age >= terms.back,
+            ),
+            InstanceState.MISSING: (
+                InstanceInput.RETIRE,
+                bool(terms.write_off) and age >= terms.write_off,
+            ),
         }.get(unit.state)
         if due is None or not due[1]:
             return book, ""
         return book.meet(group, name, due[0])
 
-    def loss(self, plan: Plan, name: str, before: Unit | None, unit: Unit, effect: str) -> str:
+    def loss(
+        self, plan: Release, name: str, before: Instance | None, unit: Instance, effect: str
+    ) -> str:
         if (
             before is None
             or before.moved != plan.number
-            or plan.phase not in (Phase.ROLLING, Phase.JUDGING)
+            or plan.phase not in (ReleasePhase.ROLLING, ReleasePhase.JUDGING)
         ):
             return ""
         if effect == "lose":
             return f"{name} is missing"
-        if effect == "fall" and before.state is not State.GRANTED:
+        if effect == "fall" and before.state is not InstanceState.GRANTED:
             return f"{name} ended without a word"
         if (
-            before.state is State.BACK
-            and unit.state is State.IN
+            before.state is InstanceState.BACK
+            and unit.state is InstanceState.IN
             and unit.to
             and unit.version != unit.to
         ):
@@ -210,35 +227,39 @@
 
     # What befell the instances below, by those who call them.
 
-    def below(self, now: int, book: Book, group: str, callers: list[Member]) -> Book:
+    def below(
+        self, now: int, book: RolloutState, group: str, callers: list[ServerReport]
+    ) -> RolloutState:
         units = book.groups[group].units
         for name in {**dict.fromkeys(self.services.get(group, ())), **units}:
-            unit = units.get(name, Unit())
+            unit = units.get(name, Instance())
             good = bad = 0
             for caller in callers:
                 told = (caller.below or {}).get(name, (0, 0))
                 good, bad = good + told[0], bad + told[1]
             fails = good + bad >= BELOW_FEW and bad > BELOW_FAILS * (good + bad)
             effect = ""
-            if not fails and unit.state in (State.GONE, State.MISSING):
-                book, effect = book.meet(group, name, Input.SEEN, life=unit.life + 1)
+            if not fails and unit.state in (InstanceState.GONE, InstanceState.MISSING):
+                book, effect = book.meet(group, name, InstanceInput.SEEN, life=unit.life + 1)
             elif (
-                fails and unit.state is not State.OUT
+                fails and unit.state is not InstanceState.OUT
             ):  # who is out is not called: what is told is from before
-                book, effect = book.meet(group, name, Input.SILENT)
+                book, effect = book.meet(group, name, InstanceInput.SILENT)
             if not effect and name in units:
                 book, _ = self.by_time(now, book, group, name, not fails)
         return book
 
     # The change.
 
-    def weigh(self, now: int, book: Book, there: dict[str, Member], fresh: set[str]) -> None:
+    def weigh(
+        self, now: int, book: RolloutState, there: dict[str, ServerReport], fresh: set[str]
+    ) -> None:
         plan = book.plan
         judged = (
             plan.number,
             plan.wave,
             plan.backing,
-            plan.since if plan.phase is Phase.HALTED else 0,
+            plan.since if plan.phase is ReleasePhase.HALTED else 0,
         )
         if judged != self.judged:
             self.evidence.clear()
@@ -246,103 +267,122 @@
         self.evidence.add(
             now,
             {
-                name: Look(there[name].life, there[name].counts, book.done(unit), there[name].well)
+                name: ServerSample(
+                    there[name].life, there[name].counts, book.done(unit), there[name].well
+                )
                 for name, unit in book.servers.items()
-                if name in fresh and unit.state is State.IN
+                if name in fresh and unit.state is InstanceState.IN
             },
         )
 
-    def change(self, now: int, book: Book, lost: list[str]) -> Book:
+    def change(self, now: int, book: RolloutState, lost: list[str]) -> RolloutState:
         plan = book.plan
-        if plan.phase in (Phase.IDLE, Phase.HALTED):
+        if plan.phase in (ReleasePhase.IDLE, ReleasePhase.HALTED):
             return book
         if lost:
             plan = replace(plan, lost=plan.lost + len(lost))
             book = replace(book, plan=plan, steps=book.steps + 1)
             if plan.lost > self.terms.lost_most:
-                return book.decide(plans.Input.LOST, "; ".join(lost)[:200])[0]
-        if plan.phase is not Phase.BACKING:
-            found = judge(self.terms.measure, self.evidence, plan.reference)
+                return book.decide(plans.ReleaseInput.LOST, "; ".join(lost)[:200])[0]
+        if plan.phase is not ReleasePhase.BACKING:
+            found = evaluate_canary(self.terms.measure, self.evidence, plan.reference)
             if found.verdict is Verdict.BAD:
-                return book.decide(plans.Input.BAD, found.why)[0]
-            if plan.phase is Phase.JUDGING:
+                return book.decide(plans.ReleaseInput.BAD, found.why)[0]
+            if plan.phase is ReleasePhase.JUDGING:
                 return self.judging(now, book, found.verdict)
         if self.complete(book):
             beside = self.evidence.beside.counts
             if not plan.backing and beside.asked >= self.terms.measure.least:
-                book = replace(book, plan=replace(plan, reference=rates(beside)))
-            return book.decide(plans.Input.COMPLETE, "")[0]
+                book = replace(book, plan=replace(plan, reference=outcome_rates(beside)))
+            return book.decide(plans.ReleaseInput.COMPLETE, "")[0]
         return book
 
-    def judging(self, now: int, book: Book, verdict: Verdict) -> Book:
+    def judging(self, now: int, book: RolloutState, verdict: Verdict) -> RolloutState:
         age = self.watch.age(now, "plan", book.plan.since)
         if verdict is Verdict.GOOD and age >= self.terms.measure.span:
-            return book.decide(plans.Input.GOOD, "")[0]
+            return book.decide(plans.ReleaseInput.GOOD, "")[0]
         if verdict is Verdict.MORE and age >= self.terms.quiet:
-            what = plans.Input.GOOD if self.terms.quiet_passes else plans.Input.QUIET
+            what = plans.ReleaseInput.GOOD if self.terms.quiet_passes else plans.ReleaseInput.QUIET
             return book.decide(what, "too little was asked of the changed to tell")[0]
         return book
 
-    def complete(self, book: Book) -> bool:
+    def complete(self, book: RolloutState) -> bool:
         servers = book.servers.values()
-        if any(book.flying(unit) and unit.state is not State.MISSING for unit in servers):
+        if any(book.flying(unit) and unit.state is not InstanceState.MISSING for unit in servers):
             return False
         if book.plan.backing:
             return all(book.done(unit) for unit in servers)
-        changed = sum(book.done(unit) and unit.state is State.IN for unit in servers)
+        changed = sum(book.done(unit) and unit.state is InstanceState.IN for unit in servers)
         return changed >= book.plan.wanted(len(servers))
 
     # Who may leave.
 
-    def call_in(self, book: Book, group: str) -> Book:
+    def call_in(self, book: RolloutState, group: str) -> RolloutState:
         """Crashes have taken the budget since: permits that nobody has begun on yet go back."""
-        if book.plan.phase is Phase.BACKING:  # there those have permits that count anyway
+        if book.plan.phase is ReleasePhase.BACKING:  # there those have permits that count anyway
             return book
         waiting = [
-            name for name, unit in book.groups[group].units.items() if unit.state is State.GRANTED
+            name
+            for name, unit in book.groups[group].units.items()
+            if unit.state is InstanceState.GRANTED
         ]
         for name in waiting[: max(0, -book.groups[group].free())]:
-            book, _ = book.meet(group, name, Input.REVOKE)
+            book, _ = book.meet(group, name, InstanceInput.REVOKE)
         return book
 
-    def send_out(self, book: Book, there: dict[str, Member], fresh: set[str]) -> Book:
+    def send_out(
+        self, book: RolloutState, there: dict[str, ServerReport], fresh: set[str]
+    ) -> RolloutState:
         """What an operator asked for first, then the change; in the same order on whoever leads."""
         serving = {name for name in fresh if there[name].well}
         doubtful = sum(
-            unit.state is State.IN and name not in serving for name, unit in book.servers.items()
+            unit.state is InstanceState.IN and name not in serving
+            for name, unit in book.servers.items()
         )
 
         def send(
-            book: Book, group: str, name: str, to: str = "", moved: int = 0
-        ) -> tuple[Book, bool]:
+            book: RolloutState, group: str, name: str, to: str = "", moved: int = 0
+        ) -> tuple[RolloutState, bool]:
             # One that is not called anyway costs nobody anything: only those that serve wait for
             # the doubtful.
             return book.permit(
-                group, name, doubtful if group == SERVERS and name in serving else 0, to, moved
+                group,
+                name,
+                doubtful if group == SERVERS_GROUP and name in serving else 0,
+                to,
+                moved,
             )
 
         for group, name, unit in list(book.all()):
-            if unit.asked and unit.state is State.IN and (group != SERVERS or name in fresh):
+            if (
+                unit.asked
+                and unit.state is InstanceState.IN
+                and (group != SERVERS_GROUP or name in fresh)
+            ):
                 book, _ = send(book, group, name)
         plan = book.plan
-        if not plan.moving or plan.phase is Phase.ROLLING and self.strained():
+        if not plan.moving or plan.phase is ReleasePhase.ROLLING and self.strained():
             return book
         # The way back also takes those that never got well with the new version.
-        may = (State.IN, State.BACK, State.MISSING) if plan.backing else (State.IN,)
+        may = (
+            (InstanceState.IN, InstanceState.BACK, InstanceState.MISSING)
+            if plan.backing
+            else (InstanceState.IN,)
+        )
         started = sum(book.done(unit) or book.flying(unit) for unit in book.servers.values())
         full: set[tuple[bool, bool]] = set()  # what was denied once is denied to all alike
         for name in sorted(book.servers, key=lambda name: (rank(plan.number, name), name)):
             unit = book.servers[name]
             if started >= plan.wanted(len(book.servers)) and not plan.backing:
                 break
-            alike = unit.state is State.IN, name in serving
+            alike = unit.state is InstanceState.IN, name in serving
             if (
                 unit.state in may
                 and alike not in full
                 and not book.done(unit)
                 and name in (fresh if plan.backing else serving)
             ):
-                book, held = send(book, SERVERS, name, plan.goal, plan.number)
+                book, held = send(book, SERVERS_GROUP, name, plan.goal, plan.number)
                 started += held
                 if not held:
                     full.add(alike)
@@ -355,20 +395,24 @@
             and both.declined + both.voided > self.terms.pause_at * both.asked
         )
 
-    def tidy(self, book: Book, there: dict[str, Member]) -> None:
+    def tidy(self, book: RolloutState, there: dict[str, ServerReport]) -> None:
         keep: set[Hashable] = {"lead", "plan", *(("beat", name) for name in there)}
         for group, name, _ in book.all():
             keep |= {(group, name), (group, name, "well")}
         self.watch.forget(keep)
 
 
-def heard(member: Member | None, fresh: bool, silent: bool) -> tuple[Input | None, int]:
+def heard(
+    member: ServerReport | None, fresh: bool, silent: bool
+) -> tuple[InstanceInput | None, int]:
     """What a server's own word comes to, and the life that it is of."""
     if member is None or silent:
-        return Input.SILENT, 0
-    if not fresh or member.says is Says.STARTING:
+        return InstanceInput.SILENT, 0
+    if not fresh or member.says is ServerPhase.STARTING:
         return None, 0
-    return (Input.SEEN if member.says is Says.SERVING else Input.PARTS), member.life
+    return (
+        InstanceInput.SEEN if member.says is ServerPhase.SERVING else InstanceInput.PARTS
+    ), member.life
 
 
 def rank(number: int, name: str) -> int:
--- a/burlloom/rollout/watch.py
+++ b/burlloom/rollout/liveness.py
@@ -16,13 +16,13 @@
 SECOND = 1_000_000_000
 
 
-class Says(IntEnum):
+class ServerPhase(IntEnum):
     STARTING = 0
     SERVING = 1
     LEAVING = 2
 
 
-class Counts(NamedTuple):
+class RequestCounts(NamedTuple):
     """Of a life, since it began: txns settled, of these after the SLA time, declined, voided."""
 
     settled: int = 0
@@ -30,11 +30,11 @@
     declined: int = 0
     voided: int = 0
 
-    def less(self, other: "Counts") -> "Counts":
-        return Counts(*(max(0, mine - its) for mine, its in zip(self, other, strict=True)))
+    def less(self, other: "RequestCounts") -> "RequestCounts":
+        return RequestCounts(*(max(0, mine - its) for mine, its in zip(self, other, strict=True)))
 
-    def plus(self, other: "Counts") -> "Counts":
-        return Counts(*(mine + its for mine, its in zip(self, other, strict=True)))
+    def plus(self, other: "RequestCounts") -> "RequestCounts":
+        return RequestCounts(*(mine + its for mine, its in zip(self, other, strict=True)))
 
     @property
     def asked(self) -> int:
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class ServerReport:
     """What a server says of itself. `life` grows from one start to the next; `beat` counts up in a
     life. `well`: callers are sent to it, and it is past its way back. `heeded`: the book's step
     that it has acted on. `below`: calls to each instance of the services below that came back well
@@ -52,28 +52,28 @@
     name: str
     life: int
     beat: int
-    says: Says = Says.SERVING
+    says: ServerPhase = ServerPhase.SERVING
     well: bool = True
     version: str = ""
     heeded: int = 0
-    counts: Counts = Counts()
+    counts: RequestCounts = RequestCounts()
     below: Mapping[str, tuple[int, int]] | None = None
     former: int = 0
 
 
 @dataclass(slots=True)
-class Seen:
+class Observation:
     what: Hashable
     at: int
     first: bool  # it has not changed before our eyes
 
 
-class Watch:
+class LivenessObserver:
     """`fresh`: ns for which a sign of life counts."""
 
     def __init__(self, fresh: int) -> None:
         self.fresh = fresh
-        self.seen: dict[Hashable, Seen] = {}
+        self.seen: dict[Hashable, Observation] = {}
         self.looked_at = -1
 
     def begins(self, now: int) -> None:
@@ -86,10 +86,10 @@
                 seen.at, seen.first = seen.at + gap, True
         self.looked_at = now
 
-    def look(self, now: int, key: Hashable, what: Hashable) -> Seen:
+    def look(self, now: int, key: Hashable, what: Hashable) -> Observation:
         known = self.seen.get(key)
         if known is None:
-            known = self.seen[key] = Seen(what, now, True)
+            known = self.seen[key] = Observation(what, now, True)
         elif known.what != what:
             known.what, known.at, known.first = what, now, False
         return known
@@ -98,11 +98,11 @@
         """ns since we first saw it so."""
         return now - self.look(now, key, what).at
 
-    def serves(self, now: int, member: Member) -> bool:
+    def serves(self, now: int, member: ServerReport) -> bool:
         seen = self.look(now, ("beat", member.name), (member.life, member.beat))
         return not seen.first and now - seen.at < self.fresh
 
-    def silent(self, now: int, member: Member) -> bool:
+    def silent(self, now: int, member: ServerReport) -> bool:
         return self.age(now, ("beat", member.name), (member.life, member.beat)) >= self.fresh
 
     def forget(self, keep: set[Hashable]) -> None:
--- a/burlloom/rollout/plan.py
+++ b/burlloom/rollout/release.py
@@ -13,7 +13,7 @@
 from ..tables import rows
 
 
-class Phase(IntEnum):
+class ReleasePhase(IntEnum):
     IDLE = 0
     ROLLING = 1
     JUDGING = 2
@@ -21,7 +21,7 @@
     BACKING = 4
 
 
-class Input(IntEnum):
+class ReleaseInput(IntEnum):
     START = 0
     COMPLETE = 1  # all of the wave, or of the way back, are back and settled
     GOOD = 2
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rates:
+class OutcomeRates:
     """Of what was asked: shares declined, voided, and settled after the SLA time (of those
     settled); `asked`: of how many.
     """
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class Release:
     """`version`: that is brought in; `former`: that the way back leads to; `restart`: all start
     anew, whatever they run. `backing`: whether the way back was begun; `auto`: taken by itself when
     a wave is bad. `since`: the book's step of the last move. `reference`: what the unchanged did
@@ -82,7 +82,7 @@
     """
 
     number: int = 0
-    phase: Phase = Phase.IDLE
+    phase: ReleasePhase = ReleasePhase.IDLE
     version: str = ""
     former: str = ""
     restart: bool = False
@@ -92,7 +92,7 @@
     auto: bool = False
     since: int = 0
     why: str = ""
-    reference: Rates | None = None
+    reference: OutcomeRates | None = None
     lost: int = 0
 
     @property
@@ -101,7 +101,7 @@
 
     @property
     def moving(self) -> bool:
-        return self.phase in (Phase.ROLLING, Phase.BACKING)
+        return self.phase in (ReleasePhase.ROLLING, ReleasePhase.BACKING)
 
     def wanted(self, members: int) -> int:
         """How many are to be changed at the end of this wave."""
@@ -111,33 +111,33 @@
         return min(members, max(1, wave if isinstance(wave, int) else ceil(wave * members - 1e-9)))
 
 
-def begin(plan: Plan) -> Plan:
+def begin(plan: Release) -> Release:
     return replace(plan, wave=0, backing=False, reference=None)
 
 
-def next_wave(plan: Plan) -> Plan:
+def next_wave(plan: Release) -> Release:
     return replace(plan, wave=plan.wave + 1)
 
 
-def turn(plan: Plan) -> Plan:
+def turn(plan: Release) -> Release:
     return replace(plan, backing=True)
 
 
-def resume(plan: Plan) -> Plan:
+def resume(plan: Release) -> Release:
     return replace(plan, lost=0)
 
 
-def same(plan: Plan) -> Plan:
+def same(plan: Release) -> Release:
     return plan
 
 
-TESTS: dict[str, Callable[[Plan], bool]] = {
+TESTS: dict[str, Callable[[Release], bool]] = {
     "-": lambda plan: True,
     "auto": lambda plan: plan.auto and not plan.restart,
     "last": lambda plan: plan.wave + 1 >= len(plan.waves),
     "backing": lambda plan: plan.backing,
 }
-EFFECTS: dict[str, Callable[[Plan], Plan]] = {
+EFFECTS: dict[str, Callable[[Release], Release]] = {
     "-": same,
     "begin": begin,
     "next": next_wave,
@@ -147,17 +147,17 @@
     "finish": same,
     "close": same,
 }
-RULES = rows(TABLE, Phase, Input, TESTS.__getitem__, str)
+RULES = rows(TABLE, ReleasePhase, ReleaseInput, TESTS.__getitem__, str)
 
 
-def meet(plan: Plan, what: Input, step: int, why: str) -> tuple[Plan, str] | None:
+def meet(plan: Release, what: ReleaseInput, step: int, why: str) -> tuple[Release, str] | None:
     for test, after, effect in RULES.get((plan.phase, what), ()):
         if test(plan):
             return replace(EFFECTS[effect](plan), phase=after, since=step, why=why), effect
     return None
 
 
-def wave_of(told: int | str) -> Wave:
+def parse_wave(told: int | str) -> Wave:
     """A number of servers, or a part such as `10%`. Raises `ValueError`."""
     text = str(told).strip()
     if text.endswith("%"):
@@ -165,7 +165,7 @@
     return int(text)
 
 
-def faults(waves: tuple[Wave, ...]) -> list[str]:
+def find_wave_faults(waves: tuple[Wave, ...]) -> list[str]:
     """What is wrong with them, in words."""
     found = []
     if not waves or waves[-1] != 1.0 or isinstance(waves[-1], int):
--- a/burlloom/rollout/stores/__init__.py
+++ b/burlloom/rollout/stores/__init__.py
@@ -1,5 +1,12 @@
 """Where the book is kept: the record's SQLite file or PostgreSQL database, behind one interface."""
 
-from .shelf import Away, Page, Shelf, Unreadable, book_of, text_of
+from .base import Away, RolloutStore, StateDecodeError, StateSnapshot, decode_state, encode_record
 
-__all__ = ["Away", "Page", "Shelf", "Unreadable", "book_of", "text_of"]
+__all__ = [
+    "Away",
+    "StateSnapshot",
+    "RolloutStore",
+    "StateDecodeError",
+    "decode_state",
+    "encode_record",
+]
--- a/burlloom/rollout/stores/leading.py
+++ b/burlloom/rollout/stores/leader_round.py
@@ -2,11 +2,13 @@
 drive` share it.
 """
 
-from ..lead import Lead
-from .shelf import Page, Shelf
+from ..leader import RolloutLeader
+from .base import RolloutStore, StateSnapshot
 
 
-async def led(lead: Lead, shelf: Shelf, page: Page, now: int) -> list[tuple[int, str]]:
+async def run_leader_round(
+    lead: RolloutLeader, shelf: RolloutStore, page: StateSnapshot, now: int
+) -> list[tuple[int, str]]:
     """Takes the lead where nobody has it; where we have it, decides. Gives the steps that were
     taken, in words; none where another wrote before us: the next round looks anew. Raises `Away`.
     """
--- a/burlloom/rollout/stores/opening.py
+++ b/burlloom/rollout/stores/opening.py
@@ -5,24 +5,24 @@
 
 from ...record.opening import store_of
 from ...record.turns import WAIT
-from .shelf import Shelf
+from .base import RolloutStore
 
 if TYPE_CHECKING:
     from ...operator import Operator
 
 
-def shelf_of(operator: "Operator", wait: float = WAIT) -> Shelf:
+def create_store(operator: "Operator", wait: float = WAIT) -> RolloutStore:
     """`wait`: s for a lock that another holds, of a store that is one file. Raises
     `record.store.Refused`.
     """
     place = operator.rollout_store()
     if place.sqlite is not None:
-        from .sqlite import Sqlite
+        from .sqlite import SqliteRolloutStore
 
-        return Sqlite(place.sqlite.place(), wait)
+        return SqliteRolloutStore(place.sqlite.place(), wait)
     from ...record.postgres import Postgres as Record
-    from .postgres import Postgres
+    from .postgres import PostgresRolloutStore
 
     record, _ = store_of(place, "-", keep=0, clock=time.time_ns)
     assert isinstance(record, Record)
-    return Postgres(record)
+    return PostgresRolloutStore(record)
--- a/burlloom/rollout/stores/postgres.py
+++ b/burlloom/rollout/stores/postgres.py
@@ -1,8 +1,8 @@
 """In the record's PostgreSQL database, for servers on many machines."""
 
 from ...record.shared_postgres import SharedDatabase
-from .tables import Tables
+from .sql import SqlRolloutStore
 
 
-class Postgres(SharedDatabase, Tables):
+class PostgresRolloutStore(SharedDatabase, SqlRolloutStore):
     pass
--- a/burlloom/rollout/stores/tables.py
+++ b/burlloom/rollout/stores/sql.py
@@ -6,9 +6,9 @@
 import time
 from typing import Any
 
-from ..book import Book
-from ..watch import Member
-from .shelf import Page, Unreadable, book_of, member_of, text_of
+from ..liveness import ServerReport
+from ..state import RolloutState
+from .base import StateDecodeError, StateSnapshot, decode_report, decode_state, encode_record
 
 log = logging.getLogger(__name__)
 
@@ -35,7 +35,7 @@
 FORGET = "DELETE FROM rollout_member WHERE name = $1::text RETURNING life"
 
 
-class Tables:
+class SqlRolloutStore:
     """`Shelf` over `run`, which a store gives: one statement, and its rows. Raises `Away`."""
 
     async def run(self, sql: str, *values: Any) -> list[Any]:
@@ -46,37 +46,39 @@
 
     async def open(self) -> None:
         await self.prepare()
-        await self.run(BEGIN, time.time_ns() // 1_000_000, text_of(Book()))
+        await self.run(BEGIN, time.time_ns() // 1_000_000, encode_record(RolloutState()))
 
-    async def read(self, known: Page | None = None) -> Page:
+    async def read(self, known: StateSnapshot | None = None) -> StateSnapshot:
         if known is not None:
             ((revision, beat),) = await self.run(LOOK)
             if revision == known.revision:
-                return Page(revision, beat, known.book)
+                return StateSnapshot(revision, beat, known.book)
         found = await self.run(READ)
         if not found:
-            raise Unreadable("the book is gone: its table is empty")
+            raise StateDecodeError("the book is gone: its table is empty")
         ((revision, beat, text),) = found
-        return Page(revision, beat, book_of(text))
+        return StateSnapshot(revision, beat, decode_state(text))
 
-    async def swap(self, page: Page, book: Book) -> bool:
-        return bool(await self.run(SWAP, book.epoch, text_of(book), page.revision))
+    async def swap(self, page: StateSnapshot, book: RolloutState) -> bool:
+        return bool(await self.run(SWAP, book.epoch, encode_record(book), page.revision))
 
     async def beat(self, epoch: int) -> None:
         await self.run(BEAT, epoch)
 
-    async def tell(self, member: Member) -> bool:
-        return bool(await self.run(TELL, member.name, member.life, member.beat, text_of(member)))
+    async def tell(self, member: ServerReport) -> bool:
+        return bool(
+            await self.run(TELL, member.name, member.life, member.beat, encode_record(member))
+        )
 
-    async def last(self, name: str) -> Member | None:
-        return next((member_of(row[0]) for row in await self.run(LAST, name)), None)
+    async def last(self, name: str) -> ServerReport | None:
+        return next((decode_report(row[0]) for row in await self.run(LAST, name)), None)
 
-    async def members(self) -> list[Member]:
+    async def members(self) -> list[ServerReport]:
         found = []
         for (text,) in await self.run(MEMBERS):
             try:
-                found.append(member_of(text))
-            except Unreadable as error:  # of a newer program perhaps; it counts as silent
+                found.append(decode_report(text))
+            except StateDecodeError as error:  # of a newer program perhaps; it counts as silent
                 log.warning("event=rollout-member-unread detail=%r", str(error))
         return found
 
--- a/burlloom/rollout/stores/sqlite.py
+++ b/burlloom/rollout/stores/sqlite.py
@@ -4,10 +4,10 @@
 
 from ...record.shared_sqlite import SharedFile
 from ...record.turns import WAIT
-from .tables import Tables
+from .sql import SqlRolloutStore
 
 
-class Sqlite(SharedFile, Tables):
+class SqliteRolloutStore(SharedFile, SqlRolloutStore):
     def __init__(self, path: Path, wait: float = WAIT) -> None:
         """`wait`: s for the lock that another holds, until the store counts as away."""
         super().__init__(path, "rollout", wait)
--- a/burlloom/server/fleeting.py
+++ b/burlloom/server/fleeting.py
@@ -25,7 +25,7 @@
 
     from ..downstream import Answer, Pool
     from ..downstream.spread import Pools
-    from ..fleet import Fleet, Spread
+    from ..fleet import Fleet, SubsetAssignment
     from ..metrics import Exposed
     from ..operator import FleetPart
     from .recovering import Recovering
@@ -113,26 +113,30 @@
 
     def uses(self) -> None:
         """Before a tick of the fleet's."""
-        from ..fleet import CALL
+        from ..fleet import MILLICALLS_PER_CALL
 
         in_hand, waiting = self.desk.calls() if self.desk is not None else (0, 0)
         self.wanted = max(float(in_hand + waiting), FADES * self.wanted)
-        self.fleet.uses(int(min(self.wanted, self.cap()) * CALL), in_hand * CALL)
+        self.fleet.uses(
+            int(min(self.wanted, self.cap()) * MILLICALLS_PER_CALL), in_hand * MILLICALLS_PER_CALL
+        )
 
     def tell(self) -> None:
         """After one, and after each letter."""
-        from ..fleet import CALL
+        from ..fleet import MILLICALLS_PER_CALL
 
-        share = min(self.fleet.share, int(min(self.cap(), 1e9) * CALL))
+        share = min(self.fleet.share, int(min(self.cap(), 1e9) * MILLICALLS_PER_CALL))
         if self.desk is not None and share != self.told:
             self.told = share
-            self.desk.share_calls(max(NOTHING, share / CALL))
+            self.desk.share_calls(max(NOTHING, share / MILLICALLS_PER_CALL))
 
 
 def shares(fleet: Fleet) -> tuple[float, float]:
-    from ..fleet import CALL
+    from ..fleet import MILLICALLS_PER_CALL
 
-    return fleet.terms.equal(max(1, fleet.members.counted())) / CALL, fleet.share / CALL
+    return fleet.terms.equal(
+        max(1, fleet.members.counted())
+    ) / MILLICALLS_PER_CALL, fleet.share / MILLICALLS_PER_CALL
 
 
 class Fleeted:
@@ -159,7 +163,9 @@
         )
         host, port = sock.getsockname()
         self.address = f"{host}:{port}"
-        own = fleet.Word(name, part.advertise or self.address, recovery.life, 0, fleet.State.ALIVE)
+        own = fleet.MemberUpdate(
+            name, part.advertise or self.address, recovery.life, 0, fleet.MemberState.ALIVE
+        )
         self.chance = Random(seed ^ own.life)
         self.fleet = fleet.Fleet(
             own,
@@ -173,7 +179,7 @@
         self.fleet.weight = int(part.weight * 1000)
         self.share, self.recovery = Share(self.fleet, recovery.cap), recovery
         self.transport: asyncio.DatagramTransport | None = None
-        self.turns = fleet.Turns()
+        self.turns = fleet.WeightedRoundRobin()
         self.spread_over: tuple[tuple[str, ...], frozenset[str]] = ((), frozenset())
         self.shunned: frozenset[str] = frozenset()
         self.lately: list[dict[str, list[int]]] = [
@@ -315,10 +321,12 @@
         finally:
             self.spreading = None
 
-    def spread(self, names: tuple[str, ...], shunned: frozenset[str] = frozenset()) -> Spread:
+    def spread(
+        self, names: tuple[str, ...], shunned: frozenset[str] = frozenset()
+    ) -> SubsetAssignment:
         # Without any there would be nobody to call: then all are as good as the others.
         left = [service for service in self.part.services if service not in shunned]
-        return self.of.spread(names, left or self.part.services, self.part.subset)
+        return self.of.assign_subsets(names, left or self.part.services, self.part.subset)
 
     def shun(self, addresses: frozenset[str]) -> bool:
         if addresses != self.shunned:
@@ -343,7 +351,7 @@
                 found[service] = before[0] + well, before[1] + bad
         return found
 
-    def respread(self, spread: Spread) -> None:
+    def respread(self, spread: SubsetAssignment) -> None:
         own = spread.choices[self.fleet.own.name].parts
         self.turns.take(own, self.chance.random())
         self.worst = spread.worst
@@ -394,7 +402,7 @@
         assert self.part.state_file is not None
         told = {
             "told_at": time.time_ns(),
-            **self.of.summary(self.fleet, now),
+            **self.of.summarize(self.fleet, now),
             "subset": dict(self.turns.parts),
             "worst": self.worst,
         }
@@ -411,7 +419,7 @@
         fleet = self.fleet
         states = [member.state.name.lower() for member in fleet.members]
         return {
-            "share": fleet.share / self.of.CALL,
+            "share": fleet.share / self.of.MILLICALLS_PER_CALL,
             "state": float(fleet.holder.state),
             "deals": float(fleet.dealer.phase),
             "strangers": float(fleet.strangers),
--- a/burlloom/server/parts.py
+++ b/burlloom/server/parts.py
@@ -169,7 +169,7 @@
     part = operator.fleet
     if part is None:
         return None
-    from ..fleet.letters import NAME_MOST
+    from ..fleet.messages import NAME_MOST
 
     if not 0 < len(orders.name.encode()) <= NAME_MOST:
         raise Refused(
@@ -223,9 +223,9 @@
     part = operator.rollout
     if part is None:
         return None
-    from ..rollout.stores.opening import shelf_of
+    from ..rollout.stores.opening import create_store
 
-    shelf, version = shelf_of(operator), os.environ.get(RELEASE) or part.version
+    shelf, version = create_store(operator), os.environ.get(RELEASE) or part.version
 
     def make(server: Server) -> Rolled:
         made = Rolled(
--- a/burlloom/server/rolling.py
+++ b/burlloom/server/rolling.py
@@ -21,8 +21,8 @@
 if TYPE_CHECKING:
     from ..metrics import Exposed
     from ..operator import RolloutPart
-    from ..rollout import Hand, Lead, Says
-    from ..rollout.stores import Page, Shelf
+    from ..rollout import DrainAgent, RolloutLeader, ServerPhase
+    from ..rollout.stores import RolloutStore, StateSnapshot
     from .fleeting import Fleeting
 
 log = logging.getLogger(__name__)
@@ -68,7 +68,7 @@
     def __init__(
         self,
         part: RolloutPart,
-        shelf: Shelf,
+        shelf: RolloutStore,
         name: str,
         version: str,
         products: tuple[RequestClass, ...],
@@ -93,10 +93,10 @@
         )
         self.life = self.former = self.beat = self.told_at = self.heeded = 0
         self.counts = [0, 0, 0, 0]  # settled, late, declined, voided
-        self.hand: Hand | None = None
-        self.lead: Lead | None = None
-        self.page: Page | None = None
-        self.said: Says | None = None
+        self.hand: DrainAgent | None = None
+        self.lead: RolloutLeader | None = None
+        self.page: StateSnapshot | None = None
+        self.said: ServerPhase | None = None
         self.away = ""
         self.outbid = False
         self.steps = {"drains": 0, "beaten": 0, "away": 0}
@@ -124,7 +124,7 @@
                 if self.away:
                     log.warning("event=rollout-back")
                 self.away, wait = "", 1
-            except (self.stores.Away, self.stores.Unreadable) as error:
+            except (self.stores.Away, self.stores.StateDecodeError) as error:
                 if not self.away:
                     log.warning("event=rollout-away detail=%r", str(error))
                 self.away, self.page = str(error), None
@@ -150,11 +150,11 @@
             await self.shelf.open()
             last = await self.shelf.last(self.name)
             if last is not None:
-                self.former = last.life if last.says is self.of.Says.LEAVING else 0
+                self.former = last.life if last.says is self.of.ServerPhase.LEAVING else 0
             self.life = max(self.clock() // MS, last.life + 1 if last is not None else 0)
-            self.hand = self.of.Hand(self.name, self.life)
+            self.hand = self.of.DrainAgent(self.name, self.life)
             if self.part.leads:
-                self.lead = self.of.Lead(
+                self.lead = self.of.RolloutLeader(
                     f"{self.name}/{self.life}",
                     self.part.terms(),
                     self.part.budgets(),
@@ -178,8 +178,8 @@
 
     # What we say.
 
-    def says(self) -> Says:
-        says = self.of.Says
+    def says(self) -> ServerPhase:
+        says = self.of.ServerPhase
         return (
             says.LEAVING
             if self.host.leaving
@@ -194,7 +194,7 @@
             return
         self.beat += 1
         if not await self.shelf.tell(
-            self.of.Member(
+            self.of.ServerReport(
                 self.name,
                 self.life,
                 self.beat,
@@ -202,7 +202,7 @@
                 self.host.well(),
                 self.version,
                 self.heeded,
-                self.of.Counts(*self.counts),
+                self.of.RequestCounts(*self.counts),
                 self.fleet().reports(),
                 self.former,
             )
@@ -213,7 +213,7 @@
             )  # another was started under it after us
         self.said, self.told_at = says, now
 
-    def heed(self, page: Page) -> None:
+    def heed(self, page: StateSnapshot) -> None:
         """Instances below that are out are not called. What was acted on is told once no call is
         there any more.
         """
@@ -223,11 +223,11 @@
 
     # What the book says of us.
 
-    async def mind(self, page: Page) -> None:
+    async def mind(self, page: StateSnapshot) -> None:
         assert self.hand is not None
         effect = self.hand.reads(page.book)
         if effect == "ask":
-            wanted, of = self.hand.step(page.book), self.of.hand.Input
+            wanted, of = self.hand.step(page.book), self.of.agent.AgentInput
             try:
                 held = wanted is not None and await self.shelf.swap(page, wanted)
             except self.stores.Away:
@@ -239,7 +239,7 @@
         if effect == "drain":
             self.go(page)
 
-    def go(self, page: Page) -> None:
+    def go(self, page: StateSnapshot) -> None:
         """The book has us out, durably: now, and no earlier, we drain."""
         to = page.book.version_of(self.name)
         log.info("event=rollout-drain life=%d next=%s", self.life, to or "-")
@@ -256,10 +256,10 @@
 
     # Leading.
 
-    async def go_first(self, lead: Lead, page: Page) -> None:
-        from ..rollout.stores.leading import led
+    async def go_first(self, lead: RolloutLeader, page: StateSnapshot) -> None:
+        from ..rollout.stores.leader_round import run_leader_round
 
-        for step, said in await led(lead, self.shelf, page, self.steady()):
+        for step, said in await run_leader_round(lead, self.shelf, page, self.steady()):
             log.info("event=rollout-step step=%d said=%r", step, said)
 
     def gauges(self) -> dict[str, float]:
@@ -267,7 +267,7 @@
         if self.page is None:
             return {"away": float(bool(self.away))}
         book = self.page.book
-        servers = book.groups[self.of.SERVERS]
+        servers = book.groups[self.of.SERVERS_GROUP]
         return {
             "away": float(bool(self.away)),
             "phase": float(book.plan.phase),
@@ -286,7 +286,7 @@
         try:
             async with asyncio.timeout(LAST_WORD):
                 await self.last_word()
-        except (self.stores.Away, self.stores.Unreadable, TimeoutError):
+        except (self.stores.Away, self.stores.StateDecodeError, TimeoutError):
             pass
         await self.shelf.close()
         if self.exposed is not None:
--- a/tests/explore_fleet.py
+++ b/tests/explore_fleet.py
@@ -10,26 +10,33 @@
 from collections import deque
 from typing import Any
 
-from burlloom.fleet.deal import CALL, Dealer, Phase, Present, Terms, Told
-from burlloom.fleet.hold import Holder
+from burlloom.fleet.allocator import (
+    MILLICALLS_PER_CALL,
+    Allocator,
+    AllocatorPhase,
+    FleetMember,
+    QuotaSettings,
+    ShareReport,
+)
+from burlloom.fleet.lease_holder import LeaseHolder
 
 NOW = 10**15
 
 
 class Member:
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: QuotaSettings) -> None:
         self.holder, self.life, self.number, self.in_hand, self.reported = (
-            Holder(terms, NOW),
+            LeaseHolder(terms, NOW),
             1,
             0,
             0,
             0,
         )
         self.newest = -1  # the report whose grant counts
-        self.reports: list[tuple[int, int, Told]] = []  # life, number and what it says
+        self.reports: list[tuple[int, int, ShareReport]] = []  # life, number and what it says
         self.grants: list[tuple[int, int, int]] = []  # life, number and the share
 
-    def copy(self, terms: Terms) -> "Member":
+    def copy(self, terms: QuotaSettings) -> "Member":
         other = Member(terms)
         other.holder.share, other.holder.state, other.holder.granted = (
             self.holder.share,
@@ -64,9 +71,9 @@
 
 
 class World:
-    def __init__(self, terms: Terms, members: int) -> None:
-        self.dealer = Dealer(terms, NOW)
-        self.dealer.phase = Phase.DEALING
+    def __init__(self, terms: QuotaSettings, members: int) -> None:
+        self.dealer = Allocator(terms, NOW)
+        self.dealer.phase = AllocatorPhase.DEALING
         self.members = [Member(terms) for _ in range(members)]
         self.seen()
 
@@ -81,7 +88,7 @@
 
     def seen(self) -> None:
         self.dealer.fleet = {
-            str(at): Present(one.life, True, NOW) for at, one in enumerate(self.members)
+            str(at): FleetMember(one.life, True, NOW) for at, one in enumerate(self.members)
         }
 
     def key(self) -> Any:
@@ -114,11 +121,11 @@
         lives: int = 1,
         numbers: int = 2,
         in_flight: int = 2,
-        wants: tuple[int, ...] = (2 * CALL,),
+        wants: tuple[int, ...] = (2 * MILLICALLS_PER_CALL,),
         broken: str = "",
     ) -> None:
         self.terms, self.count, self.lives, self.numbers = (
-            Terms(calls * CALL, idle=0.0),
+            QuotaSettings(calls * MILLICALLS_PER_CALL, idle=0.0),
             members,
             lives,
             numbers,
@@ -158,7 +165,7 @@
         member.newest = member.number
         held = member.holder.share if self.broken == "in-hand" else member.held
         member.reports.append(
-            (member.life, member.number, Told(held, member.holder.share, wants, 1))
+            (member.life, member.number, ShareReport(held, member.holder.share, wants, 1))
         )
 
     def hear(self, world: World, member: Member, at: int, which: int, keeps: bool) -> None:
@@ -190,7 +197,7 @@
         """Its calls went with it."""
         member.life += 1
         member.in_hand, member.newest = 0, -1
-        member.holder = Holder(self.terms, NOW)
+        member.holder = LeaseHolder(self.terms, NOW)
         world.seen()
         world.dealer.round(NOW, world.dealer.fleet, True)
 
--- a/tests/explore_rollout.py
+++ b/tests/explore_rollout.py
@@ -10,12 +10,26 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from burlloom.rollout import SERVERS, Book, Budget, Group, Hand, State, Unit
-from burlloom.rollout.hand import Input as Heard
-from burlloom.rollout.hand import State as At
-from burlloom.rollout.units import Input
-
-INPUTS = (Input.SILENT, Input.SETTLED, Input.EXPIRED, Input.GRANT, Input.REVOKE)
+from burlloom.rollout import (
+    SERVERS_GROUP,
+    DisruptionBudget,
+    DrainAgent,
+    Instance,
+    InstanceGroup,
+    InstanceState,
+    RolloutState,
+)
+from burlloom.rollout.agent import AgentInput as Heard
+from burlloom.rollout.agent import AgentState as At
+from burlloom.rollout.instance import InstanceInput
+
+INPUTS = (
+    InstanceInput.SILENT,
+    InstanceInput.SETTLED,
+    InstanceInput.EXPIRED,
+    InstanceInput.GRANT,
+    InstanceInput.REVOKE,
+)
 
 
 @dataclass
@@ -23,8 +37,8 @@
     life: int = 1
     up: bool = True
     sent: bool = False  # by the book: its drain has begun, or is over
-    hand: Hand = field(default_factory=lambda: Hand("", 1))
-    read: tuple[int, Book] | None = None  # a page that its step may still be written on
+    hand: DrainAgent = field(default_factory=lambda: DrainAgent("", 1))
+    read: tuple[int, RolloutState] | None = None  # a page that its step may still be written on
 
     def key(self) -> Any:
         return self.life, self.up, self.sent, self.hand.state
@@ -33,12 +47,14 @@
 @dataclass
 class World:
     revision: int
-    book: Book
+    book: RolloutState
     servers: list[Server]
-    leads: list[tuple[int, Book] | None]
+    leads: list[tuple[int, RolloutState] | None]
 
     def copy(self) -> "World":
-        servers = [replace(one, hand=Hand(one.hand.name, one.hand.life)) for one in self.servers]
+        servers = [
+            replace(one, hand=DrainAgent(one.hand.name, one.hand.life)) for one in self.servers
+        ]
         for mine, its in zip(servers, self.servers, strict=True):
             mine.hand.state = its.hand.state
         return World(self.revision, self.book, servers, list(self.leads))
@@ -46,13 +62,13 @@
     def key(self, stale: bool) -> Any:
         """`stale`: what an old page says matters."""
 
-        def units(book: Book) -> Any:
+        def units(book: RolloutState) -> Any:
             return tuple(
                 (name, unit.state, unit.life, unit.left)
                 for name, unit in sorted(book.servers.items())
             )
 
-        def page(read: tuple[int, Book] | None) -> Any:
+        def page(read: tuple[int, RolloutState] | None) -> Any:
             if read is None or read[0] == self.revision:
                 return read and "newest"
             return units(read[1]) if stale else "stale"
@@ -83,30 +99,36 @@
         )
 
     def begun(self) -> World:
-        units = {str(at): Unit(State.IN, life=1) for at in range(self.count)}
-        book = Book(groups={SERVERS: Group(Budget(self.most), units)})
-        servers = [Server(hand=Hand(name, 1)) for name in units]
+        units = {str(at): Instance(InstanceState.IN, life=1) for at in range(self.count)}
+        book = RolloutState(
+            groups={SERVERS_GROUP: InstanceGroup(DisruptionBudget(self.most), units)}
+        )
+        servers = [Server(hand=DrainAgent(name, 1)) for name in units]
         return World(0, book, servers, [None] * self.lead_count)
 
-    def swap(self, world: World, page: tuple[int, Book], book: Book) -> bool:
+    def swap(self, world: World, page: tuple[int, RolloutState], book: RolloutState) -> bool:
         if page[0] != world.revision and self.broken != "swap":
             return False
         world.revision, world.book = world.revision + 1, book
         return True
 
-    def step(self, book: Book, name: str, what: Input, life: int = 0) -> Book | None:
+    def step(
+        self, book: RolloutState, name: str, what: InstanceInput, life: int = 0
+    ) -> RolloutState | None:
         """What whoever leads makes of it; None where nothing."""
-        if what is Input.GRANT:
+        if what is InstanceInput.GRANT:
             if self.broken == "room":
-                made, effect = book.meet(SERVERS, name, what, room=True, few=True)
+                made, effect = book.meet(SERVERS_GROUP, name, what, room=True, few=True)
                 return made if effect else None
-            made, held = book.permit(SERVERS, name, 0)
+            made, held = book.permit(SERVERS_GROUP, name, 0)
             return made if held else None
-        if self.broken == "again" and what is Input.SEEN and life:
+        if self.broken == "again" and what is InstanceInput.SEEN and life:
             life = book.servers[name].left + 1
-        made, effect = book.meet(SERVERS, name, what, life=life)
+        made, effect = book.meet(SERVERS_GROUP, name, what, life=life)
         if self.broken == "expiry" and effect == "lose":
-            made = made.put(SERVERS, name, replace(made.servers[name], state=State.IN))
+            made = made.put(
+                SERVERS_GROUP, name, replace(made.servers[name], state=InstanceState.IN)
+            )
         return made if effect else None
 
     def after(self, world: World) -> Iterator[World]:
@@ -121,8 +143,8 @@
             for at, server in enumerate(world.servers):
                 # A word of any life that served until now may be read, late.
                 words = [(what, 0) for what in INPUTS]
-                words += [(Input.SEEN, life) for life in range(1, server.life + 1)]
-                words += [(Input.PARTS, server.life)] if server.sent and server.up else []
+                words += [(InstanceInput.SEEN, life) for life in range(1, server.life + 1)]
+                words += [(InstanceInput.PARTS, server.life)] if server.sent and server.up else []
                 for what, life in words:
                     made = self.step(page[1], str(at), what, life)
                     if made is not None:
@@ -139,7 +161,7 @@
             if server.life < self.lives:
                 now = world.copy()
                 life = server.life + 1
-                now.servers[at] = Server(life, hand=Hand(str(at), life))
+                now.servers[at] = Server(life, hand=DrainAgent(str(at), life))
                 yield now
             return
         now = world.copy()  # it ends: a drain that is over, or a crash
--- a/tests/planted_host.py
+++ b/tests/planted_host.py
@@ -12,13 +12,13 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from burlloom.fleet.deal import Dealer  # noqa: E402
+from burlloom.fleet.allocator import Allocator  # noqa: E402
 from burlloom.lab import hollow  # noqa: E402
 
 
 def share() -> None:
-    Dealer.free = lambda dealer, now: dealer.terms.total  # type: ignore[method-assign]
-    Dealer.grant = lambda dealer, now, account: dealer.terms.total // 4  # type: ignore[method-assign]
+    Allocator.free = lambda dealer, now: dealer.terms.total  # type: ignore[method-assign]
+    Allocator.grant = lambda dealer, now, account: dealer.terms.total // 4  # type: ignore[method-assign]
 
 
 def gap() -> None:
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -19,9 +19,9 @@
 
 from burlloom.fakes.parts import Balancer, Catalogue, fields
 from burlloom.operator import load
-from burlloom.rollout import Book, Phase
-from burlloom.rollout.stores import Away, Shelf
-from burlloom.rollout.stores.opening import shelf_of
+from burlloom.rollout import ReleasePhase, RolloutState
+from burlloom.rollout.stores import Away, RolloutStore
+from burlloom.rollout.stores.opening import create_store
 
 QUICK = {
     "poll_ms": 40,
@@ -247,7 +247,7 @@
         await asyncio.gather(*(node.__aenter__() for node in self.nodes))
         self.file = self.folder / "operator.jsonnet"
         self.file.write_text(json.dumps({"rollout": {**QUICK, **self.part}, **self.joined(None)}))
-        self.shelf: Shelf = shelf_of(load(self.file), PATIENCE)
+        self.shelf: RolloutStore = create_store(load(self.file), PATIENCE)
         await self.shelf.open()
         for node in self.nodes:
             node.tasks = [
@@ -277,10 +277,12 @@
             self.worst = max(self.worst, self.out)
             await asyncio.sleep(0.005)
 
-    async def book(self) -> Book:
+    async def book(self) -> RolloutState:
         return (await self.shelf.read()).book
 
-    async def comes_to(self, test: Callable[[Book], bool], patience: float = 3 * PATIENCE) -> Book:
+    async def comes_to(
+        self, test: Callable[[RolloutState], bool], patience: float = 3 * PATIENCE
+    ) -> RolloutState:
         try:
             async with asyncio.timeout(patience):
                 while True:
@@ -294,11 +296,11 @@
             book = await self.book()
             raise AssertionError((book.plan, book.servers, book.notes)) from None
 
-    async def idle(self, version: str) -> Book:
+    async def idle(self, version: str) -> RolloutState:
         """Until all run this version and nothing is under way."""
         return await self.comes_to(
             lambda book: (
-                book.plan.phase is Phase.IDLE
+                book.plan.phase is ReleasePhase.IDLE
                 and book.good == version
                 and all(
                     unit.version == version and unit.state == 0 for unit in book.servers.values()
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -8,18 +8,24 @@
 import pytest
 from explore_fleet import Explorer
 
-from burlloom.fleet import CALL, Terms, Turns, Word, spread
-from burlloom.fleet.deal import fair
-from burlloom.fleet.letters import Kind, Letter, Unreadable, seal, unseal
-from burlloom.fleet.members import RULES, Input, Members, State
+from burlloom.fleet import (
+    MILLICALLS_PER_CALL,
+    MemberUpdate,
+    QuotaSettings,
+    WeightedRoundRobin,
+    assign_subsets,
+)
+from burlloom.fleet.allocator import max_min_fair
+from burlloom.fleet.membership import RULES, Input, MembershipView, MemberState
+from burlloom.fleet.messages import Message, MessageDecodeError, MessageKind, decode, encode
 from burlloom.lab.clock import simulated
 from burlloom.lab.fleets import Body, Net, Swarm
 
-OWN = Word("own", "10.0.0.1:1", 5, 0, State.ALIVE)
+OWN = MemberUpdate("own", "10.0.0.1:1", 5, 0, MemberState.ALIVE)
 WORDS = [
-    Word("m", "10.0.0.2:1", life, incarnation, state)
+    MemberUpdate("m", "10.0.0.2:1", life, incarnation, state)
     for life, incarnation in product((1, 2), (0, 1))
-    for state in (State.ALIVE, State.SUSPECT, State.DEAD, State.LEFT)
+    for state in (MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT)
 ]
 
 
@@ -29,21 +35,21 @@
     """
     met = set()
     for first, then in product(WORDS, WORDS):
-        view = Members(OWN, 0)
+        view = MembershipView(OWN, 0)
         view.said(0, first)
-        met.add((State.GONE, Input(int(first.state))))
+        met.add((MemberState.GONE, Input(int(first.state))))
         before = view.by_name["m"].word
         assert view.said(0, then) == (then.rank > before.rank)
         met.add((before.state, Input(int(then.state))))
         assert view.by_name["m"].word.rank == max(first.rank, then.rank)
         assert view.digest == twin(view).digest
     for what, state, after in (
-        (Input.SILENT, State.ALIVE, State.SUSPECT),
-        (Input.EXPIRED, State.SUSPECT, State.DEAD),
-        (Input.OLD, (State.DEAD, State.LEFT), None),
+        (Input.SILENT, MemberState.ALIVE, MemberState.SUSPECT),
+        (Input.EXPIRED, MemberState.SUSPECT, MemberState.DEAD),
+        (Input.OLD, (MemberState.DEAD, MemberState.LEFT), None),
     ):
-        for other in (State.ALIVE, State.SUSPECT, State.DEAD, State.LEFT):
-            view = Members(OWN, 0)
+        for other in (MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT):
+            view = MembershipView(OWN, 0)
             view.said(0, WORDS[0]._replace(state=other))
             moved = view.meet(0, "m", what)
             met.add((other, what))
@@ -53,9 +59,9 @@
     assert met >= set(RULES), set(RULES) - met
 
 
-def twin(view: Members) -> Members:
+def twin(view: MembershipView) -> MembershipView:
     """The same view, learned otherwise."""
-    other = Members(view.own, 0)
+    other = MembershipView(view.own, 0)
     for member in view:
         if member.word.name != "own":
             other.said(0, member.word)
@@ -64,23 +70,25 @@
 
 def test_what_is_said_of_us_is_refuted() -> None:
     for life, incarnation, state in product(
-        (4, 5, 6), (0, 1, 7), (State.ALIVE, State.SUSPECT, State.DEAD, State.LEFT)
+        (4, 5, 6),
+        (0, 1, 7),
+        (MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT),
     ):
-        view = Members(OWN, 0)
-        said = Word("own", "10.9.9.9:1", life, incarnation, state)
+        view = MembershipView(OWN, 0)
+        said = MemberUpdate("own", "10.9.9.9:1", life, incarnation, state)
         view.said(0, said)
         assert view.own.rank > said.rank or view.own.rank == said.rank == OWN.rank
-        assert view.own.state is State.ALIVE
+        assert view.own.state is MemberState.ALIVE
         assert view.own.address == OWN.address
         if said.rank != OWN.rank:
-            other = Members(OWN._replace(name="other"), 0)
+            other = MembershipView(OWN._replace(name="other"), 0)
             other.said(0, said)
             other.said(0, view.own)
             assert (other.by_name["own"].word == view.own) == (view.own.rank > said.rank)
-    view = Members(OWN, 0)
+    view = MembershipView(OWN, 0)
     view.leave(0)
     assert not view.said(0, OWN._replace(incarnation=9))
-    assert view.own.state is State.LEFT
+    assert view.own.state is MemberState.LEFT
 
 
 def test_dealing_walked_whole() -> None:
@@ -89,14 +97,16 @@
     """
     worlds, worst = Explorer().walk(1 << 20)
     assert worlds > 5000
-    assert worst == 2 * CALL
+    assert worst == 2 * MILLICALLS_PER_CALL
 
 
 @pytest.mark.parametrize("broken", ["", "in-hand", "old-report", "old-grant"])
 def test_dealing_in_long_histories(broken: str) -> None:
     """Three holders that are started again; each rule left out is noticed."""
-    worst = Explorer(6, 3, 3, 40, 4, (0, CALL, 6 * CALL), broken).wander(1000, 100, 1)
-    assert worst == 6 * CALL if not broken else worst > 6 * CALL
+    worst = Explorer(
+        6, 3, 3, 40, 4, (0, MILLICALLS_PER_CALL, 6 * MILLICALLS_PER_CALL), broken
+    ).wander(1000, 100, 1)
+    assert worst == 6 * MILLICALLS_PER_CALL if not broken else worst > 6 * MILLICALLS_PER_CALL
 
 
 def chaos(seed: int, members: int = 7, calls: int = 60, seconds: float = 90) -> None:
@@ -110,7 +120,9 @@
             chance.choice([0, 0.05, 0.2]),
             0.1,
         )
-        swarm = Swarm(loop, net, Terms(calls * CALL, members // 2 + 1), seed=seed)
+        swarm = Swarm(
+            loop, net, QuotaSettings(calls * MILLICALLS_PER_CALL, members // 2 + 1), seed=seed
+        )
 
         def look() -> None:
             assert swarm.total() <= 1.05 * calls, (seed, loop.now, swarm.total())
@@ -179,7 +191,7 @@
 
 def test_forty_grow_and_shrink_fairly() -> None:
     with simulated() as loop:
-        swarm = Swarm(loop, Net(loop, 1), Terms(160 * CALL, 3))
+        swarm = Swarm(loop, Net(loop, 1), QuotaSettings(160 * MILLICALLS_PER_CALL, 3))
         bodies = swarm.add(3, 1000.0)
         swarm.sample = lambda: (
             None if swarm.total() <= 1.05 * 160 else pytest.fail(str(swarm.total()))
@@ -209,7 +221,7 @@
         count = chance.randrange(1, 9)
         wants = [chance.choice([0, 500, 3000, 10**6]) for _ in range(count)]
         weights = [chance.choice([500, 1000, 2000]) for _ in range(count)]
-        given = fair(20_000, wants, weights)
+        given = max_min_fair(20_000, wants, weights)
         assert abs(sum(given) - 20_000) < 1e-3
         per = [share / weight for share, weight in zip(given, weights, strict=True)]
         for at, want in enumerate(wants):
@@ -224,7 +236,7 @@
         [f"n{at}" for at in range(servers)],
         [f"10.0.0.{at}:80" for at in range(services)],
     )
-    before = spread(names, below, 8)
+    before = assign_subsets(names, below, 8)
     pairs = before.pairs()
     assert before.worst <= 1.1
     load: dict[str, float] = {}
@@ -234,7 +246,7 @@
         for service, part in choice.parts.items():
             load[service] = load.get(service, 0.0) + part
     assert max(load.values()) <= 1.1 * servers / services
-    joined, left = spread([*names, "new"], below, 8), spread(names[1:], below, 8)
+    joined, left = assign_subsets([*names, "new"], below, 8), assign_subsets(names[1:], below, 8)
     for after in (joined, left):
         assert after.worst <= 1.1
         # Of the one that came or went; as much again where subsets are larger for a small fleet.
@@ -243,39 +255,39 @@
             <= (1.05 if before.size <= 8 or before.size == services else 3) * len(pairs) / servers
             + 1
         )
-    assert spread(names, below[1:], 8).worst <= 1.1
+    assert assign_subsets(names, below[1:], 8).worst <= 1.1
 
 
 def test_calls_go_round_by_their_parts() -> None:
-    turns, taken = Turns(), dict.fromkeys("abc", 0)
+    turns, taken = WeightedRoundRobin(), dict.fromkeys("abc", 0)
     turns.take({"a": 0.5, "b": 0.3, "c": 0.2}, 0.7)
     for n in range(1, 1001):
         taken[turns.next(0)] += 1
         assert all(abs(taken[name] - n * part) <= 2 for name, part in turns.parts.items())
     turns.unreached("a", 0)
-    assert {turns.next(Turns.SKIP - 1) for _ in range(20)} == {"b", "c"}
-    assert "a" in {turns.next(Turns.SKIP) for _ in range(20)}
+    assert {turns.next(WeightedRoundRobin.SKIP - 1) for _ in range(20)} == {"b", "c"}
+    assert "a" in {turns.next(WeightedRoundRobin.SKIP) for _ in range(20)}
     for service in "abc":
-        turns.unreached(service, 10 * Turns.SKIP)
-    assert turns.next(10 * Turns.SKIP + 1) in "abc"
+        turns.unreached(service, 10 * WeightedRoundRobin.SKIP)
+    assert turns.next(10 * WeightedRoundRobin.SKIP + 1) in "abc"
 
 
 def test_letters_are_what_they_say_or_refused() -> None:
     key, chance = b"k" * 32, Random(1)
     words = tuple(WORDS[:10])
-    letter = Letter(Kind.PAGE, OWN, 7, (1, 2, 3, 4), "name", words)
-    data = seal(letter, key)
+    letter = Message(MessageKind.PAGE, OWN, 7, (1, 2, 3, 4), "name", words)
+    data = encode(letter, key)
     assert len(data) < 600
-    assert unseal(data, (b"x" * 32, key)) == letter
-    longest = Letter(
-        Kind.PAGE,
+    assert decode(data, (b"x" * 32, key)) == letter
+    longest = Message(
+        MessageKind.PAGE,
         OWN._replace(name="n" * 64),
         1 << 60,
         (1 << 60,) * 5,
         "n" * 64,
-        (Word("n" * 64, "255.255.255.255:65535", 1 << 60, 1 << 60, State.LEFT),) * 10,
+        (MemberUpdate("n" * 64, "255.255.255.255:65535", 1 << 60, 1 << 60, MemberState.LEFT),) * 10,
     )
-    assert unseal(seal(longest, key), (key,)) == longest
+    assert decode(encode(longest, key), (key,)) == longest
     for n in range(20_000):
         spoilt = bytearray(data)
         for _ in range(chance.randrange(1, 4)):
@@ -283,9 +295,9 @@
         cut = bytes(spoilt[: chance.randrange(len(spoilt) + 1)]) if n % 2 else bytes(spoilt)
         try:
             assert cut == data
-            assert unseal(cut, (key,)) == letter
-        except Unreadable:
+            assert decode(cut, (key,)) == letter
+        except MessageDecodeError:
             pass
         except AssertionError:
-            with pytest.raises(Unreadable):
-                unseal(cut, (key,))
+            with pytest.raises(MessageDecodeError):
+                decode(cut, (key,))
