--- a/tests/test_fleet_sums.py
+++ b/tests/test_fleet_sums.py
@@ -11,11 +11,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from burlloom.fleet import deal
-from burlloom.fleet.deal import CALL, MS, Dealer, Phase, Present, Terms, Told, fair
+from burlloom.fleet import allocator as deal
+from burlloom.fleet.allocator import (
+    MILLICALLS_PER_CALL,
+    MS,
+    Allocator,
+    AllocatorPhase,
+    FleetMember,
+    QuotaSettings,
+    ShareReport,
+    max_min_fair,
+)
 
 
-class Plain(Dealer):
+class Plain(Allocator):
     """Walks all accounts each time."""
 
     def reporting(self, now: int) -> int:
@@ -38,7 +47,9 @@
 
 
 NAMES = [f"n{at}" for at in range(7)]
-SHARES = st.sampled_from([0, CALL, 5 * CALL, 40 * CALL])
+SHARES = st.sampled_from(
+    [0, MILLICALLS_PER_CALL, 5 * MILLICALLS_PER_CALL, 40 * MILLICALLS_PER_CALL]
+)
 STEPS = st.one_of(
     st.tuples(
         st.just("report"),
@@ -71,7 +82,7 @@
 )
 
 
-def seen(dealer: Dealer, now: int) -> object:
+def seen(dealer: Allocator, now: int) -> object:
     return (
         dealer.phase,
         dealer.since,
@@ -92,19 +103,19 @@
 def test_kept_sums_equal_a_plain_walk_in_any_history(
     steps: list[tuple[Any, ...]], least: int, dealt: bool
 ) -> None:
-    terms, now, number = Terms(30 * CALL, least), 10**13, 0
-    pair = Dealer(terms, now), Plain(terms, now)
-    fleet = {name: Present(0, True, now) for name in NAMES[:4]}
+    terms, now, number = QuotaSettings(30 * MILLICALLS_PER_CALL, least), 10**13, 0
+    pair = Allocator(terms, now), Plain(terms, now)
+    fleet = {name: FleetMember(0, True, now) for name in NAMES[:4]}
     for one in pair:
         one.round(now, fleet, True)
         if dealt:
-            one.phase = Phase.DEALING
+            one.phase = AllocatorPhase.DEALING
     for what, *told in steps:
         if what == "wait":
             now += told[0] * MS
         elif what == "view":
             fleet = {
-                name: Present(life, there, now - age * MS) for name, life, there, age in told[0]
+                name: FleetMember(life, there, now - age * MS) for name, life, there, age in told[0]
             }
             for one in pair:
                 one.fleet = fleet
@@ -118,7 +129,13 @@
             name, life, later, held, want = told
             number += later
             grants = [
-                one.report(now, name, life, number, Told(held, min(held, CALL), want, 1, 7))
+                one.report(
+                    now,
+                    name,
+                    life,
+                    number,
+                    ShareReport(held, min(held, MILLICALLS_PER_CALL), want, 1, 7),
+                )
                 for one in pair
             ]
             assert grants[0] == grants[1]
@@ -126,15 +143,18 @@
 
 
 def test_a_clock_that_stepped_back_has_the_sums_made_anew() -> None:
-    now, pair = 10**13, [kind(Terms(30 * CALL), 10**13) for kind in (Dealer, Plain)]
+    now, pair = (
+        10**13,
+        [kind(QuotaSettings(30 * MILLICALLS_PER_CALL), 10**13) for kind in (Allocator, Plain)],
+    )
     for one in pair:
-        one.round(now, {name: Present(1, name != "n2", now) for name in NAMES[:3]}, True)
-        one.phase = Phase.DEALING
-        one.report(now, "n0", 1, 1, Told(0, 0, 0, 1))
+        one.round(now, {name: FleetMember(1, name != "n2", now) for name in NAMES[:3]}, True)
+        one.phase = AllocatorPhase.DEALING
+        one.report(now, "n0", 1, 1, ShareReport(0, 0, 0, 1))
     for ms in (0, 1601, 1600, 14_000, 13_999, 0):
         assert seen(pair[0], now + ms * MS) == seen(pair[1], now + ms * MS)
     assert pair[0].reporting(now) == 1
-    assert pair[0].unknown(now) == 20 * CALL
+    assert pair[0].unknown(now) == 20 * MILLICALLS_PER_CALL
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -143,11 +163,11 @@
     and leave.
     """
     chance, now, number = Random(seed), 10**13, 0
-    terms = Terms(40 * CALL, 2)
-    pair = Dealer(terms, now), Plain(terms, now)
+    terms = QuotaSettings(40 * MILLICALLS_PER_CALL, 2)
+    pair = Allocator(terms, now), Plain(terms, now)
     lives = {f"m{at}": 1 for at in range(10)}
     silent: set[str] = set()
-    fleet = {name: Present(1, True, now) for name in lives}
+    fleet = {name: FleetMember(1, True, now) for name in lives}
     phases = set()
     for _ in range(3000):
         now += chance.choice([0, 1, 20, 60]) * MS
@@ -155,10 +175,10 @@
         happens = chance.random()
         if happens < 0.01:
             silent ^= {name}
-            fleet = {**fleet, name: Present(lives[name], name not in silent, now)}
+            fleet = {**fleet, name: FleetMember(lives[name], name not in silent, now)}
         elif happens < 0.015:
             lives[name] += 1
-            fleet = {**fleet, name: Present(lives[name], True, now)}
+            fleet = {**fleet, name: FleetMember(lives[name], True, now)}
             silent.discard(name)
         elif happens < 0.02:
             fleet = {other: present for other, present in fleet.items() if other != name}
@@ -172,17 +192,19 @@
             for one in pair:
                 one.round(now, fleet, True, gap, 7)
         elif name not in silent:
-            fleet = fleet if name in fleet else {**fleet, name: Present(lives[name], True, now)}
+            fleet = fleet if name in fleet else {**fleet, name: FleetMember(lives[name], True, now)}
             number += 1
-            held = chance.choice([0, CALL, 4 * CALL])
-            told = Told(held, held, chance.choice([CALL, 100 * CALL]), 1, 7)
+            held = chance.choice([0, MILLICALLS_PER_CALL, 4 * MILLICALLS_PER_CALL])
+            told = ShareReport(
+                held, held, chance.choice([MILLICALLS_PER_CALL, 100 * MILLICALLS_PER_CALL]), 1, 7
+            )
             for one in pair:
                 one.fleet = fleet
             grants = [one.report(now, name, lives[name], number, told) for one in pair]
             assert grants[0] == grants[1]
         assert seen(pair[0], now) == seen(pair[1], now)
         phases.add(pair[0].phase)
-    assert phases == set(Phase)
+    assert phases == set(AllocatorPhase)
 
 
 def steps_of(work: Any) -> int:
@@ -204,13 +226,16 @@
     return count
 
 
-def second_of_reports(kind: type[Dealer], size: int) -> int:
+def second_of_reports(kind: type[Allocator], size: int) -> int:
     """Instructions a report, over five rounds in which all report; the rounds themselves are not
     counted.
     """
     now = 10**13
-    dealer, told = kind(Terms(4 * size * CALL), now), Told(CALL, CALL, 100 * CALL, 1, 7)
-    fleet = {f"n{at}": Present(1, True, now) for at in range(size)}
+    dealer, told = (
+        kind(QuotaSettings(4 * size * MILLICALLS_PER_CALL), now),
+        ShareReport(MILLICALLS_PER_CALL, MILLICALLS_PER_CALL, 100 * MILLICALLS_PER_CALL, 1, 7),
+    )
+    fleet = {f"n{at}": FleetMember(1, True, now) for at in range(size)}
     steps = 0
     for number in range(10):
         dealer.round(now, fleet, True, False, 7)
@@ -225,12 +250,12 @@
                 steps += steps_of(report)
             else:
                 report()
-    assert dealer.phase is Phase.DEALING
+    assert dealer.phase is AllocatorPhase.DEALING
     return steps // 100
 
 
 def test_the_work_of_a_report_does_not_grow_with_the_fleet() -> None:
-    small, large = second_of_reports(Dealer, 100), second_of_reports(Dealer, 1000)
+    small, large = second_of_reports(Allocator, 100), second_of_reports(Allocator, 1000)
     assert large <= 1.1 * small, (small, large)
     # The same count tells a walk.
     assert second_of_reports(Plain, 400) > 3 * second_of_reports(Plain, 100)
@@ -246,6 +271,6 @@
         return set(of)
 
     monkeypatch.setattr(deal, "set", counted, raising=False)
-    given = fair(4000 * 1000, [at % 2 * 10**6 for at in range(1000)], [1000] * 1000)
+    given = max_min_fair(4000 * 1000, [at % 2 * 10**6 for at in range(1000)], [1000] * 1000)
     assert gathered == 500
     assert sum(given) == pytest.approx(4000 * 1000)
--- a/tests/test_fleet_walks.py
+++ b/tests/test_fleet_walks.py
@@ -10,17 +10,17 @@
 from hypothesis import strategies as st
 from test_fleet_sums import steps_of
 
-from burlloom.fleet import Fleet, Habits, State, Terms, Word
-from burlloom.fleet.deal import CALL, MS, Present
-from burlloom.fleet.fleet import PAGE_WORDS
-from burlloom.fleet.letters import Kind, Letter, seal, unseal
-from burlloom.fleet.members import Input, Members, due, hash_of
+from burlloom.fleet import Fleet, GossipSettings, MemberState, MemberUpdate, QuotaSettings
+from burlloom.fleet.allocator import MILLICALLS_PER_CALL, MS, FleetMember
+from burlloom.fleet.member import PAGE_WORDS
+from burlloom.fleet.membership import Input, MembershipView, due, hash_of
+from burlloom.fleet.messages import Message, MessageKind, decode, encode
 
 KEY, NOW = b"the test's own key", 10**13
 NAMES = ["a", "b", "c", "d", "own"]
-STATES = (State.ALIVE, State.SUSPECT, State.DEAD, State.LEFT)
+STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT)
 WORDS = st.builds(
-    Word,
+    MemberUpdate,
     st.sampled_from(NAMES),
     st.sampled_from(["10.0.0.1:1", "10.0.0.2:1"]),
     st.integers(1, 3),
@@ -38,9 +38,9 @@
 @settings(max_examples=500, deadline=None)
 @given(st.lists(STEPS, max_size=50))
 def test_what_a_view_keeps_equals_a_plain_walk(steps: list[tuple[str, object]]) -> None:
-    view, now = Members(Word("own", "10.0.0.9:1", 2, 0, State.ALIVE), NOW), NOW
+    view, now = MembershipView(MemberUpdate("own", "10.0.0.9:1", 2, 0, MemberState.ALIVE), NOW), NOW
     for what, told in steps:
-        if what == "said" and isinstance(told, Word):
+        if what == "said" and isinstance(told, MemberUpdate):
             view.said(now, told)
         elif what == "silent":
             view.meet(now, str(told), Input.SILENT)
@@ -55,7 +55,7 @@
         assert list(view.unsettled.items()) == [
             (name, member)
             for name, member in view.by_name.items()
-            if member.state is not State.ALIVE
+            if member.state is not MemberState.ALIVE
         ]
         assert view.addresses == Counter(member.word.address for member in view if member.there)
         for after in ("", "a", "bb", "own", "z"):
@@ -65,11 +65,11 @@
         assert view.roster() == roster(view)
 
 
-def roster(view: Members) -> int:
+def roster(view: MembershipView) -> int:
     total = 0
     for member in view:
-        if member.state is not State.LEFT:
-            total ^= hash_of(member.word._replace(incarnation=0, state=State.ALIVE))
+        if member.state is not MemberState.LEFT:
+            total ^= hash_of(member.word._replace(incarnation=0, state=MemberState.ALIVE))
     return total >> 1
 
 
@@ -83,11 +83,11 @@
     """
     fleet, now = (
         Fleet(
-            Word("own", "10.0.0.9:1", 2, 0, State.ALIVE),
+            MemberUpdate("own", "10.0.0.9:1", 2, 0, MemberState.ALIVE),
             (),
             (KEY,),
-            Terms(CALL),
-            Habits(),
+            QuotaSettings(MILLICALLS_PER_CALL),
+            GossipSettings(),
             Random(1),
             NOW,
         ),
@@ -95,7 +95,7 @@
     )
     view = fleet.members
     for (what, told), looks in steps:
-        if what == "said" and isinstance(told, Word):
+        if what == "said" and isinstance(told, MemberUpdate):
             view.said(now, told)
         elif what == "silent":
             view.meet(now, str(told), Input.SILENT)
@@ -113,9 +113,9 @@
             assert (fleet.present is before) == (version == view.version)
         if fleet.seen == view.version and not view.changed:
             assert fleet.present == {
-                member.word.name: Present(member.word.life, member.there, member.since)
+                member.word.name: FleetMember(member.word.life, member.there, member.since)
                 for member in view
-                if member.state is not State.LEFT
+                if member.state is not MemberState.LEFT
             }
             assert fleet.first == min(
                 (member.word for member in view if member.there),
@@ -127,15 +127,17 @@
 
 def fleet_of(size: int) -> Fleet:
     all_of = [
-        Word(f"n{at}", f"10.1.{at // 200}.{at % 200 + 1}:7946", 1 + at, 0, State.ALIVE)
+        MemberUpdate(
+            f"n{at}", f"10.1.{at // 200}.{at % 200 + 1}:7946", 1 + at, 0, MemberState.ALIVE
+        )
         for at in range(size)
     ]
     fleet = Fleet(
         all_of[size // 2],
         (all_of[0].address, "10.9.9.9:7946"),
         (KEY,),
-        Terms(4 * size * CALL),
-        Habits(),
+        QuotaSettings(4 * size * MILLICALLS_PER_CALL),
+        GossipSettings(),
         Random(1),
         NOW,
     )
@@ -145,9 +147,11 @@
     return fleet
 
 
-def asked(fleet: Fleet, now: int, after: str) -> Letter:
-    fleet.hear(now, seal(Letter(Kind.SYNC, fleet.members.by_name["n0"].word, 1, (), after), KEY))
-    return unseal(fleet.out.pop()[1], (KEY,))
+def asked(fleet: Fleet, now: int, after: str) -> Message:
+    fleet.hear(
+        now, encode(Message(MessageKind.SYNC, fleet.members.by_name["n0"].word, 1, (), after), KEY)
+    )
+    return decode(fleet.out.pop()[1], (KEY,))
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -211,7 +215,7 @@
     def change(size: int) -> int:
         fleet = fleet_of(size)
         fleet.look()
-        fleet.members.said(NOW, fleet.members.by_name["n7"].word._replace(state=State.DEAD))
+        fleet.members.said(NOW, fleet.members.by_name["n7"].word._replace(state=MemberState.DEAD))
         return steps_of(fleet.look)
 
     assert change(1000) <= 1.1 * change(100)
--- a/tests/test_rollout_core.py
+++ b/tests/test_rollout_core.py
@@ -12,27 +12,33 @@
 from rollout_waves import one
 
 from burlloom.rollout import (
-    SERVERS,
-    Book,
-    Budget,
-    Counts,
-    Denied,
-    Group,
-    Lead,
-    Measure,
-    Member,
-    Phase,
-    Plan,
-    State,
-    Unit,
-    hand,
-    plan,
-    units,
+    SERVERS_GROUP,
+    CanarySettings,
+    DisruptionBudget,
+    Instance,
+    InstanceGroup,
+    InstanceState,
+    OrderRejectedError,
+    Release,
+    ReleasePhase,
+    RequestCounts,
+    RolloutLeader,
+    RolloutState,
+    ServerReport,
 )
-from burlloom.rollout.judge import Evidence, Look, Verdict, judge, rates
-from burlloom.rollout.plan import faults, wave_of
-from burlloom.rollout.stores import Unreadable, book_of, text_of
-from burlloom.rollout.units import Input, News
+from burlloom.rollout import agent as hand
+from burlloom.rollout import instance as units
+from burlloom.rollout import release as plan
+from burlloom.rollout.canary import (
+    CanaryWindow,
+    ServerSample,
+    Verdict,
+    evaluate_canary,
+    outcome_rates,
+)
+from burlloom.rollout.instance import InstanceEvent, InstanceInput
+from burlloom.rollout.release import find_wave_faults, parse_wave
+from burlloom.rollout.stores import StateDecodeError, decode_state, encode_record
 
 
 @pytest.mark.parametrize("broken", ["", "swap", "room", "again", "expiry", "permit"])
@@ -54,22 +60,22 @@
     is gone.
     """
     met = set()
-    for told in product(Input, repeat=4):
-        unit, life = Unit(State.IN, life=1), 1
+    for told in product(InstanceInput, repeat=4):
+        unit, life = Instance(InstanceState.IN, life=1), 1
         for at, what in enumerate(told):
-            life += what is Input.SEEN
+            life += what is InstanceInput.SEEN
             for below in (False, True):
                 for test, *_ in units.RULES.get((unit.state, what), ()):
-                    if test(unit, News(at, life, 0, True, True, below)):
+                    if test(unit, InstanceEvent(at, life, 0, True, True, below)):
                         met.add((unit.state, what))
                         break
-            before, moved = unit, units.meet(unit, what, News(at, life, 0, True, True))
+            before, moved = unit, units.meet(unit, what, InstanceEvent(at, life, 0, True, True))
             if moved is not None:
                 unit = moved[0]
             if before.sent and not unit.counts:
-                assert what is Input.RETIRE, told
-            if before.state is State.OUT and unit.state is State.BACK:
-                assert what is Input.GIVEN or unit.life > before.left
+                assert what is InstanceInput.RETIRE, told
+            if before.state is InstanceState.OUT and unit.state is InstanceState.BACK:
+                assert what is InstanceInput.GIVEN or unit.life > before.left
     assert met == set(units.RULES)
 
 
@@ -78,8 +84,8 @@
     back.
     """
     met = set()
-    for told in product(plan.Input, repeat=5):
-        now = Plan(1, version="v2", former="v1", waves=(1, 1.0))
+    for told in product(plan.ReleaseInput, repeat=5):
+        now = Release(1, version="v2", former="v1", waves=(1, 1.0))
         for what in told:
             before, moved = now, plan.meet(now, what, 0, "")
             if moved is not None:
@@ -87,73 +93,96 @@
                 now = moved[0]
             if moved is not None and moved[1] == "finish":
                 assert before.wave == 1
-                assert what is plan.Input.GOOD
-            if before.phase is Phase.HALTED and now.phase is not Phase.HALTED:
-                assert what in (plan.Input.RESUME, plan.Input.ROLLBACK)
+                assert what is plan.ReleaseInput.GOOD
+            if before.phase is ReleasePhase.HALTED and now.phase is not ReleasePhase.HALTED:
+                assert what in (plan.ReleaseInput.RESUME, plan.ReleaseInput.ROLLBACK)
             assert not (
-                before.backing and now.phase is Phase.ROLLING and before.phase is not Phase.IDLE
+                before.backing
+                and now.phase is ReleasePhase.ROLLING
+                and before.phase is not ReleasePhase.IDLE
             )
     assert met == set(plan.RULES)
 
 
 def test_the_hand_drains_on_what_the_book_holds_alone() -> None:
-    for told in product(hand.Input, repeat=5):
-        one = hand.Hand("n", 1)
+    for told in product(hand.AgentInput, repeat=5):
+        one = hand.DrainAgent("n", 1)
         for what in told:
             before = one.state
             if one.meet(what) == "drain":
-                held = before is hand.State.ASKING and what is hand.Input.HELD
-                assert held or what is hand.Input.SAYS_OUT
+                held = before is hand.AgentState.ASKING and what is hand.AgentInput.HELD
+                assert held or what is hand.AgentInput.SAYS_OUT
 
 
 def test_budgets_and_waves() -> None:
-    assert [Budget(2).bound(size) for size in (0, 1, 2, 3, 30)] == [0, 0, 1, 2, 2]
-    assert [Budget(share=0.1).bound(size) for size in (1, 5, 19, 20, 300)] == [0, 1, 1, 2, 30]
-    whole = Plan(waves=(1, 0.1, 0.5, 1.0))
+    assert [DisruptionBudget(2).bound(size) for size in (0, 1, 2, 3, 30)] == [0, 0, 1, 2, 2]
+    assert [DisruptionBudget(share=0.1).bound(size) for size in (1, 5, 19, 20, 300)] == [
+        0,
+        1,
+        1,
+        2,
+        30,
+    ]
+    whole = Release(waves=(1, 0.1, 0.5, 1.0))
     assert [replace(whole, wave=at).wanted(30) for at in range(4)] == [1, 3, 15, 30]
-    assert [wave_of(told) for told in (3, "3", "10%", "100%")] == [3, 3, 0.1, 1.0]
-    assert not faults((1, 5, 0.5, 1.0))
-    assert not faults((1.0,))
+    assert [parse_wave(told) for told in (3, "3", "10%", "100%")] == [3, 3, 0.1, 1.0]
+    assert not find_wave_faults((1, 5, 0.5, 1.0))
+    assert not find_wave_faults((1.0,))
     for wrong in ((), (1,), (0.5, 1, 1.0), (1, 1, 1.0), (0, 1.0), (0.5, 1.5)):
-        assert faults(wrong)
+        assert find_wave_faults(wrong)
 
 
 def test_the_book_is_read_whole_or_not_at_all() -> None:
-    now = Plan(1, Phase.ROLLING, "v2", "v1", waves=(1, 1.0), reference=rates(Counts(9, 1, 1, 0)))
-    units = {"n1": Unit(State.OUT, 5, 5, version="v1")}
-    book = Book("n1/5", 3, 9, "v1", now, {SERVERS: Group(Budget(2), units)}, ((1, "began"),))
-    again = book_of(text_of(book))
+    now = Release(
+        1,
+        ReleasePhase.ROLLING,
+        "v2",
+        "v1",
+        waves=(1, 1.0),
+        reference=outcome_rates(RequestCounts(9, 1, 1, 0)),
+    )
+    units = {"n1": Instance(InstanceState.OUT, 5, 5, version="v1")}
+    book = RolloutState(
+        "n1/5",
+        3,
+        9,
+        "v1",
+        now,
+        {SERVERS_GROUP: InstanceGroup(DisruptionBudget(2), units)},
+        ((1, "began"),),
+    )
+    again = decode_state(encode_record(book))
     assert again == book
     assert [type(wave) for wave in again.plan.waves] == [int, float]
-    for at in range(0, len(text_of(book)) - 1, 7):
-        with pytest.raises(Unreadable):
-            book_of(text_of(book)[:at])
+    for at in range(0, len(encode_record(book)) - 1, 7):
+        with pytest.raises(StateDecodeError):
+            decode_state(encode_record(book)[:at])
 
 
 def test_a_release_and_its_way_back() -> None:
-    for size, budget in ((3, Budget(1)), (30, Budget(share=0.1))):
+    for size, budget in ((3, DisruptionBudget(1)), (30, DisruptionBudget(share=0.1))):
         world = World(size, budget).settled()
         world.book = world.book.start("v2", (1, 0.1, 0.5, 1.0), False)
-        world.until(Phase.IDLE)
+        world.until(ReleasePhase.IDLE)
         assert world.book.good == "v2"
         assert world.worst == budget.bound(size)
         assert {member.version for member in world.members.values()} == {"v2"}
         world.voids["v3"] = 0.3
         world.book = world.book.start("v3", (1, 0.1, 0.5, 1.0), False)
-        world.until(Phase.HALTED)
+        world.until(ReleasePhase.HALTED)
         ran = sum(member.version == "v3" for member in world.members.values())
         assert ran <= 1 and "voided" in world.book.plan.why, world.book.plan
-        with pytest.raises(Denied, match="halted"):
+        with pytest.raises(OrderRejectedError, match="halted"):
             world.book.start("v4", (1.0,), False)
-        world.book = world.book.order(plan.Input.ROLLBACK, "")
-        world.until(Phase.IDLE)
+        world.book = world.book.order(plan.ReleaseInput.ROLLBACK, "")
+        world.until(ReleasePhase.IDLE)
         assert world.book.good == "v2"
         assert {member.version for member in world.members.values()} == {"v2"}
         assert world.worst == budget.bound(size)
 
 
 def test_whoever_leads_is_gone_and_nothing_is_freed_by_that() -> None:
-    world = World(5, Budget(1)).settled()
+    world = World(5, DisruptionBudget(1)).settled()
     world.book = world.book.start("v2", (1.0,), False)
     while not world.down:
         world.second()
@@ -164,60 +193,60 @@
         world.second()
     assert world.lead.leads(world.book)
     assert world.worst == 1
-    assert world.book.servers[gone].state is State.OUT
-    world.until(Phase.HALTED)
-    assert world.book.servers[gone].state is State.MISSING
+    assert world.book.servers[gone].state is InstanceState.OUT
+    world.until(ReleasePhase.HALTED)
+    assert world.book.servers[gone].state is InstanceState.MISSING
     assert "missing" in world.book.plan.why
-    world.book = world.book.retire(SERVERS, gone).order(plan.Input.RESUME, "")
+    world.book = world.book.retire(SERVERS_GROUP, gone).order(plan.ReleaseInput.RESUME, "")
     del world.members[gone]
     del world.down[gone]
-    world.until(Phase.IDLE)
+    world.until(ReleasePhase.IDLE)
     assert world.worst == 1
     assert world.book.good == "v2"
 
 
 def test_one_that_is_silent_holds_the_budget_until_it_is_heard() -> None:
-    world = World(4, Budget(1)).settled()
+    world = World(4, DisruptionBudget(1)).settled()
     world.frozen.add("n2")
     world.book = world.book.start("v2", (1.0,), False)
     for _ in range(30):
         world.second()
-    assert world.book.servers["n2"].state is State.MISSING
+    assert world.book.servers["n2"].state is InstanceState.MISSING
     assert world.worst <= 1
     # Sent out before it fell silent.
     assert sum(unit.version == "v2" for unit in world.book.servers.values()) <= 2
     world.frozen.clear()
-    world.until(Phase.IDLE)
+    world.until(ReleasePhase.IDLE)
     assert world.worst == 1
     assert world.book.good == "v2"
 
 
 def test_permits_go_back_where_a_crash_has_taken_the_budget() -> None:
-    world = World(6, Budget(2)).settled()
+    world = World(6, DisruptionBudget(2)).settled()
     now = world.lead.round(
         world.now, world.book.start("v2", (1.0,), False), list(world.members.values())
     )
-    sent = [name for name, unit in now.servers.items() if unit.state is State.GRANTED]
+    sent = [name for name, unit in now.servers.items() if unit.state is InstanceState.GRANTED]
     gone = next(name for name in now.servers if name not in sent)
-    now = now.meet(SERVERS, gone, Input.SILENT)[0]
+    now = now.meet(SERVERS_GROUP, gone, InstanceInput.SILENT)[0]
     now = world.lead.round(
         world.now, now, [one for name, one in world.members.items() if name != gone]
     )
     assert len(sent) == 2
-    assert [now.servers[name].state for name in sent].count(State.GRANTED) == 1
+    assert [now.servers[name].state for name in sent].count(InstanceState.GRANTED) == 1
 
 
 def test_who_did_not_look_takes_nobody_for_silent() -> None:
     """The store is away for a minute: nobody is missing because of that, nor sent out on what was
     seen before.
     """
-    world = World(4, Budget(1)).settled()
+    world = World(4, DisruptionBudget(1)).settled()
     world.book = world.book.start("v2", (1.0,), False)
-    world.until(Phase.JUDGING)
+    world.until(ReleasePhase.JUDGING)
     world.now += 60 * S
     after = world.lead.round(world.now, world.book, list(world.members.values()))
-    assert not after.groups[SERVERS].taken
-    assert after.plan.phase is not Phase.HALTED
+    assert not after.groups[SERVERS_GROUP].taken
+    assert after.plan.phase is not ReleasePhase.HALTED
     other = world.new_lead("b")
     assert other.take(world.now, after, 1) is None
     assert other.take(world.now + 70 * S, after, 1) is None
@@ -225,24 +254,26 @@
 
 def test_a_life_that_left_in_good_order_is_no_loss() -> None:
     for former, lost in ((1, False), (0, True)):
-        world = World(3, Budget(1)).settled()
+        world = World(3, DisruptionBudget(1)).settled()
         world.book = replace(world.book.start("v2", (1.0,), False), groups=world.book.groups)
         unit = replace(world.book.servers["n1"], moved=1, version="v2", to="v2")
-        world.book = world.book.put(SERVERS, "n1", unit)
-        world.members["n1"] = Member("n1", 2, 0, version="v2", former=former)
+        world.book = world.book.put(SERVERS_GROUP, "n1", unit)
+        world.members["n1"] = ServerReport("n1", 2, 0, version="v2", former=former)
         for beat in range(2):
             world.now += S
             members = [replace(one, beat=one.beat + 1 + beat) for one in world.members.values()]
             world.book = world.lead.round(world.now, world.book, members)
-        assert (world.book.plan.phase is Phase.HALTED) is lost, world.book.notes
+        assert (world.book.plan.phase is ReleasePhase.HALTED) is lost, world.book.notes
 
 
 def test_instances_below() -> None:
     below = ("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1")
-    lead = Lead("a", TERMS, {SERVERS: Budget(), "db": Budget(1)}, {"db": below})
-    book, members = Book(), {name: Member(name, 1, 0) for name in ("n1", "n2")}
+    lead = RolloutLeader(
+        "a", TERMS, {SERVERS_GROUP: DisruptionBudget(), "db": DisruptionBudget(1)}, {"db": below}
+    )
+    book, members = RolloutState(), {name: ServerReport(name, 1, 0) for name in ("n1", "n2")}
 
-    def run(book: Book, seconds: int, at: list[int] = [0]) -> Book:
+    def run(book: RolloutState, seconds: int, at: list[int] = [0]) -> RolloutState:
         for _ in range(4 * seconds):
             at[0] += S // 4
             for name, member in members.items():
@@ -251,78 +282,98 @@
         return book
 
     book = run(book, 4)
-    assert [unit.state for unit in book.groups["db"].units.values()] == [State.IN] * 3
+    assert [unit.state for unit in book.groups["db"].units.values()] == [InstanceState.IN] * 3
     for address in below[:2]:
         book = book.ask("db", address, 5000)
-    with pytest.raises(Denied, match="asked for already"):
+    with pytest.raises(OrderRejectedError, match="asked for already"):
         book.ask("db", below[0], 1)
     book = run(book, 1)
     first, second = (book.groups["db"].units[address] for address in below[:2])
-    assert (first.state, second.state) == (State.GRANTED, State.IN)
+    assert (first.state, second.state) == (InstanceState.GRANTED, InstanceState.IN)
     assert (
-        book.meet("db", below[0], Input.BEGIN, life=1, ticket=second.asked)[1] == ""
+        book.meet("db", below[0], InstanceInput.BEGIN, life=1, ticket=second.asked)[1] == ""
     )  # another's order
-    book, effect = book.meet("db", below[0], Input.BEGIN, life=1, ticket=first.asked)
+    book, effect = book.meet("db", below[0], InstanceInput.BEGIN, life=1, ticket=first.asked)
     assert effect
     assert book.shunned() == [("db", below[0])]
     book = run(book, 4)
-    assert book.groups["db"].units[below[1]].state is State.IN  # no room yet
+    assert book.groups["db"].units[below[1]].state is InstanceState.IN  # no room yet
     book = run(book, 3)  # its five seconds are over: it is called again, and the next may leave
     assert book.shunned() == []
     assert book.groups["db"].units[below[1]].state in (
-        State.GRANTED,
-        State.BACK,
+        InstanceState.GRANTED,
+        InstanceState.BACK,
     )
     members["n1"] = replace(members["n1"], below={below[2]: (1, 9)})
     book = run(book, 1)
-    assert book.groups["db"].units[below[2]].state is State.MISSING
+    assert book.groups["db"].units[below[2]].state is InstanceState.MISSING
     members["n1"] = replace(members["n1"], below={})
-    assert run(book, 3).groups["db"].units[below[2]].state is State.IN
+    assert run(book, 3).groups["db"].units[below[2]].state is InstanceState.IN
 
 
 def test_the_judge() -> None:
-    measure = Measure(least=100)
+    measure = CanarySettings(least=100)
 
     def says(
-        changed: Counts,
-        others: Counts,
-        reference: Counts | None = None,
+        changed: RequestCounts,
+        others: RequestCounts,
+        reference: RequestCounts | None = None,
         well: bool = True,
         lasts: bool = True,
     ) -> Verdict:
-        evidence = Evidence(10, 100, 50)
+        evidence = CanaryWindow(10, 100, 50)
         for at in range(11):  # a tenth of it in each look, or all in one
             one, other = (
-                Counts(*(count * (at if lasts else 10 * (at > 5)) // 10 for count in side))
+                RequestCounts(*(count * (at if lasts else 10 * (at > 5)) // 10 for count in side))
                 for side in (changed, others)
             )
-            evidence.add(at, {"a": Look(1, one, True, well), "b": Look(1, other, False)})
-        return judge(measure, evidence, rates(reference) if reference else None).verdict
-
-    assert says(Counts(9), Counts(1000), well=False) is Verdict.BAD
-    assert says(Counts(99), Counts(1000)) is Verdict.MORE
-    assert says(Counts(20, 0, 0, 4), Counts(10_000)) is Verdict.MORE
-    assert says(Counts(20, 0, 0, 9), Counts(10_000)) is Verdict.BAD  # few, but never by chance
-    assert says(Counts(1000), Counts(1000)) is Verdict.GOOD
-    assert says(Counts(900, 0, 0, 100), Counts(10_000)) is Verdict.BAD
-    assert says(Counts(900, 0, 0, 100), Counts(10_000), lasts=False) is Verdict.GOOD  # one burst
+            evidence.add(
+                at, {"a": ServerSample(1, one, True, well), "b": ServerSample(1, other, False)}
+            )
+        return evaluate_canary(
+            measure, evidence, outcome_rates(reference) if reference else None
+        ).verdict
+
+    assert says(RequestCounts(9), RequestCounts(1000), well=False) is Verdict.BAD
+    assert says(RequestCounts(99), RequestCounts(1000)) is Verdict.MORE
+    assert says(RequestCounts(20, 0, 0, 4), RequestCounts(10_000)) is Verdict.MORE
+    assert (
+        says(RequestCounts(20, 0, 0, 9), RequestCounts(10_000)) is Verdict.BAD
+    )  # few, but never by chance
+    assert says(RequestCounts(1000), RequestCounts(1000)) is Verdict.GOOD
+    assert says(RequestCounts(900, 0, 0, 100), RequestCounts(10_000)) is Verdict.BAD
     assert (
-        says(Counts(900, 0, 100, 0), Counts(9000, 0, 1000)) is Verdict.GOOD
+        says(RequestCounts(900, 0, 0, 100), RequestCounts(10_000), lasts=False) is Verdict.GOOD
+    )  # one burst
+    assert (
+        says(RequestCounts(900, 0, 100, 0), RequestCounts(9000, 0, 1000)) is Verdict.GOOD
     )  # a crowd is on both sides
-    assert says(Counts(980, 0, 0, 20), Counts(10_000)) is Verdict.GOOD  # under the margin
-    assert says(Counts(1000, 200), Counts(10_000, 100)) is Verdict.BAD
-    assert says(Counts(900, 0, 0, 100), Counts()) is Verdict.GOOD  # nothing to hold it against
-    assert says(Counts(400, 0, 0, 600), Counts()) is Verdict.BAD
-    assert says(Counts(900, 0, 0, 100), Counts(), Counts(1000)) is Verdict.BAD
-    assert says(Counts(950, 0, 0, 50), Counts(), Counts(1000)) is Verdict.GOOD  # of another hour
-    assert says(Counts(400, 0, 600), Counts(400, 0, 600)) is Verdict.GOOD
+    assert (
+        says(RequestCounts(980, 0, 0, 20), RequestCounts(10_000)) is Verdict.GOOD
+    )  # under the margin
+    assert says(RequestCounts(1000, 200), RequestCounts(10_000, 100)) is Verdict.BAD
+    assert (
+        says(RequestCounts(900, 0, 0, 100), RequestCounts()) is Verdict.GOOD
+    )  # nothing to hold it against
+    assert says(RequestCounts(400, 0, 0, 600), RequestCounts()) is Verdict.BAD
+    assert says(RequestCounts(900, 0, 0, 100), RequestCounts(), RequestCounts(1000)) is Verdict.BAD
+    assert (
+        says(RequestCounts(950, 0, 0, 50), RequestCounts(), RequestCounts(1000)) is Verdict.GOOD
+    )  # of another hour
+    assert says(RequestCounts(400, 0, 600), RequestCounts(400, 0, 600)) is Verdict.GOOD
 
 
 def test_evidence_reaches_as_far_back_as_it_must() -> None:
-    evidence = Evidence(10, 100, 50)
+    evidence = CanaryWindow(10, 100, 50)
     for at in range(100):
         life = 1 if at < 90 else 2
-        evidence.add(at, {"a": Look(life, Counts(3 * at), True), "b": Look(1, Counts(at), False)})
+        evidence.add(
+            at,
+            {
+                "a": ServerSample(life, RequestCounts(3 * at), True),
+                "b": ServerSample(1, RequestCounts(at), False),
+            },
+        )
         total = [
             sum(
                 side.counts.asked
@@ -336,26 +387,36 @@
 
 
 def test_orders_that_can_not_be() -> None:
-    book = Book(groups={SERVERS: Group(Budget(1), {"n1": Unit(State.IN, 1, version="v1")})})
-    bare = Book(groups={SERVERS: Group(Budget(1), {"n1": Unit(State.IN, 1)})})
-    assert bare.start("", (1.0,), False, True).plan.phase is Phase.ROLLING
-    with pytest.raises(Unreadable, match="newer program"):
-        book_of(text_of(replace(book, form=99)))
+    book = RolloutState(
+        groups={
+            SERVERS_GROUP: InstanceGroup(
+                DisruptionBudget(1), {"n1": Instance(InstanceState.IN, 1, version="v1")}
+            )
+        }
+    )
+    bare = RolloutState(
+        groups={
+            SERVERS_GROUP: InstanceGroup(DisruptionBudget(1), {"n1": Instance(InstanceState.IN, 1)})
+        }
+    )
+    assert bare.start("", (1.0,), False, True).plan.phase is ReleasePhase.ROLLING
+    with pytest.raises(StateDecodeError, match="newer program"):
+        decode_state(encode_record(replace(book, form=99)))
     for order, said in (
-        (lambda: Book().start("v2", (1.0,), False), "no server is in"),
+        (lambda: RolloutState().start("v2", (1.0,), False), "no server is in"),
         (lambda: bare.start("v2", (1.0,), False), "no server tells its version"),
         (lambda: book.start("v1", (1.0,), False), "all servers run v1"),
         (lambda: book.start("v2", (3, 2, 1.0), False), "waves: numbers first"),
-        (lambda: book.order(plan.Input.HALT, ""), "nothing to halt: change 0 is idle"),
-        (lambda: book.ask(SERVERS, "n2", 0), "servers has no 'n2'"),
-        (lambda: book.ask(SERVERS, "n1", 0), "the only one"),
+        (lambda: book.order(plan.ReleaseInput.HALT, ""), "nothing to halt: change 0 is idle"),
+        (lambda: book.ask(SERVERS_GROUP, "n2", 0), "servers has no 'n2'"),
+        (lambda: book.ask(SERVERS_GROUP, "n1", 0), "the only one"),
         (lambda: book.ask("db", "n2", 0), "no group 'db'"),
-        (lambda: book.give(SERVERS, "n1"), "when it is started"),
-        (lambda: book.allow(SERVERS, Budget(0)), "a budget is"),
+        (lambda: book.give(SERVERS_GROUP, "n1"), "when it is started"),
+        (lambda: book.allow(SERVERS_GROUP, DisruptionBudget(0)), "a budget is"),
         (
-            lambda: book.start("v1", (1.0,), False, True).order(plan.Input.ROLLBACK, ""),
+            lambda: book.start("v1", (1.0,), False, True).order(plan.ReleaseInput.ROLLBACK, ""),
             "no other version",
         ),
     ):
-        with pytest.raises(Denied, match=said):
+        with pytest.raises(OrderRejectedError, match=said):
             order()
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -16,7 +16,7 @@
 from burlloom.fakes.pipe import Pipe
 from burlloom.fakes.postgres import Postgres
 from burlloom.operator import Faults, load
-from burlloom.rollout import Phase, State
+from burlloom.rollout import InstanceState, ReleasePhase
 
 
 @rolled(4)
@@ -42,7 +42,7 @@
     """Half of what it runs fails. One server had it; a command brings that back."""
     made.bad.add("v2")
     await made.says("start", "v2")
-    book = await made.comes_to(lambda book: book.plan.phase is Phase.HALTED)
+    book = await made.comes_to(lambda book: book.plan.phase is ReleasePhase.HALTED)
     # Voided, or declined since so much is voided, or so bad that nobody is sent there.
     assert book.plan.why.split()[0] in ("voided", "declined", "not"), book.plan.why
     assert sum(unit.version == "v2" for unit in book.servers.values()) == 1
@@ -63,7 +63,7 @@
     await until(lambda: made.out == 2)
     await made.says("halt")
     await made.comes_to(
-        lambda book: book.plan.phase is Phase.HALTED and not book.groups["servers"].taken
+        lambda book: book.plan.phase is ReleasePhase.HALTED and not book.groups["servers"].taken
     )
     ends = made.ends
     await asyncio.sleep(0.5)
@@ -142,7 +142,7 @@
     await made.says("start", "v2")
     await until(lambda: made.ends == 1)
     gone = next(node for node in made.nodes if node.out)
-    book = await made.comes_to(lambda book: book.plan.phase is Phase.HALTED)
+    book = await made.comes_to(lambda book: book.plan.phase is ReleasePhase.HALTED)
     assert made.out == 1
     assert f"{gone.name} is missing" in book.plan.why
     for node in made.nodes:
@@ -152,7 +152,9 @@
     assert made.out == 1 == made.worst
     gone.retired = True
     await made.says("retire", gone.name)
-    await made.comes_to(lambda book: len(book.servers) == 2 and book.plan.phase is Phase.IDLE)
+    await made.comes_to(
+        lambda book: len(book.servers) == 2 and book.plan.phase is ReleasePhase.IDLE
+    )
     assert made.worst == 1
     assert not made.over
     gone.dead = False
@@ -199,7 +201,7 @@
             }
             await made.begin(3)
             pipes[1].cut()
-            await made.comes_to(lambda book: book.servers["n1"].state is State.MISSING)
+            await made.comes_to(lambda book: book.servers["n1"].state is InstanceState.MISSING)
             await made.says("start", "v2")
             settled = made.nodes[1].settled
             await asyncio.sleep(1.0)
@@ -251,7 +253,7 @@
     await made.says("budget", "--share", "0.7")
     made.most = 2
     await made.says("start", "v1", "--restart", "--wave", "100%")
-    await made.comes_to(lambda book: book.plan.phase is Phase.IDLE and book.plan.number == 1)
+    await made.comes_to(lambda book: book.plan.phase is ReleasePhase.IDLE and book.plan.number == 1)
     assert made.ends == 5
     assert made.worst == 2
     assert not made.over
--- a/tests/test_rollout_stores.py
+++ b/tests/test_rollout_stores.py
@@ -16,17 +16,17 @@
 from burlloom.operator import Postgres as Database
 from burlloom.record import shared_sqlite
 from burlloom.record.opening import store_of
-from burlloom.rollout import Book, Member, Says
-from burlloom.rollout.stores import Away, Shelf
-from burlloom.rollout.stores.postgres import Postgres
-from burlloom.rollout.stores.sqlite import Sqlite
+from burlloom.rollout import RolloutState, ServerPhase, ServerReport
+from burlloom.rollout.stores import Away, RolloutStore
+from burlloom.rollout.stores.postgres import PostgresRolloutStore
+from burlloom.rollout.stores.sqlite import SqliteRolloutStore
 
 
-async def promises(first: Shelf, second: Shelf) -> None:
+async def promises(first: RolloutStore, second: RolloutStore) -> None:
     await asyncio.gather(first.open(), second.open())  # at once: one of them makes the tables
     old = await first.read()
-    assert await second.swap(await second.read(), Book("a", epoch=3, steps=1))
-    assert not await first.swap(old, Book("b", epoch=9)), "written over what another wrote"
+    assert await second.swap(await second.read(), RolloutState("a", epoch=3, steps=1))
+    assert not await first.swap(old, RolloutState("b", epoch=9)), "written over what another wrote"
     page = await first.read(old)
     assert (page.book.holder, page.revision) == ("a", old.revision + 1)
     await second.beat(2)  # of an epoch that is over
@@ -35,19 +35,19 @@
     again = await first.read(page)
     assert again.beat == page.beat + 1
     assert again.book is page.book
-    one = Member("n1", 5, 1, Says.SERVING, below={"10.0.0.1:1": (3, 1)})
+    one = ServerReport("n1", 5, 1, ServerPhase.SERVING, below={"10.0.0.1:1": (3, 1)})
     assert await first.tell(one)
-    assert await second.tell(replace(one, life=6, says=Says.LEAVING))
+    assert await second.tell(replace(one, life=6, says=ServerPhase.LEAVING))
     assert not await first.tell(replace(one, beat=2)), "a life that is over spoke last"
     assert (
         await first.members()
         == [await second.last("n1")]
-        == [replace(one, life=6, says=Says.LEAVING)]
+        == [replace(one, life=6, says=ServerPhase.LEAVING)]
     )
     await first.forget("n1")
     assert await second.last("n1") is None
     held = await asyncio.gather(
-        *(shelf.swap(again, Book(str(at))) for at, shelf in enumerate((first, second)))
+        *(shelf.swap(again, RolloutState(str(at))) for at, shelf in enumerate((first, second)))
     )
     assert sorted(held) == [False, True]
 
@@ -58,17 +58,17 @@
     """
 
     async def play() -> None:
-        shelf = Sqlite(tmp_path / "agreed.db")
+        shelf = SqliteRolloutStore(tmp_path / "agreed.db")
         await shelf.open()
         page = await shelf.read()
         held = Held(tmp_path / "agreed.db", 1.9)
         shelf.turns = held.turns()
-        assert await shelf.swap(page, Book("a"))
+        assert await shelf.swap(page, RolloutState("a"))
         assert held.looks >= 100
         page, held = await shelf.read(), Held(tmp_path / "agreed.db", 9.0)
         shelf.turns = held.turns()
         with pytest.raises(Away, match="database is locked"):
-            await shelf.swap(page, Book("b"))
+            await shelf.swap(page, RolloutState("b"))
         assert 2.0 <= held.now < 2.1
         assert (await shelf.read()).book.holder == "a"
         before = held.looks
@@ -100,7 +100,10 @@
 
 def test_in_a_file(tmp_path: Path) -> None:
     async def play() -> None:
-        first, second = Sqlite(tmp_path / "agreed.db"), Sqlite(tmp_path / "agreed.db")
+        first, second = (
+            SqliteRolloutStore(tmp_path / "agreed.db"),
+            SqliteRolloutStore(tmp_path / "agreed.db"),
+        )
         await promises(first, second)
         before = await first.read()
         (tmp_path / "agreed.db").rename(tmp_path / "before.db")  # as a restore does
@@ -108,12 +111,12 @@
             await first.read()
         await second.open()
         with pytest.raises(Away):
-            await first.swap(before, Book("c"))
+            await first.swap(before, RolloutState("c"))
         await first.open()
         new = await first.read()
-        assert new.book == Book()
+        assert new.book == RolloutState()
         assert new.revision > before.revision
-        assert not await first.swap(before, Book("c"))
+        assert not await first.swap(before, RolloutState("c"))
         await first.close()
         await second.close()
 
@@ -131,12 +134,12 @@
                 address=server.address, key_file=str(key), hang_ms=300, connect_ms=500
             )
         )
-        first, second = (Postgres(store_of(told, "-", keep=0)[0]) for _ in range(2))  # type: ignore[arg-type]
+        first, second = (PostgresRolloutStore(store_of(told, "-", keep=0)[0]) for _ in range(2))  # type: ignore[arg-type]
         await promises(first, second)
         page = await first.read()
         server.orders.reset_after_commit = 1  # taken, and nobody is told
         with pytest.raises(Away):
-            await first.swap(page, Book("d"))
+            await first.swap(page, RolloutState("d"))
         assert (await first.read()).book.holder == "d"
         server.orders.hang = True
         with pytest.raises(Away):
--- a/tests/test_scale_servers.py
+++ b/tests/test_scale_servers.py
@@ -10,8 +10,8 @@
 from scale_servers import PARTS, Slope, measured, passed
 from scale_swarms import after_deaths, swarm_of
 
-import burlloom.fleet.fleet as whole
-from burlloom.fleet import State
+import burlloom.fleet.member as whole
+from burlloom.fleet import MemberState
 from burlloom.lab.slopes import Row
 
 
@@ -61,8 +61,8 @@
     crowd.run(20)
     view = crowd.fleet.members
     assert view.by_name["n10"].word == left.word
-    assert view.by_name["n10"].state is State.ALIVE
-    assert view.by_name["n11"].state is State.DEAD
+    assert view.by_name["n10"].state is MemberState.ALIVE
+    assert view.by_name["n11"].state is MemberState.DEAD
     assert {peer.digest for peer in crowd.peers if peer.up and peer.at != at} == {view.digest}
     crowd.tally.kinds.clear()
     crowd.run(5)
