--- a/benchmarks/fleet_shares.py
+++ b/benchmarks/fleet_shares.py
@@ -39,9 +39,9 @@
     return QuotaSettings(
         calls * MILLICALLS_PER_CALL,
         max(2, size // 20 + 1),
-        round=slow * 200 * MS,
-        lease=slow * 2000 * MS,
-        redeal=14_000 * MS + (slow - 1) * 4000 * MS,
+        report_interval_ns=slow * 200 * MS,
+        lease_ns=slow * 2000 * MS,
+        reclaim_timeout_ns=14_000 * MS + (slow - 1) * 4000 * MS,
     )
 
 
@@ -295,7 +295,7 @@
     rows.append(
         (
             "rendezvous, fitted (ours)",
-            before.worst,
+            before.max_load_ratio,
             moved(names[1:], below, count),
             moved(names, below[1:], services),
         )
--- a/benchmarks/hollow_members.py
+++ b/benchmarks/hollow_members.py
@@ -49,8 +49,8 @@
         self.fleet = Fleet(word, (), part.keys(), part.terms(), part.habits(), Random(own[0]), now)
         for other in all_of_them:
             if other != own:
-                self.fleet.members.said(now, MemberUpdate(*other, 0, MemberState.ALIVE))
-        self.fleet.members.moves = []  # all are known to all: no news
+                self.fleet.view.process_update(now, MemberUpdate(*other, 0, MemberState.ALIVE))
+        self.fleet.view.transitions = []  # all are known to all: no news
 
     def readable(self) -> None:
         while True:
@@ -62,14 +62,14 @@
                 if self.world.cut:
                     continue
                 self.look(data)
-            self.fleet.hear(clock(), data)
+            self.fleet.receive(clock(), data)
             self.flush()
 
     def look(self, data: bytes) -> None:
         """Whether the server's view, as it tells it, is ours."""
         letter = decode(data, self.fleet.keys)
-        if letter.kind in (MessageKind.PING, MessageKind.ACK) and len(letter.numbers) == 2:
-            self.world.same = letter.numbers[0] == self.fleet.members.digest >> 1
+        if letter.kind in (MessageKind.PING, MessageKind.ACK) and len(letter.values) == 2:
+            self.world.same = letter.values[0] == self.fleet.view.digest >> 1
 
     def tick(self) -> None:
         self.fleet.tick(clock())
@@ -77,7 +77,7 @@
         asyncio.get_running_loop().call_later(TICK, self.tick)
 
     def flush(self) -> None:
-        out, self.fleet.moves = self.fleet.out, []
+        out, self.fleet.transitions = self.fleet.outbox, []
         while out:
             address, data = out.popleft()
             host, port = address.rsplit(":", 1)
@@ -112,7 +112,10 @@
                 """Who deals, as each has it, and how many of all are there to it; whether the server said the same."""
                 fleets = [one.fleet for one in self.members]
                 self.pipe.send(
-                    (self.same, [(one.dealt_by, len(one.members.there())) for one in fleets])
+                    (
+                        self.same,
+                        [(one.allocator_name, len(one.view.present_members())) for one in fleets],
+                    )
                 )
             case "over":
                 self.over.set()
--- a/benchmarks/scale_crowd.py
+++ b/benchmarks/scale_crowd.py
@@ -28,7 +28,7 @@
 )
 from burlloom.fleet.allocator import MS
 from burlloom.fleet.member import NEWS_MOST, PAGE_WORDS
-from burlloom.fleet.membership import hash_of
+from burlloom.fleet.membership import hash_update
 from burlloom.fleet.messages import Message, MessageKind, decode, encode
 
 SECOND = 1_000_000_000
@@ -84,8 +84,8 @@
         now,
     )
     for word in all_of:
-        fleet.members.said(now, word)
-    fleet.members.moves = []
+        fleet.view.process_update(now, word)
+    fleet.view.transitions = []
     return fleet
 
 
@@ -134,7 +134,7 @@
         self.places = {word.address: n for n, word in enumerate(self.words)}
         digest = 0
         for word in self.words:
-            digest ^= hash_of(word)
+            digest ^= hash_update(word)
         self.at, self.fleet = at, fleet or filled(self.words, at)
         self.peers = [Peer(n, word, digest) for n, word in enumerate(self.words)]
         self.most = 3 * size.bit_length()
@@ -142,8 +142,8 @@
         self.numbers = count(1)
         self.tally, self.events = Tally(), 0
         self.deals = (
-            self.fleet.members.first().name == self.fleet.own.name
-            and len(self.fleet.members.by_name) > 1
+            self.fleet.view.oldest_present().name == self.fleet.own.name
+            and len(self.fleet.view.by_name) > 1
         )
         self.later(self.chance.randrange(TICK), self.tick)
         self.later(0, self.slot, 0)
@@ -176,7 +176,7 @@
 
     def tick(self) -> None:
         began = thread_time_ns()
-        self.fleet.uses(1000 * MILLICALLS_PER_CALL, self.fleet.share)
+        self.fleet.set_usage(1000 * MILLICALLS_PER_CALL, self.fleet.share)
         self.fleet.tick(self.now)
         self.tally.cpu_ns += thread_time_ns() - began
         self.after()
@@ -186,13 +186,13 @@
         self.tally.heard += 1
         self.tally.bytes_heard += len(data)
         began = thread_time_ns()
-        self.fleet.hear(self.now, data)
+        self.fleet.receive(self.now, data)
         self.tally.cpu_ns += thread_time_ns() - began
         self.after()
 
     def after(self) -> None:
-        self.fleet.moves = []
-        out = self.fleet.out
+        self.fleet.transitions = []
+        out = self.fleet.outbox
         while out:
             address, data = out.popleft()
             self.tally.sent += 1
@@ -207,31 +207,31 @@
             return
         letter = decode(data, (KEY,))
         self.tally.kinds[letter.kind.name] = self.tally.kinds.get(letter.kind.name, 0) + 1
-        self.learns(peer, (letter.sender, *letter.words))
+        self.learns(peer, (letter.sender, *letter.updates))
         match letter.kind:
             case MessageKind.PING:
-                self.say(peer, MessageKind.ACK, letter.number, self.views(peer))
+                self.say(peer, MessageKind.ACK, letter.sequence, self.views(peer))
                 self.compares(peer, letter)
             case MessageKind.ACK:
                 self.compares(peer, letter)
-            case MessageKind.ASK:
+            case MessageKind.PING_REQUEST:
                 if letter.name in self.by_name and self.peer_of(letter.name).up:
                     self.later(
                         2 * self.delay(),
                         self.say,
                         peer,
                         MessageKind.ACK,
-                        letter.number,
+                        letter.sequence,
                         self.views(peer),
                     )
             case MessageKind.SYNC:
                 self.pages(peer, letter)
-            case MessageKind.PAGE if letter.name and len(letter.words) == PAGE_WORDS:
-                self.say(peer, MessageKind.SYNC, letter.number, (), letter.name)
+            case MessageKind.PAGE if letter.name and len(letter.updates) == PAGE_WORDS:
+                self.say(peer, MessageKind.SYNC, letter.sequence, (), letter.name)
             case MessageKind.REPORT:
-                self.say(peer, MessageKind.GRANT, letter.number, (4 * MILLICALLS_PER_CALL, 1))
+                self.say(peer, MessageKind.GRANT, letter.sequence, (4 * MILLICALLS_PER_CALL, 1))
             case MessageKind.GRANT:
-                peer.share = letter.numbers[0]
+                peer.share = letter.values[0]
             case _:
                 pass
 
@@ -239,7 +239,7 @@
         return self.peers[int(name[1:])]
 
     def views(self, peer: Peer) -> tuple[int, int]:
-        return peer.digest >> 1, self.fleet.terms_digest()
+        return peer.digest >> 1, self.fleet.settings_digest()
 
     def say(
         self,
@@ -253,9 +253,9 @@
         self.later(self.delay(), self.hears, encode(letter, KEY))
 
     def compares(self, peer: Peer, letter: Message) -> None:
-        if letter.numbers[0] != peer.digest >> 1 and self.now - peer.synced >= 200 * MS:
+        if letter.values[0] != peer.digest >> 1 and self.now - peer.synced >= 200 * MS:
             peer.synced = self.now
-            self.say(peer, MessageKind.SYNC, letter.number)
+            self.say(peer, MessageKind.SYNC, letter.sequence)
 
     def pages(self, peer: Peer, letter: Message) -> None:
         begin = bisect_right(self.names, letter.name)
@@ -265,7 +265,7 @@
         self.later(
             self.delay(),
             self.hears,
-            encode(Message(MessageKind.PAGE, peer.word, letter.number, (), more, page), KEY),
+            encode(Message(MessageKind.PAGE, peer.word, letter.sequence, (), more, page), KEY),
         )
 
     # Peers among themselves.
@@ -273,8 +273,12 @@
     def learns(self, peer: Peer, said: tuple[MemberUpdate, ...]) -> None:
         for word in said:
             known = peer.seen.get(word.name) or self.by_name.get(word.name)
-            if known is not None and word.rank > known.rank and word.name != peer.word.name:
-                peer.digest ^= hash_of(known) ^ hash_of(word)
+            if (
+                known is not None
+                and word.precedence > known.precedence
+                and word.name != peer.word.name
+            ):
+                peer.digest ^= hash_update(known) ^ hash_update(word)
                 peer.seen[word.name] = word
                 peer.news[word.name] = 0
 
@@ -282,7 +286,7 @@
         """Its own word from now on, which goes with each of its messages."""
         peer.word = word
         known = peer.seen.get(word.name) or self.by_name[word.name]
-        peer.digest ^= hash_of(known) ^ hash_of(word)
+        peer.digest ^= hash_update(known) ^ hash_update(word)
         peer.seen[word.name] = word
         peer.news[word.name] = 0
 
@@ -308,7 +312,7 @@
         rest = not self.churn
         if rest:
             # Only who probes the real member matters: one in each time between probes, on the mean.
-            if self.chance.random() < SLOT / self.fleet.habits.probe:
+            if self.chance.random() < SLOT / self.fleet.gossip_settings.probe_interval_ns:
                 place = (self.at + self.chance.randrange(1, len(self.peers))) % len(self.peers)
                 self.later(self.chance.randrange(SLOT), self.probes, self.peers[place], self.at)
         else:
@@ -355,7 +359,7 @@
 
     def reports(self, peer: Peer) -> None:
         peer.number += 1
-        told = (peer.share, peer.share, 1000 * MILLICALLS_PER_CALL, 1000, self.fleet.roster)
+        told = (peer.share, peer.share, 1000 * MILLICALLS_PER_CALL, 1000, self.fleet.roster_hash)
         self.say(peer, MessageKind.REPORT, peer.number, told)
 
     # Churn.
@@ -383,7 +387,7 @@
         for place in {0, *self.chance.sample(range(len(self.peers)), min(50, len(self.peers)))}:
             if place == self.at:
                 self.later(
-                    self.delay(), self.hears, encode(Message(MessageKind.BYE, peer.word, 0), KEY)
+                    self.delay(), self.hears, encode(Message(MessageKind.LEAVE, peer.word, 0), KEY)
                 )
             elif place != peer.at:
                 self.learns(self.peers[place], (peer.word,))
@@ -394,10 +398,14 @@
         peer.up = False
         other = self.chance.choice([one for one in self.peers if one.up and one.at != self.at])
         silent, habits = (
-            self.chance.randrange(habits_of(self).probe) + habits_of(self).probe,
+            self.chance.randrange(habits_of(self).probe_interval_ns)
+            + habits_of(self).probe_interval_ns,
             habits_of(self),
         )
-        suspicion = habits.suspicion + habits.probe * len(self.words).bit_length() // 4
+        suspicion = (
+            habits.suspicion_timeout_ns
+            + habits.probe_interval_ns * len(self.words).bit_length() // 4
+        )
         self.later(silent, self.holds, other, peer, MemberState.SUSPECT)
         self.later(silent + suspicion, self.holds, other, peer, MemberState.DEAD)
 
@@ -419,4 +427,4 @@
 
 
 def habits_of(crowd: Crowd) -> GossipSettings:
-    return crowd.fleet.habits
+    return crowd.fleet.gossip_settings
--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -159,7 +159,7 @@
         seconds = max(10.0, min(seconds, 60_000 / size))
     crowd = Crowd(size, 0, churn=churn)
     tally = play(crowd, 4.0, seconds)
-    assert crowd.fleet.dealer.phase.name == "DEALING", crowd.fleet.dealer.phase
+    assert crowd.fleet.allocator.phase.name == "ALLOCATING", crowd.fleet.allocator.phase
     note = PLACE + PAST + (f"; {CHURN}" if churn else "")
     return {
         Slope("dealer cpu", "ms/s", state, note): tally.cpu_ns / 1e6 / seconds,
@@ -190,17 +190,17 @@
         ]
         all_of = [word._replace(state=MemberState(word.state)) for word in all_of]
         fleet = filled(all_of, 0)
-        fleet.look()
-        fleet.next_name()
+        fleet.refresh_presences()
+        fleet.next_probe_target()
         return fleet
 
     def dealing(fleet: Fleet) -> None:
-        fleet.dealer.round(START, fleet.present, True)
+        fleet.allocator.run_round(START, fleet.presences, True)
         for at, word in enumerate(words(size)):
-            fleet.dealer.report(
+            fleet.allocator.process_report(
                 START,
                 word.name,
-                word.life,
+                word.incarnation,
                 at,
                 ShareReport(MILLICALLS_PER_CALL, MILLICALLS_PER_CALL, MILLICALLS_PER_CALL, 1000, 7),
             )
@@ -242,19 +242,17 @@
         START,
     )
     crowd = Crowd(size, at, fresh)
-    while fresh.members.digest != crowd.peers[0].digest:
+    while fresh.view.digest != crowd.peers[0].digest:
         crowd.run(0.1)
-        assert crowd.now - START < 300 * SECOND, (
-            f"{len(fresh.members.by_name)} of {size} after 300 s"
-        )
+        assert crowd.now - START < 300 * SECOND, f"{len(fresh.view.by_name)} of {size} after 300 s"
     took, tally = (crowd.now - START) / SECOND, crowd.tally
     host, name, spent, pages, octets = filled(all_of, 0), "", 0, 0, 0
     while True:
         data = encode(Message(MessageKind.SYNC, all_of[at], 1, (), name), KEY)
         began = thread_time_ns()
-        host.hear(START, data)
+        host.receive(START, data)
         spent += thread_time_ns() - began
-        page = host.out.pop()[1]
+        page = host.outbox.pop()[1]
         pages, octets, name = pages + 1, octets + len(data) + len(page), decode(page, (KEY,)).name
         if not name:
             break
--- a/benchmarks/scale_swarms.py
+++ b/benchmarks/scale_swarms.py
@@ -31,9 +31,9 @@
         fleet = body.fleet
         assert fleet is not None
         known = self.shown.get(body.name)
-        if known is None or known[0] is not fleet or known[1] != fleet.members.version:
-            names = frozenset(member.word.name for member in fleet.members.there())
-            known = self.shown[body.name] = fleet, fleet.members.version, names
+        if known is None or known[0] is not fleet or known[1] != fleet.view.version:
+            names = frozenset(member.update.name for member in fleet.view.present_members())
+            known = self.shown[body.name] = fleet, fleet.view.version, names
         return known[2]
 
     def until(self, test: Callable[[], bool]) -> float:
@@ -57,8 +57,8 @@
             for body in swarm.up():
                 assert body.fleet is not None
                 for word in words:
-                    body.fleet.members.said(swarm.now(), word)
-                body.fleet.members.moves = []
+                    body.fleet.view.process_update(swarm.now(), word)
+                body.fleet.view.transitions = []
             swarm.run(6)
         yield swarm
 
@@ -107,7 +107,7 @@
 def metered() -> Iterator[dict[str, int]]:
     """Processor time of each member by its name, ns."""
     spent: dict[str, int] = {}
-    tick, hear = whole.Fleet.tick, whole.Fleet.hear
+    tick, hear = whole.Fleet.tick, whole.Fleet.receive
 
     def timed(of: Callable[..., None]) -> Callable[..., None]:
         def call(fleet: whole.Fleet, *told: Any) -> None:
@@ -117,8 +117,8 @@
 
         return call
 
-    whole.Fleet.tick, whole.Fleet.hear = timed(tick), timed(hear)  # type: ignore[method-assign]
+    whole.Fleet.tick, whole.Fleet.receive = timed(tick), timed(hear)  # type: ignore[method-assign]
     try:
         yield spent
     finally:
-        whole.Fleet.tick, whole.Fleet.hear = tick, hear  # type: ignore[method-assign]
+        whole.Fleet.tick, whole.Fleet.receive = tick, hear  # type: ignore[method-assign]
--- a/burlloom/command/fleet.py
+++ b/burlloom/command/fleet.py
@@ -112,8 +112,8 @@
     names = [f"server-{at}" for at in range(servers)]
     before = assign_subsets(names, part.services, part.subset)
     click.echo(
-        f"{servers} servers, {len(part.services)} services: each server calls {before.size:.1f} on average; the most loaded"
-        f" service has {before.worst:.3f} times the mean; {part.calls / servers:.2f} calls in hand a server"
+        f"{servers} servers, {len(part.services)} services: each server calls {before.mean_size:.1f} on average; the most loaded"
+        f" service has {before.max_load_ratio:.3f} times the mean; {part.calls / servers:.2f} calls in hand a server"
     )
     if join or leave:
         after = assign_subsets(
@@ -122,7 +122,7 @@
         moved, pairs = len(after.pairs() ^ before.pairs()), len(before.pairs())
         click.echo(
             f"{join} come and {leave} go: {moved} of {pairs} pairs move ({moved / pairs:.1%}); the most loaded service has"
-            f" then {after.worst:.3f} times the mean"
+            f" then {after.max_load_ratio:.3f} times the mean"
         )
 
 
@@ -174,7 +174,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for at in range(0, len(words), 6):
             data = encode(
-                Message(MessageKind.BYE, sender, 0, (), "", tuple(words[at : at + 6])),
+                Message(MessageKind.LEAVE, sender, 0, (), "", tuple(words[at : at + 6])),
                 part.keys()[0],
             )
             sock.sendto(data, (host, int(port)))
--- a/burlloom/fleet/allocator.py
+++ b/burlloom/fleet/allocator.py
@@ -46,29 +46,42 @@
 class AllocatorPhase(IntEnum):
     IDLE = 0  # another one deals
     LEARNING = 1  # renews what is held, until all that may be held is known
-    DEALING = 2
-    BOUND = 3  # too few report: another may be dealing to the rest
+    ALLOCATING = 2
+    RESTRICTED = 3  # too few report: another may be dealing to the rest
+
+    @property
+    def label(self) -> str:
+        """The word for this phase in the state file and in `burlloom fleet show`."""
+        return _PHASE_LABELS[self]
+
+
+_PHASE_LABELS = {
+    AllocatorPhase.IDLE: "idle",
+    AllocatorPhase.LEARNING: "learning",
+    AllocatorPhase.ALLOCATING: "dealing",
+    AllocatorPhase.RESTRICTED: "bound",
+}
 
 
-class Input(IntEnum):
+class AllocatorInput(IntEnum):
     ROUND = 0
-    GAP = 1  # our own process stood still
+    PAUSED = 1  # our own process stood still
 
 
 TABLE = """
-IDLE     ROUND first        LEARNING begin
-IDLE     GAP   -            IDLE     -
-LEARNING ROUND not_first    IDLE     -
-LEARNING ROUND few          BOUND    bind
-LEARNING ROUND learned      DEALING  deal
-LEARNING GAP   -            IDLE     -
-DEALING  ROUND not_first    IDLE     -
-DEALING  ROUND few          BOUND    bind
-DEALING  ROUND -            DEALING  deal
-DEALING  GAP   -            IDLE     -
-BOUND    ROUND not_first    IDLE     -
-BOUND    ROUND many         LEARNING begin
-BOUND    GAP   -            IDLE     -
+IDLE       ROUND  is_oldest_member LEARNING   begin_learning
+IDLE       PAUSED -                IDLE       -
+LEARNING   ROUND  is_not_oldest    IDLE       -
+LEARNING   ROUND  has_lost_quorum  RESTRICTED restrict
+LEARNING   ROUND  has_learned      ALLOCATING allocate
+LEARNING   PAUSED -                IDLE       -
+ALLOCATING ROUND  is_not_oldest    IDLE       -
+ALLOCATING ROUND  has_lost_quorum  RESTRICTED restrict
+ALLOCATING ROUND  -                ALLOCATING allocate
+ALLOCATING PAUSED -                IDLE       -
+RESTRICTED ROUND  is_not_oldest    IDLE       -
+RESTRICTED ROUND  has_quorum       LEARNING   begin_learning
+RESTRICTED PAUSED -                IDLE       -
 """
 
 
@@ -82,47 +95,47 @@
     one that wants nothing, for its first call.
     """
 
-    total: int
-    least: int = 1
-    round: int = 200 * MS
-    lease: int = 2000 * MS
-    turn: int = 2000 * MS
-    cut: int = 8000 * MS
-    redeal: int = 14_000 * MS
-    floor: float = 0.04
-    idle: float = 0.125
-
-    def faults(self) -> list[str]:
+    total_millicalls: int
+    min_members: int = 1
+    report_interval_ns: int = 200 * MS
+    lease_ns: int = 2000 * MS
+    allocation_interval_ns: int = 2000 * MS
+    isolation_timeout_ns: int = 8000 * MS
+    reclaim_timeout_ns: int = 14_000 * MS
+    floor_share: float = 0.04
+    idle_share: float = 0.125
+
+    def find_faults(self) -> list[str]:
         found = []
-        if self.lease < 8 * self.round:
+        if self.lease_ns < 8 * self.report_interval_ns:
             found.append(
-                f"lease {self.lease // MS} ms is under eight rounds of {self.round // MS} ms: two lost letters"
+                f"lease {self.lease_ns // MS} ms is under eight rounds of {self.report_interval_ns // MS} ms: two lost letters"
                 " would end it"
             )
-        if self.redeal < self.cut + 2 * self.lease:
+        if self.reclaim_timeout_ns < self.isolation_timeout_ns + 2 * self.lease_ns:
             found.append(
-                f"redeal {self.redeal // MS} ms is under cut and two leases, {(self.cut + 2 * self.lease) // MS} ms:"
+                f"redeal {self.reclaim_timeout_ns // MS} ms is under cut and two leases, {(self.isolation_timeout_ns + 2 * self.lease_ns) // MS} ms:"
                 " one that is cut off would still use what is dealt anew"
             )
         return found
 
     @property
-    def fresh(self) -> int:
+    def report_ttl_ns(self) -> int:
         """How long a report counts as one that still comes."""
-        return 8 * self.round
+        return 8 * self.report_interval_ns
 
     @property
-    def learns(self) -> int:
+    def learning_ns(self) -> int:
         """As long as a dealer of whom we know nothing could still raise, and what it granted
         holds.
         """
-        return self.fresh + 2 * self.lease
+        return self.report_ttl_ns + 2 * self.lease_ns
 
-    def equal(self, members: int) -> int:
-        return self.total // max(members, self.least)
+    def equal_share(self, members: int) -> int:
+        return self.total_millicalls // max(members, self.min_members)
 
-    def lowest(self, members: int) -> int:
-        return int(self.floor * self.equal(members))
+    def minimum_share(self, members: int) -> int:
+        return int(self.floor_share * self.equal_share(members))
 
 
 class ShareReport(NamedTuple):
@@ -132,169 +145,204 @@
 
     held: int
     share: int
-    want: int
+    demand: int
     weight: int
-    roster: int = 0
+    roster_hash: int = 0
 
 
 @dataclass(slots=True)
 class Account:
     """What the dealer knows of one life of a member. `bound`: the most that it may hold."""
 
-    life: int
-    number: int
-    at: int
-    told: ShareReport
+    incarnation: int
+    report_number: int
+    reported_at_ns: int
+    report: ShareReport
     bound: int
     target: int = 0
-    wanted: int = 0  # when we last dealt
-    carry: float = 0.0
+    allocated_demand: int = 0  # when we last dealt
+    rounding_carry: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class FleetMember:
+class MemberPresence:
     """A member as the view has it: `there` or dead since then. Those who left are not among
     them.
     """
 
-    life: int
-    there: bool
-    since: int
+    incarnation: int
+    is_present: bool
+    since_ns: int
 
 
 class Allocator:
     """`round` once a round with the view; `report` for each that comes, which gives the grant."""
 
-    def __init__(self, terms: QuotaSettings, now: int) -> None:
-        self.terms = terms
+    def __init__(self, settings: QuotaSettings, now: int) -> None:
+        self.settings = settings
         self.phase = AllocatorPhase.IDLE
-        self.since = self.turned = self.many_at = now
-        self.hurried = False  # somebody wants far more than when we last dealt
+        self.phase_since_ns = self.allocated_at_ns = self.quorum_at_ns = now
+        self.is_urgent = False  # somebody wants far more than when we last dealt
         self.accounts: dict[
             str, Account
         ] = {}  # kept while another deals: old reports can't be played again
-        self.fleet: Mapping[str, FleetMember] = {}
-        self.is_first, self.roster = False, 0
-        self.kept: AllocationTotals | None = None  # over all accounts, as they were last
+        self.members: Mapping[str, MemberPresence] = {}
+        self.is_oldest, self.roster_hash = False, 0
+        self.totals: AllocationTotals | None = None  # over all accounts, as they were last
 
     # What the member calls.
 
-    def round(
+    def run_round(
         self,
         now: int,
-        fleet: Mapping[str, FleetMember],
-        first: bool,
-        gap: bool = False,
-        roster: int = 0,
+        members: Mapping[str, MemberPresence],
+        is_oldest: bool,
+        was_paused: bool = False,
+        roster_hash: int = 0,
     ) -> None:
         """`fleet`: all that may hold something, by name, another mapping where that changed;
         `roster`: as in a report. `gap`: nothing was done here for long.
         """
-        self.fleet, self.is_first, self.roster = fleet, first, roster
-        if self.many(now):
-            self.many_at = now
+        self.members, self.is_oldest, self.roster_hash = members, is_oldest, roster_hash
+        if self.has_quorum(now):
+            self.quorum_at_ns = now
         for name, account in list(self.accounts.items()):
-            if name not in fleet or fleet[name].life > account.life or self.lost(now, fleet[name]):
+            if (
+                name not in members
+                or members[name].incarnation > account.incarnation
+                or self.is_reclaimable(now, members[name])
+            ):
                 del self.accounts[name]
-                self.kept = None
-        self.meet(now, Input.GAP if gap else Input.ROUND)
+                self.totals = None
+        self.apply_input(now, AllocatorInput.PAUSED if was_paused else AllocatorInput.ROUND)
 
-    def report(self, now: int, name: str, life: int, number: int, told: ShareReport) -> int | None:
+    def process_report(
+        self, now: int, name: str, life: int, number: int, told: ShareReport
+    ) -> int | None:
         """The grant, thousandths; None: we don't deal, or it is of no use any more."""
-        present, account = self.fleet.get(name), self.accounts.get(name)
-        if self.phase is AllocatorPhase.IDLE or present is None or life < present.life:
+        present, account = self.members.get(name), self.accounts.get(name)
+        if self.phase is AllocatorPhase.IDLE or present is None or life < present.incarnation:
             return None
         if account is not None and (
-            account.life > life or account.life == life and number <= account.number
+            account.incarnation > life
+            or account.incarnation == life
+            and number <= account.report_number
         ):
             return None  # played again, or overtaken
-        sums = self.sums(now)
+        sums = self.current_totals(now)
         if account is not None:
-            sums.drop(name, account)
-        if account is None or account.life < life:
+            sums.remove(name, account)
+        if account is None or account.incarnation < life:
             account = self.accounts[name] = Account(life, number, now, told, told.held)
-            self.hurried = True
+            self.is_urgent = True
         else:
-            account.number, account.at, account.told, account.bound = number, now, told, told.held
-        sums.take(name, account)
-        self.hurried |= told.want > 2 * account.wanted + MILLICALLS_PER_CALL
-        grant = self.grant(now, account)
-        sums.drop(name, account)
+            account.report_number, account.reported_at_ns, account.report, account.bound = (
+                number,
+                now,
+                told,
+                told.held,
+            )
+        sums.add(name, account)
+        self.is_urgent |= told.demand > 2 * account.allocated_demand + MILLICALLS_PER_CALL
+        grant = self.compute_grant(now, account)
+        sums.remove(name, account)
         account.bound = max(told.held, grant)
-        sums.take(name, account)
+        sums.add(name, account)
         return grant
 
-    def disown(self, name: str, life: int, number: int) -> None:
+    def release_member(self, name: str, life: int, number: int) -> None:
         """It may be raised by another from now on, and does not count as one that reports to us
         until it does anew; a report up to that number that is still on its way does not change
         that.
         """
         account = self.accounts.get(name)
-        sums = self.kept if self.kept is not None and self.kept.accounts is self.accounts else None
+        sums = (
+            self.totals
+            if self.totals is not None and self.totals.accounts is self.accounts
+            else None
+        )
         if sums is not None and account is not None:
-            sums.drop(name, account)
-        if account is None or account.life < life:
+            sums.remove(name, account)
+        if account is None or account.incarnation < life:
             account = self.accounts[name] = Account(life, number, 0, ShareReport(0, 0, 0, 1), 0)
-        if account.life == life:
-            account.number = max(account.number, number)
-            account.at = min(account.at, self.since - 2 * self.terms.fresh)
+        if account.incarnation == life:
+            account.report_number = max(account.report_number, number)
+            account.reported_at_ns = min(
+                account.reported_at_ns, self.phase_since_ns - 2 * self.settings.report_ttl_ns
+            )
         if sums is not None:
-            sums.take(name, account)
+            sums.add(name, account)
 
     # Within.
 
-    def grant(self, now: int, account: Account) -> int:
-        share, held = account.told.share, account.told.held
-        if self.phase is AllocatorPhase.BOUND:
-            return min(share, self.terms.equal(len(self.fleet)))
+    def compute_grant(self, now: int, account: Account) -> int:
+        share, held = account.report.share, account.report.held
+        if self.phase is AllocatorPhase.RESTRICTED:
+            return min(share, self.settings.equal_share(len(self.members)))
         if self.phase is AllocatorPhase.LEARNING:
             return share
-        if account.target <= share or not self.many(now):
+        if account.target <= share or not self.has_quorum(now):
             return min(share, account.target)
-        return max(share, round_down_to_calls(min(account.target, held + max(0, self.free(now)))))
+        return max(
+            share, round_down_to_calls(min(account.target, held + max(0, self.free_share(now))))
+        )
 
-    def free(self, now: int) -> int:
+    def free_share(self, now: int) -> int:
         """What is not bound by anyone."""
-        return self.terms.total - self.sums(now).bound - self.unknown(now)
+        return (
+            self.settings.total_millicalls
+            - self.current_totals(now).bound
+            - self.unknown_share(now)
+        )
 
-    def unknown(self, now: int) -> int:
+    def unknown_share(self, now: int) -> int:
         """What those may hold of whom nothing is known yet: an equal share each."""
-        return self.sums(now).unknown(now) * self.terms.equal(len(self.fleet))
+        return self.current_totals(now).count_unknown(now) * self.settings.equal_share(
+            len(self.members)
+        )
 
-    def sums(self, now: int) -> AllocationTotals:
-        redeal = self.terms.redeal if self.phase is AllocatorPhase.DEALING else None  # as `lost`
-        if self.kept is None or not self.kept.fits(
-            self.accounts, self.fleet, now, self.since, redeal
+    def current_totals(self, now: int) -> AllocationTotals:
+        redeal = (
+            self.settings.reclaim_timeout_ns if self.phase is AllocatorPhase.ALLOCATING else None
+        )  # as `lost`
+        if self.totals is None or not self.totals.is_valid_for(
+            self.accounts, self.members, now, self.phase_since_ns, redeal
         ):
-            equal = self.terms.equal(len(self.fleet))
-            self.kept = AllocationTotals(
-                self.accounts, self.fleet, now, self.since, equal, self.terms.fresh, redeal
+            equal = self.settings.equal_share(len(self.members))
+            self.totals = AllocationTotals(
+                self.accounts,
+                self.members,
+                now,
+                self.phase_since_ns,
+                equal,
+                self.settings.report_ttl_ns,
+                redeal,
             )
-        return self.kept
+        return self.totals
 
-    def lost(self, now: int, present: FleetMember) -> bool:
+    def is_reclaimable(self, now: int, present: MemberPresence) -> bool:
         """Dead for so long that it is at its floor by itself. Told only where most of the fleet
         reports.
         """
         return (
-            not present.there
-            and now - present.since >= self.terms.redeal
-            and self.phase is AllocatorPhase.DEALING
+            not present.is_present
+            and now - present.since_ns >= self.settings.reclaim_timeout_ns
+            and self.phase is AllocatorPhase.ALLOCATING
         )
 
-    def sure(self, now: int) -> bool:
+    def is_confirmed(self, now: int) -> bool:
         """Whether a grant is in the name of half of the fleet: then no other part of it can deal it
         anew.
         """
-        return 2 * self.reporting(now) >= self.size()
+        return 2 * self.count_reporting(now) >= self.quorum_size()
 
-    def size(self) -> int:
-        return max(len(self.fleet), self.terms.least)
+    def quorum_size(self) -> int:
+        return max(len(self.members), self.settings.min_members)
 
-    def reporting(self, now: int) -> int:
-        return self.sums(now).reporting(now)
+    def count_reporting(self, now: int) -> int:
+        return self.current_totals(now).count_reporting(now)
 
-    def meet(self, now: int, what: Input) -> None:
+    def apply_input(self, now: int, what: AllocatorInput) -> None:
         for test, phase, effect in RULES.get((self.phase, what), ()):
             if test(self, now):
                 self.phase = phase
@@ -303,77 +351,87 @@
 
     # Tests.
 
-    def first(self, now: int) -> bool:
-        return self.is_first
+    def is_oldest_member(self, now: int) -> bool:
+        return self.is_oldest
 
-    def not_first(self, now: int) -> bool:
-        return not self.is_first
+    def is_not_oldest(self, now: int) -> bool:
+        return not self.is_oldest
 
-    def many(self, now: int) -> bool:
-        return 2 * self.reporting(now) > self.size()
+    def has_quorum(self, now: int) -> bool:
+        return 2 * self.count_reporting(now) > self.quorum_size()
 
-    def few(self, now: int) -> bool:
+    def has_lost_quorum(self, now: int) -> bool:
         """For so long that it is no moment in which many came at once and have not reported yet, or
         have not yet come to a new dealer. Raises stop at once all the same.
         """
-        return now - max(self.many_at, self.since) > self.terms.fresh
+        return now - max(self.quorum_at_ns, self.phase_since_ns) > self.settings.report_ttl_ns
 
-    def learned(self, now: int) -> bool:
-        if not self.many(now):
+    def has_learned(self, now: int) -> bool:
+        if not self.has_quorum(now):
             return False
         # Who all count the same fleet as we do leave nobody out who holds something that one of
         # them granted.
         known = [
             name
             for name, account in self.accounts.items()
-            if account.at >= self.since
-            and name in self.fleet
-            and account.told.roster == self.roster
+            if account.reported_at_ns >= self.phase_since_ns
+            and name in self.members
+            and account.report.roster_hash == self.roster_hash
         ]
         # Where all are new, those who lived on, if any, may not have found us yet: they knock twice
         # meanwhile.
-        old = any(self.accounts[name].told.share for name in known)
-        least = 3 * self.terms.round if old else max(3 * self.terms.round, NEWBORN)
+        old = any(self.accounts[name].report.share for name in known)
+        least = (
+            3 * self.settings.report_interval_ns
+            if old
+            else max(3 * self.settings.report_interval_ns, NEWBORN)
+        )
         return (
-            len(known) >= self.size()
-            and now - self.since >= least
-            or now - self.since >= self.terms.learns
+            len(known) >= self.quorum_size()
+            and now - self.phase_since_ns >= least
+            or now - self.phase_since_ns >= self.settings.learning_ns
         )
 
     # Effects.
 
-    def begin(self, now: int) -> None:
-        self.since = now
-        self.turned = now - self.terms.turn
+    def begin_learning(self, now: int) -> None:
+        self.phase_since_ns = now
+        self.allocated_at_ns = now - self.settings.allocation_interval_ns
 
-    def bind(self, now: int) -> None:
-        self.since = now
+    def restrict(self, now: int) -> None:
+        self.phase_since_ns = now
 
-    def deal(self, now: int) -> None:
+    def allocate(self, now: int) -> None:
         """New targets once a turn, for those who report; what the others are bound by is not there
         to be dealt.
         """
-        if now - self.turned < (self.terms.turn // 8 if self.hurried else self.terms.turn):
+        if now - self.allocated_at_ns < (
+            self.settings.allocation_interval_ns // 8
+            if self.is_urgent
+            else self.settings.allocation_interval_ns
+        ):
             return
-        self.turned, self.hurried = now, False
+        self.allocated_at_ns, self.is_urgent = now, False
         names = sorted(
-            name for name, account in self.accounts.items() if now - account.at <= self.terms.lease
+            name
+            for name, account in self.accounts.items()
+            if now - account.reported_at_ns <= self.settings.lease_ns
         )
         kept = sum(
             account.bound
             for name, account in self.accounts.items()
-            if now - account.at > self.terms.lease
+            if now - account.reported_at_ns > self.settings.lease_ns
         )
-        total = max(0, self.terms.total - kept - self.unknown(now))
+        total = max(0, self.settings.total_millicalls - kept - self.unknown_share(now))
         accounts = [self.accounts[name] for name in names]
-        idle = int(self.terms.idle * self.terms.equal(len(self.fleet)))
+        idle = int(self.settings.idle_share * self.settings.equal_share(len(self.members)))
         ideal = max_min_fair(
             total,
-            [max(idle, account.told.want) for account in accounts],
-            [account.told.weight for account in accounts],
+            [max(idle, account.report.demand) for account in accounts],
+            [account.report.weight for account in accounts],
         )
         for account, target in zip(accounts, round_to_calls(total, ideal, accounts), strict=True):
-            account.target, account.wanted = target, account.told.want
+            account.target, account.allocated_demand = target, account.report.demand
 
 
 def round_down_to_calls(share: int) -> int:
@@ -417,9 +475,9 @@
     large = [at for at, low in enumerate(lows) if low]
     for at, (share, account) in enumerate(zip(ideal, accounts, strict=True)):
         if not lows[at]:
-            account.carry, given[at] = 0.0, int(share)
+            account.rounding_carry, given[at] = 0.0, int(share)
             continue
-        owed[at] = share + account.carry
+        owed[at] = share + account.rounding_carry
         stays = (
             account.target in (lows[at], lows[at] + MILLICALLS_PER_CALL)
             and abs(owed[at] - account.target) < STICKS
@@ -437,7 +495,7 @@
             given[at] -= MILLICALLS_PER_CALL
             left += MILLICALLS_PER_CALL
     for at in large:
-        accounts[at].carry = max(-2.0 * STICKS, min(2.0 * STICKS, owed[at] - given[at]))
+        accounts[at].rounding_carry = max(-2.0 * STICKS, min(2.0 * STICKS, owed[at] - given[at]))
     return given
 
 
@@ -453,4 +511,4 @@
     return (lambda dealer, now: None) if name == "-" else getattr(Allocator, name)
 
 
-RULES = rows(TABLE, AllocatorPhase, Input, _test, _effect)
+RULES = rows(TABLE, AllocatorPhase, AllocatorInput, _test, _effect)
--- a/burlloom/fleet/lease_holder.py
+++ b/burlloom/fleet/lease_holder.py
@@ -17,59 +17,78 @@
 
 
 class LeaseState(IntEnum):
-    COLD = 0
+    UNGRANTED = 0
     HOLDING = 1
-    ADRIFT = 2
-    CUT = 3
+    EXPIRED = 2
+    ISOLATED = 3
 
+    @property
+    def label(self) -> str:
+        """The word for this state in the state file and in `burlloom fleet show`."""
+        return _STATE_LABELS[self]
 
-class Input(IntEnum):
-    GRANT = 0
+
+_STATE_LABELS = {
+    LeaseState.UNGRANTED: "cold",
+    LeaseState.HOLDING: "holding",
+    LeaseState.EXPIRED: "adrift",
+    LeaseState.ISOLATED: "cut",
+}
+
+
+class LeaseInput(IntEnum):
+    GRANTED = 0
     ROUND = 1
-    GAP = 2  # nothing was done here for longer than `cut`
+    PAUSED = 2  # nothing was done here for longer than `cut`
 
 
 TABLE = """
-COLD    GRANT -       HOLDING take
-COLD    ROUND unsure  CUT     sink
-COLD    GAP   -       COLD    -
-HOLDING GRANT -       HOLDING take
-HOLDING ROUND unsure  CUT     sink
-HOLDING ROUND lapsed  ADRIFT  fall
-HOLDING GAP   -       CUT     sink
-ADRIFT  GRANT -       HOLDING take
-ADRIFT  ROUND unsure  CUT     sink
-ADRIFT  ROUND -       ADRIFT  fall
-ADRIFT  GAP   -       CUT     sink
-CUT     GRANT sure    HOLDING take
+UNGRANTED GRANTED -                   HOLDING   accept_grant
+UNGRANTED ROUND   is_unconfirmed      ISOLATED  decay_to_minimum
+UNGRANTED PAUSED  -                   UNGRANTED -
+HOLDING   GRANTED -                   HOLDING   accept_grant
+HOLDING   ROUND   is_unconfirmed      ISOLATED  decay_to_minimum
+HOLDING   ROUND   has_expired         EXPIRED   decay_to_equal_share
+HOLDING   PAUSED  -                   ISOLATED  decay_to_minimum
+EXPIRED   GRANTED -                   HOLDING   accept_grant
+EXPIRED   ROUND   is_unconfirmed      ISOLATED  decay_to_minimum
+EXPIRED   ROUND   -                   EXPIRED   decay_to_equal_share
+EXPIRED   PAUSED  -                   ISOLATED  decay_to_minimum
+ISOLATED  GRANTED has_confirmed_grant HOLDING   accept_grant
 """
 
 
 class LeaseHolder:
     """`share` in thousandths of a call. `members`: how many the fleet has, as we know it."""
 
-    def __init__(self, terms: QuotaSettings, now: int) -> None:
-        self.terms, self.state = terms, LeaseState.COLD
+    def __init__(self, settings: QuotaSettings, now: int) -> None:
+        self.settings, self.state = settings, LeaseState.UNGRANTED
         self.share = self.granted = 0
-        self.until = now
-        self.sure_at = now  # when the last grant in the name of half of the fleet was asked for
-        self.is_sure = False
-        self.members = terms.least
-
-    def grant(self, now: int, share: int, asked_at: int, sure: bool) -> None:
+        self.expires_at_ns = now
+        self.confirmed_at_ns = (
+            now  # when the last grant in the name of half of the fleet was asked for
+        )
+        self.grant_is_confirmed = False
+        self.member_count = settings.min_members
+
+    def process_grant(self, now: int, share: int, asked_at: int, is_confirmed: bool) -> None:
         """`asked_at`: when the report left that it answers; its lease counts from there."""
-        if asked_at + self.terms.lease > now:
-            self.granted, self.until, self.is_sure = share, asked_at + self.terms.lease, sure
-            if sure:
-                self.sure_at = asked_at
-            self.meet(now, Input.GRANT)
-
-    def round(self, now: int, members: int, gap: bool = False) -> None:
+        if asked_at + self.settings.lease_ns > now:
+            self.granted, self.expires_at_ns, self.grant_is_confirmed = (
+                share,
+                asked_at + self.settings.lease_ns,
+                is_confirmed,
+            )
+            if is_confirmed:
+                self.confirmed_at_ns = asked_at
+            self.apply_input(now, LeaseInput.GRANTED)
+
+    def run_round(self, now: int, member_count: int, was_paused: bool = False) -> None:
         """`members`: of the fleet, as we know it."""
-        self.members = members
-        self.meet(now, Input.GAP if gap else Input.ROUND)
+        self.member_count = member_count
+        self.apply_input(now, LeaseInput.PAUSED if was_paused else LeaseInput.ROUND)
 
-    def meet(self, now: int, what: Input) -> None:
+    def apply_input(self, now: int, what: LeaseInput) -> None:
         for test, state, effect in RULES.get((self.state, what), ()):
             if test(self, now):
                 self.state = state
@@ -78,25 +97,25 @@
 
     # Tests.
 
-    def lapsed(self, now: int) -> bool:
-        return now >= self.until
+    def has_expired(self, now: int) -> bool:
+        return now >= self.expires_at_ns
 
-    def unsure(self, now: int) -> bool:
-        return now - self.sure_at >= self.terms.cut
+    def is_unconfirmed(self, now: int) -> bool:
+        return now - self.confirmed_at_ns >= self.settings.isolation_timeout_ns
 
-    def sure(self, now: int) -> bool:
-        return self.is_sure
+    def has_confirmed_grant(self, now: int) -> bool:
+        return self.grant_is_confirmed
 
     # Effects.
 
-    def take(self, now: int) -> None:
+    def accept_grant(self, now: int) -> None:
         self.share = self.granted
 
-    def fall(self, now: int) -> None:
-        self.share = min(self.share, self.terms.equal(self.members))
+    def decay_to_equal_share(self, now: int) -> None:
+        self.share = min(self.share, self.settings.equal_share(self.member_count))
 
-    def sink(self, now: int) -> None:
-        lowest = self.terms.lowest(self.members)
+    def decay_to_minimum(self, now: int) -> None:
+        lowest = self.settings.minimum_share(self.member_count)
         # A cold one has nothing that could be dealt anew, but must not stay without a call for
         # good.
         self.share = lowest if not self.granted else min(self.share, lowest)
@@ -114,4 +133,4 @@
     return (lambda holder, now: None) if name == "-" else getattr(LeaseHolder, name)
 
 
-RULES = rows(TABLE, LeaseState, Input, _test, _effect)
+RULES = rows(TABLE, LeaseState, LeaseInput, _test, _effect)
--- a/burlloom/fleet/membership.py
+++ b/burlloom/fleet/membership.py
@@ -34,47 +34,47 @@
     GONE = 4  # of our view alone, never said
 
 
-class Input(IntEnum):
-    SAID_ALIVE = 0
-    SAID_SUSPECT = 1
-    SAID_DEAD = 2
-    SAID_LEFT = 3
-    SILENT = 4  # no answer to us, nor through others
-    EXPIRED = 5  # the time for refuting is over
-    OLD = 6  # over for so long that nobody needs to know
+class MembershipInput(IntEnum):
+    ALIVE_RECEIVED = 0
+    SUSPECT_RECEIVED = 1
+    DEAD_RECEIVED = 2
+    LEFT_RECEIVED = 3
+    PROBE_FAILED = 4  # no answer to us, nor through others
+    SUSPICION_EXPIRED = 5  # the time for refuting is over
+    FORGET_DUE = 6  # over for so long that nobody needs to know
 
 
 TABLE = """
-GONE    SAID_ALIVE   -      ALIVE    enter
-GONE    SAID_SUSPECT -      SUSPECT  enter
-GONE    SAID_DEAD    -      DEAD     enter
-GONE    SAID_LEFT    -      LEFT     enter
-ALIVE   SAID_ALIVE   newer  ALIVE    renew
-ALIVE   SAID_SUSPECT newer  SUSPECT  renew
-ALIVE   SAID_SUSPECT same   SUSPECT  doubt
-ALIVE   SAID_DEAD    newer  DEAD     renew
-ALIVE   SAID_DEAD    same   DEAD     bury
-ALIVE   SAID_LEFT    newer  LEFT     renew
-ALIVE   SAID_LEFT    same   LEFT     part
-ALIVE   SILENT       -      SUSPECT  doubt
-SUSPECT SAID_ALIVE   newer  ALIVE    renew
-SUSPECT SAID_SUSPECT newer  SUSPECT  renew
-SUSPECT SAID_DEAD    newer  DEAD     renew
-SUSPECT SAID_DEAD    same   DEAD     bury
-SUSPECT SAID_LEFT    newer  LEFT     renew
-SUSPECT SAID_LEFT    same   LEFT     part
-SUSPECT EXPIRED      -      DEAD     bury
-DEAD    SAID_ALIVE   newer  ALIVE    renew
-DEAD    SAID_SUSPECT newer  SUSPECT  renew
-DEAD    SAID_DEAD    newer  DEAD     renew
-DEAD    SAID_LEFT    newer  LEFT     renew
-DEAD    SAID_LEFT    same   LEFT     part
-DEAD    OLD          -      GONE     forget
-LEFT    SAID_ALIVE   newer  ALIVE    renew
-LEFT    SAID_SUSPECT newer  SUSPECT  renew
-LEFT    SAID_DEAD    newer  DEAD     renew
-LEFT    SAID_LEFT    newer  LEFT     renew
-LEFT    OLD          -      GONE     forget
+GONE    ALIVE_RECEIVED    -                  ALIVE   record
+GONE    SUSPECT_RECEIVED  -                  SUSPECT record
+GONE    DEAD_RECEIVED     -                  DEAD    record
+GONE    LEFT_RECEIVED     -                  LEFT    record
+ALIVE   ALIVE_RECEIVED    is_newer           ALIVE   record
+ALIVE   SUSPECT_RECEIVED  is_newer           SUSPECT record
+ALIVE   SUSPECT_RECEIVED  is_same_refutation SUSPECT suspect
+ALIVE   DEAD_RECEIVED     is_newer           DEAD    record
+ALIVE   DEAD_RECEIVED     is_same_refutation DEAD    declare_dead
+ALIVE   LEFT_RECEIVED     is_newer           LEFT    record
+ALIVE   LEFT_RECEIVED     is_same_refutation LEFT    mark_left
+ALIVE   PROBE_FAILED      -                  SUSPECT suspect
+SUSPECT ALIVE_RECEIVED    is_newer           ALIVE   record
+SUSPECT SUSPECT_RECEIVED  is_newer           SUSPECT record
+SUSPECT DEAD_RECEIVED     is_newer           DEAD    record
+SUSPECT DEAD_RECEIVED     is_same_refutation DEAD    declare_dead
+SUSPECT LEFT_RECEIVED     is_newer           LEFT    record
+SUSPECT LEFT_RECEIVED     is_same_refutation LEFT    mark_left
+SUSPECT SUSPICION_EXPIRED -                  DEAD    declare_dead
+DEAD    ALIVE_RECEIVED    is_newer           ALIVE   record
+DEAD    SUSPECT_RECEIVED  is_newer           SUSPECT record
+DEAD    DEAD_RECEIVED     is_newer           DEAD    record
+DEAD    LEFT_RECEIVED     is_newer           LEFT    record
+DEAD    LEFT_RECEIVED     is_same_refutation LEFT    mark_left
+DEAD    FORGET_DUE        -                  GONE    remove
+LEFT    ALIVE_RECEIVED    is_newer           ALIVE   record
+LEFT    SUSPECT_RECEIVED  is_newer           SUSPECT record
+LEFT    DEAD_RECEIVED     is_newer           DEAD    record
+LEFT    LEFT_RECEIVED     is_newer           LEFT    record
+LEFT    FORGET_DUE        -                  GONE    remove
 """
 
 
@@ -85,28 +85,28 @@
 
     name: str
     address: str
-    life: int
     incarnation: int
+    refutation: int
     state: MemberState
 
     @property
-    def rank(self) -> tuple[int, int, int]:
-        return self.life, self.incarnation, int(self.state)
+    def precedence(self) -> tuple[int, int, int]:
+        return self.incarnation, self.refutation, int(self.state)
 
 
 @dataclass(slots=True)
 class Member:
-    word: MemberUpdate
-    since: int  # in this state, ns on our clock
+    update: MemberUpdate
+    since_ns: int  # in this state, ns on our clock
 
     @property
     def state(self) -> MemberState:
-        return self.word.state
+        return self.update.state
 
     @property
-    def there(self) -> bool:
+    def is_present(self) -> bool:
         """It may be calling below: nobody has said that it is over."""
-        return self.word.state <= MemberState.SUSPECT
+        return self.update.state <= MemberState.SUSPECT
 
 
 class Transition(NamedTuple):
@@ -127,35 +127,38 @@
         self.by_name: dict[str, Member] = {}
         # Kept up by `put`, as a walk of the view at each turn would cost a member the more the
         # larger the fleet.
-        self.unsettled: dict[str, Member] = {}  # all but the ALIVE
+        self.not_alive: dict[str, Member] = {}  # all but the ALIVE
         self.addresses: dict[str, int] = {}  # of those that are there, by how many
-        self.sorted: tuple[int, list[str]] = (-1, [])  # names, and the version that they are of
-        self.lives = 0  # a hash over the lives of all but those who left
-        self.changed: set[str] = set()  # names, until whoever keeps us takes them
+        self.sorted_names: tuple[int, list[str]] = (
+            -1,
+            [],
+        )  # names, and the version that they are of
+        self.incarnations_digest = 0  # a hash over the lives of all but those who left
+        self.changed_names: set[str] = set()  # names, until whoever keeps us takes them
         self.digest = 0  # equal where two views are
         self.version = 0  # counts changes
-        self.put(own.name, Member(own, now))
-        self.moves: list[Transition] = []  # until whoever keeps us takes them
+        self.store(own.name, Member(own, now))
+        self.transitions: list[Transition] = []  # until whoever keeps us takes them
 
-    def put(self, name: str, member: Member | None) -> None:
+    def store(self, name: str, member: Member | None) -> None:
         self.version += 1
         before = self.by_name.pop(name, None)
-        self.changed.add(name)
-        self.lives ^= life_of(before) ^ life_of(member)
+        self.changed_names.add(name)
+        self.incarnations_digest ^= hash_incarnation(before) ^ hash_incarnation(member)
         if before is not None:
-            self.digest ^= hash_of(before.word)
-            self.unsettled.pop(name, None)
-            if before.there:
-                self.at(before.word.address, -1)
+            self.digest ^= hash_update(before.update)
+            self.not_alive.pop(name, None)
+            if before.is_present:
+                self.count_address(before.update.address, -1)
         if member is not None:
             self.by_name[name] = member
-            self.digest ^= hash_of(member.word)
+            self.digest ^= hash_update(member.update)
             if member.state is not MemberState.ALIVE:
-                self.unsettled[name] = member
-            if member.there:
-                self.at(member.word.address, 1)
+                self.not_alive[name] = member
+            if member.is_present:
+                self.count_address(member.update.address, 1)
 
-    def at(self, address: str, more: int) -> None:
+    def count_address(self, address: str, more: int) -> None:
         count = self.addresses.pop(address, 0) + more
         if count:
             self.addresses[address] = count
@@ -163,46 +166,48 @@
     def __iter__(self) -> Iterator[Member]:
         return iter(self.by_name.values())
 
-    def said(self, now: int, word: MemberUpdate) -> bool:
+    def process_update(self, now: int, word: MemberUpdate) -> bool:
         """Takes in what somebody said; whether it was news."""
         if word.name == self.own.name:
-            return self.said_of_us(now, word)
+            return self.process_update_of_self(now, word)
         known = self.by_name.get(word.name)
-        if known is not None and known.word.rank >= word.rank:
+        if known is not None and known.update.precedence >= word.precedence:
             return False  # most words are no news; no row of the table moves by these
-        return self.meet(now, word.name, Input(int(word.state)), word)
+        return self.apply_input(now, word.name, MembershipInput(int(word.state)), word)
 
-    def said_of_us(self, now: int, word: MemberUpdate) -> bool:
+    def process_update_of_self(self, now: int, word: MemberUpdate) -> bool:
         """An older life's words are no concern of ours; one of ours that we did not say is refuted;
         another's under our name, or a later life than ours after a step of the clock, is outbid.
         """
         own = self.own
-        if own.state is MemberState.LEFT or word.rank <= own.rank:
+        if own.state is MemberState.LEFT or word.precedence <= own.precedence:
             return False
-        if word.life > own.life:
-            self.speak(now, own._replace(life=word.life + 1, incarnation=0))
+        if word.incarnation > own.incarnation:
+            self.set_own(now, own._replace(incarnation=word.incarnation + 1, refutation=0))
         else:
-            self.speak(now, own._replace(incarnation=word.incarnation + 1))
+            self.set_own(now, own._replace(refutation=word.refutation + 1))
         return True
 
-    def speak(self, now: int, own: MemberUpdate) -> None:
+    def set_own(self, now: int, own: MemberUpdate) -> None:
         self.own = own
-        self.put(own.name, Member(own, now))
+        self.store(own.name, Member(own, now))
 
     def leave(self, now: int) -> None:
-        self.speak(now, self.own._replace(state=MemberState.LEFT))
+        self.set_own(now, self.own._replace(state=MemberState.LEFT))
 
-    def meet(self, now: int, name: str, what: Input, word: MemberUpdate | None = None) -> bool:
+    def apply_input(
+        self, now: int, name: str, what: MembershipInput, word: MemberUpdate | None = None
+    ) -> bool:
         """Moves by the first row whose test holds. `word` goes with what is said."""
         member = self.by_name.get(name)
         state = member.state if member is not None else MemberState.GONE
         for test, after, effect in RULES.get((state, what), ()):
             if test(member, word):
                 EFFECTS[effect](self, now, name, after, word)
-                self.moves.append(
+                self.transitions.append(
                     Transition(
-                        member.word if member is not None else None,
-                        self.by_name[name].word if name in self.by_name else None,
+                        member.update if member is not None else None,
+                        self.by_name[name].update if name in self.by_name else None,
                         effect,
                     )
                 )
@@ -211,97 +216,114 @@
 
     # Effects.
 
-    def enter(self, now: int, name: str, after: MemberState, word: MemberUpdate | None) -> None:
+    def record_update(
+        self, now: int, name: str, after: MemberState, word: MemberUpdate | None
+    ) -> None:
         assert word is not None
-        self.put(name, Member(word, now))
+        self.store(name, Member(word, now))
 
-    def doubt(self, now: int, name: str, after: MemberState, word: MemberUpdate | None) -> None:
-        self.put(name, Member(self.by_name[name].word._replace(state=after), now))
+    def change_state(
+        self, now: int, name: str, after: MemberState, word: MemberUpdate | None
+    ) -> None:
+        self.store(name, Member(self.by_name[name].update._replace(state=after), now))
 
-    def forget(self, now: int, name: str, after: MemberState, word: MemberUpdate | None) -> None:
-        self.put(name, None)
+    def remove(self, now: int, name: str, after: MemberState, word: MemberUpdate | None) -> None:
+        self.store(name, None)
 
     # What the view shows.
 
-    def roster(self) -> int:
+    def roster_hash(self) -> int:
         """Equal where two views count the same lives of the same members, whatever state they think
         them in.
         """
-        return self.lives >> 1
+        return self.incarnations_digest >> 1
 
     def names_after(self, name: str) -> Iterator[str]:
         """In their order."""
-        if self.sorted[0] != self.version:
-            self.sorted = self.version, sorted(self.by_name)
-        names = self.sorted[1]
+        if self.sorted_names[0] != self.version:
+            self.sorted_names = self.version, sorted(self.by_name)
+        names = self.sorted_names[1]
         for place in range(bisect_right(names, name), len(names)):
             yield names[place]
 
-    def there(self) -> list[Member]:
-        return [member for member in self if member.there]
+    def present_members(self) -> list[Member]:
+        return [member for member in self if member.is_present]
 
-    def counted(self) -> int:
+    def count_not_left(self) -> int:
         """How many may hold something below: all but those who left."""
         return sum(member.state is not MemberState.LEFT for member in self)
 
-    def first(self) -> MemberUpdate:
+    def oldest_present(self) -> MemberUpdate:
         """Who deals: the one that has lived longest of those who are there, so that newcomers
         change nothing.
         """
-        return min((member.word for member in self if member.there), key=lived, default=self.own)
+        return min(
+            (member.update for member in self if member.is_present), key=seniority, default=self.own
+        )
 
 
-def lived(word: MemberUpdate) -> tuple[int, str]:
+def seniority(word: MemberUpdate) -> tuple[int, str]:
     """In the order in which members deal."""
-    return word.life, word.name
+    return word.incarnation, word.name
 
 
-def hash_of(word: MemberUpdate) -> int:
-    text = f"{word.name}|{word.address}|{word.life}|{word.incarnation}|{int(word.state)}"
+def hash_update(word: MemberUpdate) -> int:
+    text = f"{word.name}|{word.address}|{word.incarnation}|{word.refutation}|{int(word.state)}"
     return int(xxhash.xxh3_64_intdigest(text.encode()))
 
 
-def life_of(member: Member | None) -> int:
+def hash_incarnation(member: Member | None) -> int:
     """Of a member that may hold something, whatever it is thought to be; 0 of none."""
     if member is None or member.state is MemberState.LEFT:
         return 0
-    return hash_of(member.word._replace(incarnation=0, state=MemberState.ALIVE))
+    return hash_update(member.update._replace(refutation=0, state=MemberState.ALIVE))
 
 
 Test = Callable[[Member | None, MemberUpdate | None], bool]
 
 
-def newer(member: Member | None, word: MemberUpdate | None) -> bool:
-    return member is not None and word is not None and word.rank[:2] > member.word.rank[:2]
+def is_newer(member: Member | None, word: MemberUpdate | None) -> bool:
+    return (
+        member is not None
+        and word is not None
+        and word.precedence[:2] > member.update.precedence[:2]
+    )
 
 
-def same(member: Member | None, word: MemberUpdate | None) -> bool:
-    return member is not None and word is not None and word.rank[:2] == member.word.rank[:2]
+def is_same_refutation(member: Member | None, word: MemberUpdate | None) -> bool:
+    return (
+        member is not None
+        and word is not None
+        and word.precedence[:2] == member.update.precedence[:2]
+    )
 
 
-TESTS: dict[str, Test] = {"newer": newer, "same": same, "-": lambda member, word: True}
+TESTS: dict[str, Test] = {
+    "-": lambda member, update: True,
+    "is_newer": is_newer,
+    "is_same_refutation": is_same_refutation,
+}
 Effect = Callable[[MembershipView, int, str, MemberState, MemberUpdate | None], None]
 EFFECTS: dict[str, Effect] = {
-    "enter": MembershipView.enter,
-    "renew": MembershipView.enter,
-    "doubt": MembershipView.doubt,
-    "bury": MembershipView.doubt,
-    "part": MembershipView.doubt,
-    "forget": MembershipView.forget,
+    "record": MembershipView.record_update,
+    "suspect": MembershipView.change_state,
+    "declare_dead": MembershipView.change_state,
+    "mark_left": MembershipView.change_state,
+    "remove": MembershipView.remove,
 }
-RULES = rows(TABLE, MemberState, Input, TESTS.__getitem__, str)
+RULES = rows(TABLE, MemberState, MembershipInput, TESTS.__getitem__, str)
 
 
-def due(
+def find_due_inputs(
     members: Iterable[Member], now: int, suspicion: int, forget: int
-) -> list[tuple[str, Input]]:
+) -> list[tuple[str, MembershipInput]]:
     """Whose time for refuting is over, and who is over for long. Whoever keeps the view hands these
     to `meet`.
     """
     found = []
     for member in members:
-        if member.state is MemberState.SUSPECT and now - member.since >= suspicion:
-            found.append((member.word.name, Input.EXPIRED))
-        elif member.state >= MemberState.DEAD and now - member.since >= forget:
-            found.append((member.word.name, Input.OLD))
+        if member.state is MemberState.SUSPECT and now - member.since_ns >= suspicion:
+            found.append((member.update.name, MembershipInput.SUSPICION_EXPIRED))
+        elif member.state >= MemberState.DEAD and now - member.since_ns >= forget:
+            found.append((member.update.name, MembershipInput.FORGET_DUE))
     return found
--- a/burlloom/fleet/messages.py
+++ b/burlloom/fleet/messages.py
@@ -27,31 +27,31 @@
 class MessageKind(IntEnum):
     PING = 0  # are you there; numbers: our view's digest
     ACK = 1  # we are, to the PING of that number; the same
-    ASK = 2  # ping the one that is named, and pass on its ACK
+    PING_REQUEST = 2  # ping the one that is named, and pass on its ACK
     SYNC = 3  # send a page of your view, from after that name
     PAGE = 4  # words of it, and the name to go on from; empty: that was all
     REPORT = 5  # to who deals: held, share, wanted, in thousandths of a call; weight; roster
     GRANT = (
         6  # to the REPORT of that number: the share, and 1 where half of the fleet reports to us
     )
-    BYE = 7  # our own word says that we left
+    LEAVE = 7  # our own word says that we left
     # to one that was started again: the life of its name that we knew, which did not say that it
     # left
-    FORMER = 8
+    PREVIOUS_INCARNATION = 8
     # to the REPORT of that number: we don't deal; the word of who does, as we see it, goes with it
-    ELSEWHERE = 9
+    REDIRECT = 9
     # we report to another now, and that was our last REPORT to you: don't count us; ELSEWHERE
     # answers
-    UNTIE = 10
+    RELEASE = 10
 
 
 class Message(NamedTuple):
     kind: MessageKind
     sender: MemberUpdate
-    number: int
-    numbers: tuple[int, ...] = ()
+    sequence: int
+    values: tuple[int, ...] = ()
     name: str = ""
-    words: tuple[MemberUpdate, ...] = ()
+    updates: tuple[MemberUpdate, ...] = ()
 
 
 class MessageDecodeError(Exception):
@@ -62,10 +62,10 @@
     return hashlib.blake2b(text, key=key, digest_size=TAG).digest()
 
 
-def encode(letter: Message, key: bytes) -> bytes:
-    sender, words = [*letter.sender], [[*word] for word in letter.words]
+def encode(message: Message, key: bytes) -> bytes:
+    sender, words = [*message.sender], [[*word] for word in message.updates]
     text: bytes = msgpack.packb(
-        [VERSION, int(letter.kind), sender, letter.number, letter.numbers, letter.name, words]
+        [VERSION, int(message.kind), sender, message.sequence, message.values, message.name, words]
     )
     return tag(key, text) + text
 
--- a/burlloom/fleet/subset.py
+++ b/burlloom/fleet/subset.py
@@ -31,7 +31,7 @@
     to 1.
     """
 
-    parts: Mapping[str, float]
+    weights: Mapping[str, float]
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,13 +40,15 @@
     the mean.
     """
 
-    choices: Mapping[str, ServerSubset]
-    worst: float
-    size: float  # of the subsets, on average
+    subsets: Mapping[str, ServerSubset]
+    max_load_ratio: float
+    mean_size: float  # of the subsets, on average
 
     def pairs(self) -> set[tuple[str, str]]:
         return {
-            (server, service) for server, choice in self.choices.items() for service in choice.parts
+            (server, service)
+            for server, choice in self.subsets.items()
+            for service in choice.weights
         }
 
 
@@ -87,7 +89,7 @@
         found = fitted(
             {server: order[server][: size_of(server, mean)] for server in servers}, services, mean
         )
-        if found.worst <= bound or mean >= len(services):
+        if found.max_load_ratio <= bound or mean >= len(services):
             return found
         mean = min(float(len(services)), mean * WIDER)
 
@@ -122,43 +124,45 @@
     left out for a while, longer each time.
     """
 
-    SKIP, SKIP_MOST = 500_000_000, 16_000_000_000  # ns
+    EJECTION_NS, MAX_EJECTION_NS = 500_000_000, 16_000_000_000  # ns
 
     def __init__(self) -> None:
-        self.parts: Mapping[str, float] = {}
-        self.credit: dict[str, float] = {}
-        self.out: dict[str, tuple[int, int]] = {}  # until when, and for how long that was
+        self.weights: Mapping[str, float] = {}
+        self.credits: dict[str, float] = {}
+        self.ejections: dict[str, tuple[int, int]] = {}  # until when, and for how long that was
 
-    def take(self, parts: Mapping[str, float], phase: float = 0.0) -> None:
+    def set_weights(self, parts: Mapping[str, float], phase: float = 0.0) -> None:
         """`phase`, from 0 to under 1: where a server starts, as all would begin with the same."""
-        if not self.parts:
-            self.credit = {
+        if not self.weights:
+            self.credits = {
                 service: (at * 0.618 + phase) % 1 - 0.5 for at, service in enumerate(parts)
             }
-        self.parts = parts
-        self.credit = {service: self.credit.get(service, 0.0) for service in parts}
-        self.out = {service: out for service, out in self.out.items() if service in parts}
+        self.weights = parts
+        self.credits = {service: self.credits.get(service, 0.0) for service in parts}
+        self.ejections = {
+            service: out for service, out in self.ejections.items() if service in parts
+        }
 
-    def unreached(self, service: str, now: int) -> None:
+    def record_failure(self, service: str, now: int) -> None:
         """Several calls that fail at once count once."""
-        until, span = self.out.get(service, (0, 0))
-        if service in self.parts and now >= until:
-            span = min(self.SKIP_MOST, max(self.SKIP, 2 * span))
-            self.out[service] = now + span, span
+        until, span = self.ejections.get(service, (0, 0))
+        if service in self.weights and now >= until:
+            span = min(self.MAX_EJECTION_NS, max(self.EJECTION_NS, 2 * span))
+            self.ejections[service] = now + span, span
 
-    def reached(self, service: str) -> None:
-        self.out.pop(service, None)
+    def record_success(self, service: str) -> None:
+        self.ejections.pop(service, None)
 
-    def next(self, now: int) -> str:
+    def next_service(self, now: int) -> str:
         """Those that are left out count again once all are. Raises `ValueError` where there are
         none.
         """
         open = [
-            service for service in self.parts if self.out.get(service, (0, 0))[0] <= now
-        ] or list(self.parts)
-        every = sum(self.parts[service] for service in open)
+            service for service in self.weights if self.ejections.get(service, (0, 0))[0] <= now
+        ] or list(self.weights)
+        every = sum(self.weights[service] for service in open)
         for service in open:
-            self.credit[service] += self.parts[service] / every
-        best = max(open, key=lambda service: (self.credit[service], service))
-        self.credit[best] -= 1
+            self.credits[service] += self.weights[service] / every
+        best = max(open, key=lambda service: (self.credits[service], service))
+        self.credits[best] -= 1
         return best
--- a/burlloom/fleet/totals.py
+++ b/burlloom/fleet/totals.py
@@ -16,16 +16,16 @@
     """`at`: of its newest report. `bound`: the most that it may hold."""
 
     @property
-    def at(self) -> int: ...
+    def reported_at_ns(self) -> int: ...
     @property
     def bound(self) -> int: ...
 
 
 class Present(Protocol):
     @property
-    def there(self) -> bool: ...
+    def is_present(self) -> bool: ...
     @property
-    def since(self) -> int: ...
+    def since_ns(self) -> int: ...
 
 
 class AllocationTotals:
@@ -39,74 +39,92 @@
         accounts: Mapping[str, Account],
         fleet: Mapping[str, Present],
         now: int,
-        since: int,
-        equal: int,
-        fresh: int,
-        redeal: int | None,
+        phase_since_ns: int,
+        equal_share: int,
+        report_ttl_ns: int,
+        reclaim_timeout_ns: int | None,
     ) -> None:
-        self.accounts, self.fleet, self.now = accounts, fleet, now
-        self.since, self.equal, self.fresh, self.redeal = since, equal, fresh, redeal
-        self.bound = sum(map(self.part, accounts.values()))
+        self.accounts, self.fleet, self.now_ns = accounts, fleet, now
+        self.phase_since_ns, self.equal_share, self.report_ttl_ns, self.reclaim_timeout_ns = (
+            phase_since_ns,
+            equal_share,
+            report_ttl_ns,
+            reclaim_timeout_ns,
+        )
+        self.bound = sum(map(self.share_of, accounts.values()))
         # By the time of their newest report.
-        recent = (name for name, account in accounts.items() if now - account.at <= fresh)
-        self.recent = OrderedDict.fromkeys(sorted(recent, key=lambda name: accounts[name].at))
-        self.unheard = {name for name in fleet if name not in accounts}
+        recent = (
+            name
+            for name, account in accounts.items()
+            if now - account.reported_at_ns <= report_ttl_ns
+        )
+        self.recent = OrderedDict.fromkeys(
+            sorted(recent, key=lambda name: accounts[name].reported_at_ns)
+        )
+        self.unreported = {name for name in fleet if name not in accounts}
         # Of these, who will count as gone, last the one that does first.
-        self.dying = (
+        self.reclaim_queue = (
             sorted(
                 (
-                    (fleet[name].since + redeal, name)
-                    for name in self.unheard
-                    if not fleet[name].there
+                    (fleet[name].since_ns + reclaim_timeout_ns, name)
+                    for name in self.unreported
+                    if not fleet[name].is_present
                 ),
                 reverse=True,
             )
-            if redeal is not None
+            if reclaim_timeout_ns is not None
             else []
         )
 
-    def fits(
+    def is_valid_for(
         self,
         accounts: Mapping[str, Account],
         fleet: Mapping[str, Present],
         now: int,
-        since: int,
-        redeal: int | None,
+        phase_since_ns: int,
+        reclaim_timeout_ns: int | None,
     ) -> bool:
         """Whether these are still sums over that; `equal` changes with the view alone."""
         return (
             self.accounts is accounts
             and self.fleet is fleet
-            and self.now <= now
-            and self.since == since
-            and self.redeal == redeal
+            and self.now_ns <= now
+            and self.phase_since_ns == phase_since_ns
+            and self.reclaim_timeout_ns == reclaim_timeout_ns
         )
 
-    def part(self, account: Account) -> int:
+    def share_of(self, account: Account) -> int:
         """Who has not reported since then may have been raised by another."""
-        return account.bound if account.at >= self.since else max(account.bound, self.equal)
+        return (
+            account.bound
+            if account.reported_at_ns >= self.phase_since_ns
+            else max(account.bound, self.equal_share)
+        )
 
-    def drop(self, name: str, account: Account) -> None:
-        self.bound -= self.part(account)
+    def remove(self, name: str, account: Account) -> None:
+        self.bound -= self.share_of(account)
         self.recent.pop(name, None)
 
-    def take(self, name: str, account: Account) -> None:
+    def add(self, name: str, account: Account) -> None:
         """One that was dropped, or is new; reports come in the order of time."""
-        self.bound += self.part(account)
-        self.unheard.discard(name)
-        if self.now - account.at <= self.fresh:
+        self.bound += self.share_of(account)
+        self.unreported.discard(name)
+        if self.now_ns - account.reported_at_ns <= self.report_ttl_ns:
             self.recent[name] = None
 
-    def reporting(self, now: int) -> int:
+    def count_reporting(self, now: int) -> int:
         """Accounts whose newest report is fresh."""
-        self.now = now
-        while self.recent and now - self.accounts[next(iter(self.recent))].at > self.fresh:
+        self.now_ns = now
+        while (
+            self.recent
+            and now - self.accounts[next(iter(self.recent))].reported_at_ns > self.report_ttl_ns
+        ):
             self.recent.popitem(last=False)
         return len(self.recent)
 
-    def unknown(self, now: int) -> int:
+    def count_unknown(self, now: int) -> int:
         """Members without an account that may still hold something."""
-        self.now = now
-        while self.dying and self.dying[-1][0] <= now:
-            self.unheard.discard(self.dying.pop()[1])
-        return len(self.unheard)
+        self.now_ns = now
+        while self.reclaim_queue and self.reclaim_queue[-1][0] <= now:
+            self.unreported.discard(self.reclaim_queue.pop()[1])
+        return len(self.unreported)
--- a/burlloom/lab/fleets.py
+++ b/burlloom/lab/fleets.py
@@ -187,7 +187,7 @@
             if len(body.stuck) < 200:
                 body.stuck.append(data)
         elif body.fleet is not None:
-            body.fleet.hear(self.now(), data)
+            body.fleet.receive(self.now(), data)
             self.flush(body)
 
     def tick(self, body: Body, fleet: Fleet) -> None:
@@ -195,7 +195,7 @@
             return
         if body.paused_at < 0:
             # One that may not call enough has the rest waiting.
-            fleet.uses(
+            fleet.set_usage(
                 int(body.demand * MILLICALLS_PER_CALL), int(body.using * MILLICALLS_PER_CALL)
             )
             fleet.tick(self.now())
@@ -203,8 +203,8 @@
         self.loop.call_later(TICK, self.tick, body, fleet)
 
     def flush(self, body: Body) -> None:
-        while body.fleet is not None and body.fleet.out:
-            self.net.send(body.address, *body.fleet.out.popleft())
+        while body.fleet is not None and body.fleet.outbox:
+            self.net.send(body.address, *body.fleet.outbox.popleft())
 
     # What is seen from outside.
 
@@ -228,7 +228,7 @@
         """Whether all that are up, and are not paused, see exactly those as there."""
         names = {body.name for body in self.up()}
         return all(
-            {member.word.name for member in body.fleet.members.there()} == names
+            {member.update.name for member in body.fleet.view.present_members()} == names
             for body in self.up()
             if body.fleet is not None
         )
@@ -279,7 +279,7 @@
         self.share.tell()
 
     def may_call(self) -> bool:
-        return self.fleet.good(self.fleets.loop.wall())
+        return self.fleet.is_current(self.fleets.loop.wall())
 
     def pool(self, one: Pool) -> Pool | Pools:
         return one
@@ -293,7 +293,7 @@
 
     def hear(self, data: bytes) -> None:
         if self.node.server is self.server:  # else it was killed
-            self.fleet.hear(self.fleets.loop.wall(), data)
+            self.fleet.receive(self.fleets.loop.wall(), data)
             self.after()
 
     def equal(self) -> tuple[float, float] | None:
@@ -309,13 +309,13 @@
         return {}
 
     def after(self) -> None:
-        if self.fleet.former != self.former:
-            self.former = self.fleet.former
+        if self.fleet.previous_incarnation != self.former:
+            self.former = self.fleet.previous_incarnation
             self.recovery.peer(self.former)
         self.share.tell()
-        self.fleet.moves = []
-        while self.fleet.out:
-            self.fleets.net.send(self.address, *self.fleet.out.popleft())
+        self.fleet.transitions = []
+        while self.fleet.outbox:
+            self.fleets.net.send(self.address, *self.fleet.outbox.popleft())
 
     def close(self) -> None:
         self.fleet.leave(self.fleets.loop.wall())
--- a/burlloom/lab/hollow.py
+++ b/burlloom/lab/hollow.py
@@ -90,7 +90,7 @@
             now,
         )
         self.out, self.demand, self.share = (
-            self.fleet.out,
+            self.fleet.outbox,
             int(told.get("demand", 8.0) * MILLICALLS_PER_CALL),
             -1,
         )
@@ -98,18 +98,18 @@
 
     def tick(self, now: int) -> None:
         fleet = self.fleet
-        fleet.uses(self.demand, min(self.demand, fleet.share))
+        fleet.set_usage(self.demand, min(self.demand, fleet.share))
         fleet.tick(now)
         self.after(now)
 
     def hear(self, now: int, data: bytes, source: tuple[str, int]) -> None:
-        self.fleet.hear(now, data)
+        self.fleet.receive(now, data)
         self.after(now)
 
     def after(self, now: int) -> None:
         fleet = self.fleet
-        fleet.moves = []
-        share = fleet.share if fleet.good(now) else 0  # as the server asks before each call
+        fleet.transitions = []
+        share = fleet.share if fleet.is_current(now) else 0  # as the server asks before each call
         if share != self.share:
             self.share = share
             self.seen.append([now, "share", self.share])
@@ -133,12 +133,12 @@
         fleet = self.fleet
         return {
             "share": fleet.share,
-            f"holder {fleet.holder.state.name.lower()}": 1,
-            "there": len(fleet.members.there()),
-            "deals": int(fleet.dealer.phase > 0),
-            "dropped": fleet.counts.dropped,
-            "unreadable": fleet.counts.unreadable,
-            f"view {fleet.members.digest}": 1,
+            f"holder {fleet.lease_holder.state.label}": 1,
+            "there": len(fleet.view.present_members()),
+            "deals": int(fleet.allocator.phase > 0),
+            "dropped": fleet.counters.dropped,
+            "unreadable": fleet.counters.unreadable,
+            f"view {fleet.view.digest}": 1,
         }
 
     def events(self, now: int) -> Iterable[list[Any]]:
--- a/burlloom/operator/fleet.py
+++ b/burlloom/operator/fleet.py
@@ -81,7 +81,7 @@
                 wrong.append(f"{what}: {address!r} is no IPv4 address with a port")
         if len(set(self.services)) < len(self.services):
             wrong.append("services: an address stands twice")
-        wrong += self.terms().faults() + self.habits().faults()
+        wrong += self.terms().find_faults() + self.habits().find_faults()
         try:
             if any(len(key) < MIN_KEY_BYTES for key in self.keys()) or not self.keys():
                 wrong.append(
--- a/burlloom/server/fleeting.py
+++ b/burlloom/server/fleeting.py
@@ -117,7 +117,7 @@
 
         in_hand, waiting = self.desk.calls() if self.desk is not None else (0, 0)
         self.wanted = max(float(in_hand + waiting), FADES * self.wanted)
-        self.fleet.uses(
+        self.fleet.set_usage(
             int(min(self.wanted, self.cap()) * MILLICALLS_PER_CALL), in_hand * MILLICALLS_PER_CALL
         )
 
@@ -134,8 +134,8 @@
 def shares(fleet: Fleet) -> tuple[float, float]:
     from ..fleet import MILLICALLS_PER_CALL
 
-    return fleet.terms.equal(
-        max(1, fleet.members.counted())
+    return fleet.quota_settings.equal_share(
+        max(1, fleet.view.count_not_left())
     ) / MILLICALLS_PER_CALL, fleet.share / MILLICALLS_PER_CALL
 
 
@@ -166,7 +166,7 @@
         own = fleet.MemberUpdate(
             name, part.advertise or self.address, recovery.life, 0, fleet.MemberState.ALIVE
         )
-        self.chance = Random(seed ^ own.life)
+        self.chance = Random(seed ^ own.incarnation)
         self.fleet = fleet.Fleet(
             own,
             (*part.seeds, *recovery.members),
@@ -207,7 +207,7 @@
             self.fleet.own.name,
             self.address,
             self.fleet.own.address,
-            self.fleet.own.life,
+            self.fleet.own.incarnation,
             self.part.calls,
             self.part.least,
             len(self.part.services),
@@ -218,7 +218,7 @@
         self.share.tell()
 
     def may_call(self) -> bool:
-        if self.fleet.good(self.clock()):
+        if self.fleet.is_current(self.clock()):
             return True
         self.tick()  # we stood still: what we thought to hold may be another's by now
         return False
@@ -245,30 +245,30 @@
 
     def hear(self, data: bytes) -> None:
         now = self.clock()
-        self.fleet.hear(now, data)
+        self.fleet.receive(now, data)
         self.after(now)
 
     def after(self, now: int) -> None:
         """What a tick or a letter has led to."""
-        if self.fleet.former != self.former:
-            self.former = self.fleet.former
+        if self.fleet.previous_incarnation != self.former:
+            self.former = self.fleet.previous_incarnation
             self.recovery.peer(self.former)
         self.share.tell()
         self.flush()
-        for move in self.fleet.moves:
+        for move in self.fleet.transitions:
             word = move.after or move.before
             if word is not None and word.name != self.fleet.own.name:
                 log.info(
                     "event=member name=%s state=%s life=%d incarnation=%d",
                     word.name,
                     word.state.name.lower() if move.after else "gone",
-                    word.life,
                     word.incarnation,
+                    word.refutation,
                 )
-        self.fleet.moves = []
+        self.fleet.transitions = []
 
     def flush(self) -> None:
-        out = self.fleet.out
+        out = self.fleet.outbox
         while out and self.transport is not None:
             address, data = out.popleft()
             host, port = address.rsplit(":", 1)
@@ -306,7 +306,8 @@
         """
         names = tuple(
             sorted(
-                {member.word.name for member in self.fleet.members.there()} | {self.fleet.own.name}
+                {member.update.name for member in self.fleet.view.present_members()}
+                | {self.fleet.own.name}
             )
         )
         over = names, self.shunned
@@ -352,16 +353,16 @@
         return found
 
     def respread(self, spread: SubsetAssignment) -> None:
-        own = spread.choices[self.fleet.own.name].parts
-        self.turns.take(own, self.chance.random())
-        self.worst = spread.worst
+        own = spread.subsets[self.fleet.own.name].weights
+        self.turns.set_weights(own, self.chance.random())
+        self.worst = spread.max_load_ratio
         assert self.pools is not None
         self.pools.use([address_of(service) for service in own])
         log.info(
             "event=subset servers=%d size=%d worst=%.3f",
-            len(spread.choices),
+            len(spread.subsets),
             len(own),
-            spread.worst,
+            spread.max_load_ratio,
         )
 
     # Calls.
@@ -370,16 +371,16 @@
         return self.pools if self.pools is not None else one
 
     def next(self) -> tuple[str, int]:
-        return address_of(self.turns.next(self.clock()))
+        return address_of(self.turns.next_service(self.clock()))
 
     def called(self, address: tuple[str, int], answer: Answer) -> None:
         from ..downstream import Answer
 
         service = "%s:%d" % address
         if answer is Answer.UNREACHED:
-            self.turns.unreached(service, self.clock())
+            self.turns.record_failure(service, self.clock())
         else:
-            self.turns.reached(service)
+            self.turns.record_success(service)
         if answer is not Answer.UNWANTED:  # which says nothing of the service
             good = answer in (Answer.WELL, Answer.DECLINED)
             self.lately[0].setdefault(service, [0, 0])[0 if good else 1] += 1
@@ -391,9 +392,9 @@
 
     def addresses(self) -> tuple[str, ...]:
         return tuple(
-            member.word.address
-            for member in self.fleet.members.there()
-            if member.word.name != self.fleet.own.name
+            member.update.address
+            for member in self.fleet.view.present_members()
+            if member.update.name != self.fleet.own.name
         )
 
     # For operators.
@@ -403,7 +404,7 @@
         told = {
             "told_at": time.time_ns(),
             **self.of.summarize(self.fleet, now),
-            "subset": dict(self.turns.parts),
+            "subset": dict(self.turns.weights),
             "worst": self.worst,
         }
         part = self.part.state_file + ".part"
@@ -417,12 +418,12 @@
     def gauges(self) -> dict[str, float]:
         """For whoever reads metrics."""
         fleet = self.fleet
-        states = [member.state.name.lower() for member in fleet.members]
+        states = [member.state.name.lower() for member in fleet.view]
         return {
             "share": fleet.share / self.of.MILLICALLS_PER_CALL,
-            "state": float(fleet.holder.state),
-            "deals": float(fleet.dealer.phase),
-            "strangers": float(fleet.strangers),
+            "state": float(fleet.lease_holder.state),
+            "deals": float(fleet.allocator.phase),
+            "strangers": float(fleet.settings_mismatches),
             "worst_load": self.worst,
             **{
                 f"members_{name}": float(states.count(name))
@@ -441,7 +442,7 @@
             self.exposed.close()
         log.info(
             "event=fleet-closed %s",
-            " ".join(f"{name}={count}" for name, count in asdict(self.fleet.counts).items()),
+            " ".join(f"{name}={count}" for name, count in asdict(self.fleet.counters).items()),
         )
 
 
--- a/burlloom/server/parts.py
+++ b/burlloom/server/parts.py
@@ -196,7 +196,7 @@
             )
             if shown is None:
                 shown = made.exposed = exposed(operator.metrics)
-            shown.numbers("burlloom_fleet", made.fleet.counts, made.gauges)
+            shown.numbers("burlloom_fleet", made.fleet.counters, made.gauges)
         return made
 
     return make
--- a/tests/explore_fleet.py
+++ b/tests/explore_fleet.py
@@ -14,7 +14,7 @@
     MILLICALLS_PER_CALL,
     Allocator,
     AllocatorPhase,
-    FleetMember,
+    MemberPresence,
     QuotaSettings,
     ShareReport,
 )
@@ -73,7 +73,7 @@
 class World:
     def __init__(self, terms: QuotaSettings, members: int) -> None:
         self.dealer = Allocator(terms, NOW)
-        self.dealer.phase = AllocatorPhase.DEALING
+        self.dealer.phase = AllocatorPhase.ALLOCATING
         self.members = [Member(terms) for _ in range(members)]
         self.seen()
 
@@ -83,21 +83,21 @@
         other.dealer.accounts = {
             name: copy.copy(account) for name, account in self.dealer.accounts.items()
         }
-        other.members = [member.copy(self.dealer.terms) for member in self.members]
+        other.members = [member.copy(self.dealer.settings) for member in self.members]
         return other
 
     def seen(self) -> None:
-        self.dealer.fleet = {
-            str(at): FleetMember(one.life, True, NOW) for at, one in enumerate(self.members)
+        self.dealer.members = {
+            str(at): MemberPresence(one.life, True, NOW) for at, one in enumerate(self.members)
         }
 
     def key(self) -> Any:
         accounts = tuple(
             (
                 name,
-                one.life,
-                one.number - self.members[int(name)].number,
-                one.told,
+                one.incarnation,
+                one.report_number - self.members[int(name)].number,
+                one.report,
                 one.bound,
                 one.target,
             )
@@ -125,7 +125,7 @@
         broken: str = "",
     ) -> None:
         self.terms, self.count, self.lives, self.numbers = (
-            QuotaSettings(calls * MILLICALLS_PER_CALL, idle=0.0),
+            QuotaSettings(calls * MILLICALLS_PER_CALL, idle_share=0.0),
             members,
             lives,
             numbers,
@@ -173,8 +173,8 @@
         if not keeps:
             del member.reports[which]
         if self.broken == "old-report" and str(at) in world.dealer.accounts:
-            world.dealer.accounts[str(at)].number = number - 1
-        grant = world.dealer.report(NOW, str(at), life, number, told)
+            world.dealer.accounts[str(at)].report_number = number - 1
+        grant = world.dealer.process_report(NOW, str(at), life, number, told)
         if grant is not None and len(member.grants) < self.in_flight:
             member.grants.append((life, number, grant))
 
@@ -182,7 +182,7 @@
         life, number, share = member.grants.pop(which)
         if life == member.life and (number == member.newest or self.broken == "old-grant"):
             member.newest = -1
-            member.holder.grant(NOW, share, NOW, True)
+            member.holder.process_grant(NOW, share, NOW, True)
             member.in_hand = max(
                 member.in_hand, member.holder.share
             )  # what it may have in hand, it has
@@ -199,11 +199,11 @@
         member.in_hand, member.newest = 0, -1
         member.holder = LeaseHolder(self.terms, NOW)
         world.seen()
-        world.dealer.round(NOW, world.dealer.fleet, True)
+        world.dealer.run_round(NOW, world.dealer.members, True)
 
     def turn(self, world: World, member: Member, at: int) -> None:
-        world.dealer.turned = NOW - self.terms.turn
-        world.dealer.deal(NOW)
+        world.dealer.allocated_at_ns = NOW - self.terms.allocation_interval_ns
+        world.dealer.allocate(NOW)
 
     def walk(self, most: int) -> tuple[int, int]:
         """How many worlds were seen, at most so many; the most that was ever in hand,
@@ -240,11 +240,11 @@
             self.hear(first, other, at, 0, False)
             self.take(first, other, at, 0)
         for _ in range(2):  # the first comes, and has all
-            self.report(first, one, 0, self.terms.total)
+            self.report(first, one, 0, self.terms.total_millicalls)
             self.hear(first, one, 0, 0, False)
             self.turn(first, one, 0)
             self.take(first, one, 0, 0)
-        assert one.in_hand == self.terms.total
+        assert one.in_hand == self.terms.total_millicalls
         for member in first.members:
             member.reported = 0
         return first
--- a/tests/planted_host.py
+++ b/tests/planted_host.py
@@ -17,8 +17,8 @@
 
 
 def share() -> None:
-    Allocator.free = lambda dealer, now: dealer.terms.total  # type: ignore[method-assign]
-    Allocator.grant = lambda dealer, now, account: dealer.terms.total // 4  # type: ignore[method-assign]
+    Allocator.free_share = lambda dealer, now: dealer.settings.total_millicalls  # type: ignore[method-assign]
+    Allocator.compute_grant = lambda dealer, now, account: dealer.settings.total_millicalls // 4  # type: ignore[method-assign]
 
 
 def gap() -> None:
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -16,7 +16,7 @@
     assign_subsets,
 )
 from burlloom.fleet.allocator import max_min_fair
-from burlloom.fleet.membership import RULES, Input, MembershipView, MemberState
+from burlloom.fleet.membership import RULES, MembershipInput, MembershipView, MemberState
 from burlloom.fleet.messages import Message, MessageDecodeError, MessageKind, decode, encode
 from burlloom.lab.clock import simulated
 from burlloom.lab.fleets import Body, Net, Swarm
@@ -36,22 +36,22 @@
     met = set()
     for first, then in product(WORDS, WORDS):
         view = MembershipView(OWN, 0)
-        view.said(0, first)
-        met.add((MemberState.GONE, Input(int(first.state))))
-        before = view.by_name["m"].word
-        assert view.said(0, then) == (then.rank > before.rank)
-        met.add((before.state, Input(int(then.state))))
-        assert view.by_name["m"].word.rank == max(first.rank, then.rank)
+        view.process_update(0, first)
+        met.add((MemberState.GONE, MembershipInput(int(first.state))))
+        before = view.by_name["m"].update
+        assert view.process_update(0, then) == (then.precedence > before.precedence)
+        met.add((before.state, MembershipInput(int(then.state))))
+        assert view.by_name["m"].update.precedence == max(first.precedence, then.precedence)
         assert view.digest == twin(view).digest
     for what, state, after in (
-        (Input.SILENT, MemberState.ALIVE, MemberState.SUSPECT),
-        (Input.EXPIRED, MemberState.SUSPECT, MemberState.DEAD),
-        (Input.OLD, (MemberState.DEAD, MemberState.LEFT), None),
+        (MembershipInput.PROBE_FAILED, MemberState.ALIVE, MemberState.SUSPECT),
+        (MembershipInput.SUSPICION_EXPIRED, MemberState.SUSPECT, MemberState.DEAD),
+        (MembershipInput.FORGET_DUE, (MemberState.DEAD, MemberState.LEFT), None),
     ):
         for other in (MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT):
             view = MembershipView(OWN, 0)
-            view.said(0, WORDS[0]._replace(state=other))
-            moved = view.meet(0, "m", what)
+            view.process_update(0, WORDS[0]._replace(state=other))
+            moved = view.apply_input(0, "m", what)
             met.add((other, what))
             assert moved == (other is state or isinstance(state, tuple) and other in state)
             member = view.by_name.get("m")
@@ -63,8 +63,8 @@
     """The same view, learned otherwise."""
     other = MembershipView(view.own, 0)
     for member in view:
-        if member.word.name != "own":
-            other.said(0, member.word)
+        if member.update.name != "own":
+            other.process_update(0, member.update)
     return other
 
 
@@ -76,18 +76,23 @@
     ):
         view = MembershipView(OWN, 0)
         said = MemberUpdate("own", "10.9.9.9:1", life, incarnation, state)
-        view.said(0, said)
-        assert view.own.rank > said.rank or view.own.rank == said.rank == OWN.rank
+        view.process_update(0, said)
+        assert (
+            view.own.precedence > said.precedence
+            or view.own.precedence == said.precedence == OWN.precedence
+        )
         assert view.own.state is MemberState.ALIVE
         assert view.own.address == OWN.address
-        if said.rank != OWN.rank:
+        if said.precedence != OWN.precedence:
             other = MembershipView(OWN._replace(name="other"), 0)
-            other.said(0, said)
-            other.said(0, view.own)
-            assert (other.by_name["own"].word == view.own) == (view.own.rank > said.rank)
+            other.process_update(0, said)
+            other.process_update(0, view.own)
+            assert (other.by_name["own"].update == view.own) == (
+                view.own.precedence > said.precedence
+            )
     view = MembershipView(OWN, 0)
     view.leave(0)
-    assert not view.said(0, OWN._replace(incarnation=9))
+    assert not view.process_update(0, OWN._replace(refutation=9))
     assert view.own.state is MemberState.LEFT
 
 
@@ -238,38 +243,40 @@
     )
     before = assign_subsets(names, below, 8)
     pairs = before.pairs()
-    assert before.worst <= 1.1
+    assert before.max_load_ratio <= 1.1
     load: dict[str, float] = {}
-    for choice in before.choices.values():
-        assert abs(sum(choice.parts.values()) - 1) < 1e-9
-        assert len(choice.parts) <= max(8, before.size) + 1
-        for service, part in choice.parts.items():
+    for choice in before.subsets.values():
+        assert abs(sum(choice.weights.values()) - 1) < 1e-9
+        assert len(choice.weights) <= max(8, before.mean_size) + 1
+        for service, part in choice.weights.items():
             load[service] = load.get(service, 0.0) + part
     assert max(load.values()) <= 1.1 * servers / services
     joined, left = assign_subsets([*names, "new"], below, 8), assign_subsets(names[1:], below, 8)
     for after in (joined, left):
-        assert after.worst <= 1.1
+        assert after.max_load_ratio <= 1.1
         # Of the one that came or went; as much again where subsets are larger for a small fleet.
         assert (
             len(after.pairs() ^ pairs)
-            <= (1.05 if before.size <= 8 or before.size == services else 3) * len(pairs) / servers
+            <= (1.05 if before.mean_size <= 8 or before.mean_size == services else 3)
+            * len(pairs)
+            / servers
             + 1
         )
-    assert assign_subsets(names, below[1:], 8).worst <= 1.1
+    assert assign_subsets(names, below[1:], 8).max_load_ratio <= 1.1
 
 
 def test_calls_go_round_by_their_parts() -> None:
     turns, taken = WeightedRoundRobin(), dict.fromkeys("abc", 0)
-    turns.take({"a": 0.5, "b": 0.3, "c": 0.2}, 0.7)
+    turns.set_weights({"a": 0.5, "b": 0.3, "c": 0.2}, 0.7)
     for n in range(1, 1001):
-        taken[turns.next(0)] += 1
-        assert all(abs(taken[name] - n * part) <= 2 for name, part in turns.parts.items())
-    turns.unreached("a", 0)
-    assert {turns.next(WeightedRoundRobin.SKIP - 1) for _ in range(20)} == {"b", "c"}
-    assert "a" in {turns.next(WeightedRoundRobin.SKIP) for _ in range(20)}
+        taken[turns.next_service(0)] += 1
+        assert all(abs(taken[name] - n * part) <= 2 for name, part in turns.weights.items())
+    turns.record_failure("a", 0)
+    assert {turns.next_service(WeightedRoundRobin.EJECTION_NS - 1) for _ in range(20)} == {"b", "c"}
+    assert "a" in {turns.next_service(WeightedRoundRobin.EJECTION_NS) for _ in range(20)}
     for service in "abc":
-        turns.unreached(service, 10 * WeightedRoundRobin.SKIP)
-    assert turns.next(10 * WeightedRoundRobin.SKIP + 1) in "abc"
+        turns.record_failure(service, 10 * WeightedRoundRobin.EJECTION_NS)
+    assert turns.next_service(10 * WeightedRoundRobin.EJECTION_NS + 1) in "abc"
 
 
 def test_letters_are_what_they_say_or_refused() -> None:
--- a/tests/test_fleet_sums.py
+++ b/tests/test_fleet_sums.py
@@ -17,7 +17,7 @@
     MS,
     Allocator,
     AllocatorPhase,
-    FleetMember,
+    MemberPresence,
     QuotaSettings,
     ShareReport,
     max_min_fair,
@@ -27,23 +27,28 @@
 class Plain(Allocator):
     """Walks all accounts each time."""
 
-    def reporting(self, now: int) -> int:
-        return sum(now - account.at <= self.terms.fresh for account in self.accounts.values())
+    def count_reporting(self, now: int) -> int:
+        return sum(
+            now - account.reported_at_ns <= self.settings.report_ttl_ns
+            for account in self.accounts.values()
+        )
 
-    def free(self, now: int) -> int:
-        equal = self.terms.equal(len(self.fleet))
+    def free_share(self, now: int) -> int:
+        equal = self.settings.equal_share(len(self.members))
         bound = sum(
-            account.bound if account.at >= self.since else max(account.bound, equal)
+            account.bound
+            if account.reported_at_ns >= self.phase_since_ns
+            else max(account.bound, equal)
             for account in self.accounts.values()
         )
-        return self.terms.total - bound - self.unknown(now)
+        return self.settings.total_millicalls - bound - self.unknown_share(now)
 
-    def unknown(self, now: int) -> int:
+    def unknown_share(self, now: int) -> int:
         count = sum(
-            name not in self.accounts and not self.lost(now, present)
-            for name, present in self.fleet.items()
+            name not in self.accounts and not self.is_reclaimable(now, present)
+            for name, present in self.members.items()
         )
-        return count * self.terms.equal(len(self.fleet))
+        return count * self.settings.equal_share(len(self.members))
 
 
 NAMES = [f"n{at}" for at in range(7)]
@@ -85,14 +90,21 @@
 def seen(dealer: Allocator, now: int) -> object:
     return (
         dealer.phase,
-        dealer.since,
-        dealer.many(now),
-        dealer.sure(now),
-        dealer.reporting(now),
-        dealer.free(now),
-        dealer.unknown(now),
+        dealer.phase_since_ns,
+        dealer.has_quorum(now),
+        dealer.is_confirmed(now),
+        dealer.count_reporting(now),
+        dealer.free_share(now),
+        dealer.unknown_share(now),
         {
-            name: (one.life, one.number, one.at, one.told, one.bound, one.target)
+            name: (
+                one.incarnation,
+                one.report_number,
+                one.reported_at_ns,
+                one.report,
+                one.bound,
+                one.target,
+            )
             for name, one in dealer.accounts.items()
         },
     )
@@ -105,31 +117,32 @@
 ) -> None:
     terms, now, number = QuotaSettings(30 * MILLICALLS_PER_CALL, least), 10**13, 0
     pair = Allocator(terms, now), Plain(terms, now)
-    fleet = {name: FleetMember(0, True, now) for name in NAMES[:4]}
+    fleet = {name: MemberPresence(0, True, now) for name in NAMES[:4]}
     for one in pair:
-        one.round(now, fleet, True)
+        one.run_round(now, fleet, True)
         if dealt:
-            one.phase = AllocatorPhase.DEALING
+            one.phase = AllocatorPhase.ALLOCATING
     for what, *told in steps:
         if what == "wait":
             now += told[0] * MS
         elif what == "view":
             fleet = {
-                name: FleetMember(life, there, now - age * MS) for name, life, there, age in told[0]
+                name: MemberPresence(life, there, now - age * MS)
+                for name, life, there, age in told[0]
             }
             for one in pair:
-                one.fleet = fleet
+                one.members = fleet
         elif what == "round":
             for one in pair:
-                one.round(now, fleet, told[0], told[1], told[2])
+                one.run_round(now, fleet, told[0], told[1], told[2])
         elif what == "disown":
             for one in pair:
-                one.disown(*told)
+                one.release_member(*told)
         else:
             name, life, later, held, want = told
             number += later
             grants = [
-                one.report(
+                one.process_report(
                     now,
                     name,
                     life,
@@ -148,13 +161,13 @@
         [kind(QuotaSettings(30 * MILLICALLS_PER_CALL), 10**13) for kind in (Allocator, Plain)],
     )
     for one in pair:
-        one.round(now, {name: FleetMember(1, name != "n2", now) for name in NAMES[:3]}, True)
-        one.phase = AllocatorPhase.DEALING
-        one.report(now, "n0", 1, 1, ShareReport(0, 0, 0, 1))
+        one.run_round(now, {name: MemberPresence(1, name != "n2", now) for name in NAMES[:3]}, True)
+        one.phase = AllocatorPhase.ALLOCATING
+        one.process_report(now, "n0", 1, 1, ShareReport(0, 0, 0, 1))
     for ms in (0, 1601, 1600, 14_000, 13_999, 0):
         assert seen(pair[0], now + ms * MS) == seen(pair[1], now + ms * MS)
-    assert pair[0].reporting(now) == 1
-    assert pair[0].unknown(now) == 20 * MILLICALLS_PER_CALL
+    assert pair[0].count_reporting(now) == 1
+    assert pair[0].unknown_share(now) == 20 * MILLICALLS_PER_CALL
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -167,7 +180,7 @@
     pair = Allocator(terms, now), Plain(terms, now)
     lives = {f"m{at}": 1 for at in range(10)}
     silent: set[str] = set()
-    fleet = {name: FleetMember(1, True, now) for name in lives}
+    fleet = {name: MemberPresence(1, True, now) for name in lives}
     phases = set()
     for _ in range(3000):
         now += chance.choice([0, 1, 20, 60]) * MS
@@ -175,32 +188,34 @@
         happens = chance.random()
         if happens < 0.01:
             silent ^= {name}
-            fleet = {**fleet, name: FleetMember(lives[name], name not in silent, now)}
+            fleet = {**fleet, name: MemberPresence(lives[name], name not in silent, now)}
         elif happens < 0.015:
             lives[name] += 1
-            fleet = {**fleet, name: FleetMember(lives[name], True, now)}
+            fleet = {**fleet, name: MemberPresence(lives[name], True, now)}
             silent.discard(name)
         elif happens < 0.02:
             fleet = {other: present for other, present in fleet.items() if other != name}
         elif happens < 0.025:
             for one in pair:
-                one.disown(name, lives[name], number)
+                one.release_member(name, lives[name], number)
         elif happens < 0.03:
             now += chance.choice([2000, 15_000]) * MS
         elif happens < 0.2:
             gap = chance.random() < 0.01
             for one in pair:
-                one.round(now, fleet, True, gap, 7)
+                one.run_round(now, fleet, True, gap, 7)
         elif name not in silent:
-            fleet = fleet if name in fleet else {**fleet, name: FleetMember(lives[name], True, now)}
+            fleet = (
+                fleet if name in fleet else {**fleet, name: MemberPresence(lives[name], True, now)}
+            )
             number += 1
             held = chance.choice([0, MILLICALLS_PER_CALL, 4 * MILLICALLS_PER_CALL])
             told = ShareReport(
                 held, held, chance.choice([MILLICALLS_PER_CALL, 100 * MILLICALLS_PER_CALL]), 1, 7
             )
             for one in pair:
-                one.fleet = fleet
-            grants = [one.report(now, name, lives[name], number, told) for one in pair]
+                one.members = fleet
+            grants = [one.process_report(now, name, lives[name], number, told) for one in pair]
             assert grants[0] == grants[1]
         assert seen(pair[0], now) == seen(pair[1], now)
         phases.add(pair[0].phase)
@@ -235,22 +250,22 @@
         kind(QuotaSettings(4 * size * MILLICALLS_PER_CALL), now),
         ShareReport(MILLICALLS_PER_CALL, MILLICALLS_PER_CALL, 100 * MILLICALLS_PER_CALL, 1, 7),
     )
-    fleet = {f"n{at}": FleetMember(1, True, now) for at in range(size)}
+    fleet = {f"n{at}": MemberPresence(1, True, now) for at in range(size)}
     steps = 0
     for number in range(10):
-        dealer.round(now, fleet, True, False, 7)
+        dealer.run_round(now, fleet, True, False, 7)
         for at in range(size):
             now += 200 * MS // size
 
             def report(at: int = at, number: int = number) -> None:
-                dealer.report(now, f"n{at}", 1, number, told)
-                dealer.sure(now)
+                dealer.process_report(now, f"n{at}", 1, number, told)
+                dealer.is_confirmed(now)
 
             if number >= 5 and at % (size // 20) == 0:
                 steps += steps_of(report)
             else:
                 report()
-    assert dealer.phase is AllocatorPhase.DEALING
+    assert dealer.phase is AllocatorPhase.ALLOCATING
     return steps // 100
 
 
--- a/tests/test_fleet_walks.py
+++ b/tests/test_fleet_walks.py
@@ -11,9 +11,9 @@
 from test_fleet_sums import steps_of
 
 from burlloom.fleet import Fleet, GossipSettings, MemberState, MemberUpdate, QuotaSettings
-from burlloom.fleet.allocator import MILLICALLS_PER_CALL, MS, FleetMember
+from burlloom.fleet.allocator import MILLICALLS_PER_CALL, MS, MemberPresence
 from burlloom.fleet.member import PAGE_WORDS
-from burlloom.fleet.membership import Input, MembershipView, due, hash_of
+from burlloom.fleet.membership import MembershipInput, MembershipView, find_due_inputs, hash_update
 from burlloom.fleet.messages import Message, MessageKind, decode, encode
 
 KEY, NOW = b"the test's own key", 10**13
@@ -41,35 +41,37 @@
     view, now = MembershipView(MemberUpdate("own", "10.0.0.9:1", 2, 0, MemberState.ALIVE), NOW), NOW
     for what, told in steps:
         if what == "said" and isinstance(told, MemberUpdate):
-            view.said(now, told)
+            view.process_update(now, told)
         elif what == "silent":
-            view.meet(now, str(told), Input.SILENT)
+            view.apply_input(now, str(told), MembershipInput.PROBE_FAILED)
         elif what == "round" and isinstance(told, int):
             now += told * MS
-            found = due(view, now, 2000 * MS, 5000 * MS)
-            assert due(view.unsettled.values(), now, 2000 * MS, 5000 * MS) == found
+            found = find_due_inputs(view, now, 2000 * MS, 5000 * MS)
+            assert find_due_inputs(view.not_alive.values(), now, 2000 * MS, 5000 * MS) == found
             for name, input in found:
-                view.meet(now, name, input)
+                view.apply_input(now, name, input)
         else:
             view.leave(now)
-        assert list(view.unsettled.items()) == [
+        assert list(view.not_alive.items()) == [
             (name, member)
             for name, member in view.by_name.items()
             if member.state is not MemberState.ALIVE
         ]
-        assert view.addresses == Counter(member.word.address for member in view if member.there)
+        assert view.addresses == Counter(
+            member.update.address for member in view if member.is_present
+        )
         for after in ("", "a", "bb", "own", "z"):
             assert list(view.names_after(after)) == sorted(
                 name for name in view.by_name if name > after
             )
-        assert view.roster() == roster(view)
+        assert view.roster_hash() == roster(view)
 
 
 def roster(view: MembershipView) -> int:
     total = 0
     for member in view:
         if member.state is not MemberState.LEFT:
-            total ^= hash_of(member.word._replace(incarnation=0, state=MemberState.ALIVE))
+            total ^= hash_update(member.update._replace(refutation=0, state=MemberState.ALIVE))
     return total >> 1
 
 
@@ -93,36 +95,38 @@
         ),
         NOW,
     )
-    view = fleet.members
+    view = fleet.view
     for (what, told), looks in steps:
         if what == "said" and isinstance(told, MemberUpdate):
-            view.said(now, told)
+            view.process_update(now, told)
         elif what == "silent":
-            view.meet(now, str(told), Input.SILENT)
+            view.apply_input(now, str(told), MembershipInput.PROBE_FAILED)
         elif what == "round" and isinstance(told, int):
             now += told * MS
-            fleet.awoken(now, told * MS)
-            for name, input in due(view, now, 2000 * MS, 5000 * MS):
-                view.meet(now, name, input)
+            fleet.resume_after_pause(now, told * MS)
+            for name, input in find_due_inputs(view, now, 2000 * MS, 5000 * MS):
+                view.apply_input(now, name, input)
         else:
             view.leave(now)
         if looks:
-            before, version = fleet.present, fleet.seen
-            fleet.look()
-            assert fleet.seen == view.version
-            assert (fleet.present is before) == (version == view.version)
-        if fleet.seen == view.version and not view.changed:
-            assert fleet.present == {
-                member.word.name: FleetMember(member.word.life, member.there, member.since)
+            before, version = fleet.presences, fleet.seen_version
+            fleet.refresh_presences()
+            assert fleet.seen_version == view.version
+            assert (fleet.presences is before) == (version == view.version)
+        if fleet.seen_version == view.version and not view.changed_names:
+            assert fleet.presences == {
+                member.update.name: MemberPresence(
+                    member.update.incarnation, member.is_present, member.since_ns
+                )
                 for member in view
                 if member.state is not MemberState.LEFT
             }
-            assert fleet.first == min(
-                (member.word for member in view if member.there),
-                key=lambda word: (word.life, word.name),
+            assert fleet.oldest == min(
+                (member.update for member in view if member.is_present),
+                key=lambda word: (word.incarnation, word.name),
                 default=view.own,
             )
-            assert fleet.roster == roster(view)
+            assert fleet.roster_hash == roster(view)
 
 
 def fleet_of(size: int) -> Fleet:
@@ -142,38 +146,41 @@
         NOW,
     )
     for word in all_of:
-        fleet.members.said(NOW, word)
-    fleet.members.moves = []
+        fleet.view.process_update(NOW, word)
+    fleet.view.transitions = []
     return fleet
 
 
 def asked(fleet: Fleet, now: int, after: str) -> Message:
-    fleet.hear(
-        now, encode(Message(MessageKind.SYNC, fleet.members.by_name["n0"].word, 1, (), after), KEY)
+    fleet.receive(
+        now, encode(Message(MessageKind.SYNC, fleet.view.by_name["n0"].update, 1, (), after), KEY)
     )
-    return decode(fleet.out.pop()[1], (KEY,))
+    return decode(fleet.outbox.pop()[1], (KEY,))
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_pages_are_those_of_a_plain_walk(seed: int) -> None:
     """Some are over, for long or not; any name may be asked after."""
     chance, fleet, now = Random(seed), fleet_of(60), NOW
-    for name in chance.sample(sorted(fleet.members.by_name), 30):
+    for name in chance.sample(sorted(fleet.view.by_name), 30):
         if name not in ("n0", fleet.own.name):
             now += chance.choice([0, 60_000]) * MS
             state = chance.choice(STATES[1:])
-            fleet.members.said(now, fleet.members.by_name[name].word._replace(state=state))
+            fleet.view.process_update(now, fleet.view.by_name[name].update._replace(state=state))
     now += 1_200_000 * MS
     seen = set()
-    for after in ["", *sorted(fleet.members.by_name), "zz"]:
+    for after in ["", *sorted(fleet.view.by_name), "zz"]:
         names = sorted(
-            member.word.name
-            for member in fleet.members
-            if member.word.name > after
-            and (member.there or now - member.since < fleet.habits.forget // 2)
+            member.update.name
+            for member in fleet.view
+            if member.update.name > after
+            and (
+                member.is_present
+                or now - member.since_ns < fleet.gossip_settings.forget_after_ns // 2
+            )
         )
         page = asked(fleet, now, after)
-        assert [word.name for word in page.words] == names[:PAGE_WORDS]
+        assert [word.name for word in page.updates] == names[:PAGE_WORDS]
         assert page.name == (names[PAGE_WORDS - 1] if len(names) > PAGE_WORDS else "")
         seen |= set(names)
     assert 30 < len(seen) < 60
@@ -187,13 +194,13 @@
         fleet.tick(now)
         if fleet.probe is not None:
             fleet.probe = None  # as if it had answered
-        fleet.out.clear()
+        fleet.outbox.clear()
     steps = 0
     for _ in range(20):
         now += 50 * MS
         steps += steps_of(lambda: fleet.tick(now))
         fleet.probe = None
-        fleet.out.clear()
+        fleet.outbox.clear()
     return steps
 
 
@@ -214,8 +221,10 @@
 def test_a_change_of_the_view_is_one_change_of_what_the_dealing_is_told() -> None:
     def change(size: int) -> int:
         fleet = fleet_of(size)
-        fleet.look()
-        fleet.members.said(NOW, fleet.members.by_name["n7"].word._replace(state=MemberState.DEAD))
-        return steps_of(fleet.look)
+        fleet.refresh_presences()
+        fleet.view.process_update(
+            NOW, fleet.view.by_name["n7"].update._replace(state=MemberState.DEAD)
+        )
+        return steps_of(fleet.refresh_presences)
 
     assert change(1000) <= 1.1 * change(100)
--- a/tests/test_scale_servers.py
+++ b/tests/test_scale_servers.py
@@ -32,18 +32,18 @@
             < (swarm.net.bytes - octets) / 30
             < 2 * (crowd.tally.bytes_sent - before[1])
         )
-    members = crowd.fleet.members
-    assert len(members.there()) == 30
-    assert not crowd.fleet.counts.suspected
-    assert not crowd.fleet.counts.unreadable
+    members = crowd.fleet.view
+    assert len(members.present_members()) == 30
+    assert not crowd.fleet.counters.suspected
+    assert not crowd.fleet.counters.unreadable
 
 
 def test_one_that_deals_deals_to_its_crowd() -> None:
     crowd = Crowd(30, 0)
     crowd.run(8)
     shares = [peer.share for peer in crowd.peers[1:]]
-    assert crowd.fleet.dealer.phase.name == "DEALING"
-    assert sum(shares) + crowd.fleet.share == pytest.approx(terms(30).total, rel=0.01)
+    assert crowd.fleet.allocator.phase.name == "ALLOCATING"
+    assert sum(shares) + crowd.fleet.share == pytest.approx(terms(30).total_millicalls, rel=0.01)
     assert min(shares) >= 3000
 
 
@@ -59,8 +59,8 @@
     crowd.dies(dead)
     crowd.later(2_000_000_000, crowd.comes, left)
     crowd.run(20)
-    view = crowd.fleet.members
-    assert view.by_name["n10"].word == left.word
+    view = crowd.fleet.view
+    assert view.by_name["n10"].update == left.word
     assert view.by_name["n10"].state is MemberState.ALIVE
     assert view.by_name["n11"].state is MemberState.DEAD
     assert {peer.digest for peer in crowd.peers if peer.up and peer.at != at} == {view.digest}
@@ -124,9 +124,9 @@
 def test_the_bound_of_a_view_is_raised_for_the_benchmark_alone() -> None:
     with members_most(1200):
         assert whole.MEMBERS_MOST == 1200
-        assert len(filled(words(1200), 3).members.by_name) == 1200
+        assert len(filled(words(1200), 3).view.by_name) == 1200
     assert whole.MEMBERS_MOST == 1000
-    assert words(2600)[-1].life < START // 1_000_000
+    assert words(2600)[-1].incarnation < START // 1_000_000
 
 
 SLOPES = {
