--- a/benchmarks/hollow_releases.py
+++ b/benchmarks/hollow_releases.py
@@ -63,25 +63,33 @@
                 await shelf.run("BEGIN IMMEDIATE")
                 for one in tellers:
                     if now >= one.down_until:
-                        await shelf.tell(one.word())
+                        await shelf.report(one.word())
                 await shelf.run("COMMIT")
             page = await shelf.read(page)
             while pipe.poll():
                 match pipe.recv():
                     case "start":
-                        pipe.send(await shelf.swap(page, page.book.start(NEXT, (1.0,), False)))
+                        pipe.send(
+                            await shelf.compare_and_swap(
+                                page, page.state.start_release(NEXT, (1.0,), False)
+                            )
+                        )
                     case "see":
                         pipe.send(
-                            (len(page.book.servers), page.book.plan.phase.name, page.book.holder)
+                            (
+                                len(page.state.servers),
+                                page.state.release.phase.name,
+                                page.state.leader,
+                            )
                         )
                     case "over":
                         over = True
                 page = await shelf.read(page)
             for one in tellers:
-                if now >= one.down_until and one.hand.reads(page.book) == "ask":
-                    wanted = one.hand.step(page.book)
-                    if wanted is not None and await shelf.swap(page, wanted):
-                        one.version, one.down_until = wanted.version_of(one.name), now + DOWN
+                if now >= one.down_until and one.hand.process_state(page.state) == "begin":
+                    wanted = one.hand.begin_drain(page.state)
+                    if wanted is not None and await shelf.compare_and_swap(page, wanted):
+                        one.version, one.down_until = wanted.next_version_of(one.name), now + DOWN
                         one.life, one.beat = one.life + 1, 0
                         one.hand = DrainAgent(one.name, one.life)
                     else:
--- a/benchmarks/rollout_core.py
+++ b/benchmarks/rollout_core.py
@@ -24,11 +24,14 @@
     ServerReport,
 )
 from burlloom.rollout import agent as hand
-from burlloom.rollout.stores import decode_state, encode_record
+from burlloom.rollout.stores import decode_state, encode_state
 
 S = 1_000_000_000
 TERMS = RolloutSettings(
-    measure=CanarySettings(span=2 * S, least=50), quiet=60 * S, settle=S, write_off=0
+    canary=CanarySettings(window_ns=2 * S, min_requests=50),
+    low_traffic_timeout_ns=60 * S,
+    settle_ns=S,
+    write_off_ns=0,
 )
 
 
@@ -65,7 +68,7 @@
                     if self.now >= self.down[name]:
                         del self.down[name]
                         self.members[name] = ServerReport(
-                            name, member.life + 1, 0, version=self.book.version_of(name)
+                            name, member.incarnation + 1, 0, version=self.book.next_version_of(name)
                         )
                     continue
                 bad = sum(
@@ -73,39 +76,41 @@
                 )
                 self.members[name] = replace(
                     member,
-                    beat=member.beat + 1,
-                    counts=member.counts.plus(RequestCounts(10 - bad, 0, 0, bad)),
+                    heartbeat=member.heartbeat + 1,
+                    counts=member.counts.add(RequestCounts(10 - bad, 0, 0, bad)),
                 )
-                one = hand.DrainAgent(name, member.life)
-                if one.reads(self.book) == "ask":
-                    self.book = one.step(self.book) or self.book
+                one = hand.DrainAgent(name, member.incarnation)
+                if one.process_state(self.book) == "begin":
+                    self.book = one.begin_drain(self.book) or self.book
                     self.down[name] = self.now + 2 * S
-            self.beat += self.lead.leads(self.book)
-            taken = self.lead.take(self.now, self.book, self.beat)
+            self.beat += self.lead.is_leader(self.book)
+            taken = self.lead.acquire_leadership(self.now, self.book, self.beat)
             if taken is not None:
                 self.book = taken
-            elif self.lead.leads(self.book):
-                self.book = self.lead.round(self.now, self.book, list(self.members.values()))
+            elif self.lead.is_leader(self.book):
+                self.book = self.lead.run_round(self.now, self.book, list(self.members.values()))
             self.worst = max(self.worst, len(self.down))
 
     def until(self, phase: ReleasePhase, most: int = 2000) -> int:
         """Seconds that it took."""
         for at in range(most):
-            if self.book.plan.phase is phase:
+            if self.book.release.phase is phase:
                 return at
             self.second()
-        raise AssertionError((self.book.plan, self.book.notes))
+        raise AssertionError((self.book.release, self.book.history))
 
     def settled(self) -> "World":
-        while len(self.book.servers) < len(self.members) or self.book.groups[SERVERS_GROUP].taken:
+        while (
+            len(self.book.servers) < len(self.members) or self.book.groups[SERVERS_GROUP].out_count
+        ):
             self.second()
         return self
 
 
 def cost(size: int) -> str:
-    world = World(size, DisruptionBudget(share=0.1)).settled()
-    world.book = world.book.start("v2", (1, 0.1, 0.5, 1.0), False)
-    spans, of = [], world.lead.round
+    world = World(size, DisruptionBudget(max_out_share=0.1)).settled()
+    world.book = world.book.start_release("v2", (1, 0.1, 0.5, 1.0), False)
+    spans, of = [], world.lead.run_round
 
     def timed(now: int, book: RolloutState, members: list[ServerReport]) -> RolloutState:
         began = time.perf_counter()
@@ -114,11 +119,11 @@
         finally:
             spans.append(1000 * (time.perf_counter() - began))
 
-    world.lead.round = timed  # type: ignore[method-assign,assignment]
+    world.lead.run_round = timed  # type: ignore[method-assign,assignment]
     for _ in range(100):
         world.second()
     began = time.perf_counter()
-    text = encode_record(world.book)
+    text = encode_state(world.book)
     written = time.perf_counter()
     decode_state(text)
     read = time.perf_counter()
--- a/benchmarks/rollout_waves.py
+++ b/benchmarks/rollout_waves.py
@@ -142,7 +142,7 @@
         if (
             isinstance(releases, Agreed)
             and self.halted_at < 0
-            and releases.shelf.page.book.plan.phase is ReleasePhase.HALTED
+            and releases.shelf.snapshot.state.release.phase is ReleasePhase.HALTED
         ):
             self.halted_at = now - BEGIN
         if (
@@ -165,14 +165,16 @@
         if variant == "agreed":
             agreed = Agreed(emulator, "v1", voids, RESTART_S, part(), 0.02)
             loop.call_later(
-                BEGIN, agreed.order, lambda book: book.start("v2", (1, 0.1, 0.5, 1.0), False)
+                BEGIN,
+                agreed.order,
+                lambda book: book.start_release("v2", (1, 0.1, 0.5, 1.0), False),
             )
             if not bad:
                 for node in second:
                     loop.call_later(
                         SECOND_OPERATOR,
                         agreed.order,
-                        lambda book, name=node.name: book.ask(SERVERS_GROUP, name, 0),
+                        lambda book, name=node.name: book.request_drain(SERVERS_GROUP, name, 0),
                     )
             for at in range(
                 int(BEGIN), 200, 2
@@ -182,7 +184,7 @@
                     agreed.order,
                     lambda book: (
                         book.order(ReleaseInput.ROLLBACK, "")
-                        if book.plan.phase is ReleasePhase.HALTED
+                        if book.release.phase is ReleasePhase.HALTED
                         else book
                     ),
                 )
@@ -233,11 +235,11 @@
     point. Judged each half second over a minute; `spread`: by which servers differ by themselves.
     """
     chance, found, plain = Random(hash((share, spread, changed))), 0, 0
-    measure = CanarySettings(span=30_000_000_000, least=100)
+    measure = CanarySettings(window_ns=30_000_000_000, min_requests=100)
     usual = 0.02
     for _ in range(plays):
         mine = max(0.0, usual + share + chance.gauss(0, spread))
-        evidence = CanaryWindow(measure.span, measure.least, measure.span)
+        evidence = CanaryWindow(measure.window_ns, measure.min_requests, measure.window_ns)
         totals = {"a": RequestCounts(), "b": RequestCounts()}
         bad = over = False
         for at in range(120):
@@ -253,17 +255,17 @@
                         ),
                     )
                 )
-                totals[name] = totals[name].plus(RequestCounts(asked - failed, 0, 0, failed))
+                totals[name] = totals[name].add(RequestCounts(asked - failed, 0, 0, failed))
             evidence.add(
                 at * 500_000_000,
                 {"a": ServerSample(1, totals["a"], True), "b": ServerSample(1, totals["b"], False)},
             )
-            one, other = evidence.changed.counts, evidence.others.counts
-            bad = bad or evaluate_canary(measure, evidence, None).verdict is Verdict.BAD
+            one, other = evidence.changed.counts, evidence.unchanged.counts
+            bad = bad or evaluate_canary(measure, evidence, None).verdict is Verdict.UNHEALTHY
             over = (
                 over
-                or one.asked >= measure.least
-                and one.voided / one.asked > 2 * other.voided / max(1, other.asked) + 0.01
+                or one.total >= measure.min_requests
+                and one.failed / one.total > 2 * other.failed / max(1, other.total) + 0.01
             )
         found, plain = found + bad, plain + over
     return found / plays, plain / plays
--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -55,7 +55,7 @@
 from burlloom.lab.slopes import Row, exponent_word, fit, keep
 from burlloom.rollout import DisruptionBudget, RolloutState, ServerReport
 from burlloom.rollout import agent as hand
-from burlloom.rollout.stores import decode_state, encode_record
+from burlloom.rollout.stores import decode_state, encode_state
 from burlloom.rollout.stores.sqlite import SqliteRolloutStore
 
 SIZES = (30, 100, 300, 600, 1000, 1500, 2600)
@@ -281,10 +281,10 @@
 @part("release", states=("rest",))
 def release(size: int, state: str) -> Found:
     """A release under way, judged and sent out by waves: 25 s of it."""
-    world = World(size, DisruptionBudget(share=0.1)).settled()
+    world = World(size, DisruptionBudget(max_out_share=0.1)).settled()
     idle: list[int] = []
     rounds: list[int] = []
-    steps, spans, of, step = 0, idle, world.lead.round, hand.DrainAgent.step
+    steps, spans, of, step = 0, idle, world.lead.run_round, hand.DrainAgent.begin_drain
 
     def timed(now: int, book: RolloutState, members: list[ServerReport]) -> RolloutState:
         nonlocal steps
@@ -299,19 +299,19 @@
         steps += 1
         return step(one, book)
 
-    world.lead.round = timed  # type: ignore[method-assign,assignment]
+    world.lead.run_round = timed  # type: ignore[method-assign,assignment]
     for _ in range(5):
         world.second()
-    world.book, spans, steps = world.book.start("v2", (1, 0.1, 0.5, 1.0), False), rounds, 0
-    hand.DrainAgent.step = stepped  # type: ignore[method-assign]
+    world.book, spans, steps = world.book.start_release("v2", (1, 0.1, 0.5, 1.0), False), rounds, 0
+    hand.DrainAgent.begin_drain = stepped  # type: ignore[method-assign]
     try:
         for _ in range(25):
             world.second()
     finally:
-        hand.DrainAgent.step = step  # type: ignore[method-assign]
-    text, spent = encode_record(world.book), [0, 0]
+        hand.DrainAgent.begin_drain = step  # type: ignore[method-assign]
+    text, spent = encode_state(world.book), [0, 0]
     for _ in range(5):
-        for at, work in enumerate((lambda: encode_record(world.book), lambda: decode_state(text))):
+        for at, work in enumerate((lambda: encode_state(world.book), lambda: decode_state(text))):
             began = thread_time_ns()
             work()
             spent[at] += thread_time_ns() - began
@@ -368,10 +368,10 @@
         began = time.process_time_ns()
         for at in range(10):
             page = await shelf.read()
-            assert await shelf.swap(page, replace(book, steps=at))
+            assert await shelf.compare_and_swap(page, replace(book, step=at))
         swapped = time.process_time_ns()
         for member in members:
-            await shelf.tell(member)
+            await shelf.report(member)
         told = time.process_time_ns()
         await shelf.close()
     return (swapped - began) / 10e6, (told - swapped) / 1e6 / len(members)
--- a/burlloom/command/rollout.py
+++ b/burlloom/command/rollout.py
@@ -78,37 +78,39 @@
 
     for _ in range(TRIES):
         page = await shelf.read()
-        book = order(page.book)
-        if await shelf.swap(page, book):
-            return StateSnapshot(page.revision + 1, page.beat, book)
+        book = order(page.state)
+        if await shelf.compare_and_swap(page, book):
+            return StateSnapshot(page.revision + 1, page.heartbeat, book)
     raise OrderRejectedError(f"others wrote before us {TRIES} times in a row; try again")
 
 
 def ordered(operator: Path | None, order: "Callable[[RolloutState], RolloutState]") -> None:
     page = with_shelf(operator, lambda shelf: step(shelf, order))
-    click.echo(headline(page.book))
+    click.echo(headline(page.state))
 
 
 def headline(book: "RolloutState") -> str:
     from ..rollout import SERVERS_GROUP, ReleasePhase
 
-    plan, servers = book.plan, book.groups[SERVERS_GROUP]
-    bound = servers.budget.bound(len(servers.units))
-    said = f"{len(servers.units)} servers, {servers.taken} out of {bound} allowed; "
+    plan, servers = book.release, book.groups[SERVERS_GROUP]
+    bound = servers.budget.limit(len(servers.instances))
+    said = f"{len(servers.instances)} servers, {servers.out_count} out of {bound} allowed; "
     if plan.phase is ReleasePhase.IDLE:
         return said + (
-            f"nothing under way; good is {book.good}" if book.good else "nothing under way"
+            f"nothing under way; good is {book.stable_version}"
+            if book.stable_version
+            else "nothing under way"
         )
-    done = sum(book.done(unit) for unit in servers.units.values())
+    done = sum(book.is_done(unit) for unit in servers.instances.values())
     way = (
-        f"back to {plan.former}"
-        if plan.backing
-        else f"{'restart' if plan.restart else 'to ' + plan.version}, wave {plan.wave + 1} of {len(plan.waves)}"
+        f"back to {plan.previous_version}"
+        if plan.is_rollback
+        else f"{'restart' if plan.is_restart else 'to ' + plan.target_version}, wave {plan.wave_index + 1} of {len(plan.waves)}"
     )
     return (
         said
-        + f"change {plan.number} {way}: {plan.phase.name.lower()}, {done} of {len(servers.units)} done"
-        + (f" ({plan.why})" if plan.why else "")
+        + f"change {plan.number} {way}: {plan.phase.label}, {done} of {len(servers.instances)} done"
+        + (f" ({plan.reason})" if plan.reason else "")
     )
 
 
@@ -119,37 +121,37 @@
 def show(operator: Path | None, as_json: bool, notes: int) -> None:
     """What is under way, who is out, who leads, and the last steps."""
     from ..rollout import InstanceState
-    from ..rollout.stores import encode_record
+    from ..rollout.stores import encode_state
 
-    book = with_shelf(operator, lambda shelf: shelf.read()).book
+    book = with_shelf(operator, lambda shelf: shelf.read()).state
     if as_json:
-        click.echo(encode_record(book))
+        click.echo(encode_state(book))
         return
     click.echo(headline(book))
-    click.echo(f"led by {book.holder or 'nobody'}, epoch {book.epoch}, step {book.steps}")
+    click.echo(f"led by {book.leader or 'nobody'}, epoch {book.epoch}, step {book.step}")
     for group, one in book.groups.items():
-        share = f" ({one.budget.share:.0%})" if one.budget.share else ""
+        share = f" ({one.budget.max_out_share:.0%})" if one.budget.max_out_share else ""
         click.echo(
-            f"{group}: {one.taken} out of {one.budget.bound(len(one.units))}{share} allowed,"
-            f" of {len(one.units)}"
+            f"{group}: {one.out_count} out of {one.budget.limit(len(one.instances))}{share} allowed,"
+            f" of {len(one.instances)}"
         )
-        for name, unit in sorted(one.units.items()):
+        for name, unit in sorted(one.instances.items()):
             if (
                 unit.state is not InstanceState.IN
-                or unit.asked
-                or unit.version not in ("", book.good)
+                or unit.drain_ticket
+                or unit.version not in ("", book.stable_version)
             ):
-                click.echo(
-                    f"  {name:24} {unit.state.name.lower():8} {unit.version or '-'}" + detail(unit)
-                )
-    for at, said in book.notes[len(book.notes) - notes :] if notes else ():
+                click.echo(f"  {name:24} {unit.state.label:8} {unit.version or '-'}" + detail(unit))
+    for at, said in book.history[len(book.history) - notes :] if notes else ():
         click.echo(f"  step {at:6} {said}")
 
 
 def detail(unit: "Instance") -> str:
-    return (f", next {unit.to}" if unit.to and unit.to != unit.version else "") + (
-        ", asked for" if unit.asked else ""
-    )
+    return (
+        f", next {unit.next_version}"
+        if unit.next_version and unit.next_version != unit.version
+        else ""
+    ) + (", asked for" if unit.drain_ticket else "")
 
 
 @rollout.command()
@@ -186,7 +188,7 @@
             f"--wave: {', '.join(waves)}: each is a number such as 3, or a part such as 25%"
         ) from None
     auto = part.auto_back if auto_back is None else auto_back
-    ordered(operator, lambda book: book.start(version, told, auto, restart))
+    ordered(operator, lambda book: book.start_release(version, told, auto, restart))
 
 
 def order(name: str, said: str) -> click.Command:
@@ -224,7 +226,7 @@
 
     def order(book: "RolloutState") -> "RolloutState":
         for name in names:
-            book = book.ask(SERVERS_GROUP, name, for_s * 1000)
+            book = book.request_drain(SERVERS_GROUP, name, for_s * 1000)
         return book
 
     ordered(operator, order)
@@ -253,26 +255,33 @@
         from ..rollout import InstanceState, OrderRejectedError
         from ..rollout.instance import InstanceInput
 
-        page = await step(shelf, lambda book: book.ask(service, address, for_s * 1000))
-        ticket, until = page.book.groups[service].units[address].asked, time.monotonic() + wait_s
+        page = await step(shelf, lambda book: book.request_drain(service, address, for_s * 1000))
+        ticket, until = (
+            page.state.groups[service].instances[address].drain_ticket,
+            time.monotonic() + wait_s,
+        )
         while True:
             page = await shelf.read(page)
-            unit = page.book.groups[service].units.get(address)
-            if unit is None or unit.asked != ticket:
+            unit = page.state.groups[service].instances.get(address)
+            if unit is None or unit.drain_ticket != ticket:
                 raise OrderRejectedError(f"{address}: the order was taken back")
             if unit.state is InstanceState.GRANTED:
-                book, effect = page.book.meet(
-                    service, address, InstanceInput.BEGIN, life=unit.life, ticket=ticket
+                book, effect = page.state.apply_input(
+                    service,
+                    address,
+                    InstanceInput.BEGIN,
+                    incarnation=unit.incarnation,
+                    ticket=ticket,
                 )
-                if effect and await shelf.swap(page, book):
+                if effect and await shelf.compare_and_swap(page, book):
                     break
             if time.monotonic() > until:
-                await step(shelf, lambda book: book.give(service, address))
+                await step(shelf, lambda book: book.end_drain(service, address))
                 return False
             await asyncio.sleep(LOOK_S)
-        while not emptied(page, await shelf.members(), book.steps):
+        while not emptied(page, await shelf.reports(), book.step):
             page = await shelf.read(page)
-            if page.book.groups[service].units[address].state is not InstanceState.OUT:
+            if page.state.groups[service].instances[address].state is not InstanceState.OUT:
                 raise OrderRejectedError(
                     f"{address}: its time was over before all servers had left it"
                 )
@@ -293,12 +302,12 @@
     """All servers that may call below have acted on this step. One that is missing may be calling
     still: it holds this up until it is back, or retired.
     """
-    heeded = {member.name: member.heeded for member in members}
+    heeded = {member.name: member.acknowledged_step for member in members}
     from ..rollout import InstanceState
 
     return all(
         heeded.get(name, 0) >= step
-        for name, unit in page.book.servers.items()
+        for name, unit in page.state.servers.items()
         if unit.state is not InstanceState.OUT
     )
 
@@ -311,7 +320,7 @@
     """An instance below may be called again; it counts as out until calls to it have gone well for
     a while.
     """
-    ordered(operator, lambda book: book.give(service, address))
+    ordered(operator, lambda book: book.end_drain(service, address))
 
 
 @rollout.command()
@@ -342,7 +351,9 @@
 
     if (most is None) == (share is None):
         raise click.UsageError("name either --most or --share")
-    ordered(operator, lambda book: book.allow(group, DisruptionBudget(most or 1, share or 0.0)))
+    ordered(
+        operator, lambda book: book.set_budget(group, DisruptionBudget(most or 1, share or 0.0))
+    )
 
 
 @rollout.command()
@@ -362,7 +373,7 @@
         shelf = create_store(told)
         try:
             await shelf.open()
-            return (await shelf.read()).book.version_of(name)
+            return (await shelf.read()).state.next_version_of(name)
         except (Away, StateDecodeError) as error:
             if part.release_file is None or not os.path.exists(part.release_file):
                 click.echo(f"burlloom: {error}", err=True)
--- a/burlloom/lab/rolls.py
+++ b/burlloom/lab/rolls.py
@@ -35,13 +35,13 @@
         self.emulator.replace(self.node)
 
 
-class Shelf:
+class SimulatedRolloutStore:
     """`loses`: the share of steps whose answer is lost, before or after they took hold."""
 
     def __init__(self, loses: float, seed: int) -> None:
         self.loses, self.chance = loses, default_rng(seed)
-        self.page = StateSnapshot(1, 0, RolloutState())
-        self.told: dict[str, ServerReport] = {}
+        self.snapshot = StateSnapshot(1, 0, RolloutState())
+        self.latest_reports: dict[str, ServerReport] = {}
 
     async def way(self, step: Callable[[], Any]) -> Any:
         await asyncio.sleep(float(self.chance.uniform(0.0005, 0.003)))
@@ -58,42 +58,44 @@
     async def open(self) -> None: ...
 
     async def read(self, known: StateSnapshot | None = None) -> StateSnapshot:
-        found: StateSnapshot = await self.way(lambda: self.page)
+        found: StateSnapshot = await self.way(lambda: self.snapshot)
         return found
 
-    async def swap(self, page: StateSnapshot, book: RolloutState) -> bool:
+    async def compare_and_swap(self, page: StateSnapshot, book: RolloutState) -> bool:
         def step() -> bool:
-            held = page.revision == self.page.revision
+            held = page.revision == self.snapshot.revision
             if held:
-                self.page = StateSnapshot(self.page.revision + 1, self.page.beat, book)
+                self.snapshot = StateSnapshot(
+                    self.snapshot.revision + 1, self.snapshot.heartbeat, book
+                )
             return held
 
         return bool(await self.way(step))
 
-    async def beat(self, epoch: int) -> None:
+    async def heartbeat(self, epoch: int) -> None:
         def step() -> None:
-            if epoch == self.page.book.epoch:
-                self.page = self.page._replace(beat=self.page.beat + 1)
+            if epoch == self.snapshot.state.epoch:
+                self.snapshot = self.snapshot._replace(heartbeat=self.snapshot.heartbeat + 1)
 
         await self.way(step)
 
-    async def tell(self, member: ServerReport) -> bool:
+    async def report(self, member: ServerReport) -> bool:
         def step() -> bool:
-            known = self.told.get(member.name)
-            if known is None or known.life <= member.life:
-                self.told[member.name] = member
-            return known is None or known.life <= member.life
+            known = self.latest_reports.get(member.name)
+            if known is None or known.incarnation <= member.incarnation:
+                self.latest_reports[member.name] = member
+            return known is None or known.incarnation <= member.incarnation
 
         return bool(await self.way(step))
 
-    async def last(self, name: str) -> ServerReport | None:
-        return self.told.get(name)
+    async def last_report(self, name: str) -> ServerReport | None:
+        return self.latest_reports.get(name)
 
-    async def members(self) -> list[ServerReport]:
-        return list(self.told.values())
+    async def reports(self) -> list[ServerReport]:
+        return list(self.latest_reports.values())
 
-    async def forget(self, name: str) -> None:
-        self.told.pop(name, None)
+    async def forget_report(self, name: str) -> None:
+        self.latest_reports.pop(name, None)
 
     async def close(self) -> None: ...
 
@@ -149,12 +151,12 @@
     ) -> None:
         super().__init__(emulator, version, bad, restart_s)
         self.first, self.part = version, part
-        self.shelf = Shelf(loses, emulator.world.seed)
+        self.shelf = SimulatedRolloutStore(loses, emulator.world.seed)
 
     def rolling(self, node: Node) -> Callable[[Server], Rolling]:
         def make(server: Server) -> Rolled:
-            loop, book = self.emulator.loop, self.shelf.page.book
-            self.begins(node, book.version_of(node.name) or self.first)
+            loop, book = self.emulator.loop, self.shelf.snapshot.state
+            self.begins(node, book.next_version_of(node.name) or self.first)
             made = Rolled(
                 self.part,
                 self.shelf,
@@ -175,8 +177,8 @@
     def order(self, order: Callable[[RolloutState], RolloutState]) -> bool:
         """An operator's, taken at once; False where it was denied."""
         try:
-            self.shelf.page = self.shelf.page._replace(
-                revision=self.shelf.page.revision + 1, book=order(self.shelf.page.book)
+            self.shelf.snapshot = self.shelf.snapshot._replace(
+                revision=self.shelf.snapshot.revision + 1, state=order(self.shelf.snapshot.state)
             )
         except OrderRejectedError:
             return False
--- a/burlloom/operator/rollout.py
+++ b/burlloom/operator/rollout.py
@@ -73,7 +73,7 @@
     def it_can_be(self) -> Self:
         from ..rollout import release
 
-        wrong = [*release.find_wave_faults(self.plan_waves()), *self.terms().faults()]
+        wrong = [*release.find_wave_faults(self.plan_waves()), *self.terms().find_faults()]
         if self.fresh_ms < 3 * max(self.beat_ms, self.poll_ms):
             wrong.append(
                 f"fresh_ms {self.fresh_ms} is under three of beat_ms and poll_ms: a server that is well would"
--- a/burlloom/rollout/agent.py
+++ b/burlloom/rollout/agent.py
@@ -15,29 +15,29 @@
 
 class AgentState(IntEnum):
     SERVING = 0
-    ASKING = 1
-    DOUBT = 2
-    LEAVING = 3
+    BEGINNING = 1
+    UNCERTAIN = 2
+    DRAINING = 3
 
 
 class AgentInput(IntEnum):
-    PERMIT = 0  # the book, as it was read, allows us to leave
-    SAYS_OUT = 1  # it says that this life of ours is leaving
-    SAYS_ELSE = 2
-    HELD = 3  # our step was taken
-    BEATEN = 4  # somebody wrote before us: it was not
-    UNSURE = 5
+    PERMITTED = 0  # the book, as it was read, allows us to leave
+    STATE_OUT = 1  # it says that this life of ours is leaving
+    STATE_OTHER = 2
+    WRITE_ACCEPTED = 3  # our step was taken
+    WRITE_CONFLICT = 4  # somebody wrote before us: it was not
+    WRITE_UNKNOWN = 5
 
 
 TABLE = """
-SERVING PERMIT    - ASKING  ask
-SERVING SAYS_OUT  - LEAVING drain
-ASKING  HELD      - LEAVING drain
-ASKING  BEATEN    - SERVING -
-ASKING  UNSURE    - DOUBT   -
-DOUBT   PERMIT    - SERVING -
-DOUBT   SAYS_OUT  - LEAVING drain
-DOUBT   SAYS_ELSE - SERVING -
+SERVING   PERMITTED      - BEGINNING begin
+SERVING   STATE_OUT      - DRAINING  drain
+BEGINNING WRITE_ACCEPTED - DRAINING  drain
+BEGINNING WRITE_CONFLICT - SERVING   -
+BEGINNING WRITE_UNKNOWN  - UNCERTAIN -
+UNCERTAIN PERMITTED      - SERVING   -
+UNCERTAIN STATE_OUT      - DRAINING  drain
+UNCERTAIN STATE_OTHER    - SERVING   -
 """
 RULES = rows(TABLE, AgentState, AgentInput, str, str)
 
@@ -45,30 +45,34 @@
 class DrainAgent:
     """Of one life of the server `name`."""
 
-    def __init__(self, name: str, life: int) -> None:
-        self.name, self.life = name, life
+    def __init__(self, name: str, incarnation: int) -> None:
+        self.name, self.incarnation = name, incarnation
         self.state = AgentState.SERVING
 
-    def meet(self, what: AgentInput) -> str:
+    def apply_input(self, what: AgentInput) -> str:
         """Gives the effect: `ask`, `drain`, `-`, or nothing where no row holds."""
         for _, state, effect in RULES.get((self.state, what), ()):
             self.state = state
             return effect
         return ""
 
-    def reads(self, book: RolloutState) -> str:
+    def process_state(self, book: RolloutState) -> str:
         """A book that was read after all that we know of our own steps."""
         unit = book.servers.get(self.name)
-        if unit is not None and unit.left == self.life:
-            return self.meet(AgentInput.SAYS_OUT)
-        if unit is not None and unit.state is At.GRANTED and unit.life <= self.life:
-            return self.meet(AgentInput.PERMIT)
-        return self.meet(AgentInput.SAYS_ELSE)
+        if unit is not None and unit.left_incarnation == self.incarnation:
+            return self.apply_input(AgentInput.STATE_OUT)
+        if unit is not None and unit.state is At.GRANTED and unit.incarnation <= self.incarnation:
+            return self.apply_input(AgentInput.PERMITTED)
+        return self.apply_input(AgentInput.STATE_OTHER)
 
-    def step(self, book: RolloutState) -> RolloutState | None:
+    def begin_drain(self, book: RolloutState) -> RolloutState | None:
         """The book in which we have begun to leave."""
         unit = book.servers[self.name]
-        made, effect = book.meet(
-            SERVERS_GROUP, self.name, Step.BEGIN, life=self.life, ticket=unit.asked
+        made, effect = book.apply_input(
+            SERVERS_GROUP,
+            self.name,
+            Step.BEGIN,
+            incarnation=self.incarnation,
+            ticket=unit.drain_ticket,
         )
         return made if effect else None
--- a/burlloom/rollout/canary.py
+++ b/burlloom/rollout/canary.py
@@ -18,18 +18,24 @@
 from .liveness import RequestCounts
 from .release import OutcomeRates
 
-FEW_BAD = 5  # txns: one or two that fail by chance are a large share of a few
-PAST = 3  # margins that are wanted where nobody is left to compare with at the same time
-PARTS, PARTS_BAD = (
+MIN_BAD_REQUESTS = 5  # txns: one or two that fail by chance are a large share of a few
+BASELINE_MARGIN_FACTOR = (
+    3  # margins that are wanted where nobody is left to compare with at the same time
+)
+WINDOW_PARTS, MIN_BAD_PARTS = (
     10,
     4,
 )  # of a span: failures come in bursts, and one burst is no sign of a bad release
 
 
+# Fields of `OutcomeRates` and `RequestCounts`, each with its word in the reason for a halt.
+_OUTCOMES = (("rejected", "declined"), ("failed", "voided"), ("late", "late"))
+
+
 class Verdict(IntEnum):
-    MORE = 0  # too few txns to tell
-    GOOD = 1
-    BAD = 2
+    INCONCLUSIVE = 0  # too few txns to tell
+    HEALTHY = 1
+    UNHEALTHY = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,48 +45,52 @@
     others do as badly.
     """
 
-    span: int = 30_000_000_000
-    least: int = 100
-    margin: float = 0.03
-    sigmas: float = 4.0
-    worst: float = 0.5
+    window_ns: int = 30_000_000_000
+    min_requests: int = 100
+    min_difference: float = 0.03
+    min_sigmas: float = 4.0
+    max_rate: float = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Evaluation:
     verdict: Verdict
-    why: str = ""
+    reason: str = ""
 
 
 class CohortSample(NamedTuple):
     """What one side was asked, and in how many looks at one of its servers it was not `well`."""
 
     counts: RequestCounts = RequestCounts()
-    looks: int = 0
-    unwell: int = 0
+    samples: int = 0
+    unhealthy_samples: int = 0
 
-    def plus(self, other: "CohortSample") -> "CohortSample":
+    def add(self, other: "CohortSample") -> "CohortSample":
         return CohortSample(
-            self.counts.plus(other.counts), self.looks + other.looks, self.unwell + other.unwell
+            self.counts.add(other.counts),
+            self.samples + other.samples,
+            self.unhealthy_samples + other.unhealthy_samples,
         )
 
-    def less(self, other: "CohortSample") -> "CohortSample":
+    def subtract(self, other: "CohortSample") -> "CohortSample":
         return CohortSample(
-            self.counts.less(other.counts), self.looks - other.looks, self.unwell - other.unwell
+            self.counts.subtract(other.counts),
+            self.samples - other.samples,
+            self.unhealthy_samples - other.unhealthy_samples,
         )
 
     @property
-    def ails(self) -> float:
-        return self.unwell / max(1, self.looks)
+    def unhealthy_rate(self) -> float:
+        return self.unhealthy_samples / max(1, self.samples)
 
 
 class ServerSample(NamedTuple):
     """At one server, in service."""
 
-    life: int
+    incarnation: int
     counts: RequestCounts
-    changed: bool
-    well: bool = True
+    is_changed: bool
+    is_healthy: bool = True
 
 
 class CanaryWindow:
@@ -90,19 +100,19 @@
     """
 
     def __init__(self, span: int, least: int, longest: int) -> None:
-        self.span, self.least, self.longest = span, least, longest
-        self.last: dict[str, ServerSample] = {}
+        self.window_ns, self.min_requests, self.max_window_ns = span, least, longest
+        self.last_samples: dict[str, ServerSample] = {}
         self.rounds: deque[tuple[int, CohortSample, CohortSample]] = deque()
-        self.changed, self.others = CohortSample(), CohortSample()
-        self.beside = (
+        self.changed, self.unchanged = CohortSample(), CohortSample()
+        self.concurrent = (
             CohortSample()
         )  # of the others, in rounds in which one that is changed was looked at
-        self.whole = False  # whether a whole span was looked at
+        self.is_complete = False  # whether a whole span was looked at
 
     def clear(self) -> None:
-        self.last.clear()
+        self.last_samples.clear()
         self.rounds.clear()
-        self.changed, self.others, self.beside, self.whole = (
+        self.changed, self.unchanged, self.concurrent, self.is_complete = (
             CohortSample(),
             CohortSample(),
             CohortSample(),
@@ -112,45 +122,52 @@
     def add(self, now: int, looks: dict[str, ServerSample]) -> None:
         sides = [CohortSample(), CohortSample()]
         for name, look in looks.items():
-            before = self.last.get(name)
+            before = self.last_samples.get(name)
             asked = (
-                look.counts.less(before.counts)
-                if before is not None and before.life == look.life
+                look.counts.subtract(before.counts)
+                if before is not None and before.incarnation == look.incarnation
                 else RequestCounts()
             )
-            sides[look.changed] = sides[look.changed].plus(CohortSample(asked, 1, not look.well))
-        self.last = looks
+            sides[look.is_changed] = sides[look.is_changed].add(
+                CohortSample(asked, 1, not look.is_healthy)
+            )
+        self.last_samples = looks
         self.rounds.append((now, sides[1], sides[0]))
-        self.changed, self.others = self.changed.plus(sides[1]), self.others.plus(sides[0])
-        self.beside = self.beside.plus(sides[0]) if sides[1].looks else self.beside
-        while (at := self.rounds[0][0]) <= now - self.span:
-            self.whole = True
+        self.changed, self.unchanged = self.changed.add(sides[1]), self.unchanged.add(sides[0])
+        self.concurrent = self.concurrent.add(sides[0]) if sides[1].samples else self.concurrent
+        while (at := self.rounds[0][0]) <= now - self.window_ns:
+            self.is_complete = True
             _, changed, others = self.rounds[0]
             if (
-                self.changed.counts.asked - changed.counts.asked < self.least
-                and at > now - self.longest
+                self.changed.counts.total - changed.counts.total < self.min_requests
+                and at > now - self.max_window_ns
             ):
                 break
             self.rounds.popleft()
-            self.changed, self.others = self.changed.less(changed), self.others.less(others)
-            self.beside = self.beside.less(others) if changed.looks else self.beside
+            self.changed, self.unchanged = (
+                self.changed.subtract(changed),
+                self.unchanged.subtract(others),
+            )
+            self.concurrent = (
+                self.concurrent.subtract(others) if changed.samples else self.concurrent
+            )
 
-    def lasting(self, name: str) -> bool:
+    def is_sustained(self, name: str) -> bool:
         """Whether the changed failed so in several parts of a span, not in one burst."""
-        part = max(1, self.span // PARTS)
+        part = max(1, self.window_ns // WINDOW_PARTS)
         return (
             len({at // part for at, changed, _ in self.rounds if getattr(changed.counts, name)})
-            >= PARTS_BAD
+            >= MIN_BAD_PARTS
         )
 
 
 def outcome_rates(counts: RequestCounts) -> OutcomeRates:
-    asked = max(1, counts.asked)
+    asked = max(1, counts.total)
     return OutcomeRates(
-        counts.declined / asked,
-        counts.voided / asked,
-        counts.late / max(1, counts.settled),
-        counts.asked,
+        counts.rejected / asked,
+        counts.failed / asked,
+        counts.late / max(1, counts.completed),
+        counts.total,
     )
 
 
@@ -160,38 +177,53 @@
     """`reference`: what the others did while there were enough of them; in their place where they
     are few.
     """
-    changed, others = evidence.changed, evidence.beside
+    changed, others = evidence.changed, evidence.concurrent
     if (
-        evidence.whole
-        and changed.looks
-        and changed.ails >= measure.worst
-        and others.ails < measure.worst / 2
+        evidence.is_complete
+        and changed.samples
+        and changed.unhealthy_rate >= measure.max_rate
+        and others.unhealthy_rate < measure.max_rate / 2
     ):
         return Evaluation(
-            Verdict.BAD, f"not well in {changed.ails:.0%} of looks, the others in {others.ails:.0%}"
+            Verdict.UNHEALTHY,
+            f"not well in {changed.unhealthy_rate:.0%} of looks, the others in {others.unhealthy_rate:.0%}",
         )
-    mine, its, margin = outcome_rates(changed.counts), outcome_rates(others.counts), measure.margin
-    if others.counts.asked < measure.least:
+    mine, its, margin = (
+        outcome_rates(changed.counts),
+        outcome_rates(others.counts),
+        measure.min_difference,
+    )
+    if others.counts.total < measure.min_requests:
         # Of another hour: what differs may be the hour.
-        its, margin = reference or OutcomeRates(asked=0), PAST * measure.margin
-    for name in ("declined", "voided", "late"):
+        its, margin = (
+            reference or OutcomeRates(requests=0),
+            BASELINE_MARGIN_FACTOR * measure.min_difference,
+        )
+    for name, label in _OUTCOMES:
         share, usual = getattr(mine, name), getattr(its, name)
-        count = changed.counts.settled if name == "late" else mine.asked
+        count = changed.counts.completed if name == "late" else mine.requests
         worst = (
-            count >= measure.least
-            and share >= measure.worst
-            and (usual < measure.worst or not its.asked)
+            count >= measure.min_requests
+            and share >= measure.max_rate
+            and (usual < measure.max_rate or not its.requests)
         )
-        bad = worst or its.asked and worse(margin, measure.sigmas, share, count, usual, its.asked)
-        if bad and evidence.lasting(name):
+        bad = (
+            worst
+            or its.requests
+            and is_worse(margin, measure.min_sigmas, share, count, usual, its.requests)
+        )
+        if bad and evidence.is_sustained(name):
             return Evaluation(
-                Verdict.BAD, f"{name} {share:.1%} of {count}, the others {usual:.1%} of {its.asked}"
+                Verdict.UNHEALTHY,
+                f"{label} {share:.1%} of {count}, the others {usual:.1%} of {its.requests}",
             )
-    return Evaluation(Verdict.GOOD if changed.counts.asked >= measure.least else Verdict.MORE)
+    return Evaluation(
+        Verdict.HEALTHY if changed.counts.total >= measure.min_requests else Verdict.INCONCLUSIVE
+    )
 
 
-def worse(margin: float, sigmas: float, share: float, count: int, usual: float, of: int) -> bool:
-    if share * count < FEW_BAD or share - usual < margin:
+def is_worse(margin: float, sigmas: float, share: float, count: int, usual: float, of: int) -> bool:
+    if share * count < MIN_BAD_REQUESTS or share - usual < margin:
         return False
     pooled = (share * count + usual * of) / (count + of)
     spread = sqrt(pooled * (1 - pooled) * (1 / count + 1 / of))
--- a/burlloom/rollout/instance.py
+++ b/burlloom/rollout/instance.py
@@ -28,49 +28,67 @@
     MISSING = 4
     GONE = 5
 
+    @property
+    def label(self) -> str:
+        """The word for this state in the stored history and on operators' pages."""
+        return self.name.lower()
+
 
 class InstanceInput(IntEnum):
     SEEN = 0  # it serves, in the life that is told with it
-    SILENT = 1  # not heard for as long as a sign of life counts
-    PARTS = 2  # it says that it is leaving: its platform told it to
-    GRANT = 3
+    LOST = 1  # not heard for as long as a sign of life counts
+    LEAVING = 2  # it says that it is leaving: its platform told it to
+    PERMIT = 3
     BEGIN = 4  # by whom the permit is for
     REVOKE = 5
     EXPIRED = 6  # the time for what it was to do is over
-    GIVEN = 7  # an operator says that it may be called again
+    DRAIN_ENDED = 7  # an operator says that it may be called again
     SETTLED = 8  # it has served for long enough since it came back
     RETIRE = 9  # an operator says that it will not come back, or nobody waits any longer
 
+    @property
+    def label(self) -> str:
+        """The word for this input in the stored history."""
+        return _INPUT_LABELS.get(self) or self.name.lower()
+
+
+_INPUT_LABELS = {
+    InstanceInput.LOST: "silent",
+    InstanceInput.LEAVING: "parts",
+    InstanceInput.PERMIT: "grant",
+    InstanceInput.DRAIN_ENDED: "given",
+}
+
 
 TABLE = """
-GONE    SEEN    -     BACK    enter
-IN      SEEN    newer BACK    fall
-IN      SILENT  -     MISSING lose
-IN      PARTS   -     OUT     leave
-IN      GRANT   room  GRANTED -
-IN      RETIRE  -     GONE    -
-GRANTED SEEN    newer BACK    fall
-GRANTED SILENT  -     MISSING refuse
-GRANTED PARTS   -     OUT     leave
-GRANTED BEGIN   mine  OUT     leave
-GRANTED REVOKE  -     BACK    refuse
-GRANTED EXPIRED -     BACK    refuse
-GRANTED RETIRE  -     GONE    -
-OUT     SEEN    again BACK    come
-OUT     GIVEN   -     BACK    come
-OUT     EXPIRED below BACK    come
-OUT     EXPIRED -     MISSING lose
-OUT     RETIRE  -     GONE    -
-BACK    SEEN    newer BACK    fall
-BACK    SILENT  -     MISSING lose
-BACK    PARTS   -     OUT     leave
-BACK    SETTLED -     IN      -
-BACK    EXPIRED -     MISSING lose
-BACK    GRANT   stays GRANTED -
-BACK    RETIRE  -     GONE    -
-MISSING SEEN    again BACK    come
-MISSING GRANT   stays GRANTED -
-MISSING RETIRE  -     GONE    -
+GONE    SEEN        -                 BACK    record_incarnation
+IN      SEEN        is_newer          BACK    record_crash
+IN      LOST        -                 MISSING mark_missing
+IN      LEAVING     -                 OUT     record_leaving
+IN      PERMIT      has_budget        GRANTED -
+IN      RETIRE      -                 GONE    -
+GRANTED SEEN        is_newer          BACK    record_crash
+GRANTED LOST        -                 MISSING cancel_permit
+GRANTED LEAVING     -                 OUT     record_leaving
+GRANTED BEGIN       is_own_permit     OUT     record_leaving
+GRANTED REVOKE      -                 BACK    cancel_permit
+GRANTED EXPIRED     -                 BACK    cancel_permit
+GRANTED RETIRE      -                 GONE    -
+OUT     SEEN        is_restarted      BACK    record_return
+OUT     DRAIN_ENDED -                 BACK    record_return
+OUT     EXPIRED     is_downstream     BACK    record_return
+OUT     EXPIRED     -                 MISSING mark_missing
+OUT     RETIRE      -                 GONE    -
+BACK    SEEN        is_newer          BACK    record_crash
+BACK    LOST        -                 MISSING mark_missing
+BACK    LEAVING     -                 OUT     record_leaving
+BACK    SETTLED     -                 IN      -
+BACK    EXPIRED     -                 MISSING mark_missing
+BACK    PERMIT      may_be_sent_again GRANTED -
+BACK    RETIRE      -                 GONE    -
+MISSING SEEN        is_restarted      BACK    record_return
+MISSING PERMIT      may_be_sent_again GRANTED -
+MISSING RETIRE      -                 GONE    -
 """
 
 
@@ -84,27 +102,27 @@
     """
 
     state: InstanceState = InstanceState.GONE
-    life: int = 0
-    left: int = 0
-    since: int = 0
+    incarnation: int = 0
+    left_incarnation: int = 0
+    since_step: int = 0
     version: str = ""
-    to: str = ""
-    moved: int = 0
-    asked: int = 0
-    span_ms: int = 0
+    next_version: str = ""
+    release_number: int = 0
+    drain_ticket: int = 0
+    drain_ms: int = 0
 
     @property
-    def counts(self) -> bool:
+    def is_out(self) -> bool:
         """Against the budget."""
         return self.state not in (InstanceState.IN, InstanceState.GONE)
 
     @property
-    def sent(self) -> bool:
+    def was_sent_out(self) -> bool:
         """It may have left with a permit, or may yet, and has not been seen since."""
         return (
             self.state in (InstanceState.GRANTED, InstanceState.OUT)
             or self.state is InstanceState.MISSING
-            and self.left >= self.life
+            and self.left_incarnation >= self.incarnation
         )
 
 
@@ -117,92 +135,101 @@
     """
 
     step: int
-    life: int = 0
+    incarnation: int = 0
     ticket: int = 0
-    room: bool = False
-    few: bool = False
-    below: bool = False
+    has_budget: bool = False
+    has_sent_budget: bool = False
+    is_downstream: bool = False
 
 
-def newer(unit: Instance, news: InstanceEvent) -> bool:
-    return news.life > unit.life
+def is_newer(unit: Instance, news: InstanceEvent) -> bool:
+    return news.incarnation > unit.incarnation
 
 
-def again(unit: Instance, news: InstanceEvent) -> bool:
+def is_restarted(unit: Instance, news: InstanceEvent) -> bool:
     """Later than the life that left: a letter of that one, late, does not bring it back."""
-    return news.life > unit.left
+    return news.incarnation > unit.left_incarnation
 
 
-def mine(unit: Instance, news: InstanceEvent) -> bool:
+def is_own_permit(unit: Instance, news: InstanceEvent) -> bool:
     """Not another's order on the same instance, nor of a life before."""
-    return news.ticket == unit.asked and news.life >= unit.life
+    return news.ticket == unit.drain_ticket and news.incarnation >= unit.incarnation
 
 
-def room(unit: Instance, news: InstanceEvent) -> bool:
-    return news.room
+def has_budget(unit: Instance, news: InstanceEvent) -> bool:
+    return news.has_budget
 
 
-def stays(unit: Instance, news: InstanceEvent) -> bool:
+def may_be_sent_again(unit: Instance, news: InstanceEvent) -> bool:
     """It counts already, but may be serving all the same: it waits for those who were sent out, as
     any other.
     """
-    return news.few and unit.left < unit.life
+    return news.has_sent_budget and unit.left_incarnation < unit.incarnation
 
 
-def below(unit: Instance, news: InstanceEvent) -> bool:
-    return news.below
+def is_downstream(unit: Instance, news: InstanceEvent) -> bool:
+    return news.is_downstream
 
 
-def enter(unit: Instance, news: InstanceEvent) -> Instance:
-    return replace(unit, life=news.life)
+def record_incarnation(unit: Instance, news: InstanceEvent) -> Instance:
+    return replace(unit, incarnation=news.incarnation)
 
 
-def come(unit: Instance, news: InstanceEvent) -> Instance:
-    return replace(unit, life=max(news.life, unit.life), asked=0)
+def record_return(unit: Instance, news: InstanceEvent) -> Instance:
+    return replace(unit, incarnation=max(news.incarnation, unit.incarnation), drain_ticket=0)
 
 
-def leave(unit: Instance, news: InstanceEvent) -> Instance:
-    return replace(unit, left=max(unit.left, news.life), asked=0)
+def record_leaving(unit: Instance, news: InstanceEvent) -> Instance:
+    return replace(
+        unit, left_incarnation=max(unit.left_incarnation, news.incarnation), drain_ticket=0
+    )
 
 
-def refuse(unit: Instance, news: InstanceEvent) -> Instance:
+def cancel_permit(unit: Instance, news: InstanceEvent) -> Instance:
     """Nothing has come of the permit. Whoever waited for an instance below is gone by now, or asks
     anew.
     """
-    return replace(unit, moved=0, to="", asked=0 if news.below else unit.asked)
+    return replace(
+        unit,
+        release_number=0,
+        next_version="",
+        drain_ticket=0 if news.is_downstream else unit.drain_ticket,
+    )
 
 
-def same(unit: Instance, news: InstanceEvent) -> Instance:
+def keep(unit: Instance, news: InstanceEvent) -> Instance:
     return unit
 
 
 TESTS: dict[str, Callable[[Instance, InstanceEvent], bool]] = {
     "-": lambda unit, news: True,
-    "newer": newer,
-    "again": again,
-    "mine": mine,
-    "room": room,
-    "stays": stays,
-    "below": below,
+    "is_newer": is_newer,
+    "is_restarted": is_restarted,
+    "is_own_permit": is_own_permit,
+    "has_budget": has_budget,
+    "may_be_sent_again": may_be_sent_again,
+    "is_downstream": is_downstream,
 }
 EFFECTS: dict[str, Callable[[Instance, InstanceEvent], Instance]] = {
-    "-": same,
-    "lose": same,
-    "refuse": refuse,
-    "enter": enter,
-    "fall": enter,
-    "come": come,
-    "leave": leave,
+    "-": keep,
+    "mark_missing": keep,
+    "cancel_permit": cancel_permit,
+    "record_incarnation": record_incarnation,
+    "record_crash": record_incarnation,
+    "record_return": record_return,
+    "record_leaving": record_leaving,
 }
 RULES = rows(TABLE, InstanceState, InstanceInput, TESTS.__getitem__, str)
 
 
-def meet(unit: Instance, what: InstanceInput, news: InstanceEvent) -> tuple[Instance, str] | None:
+def apply_input(
+    unit: Instance, what: InstanceInput, news: InstanceEvent
+) -> tuple[Instance, str] | None:
     """By the first row whose test holds: the unit after it and the effect's name; None where there
     is none.
     """
     for test, after, effect in RULES.get((unit.state, what), ()):
         if test(unit, news):
             made = EFFECTS[effect](unit, news)
-            return replace(made, state=after, since=news.step), effect
+            return replace(made, state=after, since_step=news.step), effect
     return None
--- a/burlloom/rollout/liveness.py
+++ b/burlloom/rollout/liveness.py
@@ -13,7 +13,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-SECOND = 1_000_000_000
+SECOND_NS = 1_000_000_000
 
 
 class ServerPhase(IntEnum):
@@ -25,20 +25,20 @@
 class RequestCounts(NamedTuple):
     """Of a life, since it began: txns settled, of these after the SLA time, declined, voided."""
 
-    settled: int = 0
+    completed: int = 0
     late: int = 0
-    declined: int = 0
-    voided: int = 0
+    rejected: int = 0
+    failed: int = 0
 
-    def less(self, other: "RequestCounts") -> "RequestCounts":
+    def subtract(self, other: "RequestCounts") -> "RequestCounts":
         return RequestCounts(*(max(0, mine - its) for mine, its in zip(self, other, strict=True)))
 
-    def plus(self, other: "RequestCounts") -> "RequestCounts":
+    def add(self, other: "RequestCounts") -> "RequestCounts":
         return RequestCounts(*(mine + its for mine, its in zip(self, other, strict=True)))
 
     @property
-    def asked(self) -> int:
-        return self.settled + self.declined + self.voided
+    def total(self) -> int:
+        return self.completed + self.rejected + self.failed
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,62 +50,67 @@
     """
 
     name: str
-    life: int
-    beat: int
-    says: ServerPhase = ServerPhase.SERVING
-    well: bool = True
+    incarnation: int
+    heartbeat: int
+    phase: ServerPhase = ServerPhase.SERVING
+    is_healthy: bool = True
     version: str = ""
-    heeded: int = 0
+    acknowledged_step: int = 0
     counts: RequestCounts = RequestCounts()
-    below: Mapping[str, tuple[int, int]] | None = None
-    former: int = 0
+    downstream: Mapping[str, tuple[int, int]] | None = None
+    previous_incarnation: int = 0
 
 
 @dataclass(slots=True)
 class Observation:
-    what: Hashable
-    at: int
-    first: bool  # it has not changed before our eyes
+    value: Hashable
+    changed_at_ns: int
+    is_initial: bool  # it has not changed before our eyes
 
 
 class LivenessObserver:
     """`fresh`: ns for which a sign of life counts."""
 
     def __init__(self, fresh: int) -> None:
-        self.fresh = fresh
-        self.seen: dict[Hashable, Observation] = {}
-        self.looked_at = -1
+        self.heartbeat_ttl_ns = fresh
+        self.observations: dict[Hashable, Observation] = {}
+        self.observed_at_ns = -1
 
-    def begins(self, now: int) -> None:
+    def begin_round(self, now: int) -> None:
         """A look at all of it. Where we did not look for long (the store was away, or we stood
         still), that time is nobody's silence, and nobody was seen to serve in it.
         """
-        gap = now - self.looked_at
-        if self.looked_at >= 0 and gap > self.fresh // 2:
-            for seen in self.seen.values():
-                seen.at, seen.first = seen.at + gap, True
-        self.looked_at = now
-
-    def look(self, now: int, key: Hashable, what: Hashable) -> Observation:
-        known = self.seen.get(key)
+        gap = now - self.observed_at_ns
+        if self.observed_at_ns >= 0 and gap > self.heartbeat_ttl_ns // 2:
+            for seen in self.observations.values():
+                seen.changed_at_ns, seen.is_initial = seen.changed_at_ns + gap, True
+        self.observed_at_ns = now
+
+    def observe(self, now: int, key: Hashable, what: Hashable) -> Observation:
+        known = self.observations.get(key)
         if known is None:
-            known = self.seen[key] = Observation(what, now, True)
-        elif known.what != what:
-            known.what, known.at, known.first = what, now, False
+            known = self.observations[key] = Observation(what, now, True)
+        elif known.value != what:
+            known.value, known.changed_at_ns, known.is_initial = what, now, False
         return known
 
-    def age(self, now: int, key: Hashable, what: Hashable) -> int:
+    def unchanged_for_ns(self, now: int, key: Hashable, what: Hashable) -> int:
         """ns since we first saw it so."""
-        return now - self.look(now, key, what).at
+        return now - self.observe(now, key, what).changed_at_ns
 
-    def serves(self, now: int, member: ServerReport) -> bool:
-        seen = self.look(now, ("beat", member.name), (member.life, member.beat))
-        return not seen.first and now - seen.at < self.fresh
+    def is_serving(self, now: int, member: ServerReport) -> bool:
+        seen = self.observe(now, ("beat", member.name), (member.incarnation, member.heartbeat))
+        return not seen.is_initial and now - seen.changed_at_ns < self.heartbeat_ttl_ns
 
-    def silent(self, now: int, member: ServerReport) -> bool:
-        return self.age(now, ("beat", member.name), (member.life, member.beat)) >= self.fresh
+    def is_silent(self, now: int, member: ServerReport) -> bool:
+        return (
+            self.unchanged_for_ns(
+                now, ("beat", member.name), (member.incarnation, member.heartbeat)
+            )
+            >= self.heartbeat_ttl_ns
+        )
 
-    def forget(self, keep: set[Hashable]) -> None:
+    def retain(self, keep: set[Hashable]) -> None:
         """What is not in the book or among the members any more."""
-        for key in [key for key in self.seen if key not in keep]:
-            del self.seen[key]
+        for key in [key for key in self.observations if key not in keep]:
+            del self.observations[key]
--- a/burlloom/rollout/release.py
+++ b/burlloom/rollout/release.py
@@ -16,46 +16,68 @@
 class ReleasePhase(IntEnum):
     IDLE = 0
     ROLLING = 1
-    JUDGING = 2
+    EVALUATING = 2
     HALTED = 3
-    BACKING = 4
+    ROLLING_BACK = 4
+
+    @property
+    def label(self) -> str:
+        """The word for this phase in the stored history and on operators' pages."""
+        return _PHASE_LABELS.get(self) or self.name.lower()
+
+
+_PHASE_LABELS = {ReleasePhase.EVALUATING: "judging", ReleasePhase.ROLLING_BACK: "backing"}
 
 
 class ReleaseInput(IntEnum):
     START = 0
-    COMPLETE = 1  # all of the wave, or of the way back, are back and settled
-    GOOD = 2
-    BAD = 3  # the changed do worse than the others
-    LOST = 4  # one that was changed is missing, fell, or came back with another version
-    QUIET = 5  # too little was asked of the changed to tell
+    WAVE_COMPLETE = 1  # all of the wave, or of the way back, are back and settled
+    EVALUATED_HEALTHY = 2
+    EVALUATED_UNHEALTHY = 3  # the changed do worse than the others
+    SERVER_LOST = 4  # one that was changed is missing, fell, or came back with another version
+    TRAFFIC_TOO_LOW = 5  # too little was asked of the changed to tell
     HALT = 6  # by an operator, as the next two
     RESUME = 7
     ROLLBACK = 8
 
+    @property
+    def label(self) -> str:
+        """The word for this input in the stored history and on operators' pages."""
+        return _INPUT_LABELS.get(self) or self.name.lower()
+
+
+_INPUT_LABELS = {
+    ReleaseInput.WAVE_COMPLETE: "complete",
+    ReleaseInput.EVALUATED_HEALTHY: "good",
+    ReleaseInput.EVALUATED_UNHEALTHY: "bad",
+    ReleaseInput.SERVER_LOST: "lost",
+    ReleaseInput.TRAFFIC_TOO_LOW: "quiet",
+}
+
 
 TABLE = """
-IDLE    START    -       ROLLING begin
-ROLLING COMPLETE -       JUDGING -
-ROLLING BAD      auto    BACKING turn
-ROLLING BAD      -       HALTED  stop
-ROLLING LOST     auto    BACKING turn
-ROLLING LOST     -       HALTED  stop
-ROLLING HALT     -       HALTED  stop
-ROLLING ROLLBACK -       BACKING turn
-JUDGING GOOD     last    IDLE    finish
-JUDGING GOOD     -       ROLLING next
-JUDGING BAD      auto    BACKING turn
-JUDGING BAD      -       HALTED  stop
-JUDGING LOST     auto    BACKING turn
-JUDGING LOST     -       HALTED  stop
-JUDGING QUIET    -       HALTED  stop
-JUDGING HALT     -       HALTED  stop
-JUDGING ROLLBACK -       BACKING turn
-HALTED  RESUME   backing BACKING resume
-HALTED  RESUME   -       ROLLING resume
-HALTED  ROLLBACK -       BACKING turn
-BACKING COMPLETE -       IDLE    close
-BACKING HALT     -       HALTED  stop
+IDLE         START               -             ROLLING      begin
+ROLLING      WAVE_COMPLETE       -             EVALUATING   -
+ROLLING      EVALUATED_UNHEALTHY auto_rollback ROLLING_BACK begin_rollback
+ROLLING      EVALUATED_UNHEALTHY -             HALTED       halt
+ROLLING      SERVER_LOST         auto_rollback ROLLING_BACK begin_rollback
+ROLLING      SERVER_LOST         -             HALTED       halt
+ROLLING      HALT                -             HALTED       halt
+ROLLING      ROLLBACK            -             ROLLING_BACK begin_rollback
+EVALUATING   EVALUATED_HEALTHY   is_last_wave  IDLE         finish_release
+EVALUATING   EVALUATED_HEALTHY   -             ROLLING      next_wave
+EVALUATING   EVALUATED_UNHEALTHY auto_rollback ROLLING_BACK begin_rollback
+EVALUATING   EVALUATED_UNHEALTHY -             HALTED       halt
+EVALUATING   SERVER_LOST         auto_rollback ROLLING_BACK begin_rollback
+EVALUATING   SERVER_LOST         -             HALTED       halt
+EVALUATING   TRAFFIC_TOO_LOW     -             HALTED       halt
+EVALUATING   HALT                -             HALTED       halt
+EVALUATING   ROLLBACK            -             ROLLING_BACK begin_rollback
+HALTED       RESUME              is_rollback   ROLLING_BACK resume
+HALTED       RESUME              -             ROLLING      resume
+HALTED       ROLLBACK            -             ROLLING_BACK begin_rollback
+ROLLING_BACK WAVE_COMPLETE       -             IDLE         finish_rollback
+ROLLING_BACK HALT                -             HALTED       halt
 """
 
 Wave = int | float  # so many servers, or such a part of all
@@ -67,10 +89,10 @@
     settled); `asked`: of how many.
     """
 
-    declined: float = 0.0
-    voided: float = 0.0
+    rejected: float = 0.0
+    failed: float = 0.0
     late: float = 0.0
-    asked: int = 0
+    requests: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,77 +105,79 @@
 
     number: int = 0
     phase: ReleasePhase = ReleasePhase.IDLE
-    version: str = ""
-    former: str = ""
-    restart: bool = False
-    wave: int = 0
+    target_version: str = ""
+    previous_version: str = ""
+    is_restart: bool = False
+    wave_index: int = 0
     waves: tuple[Wave, ...] = (1, 1.0)
-    backing: bool = False
-    auto: bool = False
-    since: int = 0
-    why: str = ""
-    reference: OutcomeRates | None = None
-    lost: int = 0
+    is_rollback: bool = False
+    auto_rollback: bool = False
+    since_step: int = 0
+    reason: str = ""
+    baseline: OutcomeRates | None = None
+    lost_count: int = 0
 
     @property
-    def goal(self) -> str:
-        return self.former if self.backing else self.version
+    def goal_version(self) -> str:
+        return self.previous_version if self.is_rollback else self.target_version
 
     @property
-    def moving(self) -> bool:
-        return self.phase in (ReleasePhase.ROLLING, ReleasePhase.BACKING)
+    def is_moving(self) -> bool:
+        return self.phase in (ReleasePhase.ROLLING, ReleasePhase.ROLLING_BACK)
 
-    def wanted(self, members: int) -> int:
+    def target_count(self, members: int) -> int:
         """How many are to be changed at the end of this wave."""
-        if self.backing:
+        if self.is_rollback:
             return members
-        wave = self.waves[min(self.wave, len(self.waves) - 1)]
+        wave = self.waves[min(self.wave_index, len(self.waves) - 1)]
         return min(members, max(1, wave if isinstance(wave, int) else ceil(wave * members - 1e-9)))
 
 
 def begin(plan: Release) -> Release:
-    return replace(plan, wave=0, backing=False, reference=None)
+    return replace(plan, wave_index=0, is_rollback=False, baseline=None)
 
 
 def next_wave(plan: Release) -> Release:
-    return replace(plan, wave=plan.wave + 1)
+    return replace(plan, wave_index=plan.wave_index + 1)
 
 
-def turn(plan: Release) -> Release:
-    return replace(plan, backing=True)
+def begin_rollback(plan: Release) -> Release:
+    return replace(plan, is_rollback=True)
 
 
 def resume(plan: Release) -> Release:
-    return replace(plan, lost=0)
+    return replace(plan, lost_count=0)
 
 
-def same(plan: Release) -> Release:
+def keep(plan: Release) -> Release:
     return plan
 
 
 TESTS: dict[str, Callable[[Release], bool]] = {
     "-": lambda plan: True,
-    "auto": lambda plan: plan.auto and not plan.restart,
-    "last": lambda plan: plan.wave + 1 >= len(plan.waves),
-    "backing": lambda plan: plan.backing,
+    "auto_rollback": lambda plan: plan.auto_rollback and not plan.is_restart,
+    "is_last_wave": lambda plan: plan.wave_index + 1 >= len(plan.waves),
+    "is_rollback": lambda plan: plan.is_rollback,
 }
 EFFECTS: dict[str, Callable[[Release], Release]] = {
-    "-": same,
+    "-": keep,
     "begin": begin,
-    "next": next_wave,
-    "turn": turn,
-    "stop": same,
+    "next_wave": next_wave,
+    "begin_rollback": begin_rollback,
+    "halt": keep,
     "resume": resume,
-    "finish": same,
-    "close": same,
+    "finish_release": keep,
+    "finish_rollback": keep,
 }
 RULES = rows(TABLE, ReleasePhase, ReleaseInput, TESTS.__getitem__, str)
 
 
-def meet(plan: Release, what: ReleaseInput, step: int, why: str) -> tuple[Release, str] | None:
+def apply_input(
+    plan: Release, what: ReleaseInput, step: int, why: str
+) -> tuple[Release, str] | None:
     for test, after, effect in RULES.get((plan.phase, what), ()):
         if test(plan):
-            return replace(EFFECTS[effect](plan), phase=after, since=step, why=why), effect
+            return replace(EFFECTS[effect](plan), phase=after, since_step=step, reason=why), effect
     return None
 
 
--- a/burlloom/rollout/state.py
+++ b/burlloom/rollout/state.py
@@ -16,7 +16,7 @@
 from .release import Release, ReleasePhase
 
 SERVERS_GROUP = "servers"  # the group of ourselves; all others are services below
-NOTES_MOST = 40
+MAX_HISTORY = 40
 # Raised where an older program would lose something by writing the book anew; only in a release
 # after one that reads the new form already, as old and new run side by side in every release.
 FORMAT_VERSION = 1
@@ -32,26 +32,28 @@
     one at least; and never all.
     """
 
-    most: int = 1
-    share: float = 0.0
+    max_out: int = 1
+    max_out_share: float = 0.0
 
-    def bound(self, size: int) -> int:
-        allowed = max(1, int(self.share * size + 1e-9)) if self.share else self.most
+    def limit(self, size: int) -> int:
+        allowed = (
+            max(1, int(self.max_out_share * size + 1e-9)) if self.max_out_share else self.max_out
+        )
         return max(0, min(allowed, size - 1))
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceGroup:
     budget: DisruptionBudget = DisruptionBudget()
-    units: dict[str, Instance] = field(default_factory=dict)
+    instances: dict[str, Instance] = field(default_factory=dict)
 
     @property
-    def taken(self) -> int:
-        return sum(unit.counts for unit in self.units.values())
+    def out_count(self) -> int:
+        return sum(unit.is_out for unit in self.instances.values())
 
-    def free(self, doubtful: int = 0) -> int:
+    def free_permits(self, unhealthy: int = 0) -> int:
         """Permits that may be given; `doubtful`: units that are in and can't be seen to serve."""
-        return self.budget.bound(len(self.units)) - self.taken - doubtful
+        return self.budget.limit(len(self.instances)) - self.out_count - unhealthy
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,159 +63,171 @@
     with its step, in words.
     """
 
-    holder: str = ""
+    leader: str = ""
     epoch: int = 0
-    steps: int = 0
-    good: str = ""
-    plan: Release = Release()
+    step: int = 0
+    stable_version: str = ""
+    release: Release = Release()
     groups: dict[str, InstanceGroup] = field(
         default_factory=lambda: {SERVERS_GROUP: InstanceGroup()}
     )
-    notes: tuple[tuple[int, str], ...] = ()
-    form: int = FORMAT_VERSION
+    history: tuple[tuple[int, str], ...] = ()
+    format_version: int = FORMAT_VERSION
 
     # What it shows.
 
     @property
     def servers(self) -> dict[str, Instance]:
-        return self.groups[SERVERS_GROUP].units
+        return self.groups[SERVERS_GROUP].instances
 
-    def all(self) -> Iterator[tuple[str, str, Instance]]:
+    def iter_instances(self) -> Iterator[tuple[str, str, Instance]]:
         for group, one in self.groups.items():
-            for name, unit in one.units.items():
+            for name, unit in one.instances.items():
                 yield group, name, unit
 
-    def done(self, unit: Instance) -> bool:
+    def is_done(self, unit: Instance) -> bool:
         """As the change wants it."""
-        plan = self.plan
-        return unit.version == plan.goal and (
-            not plan.restart or plan.backing or unit.moved == plan.number
+        plan = self.release
+        return unit.version == plan.goal_version and (
+            not plan.is_restart or plan.is_rollback or unit.release_number == plan.number
         )
 
-    def flying(self, unit: Instance) -> bool:
+    def is_in_flight(self, unit: Instance) -> bool:
         """Sent out by this change and not back in service."""
-        return unit.counts and unit.moved == self.plan.number
+        return unit.is_out and unit.release_number == self.release.number
 
-    def version_of(self, name: str) -> str:
+    def next_version_of(self, name: str) -> str:
         """That a server of this name is to start with now."""
         unit = self.servers.get(name)
-        if unit is not None and unit.to and self.plan.phase is not ReleasePhase.IDLE:
-            return unit.to
+        if unit is not None and unit.next_version and self.release.phase is not ReleasePhase.IDLE:
+            return unit.next_version
         return (
-            (self.plan.former or self.good)
-            if self.plan.phase is not ReleasePhase.IDLE
-            else self.good
+            (self.release.previous_version or self.stable_version)
+            if self.release.phase is not ReleasePhase.IDLE
+            else self.stable_version
         )
 
-    def shunned(self) -> list[tuple[str, str]]:
+    def ejected_instances(self) -> list[tuple[str, str]]:
         """Instances below that are not to be called: group and address."""
         return [
             (group, name)
-            for group, name, unit in self.all()
+            for group, name, unit in self.iter_instances()
             if group != SERVERS_GROUP and unit.state is InstanceState.OUT
         ]
 
     # Steps.
 
-    def note(self, said: str) -> "RolloutState":
-        return replace(self, notes=(*self.notes, (self.steps, said))[-NOTES_MOST:])
+    def with_note(self, said: str) -> "RolloutState":
+        return replace(self, history=(*self.history, (self.step, said))[-MAX_HISTORY:])
 
-    def put(self, group: str, name: str, unit: Instance) -> "RolloutState":
+    def with_instance(self, group: str, name: str, unit: Instance) -> "RolloutState":
         before = self.groups[group]
-        rest = {**before.units, name: unit}
+        rest = {**before.instances, name: unit}
         if unit.state is InstanceState.GONE:
             del rest[name]
         return replace(
             self,
-            steps=max(self.steps, unit.since),
-            groups={**self.groups, group: replace(before, units=rest)},
+            step=max(self.step, unit.since_step),
+            groups={**self.groups, group: replace(before, instances=rest)},
         )
 
-    def meet(
+    def apply_input(
         self,
         group: str,
         name: str,
         what: InstanceInput,
         *,
-        life: int = 0,
+        incarnation: int = 0,
         ticket: int = 0,
-        room: bool = False,
-        few: bool = False,
+        has_budget: bool = False,
+        has_sent_budget: bool = False,
     ) -> tuple["RolloutState", str]:
         """A unit's step; the effect is empty where no row holds, and the book the same."""
-        unit = self.groups[group].units.get(name, Instance())
-        news = InstanceEvent(self.steps + 1, life, ticket, room, few, group != SERVERS_GROUP)
-        moved = units.meet(unit, what, news)
+        unit = self.groups[group].instances.get(name, Instance())
+        news = InstanceEvent(
+            self.step + 1, incarnation, ticket, has_budget, has_sent_budget, group != SERVERS_GROUP
+        )
+        moved = units.apply_input(unit, what, news)
         if moved is None:
             return self, ""
         after, effect = moved
-        said = f"{what.name}, {unit.state.name} to {after.state.name}".lower()
-        return self.put(group, name, after).note(f"{group} {name}: {said}"), effect
+        said = f"{what.label}, {unit.state.label} to {after.state.label}"
+        return self.with_instance(group, name, after).with_note(f"{group} {name}: {said}"), effect
 
-    def permit(
-        self, group: str, name: str, doubtful: int, to: str = "", moved: int = 0
+    def grant_permit(
+        self, group: str, name: str, doubtful: int, next_version: str = "", release_number: int = 0
     ) -> tuple["RolloutState", bool]:
         """The one place in which a unit is allowed to leave."""
         there = self.groups[group]
-        sent = sum(unit.sent for other, unit in there.units.items() if other != name)
-        made, effect = self.meet(
+        sent = sum(unit.was_sent_out for other, unit in there.instances.items() if other != name)
+        made, effect = self.apply_input(
             group,
             name,
-            InstanceInput.GRANT,
-            room=there.free(doubtful) > 0,
-            few=sent < there.budget.bound(len(there.units)),
+            InstanceInput.PERMIT,
+            has_budget=there.free_permits(doubtful) > 0,
+            has_sent_budget=sent < there.budget.limit(len(there.instances)),
         )
         if not effect:
             return self, False
         unit = replace(
-            made.groups[group].units[name], to=to or self.groups[group].units[name].to, moved=moved
+            made.groups[group].instances[name],
+            next_version=next_version or self.groups[group].instances[name].next_version,
+            release_number=release_number,
         )
-        return made.put(group, name, unit), True
+        return made.with_instance(group, name, unit), True
 
-    def decide(self, what: plans.ReleaseInput, why: str) -> tuple["RolloutState", str]:
+    def apply_to_release(self, what: plans.ReleaseInput, why: str) -> tuple["RolloutState", str]:
         """A step of the change; with what it means to the units."""
-        moved = plans.meet(self.plan, what, self.steps + 1, why)
+        moved = plans.apply_input(self.release, what, self.step + 1, why)
         if moved is None:
             return self, ""
         plan, effect = moved
-        book = replace(self, plan=plan, steps=self.steps + 1).note(
+        book = replace(self, release=plan, step=self.step + 1).with_note(
             f"change {plan.number}: "
-            + f"{what.name}, {self.plan.phase.name} to {plan.phase.name}".lower()
+            + f"{what.label}, {self.release.phase.label} to {plan.phase.label}"
             + (f" ({why})" if why else "")
         )
-        if effect in ("stop", "turn"):
-            book = book.called_in()
-        if effect == "finish":
-            book = replace(book, good=plan.version)
-        if effect == "close":
-            book = replace(book, good=plan.former)
-        if effect == "turn" or plan.phase is ReleasePhase.IDLE:
-            book = book.told(plan.former if effect == "turn" else "")
+        if effect in ("halt", "begin_rollback"):
+            book = book.with_permits_revoked()
+        if effect == "finish_release":
+            book = replace(book, stable_version=plan.target_version)
+        if effect == "finish_rollback":
+            book = replace(book, stable_version=plan.previous_version)
+        if effect == "begin_rollback" or plan.phase is ReleasePhase.IDLE:
+            book = book.with_next_version(
+                plan.previous_version if effect == "begin_rollback" else ""
+            )
         return book, effect
 
-    def told(self, to: str) -> "RolloutState":
+    def with_next_version(self, to: str) -> "RolloutState":
         """All servers are to start with this version, whenever they do."""
         servers = self.groups[SERVERS_GROUP]
-        anew = {name: replace(unit, to=to) for name, unit in servers.units.items()}
-        return replace(self, groups={**self.groups, SERVERS_GROUP: replace(servers, units=anew)})
+        anew = {name: replace(unit, next_version=to) for name, unit in servers.instances.items()}
+        return replace(
+            self, groups={**self.groups, SERVERS_GROUP: replace(servers, instances=anew)}
+        )
 
-    def called_in(self) -> "RolloutState":
+    def with_permits_revoked(self) -> "RolloutState":
         """Permits of the change that nobody has begun on are void; who is out comes back as it was
         good.
         """
         book = self
         for name, unit in self.servers.items():
-            if book.flying(unit):
+            if book.is_in_flight(unit):
                 if unit.state is InstanceState.GRANTED:
-                    book, _ = book.meet(SERVERS_GROUP, name, InstanceInput.REVOKE)
+                    book, _ = book.apply_input(SERVERS_GROUP, name, InstanceInput.REVOKE)
                     unit = book.servers[name]
                 if unit.state in (InstanceState.IN, InstanceState.OUT, InstanceState.MISSING):
-                    book = book.put(SERVERS_GROUP, name, replace(unit, to=self.plan.former))
+                    book = book.with_instance(
+                        SERVERS_GROUP,
+                        name,
+                        replace(unit, next_version=self.release.previous_version),
+                    )
         return book
 
     # Orders of an operator. Each raises `Denied`.
 
-    def start(
+    def start_release(
         self, version: str, waves: tuple[plans.Wave, ...], auto: bool, restart: bool = False
     ) -> "RolloutState":
         running = Counter(unit.version for unit in self.servers.values() if unit.version or restart)
@@ -223,87 +237,89 @@
                 if self.servers
                 else "no server is in the book yet"
             )
-        if self.plan.phase is not ReleasePhase.IDLE:
+        if self.release.phase is not ReleasePhase.IDLE:
             raise OrderRejectedError(
-                f"change {self.plan.number} to {self.plan.version} is {self.plan.phase.name.lower()}:"
+                f"change {self.release.number} to {self.release.target_version} is {self.release.phase.label}:"
                 " finish it, or roll it back"
             )
         if wrong := plans.find_wave_faults(waves):
             raise OrderRejectedError("; ".join(wrong))
-        former = self.good or running.most_common(1)[0][0]
+        former = self.stable_version or running.most_common(1)[0][0]
         version = version or former
         if not restart and all(unit.version == version for unit in self.servers.values()):
             raise OrderRejectedError(
                 f"all servers run {version}; --restart starts them anew all the same"
             )
         plan = Release(
-            self.plan.number + 1,
-            version=version,
-            former=former,
+            self.release.number + 1,
+            target_version=version,
+            previous_version=former,
             waves=waves,
-            auto=auto,
-            restart=restart,
+            auto_rollback=auto,
+            is_restart=restart,
         )
-        return replace(self, plan=plan, good=former).decide(plans.ReleaseInput.START, "")[0]
+        return replace(self, release=plan, stable_version=former).apply_to_release(
+            plans.ReleaseInput.START, ""
+        )[0]
 
     def order(self, what: plans.ReleaseInput, why: str) -> "RolloutState":
-        if what is plans.ReleaseInput.ROLLBACK and self.plan.restart:
+        if what is plans.ReleaseInput.ROLLBACK and self.release.is_restart:
             raise OrderRejectedError(
                 "a restart brought in no other version: there is nothing to go back to; halt it instead"
             )
-        book, effect = self.decide(what, why)
+        book, effect = self.apply_to_release(what, why)
         if not effect:
             raise OrderRejectedError(
-                f"nothing to {what.name.lower()}: change {self.plan.number} is {self.plan.phase.name.lower()}"
+                f"nothing to {what.label}: change {self.release.number} is {self.release.phase.label}"
             )
         return book
 
-    def known(self, group: str, name: str) -> Instance:
+    def find_instance(self, group: str, name: str) -> Instance:
         if group not in self.groups:
             raise OrderRejectedError(
                 f"there is no group {group!r}; known are {', '.join(self.groups)}"
             )
-        unit = self.groups[group].units.get(name)
+        unit = self.groups[group].instances.get(name)
         if unit is None:
             raise OrderRejectedError(
-                f"{group} has no {name!r}; known are {', '.join(sorted(self.groups[group].units)) or 'none'}"
+                f"{group} has no {name!r}; known are {', '.join(sorted(self.groups[group].instances)) or 'none'}"
             )
         return unit
 
-    def ask(self, group: str, name: str, span_ms: int) -> "RolloutState":
+    def request_drain(self, group: str, name: str, span_ms: int) -> "RolloutState":
         """It is to be taken out, as soon as the budget has room."""
-        unit = self.known(group, name)
-        if unit.state is not InstanceState.IN or unit.asked:
+        unit = self.find_instance(group, name)
+        if unit.state is not InstanceState.IN or unit.drain_ticket:
             raise OrderRejectedError(
-                f"{group} {name} is {'asked for already' if unit.asked else unit.state.name.lower()}"
+                f"{group} {name} is {'asked for already' if unit.drain_ticket else unit.state.label}"
             )
-        if not self.groups[group].budget.bound(len(self.groups[group].units)):
+        if not self.groups[group].budget.limit(len(self.groups[group].instances)):
             raise OrderRejectedError(
                 f"{name} is the only one of {group}: it can't be out without all of them being out"
             )
-        book = replace(self, steps=self.steps + 1).put(
-            group, name, replace(unit, asked=self.steps + 1, span_ms=span_ms)
+        book = replace(self, step=self.step + 1).with_instance(
+            group, name, replace(unit, drain_ticket=self.step + 1, drain_ms=span_ms)
         )
-        return book.note(f"{group} {name}: asked for")
+        return book.with_note(f"{group} {name}: asked for")
 
-    def give(self, group: str, name: str) -> "RolloutState":
-        unit = self.known(group, name)
+    def end_drain(self, group: str, name: str) -> "RolloutState":
+        unit = self.find_instance(group, name)
         if group == SERVERS_GROUP:
             raise OrderRejectedError("a server comes back when it is started")
-        if unit.asked and unit.state is InstanceState.IN:
-            return self.put(group, name, replace(unit, asked=0))
-        book, effect = self.meet(group, name, InstanceInput.GIVEN)
+        if unit.drain_ticket and unit.state is InstanceState.IN:
+            return self.with_instance(group, name, replace(unit, drain_ticket=0))
+        book, effect = self.apply_input(group, name, InstanceInput.DRAIN_ENDED)
         if not effect:
-            book, effect = self.meet(group, name, InstanceInput.REVOKE)
+            book, effect = self.apply_input(group, name, InstanceInput.REVOKE)
         if not effect:
-            raise OrderRejectedError(f"{group} {name} is {unit.state.name.lower()}, not out")
+            raise OrderRejectedError(f"{group} {name} is {unit.state.label}, not out")
         return book
 
     def retire(self, group: str, name: str) -> "RolloutState":
-        self.known(group, name)
-        return self.meet(group, name, InstanceInput.RETIRE)[0]
+        self.find_instance(group, name)
+        return self.apply_input(group, name, InstanceInput.RETIRE)[0]
 
-    def allow(self, group: str, budget: DisruptionBudget) -> "RolloutState":
+    def set_budget(self, group: str, budget: DisruptionBudget) -> "RolloutState":
         if group not in self.groups:
             raise OrderRejectedError(
                 f"there is no group {group!r}; known are {', '.join(self.groups)}"
@@ -311,12 +327,12 @@
         return self.with_budget(group, budget)
 
     def with_budget(self, group: str, budget: DisruptionBudget) -> "RolloutState":
-        if budget.most < 1 or not 0 <= budget.share < 1:
+        if budget.max_out < 1 or not 0 <= budget.max_out_share < 1:
             raise OrderRejectedError("a budget is a number from 1 on, or a part of all under 1")
         groups = {
             **self.groups,
             group: replace(self.groups.get(group, InstanceGroup()), budget=budget),
         }
-        return replace(self, groups=groups, steps=self.steps + 1).note(
-            f"{group}: budget {budget.most}, {budget.share:g}"
+        return replace(self, groups=groups, step=self.step + 1).with_note(
+            f"{group}: budget {budget.max_out}, {budget.max_out_share:g}"
         )
--- a/burlloom/rollout/stores/__init__.py
+++ b/burlloom/rollout/stores/__init__.py
@@ -1,6 +1,7 @@
 """Where the book is kept: the record's SQLite file or PostgreSQL database, behind one interface."""
 
-from .base import Away, RolloutStore, StateDecodeError, StateSnapshot, decode_state, encode_record
+from .base import Away, RolloutStore, StateSnapshot
+from .codec import StateDecodeError, decode_state, encode_state
 
 __all__ = [
     "Away",
@@ -8,5 +9,5 @@
     "RolloutStore",
     "StateDecodeError",
     "decode_state",
-    "encode_record",
+    "encode_state",
 ]
--- a/burlloom/rollout/stores/leader_round.py
+++ b/burlloom/rollout/stores/leader_round.py
@@ -12,15 +12,15 @@
     """Takes the lead where nobody has it; where we have it, decides. Gives the steps that were
     taken, in words; none where another wrote before us: the next round looks anew. Raises `Away`.
     """
-    taken = lead.take(now, page.book, page.beat)
+    taken = lead.acquire_leadership(now, page.state, page.heartbeat)
     if taken is not None:
-        return list(taken.notes[-1:]) if await shelf.swap(page, taken) else []
-    if not lead.leads(page.book):
+        return list(taken.history[-1:]) if await shelf.compare_and_swap(page, taken) else []
+    if not lead.is_leader(page.state):
         return []
-    await shelf.beat(page.book.epoch)
-    book = lead.round(now, page.book, await shelf.members())
-    for name in lead.strangers:
-        await shelf.forget(name)
-    if book is page.book or not await shelf.swap(page, book):
+    await shelf.heartbeat(page.state.epoch)
+    book = lead.run_round(now, page.state, await shelf.reports())
+    for name in lead.unknown_servers:
+        await shelf.forget_report(name)
+    if book is page.state or not await shelf.compare_and_swap(page, book):
         return []
-    return [note for note in book.notes if note[0] > page.book.steps]
+    return [note for note in book.history if note[0] > page.state.step]
--- a/burlloom/rollout/stores/sql.py
+++ b/burlloom/rollout/stores/sql.py
@@ -8,7 +8,8 @@
 
 from ..liveness import ServerReport
 from ..state import RolloutState
-from .base import StateDecodeError, StateSnapshot, decode_report, decode_state, encode_record
+from .base import StateSnapshot
+from .codec import StateDecodeError, decode_report, decode_state, encode_report, encode_state
 
 log = logging.getLogger(__name__)
 
@@ -46,34 +47,36 @@
 
     async def open(self) -> None:
         await self.prepare()
-        await self.run(BEGIN, time.time_ns() // 1_000_000, encode_record(RolloutState()))
+        await self.run(BEGIN, time.time_ns() // 1_000_000, encode_state(RolloutState()))
 
     async def read(self, known: StateSnapshot | None = None) -> StateSnapshot:
         if known is not None:
             ((revision, beat),) = await self.run(LOOK)
             if revision == known.revision:
-                return StateSnapshot(revision, beat, known.book)
+                return StateSnapshot(revision, beat, known.state)
         found = await self.run(READ)
         if not found:
             raise StateDecodeError("the book is gone: its table is empty")
         ((revision, beat, text),) = found
         return StateSnapshot(revision, beat, decode_state(text))
 
-    async def swap(self, page: StateSnapshot, book: RolloutState) -> bool:
-        return bool(await self.run(SWAP, book.epoch, encode_record(book), page.revision))
+    async def compare_and_swap(self, page: StateSnapshot, book: RolloutState) -> bool:
+        return bool(await self.run(SWAP, book.epoch, encode_state(book), page.revision))
 
-    async def beat(self, epoch: int) -> None:
+    async def heartbeat(self, epoch: int) -> None:
         await self.run(BEAT, epoch)
 
-    async def tell(self, member: ServerReport) -> bool:
+    async def report(self, member: ServerReport) -> bool:
         return bool(
-            await self.run(TELL, member.name, member.life, member.beat, encode_record(member))
+            await self.run(
+                TELL, member.name, member.incarnation, member.heartbeat, encode_report(member)
+            )
         )
 
-    async def last(self, name: str) -> ServerReport | None:
+    async def last_report(self, name: str) -> ServerReport | None:
         return next((decode_report(row[0]) for row in await self.run(LAST, name)), None)
 
-    async def members(self) -> list[ServerReport]:
+    async def reports(self) -> list[ServerReport]:
         found = []
         for (text,) in await self.run(MEMBERS):
             try:
@@ -82,5 +85,5 @@
                 log.warning("event=rollout-member-unread detail=%r", str(error))
         return found
 
-    async def forget(self, name: str) -> None:
+    async def forget_report(self, name: str) -> None:
         await self.run(FORGET, name)
--- a/burlloom/server/rolling.py
+++ b/burlloom/server/rolling.py
@@ -148,10 +148,10 @@
             return
         if not self.life:
             await self.shelf.open()
-            last = await self.shelf.last(self.name)
+            last = await self.shelf.last_report(self.name)
             if last is not None:
-                self.former = last.life if last.says is self.of.ServerPhase.LEAVING else 0
-            self.life = max(self.clock() // MS, last.life + 1 if last is not None else 0)
+                self.former = last.incarnation if last.phase is self.of.ServerPhase.LEAVING else 0
+            self.life = max(self.clock() // MS, last.incarnation + 1 if last is not None else 0)
             self.hand = self.of.DrainAgent(self.name, self.life)
             if self.part.leads:
                 self.lead = self.of.RolloutLeader(
@@ -193,7 +193,7 @@
         if says == self.said and now - self.told_at < self.part.beat_ms * MS:
             return
         self.beat += 1
-        if not await self.shelf.tell(
+        if not await self.shelf.report(
             self.of.ServerReport(
                 self.name,
                 self.life,
@@ -217,23 +217,23 @@
         """Instances below that are out are not called. What was acted on is told once no call is
         there any more.
         """
-        shunned = frozenset(address for _, address in page.book.shunned())
+        shunned = frozenset(address for _, address in page.state.ejected_instances())
         if self.fleet().shun(shunned):
-            self.heeded = page.book.steps
+            self.heeded = page.state.step
 
     # What the book says of us.
 
     async def mind(self, page: StateSnapshot) -> None:
         assert self.hand is not None
-        effect = self.hand.reads(page.book)
-        if effect == "ask":
-            wanted, of = self.hand.step(page.book), self.of.agent.AgentInput
+        effect = self.hand.process_state(page.state)
+        if effect == "begin":
+            wanted, of = self.hand.begin_drain(page.state), self.of.agent.AgentInput
             try:
-                held = wanted is not None and await self.shelf.swap(page, wanted)
+                held = wanted is not None and await self.shelf.compare_and_swap(page, wanted)
             except self.stores.Away:
-                self.hand.meet(of.UNSURE)
+                self.hand.apply_input(of.WRITE_UNKNOWN)
                 raise
-            effect = self.hand.meet(of.HELD if held else of.BEATEN)
+            effect = self.hand.apply_input(of.WRITE_ACCEPTED if held else of.WRITE_CONFLICT)
             self.page = None
             self.steps["beaten"] += not held
         if effect == "drain":
@@ -241,7 +241,7 @@
 
     def go(self, page: StateSnapshot) -> None:
         """The book has us out, durably: now, and no earlier, we drain."""
-        to = page.book.version_of(self.name)
+        to = page.state.next_version_of(self.name)
         log.info("event=rollout-drain life=%d next=%s", self.life, to or "-")
         self.steps["drains"] += 1
         if self.part.release_file is not None:
@@ -266,17 +266,17 @@
         """For whoever reads metrics."""
         if self.page is None:
             return {"away": float(bool(self.away))}
-        book = self.page.book
+        book = self.page.state
         servers = book.groups[self.of.SERVERS_GROUP]
         return {
             "away": float(bool(self.away)),
-            "phase": float(book.plan.phase),
-            "wave": float(book.plan.wave),
-            "servers": float(len(servers.units)),
-            "out": float(servers.taken),
-            "bound": float(servers.budget.bound(len(servers.units))),
-            "steps_read": float(book.steps),
-            "done": float(sum(book.done(unit) for unit in servers.units.values())),
+            "phase": float(book.release.phase),
+            "wave": float(book.release.wave_index),
+            "servers": float(len(servers.instances)),
+            "out": float(servers.out_count),
+            "bound": float(servers.budget.limit(len(servers.instances))),
+            "steps_read": float(book.step),
+            "done": float(sum(book.is_done(unit) for unit in servers.instances.values())),
         }
 
     async def close(self) -> None:
@@ -303,6 +303,6 @@
         await self.tell()
         if self.lead is not None:
             page = await self.shelf.read()
-            resigned = self.lead.resign(page.book)
+            resigned = self.lead.resign(page.state)
             if resigned is not None:
-                await self.shelf.swap(page, resigned)
+                await self.shelf.compare_and_swap(page, resigned)
--- a/tests/explore_rollout.py
+++ b/tests/explore_rollout.py
@@ -24,10 +24,10 @@
 from burlloom.rollout.instance import InstanceInput
 
 INPUTS = (
-    InstanceInput.SILENT,
+    InstanceInput.LOST,
     InstanceInput.SETTLED,
     InstanceInput.EXPIRED,
-    InstanceInput.GRANT,
+    InstanceInput.PERMIT,
     InstanceInput.REVOKE,
 )
 
@@ -53,7 +53,8 @@
 
     def copy(self) -> "World":
         servers = [
-            replace(one, hand=DrainAgent(one.hand.name, one.hand.life)) for one in self.servers
+            replace(one, hand=DrainAgent(one.hand.name, one.hand.incarnation))
+            for one in self.servers
         ]
         for mine, its in zip(servers, self.servers, strict=True):
             mine.hand.state = its.hand.state
@@ -64,7 +65,7 @@
 
         def units(book: RolloutState) -> Any:
             return tuple(
-                (name, unit.state, unit.life, unit.left)
+                (name, unit.state, unit.incarnation, unit.left_incarnation)
                 for name, unit in sorted(book.servers.items())
             )
 
@@ -99,7 +100,7 @@
         )
 
     def begun(self) -> World:
-        units = {str(at): Instance(InstanceState.IN, life=1) for at in range(self.count)}
+        units = {str(at): Instance(InstanceState.IN, incarnation=1) for at in range(self.count)}
         book = RolloutState(
             groups={SERVERS_GROUP: InstanceGroup(DisruptionBudget(self.most), units)}
         )
@@ -116,17 +117,19 @@
         self, book: RolloutState, name: str, what: InstanceInput, life: int = 0
     ) -> RolloutState | None:
         """What whoever leads makes of it; None where nothing."""
-        if what is InstanceInput.GRANT:
+        if what is InstanceInput.PERMIT:
             if self.broken == "room":
-                made, effect = book.meet(SERVERS_GROUP, name, what, room=True, few=True)
+                made, effect = book.apply_input(
+                    SERVERS_GROUP, name, what, has_budget=True, has_sent_budget=True
+                )
                 return made if effect else None
-            made, held = book.permit(SERVERS_GROUP, name, 0)
+            made, held = book.grant_permit(SERVERS_GROUP, name, 0)
             return made if held else None
         if self.broken == "again" and what is InstanceInput.SEEN and life:
-            life = book.servers[name].left + 1
-        made, effect = book.meet(SERVERS_GROUP, name, what, life=life)
-        if self.broken == "expiry" and effect == "lose":
-            made = made.put(
+            life = book.servers[name].left_incarnation + 1
+        made, effect = book.apply_input(SERVERS_GROUP, name, what, incarnation=life)
+        if self.broken == "expiry" and effect == "mark_missing":
+            made = made.with_instance(
                 SERVERS_GROUP, name, replace(made.servers[name], state=InstanceState.IN)
             )
         return made if effect else None
@@ -144,7 +147,7 @@
                 # A word of any life that served until now may be read, late.
                 words = [(what, 0) for what in INPUTS]
                 words += [(InstanceInput.SEEN, life) for life in range(1, server.life + 1)]
-                words += [(InstanceInput.PARTS, server.life)] if server.sent and server.up else []
+                words += [(InstanceInput.LEAVING, server.life)] if server.sent and server.up else []
                 for what, life in words:
                     made = self.step(page[1], str(at), what, life)
                     if made is not None:
@@ -167,22 +170,30 @@
         now = world.copy()  # it ends: a drain that is over, or a crash
         now.servers[at].up, now.servers[at].read = False, None
         yield now
-        if server.hand.state is At.ASKING and server.read is not None:
-            for heard in (Heard.HELD, Heard.UNSURE, Heard.BEATEN):
+        if server.hand.state is At.BEGINNING and server.read is not None:
+            for heard in (Heard.WRITE_ACCEPTED, Heard.WRITE_UNKNOWN, Heard.WRITE_CONFLICT):
                 now = world.copy()
                 mine, page = now.servers[at], server.read
                 mine.read = None
-                made = mine.hand.step(page[1])
-                held = made is not None and heard is not Heard.BEATEN and self.swap(now, page, made)
+                made = mine.hand.begin_drain(page[1])
+                held = (
+                    made is not None
+                    and heard is not Heard.WRITE_CONFLICT
+                    and self.swap(now, page, made)
+                )
                 stale = page[0] != world.revision
-                if {Heard.UNSURE: True, Heard.HELD: held, Heard.BEATEN: stale}[heard]:
-                    self.told(mine, mine.hand.meet(heard))
+                if {
+                    Heard.WRITE_UNKNOWN: True,
+                    Heard.WRITE_ACCEPTED: held,
+                    Heard.WRITE_CONFLICT: stale,
+                }[heard]:
+                    self.told(mine, mine.hand.apply_input(heard))
                     yield now
             return
         now = world.copy()
         mine = now.servers[at]
-        effect = mine.hand.reads(now.book)
-        if effect == "ask":
+        effect = mine.hand.process_state(now.book)
+        if effect == "begin":
             mine.read = now.revision, now.book
             if self.broken == "permit":  # drains on the permit alone
                 effect = "drain"
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -90,7 +90,9 @@
             while self.dead:
                 await asyncio.sleep(0.02)
             try:
-                self.version = (await self.rollout.book()).version_of(self.name) or self.version
+                self.version = (await self.rollout.book()).next_version_of(
+                    self.name
+                ) or self.version
             except Away:
                 self.version = (self.folder / "release").read_text().strip()
             await self.begin()
@@ -259,7 +261,7 @@
         if part.get("leads") is False:
             await self.drive("first")
         await self.comes_to(
-            lambda book: len(book.servers) == count and not book.groups["servers"].taken
+            lambda book: len(book.servers) == count and not book.groups["servers"].out_count
         )
 
     async def calls(self, node: Node) -> None:
@@ -278,7 +280,7 @@
             await asyncio.sleep(0.005)
 
     async def book(self) -> RolloutState:
-        return (await self.shelf.read()).book
+        return (await self.shelf.read()).state
 
     async def comes_to(
         self, test: Callable[[RolloutState], bool], patience: float = 3 * PATIENCE
@@ -294,14 +296,14 @@
                     await asyncio.sleep(0.02)
         except TimeoutError:
             book = await self.book()
-            raise AssertionError((book.plan, book.servers, book.notes)) from None
+            raise AssertionError((book.release, book.servers, book.history)) from None
 
     async def idle(self, version: str) -> RolloutState:
         """Until all run this version and nothing is under way."""
         return await self.comes_to(
             lambda book: (
-                book.plan.phase is ReleasePhase.IDLE
-                and book.good == version
+                book.release.phase is ReleasePhase.IDLE
+                and book.stable_version == version
                 and all(
                     unit.version == version and unit.state == 0 for unit in book.servers.values()
                 )
--- a/tests/test_rollout_core.py
+++ b/tests/test_rollout_core.py
@@ -38,7 +38,7 @@
 )
 from burlloom.rollout.instance import InstanceEvent, InstanceInput
 from burlloom.rollout.release import find_wave_faults, parse_wave
-from burlloom.rollout.stores import StateDecodeError, decode_state, encode_record
+from burlloom.rollout.stores import StateDecodeError, decode_state, encode_state
 
 
 @pytest.mark.parametrize("broken", ["", "swap", "room", "again", "expiry", "permit"])
@@ -61,7 +61,7 @@
     """
     met = set()
     for told in product(InstanceInput, repeat=4):
-        unit, life = Instance(InstanceState.IN, life=1), 1
+        unit, life = Instance(InstanceState.IN, incarnation=1), 1
         for at, what in enumerate(told):
             life += what is InstanceInput.SEEN
             for below in (False, True):
@@ -69,13 +69,18 @@
                     if test(unit, InstanceEvent(at, life, 0, True, True, below)):
                         met.add((unit.state, what))
                         break
-            before, moved = unit, units.meet(unit, what, InstanceEvent(at, life, 0, True, True))
+            before, moved = (
+                unit,
+                units.apply_input(unit, what, InstanceEvent(at, life, 0, True, True)),
+            )
             if moved is not None:
                 unit = moved[0]
-            if before.sent and not unit.counts:
+            if before.was_sent_out and not unit.is_out:
                 assert what is InstanceInput.RETIRE, told
             if before.state is InstanceState.OUT and unit.state is InstanceState.BACK:
-                assert what is InstanceInput.GIVEN or unit.life > before.left
+                assert (
+                    what is InstanceInput.DRAIN_ENDED or unit.incarnation > before.left_incarnation
+                )
     assert met == set(units.RULES)
 
 
@@ -85,19 +90,19 @@
     """
     met = set()
     for told in product(plan.ReleaseInput, repeat=5):
-        now = Release(1, version="v2", former="v1", waves=(1, 1.0))
+        now = Release(1, target_version="v2", previous_version="v1", waves=(1, 1.0))
         for what in told:
-            before, moved = now, plan.meet(now, what, 0, "")
+            before, moved = now, plan.apply_input(now, what, 0, "")
             if moved is not None:
                 met.add((before.phase, what))
                 now = moved[0]
-            if moved is not None and moved[1] == "finish":
-                assert before.wave == 1
-                assert what is plan.ReleaseInput.GOOD
+            if moved is not None and moved[1] == "finish_release":
+                assert before.wave_index == 1
+                assert what is plan.ReleaseInput.EVALUATED_HEALTHY
             if before.phase is ReleasePhase.HALTED and now.phase is not ReleasePhase.HALTED:
                 assert what in (plan.ReleaseInput.RESUME, plan.ReleaseInput.ROLLBACK)
             assert not (
-                before.backing
+                before.is_rollback
                 and now.phase is ReleasePhase.ROLLING
                 and before.phase is not ReleasePhase.IDLE
             )
@@ -109,14 +114,16 @@
         one = hand.DrainAgent("n", 1)
         for what in told:
             before = one.state
-            if one.meet(what) == "drain":
-                held = before is hand.AgentState.ASKING and what is hand.AgentInput.HELD
-                assert held or what is hand.AgentInput.SAYS_OUT
+            if one.apply_input(what) == "drain":
+                held = (
+                    before is hand.AgentState.BEGINNING and what is hand.AgentInput.WRITE_ACCEPTED
+                )
+                assert held or what is hand.AgentInput.STATE_OUT
 
 
 def test_budgets_and_waves() -> None:
-    assert [DisruptionBudget(2).bound(size) for size in (0, 1, 2, 3, 30)] == [0, 0, 1, 2, 2]
-    assert [DisruptionBudget(share=0.1).bound(size) for size in (1, 5, 19, 20, 300)] == [
+    assert [DisruptionBudget(2).limit(size) for size in (0, 1, 2, 3, 30)] == [0, 0, 1, 2, 2]
+    assert [DisruptionBudget(max_out_share=0.1).limit(size) for size in (1, 5, 19, 20, 300)] == [
         0,
         1,
         1,
@@ -124,7 +131,7 @@
         30,
     ]
     whole = Release(waves=(1, 0.1, 0.5, 1.0))
-    assert [replace(whole, wave=at).wanted(30) for at in range(4)] == [1, 3, 15, 30]
+    assert [replace(whole, wave_index=at).target_count(30) for at in range(4)] == [1, 3, 15, 30]
     assert [parse_wave(told) for told in (3, "3", "10%", "100%")] == [3, 3, 0.1, 1.0]
     assert not find_wave_faults((1, 5, 0.5, 1.0))
     assert not find_wave_faults((1.0,))
@@ -139,7 +146,7 @@
         "v2",
         "v1",
         waves=(1, 1.0),
-        reference=outcome_rates(RequestCounts(9, 1, 1, 0)),
+        baseline=outcome_rates(RequestCounts(9, 1, 1, 0)),
     )
     units = {"n1": Instance(InstanceState.OUT, 5, 5, version="v1")}
     book = RolloutState(
@@ -151,39 +158,39 @@
         {SERVERS_GROUP: InstanceGroup(DisruptionBudget(2), units)},
         ((1, "began"),),
     )
-    again = decode_state(encode_record(book))
+    again = decode_state(encode_state(book))
     assert again == book
-    assert [type(wave) for wave in again.plan.waves] == [int, float]
-    for at in range(0, len(encode_record(book)) - 1, 7):
+    assert [type(wave) for wave in again.release.waves] == [int, float]
+    for at in range(0, len(encode_state(book)) - 1, 7):
         with pytest.raises(StateDecodeError):
-            decode_state(encode_record(book)[:at])
+            decode_state(encode_state(book)[:at])
 
 
 def test_a_release_and_its_way_back() -> None:
-    for size, budget in ((3, DisruptionBudget(1)), (30, DisruptionBudget(share=0.1))):
+    for size, budget in ((3, DisruptionBudget(1)), (30, DisruptionBudget(max_out_share=0.1))):
         world = World(size, budget).settled()
-        world.book = world.book.start("v2", (1, 0.1, 0.5, 1.0), False)
+        world.book = world.book.start_release("v2", (1, 0.1, 0.5, 1.0), False)
         world.until(ReleasePhase.IDLE)
-        assert world.book.good == "v2"
-        assert world.worst == budget.bound(size)
+        assert world.book.stable_version == "v2"
+        assert world.worst == budget.limit(size)
         assert {member.version for member in world.members.values()} == {"v2"}
         world.voids["v3"] = 0.3
-        world.book = world.book.start("v3", (1, 0.1, 0.5, 1.0), False)
+        world.book = world.book.start_release("v3", (1, 0.1, 0.5, 1.0), False)
         world.until(ReleasePhase.HALTED)
         ran = sum(member.version == "v3" for member in world.members.values())
-        assert ran <= 1 and "voided" in world.book.plan.why, world.book.plan
+        assert ran <= 1 and "voided" in world.book.release.reason, world.book.release
         with pytest.raises(OrderRejectedError, match="halted"):
-            world.book.start("v4", (1.0,), False)
+            world.book.start_release("v4", (1.0,), False)
         world.book = world.book.order(plan.ReleaseInput.ROLLBACK, "")
         world.until(ReleasePhase.IDLE)
-        assert world.book.good == "v2"
+        assert world.book.stable_version == "v2"
         assert {member.version for member in world.members.values()} == {"v2"}
-        assert world.worst == budget.bound(size)
+        assert world.worst == budget.limit(size)
 
 
 def test_whoever_leads_is_gone_and_nothing_is_freed_by_that() -> None:
     world = World(5, DisruptionBudget(1)).settled()
-    world.book = world.book.start("v2", (1.0,), False)
+    world.book = world.book.start_release("v2", (1.0,), False)
     while not world.down:
         world.second()
     (gone,) = world.down
@@ -191,24 +198,24 @@
     world.lead = world.new_lead("b")
     for _ in range(60):
         world.second()
-    assert world.lead.leads(world.book)
+    assert world.lead.is_leader(world.book)
     assert world.worst == 1
     assert world.book.servers[gone].state is InstanceState.OUT
     world.until(ReleasePhase.HALTED)
     assert world.book.servers[gone].state is InstanceState.MISSING
-    assert "missing" in world.book.plan.why
+    assert "missing" in world.book.release.reason
     world.book = world.book.retire(SERVERS_GROUP, gone).order(plan.ReleaseInput.RESUME, "")
     del world.members[gone]
     del world.down[gone]
     world.until(ReleasePhase.IDLE)
     assert world.worst == 1
-    assert world.book.good == "v2"
+    assert world.book.stable_version == "v2"
 
 
 def test_one_that_is_silent_holds_the_budget_until_it_is_heard() -> None:
     world = World(4, DisruptionBudget(1)).settled()
     world.frozen.add("n2")
-    world.book = world.book.start("v2", (1.0,), False)
+    world.book = world.book.start_release("v2", (1.0,), False)
     for _ in range(30):
         world.second()
     assert world.book.servers["n2"].state is InstanceState.MISSING
@@ -218,18 +225,18 @@
     world.frozen.clear()
     world.until(ReleasePhase.IDLE)
     assert world.worst == 1
-    assert world.book.good == "v2"
+    assert world.book.stable_version == "v2"
 
 
 def test_permits_go_back_where_a_crash_has_taken_the_budget() -> None:
     world = World(6, DisruptionBudget(2)).settled()
-    now = world.lead.round(
-        world.now, world.book.start("v2", (1.0,), False), list(world.members.values())
+    now = world.lead.run_round(
+        world.now, world.book.start_release("v2", (1.0,), False), list(world.members.values())
     )
     sent = [name for name, unit in now.servers.items() if unit.state is InstanceState.GRANTED]
     gone = next(name for name in now.servers if name not in sent)
-    now = now.meet(SERVERS_GROUP, gone, InstanceInput.SILENT)[0]
-    now = world.lead.round(
+    now = now.apply_input(SERVERS_GROUP, gone, InstanceInput.LOST)[0]
+    now = world.lead.run_round(
         world.now, now, [one for name, one in world.members.items() if name != gone]
     )
     assert len(sent) == 2
@@ -241,29 +248,33 @@
     seen before.
     """
     world = World(4, DisruptionBudget(1)).settled()
-    world.book = world.book.start("v2", (1.0,), False)
-    world.until(ReleasePhase.JUDGING)
+    world.book = world.book.start_release("v2", (1.0,), False)
+    world.until(ReleasePhase.EVALUATING)
     world.now += 60 * S
-    after = world.lead.round(world.now, world.book, list(world.members.values()))
-    assert not after.groups[SERVERS_GROUP].taken
-    assert after.plan.phase is not ReleasePhase.HALTED
+    after = world.lead.run_round(world.now, world.book, list(world.members.values()))
+    assert not after.groups[SERVERS_GROUP].out_count
+    assert after.release.phase is not ReleasePhase.HALTED
     other = world.new_lead("b")
-    assert other.take(world.now, after, 1) is None
-    assert other.take(world.now + 70 * S, after, 1) is None
+    assert other.acquire_leadership(world.now, after, 1) is None
+    assert other.acquire_leadership(world.now + 70 * S, after, 1) is None
 
 
 def test_a_life_that_left_in_good_order_is_no_loss() -> None:
     for former, lost in ((1, False), (0, True)):
         world = World(3, DisruptionBudget(1)).settled()
-        world.book = replace(world.book.start("v2", (1.0,), False), groups=world.book.groups)
-        unit = replace(world.book.servers["n1"], moved=1, version="v2", to="v2")
-        world.book = world.book.put(SERVERS_GROUP, "n1", unit)
-        world.members["n1"] = ServerReport("n1", 2, 0, version="v2", former=former)
+        world.book = replace(
+            world.book.start_release("v2", (1.0,), False), groups=world.book.groups
+        )
+        unit = replace(world.book.servers["n1"], release_number=1, version="v2", next_version="v2")
+        world.book = world.book.with_instance(SERVERS_GROUP, "n1", unit)
+        world.members["n1"] = ServerReport("n1", 2, 0, version="v2", previous_incarnation=former)
         for beat in range(2):
             world.now += S
-            members = [replace(one, beat=one.beat + 1 + beat) for one in world.members.values()]
-            world.book = world.lead.round(world.now, world.book, members)
-        assert (world.book.plan.phase is ReleasePhase.HALTED) is lost, world.book.notes
+            members = [
+                replace(one, heartbeat=one.heartbeat + 1 + beat) for one in world.members.values()
+            ]
+            world.book = world.lead.run_round(world.now, world.book, members)
+        assert (world.book.release.phase is ReleasePhase.HALTED) is lost, world.book.history
 
 
 def test_instances_below() -> None:
@@ -277,42 +288,49 @@
         for _ in range(4 * seconds):
             at[0] += S // 4
             for name, member in members.items():
-                members[name] = replace(member, beat=member.beat + 1)
-            book = lead.take(at[0], book, 0) or lead.round(at[0], book, members.values())
+                members[name] = replace(member, heartbeat=member.heartbeat + 1)
+            book = lead.acquire_leadership(at[0], book, 0) or lead.run_round(
+                at[0], book, members.values()
+            )
         return book
 
     book = run(book, 4)
-    assert [unit.state for unit in book.groups["db"].units.values()] == [InstanceState.IN] * 3
+    assert [unit.state for unit in book.groups["db"].instances.values()] == [InstanceState.IN] * 3
     for address in below[:2]:
-        book = book.ask("db", address, 5000)
+        book = book.request_drain("db", address, 5000)
     with pytest.raises(OrderRejectedError, match="asked for already"):
-        book.ask("db", below[0], 1)
+        book.request_drain("db", below[0], 1)
     book = run(book, 1)
-    first, second = (book.groups["db"].units[address] for address in below[:2])
+    first, second = (book.groups["db"].instances[address] for address in below[:2])
     assert (first.state, second.state) == (InstanceState.GRANTED, InstanceState.IN)
     assert (
-        book.meet("db", below[0], InstanceInput.BEGIN, life=1, ticket=second.asked)[1] == ""
+        book.apply_input(
+            "db", below[0], InstanceInput.BEGIN, incarnation=1, ticket=second.drain_ticket
+        )[1]
+        == ""
     )  # another's order
-    book, effect = book.meet("db", below[0], InstanceInput.BEGIN, life=1, ticket=first.asked)
+    book, effect = book.apply_input(
+        "db", below[0], InstanceInput.BEGIN, incarnation=1, ticket=first.drain_ticket
+    )
     assert effect
-    assert book.shunned() == [("db", below[0])]
+    assert book.ejected_instances() == [("db", below[0])]
     book = run(book, 4)
-    assert book.groups["db"].units[below[1]].state is InstanceState.IN  # no room yet
+    assert book.groups["db"].instances[below[1]].state is InstanceState.IN  # no room yet
     book = run(book, 3)  # its five seconds are over: it is called again, and the next may leave
-    assert book.shunned() == []
-    assert book.groups["db"].units[below[1]].state in (
+    assert book.ejected_instances() == []
+    assert book.groups["db"].instances[below[1]].state in (
         InstanceState.GRANTED,
         InstanceState.BACK,
     )
-    members["n1"] = replace(members["n1"], below={below[2]: (1, 9)})
+    members["n1"] = replace(members["n1"], downstream={below[2]: (1, 9)})
     book = run(book, 1)
-    assert book.groups["db"].units[below[2]].state is InstanceState.MISSING
-    members["n1"] = replace(members["n1"], below={})
-    assert run(book, 3).groups["db"].units[below[2]].state is InstanceState.IN
+    assert book.groups["db"].instances[below[2]].state is InstanceState.MISSING
+    members["n1"] = replace(members["n1"], downstream={})
+    assert run(book, 3).groups["db"].instances[below[2]].state is InstanceState.IN
 
 
 def test_the_judge() -> None:
-    measure = CanarySettings(least=100)
+    measure = CanarySettings(min_requests=100)
 
     def says(
         changed: RequestCounts,
@@ -334,33 +352,36 @@
             measure, evidence, outcome_rates(reference) if reference else None
         ).verdict
 
-    assert says(RequestCounts(9), RequestCounts(1000), well=False) is Verdict.BAD
-    assert says(RequestCounts(99), RequestCounts(1000)) is Verdict.MORE
-    assert says(RequestCounts(20, 0, 0, 4), RequestCounts(10_000)) is Verdict.MORE
+    assert says(RequestCounts(9), RequestCounts(1000), well=False) is Verdict.UNHEALTHY
+    assert says(RequestCounts(99), RequestCounts(1000)) is Verdict.INCONCLUSIVE
+    assert says(RequestCounts(20, 0, 0, 4), RequestCounts(10_000)) is Verdict.INCONCLUSIVE
     assert (
-        says(RequestCounts(20, 0, 0, 9), RequestCounts(10_000)) is Verdict.BAD
+        says(RequestCounts(20, 0, 0, 9), RequestCounts(10_000)) is Verdict.UNHEALTHY
     )  # few, but never by chance
-    assert says(RequestCounts(1000), RequestCounts(1000)) is Verdict.GOOD
-    assert says(RequestCounts(900, 0, 0, 100), RequestCounts(10_000)) is Verdict.BAD
+    assert says(RequestCounts(1000), RequestCounts(1000)) is Verdict.HEALTHY
+    assert says(RequestCounts(900, 0, 0, 100), RequestCounts(10_000)) is Verdict.UNHEALTHY
     assert (
-        says(RequestCounts(900, 0, 0, 100), RequestCounts(10_000), lasts=False) is Verdict.GOOD
+        says(RequestCounts(900, 0, 0, 100), RequestCounts(10_000), lasts=False) is Verdict.HEALTHY
     )  # one burst
     assert (
-        says(RequestCounts(900, 0, 100, 0), RequestCounts(9000, 0, 1000)) is Verdict.GOOD
+        says(RequestCounts(900, 0, 100, 0), RequestCounts(9000, 0, 1000)) is Verdict.HEALTHY
     )  # a crowd is on both sides
     assert (
-        says(RequestCounts(980, 0, 0, 20), RequestCounts(10_000)) is Verdict.GOOD
+        says(RequestCounts(980, 0, 0, 20), RequestCounts(10_000)) is Verdict.HEALTHY
     )  # under the margin
-    assert says(RequestCounts(1000, 200), RequestCounts(10_000, 100)) is Verdict.BAD
+    assert says(RequestCounts(1000, 200), RequestCounts(10_000, 100)) is Verdict.UNHEALTHY
     assert (
-        says(RequestCounts(900, 0, 0, 100), RequestCounts()) is Verdict.GOOD
+        says(RequestCounts(900, 0, 0, 100), RequestCounts()) is Verdict.HEALTHY
     )  # nothing to hold it against
-    assert says(RequestCounts(400, 0, 0, 600), RequestCounts()) is Verdict.BAD
-    assert says(RequestCounts(900, 0, 0, 100), RequestCounts(), RequestCounts(1000)) is Verdict.BAD
+    assert says(RequestCounts(400, 0, 0, 600), RequestCounts()) is Verdict.UNHEALTHY
+    assert (
+        says(RequestCounts(900, 0, 0, 100), RequestCounts(), RequestCounts(1000))
+        is Verdict.UNHEALTHY
+    )
     assert (
-        says(RequestCounts(950, 0, 0, 50), RequestCounts(), RequestCounts(1000)) is Verdict.GOOD
+        says(RequestCounts(950, 0, 0, 50), RequestCounts(), RequestCounts(1000)) is Verdict.HEALTHY
     )  # of another hour
-    assert says(RequestCounts(400, 0, 600), RequestCounts(400, 0, 600)) is Verdict.GOOD
+    assert says(RequestCounts(400, 0, 600), RequestCounts(400, 0, 600)) is Verdict.HEALTHY
 
 
 def test_evidence_reaches_as_far_back_as_it_must() -> None:
@@ -376,14 +397,14 @@
         )
         total = [
             sum(
-                side.counts.asked
+                side.counts.total
                 for _, *sides in evidence.rounds
                 for side in sides[which : which + 1]
             )
             for which in (0, 1)
         ]
-        assert [evidence.changed.counts.asked, evidence.others.counts.asked] == total
-        assert len(evidence.rounds) <= 50 and (at < 40 or evidence.changed.counts.asked >= 96), at
+        assert [evidence.changed.counts.total, evidence.unchanged.counts.total] == total
+        assert len(evidence.rounds) <= 50 and (at < 40 or evidence.changed.counts.total >= 96), at
 
 
 def test_orders_that_can_not_be() -> None:
@@ -399,22 +420,24 @@
             SERVERS_GROUP: InstanceGroup(DisruptionBudget(1), {"n1": Instance(InstanceState.IN, 1)})
         }
     )
-    assert bare.start("", (1.0,), False, True).plan.phase is ReleasePhase.ROLLING
+    assert bare.start_release("", (1.0,), False, True).release.phase is ReleasePhase.ROLLING
     with pytest.raises(StateDecodeError, match="newer program"):
-        decode_state(encode_record(replace(book, form=99)))
+        decode_state(encode_state(replace(book, format_version=99)))
     for order, said in (
-        (lambda: RolloutState().start("v2", (1.0,), False), "no server is in"),
-        (lambda: bare.start("v2", (1.0,), False), "no server tells its version"),
-        (lambda: book.start("v1", (1.0,), False), "all servers run v1"),
-        (lambda: book.start("v2", (3, 2, 1.0), False), "waves: numbers first"),
+        (lambda: RolloutState().start_release("v2", (1.0,), False), "no server is in"),
+        (lambda: bare.start_release("v2", (1.0,), False), "no server tells its version"),
+        (lambda: book.start_release("v1", (1.0,), False), "all servers run v1"),
+        (lambda: book.start_release("v2", (3, 2, 1.0), False), "waves: numbers first"),
         (lambda: book.order(plan.ReleaseInput.HALT, ""), "nothing to halt: change 0 is idle"),
-        (lambda: book.ask(SERVERS_GROUP, "n2", 0), "servers has no 'n2'"),
-        (lambda: book.ask(SERVERS_GROUP, "n1", 0), "the only one"),
-        (lambda: book.ask("db", "n2", 0), "no group 'db'"),
-        (lambda: book.give(SERVERS_GROUP, "n1"), "when it is started"),
-        (lambda: book.allow(SERVERS_GROUP, DisruptionBudget(0)), "a budget is"),
+        (lambda: book.request_drain(SERVERS_GROUP, "n2", 0), "servers has no 'n2'"),
+        (lambda: book.request_drain(SERVERS_GROUP, "n1", 0), "the only one"),
+        (lambda: book.request_drain("db", "n2", 0), "no group 'db'"),
+        (lambda: book.end_drain(SERVERS_GROUP, "n1"), "when it is started"),
+        (lambda: book.set_budget(SERVERS_GROUP, DisruptionBudget(0)), "a budget is"),
         (
-            lambda: book.start("v1", (1.0,), False, True).order(plan.ReleaseInput.ROLLBACK, ""),
+            lambda: book.start_release("v1", (1.0,), False, True).order(
+                plan.ReleaseInput.ROLLBACK, ""
+            ),
             "no other version",
         ),
     ):
--- a/tests/test_rollout_stores.py
+++ b/tests/test_rollout_stores.py
@@ -25,29 +25,34 @@
 async def promises(first: RolloutStore, second: RolloutStore) -> None:
     await asyncio.gather(first.open(), second.open())  # at once: one of them makes the tables
     old = await first.read()
-    assert await second.swap(await second.read(), RolloutState("a", epoch=3, steps=1))
-    assert not await first.swap(old, RolloutState("b", epoch=9)), "written over what another wrote"
+    assert await second.compare_and_swap(await second.read(), RolloutState("a", epoch=3, step=1))
+    assert not await first.compare_and_swap(old, RolloutState("b", epoch=9)), (
+        "written over what another wrote"
+    )
     page = await first.read(old)
-    assert (page.book.holder, page.revision) == ("a", old.revision + 1)
-    await second.beat(2)  # of an epoch that is over
-    assert (await first.read(page)).beat == page.beat
-    await second.beat(3)
+    assert (page.state.leader, page.revision) == ("a", old.revision + 1)
+    await second.heartbeat(2)  # of an epoch that is over
+    assert (await first.read(page)).heartbeat == page.heartbeat
+    await second.heartbeat(3)
     again = await first.read(page)
-    assert again.beat == page.beat + 1
-    assert again.book is page.book
-    one = ServerReport("n1", 5, 1, ServerPhase.SERVING, below={"10.0.0.1:1": (3, 1)})
-    assert await first.tell(one)
-    assert await second.tell(replace(one, life=6, says=ServerPhase.LEAVING))
-    assert not await first.tell(replace(one, beat=2)), "a life that is over spoke last"
+    assert again.heartbeat == page.heartbeat + 1
+    assert again.state is page.state
+    one = ServerReport("n1", 5, 1, ServerPhase.SERVING, downstream={"10.0.0.1:1": (3, 1)})
+    assert await first.report(one)
+    assert await second.report(replace(one, incarnation=6, phase=ServerPhase.LEAVING))
+    assert not await first.report(replace(one, heartbeat=2)), "a life that is over spoke last"
     assert (
-        await first.members()
-        == [await second.last("n1")]
-        == [replace(one, life=6, says=ServerPhase.LEAVING)]
+        await first.reports()
+        == [await second.last_report("n1")]
+        == [replace(one, incarnation=6, phase=ServerPhase.LEAVING)]
     )
-    await first.forget("n1")
-    assert await second.last("n1") is None
+    await first.forget_report("n1")
+    assert await second.last_report("n1") is None
     held = await asyncio.gather(
-        *(shelf.swap(again, RolloutState(str(at))) for at, shelf in enumerate((first, second)))
+        *(
+            shelf.compare_and_swap(again, RolloutState(str(at)))
+            for at, shelf in enumerate((first, second))
+        )
     )
     assert sorted(held) == [False, True]
 
@@ -63,14 +68,14 @@
         page = await shelf.read()
         held = Held(tmp_path / "agreed.db", 1.9)
         shelf.turns = held.turns()
-        assert await shelf.swap(page, RolloutState("a"))
+        assert await shelf.compare_and_swap(page, RolloutState("a"))
         assert held.looks >= 100
         page, held = await shelf.read(), Held(tmp_path / "agreed.db", 9.0)
         shelf.turns = held.turns()
         with pytest.raises(Away, match="database is locked"):
-            await shelf.swap(page, RolloutState("b"))
+            await shelf.compare_and_swap(page, RolloutState("b"))
         assert 2.0 <= held.now < 2.1
-        assert (await shelf.read()).book.holder == "a"
+        assert (await shelf.read()).state.leader == "a"
         before = held.looks
         shelf.turns = held.turns(
             over=lambda: held.looks == before + 50
@@ -111,12 +116,12 @@
             await first.read()
         await second.open()
         with pytest.raises(Away):
-            await first.swap(before, RolloutState("c"))
+            await first.compare_and_swap(before, RolloutState("c"))
         await first.open()
         new = await first.read()
-        assert new.book == RolloutState()
+        assert new.state == RolloutState()
         assert new.revision > before.revision
-        assert not await first.swap(before, RolloutState("c"))
+        assert not await first.compare_and_swap(before, RolloutState("c"))
         await first.close()
         await second.close()
 
@@ -139,13 +144,13 @@
         page = await first.read()
         server.orders.reset_after_commit = 1  # taken, and nobody is told
         with pytest.raises(Away):
-            await first.swap(page, RolloutState("d"))
-        assert (await first.read()).book.holder == "d"
+            await first.compare_and_swap(page, RolloutState("d"))
+        assert (await first.read()).state.leader == "d"
         server.orders.hang = True
         with pytest.raises(Away):
             await first.read()
         server.orders.hang = False
-        assert (await first.read()).book.holder == "d"
+        assert (await first.read()).state.leader == "d"
         await first.close()
         await second.close()
         await server.stop()
