--- a/burlloom/server/membership.py
+++ b/burlloom/server/membership.py
@@ -25,7 +25,7 @@
 
     from ..downstream import Answer, Pool
     from ..downstream.spread import Pools
-    from ..fleet import Fleet, Spread
+    from ..fleet import Fleet, SubsetAssignment
     from ..metrics import Exposed
     from ..operator import FleetPart
     from .recovery import RestartRecovery
@@ -113,26 +113,30 @@
 
     def report_demand(self) -> None:
         """Before a tick of the fleet's."""
-        from ..fleet import CALL
+        from ..fleet import MILLICALLS_PER_CALL
 
         in_hand, waiting = self.desk.calls() if self.desk is not None else (0, 0)
         self.demand = max(float(in_hand + waiting), FADES * self.demand)
-        self.fleet.uses(int(min(self.demand, self.cap()) * CALL), in_hand * CALL)
+        self.fleet.set_usage(
+            int(min(self.demand, self.cap()) * MILLICALLS_PER_CALL), in_hand * MILLICALLS_PER_CALL
+        )
 
     def apply(self) -> None:
         """After one, and after each letter."""
-        from ..fleet import CALL
+        from ..fleet import MILLICALLS_PER_CALL
 
-        share = min(self.fleet.share, int(min(self.cap(), 1e9) * CALL))
+        share = min(self.fleet.share, int(min(self.cap(), 1e9) * MILLICALLS_PER_CALL))
         if self.desk is not None and share != self.applied:
             self.applied = share
-            self.desk.share_calls(max(NOTHING, share / CALL))
+            self.desk.share_calls(max(NOTHING, share / MILLICALLS_PER_CALL))
 
 
 def call_shares(fleet: Fleet) -> tuple[float, float]:
-    from ..fleet import CALL
+    from ..fleet import MILLICALLS_PER_CALL
 
-    return fleet.terms.equal(max(1, fleet.members.counted())) / CALL, fleet.share / CALL
+    return fleet.quota_settings.equal_share(
+        max(1, fleet.view.count_not_left())
+    ) / MILLICALLS_PER_CALL, fleet.share / MILLICALLS_PER_CALL
 
 
 class ConfiguredFleetMembership:
@@ -159,10 +163,10 @@
         )
         host, port = sock.getsockname()
         self.address = f"{host}:{port}"
-        own = fleet.Word(
-            name, part.advertise or self.address, recovery.incarnation, 0, fleet.State.ALIVE
+        own = fleet.MemberUpdate(
+            name, part.advertise or self.address, recovery.incarnation, 0, fleet.MemberState.ALIVE
         )
-        self.chance = Random(seed ^ own.life)
+        self.chance = Random(seed ^ own.incarnation)
         self.fleet = fleet.Fleet(
             own,
             (*part.seeds, *recovery.known_members),
@@ -175,7 +179,7 @@
         self.fleet.weight = int(part.weight * 1000)
         self.call_share, self.recovery = CallShare(self.fleet, recovery.call_cap), recovery
         self.transport: asyncio.DatagramTransport | None = None
-        self.turns = fleet.Turns()
+        self.turns = fleet.WeightedRoundRobin()
         self.spread_over: tuple[tuple[str, ...], frozenset[str]] = ((), frozenset())
         self.shunned: frozenset[str] = frozenset()
         self.lately: list[dict[str, list[int]]] = [
@@ -203,7 +207,7 @@
             self.fleet.own.name,
             self.address,
             self.fleet.own.address,
-            self.fleet.own.life,
+            self.fleet.own.incarnation,
             self.part.calls,
             self.part.least,
             len(self.part.services),
@@ -214,7 +218,7 @@
         self.call_share.apply()
 
     def may_call(self) -> bool:
-        if self.fleet.good(self.clock()):
+        if self.fleet.is_current(self.clock()):
             return True
         self.tick()  # we stood still: what we thought to hold may be another's by now
         return False
@@ -241,30 +245,30 @@
 
     def hear(self, data: bytes) -> None:
         now = self.clock()
-        self.fleet.hear(now, data)
+        self.fleet.receive(now, data)
         self.after(now)
 
     def after(self, now: int) -> None:
         """What a tick or a letter has led to."""
-        if self.fleet.former != self.former:
-            self.former = self.fleet.former
+        if self.fleet.previous_incarnation != self.former:
+            self.former = self.fleet.previous_incarnation
             self.recovery.previous_incarnation_seen(self.former)
         self.call_share.apply()
         self.flush()
-        for move in self.fleet.moves:
+        for move in self.fleet.transitions:
             word = move.after or move.before
             if word is not None and word.name != self.fleet.own.name:
                 log.info(
                     "event=member name=%s state=%s life=%d incarnation=%d",
                     word.name,
                     word.state.name.lower() if move.after else "gone",
-                    word.life,
                     word.incarnation,
+                    word.refutation,
                 )
-        self.fleet.moves = []
+        self.fleet.transitions = []
 
     def flush(self) -> None:
-        out = self.fleet.out
+        out = self.fleet.outbox
         while out and self.transport is not None:
             address, data = out.popleft()
             host, port = address.rsplit(":", 1)
@@ -302,7 +306,8 @@
         """
         names = tuple(
             sorted(
-                {member.word.name for member in self.fleet.members.there()} | {self.fleet.own.name}
+                {member.update.name for member in self.fleet.view.present_members()}
+                | {self.fleet.own.name}
             )
         )
         over = names, self.shunned
@@ -317,10 +322,12 @@
         finally:
             self.spreading = None
 
-    def spread(self, names: tuple[str, ...], shunned: frozenset[str] = frozenset()) -> Spread:
+    def spread(
+        self, names: tuple[str, ...], shunned: frozenset[str] = frozenset()
+    ) -> SubsetAssignment:
         # Without any there would be nobody to call: then all are as good as the others.
         left = [service for service in self.part.services if service not in shunned]
-        return self.of.spread(names, left or self.part.services, self.part.subset)
+        return self.of.assign_subsets(names, left or self.part.services, self.part.subset)
 
     def eject_services(self, addresses: frozenset[str]) -> bool:
         if addresses != self.shunned:
@@ -345,17 +352,17 @@
                 found[service] = before[0] + well, before[1] + bad
         return found
 
-    def respread(self, spread: Spread) -> None:
-        own = spread.choices[self.fleet.own.name].parts
-        self.turns.take(own, self.chance.random())
-        self.worst = spread.worst
+    def respread(self, spread: SubsetAssignment) -> None:
+        own = spread.subsets[self.fleet.own.name].weights
+        self.turns.set_weights(own, self.chance.random())
+        self.worst = spread.max_load_ratio
         assert self.pools is not None
         self.pools.use([address_of(service) for service in own])
         log.info(
             "event=subset servers=%d size=%d worst=%.3f",
-            len(spread.choices),
+            len(spread.subsets),
             len(own),
-            spread.worst,
+            spread.max_load_ratio,
         )
 
     # Calls.
@@ -364,16 +371,16 @@
         return self.pools if self.pools is not None else one
 
     def next(self) -> tuple[str, int]:
-        return address_of(self.turns.next(self.clock()))
+        return address_of(self.turns.next_service(self.clock()))
 
     def called(self, address: tuple[str, int], answer: Answer) -> None:
         from ..downstream import Answer
 
         service = "%s:%d" % address
         if answer is Answer.UNREACHED:
-            self.turns.unreached(service, self.clock())
+            self.turns.record_failure(service, self.clock())
         else:
-            self.turns.reached(service)
+            self.turns.record_success(service)
         if answer is not Answer.UNWANTED:  # which says nothing of the service
             good = answer in (Answer.WELL, Answer.DECLINED)
             self.lately[0].setdefault(service, [0, 0])[0 if good else 1] += 1
@@ -385,9 +392,9 @@
 
     def peer_addresses(self) -> tuple[str, ...]:
         return tuple(
-            member.word.address
-            for member in self.fleet.members.there()
-            if member.word.name != self.fleet.own.name
+            member.update.address
+            for member in self.fleet.view.present_members()
+            if member.update.name != self.fleet.own.name
         )
 
     # For operators.
@@ -396,8 +403,8 @@
         assert self.part.state_file is not None
         told = {
             "told_at": time.time_ns(),
-            **self.of.summary(self.fleet, now),
-            "subset": dict(self.turns.parts),
+            **self.of.summarize(self.fleet, now),
+            "subset": dict(self.turns.weights),
             "worst": self.worst,
         }
         part = self.part.state_file + ".part"
@@ -411,12 +418,12 @@
     def gauges(self) -> dict[str, float]:
         """For whoever reads metrics."""
         fleet = self.fleet
-        states = [member.state.name.lower() for member in fleet.members]
+        states = [member.state.name.lower() for member in fleet.view]
         return {
-            "share": fleet.share / self.of.CALL,
-            "state": float(fleet.holder.state),
-            "deals": float(fleet.dealer.phase),
-            "strangers": float(fleet.strangers),
+            "share": fleet.share / self.of.MILLICALLS_PER_CALL,
+            "state": float(fleet.lease_holder.state),
+            "deals": float(fleet.allocator.phase),
+            "strangers": float(fleet.settings_mismatches),
             "worst_load": self.worst,
             **{
                 f"members_{name}": float(states.count(name))
@@ -435,7 +442,7 @@
             self.exposed.close()
         log.info(
             "event=fleet-closed %s",
-            " ".join(f"{name}={count}" for name, count in asdict(self.fleet.counts).items()),
+            " ".join(f"{name}={count}" for name, count in asdict(self.fleet.counters).items()),
         )
 
 
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -19,9 +19,9 @@
 
 from burlloom.fakes.parts import Balancer, Catalogue, fields
 from burlloom.operator import load
-from burlloom.rollout import Book, Phase
-from burlloom.rollout.stores import Shelf, StoreUnavailableError
-from burlloom.rollout.stores.opening import shelf_of
+from burlloom.rollout import ReleasePhase, RolloutState
+from burlloom.rollout.stores import RolloutStore, StoreUnavailableError
+from burlloom.rollout.stores.opening import create_rollout_store
 
 QUICK = {
     "poll_ms": 40,
@@ -90,7 +90,9 @@
             while self.dead:
                 await asyncio.sleep(0.02)
             try:
-                self.version = (await self.rollout.book()).version_of(self.name) or self.version
+                self.version = (await self.rollout.book()).next_version_of(
+                    self.name
+                ) or self.version
             except StoreUnavailableError:
                 self.version = (self.folder / "release").read_text().strip()
             await self.begin()
@@ -247,7 +249,7 @@
         await asyncio.gather(*(node.__aenter__() for node in self.nodes))
         self.file = self.folder / "operator.jsonnet"
         self.file.write_text(json.dumps({"rollout": {**QUICK, **self.part}, **self.joined(None)}))
-        self.shelf: Shelf = shelf_of(load(self.file), PATIENCE)
+        self.shelf: RolloutStore = create_rollout_store(load(self.file), PATIENCE)
         await self.shelf.open()
         for node in self.nodes:
             node.tasks = [
@@ -259,7 +261,7 @@
         if part.get("leads") is False:
             await self.drive("first")
         await self.comes_to(
-            lambda book: len(book.servers) == count and not book.groups["servers"].taken
+            lambda book: len(book.servers) == count and not book.groups["servers"].out_count
         )
 
     async def calls(self, node: Node) -> None:
@@ -277,10 +279,12 @@
             self.worst = max(self.worst, self.out)
             await asyncio.sleep(0.005)
 
-    async def book(self) -> Book:
-        return (await self.shelf.read()).book
+    async def book(self) -> RolloutState:
+        return (await self.shelf.read()).state
 
-    async def comes_to(self, test: Callable[[Book], bool], patience: float = 3 * PATIENCE) -> Book:
+    async def comes_to(
+        self, test: Callable[[RolloutState], bool], patience: float = 3 * PATIENCE
+    ) -> RolloutState:
         try:
             async with asyncio.timeout(patience):
                 while True:
@@ -292,14 +296,14 @@
                     await asyncio.sleep(0.02)
         except TimeoutError:
             book = await self.book()
-            raise AssertionError((book.plan, book.servers, book.notes)) from None
+            raise AssertionError((book.release, book.servers, book.history)) from None
 
-    async def idle(self, version: str) -> Book:
+    async def idle(self, version: str) -> RolloutState:
         """Until all run this version and nothing is under way."""
         return await self.comes_to(
             lambda book: (
-                book.plan.phase is Phase.IDLE
-                and book.good == version
+                book.release.phase is ReleasePhase.IDLE
+                and book.stable_version == version
                 and all(
                     unit.version == version and unit.state == 0 for unit in book.servers.values()
                 )
