--- a/burlloom/command/levels.py
+++ b/burlloom/command/levels.py
@@ -193,7 +193,7 @@
     moves: list[tuple[float, LevelChange]] = []
     points = [(rows[0][0], float(walker.status.level))]
     for at, row in rows:
-        moved = walker.tick(int(at * SECOND), SignalReadings(**row))
+        moved = walker.tick(int(at * SECOND), SignalReadings.from_signals(row))
         if moved is not None:
             moves.append((at, moved))
         points.append((at, walker.status.level - walker.trial_share))
--- a/burlloom/levels/signals.py
+++ b/burlloom/levels/signals.py
@@ -36,6 +36,11 @@
     memory_utilization: float | None = None
     socket_utilization: float | None = None
 
+    @classmethod
+    def from_signals(cls, values: Mapping[str, float]) -> "SignalReadings":
+        """Readings by the operators' names of the signals; those left out are not known."""
+        return cls(**{SIGNAL_FIELDS[name]: value for name, value in values.items()})
+
 
 SIGNAL_FIELDS = {
     "use": "cpu_utilization",
--- a/burlloom/server/leveling.py
+++ b/burlloom/server/leveling.py
@@ -239,13 +239,13 @@
         except ValueError as error:
             log.warning("event=pin-refused detail=%r", str(error))
             return
-        if pin is not None and pin.until <= now:
+        if pin is not None and pin.until_ns <= now:
             pin = None
         if pin != self.levels.pin:
             log.info(
                 "event=pin level=%s until=%d reason=%r",
                 pin.level if pin else "-",
-                pin.until if pin else 0,
+                pin.until_ns if pin else 0,
                 pin.reason if pin else "",
             )
             self.moved(now, self.levels.set_pin(now, pin))
