--- a/burlloom/command/levels.py
+++ b/burlloom/command/levels.py
@@ -220,7 +220,7 @@
 
 
 def bare(plan: "LevelPlan") -> list[Any]:
-    from ..interface import Degradation
+    from ..admission.model import Degradation
 
     return [Degradation(level.name) for level in plan.levels]
 
--- a/burlloom/distribution/stores/__init__.py
+++ b/burlloom/distribution/stores/__init__.py
@@ -2,6 +2,6 @@
 one interface.
 """
 
-from .store import ChangeStore, Stored, StoreUnavailableError
+from .change_store import ChangeStore, StoredItem, StoreUnavailableError
 
-__all__ = ["StoreUnavailableError", "ChangeStore", "Stored"]
+__all__ = ["StoreUnavailableError", "ChangeStore", "StoredItem"]
--- a/burlloom/levels/controller.py
+++ b/burlloom/levels/controller.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from ..interface import Degradation, ServiceLevel
+from ..admission.model import Degradation, ServiceLevel
 from .plan import LevelPlan
 from .signals import SIGNAL_NAMES, SignalAggregator, SignalBounds, SignalReadings, low, reached
 from .state_machine import (
--- a/burlloom/record/coordinator.py
+++ b/burlloom/record/coordinator.py
@@ -12,7 +12,7 @@
 from functools import partial
 from typing import Protocol
 
-from ..interface import Outcome
+from ..admission.model import Outcome
 from . import failpoints as points
 from .authentication import RowAuthenticator
 from .circuit_breaker import BreakerEffect, CircuitBreaker
--- a/burlloom/record/shared_sqlite.py
+++ b/burlloom/record/shared_sqlite.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from ..signals import block
+from ..signals import block_signals
 from .lock_retry import LOCK_TIMEOUT_S, LockRetry
 from .sqlite import connect, migrate
 from .store import StoreRefusedError, StoreUnavailableError
@@ -33,7 +33,7 @@
         self.lock_retry = LockRetry(wait, is_cancelled=lambda: self.closing)
         self.db: sqlite3.Connection | None = None
         self.file = 0
-        self.thread = ThreadPoolExecutor(1, thread, initializer=block)
+        self.thread = ThreadPoolExecutor(1, thread, initializer=block_signals)
 
     async def run_in_thread(self, work: Callable[[], Result]) -> Result:
         try:
--- a/burlloom/record/sqlite.py
+++ b/burlloom/record/sqlite.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..signals import blocked
+from ..signals import signals_blocked
 from . import failpoints as points
 from . import schema
 from .authentication import RowAuthenticator
@@ -331,7 +331,7 @@
     async def start(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.thread = threading.Thread(target=self.work, name="record", daemon=True)
-        with blocked():
+        with signals_blocked():
             self.thread.start()
 
     # On the loop.
