--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -25,7 +25,7 @@
 from burlloom.lab.charts import recovery_chart
 from burlloom.lab.emulator import Emulator, Watch
 from burlloom.lab.fleets import Joining
-from burlloom.recovery import Terms
+from burlloom.recovery import RecoveryPolicy
 from burlloom.server.configured_recovery import ConfiguredRestartRecovery
 from burlloom.server.recovery import RestartRecovery
 from burlloom.server.server import Server
@@ -93,7 +93,9 @@
 def recovering(server: Server) -> RestartRecovery:
     facts = server.config.settings
     return ConfiguredRestartRecovery(
-        Terms(window=max(one.idempotency_window_ns for one in facts.request_classes)),
+        RecoveryPolicy(
+            idempotency_window_ns=max(one.idempotency_window_ns for one in facts.request_classes)
+        ),
         server.config.name,
         lambda: server.clock(),
         lambda: server.subsystems.membership,
--- a/burlloom/rollout/stores/__init__.py
+++ b/burlloom/rollout/stores/__init__.py
@@ -1,5 +1,13 @@
 """Where the book is kept: the record's SQLite file or PostgreSQL database, behind one interface."""
 
-from .shelf import Away, Page, Shelf, Unreadable, book_of, text_of
+from .base import RolloutStore, StateSnapshot, StoreUnavailableError
+from .codec import StateDecodeError, decode_state, encode_state
 
-__all__ = ["Away", "Page", "Shelf", "Unreadable", "book_of", "text_of"]
+__all__ = [
+    "StoreUnavailableError",
+    "StateSnapshot",
+    "RolloutStore",
+    "StateDecodeError",
+    "decode_state",
+    "encode_state",
+]
--- a/burlloom/rollout/stores/tables.py
+++ b/burlloom/rollout/stores/sql.py
@@ -6,9 +6,10 @@
 import time
 from typing import Any
 
-from ..book import Book
-from ..watch import Member
-from .shelf import Page, Unreadable, book_of, member_of, text_of
+from ..liveness import ServerReport
+from ..state import RolloutState
+from .base import StateSnapshot
+from .codec import StateDecodeError, decode_report, decode_state, encode_report, encode_state
 
 log = logging.getLogger(__name__)
 
@@ -35,10 +36,10 @@
 FORGET = "DELETE FROM rollout_member WHERE name = $1::text RETURNING life"
 
 
-class Tables:
+class SqlRolloutStore:
     """`Shelf` over `run`, which a store gives: one statement, and its rows. Raises `Away`."""
 
-    async def run(self, sql: str, *values: Any) -> list[Any]:
+    async def execute(self, sql: str, *values: Any) -> list[Any]:
         raise NotImplementedError
 
     async def prepare(self) -> None:
@@ -46,39 +47,43 @@
 
     async def open(self) -> None:
         await self.prepare()
-        await self.run(BEGIN, time.time_ns() // 1_000_000, text_of(Book()))
+        await self.execute(BEGIN, time.time_ns() // 1_000_000, encode_state(RolloutState()))
 
-    async def read(self, known: Page | None = None) -> Page:
+    async def read(self, known: StateSnapshot | None = None) -> StateSnapshot:
         if known is not None:
-            ((revision, beat),) = await self.run(LOOK)
+            ((revision, beat),) = await self.execute(LOOK)
             if revision == known.revision:
-                return Page(revision, beat, known.book)
-        found = await self.run(READ)
+                return StateSnapshot(revision, beat, known.state)
+        found = await self.execute(READ)
         if not found:
-            raise Unreadable("the book is gone: its table is empty")
+            raise StateDecodeError("the book is gone: its table is empty")
         ((revision, beat, text),) = found
-        return Page(revision, beat, book_of(text))
+        return StateSnapshot(revision, beat, decode_state(text))
 
-    async def swap(self, page: Page, book: Book) -> bool:
-        return bool(await self.run(SWAP, book.epoch, text_of(book), page.revision))
+    async def compare_and_swap(self, page: StateSnapshot, book: RolloutState) -> bool:
+        return bool(await self.execute(SWAP, book.epoch, encode_state(book), page.revision))
 
-    async def beat(self, epoch: int) -> None:
-        await self.run(BEAT, epoch)
+    async def heartbeat(self, epoch: int) -> None:
+        await self.execute(BEAT, epoch)
 
-    async def tell(self, member: Member) -> bool:
-        return bool(await self.run(TELL, member.name, member.life, member.beat, text_of(member)))
+    async def report(self, member: ServerReport) -> bool:
+        return bool(
+            await self.execute(
+                TELL, member.name, member.incarnation, member.heartbeat, encode_report(member)
+            )
+        )
 
-    async def last(self, name: str) -> Member | None:
-        return next((member_of(row[0]) for row in await self.run(LAST, name)), None)
+    async def last_report(self, name: str) -> ServerReport | None:
+        return next((decode_report(row[0]) for row in await self.execute(LAST, name)), None)
 
-    async def members(self) -> list[Member]:
+    async def reports(self) -> list[ServerReport]:
         found = []
-        for (text,) in await self.run(MEMBERS):
+        for (text,) in await self.execute(MEMBERS):
             try:
-                found.append(member_of(text))
-            except Unreadable as error:  # of a newer program perhaps; it counts as silent
+                found.append(decode_report(text))
+            except StateDecodeError as error:  # of a newer program perhaps; it counts as silent
                 log.warning("event=rollout-member-unread detail=%r", str(error))
         return found
 
-    async def forget(self, name: str) -> None:
-        await self.run(FORGET, name)
+    async def forget_report(self, name: str) -> None:
+        await self.execute(FORGET, name)
--- a/burlloom/server/call_share.py
+++ b/burlloom/server/call_share.py
@@ -6,14 +6,14 @@
 from typing import TYPE_CHECKING
 
 from ..dispatcher import Desk
-from ..fleet import CALL
+from ..fleet import MILLICALLS_PER_CALL
 
 if TYPE_CHECKING:
     from ..fleet import Fleet
 
 # A share of none, as the decisions know it: 0 is no bound to them.
 MIN_CALL_SHARE = 0.001
-# What any number of calls is cut to before it is counted in the fleet's parts of a call.
+# What any number of calls is cut to before it is counted in thousandths.
 MAX_CALLS = 1e9
 # Of the demand that stays from one tick to the next: a peak counts for some seconds.
 DEMAND_DECAY = 0.98
@@ -42,17 +42,20 @@
         """Reports to the fleet what is wanted and what is in use; before each of its ticks."""
         in_use, waiting = self.dispatcher.calls() if self.dispatcher is not None else (0, 0)
         self._demand = max(float(in_use + waiting), DEMAND_DECAY * self._demand)
-        self.fleet.uses(int(min(self._demand, self.call_cap()) * CALL), in_use * CALL)
+        self.fleet.set_usage(
+            int(min(self._demand, self.call_cap()) * MILLICALLS_PER_CALL),
+            in_use * MILLICALLS_PER_CALL,
+        )
 
     def apply(self) -> None:
         """Bounds the dispatcher's calls by the share; after each tick and message of the fleet."""
-        share = min(self.fleet.share, int(min(self.call_cap(), MAX_CALLS) * CALL))
+        share = min(self.fleet.share, int(min(self.call_cap(), MAX_CALLS) * MILLICALLS_PER_CALL))
         if self.dispatcher is not None and share != self._applied:
             self._applied = share
-            self.dispatcher.share_calls(max(MIN_CALL_SHARE, share / CALL))
+            self.dispatcher.share_calls(max(MIN_CALL_SHARE, share / MILLICALLS_PER_CALL))
 
 
 def call_shares(fleet: Fleet) -> tuple[float, float]:
     """Returns an equal share of the calls and the one that the fleet gives this member."""
-    equal = fleet.terms.equal(max(1, fleet.members.counted()))
-    return equal / CALL, fleet.share / CALL
+    equal = fleet.quota_settings.equal_share(max(1, fleet.view.count_not_left()))
+    return equal / MILLICALLS_PER_CALL, fleet.share / MILLICALLS_PER_CALL
--- a/burlloom/server/configured_membership.py
+++ b/burlloom/server/configured_membership.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ..dispatcher import Desk
-from ..fleet import CALL, Fleet, State, Word, summary
+from ..fleet import MILLICALLS_PER_CALL, Fleet, MemberState, MemberUpdate, summarize
 from ..operator import FleetPart
 from ..operator.fleet import read_keys
 from ..sockets import MS, SECOND, Tasks, rest
@@ -69,8 +69,10 @@
         host, port = sock.getsockname()
         self.address = f"{host}:{port}"
         incarnation = recovery.incarnation
-        own = Word(name, settings.advertise or self.address, incarnation, 0, State.ALIVE)
-        random = Random(seed ^ own.life)
+        own = MemberUpdate(
+            name, settings.advertise or self.address, incarnation, 0, MemberState.ALIVE
+        )
+        random = Random(seed ^ own.incarnation)
         self.fleet = Fleet(
             own,
             (*settings.seeds, *recovery.known_members),
@@ -112,7 +114,7 @@
             own.name,
             self.address,
             own.address,
-            own.life,
+            own.incarnation,
             self.settings.calls,
             self.settings.least,
             len(self.settings.services),
@@ -125,7 +127,7 @@
 
     def may_call(self) -> bool:
         """Returns whether the server's share is still known; asked just before a call leaves."""
-        if self.fleet.good(self.clock()):
+        if self.fleet.is_current(self.clock()):
             return True
         # The process stood still: what it thought to hold may be another's by now.
         self._tick()
@@ -142,8 +144,8 @@
     def peer_addresses(self) -> tuple[str, ...]:
         """Returns addresses of other members, for the server's next start."""
         own_name = self.fleet.own.name
-        words = [member.word for member in self.fleet.members.there()]
-        return tuple(word.address for word in words if word.name != own_name)
+        updates = [member.update for member in self.fleet.view.present_members()]
+        return tuple(update.address for update in updates if update.name != own_name)
 
     def eject_services(self, addresses: frozenset[str]) -> bool:
         """Has these services, and no others, not called from now on.
@@ -160,12 +162,12 @@
     def gauges(self) -> dict[str, float]:
         """Returns what stands now, by the end of the metric's name."""
         fleet = self.fleet
-        states = [member.state.name.lower() for member in fleet.members]
+        states = [member.state.name.lower() for member in fleet.view]
         return {
-            "share": fleet.share / CALL,
-            "state": float(fleet.holder.state),
-            "deals": float(fleet.dealer.phase),
-            "strangers": float(fleet.strangers),
+            "share": fleet.share / MILLICALLS_PER_CALL,
+            "state": float(fleet.lease_holder.state),
+            "deals": float(fleet.allocator.phase),
+            "strangers": float(fleet.settings_mismatches),
             "worst_load": self._worst_load(),
             **{
                 f"members_{name}": float(states.count(name))
@@ -182,7 +184,7 @@
             self._transport = None  # a tick may follow, and sends nothing any more
         log.info(
             "event=membership_closed %s",
-            " ".join(f"{name}={count}" for name, count in asdict(self.fleet.counts).items()),
+            " ".join(f"{name}={count}" for name, count in asdict(self.fleet.counters).items()),
         )
 
     # Ticks and messages.
@@ -210,36 +212,36 @@
                 self._write_state(self.settings.state_file, now)
 
     def _receive(self, data: bytes) -> None:
-        self.fleet.hear(self.clock(), data)
+        self.fleet.receive(self.clock(), data)
         self._apply_changes()
 
     def _apply_changes(self) -> None:
         """Does what a tick or a message has led to."""
-        if self.fleet.former != self._previous_incarnation:
-            self._previous_incarnation = self.fleet.former
+        if self.fleet.previous_incarnation != self._previous_incarnation:
+            self._previous_incarnation = self.fleet.previous_incarnation
             self.recovery.previous_incarnation_seen(self._previous_incarnation)
         self.call_share.apply()
         self._send_messages()
-        for move in self.fleet.moves:
-            word = move.after or move.before
-            if word is not None and word.name != self.fleet.own.name:
+        for transition in self.fleet.transitions:
+            update = transition.after or transition.before
+            if update is not None and update.name != self.fleet.own.name:
                 log.info(
                     "event=member_changed name=%s state=%s incarnation=%d refutation=%d",
-                    word.name,
-                    word.state.name.lower() if move.after else "gone",
-                    word.life,
-                    word.incarnation,
+                    update.name,
+                    update.state.name.lower() if transition.after else "gone",
+                    update.incarnation,
+                    update.refutation,
                 )
-        self.fleet.moves = []
+        self.fleet.transitions = []
 
     def _send_messages(self) -> None:
-        messages = self.fleet.out
+        messages = self.fleet.outbox
         while messages and self._transport is not None:
             address, data = messages.popleft()
             self._transport.sendto(data, split_address(address))
 
     def _member_names(self) -> tuple[str, ...]:
-        names = {member.word.name for member in self.fleet.members.there()}
+        names = {member.update.name for member in self.fleet.view.present_members()}
         return tuple(sorted(names | {self.fleet.own.name}))
 
     # Files.
@@ -264,8 +266,8 @@
     def _write_state(self, path: str, now: int) -> None:
         state = {
             "told_at": time.time_ns(),
-            **summary(self.fleet, now),
-            "subset": dict(self.subset.turns.parts) if self.subset is not None else {},
+            **summarize(self.fleet, now),
+            "subset": dict(self.subset.turns.weights) if self.subset is not None else {},
             "worst": self._worst_load(),
         }
         temporary = path + ".part"
--- a/burlloom/server/configured_recovery.py
+++ b/burlloom/server/configured_recovery.py
@@ -14,7 +14,7 @@
 from ..sockets import MS, SECOND
 
 if TYPE_CHECKING:
-    from ..recovery import Terms
+    from ..recovery import RecoveryPolicy
     from .membership import FleetMembership
 
 log = logging.getLogger(__name__)
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        terms: Terms,
+        policy: RecoveryPolicy,
         name: str,
         clock: Callable[[], int],
         membership: Callable[[], FleetMembership],
@@ -46,7 +46,7 @@
         """Reads what the last incarnation left.
 
         Args:
-            terms: The operator's.
+            policy: The operator's.
             name: The server's.
             clock: Unix ns.
             membership: Returns the server's membership; called once there is one.
@@ -57,11 +57,13 @@
         self.name, self.clock, self.membership = name, clock, membership
         self.calls_without_fleet, self.state_file = calls_without_fleet, state_file
         self.incarnation = time.time_ns() // MS
-        found = decisions.read(self._read_state_file())
-        self.recovery = decisions.Recovery(terms, found, name, clock(), self.incarnation, is_alone)
+        found = decisions.parse_snapshot(self._read_state_file())
+        self.recovery = decisions.RecoveryController(
+            policy, found, name, clock(), self.incarnation, is_alone
+        )
         # Old addresses do no harm: whoever is there answers with a sealed message.
-        kept = self.recovery.kept
-        self.known_members = kept.members if kept is not None else ()
+        snapshot = self.recovery.snapshot
+        self.known_members = snapshot.peer_addresses if snapshot is not None else ()
         self._dispatcher: Desk | None = None
         self._record_incarnation = -1
         self._written_ns = 0
@@ -70,8 +72,8 @@
         self._is_closed = False
         log.info(
             "event=recovery_started state_file=%s previous_incarnation=%d known_members=%d",
-            self.recovery.verdict.name.lower(),
-            kept.life if kept is not None else 0,
+            self.recovery.validity.name.lower(),
+            snapshot.incarnation if snapshot is not None else 0,
             len(self.known_members),
         )
 
@@ -84,31 +86,31 @@
         """
         self._dispatcher, self._record_incarnation = dispatcher, record_incarnation
         if record_incarnation >= 0:
-            self.recovery.store(record_incarnation, self.clock())
+            self.recovery.record_opened(record_incarnation, self.clock())
         self._holds_back = True
         dispatcher.hold_back(True)
         self.update()
 
     def previous_incarnation_seen(self, incarnation: int) -> None:
         """Notes which incarnation of this server the fleet knew before this one."""
-        self.recovery.peer(incarnation, self.clock())
+        self.recovery.peer_reported_incarnation(incarnation, self.clock())
         self._log_effects()
 
     def call_cap(self) -> float:
         """Returns how many calls are allowed so far, besides the fleet's share."""
-        return self.recovery.cap
+        return self.recovery.call_cap
 
     def holds_back_retry(self, is_retry: bool) -> bool:
         """Counts an attempt; returns whether it is a retry past what is taken for now."""
-        return self.recovery.holds_back(self.clock(), is_retry)
+        return self.recovery.should_hold_back_retry(self.clock(), is_retry)
 
     def is_fenced(self) -> bool:
         """Returns whether keyed retries that are not known here must be neither run nor rejected."""
-        return self.recovery.fenced(self.clock())
+        return self.recovery.is_fenced(self.clock())
 
     def call_ended(self, succeeded: bool) -> None:
         """Counts the end of a call."""
-        self.recovery.called(succeeded)
+        self.recovery.record_call(succeeded)
 
     def update(self) -> None:
         """Takes a round: raises the cap, ends the recovery, writes the state file."""
@@ -118,8 +120,8 @@
             return
         shares = self.membership().call_shares()
         equal, own = shares or (self.calls_without_fleet, self.calls_without_fleet)
-        if self.recovery.round(now, equal, own):
-            cap = self.recovery.cap
+        if self.recovery.tick(now, equal, own):
+            cap = self.recovery.call_cap
             log.info(
                 "event=recovery_call_cap calls=%.2f equal_share=%.2f elapsed_ms=%d",
                 min(cap, MAX_LOGGED_CALLS),
@@ -128,13 +130,13 @@
             )
             if shares is None:
                 dispatcher.share_calls(min(cap, self.calls_without_fleet))
-        if self.recovery.over and self._holds_back:
+        if self.recovery.is_complete and self._holds_back:
             self._holds_back = False
             dispatcher.hold_back(False)
             log.warning(
                 "event=recovery_completed elapsed_ms=%d held_back=%d",
                 self._elapsed_ms(now),
-                self.recovery.retries.refused,
+                self.recovery.retry_budget.rejected,
             )
         self._log_effects()
         if now - self._written_ns >= WRITE_INTERVAL_NS and not self._is_closed:
@@ -143,7 +145,7 @@
 
     def is_complete(self) -> bool:
         """Returns whether the recovery is over."""
-        return self.recovery.over
+        return self.recovery.is_complete
 
     def close(self) -> None:
         """Writes the state file a last time, marked as left by a clean shutdown."""
@@ -153,19 +155,19 @@
         self._write_state_file(own, clean=True)
 
     def _elapsed_ms(self, now: int) -> int:
-        return (now - self.recovery.began) // MS
+        return (now - self.recovery.started_at_ns) // MS
 
     def _log_effects(self) -> None:
-        for cause, effect in self.recovery.effects:
+        for cause, effect in self.recovery.pending_log_entries:
             # A few for each start, in the very moment in which info lines are dropped by the
             # hundred.
             log.warning(
                 "event=recovery_state_changed input=%s effect=%s state=%s",
                 cause,
                 effect,
-                self.recovery.start.state.name.lower(),
+                self.recovery.bootstrap.state.name.lower(),
             )
-        self.recovery.effects = []
+        self.recovery.pending_log_entries = []
 
     def _read_state_file(self) -> str | None:
         """Returns the file's text: None where there is none, empty where it can't be read."""
@@ -182,18 +184,18 @@
     def _write_state_file(self, share: float, clean: bool) -> None:
         if self.state_file is None:
             return
-        kept = decisions.Kept(
+        snapshot = decisions.RecoverySnapshot(
             self.name,
             self.incarnation,
             time.time_ns() // MS,
             self._record_incarnation,
             share,
             clean,
-            decisions.kept.members(self.membership().peer_addresses()),
+            decisions.limit_members(self.membership().peer_addresses()),
         )
         temporary = self.state_file.with_name(self.state_file.name + ".part")
         try:
-            temporary.write_text(decisions.write(kept), encoding="utf-8")
+            temporary.write_text(decisions.serialize_snapshot(snapshot), encoding="utf-8")
             os.replace(temporary, self.state_file)
         except OSError as error:
             log.warning("event=state_file_not_written detail=%r", str(error))
--- a/burlloom/server/configured_request_record.py
+++ b/burlloom/server/configured_request_record.py
@@ -11,9 +11,9 @@
 
 from ..admission.model import Idempotency, Outcome, RequestClass
 from ..dispatcher import Desk, Packed, RunEnded
-from ..record import points
-from ..record.keeper import Keeper
-from ..record.store import Refused
+from ..record import failpoints
+from ..record.coordinator import RecordCoordinator
+from ..record.store import StoreRefusedError
 from ..sockets import MS
 from .configuration import ConfigurationError
 
@@ -24,10 +24,10 @@
 
 
 class ConfiguredRequestRecord:
-    """The record that an operator's file configures; also what its keeper reports to.
+    """The record that an operator's file configures; also what its coordinator reports to.
 
     Attributes:
-        keeper: Writes to the store and knows what is on its way there; set before `open`.
+        coordinator: Writes to the store and knows what is on its way there; set before `open`.
         keeps_results: True.
         is_shared: Whether other nodes write to the store too.
         incarnation: This node's in the store; -1 until it is open.
@@ -36,7 +36,7 @@
     """
 
     keeps_results = True
-    keeper: Keeper
+    coordinator: RecordCoordinator
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         start_run: Callable[[str], None],
         is_shared: bool,
     ) -> None:
-        """Creates a record without its keeper.
+        """Creates a record without its coordinator.
 
         Args:
             request_classes: Those of the settings.
@@ -57,7 +57,7 @@
             is_shared: Whether other nodes write to the store too.
         """
         self.request_classes, self.hold_share = request_classes, hold_share
-        self.clock, self.start_run, self.is_shared = clock, start_run, is_shared
+        self.clock, self._start_run, self.is_shared = clock, start_run, is_shared
         self.dispatcher: Desk | None = None
         self.previous_note, self.incarnation = "", -1
         self._read_back = Packed()
@@ -70,27 +70,30 @@
         """
         began = self.clock()
         try:
-            opened = await self.keeper.open()
-        except Refused as error:
+            opened = await self.coordinator.open()
+        except StoreRefusedError as error:
             raise ConfigurationError(str(error)) from error
-        self.previous_note, self.incarnation = self.keeper.noted, self.keeper.life
-        self._read_back = Packed(chain.from_iterable(self.keeper.read_back()))
-        await self.keeper.start()
+        self.previous_note, self.incarnation = (
+            self.coordinator.previous_notice,
+            self.coordinator.incarnation,
+        )
+        self._read_back = Packed(chain.from_iterable(self.coordinator.read_recorded_keys()))
+        await self.coordinator.start()
         log.info(
             "event=record_opened node=%s incarnation=%d clock_shift_ms=%d migrated=%s keys=%d"
             " unfinished_runs=%d elapsed_ms=%d",
             opened.node,
-            opened.life,
-            opened.shift // MS,
+            opened.incarnation,
+            opened.clock_shift_ns // MS,
             ",".join(map(str, opened.migrated)) or "-",
             len(self._read_back),
-            len(self.keeper.began),
+            len(self.coordinator.started_rows),
             (self.clock() - began) // MS,
         )
 
     def write_note(self, text: str) -> None:
         """Writes a note for the node's next incarnation."""
-        self.keeper.store.note(text)
+        self.coordinator.store.save_notice(text)
 
     def attach_dispatcher(self, dispatcher: Desk, executor_began_ns: int) -> None:
         """Hands the dispatcher what was read back; ends of runs are reported to it from now on.
@@ -101,18 +104,18 @@
         """
         self.dispatcher = dispatcher
         dispatcher.ledger.plant_ended(self._read_back)
-        for mark, until, asked in self.keeper.executor(executor_began_ns):
+        for mark, until, asked in self.coordinator.resume_after_restart(executor_began_ns):
             dispatcher.ledger.plant(mark, until, not asked)
 
     def accepts_claims(self) -> bool:
         """Returns whether a claim could be written now."""
-        return self.keeper.accepts()
+        return self.coordinator.may_claim()
 
     def begin_run(self, mark: bytes, request_id: str, received_ns: int, request_class: int) -> None:
         """Claims a keyed request, which then runs; has any other run at once."""
         known = self.request_classes[request_class]
         if known.idempotency is Idempotency.KEYED:
-            self.keeper.begin(
+            self.coordinator.begin_claim(
                 mark,
                 request_id,
                 received_ns,
@@ -120,11 +123,11 @@
                 known.latency_objective_ns,
             )
         else:
-            self.start_run(request_id)
+            self._start_run(request_id)
 
     def run_ended(self, request_id: str, outcome: Outcome, result: bytes) -> None:
         """Writes the end of a run."""
-        self.keeper.ended(request_id, outcome, result)
+        self.coordinator.finish_run(request_id, outcome, result)
 
     async def wait_until_durable(self, mark: bytes, received_ns: int, request_class: int) -> None:
         """Waits until the end of a keyed run is durable, for as long as the answer may wait."""
@@ -134,8 +137,8 @@
                 self.clock() + int(self.hold_share * known.latency_objective_ns),
                 received_ns + known.deadline_ns - ANSWER_MARGIN_NS,
             )
-            await self.keeper.durable(mark, until)
-            points.reached("answering")
+            await self.coordinator.wait_until_durable(mark, until)
+            failpoints.hit("answering")
 
     async def look_up(
         self, mark: bytes, request_id: str, received_ns: int, request_class: int
@@ -143,66 +146,66 @@
         """Asks the store what became of a request; the dispatcher is told what is found."""
         known = self.request_classes[request_class]
         window_end = received_ns + known.idempotency_window_ns
-        await self.keeper.look(mark, request_id, window_end, known.latency_objective_ns)
+        await self.coordinator.look_up(mark, request_id, window_end, known.latency_objective_ns)
 
     def request_answered(self, request_id: str) -> None:
         """Notes that a request's answer was sent, or that nobody waits for it."""
-        self.keeper.left(request_id)
-        points.reached_once_sent("answered")
+        self.coordinator.abandon(request_id)
+        failpoints.hit_after_send("answered")
 
     async def read_result(self, mark: bytes, deadline_ns: int) -> bytes | None:
         """Returns a result from the store, None where none can be given in time."""
-        return await self.keeper.recall(mark, deadline_ns - ANSWER_MARGIN_NS)
+        return await self.coordinator.fetch_result(mark, deadline_ns - ANSWER_MARGIN_NS)
 
     async def close(self) -> None:
         """Writes what is left and closes the store."""
-        await self.keeper.close()
-        counts = self.keeper.counts
+        await self.coordinator.close()
+        counts = self.coordinator.counters
         log.info(
             "event=record_stopped claims=%d rejected=%d late=%d not_recorded=%d claimed=%d"
             " results_read=%d doubts=%d resolved=%d altered=%d conflicts=%d answered_before=%d",
             counts.claims,
-            counts.refused,
-            counts.late,
-            counts.unkept,
-            counts.taken,
-            counts.recalled,
+            counts.rejected,
+            counts.store_timeouts,
+            counts.unrecorded_runs,
+            counts.claimed_elsewhere,
+            counts.results_fetched,
             counts.doubts,
             counts.resolved,
-            counts.altered,
+            counts.altered_rows,
             counts.conflicts,
-            counts.held_past,
+            counts.answered_before_durable,
         )
 
-    # What the keeper reports.
+    # What the coordinator reports.
 
-    def run(self, request_id: str) -> None:
+    def start_run(self, request_id: str) -> None:
         """Has a request run: its claim is durable, or needs not be."""
-        self.start_run(request_id)
+        self._start_run(request_id)
 
-    def refuse(self, request_id: str) -> None:
+    def reject(self, request_id: str) -> None:
         """Reports that a request can't be claimed, so may not run."""
         self._report_end(request_id, Outcome.NOT_RECORDED)
 
-    def unrun(self, request_id: str) -> None:
+    def report_never_ran(self, request_id: str) -> None:
         """Reports that a claimed request is not to run any more."""
         self._report_end(request_id, Outcome.NO_LONGER_NEEDED)
 
-    def follow(self, request_id: str) -> None:
+    def report_claimed_elsewhere(self, request_id: str) -> None:
         """Reports that another attempt has claimed the request."""
         self._report_end(request_id, Outcome.CLAIMED_ELSEWHERE)
 
-    def settle(self, mark: bytes, result: bytes | None) -> None:
+    def complete(self, mark: bytes, result: bytes | None) -> None:
         """Reports that a request has run, with its result where it is known."""
         if self.dispatcher is not None:
             self.dispatcher.settle(mark, result)
 
-    def free(self, mark: bytes) -> None:
+    def release(self, mark: bytes) -> None:
         """Reports that a request has not run, and may."""
         if self.dispatcher is not None:
             self.dispatcher.free(mark)
 
-    def plant(self, mark: bytes, until: int) -> None:
+    def register(self, mark: bytes, until: int) -> None:
         """Reports a request of another node's that may be running.
 
         Args:
@@ -212,7 +215,7 @@
         if self.dispatcher is not None:
             self.dispatcher.ledger.plant(mark, until, False)
 
-    def lose(self, mark: bytes) -> None:
+    def forget(self, mark: bytes) -> None:
         """Reports that nobody will ever know what became of a run."""
         if self.dispatcher is not None:
             self.dispatcher.lose(mark)
--- a/burlloom/server/configured_rollout.py
+++ b/burlloom/server/configured_rollout.py
@@ -13,10 +13,22 @@
 from ..admission.model import RequestClass
 from ..dispatcher import Kind
 from ..operator import RolloutPart
-from ..rollout import SERVERS, Counts, Hand, Lead, Member, Says
-from ..rollout.hand import Input
-from ..rollout.stores import Away, Page, Shelf, Unreadable
-from ..rollout.stores.leading import led
+from ..rollout import (
+    SERVERS_GROUP,
+    DrainAgent,
+    RequestCounts,
+    RolloutLeader,
+    ServerPhase,
+    ServerReport,
+)
+from ..rollout.agent import AgentInput
+from ..rollout.stores import (
+    RolloutStore,
+    StateDecodeError,
+    StateSnapshot,
+    StoreUnavailableError,
+)
+from ..rollout.stores.leader_round import run_leader_round
 from ..sockets import MS, Tasks, rest
 from .clock import boot_time_ns
 from .rollout import RolloutHost
@@ -41,7 +53,7 @@
     def __init__(
         self,
         settings: RolloutPart,
-        store: Shelf,
+        store: RolloutStore,
         name: str,
         version: str,
         request_classes: tuple[RequestClass, ...],
@@ -72,10 +84,10 @@
         self._incarnation = self._previous_incarnation = 0
         self._heartbeats = self._reported_ns = self._steps_applied = 0
         self._completed = self._late = self._rejected = self._failed = 0
-        self._agent: Hand | None = None
-        self._leader: Lead | None = None
-        self._page: Page | None = None
-        self._reported_phase: Says | None = None
+        self._agent: DrainAgent | None = None
+        self._leader: RolloutLeader | None = None
+        self._snapshot: StateSnapshot | None = None
+        self._reported_phase: ServerPhase | None = None
         self._unreachable = ""  # why the store can't be used; empty where it can
         self._is_superseded = False
         self._task: asyncio.Task[None] | None = None
@@ -106,26 +118,26 @@
 
     def gauges(self) -> dict[str, float]:
         """Returns what stands now, by the end of the metric's name."""
-        if self._page is None:
+        if self._snapshot is None:
             return {"away": float(bool(self._unreachable))}
-        book = self._page.book
-        servers = book.groups[SERVERS]
+        state = self._snapshot.state
+        servers = state.groups[SERVERS_GROUP]
         return {
             "away": float(bool(self._unreachable)),
-            "phase": float(book.plan.phase),
-            "wave": float(book.plan.wave),
-            "servers": float(len(servers.units)),
-            "out": float(servers.taken),
-            "bound": float(servers.budget.bound(len(servers.units))),
-            "steps_read": float(book.steps),
-            "done": float(sum(book.done(unit) for unit in servers.units.values())),
+            "phase": float(state.release.phase),
+            "wave": float(state.release.wave_index),
+            "servers": float(len(servers.instances)),
+            "out": float(servers.out_count),
+            "bound": float(servers.budget.limit(len(servers.instances))),
+            "steps_read": float(state.step),
+            "done": float(sum(state.is_done(instance) for instance in servers.instances.values())),
         }
 
     async def close(self) -> None:
         """Reports that the server leaves; a leader resigns, so that another need not wait."""
         if self._task is not None:
             self._task.cancel()
-        with contextlib.suppress(Away, Unreadable, TimeoutError):
+        with contextlib.suppress(StoreUnavailableError, StateDecodeError, TimeoutError):
             async with asyncio.timeout(LAST_REPORT_TIMEOUT_S):
                 await self._report_leaving()
         await self.store.close()
@@ -144,7 +156,7 @@
                 if self._unreachable:
                     log.warning("event=rollout_store_reachable")
                 self._unreachable, pause = "", 1
-            except (Away, Unreadable) as error:
+            except (StoreUnavailableError, StateDecodeError) as error:
                 self._note_unreachable(error)
                 pause = min(self._max_pause(), 2 * pause)
                 await self._reopen()
@@ -161,12 +173,12 @@
     def _note_unreachable(self, error: Exception) -> None:
         if not self._unreachable:
             log.warning("event=rollout_store_unreachable detail=%r", str(error))
-        self._unreachable, self._page = str(error), None
+        self._unreachable, self._snapshot = str(error), None
         self.steps["away"] += 1
 
     async def _reopen(self) -> None:
         if self._incarnation:
-            with contextlib.suppress(Away):
+            with contextlib.suppress(StoreUnavailableError):
                 await self.store.open()  # its file may be another's by now, its tables gone
 
     async def _poll(self) -> None:
@@ -177,22 +189,28 @@
         await self._report()
         if self._is_superseded:
             return
-        self._page = page = await self.store.read(self._page)
-        self._eject_services(page)
+        self._snapshot = snapshot = await self.store.read(self._snapshot)
+        self._eject_services(snapshot)
         if not self.host.is_shutting_down:
-            await self._follow(page)
-        if not self.host.is_shutting_down and self._leader is not None and page is self._page:
-            await self._lead(self._leader, page)
+            await self._follow(snapshot)
+        if (
+            not self.host.is_shutting_down
+            and self._leader is not None
+            and snapshot is self._snapshot
+        ):
+            await self._lead(self._leader, snapshot)
 
     async def _join(self) -> None:
         await self.store.open()
-        last = await self.store.last(self.name)
+        last = await self.store.last_report(self.name)
         if last is not None:
-            self._previous_incarnation = last.life if last.says is Says.LEAVING else 0
-        self._incarnation = max(self.clock() // MS, last.life + 1 if last is not None else 0)
-        self._agent = Hand(self.name, self._incarnation)
+            self._previous_incarnation = (
+                last.incarnation if last.phase is ServerPhase.LEAVING else 0
+            )
+        self._incarnation = max(self.clock() // MS, last.incarnation + 1 if last is not None else 0)
+        self._agent = DrainAgent(self.name, self._incarnation)
         if self.settings.leads:
-            self._leader = Lead(
+            self._leader = RolloutLeader(
                 f"{self.name}/{self._incarnation}",
                 self.settings.terms(),
                 self.settings.budgets(),
@@ -207,10 +225,10 @@
 
     # Reports.
 
-    def _phase(self) -> Says:
+    def _phase(self) -> ServerPhase:
         if self.host.is_shutting_down:
-            return Says.LEAVING
-        return Says.SERVING if self.host.is_ready() else Says.STARTING
+            return ServerPhase.LEAVING
+        return ServerPhase.SERVING if self.host.is_ready() else ServerPhase.STARTING
 
     async def _report(self) -> None:
         now, phase = self.interval_clock(), self._phase()
@@ -218,7 +236,7 @@
         if phase == self._reported_phase and not is_due:
             return
         self._heartbeats += 1
-        member = Member(
+        report = ServerReport(
             self.name,
             self._incarnation,
             self._heartbeats,
@@ -226,11 +244,11 @@
             self.host.is_healthy_and_recovered(),
             self.version,
             self._steps_applied,
-            Counts(self._completed, self._late, self._rejected, self._failed),
+            RequestCounts(self._completed, self._late, self._rejected, self._failed),
             self.membership().recent_call_counts(),
             self._previous_incarnation,
         )
-        if not await self.store.tell(member):
+        if not await self.store.report(report):
             self._is_superseded = True
             # Another process was started under the name after this one.
             log.error("event=rollout_superseded name=%s", self.name)
@@ -242,39 +260,41 @@
         self._reported_phase = None
         await self._report()
         if self._leader is not None:
-            page = await self.store.read()
-            resigned = self._leader.resign(page.book)
+            snapshot = await self.store.read()
+            resigned = self._leader.resign(snapshot.state)
             if resigned is not None:
-                await self.store.swap(page, resigned)
+                await self.store.compare_and_swap(snapshot, resigned)
 
-    def _eject_services(self, page: Page) -> None:
+    def _eject_services(self, snapshot: StateSnapshot) -> None:
         """Has services that are out not called; reported once no call to them is in progress."""
-        ejected = frozenset(address for _, address in page.book.shunned())
+        ejected = frozenset(address for _, address in snapshot.state.ejected_instances())
         if self.membership().eject_services(ejected):
-            self._steps_applied = page.book.steps
+            self._steps_applied = snapshot.state.step
 
     # What the rollout state says of this server.
 
-    async def _follow(self, page: Page) -> None:
+    async def _follow(self, snapshot: StateSnapshot) -> None:
         agent = self._agent
         assert agent is not None
-        effect = agent.reads(page.book)
-        if effect == "ask":
-            wanted = agent.step(page.book)
+        effect = agent.process_state(snapshot.state)
+        if effect == "begin":
+            wanted = agent.begin_drain(snapshot.state)
             try:
-                is_held = wanted is not None and await self.store.swap(page, wanted)
-            except Away:
-                agent.meet(Input.UNSURE)
+                is_held = wanted is not None and await self.store.compare_and_swap(snapshot, wanted)
+            except StoreUnavailableError:
+                agent.apply_input(AgentInput.WRITE_UNKNOWN)
                 raise
-            effect = agent.meet(Input.HELD if is_held else Input.BEATEN)
-            self._page = None
+            effect = agent.apply_input(
+                AgentInput.WRITE_ACCEPTED if is_held else AgentInput.WRITE_CONFLICT
+            )
+            self._snapshot = None
             self.steps["beaten"] += not is_held
         if effect == "drain":
-            self._begin_drain(page)
+            self._begin_drain(snapshot)
 
-    def _begin_drain(self, page: Page) -> None:
+    def _begin_drain(self, snapshot: StateSnapshot) -> None:
         """Drains: the store has this server out, durably; no earlier."""
-        version = page.book.version_of(self.name)
+        version = snapshot.state.next_version_of(self.name)
         log.info(
             "event=rollout_drain_started incarnation=%d next_version=%s",
             self._incarnation,
@@ -293,6 +313,8 @@
         except OSError as error:
             log.warning("event=release_file_not_written detail=%r", str(error))
 
-    async def _lead(self, leader: Lead, page: Page) -> None:
-        for step, reason in await led(leader, self.store, page, self.interval_clock()):
+    async def _lead(self, leader: RolloutLeader, snapshot: StateSnapshot) -> None:
+        for step, reason in await run_leader_round(
+            leader, self.store, snapshot, self.interval_clock()
+        ):
             log.info("event=rollout_step step=%d reason=%r", step, reason)
--- a/burlloom/server/configured_service_levels.py
+++ b/burlloom/server/configured_service_levels.py
@@ -15,7 +15,14 @@
 from .. import levels as decisions
 from ..admission.model import Gauges, RequestClass
 from ..dispatcher import Desk
-from ..levels import Levels, Moved, Pin, Plan, Readings, Terms
+from ..levels import (
+    DegradationController,
+    HysteresisPolicy,
+    LevelChange,
+    LevelPin,
+    LevelPlan,
+    SignalReadings,
+)
 from ..sockets import MS, SECOND
 from .level_pin import PinFile
 from .service_levels import NoteStore, sampling_draw
@@ -41,14 +48,14 @@
 
     def __init__(
         self,
-        plan: Plan,
+        plan: LevelPlan,
         request_classes: tuple[tuple[str, RequestClass], ...],
         tenant_portions: dict[str, float],
         cores: int,
         clock: Callable[[], int],
         sockets: Callable[[], float],
         *,
-        terms: Terms | None = None,
+        terms: HysteresisPolicy | None = None,
         store: Callable[[], float] | None = None,
         meters: frozenset[str] = frozenset(),
         pin_file: Path | None = None,
@@ -76,19 +83,19 @@
         self.steps: dict[str, int] = {}
         self._pin_file = PinFile(pin_file, plan) if pin_file is not None else None
         self._state_file = state_file
-        self._reliefs = decisions.reliefs(plan, request_classes)
+        self._degradations = decisions.degradations(plan, request_classes)
         self._signals = OWN_SIGNALS | {
             signal for gauge, signal in SIGNALS_BY_GAUGE.items() if gauge in meters
         }
         if store is not None:
             self._signals |= {STORE_SIGNAL}
-        self._tenants = decisions.Tenants(tenant_portions.items(), share=share)
-        self._late = decisions.signals.Shares()
-        self._failed_calls = decisions.signals.Shares()
-        self.levels: Levels | None = None
+        self._tenants = decisions.TenantShares(tenant_portions.items(), share=share)
+        self._late = decisions.signals.RecentShare()
+        self._failed_calls = decisions.signals.RecentShare()
+        self.levels: DegradationController | None = None
         self._dispatcher: Desk | None = None
         self._notes: NoteStore | None = None
-        self._last_change: Moved | None = None
+        self._last_change: LevelChange | None = None
         self._pin_read_ns = self._state_written_ns = self._changed_ns = 0
 
     def attach_dispatcher(self, dispatcher: Desk, is_cold: bool, notes: NoteStore) -> None:
@@ -101,9 +108,9 @@
         """
         self._dispatcher, self._notes = dispatcher, notes
         previous_level = notes.previous_note
-        levels = self.levels = Levels(
+        levels = self.levels = DegradationController(
             self.plan,
-            self._reliefs,
+            self._degradations,
             self.clock(),
             self.terms,
             cold=is_cold,
@@ -115,14 +122,14 @@
             levels.level,
             is_cold,
             previous_level or "-",
-            levels.ladder.terms.changes_most,
+            levels.state_machine.policy.max_changes_per_minute,
         )
-        if levels.standing.level:
-            dispatcher.serve_at(levels.service())
+        if levels.status.level:
+            dispatcher.serve_at(levels.service_level())
 
     def count_request(self, tenant: str) -> bool:
         """Counts a request of a tenant; returns whether the tenant is over its share."""
-        return self._tenants.read(self.clock(), tenant)
+        return self._tenants.is_over_share(self.clock(), tenant)
 
     def sampling_draw(self, caller: str) -> float:
         """Returns a caller's draw: a level's trial takes those whose draw is under its share."""
@@ -140,7 +147,7 @@
 
     def is_optional_work_served(self) -> bool:
         """Returns whether the present level still serves what may wait."""
-        return self.levels is None or self.levels.optional
+        return self.levels is None or self.levels.allows_optional_work
 
     def update(self, measured: Gauges) -> None:
         """Takes a round: reads the pin, evaluates the signals, writes the state file.
@@ -155,7 +162,7 @@
             self._pin_read_ns = now
             if self._pin_file is not None:
                 self._pin_file.read_change(now, self._apply_pin)
-        self._apply_change(now, self.levels.round(now, self._readings(now, measured)))
+        self._apply_change(now, self.levels.tick(now, self._readings(now, measured)))
         if now - self._state_written_ns >= STATE_INTERVAL_NS:
             self._write_state(now)
 
@@ -165,11 +172,11 @@
         if levels is None:
             return {}
         return {
-            "level": float(levels.standing.level),
-            "trial_part": levels.part,
+            "level": float(levels.status.level),
+            "trial_part": levels.trial_share,
             **{
                 f"seconds_{name.replace('-', '_')}": spent / SECOND
-                for name, spent in levels.spent.items()
+                for name, spent in levels.time_at_level_ns.items()
             },
             **{f"signal_{name}": value for name, value in levels.values.items()},
         }
@@ -181,41 +188,43 @@
             log.info(
                 "event=service_levels_closed level=%s %s",
                 self.levels.level,
-                " ".join(f"{name}={count}" for name, count in self.levels.steps.items()),
+                " ".join(
+                    f"{name}={count}" for name, count in self.levels.transition_counts.items()
+                ),
             )
 
-    def _readings(self, now: int, measured: Gauges) -> Readings:
+    def _readings(self, now: int, measured: Gauges) -> SignalReadings:
         assert self._dispatcher is not None
         age, lag, pressure = self._dispatcher.strain()
-        return Readings(
-            use=known_or_none(measured.cpu_utilization),
-            crowd=known_or_none(measured.runnable / self.cores),
-            age=age,
-            lag=lag,
-            press=pressure,
+        return SignalReadings(
+            cpu_utilization=known_or_none(measured.cpu_utilization),
+            contention=known_or_none(measured.runnable / self.cores),
+            queue_age=age,
+            read_lag=lag,
+            pressure=pressure,
             # The server's own counts are never stale: where nothing was completed or called, none
             # was late.
-            late=self._late.share(now) or 0.0,
-            calls=self._failed_calls.share(now) or 0.0,
-            store=self.store() if self.store is not None else None,
-            memory=known_or_none(measured.memory_utilization),
-            sockets=self.sockets(),
+            late_share=self._late.share(now) or 0.0,
+            call_failure_share=self._failed_calls.share(now) or 0.0,
+            store_load=self.store() if self.store is not None else None,
+            memory_utilization=known_or_none(measured.memory_utilization),
+            socket_utilization=self.sockets(),
         )
 
-    def _apply_pin(self, pin: Pin | None) -> None:
+    def _apply_pin(self, pin: LevelPin | None) -> None:
         assert self.levels is not None
         if pin == self.levels.pin:
             return
         log.info(
             "event=pin_changed level=%s until=%d reason=%r",
             pin.level if pin else "-",
-            pin.until if pin else 0,
+            pin.until_ns if pin else 0,
             pin.reason if pin else "",
         )
         now = self._pin_read_ns
-        self._apply_change(now, self.levels.pinned(now, pin))
+        self._apply_change(now, self.levels.set_pin(now, pin))
 
-    def _apply_change(self, now: int, change: Moved | None) -> None:
+    def _apply_change(self, now: int, change: LevelChange | None) -> None:
         if change is None or self.levels is None or self._dispatcher is None:
             return
         self._last_change, self._changed_ns = change, now
@@ -225,12 +234,12 @@
             change.effect,
             change.before,
             change.after,
-            change.part,
+            change.trial_share,
             change.cause,
             change.value,
             change.bound,
         )
-        self._dispatcher.serve_at(self.levels.service())
+        self._dispatcher.serve_at(self.levels.service_level())
         self.steps[change.effect] = self.steps.get(change.effect, 0) + 1
         if change.before != change.after and self._notes is not None:
             self._notes.write_note(change.after)
@@ -250,27 +259,29 @@
     def _state(self, now: int) -> dict[str, Any]:
         """Returns what `burlloom levels show` and `explain` read."""
         assert self.levels is not None
-        levels, standing = self.levels, self.levels.standing
+        levels, status = self.levels, self.levels.status
         return {
             "told_at": now,
             "level": levels.level,
-            "phase": standing.phase.name.lower(),
-            "part": levels.part,
-            "since": standing.since,
-            "stay_ms": levels.ladder.stay(standing) // MS,
+            "phase": status.phase.name.lower(),
+            "part": levels.trial_share,
+            "since": status.since_ns,
+            "stay_ms": levels.state_machine.min_stay_ns(status) // MS,
             "moved_at": self._changed_ns,
             "last": change_state(self._last_change),
             "pin": pin_state(levels.pin),
-            "changes_last_minute": len(standing.changes),
-            "changes_most": levels.ladder.terms.changes_most,
+            "changes_last_minute": len(status.recent_changes),
+            "changes_most": levels.state_machine.policy.max_changes_per_minute,
             "values": levels.values,
             "measured": sorted(self._signals),
-            "steps": levels.steps,
-            "seconds": {name: round(spent / SECOND, 1) for name, spent in levels.spent.items()},
+            "steps": levels.transition_counts,
+            "seconds": {
+                name: round(spent / SECOND, 1) for name, spent in levels.time_at_level_ns.items()
+            },
         }
 
 
-def change_state(change: Moved | None) -> dict[str, Any] | None:
+def change_state(change: LevelChange | None) -> dict[str, Any] | None:
     """Returns a change as the state file has it."""
     if change is None:
         return None
@@ -284,11 +295,11 @@
     }
 
 
-def pin_state(pin: Pin | None) -> dict[str, Any] | None:
+def pin_state(pin: LevelPin | None) -> dict[str, Any] | None:
     """Returns a pin as the state file has it."""
     if pin is None:
         return None
-    return {"level": pin.level, "until": pin.until, "reason": pin.reason}
+    return {"level": pin.level, "until": pin.until_ns, "reason": pin.reason}
 
 
 def known_or_none(value: float) -> float | None:
--- a/burlloom/server/level_pin.py
+++ b/burlloom/server/level_pin.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from ..levels import Pin, Plan
+from ..levels import LevelPin, LevelPlan
 
 log = logging.getLogger(__name__)
 
@@ -17,7 +17,7 @@
 class PinFile:
     """Reads a pin's file where it changed; one that can't be used changes nothing."""
 
-    def __init__(self, path: Path, plan: Plan) -> None:
+    def __init__(self, path: Path, plan: LevelPlan) -> None:
         """Creates a reader that has read nothing.
 
         Args:
@@ -27,7 +27,7 @@
         self.path, self.plan = path, plan
         self._text = ""
 
-    def read_change(self, now: int, apply: Callable[[Pin | None], None]) -> None:
+    def read_change(self, now: int, apply: Callable[[LevelPin | None], None]) -> None:
         """Reads the file; where its text is another than before, hands on the pin.
 
         Args:
@@ -43,7 +43,7 @@
         except ValueError as error:
             log.warning("event=pin_rejected detail=%r", str(error))
             return
-        apply(pin if pin is not None and pin.until > now else None)
+        apply(pin if pin is not None and pin.until_ns > now else None)
 
     def _read_text(self) -> str:
         try:
@@ -55,7 +55,7 @@
             return f"! {error}"
 
 
-def parse_pin(text: str, plan: Plan) -> Pin:
+def parse_pin(text: str, plan: LevelPlan) -> LevelPin:
     """Returns the pin that a file's text holds.
 
     Raises:
@@ -70,4 +70,4 @@
         raise ValueError(f"level {level!r} is none of {', '.join(names)}")
     if type(until) is not int or until <= 0:
         raise ValueError(f"until {until!r} is no time in Unix nanoseconds")
-    return Pin(str(level), until, str(found.get("reason", ""))[:MAX_REASON_CHARACTERS])
+    return LevelPin(str(level), until, str(found.get("reason", ""))[:MAX_REASON_CHARACTERS])
--- a/burlloom/server/metrics_exposition.py
+++ b/burlloom/server/metrics_exposition.py
@@ -6,12 +6,12 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ..record.store import Refused
+from ..record.store import StoreRefusedError
 
 if TYPE_CHECKING:
     from ..metrics import Exposed
     from ..operator import Metrics
-    from ..record.keeper import Keeper
+    from ..record.coordinator import RecordCoordinator
 
 MS_PER_SECOND = 1000
 
@@ -19,7 +19,7 @@
 class MetricsExposition:
     """Opens the exposition for the first part that registers; without any, there is none.
 
-    Its first registration may raise `Refused`: the address to listen at can't be used.
+    Its first registration may raise `StoreRefusedError`: the address to listen at can't be used.
     """
 
     def __init__(self, settings: Metrics) -> None:
@@ -41,16 +41,18 @@
         """
         self._open().numbers(prefix, counts, gauges)
 
-    def register_record(self, keeper: Keeper) -> None:
+    def register_record(self, coordinator: RecordCoordinator) -> None:
         """Exposes the counts of the record and how long its writes take."""
         exposed = self._open()
-        keeper.watch.claim = exposed.histogram(
+        coordinator.observer.observe_claim = exposed.histogram(
             "burlloom_record_claim_seconds", "from a claim's posting to its word"
         )
-        keeper.watch.finish = exposed.histogram(
+        coordinator.observer.observe_finish = exposed.histogram(
             "burlloom_record_finish_seconds", "from an end's posting to its word"
         )
-        exposed.numbers("burlloom_record", keeper.counts, lambda: record_gauges(keeper))
+        exposed.numbers(
+            "burlloom_record", coordinator.counters.as_metrics, lambda: record_gauges(coordinator)
+        )
 
     def write_only_while(self, is_wanted: Callable[[], bool]) -> None:
         """Has the metrics' file written seldom while this returns False."""
@@ -71,7 +73,7 @@
     """Starts writing and serving metrics as the operator's file says.
 
     Raises:
-        Refused: The address to listen at can't be used.
+        StoreRefusedError: The address to listen at can't be used.
     """
     from ..metrics import Exposed
 
@@ -83,20 +85,20 @@
     try:
         return Exposed(path, settings.every_ms / MS_PER_SECOND, address)
     except OSError as error:
-        raise Refused(f"metrics.listen: {settings.listen}: {error.strerror}") from error
+        raise StoreRefusedError(f"metrics.listen: {settings.listen}: {error.strerror}") from error
 
 
-def record_gauges(keeper: Keeper) -> dict[str, float]:
+def record_gauges(coordinator: RecordCoordinator) -> dict[str, float]:
     """Returns what stands now in the record, by the end of the metric's name."""
-    store = keeper.store
+    store = coordinator.store
     return {
-        "open_writes": len(keeper.budget.open),
-        "fates": len(keeper.fates),
-        "cut_off": float(keeper.budget.state != 0),
-        "cuts": keeper.budget.cuts,
-        "commits": store.commits,
-        "writes": store.written,
-        "largest_batch": store.largest,
-        "pruned": store.pruned,
-        "life": keeper.life,
+        "open_writes": len(coordinator.breaker.in_flight),
+        "fates": len(coordinator.requests),
+        "cut_off": float(coordinator.breaker.state != 0),
+        "cuts": coordinator.breaker.times_opened,
+        "commits": store.commit_count,
+        "writes": store.write_count,
+        "largest_batch": store.largest_batch,
+        "pruned": store.pruned_rows,
+        "life": coordinator.incarnation,
     }
--- a/burlloom/server/operator_subsystems.py
+++ b/burlloom/server/operator_subsystems.py
@@ -10,17 +10,17 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from ..levels import NAMES, Plan
-from ..levels.plan import faults
+from ..levels import SIGNAL_NAMES, LevelPlan
+from ..levels.plan import find_plan_faults
 from ..operator import DistributionPart, Faults, FleetPart, Operator, load
-from ..record.store import Refused
+from ..record.store import StoreRefusedError
 from ..sockets import MS, SECOND
 from .configuration import ConfigurationError, ServerConfig
 from .metrics_exposition import MetricsExposition
 from .subsystems import SubsystemFactory
 
 if TYPE_CHECKING:
-    from ..record.keeper import Keeper
+    from ..record.coordinator import RecordCoordinator
     from .configuration_distribution import ConfigurationDistribution
     from .membership import FleetMembership
     from .recovery import RestartRecovery
@@ -59,7 +59,7 @@
         return config, OperatorSubsystemFactory(operator, config)
     except Faults as faults:
         raise ConfigurationError(FAULT_SEPARATOR.join(faults.lines)) from faults
-    except Refused as refused:
+    except StoreRefusedError as refused:
         raise ConfigurationError(str(refused)) from refused
 
 
@@ -91,7 +91,7 @@
     return replace(config, settings=settings)
 
 
-def check_levels(operator: Operator, config: ServerConfig) -> Plan | None:
+def check_levels(operator: Operator, config: ServerConfig) -> LevelPlan | None:
     """Returns the operator's plan of service levels, None where there is none.
 
     Raises:
@@ -101,7 +101,7 @@
         return None
     plan = operator.levels.plan()
     classes = tuple(zip(config.class_names, config.settings.request_classes, strict=True))
-    if lines := faults(plan, classes, NAMES):
+    if lines := find_plan_faults(plan, classes, SIGNAL_NAMES):
         raise Faults([f"levels.{line}" for line in lines])
     return plan
 
@@ -110,12 +110,12 @@
     """Binds the socket for the membership's datagrams.
 
     Raises:
-        Refused: The server's name is too long for datagrams, or the address can't be bound.
+        StoreRefusedError: The server's name is too long for datagrams, or the address can't be bound.
     """
-    from ..fleet.letters import NAME_MOST
+    from ..fleet.messages import NAME_MOST
 
     if not 0 < len(name.encode()) <= NAME_MOST:
-        raise Refused(
+        raise StoreRefusedError(
             f"fleet: the name {name!r:.80} is over {NAME_MOST} bytes; letters carry no longer one"
         )
     host, port = part.listen.rsplit(":", 1)
@@ -123,7 +123,7 @@
     try:
         sock.bind((host, int(port)))
     except OSError as error:
-        raise Refused(f"fleet.listen: {part.listen}: {error.strerror}") from error
+        raise StoreRefusedError(f"fleet.listen: {part.listen}: {error.strerror}") from error
     sock.setblocking(False)
     return sock
 
@@ -132,28 +132,28 @@
     """Binds the socket for the datagrams of the configuration that is distributed.
 
     Raises:
-        Refused: There is no upstream, the server's name is too long for datagrams, or the address
+        StoreRefusedError: There is no upstream, the server's name is too long for datagrams, or the address
             can't be bound.
     """
     if not part.upstreams:
-        raise Refused("distribution.upstreams: is empty: a server follows others")
+        raise StoreRefusedError("distribution.upstreams: is empty: a server follows others")
     from ..distribution.endpoint import bind_datagram_socket
     from ..distribution.messages import MAX_NAME_BYTES
 
     if not 0 < len(name.encode()) <= MAX_NAME_BYTES:
-        raise Refused(
+        raise StoreRefusedError(
             f"distribution: the name {name!r:.80} is over {MAX_NAME_BYTES} bytes;"
             " messages carry no longer one"
         )
     try:
         return bind_datagram_socket(part.listen)
     except OSError as error:
-        raise Refused(f"distribution.listen: {part.listen}: {error.strerror}") from error
+        raise StoreRefusedError(f"distribution.listen: {part.listen}: {error.strerror}") from error
 
 
-def record_strain(keeper: Keeper, clock: Callable[[], int]) -> float:
+def record_strain(coordinator: RecordCoordinator, clock: Callable[[], int]) -> float:
     """Returns how near the record's writes are to their limits, from 0 to 1."""
-    return keeper.budget.strain(clock())
+    return coordinator.breaker.load(clock())
 
 
 class OperatorSubsystemFactory(SubsystemFactory):
@@ -168,26 +168,26 @@
 
         Raises:
             Faults: The file does not fit the platform's configuration.
-            Refused: A store, a socket or a key can't be used.
+            StoreRefusedError: A store, a socket or a key can't be used.
         """
         self.operator, self.config = operator, config
         self.metrics = MetricsExposition(operator.metrics) if operator.metrics is not None else None
         settings = config.settings
-        self.keeper: Keeper | None = None
+        self.coordinator: RecordCoordinator | None = None
         if operator.record is not None:
-            from ..record.opening import store_of
+            from ..record.factory import create_store
 
             longest_deadline = max(one.deadline_ns for one in settings.request_classes)
-            self.record_store, self.record_sealer = store_of(
+            self.record_store, self.record_sealer = create_store(
                 operator.record, operator.record.node or config.name, keep=longest_deadline
             )
         self.plan = check_levels(operator, config)
         if operator.fleet is not None:
             self.membership_socket = bind_membership_socket(operator.fleet, config.name)
         if operator.rollout is not None:
-            from ..rollout.stores.opening import shelf_of
+            from ..rollout.stores.opening import create_rollout_store
 
-            self.rollout_store = shelf_of(operator)
+            self.rollout_store = create_rollout_store(operator)
             self.release = os.environ.get(RELEASE_VARIABLE) or operator.rollout.version
         if operator.distribution is not None:
             self.distribution_socket = bind_distribution_socket(operator.distribution, config.name)
@@ -196,12 +196,12 @@
         """Creates the record, not open yet.
 
         Raises:
-            Refused: The metrics' address can't be used.
+            StoreRefusedError: The metrics' address can't be used.
         """
         part = self.operator.record
         if part is None:
             return super().create_record(server)
-        from ..record.keeper import Keeper, Terms
+        from ..record.coordinator import RecordCoordinator, RecordPolicy
         from .configured_request_record import ConfiguredRequestRecord
 
         classes = self.config.settings.request_classes
@@ -212,10 +212,10 @@
             server.requests.start_run,
             part.postgres is not None,
         )
-        record.keeper = self.keeper = Keeper(
+        record.coordinator = self.coordinator = RecordCoordinator(
             self.record_store,
             self.record_sealer,
-            Terms(
+            RecordPolicy(
                 part.mode == "prefer",
                 part.claim_share,
                 part.hold_share,
@@ -227,14 +227,14 @@
             record,
         )
         if self.metrics is not None:
-            self.metrics.register_record(record.keeper)
+            self.metrics.register_record(record.coordinator)
         return record
 
     def create_distribution(self, server: Server) -> ConfigurationDistribution:
         """Creates the follower on the socket that is bound.
 
         Raises:
-            Refused: The metrics' address can't be used.
+            StoreRefusedError: The metrics' address can't be used.
         """
         part = self.operator.distribution
         if part is None:
@@ -259,7 +259,7 @@
         """Creates the levels of the operator's plan.
 
         Raises:
-            Refused: The metrics' address can't be used.
+            StoreRefusedError: The metrics' address can't be used.
         """
         part, config = self.operator.levels, self.config
         if part is None or self.plan is None:
@@ -274,7 +274,9 @@
             server.clock,
             lambda: len(server.front.connections) / server.front.most,
             terms=part.terms(),
-            store=partial(record_strain, self.keeper, server.clock) if self.keeper else None,
+            store=partial(record_strain, self.coordinator, server.clock)
+            if self.coordinator
+            else None,
             meters=frozenset(config.gauge_names),
             pin_file=Path(part.pin_file) if part.pin_file is not None else None,
             state_file=Path(part.state_file) if part.state_file is not None else None,
@@ -309,7 +311,7 @@
         """Creates the membership on the socket that is bound.
 
         Raises:
-            Refused: The metrics' address can't be used.
+            StoreRefusedError: The metrics' address can't be used.
         """
         part = self.operator.fleet
         if part is None:
@@ -325,14 +327,14 @@
             recovery,
         )
         if self.metrics is not None:
-            self.metrics.register("burlloom_fleet", membership.fleet.counts, membership.gauges)
+            self.metrics.register("burlloom_fleet", membership.fleet.counters, membership.gauges)
         return membership
 
     def create_rollout(self, server: Server) -> RolloutParticipation:
         """Creates the participation over the store of the operator's.
 
         Raises:
-            Refused: The metrics' address can't be used.
+            StoreRefusedError: The metrics' address can't be used.
         """
         part = self.operator.rollout
         if part is None:
--- a/burlloom/server/service_subset.py
+++ b/burlloom/server/service_subset.py
@@ -9,13 +9,13 @@
 
 from ..downstream import Answer
 from ..downstream.spread import Pools
-from ..fleet import Turns, spread
+from ..fleet import WeightedRoundRobin, assign_subsets
 from ..sockets import SECOND, Tasks
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-    from ..fleet import Spread
+    from ..fleet import SubsetAssignment
 
 log = logging.getLogger(__name__)
 
@@ -59,7 +59,7 @@
         self.services, self.min_size, self.name = services, min_size, name
         self.member_names = member_names
         self.random, self.clock, self.tasks = random, clock, tasks
-        self.turns = Turns()
+        self.turns = WeightedRoundRobin()
         self.pools = Pools(self._next_address, self._count_call)
         self.worst_load = 1.0
         self._ejected: frozenset[str] = frozenset()
@@ -120,32 +120,32 @@
         finally:
             self._computing = None
 
-    def _compute(self, members: tuple[str, ...], ejected: frozenset[str]) -> Spread:
+    def _compute(self, members: tuple[str, ...], ejected: frozenset[str]) -> SubsetAssignment:
         # Without any there would be nobody to call: then all are as good as the others.
         left = [service for service in self.services if service not in ejected]
-        return spread(members, left or self.services, self.min_size)
+        return assign_subsets(members, left or self.services, self.min_size)
 
-    def _use(self, subsets: Spread) -> None:
-        own = subsets.choices[self.name].parts
-        self.turns.take(own, self.random.random())
-        self.worst_load = subsets.worst
+    def _use(self, assignment: SubsetAssignment) -> None:
+        own = assignment.subsets[self.name].weights
+        self.turns.set_weights(own, self.random.random())
+        self.worst_load = assignment.max_load_ratio
         self.pools.use([split_address(service) for service in own])
         log.info(
             "event=subset_changed servers=%d size=%d worst_load=%.3f",
-            len(subsets.choices),
+            len(assignment.subsets),
             len(own),
-            subsets.worst,
+            assignment.max_load_ratio,
         )
 
     def _next_address(self) -> tuple[str, int]:
-        return split_address(self.turns.next(self.clock()))
+        return split_address(self.turns.next_service(self.clock()))
 
     def _count_call(self, address: tuple[str, int], answer: Answer) -> None:
         service = f"{address[0]}:{address[1]}"
         if answer is Answer.UNREACHED:
-            self.turns.unreached(service, self.clock())
+            self.turns.record_failure(service, self.clock())
         else:
-            self.turns.reached(service)
+            self.turns.record_success(service)
         if answer is not Answer.UNWANTED:  # which says nothing of the service
             succeeded = answer in (Answer.WELL, Answer.DECLINED)
             self._counts[0].setdefault(service, [0, 0])[0 if succeeded else 1] += 1
