--- a/burlloom/server/__main__.py
+++ b/burlloom/server/__main__.py
@@ -39,6 +39,7 @@
     loop = asyncio.get_running_loop()
 
     def handle_signal(number: int, _: FrameType | None) -> None:
+        """Has the loop reload or shut down; the handler itself runs between any two steps."""
         if number == signal.SIGHUP:
             loop.call_soon_threadsafe(server.reload)
         else:
--- a/burlloom/server/call_share.py
+++ b/burlloom/server/call_share.py
@@ -24,16 +24,15 @@
 
     Attributes:
         dispatcher: Whose calls are bound; None until there is one.
+
+    Args:
+        fleet: What shares out the calls.
+        call_cap: Returns the calls that the recovery from a restart allows so far.
     """
 
     def __init__(self, fleet: Fleet, call_cap: Callable[[], float]) -> None:
-        """Creates a share that is not applied yet.
-
-        Args:
-            fleet: What shares out the calls.
-            call_cap: Returns the calls that the recovery from a restart allows so far.
-        """
-        self.fleet, self.call_cap = fleet, call_cap
+        self.fleet = fleet
+        self.call_cap = call_cap
         self.dispatcher: Desk | None = None
         self._applied = -1
         self._demand = 0.0
--- a/burlloom/server/configuration.py
+++ b/burlloom/server/configuration.py
@@ -30,18 +30,16 @@
     Attributes:
         place: The file, address or setting that can't be used; empty where the message names it.
         faults: What is wrong with a file, all at once.
+
+    Args:
+        message: What is wrong; made of the faults where it is empty.
+        place: The file, address or setting that can't be used.
+        faults: What is wrong with a file.
     """
 
     def __init__(
         self, message: str = "", *, place: str = "", faults: Sequence[ConfigurationFault] = ()
     ) -> None:
-        """Creates an error.
-
-        Args:
-            message: What is wrong; made of the faults where it is empty.
-            place: The file, address or setting that can't be used.
-            faults: What is wrong with a file.
-        """
         message = message or "; ".join(str(fault) for fault in faults)
         super().__init__(f"{place}: {message}" if place else message)
         self.place = place
--- a/burlloom/server/configured_membership.py
+++ b/burlloom/server/configured_membership.py
@@ -43,6 +43,14 @@
         fleet: What decides, without I/O.
         call_share: Applies the fleet's share to the dispatcher.
         subset: The services that this server calls; None where all call the platform's own.
+
+    Args:
+        settings: The operator's.
+        sock: Bound, for datagrams.
+        name: The server's, unique in the fleet.
+        seed: Of the fleet's random draws, together with the incarnation.
+        tasks: Where its ticks run.
+        recovery: Has the incarnation, and members that the last one knew.
     """
 
     def __init__(
@@ -54,17 +62,10 @@
         tasks: Tasks,
         recovery: RestartRecovery,
     ) -> None:
-        """Creates a membership that is not joined yet.
-
-        Args:
-            settings: The operator's.
-            sock: Bound, for datagrams.
-            name: The server's, unique in the fleet.
-            seed: Of the fleet's random draws, together with the incarnation.
-            tasks: Where its ticks run.
-            recovery: Has the incarnation, and members that the last one knew.
-        """
-        self.settings, self.sock, self.tasks, self.clock = settings, sock, tasks, boot_time_ns
+        self.settings = settings
+        self.sock = sock
+        self.tasks = tasks
+        self.clock = boot_time_ns
         self.recovery = recovery
         host, port = sock.getsockname()
         self.address = f"{host}:{port}"
@@ -84,22 +85,23 @@
         )
         self.fleet.weight = int(settings.weight * WEIGHT_PARTS)
         self.call_share = CallShare(self.fleet, recovery.call_cap)
-        self.subset: ServiceSubset | None = None
-        if settings.services:
-            self.subset = ServiceSubset(
-                settings.services,
-                settings.subset,
-                name,
-                self._member_names,
-                random,
-                self.clock,
-                tasks,
-            )
+        self.subset = self._create_subset(random) if settings.services else None
         self._transport: asyncio.DatagramTransport | None = None
         self._refreshed_ns = 0
         self._previous_incarnation = 0
         self._key_file_mtime = 0.0
 
+    def _create_subset(self, random: Random) -> ServiceSubset:
+        return ServiceSubset(
+            self.settings.services,
+            self.settings.subset,
+            self.fleet.own.name,
+            self._member_names,
+            random,
+            self.clock,
+            self.tasks,
+        )
+
     async def open(self) -> None:
         """Receives datagrams from now on and joins the fleet."""
         loop = asyncio.get_running_loop()
@@ -283,14 +285,13 @@
 
 
 class DatagramReceiver(asyncio.DatagramProtocol):
-    """Hands each datagram to a function."""
+    """Hands each datagram to a function.
 
-    def __init__(self, receive: Callable[[bytes], None]) -> None:
-        """Creates a receiver.
+    Args:
+        receive: Called with the bytes of each datagram.
+    """
 
-        Args:
-            receive: Called with the bytes of each datagram.
-        """
+    def __init__(self, receive: Callable[[bytes], None]) -> None:
         self.receive = receive
 
     def datagram_received(self, data: bytes, _: Any) -> None:
--- a/burlloom/server/configured_recovery.py
+++ b/burlloom/server/configured_recovery.py
@@ -31,6 +31,15 @@
         incarnation: Unix ms of this start.
         known_members: Addresses of members that the last incarnation knew.
         recovery: What decides, without I/O.
+
+    Args:
+        policy: The operator's.
+        name: The server's.
+        clock: Unix ns.
+        membership: Returns the server's membership; called once there is one.
+        calls_without_fleet: Calls that the server may have where there is no fleet.
+        is_alone: Whether neither a fleet nor a record could prove what the file says.
+        state_file: What an incarnation leaves to the next; None where nothing is left.
     """
 
     def __init__(
@@ -43,19 +52,11 @@
         is_alone: bool,
         state_file: Path | None,
     ) -> None:
-        """Reads what the last incarnation left.
-
-        Args:
-            policy: The operator's.
-            name: The server's.
-            clock: Unix ns.
-            membership: Returns the server's membership; called once there is one.
-            calls_without_fleet: Calls that the server may have where there is no fleet.
-            is_alone: Whether neither a fleet nor a record could prove what the file says.
-            state_file: What an incarnation leaves to the next; None where nothing is left.
-        """
-        self.name, self.clock, self.membership = name, clock, membership
-        self.calls_without_fleet, self.state_file = calls_without_fleet, state_file
+        self.name = name
+        self.clock = clock
+        self.membership = membership
+        self.calls_without_fleet = calls_without_fleet
+        self.state_file = state_file
         self.incarnation = time.time_ns() // MS
         found = decisions.parse_snapshot(self._read_state_file())
         self.recovery = decisions.RecoveryController(
@@ -84,7 +85,8 @@
             dispatcher: Whose calls and retries are bound meanwhile.
             record_incarnation: The server's in the store of record; -1 where there is none.
         """
-        self._dispatcher, self._record_incarnation = dispatcher, record_incarnation
+        self._dispatcher = dispatcher
+        self._record_incarnation = record_incarnation
         if record_incarnation >= 0:
             self.recovery.record_opened(record_incarnation, self.clock())
         self._holds_back = True
@@ -105,7 +107,7 @@
         return self.recovery.should_hold_back_retry(self.clock(), is_retry)
 
     def is_fenced(self) -> bool:
-        """Returns whether keyed retries that are not known here must be neither run nor rejected."""
+        """Returns whether unknown keyed retries must be neither run nor rejected."""
         return self.recovery.is_fenced(self.clock())
 
     def call_ended(self, succeeded: bool) -> None:
--- a/burlloom/server/configured_request_record.py
+++ b/burlloom/server/configured_request_record.py
@@ -33,6 +33,14 @@
         incarnation: This node's in the store; -1 until it is open.
         previous_note: What this node's last incarnation wrote for this one.
         dispatcher: What is told of runs; None until there is one.
+
+    Args:
+        request_classes: Those of the settings.
+        max_wait_share: Share of a class's latency objective that an answer waits, at
+            most, for its end to be durable.
+        clock: Unix ns.
+        start_run: Has the executor run the request of an id.
+        is_shared: Whether other nodes write to the store too.
     """
 
     keeps_results = True
@@ -41,23 +49,16 @@
     def __init__(
         self,
         request_classes: tuple[RequestClass, ...],
-        hold_share: float,
+        max_wait_share: float,
         clock: Callable[[], int],
         start_run: Callable[[str], None],
         is_shared: bool,
     ) -> None:
-        """Creates a record without its coordinator.
-
-        Args:
-            request_classes: Those of the settings.
-            hold_share: Of a class's latency objective, how long an answer waits for its end to be
-                durable.
-            clock: Unix ns.
-            start_run: Has the executor run the request of an id.
-            is_shared: Whether other nodes write to the store too.
-        """
-        self.request_classes, self.hold_share = request_classes, hold_share
-        self.clock, self._start_run, self.is_shared = clock, start_run, is_shared
+        self.request_classes = request_classes
+        self.max_wait_share = max_wait_share
+        self.clock = clock
+        self._start_run = start_run
+        self.is_shared = is_shared
         self.dispatcher: Desk | None = None
         self.previous_note, self.incarnation = "", -1
         self._read_back = Packed()
@@ -104,19 +105,21 @@
         """
         self.dispatcher = dispatcher
         dispatcher.ledger.plant_ended(self._read_back)
-        for mark, until, asked in self.coordinator.resume_after_restart(executor_began_ns):
-            dispatcher.ledger.plant(mark, until, not asked)
+        for key_digest, until, asked in self.coordinator.resume_after_restart(executor_began_ns):
+            dispatcher.ledger.plant(key_digest, until, not asked)
 
     def accepts_claims(self) -> bool:
         """Returns whether a claim could be written now."""
         return self.coordinator.may_claim()
 
-    def begin_run(self, mark: bytes, request_id: str, received_ns: int, request_class: int) -> None:
+    def begin_run(
+        self, key_digest: bytes, request_id: str, received_ns: int, request_class: int
+    ) -> None:
         """Claims a keyed request, which then runs; has any other run at once."""
         known = self.request_classes[request_class]
         if known.idempotency is Idempotency.KEYED:
             self.coordinator.begin_claim(
-                mark,
+                key_digest,
                 request_id,
                 received_ns,
                 received_ns + known.idempotency_window_ns,
@@ -129,33 +132,37 @@
         """Writes the end of a run."""
         self.coordinator.finish_run(request_id, outcome, result)
 
-    async def wait_until_durable(self, mark: bytes, received_ns: int, request_class: int) -> None:
+    async def wait_until_durable(
+        self, key_digest: bytes, received_ns: int, request_class: int
+    ) -> None:
         """Waits until the end of a keyed run is durable, for as long as the answer may wait."""
         known = self.request_classes[request_class]
         if known.idempotency is Idempotency.KEYED:
             until = min(
-                self.clock() + int(self.hold_share * known.latency_objective_ns),
+                self.clock() + int(self.max_wait_share * known.latency_objective_ns),
                 received_ns + known.deadline_ns - ANSWER_MARGIN_NS,
             )
-            await self.coordinator.wait_until_durable(mark, until)
+            await self.coordinator.wait_until_durable(key_digest, until)
             failpoints.hit("answering")
 
     async def look_up(
-        self, mark: bytes, request_id: str, received_ns: int, request_class: int
+        self, key_digest: bytes, request_id: str, received_ns: int, request_class: int
     ) -> None:
         """Asks the store what became of a request; the dispatcher is told what is found."""
         known = self.request_classes[request_class]
         window_end = received_ns + known.idempotency_window_ns
-        await self.coordinator.look_up(mark, request_id, window_end, known.latency_objective_ns)
+        await self.coordinator.look_up(
+            key_digest, request_id, window_end, known.latency_objective_ns
+        )
 
     def request_answered(self, request_id: str) -> None:
         """Notes that a request's answer was sent, or that nobody waits for it."""
         self.coordinator.abandon(request_id)
         failpoints.hit_after_send("answered")
 
-    async def read_result(self, mark: bytes, deadline_ns: int) -> bytes | None:
+    async def read_result(self, key_digest: bytes, deadline_ns: int) -> bytes | None:
         """Returns a result from the store, None where none can be given in time."""
-        return await self.coordinator.fetch_result(mark, deadline_ns - ANSWER_MARGIN_NS)
+        return await self.coordinator.fetch_result(key_digest, deadline_ns - ANSWER_MARGIN_NS)
 
     async def close(self) -> None:
         """Writes what is left and closes the store."""
@@ -195,30 +202,30 @@
         """Reports that another attempt has claimed the request."""
         self._report_end(request_id, Outcome.CLAIMED_ELSEWHERE)
 
-    def complete(self, mark: bytes, result: bytes | None) -> None:
+    def complete(self, key_digest: bytes, result: bytes | None) -> None:
         """Reports that a request has run, with its result where it is known."""
         if self.dispatcher is not None:
-            self.dispatcher.settle(mark, result)
+            self.dispatcher.settle(key_digest, result)
 
-    def release(self, mark: bytes) -> None:
+    def release(self, key_digest: bytes) -> None:
         """Reports that a request has not run, and may."""
         if self.dispatcher is not None:
-            self.dispatcher.free(mark)
+            self.dispatcher.free(key_digest)
 
-    def register(self, mark: bytes, until: int) -> None:
+    def register(self, key_digest: bytes, until: int) -> None:
         """Reports a request of another node's that may be running.
 
         Args:
-            mark: The request's key digest.
+            key_digest: The request's key digest.
             until: Unix ns of the end of its window.
         """
         if self.dispatcher is not None:
-            self.dispatcher.ledger.plant(mark, until, False)
+            self.dispatcher.ledger.plant(key_digest, until, False)
 
-    def forget(self, mark: bytes) -> None:
+    def forget(self, key_digest: bytes) -> None:
         """Reports that nobody will ever know what became of a run."""
         if self.dispatcher is not None:
-            self.dispatcher.lose(mark)
+            self.dispatcher.lose(key_digest)
 
     def _report_end(self, request_id: str, outcome: Outcome) -> None:
         if self.dispatcher is not None:
--- a/burlloom/server/configured_rollout.py
+++ b/burlloom/server/configured_rollout.py
@@ -48,6 +48,18 @@
 
     Attributes:
         steps: Counts since the start, by the end of the metric's name.
+
+    Args:
+        settings: The operator's.
+        store: What the fleet agrees in.
+        name: The server's.
+        version: The release that it runs; empty where it is not known.
+        request_classes: Those of the settings.
+        clock: Unix ns.
+        tasks: Where polls run.
+        host: The server.
+        membership: Returns the server's membership; called once there is one.
+        interval_clock: ns of a clock that nobody sets.
     """
 
     def __init__(
@@ -63,27 +75,26 @@
         membership: Callable[[], FleetMembership],
         interval_clock: Callable[[], int] = boot_time_ns,
     ) -> None:
-        """Creates a participation that has not opened its store.
-
-        Args:
-            settings: The operator's.
-            store: What the fleet agrees in.
-            name: The server's.
-            version: The release that it runs; empty where it is not known.
-            request_classes: Those of the settings.
-            clock: Unix ns.
-            tasks: Where polls run.
-            host: The server.
-            membership: Returns the server's membership; called once there is one.
-            interval_clock: ns of a clock that nobody sets.
-        """
-        self.settings, self.store, self.name, self.version = settings, store, name, version
-        self.request_classes, self.clock, self.tasks = request_classes, clock, tasks
-        self.host, self.membership, self.interval_clock = host, membership, interval_clock
+        self.settings = settings
+        self.store = store
+        self.name = name
+        self.version = version
+        self.request_classes = request_classes
+        self.clock = clock
+        self.tasks = tasks
+        self.host = host
+        self.membership = membership
+        self.interval_clock = interval_clock
         self.steps = {"drains": 0, "beaten": 0, "away": 0}
-        self._incarnation = self._previous_incarnation = 0
-        self._heartbeats = self._reported_ns = self._steps_applied = 0
-        self._completed = self._late = self._rejected = self._failed = 0
+        self._incarnation = 0
+        self._previous_incarnation = 0
+        self._heartbeats = 0
+        self._reported_ns = 0
+        self._steps_applied = 0
+        self._completed = 0
+        self._late = 0
+        self._rejected = 0
+        self._failed = 0
         self._agent: DrainAgent | None = None
         self._leader: RolloutLeader | None = None
         self._snapshot: StateSnapshot | None = None
@@ -252,7 +263,8 @@
             self._is_superseded = True
             # Another process was started under the name after this one.
             log.error("event=rollout_superseded name=%s", self.name)
-        self._reported_phase, self._reported_ns = phase, now
+        self._reported_phase = phase
+        self._reported_ns = now
 
     async def _report_leaving(self) -> None:
         if not self._incarnation or self._is_superseded or self._unreachable:
--- a/burlloom/server/configured_service_levels.py
+++ b/burlloom/server/configured_service_levels.py
@@ -44,6 +44,20 @@
     Attributes:
         steps: Changes since the start, by effect.
         levels: What decides, without I/O; None until there is a dispatcher.
+
+    Args:
+        plan: The operator's levels, or the default ones.
+        request_classes: Names and settings of the classes.
+        tenant_portions: Each tenant's portion of the service.
+        cores: The executor's.
+        clock: Unix ns.
+        sockets: Returns the share of connections that are in use.
+        terms: How fast levels may change; the default ones where None.
+        store: Returns the record's strain; None where no record is kept.
+        meters: Names of the executor's gauges.
+        pin_file: What an operator pins the level by.
+        state_file: What `burlloom levels show` reads.
+        share: Returns a tenant's share of the service, where `tenant_portions` does not.
     """
 
     def __init__(
@@ -62,24 +76,13 @@
         state_file: Path | None = None,
         share: Callable[[str], float | None] | None = None,
     ) -> None:
-        """Creates levels that take no round before there is a dispatcher.
-
-        Args:
-            plan: The operator's levels, or the default ones.
-            request_classes: Names and settings of the classes.
-            tenant_portions: Each tenant's portion of the service.
-            cores: The executor's.
-            clock: Unix ns.
-            sockets: Returns the share of connections that are in use.
-            terms: How fast levels may change; the default ones where None.
-            store: Returns the record's strain; None where no record is kept.
-            meters: Names of the executor's gauges.
-            pin_file: What an operator pins the level by.
-            state_file: What `burlloom levels show` reads.
-            share: Returns a tenant's share of the service, where `tenant_portions` does not.
-        """
-        self.plan, self.request_classes, self.cores = plan, request_classes, cores
-        self.clock, self.sockets, self.terms, self.store = clock, sockets, terms, store
+        self.plan = plan
+        self.request_classes = request_classes
+        self.cores = cores
+        self.clock = clock
+        self.sockets = sockets
+        self.terms = terms
+        self.store = store
         self.steps: dict[str, int] = {}
         self._pin_file = PinFile(pin_file, plan) if pin_file is not None else None
         self._state_file = state_file
@@ -96,7 +99,9 @@
         self._dispatcher: Desk | None = None
         self._notes: NoteStore | None = None
         self._last_change: LevelChange | None = None
-        self._pin_read_ns = self._state_written_ns = self._changed_ns = 0
+        self._pin_read_ns = 0
+        self._state_written_ns = 0
+        self._changed_ns = 0
 
     def attach_dispatcher(self, dispatcher: Desk, is_cold: bool, notes: NoteStore) -> None:
         """Has this dispatcher serve at the level where the last incarnation ended, if any.
@@ -106,7 +111,8 @@
             is_cold: Whether the executor has yet to warm up.
             notes: Has the level at which the last incarnation ended.
         """
-        self._dispatcher, self._notes = dispatcher, notes
+        self._dispatcher = dispatcher
+        self._notes = notes
         previous_level = notes.previous_note
         levels = self.levels = DegradationController(
             self.plan,
@@ -227,7 +233,8 @@
     def _apply_change(self, now: int, change: LevelChange | None) -> None:
         if change is None or self.levels is None or self._dispatcher is None:
             return
-        self._last_change, self._changed_ns = change, now
+        self._last_change = change
+        self._changed_ns = now
         log.info(
             "event=service_level_changed effect=%s from=%s to=%s trial_share=%.2f cause=%s"
             " value=%.3f bound=%.3f",
--- a/burlloom/server/followed_configuration.py
+++ b/burlloom/server/followed_configuration.py
@@ -35,6 +35,14 @@
         follower: What decides, without I/O.
         endpoint: The socket.
         tenant_portions: Each tenant's share of the service.
+
+    Args:
+        settings: The operator's.
+        sock: Bound, for datagrams.
+        name: The server's.
+        seed: Of the follower's random draws, together with its incarnation.
+        tasks: Where its ticks run.
+        is_shutting_down: Returns whether the server was told to leave.
     """
 
     def __init__(
@@ -46,18 +54,11 @@
         tasks: Tasks,
         is_shutting_down: Callable[[], bool],
     ) -> None:
-        """Creates a follower that is not open yet.
-
-        Args:
-            settings: The operator's.
-            sock: Bound, for datagrams.
-            name: The server's.
-            seed: Of the follower's random draws, together with its incarnation.
-            tasks: Where its ticks run.
-            is_shutting_down: Returns whether the server was told to leave.
-        """
-        self.settings, self.name, self.tasks = settings, name, tasks
-        self.is_shutting_down, self.clock = is_shutting_down, boot_time_ns
+        self.settings = settings
+        self.name = name
+        self.tasks = tasks
+        self.is_shutting_down = is_shutting_down
+        self.clock = boot_time_ns
         incarnation = time.time_ns() // MS
         self._seal_keys = KeyFile(Path(settings.key_file), settings.keys, "seals")
         self._signing_keys = KeyFile(
@@ -96,6 +97,7 @@
         configured = {name: portion / total for name, portion in portions.items()}
 
         def share(name: str) -> float | None:
+            """Returns a tenant's share by the table, or by the file before it is in force."""
             if self.replica.head is None:
                 return configured.get(name)
             return self.tenant_portions.share(name)
--- a/burlloom/server/level_pin.py
+++ b/burlloom/server/level_pin.py
@@ -15,16 +15,16 @@
 
 
 class PinFile:
-    """Reads a pin's file where it changed; one that can't be used changes nothing."""
+    """Reads a pin's file where it changed; one that can't be used changes nothing.
 
-    def __init__(self, path: Path, plan: LevelPlan) -> None:
-        """Creates a reader that has read nothing.
+    Args:
+        path: The file; without it there is no pin.
+        plan: Has the levels that may be pinned.
+    """
 
-        Args:
-            path: The file; without it there is no pin.
-            plan: Has the levels that may be pinned.
-        """
-        self.path, self.plan = path, plan
+    def __init__(self, path: Path, plan: LevelPlan) -> None:
+        self.path = path
+        self.plan = plan
         self._text = ""
 
     def read_change(self, now: int, apply: Callable[[LevelPin | None], None]) -> None:
--- a/burlloom/server/logs.py
+++ b/burlloom/server/logs.py
@@ -39,7 +39,9 @@
     def __init__(self) -> None:
         """Creates a limit that has counted no line."""
         super().__init__()
-        self.second = self.lines = self.dropped = 0
+        self.second = 0
+        self.lines = 0
+        self.dropped = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Counts the record; returns whether it is logged."""
@@ -52,7 +54,8 @@
 
     def _begin_second(self, second: int) -> None:
         dropped, self.dropped = self.dropped, 0
-        self.second, self.lines = second, 0
+        self.second = second
+        self.lines = 0
         if dropped:
             log.info("event=log_lines_dropped count=%d", dropped)
 
--- a/burlloom/server/membership.py
+++ b/burlloom/server/membership.py
@@ -31,7 +31,7 @@
         """
 
     def call_shares(self) -> tuple[float, float] | None:
-        """Returns an equal share of the calls and the server's own, None where there is no fleet."""
+        """Returns an equal share of calls and the server's own; None where there is no fleet."""
 
     def peer_addresses(self) -> tuple[str, ...]:
         """Returns addresses of other members, for the server's next start."""
--- a/burlloom/server/metrics_exposition.py
+++ b/burlloom/server/metrics_exposition.py
@@ -20,14 +20,12 @@
     """Opens the exposition for the first part that registers; without any, there is none.
 
     Its first registration may raise `StoreRefusedError`: the address to listen at can't be used.
+
+    Args:
+        settings: The operator's: where metrics are written or served.
     """
 
     def __init__(self, settings: Metrics) -> None:
-        """Creates an exposition that is not open.
-
-        Args:
-            settings: The operator's: where metrics are written or served.
-        """
         self.settings = settings
         self._exposed: Exposed | None = None
 
--- a/burlloom/server/operator_subsystems.py
+++ b/burlloom/server/operator_subsystems.py
@@ -110,7 +110,7 @@
     """Binds the socket for the membership's datagrams.
 
     Raises:
-        StoreRefusedError: The server's name is too long for datagrams, or the address can't be bound.
+        StoreRefusedError: The name is too long for datagrams, or the address can't be bound.
     """
     from ..fleet.messages import NAME_MOST
 
@@ -132,8 +132,8 @@
     """Binds the socket for the datagrams of the configuration that is distributed.
 
     Raises:
-        StoreRefusedError: There is no upstream, the server's name is too long for datagrams, or the address
-            can't be bound.
+        StoreRefusedError: There is no upstream, the name is too long for datagrams, or the
+            address can't be bound.
     """
     if not part.upstreams:
         raise StoreRefusedError("distribution.upstreams: is empty: a server follows others")
@@ -157,20 +157,20 @@
 
 
 class OperatorSubsystemFactory(SubsystemFactory):
-    """Creates the parts that an operator's file asks for; the others stay off."""
+    """Creates the parts that an operator's file asks for; the others stay off.
 
-    def __init__(self, operator: Operator, config: ServerConfig) -> None:
-        """Opens what the parts need.
+    Args:
+        operator: What the operator's file holds.
+        config: The platform's configuration, as the file changes it.
 
-        Args:
-            operator: What the operator's file holds.
-            config: The platform's configuration, as the file changes it.
+    Raises:
+        Faults: The file does not fit the platform's configuration.
+        StoreRefusedError: A store, a socket or a key can't be used.
+    """
 
-        Raises:
-            Faults: The file does not fit the platform's configuration.
-            StoreRefusedError: A store, a socket or a key can't be used.
-        """
-        self.operator, self.config = operator, config
+    def __init__(self, operator: Operator, config: ServerConfig) -> None:
+        self.operator = operator
+        self.config = config
         self.metrics = MetricsExposition(operator.metrics) if operator.metrics is not None else None
         settings = config.settings
         self.coordinator: RecordCoordinator | None = None
--- a/burlloom/server/request_handler.py
+++ b/burlloom/server/request_handler.py
@@ -1,4 +1,4 @@
-"""The way of one request: from its arrival through the dispatcher, a run and a call to its answer."""
+"""The way of one request: dispatcher, run and call, from its arrival to its answer."""
 
 from __future__ import annotations
 
@@ -43,17 +43,16 @@
         dispatcher: What decides; None until the executor has connected.
         open_requests: Requests that wait for their answer, by id.
         class_index: The place of each request class in the settings, by name.
+
+    Args:
+        config: What the server is.
+        clock: Unix ns.
+        tasks: Where each request's task runs.
     """
 
     def __init__(self, config: ServerConfig, clock: Callable[[], int], tasks: Tasks) -> None:
-        """Creates a handler, to be connected before it is used.
-
-        Args:
-            config: What the server is.
-            clock: Unix ns.
-            tasks: Where each request's task runs.
-        """
-        self.clock, self.tasks = clock, tasks
+        self.clock = clock
+        self.tasks = tasks
         self.request_classes = config.settings.request_classes
         self.class_index = {name: index for index, name in enumerate(config.class_names)}
         self.dispatcher: Desk | None = None
@@ -70,7 +69,8 @@
         self.record, self.levels = subsystems.record, subsystems.levels
         self.recovery, self.membership = subsystems.recovery, subsystems.membership
         self.rollout = subsystems.rollout
-        self.executor, self.downstream = executor, downstream
+        self.executor = executor
+        self.downstream = downstream
 
     # What connections of balancers ask.
 
@@ -108,9 +108,9 @@
             request.refuse(0, False)
             return
         attempt = self._attempt(request)
-        if request.retry and self.record.is_shared and (mark := dispatcher.unknown(attempt)):
+        if request.retry and self.record.is_shared and (key_digest := dispatcher.unknown(attempt)):
             self.open_requests[request.id] = request
-            self.tasks.start(self._look_up(dispatcher, request, attempt, mark), "look_up")
+            self.tasks.start(self._look_up(dispatcher, request, attempt, key_digest), "look_up")
         else:
             self._dispatch(dispatcher, request, attempt)
 
@@ -134,10 +134,10 @@
         )
 
     async def _look_up(
-        self, dispatcher: Desk, request: IncomingRequest, attempt: RequestAttempt, mark: bytes
+        self, dispatcher: Desk, request: IncomingRequest, attempt: RequestAttempt, key_digest: bytes
     ) -> None:
         """Asks the record first: a request that ran on another node must not be rejected."""
-        await self.record.look_up(mark, request.id, request.at, attempt.product)
+        await self.record.look_up(key_digest, request.id, request.at, attempt.product)
         if self.open_requests.pop(request.id, None) is not None:
             self._dispatch(dispatcher, request, attempt)
 
@@ -190,10 +190,12 @@
                 side_task.cancel()
             self.open_requests.pop(request.id, None)
 
-    async def _read_result(self, dispatcher: Desk, request: IncomingRequest, mark: bytes) -> None:
+    async def _read_result(
+        self, dispatcher: Desk, request: IncomingRequest, key_digest: bytes
+    ) -> None:
         class_index = self.class_index[request.request_class]
         deadline_ns = request.at + self.request_classes[class_index].deadline_ns
-        result = await self.record.read_result(mark, deadline_ns)
+        result = await self.record.read_result(key_digest, deadline_ns)
         dispatcher.report(Recalled(request.id, result))
 
     async def _call_downstream(self, dispatcher: Desk, request_id: str, step: Step) -> None:
--- a/burlloom/server/request_record.py
+++ b/burlloom/server/request_record.py
@@ -12,7 +12,7 @@
 class RequestRecord(Protocol):
     """Where keyed requests are claimed before they run, and their results kept.
 
-    `mark` is a request's key digest, `request_class` its place in the settings, `received_ns` when
+    `key_digest` is that of a request, `request_class` its place in the settings, `received_ns` when
     it was read, in Unix ns.
 
     Attributes:
@@ -49,28 +49,32 @@
     def accepts_claims(self) -> bool:
         """Returns whether a claim could be written now."""
 
-    def begin_run(self, mark: bytes, request_id: str, received_ns: int, request_class: int) -> None:
+    def begin_run(
+        self, key_digest: bytes, request_id: str, received_ns: int, request_class: int
+    ) -> None:
         """Has a request run as soon as it may: a keyed one, once its claim is durable."""
 
     def run_ended(self, request_id: str, outcome: Outcome, result: bytes) -> None:
         """Writes the end of a run."""
 
-    async def wait_until_durable(self, mark: bytes, received_ns: int, request_class: int) -> None:
+    async def wait_until_durable(
+        self, key_digest: bytes, received_ns: int, request_class: int
+    ) -> None:
         """Waits until the end of a run is durable, for as long as the answer may wait."""
 
     async def look_up(
-        self, mark: bytes, request_id: str, received_ns: int, request_class: int
+        self, key_digest: bytes, request_id: str, received_ns: int, request_class: int
     ) -> None:
         """Asks the store what became of a request; the dispatcher is told what is found."""
 
     def request_answered(self, request_id: str) -> None:
         """Notes that a request's answer was sent, or that nobody waits for it."""
 
-    async def read_result(self, mark: bytes, deadline_ns: int) -> bytes | None:
+    async def read_result(self, key_digest: bytes, deadline_ns: int) -> bytes | None:
         """Returns a result from the store, None where none can be given in time.
 
         Args:
-            mark: The request's key digest.
+            key_digest: The request's key digest.
             deadline_ns: The request's, in Unix ns.
         """
 
@@ -86,6 +90,9 @@
         is_shared: False.
         incarnation: -1.
         previous_note: Empty.
+
+    Args:
+        start_run: Has the executor run the request of an id.
     """
 
     keeps_results = is_shared = False
@@ -93,11 +100,6 @@
     previous_note = ""
 
     def __init__(self, start_run: Callable[[str], None]) -> None:
-        """Creates a record that keeps nothing.
-
-        Args:
-            start_run: Has the executor run the request of an id.
-        """
         self.start_run = start_run
 
     async def open(self) -> None:
@@ -113,25 +115,29 @@
         """Returns True: nothing is claimed."""
         return True
 
-    def begin_run(self, mark: bytes, request_id: str, received_ns: int, request_class: int) -> None:
+    def begin_run(
+        self, key_digest: bytes, request_id: str, received_ns: int, request_class: int
+    ) -> None:
         """Has the request run at once."""
         self.start_run(request_id)
 
     def run_ended(self, request_id: str, outcome: Outcome, result: bytes) -> None:
         """Does nothing."""
 
-    async def wait_until_durable(self, mark: bytes, received_ns: int, request_class: int) -> None:
+    async def wait_until_durable(
+        self, key_digest: bytes, received_ns: int, request_class: int
+    ) -> None:
         """Returns at once."""
 
     async def look_up(
-        self, mark: bytes, request_id: str, received_ns: int, request_class: int
+        self, key_digest: bytes, request_id: str, received_ns: int, request_class: int
     ) -> None:
         """Returns at once."""
 
     def request_answered(self, request_id: str) -> None:
         """Does nothing."""
 
-    async def read_result(self, mark: bytes, deadline_ns: int) -> bytes | None:
+    async def read_result(self, key_digest: bytes, deadline_ns: int) -> bytes | None:
         """Returns None."""
         return None
 
--- a/burlloom/server/server.py
+++ b/burlloom/server/server.py
@@ -69,6 +69,11 @@
         is_shutting_down: Whether it was told to leave.
         stopped: Set once the last connection is closed, or had to be.
         address: Where it listens.
+
+    Args:
+        config: What it is and may use.
+        listener: Bound to the address for balancers, not listening yet.
+        factory: Creates the subsystems; all are off without one.
     """
 
     def __init__(
@@ -77,14 +82,9 @@
         listener: socket.socket,
         factory: SubsystemFactory | None = None,
     ) -> None:
-        """Creates a server that does nothing until `run`.
-
-        Args:
-            config: What it is and may use.
-            listener: Bound to the address for balancers, not listening yet.
-            factory: Creates the subsystems; all are off without one.
-        """
-        self.config, self.clock, self.tasks = config, Clock(), Tasks()
+        self.config = config
+        self.clock = Clock()
+        self.tasks = Tasks()
         self.is_shutting_down = False
         self.stopped = asyncio.Event()
         self.address = listener.getsockname()
@@ -122,7 +122,8 @@
             link: The connection to the executor.
             pool: The connections to the downstream.
         """
-        self.link, self.pool = link, pool
+        self.link = link
+        self.pool = pool
         self.requests.connect(self.subsystems, link, pool)
 
     def _known_requests(self) -> Known:
--- a/burlloom/server/service_subset.py
+++ b/burlloom/server/service_subset.py
@@ -1,4 +1,4 @@
-"""Which of the downstream's services this server calls, in which order, and how those calls went."""
+"""The downstream's services that this server calls, in turn, and how its calls end."""
 
 from __future__ import annotations
 
@@ -33,6 +33,15 @@
         turns: The weighted order in which the services are called.
         pools: The connections to them.
         worst_load: The most that a service is loaded over the mean, by weight.
+
+    Args:
+        services: Addresses of all services.
+        min_size: Services, at least, that each server calls.
+        name: The server's, in the fleet.
+        member_names: Returns the names of all members, in order.
+        random: Draws where the order begins.
+        clock: ns of a clock that nobody sets.
+        tasks: Where a new subset is computed.
     """
 
     def __init__(
@@ -45,20 +54,13 @@
         clock: Callable[[], int],
         tasks: Tasks,
     ) -> None:
-        """Creates the subset of a server that knows no other.
-
-        Args:
-            services: Addresses of all services.
-            min_size: Services, at least, that each server calls.
-            name: The server's, in the fleet.
-            member_names: Returns the names of all members, in order.
-            random: Draws where the order begins.
-            clock: ns of a clock that nobody sets.
-            tasks: Where a new subset is computed.
-        """
-        self.services, self.min_size, self.name = services, min_size, name
+        self.services = services
+        self.min_size = min_size
+        self.name = name
         self.member_names = member_names
-        self.random, self.clock, self.tasks = random, clock, tasks
+        self.random = random
+        self.clock = clock
+        self.tasks = tasks
         self.turns = WeightedRoundRobin()
         self.pools = Pools(self._next_address, self._count_call)
         self.worst_load = 1.0
--- a/burlloom/server/tenant_portions.py
+++ b/burlloom/server/tenant_portions.py
@@ -24,16 +24,16 @@
 
 
 class ServedTenants(Collection[str]):
-    """The tenants of the table once it is in force, else those of the configuration file."""
+    """The tenants of the table once it is in force, else those of the configuration file.
 
-    def __init__(self, replica: Replica, configured: Collection[str]) -> None:
-        """Creates a view; it follows the table.
+    Args:
+        replica: Holds the table.
+        configured: The tenants of the server's own configuration file.
+    """
 
-        Args:
-            replica: Holds the table.
-            configured: The tenants of the server's own configuration file.
-        """
-        self.replica, self.configured = replica, configured
+    def __init__(self, replica: Replica, configured: Collection[str]) -> None:
+        self.replica = replica
+        self.configured = configured
 
     def __contains__(self, name: object) -> bool:
         """Returns whether a tenant is served."""
@@ -66,8 +66,8 @@
 
 def decode_portion(value: bytes) -> float:
     """Returns the portion in a tenant's entry; 1 where it holds none that can be."""
-    entry = msgpack.unpackb(value)
-    portion = entry.get("portion") if type(entry) is dict else None
+    fields = msgpack.unpackb(value)
+    portion = fields.get("portion") if type(fields) is dict else None
     if isinstance(portion, int | float) and 0 < portion <= MAX_PORTION:
         return float(portion)
     return DEFAULT_PORTION
@@ -82,14 +82,12 @@
     Attributes:
         total: The sum that was counted last; 0 before.
         bucket: The table's bucket that is counted next; -1 while none is.
+
+    Args:
+        replica: Holds the table.
     """
 
     def __init__(self, replica: Replica) -> None:
-        """Creates a sum that is not counted yet.
-
-        Args:
-            replica: Holds the table.
-        """
         self.replica = replica
         self.total = 0.0
         self.bucket = -1
@@ -132,8 +130,11 @@
         revision = head.epoch, head.revision
         if self._counted == revision or now - self._began_ns < COUNT_INTERVAL_NS:
             return False
-        self._counted, self._began_ns = revision, now
-        self._sum, self.bucket, self._after = 0.0, 0, None
+        self._counted = revision
+        self._began_ns = now
+        self._sum = 0.0
+        self.bucket = 0
+        self._after = None
         return True
 
     def _count_page(self) -> int:
@@ -141,9 +142,9 @@
         table = self.replica.table
         page = table.page(self.bucket, self._after, table.scopes or ("",), PAGE_BYTES)
         self._sum += sum(
-            decode_portion(entry.value)
-            for entry in page.items
-            if entry.kind == TENANT_KIND and entry.value is not None
+            decode_portion(item.value)
+            for item in page.items
+            if item.kind == TENANT_KIND and item.value is not None
         )
         self._after = page.last_position
         if page.is_last:
