--- a/benchmarks/marks.py
+++ b/benchmarks/key_digests.py
@@ -1,7 +1,7 @@
 """Marks in memory: what was (an ordered dictionary, swept whole each second) against what is, and
 plain ones.
 
-python benchmarks/marks.py [COUNT ...]
+python benchmarks/key_digests.py [COUNT ...]
 """
 
 import gc
@@ -17,8 +17,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from burlloom.dispatcher.ledger import Ledger  # noqa: E402
-from burlloom.dispatcher.marks import Packed, Wheel  # noqa: E402
+from burlloom.dispatcher.idempotency import IdempotencyTable  # noqa: E402
+from burlloom.dispatcher.key_digests import PackedKeyDigests, TimerWheel  # noqa: E402
 
 SECOND = 1_000_000_000
 WINDOW = 18 * SECOND
@@ -68,14 +68,14 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.wheel = Wheel()
+        self.wheel = TimerWheel()
 
     def add(self, mark: bytes, until: int) -> None:
         self.inner[mark] = until
         self.wheel.add(mark, until)
 
     def expire(self, now: int) -> int:
-        over = self.wheel.due(now)
+        over = self.wheel.take_due(now)
         for mark in over:
             del self.inner[mark]
         return len(over)
@@ -101,7 +101,7 @@
         return sum(len(self.inner.pop(key)) for key in over)
 
 
-class Now(Ledger):
+class Now(IdempotencyTable):
     """What the server has: records by mark with a wheel."""
 
     def __init__(self) -> None:
@@ -110,14 +110,14 @@
 
     def add(self, mark: bytes, until: int) -> None:
         self.ref += 1
-        self.keep(mark, self.ref, until)
+        self.claim(mark, self.ref, until)
 
     def find(self, mark: bytes) -> int:
-        return self.holder(mark, 0)
+        return self.find_original(mark, 0)
 
     def expire(self, now: int) -> int:
         before = len(self.records)
-        self.sweep(now)
+        self.forget_expired(now)
         return before - len(self.records)
 
 
@@ -126,16 +126,16 @@
 
     def __init__(self) -> None:
         self.pairs: list[tuple[bytes, int]] = []
-        self.packed = Packed()
+        self.packed = PackedKeyDigests()
 
     def add(self, mark: bytes, until: int) -> None:
         self.pairs.append((mark, until))
 
     def ready(self) -> None:
-        self.packed, self.pairs = Packed(self.pairs), []
+        self.packed, self.pairs = PackedKeyDigests(self.pairs), []
 
     def find(self, mark: bytes) -> int:
-        return self.packed.until(mark)
+        return self.packed.window_end_ns(mark)
 
     def expire(self, now: int) -> int:
         return 0
--- a/benchmarks/log_lines.py
+++ b/benchmarks/log_lines.py
@@ -11,8 +11,8 @@
 import time
 
 LINES = 100_000
-SAY = "event=connection-ended side=balancer peer=%s reason=%s txns=%d answers=%d bad=%d lost=%d detail=%r"
-VALUES = ("127.0.0.1:4711", "idle", 12, 12, 0, 0, "")
+SAY = "event=connection_closed side=balancer peer=%s reason=%s requests=%d responses=%d bad_requests=%d unanswered=%d detail=%r"
+VALUES = ("127.0.0.1:4711", "idle_timeout", 12, 12, 0, 0, "")
 
 
 def resident() -> int:
@@ -52,14 +52,14 @@
     began = time.perf_counter()
     for _ in range(LINES):
         log.info(
-            "connection-ended",
+            "connection_closed",
             side="balancer",
             peer=VALUES[0],
             reason=VALUES[1],
-            txns=12,
-            answers=12,
-            bad=0,
-            lost=0,
+            requests=12,
+            responses=12,
+            bad_requests=0,
+            unanswered=0,
             detail="",
         )
     return time.perf_counter() - began
--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -40,7 +40,7 @@
 )
 from scale_swarms import after_cut, after_deaths, after_restart, metered, swarm_of
 
-from burlloom.discovery.reports import EVERY, Reports
+from burlloom.discovery.health_reporter import REPORT_INTERVAL_NS, HealthReporter
 from burlloom.fleet import CALL, Fleet, Habits, State, Word, spread, summary
 from burlloom.fleet.deal import Told
 from burlloom.fleet.letters import Kind, Letter, seal, unseal
@@ -372,14 +372,14 @@
         service.bind(("127.0.0.1", 0))
         service.setblocking(False)
         for word in words(size):
-            reports = Reports(service.getsockname(), word.name)
-            reports.said = True
-            for _ in range(SECOND // EVERY):
+            reports = HealthReporter(service.getsockname(), word.name)
+            reports.last_reported = True
+            for _ in range(SECOND // REPORT_INTERVAL_NS):
                 began = thread_time_ns()
-                reports.report()
+                reports.send()
                 spent += thread_time_ns() - began
-            reports.sock.close()
-            for _ in range(SECOND // EVERY):
+            reports.socket.close()
+            for _ in range(SECOND // REPORT_INTERVAL_NS):
                 octets += len(service.recv(2048))
                 heard += 1
     note = "real reports over loopback, five a second from each; the name service itself is the platform's and not measured"
--- a/burlloom/discovery/__init__.py
+++ b/burlloom/discovery/__init__.py
@@ -1,5 +1,5 @@
 """Reports to the name service."""
 
-from .reports import Reports
+from .health_reporter import HealthReporter
 
-__all__ = ["Reports"]
+__all__ = ["HealthReporter"]
--- a/burlloom/dispatcher/__init__.py
+++ b/burlloom/dispatcher/__init__.py
@@ -1,19 +1,28 @@
 """The decisions in blocking style, for a server on sockets: plain txns in, plain steps out."""
 
-from .desk import Desk, Seat
-from .marks import Packed
-from .steps import AtCall, CallEnded, Kind, Leaving, Recalled, RequestAttempt, RunEnded, Step
+from .directives import (
+    CallEnded,
+    CallRequested,
+    Directive,
+    DirectiveKind,
+    DrainStarted,
+    RequestAttempt,
+    ResultRecalled,
+    RunEnded,
+)
+from .dispatcher import Dispatcher, RequestSlot
+from .key_digests import PackedKeyDigests
 
 __all__ = [
-    "AtCall",
+    "CallRequested",
     "CallEnded",
-    "Desk",
-    "Kind",
-    "Leaving",
-    "Packed",
-    "Recalled",
+    "Dispatcher",
+    "DirectiveKind",
+    "DrainStarted",
+    "PackedKeyDigests",
+    "ResultRecalled",
     "RunEnded",
-    "Seat",
-    "Step",
+    "RequestSlot",
+    "Directive",
     "RequestAttempt",
 ]
--- a/burlloom/distribution/follower.py
+++ b/burlloom/distribution/follower.py
@@ -20,7 +20,7 @@
 
 import xxhash
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 from .changes import NUMBER_MOST, Change, Entry, Head, Refused, break_of, head_of
 from .messages import (
     PAGES_MOST,
@@ -805,7 +805,7 @@
     )
 
 
-RULES = rows(TABLE, State, Input, _test, _effect)
+RULES = parse_transitions(TABLE, State, Input, _test, _effect)
 HEARD: dict[type[Body], Callable[[Follower, int, Message], str]] = {
     Told: Follower.headed,
     Pushed: Follower.changed,
--- a/burlloom/downstream/__init__.py
+++ b/burlloom/downstream/__init__.py
@@ -1,5 +1,5 @@
 """Calls to the catalogue, over HTTP."""
 
-from .pool import Answer, Pool
+from .connection_pool import CallStatus, ConnectionPool
 
-__all__ = ["Answer", "Pool"]
+__all__ = ["CallStatus", "ConnectionPool"]
--- a/burlloom/executor/__init__.py
+++ b/burlloom/executor/__init__.py
@@ -1,5 +1,6 @@
 """The link to the executor: lines of words, kept open and found again."""
 
-from .link import End, Link
+from .connection import ExecutorConnection
+from .wire import RunStatus
 
-__all__ = ["End", "Link"]
+__all__ = ["ExecutorConnection", "RunStatus"]
--- a/burlloom/fleet/deal.py
+++ b/burlloom/fleet/deal.py
@@ -31,7 +31,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 from .sums import Sums
 
 CALL = 1000  # thousandths
@@ -453,4 +453,4 @@
     return (lambda dealer, now: None) if name == "-" else getattr(Dealer, name)
 
 
-RULES = rows(TABLE, Phase, Input, _test, _effect)
+RULES = parse_transitions(TABLE, Phase, Input, _test, _effect)
--- a/burlloom/fleet/hold.py
+++ b/burlloom/fleet/hold.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from enum import IntEnum
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 from .deal import Terms
 
 
@@ -114,4 +114,4 @@
     return (lambda holder, now: None) if name == "-" else getattr(Holder, name)
 
 
-RULES = rows(TABLE, State, Input, _test, _effect)
+RULES = parse_transitions(TABLE, State, Input, _test, _effect)
--- a/burlloom/fleet/members.py
+++ b/burlloom/fleet/members.py
@@ -21,7 +21,7 @@
 
 import xxhash
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 
 
 class State(IntEnum):
@@ -289,7 +289,7 @@
     "part": Members.doubt,
     "forget": Members.forget,
 }
-RULES = rows(TABLE, State, Input, TESTS.__getitem__, str)
+RULES = parse_transitions(TABLE, State, Input, TESTS.__getitem__, str)
 
 
 def due(
--- a/burlloom/lab/below.py
+++ b/burlloom/lab/below.py
@@ -6,7 +6,7 @@
 
 from numpy.random import Generator
 
-from ..downstream import Answer
+from ..downstream import CallStatus
 from .clock import SECOND, SimulatedLoop
 from .load import lognormal
 from .world import Below
@@ -33,18 +33,18 @@
         crowd = max(1.0, self.in_hand / self.told.slots)
         return lognormal(self.chance, self.told.call_ms / 1000, self.told.cv) * crowd * self.slow
 
-    async def call(self, patience: float) -> Answer:
+    async def call(self, patience: float) -> CallStatus:
         """`patience` in s."""
         if self.gone:
-            return Answer.UNREACHED
+            return CallStatus.UNREACHABLE
         self.calls += 1
         self.count(1)
         try:
             span = self.span()
             await asyncio.sleep(min(span, patience))
             if span > patience:
-                return Answer.OUT_OF_TIME
-            return Answer.FAILED if self.chance.random() < self.told.fail else Answer.WELL
+                return CallStatus.TIMED_OUT
+            return CallStatus.FAILED if self.chance.random() < self.told.fail else CallStatus.OK
         finally:
             self.count(-1)
 
@@ -55,7 +55,9 @@
     def __init__(self, below: Catalogue) -> None:
         self.below = below
 
-    async def call(self, id: str, body: bytes, patience: int, kept: bool) -> tuple[Answer, bytes]:
+    async def call(
+        self, id: str, body: bytes, patience: int, kept: bool
+    ) -> tuple[CallStatus, bytes]:
         return await self.below.call(max(0, patience) / SECOND), b"fetched"
 
-    def sweep(self) -> None: ...
+    def close_expired(self) -> None: ...
--- a/burlloom/lab/callers.py
+++ b/burlloom/lab/callers.py
@@ -28,22 +28,22 @@
         self.asked: IncomingRequest | None = None
         self.answer, self.cut = "", False
 
-    def settle(self, number: int, result: bytes) -> None:
+    def complete(self, number: int, result: bytes) -> None:
         self.said("settled", 0, False, result)
 
-    def refuse(self, number: int, stay_away: int, final: bool) -> None:
+    def reject(self, number: int, stay_away: int, final: bool) -> None:
         self.said("declined", stay_away, final)
 
     def fail(self, number: int, name: str) -> None:
         self.said("voided", 0, False)
 
-    def blame(self, what: str) -> None: ...
+    def report_fault(self, what: str) -> None: ...
 
     # What a draining server asks of the connection that it came on.
 
-    bare = False
+    is_idle = False
 
-    def shut(self, now: int) -> None: ...
+    def request_shutdown(self, now: int) -> None: ...
 
     def said(self, answer: str, stay_away: int, final: bool, result: bytes = b"") -> None:
         if self.cut:
--- a/burlloom/lab/experiment.py
+++ b/burlloom/lab/experiment.py
@@ -72,7 +72,7 @@
         for node in fleet.nodes:
             if node.server is None or node.server.desk is None:
                 continue
-            press.append(node.server.desk.choice.press)
+            press.append(node.server.desk.controller.press)
             of = getattr(node.server.levels, "levels", None)
             if of is None:
                 continue
--- a/burlloom/lab/fleets.py
+++ b/burlloom/lab/fleets.py
@@ -11,9 +11,9 @@
 
 from numpy.random import default_rng
 
-from ..dispatcher import Desk
-from ..downstream import Pool
-from ..downstream.spread import Pools
+from ..dispatcher import Dispatcher
+from ..downstream import ConnectionPool
+from ..downstream.service_pools import ServicePools
 from ..fleet import CALL, Fleet, Habits, State, Terms, Word
 from ..server.assembly import Server
 from ..server.fleeting import Fleeting, Share, shares
@@ -257,14 +257,14 @@
 
     async def open(self) -> None: ...
 
-    def begin_desk(self, desk: Desk) -> None:
+    def begin_desk(self, desk: Dispatcher) -> None:
         self.share.desk = desk
         self.share.tell()
 
     def may_call(self) -> bool:
         return self.fleet.good(self.fleets.loop.wall())
 
-    def pool(self, one: Pool) -> Pool | Pools:
+    def pool(self, one: ConnectionPool) -> ConnectionPool | ServicePools:
         return one
 
     async def keep(self) -> None:
--- a/burlloom/lab/machine.py
+++ b/burlloom/lab/machine.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from itertools import count
 
-from ..executor import End
+from ..executor import RunStatus
 from .clock import SimulatedLoop
 from .world import Machines
 
@@ -107,7 +107,7 @@
         cores: Cores,
         work: Callable[[str], tuple[float, int, float]],
         ran: Callable[[str, bytes], None],
-        ended: Callable[[str, End, int, bytes], None],
+        ended: Callable[[str, RunStatus, int, bytes], None],
         at_call: Callable[[str, bytes], None],
     ) -> None:
         """`work` gives a txn's work in core ms, its calls and its memory in KB."""
@@ -116,7 +116,7 @@
         self.dead = self.deaf = False
         self.held = 0.0  # KB that runs take
 
-    def run(self, id: str, product: str, body: bytes) -> None:
+    def start_run(self, id: str, product: str, body: bytes) -> None:
         if id in self.runs:
             return
         work, calls, kb = self.work(id)
@@ -139,9 +139,9 @@
         del self.runs[run.id]
         self.held -= run.kb
         took = int((self.cores.loop.now - run.began) * 1e9)
-        self.ended(run.id, End.PASS, took, b"made for " + run.id.encode() + run.body)
+        self.ended(run.id, RunStatus.PASSED, took, b"made for " + run.id.encode() + run.body)
 
-    def give(self, id: str, reply: bytes) -> None:
+    def send_call_result(self, id: str, reply: bytes) -> None:
         if id in self.runs:
             self.go(self.runs[id])
 
@@ -155,9 +155,9 @@
         run = self.runs.pop(id, None)
         if run is not None and not self.dead:
             self.held -= run.kb
-            self.ended(id, End.KILLED, int((self.cores.loop.now - run.began) * 1e9), b"")
+            self.ended(id, RunStatus.KILLED, int((self.cores.loop.now - run.began) * 1e9), b"")
 
-    async def gauges(self, patience: int) -> list[float] | None:
+    async def query_gauges(self, patience: int) -> list[float] | None:
         if self.deaf:
             return None
         return [self.cores.use(), float(len(self.cores.jobs)), 0.1, 4.0]
--- a/burlloom/lab/node.py
+++ b/burlloom/lab/node.py
@@ -5,7 +5,7 @@
 import socket
 from typing import TYPE_CHECKING
 
-from ..executor import End
+from ..executor import RunStatus
 from ..rpc import IncomingRequest
 from ..server.assembly import Server
 from ..server.configuration import Orders
@@ -27,14 +27,14 @@
 
     def __init__(self, node: "Node") -> None:
         self.node = node
-        self.said: bool | None = None
+        self.last_reported: bool | None = None
 
-    def tell(self, serving: bool) -> None:
-        if serving != self.said:
-            self.said = serving
+    def report_health(self, serving: bool) -> None:
+        if serving != self.last_reported:
+            self.last_reported = serving
             self.node.fleet.listed(self.node, serving)
 
-    def move(self, address: tuple[str, int]) -> None: ...
+    def change_address(self, address: tuple[str, int]) -> None: ...
 
 
 class Node:
@@ -89,9 +89,9 @@
                 fleet.recovering,
                 fleet.rolls.rolling(self) if fleet.rolls is not None else None,
             )
-        server.reports.sock.close()
+        server.reports.socket.close()
         server.clock = server.front.clock = loop.wall  # type: ignore[assignment]
-        server.front.listener = None
+        server.front.socket = None
         server.reports = Reports(self)  # type: ignore[assignment]
         life = self.life
         self.executor = Executor(
@@ -107,11 +107,15 @@
     def ran(self, id: str, body: bytes) -> None:
         self.fleet.rules.runs(self.fleet.loop.now, id)
 
-    def ended(self, life: int, id: str, end: End, took: int, result: bytes) -> None:
+    def ended(self, life: int, id: str, end: RunStatus, took: int, result: bytes) -> None:
         if life == self.life and self.up and self.server is not None:
-            if self.fails and end is End.PASS and self.fleet.fault_chance.random() < self.fails:
-                end, result = End.FAIL, b""
-            if end is End.PASS:
+            if (
+                self.fails
+                and end is RunStatus.PASSED
+                and self.fleet.fault_chance.random() < self.fails
+            ):
+                end, result = RunStatus.FAILED, b""
+            if end is RunStatus.PASSED:
                 self.fleet.rules.makes(id, result)
             self.server.run_ended(id, end, took, result)
 
@@ -179,7 +183,7 @@
     @property
     def open(self) -> bool:
         """Whether its listener is."""
-        return self.up and self.server is not None and not self.server.front.leaving
+        return self.up and self.server is not None and not self.server.front.is_draining
 
     def cut(self, attempt: "Attempt") -> None:
         """The connection of this try went."""
@@ -239,16 +243,16 @@
         desk = self.server.desk if self.server is not None else None
         if desk is None or self.server is None:
             return {}
-        choice = desk.choice
+        choice = desk.controller
         return {
-            "seats": len(desk.seats),
-            "refs": len(desk.refs),
+            "seats": len(desk.slots),
+            "refs": len(desk.refs_by_id),
             "callers": len(desk.callers),
-            "wakes": len(desk.wakes),
+            "wakes": len(desk.timers),
             "outbox": len(desk.outbox),
-            "copies": len(desk.copies),
-            "marks": len(desk.ledger.records),
-            "wheel": sum(map(len, desk.ledger.wheel.slots.values())),
+            "copies": len(desk.duplicate_answers),
+            "marks": len(desk.idempotency_table.records),
+            "wheel": sum(map(len, desk.idempotency_table.timer_wheel.slots.values())),
             "cases": len(choice.cases),
             "live": len(choice.live),
             "spent": len(choice.spent),
--- a/burlloom/lab/variants.py
+++ b/burlloom/lab/variants.py
@@ -23,7 +23,7 @@
             orders.tenants,
             facts.cores,
             lambda: server.clock(),
-            lambda: len(server.front.connections) / server.front.most,
+            lambda: len(server.front.connections) / server.front.max_connections,
             terms=terms,
             meters=frozenset(orders.meters),
         )
--- a/burlloom/recovery/ramp.py
+++ b/burlloom/recovery/ramp.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from enum import IntEnum
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 
 
 class State(IntEnum):
@@ -108,4 +108,4 @@
     return (lambda ramp, now: None) if name == "-" else getattr(Ramp, name)
 
 
-RULES = rows(TABLE, State, Input, _test, _effect)
+RULES = parse_transitions(TABLE, State, Input, _test, _effect)
--- a/burlloom/recovery/start.py
+++ b/burlloom/recovery/start.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from enum import IntEnum
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 from .kept import Verdict
 
 
@@ -115,4 +115,6 @@
     return (lambda start: True) if name == "-" else getattr(Start, name)
 
 
-RULES = rows(TABLE, State, Input, _test, lambda name: "nothing" if name == "-" else name)
+RULES = parse_transitions(
+    TABLE, State, Input, _test, lambda name: "nothing" if name == "-" else name
+)
--- a/burlloom/rollout/hand.py
+++ b/burlloom/rollout/hand.py
@@ -7,7 +7,7 @@
 
 from enum import IntEnum
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 from .book import SERVERS, Book
 from .units import Input as Step
 from .units import State as At
@@ -39,7 +39,7 @@
 DOUBT   SAYS_OUT  - LEAVING drain
 DOUBT   SAYS_ELSE - SERVING -
 """
-RULES = rows(TABLE, State, Input, str, str)
+RULES = parse_transitions(TABLE, State, Input, str, str)
 
 
 class Hand:
--- a/burlloom/rollout/plan.py
+++ b/burlloom/rollout/plan.py
@@ -10,7 +10,7 @@
 from enum import IntEnum
 from math import ceil
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 
 
 class Phase(IntEnum):
@@ -147,7 +147,7 @@
     "finish": same,
     "close": same,
 }
-RULES = rows(TABLE, Phase, Input, TESTS.__getitem__, str)
+RULES = parse_transitions(TABLE, Phase, Input, TESTS.__getitem__, str)
 
 
 def meet(plan: Plan, what: Input, step: int, why: str) -> tuple[Plan, str] | None:
--- a/burlloom/rollout/units.py
+++ b/burlloom/rollout/units.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, replace
 from enum import IntEnum
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 
 
 class State(IntEnum):
@@ -194,7 +194,7 @@
     "come": come,
     "leave": leave,
 }
-RULES = rows(TABLE, State, Input, TESTS.__getitem__, str)
+RULES = parse_transitions(TABLE, State, Input, TESTS.__getitem__, str)
 
 
 def meet(unit: Unit, what: Input, news: News) -> tuple[Unit, str] | None:
--- a/burlloom/rpc/__init__.py
+++ b/burlloom/rpc/__init__.py
@@ -1,6 +1,6 @@
 """Requests over MessagePack-RPC: the listener, its connections and their frames."""
 
-from .front import Front
-from .requests import IncomingRequest, Known
+from .incoming_request import IncomingRequest, RequestRules
+from .listener import RpcListener
 
-__all__ = ["Front", "Known", "IncomingRequest"]
+__all__ = ["RpcListener", "RequestRules", "IncomingRequest"]
--- a/burlloom/rpc/connection.py
+++ b/burlloom/rpc/connection.py
@@ -7,243 +7,274 @@
 from collections.abc import Callable, Iterator
 from typing import Any, Protocol
 
-from ..sockets import MS, Buffer, Ended, Inlet, Parting, Reason, Tasks, Writer, unread
+from ..sockets import (
+    NS_PER_MS,
+    CloseReason,
+    ConnectionClose,
+    ConnectionEndedError,
+    ReceiveBuffer,
+    SocketReader,
+    SocketWriter,
+    TaskSupervisor,
+    has_unread_bytes,
+)
 from . import frames
-from .requests import IncomingRequest, Known, Malformed, request
+from .incoming_request import IncomingRequest, MalformedRequestError, RequestRules, parse_request
 
 log = logging.getLogger(__name__)
 
-READ_BYTES = 4 << 10
-OPEN_MOST = 32
-LAST_READS = 16
-UNSENT_MOST = 512 << 10  # one that waits for 32 answers can't be owed as much
-BAD_MOST = 4  # requests that can't be taken or that nobody knows, until the connection goes
-SHUTDOWN = frames.notification("shutdown")
-GONE = (Reason.PEER_CLOSED, Reason.PEER_RESET)  # nobody is there to be told anything
-AT_ONCE = (
-    Reason.PEER_RESET,
-    Reason.NOT_READING,
-    Reason.FULL,
+READ_BUFFER_BYTES = 4 << 10
+MAX_OPEN_REQUESTS = 32
+MAX_FINAL_READS = 16
+MAX_UNSENT_BYTES = 512 << 10  # one that waits for 32 answers can't be owed as much
+MAX_BAD_REQUESTS = 4  # requests that can't be taken or that nobody knows, until the connection goes
+SHUTDOWN_NOTIFICATION = frames.encode_notification("shutdown")
+PEER_GONE_REASONS = (
+    CloseReason.PEER_CLOSED,
+    CloseReason.PEER_RESET,
+)  # nobody is there to be told anything
+IMMEDIATE_CLOSE_REASONS = (
+    CloseReason.PEER_RESET,
+    CloseReason.SLOW_CONSUMER,
+    CloseReason.CONNECTION_LIMIT,
 )  # an orderly close has no use, or no time
 
 
-class Around(Protocol):
+class ConnectionOwner(Protocol):
     """What a connection asks of whoever keeps it."""
 
-    known: Known
-    tasks: Tasks
+    rules: RequestRules
+    supervisor: TaskSupervisor
     clock: Callable[[], int]
-    request: Callable[[IncomingRequest], None]
-    lost: Callable[[IncomingRequest], None]
-    serves: Callable[[str], bool]
-    good: Callable[[], bool]
-    leaving: bool
+    on_request: Callable[[IncomingRequest], None]
+    on_request_lost: Callable[[IncomingRequest], None]
+    is_serving: Callable[[str], bool]
+    is_healthy: Callable[[], bool]
+    is_draining: bool
 
-    def told(self, caller: str) -> dict[str, str]: ...
-    def ended(self, connection: "Connection") -> None: ...
-    def parting(self, parting: Parting) -> None: ...
-    async def moment(self) -> None: ...
+    def response_fields(self, caller: str) -> dict[str, str]: ...
+    def connection_ended(self, connection: "Connection") -> None: ...
+    def start_close(self, parting: ConnectionClose) -> None: ...
+    async def poll_pause(self) -> None: ...
 
 
 class Connection:
-    def __init__(self, front: Around, sock: socket.socket, peer: str) -> None:
-        self.front, self.sock, self.peer = front, sock, peer
-        self.buffer, self.inlet = Buffer(READ_BYTES, 2 * frames.MOST), Inlet(sock)
-        self.writer = Writer(sock, front.tasks, self.broken)
-        self.open: dict[int, IncomingRequest] = {}
-        self.last_number = -1
-        self.used = self.told_at = front.clock()
-        self.partial_since = 0  # when the message that is not yet whole began
-        self.requests = self.answers = self.bad = 0
-        self.heard = self.told_shutdown = self.health_only = self.half_closed = self.ended = False
+    def __init__(self, front: ConnectionOwner, sock: socket.socket, peer: str) -> None:
+        self.owner, self.socket, self.peer = front, sock, peer
+        self.buffer, self.socket_reader = (
+            ReceiveBuffer(READ_BUFFER_BYTES, 2 * frames.MAX_FRAME_BYTES),
+            SocketReader(sock),
+        )
+        self.writer = SocketWriter(sock, front.supervisor, self.on_write_error)
+        self.open_requests: dict[int, IncomingRequest] = {}
+        self.last_message_id = -1
+        self.last_used_ns = self.shutdown_sent_ns = front.clock()
+        self.partial_since_ns = 0  # when the message that is not yet whole began
+        self.request_count = self.response_count = self.bad_request_count = 0
+        self.has_received = self.is_shutdown_sent = self.is_health_only = self.is_half_closed = (
+            self.is_ended
+        ) = False
         self.caller = ""  # as it named itself last
         self.detail = ""
-        self.reader: asyncio.Task[None] | None = None
+        self.reader_task: asyncio.Task[None] | None = None
 
-    async def serve(self) -> None:
+    async def run(self) -> None:
         """Its reader, from its start to its end; whoever ends it from outside calls `close` or
         `stop`.
         """
-        with self.ending():
+        with self.close_on_error():
             await self.read()
             self.close(
-                Reason.PEER_CLOSED
-                if not self.told_shutdown
-                else Reason.LEAVING
-                if self.front.leaving
-                else Reason.IDLE
+                CloseReason.PEER_CLOSED
+                if not self.is_shutdown_sent
+                else CloseReason.SHUTDOWN
+                if self.owner.is_draining
+                else CloseReason.IDLE_TIMEOUT
             )
 
     @contextlib.contextmanager
-    def ending(self) -> Iterator[None]:
+    def close_on_error(self) -> Iterator[None]:
         """Whatever goes wrong within ends the connection."""
         try:
             yield
-        except Ended as ended:
-            self.stop(ended.reason, str(ended))
+        except ConnectionEndedError as ended:
+            self.close_with_detail(ended.reason, str(ended))
         except OSError as error:
-            self.stop(Reason.PEER_RESET, error.strerror or "")
+            self.close_with_detail(CloseReason.PEER_RESET, error.strerror or "")
         except asyncio.CancelledError:
-            self.close(Reason.FAULT)  # nothing to do where `close` is what cancelled it
+            self.close(
+                CloseReason.INTERNAL_ERROR
+            )  # nothing to do where `close` is what cancelled it
         except Exception:
-            log.exception("event=fault side=balancer peer=%s", self.peer)
-            self.close(Reason.FAULT)
+            log.exception("event=internal_error side=balancer peer=%s", self.peer)
+            self.close(CloseReason.INTERNAL_ERROR)
 
     async def read(self) -> None:
-        while not self.ended:
-            if not (size := await self.inlet.receive(self.buffer.room())):
+        while not self.is_ended:
+            if not (size := await self.socket_reader.receive(self.buffer.free_space())):
                 # The other side may have closed only its half, and still be owed answers.
-                self.half_closed = True
-                while self.open or self.writer.unsent:
-                    await self.front.moment()
+                self.is_half_closed = True
+                while self.open_requests or self.writer.has_unsent:
+                    await self.owner.poll_pause()
                 return
-            self.came(size)
+            self.consume(size)
 
-    def came(self, size: int) -> None:
+    def consume(self, size: int) -> None:
         """Takes what is whole of the bytes that lie in the buffer, `size` of them new."""
-        buffer, now = self.buffer, self.front.clock()
+        buffer, now = self.buffer, self.owner.clock()
         buffer.end += size
         try:
-            while buffer.start < buffer.end and not self.ended:
-                buffer.start, whole = frames.request(buffer.view, buffer.start, buffer.end)
-                self.used, self.heard, self.partial_since = now, True, 0
-                self.take(now, *whole)
-        except frames.Short:
-            self.partial_since = self.partial_since or now
-
-    def last_call(self) -> None:
+            while buffer.start < buffer.end and not self.is_ended:
+                buffer.start, whole = frames.read_request(buffer.view, buffer.start, buffer.end)
+                self.last_used_ns, self.has_received, self.partial_since_ns = now, True, 0
+                self.handle_message(now, *whole)
+        except frames.IncompleteFrameError:
+            self.partial_since_ns = self.partial_since_ns or now
+
+    def read_remaining(self) -> None:
         """Takes what lies unread before an end is decided: a whole request that lies there is
         answered.
 
         So many times at most: whoever sends without an end must not hold up everybody else.
         """
-        with self.ending():
-            for _ in range(LAST_READS):
-                if not self.ended and not self.half_closed and unread(self.sock):
-                    self.came(self.sock.recv_into(self.buffer.room()))
+        with self.close_on_error():
+            for _ in range(MAX_FINAL_READS):
+                if not self.is_ended and not self.is_half_closed and has_unread_bytes(self.socket):
+                    self.consume(self.socket.recv_into(self.buffer.free_space()))
 
-    def close(self, reason: Reason) -> None:
+    def close(self, reason: CloseReason) -> None:
         """Every way out leads through here, once.
 
         Whoever sent what no balancer sends is owed no result: what is open is answered with an
         error.
         """
-        if self.ended:
+        if self.is_ended:
             return
-        self.ended, lost = True, list(self.open.values())
-        self.front.ended(self)
-        if reason not in GONE:
+        self.is_ended, lost = True, list(self.open_requests.values())
+        self.owner.connection_ended(self)
+        if reason not in PEER_GONE_REASONS:
             for asked in lost:
                 asked.fail()
             self.writer.flush()
-        self.inlet.rest()
-        if self.reader is not None and self.reader is not asyncio.current_task():
-            self.reader.cancel()
+        self.socket_reader.stop()
+        if self.reader_task is not None and self.reader_task is not asyncio.current_task():
+            self.reader_task.cancel()
         if (
-            reason in AT_ONCE
-            or not self.writer.spoke
-            or self.half_closed
-            and not self.writer.unsent
+            reason in IMMEDIATE_CLOSE_REASONS
+            or not self.writer.has_written
+            or self.is_half_closed
+            and not self.writer.has_unsent
         ):
-            self.writer.end()
-            self.sock.close()
+            self.writer.abort()
+            self.socket.close()
         else:
-            self.front.parting(Parting(self.sock, self.writer))
-        self.open.clear()
+            self.owner.start_close(ConnectionClose(self.socket, self.writer))
+        self.open_requests.clear()
         for asked in lost:
-            self.front.lost(asked)
+            self.owner.on_request_lost(asked)
         log.info(
-            "event=connection-ended side=balancer peer=%s reason=%s txns=%d answers=%d bad=%d lost=%d "
+            "event=connection_closed side=balancer peer=%s reason=%s requests=%d responses=%d bad_requests=%d "
+            "unanswered=%d "
             "detail=%r",
             self.peer,
             reason.value,
-            self.requests,
-            self.answers,
-            self.bad,
+            self.request_count,
+            self.response_count,
+            self.bad_request_count,
             len(lost),
             self.detail,
         )
 
-    def stop(self, reason: Reason, detail: str = "") -> None:
-        if not self.ended:
+    def close_with_detail(self, reason: CloseReason, detail: str = "") -> None:
+        if not self.is_ended:
             self.detail = detail
             self.close(reason)
 
-    def broken(self) -> None:
-        self.stop(Reason.PEER_RESET)
+    def on_write_error(self) -> None:
+        self.close_with_detail(CloseReason.PEER_RESET)
 
-    def take(self, now: int, number: int, method: str, params: list[Any]) -> None:
-        if number <= self.last_number:
-            raise Ended(Reason.REPEATED_ID, f"message {number}")
-        self.last_number = number
+    def handle_message(self, now: int, number: int, method: str, params: list[Any]) -> None:
+        if number <= self.last_message_id:
+            raise ConnectionEndedError(CloseReason.REPEATED_MESSAGE_ID, f"message {number}")
+        self.last_message_id = number
         if method == "health":
-            self.health_only = not self.requests
-            self.writer.post(frames.health(number, self.front.good(), self.front.told(self.caller)))
-            self.check_unsent()
+            self.is_health_only = not self.request_count
+            self.writer.send(
+                frames.encode_health(
+                    number, self.owner.is_healthy(), self.owner.response_fields(self.caller)
+                )
+            )
+            self.close_if_slow()
             return
-        self.health_only = False
+        self.is_health_only = False
         try:
-            if len(self.open) >= OPEN_MOST:
-                raise Malformed(f"more than {OPEN_MOST} open")
-            asked = request(self, number, method, params, self.front.known, now)
-            if self.front.serves(asked.id):
-                raise Malformed(f"request {asked.id} again")
-        except Malformed as error:
-            self.reject(number, str(error))
+            if len(self.open_requests) >= MAX_OPEN_REQUESTS:
+                raise MalformedRequestError(f"more than {MAX_OPEN_REQUESTS} open")
+            asked = parse_request(self, number, method, params, self.owner.rules, now)
+            if self.owner.is_serving(asked.id):
+                raise MalformedRequestError(f"request {asked.id} again")
+        except MalformedRequestError as error:
+            self.reject_malformed(number, str(error))
             return
-        self.open[number] = asked
+        self.open_requests[number] = asked
         self.caller = asked.caller
-        self.requests += 1
-        self.front.request(asked)
+        self.request_count += 1
+        self.owner.on_request(asked)
 
-    def reject(self, number: int, why: str) -> None:
-        self.writer.post(frames.error(number, "BadRequest", self.front.told(self.caller)))
-        self.blame(why)
+    def reject_malformed(self, number: int, why: str) -> None:
+        self.writer.send(
+            frames.encode_error(number, "BadRequest", self.owner.response_fields(self.caller))
+        )
+        self.report_fault(why)
 
-    def blame(self, what: str) -> None:
+    def report_fault(self, what: str) -> None:
         """A balancer is never at fault for long; against one that sends the same thing again and
         again.
         """
-        self.bad += 1
+        self.bad_request_count += 1
         self.detail = what
-        if self.bad >= BAD_MOST:
-            self.stop(Reason.ABUSIVE, what)
+        if self.bad_request_count >= MAX_BAD_REQUESTS:
+            self.close_with_detail(CloseReason.TOO_MANY_BAD_REQUESTS, what)
 
-    def settle(self, number: int, result: bytes) -> None:
-        self.answer(number, *frames.result(number, result, self.front.told(self.caller)))
+    def complete(self, number: int, result: bytes) -> None:
+        self.respond(
+            number, *frames.encode_result(number, result, self.owner.response_fields(self.caller))
+        )
 
-    def refuse(self, number: int, stay_away: int, final: bool) -> None:
-        fields = self.front.told(self.caller)
-        if stay_away >= MS:
-            fields["after"] = str(stay_away // MS)
+    def reject(self, number: int, stay_away: int, final: bool) -> None:
+        fields = self.owner.response_fields(self.caller)
+        if stay_away >= NS_PER_MS:
+            fields["after"] = str(stay_away // NS_PER_MS)
         if final:
             fields["last"] = "1"
-        self.answer(number, frames.error(number, "Backoff", fields))
+        self.respond(number, frames.encode_error(number, "Backoff", fields))
 
     def fail(self, number: int, name: str) -> None:
-        self.answer(number, frames.error(number, name, self.front.told(self.caller)))
+        self.respond(
+            number, frames.encode_error(number, name, self.owner.response_fields(self.caller))
+        )
 
-    def answer(self, number: int, *pieces: bytes) -> None:
-        if self.open.pop(number, None) is None:
+    def respond(self, number: int, *pieces: bytes) -> None:
+        if self.open_requests.pop(number, None) is None:
             return  # the connection went, or was answered as it did
-        self.answers += 1
-        self.used = self.front.clock()
-        self.writer.post(*pieces)
-        self.check_unsent()
+        self.response_count += 1
+        self.last_used_ns = self.owner.clock()
+        self.writer.send(*pieces)
+        self.close_if_slow()
 
-    def check_unsent(self) -> None:
-        if self.writer.size > UNSENT_MOST:
+    def close_if_slow(self) -> None:
+        if self.writer.unsent_bytes > MAX_UNSENT_BYTES:
             # Against one that asks and never reads: its answers would fill the memory of all.
-            self.stop(Reason.NOT_READING)
+            self.close_with_detail(CloseReason.SLOW_CONSUMER)
 
     @property
-    def bare(self) -> bool:
-        return not self.open and not self.writer.unsent
+    def is_idle(self) -> bool:
+        return not self.open_requests and not self.writer.has_unsent
 
-    def shut(self, now: int) -> None:
+    def request_shutdown(self, now: int) -> None:
         """Asks the other side to close first: closing here could cross a request that was just
         written.
         """
-        if not self.told_shutdown:
-            self.told_shutdown, self.told_at = True, now
-            self.writer.post(SHUTDOWN)
+        if not self.is_shutdown_sent:
+            self.is_shutdown_sent, self.shutdown_sent_ns = True, now
+            self.writer.send(SHUTDOWN_NOTIFICATION)
--- a/burlloom/server/configuration.py
+++ b/burlloom/server/configuration.py
@@ -7,7 +7,7 @@
 
 from ..interface import ServerSettings
 from ..settings import facts
-from ..sockets import MS
+from ..sockets import NS_PER_MS
 from .checked import faults
 
 Address = tuple[str, int]
@@ -63,7 +63,7 @@
             naming=address(got["naming"]),
             catalogue=address(got["catalog"]) if got.get("catalog") else None,
             seed=int(got["seed"], 16),
-            stop=int(got["stop_ms"]) * MS,
+            stop=int(got["stop_ms"]) * NS_PER_MS,
             sockets=int(limits.get("sockets", SOCKETS)),
             memory=int(float(limits.get("memory_mb", MEMORY_MB)) * (1 << 20)),
             facts=known,
--- a/burlloom/server/distributing.py
+++ b/burlloom/server/distributing.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any, Protocol
 
-from ..sockets import MS, SECOND, Tasks, rest
+from ..sockets import NS_PER_MS, NS_PER_SECOND, TaskSupervisor, sleep_ns
 from .fleeting import since_start
 
 if TYPE_CHECKING:
@@ -26,10 +26,10 @@
 
 log = logging.getLogger(__name__)
 
-TICK = 50 * MS
-LOOK_EVERY = SECOND  # at the keys, and for the state's file
-MOMENT = 5 * MS
-COUNT_EVERY = 300 * SECOND  # between two countings of all portions
+TICK = 50 * NS_PER_MS
+LOOK_EVERY = NS_PER_SECOND  # at the keys, and for the state's file
+MOMENT = 5 * NS_PER_MS
+COUNT_EVERY = 300 * NS_PER_SECOND  # between two countings of all portions
 COUNT_BYTES = 32 << 10  # of a page that is counted: about a millisecond
 PAGES_A_TICK, ENTRIES_A_TICK = 16, 400  # of portions counted in one tick
 PORTION_MOST = 1e9
@@ -170,7 +170,7 @@
         sock: socket.socket,
         name: str,
         seed: int,
-        tasks: Tasks,
+        tasks: TaskSupervisor,
         leaving: Callable[[], bool],
     ) -> None:
         from pathlib import Path
@@ -186,7 +186,7 @@
             leaving,
             since_start,
         )
-        life = time.time_ns() // MS
+        life = time.time_ns() // NS_PER_MS
         self.seals = Keys(Path(part.key_file), part.keys, "seals")
         self.signing = Keys(Path(part.signing_key_file), part.signing_keys, "signing")
         scopes = ("", part.region)
@@ -237,15 +237,15 @@
         while (
             self.replica.head is None
             and not self.leaving()
-            and self.clock() - began < self.part.wait_ms * MS
+            and self.clock() - began < self.part.wait_ms * NS_PER_MS
         ):
-            await rest(MOMENT)
+            await sleep_ns(MOMENT)
         self.telling.look()
         if self.replica.head is None:
             log.warning(
                 "event=distribution-not-in-force waited_ms=%d tenants=%d detail='the configuration file holds"
                 " until a first sync'",
-                (self.clock() - began) // MS,
+                (self.clock() - began) // NS_PER_MS,
                 len(self.told),
             )
 
@@ -255,7 +255,7 @@
                 self.tick()
             except Exception:
                 log.exception("event=fault side=distribution")
-            await rest(TICK)
+            await sleep_ns(TICK)
 
     def tick(self) -> None:
         now = self.clock()
@@ -292,7 +292,7 @@
             self.follower.keys = self.seals.keys
         if self.signing.changed():
             self.replica.keys = self.signing.keys
-        self.endpoint.tell_refusals(now // SECOND, self.follower.refusals)
+        self.endpoint.tell_refusals(now // NS_PER_SECOND, self.follower.refusals)
         if self.part.state_file is not None:
             from ..distribution.telling import write_state
 
--- a/burlloom/server/fleeting.py
+++ b/burlloom/server/fleeting.py
@@ -16,15 +16,15 @@
 from random import Random
 from typing import TYPE_CHECKING, Any, Protocol
 
-from ..dispatcher import Desk
-from ..sockets import MS, SECOND, Tasks, rest
+from ..dispatcher import Dispatcher
+from ..sockets import NS_PER_MS, NS_PER_SECOND, TaskSupervisor, sleep_ns
 
 if TYPE_CHECKING:
     import socket
     from pathlib import Path
 
-    from ..downstream import Answer, Pool
-    from ..downstream.spread import Pools
+    from ..downstream import CallStatus, ConnectionPool
+    from ..downstream.service_pools import ServicePools
     from ..fleet import Fleet, Spread
     from ..metrics import Exposed
     from ..operator import FleetPart
@@ -32,10 +32,10 @@
 
 log = logging.getLogger(__name__)
 
-TICK = 50 * MS
-LOOK_EVERY = SECOND  # at the keys, at the view for subsets, and for the state's file
+TICK = 50 * NS_PER_MS
+LOOK_EVERY = NS_PER_SECOND  # at the keys, at the view for subsets, and for the state's file
 NOTHING = 0.001  # calls: a share of none, as the decisions know it; 0 is no bound to them
-LATELY = 3 * SECOND  # half of what is told of calls by service
+LATELY = 3 * NS_PER_SECOND  # half of what is told of calls by service
 FADES = 0.98  # a tick, of what was wanted: a peak counts for some seconds
 
 
@@ -43,11 +43,11 @@
     """What the server asks of its fleet, and tells it."""
 
     async def open(self) -> None: ...
-    def begin_desk(self, desk: Desk) -> None: ...
+    def begin_desk(self, desk: Dispatcher) -> None: ...
     def may_call(self) -> bool:
         """Just before a call leaves: whether our share is still one that we know."""
 
-    def pool(self, one: Pool) -> Pool | Pools: ...
+    def pool(self, one: ConnectionPool) -> ConnectionPool | ServicePools: ...
     def equal(self) -> tuple[float, float] | None:
         """An equal share and our own, calls; None where there is no fleet."""
 
@@ -69,13 +69,13 @@
     async def open(self) -> None:
         pass
 
-    def begin_desk(self, desk: Desk) -> None:
+    def begin_desk(self, desk: Dispatcher) -> None:
         pass
 
     def may_call(self) -> bool:
         return True
 
-    def pool(self, one: Pool) -> Pool | Pools:
+    def pool(self, one: ConnectionPool) -> ConnectionPool | ServicePools:
         return one
 
     def equal(self) -> tuple[float, float] | None:
@@ -107,7 +107,7 @@
     def __init__(self, fleet: Fleet, cap: Callable[[], float]) -> None:
         """`cap`: calls that a start allows so far, beside the share."""
         self.fleet, self.cap = fleet, cap
-        self.desk: Desk | None = None
+        self.desk: Dispatcher | None = None
         self.told = -1
         self.wanted = 0.0
 
@@ -115,7 +115,7 @@
         """Before a tick of the fleet's."""
         from ..fleet import CALL
 
-        in_hand, waiting = self.desk.calls() if self.desk is not None else (0, 0)
+        in_hand, waiting = self.desk.call_demand() if self.desk is not None else (0, 0)
         self.wanted = max(float(in_hand + waiting), FADES * self.wanted)
         self.fleet.uses(int(min(self.wanted, self.cap()) * CALL), in_hand * CALL)
 
@@ -126,7 +126,7 @@
         share = min(self.fleet.share, int(min(self.cap(), 1e9) * CALL))
         if self.desk is not None and share != self.told:
             self.told = share
-            self.desk.share_calls(max(NOTHING, share / CALL))
+            self.desk.set_call_quota(max(NOTHING, share / CALL))
 
 
 def shares(fleet: Fleet) -> tuple[float, float]:
@@ -144,11 +144,11 @@
         sock: socket.socket,
         name: str,
         seed: int,
-        tasks: Tasks,
+        tasks: TaskSupervisor,
         recovery: Recovering,
     ) -> None:
         from .. import fleet
-        from ..downstream.spread import Pools
+        from ..downstream.service_pools import ServicePools
 
         self.of, self.part, self.sock, self.tasks, self.clock = (
             fleet,
@@ -181,7 +181,9 @@
             {},
         ]  # calls by service, well and not: of this span and the last
         self.lately_at = 0
-        self.pools: Pools | None = Pools(self.next, self.called) if part.services else None
+        self.pools: ServicePools | None = (
+            ServicePools(self.next, self.called) if part.services else None
+        )
         self.looked_at = self.former = 0
         self.key_seen: float = 0.0
         self.spreading: asyncio.Task[None] | None = None
@@ -207,7 +209,7 @@
             len(self.part.services),
         )
 
-    def begin_desk(self, desk: Desk) -> None:
+    def begin_desk(self, desk: Dispatcher) -> None:
         self.share.desk = desk
         self.share.tell()
 
@@ -223,7 +225,7 @@
                 self.tick()
             except Exception:
                 log.exception("event=fault side=fleet")
-            await rest(TICK)
+            await sleep_ns(TICK)
 
     def tick(self) -> None:
         now = self.clock()
@@ -327,7 +329,7 @@
         return (
             self.pools is None
             or self.spread_over[1] == addresses
-            and not any(self.pools.open[address_of(address)] for address in addresses)
+            and not any(self.pools.calls_in_progress[address_of(address)] for address in addresses)
         )
 
     def reports(self) -> dict[str, tuple[int, int]]:
@@ -348,7 +350,7 @@
         self.turns.take(own, self.chance.random())
         self.worst = spread.worst
         assert self.pools is not None
-        self.pools.use([address_of(service) for service in own])
+        self.pools.set_addresses([address_of(service) for service in own])
         log.info(
             "event=subset servers=%d size=%d worst=%.3f",
             len(spread.choices),
@@ -358,22 +360,22 @@
 
     # Calls.
 
-    def pool(self, one: Pool) -> Pool | Pools:
+    def pool(self, one: ConnectionPool) -> ConnectionPool | ServicePools:
         return self.pools if self.pools is not None else one
 
     def next(self) -> tuple[str, int]:
         return address_of(self.turns.next(self.clock()))
 
-    def called(self, address: tuple[str, int], answer: Answer) -> None:
-        from ..downstream import Answer
+    def called(self, address: tuple[str, int], answer: CallStatus) -> None:
+        from ..downstream import CallStatus
 
         service = "%s:%d" % address
-        if answer is Answer.UNREACHED:
+        if answer is CallStatus.UNREACHABLE:
             self.turns.unreached(service, self.clock())
         else:
             self.turns.reached(service)
-        if answer is not Answer.UNWANTED:  # which says nothing of the service
-            good = answer in (Answer.WELL, Answer.DECLINED)
+        if answer is not CallStatus.NO_LONGER_NEEDED:  # which says nothing of the service
+            good = answer in (CallStatus.OK, CallStatus.REJECTED)
             self.lately[0].setdefault(service, [0, 0])[0 if good else 1] += 1
 
     # For our next life.
--- a/burlloom/server/leveling.py
+++ b/burlloom/server/leveling.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Protocol
 
-from ..dispatcher import Desk
+from ..dispatcher import Dispatcher
 from ..interface import Gauges, RequestClass
-from ..sockets import MS, SECOND
+from ..sockets import NS_PER_MS, NS_PER_SECOND
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -25,8 +25,8 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_EVERY = SECOND  # between looks at the pin's file
-TELL_EVERY = 5 * SECOND  # between writings of the state's file where nothing moved
+LOOK_EVERY = NS_PER_SECOND  # between looks at the pin's file
+TELL_EVERY = 5 * NS_PER_SECOND  # between writings of the state's file where nothing moved
 
 
 class Notes(Protocol):
@@ -40,7 +40,7 @@
 class Leveling(Protocol):
     """What the server tells its levels, on a txn's way and once a round."""
 
-    def begin_desk(self, desk: Desk, cold: bool, notes: Notes) -> None: ...
+    def begin_desk(self, desk: Dispatcher, cold: bool, notes: Notes) -> None: ...
     def over(self, tenant: str) -> bool: ...
     def lot(self, caller: str) -> float: ...
     def settled(self, product: int, at: int) -> None: ...
@@ -52,7 +52,7 @@
 class NoLevels:
     """All is served as the decisions alone have it."""
 
-    def begin_desk(self, desk: Desk, cold: bool, notes: Notes) -> None:
+    def begin_desk(self, desk: Dispatcher, cold: bool, notes: Notes) -> None:
         pass
 
     def over(self, tenant: str) -> bool:
@@ -127,12 +127,12 @@
         self.tenants = levels.Tenants(tenants.items(), share=share)
         self.late, self.calls = levels.signals.Shares(), levels.signals.Shares()
         self.levels: Levels | None = None
-        self.desk: Desk | None = None
+        self.desk: Dispatcher | None = None
         self.last: Moved | None = None
         self.looked_at = self.told_at = self.moved_at = 0
         self.pin_read = ""
 
-    def begin_desk(self, desk: Desk, cold: bool, notes: Notes) -> None:
+    def begin_desk(self, desk: Dispatcher, cold: bool, notes: Notes) -> None:
         self.desk, self.notes, died_at = desk, notes, notes.noted
         self.levels = self.of.Levels(
             self.plan,
@@ -151,7 +151,7 @@
             self.levels.ladder.terms.changes_most,
         )
         if self.levels.standing.level:
-            desk.serve_at(self.levels.service())
+            desk.set_service_level(self.levels.service())
 
     def over(self, tenant: str) -> bool:
         return self.tenants.read(self.clock(), tenant)
@@ -182,7 +182,7 @@
             self.tell(now)
 
     def readings(self, now: int, measured: Gauges) -> Any:
-        age, lag, press = self.desk.strain() if self.desk is not None else (None, None, None)
+        age, lag, press = self.desk.load_signals() if self.desk is not None else (None, None, None)
         return self.of.Readings(
             use=known(measured.cpu_utilization),
             crowd=known(measured.runnable / self.cores),
@@ -211,7 +211,7 @@
             step.value,
             step.bound,
         )
-        self.desk.serve_at(self.levels.service())
+        self.desk.set_service_level(self.levels.service())
         self.steps[step.effect] = self.steps.get(step.effect, 0) + 1
         if step.before != step.after and self.notes is not None:
             self.notes.note(step.after)
@@ -271,7 +271,7 @@
             "phase": at.phase.name.lower(),
             "part": levels.part,
             "since": at.since,
-            "stay_ms": levels.ladder.stay(at) // MS,
+            "stay_ms": levels.ladder.stay(at) // NS_PER_MS,
             "moved_at": self.moved_at,
             "last": None
             if last is None
@@ -295,7 +295,9 @@
             "values": levels.values,
             "measured": sorted(self.measured),
             "steps": levels.steps,
-            "seconds": {name: round(spent / SECOND, 1) for name, spent in levels.spent.items()},
+            "seconds": {
+                name: round(spent / NS_PER_SECOND, 1) for name, spent in levels.spent.items()
+            },
         }
 
     def gauges(self) -> dict[str, float]:
@@ -306,7 +308,7 @@
             "level": float(self.levels.standing.level),
             "trial_part": self.levels.part,
             **{
-                f"seconds_{name.replace('-', '_')}": spent / SECOND
+                f"seconds_{name.replace('-', '_')}": spent / NS_PER_SECOND
                 for name, spent in self.levels.spent.items()
             },
             **{f"signal_{name}": value for name, value in self.levels.values.items()},
--- a/burlloom/server/parts.py
+++ b/burlloom/server/parts.py
@@ -16,7 +16,7 @@
 from ..record.keeper import Keeper, Terms
 from ..record.opening import store_of
 from ..record.store import Refused
-from ..sockets import MS, SECOND
+from ..sockets import NS_PER_MS, NS_PER_SECOND
 from .configuration import Orders
 from .distributing import Distributed
 from .fleeting import Fleeted
@@ -43,7 +43,7 @@
     "stale",
 ]
 
-CALLS_SPAN = 5 * SECOND
+CALLS_SPAN = 5 * NS_PER_SECOND
 
 
 def load_operator(path: str) -> Operator:
@@ -63,7 +63,7 @@
         record.claim_share,
         record.hold_share,
         record.open_most,
-        record.doubt_wait_ms * MS,
+        record.doubt_wait_ms * NS_PER_MS,
     )
 
     def make(server: Server) -> Recorded:
@@ -101,7 +101,7 @@
             ]
         )
     products = tuple(
-        replace(product, max_staleness_ns=levels.kept_ms.get(name, 0) * MS)
+        replace(product, max_staleness_ns=levels.kept_ms.get(name, 0) * NS_PER_MS)
         for name, product in zip(names, orders.facts.request_classes, strict=True)
     )
     return replace(orders, facts=replace(orders.facts, request_classes=products))
@@ -127,7 +127,7 @@
             orders.tenants,
             orders.facts.cores,
             server.clock,
-            lambda: len(server.front.connections) / server.front.most,
+            lambda: len(server.front.connections) / server.front.max_connections,
             terms=told.terms(),
             store=partial(strain, record.keeper, server.clock)
             if isinstance(record, Recorded)
--- a/burlloom/server/recording.py
+++ b/burlloom/server/recording.py
@@ -9,9 +9,9 @@
 from itertools import chain
 from typing import TYPE_CHECKING, Protocol
 
-from ..dispatcher import Desk, Packed, RunEnded
+from ..dispatcher import Dispatcher, PackedKeyDigests, RunEnded
 from ..interface import Idempotency, Outcome, RequestClass
-from ..sockets import MS
+from ..sockets import NS_PER_MS
 from .configuration import Broken
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
 
 log = logging.getLogger(__name__)
 
-WAY_OUT = 100 * MS  # that an answer keeps to its expiry, whatever it waits for
+WAY_OUT = 100 * NS_PER_MS  # that an answer keeps to its expiry, whatever it waits for
 
 
 class Keeping(Protocol):
@@ -33,7 +33,7 @@
 
     async def open(self) -> None: ...
     def note(self, text: str) -> None: ...
-    def begin_desk(self, desk: Desk, executor_began: int) -> None: ...
+    def begin_desk(self, desk: Dispatcher, executor_began: int) -> None: ...
     def accepts(self) -> bool: ...
     def begin(self, mark: bytes, id: str, at: int, product: int) -> None: ...
     def ended(self, id: str, outcome: Outcome, result: bytes) -> None: ...
@@ -60,7 +60,7 @@
     def note(self, text: str) -> None:
         pass
 
-    def begin_desk(self, desk: Desk, executor_began: int) -> None:
+    def begin_desk(self, desk: Dispatcher, executor_began: int) -> None:
         pass
 
     def accepts(self) -> bool:
@@ -113,8 +113,8 @@
         )
         self.keeper: Keeper
         self.exposed: Exposed | None = None
-        self.desk: Desk | None = None
-        self.former = Packed()
+        self.desk: Dispatcher | None = None
+        self.former = PackedKeyDigests()
         self.noted, self.life = "", -1
 
     def note(self, text: str) -> None:
@@ -129,24 +129,24 @@
         except Refused as error:
             raise Broken(str(error)) from error
         self.noted, self.life = self.keeper.noted, self.keeper.life
-        self.former = Packed(chain.from_iterable(self.keeper.read_back()))
+        self.former = PackedKeyDigests(chain.from_iterable(self.keeper.read_back()))
         await self.keeper.start()
         log.info(
             "event=record-open node=%s life=%d shift_ms=%d migrated=%s marks=%d begun=%d ms=%d",
             opened.node,
             opened.life,
-            opened.shift // MS,
+            opened.shift // NS_PER_MS,
             ",".join(map(str, opened.migrated)) or "-",
             len(self.former),
             len(self.keeper.began),
-            (self.clock() - began) // MS,
+            (self.clock() - began) // NS_PER_MS,
         )
 
-    def begin_desk(self, desk: Desk, executor_began: int) -> None:
+    def begin_desk(self, desk: Dispatcher, executor_began: int) -> None:
         self.desk = desk
-        desk.ledger.plant_ended(self.former)
+        desk.idempotency_table.restore_ended_keys(self.former)
         for mark, until, asked in self.keeper.executor(executor_began):
-            desk.ledger.plant(mark, until, not asked)
+            desk.idempotency_table.restore_open_key(mark, until, not asked)
 
     def accepts(self) -> bool:
         return self.keeper.accepts()
@@ -223,20 +223,20 @@
 
     def report(self, id: str, outcome: Outcome) -> None:
         if self.desk is not None:
-            self.desk.report(RunEnded(id, outcome, 0, b""))
+            self.desk.handle_event(RunEnded(id, outcome, 0, b""))
 
     def settle(self, mark: bytes, result: bytes | None) -> None:
         if self.desk is not None:
-            self.desk.settle(mark, result)
+            self.desk.complete_key(mark, result)
 
     def free(self, mark: bytes) -> None:
         if self.desk is not None:
-            self.desk.free(mark)
+            self.desk.release_key(mark)
 
     def plant(self, mark: bytes, until: int) -> None:
         if self.desk is not None:
-            self.desk.ledger.plant(mark, until, False)
+            self.desk.idempotency_table.restore_open_key(mark, until, False)
 
     def lose(self, mark: bytes) -> None:
         if self.desk is not None:
-            self.desk.lose(mark)
+            self.desk.abandon_key(mark)
--- a/burlloom/server/recovering.py
+++ b/burlloom/server/recovering.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
 
-from ..dispatcher import Desk
-from ..sockets import MS, SECOND
+from ..dispatcher import Dispatcher
+from ..sockets import NS_PER_MS, NS_PER_SECOND
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -23,7 +23,7 @@
 
 log = logging.getLogger(__name__)
 
-TELL_EVERY = SECOND
+TELL_EVERY = NS_PER_SECOND
 FREE = float("inf")
 
 
@@ -33,7 +33,7 @@
     life: int  # of this process, Unix ms; the fleet knows it by the same
     members: tuple[str, ...]  # addresses of others, of the last life
 
-    def begin_desk(self, desk: Desk, record_life: int) -> None: ...
+    def begin_desk(self, desk: Dispatcher, record_life: int) -> None: ...
     def peer(self, life: int) -> None: ...
     def cap(self) -> float: ...
     def holds_back(self, retry: bool) -> bool: ...
@@ -52,9 +52,9 @@
     members: tuple[str, ...] = ()
 
     def __init__(self) -> None:
-        self.life = time.time_ns() // MS
+        self.life = time.time_ns() // NS_PER_MS
 
-    def begin_desk(self, desk: Desk, record_life: int) -> None:
+    def begin_desk(self, desk: Dispatcher, record_life: int) -> None:
         pass
 
     def peer(self, life: int) -> None:
@@ -107,13 +107,13 @@
             alone,
             state_file,
         )
-        self.life = time.time_ns() // MS
+        self.life = time.time_ns() // NS_PER_MS
         found = recovery.read(self.text())
         self.recovery: Recovery = recovery.Recovery(terms, found, name, clock(), self.life, lonely)
         # Old addresses do no harm: whoever is there answers with a sealed letter.
         kept = self.recovery.kept
         self.members = kept.members if kept is not None else ()
-        self.desk: Desk | None = None
+        self.desk: Dispatcher | None = None
         self.record_life = -1
         self.told_at = 0
         self.holding = self.closed = (
@@ -137,12 +137,12 @@
             log.warning("event=recovery-unread detail=%r", str(error))
             return ""
 
-    def begin_desk(self, desk: Desk, record_life: int) -> None:
+    def begin_desk(self, desk: Dispatcher, record_life: int) -> None:
         self.desk, self.record_life = desk, record_life
         if record_life >= 0:
             self.recovery.store(record_life, self.clock())
         self.holding = True
-        desk.hold_back(True)
+        desk.set_recovering(True)
         self.round()
 
     def peer(self, life: int) -> None:
@@ -173,16 +173,16 @@
                 "event=recovery-cap calls=%.2f equal=%.2f ms=%d",
                 min(cap, 1e9),
                 equal,
-                (now - self.recovery.began) // MS,
+                (now - self.recovery.began) // NS_PER_MS,
             )
             if shared is None:
-                self.desk.share_calls(min(cap, self.alone))
+                self.desk.set_call_quota(min(cap, self.alone))
         if self.recovery.over and self.holding:
             self.holding = False
-            self.desk.hold_back(False)
+            self.desk.set_recovering(False)
             log.warning(
                 "event=recovery-over ms=%d held_back=%d",
-                (now - self.recovery.began) // MS,
+                (now - self.recovery.began) // NS_PER_MS,
                 self.recovery.retries.refused,
             )
         self.say()
@@ -210,7 +210,7 @@
         kept = self.of.Kept(
             self.name,
             self.life,
-            time.time_ns() // MS,
+            time.time_ns() // NS_PER_MS,
             self.record_life,
             share,
             clean,
--- a/burlloom/server/rolling.py
+++ b/burlloom/server/rolling.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Protocol
 
-from ..dispatcher import Kind
+from ..dispatcher import DirectiveKind
 from ..interface import RequestClass
-from ..sockets import MS, Tasks, rest
+from ..sockets import NS_PER_MS, TaskSupervisor, sleep_ns
 from .fleeting import since_start
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
     """What the server tells of itself."""
 
     def open(self) -> None: ...
-    def answered(self, kind: Kind, product: int, at: int) -> None: ...
+    def answered(self, kind: DirectiveKind, product: int, at: int) -> None: ...
     async def close(self) -> None: ...
 
 
@@ -45,7 +45,7 @@
     def open(self) -> None:
         pass
 
-    def answered(self, kind: Kind, product: int, at: int) -> None:
+    def answered(self, kind: DirectiveKind, product: int, at: int) -> None:
         pass
 
     async def close(self) -> None:
@@ -73,7 +73,7 @@
         version: str,
         products: tuple[RequestClass, ...],
         clock: Callable[[], int],
-        tasks: Tasks,
+        tasks: TaskSupervisor,
         host: Host,
         fleet: Callable[[], Fleeting],
         steady: Callable[[], int] = since_start,
@@ -109,12 +109,12 @@
         """
         self.task = self.tasks.start(self.keep(), "rollout")
 
-    def answered(self, kind: Kind, product: int, at: int) -> None:
-        if kind in (Kind.SETTLE, Kind.SETTLE_AS):
+    def answered(self, kind: DirectiveKind, product: int, at: int) -> None:
+        if kind in (DirectiveKind.COMPLETE, DirectiveKind.COMPLETE_AS_ORIGINAL):
             self.counts[0] += 1
             self.counts[1] += self.clock() - at > self.products[product].latency_objective_ns
         else:
-            self.counts[2 if kind is Kind.DECLINE else 3] += 1
+            self.counts[2 if kind is DirectiveKind.REJECT else 3] += 1
 
     async def keep(self) -> None:
         wait = 1
@@ -134,7 +134,7 @@
                 await self.reopen()
             except Exception:
                 log.exception("event=fault side=rollout")
-            await rest(wait * self.part.poll_ms * MS)
+            await sleep_ns(wait * self.part.poll_ms * NS_PER_MS)
 
     async def reopen(self) -> None:
         if self.life:
@@ -151,7 +151,7 @@
             last = await self.shelf.last(self.name)
             if last is not None:
                 self.former = last.life if last.says is self.of.Says.LEAVING else 0
-            self.life = max(self.clock() // MS, last.life + 1 if last is not None else 0)
+            self.life = max(self.clock() // NS_PER_MS, last.life + 1 if last is not None else 0)
             self.hand = self.of.Hand(self.name, self.life)
             if self.part.leads:
                 self.lead = self.of.Lead(
@@ -190,7 +190,7 @@
 
     async def tell(self) -> None:
         now, says = self.steady(), self.says()
-        if says == self.said and now - self.told_at < self.part.beat_ms * MS:
+        if says == self.said and now - self.told_at < self.part.beat_ms * NS_PER_MS:
             return
         self.beat += 1
         if not await self.shelf.tell(
--- a/burlloom/sockets/__init__.py
+++ b/burlloom/sockets/__init__.py
@@ -4,28 +4,28 @@
 And what keeps it going: its socket as the loop wants it, its tasks, spans of time.
 """
 
-from .buffer import Buffer
-from .inlet import Inlet, unread
-from .parting import Parting
-from .reasons import Ended, Reason
-from .spans import MS, SECOND, rest
-from .streams import out_of_descriptors, ready, stream
-from .tasks import Tasks
-from .writer import Writer
+from .close_reasons import CloseReason, ConnectionEndedError
+from .connection_close import ConnectionClose
+from .receive_buffer import ReceiveBuffer
+from .socket_reader import SocketReader, has_unread_bytes
+from .socket_writer import SocketWriter
+from .stream_sockets import configure_socket, is_out_of_descriptors, open_stream_socket
+from .task_supervisor import TaskSupervisor
+from .time_units import NS_PER_MS, NS_PER_SECOND, sleep_ns
 
 __all__ = [
-    "MS",
-    "SECOND",
-    "Buffer",
-    "Ended",
-    "Inlet",
-    "Parting",
-    "Reason",
-    "Tasks",
-    "Writer",
-    "out_of_descriptors",
-    "ready",
-    "rest",
-    "stream",
-    "unread",
+    "NS_PER_MS",
+    "NS_PER_SECOND",
+    "ReceiveBuffer",
+    "ConnectionEndedError",
+    "SocketReader",
+    "ConnectionClose",
+    "CloseReason",
+    "TaskSupervisor",
+    "SocketWriter",
+    "is_out_of_descriptors",
+    "configure_socket",
+    "sleep_ns",
+    "open_stream_socket",
+    "has_unread_bytes",
 ]
--- /dev/null
+++ b/burlloom/sockets/close_reasons.py
@@ -0,0 +1,33 @@
+"""Why a connection ended. The codes are explained in docs/on-call.md."""
+
+from enum import Enum
+
+
+class CloseReason(Enum):
+    PEER_CLOSED = "peer_closed"
+    PEER_RESET = "peer_reset"
+    MALFORMED = "malformed"
+    FIRST_MESSAGE_TIMEOUT = "first_message_timeout"
+    MESSAGE_TIMEOUT = "message_timeout"
+    TOO_MANY_BAD_REQUESTS = "too_many_bad_requests"
+    CONNECTION_LIMIT = "connection_limit"
+    WRONG_TYPE = "wrong_type"
+    TOO_LARGE = "too_large"
+    REPEATED_MESSAGE_ID = "repeated_message_id"
+    SLOW_CONSUMER = "slow_consumer"
+    CONNECTION_REFUSED = "connection_refused"
+    CONNECT_TIMEOUT = "connect_timeout"
+    CALL_ABANDONED = "call_abandoned"
+    IDLE_TIMEOUT = "idle_timeout"
+    NOT_REUSABLE = "not_reusable"
+    SHUTDOWN = "shutdown"
+    ADDRESS_CHANGED = "address_changed"
+    INTERNAL_ERROR = "internal_error"
+
+
+class ConnectionEndedError(Exception):
+    """A connection can't go on, for a reason that is ours to name."""
+
+    def __init__(self, reason: CloseReason, detail: str = "") -> None:
+        super().__init__(detail)
+        self.reason = reason
--- a/burlloom/sockets/inlet.py
+++ b/burlloom/sockets/socket_reader.py
@@ -4,7 +4,7 @@
 import socket
 
 
-class Inlet:
+class SocketReader:
     """Not `sock_recv_into`: what that took in as it is cancelled is lost unseen, a whole request
     with it.
 
@@ -12,7 +12,7 @@
     """
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock = sock
+        self.socket = sock
         self.loop = asyncio.get_running_loop()
         self.waiter: asyncio.Future[None] | None = None
 
@@ -20,30 +20,30 @@
         """How many bytes came; 0 at the other side's end."""
         while True:
             self.waiter = self.loop.create_future()
-            self.loop.add_reader(self.sock, self.wake, self.waiter)
+            self.loop.add_reader(self.socket, self.on_readable, self.waiter)
             try:
                 await self.waiter
             finally:
-                self.rest()
+                self.stop()
             try:
-                return self.sock.recv_into(room)
+                return self.socket.recv_into(room)
             except (BlockingIOError, InterruptedError):
                 pass
 
-    def wake(self, waiter: "asyncio.Future[None]") -> None:
+    def on_readable(self, waiter: "asyncio.Future[None]") -> None:
         if not waiter.done():
             waiter.set_result(None)
 
-    def rest(self) -> None:
+    def stop(self) -> None:
         """Waits no more. The socket may be closed only after this: its descriptor would soon be
         another's.
         """
         if self.waiter is not None:
-            self.loop.remove_reader(self.sock)
+            self.loop.remove_reader(self.socket)
             self.waiter = None
 
 
-def unread(sock: socket.socket) -> bool:
+def has_unread_bytes(sock: socket.socket) -> bool:
     """Whether bytes lie there that are not yet taken."""
     try:
         return bool(sock.recv(1, socket.MSG_PEEK))
--- a/burlloom/sockets/streams.py
+++ b/burlloom/sockets/stream_sockets.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 
-def ready(sock: socket.socket) -> socket.socket:
+def configure_socket(sock: socket.socket) -> socket.socket:
     """Its messages are small and waited for: none may block, nor be held back to be sent with the
     next.
     """
@@ -14,15 +14,15 @@
     return sock
 
 
-def out_of_descriptors(error: BaseException | None) -> bool:
+def is_out_of_descriptors(error: BaseException | None) -> bool:
     return isinstance(error, OSError) and error.errno in (errno.EMFILE, errno.ENFILE)
 
 
-def stream(spare: Callable[[], bool]) -> socket.socket:
+def open_stream_socket(spare: Callable[[], bool]) -> socket.socket:
     """`spare` frees a descriptor where none is left, if it can: idle clients may hold them all."""
     try:
-        return ready(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
+        return configure_socket(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
     except OSError as error:
-        if not out_of_descriptors(error) or not spare():
+        if not is_out_of_descriptors(error) or not spare():
             raise
-    return ready(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
+    return configure_socket(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
--- a/burlloom/tables.py
+++ b/burlloom/transition_table.py
@@ -10,7 +10,7 @@
 Effect = TypeVar("Effect")
 
 
-def rows(
+def parse_transitions(
     table: str,
     states: type[State],
     inputs: type[Input],
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -13,7 +13,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterator
 
-from burlloom.executor import End
+from burlloom.executor import RunStatus
 from burlloom.lab.clock import EPOCH, SECOND, SimulatedLoop, simulated
 from burlloom.record.fate import Input
 from burlloom.record.keeper import Keeper, Terms
@@ -144,24 +144,32 @@
         self.world, self.chance = world, chance
         self.server: assembly.Server | None = None
         self.born = -90.0
-        self.told: list[tuple[str, End, bytes]] = []
+        self.told: list[tuple[str, RunStatus, bytes]] = []
         self.runs: dict[str, list[asyncio.TimerHandle]] = {}
 
-    def run(self, id: str, product: str, body: bytes) -> None:
+    def start_run(self, id: str, product: str, body: bytes) -> None:
         if id in self.runs:
             return
         loop = asyncio.get_running_loop()
         begins, ends = self.chance.random() * 0.02, 0.02 + self.chance.expovariate(1 / 0.05)
         draw = self.chance.random()
-        end = End.NOOP if draw < 0.03 else End.FAIL if draw < 0.06 else End.PASS
+        end = (
+            RunStatus.NO_LONGER_NEEDED
+            if draw < 0.03
+            else RunStatus.FAILED
+            if draw < 0.06
+            else RunStatus.PASSED
+        )
         timers = self.runs[id] = []
-        if end is not End.NOOP:
+        if end is not RunStatus.NO_LONGER_NEEDED:
             timers.append(loop.call_later(begins, self.world.ran, body, id))
         timers.append(loop.call_later(ends, self.end, id, end, body))
 
-    def end(self, id: str, end: End, body: bytes) -> None:
+    def end(self, id: str, end: RunStatus, body: bytes) -> None:
         del self.runs[id]
-        self.told.append((id, end, b"receipt of " + id.encode() if end is End.PASS else b""))
+        self.told.append(
+            (id, end, b"receipt of " + id.encode() if end is RunStatus.PASSED else b"")
+        )
         if self.server is not None:
             self.server.run_ended(id, end, 12 * MS, self.told[-1][2])
 
@@ -218,9 +226,9 @@
         with socket.socket() as listener:
             server = assembly.Server(orders, listener, make)
         server.front.clock = loop.wall
-        server.reports.tell = lambda serving: None  # type: ignore[method-assign]
+        server.reports.report_health = lambda serving: None  # type: ignore[method-assign]
         server.link = self.link  # type: ignore[assignment]
-        self.link.gauges = no_gauges  # type: ignore[attr-defined]
+        self.link.query_gauges = no_gauges  # type: ignore[attr-defined]
         await server.record.open()
         server.welcome(False, int((loop.time() - self.link.born) * 1000))
         self.server = server
@@ -240,7 +248,7 @@
         for task in list(self.server.tasks.running):
             task.cancel()
         recorded.desk = None
-        self.server.reports.sock.close()
+        self.server.reports.socket.close()
         self.server = self.link.server = None
         if self.world.chance.random() < 0.5:
             self.link.crash(world_loop().time())
@@ -277,13 +285,13 @@
         if world_loop().wall() > self.sent + 6 * SECOND:
             world.fault(f"{answer} past its due time")
 
-    def settle(self, number: int, result: bytes) -> None:
+    def complete(self, number: int, result: bytes) -> None:
         self.said("settled")
         if result != self.world.runs.get(self.mark, b""):
             self.world.fault("settled with what its run did not make")
         self.world.settled.add(self.mark)
 
-    def refuse(self, number: int, stay_away: int, final: bool) -> None:
+    def reject(self, number: int, stay_away: int, final: bool) -> None:
         self.said("declined")
         if self.settled_before and not self.world.prefer and self.world.trouble == 0:
             self.world.fault("declined though it had been settled")
@@ -291,7 +299,7 @@
     def fail(self, number: int, name: str) -> None:
         self.said("voided")
 
-    def blame(self, what: str) -> None: ...
+    def report_fault(self, what: str) -> None: ...
 
 
 class World:
--- a/tests/test_desk.py
+++ b/tests/test_dispatcher.py
@@ -4,7 +4,14 @@
 
 from rig import GIVEN
 
-from burlloom.dispatcher import Desk, Kind, Leaving, RequestAttempt, Seat, Step
+from burlloom.dispatcher import (
+    Directive,
+    DirectiveKind,
+    Dispatcher,
+    DrainStarted,
+    RequestAttempt,
+    RequestSlot,
+)
 from burlloom.interface import Gauges
 from burlloom.settings import facts
 
@@ -22,19 +29,19 @@
         return RequestAttempt(id, now[0], "caller", 0, 0, 1.0, 0.5, "", "", b"")
 
     async def story() -> None:
-        desk = Desk(known, ("look", "pay"), 1, lambda: now[0], 100 * SECOND, 1 << 20)
-        seats = [desk.take(tried(f"t{n}")) for n in range(30)]  # some run, some are held
-        desk.report(
-            Leaving(now[0], now[0])
+        desk = Dispatcher(known, ("look", "pay"), 1, lambda: now[0], 100 * SECOND, 1 << 20)
+        seats = [desk.submit(tried(f"t{n}")) for n in range(30)]  # some run, some are held
+        desk.handle_event(
+            DrainStarted(now[0], now[0])
         )  # the held are given up; their answers are not handed out yet
-        late = desk.take(tried("late"))
-        assert isinstance(late, Seat)
-        assert desk.knows("late")
+        late = desk.submit(tried("late"))
+        assert isinstance(late, RequestSlot)
+        assert desk.has_request("late")
         for _ in range(3):
             now[0] += SECOND // 5
-            desk.tick(Gauges())
-        assert not desk.knows("late")
-        assert (await asyncio.wait_for(desk.pick(late), 5)).kind is Kind.DECLINE
-        assert all(isinstance(seat, Seat | Step) for seat in seats)
+            desk.fire_due_timers(Gauges())
+        assert not desk.has_request("late")
+        assert (await asyncio.wait_for(desk.next_directive(late), 5)).kind is DirectiveKind.REJECT
+        assert all(isinstance(seat, RequestSlot | Directive) for seat in seats)
 
     asyncio.run(story())
--- a/tests/test_distributing.py
+++ b/tests/test_distributing.py
@@ -22,7 +22,7 @@
 from burlloom.fakes.parts import fields
 from burlloom.levels.signals import RINGS_MOST
 from burlloom.levels.signals import Tenants as Shares
-from burlloom.rpc.requests import Known, Malformed, request
+from burlloom.rpc.incoming_request import MalformedRequestError, RequestRules, parse_request
 from burlloom.server.distributing import COUNT_EVERY, Portions, Tenants
 
 SIGNING = b"s" * 32
@@ -45,15 +45,15 @@
 
 def test_requests_are_held_against_the_tenants_in_force() -> None:
     held = Replica(Table(("", "north")), (SIGNING,))
-    known = Known({"look": False}, Tenants(held, {"acme": 1.0}), 6 * SECOND)
+    known = RequestRules({"look": False}, Tenants(held, {"acme": 1.0}), 6 * SECOND)
     told = fields()
     now = int(told["at"]) * 1_000_000
 
     def serves(name: Any) -> bool:
         try:
-            request(None, 1, "look", [{**told, "tenant": name}, b""], known, now)  # type: ignore[arg-type]
+            parse_request(None, 1, "look", [{**told, "tenant": name}, b""], known, now)  # type: ignore[arg-type]
             return True
-        except Malformed:
+        except MalformedRequestError:
             return False
 
     assert serves("acme")
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -10,19 +10,22 @@
 
 from rig import GIVEN, soon, until
 
-from burlloom.downstream import Pool
+from burlloom.downstream import ConnectionPool
 from burlloom.fakes.parts import Balancer, Catalogue, Executor, NameService, Reply, fields
 from burlloom.server.__main__ import bound
 from burlloom.server.assembly import Clock, Server
 from burlloom.server.configuration import Orders, address
 from burlloom.settings import facts
-from burlloom.sockets import MS, SECOND
+from burlloom.sockets import NS_PER_MS, NS_PER_SECOND
 
 AT_ONCE, ROUNDS = 20, 10
 # 25 times the usual are waited for: a late reply, on a machine that is late itself, is none that
 # failed
 CALL_S = 0.2
-LIFE, WINDOW = 60 * SECOND, 30 * SECOND  # no answer comes as late, on however busy a machine
+LIFE, WINDOW = (
+    60 * NS_PER_SECOND,
+    30 * NS_PER_SECOND,
+)  # no answer comes as late, on however busy a machine
 
 
 class Ahead(Clock):
@@ -43,24 +46,24 @@
     desk = server.desk
     assert desk is not None
     return {
-        "seats": len(desk.seats),
-        "refs": len(desk.refs),
+        "seats": len(desk.slots),
+        "refs": len(desk.refs_by_id),
         "callers": len(desk.callers),
-        "wakes": len(desk.wakes),
+        "wakes": len(desk.timers),
         "outbox": len(desk.outbox),
-        "copies": len(desk.copies),
-        "marks": len(desk.ledger.records),
-        "wheel": sum(map(len, desk.ledger.wheel.slots.values())),
-        "bytes": desk.ledger.bytes,
-        "cases": len(desk.choice.cases),
-        "lingering": len(desk.choice.lingering),
+        "copies": len(desk.duplicate_answers),
+        "marks": len(desk.idempotency_table.records),
+        "wheel": sum(map(len, desk.idempotency_table.timer_wheel.slots.values())),
+        "bytes": desk.idempotency_table.result_bytes,
+        "cases": len(desk.controller.cases),
+        "lingering": len(desk.controller.lingering),
         "serving": len(server.serving),
         "tasks": len(server.tasks.running),
         "connections": len(server.front.connections),
-        "spare": len(server.front.spare),
-        "doubtful": len(server.link.doubtful),
-        "metered": len(server.link.metered),
-        "kept": len(server.pool.kept) if isinstance(server.pool, Pool) else 0,
+        "spare": len(server.front.evictable_connections),
+        "doubtful": len(server.link.unconfirmed_commands),
+        "metered": len(server.link.pending_polls),
+        "kept": len(server.pool.idle_connections) if isinstance(server.pool, ConnectionPool) else 0,
     }
 
 
@@ -109,7 +112,7 @@
                 )
 
         working = asyncio.create_task(work())
-        await until(lambda: server.desk is not None and server.link.joined)
+        await until(lambda: server.desk is not None and server.link.is_joined)
 
         async def a_round(first: int) -> dict[str, int]:
             """So many callers at once, each on a connection of its own, each with a name never
@@ -119,7 +122,7 @@
             for at in range(AT_ONCE):
                 # Each asks as soon as it is there: one that says nothing for long is closed.
                 balancers.append(balancer := await Balancer("%s:%d" % server.address).open())
-                told = {"from": str(first + at), "at": str(clock() // MS)}
+                told = {"from": str(first + at), "at": str(clock() // NS_PER_MS)}
                 answers += [
                     balancer.ask("look", fields(**told)),
                     balancer.ask("pay", fields(**told, once=secrets.token_hex(16)), b"b"),
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -18,13 +18,13 @@
 import uvloop
 from rig import Rig, gets, played, soon, until
 
-from burlloom.downstream import Answer, Pool
-from burlloom.executor import Link
+from burlloom.downstream import CallStatus, ConnectionPool
+from burlloom.executor import ExecutorConnection
 from burlloom.fakes.parts import fields
-from burlloom.rpc import Front, IncomingRequest, Known
-from burlloom.sockets import MS, SECOND, Reason, Tasks
+from burlloom.rpc import IncomingRequest, RequestRules, RpcListener
+from burlloom.sockets import NS_PER_MS, NS_PER_SECOND, CloseReason, TaskSupervisor
 
-KNOWN = Known({"look": False}, (), 6 * SECOND)
+KNOWN = RequestRules({"look": False}, (), 6 * NS_PER_SECOND)
 
 
 class Place:
@@ -40,11 +40,11 @@
         )
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = self.listener.getsockname()
-        self.front = Front(
+        self.front = RpcListener(
             self.listener,
             KNOWN,
             most,
-            Tasks(),
+            TaskSupervisor(),
             lambda: self.now,
             self.asked.append,
             self.lost.append,
@@ -64,12 +64,12 @@
         """One that has spoken, was asked to go, and rests until we end it."""
         client = await self.client()
         client.sock.sendall(request(1, "health", {}))
-        await until(lambda: client.there.heard)
-        self.now += 60 * SECOND
+        await until(lambda: client.there.has_received)
+        self.now += 60 * NS_PER_SECOND
         self.front.sweep()
         self.front.sweep()  # the first may take the leap of the clock for a pause
-        assert client.there.told_shutdown
-        self.now += 2 * SECOND
+        assert client.there.is_shutdown_sent
+        self.now += 2 * NS_PER_SECOND
         return client
 
 
@@ -91,7 +91,7 @@
 
 
 def ask(number: int, now: int) -> bytes:
-    return request(number, "look", fields(at=str(now // MS)), b"body")
+    return request(number, "look", fields(at=str(now // NS_PER_MS)), b"body")
 
 
 def on_loop(story: Callable[[], Awaitable[None]]) -> Callable[[], None]:
@@ -117,9 +117,9 @@
 
 async def is_served(place: Place, client: Client) -> None:
     """Its one request was taken, and its answer comes, with an end in good order."""
-    assert [asked.number for asked in place.asked] == [1]
+    assert [asked.message_id for asked in place.asked] == [1]
     assert not place.lost
-    place.asked[0].settle(b"served")
+    place.asked[0].complete(b"served")
     client.sock.shutdown(socket.SHUT_WR)
     assert await client.rest() == [[1, 1, None, [b"served", {}]]]
 
@@ -130,10 +130,10 @@
     client = await place.rested()
     in_one_turn(lambda: client.sock.sendall(ask(2, place.now)), place.front.sweep)
     await turns()
-    assert [asked.number for asked in place.asked] == [2]
-    place.asked[0].settle(b"served")
+    assert [asked.message_id for asked in place.asked] == [2]
+    place.asked[0].complete(b"served")
     await turns()
-    place.now += 2 * SECOND
+    place.now += 2 * NS_PER_SECOND
     place.front.sweep()
     assert [1, 2, None, [b"served", {}]] in await client.rest()
 
@@ -142,8 +142,8 @@
 async def test_a_first_request_comes_as_its_silent_connection_is_closed() -> None:
     place = Place()
     client = await place.client()
-    place.now += 1600 * MS
-    place.front.swept = place.now - 250 * MS
+    place.now += 1600 * NS_PER_MS
+    place.front.last_sweep_ns = place.now - 250 * NS_PER_MS
     in_one_turn(lambda: client.sock.sendall(ask(1, place.now)), place.front.sweep)
     await turns()
     await is_served(place, client)
@@ -157,7 +157,8 @@
         newcomer = socket.create_connection(other.getsockname())
         accepted = other.accept()
         in_one_turn(
-            lambda: client.sock.sendall(ask(1, place.now)), lambda: place.front.met(*accepted)
+            lambda: client.sock.sendall(ask(1, place.now)),
+            lambda: place.front.add_connection(*accepted),
         )
         await turns()
     await is_served(place, client)
@@ -171,16 +172,16 @@
     """
     place = Place()
     client = await place.client()
-    client.there.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 32768)
+    client.there.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 32768)
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32768)
     client.sock.sendall(b"".join(ask(number, place.now) for number in range(1, 5)))
     await until(lambda: len(place.asked) == 4)
     for asked in place.asked:
-        asked.settle(b"x" * 100_000)
+        asked.complete(b"x" * 100_000)
     await turns()
-    assert client.there.writer.task is not None
+    assert client.there.writer.write_task is not None
     client.sock.sendall(b"\xc1")
-    await until(lambda: client.there.ended)
+    await until(lambda: client.there.is_ended)
     assert [len(answer[3][0]) for answer in await client.rest()] == [100_000] * 4
 
 
@@ -193,7 +194,7 @@
     client = await place.client()
     client.sock.sendall(ask(1, place.now))
     await until(lambda: place.asked)
-    place.asked[0].settle(b"served")
+    place.asked[0].complete(b"served")
     client.sock.sendall(b"\xc1" + b"z" * 60_000)
     answers = await client.rest()
     assert answers == [[1, 1, None, [b"served", {}]]]
@@ -207,11 +208,11 @@
     client = await place.rested()
     whole = ask(2, place.now)
     client.sock.sendall(whole[:9])
-    await until(lambda: client.there.partial_since)
+    await until(lambda: client.there.partial_since_ns)
     place.front.sweep()
     client.sock.sendall(whole[9:])
     await until(lambda: place.asked)
-    place.asked[0].settle(b"served")
+    place.asked[0].complete(b"served")
     client.sock.shutdown(socket.SHUT_WR)
     assert (await client.rest())[-1] == [1, 2, None, [b"served", {}]]
 
@@ -224,10 +225,10 @@
     place = Place()
     client = await place.client()
     for _ in range(4):
-        place.now += SECOND
+        place.now += NS_PER_SECOND
         place.front.sweep()
     assert await client.rest() == []
-    assert client.there.ended
+    assert client.there.is_ended
 
 
 @on_loop
@@ -238,12 +239,12 @@
     place = Place()
     client = await place.client()
     client.sock.sendall(ask(1, place.now)[:3])
-    await until(lambda: client.there.partial_since)
-    place.now += 1600 * MS
-    place.front.swept = place.now - 250 * MS
+    await until(lambda: client.there.partial_since_ns)
+    place.now += 1600 * NS_PER_MS
+    place.front.last_sweep_ns = place.now - 250 * NS_PER_MS
     in_one_turn(lambda: client.sock.sendall(ask(1, place.now)[3:9]), place.front.sweep)
     await turns()
-    assert client.there.ended
+    assert client.there.is_ended
     assert await client.rest() == []
 
 
@@ -253,9 +254,9 @@
     client = await place.client()
     whole = ask(1, place.now)
     client.sock.sendall(whole[:9])
-    await until(lambda: client.there.partial_since)
-    place.now += 1600 * MS
-    place.front.swept = place.now - 250 * MS
+    await until(lambda: client.there.partial_since_ns)
+    place.now += 1600 * NS_PER_MS
+    place.front.last_sweep_ns = place.now - 250 * NS_PER_MS
     in_one_turn(lambda: client.sock.sendall(whole[9:]), place.front.sweep)
     await turns()
     await is_served(place, client)
@@ -270,11 +271,11 @@
     clients = [await place.client() for _ in range(3)]
     for client in clients:
         client.sock.sendall(request(1, "health", {}) + b"\xc1")
-    await until(lambda: len(place.front.partings) == 3)
+    await until(lambda: len(place.front.closing) == 3)
     await place.client()
-    await until(lambda: len(place.front.partings) == 2)
+    await until(lambda: len(place.front.closing) == 2)
     assert len(place.front.connections) == 1
-    await until(lambda: not place.front.partings)  # within their bound, though nobody closed
+    await until(lambda: not place.front.closing)  # within their bound, though nobody closed
 
 
 def test_a_request_in_the_kernel_as_the_process_ends(tmp_path: Path) -> None:
@@ -384,20 +385,20 @@
     place = Place(most=64)
     clients = [await place.client() for _ in range(40)]
     for client in clients:
-        client.there.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        client.there.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.sock.sendall(ask(1, place.now))
     await until(lambda: len(place.asked) == 40)
     for asked in place.asked:
-        asked.settle(b"x" * 400_000)
+        asked.complete(b"x" * 400_000)
     await turns()
     most = 0
     for client in clients:
-        client.there.stop(Reason.UNREADABLE)
-        most = max(most, sum(parting.writer.size for parting in place.front.partings))
+        client.there.close_with_detail(CloseReason.MALFORMED)
+        most = max(most, sum(parting.writer.unsent_bytes for parting in place.front.closing))
     assert 4 << 20 < most <= 8 << 20
     assert not place.front.connections
-    await until(lambda: not place.front.partings)
+    await until(lambda: not place.front.closing)
 
 
 @played(drain_grace=300000)
@@ -411,7 +412,7 @@
     sent = time.time_ns()
     rig.process.send_signal(signal.SIGTERM)
     await asyncio.sleep(0.6)
-    answer = balancer.ask("look", fields(at=str((sent + 400 * MS) // MS)))
+    answer = balancer.ask("look", fields(at=str((sent + 400 * NS_PER_MS) // NS_PER_MS)))
     await balancer.writer.drain()
     rig.process.send_signal(signal.SIGCONT)
     error, _ = await soon(answer)
@@ -467,7 +468,7 @@
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         call = loop.create_task(
-            Pool(listener.getsockname()).call("0" * 16, b"which", 200 * MS, False)
+            ConnectionPool(listener.getsockname()).call("0" * 16, b"which", 200 * NS_PER_MS, False)
         )
         listener.setblocking(False)
         sock, _ = await loop.sock_accept(listener)
@@ -475,7 +476,7 @@
             pass
         sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nthis")
         time.sleep(0.25)  # the loop sees both at once: the reply, and that the time is up
-        assert await soon(call) == (Answer.WELL, b"this")
+        assert await soon(call) == (CallStatus.OK, b"this")
         sock.close()
 
 
@@ -489,7 +490,9 @@
         second.setblocking(False)
         second.connect_ex(listener.getsockname())
         call = loop.create_task(
-            Pool(listener.getsockname()).call("0" * 16, b"which", 5 * SECOND, False)
+            ConnectionPool(listener.getsockname()).call(
+                "0" * 16, b"which", 5 * NS_PER_SECOND, False
+            )
         )
         await asyncio.sleep(0.3)  # the first dial is lost by now
         first.close()
@@ -502,28 +505,28 @@
         patience = int(told.split(b"X-Patience: ")[1].split(b"\r\n")[0])
         assert patience < 4300, told
         sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nthis")
-        assert await soon(call) == (Answer.WELL, b"this")
+        assert await soon(call) == (CallStatus.OK, b"this")
 
 
 @on_loop
 async def test_a_silent_link_is_reset_in_the_turn_in_which_it_is_given_up() -> None:
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        link = Link(
+        link = ExecutorConnection(
             listener.getsockname(),
-            Tasks(),
+            TaskSupervisor(),
             lambda empty, age: None,
             lambda *ended: None,
             lambda *at: None,
         )
-        keeping = loop.create_task(link.keep())
+        keeping = loop.create_task(link.maintain())
         listener.setblocking(False)
         sock, _ = await loop.sock_accept(listener)
         await until(lambda: link.writer is not None)
-        link.silent = 1000
+        link.unanswered_polls = 1000
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         sock.close()
-        assert await link.gauges(0) is None
+        assert await link.query_gauges(0) is None
         sock, _ = await soon(loop.sock_accept(listener))  # and a new link is made
         sock.close()
         keeping.cancel()
@@ -539,8 +542,10 @@
     return listener, dials
 
 
-def linked(address: tuple[str, int]) -> Link:
-    return Link(address, Tasks(), lambda empty, age: None, lambda *ended: None, lambda *at: None)
+def linked(address: tuple[str, int]) -> ExecutorConnection:
+    return ExecutorConnection(
+        address, TaskSupervisor(), lambda empty, age: None, lambda *ended: None, lambda *at: None
+    )
 
 
 @on_loop
@@ -551,7 +556,7 @@
     loop = asyncio.get_running_loop()
     listener, dials = unanswered()
     link = linked(listener.getsockname())
-    keeping = loop.create_task(link.keep())
+    keeping = loop.create_task(link.maintain())
     await asyncio.sleep(1.5)  # the first dial and the system's own second are lost
     for dial in dials:
         dial.close()
@@ -570,11 +575,11 @@
     loop = asyncio.get_running_loop()
     listener, dials = unanswered()
     link = linked(listener.getsockname())
-    keeping = loop.create_task(link.keep())
-    await until(lambda: link.trying is not None)
+    keeping = loop.create_task(link.maintain())
+    await until(lambda: link.connection_task is not None)
     await turns()
     with socket.create_server(("127.0.0.1", 0)) as other:
-        link.move(other.getsockname())
+        link.change_address(other.getsockname())
         other.setblocking(False)
         sock, _ = await soon(loop.sock_accept(other))
         assert await soon(loop.sock_recv(sock, 64)) == b"JOIN 0\r\n"
@@ -591,7 +596,7 @@
     """
     first, second = await rig.balancer(), await rig.balancer()
     for count in range(10):
-        key, at = f"k{count}", str(time.time_ns() // MS)
+        key, at = f"k{count}", str(time.time_ns() // NS_PER_MS)
         answer = first.ask("pay", fields(once=key, at=at))
         id = await rig.command("EXEC", "pay")
         rig.process.send_signal(signal.SIGSTOP)
@@ -611,7 +616,7 @@
     came after may be.
     """
     balancer, other = await rig.balancer(), await rig.balancer()
-    at = time.time_ns() // MS
+    at = time.time_ns() // NS_PER_MS
     answer = balancer.ask("pay", fields(once="k", at=str(at)))
     id = await rig.command("EXEC", "pay")
     await asyncio.sleep(0.5)  # the window is over, the run is not
@@ -641,7 +646,7 @@
         answer = balancer.ask("look", fields(key=key))
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"first")
         await gets(answer, b"first")
-        ended = time.time_ns() // MS
+        ended = time.time_ns() // NS_PER_MS
         await gets(balancer.ask("look", fields(key=key, at=str(ended + 350))), b"first")
         late = balancer.ask("look", fields(key=key, at=str(ended + 401 + 10 * count)))
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"second")
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -18,9 +18,9 @@
 import pytest
 from rig import GIVEN, ROOT, Rig, fails, gets, played, soon, until
 
-from burlloom.discovery import Reports
+from burlloom.discovery import HealthReporter
 from burlloom.fakes.parts import Catalogue, Executor, NameService, fields
-from burlloom.sockets import MS, SECOND
+from burlloom.sockets import NS_PER_MS, NS_PER_SECOND
 
 TRAP = re.search(r'run = "(.*;) exec ', (ROOT / "deploy" / "balancer.toml").read_text())[1]  # type: ignore[index]
 
@@ -101,7 +101,7 @@
     # Until the other side closes, what it had sent meanwhile is served.
     await gets_one(rig, idle)
     idle.close()
-    await until(lambda: "reason=idle" in rig.log())
+    await until(lambda: "reason=idle_timeout" in rig.log())
     assert not health.shutdown.is_set()
 
 
@@ -191,7 +191,7 @@
 async def test_a_link_that_is_open_but_silent(rig: Rig) -> None:
     """Joined or not: the answer that would join it may be lost too."""
     rig.executor.deaf = True
-    await until(lambda: rig.log().count("event=executor-silent") == 2)
+    await until(lambda: rig.log().count("event=executor_unresponsive") == 2)
     rig.executor.deaf = False
     await until(lambda: len(rig.executor.joins) > 2)
     await gets_one(rig, await rig.balancer())
@@ -212,7 +212,7 @@
     executor.notify("LOG what came before is lost")
     executor.deaf = False
     await fails(answer, "Voided")
-    assert "event=notices-lost from=1 to=2" in rig.log()
+    assert "event=notices_lost first=1 last=2" in rig.log()
     await gets_one(rig, balancer)
 
 
@@ -295,7 +295,7 @@
     gone.ask("pay", fields(once="k"))
     id = await rig.command("EXEC", "pay")
     gone.reset()
-    await until(lambda: "reason=peer-reset" in rig.log())
+    await until(lambda: "reason=peer_reset" in rig.log())
     repeat = other.ask("pay", fields(once="k", retry="1"))
     await gets_health(other)
     rig.executor.exit(id, result=b"paid")
@@ -402,7 +402,7 @@
     answer = balancer.ask("pay", fields(once="k9"))
     id = await rig.command("EXEC", "pay")
     rig.executor.callout(id)
-    await until(lambda: "side=catalogue reason=refused" in rig.log())
+    await until(lambda: "side=downstream reason=connection_refused" in rig.log())
     rig.catalogue = await Catalogue(rig.reply).start(address)
     assert await rig.command("RETURN") == id
     rig.executor.exit(id, result=b"paid")
@@ -457,25 +457,25 @@
 
     async def late(span: int) -> None:
         nonlocal now
-        now += max(0, span) + 90 * MS + (10 * SECOND if len(at) == 50 else 0)
+        now += max(0, span) + 90 * NS_PER_MS + (10 * NS_PER_SECOND if len(at) == 50 else 0)
         if len(at) == 100:
             raise asyncio.CancelledError
 
-    monkeypatch.setattr("burlloom.discovery.reports.rest", late)
+    monkeypatch.setattr("burlloom.discovery.health_reporter.sleep_ns", late)
 
     async def play() -> None:
-        reports = Reports(("127.0.0.1", 9), "n1", lambda: now)
-        reports.said = True
-        monkeypatch.setattr(reports, "report", lambda: at.append(now))
+        reports = HealthReporter(("127.0.0.1", 9), "n1", lambda: now)
+        reports.last_reported = True
+        monkeypatch.setattr(reports, "send", lambda: at.append(now))
         with contextlib.suppress(asyncio.CancelledError):
-            await reports.keep()
+            await reports.run()
 
     asyncio.run(play())
-    assert at[49] - at[0] <= 49 * SECOND // 5 + 90 * MS  # five a second, one late
+    assert at[49] - at[0] <= 49 * NS_PER_SECOND // 5 + 90 * NS_PER_MS  # five a second, one late
     spans = [after - before for before, after in zip(at, at[1:], strict=False)]
-    assert max(spans) > 10 * SECOND
-    assert min(spans) >= 90 * MS
-    assert at[99] - at[50] <= 49 * SECOND // 5 + 90 * MS
+    assert max(spans) > 10 * NS_PER_SECOND
+    assert min(spans) >= 90 * NS_PER_MS
+    assert at[99] - at[50] <= 49 * NS_PER_SECOND // 5 + 90 * NS_PER_MS
 
 
 @played()
@@ -510,7 +510,7 @@
     backlog.close()
     assert await soon(rig.process.wait()) == 0
     assert "unanswered=0" in rig.log()
-    assert rig.log().count("reason=leaving") == 2
+    assert rig.log().count("reason=shutdown") == 2
 
 
 @played(n_cores=1, stop_ms=2000)
@@ -541,11 +541,13 @@
     greedy.writer.transport.pause_reading()  # type: ignore[attr-defined]
     for _ in range(4000):
         greedy.ask("look", fields())
-        await until(lambda: "reason=not-reading" in rig.log() or not rig.executor.commands.empty())
-        if "reason=not-reading" in rig.log():
+        await until(
+            lambda: "reason=slow_consumer" in rig.log() or not rig.executor.commands.empty()
+        )
+        if "reason=slow_consumer" in rig.log():
             break
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"y" * 4096)
-    assert rig.log().count("reason=not-reading") == 1
+    assert rig.log().count("reason=slow_consumer") == 1
     other = fields()
     answer = (await rig.balancer()).ask("look", other)
     while (id := await rig.command("EXEC", "look")) != other["id"]:
@@ -576,7 +578,7 @@
     await gets_one(rig, first)
     others = [await rig.balancer() for _ in range(24)]
     assert (await soon(others[-1].health()))[1][0] is True
-    assert "reason=full" in rig.log()
+    assert "reason=connection_limit" in rig.log()
     assert not first.ended.is_set()
     await gets_one(rig, first)
 
@@ -602,7 +604,7 @@
     ids = [await rig.command("EXEC", "look") for _ in answers]
     newcomer = await rig.balancer()
     checked = newcomer.health()
-    await until(lambda: "event=accept-failed" in rig.log())
+    await until(lambda: "event=accept_failed" in rig.log())
     before, began = used(rig), time.monotonic()
     await asyncio.sleep(0.5)
     assert used(rig) - before < 0.5 * (time.monotonic() - began)
@@ -661,7 +663,7 @@
         await gets_one(rig, await rig.balancer())
         rig.executor.exit(calling, result=b"paid")
         await gets(called, b"paid")
-        assert "event=accept-failed" not in rig.log()
+        assert "event=accept_failed" not in rig.log()
 
     story(tmp_path)
 
@@ -689,28 +691,28 @@
 
 
 BAD = {
-    "unreadable": [
+    "malformed": [
         b"\xc1",
         b"\xa1x",
         msgpack.packb([0, 1, "look"]),
         msgpack.packb([1, 1, "look", []]),
         b"\x94\x00\x01\xa1\xff\x90",
     ],
-    "wrong-type": [
+    "wrong_type": [
         request("1", "look", [{}, b""]),
         request(1, "look", {}),
         request(1, "look", [{1: ""}, b""]),
     ],
-    "too-large": [b"\x94\x00\x01\xa4look\x92\x80\xc6\xff\xff\xff\xff", b"\xdd\x7f\xff\xff\xff"],
-    "abusive": [
+    "too_large": [b"\x94\x00\x01\xa4look\x92\x80\xc6\xff\xff\xff\xff", b"\xdd\x7f\xff\xff\xff"],
+    "too_many_bad_requests": [
         request(1, "look", [{}, "text"])
         + request(2, "look", [{}])
         + request(3, "look", [{}, b"", b""])
         + request(4, "look", [fields(), b"x" * 2049])
     ],
-    "silent": [b""],
-    "unfinished": [b"\x94"],
-    "repeated-id": [
+    "first_message_timeout": [b""],
+    "message_timeout": [b"\x94"],
+    "repeated_message_id": [
         request(1, "health", [{}]) * 2,
         request(1, "health", [{}]) + request(0, "health", [{}]),
     ],
@@ -730,7 +732,7 @@
             }
             bad.writer.write(data)
             await soon(bad.ended.wait())
-            ended = f"peer={peer(bad)} reason={reason} txns"
+            ended = f"peer={peer(bad)} reason={reason} requests"
             await until(lambda: rig.log().count(ended) == 1)
     await fails(good.ask("look", fields(id=id)), "BadRequest")
     rig.executor.exit(id, result=b"fine")
@@ -746,7 +748,7 @@
     await asyncio.sleep(0.6)
     late.writer.write(b"\x94")
     await soon(late.ended.wait())
-    await until(lambda: f"peer={peer(late)} reason=unfinished txns" in rig.log())
+    await until(lambda: f"peer={peer(late)} reason=message_timeout requests" in rig.log())
 
 
 def peer(balancer: Any) -> str:
@@ -823,7 +825,9 @@
     for _ in range(80):
         await rig.balancer()
     await until(
-        lambda: "event=lines-left-out" in rig.log() or rig.log().count("reason=full") == 45
+        lambda: (
+            "event=lines-left-out" in rig.log() or rig.log().count("reason=connection_limit") == 45
+        )
     )  # of 81
     await gets_one(rig, await rig.balancer())
     rig.executor.exit(id, result=b"done")
@@ -865,7 +869,7 @@
     gone.ask("look", fields())
     await gets_health(gone)
     gone.reset()
-    await until(lambda: "reason=peer-reset" in rig.log())
+    await until(lambda: "reason=peer_reset" in rig.log())
     rig.executor.exit(id, result=b"unheard")
     await gets_one(rig, other)
     assert rig.executor.commands.empty()
@@ -921,7 +925,7 @@
         await until(lambda: len(rig.executor.joins) == count)
     rig.executor.exit(id, result=b"still")
     await gets(answer, b"still")
-    assert rig.log().count("side=executor reason=unreadable") == 8
+    assert rig.log().count("side=executor reason=malformed") == 8
 
 
 def broken(**changes: Any) -> str:
@@ -1082,7 +1086,7 @@
             await until(lambda: "event=reloaded" in rig.log())
             assert " catalogue=none " in rig.log()
             rig.executor.callout(id)
-            await until(lambda: f"event=call-failed id={id} answer=unreached" in rig.log())
+            await until(lambda: f"event=call-failed id={id} answer=unreachable" in rig.log())
             rig.executor.exit(id, "KILLED")
             await fails(answer, "Voided")
             assert not rig.catalogue.calls
