--- a/burlloom/dispatcher/dispatcher.py
+++ b/burlloom/dispatcher/dispatcher.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from ..choice import AdmissionController
-from ..interface import (
+from ..admission.controller import AdmissionController
+from ..admission.model import (
     Degradation,
     Gauges,
     Idempotency,
@@ -79,7 +79,7 @@
 
 
 class Dispatcher:
-    """Implements `interface.Effects`; only the decisions call those methods."""
+    """Implements `admission.model.Effects`; only the decisions call those methods."""
 
     def __init__(
         self,
@@ -235,19 +235,14 @@
 
     def call_demand(self) -> tuple[int, int]:
         """Calls in hand, with those left behind below; and how many txns wait for one."""
-        return self.controller.calls_in_hand(), len(self.controller.door)
+        return self.controller.calls_in_hand(), self.controller.queued_call_count()
 
     def load_signals(self) -> tuple[float, float, float]:
         """The age of the oldest held txn, of its SLA time; the lag of reading, of the shortest one;
         the pressure.
         """
-        choice, oldest = self.controller, self.controller.oldest()
-        age = 0.0
-        if oldest is not None:
-            age = (self.clock() - choice.slept - oldest.since) / self.settings.request_classes[
-                oldest.txn.request_class
-            ].latency_objective_ns
-        return age, choice.unread_mean() / choice.lag, choice.press
+        choice = self.controller
+        return choice.queue_age_share(self.clock()), choice.read_lag_share(), choice.pressure
 
     def complete_key(self, mark: bytes, result: bytes | None) -> None:
         """What became of a txn that ran elsewhere or in a former life; None: there is nothing to
@@ -325,19 +320,19 @@
                 ref=ref,
                 caller=caller[0],
                 request_class=txn.request_class,
-                cost=txn.cost_ns,
+                cost_ns=txn.cost_ns,
                 unread_ns=max(0, now - txn.sent_at_ns),
-                deadline=0,
+                deadline_at_ns=0,
                 memory_kb=txn.memory_kb,
                 priority=txn.priority,
-                repeat_of=self.idempotency_table.find_original(
+                original_ref=self.idempotency_table.find_original(
                     mark, txn.sent_at_ns, seat.is_idempotent
                 )
                 if mark and self.may_answer_duplicate(mark, txn, now)
                 else -1,
                 is_recordable=txn.is_recordable,
                 is_retry=txn.is_retry,
-                over_share=txn.is_over_share and self.rejects_over_share or txn.is_held_back,
+                is_over_share=txn.is_over_share and self.rejects_over_share or txn.is_held_back,
                 sampling_draw=txn.sampling_draw,
             ),
         )
--- a/burlloom/dispatcher/key_digests.py
+++ b/burlloom/dispatcher/key_digests.py
@@ -1,7 +1,7 @@
 """Two structures made for marks: what was read back at a start, packed; and when what is laid now
 ends, a wheel.
 
-Against plain ones they are measured by benchmarks/key_digests.py; the figures stand in docs/results.md.
+benchmarks/key_digests.py measures them against plain ones; docs/results.md has the figures.
 """
 
 from bisect import bisect_left
--- a/burlloom/distribution/stores/postgres.py
+++ b/burlloom/distribution/stores/postgres.py
@@ -2,12 +2,12 @@
 
 from typing import Any
 
-from ...record.shared_postgres import SharedDatabase
+from ...record.shared_postgres import SharedPostgresDatabase
 from .tables import Statement, Tables
 
 
-class Postgres(SharedDatabase, Tables):
-    async def together(self, guard: Statement, rest: list[Statement]) -> bool:
+class Postgres(SharedPostgresDatabase, Tables):
+    async def transaction(self, guard: Statement, rest: list[Statement]) -> bool:
         async def work(link: Any) -> bool:
             async with link.transaction():
                 # The head's row is locked by the first: a second writer waits for our end, and then
@@ -18,5 +18,5 @@
                     await link.fetch(sql, *values)
             return True
 
-        held: bool = await self.guarded(work)
+        held: bool = await self.run_guarded(work)
         return held
--- a/burlloom/lab/node.py
+++ b/burlloom/lab/node.py
@@ -7,9 +7,9 @@
 
 from ..executor import RunStatus
 from ..rpc import IncomingRequest
-from ..server.assembly import Server
-from ..server.configuration import Orders
-from ..settings import facts
+from ..server.configuration import ServerConfig
+from ..server.server import Server
+from ..settings import parse_server_settings
 from .below import Pool
 from .clock import SECOND
 from .load import Order
@@ -63,8 +63,8 @@
         self.attempts = {}
         self.cores = Cores(loop, told, self.speed, loop.now if cold else -1e6)
         self.cores.slow = self.slow
-        known, meters = facts(fleet.settings)
-        orders = Orders(
+        known, meters = parse_server_settings(fleet.settings)
+        orders = ServerConfig(
             self.name,
             ("", 0),
             ("", 0),
@@ -95,10 +95,14 @@
         server.reports = Reports(self)  # type: ignore[assignment]
         life = self.life
         self.executor = Executor(
-            self.cores, self.work, self.ran, lambda *told: self.ended(life, *told), server.at_call
+            self.cores,
+            self.work,
+            self.ran,
+            lambda *told: self.ended(life, *told),
+            server.run_reached_call,
         )
         server.link, server.pool = self.executor, Pool(fleet.below)  # type: ignore[assignment]
-        server.welcome(cold, 0 if cold else 600_000)
+        server.executor_welcomed(cold, 0 if cold else 600_000)
 
     def work(self, id: str) -> tuple[float, int, float]:
         order = self.attempts[id].order
@@ -167,7 +171,7 @@
             attempt.retry,
             tenants[order.tenant].name if tenants else "",
         )
-        server.asked(attempt.asked)
+        server.receive(attempt.asked)
 
     def forget(self, attempt: "Attempt") -> None:
         if self.attempts.pop(attempt.id, None) is not None:
@@ -194,12 +198,12 @@
             and attempt.id in self.attempts
             and attempt.asked is not None
         ):
-            self.server.lost(attempt.asked)
+            self.server.connection_lost(attempt.asked)
 
     def drain(self) -> None:
-        if self.up and self.server is not None and not self.server.leaving:
+        if self.up and self.server is not None and not self.server.is_shutting_down:
             self.fleet.rules.drained(self.fleet.loop.now, self.name, self.life)
-            self.server.leave()
+            self.server.begin_shutdown()
 
     def stop(self, killed: bool) -> None:
         """The end of its process: `killed` outright, or gone of its own once it has drained."""
@@ -209,9 +213,9 @@
         self.fleet.rules.stopped(self.fleet.loop.now, self.name, self.life, killed)
         self.executor.stop()
         if not killed:
-            self.server.fleet.close()
+            self.server.membership.close()
             if self.fleet.rolls is not None:
-                self.fleet.loop.create_task(self.server.rolling.close())
+                self.fleet.loop.create_task(self.server.rollout.close())
         for task in list(self.server.tasks.running):
             task.cancel()
         self.server = None
@@ -243,7 +247,7 @@
         desk = self.server.desk if self.server is not None else None
         if desk is None or self.server is None:
             return {}
-        choice = desk.controller
+        sizes = desk.controller.sizes()
         return {
             "seats": len(desk.slots),
             "refs": len(desk.refs_by_id),
@@ -253,10 +257,10 @@
             "copies": len(desk.duplicate_answers),
             "marks": len(desk.idempotency_table.records),
             "wheel": sum(map(len, desk.idempotency_table.timer_wheel.slots.values())),
-            "cases": len(choice.cases),
-            "live": len(choice.live),
-            "spent": len(choice.spent),
-            "lingering": len(choice.lingering),
-            "serving": len(self.server.serving),
+            "cases": sizes.requests,
+            "live": sizes.live,
+            "spent": sizes.ended,
+            "lingering": sizes.lingering_calls,
+            "serving": len(self.server.open_requests),
             "tasks": len(self.server.tasks.running),
         }
--- a/burlloom/rpc/incoming_request.py
+++ b/burlloom/rpc/incoming_request.py
@@ -84,12 +84,12 @@
 
 
 def parse_number(fields: dict[str, Any], name: str, least: float, most: float) -> float:
-    parse_text = fields.get(name, "0")
-    if type(parse_text) is not str or not DECIMAL_PATTERN.fullmatch(parse_text):
-        raise MalformedRequestError(f"{name} {parse_text!r:.40}")
-    value = float(parse_text)
+    text = fields.get(name, "0")
+    if type(text) is not str or not DECIMAL_PATTERN.fullmatch(text):
+        raise MalformedRequestError(f"{name} {text!r:.40}")
+    value = float(text)
     if not least <= value <= most:
-        raise MalformedRequestError(f"{name} {parse_text}")
+        raise MalformedRequestError(f"{name} {text}")
     return value
 
 
--- a/burlloom/server/distributing.py
+++ b/burlloom/server/configuration_distribution.py
@@ -13,14 +13,14 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from ..sockets import NS_PER_MS, NS_PER_SECOND, TaskSupervisor, sleep_ns
-from .fleeting import since_start
+from .membership import monotonic_ns
 
 if TYPE_CHECKING:
     import asyncio
     import socket
 
     from ..distribution import Follower, Replica
-    from ..distribution.table import Place
+    from ..distribution.table import ItemPosition
     from ..metrics import Exposed
     from ..operator import DistributionPart
 
@@ -29,21 +29,21 @@
 TICK = 50 * NS_PER_MS
 LOOK_EVERY = NS_PER_SECOND  # at the keys, and for the state's file
 MOMENT = 5 * NS_PER_MS
-COUNT_EVERY = 300 * NS_PER_SECOND  # between two countings of all portions
+COUNT_INTERVAL_NS = 300 * NS_PER_SECOND  # between two countings of all portions
 COUNT_BYTES = 32 << 10  # of a page that is counted: about a millisecond
 PAGES_A_TICK, ENTRIES_A_TICK = 16, 400  # of portions counted in one tick
 PORTION_MOST = 1e9
 
 
-class Distributing(Protocol):
+class ConfigurationDistribution(Protocol):
     """What the server asks of the configuration that is distributed."""
 
-    def tenants(self, told: Mapping[str, float]) -> Collection[str]:
+    def served_tenants(self, told: Mapping[str, float]) -> Collection[str]:
         """Those that are served, now and at any later time; `told`: by the server's own
         configuration.
         """
 
-    def share(self, told: Mapping[str, float]) -> Callable[[str], float | None] | None:
+    def tenant_shares(self, told: Mapping[str, float]) -> Callable[[str], float | None] | None:
         """A tenant's share of the service, None of one that is not served; None where `told` says
         all.
         """
@@ -54,13 +54,13 @@
     def close(self) -> None: ...
 
 
-class NoDistribution:
+class NoConfigurationDistribution:
     """The server's own configuration says all."""
 
-    def tenants(self, told: Mapping[str, float]) -> Collection[str]:
+    def served_tenants(self, told: Mapping[str, float]) -> Collection[str]:
         return told
 
-    def share(self, told: Mapping[str, float]) -> Callable[[str], float | None] | None:
+    def tenant_shares(self, told: Mapping[str, float]) -> Callable[[str], float | None] | None:
         return None
 
     async def open(self) -> None:
@@ -70,7 +70,7 @@
         pass
 
 
-class Tenants(Collection[str]):
+class ServedTenants(Collection[str]):
     """Those of the table once it is in force, else those that the server's configuration told."""
 
     def __init__(self, replica: Replica, told: Collection[str]) -> None:
@@ -110,26 +110,26 @@
     )
 
 
-class Portions:
+class TenantPortions:
     """What all tenants' portions come to: counted through the table some at a time, again some
     minutes after a change. Until then each is taken for one.
     """
 
     def __init__(self, replica: Replica) -> None:
         self.replica = replica
-        self.whole = 0.0
+        self.total = 0.0
         self.sum, self.bucket = 0.0, -1  # the counting under way; no bucket: none is
-        self.after: Place | None = None
+        self.after: ItemPosition | None = None
         self.of: Any = None  # the epoch and revision that the last one began at
-        self.began_at = -COUNT_EVERY
+        self.began_at = -COUNT_INTERVAL_NS
 
-    def step(self, now: int) -> None:
+    def advance(self, now: int) -> None:
         """Once a tick: a bounded part."""
         head, table = self.replica.head, self.replica.table
         if head is None:
             return
         if self.bucket < 0:
-            if self.of == head[:2] or now - self.began_at < COUNT_EVERY:
+            if self.of == head[:2] or now - self.began_at < COUNT_INTERVAL_NS:
                 return
             self.of, self.began_at, self.sum, self.bucket, self.after = head[:2], now, 0.0, 0, None
         seen = 0
@@ -137,16 +137,16 @@
             page = table.page(self.bucket, self.after, table.scopes or ("",), COUNT_BYTES)
             self.sum += sum(
                 portion_of(entry.value)
-                for entry in page.entries
+                for entry in page.items
                 if entry.kind == "tenant" and entry.value is not None
             )
-            self.after = page.last
-            if page.done:
+            self.after = page.last_position
+            if page.is_last:
                 self.bucket, self.after = self.bucket + 1, None
             if self.bucket == BUCKETS:
-                self.whole, self.bucket = self.sum, -1
+                self.total, self.bucket = self.sum, -1
                 return
-            seen += len(page.entries)
+            seen += len(page.items)
             if seen >= ENTRIES_A_TICK:
                 return
 
@@ -154,14 +154,14 @@
         value = self.replica.table.get("tenant", name)
         if value is None:
             return None
-        whole = self.whole or float(self.replica.table.count("tenant"))
+        whole = self.total or float(self.replica.table.count("tenant"))
         return min(1.0, portion_of(value) / whole) if whole else 1.0
 
 
 BUCKETS = 256  # of `distribution.table`, which is imported only where this is on
 
 
-class Distributed:
+class FollowedConfiguration:
     """`sock`: bound, for datagrams. `leaving`: whether the server is on its way out."""
 
     def __init__(
@@ -177,20 +177,22 @@
 
         from .. import distribution
         from ..distribution.endpoint import Endpoint
-        from ..distribution.telling import Keys, Telling
+        from ..distribution.status_report import HeadLogger, KeyFile
 
         self.part, self.name, self.tasks, self.leaving, self.clock = (
             part,
             name,
             tasks,
             leaving,
-            since_start,
+            monotonic_ns,
         )
         life = time.time_ns() // NS_PER_MS
-        self.seals = Keys(Path(part.key_file), part.keys, "seals")
-        self.signing = Keys(Path(part.signing_key_file), part.signing_keys, "signing")
+        self.seals = KeyFile(Path(part.key_file), part.keys, "seals")
+        self.signing = KeyFile(Path(part.signing_key_file), part.signing_keys, "signing")
         scopes = ("", part.region)
-        self.replica: Replica = distribution.Replica(distribution.Table(scopes), self.signing.keys)
+        self.replica: Replica = distribution.Replica(
+            distribution.ConfigTable(scopes), self.signing.keys
+        )
         self.follower: Follower = distribution.Follower(
             self.replica,
             name,
@@ -203,7 +205,7 @@
             self.clock(),
         )
         self.endpoint = Endpoint(sock, self.hear)
-        self.telling, self.portions = Telling(self.replica), Portions(self.replica)
+        self.telling, self.portions = HeadLogger(self.replica), TenantPortions(self.replica)
         self.state = self.follower.state
         self.looked_at = 0
         self.counting = False  # whether anybody asks for shares
@@ -211,11 +213,11 @@
         self.exposed: Exposed | None = None
         self.task: asyncio.Task[None] | None = None
 
-    def tenants(self, told: Mapping[str, float]) -> Collection[str]:
+    def served_tenants(self, told: Mapping[str, float]) -> Collection[str]:
         self.told = told
-        return Tenants(self.replica, told)
+        return ServedTenants(self.replica, told)
 
-    def share(self, told: Mapping[str, float]) -> Callable[[str], float | None]:
+    def tenant_shares(self, told: Mapping[str, float]) -> Callable[[str], float | None]:
         self.counting = True
         whole = sum(told.values()) or 1.0
         own = {name: portion / whole for name, portion in told.items()}
@@ -240,7 +242,7 @@
             and self.clock() - began < self.part.wait_ms * NS_PER_MS
         ):
             await sleep_ns(MOMENT)
-        self.telling.look()
+        self.telling.log_moves()
         if self.replica.head is None:
             log.warning(
                 "event=distribution-not-in-force waited_ms=%d tenants=%d detail='the configuration file holds"
@@ -261,7 +263,7 @@
         now = self.clock()
         self.follower.tick(now)
         self.endpoint.flush(self.follower.out)
-        self.telling.look()
+        self.telling.log_moves()
         if self.follower.state != self.state:
             log.info(
                 "event=distribution-state from=%s to=%s upstream=%s age_ms=%s",
@@ -272,14 +274,14 @@
             )
             self.state = self.follower.state
         if self.counting:
-            self.portions.step(now)
+            self.portions.advance(now)
         if now - self.looked_at >= LOOK_EVERY:
             self.looked_at = now
             self.look(now)
 
     def hear(self, data: bytes, source: tuple[str, int]) -> None:
         """Between two requests: a change, or a page, and no more."""
-        self.follower.hear(self.clock(), data, source)
+        self.follower.receive(self.clock(), data, source)
         self.endpoint.flush(self.follower.out)
 
     def age(self, now: int) -> str:
@@ -288,19 +290,19 @@
 
     def look(self, now: int) -> None:
         """Once a second."""
-        if self.seals.changed():
+        if self.seals.reload_if_changed():
             self.follower.keys = self.seals.keys
-        if self.signing.changed():
+        if self.signing.reload_if_changed():
             self.replica.keys = self.signing.keys
-        self.endpoint.tell_refusals(now // NS_PER_SECOND, self.follower.refusals)
+        self.endpoint.log_refusals(now // NS_PER_SECOND, self.follower.refusals)
         if self.part.state_file is not None:
-            from ..distribution.telling import write_state
+            from ..distribution.status_report import write_state
 
             write_state(self.part.state_file, self.summary(now))
 
     def summary(self, now: int) -> dict[str, object]:
         from ..distribution.follower import summary
-        from ..distribution.telling import held
+        from ..distribution.status_report import replica_summary
 
         return {
             "told_at": time.time_ns(),
@@ -308,7 +310,7 @@
             "region": self.part.region,
             "address": self.endpoint.address,
             **summary(self.follower, now),
-            **held(self.replica),
+            **replica_summary(self.replica),
         }
 
     # For whoever reads metrics.
@@ -316,7 +318,7 @@
     def counts(self) -> dict[str, int]:
         counts = self.follower.counts
         told = {name: getattr(counts, name) for name in counts.__slots__ if name != "refused"}
-        return {**told, "refused": sum(counts.refused.values()), "unsent": self.endpoint.unsent}
+        return {**told, "refused": sum(counts.refused.values()), "unsent": self.endpoint.dropped}
 
     def gauges(self) -> dict[str, float]:
         """The age is NaN where nothing is in force."""
@@ -337,7 +339,7 @@
             self.task.cancel()
         self.follower.leave()
         self.endpoint.flush(self.follower.out)
-        self.telling.look()
+        self.telling.log_moves()
         if self.part.state_file is not None and self.task is not None:
             self.look(self.clock())
         self.endpoint.close()
--- a/burlloom/server/recovering.py
+++ b/burlloom/server/recovery.py
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from ..recovery import Recovery, Terms
-    from .fleeting import Fleeting
+    from ..recovery import RecoveryController, RecoveryPolicy
+    from .membership import FleetMembership
 
 log = logging.getLogger(__name__)
 
@@ -27,72 +27,72 @@
 FREE = float("inf")
 
 
-class Recovering(Protocol):
+class RestartRecovery(Protocol):
     """What the server tells its recovery, and asks of it."""
 
-    life: int  # of this process, Unix ms; the fleet knows it by the same
-    members: tuple[str, ...]  # addresses of others, of the last life
-
-    def begin_desk(self, desk: Dispatcher, record_life: int) -> None: ...
-    def peer(self, life: int) -> None: ...
-    def cap(self) -> float: ...
-    def holds_back(self, retry: bool) -> bool: ...
-    def fenced(self) -> bool: ...
-    def called(self, well: bool) -> None: ...
-    def round(self) -> None: ...
-    def back(self) -> bool:
+    incarnation: int  # of this process, Unix ms; the fleet knows it by the same
+    known_members: tuple[str, ...]  # addresses of others, of the last life
+
+    def attach_dispatcher(self, desk: Dispatcher, record_life: int) -> None: ...
+    def previous_incarnation_seen(self, life: int) -> None: ...
+    def call_cap(self) -> float: ...
+    def holds_back_retry(self, retry: bool) -> bool: ...
+    def is_fenced(self) -> bool: ...
+    def call_ended(self, well: bool) -> None: ...
+    def update(self) -> None: ...
+    def is_complete(self) -> bool:
         """Whether its way back is over."""
 
     def close(self) -> None: ...
 
 
-class NoRecovery:
+class NoRestartRecovery:
     """A start is like any other moment."""
 
-    members: tuple[str, ...] = ()
+    known_members: tuple[str, ...] = ()
 
     def __init__(self) -> None:
-        self.life = time.time_ns() // NS_PER_MS
+        self.incarnation = time.time_ns() // NS_PER_MS
 
-    def begin_desk(self, desk: Dispatcher, record_life: int) -> None:
+    def attach_dispatcher(self, desk: Dispatcher, record_life: int) -> None:
         pass
 
-    def peer(self, life: int) -> None:
+    def previous_incarnation_seen(self, life: int) -> None:
         pass
 
-    def cap(self) -> float:
+    def call_cap(self) -> float:
         return FREE
 
-    def holds_back(self, retry: bool) -> bool:
+    def holds_back_retry(self, retry: bool) -> bool:
         return False
 
-    def fenced(self) -> bool:
+    def is_fenced(self) -> bool:
         return False
 
-    def called(self, well: bool) -> None:
+    def call_ended(self, well: bool) -> None:
         pass
 
-    def round(self) -> None:
+    def update(self) -> None:
         pass
 
-    def back(self) -> bool:
+    def is_complete(self) -> bool:
         return True
 
     def close(self) -> None:
         pass
 
 
-class Recovered:
+class ConfiguredRestartRecovery:
     """`fleet` gives the server's fleet once there is one; `alone`: calls that we may have where
     there is none.
     """
 
     def __init__(
         self,
-        terms: Terms,
+        terms: RecoveryPolicy,
         name: str,
         clock: Callable[[], int],
-        fleet: Callable[[], Fleeting],
+        fleet: Callable[[], FleetMembership],
         alone: float,
         lonely: bool,
         state_file: Path | None,
@@ -107,12 +107,14 @@
             alone,
             state_file,
         )
-        self.life = time.time_ns() // NS_PER_MS
-        found = recovery.read(self.text())
-        self.recovery: Recovery = recovery.Recovery(terms, found, name, clock(), self.life, lonely)
+        self.incarnation = time.time_ns() // NS_PER_MS
+        found = recovery.parse_snapshot(self.text())
+        self.recovery: RecoveryController = recovery.RecoveryController(
+            terms, found, name, clock(), self.incarnation, lonely
+        )
         # Old addresses do no harm: whoever is there answers with a sealed letter.
-        kept = self.recovery.kept
-        self.members = kept.members if kept is not None else ()
+        kept = self.recovery.snapshot
+        self.known_members = kept.peer_addresses if kept is not None else ()
         self.desk: Dispatcher | None = None
         self.record_life = -1
         self.told_at = 0
@@ -121,9 +123,9 @@
         )
         log.info(
             "event=recovery kept=%s life=%d members=%d",
-            self.recovery.verdict.name.lower(),
-            kept.life if kept is not None else 0,
-            len(self.members),
+            self.recovery.validity.name.lower(),
+            kept.incarnation if kept is not None else 0,
+            len(self.known_members),
         )
 
     def text(self) -> str | None:
@@ -137,93 +139,93 @@
             log.warning("event=recovery-unread detail=%r", str(error))
             return ""
 
-    def begin_desk(self, desk: Dispatcher, record_life: int) -> None:
+    def attach_dispatcher(self, desk: Dispatcher, record_life: int) -> None:
         self.desk, self.record_life = desk, record_life
         if record_life >= 0:
-            self.recovery.store(record_life, self.clock())
+            self.recovery.record_opened(record_life, self.clock())
         self.holding = True
         desk.set_recovering(True)
-        self.round()
+        self.update()
 
-    def peer(self, life: int) -> None:
-        self.recovery.peer(life, self.clock())
+    def previous_incarnation_seen(self, life: int) -> None:
+        self.recovery.peer_reported_incarnation(life, self.clock())
         self.say()
 
-    def cap(self) -> float:
-        return self.recovery.cap
+    def call_cap(self) -> float:
+        return self.recovery.call_cap
 
-    def holds_back(self, retry: bool) -> bool:
-        return self.recovery.holds_back(self.clock(), retry)
+    def holds_back_retry(self, retry: bool) -> bool:
+        return self.recovery.should_hold_back_retry(self.clock(), retry)
 
-    def fenced(self) -> bool:
-        return self.recovery.fenced(self.clock())
+    def is_fenced(self) -> bool:
+        return self.recovery.is_fenced(self.clock())
 
-    def called(self, well: bool) -> None:
-        self.recovery.called(well)
+    def call_ended(self, well: bool) -> None:
+        self.recovery.record_call(well)
 
-    def round(self) -> None:
+    def update(self) -> None:
         now = self.clock()
         if self.desk is None:
             return
-        shared = self.fleet().equal()
+        shared = self.fleet().call_shares()
         equal, share = shared if shared is not None else (self.alone, self.alone)
-        if self.recovery.round(now, equal, share):
-            cap = self.recovery.cap
+        if self.recovery.tick(now, equal, share):
+            cap = self.recovery.call_cap
             log.info(
                 "event=recovery-cap calls=%.2f equal=%.2f ms=%d",
                 min(cap, 1e9),
                 equal,
-                (now - self.recovery.began) // NS_PER_MS,
+                (now - self.recovery.started_at_ns) // NS_PER_MS,
             )
             if shared is None:
                 self.desk.set_call_quota(min(cap, self.alone))
-        if self.recovery.over and self.holding:
+        if self.recovery.is_complete and self.holding:
             self.holding = False
             self.desk.set_recovering(False)
             log.warning(
                 "event=recovery-over ms=%d held_back=%d",
-                (now - self.recovery.began) // NS_PER_MS,
-                self.recovery.retries.refused,
+                (now - self.recovery.started_at_ns) // NS_PER_MS,
+                self.recovery.retry_budget.rejected,
             )
         self.say()
         if now - self.told_at >= TELL_EVERY and not self.closed:
             self.told_at = now
             self.write(share, clean=False)
 
-    def back(self) -> bool:
-        return self.recovery.over
+    def is_complete(self) -> bool:
+        return self.recovery.is_complete
 
     def say(self) -> None:
-        for what, effect in self.recovery.effects:
+        for what, effect in self.recovery.pending_log_entries:
             # A few a life, in the very moment in which info lines are left out by the hundred.
             log.warning(
                 "event=recovery-start input=%s effect=%s state=%s",
                 what,
                 effect,
-                self.recovery.start.state.name.lower(),
+                self.recovery.bootstrap.state.name.lower(),
             )
-        self.recovery.effects = []
+        self.recovery.pending_log_entries = []
 
     def write(self, share: float, clean: bool) -> None:
         if self.state_file is None:
             return
-        kept = self.of.Kept(
+        kept = self.of.RecoverySnapshot(
             self.name,
-            self.life,
+            self.incarnation,
             time.time_ns() // NS_PER_MS,
             self.record_life,
             share,
             clean,
-            self.of.kept.members(self.fleet().addresses()),
+            self.of.limit_members(self.fleet().peer_addresses()),
         )
         part = self.state_file.with_name(self.state_file.name + ".part")
         try:
-            part.write_text(self.of.write(kept), encoding="utf-8")
+            part.write_text(self.of.serialize_snapshot(kept), encoding="utf-8")
             os.replace(part, self.state_file)
         except OSError as error:
             log.warning("event=state-not-written detail=%r", str(error))
 
     def close(self) -> None:
         self.closed = True
-        shared = self.fleet().equal()
+        shared = self.fleet().call_shares()
         self.write(shared[1] if shared is not None else self.alone, clean=True)
--- a/tests/test_distributing.py
+++ b/tests/test_configuration_distribution.py
@@ -12,40 +12,51 @@
 import msgpack
 import pytest
 
-from burlloom.distribution.changes import Change, Entry, Head, chained, encode, first_head
-from burlloom.distribution.log import LOG_MOST
+from burlloom.distribution.change_log import MAX_LOGGED_CHANGES
+from burlloom.distribution.changes import (
+    Change,
+    ConfigItem,
+    Head,
+    encode_items,
+    initial_head,
+    next_change,
+)
 from burlloom.distribution.replica import Replica
-from burlloom.distribution.stores.reading import Broken, Reading
+from burlloom.distribution.status_report import HeadLogger, KeyFile
 from burlloom.distribution.stores.sqlite import Sqlite
-from burlloom.distribution.table import Table
-from burlloom.distribution.telling import Keys, Telling
+from burlloom.distribution.stores.store_follower import StoreFollower, StoreInconsistentError
+from burlloom.distribution.table import ConfigTable
 from burlloom.fakes.parts import fields
-from burlloom.levels.signals import RINGS_MOST
-from burlloom.levels.signals import Tenants as Shares
+from burlloom.levels.signals import MAX_TENANTS
+from burlloom.levels.signals import TenantShares as Shares
 from burlloom.rpc.incoming_request import MalformedRequestError, RequestRules, parse_request
-from burlloom.server.distributing import COUNT_EVERY, Portions, Tenants
+from burlloom.server.configuration_distribution import (
+    COUNT_INTERVAL_NS,
+    ServedTenants,
+    TenantPortions,
+)
 
 SIGNING = b"s" * 32
 SECOND = 1_000_000_000
 
 
-def tenant(name: str, **value: Any) -> Entry:
-    return Entry("", "tenant", name, msgpack.packb(value))
+def tenant(name: str, **value: Any) -> ConfigItem:
+    return ConfigItem("", "tenant", name, msgpack.packb(value))
 
 
-def replica(*entries: Entry) -> Replica:
-    made = Replica(Table(("", "north")), (SIGNING,))
-    made.begin(first_head(1, 0), entries)
+def replica(*entries: ConfigItem) -> Replica:
+    made = Replica(ConfigTable(("", "north")), (SIGNING,))
+    made.load(initial_head(1, 0), entries)
     return made
 
 
-def change(before: Head, *entries: Entry) -> Change:
-    return chained(before, "", encode(entries), 1, SIGNING)
+def change(before: Head, *entries: ConfigItem) -> Change:
+    return next_change(before, "", encode_items(entries), 1, SIGNING)
 
 
 def test_requests_are_held_against_the_tenants_in_force() -> None:
-    held = Replica(Table(("", "north")), (SIGNING,))
-    known = RequestRules({"look": False}, Tenants(held, {"acme": 1.0}), 6 * SECOND)
+    held = Replica(ConfigTable(("", "north")), (SIGNING,))
+    known = RequestRules({"look": False}, ServedTenants(held, {"acme": 1.0}), 6 * SECOND)
     told = fields()
     now = int(told["at"]) * 1_000_000
 
@@ -60,17 +71,22 @@
     assert not serves("blue")
     assert not serves(7)
     assert not serves(["acme"])
-    held.begin(first_head(1, 0), [tenant("blue")])
+    held.load(initial_head(1, 0), [tenant("blue")])
     assert serves("blue")
     assert not serves("acme")
     assert not serves(7)
     assert not serves(["blue"])
     assert not serves("\ud800")
     assert (
-        held.take(change(held.head or first_head(1, 0), Entry("", "tenant", "blue", None))) is None
+        held.apply_change(
+            change(held.head or initial_head(1, 0), ConfigItem("", "tenant", "blue", None))
+        )
+        is None
     )
     assert not serves("blue"), "a table without any tenant serves none"
-    assert not Tenants(Replica(Table(("",)), ()), {}), "a configuration without any serves all"
+    assert not ServedTenants(Replica(ConfigTable(("",)), ()), {}), (
+        "a configuration without any serves all"
+    )
 
 
 def test_shares_follow_the_table() -> None:
@@ -78,41 +94,43 @@
         tenant("a", portion=3),
         tenant("b"),
         tenant("odd", portion="many"),
-        Entry("", "route", "r", msgpack.packb({})),
+        ConfigItem("", "route", "r", msgpack.packb({})),
     )
-    portions = Portions(held)
+    portions = TenantPortions(held)
     assert portions.share("a") == 1.0 and portions.share("b") == pytest.approx(1 / 3), (
         "each for one, until counted"
     )
     for at in range(256):
-        portions.step(at)
-    assert portions.whole == 5.0
+        portions.advance(at)
+    assert portions.total == 5.0
     assert portions.share("a") == pytest.approx(0.6)
     assert portions.share("none") is None
-    assert held.take(change(held.head or first_head(1, 0), tenant("a", portion=8))) is None
-    portions.step(1000)
+    assert (
+        held.apply_change(change(held.head or initial_head(1, 0), tenant("a", portion=8))) is None
+    )
+    portions.advance(1000)
     assert portions.bucket < 0, "again only some minutes later"
     for at in range(256):
-        portions.step(COUNT_EVERY + 1000 + at)
-    assert portions.whole == 10.0
+        portions.advance(COUNT_INTERVAL_NS + 1000 + at)
+    assert portions.total == 10.0
     assert portions.share("a") == pytest.approx(0.8)
 
     shares = Shares((), share=portions.share)
     chance, past = Random(1), {"a": 0, "b": 0}
     for n in range(3000):
         name = "b" if chance.random() < 0.6 else "a"
-        past[name] += shares.read(n * SECOND // 100, name)
+        past[name] += shares.is_over_share(n * SECOND // 100, name)
     assert past["b"] > 1000
     assert not past["a"]
-    assert not shares.read(0, "none")
+    assert not shares.is_over_share(0, "none")
 
 
 def test_reads_of_many_tenants_are_counted_for_a_bounded_number() -> None:
     shares = Shares((), share=lambda name: 1e-5)
-    for n in range(RINGS_MOST + 100):
-        shares.read(n, f"t{n}")
-    assert len(shares.rings) == RINGS_MOST
-    assert len(shares.past) <= RINGS_MOST
+    for n in range(MAX_TENANTS + 100):
+        shares.is_over_share(n, f"t{n}")
+    assert len(shares.rings) == MAX_TENANTS
+    assert len(shares.past) <= MAX_TENANTS
     assert "t0" not in shares.rings
 
 
@@ -120,10 +138,10 @@
     def __init__(self) -> None:
         self.loads, self.renewals = 0, 0
 
-    def loaded(self, head: Head) -> None:
+    def on_table_loaded(self, head: Head) -> None:
         self.loads += 1
 
-    def renewed(self, seen: Head, own: Head) -> None:
+    def on_epoch_begun(self, seen: Head, own: Head) -> None:
         self.renewals += 1
 
 
@@ -131,86 +149,88 @@
     async def play() -> None:
         store, held, told = (
             Sqlite(tmp_path / "changes.db"),
-            Replica(Table(None), (SIGNING,)),
+            Replica(ConfigTable(None), (SIGNING,)),
             Told(),
         )
         await store.open()
 
-        async def put(*entries: Entry, key: bytes = SIGNING) -> None:
-            assert await store.append(chained(await store.head(), "", encode(entries), 1, key))
+        async def put(*entries: ConfigItem, key: bytes = SIGNING) -> None:
+            assert await store.append(
+                next_change(await store.head(), "", encode_items(entries), 1, key)
+            )
 
         await put(tenant("a"))
-        reading = Reading(store, held, lambda: Table(None), told)
-        await reading.round()
+        reading = StoreFollower(store, held, lambda: ConfigTable(None), told)
+        await reading.poll()
         assert held.head == await store.head()
         assert held.table.has("tenant", "a")
         assert told.loads == 1
         for n in range(100):
             await put(tenant(f"t{n}"))
-        await reading.round()
+        await reading.poll()
         assert held.head == await store.head()
         assert held.table.count("tenant") == 101
         assert told.loads == 1
         assert len(held.log) == 100
 
         # A sync with a peer was under way as the store came back.
-        held.patched = True
-        await reading.round()
-        assert held.whole
+        held.is_partial = True
+        await reading.poll()
+        assert held.is_complete
         assert told.loads == 2
 
         # Away for longer than the log reaches.
         far = held.head
         assert far is not None
-        await store.run(
-            "UPDATE distribution_head SET revision = revision + $1::bigint", 2 * LOG_MOST
+        await store.execute(
+            "UPDATE distribution_head SET revision = revision + $1::bigint", 2 * MAX_LOGGED_CHANGES
         )
         await put(tenant("far"))
-        await reading.round()
+        await reading.poll()
         assert told.loads == 3
         assert held.head == await store.head()
         assert held.table.has("tenant", "far")
 
         # Put back, and written to past where we are, before we looked.
-        await store.run("UPDATE distribution_head SET revision = 1, tag = $1::bytea", b"t" * 16)
-        await store.run("DELETE FROM distribution_change WHERE revision > $1::bigint", 0)
-        await store.run("DELETE FROM distribution_entry WHERE key = $1::bytea", b"far")
+        await store.execute("UPDATE distribution_head SET revision = 1, tag = $1::bytea", b"t" * 16)
+        await store.execute("DELETE FROM distribution_change WHERE revision > $1::bigint", 0)
+        await store.execute("DELETE FROM distribution_entry WHERE key = $1::bytea", b"far")
         before = held.head
         for n in range(3):
             await put(tenant(f"other{n}"))
-        await reading.round()  # it is behind
+        await reading.poll()  # it is behind
         assert told.renewals == 1
-        await reading.round()
+        await reading.poll()
         assert told.loads == 4
         assert held.head is not None
         assert held.head.epoch > before.epoch
         assert held.table.has("tenant", "other0")
         assert not held.table.has("tenant", "far")
         await put(tenant("x"))
-        await reading.round()
+        await reading.poll()
         mark = held.head
-        saved = await store.run("SELECT revision, tag FROM distribution_head WHERE id = 1")
+        saved = await store.execute("SELECT revision, tag FROM distribution_head WHERE id = 1")
         await put(tenant("y"))
-        await reading.round()
-        await store.run(
+        await reading.poll()
+        await store.execute(
             "DELETE FROM distribution_change WHERE revision = $1::bigint", mark.revision + 1
         )
-        await store.run(
+        await store.execute(
             "UPDATE distribution_head SET revision = $1::bigint, tag = $2::bytea", *saved[0]
         )
         for name in ("z", "zz"):
             await put(tenant(name))
         assert (await store.head()).revision > held.head.revision, "ahead of us, on another way"
-        await reading.round()
+        await reading.poll()
         assert told.renewals == 2
-        await reading.round()
+        await reading.poll()
         assert held.head == await store.head()
         assert held.table.has("tenant", "zz")
 
         # Chained with another key: not believed, and no epoch begun for it.
         await put(tenant("evil"), key=b"e" * 32)
-        with pytest.raises(Broken, match="its tag does not follow"):
-            await reading.round()
+        with pytest.raises(StoreInconsistentError, match="its tag does not follow"):
+            await reading.poll()
         assert told.renewals == 2
         assert not held.table.has("tenant", "evil")
         await store.close()
@@ -219,21 +239,21 @@
 
 
 def test_lines_tell_what_was_applied(caplog: pytest.LogCaptureFixture) -> None:
-    held = Replica(Table(("", "north")), (SIGNING,))
-    telling = Telling(held)
+    held = Replica(ConfigTable(("", "north")), (SIGNING,))
+    telling = HeadLogger(held)
     with caplog.at_level(logging.INFO):
-        telling.look()
-        held.begin(first_head(7, 0))
+        telling.log_moves()
+        held.load(initial_head(7, 0))
         for n in range(3):
             assert held.head is not None
-            assert held.take(change(held.head, tenant(f"t{n}"))) is None
-        telling.look()
-        telling.look()
+            assert held.apply_change(change(held.head, tenant(f"t{n}"))) is None
+        telling.log_moves()
+        telling.log_moves()
         assert held.head is not None
-        assert held.take(change(held.head, tenant("u"))) is None
-        telling.look()
-        held.settle(held.head._replace(revision=20))
-        telling.look()
+        assert held.apply_change(change(held.head, tenant("u"))) is None
+        telling.log_moves()
+        held.complete_at(held.head._replace(revision=20))
+        telling.log_moves()
     lines = [line.getMessage().split(" tag=")[0] for line in caplog.records]
     assert lines == [
         "event=distribution-synced epoch=7 revision=0",
@@ -246,10 +266,10 @@
 def test_a_key_file_that_can_not_be_used_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "key"
     path.write_text("aa" * 16)
-    keys = Keys(
+    keys = KeyFile(
         path, lambda: tuple(bytes.fromhex(line) for line in path.read_text().split()), "seals"
     )
-    assert not keys.changed()
+    assert not keys.reload_if_changed()
     for at, (text, changed, count) in enumerate(
         (
             ("bb" * 16 + "\n" + "aa" * 16, True, 2),
@@ -261,5 +281,5 @@
         path.write_text(text)
 
         os.utime(path, (at, at))
-        assert keys.changed() == changed
+        assert keys.reload_if_changed() == changed
         assert len(keys.keys) == count
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -12,10 +12,10 @@
 
 from burlloom.downstream import ConnectionPool
 from burlloom.fakes.parts import Balancer, Catalogue, Executor, NameService, Reply, fields
-from burlloom.server.__main__ import bound
-from burlloom.server.assembly import Clock, Server
-from burlloom.server.configuration import Orders, address
-from burlloom.settings import facts
+from burlloom.server.__main__ import bind_listener
+from burlloom.server.configuration import ServerConfig, parse_address
+from burlloom.server.server import Clock, Server
+from burlloom.settings import parse_server_settings
 from burlloom.sockets import NS_PER_MS, NS_PER_SECOND
 
 AT_ONCE, ROUNDS = 20, 10
@@ -38,8 +38,8 @@
         self.by = 0
 
     def __call__(self) -> int:
-        self.last = max(self.last, time.time_ns() + self.by)
-        return self.last
+        self.last_ns = max(self.last_ns, time.time_ns() + self.by)
+        return self.last_ns
 
 
 def sizes(server: Server) -> dict[str, int]:
@@ -55,9 +55,9 @@
         "marks": len(desk.idempotency_table.records),
         "wheel": sum(map(len, desk.idempotency_table.timer_wheel.slots.values())),
         "bytes": desk.idempotency_table.result_bytes,
-        "cases": len(desk.controller.cases),
-        "lingering": len(desk.controller.lingering),
-        "serving": len(server.serving),
+        "cases": desk.controller.sizes().requests,
+        "lingering": desk.controller.sizes().lingering_calls,
+        "serving": len(server.open_requests),
         "tasks": len(server.tasks.running),
         "connections": len(server.front.connections),
         "spare": len(server.front.evictable_connections),
@@ -83,13 +83,13 @@
             product.update(deadline=LIFE // 1000, aim=LIFE // 2000)
             if "window" in product:
                 product["window"] = WINDOW // 1000
-        known, meters = facts(settings)
-        orders = Orders(
+        known, meters = parse_server_settings(settings)
+        orders = ServerConfig(
             "n1",
             ("127.0.0.1", 0),
-            address(executor.address),
-            address(naming.address),
-            address(catalogue.address),
+            parse_address(executor.address),
+            parse_address(naming.address),
+            parse_address(catalogue.address),
             7,
             3_000_000_000,
             known,
@@ -99,7 +99,7 @@
             {one["name"]: 1.0 for one in settings["tenants"]},
             meters,
         )
-        listener = bound(orders)
+        listener = bind_listener(orders)
         server, clock = Server(orders, listener), Ahead()
         server.clock = server.front.clock = clock
         running = asyncio.create_task(server.run())
@@ -184,7 +184,7 @@
         assert {
             name: size for name, size in again.items() if size > at_rest[name] and name != "kept"
         } == {}, (at_rest, again)
-        server.leave()
+        server.begin_shutdown()
         await soon(running)
         working.cancel()
         await catalogue.stop()
