--- a/burlloom/distribution/follower.py
+++ b/burlloom/distribution/follower.py
@@ -20,7 +20,7 @@
 
 import xxhash
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 from .changes import (
     MAX_NUMBER,
     Change,
@@ -867,7 +867,7 @@
     return (lambda follower, now: None) if name == "-" else getattr(Follower, name)
 
 
-RULES = rows(TABLE, State, Input, _test, _effect)
+RULES = parse_transitions(TABLE, State, Input, _test, _effect)
 HANDLERS: dict[type[Body], Callable[[Follower, int, Message], str]] = {
     HeadStatus: Follower.on_head,
     PushedChange: Follower.on_change,
--- a/burlloom/fleet/allocator.py
+++ b/burlloom/fleet/allocator.py
@@ -31,7 +31,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 from .totals import AllocationTotals
 
 MILLICALLS_PER_CALL = 1000  # thousandths
@@ -511,4 +511,4 @@
     return (lambda dealer, now: None) if name == "-" else getattr(Allocator, name)
 
 
-RULES = rows(TABLE, AllocatorPhase, AllocatorInput, _test, _effect)
+RULES = parse_transitions(TABLE, AllocatorPhase, AllocatorInput, _test, _effect)
--- a/burlloom/fleet/lease_holder.py
+++ b/burlloom/fleet/lease_holder.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from enum import IntEnum
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 from .allocator import QuotaSettings
 
 
@@ -133,4 +133,4 @@
     return (lambda holder, now: None) if name == "-" else getattr(LeaseHolder, name)
 
 
-RULES = rows(TABLE, LeaseState, LeaseInput, _test, _effect)
+RULES = parse_transitions(TABLE, LeaseState, LeaseInput, _test, _effect)
--- a/burlloom/fleet/membership.py
+++ b/burlloom/fleet/membership.py
@@ -21,7 +21,7 @@
 
 import xxhash
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 
 
 class MemberState(IntEnum):
@@ -311,7 +311,7 @@
     "mark_left": MembershipView.change_state,
     "remove": MembershipView.remove,
 }
-RULES = rows(TABLE, MemberState, MembershipInput, TESTS.__getitem__, str)
+RULES = parse_transitions(TABLE, MemberState, MembershipInput, TESTS.__getitem__, str)
 
 
 def find_due_inputs(
--- a/burlloom/rollout/instance.py
+++ b/burlloom/rollout/instance.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, replace
 from enum import IntEnum
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 
 
 class InstanceState(IntEnum):
@@ -219,7 +219,7 @@
     "record_return": record_return,
     "record_leaving": record_leaving,
 }
-RULES = rows(TABLE, InstanceState, InstanceInput, TESTS.__getitem__, str)
+RULES = parse_transitions(TABLE, InstanceState, InstanceInput, TESTS.__getitem__, str)
 
 
 def apply_input(
--- a/burlloom/rollout/release.py
+++ b/burlloom/rollout/release.py
@@ -10,7 +10,7 @@
 from enum import IntEnum
 from math import ceil
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 
 
 class ReleasePhase(IntEnum):
@@ -169,7 +169,7 @@
     "finish_release": keep,
     "finish_rollback": keep,
 }
-RULES = rows(TABLE, ReleasePhase, ReleaseInput, TESTS.__getitem__, str)
+RULES = parse_transitions(TABLE, ReleasePhase, ReleaseInput, TESTS.__getitem__, str)
 
 
 def apply_input(
--- a/burlloom/server/configuration.py
+++ b/burlloom/server/configuration.py
@@ -7,7 +7,7 @@
 
 from ..admission.model import ServerSettings
 from ..settings import parse_server_settings
-from ..sockets import MS
+from ..sockets import NS_PER_MS
 from .configuration_schema import faults
 
 Address = tuple[str, int]
@@ -65,7 +65,7 @@
             discovery_address=parse_address(got["naming"]),
             downstream_address=parse_address(got["catalog"]) if got.get("catalog") else None,
             seed=int(got["seed"], 16),
-            stop_ns=int(got["stop_ms"]) * MS,
+            stop_ns=int(got["stop_ms"]) * NS_PER_MS,
             max_sockets=int(limits.get("sockets", SOCKETS)),
             memory_bytes=int(float(limits.get("memory_mb", MEMORY_MB)) * (1 << 20)),
             settings=known,
--- a/burlloom/server/configuration_distribution.py
+++ b/burlloom/server/configuration_distribution.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any, Protocol
 
-from ..sockets import MS, SECOND, Tasks, rest
+from ..sockets import NS_PER_MS, NS_PER_SECOND, TaskSupervisor, sleep_ns
 from .membership import monotonic_ns
 
 if TYPE_CHECKING:
@@ -26,10 +26,10 @@
 
 log = logging.getLogger(__name__)
 
-TICK = 50 * MS
-LOOK_EVERY = SECOND  # at the keys, and for the state's file
-MOMENT = 5 * MS
-COUNT_INTERVAL_NS = 300 * SECOND  # between two countings of all portions
+TICK = 50 * NS_PER_MS
+LOOK_EVERY = NS_PER_SECOND  # at the keys, and for the state's file
+MOMENT = 5 * NS_PER_MS
+COUNT_INTERVAL_NS = 300 * NS_PER_SECOND  # between two countings of all portions
 COUNT_BYTES = 32 << 10  # of a page that is counted: about a millisecond
 PAGES_A_TICK, ENTRIES_A_TICK = 16, 400  # of portions counted in one tick
 PORTION_MOST = 1e9
@@ -170,7 +170,7 @@
         sock: socket.socket,
         name: str,
         seed: int,
-        tasks: Tasks,
+        tasks: TaskSupervisor,
         leaving: Callable[[], bool],
     ) -> None:
         from pathlib import Path
@@ -186,7 +186,7 @@
             leaving,
             monotonic_ns,
         )
-        life = time.time_ns() // MS
+        life = time.time_ns() // NS_PER_MS
         self.seals = KeyFile(Path(part.key_file), part.keys, "seals")
         self.signing = KeyFile(Path(part.signing_key_file), part.signing_keys, "signing")
         scopes = ("", part.region)
@@ -239,15 +239,15 @@
         while (
             self.replica.head is None
             and not self.leaving()
-            and self.clock() - began < self.part.wait_ms * MS
+            and self.clock() - began < self.part.wait_ms * NS_PER_MS
         ):
-            await rest(MOMENT)
+            await sleep_ns(MOMENT)
         self.telling.log_moves()
         if self.replica.head is None:
             log.warning(
                 "event=distribution-not-in-force waited_ms=%d tenants=%d detail='the configuration file holds"
                 " until a first sync'",
-                (self.clock() - began) // MS,
+                (self.clock() - began) // NS_PER_MS,
                 len(self.told),
             )
 
@@ -257,7 +257,7 @@
                 self.tick()
             except Exception:
                 log.exception("event=fault side=distribution")
-            await rest(TICK)
+            await sleep_ns(TICK)
 
     def tick(self) -> None:
         now = self.clock()
@@ -294,7 +294,7 @@
             self.follower.keys = self.seals.keys
         if self.signing.reload_if_changed():
             self.replica.keys = self.signing.keys
-        self.endpoint.log_refusals(now // SECOND, self.follower.refusals)
+        self.endpoint.log_refusals(now // NS_PER_SECOND, self.follower.refusals)
         if self.part.state_file is not None:
             from ..distribution.status_report import write_state
 
--- a/burlloom/server/recovery.py
+++ b/burlloom/server/recovery.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
 
-from ..dispatcher import Desk
-from ..sockets import MS, SECOND
+from ..dispatcher import Dispatcher
+from ..sockets import NS_PER_MS, NS_PER_SECOND
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -23,7 +23,7 @@
 
 log = logging.getLogger(__name__)
 
-TELL_EVERY = SECOND
+TELL_EVERY = NS_PER_SECOND
 FREE = float("inf")
 
 
@@ -33,7 +33,7 @@
     incarnation: int  # of this process, Unix ms; the fleet knows it by the same
     known_members: tuple[str, ...]  # addresses of others, of the last life
 
-    def attach_dispatcher(self, desk: Desk, record_life: int) -> None: ...
+    def attach_dispatcher(self, desk: Dispatcher, record_life: int) -> None: ...
     def previous_incarnation_seen(self, life: int) -> None: ...
     def call_cap(self) -> float: ...
     def holds_back_retry(self, retry: bool) -> bool: ...
@@ -52,9 +52,9 @@
     known_members: tuple[str, ...] = ()
 
     def __init__(self) -> None:
-        self.incarnation = time.time_ns() // MS
+        self.incarnation = time.time_ns() // NS_PER_MS
 
-    def attach_dispatcher(self, desk: Desk, record_life: int) -> None:
+    def attach_dispatcher(self, desk: Dispatcher, record_life: int) -> None:
         pass
 
     def previous_incarnation_seen(self, life: int) -> None:
@@ -107,7 +107,7 @@
             alone,
             state_file,
         )
-        self.incarnation = time.time_ns() // MS
+        self.incarnation = time.time_ns() // NS_PER_MS
         found = recovery.parse_snapshot(self.text())
         self.recovery: RecoveryController = recovery.RecoveryController(
             terms, found, name, clock(), self.incarnation, lonely
@@ -115,7 +115,7 @@
         # Old addresses do no harm: whoever is there answers with a sealed letter.
         kept = self.recovery.snapshot
         self.known_members = kept.peer_addresses if kept is not None else ()
-        self.desk: Desk | None = None
+        self.desk: Dispatcher | None = None
         self.record_life = -1
         self.told_at = 0
         self.holding = self.closed = (
@@ -139,12 +139,12 @@
             log.warning("event=recovery-unread detail=%r", str(error))
             return ""
 
-    def attach_dispatcher(self, desk: Desk, record_life: int) -> None:
+    def attach_dispatcher(self, desk: Dispatcher, record_life: int) -> None:
         self.desk, self.record_life = desk, record_life
         if record_life >= 0:
             self.recovery.record_opened(record_life, self.clock())
         self.holding = True
-        desk.hold_back(True)
+        desk.set_recovering(True)
         self.update()
 
     def previous_incarnation_seen(self, life: int) -> None:
@@ -175,16 +175,16 @@
                 "event=recovery-cap calls=%.2f equal=%.2f ms=%d",
                 min(cap, 1e9),
                 equal,
-                (now - self.recovery.started_at_ns) // MS,
+                (now - self.recovery.started_at_ns) // NS_PER_MS,
             )
             if shared is None:
-                self.desk.share_calls(min(cap, self.alone))
+                self.desk.set_call_quota(min(cap, self.alone))
         if self.recovery.is_complete and self.holding:
             self.holding = False
-            self.desk.hold_back(False)
+            self.desk.set_recovering(False)
             log.warning(
                 "event=recovery-over ms=%d held_back=%d",
-                (now - self.recovery.started_at_ns) // MS,
+                (now - self.recovery.started_at_ns) // NS_PER_MS,
                 self.recovery.retry_budget.rejected,
             )
         self.say()
@@ -212,7 +212,7 @@
         kept = self.of.RecoverySnapshot(
             self.name,
             self.incarnation,
-            time.time_ns() // MS,
+            time.time_ns() // NS_PER_MS,
             self.record_life,
             share,
             clean,
--- a/burlloom/server/subsystems.py
+++ b/burlloom/server/subsystems.py
@@ -16,7 +16,7 @@
 from ..record.coordinator import RecordCoordinator, RecordPolicy
 from ..record.factory import create_store
 from ..record.store import StoreRefusedError
-from ..sockets import MS, SECOND
+from ..sockets import NS_PER_MS, NS_PER_SECOND
 from .configuration import ServerConfig
 from .configuration_distribution import FollowedConfiguration
 from .membership import ConfiguredFleetMembership
@@ -43,7 +43,7 @@
     "stale",
 ]
 
-CALLS_SPAN = 5 * SECOND
+CALLS_SPAN = 5 * NS_PER_SECOND
 
 
 def load_operator(path: str) -> Operator:
@@ -65,7 +65,7 @@
         record.claim_share,
         record.hold_share,
         record.open_most,
-        record.doubt_wait_ms * MS,
+        record.doubt_wait_ms * NS_PER_MS,
     )
 
     def make(server: Server) -> ConfiguredRequestRecord:
@@ -103,7 +103,7 @@
             ]
         )
     products = tuple(
-        replace(product, max_staleness_ns=levels.kept_ms.get(name, 0) * MS)
+        replace(product, max_staleness_ns=levels.kept_ms.get(name, 0) * NS_PER_MS)
         for name, product in zip(names, orders.settings.request_classes, strict=True)
     )
     return replace(orders, settings=replace(orders.settings, request_classes=products))
@@ -131,7 +131,7 @@
             orders.tenant_portions,
             orders.settings.cores,
             server.clock,
-            lambda: len(server.front.connections) / server.front.most,
+            lambda: len(server.front.connections) / server.front.max_connections,
             terms=told.terms(),
             store=partial(strain, record.keeper, server.clock)
             if isinstance(record, ConfiguredRequestRecord)
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -29,7 +29,7 @@
 from burlloom.fakes.parts import fields
 from burlloom.levels.signals import MAX_TENANTS
 from burlloom.levels.signals import TenantShares as Shares
-from burlloom.rpc.requests import Known, Malformed, request
+from burlloom.rpc.incoming_request import MalformedRequestError, RequestRules, parse_request
 from burlloom.server.configuration_distribution import (
     COUNT_INTERVAL_NS,
     ServedTenants,
@@ -56,15 +56,15 @@
 
 def test_requests_are_held_against_the_tenants_in_force() -> None:
     held = Replica(ConfigTable(("", "north")), (SIGNING,))
-    known = Known({"look": False}, ServedTenants(held, {"acme": 1.0}), 6 * SECOND)
+    known = RequestRules({"look": False}, ServedTenants(held, {"acme": 1.0}), 6 * SECOND)
     told = fields()
     now = int(told["at"]) * 1_000_000
 
     def serves(name: Any) -> bool:
         try:
-            request(None, 1, "look", [{**told, "tenant": name}, b""], known, now)  # type: ignore[arg-type]
+            parse_request(None, 1, "look", [{**told, "tenant": name}, b""], known, now)  # type: ignore[arg-type]
             return True
-        except Malformed:
+        except MalformedRequestError:
             return False
 
     assert serves("acme")
