--- a/burlloom/distribution/change_log.py
+++ b/burlloom/distribution/change_log.py
@@ -30,6 +30,7 @@
             self.base_revision += 1
 
     def restart(self, base: int) -> None:
+        """Forget all changes; the next one is that after revision `base`."""
         self.changes.clear()
         self.base_revision = base
 
--- a/burlloom/distribution/changes.py
+++ b/burlloom/distribution/changes.py
@@ -58,6 +58,7 @@
     body_digest: bytes
 
     def without_body(self) -> "Change":
+        """Return the change as it goes to a follower that does not hold its scope."""
         return self._replace(body=None)
 
 
@@ -88,6 +89,7 @@
 
 
 def hash_body(body: bytes) -> bytes:
+    """Return the BLAKE2b-128 of a change's body."""
     return hashlib.blake2b(body, digest_size=TAG_BYTES).digest()
 
 
@@ -106,6 +108,7 @@
 
 
 def encode_items(entries: Iterable[ConfigItem]) -> bytes:
+    """Return the body of a change: MessagePack of a list of [kind, key, value or nil]."""
     body: bytes = msgpack.packb([[entry.kind, entry.key, entry.value] for entry in entries])
     return body
 
@@ -232,6 +235,7 @@
 
 
 def head_after(change: Change) -> Head:
+    """Return the head of a log whose last change this is."""
     return Head(change.epoch, change.revision, change.tag, change.time_ms)
 
 
--- a/burlloom/distribution/config_query.py
+++ b/burlloom/distribution/config_query.py
@@ -30,6 +30,8 @@
 
 
 class QueryClient(asyncio.DatagramProtocol):
+    """Sends one request at a time and waits for its answer; holds no table."""
+
     def __init__(self, key: bytes) -> None:
         self.key, self.received = key, asyncio.Queue[Message](256)
         self.name, self.incarnation, self.number = (
@@ -39,9 +41,11 @@
         )
 
     def connection_made(self, transport: Any) -> None:
+        """Keep the transport that asyncio gives."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, addr: object) -> None:
+        """Queue a message that can be decoded; drop anything else."""
         try:
             self.received.put_nowait(unseal(data, (self.key,)))
         except (MessageDecodeError, asyncio.QueueFull):
@@ -50,6 +54,12 @@
     async def query(
         self, one: Upstream, body: Body, answer: Callable[[Message], Result | None]
     ) -> Result | None:
+        """Send a request until `answer` accepts a reply.
+
+        Returns:
+            What `answer` made of the reply; None after `MAX_ATTEMPTS` timeouts of
+            `ANSWER_TIMEOUT_S`.
+        """
         for _ in range(MAX_ATTEMPTS):
             self.number += 1
             self.transport.sendto(
@@ -70,6 +80,7 @@
 
 
 def answered(message: Message) -> HeadStatus | Redirect | None:
+    """Return the reply to a report, if it is one."""
     return message.body if isinstance(message.body, HeadStatus | Redirect) else None
 
 
@@ -112,6 +123,7 @@
 async def query_item(
     asking: QueryClient, one: Upstream, region: str, kind: str, name: str
 ) -> list[tuple[str, bytes, str]] | None:
+    """Return scope and value of each item under a key, the one in force first; None if unanswered."""
     bucket = bucket_of(kind, name)
     after: ItemPosition | None = None
     found: dict[str, bytes] = {}
--- a/burlloom/distribution/control_node.py
+++ b/burlloom/distribution/control_node.py
@@ -105,6 +105,7 @@
         return min([*ages, *([] if told is None else [told])], default=None)
 
     async def run(self) -> None:
+        """Serve until `stop` is called, then send all followers elsewhere and close."""
         await self.endpoint.open()
         log.info(
             "event=distribution-control name=%s region=%s address=%s store=%s peers=%d",
@@ -133,11 +134,15 @@
         log.info("event=distribution-closed name=%s", self.name)
 
     def stop(self) -> None:
+        """Have `run` end; safe to call from a signal handler of the loop."""
         self.stopping.set()
 
     # The store.
 
     async def follow_store(self, reading: StoreFollower) -> None:
+        """Poll the store until cancelled; an unavailable or inconsistent store is retried with
+        backoff.
+        """
         wait = READ_EVERY
         while True:
             began = since_start()
@@ -169,10 +174,12 @@
             await asyncio.sleep(wait)
 
     def on_table_loaded(self, head: Head) -> None:
+        """Count and log a load of the whole table from the store."""
         self.counts.loads += 1
         log.info("event=distribution-loaded epoch=%d revision=%d", head.epoch, head.revision)
 
     def on_epoch_begun(self, seen: Head, own: Head) -> None:
+        """Count and log that the store had been restored and a new epoch was begun."""
         self.counts.renewals += 1
         log.warning(
             "event=distribution-epoch-begun was=%d store_had=%d we_had=%d detail='the store was put back'",
@@ -184,6 +191,7 @@
     # Datagrams.
 
     async def tick_forever(self) -> None:
+        """Call `tick` each `TICK` seconds until cancelled."""
         while True:
             try:
                 self.tick()
@@ -192,6 +200,7 @@
             await asyncio.sleep(TICK)
 
     def tick(self) -> None:
+        """Do what is due: choose whom to follow, send what waits, report once a second."""
         now = since_start()
         self.choose_upstream(now)
         if self.follower is not None:
@@ -229,6 +238,7 @@
             log.info("event=distribution-follows-store")
 
     def receive(self, data: bytes, source: tuple[str, int]) -> None:
+        """Hand a datagram to the source or the follower, by its kind."""
         now = since_start()
         if is_for_source(data):
             self.source.receive(now, data, source)
@@ -238,6 +248,7 @@
         self.flush()
 
     def flush(self) -> None:
+        """Send all datagrams that wait in the source's and the follower's queues."""
         self.endpoint.flush(self.source.out)
         if self.follower is not None:
             self.endpoint.flush(self.follower.out)
@@ -245,6 +256,7 @@
     # Once a second.
 
     def report_status(self, now: int) -> None:
+        """Reload the key files if they changed, log refusals, write the state file."""
         if self.seal_keys.reload_if_changed():
             self.source.keys = self.seal_keys.keys
             if self.follower is not None:
@@ -275,6 +287,7 @@
         return lowest, max(0, time.time_ns() // MS - since)
 
     def summary(self, now: int) -> dict[str, object]:
+        """Return the state file's content: plain values for an operator."""
         lowest, lacking = self.lowest_follower()
         return {
             "told_at": time.time_ns(),
@@ -291,6 +304,7 @@
         }
 
     def metrics(self) -> dict[str, int]:
+        """Return the counters that are exposed, by name."""
         counts = self.source.counts
         told = {name: getattr(counts, name) for name in type(counts).__slots__ if name != "refused"}
         return {
--- a/burlloom/distribution/endpoint.py
+++ b/burlloom/distribution/endpoint.py
@@ -47,11 +47,15 @@
         self.logged_second, self.logged_count = 0, 0
 
     async def open(self) -> None:
+        """Attach the socket to the running loop. Raises `OSError`."""
         self.transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, sock=self.sock
         )
 
     def flush(self, out: deque[tuple[Address, bytes]]) -> None:
+        """Send all datagrams of `out`; those over `UNSENT_MOST` unsent bytes are dropped and
+        counted.
+        """
         while out:
             address, data = out.popleft()
             if self.transport is None or self.transport.get_write_buffer_size() > UNSENT_MOST:
@@ -70,6 +74,7 @@
                 log.info("event=distribution-refused peer=%s:%d reason=%r", host, port, reason)
 
     def close(self) -> None:
+        """Close the socket; calling it again does nothing."""
         if self.transport is not None:
             self.transport.close()
             self.transport = None
@@ -77,10 +82,12 @@
     # Of asyncio.
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
+        """Pass a datagram on; an error of the handler is logged and ends there."""
         try:
             self.on_datagram(data, (addr[0], addr[1]))
         except Exception:
             log.exception("event=fault side=distribution")
 
     def error_received(self, exc: Exception) -> None:
+        """Ignore errors of the system: a lost peer is found by its silence."""
         pass  # whoever is not there will be found silent
--- a/burlloom/distribution/follower.py
+++ b/burlloom/distribution/follower.py
@@ -73,12 +73,16 @@
 
 
 class Upstream(NamedTuple):
+    """A control machine or relay that may be followed, and its UDP address."""
+
     name: str
     region: str
     address: Address
 
 
 class State(IntEnum):
+    """How far the table follows the upstream."""
+
     EMPTY = 0  # nothing is in force
     SYNCING = 1  # buckets that differ are fetched
     REPLAYING = 2  # changes since the sync's base, up to the latest page's revision
@@ -88,6 +92,8 @@
 
 
 class Input(IntEnum):
+    """What the state machine is told."""
+
     HEAD = 0  # the upstream's word
     CHANGE = 1  # changes came, were taken as far as they follow
     FETCHED = 2  # a bucket, or none differed
@@ -248,6 +254,7 @@
 
     @property
     def upstream(self) -> Upstream:
+        """The one that is followed now."""
         return self.upstreams[self.upstream_index]
 
     def age(self, now: int) -> int | None:
@@ -277,6 +284,7 @@
         return found
 
     def answer_timeout_ns(self) -> int:
+        """Return how long the upstream may be silent, in ns."""
         return (
             self.settings.upstream_timeout_ns
             if self.has_answered
@@ -284,11 +292,13 @@
         )
 
     def jittered(self, span: int) -> int:
+        """Return a span of time, in ns, spread by `JITTER_SHARE` to both sides."""
         return int(span * (1 + JITTER_SHARE * (2 * self.random.random() - 1)))
 
     # Once in a while.
 
     def tick(self, now: int) -> None:
+        """Do what is due: give up a silent upstream, report, probe, repeat unanswered requests."""
         if now - self.last_tick_at > self.settings.upstream_timeout_ns:
             self.resume_after_pause(now)
         self.last_tick_at = now
@@ -325,6 +335,7 @@
             del self.reports[next(iter(self.reports))]
 
     def own_report(self) -> Report:
+        """Return the report of what is in force here."""
         head, table = self.replica.head, self.replica.table
         if head is None or self.replica.is_partial:
             return Report(table.scopes, 0, 0, 0)
@@ -360,6 +371,7 @@
     # What comes.
 
     def receive(self, now: int, data: bytes, source: Address) -> None:
+        """Handle one datagram; what is refused is counted by its reason."""
         self.counts.heard += 1
         self.counts.heard_bytes += len(data)
         try:
@@ -373,9 +385,11 @@
             self.count_refusal(reason, source)
 
     def count_refusal(self, reason: str, source: Address) -> None:
+        """Count a refused message and keep it for the host's log."""
         self.refusals.append((count_refusal(self.counts.refused, reason), source))
 
     def on_head(self, now: int, message: Message) -> str:
+        """Take the upstream's head, or a probed upstream's; returns why it is refused, else ""."""
         assert isinstance(message.body, HeadStatus)
         sender, told = message.sender, message.body
         which, number, left_at = self.probe
@@ -462,6 +476,7 @@
                 )
 
     def on_change(self, now: int, message: Message) -> str:
+        """Take a pushed or pulled change; returns why it is refused, else ""."""
         assert isinstance(message.body, PushedChange)
         change = message.body.change
         tip = self.tip()
@@ -535,6 +550,7 @@
         return reason
 
     def on_redirect(self, now: int, message: Message) -> str:
+        """Leave an upstream that sends us elsewhere; returns why it is refused, else ""."""
         sender, body = message.sender, message.body
         assert isinstance(body, Redirect)
         if sender.number == self.probe[1]:
@@ -555,9 +571,11 @@
     # Whom we follow.
 
     def lose_upstream(self, now: int) -> None:
+        """Give up the upstream: it is silent, full, leaving, or of no use."""
         self.handle(now, Input.LOST)
 
     def follow_next_upstream(self, now: int) -> None:
+        """Follow the next upstream in the order of preference."""
         self.follow_upstream(now, (self.upstream_index + 1) % len(self.upstreams))
 
     def follow_upstream(self, now: int, which: int) -> None:
@@ -582,6 +600,7 @@
     # The table of states.
 
     def handle(self, now: int, what: Input) -> None:
+        """Move by the first row of the table whose test holds, and have its effect."""
         for test, state, effect in RULES.get((self.state, what), ()):
             if test(self):
                 self.state = state
@@ -618,6 +637,7 @@
         )
 
     def is_behind(self) -> bool:
+        """Whether the upstream is known to have a later revision."""
         head = self.replica.head
         return head is not None and self.latest > head.revision
 
@@ -703,6 +723,7 @@
     # A sync on its way.
 
     def on_digests(self, now: int, message: Message) -> str:
+        """Begin a sync from both halves of the digests; returns why they are refused, else ""."""
         body, sync = message.body, self.sync
         assert isinstance(body, DigestsResponse)
         number = message.sender.number
@@ -746,6 +767,9 @@
             self.handle(now, Input.FETCHED)
 
     def on_page(self, now: int, message: Message) -> str:
+        """Put a page into the table, and those that waited for it; returns why it is refused, else
+        "".
+        """
         body, sync = message.body, self.sync
         assert isinstance(body, PageResponse)
         if (
@@ -792,6 +816,7 @@
         return ""
 
     def request_pages(self, now: int, bucket: int, fetch: Fetch) -> None:
+        """Ask for the next pages of a bucket; each attempt waits twice as long for them."""
         fetch.retry_at = now + self.jittered(
             self.settings.request_retry_ns << min(fetch.tries, MAX_BACKOFF_DOUBLINGS)
         )
@@ -799,6 +824,7 @@
         self.send(self.upstream, PagesRequest(bucket, fetch.after, MAX_PAGES_PER_REQUEST))
 
     def repeat_requests(self, now: int, sync: Sync) -> None:
+        """Repeat the sync's requests that were not answered in time."""
         if sync.base is None and now >= sync.retry_at:
             sync.retry_at = now + self.jittered(self.settings.request_retry_ns)
             self.send(self.upstream, DigestsRequest())
@@ -812,6 +838,7 @@
     # What leaves.
 
     def leave(self) -> None:
+        """Tell the upstream that this follower goes."""
         self.send(self.upstream, Leave())
 
     def send(self, to: Upstream, body: Body) -> int:
--- a/burlloom/distribution/messages.py
+++ b/burlloom/distribution/messages.py
@@ -43,6 +43,8 @@
 
 
 class MessageKind(IntEnum):
+    """The number of each kind of message on the wire."""
+
     REPORT = 0  # each beat, to whom we follow: what we have; renews the lease
     HEAD = 1  # to the REPORT of that number, or to a PULL that can't be answered: what there is
     CHANGE = 2  # pushed, or asked for
@@ -86,16 +88,22 @@
 
 
 class PushedChange(NamedTuple):
+    """CHANGE. One change, pushed or asked for."""
+
     change: Change
 
 
 class PullRequest(NamedTuple):
+    """PULL. At most `max_changes` changes after a revision of that epoch."""
+
     epoch: int
     after_revision: int
     max_changes: int
 
 
 class DigestsRequest(NamedTuple):
+    """DIGESTS_ASK. The digests of all buckets."""
+
     pass
 
 
@@ -108,6 +116,8 @@
 
 
 class PagesRequest(NamedTuple):
+    """PAGES_ASK. At most `page_count` pages of a bucket, behind the position `after`."""
+
     bucket: int
     after: ItemPosition | None
     page_count: int
@@ -127,10 +137,14 @@
 
 
 class Redirect(NamedTuple):
+    """REDIRECT. The follower is to follow its next upstream; the reason is for the log."""
+
     reason: str
 
 
 class Leave(NamedTuple):
+    """BYE. The follower goes, or follows another upstream."""
+
     pass
 
 
@@ -158,6 +172,8 @@
 
 
 class Message(NamedTuple):
+    """A decoded datagram."""
+
     sender: Sender
     body: Body
 
@@ -167,10 +183,12 @@
 
 
 def compute_seal(key: bytes, text: bytes) -> bytes:
+    """Return the keyed BLAKE2b that precedes a message, `SEAL_BYTES` long."""
     return hashlib.blake2b(text, key=key, digest_size=SEAL_BYTES).digest()
 
 
 def seal(sender: Sender, body: Body, key: bytes) -> bytes:
+    """Return the datagram of a message, sealed with `key`."""
     kind = KIND_OF[type(body)]
     text: bytes = msgpack.packb((VERSION, kind, *sender, *PACKED[kind](body)))
     return compute_seal(key, text) + text
@@ -198,6 +216,7 @@
 
 
 def message_of(got: Any) -> Message:
+    """Return the message of unpacked MessagePack. Raises `MessageDecodeError`."""
     if type(got) is not list or len(got) < 5:
         raise MessageDecodeError("no message")
     version, kind, name, life, number = got[:5]
@@ -215,15 +234,18 @@
 
 
 def is_number(got: Any) -> bool:
+    """Whether a value is an integer from 0 to `MAX_NUMBER`."""
     return type(got) is int and 0 <= got <= MAX_NUMBER
 
 
 def need(so: bool, what: str) -> None:
+    """Raise `MessageDecodeError` unless a condition holds."""
     if not so:
         raise MessageDecodeError(f"no {what}")
 
 
 def head_from(epoch: Any, revision: Any, tag: Any, time_ms: Any) -> Head:
+    """Return a head of decoded fields. Raises `MessageDecodeError`."""
     need(
         is_number(epoch)
         and epoch > 0
@@ -237,6 +259,7 @@
 
 
 def read_report(scopes: Any, epoch: Any, revision: Any, digest: Any) -> Body:
+    """Decode REPORT. Raises `MessageDecodeError`."""
     need(
         scopes is None
         or type(scopes) is list
@@ -254,6 +277,7 @@
 def read_told(
     epoch: Any, revision: Any, tag: Any, time_ms: Any, age: Any, differs: Any, oldest: Any
 ) -> Body:
+    """Decode HEAD. Raises `MessageDecodeError`."""
     need((age is None or is_number(age)) and type(differs) is bool and is_number(oldest), "HEAD")
     return HeadStatus(head_from(epoch, revision, tag, time_ms), age, differs, oldest)
 
@@ -261,6 +285,7 @@
 def read_change(
     epoch: Any, revision: Any, time_ms: Any, scope: Any, body: Any, tag: Any, digest: Any
 ) -> Body:
+    """Decode CHANGE. Raises `MessageDecodeError`."""
     need(
         is_number(epoch)
         and epoch > 0
@@ -279,6 +304,7 @@
 
 
 def read_pull(epoch: Any, after: Any, most: Any) -> Body:
+    """Decode PULL. Raises `MessageDecodeError`."""
     need(
         is_number(epoch) and is_number(after) and is_number(most) and 0 < most <= MAX_PULL_CHANGES,
         "PULL",
@@ -289,6 +315,7 @@
 def read_digests(
     epoch: Any, revision: Any, tag: Any, time_ms: Any, half: Any, digests: Any
 ) -> Body:
+    """Decode DIGESTS. Raises `MessageDecodeError`."""
     need(
         type(half) is int
         and half in (0, 1)
@@ -303,6 +330,7 @@
 
 
 def read_pages_ask(bucket: Any, after: Any, pages: Any) -> Body:
+    """Decode PAGES_ASK. Raises `MessageDecodeError`."""
     need(
         is_number(bucket)
         and bucket < BUCKET_COUNT
@@ -316,6 +344,7 @@
 def read_page(
     epoch: Any, revision: Any, bucket: Any, place: Any, after: Any, entries: Any, done: Any
 ) -> Body:
+    """Decode PAGE. Raises `MessageDecodeError`."""
     need(
         is_number(epoch)
         and epoch > 0
@@ -342,6 +371,7 @@
 
 
 def place_from(got: Any) -> ItemPosition | None:
+    """Return a position of decoded fields; None for nil. Raises `MessageDecodeError`."""
     if got is None:
         return None
     need(
@@ -356,6 +386,7 @@
 
 
 def entry_from(got: Any) -> ConfigItem:
+    """Return an item of decoded fields. Raises `MessageDecodeError`."""
     need(
         type(got) is list
         and len(got) == 4
@@ -369,6 +400,7 @@
 
 
 def read_redirect(reason: Any) -> Body:
+    """Decode REDIRECT. Raises `MessageDecodeError`."""
     need(is_text(reason, 0, MAX_NAME_BYTES), "REDIRECT")
     return Redirect(reason)
 
@@ -429,6 +461,7 @@
         self.highest, self.seen = -1, 0
 
     def accept(self, number: int) -> bool:
+        """Whether a request's number was not seen before; it is remembered."""
         if number > self.highest:
             self.seen = (self.seen << min(number - self.highest, WINDOW) | 1) & ((1 << WINDOW) - 1)
             self.highest = number
--- a/burlloom/distribution/replica.py
+++ b/burlloom/distribution/replica.py
@@ -47,6 +47,7 @@
         return None
 
     def apply_to_table(self, change: Change) -> str:
+        """Put a change's items into the table and log it; returns why it can't be, else ""."""
         moved = 0
         if self.holds_scope(change.scope):
             try:
@@ -70,6 +71,7 @@
         return decode_items(change.scope, change.body)
 
     def holds_scope(self, scope: str) -> bool:
+        """Whether the table holds items of that scope."""
         return self.table.scopes is None or scope in self.table.scopes
 
     def load(self, head: Head, entries: Iterable[ConfigItem] = ()) -> None:
@@ -92,7 +94,9 @@
         return None if moved is None else moved ^ self.digest_of(scopes)
 
     def digest_of(self, scopes: tuple[str, ...] | None) -> int:
+        """Return the digest over those scopes; None: all that are held."""
         return self.table.digest() if scopes is None else self.table.digest_of(scopes)
 
     def digests_of(self, scopes: tuple[str, ...] | None) -> tuple[int, ...]:
+        """Return the digest of each bucket over those scopes; None: all that are held."""
         return self.table.digests() if scopes is None else self.table.digests_of(scopes)
--- a/burlloom/distribution/settings.py
+++ b/burlloom/distribution/settings.py
@@ -28,6 +28,7 @@
     page_burst_bytes: int = 400_000
 
     def faults(self) -> list[str]:
+        """Return what is wrong with the values, each with its field; empty if nothing is."""
         found = [
             f"{name}: {getattr(self, name)}, 1 at least"
             for name in self.__slots__
--- a/burlloom/distribution/source.py
+++ b/burlloom/distribution/source.py
@@ -111,6 +111,7 @@
     # Once in a while.
 
     def tick(self, now: int) -> None:
+        """Forget followers whose lease is over, and push what is new."""
         for name in [name for name, lease in self.followers.items() if lease.expires_at <= now]:
             del self.followers[name]
         self.push_changes(now)
@@ -138,6 +139,7 @@
                 self.counts.pushed += 1
 
     def sealed_change(self, change: Change, full: bool) -> bytes:
+        """Return the datagram of a change, sealed once for all followers; `full`: with its body."""
         key = change.epoch, change.revision, full
         data = self.sealed_changes.get(key)
         if data is None:
@@ -153,6 +155,7 @@
     # What comes.
 
     def receive(self, now: int, data: bytes, source: Address) -> None:
+        """Handle one datagram; what is refused is counted by its reason."""
         self.counts.heard += 1
         self.counts.heard_bytes += len(data)
         try:
@@ -166,9 +169,11 @@
             self.count_refusal(reason, source)
 
     def count_refusal(self, reason: str, source: Address) -> None:
+        """Count a refused message and keep it for the host's log."""
         self.refusals.append((count_refusal(self.counts.refused, reason), source))
 
     def on_report(self, now: int, message: Message, source: Address) -> str:
+        """Grant or renew a lease, or redirect; returns why the report is refused, else ""."""
         sender, body, head = message.sender, message.body, self.replica.head
         assert isinstance(body, Report)
         lease = self.followers.get(sender.name)
@@ -220,12 +225,14 @@
         return ""
 
     def is_full(self, now: int) -> bool:
+        """Whether no further follower is taken; leases that are over are dropped first."""
         if len(self.followers) >= self.settings.max_followers:
             for name in [name for name, lease in self.followers.items() if lease.expires_at <= now]:
                 del self.followers[name]
         return len(self.followers) >= self.settings.max_followers
 
     def differs(self, body: Report) -> bool:
+        """Whether a follower's digest differs from ours at the same revision; counted."""
         head = self.replica.head
         if (
             head is None
@@ -239,6 +246,7 @@
         return found
 
     def send_head(self, now: int, number: int, to: Address, differs: bool) -> None:
+        """Send our head, in answer to the message of that number."""
         assert self.replica.head is not None
         # A copy on its way to a later revision is nothing to pull from or sync with, and says no
         # other head.
@@ -264,6 +272,7 @@
         return lease
 
     def on_pull(self, now: int, message: Message, source: Address) -> str:
+        """Send the changes that a follower asks for; returns why it is refused, else ""."""
         lease, body, head = self.lease_of(now, message), message.body, self.replica.head
         assert isinstance(body, PullRequest)
         if lease is None or head is None:
@@ -282,6 +291,7 @@
         return ""
 
     def on_digests_request(self, now: int, message: Message, source: Address) -> str:
+        """Send both halves of the digests; returns why the request is refused, else ""."""
         lease, head = self.lease_of(now, message), self.replica.head
         if lease is None:
             return "a DIGESTS_ASK of none that follows, or played again"
@@ -299,6 +309,7 @@
         return ""
 
     def on_pages_request(self, now: int, message: Message, source: Address) -> str:
+        """Send pages as far as the byte rate allows; returns why the request is refused, else ""."""
         lease, body, head = self.lease_of(now, message), message.body, self.replica.head
         assert isinstance(body, PagesRequest)
         if lease is None:
@@ -329,6 +340,7 @@
         return ""
 
     def on_leave(self, now: int, message: Message, source: Address) -> str:
+        """End a follower's lease; always accepted."""
         if self.lease_of(now, message) is not None:
             del self.followers[message.sender.name]
         return ""
@@ -349,6 +361,7 @@
         return len(data)
 
     def post(self, to: Address, data: bytes) -> None:
+        """Queue a datagram for the host; over `MAX_OUT_DATAGRAMS` it is dropped and counted."""
         if len(self.out) >= MAX_OUT_DATAGRAMS:
             self.counts.dropped += 1
             return
--- a/burlloom/distribution/status_report.py
+++ b/burlloom/distribution/status_report.py
@@ -22,6 +22,7 @@
         self.replica, self.head = replica, replica.head
 
     def log_moves(self) -> None:
+        """Log what was applied since the last call."""
         head, before = self.replica.head, self.head
         if head == before or head is None:
             return
@@ -54,12 +55,14 @@
         self.seen_mtime = self.modified()
 
     def modified(self) -> float:
+        """Return the file's time of change, in s; 0 where there is none."""
         try:
             return self.path.stat().st_mtime
         except OSError:
             return 0.0
 
     def reload_if_changed(self) -> bool:
+        """Read the file if it was changed; returns whether other keys are in force now."""
         seen = self.modified()
         if seen == self.seen_mtime:
             return False
@@ -79,6 +82,7 @@
 
 
 def write_state(path: str, told: Mapping[str, object]) -> None:
+    """Replace the state file at once; a failure is logged."""
     part = path + ".part"
     try:
         with open(part, "w", encoding="utf-8") as file:
--- a/burlloom/distribution/stores/change_store.py
+++ b/burlloom/distribution/stores/change_store.py
@@ -22,7 +22,9 @@
     async def open(self) -> None:
         """Takes missing schema steps, and begins an epoch where there is none."""
 
-    async def head(self) -> Head: ...
+    async def head(self) -> Head:
+        """Return the last change's head."""
+
     async def changes_since(self, revision: int, most: int) -> list[Change]:
         """The changes after it that are still in the log, in order; the first is a later one where
         it was pruned.
@@ -40,10 +42,13 @@
         in force at the last.
         """
 
-    async def item(self, scope: str, kind: str, key: str) -> StoredItem | None: ...
+    async def item(self, scope: str, kind: str, key: str) -> StoredItem | None:
+        """Return the item in force under a key of that scope."""
+
     async def begin_epoch(self, seen: Head, beyond: int) -> bool:
         """A new epoch, later than `beyond`, if that is still the head: the store was put back, and
         revisions that it gives from now on were given before. What is in force stays; the log goes.
         """
 
-    async def close(self) -> None: ...
+    async def close(self) -> None:
+        """Release the store's connections."""
--- a/burlloom/distribution/stores/postgres.py
+++ b/burlloom/distribution/stores/postgres.py
@@ -7,7 +7,11 @@
 
 
 class Postgres(SharedPostgresDatabase, Tables):
+    """The change store in the record's PostgreSQL database."""
+
     async def transaction(self, guard: Statement, rest: list[Statement]) -> bool:
+        """Run all statements in one transaction if the guard gives a row."""
+
         async def work(link: Any) -> bool:
             async with link.transaction():
                 # The head's row is locked by the first: a second writer waits for our end, and then
--- a/burlloom/distribution/stores/sqlite.py
+++ b/burlloom/distribution/stores/sqlite.py
@@ -11,11 +11,15 @@
 
 
 class Sqlite(SharedSqliteFile, Tables):
+    """The change store in a SQLite file."""
+
     def __init__(self, path: Path, wait: float = LOCK_TIMEOUT_S) -> None:
         """`wait`: s for the lock that another holds, until the store counts as away."""
         super().__init__(path, "distribution", wait)
 
     async def transaction(self, guard: Statement, rest: list[Statement]) -> bool:
+        """Run all statements in one transaction if the guard gives a row."""
+
         def work(db: sqlite3.Connection) -> bool:
             db.execute("BEGIN IMMEDIATE")
             try:
--- a/burlloom/distribution/stores/store_follower.py
+++ b/burlloom/distribution/stores/store_follower.py
@@ -22,8 +22,11 @@
 class StoreEvents(Protocol):
     """Of what moved, but change after change."""
 
-    def on_table_loaded(self, head: Head) -> None: ...
-    def on_epoch_begun(self, seen: Head, own: Head) -> None: ...
+    def on_table_loaded(self, head: Head) -> None:
+        """The whole table was loaded; `head` is its revision."""
+
+    def on_epoch_begun(self, seen: Head, own: Head) -> None:
+        """The store had gone back from `own` to `seen`, and a new epoch was begun."""
 
 
 class StoreFollower:
@@ -60,6 +63,7 @@
             await self.apply_changes(head)
 
     async def apply_changes(self, head: Head) -> None:
+        """Apply changes up to the store's head. Raises `StoreInconsistentError`."""
         while (own := self.replica.head) is not None and own.revision < head.revision:
             found = await self.store.changes_since(own.revision, CHANGES_PER_READ)
             if self.replica.head != own:  # a peer told us meanwhile
--- a/burlloom/distribution/stores/tables.py
+++ b/burlloom/distribution/stores/tables.py
@@ -60,6 +60,7 @@
 
 
 def change_of(row: Any) -> Change:
+    """Return the change of a row of `distribution_change`."""
     epoch, revision, time_ms, scope, body, tag = row
     return Change(
         epoch,
@@ -73,6 +74,7 @@
 
 
 def stored_of(row: Any) -> StoredItem:
+    """Return the item of a row of `distribution_entry`."""
     scope, kind, key, value, epoch, revision = row
     return StoredItem(
         ConfigItem(bytes(scope).decode(), bytes(kind).decode(), bytes(key).decode(), bytes(value)),
@@ -92,6 +94,7 @@
     """
 
     async def execute(self, sql: str, *values: Any) -> list[Any]:
+        """Run one statement and return its rows. Raises `StoreUnavailableError`."""
         raise NotImplementedError
 
     async def transaction(self, guard: Statement, rest: list[Statement]) -> bool:
@@ -99,14 +102,17 @@
         raise NotImplementedError
 
     async def prepare(self) -> None:
+        """Connect, and take missing schema steps. Raises `StoreUnavailableError`."""
         raise NotImplementedError
 
     async def open(self) -> None:
+        """Prepare the schema, and begin an epoch where there is none."""
         await self.prepare()
         head = initial_head(time.time_ns() // 1_000_000, time.time_ns() // 1_000_000)
         await self.execute(BEGIN, head.epoch, head.tag, head.time_ms)
 
     async def head(self) -> Head:
+        """Return the last change's head."""
         found = await self.execute(HEAD)
         if not found:
             raise StoreUnavailableError("the head is gone: its table is empty")
@@ -114,13 +120,16 @@
         return Head(epoch, revision, bytes(tag), time_ms)
 
     async def changes_since(self, revision: int, most: int) -> list[Change]:
+        """Return at most `most` logged changes after a revision, in order."""
         return [change_of(row) for row in await self.execute(SINCE, revision, most)]
 
     async def change_at(self, revision: int) -> Change | None:
+        """Return the change of that revision, if it is still in the log."""
         found = await self.changes_since(revision - 1, 1)
         return found[0] if found and found[0].revision == revision else None
 
     async def append(self, change: Change) -> bool:
+        """Write a change if nobody wrote its revision before; returns whether it was written."""
         assert change.body is not None
         scope, revision = change.scope.encode(), change.revision
         rest: list[Statement] = [
@@ -139,6 +148,7 @@
         )
 
     async def items(self, after: Place | None, most: int) -> list[StoredItem]:
+        """Return a page of the items in force behind `after`, in order."""
         rows = await (
             self.execute(PAGE, most)
             if after is None
@@ -147,11 +157,13 @@
         return [stored_of(row) for row in rows]
 
     async def item(self, scope: str, kind: str, key: str) -> StoredItem | None:
+        """Return the item in force under a key of that scope."""
         return next(
             (stored_of(row) for row in await self.execute(ENTRY, *place_of(scope, kind, key))), None
         )
 
     async def begin_epoch(self, seen: Head, beyond: int) -> bool:
+        """Begin an epoch later than `beyond` if `seen` is still the head; returns whether it was."""
         now = time.time_ns() // 1_000_000
         head = initial_head(max(seen.epoch + 1, beyond + 1, now), max(seen.time_ms, now))
         return await self.transaction(
--- a/burlloom/distribution/table.py
+++ b/burlloom/distribution/table.py
@@ -65,6 +65,7 @@
 
 
 def item_digest(scope: str, kind: str, key: str, value: bytes) -> int:
+    """Return the 64-bit xxh3 of an item."""
     return int(xxhash.xxh3_64_intdigest(msgpack.packb((scope, kind, key, value))))
 
 
@@ -99,6 +100,7 @@
 
 
 def unpack_leaf(leaf: bytes) -> tuple[list[bytes], list[bytes]]:
+    """Return a leaf's keys and values, in order."""
     count, middle = LEAF_HEADER.unpack_from(leaf)
     start = LEAF_HEADER.size + 2 * count
     begin = start + middle
@@ -124,12 +126,14 @@
         self.leaves: list[bytes] = [EMPTY_LEAF]
 
     def has(self, key: bytes) -> bool:
+        """Whether there is an item under that key."""
         leaf = self.leaves[bisect_right(self.first_keys, key) - 1]
         count, middle = LEAF_HEADER.unpack_from(leaf)
         start = LEAF_HEADER.size + 2 * count
         return leaf.find(b"\xff%b\xff" % key, start, start + middle) >= 0
 
     def get(self, key: bytes) -> bytes | None:
+        """Return the value under that key."""
         leaf = self.leaves[bisect_right(self.first_keys, key) - 1]
         count, middle = LEAF_HEADER.unpack_from(leaf)
         start = LEAF_HEADER.size + 2 * count
@@ -241,6 +245,7 @@
 
 
 def item_from_key(scope: str, key: bytes, value: bytes) -> ConfigItem:
+    """Return the item that a bucket's key and value stand for."""
     return ConfigItem(scope, KIND_NAMES[key[0]], key[1:].decode(), value)
 
 
@@ -275,6 +280,7 @@
         return None
 
     def has(self, kind: str, key: str) -> bool:
+        """Whether `get` finds a value."""
         place = self.locate(kind, key)
         return place is not None and any(
             part.buckets[place[0]].has(place[1]) for part in self.lookups
@@ -349,6 +355,7 @@
         return tuple(whole)
 
     def scope_tables(self, scopes: Iterable[str] | None) -> list[ScopeTable]:
+        """Return the tables of those scopes that are held; None: of all."""
         held = self.parts.keys()
         return [self.parts[scope] for scope in (held if scopes is None else held & set(scopes))]
 
@@ -424,12 +431,14 @@
         return differed
 
     def locate(self, kind: str, key: str) -> tuple[int, bytes] | None:
+        """Return bucket and inner key; None for a key that no item can have."""
         try:
             return bucket_of(kind, key), KIND_CODES[kind] + key.encode()
         except (KeyError, UnicodeEncodeError):
             return None
 
     def validated(self, entries: Iterable[ConfigItem]) -> list[ConfigItem]:
+        """Return the items as a list. Raises `ValueError` with all faults."""
         taken: list[ConfigItem] = []
         for entry in entries:
             if len(taken) == MAX_PUT_ITEMS:
@@ -454,6 +463,7 @@
         return taken
 
     def write_bucket(self, scope: str, bucket: int, changes: Mapping[bytes, bytes | None]) -> int:
+        """Set or delete items of one bucket and move its digest; returns how many differed."""
         if scope not in self.parts:
             self.parts[scope] = ScopeTable()
         part = self.parts[scope]
