--- a/burlloom/rollout/stores/opening.py
+++ b/burlloom/rollout/stores/opening.py
@@ -5,24 +5,24 @@
 
 from ...record.factory import create_store
 from ...record.lock_retry import LOCK_TIMEOUT_S
-from .shelf import Shelf
+from .base import RolloutStore
 
 if TYPE_CHECKING:
     from ...operator import Operator
 
 
-def shelf_of(operator: "Operator", wait: float = LOCK_TIMEOUT_S) -> Shelf:
+def create_rollout_store(operator: "Operator", wait: float = LOCK_TIMEOUT_S) -> RolloutStore:
     """`wait`: s for a lock that another holds, of a store that is one file. Raises
     `record.store.Refused`.
     """
     place = operator.rollout_store()
     if place.sqlite is not None:
-        from .sqlite import Sqlite
+        from .sqlite import SqliteRolloutStore
 
-        return Sqlite(place.sqlite.place(), wait)
+        return SqliteRolloutStore(place.sqlite.place(), wait)
     from ...record.postgres import PostgresStore as Record
-    from .postgres import Postgres
+    from .postgres import PostgresRolloutStore
 
     record, _ = create_store(place, "-", keep=0, clock=time.time_ns)
     assert isinstance(record, Record)
-    return Postgres(record)
+    return PostgresRolloutStore(record)
--- a/tests/explore_fleet.py
+++ b/tests/explore_fleet.py
@@ -10,26 +10,33 @@
 from collections import deque
 from typing import Any
 
-from burlloom.fleet.deal import CALL, Dealer, Phase, Present, Terms, Told
-from burlloom.fleet.hold import Holder
+from burlloom.fleet.allocator import (
+    MILLICALLS_PER_CALL,
+    Allocator,
+    AllocatorPhase,
+    MemberPresence,
+    QuotaSettings,
+    ShareReport,
+)
+from burlloom.fleet.lease_holder import LeaseHolder
 
 NOW = 10**15
 
 
 class Member:
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: QuotaSettings) -> None:
         self.holder, self.life, self.number, self.in_hand, self.reported = (
-            Holder(terms, NOW),
+            LeaseHolder(terms, NOW),
             1,
             0,
             0,
             0,
         )
         self.newest = -1  # the report whose grant counts
-        self.reports: list[tuple[int, int, Told]] = []  # life, number and what it says
+        self.reports: list[tuple[int, int, ShareReport]] = []  # life, number and what it says
         self.grants: list[tuple[int, int, int]] = []  # life, number and the share
 
-    def copy(self, terms: Terms) -> "Member":
+    def copy(self, terms: QuotaSettings) -> "Member":
         other = Member(terms)
         other.holder.share, other.holder.state, other.holder.granted = (
             self.holder.share,
@@ -64,9 +71,9 @@
 
 
 class World:
-    def __init__(self, terms: Terms, members: int) -> None:
-        self.dealer = Dealer(terms, NOW)
-        self.dealer.phase = Phase.DEALING
+    def __init__(self, terms: QuotaSettings, members: int) -> None:
+        self.dealer = Allocator(terms, NOW)
+        self.dealer.phase = AllocatorPhase.ALLOCATING
         self.members = [Member(terms) for _ in range(members)]
         self.seen()
 
@@ -76,21 +83,21 @@
         other.dealer.accounts = {
             name: copy.copy(account) for name, account in self.dealer.accounts.items()
         }
-        other.members = [member.copy(self.dealer.terms) for member in self.members]
+        other.members = [member.copy(self.dealer.settings) for member in self.members]
         return other
 
     def seen(self) -> None:
-        self.dealer.fleet = {
-            str(at): Present(one.life, True, NOW) for at, one in enumerate(self.members)
+        self.dealer.members = {
+            str(at): MemberPresence(one.life, True, NOW) for at, one in enumerate(self.members)
         }
 
     def key(self) -> Any:
         accounts = tuple(
             (
                 name,
-                one.life,
-                one.number - self.members[int(name)].number,
-                one.told,
+                one.incarnation,
+                one.report_number - self.members[int(name)].number,
+                one.report,
                 one.bound,
                 one.target,
             )
@@ -114,11 +121,11 @@
         lives: int = 1,
         numbers: int = 2,
         in_flight: int = 2,
-        wants: tuple[int, ...] = (2 * CALL,),
+        wants: tuple[int, ...] = (2 * MILLICALLS_PER_CALL,),
         broken: str = "",
     ) -> None:
         self.terms, self.count, self.lives, self.numbers = (
-            Terms(calls * CALL, idle=0.0),
+            QuotaSettings(calls * MILLICALLS_PER_CALL, idle_share=0.0),
             members,
             lives,
             numbers,
@@ -158,7 +165,7 @@
         member.newest = member.number
         held = member.holder.share if self.broken == "in-hand" else member.held
         member.reports.append(
-            (member.life, member.number, Told(held, member.holder.share, wants, 1))
+            (member.life, member.number, ShareReport(held, member.holder.share, wants, 1))
         )
 
     def hear(self, world: World, member: Member, at: int, which: int, keeps: bool) -> None:
@@ -166,8 +173,8 @@
         if not keeps:
             del member.reports[which]
         if self.broken == "old-report" and str(at) in world.dealer.accounts:
-            world.dealer.accounts[str(at)].number = number - 1
-        grant = world.dealer.report(NOW, str(at), life, number, told)
+            world.dealer.accounts[str(at)].report_number = number - 1
+        grant = world.dealer.process_report(NOW, str(at), life, number, told)
         if grant is not None and len(member.grants) < self.in_flight:
             member.grants.append((life, number, grant))
 
@@ -175,7 +182,7 @@
         life, number, share = member.grants.pop(which)
         if life == member.life and (number == member.newest or self.broken == "old-grant"):
             member.newest = -1
-            member.holder.grant(NOW, share, NOW, True)
+            member.holder.process_grant(NOW, share, NOW, True)
             member.in_hand = max(
                 member.in_hand, member.holder.share
             )  # what it may have in hand, it has
@@ -190,13 +197,13 @@
         """Its calls went with it."""
         member.life += 1
         member.in_hand, member.newest = 0, -1
-        member.holder = Holder(self.terms, NOW)
+        member.holder = LeaseHolder(self.terms, NOW)
         world.seen()
-        world.dealer.round(NOW, world.dealer.fleet, True)
+        world.dealer.run_round(NOW, world.dealer.members, True)
 
     def turn(self, world: World, member: Member, at: int) -> None:
-        world.dealer.turned = NOW - self.terms.turn
-        world.dealer.deal(NOW)
+        world.dealer.allocated_at_ns = NOW - self.terms.allocation_interval_ns
+        world.dealer.allocate(NOW)
 
     def walk(self, most: int) -> tuple[int, int]:
         """How many worlds were seen, at most so many; the most that was ever in hand,
@@ -233,11 +240,11 @@
             self.hear(first, other, at, 0, False)
             self.take(first, other, at, 0)
         for _ in range(2):  # the first comes, and has all
-            self.report(first, one, 0, self.terms.total)
+            self.report(first, one, 0, self.terms.total_millicalls)
             self.hear(first, one, 0, 0, False)
             self.turn(first, one, 0)
             self.take(first, one, 0, 0)
-        assert one.in_hand == self.terms.total
+        assert one.in_hand == self.terms.total_millicalls
         for member in first.members:
             member.reported = 0
         return first
