--- a/burlloom/distribution/__init__.py
+++ b/burlloom/distribution/__init__.py
@@ -1,8 +1,9 @@
-"""Carrying configuration to a fleet: changes in a chain, pushed down a tree, with repair by
-digests.
+"""Distribution of configuration to a fleet.
 
-Without I/O: `Follower` is a server's side, `Source` the side that is followed, both on a `Replica`;
-a relay has both. `docs/distribution.md` has the choice and why nothing is lost or reordered.
+Changes form a hash chain, are pushed down a tree of relays, and are repaired by comparing digests.
+`Follower` is a server's side, `Source` the side that is followed, both on a `Replica` and without
+I/O; a relay has both. docs/distribution.md gives the protocol and why no change is lost or
+reordered.
 """
 
 from .changes import Change, ConfigItem, Head, InvalidChangeError, initial_head
--- a/burlloom/distribution/change_log.py
+++ b/burlloom/distribution/change_log.py
@@ -1,7 +1,7 @@
-"""The last changes, in order, with what each did to the digest of its scope. No I/O.
+"""The last changes of a replica, in order, with each one's effect on the digest of its scope.
 
-The digest of a table is an XOR over its entries, so a change moves it by an XOR too: the digest
-that a table had at an earlier revision is today's with the moves since then taken back.
+The digest of a table is an XOR over its items, so a change alters it by an XOR too: the digest at
+an earlier revision is today's with the changes since then XORed out. No I/O.
 """
 
 from collections import deque
@@ -13,7 +13,7 @@
 
 
 class ChangeLog:
-    """`base`: the revision after which changes are kept, all up to the head."""
+    """A bounded log of changes; `base_revision` is the revision before the oldest one kept."""
 
     def __init__(self, base: int = 0, most: int = MAX_LOGGED_CHANGES) -> None:
         self.base_revision, self.max_changes = base, most
@@ -23,7 +23,7 @@
         return len(self.changes)
 
     def append(self, change: Change, moved: int) -> None:
-        """`moved`: the digest of the change's scope before, XOR after; 0 where it is not held."""
+        """Append a change, with the XOR of its scope's digests before and after (0 if not held)."""
         self.changes.append((change, moved))
         if len(self.changes) > self.max_changes:
             self.changes.popleft()
@@ -35,18 +35,14 @@
         self.base_revision = base
 
     def changes_since(self, revision: int, most: int) -> list[Change] | None:
-        """Up to so many changes after that revision, in order; None where they are not kept any
-        more.
-        """
+        """Return at most `most` changes after a revision; None if they are no longer logged."""
         at = revision - self.base_revision
         if at < 0:
             return None
         return [self.changes[place][0] for place in range(at, min(at + most, len(self.changes)))]
 
     def digest_delta_since(self, revision: int, scopes: Container[str] | None) -> int | None:
-        """By what the digest of those scopes moved since that revision; None where that is not
-        kept.
-        """
+        """Return the XOR of the scopes' digest deltas since a revision; None if not logged."""
         at = revision - self.base_revision
         if not 0 <= at <= len(self.changes):
             return None
--- a/burlloom/distribution/changes.py
+++ b/burlloom/distribution/changes.py
@@ -1,15 +1,14 @@
-"""Changes of configuration: entries, the chain that seals their order, and what is wrong with a bad
-one. No I/O.
-
-A change sets some entries of one scope, all or none; each sets an absolute value, so a change that
-is applied again after later state does no harm once those after it are applied as well. Revisions
-are dense within an epoch. The tag of a change is a keyed BLAKE2b (RFC 7693) over the tag before it
-and all that it says: whoever has the key notices one that is missing, moved or altered. The chain
-covers the digest of the body in place of the body, so that a follower which does not hold the scope
-checks it without the body.
-
-Source: hash chains of logs, Schneier and Kelsey, "Secure Audit Logs" (1999); here with one key for
-all, which keeps strangers out and not a holder of the key.
+"""Changes of configuration: items, the hash chain that seals their order, and validation.
+
+A change sets some items of one scope, all or none. Each item has an absolute value, so applying a
+change again after later ones is harmless once those are applied again as well. Revisions are dense
+within an epoch. The tag of a change is a keyed BLAKE2b (RFC 7693) over the tag before it and the
+change's fields: whoever has the key detects one that is missing, moved or altered. The chain covers
+the hash of the body in place of the body, so that a follower that does not hold the scope can
+verify it without the body. No I/O.
+
+Source: hash chains of logs, Schneier and Kelsey, "Secure Audit Logs" (1999); here one key is shared
+by all, which keeps out strangers but not a holder of the key.
 """
 
 import hashlib
@@ -33,8 +32,13 @@
 
 
 class ConfigItem(NamedTuple):
-    """`scope`: "" holds everywhere, else a region's name. `value`: MessagePack of a map; None
-    deletes.
+    """One configuration item.
+
+    Attributes:
+        scope: "" holds everywhere, else a region's name.
+        kind: one of `KINDS`.
+        key: the item's name within its kind.
+        value: MessagePack of a map; None deletes the item.
     """
 
     scope: str
@@ -44,9 +48,17 @@
 
 
 class Change(NamedTuple):
-    """`time_ms`: Unix ms at the origin, never less than of the change before. `body`: MessagePack
-    of a list of [kind, key, value or nil]; None where it was left out for who does not hold the
-    scope. `body_digest`: BLAKE2b-128 of it.
+    """One change of a scope's items.
+
+    Attributes:
+        epoch: number of the log; it grows when the store was restored.
+        revision: dense number within the epoch.
+        time_ms: Unix ms at the origin, never less than that of the change before.
+        scope: scope of all items.
+        body: MessagePack of a list of [kind, key, value or nil]; None if left out for a follower
+            that does not hold the scope.
+        tag: hash that chains it to the change before.
+        body_digest: BLAKE2b-128 of the body.
     """
 
     epoch: int
@@ -63,7 +75,7 @@
 
 
 class Head(NamedTuple):
-    """The last change of an epoch: revision 0 where there is none yet. `time_ms`: Unix ms of it."""
+    """The last change of an epoch; revision 0 if there is none yet. `time_ms` is Unix ms."""
 
     epoch: int
     revision: int
@@ -72,7 +84,11 @@
 
 
 class InvalidChangeError(Exception):
-    """A change that can't be; `faults`: all of them, each with its place."""
+    """A change that can't be made.
+
+    Attributes:
+        faults: all that is wrong, each with its place.
+    """
 
     def __init__(self, faults: Sequence[str]) -> None:
         super().__init__("; ".join(faults))
@@ -80,8 +96,9 @@
 
 
 def initial_head(epoch: int, time_ms: int) -> Head:
-    """Where an epoch begins, before its first change. What lies in the table then is whatever the
-    store had.
+    """Return the head of an epoch before its first change.
+
+    The table then holds whatever the store had.
     """
     return Head(
         epoch, 0, hashlib.blake2b(b"epoch %d" % epoch, digest_size=TAG_BYTES).digest(), time_ms
@@ -102,7 +119,7 @@
     scope: str,
     body_digest: bytes,
 ) -> bytes:
-    """`before`: the tag of the change before, 16 bytes."""
+    """Return the tag of a change that follows one with the tag `before` (16 bytes)."""
     text = b"%b%d %d %d " % (before, epoch, revision, time_ms) + body_digest + scope.encode()
     return hashlib.blake2b(text, key=key, digest_size=TAG_BYTES).digest()
 
@@ -114,7 +131,7 @@
 
 
 def decode_items(scope: str, body: bytes) -> list[ConfigItem]:
-    """Raises `Refused` with all faults of the body and of what it sets."""
+    """Return the items of a body. Raises `InvalidChangeError` with all faults."""
     if len(body) > MAX_BODY_BYTES:
         raise InvalidChangeError([f"body: {len(body)} bytes, {MAX_BODY_BYTES} at most"])
     try:
@@ -138,9 +155,7 @@
 
 
 def change_faults(scope: Any, entries: Sequence[ConfigItem]) -> list[str]:
-    """All that is wrong with what a change would set, each with its place; empty where it may
-    be.
-    """
+    """Return all that is wrong with the items of a change, each with its place."""
     found = (
         []
         if is_text(scope, 0, MAX_SCOPE_BYTES)
@@ -168,7 +183,7 @@
 
 
 def value_fault(value: Any) -> str:
-    """Why that is no value of an entry; empty where it is one."""
+    """Return why a value can't be an item's; "" if it can."""
     if value is None:
         return ""
     if type(value) is not bytes:
@@ -183,7 +198,7 @@
 
 
 def is_text(got: Any, least: int, most: int) -> bool:
-    """`least` and `most`: bytes of UTF-8."""
+    """Whether a value is text of `least` to `most` bytes of UTF-8."""
     if type(got) is not str or len(got) > most:
         return False
     try:
@@ -193,7 +208,7 @@
 
 
 def next_change(before: Head, scope: str, body: bytes, time_ms: int, key: bytes) -> Change:
-    """The change that comes after `before`, sealed. Time never steps back."""
+    """Return the sealed change that follows `before`. Time never goes back."""
     revision, time_ms, digest = (
         before.revision + 1,
         max(before.time_ms, time_ms),
@@ -204,8 +219,9 @@
 
 
 def chain_break(before: Head, change: Change, keys: Sequence[bytes]) -> str:
-    """Why that change does not come right after `before`; empty where it does. Any of the keys will
-    do, so that they can be changed while the fleet runs.
+    """Return why a change does not directly follow `before`; "" if it does.
+
+    Any of the keys may have signed it, so that keys can be rotated while the fleet runs.
     """
     if change.epoch != before.epoch:
         return "another epoch"
--- a/burlloom/distribution/config_query.py
+++ b/burlloom/distribution/config_query.py
@@ -1,6 +1,4 @@
-"""One question to whoever is followed: what is in force under a key. For an operator's look; keeps
-nothing.
-"""
+"""Queries a source for the items under one key, for an operator; keeps no table."""
 
 import asyncio
 import secrets
@@ -87,8 +85,11 @@
 async def query(
     upstreams: Iterable[Upstream], region: str, key: bytes, kind: str, name: str
 ) -> tuple[list[tuple[str, bytes, str]] | None, str]:
-    """Scope and value of each that is found, the one in force first, and who said so; None where
-    nobody did.
+    """Ask the upstreams in turn for what is in force under a key.
+
+    Returns:
+        Scope, value and "" of each item, the one in force first, or None if nobody answered; and a
+        sentence that says who answered, or why nobody did.
     """
     asking = QueryClient(key)
     transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
@@ -123,7 +124,10 @@
 async def query_item(
     asking: QueryClient, one: Upstream, region: str, kind: str, name: str
 ) -> list[tuple[str, bytes, str]] | None:
-    """Return scope and value of each item under a key, the one in force first; None if unanswered."""
+    """Return scope and value of each item under a key, the one in force first.
+
+    None if nobody answered.
+    """
     bucket = bucket_of(kind, name)
     after: ItemPosition | None = None
     found: dict[str, bytes] = {}
--- a/burlloom/distribution/control_node.py
+++ b/burlloom/distribution/control_node.py
@@ -1,4 +1,4 @@
-"""A control machine, or a relay: follows the store, else its peers, and is followed itself."""
+"""A control machine or a relay: follows the store, or its peers, and is followed."""
 
 import asyncio
 import logging
@@ -34,13 +34,13 @@
 
 
 def since_start() -> int:
-    """ns of a clock that nobody sets, and that goes on while the machine sleeps."""
+    """Return ns of the boot clock, which is never set and includes the machine's sleep."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
 @dataclass(slots=True)
 class Counts:
-    """For whoever reads metrics."""
+    """Counters for metrics."""
 
     reads: int = 0
     away: int = 0
@@ -50,8 +50,9 @@
 
 
 class ControlNode:
-    """`store`: None at a relay, which follows `upstreams` alone; with one, they are followed while
-    it is away.
+    """A control machine (`store` given) or a relay (`store` None).
+
+    A relay follows `upstreams`; a control machine does so only while its store is unavailable.
     """
 
     def __init__(
@@ -99,7 +100,7 @@
         self.stopping = asyncio.Event()
 
     def age(self, now: int) -> int | None:
-        """ms since what we have was surely the newest: of the store, or of whom we follow."""
+        """Return how long ago the table was confirmed to be the newest, in ms; None if never."""
         ages = [] if self.store_read_at is None else [max(0, now - self.store_read_at) // MS]
         told = self.follower.age(now) if self.follower is not None else None
         return min([*ages, *([] if told is None else [told])], default=None)
@@ -140,9 +141,7 @@
     # The store.
 
     async def follow_store(self, reading: StoreFollower) -> None:
-        """Poll the store until cancelled; an unavailable or inconsistent store is retried with
-        backoff.
-        """
+        """Poll the store until cancelled; failures are retried with backoff."""
         wait = READ_EVERY
         while True:
             began = since_start()
@@ -213,7 +212,7 @@
             self.report_status(now)
 
     def choose_upstream(self, now: int) -> None:
-        """Whether peers are followed: not while the store answers."""
+        """Follow peers while the store does not answer, else the store alone."""
         lately = self.store_read_at if self.store_read_at is not None else self.began_at
         wanted = bool(self.upstreams) and (self.store is None or now - lately > AWAY_AFTER)
         if wanted and self.follower is None:
@@ -270,8 +269,9 @@
             write_state(self.state_file, self.summary(now))
 
     def lowest_follower(self) -> tuple[int | None, int]:
-        """Of who follows, within our epoch: the lowest revision, and for how many ms the first
-        change that one of them lacks has been there. One of another epoch has 0.
+        """Return the followers' lowest revision, and for how many ms they have lacked the next.
+
+        A follower of another epoch counts as revision 0; without followers the result is None, 0.
         """
         head = self.replica.head
         if head is None or not self.source.followers:
--- a/burlloom/distribution/endpoint.py
+++ b/burlloom/distribution/endpoint.py
@@ -1,4 +1,4 @@
-"""Datagrams in and out, for a server that follows and for a control machine."""
+"""A UDP endpoint for a follower, a control machine or a relay."""
 
 import asyncio
 import logging
@@ -18,7 +18,7 @@
 
 
 def bind_datagram_socket(listen: str) -> socket.socket:
-    """Raises `OSError`."""
+    """Return a non-blocking UDP socket bound to "host:port". Raises `OSError`."""
     host, port = listen.rsplit(":", 1)
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
@@ -32,8 +32,10 @@
 
 
 class Endpoint(asyncio.DatagramProtocol):
-    """`hear`: called with each datagram and where it came from; an error of it is logged, and that
-    is all.
+    """Sends and receives datagrams.
+
+    `on_datagram` is called with each datagram and its source; an error it raises is logged and
+    dropped.
     """
 
     def __init__(self, sock: socket.socket, hear: Callable[[bytes, Address], None]) -> None:
@@ -53,9 +55,7 @@
         )
 
     def flush(self, out: deque[tuple[Address, bytes]]) -> None:
-        """Send all datagrams of `out`; those over `UNSENT_MOST` unsent bytes are dropped and
-        counted.
-        """
+        """Send all datagrams of `out`; past `UNSENT_MOST` unsent bytes they are dropped."""
         while out:
             address, data = out.popleft()
             if self.transport is None or self.transport.get_write_buffer_size() > UNSENT_MOST:
@@ -64,7 +64,7 @@
                 self.transport.sendto(data, address)
 
     def log_refusals(self, now_s: int, refusals: deque[tuple[str, Address]]) -> None:
-        """Some lines a second: whoever sends rubbish does not fill the disk."""
+        """Log refused messages, at most `REFUSED_EACH` lines a second."""
         if now_s != self.logged_second:
             self.logged_second, self.logged_count = now_s, 0
         while refusals:
--- a/burlloom/distribution/follower.py
+++ b/burlloom/distribution/follower.py
@@ -1,14 +1,14 @@
-"""One server's side: it follows one upstream of several, and holds what that has. No I/O.
+"""A server's side of replication: it follows one of several upstreams. No I/O.
 
-A host gives it the time (`tick`, at `due` or several times a second) and what datagrams come
-(`hear`), and sends what lies in `out`. Times are ns of a clock that never steps back.
+A host calls `tick` at `next_due` or several times a second, passes datagrams to `receive`, and
+sends what lies in `out`. Times are ns of a clock that never goes back.
 
-The applied revisions of an epoch are dense whatever the network does, since only the change right
-after the head whose tag continues the head's is taken (`Replica.take`); the rest is held for its
-turn, or asked for again. A sync makes the table the upstream's by pages: it remembers the head from
-before the first page (the base), folds the changes after the base, and ends at a revision not
-before that of any page. Within an epoch nothing goes back; what the head of a later epoch says is
-taken by a sync.
+The applied revisions of an epoch are dense whatever the network does: only the change directly
+after the head whose tag continues the head's is applied (`Replica.apply_change`); others wait for
+their turn or are requested again. A sync makes the table equal to the upstream's by pages: it
+records the head from before the first page (the base), folds the changes after the base, and ends
+at a revision not before that of any page. Within an epoch nothing goes back; the head of a later
+epoch is taken by a sync.
 """
 
 from collections import deque
@@ -133,7 +133,7 @@
 
 @dataclass(slots=True)
 class Counts:
-    """For whoever reads metrics."""
+    """Counters for metrics and the state file, under these names."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -152,9 +152,14 @@
 
 @dataclass(slots=True)
 class Fetch:
-    """A bucket on its way: behind `after` nothing came yet; `early` pages wait for those before
-    them. `tries`: since one came; each waits twice as long, as a source that has no bytes left for
-    pages answers nothing.
+    """A bucket whose pages are being fetched.
+
+    Attributes:
+        after: the position that pages have come up to.
+        retry_at: when to ask again, in ns.
+        tries: requests since the last page; each waits twice as long as the one before, since a
+            source over its byte rate answers nothing.
+        early_pages: pages that wait for those before them.
     """
 
     after: ItemPosition | None
@@ -165,8 +170,19 @@
 
 @dataclass(slots=True)
 class Sync:
-    """`base`: the head from before the first page; `tip`: how far the changes after it are folded;
-    `target`: the latest revision that a page was of.
+    """A running sync.
+
+    Attributes:
+        first_number: number of the first DIGESTS_ASK.
+        retry_at: when to ask for digests again, in ns.
+        last_progress_at: when anything last came of it, in ns.
+        digest_halves: digests received, by number and half.
+        base: the head from before the first page.
+        tip: how far the changes after the base are folded.
+        target: the latest revision that a page was of.
+        buckets_left: buckets that are still to be fetched.
+        fetching: buckets on their way.
+        folded_items: last values of the changes after the base.
     """
 
     first_number: int  # number of the first DIGESTS_ASK
@@ -182,8 +198,21 @@
 
 
 class Follower:
-    """`life`: Unix ms of the start. `upstreams`: own region's come first, each part in rendezvous
-    order. The first key seals. Raises `ValueError` for terms or upstreams that can't be.
+    """Follows one upstream of several and keeps a replica of its table.
+
+    Args:
+        replica: the table that is kept.
+        name: this server's name.
+        incarnation: Unix ms of the process's start.
+        region: upstreams of this region are preferred.
+        upstreams: whom it may follow.
+        keys: the first seals messages, any opens them.
+        settings: intervals and limits.
+        random: source of jitter.
+        now: current time in ns.
+
+    Raises:
+        ValueError: for settings or upstreams that can't be used.
     """
 
     def __init__(
@@ -258,7 +287,7 @@
         return self.upstreams[self.upstream_index]
 
     def age(self, now: int) -> int | None:
-        """ms since what is in force was surely the newest; None where it never was."""
+        """Return how long ago the table was confirmed to be the newest, in ms; None if never."""
         return (
             None
             if self.confirmed_newest_at is None
@@ -267,7 +296,7 @@
 
     @property
     def next_due(self) -> int:
-        """When `tick` has something to do."""
+        """When `tick` next has something to do, in ns."""
         found = min(
             self.next_report_at, self.next_probe_at, self.last_answer_at + self.answer_timeout_ns()
         )
@@ -320,13 +349,13 @@
             self.repeat_requests(now, self.sync)
 
     def resume_after_pause(self, now: int) -> None:
-        """We stood still; that the upstream was not heard meanwhile says nothing of it."""
+        """Restart timeouts after a pause of this process: it says nothing of the upstream."""
         self.last_answer_at = self.next_report_at = now
         if self.sync is not None:
             self.sync.last_progress_at = now
 
     def send_report(self, now: int) -> None:
-        """Until an upstream answers, twice a beat."""
+        """Report to the upstream; twice a heartbeat until one answers."""
         self.next_report_at = now + self.jittered(
             self.settings.heartbeat_ns if self.has_answered else self.settings.heartbeat_ns // 2
         )
@@ -342,9 +371,7 @@
         return Report(table.scopes, head.epoch, head.revision, table.digest())
 
     def probe_preferred_upstream(self, now: int) -> None:
-        """A report to one of the better upstreams, each in turn; to any where the own one has old
-        news.
-        """
+        """Report to a preferred upstream, each in turn; to any while the own one is stale."""
         most = len(self.upstreams) if self.upstream_is_stale() else self.upstream_index
         self.next_probe_at = now + self.jittered(
             self.settings.heartbeat_ns
@@ -362,7 +389,7 @@
             )
 
     def upstream_is_stale(self) -> bool:
-        """Whether the upstream itself has old news, or none."""
+        """Whether the upstream's own table is old, or never was the newest."""
         return self.upstream_head is not None and (
             self.upstream_head.age_ms is None
             or self.upstream_head.age_ms * MS > self.settings.stale_after_ns
@@ -443,7 +470,7 @@
         return ""
 
     def reason_not_to_follow(self, head: Head) -> str:
-        """Why nobody with that head may be followed; empty where one may."""
+        """Return why an upstream with that head can't be followed; "" if it can."""
         own = self.replica.head
         if own is None:
             return ""
@@ -454,7 +481,7 @@
         return ""
 
     def is_preferable(self, told: HeadStatus, which: int) -> bool:
-        """Whether that upstream is to be followed in place of the own one."""
+        """Whether that upstream should be followed in place of the present one."""
         if self.reason_not_to_follow(told.head) or told.age_ms is None:
             return False
         own = self.upstream_head.age_ms if self.upstream_head is not None else None
@@ -463,7 +490,7 @@
         return self.upstream_is_stale() and (own is None or 2 * told.age_ms < own)
 
     def update_confirmed_age(self) -> None:
-        """Words about revisions that we have say when what is in force was surely the newest."""
+        """Apply the upstream's ages for revisions that are in force here now."""
         head = self.replica.head
         while head is not None and self.pending_ages:
             epoch, revision, at = self.pending_ages[0]
@@ -503,15 +530,13 @@
         return reason
 
     def tip(self) -> Head | None:
-        """The revision that the next change is to follow: of the table, or of what a sync
-        folded.
-        """
+        """Return the head that the next change must follow: the table's, or the sync's tip."""
         if self.sync is not None:
             return self.sync.tip
         return None if self.replica.is_partial else self.replica.head
 
     def apply_early_changes(self, now: int) -> str:
-        """Takes what follows, as far as it goes; says why a change was refused."""
+        """Apply waiting changes as far as they follow; returns why one was refused, else ""."""
         while True:
             tip = self.tip()
             change = self.early_changes.pop(tip.revision + 1, None) if tip is not None else None
@@ -535,7 +560,7 @@
             self.update_confirmed_age()
 
     def fold_change(self, sync: Sync, change: Change) -> str:
-        """The next change after the base: for the end of the sync."""
+        """Keep the items of the next change after the base for the end of the sync."""
         assert sync.tip is not None
         reason = chain_break(sync.tip, change, self.replica.keys)
         if not reason and self.replica.holds_scope(change.scope):
@@ -579,7 +604,10 @@
         self.follow_upstream(now, (self.upstream_index + 1) % len(self.upstreams))
 
     def follow_upstream(self, now: int, which: int) -> None:
-        """What a sync has fetched stays in the table; the next one finds it by its digests."""
+        """Follow that upstream.
+
+        Pages that were fetched stay in the table; the next sync finds them by their digests.
+        """
         if self.has_answered and which != self.upstream_index:
             self.send(self.upstream, Leave())
         self.upstream_index, self.has_answered, self.upstream_incarnation = which, False, 0
@@ -610,8 +638,10 @@
     # Tests.
 
     def needs_sync(self) -> bool:
-        """Whether only a sync helps: nothing whole here, a later epoch, changes that can't be
-        pulled any more, or digests that differ at the same revision.
+        """Whether only a sync helps.
+
+        That is so if nothing is complete here, the upstream's epoch is later, the changes can't be
+        pulled any more, or digests differ at the same revision.
         """
         told, head = self.upstream_head, self.replica.head
         if told is None:
@@ -626,7 +656,7 @@
         )
 
     def has_lost_sync_base(self) -> bool:
-        """Whether what a sync was begun from is gone."""
+        """Whether the upstream no longer has the changes after the sync's tip."""
         sync, told = self.sync, self.upstream_head
         if sync is None:
             return True
@@ -642,7 +672,7 @@
         return head is not None and self.latest > head.revision
 
     def is_sync_unfinished(self) -> bool:
-        """Whether a sync is not at its end yet."""
+        """Whether buckets are missing, or changes up to the latest page's revision."""
         sync = self.sync
         return (
             sync is None
@@ -654,7 +684,7 @@
     # Effects.
 
     def pull_changes(self, now: int) -> None:
-        """Asks for the next changes, unless asked for just now."""
+        """Request the next changes, unless they were requested just now."""
         tip = self.tip()
         if tip is None or tip.revision >= self.wanted_revision():
             self.pull_sent_at = -1
@@ -677,11 +707,11 @@
         self.pull_number = self.send(self.upstream, PullRequest(tip.epoch, tip.revision, most))
 
     def wanted_revision(self) -> int:
-        """The latest that we know of."""
+        """Return the latest revision that is known."""
         return max(self.latest, self.sync.target_revision if self.sync is not None else 0)
 
     def start_sync(self, now: int) -> None:
-        """Asks for the digests of all buckets."""
+        """Request the digests of all buckets."""
         self.counts.syncs += 1
         self.pull_sent_at = self.pull_number = -1
         self.sync = Sync(
@@ -691,7 +721,7 @@
         )
 
     def finish_sync(self, now: int) -> None:
-        """The end of a sync: what was folded lies over the pages."""
+        """End a sync: put the folded items over the pages."""
         sync = self.sync
         assert sync is not None
         assert sync.tip is not None
@@ -758,7 +788,7 @@
         return ""
 
     def fetch_buckets(self, now: int, sync: Sync) -> None:
-        """Asks for the next buckets, or goes on where none is left."""
+        """Request the next buckets, or go on if none is left."""
         while sync.buckets_left and len(sync.fetching) < MAX_FETCHES:
             bucket = sync.buckets_left.pop()
             sync.fetching[bucket] = Fetch(None, now)
@@ -767,8 +797,9 @@
             self.handle(now, Input.FETCHED)
 
     def on_page(self, now: int, message: Message) -> str:
-        """Put a page into the table, and those that waited for it; returns why it is refused, else
-        "".
+        """Put a page, and those that waited for it, into the table.
+
+        Returns why it is refused, else "".
         """
         body, sync = message.body, self.sync
         assert isinstance(body, PageResponse)
@@ -842,7 +873,7 @@
         self.send(self.upstream, Leave())
 
     def send(self, to: Upstream, body: Body) -> int:
-        """The message's number."""
+        """Queue a message to an upstream and return its number."""
         self.number += 1
         if len(self.out) >= MAX_OUT_DATAGRAMS:
             self.counts.dropped += 1
@@ -855,8 +886,10 @@
 
 
 def by_preference(name: str, region: str, upstreams: Iterable[Upstream]) -> list[Upstream]:
-    """Own region's first, each part in rendezvous order (Thaler and Ravishankar, 1998), so that
-    each follower has its own and a lost one's followers spread over all others.
+    """Sort upstreams: the own region's first, each part in rendezvous order.
+
+    Each follower has its own order, so the followers of a lost upstream spread over all others.
+    Source: Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates" (1998).
     """
 
     def weight(one: Upstream) -> tuple[bool, int]:
@@ -866,7 +899,7 @@
 
 
 def summary(follower: Follower, now: int) -> Mapping[str, object]:
-    """For an operator's eyes; plain values."""
+    """Return plain values for an operator, as the state file has them."""
     head, sync, counts = follower.replica.head, follower.sync, follower.counts
     return {
         "name": follower.name,
--- a/burlloom/distribution/messages.py
+++ b/burlloom/distribution/messages.py
@@ -1,9 +1,9 @@
-"""What followers and those whom they follow send to each other: one datagram each, sealed. No I/O.
+"""Messages between followers and sources, one sealed datagram each. No I/O.
 
-A message is 16 bytes of a keyed BLAKE2b (RFC 7693) over the rest, then MessagePack: version, kind,
-the sender's name, its life, a number, and the kind's own fields. What is not exactly that is
-refused with a reason. A message that is played again does nothing: requests count up and each
-counts once (`Window`), answers carry the number of the request, and changes are in a chain.
+A datagram is 16 bytes of a keyed BLAKE2b (RFC 7693) over the rest, then MessagePack: version, kind,
+the sender's name, its incarnation, a number, and the kind's own fields. Anything else is refused
+with a reason. A replayed message has no effect: requests are numbered and each number counts once
+(`ReplayWindow`), answers carry the number of the request, and changes are chained.
 """
 
 import hashlib
@@ -58,7 +58,13 @@
 
 
 class Sender(NamedTuple):
-    """`life`: Unix ms of the start. `number`: its own count; in an answer, of the request."""
+    """Who sent a message.
+
+    Attributes:
+        name: the sender's name.
+        incarnation: Unix ms of the sender's start.
+        number: the sender's own count; in an answer, that of the request.
+    """
 
     name: str
     incarnation: int
@@ -66,8 +72,13 @@
 
 
 class Report(NamedTuple):
-    """`epoch` 0: nothing whole here. `scopes` None: all. `digest`: of these scopes at that
-    revision.
+    """REPORT. What a follower has.
+
+    Attributes:
+        scopes: scopes that are held; None: all.
+        epoch: 0 if no table is complete.
+        revision: revision of the table.
+        digest: digest of these scopes at that revision.
     """
 
     scopes: tuple[str, ...] | None
@@ -77,8 +88,13 @@
 
 
 class HeadStatus(NamedTuple):
-    """HEAD. `age`: ms since the teller surely had the newest; None: never. `differs`: at the
-    revision of the REPORT the digests differ. `oldest`: changes after this revision can be pulled.
+    """HEAD. What a source has.
+
+    Attributes:
+        head: the source's head.
+        age_ms: how long ago its table was confirmed to be the newest; None: never.
+        differs: whether the digests differ at the revision of the REPORT.
+        oldest_revision: changes after this revision can be pulled.
     """
 
     head: Head
@@ -108,7 +124,7 @@
 
 
 class DigestsResponse(NamedTuple):
-    """`half` 0: of buckets 0 to 127; 1: the others."""
+    """DIGESTS. Digests of buckets 0 to 127 (`half` 0) or 128 to 255 (`half` 1)."""
 
     head: Head
     half: int
@@ -124,8 +140,15 @@
 
 
 class PageResponse(NamedTuple):
-    """One page, the `place`th of its PAGES_ASK; `epoch` and `revision`: of the table that it was
-    read from.
+    """PAGE. One page of a bucket.
+
+    Attributes:
+        epoch: epoch of the table that it was read from.
+        revision: revision of that table.
+        bucket: the bucket.
+        page_index: which page of its PAGES_ASK this is.
+        after: the position that it begins behind.
+        page: the items.
     """
 
     epoch: int
@@ -179,7 +202,7 @@
 
 
 class MessageDecodeError(Exception):
-    """A datagram that nobody with our key and version would send; says why."""
+    """A datagram that no peer with our key and version would send; the text says why."""
 
 
 def compute_seal(key: bytes, text: bytes) -> bytes:
@@ -195,8 +218,9 @@
 
 
 def unseal(data: bytes, keys: Sequence[bytes]) -> Message:
-    """Any of the keys will do, so that keys can be changed while the fleet runs. Raises
-    `Unreadable`.
+    """Return the message of a datagram. Raises `MessageDecodeError`.
+
+    Any of the keys may have sealed it, so that keys can be rotated while the fleet runs.
     """
     if not SEAL_BYTES < len(data) <= MAX_MESSAGE_BYTES:
         raise MessageDecodeError("too short" if len(data) <= SEAL_BYTES else "too long")
@@ -211,7 +235,7 @@
 
 
 def is_for_source(data: bytes) -> bool:
-    """By a look at the kind, unread: whether that is for who is followed, not for a follower."""
+    """Whether a datagram is for a source, judged by its kind alone and without its seal."""
     return len(data) > SEAL_BYTES + 2 and data[SEAL_BYTES + 2] in REQUESTS
 
 
--- a/burlloom/distribution/proposal.py
+++ b/burlloom/distribution/proposal.py
@@ -1,4 +1,4 @@
-"""What a new change becomes: checked whole, then the next revision, sealed. No I/O."""
+"""Validates a proposed change and seals it as the next revision. No I/O."""
 
 from collections.abc import Sequence
 
@@ -23,9 +23,20 @@
     key: bytes,
     check: ItemCheck | None = None,
 ) -> Change:
-    """The change that follows `head`, signed with `key`. `time_ms`: Unix ms. `check`: faults of an
-    entry's meaning. Whoever appends it does so only where `head` is still the last; else it is
-    proposed anew. Raises `Refused` with all faults and their places.
+    """Return the change that follows `head`, signed with `key`.
+
+    It may be appended only while `head` is still the last; otherwise it has to be proposed again.
+
+    Args:
+        head: the head that it follows.
+        scope: "" or a region.
+        entries: the items to set or delete.
+        time_ms: Unix ms.
+        key: the signing key.
+        check: returns faults of an item's meaning.
+
+    Raises:
+        InvalidChangeError: with all faults and their places.
     """
     found = change_faults(scope, entries)
     if not found and check is not None:
--- a/burlloom/distribution/replica.py
+++ b/burlloom/distribution/replica.py
@@ -1,6 +1,4 @@
-"""What one process holds: the table, its head and the last changes; how it moves on by one change.
-No I/O.
-"""
+"""A process's copy of the configuration: table, head and last changes. No I/O."""
 
 from collections.abc import Iterable, Sequence
 
@@ -18,9 +16,13 @@
 
 
 class Replica:
-    """`head`: None until a first revision was whole here. `patched`: the table is on its way from
-    the head's revision to a later one, pages of which lie in it already: it is served on, but is
-    nothing to copy from. `keys`: of signing, any of them will do.
+    """The table, and how one change moves it on.
+
+    Attributes:
+        head: the revision in force; None until a first one was complete.
+        is_partial: pages of a later revision lie in the table already: it is served from, but
+            nobody may copy it.
+        keys: signing keys, any of which may have signed a change.
     """
 
     def __init__(
@@ -37,7 +39,7 @@
         return self.head is not None and not self.is_partial
 
     def apply_change(self, change: Change) -> str | None:
-        """The next change, all of it or nothing. None where it holds now, else why it does not."""
+        """Apply the next change, all or nothing; returns None, or why it was not applied."""
         if self.head is None or self.is_partial:
             return "no whole revision to follow"
         reason = chain_break(self.head, change, self.keys) or self.apply_to_table(change)
@@ -65,7 +67,7 @@
         return ""
 
     def items_of(self, change: Change) -> list[ConfigItem]:
-        """Raises `Refused`."""
+        """Return a change's items. Raises `InvalidChangeError`."""
         if change.body is None:
             raise InvalidChangeError(["body: left out, and the scope is held here"])
         return decode_items(change.scope, change.body)
@@ -75,19 +77,17 @@
         return self.table.scopes is None or scope in self.table.scopes
 
     def load(self, head: Head, entries: Iterable[ConfigItem] = ()) -> None:
-        """Of a store: the table is made exactly those entries beforehand or by them, in their
-        thousands.
-        """
+        """Put items read from a store, in thousands, and set the head that they are of."""
         self.table.put(entries)
         self.complete_at(head)
 
     def complete_at(self, head: Head) -> None:
-        """The table is that revision now, by another way than change after change."""
+        """Set the head, after the table was made that revision by other means than changes."""
         self.head, self.is_partial = head, False
         self.log.restart(head.revision)
 
     def digest_at(self, revision: int, scopes: tuple[str, ...] | None) -> int | None:
-        """The digest that those scopes had at that revision; None where that can't be told."""
+        """Return the digest of those scopes at a revision; None if it can't be told."""
         if self.head is None or self.is_partial or revision > self.head.revision:
             return None
         moved = self.log.digest_delta_since(revision, scopes)
--- a/burlloom/distribution/settings.py
+++ b/burlloom/distribution/settings.py
@@ -1,4 +1,4 @@
-"""How often, how long, how many: the bounds of following and of being followed."""
+"""Intervals and limits of replication."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationSettings:
-    """Times in ns, jittered by a tenth where they repeat. `silence`: an upstream that answered is
-    given up after it; `knock`: one that never did; `retry`: a request is sent again; `prefer`:
-    better upstreams are tried again; `stale`: an upstream whose word is older than that is left for
-    a fresher one; `stuck`: a sync without any progress is begun anew elsewhere. `lease`: a follower
-    that does not report is forgotten. `page_rate`: bytes/s of pages that one source gives to all;
-    `page_burst`: bytes at once.
+    """Intervals and limits; intervals in ns, jittered by a tenth where they repeat.
+
+    Attributes:
+        heartbeat_ns: between two reports of a follower.
+        upstream_timeout_ns: an upstream that answered before is given up after this silence.
+        first_answer_timeout_ns: one that never answered is given up after this.
+        request_retry_ns: a request is repeated after this.
+        preferred_retry_ns: preferred upstreams are tried again after this.
+        stale_after_ns: an upstream whose table is older is left for a fresher one.
+        sync_stall_timeout_ns: a sync without progress is begun again with another upstream.
+        lease_ns: a follower that does not report for this long is forgotten.
+        max_followers: followers of one source.
+        page_bytes_per_s: bytes of pages that one source sends to all followers.
+        page_burst_bytes: bytes of pages that may be sent at once.
     """
 
     heartbeat_ns: int = 1000 * MS
--- a/burlloom/distribution/source.py
+++ b/burlloom/distribution/source.py
@@ -1,9 +1,9 @@
-"""The side that is followed: of a control machine, or of a relay (a Follower beside it on the same
-Replica). No I/O.
+"""The side of replication that is followed: a control machine, or a relay. No I/O.
 
-A host gives it the time (`tick`, once a beat or so) and what datagrams come (`hear`), calls `push`
-after anything that may have moved the copy, and sends what lies in `out`. A change is sealed once
-for all followers: nothing in it is of one of them. Times are ns of a clock that never steps back.
+A relay has a `Follower` beside it on the same `Replica`. A host calls `tick` about once a
+heartbeat, passes datagrams to `receive`, calls `push_changes` after anything that may have moved
+the replica, and sends what lies in `out`. A change is sealed once for all followers, since nothing
+in it depends on one of them. Times are ns of a clock that never goes back.
 """
 
 from collections import deque
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Lease:
-    """One that follows. `until`: ns."""
+    """A follower's lease; `expires_at` is in ns."""
 
     incarnation: int
     address: Address
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class Counts:
-    """For whoever reads metrics."""
+    """Counters for metrics and the state file, under these names."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -77,8 +77,18 @@
 
 
 class Source:
-    """`age`: ms since the copy was surely the newest, at a time; None: never. The first key
-    seals.
+    """Serves followers from a replica.
+
+    Args:
+        replica: the table that is served.
+        name: this server's name.
+        incarnation: Unix ms of the process's start.
+        keys: the first seals messages, any opens them.
+        settings: intervals and limits.
+        random: source of jitter.
+        now: current time in ns.
+        age_ms: given a time, returns how many ms ago the replica was confirmed to be the newest;
+            None: never.
     """
 
     def __init__(
@@ -117,7 +127,7 @@
         self.push_changes(now)
 
     def push_changes(self, now: int) -> None:
-        """What is new goes to all who follow. After a sync, or where it is very much, they pull."""
+        """Push new changes to all followers; after a sync or too many changes they pull instead."""
         head = self.replica.head
         if head is None or not self.replica.is_complete or self.pushed_up_to == head[:2]:
             return
@@ -214,7 +224,7 @@
         return ""
 
     def reason_not_to_serve(self, body: Report) -> str:
-        """Why we can't be followed by that one; empty where we can."""
+        """Return why that follower can't be served here; "" if it can."""
         held = self.replica.table.scopes
         if self.is_draining:
             return "leaving"
@@ -259,7 +269,7 @@
         )
 
     def lease_of(self, now: int, message: Message) -> Lease | None:
-        """Who asked, where that is one that follows, and did not ask with that number before."""
+        """Return the sender's lease; None if it has none, or its number was seen before."""
         sender = message.sender
         lease = self.followers.get(sender.name)
         if (
@@ -309,7 +319,7 @@
         return ""
 
     def on_pages_request(self, now: int, message: Message, source: Address) -> str:
-        """Send pages as far as the byte rate allows; returns why the request is refused, else ""."""
+        """Send pages within the byte rate; returns why the request is refused, else ""."""
         lease, body, head = self.lease_of(now, message), message.body, self.replica.head
         assert isinstance(body, PagesRequest)
         if lease is None:
@@ -348,14 +358,14 @@
     # What leaves.
 
     def drain(self) -> None:
-        """Sends all followers on; whoever reports later is sent on too."""
+        """Redirect all followers, and from now on whoever reports."""
         self.is_draining = True
         for lease in self.followers.values():
             self.send(lease.address, 0, Redirect("leaving"))
         self.followers.clear()
 
     def send(self, to: Address, number: int, body: Body) -> int:
-        """The bytes that it took."""
+        """Send a message and return its size in bytes."""
         data = seal(Sender(self.name, self.incarnation, number), body, self.keys[0])
         self.post(to, data)
         return len(data)
@@ -371,7 +381,7 @@
 
 
 def summary(source: Source, now: int) -> Mapping[str, object]:
-    """For an operator's eyes; plain values."""
+    """Return plain values for an operator, as the state file has them."""
     head, counts = source.replica.head, source.counts
     return {
         "name": source.name,
--- a/burlloom/distribution/status_report.py
+++ b/burlloom/distribution/status_report.py
@@ -1,4 +1,4 @@
-"""What is told of a copy: a line where its head moved, the keys' files, the state's file."""
+"""What a process reports of its replica: log lines, key files, the state file."""
 
 import json
 import logging
@@ -13,9 +13,10 @@
 
 
 class HeadLogger:
-    """Looked at some times a second. From line to line `from` is the revision after the last `to`:
-    all that was applied in between, in the chain's order, of which `tag` is the end; or else a sync
-    set all at once.
+    """Logs a line whenever the head moved.
+
+    `from` is the revision after the last line's `to`: the line covers all that was applied in
+    between, in the chain's order, and `tag` is the chain's end. A sync has a line of its own.
     """
 
     def __init__(self, replica: Replica) -> None:
@@ -45,9 +46,7 @@
 
 
 class KeyFile:
-    """The keys of a file, looked at once a second. A file that can't be used leaves them as they
-    are.
-    """
+    """The keys of a file, polled once a second; an unusable file leaves the keys as they are."""
 
     def __init__(self, path: Path, read: Callable[[], tuple[bytes, ...]], what: str) -> None:
         self.path, self.read, self.what = path, read, what
@@ -93,7 +92,7 @@
 
 
 def replica_summary(replica: Replica) -> dict[str, object]:
-    """Of a copy, for the state's file."""
+    """Return a replica's digest and counts, for the state file."""
     table = replica.table
     return {
         "digest": f"{table.digest():016x}",
--- a/burlloom/distribution/stores/__init__.py
+++ b/burlloom/distribution/stores/__init__.py
@@ -1,6 +1,4 @@
-"""Where changes of configuration are kept: the record's SQLite file or PostgreSQL database, behind
-one interface.
-"""
+"""Stores of configuration changes: SQLite or PostgreSQL, behind one interface."""
 
 from .change_store import ChangeStore, StoredItem, StoreUnavailableError
 
--- a/burlloom/distribution/stores/change_store.py
+++ b/burlloom/distribution/stores/change_store.py
@@ -1,4 +1,4 @@
-"""What keeps the changes: every store offers these, and refuses in one way."""
+"""The interface of a store of configuration changes."""
 
 from typing import NamedTuple, Protocol
 
@@ -9,7 +9,7 @@
 
 
 class StoredItem(NamedTuple):
-    """An entry in force, and the epoch and revision that wrote it last."""
+    """An item in force, with the epoch and revision that wrote it last."""
 
     item: ConfigItem
     epoch: int
@@ -17,37 +17,41 @@
 
 
 class ChangeStore(Protocol):
-    """All but `close` raise `Away`."""
+    """A store of changes; all methods but `close` raise `StoreUnavailableError`."""
 
     async def open(self) -> None:
-        """Takes missing schema steps, and begins an epoch where there is none."""
+        """Take missing schema steps, and begin an epoch if there is none."""
 
     async def head(self) -> Head:
         """Return the last change's head."""
 
     async def changes_since(self, revision: int, most: int) -> list[Change]:
-        """The changes after it that are still in the log, in order; the first is a later one where
-        it was pruned.
+        """Return logged changes after a revision, in order.
+
+        The first is a later one if the log was pruned.
         """
 
     async def change_at(self, revision: int) -> Change | None:
-        """That change, if it is still in the log."""
+        """Return the change of that revision, if it is still logged."""
 
     async def append(self, change: Change) -> bool:
-        """In one step, if nobody wrote its revision before. On disk when it says yes."""
+        """Write a change if nobody wrote its revision before; durable when it returns True."""
 
     async def items(self, after: Place | None, most: int) -> list[StoredItem]:
-        """A page of what is in force, in order. The table may move between two pages: entries that
-        were read, and then all changes after the head that was read before, in order, are what is
-        in force at the last.
+        """Return a page of the items in force behind `after`, in order.
+
+        The table may move between two pages. The items read, followed by all changes after the head
+        that was read before them, are what is in force at the last of those changes.
         """
 
     async def item(self, scope: str, kind: str, key: str) -> StoredItem | None:
         """Return the item in force under a key of that scope."""
 
     async def begin_epoch(self, seen: Head, beyond: int) -> bool:
-        """A new epoch, later than `beyond`, if that is still the head: the store was put back, and
-        revisions that it gives from now on were given before. What is in force stays; the log goes.
+        """Begin an epoch later than `beyond`, if `seen` is still the head.
+
+        Used after the store was restored, since it would give revisions again that were given
+        before. The items stay; the log is dropped.
         """
 
     async def close(self) -> None:
--- a/burlloom/distribution/stores/factory.py
+++ b/burlloom/distribution/stores/factory.py
@@ -1,4 +1,4 @@
-"""The store that an operator's file names."""
+"""Makes the change store that an operator's file names."""
 
 import time
 from typing import TYPE_CHECKING
--- a/burlloom/distribution/stores/postgres.py
+++ b/burlloom/distribution/stores/postgres.py
@@ -1,4 +1,4 @@
-"""In the record's PostgreSQL database, for control machines in many regions."""
+"""The change store in the record's PostgreSQL database, for control machines in many regions."""
 
 from typing import Any
 
--- a/burlloom/distribution/stores/sqlite.py
+++ b/burlloom/distribution/stores/sqlite.py
@@ -1,6 +1,4 @@
-"""In one SQLite file, the record's or one of its own, that all control machines of one machine
-share.
-"""
+"""The change store in one SQLite file, shared by all control machines of one machine."""
 
 import sqlite3
 from pathlib import Path
--- a/burlloom/distribution/stores/store_follower.py
+++ b/burlloom/distribution/stores/store_follower.py
@@ -1,4 +1,4 @@
-"""How a control machine's copy follows the store."""
+"""Makes a control machine's replica follow the store."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -14,13 +14,14 @@
 
 
 class StoreInconsistentError(Exception):
-    """What the store has does not follow from what it had, and nobody put it back: another signing
-    key, or somebody wrote to its tables.
+    """The store's content does not follow from what it had, and it was not restored.
+
+    Either it was signed with another key, or its tables were written by somebody else.
     """
 
 
 class StoreEvents(Protocol):
-    """Of what moved, but change after change."""
+    """Told of moves that are not change after change."""
 
     def on_table_loaded(self, head: Head) -> None:
         """The whole table was loaded; `head` is its revision."""
@@ -30,7 +31,7 @@
 
 
 class StoreFollower:
-    """`table`: makes an empty one, of all scopes."""
+    """Polls a store; `new_table` makes an empty table of all scopes."""
 
     def __init__(
         self,
@@ -43,7 +44,7 @@
         self.is_open = False
 
     async def poll(self) -> None:
-        """Takes what is new. Raises `Away` or `Broken`."""
+        """Apply what is new. Raises `StoreUnavailableError` or `StoreInconsistentError`."""
         if not self.is_open:
             await self.store.open()
             self.is_open = True
@@ -89,14 +90,15 @@
                     return
 
     async def begin_epoch(self, seen: Head, own: Head) -> None:
-        """The store is not where it was: it was put back. Others look too; one of us begins the
-        epoch.
+        """Begin an epoch, since the store was restored.
+
+        Of several control machines one succeeds.
         """
         if await self.store.begin_epoch(seen, max(seen.epoch, own.epoch)):
             self.events.on_epoch_begun(seen, own)
 
     async def load_table(self) -> None:
-        """The whole table, beside the one in force, and the changes that came meanwhile."""
+        """Load the whole table beside the one in force, then the changes made meanwhile."""
         table, base = self.new_table(), await self.store.head()
         after: Place | None = None
         while page := await self.store.items(after, PAGE_ITEMS):
--- a/burlloom/distribution/stores/tables.py
+++ b/burlloom/distribution/stores/tables.py
@@ -1,5 +1,7 @@
-"""The changes in three tables. Each write is one transaction, begun by a statement that holds only
-if nobody wrote before.
+"""The three tables of changes, in SQL that SQLite and PostgreSQL share.
+
+Each write is one transaction, guarded by a first statement that gives a row only if nobody wrote
+before.
 """
 
 import time
@@ -84,13 +86,14 @@
 
 
 def place_of(*names: str) -> tuple[bytes, ...]:
-    """As they stand in the tables: bytes, whose order no locale changes."""
+    """Return a position as the tables hold it: bytes, whose order no locale changes."""
     return tuple(name.encode() for name in names)
 
 
 class Tables:
-    """`ChangeStore` over `run`, one statement and its rows, and `together`, a transaction, which a
-    store gives. Both raise `Away`.
+    """`ChangeStore` over `execute` and `transaction`, which a store implements.
+
+    Both raise `StoreUnavailableError`.
     """
 
     async def execute(self, sql: str, *values: Any) -> list[Any]:
@@ -98,7 +101,7 @@
         raise NotImplementedError
 
     async def transaction(self, guard: Statement, rest: list[Statement]) -> bool:
-        """All of them, if the guard gives a row; else none."""
+        """Run all statements if the guard gives a row, else none; returns whether it did."""
         raise NotImplementedError
 
     async def prepare(self) -> None:
--- a/burlloom/distribution/table.py
+++ b/burlloom/distribution/table.py
@@ -1,18 +1,16 @@
-"""What is in force, compact: entries in 256 buckets a scope, each bucket a sorted run of small
-leaves.
+"""The configuration in force, in compact form.
 
-It is a B+ tree of two levels (Bayer and McCreight's; one index a bucket, and leaves). A leaf is one
-`bytes` of at most 64 entries, so that the interpreter holds one object for some 40 entries in place
-of two for each:
+Each scope has 256 buckets; a bucket is a B+ tree of two levels (Bayer and McCreight): one index,
+and leaves. A leaf is one `bytes` object of at most 64 items, so that the interpreter holds one
+object for some 40 items instead of two for each:
 
     count (2 bytes), length of the keys' part (2), length of each value (2 each), keys, values
 
-Keys stand between bytes 0xFF, which UTF-8 never has, so one search of the keys' part finds a key or
-tells that it is not there. A change rewrites the leaves that it touches and no other: nothing is
-ever hashed anew as a whole. `benchmarks/scale_table.py` measures it beside plain dicts, SQLite in
-memory and sorted arrays.
+Keys stand between bytes 0xFF, which UTF-8 never contains, so one search of the keys' part finds a
+key or shows that it is absent. A change rewrites only the leaves that it touches.
+benchmarks/scale_table.py compares it with dicts, SQLite in memory and sorted arrays.
 
-Digests (XOR of the entries' xxh3) tell of slips between copies; they keep no stranger out.
+Digests (XOR of the items' xxh3) detect differences between replicas; they keep no stranger out.
 """
 
 from array import array
@@ -50,8 +48,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Entries of one bucket in the order of (scope, kind, key); `last`: the place of the last one,
-    None if there is none; `done`: the bucket has no more behind them.
+    """Items of one bucket in the order of (scope, kind, key).
+
+    Attributes:
+        items: the items.
+        last_position: position of the last one; None if there is none.
+        is_last: whether the bucket has no items behind them.
     """
 
     items: tuple[ConfigItem, ...]
@@ -60,7 +62,7 @@
 
 
 def bucket_of(kind: str, key: str) -> int:
-    """0 to 255. Raises `UnicodeEncodeError` for a key that UTF-8 can't have."""
+    """Return the bucket of a key, 0 to 255. Raises `UnicodeEncodeError` for an unencodable key."""
     return int(xxhash.xxh3_64_intdigest(f"{kind}|{key}".encode())) & (BUCKET_COUNT - 1)
 
 
@@ -70,7 +72,7 @@
 
 
 def item_faults(entry: ConfigItem) -> list[str]:
-    """Why an entry can't be held, each with its field; empty if it can."""
+    """Return why an item can't be held, each with its field; empty if it can."""
     found = []
     for name, text, least, most in (
         ("scope", entry.scope, 0, MAX_SCOPE_BYTES),
@@ -93,7 +95,7 @@
 
 
 def pack_leaf(keys: Sequence[bytes], values: Sequence[bytes]) -> bytes:
-    """A leaf of entries that are in order."""
+    """Return the leaf of items that are in order."""
     middle = KEY_SEPARATOR + b"".join([key + KEY_SEPARATOR for key in keys])
     lengths = array("H", map(len, values)).tobytes()
     return b"".join((LEAF_HEADER.pack(len(keys), len(middle)), lengths, middle, *values))
@@ -115,8 +117,10 @@
 
 
 class Bucket:
-    """The entries of one scope and one bucket, by code of the kind and key. `firsts[i]`: the least
-    key that leaf i may hold; the first leaf's is empty, so that every key has a leaf.
+    """The items of one scope and bucket, by kind code and key.
+
+    `first_keys[i]` is the least key that leaf i may hold; the first is empty, so every key has a
+    leaf.
     """
 
     __slots__ = ("first_keys", "leaves")
@@ -147,7 +151,7 @@
         return leaf[begin : begin + VALUE_LENGTH.unpack_from(leaf, length)[0]]
 
     def set(self, key: bytes, new: bytes | None) -> bytes | None:
-        """Sets or deletes, and gives what was there."""
+        """Set or delete an item and return its former value."""
         number = bisect_right(self.first_keys, key) - 1
         leaf = self.leaves[number]
         count, middle = LEAF_HEADER.unpack_from(leaf)
@@ -206,7 +210,7 @@
         return old
 
     def items_after(self, key: bytes) -> Iterator[tuple[bytes, bytes]]:
-        """Entries behind this key in order, a leaf at a time; the bucket may change in between."""
+        """Yield the items behind a key in order; the bucket may change meanwhile."""
         place = bisect_right
         while True:
             leaf = bisect_right(self.first_keys, key) - 1
@@ -219,7 +223,7 @@
             key, place = upto, bisect_left
 
     def rebalance(self, leaf: int) -> None:
-        """Parts a leaf that has many entries, and joins one that has few with a neighbour."""
+        """Split a leaf that is too large, or join one that is too small with a neighbour."""
         keys, values = unpack_leaf(self.leaves[leaf])
         first, upto = leaf, leaf + 1
         if len(keys) < MIN_LEAF_ITEMS:
@@ -233,7 +237,7 @@
 
 
 class ScopeTable:
-    """One scope: its buckets, their digests, and how many entries of each kind."""
+    """One scope: its buckets, their digests, and the number of items of each kind."""
 
     __slots__ = ("buckets", "digests", "digest", "counts")
 
@@ -250,11 +254,11 @@
 
 
 class ConfigTable:
-    """`scopes`: those that are held, as ("", own region); None: all that come.
+    """The items of the scopes that are held: ("", own region), or None for all.
 
-    A lookup sees the own region's entry first, then that of everywhere. With all scopes it sees
-    those of everywhere alone; `held` tells the others. All arguments are checked before anything is
-    changed; what is refused raises `ValueError` with all faults, each with its place.
+    A lookup sees the own region's item first, then that of "". With all scopes held it sees items
+    of "" alone; `items_of_key` has the others. Arguments are checked before anything changes; what
+    is refused raises `ValueError` with all faults, each with its place.
     """
 
     def __init__(self, scopes: tuple[str, ...] | None) -> None:
@@ -271,7 +275,7 @@
         self.shadowed = dict.fromkeys(KINDS, 0)  # entries whose key an earlier scope has too
 
     def get(self, kind: str, key: str) -> bytes | None:
-        """The value in force; None where there is none."""
+        """Return the value in force under a key; None if there is none."""
         place = self.locate(kind, key)
         if place is not None:
             for part in self.lookups:
@@ -287,7 +291,7 @@
         )
 
     def items_of_key(self, kind: str, key: str) -> list[ConfigItem]:
-        """The key's entries in all scopes held, in their order."""
+        """Return the key's items in all scopes held, in order of scope."""
         if (place := self.locate(kind, key)) is None:
             return []
         values = [
@@ -297,16 +301,18 @@
         return [ConfigItem(scope, kind, key, value) for scope, value in values if value is not None]
 
     def count(self, kind: str) -> int:
-        """How many keys of a kind `get` finds."""
+        """Return how many keys of a kind `get` finds."""
         return sum(part.counts[kind] for part in self.lookups) - self.shadowed[kind]
 
     def item_count(self) -> int:
-        """Over all scopes held."""
+        """Return the number of items over all scopes held."""
         return sum(sum(part.counts.values()) for part in self.parts.values())
 
     def keys(self, kind: str) -> Iterator[str]:
-        """The keys that `get` finds, in no order of theirs; a leaf is unpacked at a time, and the
-        table may change in between: what is there all the while comes once.
+        """Yield the keys that `get` finds, in no particular order.
+
+        One leaf is unpacked at a time, and the table may change meanwhile: a key that is there
+        throughout is yielded once.
         """
         code = KIND_CODES[kind]
         for bucket in range(BUCKET_COUNT):
@@ -318,7 +324,7 @@
                         yield key[1:].decode()
 
     def put(self, entries: Iterable[ConfigItem]) -> None:
-        """Sets or deletes all of them, or none. Of two of the same place the later counts."""
+        """Set or delete all items, or none; of two with the same key the later counts."""
         taken = self.validated(entries)
         writes: dict[tuple[str, int], dict[bytes, bytes | None]] = {}
         for entry in taken:
@@ -330,22 +336,22 @@
             self.write_bucket(scope, bucket, changes)
 
     def digest(self) -> int:
-        """Of all entries held."""
+        """Return the digest of all items held."""
         return self.digest_of(None)
 
     def digests(self) -> tuple[int, ...]:
-        """Of each of the 256 buckets, over the scopes held."""
+        """Return the digest of each bucket over the scopes held."""
         return self.digests_of(None)
 
     def digest_of(self, scopes: Iterable[str] | None) -> int:
-        """Over those of these scopes that are held; None: all of them."""
+        """Return the digest over those of the scopes that are held; None: over all."""
         whole = 0
         for part in self.scope_tables(scopes):
             whole ^= part.digest
         return whole
 
     def digests_of(self, scopes: Iterable[str] | None) -> tuple[int, ...]:
-        """As `digest_of`, of each bucket."""
+        """Return each bucket's digest over those of the scopes that are held; None: over all."""
         held = [part.digests for part in self.scope_tables(scopes)]
         if len(held) == 1:
             return tuple(held[0])
@@ -362,9 +368,10 @@
     def page(
         self, bucket: int, after: ItemPosition | None, scopes: Iterable[str] | None, most_bytes: int
     ) -> Page:
-        """The bucket's next entries of these scopes (None: all) behind `after`, of at most so many
-        bytes as MessagePack, each a list of scope, kind, key and value. Raises `ValueError` for a
-        bucket that is none, or where not even one entry is sure to have room.
+        """Return a bucket's next items behind `after`, at most `most_bytes` of MessagePack.
+
+        Raises:
+            ValueError: for a bucket out of range, or if one item may not fit.
         """
         check_position(after)
         if not 0 <= bucket < BUCKET_COUNT or most_bytes < MAX_ITEM_BYTES:
@@ -387,9 +394,10 @@
         return Page(tuple(found), found[-1][:3] if found else None, True)
 
     def replace(self, bucket: int, after: ItemPosition | None, page: Page) -> int:
-        """Makes what stands behind `after` up to `page.last` (to the bucket's end if the page is
-        its last) exactly what the page says, in all scopes held, and gives how many entries
-        differed.
+        """Make a range of a bucket equal to a page and return how many items differed.
+
+        The range begins behind `after` and ends at `page.last_position`, or at the bucket's end if
+        the page is its last; it covers all scopes held.
         """
         check_position(after)
         taken = self.validated(page.items)
@@ -490,20 +498,20 @@
 
 
 def check_position(place: ItemPosition | None) -> None:
-    """Raises `ValueError` for what no entry can stand at."""
+    """Raise `ValueError` for a position that no item can have."""
     if place is not None and (wrong := item_faults(ConfigItem(*place, None))):
         raise ValueError("; ".join(f"after.{fault}" for fault in wrong))
 
 
 def position_key(place: ItemPosition) -> bytes:
-    """A place within its scope, as leaves order it."""
+    """Return a position's key within its scope, in the order of the leaves."""
     return KIND_CODES[place[1]] + place[2].encode()
 
 
 class TenantShares(Mapping[str, float]):
-    """The tenants in force, each with its portion of the service, as a view of a table that changes
-    under it. What is not text is in no table. Raises `ValueError` for a value that is no map, or
-    whose portion is no number.
+    """A live view of the tenants in force, each with its portion of the service.
+
+    A lookup raises `ValueError` for a value that is no map, or whose portion is no number.
     """
 
     def __init__(self, table: ConfigTable) -> None:
