--- a/benchmarks/scale_real.py
+++ b/benchmarks/scale_real.py
@@ -132,14 +132,14 @@
         found: list[list[Any]] = []
         for line in self.log().splitlines():
             told = dict(word.split("=", 1) for word in line.split() if "=" in word)
-            if told.get("event") not in ("distribution-applied", "distribution-synced"):
+            if told.get("event") not in ("config_changes_applied", "config_synced"):
                 continue
             at = (
                 int(datetime.fromisoformat(told["ts"]).timestamp() * 1000) * 1_000_000
                 + 999_999
                 + ahead
             )
-            if told["event"] == "distribution-synced":
+            if told["event"] == "config_synced":
                 found.append([at, self.name, "synced", int(told["epoch"]), int(told["revision"])])
             else:
                 found += [
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -35,7 +35,7 @@
 from scale_real import Below, Real, ready  # noqa: E402
 
 from burlloom.distribution import ConfigItem, ReplicationSettings, propose  # noqa: E402
-from burlloom.distribution.stores.sqlite import Sqlite  # noqa: E402
+from burlloom.distribution.stores.sqlite import SqliteChangeStore  # noqa: E402
 from burlloom.lab.distances import ZONES, laid_out, place  # noqa: E402
 from burlloom.lab.rules import Rules  # noqa: E402
 
@@ -105,7 +105,7 @@
         )  # of answers: as long as the configuration has it, or longer where time is not judged
         self.below = Below(self.events)
         self.up, self.dead = set[str](), set[str]()
-        self.store = Sqlite(folder / "store.sqlite")
+        self.store = SqliteChangeStore(folder / "store.sqlite")
         self.put_count = 0
         self.zone = [one for one in self.places if one.zone == 0][: setting.fleet]
         self.total = int(SHARE * 1000 * (len(self.zone) + setting.real))
--- a/burlloom/command/distribution.py
+++ b/burlloom/command/distribution.py
@@ -44,7 +44,7 @@
 
 
 def store_of(told: "Operator") -> "ChangeStore":
-    from ..distribution.stores.factory import store_at
+    from ..distribution.stores.factory import create_change_store
 
     place = told.distribution_store()
     if place is None:
@@ -52,7 +52,7 @@
             "distribution.store is missing, and there is no record: changes are kept by control machines"
         )
     with told_plainly():
-        return store_at(place)
+        return create_change_store(place)
 
 
 @distribution.command()
--- a/burlloom/distribution/__init__.py
+++ b/burlloom/distribution/__init__.py
@@ -7,13 +7,14 @@
 """
 
 from .changes import Change, ConfigItem, Head, InvalidChangeError, initial_head
-from .follower import Follower, Upstream
-from .messages import is_for_source
+from .codec import is_for_source
+from .follower import Follower
 from .proposal import propose
 from .replica import Replica
 from .settings import ReplicationSettings
 from .source import Source
 from .table import ConfigTable
+from .upstreams import Upstream
 
 __all__ = [
     "Change",
--- a/burlloom/distribution/changes.py
+++ b/burlloom/distribution/changes.py
@@ -18,14 +18,14 @@
 
 import msgpack
 
+from ..errors import BurlloomError
+
 KINDS = ("tenant", "route", "setting")
 MAX_KEY_BYTES = 128  # bytes of UTF-8
 MAX_SCOPE_BYTES = 64  # bytes of UTF-8: a region's name
 MAX_VALUE_BYTES = 512  # bytes of MessagePack, a map
-MAX_BODY_BYTES, MAX_CHANGE_ITEMS = (
-    1000,
-    64,
-)  # bytes and entries of one change: it fits a datagram with its seal
+MAX_BODY_BYTES = 1000  # a change fits a datagram with its seal
+MAX_CHANGE_ITEMS = 64
 TAG_BYTES = 16  # bytes of a tag and of a body's digest
 MAX_NUMBER = (1 << 63) - 1
 MAX_FAULTS = 100  # that are told of one change
@@ -83,7 +83,7 @@
     time_ms: int
 
 
-class InvalidChangeError(Exception):
+class InvalidChangeError(BurlloomError):
     """A change that can't be made.
 
     Attributes:
--- a/burlloom/distribution/config_query.py
+++ b/burlloom/distribution/config_query.py
@@ -4,26 +4,25 @@
 import secrets
 import time
 from collections.abc import Callable, Iterable
+from contextlib import suppress
 from typing import Any, TypeVar
 
-from .follower import Upstream
+from .codec import MessageDecodeError, seal, unseal
 from .messages import (
     Body,
     HeadStatus,
     Message,
-    MessageDecodeError,
     PageResponse,
     PagesRequest,
     Redirect,
     Report,
     Sender,
-    seal,
-    unseal,
 )
 from .table import ItemPosition, bucket_of
+from .upstreams import Upstream
 
 ANSWER_TIMEOUT_S, MAX_ATTEMPTS = 0.5, 3  # s for an answer; how often each is asked
-PAGES_MOST = 10_000  # of one bucket
+MAX_PAGES = 10_000  # of one bucket
 Result = TypeVar("Result")
 
 
@@ -44,10 +43,8 @@
 
     def datagram_received(self, data: bytes, addr: object) -> None:
         """Queue a message that can be decoded; drop anything else."""
-        try:
+        with suppress(MessageDecodeError, asyncio.QueueFull):
             self.received.put_nowait(unseal(data, (self.key,)))
-        except (MessageDecodeError, asyncio.QueueFull):
-            pass
 
     async def query(
         self, one: Upstream, body: Body, answer: Callable[[Message], Result | None]
@@ -131,7 +128,7 @@
     bucket = bucket_of(kind, name)
     after: ItemPosition | None = None
     found: dict[str, bytes] = {}
-    for _ in range(PAGES_MOST):
+    for _ in range(MAX_PAGES):
         paged = await asking.query(
             one,
             PagesRequest(bucket, after, 1),
--- a/burlloom/distribution/control_node.py
+++ b/burlloom/distribution/control_node.py
@@ -9,10 +9,10 @@
 from random import Random
 
 from .changes import Head
+from .codec import is_for_source
 from .endpoint import Endpoint
-from .follower import Follower, Upstream
+from .follower import Follower
 from .follower import summary as follower_summary
-from .messages import is_for_source
 from .replica import Replica
 from .settings import ReplicationSettings
 from .source import Source
@@ -21,16 +21,17 @@
 from .stores import ChangeStore, StoreUnavailableError
 from .stores.store_follower import StoreFollower, StoreInconsistentError
 from .table import ConfigTable
+from .upstreams import Upstream
 
 log = logging.getLogger(__name__)
 
 MS, SECOND = 1_000_000, 1_000_000_000
-TICK = 0.05  # s
-READ_EVERY = 0.2  # s between two looks at the store
-AWAY_AFTER = 1500 * MS  # of no look that worked: from then on peers are followed
-AGAIN_MOST = 2.0  # s between two looks at a store that is away
-FAULTY_EVERY = 30 * SECOND  # between lines about a store that can't be believed
-LAST_WORDS = 0.05  # s between our last word and the end of the socket
+TICK_S = 0.05  # s
+POLL_INTERVAL_S = 0.2  # s between two looks at the store
+STORE_TIMEOUT_NS = 1500 * MS  # of no look that worked: from then on peers are followed
+MAX_RETRY_DELAY_S = 2.0  # s between two looks at a store that is away
+INCONSISTENCY_LOG_INTERVAL_NS = 30 * SECOND  # between lines about a store that can't be believed
+LEAVE_DELAY_S = 0.05  # s between our last word and the end of the socket
 
 
 def since_start() -> int:
@@ -95,7 +96,7 @@
         self.began_at = now
         self.store_read_at: int | None = None  # when the last look that worked began
         self.store_error = ""
-        self.inconsistency_logged_at = -FAULTY_EVERY
+        self.inconsistency_logged_at = -INCONSISTENCY_LOG_INTERVAL_NS
         self.status_reported_at = 0
         self.stopping = asyncio.Event()
 
@@ -109,7 +110,7 @@
         """Serve until `stop` is called, then send all followers elsewhere and close."""
         await self.endpoint.open()
         log.info(
-            "event=distribution-control name=%s region=%s address=%s store=%s peers=%d",
+            "event=control_node_started name=%s region=%s address=%s store=%s peers=%d",
             self.name,
             self.region,
             self.endpoint.address,
@@ -127,12 +128,12 @@
         if self.follower is not None:
             self.follower.leave()
         self.flush()
-        await asyncio.sleep(LAST_WORDS)
+        await asyncio.sleep(LEAVE_DELAY_S)
         self.report_status(since_start())
         self.endpoint.close()
         if self.store is not None:
             await self.store.close()
-        log.info("event=distribution-closed name=%s", self.name)
+        log.info("event=control_node_stopped name=%s", self.name)
 
     def stop(self) -> None:
         """Have `run` end; safe to call from a signal handler of the loop."""
@@ -142,46 +143,47 @@
 
     async def follow_store(self, reading: StoreFollower) -> None:
         """Poll the store until cancelled; failures are retried with backoff."""
-        wait = READ_EVERY
+        wait = POLL_INTERVAL_S
         while True:
             began = since_start()
             try:
                 await reading.poll()
-                self.store_read_at, wait = began, READ_EVERY
+                self.store_read_at, wait = began, POLL_INTERVAL_S
                 self.counts.reads += 1
                 if self.store_error:
-                    log.warning("event=distribution-store-back")
+                    log.warning("event=config_store_available")
                     self.store_error = ""
                 self.source.push_changes(since_start())
                 self.flush()
             except StoreUnavailableError as error:
                 self.counts.away += 1
                 if not self.store_error:
-                    log.warning("event=distribution-store-away detail=%r", str(error))
+                    log.warning("event=config_store_unavailable detail=%r", str(error))
                 self.store_error = str(error) or "away"
                 # Opened anew: its file may be another's by now, its tables gone.
-                reading.is_open, wait = False, min(AGAIN_MOST, 2 * wait)
+                reading.is_open, wait = False, min(MAX_RETRY_DELAY_S, 2 * wait)
             except StoreInconsistentError as error:
                 self.counts.broken += 1
-                if began - self.inconsistency_logged_at >= FAULTY_EVERY:
+                if began - self.inconsistency_logged_at >= INCONSISTENCY_LOG_INTERVAL_NS:
                     self.inconsistency_logged_at = began
-                    log.error("event=distribution-store-broken detail=%r", str(error))
-                wait = AGAIN_MOST
+                    log.error("event=config_store_inconsistent detail=%r", str(error))
+                wait = MAX_RETRY_DELAY_S
             except Exception:
                 log.exception("event=fault side=distribution-store")
-                wait = AGAIN_MOST
+                wait = MAX_RETRY_DELAY_S
             await asyncio.sleep(wait)
 
     def on_table_loaded(self, head: Head) -> None:
         """Count and log a load of the whole table from the store."""
         self.counts.loads += 1
-        log.info("event=distribution-loaded epoch=%d revision=%d", head.epoch, head.revision)
+        log.info("event=config_table_loaded epoch=%d revision=%d", head.epoch, head.revision)
 
     def on_epoch_begun(self, seen: Head, own: Head) -> None:
         """Count and log that the store had been restored and a new epoch was begun."""
         self.counts.renewals += 1
         log.warning(
-            "event=distribution-epoch-begun was=%d store_had=%d we_had=%d detail='the store was put back'",
+            "event=config_epoch_begun was=%d store_had=%d we_had=%d"
+            " detail='the store was put back'",
             seen.epoch,
             seen.revision,
             own.revision,
@@ -196,7 +198,7 @@
                 self.tick()
             except Exception:
                 log.exception("event=fault side=distribution")
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_S)
 
     def tick(self) -> None:
         """Do what is due: choose whom to follow, send what waits, report once a second."""
@@ -214,7 +216,7 @@
     def choose_upstream(self, now: int) -> None:
         """Follow peers while the store does not answer, else the store alone."""
         lately = self.store_read_at if self.store_read_at is not None else self.began_at
-        wanted = bool(self.upstreams) and (self.store is None or now - lately > AWAY_AFTER)
+        wanted = bool(self.upstreams) and (self.store is None or now - lately > STORE_TIMEOUT_NS)
         if wanted and self.follower is None:
             # A life of its own: its numbers begin anew.
             self.incarnation = max(self.incarnation + 1, time.time_ns() // MS)
@@ -229,12 +231,12 @@
                 self.random,
                 now,
             )
-            log.info("event=distribution-follows-peers peers=%d", len(self.upstreams))
+            log.info("event=control_node_follows_peers peers=%d", len(self.upstreams))
         elif not wanted and self.follower is not None:
             self.follower.leave()
             self.endpoint.flush(self.follower.out)
             self.follower = None
-            log.info("event=distribution-follows-store")
+            log.info("event=control_node_follows_store")
 
     def receive(self, data: bytes, source: tuple[str, int]) -> None:
         """Hand a datagram to the source or the follower, by its kind."""
--- a/burlloom/distribution/endpoint.py
+++ b/burlloom/distribution/endpoint.py
@@ -10,11 +10,11 @@
 log = logging.getLogger(__name__)
 
 Address = tuple[str, int]
-UNSENT_MOST = (
+MAX_UNSENT_BYTES = (
     1 << 20
 )  # bytes that the system did not take yet; what is more is as good as lost on the way
-RECEIVE = 1 << 21  # bytes that wait to be read, as far as the system allows it
-REFUSED_EACH = 10  # lines a second about what is refused; the rest is counted
+RECEIVE_BUFFER_BYTES = 1 << 21  # bytes that wait to be read, as far as the system allows it
+MAX_REFUSAL_LINES_PER_S = 10  # lines a second about what is refused; the rest is counted
 
 
 def bind_datagram_socket(listen: str) -> socket.socket:
@@ -22,7 +22,7 @@
     host, port = listen.rsplit(":", 1)
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         sock.bind((host, int(port)))
     except OSError:
         sock.close()
@@ -58,7 +58,7 @@
         """Send all datagrams of `out`; past `UNSENT_MOST` unsent bytes they are dropped."""
         while out:
             address, data = out.popleft()
-            if self.transport is None or self.transport.get_write_buffer_size() > UNSENT_MOST:
+            if self.transport is None or self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
                 self.dropped += 1
             else:
                 self.transport.sendto(data, address)
@@ -70,8 +70,8 @@
         while refusals:
             reason, (host, port) = refusals.popleft()
             self.logged_count += 1
-            if self.logged_count <= REFUSED_EACH:
-                log.info("event=distribution-refused peer=%s:%d reason=%r", host, port, reason)
+            if self.logged_count <= MAX_REFUSAL_LINES_PER_S:
+                log.info("event=config_message_rejected peer=%s:%d reason=%r", host, port, reason)
 
     def close(self) -> None:
         """Close the socket; calling it again does nothing."""
--- a/burlloom/distribution/follower.py
+++ b/burlloom/distribution/follower.py
@@ -13,23 +13,19 @@
 
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping
-from dataclasses import dataclass, field
-from enum import IntEnum
 from random import Random
-from typing import NamedTuple
-
-import xxhash
 
 from ..tables import rows
 from .changes import (
     MAX_NUMBER,
     Change,
-    ConfigItem,
     Head,
     InvalidChangeError,
     chain_break,
     head_after,
 )
+from .codec import MessageDecodeError, seal, unseal
+from .follower_state import Counts, Fetch, Input, State, Sync
 from .messages import (
     MAX_PAGES_PER_REQUEST,
     MAX_PULL_CHANGES,
@@ -39,7 +35,6 @@
     HeadStatus,
     Leave,
     Message,
-    MessageDecodeError,
     PageResponse,
     PagesRequest,
     PullRequest,
@@ -47,13 +42,12 @@
     Redirect,
     Report,
     Sender,
-    seal,
-    unseal,
 )
 from .refusals import MAX_PENDING_REFUSALS, count_refusal
 from .replica import Replica
 from .settings import MS, ReplicationSettings
-from .table import BUCKET_COUNT, ItemPosition
+from .table import BUCKET_COUNT
+from .upstreams import Address, Upstream, by_preference
 
 MAX_EARLY_CHANGES = 256  # changes that wait for those before them, the earliest; 280 KB at most
 MAX_FOLDED_ITEMS = (
@@ -69,36 +63,6 @@
 MAX_OUT_DATAGRAMS = 256  # datagrams that wait for the host
 JITTER_SHARE = 0.1
 
-Address = tuple[str, int]
-
-
-class Upstream(NamedTuple):
-    """A control machine or relay that may be followed, and its UDP address."""
-
-    name: str
-    region: str
-    address: Address
-
-
-class State(IntEnum):
-    """How far the table follows the upstream."""
-
-    EMPTY = 0  # nothing is in force
-    SYNCING = 1  # buckets that differ are fetched
-    REPLAYING = 2  # changes since the sync's base, up to the latest page's revision
-    CURRENT = 3
-    BEHIND = 4  # changes are pulled
-    ALONE = 5  # no upstream answers; what is in force stays
-
-
-class Input(IntEnum):
-    """What the state machine is told."""
-
-    HEAD = 0  # the upstream's word
-    CHANGE = 1  # changes came, were taken as far as they follow
-    FETCHED = 2  # a bucket, or none differed
-    LOST = 3  # the upstream is silent, full, leaves, or is of no use
-
 
 TABLE = """
 EMPTY      HEAD     -                   SYNCING    start_sync
@@ -131,72 +95,6 @@
 """
 
 
-@dataclass(slots=True)
-class Counts:
-    """Counters for metrics and the state file, under these names."""
-
-    sent: int = 0
-    sent_bytes: int = 0
-    heard: int = 0
-    heard_bytes: int = 0
-    taken: int = 0
-    pulls: int = 0
-    syncs: int = 0
-    settled: int = 0
-    pages: int = 0
-    mended: int = 0  # entries that a page found differing
-    moves: int = 0  # to another upstream
-    dropped: int = 0
-    refused: dict[str, int] = field(default_factory=dict)  # by reason
-
-
-@dataclass(slots=True)
-class Fetch:
-    """A bucket whose pages are being fetched.
-
-    Attributes:
-        after: the position that pages have come up to.
-        retry_at: when to ask again, in ns.
-        tries: requests since the last page; each waits twice as long as the one before, since a
-            source over its byte rate answers nothing.
-        early_pages: pages that wait for those before them.
-    """
-
-    after: ItemPosition | None
-    retry_at: int
-    tries: int = 0
-    early_pages: dict[ItemPosition, PageResponse] = field(default_factory=dict)
-
-
-@dataclass(slots=True)
-class Sync:
-    """A running sync.
-
-    Attributes:
-        first_number: number of the first DIGESTS_ASK.
-        retry_at: when to ask for digests again, in ns.
-        last_progress_at: when anything last came of it, in ns.
-        digest_halves: digests received, by number and half.
-        base: the head from before the first page.
-        tip: how far the changes after the base are folded.
-        target: the latest revision that a page was of.
-        buckets_left: buckets that are still to be fetched.
-        fetching: buckets on their way.
-        folded_items: last values of the changes after the base.
-    """
-
-    first_number: int  # number of the first DIGESTS_ASK
-    retry_at: int
-    last_progress_at: int  # when anything last came of it
-    digest_halves: dict[tuple[int, int], DigestsResponse] = field(default_factory=dict)
-    base: Head | None = None
-    tip: Head | None = None
-    target_revision: int = 0
-    buckets_left: list[int] = field(default_factory=list)
-    fetching: dict[int, Fetch] = field(default_factory=dict)
-    folded_items: dict[ItemPosition, ConfigItem] = field(default_factory=dict)
-
-
 class Follower:
     """Follows one upstream of several and keeps a replica of its table.
 
@@ -885,19 +783,6 @@
         return self.number
 
 
-def by_preference(name: str, region: str, upstreams: Iterable[Upstream]) -> list[Upstream]:
-    """Sort upstreams: the own region's first, each part in rendezvous order.
-
-    Each follower has its own order, so the followers of a lost upstream spread over all others.
-    Source: Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates" (1998).
-    """
-
-    def weight(one: Upstream) -> tuple[bool, int]:
-        return one.region == region, int(xxhash.xxh3_64_intdigest(f"{name}\n{one.name}".encode()))
-
-    return sorted((one for one in upstreams if one.name != name), key=weight, reverse=True)
-
-
 def summary(follower: Follower, now: int) -> Mapping[str, object]:
     """Return plain values for an operator, as the state file has them."""
     head, sync, counts = follower.replica.head, follower.sync, follower.counts
--- a/burlloom/distribution/source.py
+++ b/burlloom/distribution/source.py
@@ -12,6 +12,7 @@
 from random import Random
 
 from .changes import Change
+from .codec import MessageDecodeError, seal, unseal
 from .messages import (
     HALF_BUCKETS,
     MAX_PAGE_BYTES,
@@ -21,19 +22,16 @@
     HeadStatus,
     Leave,
     Message,
-    MessageDecodeError,
     PageResponse,
     PagesRequest,
     PullRequest,
     PushedChange,
     Redirect,
-    ReplayWindow,
     Report,
     Sender,
-    seal,
-    unseal,
 )
 from .refusals import MAX_PENDING_REFUSALS, count_refusal
+from .replay_window import ReplayWindow
 from .replica import Replica
 from .settings import MS, ReplicationSettings
 
--- a/burlloom/distribution/status_report.py
+++ b/burlloom/distribution/status_report.py
@@ -31,12 +31,12 @@
         if before is None or before.epoch != head.epoch or log_.base_revision > before.revision:
             # Of a sync that ended, and of what was applied after it: one line each.
             at = log_.base_revision
-            log.info("event=distribution-synced epoch=%d revision=%d", head.epoch, at)
+            log.info("event=config_synced epoch=%d revision=%d", head.epoch, at)
             if at == head.revision:
                 return
             before = Head(head.epoch, at, b"", 0)
         log.info(
-            "event=distribution-applied epoch=%d from=%d to=%d tag=%s time_ms=%d",
+            "event=config_changes_applied epoch=%d from=%d to=%d tag=%s time_ms=%d",
             head.epoch,
             before.revision + 1,
             head.revision,
@@ -71,12 +71,12 @@
             if not keys:
                 raise ValueError("no key")
         except (OSError, ValueError) as error:
-            log.warning("event=distribution-keys-refused what=%s detail=%r", self.what, str(error))
+            log.warning("event=config_keys_rejected what=%s detail=%r", self.what, str(error))
             return False
         if keys == self.keys:
             return False
         self.keys = keys
-        log.info("event=distribution-keys what=%s count=%d", self.what, len(keys))
+        log.info("event=config_keys_reloaded what=%s count=%d", self.what, len(keys))
         return True
 
 
--- a/burlloom/distribution/stores/factory.py
+++ b/burlloom/distribution/stores/factory.py
@@ -10,15 +10,15 @@
     from ...operator import Place
 
 
-def store_at(place: "Place") -> ChangeStore:
+def create_change_store(place: "Place") -> ChangeStore:
     """Raises `record.store.Refused`."""
     if place.sqlite is not None:
-        from .sqlite import Sqlite
+        from .sqlite import SqliteChangeStore
 
-        return Sqlite(place.sqlite.place())
+        return SqliteChangeStore(place.sqlite.place())
     from ...record.postgres import PostgresStore as Record
-    from .postgres import Postgres
+    from .postgres import PostgresChangeStore
 
     record, _ = create_store(place, "-", keep=0, clock=time.time_ns)
     assert isinstance(record, Record)
-    return Postgres(record)
+    return PostgresChangeStore(record)
--- a/burlloom/distribution/stores/postgres.py
+++ b/burlloom/distribution/stores/postgres.py
@@ -3,10 +3,10 @@
 from typing import Any
 
 from ...record.shared_postgres import SharedPostgresDatabase
-from .tables import Statement, Tables
+from .sql import SqlChangeStore, Statement
 
 
-class Postgres(SharedPostgresDatabase, Tables):
+class PostgresChangeStore(SharedPostgresDatabase, SqlChangeStore):
     """The change store in the record's PostgreSQL database."""
 
     async def transaction(self, guard: Statement, rest: list[Statement]) -> bool:
--- a/burlloom/distribution/stores/tables.py
+++ b/burlloom/distribution/stores/sql.py
@@ -16,7 +16,8 @@
 # An epoch that begins is beyond all that there were: it is told by the clock.
 BEGIN = (
     "INSERT INTO distribution_head (id, epoch, revision, tag, time_ms)"
-    " VALUES (1, $1::bigint, 0, $2::bytea, $3::bigint) ON CONFLICT (id) DO NOTHING RETURNING revision"
+    " VALUES (1, $1::bigint, 0, $2::bytea, $3::bigint) ON CONFLICT (id) DO NOTHING"
+    " RETURNING revision"
 )
 HEAD = "SELECT epoch, revision, tag, time_ms FROM distribution_head WHERE id = 1"
 ADVANCE = (
@@ -24,26 +25,33 @@
     " WHERE id = 1 AND epoch = $4::bigint AND revision = $1::bigint - 1 RETURNING revision"
 )
 RENEW = (
-    "UPDATE distribution_head SET epoch = $1::bigint, revision = 0, tag = $2::bytea, time_ms = $3::bigint"
-    " WHERE id = 1 AND epoch = $4::bigint AND revision = $5::bigint AND tag = $6::bytea RETURNING revision"
+    "UPDATE distribution_head SET epoch = $1::bigint, revision = 0, tag = $2::bytea,"
+    " time_ms = $3::bigint"
+    " WHERE id = 1 AND epoch = $4::bigint AND revision = $5::bigint AND tag = $6::bytea"
+    " RETURNING revision"
 )
 FORGET = "DELETE FROM distribution_change WHERE revision > -1 RETURNING revision"
 INSERT = (
-    "INSERT INTO distribution_change (revision, epoch, time_ms, scope, body, tag) VALUES ($1::bigint,"
+    "INSERT INTO distribution_change (revision, epoch, time_ms, scope, body, tag) VALUES"
+    " ($1::bigint,"
     " $2::bigint, $3::bigint, $4::bytea, $5::bytea, $6::bytea) RETURNING revision"
 )
 PRUNE = "DELETE FROM distribution_change WHERE revision <= $1::bigint RETURNING revision"
 SINCE = (
-    "SELECT epoch, revision, time_ms, scope, body, tag FROM distribution_change WHERE revision > $1::bigint"
+    "SELECT epoch, revision, time_ms, scope, body, tag FROM distribution_change WHERE"
+    " revision > $1::bigint"
     " ORDER BY revision LIMIT $2::bigint"
 )
 PUT = (
-    "INSERT INTO distribution_entry (scope, kind, key, value, epoch, revision) VALUES ($1::bytea, $2::bytea,"
+    "INSERT INTO distribution_entry (scope, kind, key, value, epoch, revision) VALUES"
+    " ($1::bytea, $2::bytea,"
     " $3::bytea, $4::bytea, $5::bigint, $6::bigint) ON CONFLICT (scope, kind, key) DO UPDATE SET"
-    " value = excluded.value, epoch = excluded.epoch, revision = excluded.revision RETURNING revision"
+    " value = excluded.value, epoch = excluded.epoch, revision = excluded.revision"
+    " RETURNING revision"
 )
 DELETE = (
-    "DELETE FROM distribution_entry WHERE scope = $1::bytea AND kind = $2::bytea AND key = $3::bytea"
+    "DELETE FROM distribution_entry WHERE scope = $1::bytea AND kind = $2::bytea AND key"
+    " = $3::bytea"
     " RETURNING revision"
 )
 PAGE = (
@@ -90,7 +98,7 @@
     return tuple(name.encode() for name in names)
 
 
-class Tables:
+class SqlChangeStore:
     """`ChangeStore` over `execute` and `transaction`, which a store implements.
 
     Both raise `StoreUnavailableError`.
@@ -166,7 +174,10 @@
         )
 
     async def begin_epoch(self, seen: Head, beyond: int) -> bool:
-        """Begin an epoch later than `beyond` if `seen` is still the head; returns whether it was."""
+        """Begin an epoch later than `beyond` if `seen` is still the head.
+
+        Returns whether it was.
+        """
         now = time.time_ns() // 1_000_000
         head = initial_head(max(seen.epoch + 1, beyond + 1, now), max(seen.time_ms, now))
         return await self.transaction(
--- a/burlloom/distribution/stores/sqlite.py
+++ b/burlloom/distribution/stores/sqlite.py
@@ -5,10 +5,10 @@
 
 from ...record.lock_retry import LOCK_TIMEOUT_S
 from ...record.shared_sqlite import SharedSqliteFile, execute
-from .tables import Statement, Tables
+from .sql import SqlChangeStore, Statement
 
 
-class Sqlite(SharedSqliteFile, Tables):
+class SqliteChangeStore(SharedSqliteFile, SqlChangeStore):
     """The change store in a SQLite file."""
 
     def __init__(self, path: Path, wait: float = LOCK_TIMEOUT_S) -> None:
--- a/burlloom/distribution/stores/store_follower.py
+++ b/burlloom/distribution/stores/store_follower.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from ...errors import BurlloomError
 from ..changes import Head, chain_break, head_after
 from ..replica import Replica
 from ..table import ConfigTable
@@ -13,7 +14,7 @@
 MAX_REPLAYS = 1000  # pages of changes after a whole read, before it is given up: writers outrun us
 
 
-class StoreInconsistentError(Exception):
+class StoreInconsistentError(BurlloomError):
     """The store's content does not follow from what it had, and it was not restored.
 
     Either it was signed with another key, or its tables were written by somebody else.
--- a/burlloom/distribution/table.py
+++ b/burlloom/distribution/table.py
@@ -1,48 +1,31 @@
 """The configuration in force, in compact form.
 
-Each scope has 256 buckets; a bucket is a B+ tree of two levels (Bayer and McCreight): one index,
-and leaves. A leaf is one `bytes` object of at most 64 items, so that the interpreter holds one
-object for some 40 items instead of two for each:
-
-    count (2 bytes), length of the keys' part (2), length of each value (2 each), keys, values
-
-Keys stand between bytes 0xFF, which UTF-8 never contains, so one search of the keys' part finds a
-key or shows that it is absent. A change rewrites only the leaves that it touches.
-benchmarks/scale_table.py compares it with dicts, SQLite in memory and sorted arrays.
-
-Digests (XOR of the items' xxh3) detect differences between replicas; they keep no stranger out.
+Each scope has 256 buckets (leaves.py). Digests (XOR of the items' xxh3) detect differences between
+replicas; they keep no stranger out. benchmarks/scale_table.py compares this with dicts, SQLite in
+memory and sorted arrays.
 """
 
 from array import array
-from bisect import bisect_left, bisect_right
-from collections.abc import Iterable, Iterator, Mapping, Sequence
+from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass
-from itertools import pairwise
-from struct import Struct
 
 import msgpack
 import xxhash
 
 from .changes import KINDS, MAX_KEY_BYTES, MAX_SCOPE_BYTES, MAX_VALUE_BYTES, ConfigItem
+from .leaves import Bucket
 
 BUCKET_COUNT = 256
 MAX_SCOPES = 64  # of one table that holds all of them: an operator has regions, not thousands
 MAX_PUT_ITEMS = (
     256  # entries of one `put`: a change has 64, and no page of a datagram's size has more
 )
-MAX_LEAF_ITEMS = (
-    64  # entries: more make a change dearer, fewer make each entry's part of a leaf's object larger
-)
-MIN_LEAF_ITEMS = 16  # a leaf that has fewer is joined with its neighbour
 MAX_ITEM_BYTES = (
     1 + 2 + MAX_SCOPE_BYTES + 1 + 7 + 2 + MAX_KEY_BYTES + 3 + MAX_VALUE_BYTES
 )  # one in a page, as MessagePack
 
 KIND_CODES = {kind: kind[:1].encode() for kind in KINDS}  # in the order of the names
 KIND_NAMES = {code[0]: kind for kind, code in KIND_CODES.items()}
-KEY_SEPARATOR = b"\xff"
-LEAF_HEADER = Struct("<HH")
-VALUE_LENGTH = Struct("<H")
 ItemPosition = tuple[str, str, str]  # scope, kind, key
 
 
@@ -94,148 +77,6 @@
     return found
 
 
-def pack_leaf(keys: Sequence[bytes], values: Sequence[bytes]) -> bytes:
-    """Return the leaf of items that are in order."""
-    middle = KEY_SEPARATOR + b"".join([key + KEY_SEPARATOR for key in keys])
-    lengths = array("H", map(len, values)).tobytes()
-    return b"".join((LEAF_HEADER.pack(len(keys), len(middle)), lengths, middle, *values))
-
-
-def unpack_leaf(leaf: bytes) -> tuple[list[bytes], list[bytes]]:
-    """Return a leaf's keys and values, in order."""
-    count, middle = LEAF_HEADER.unpack_from(leaf)
-    start = LEAF_HEADER.size + 2 * count
-    begin = start + middle
-    keys, values = leaf[start + 1 : begin].split(KEY_SEPARATOR)[:-1], []
-    for length in array("H", leaf[LEAF_HEADER.size : start]):
-        values.append(leaf[begin : begin + length])
-        begin += length
-    return keys, values
-
-
-EMPTY_LEAF = pack_leaf((), ())
-
-
-class Bucket:
-    """The items of one scope and bucket, by kind code and key.
-
-    `first_keys[i]` is the least key that leaf i may hold; the first is empty, so every key has a
-    leaf.
-    """
-
-    __slots__ = ("first_keys", "leaves")
-
-    def __init__(self) -> None:
-        self.first_keys: list[bytes] = [b""]
-        self.leaves: list[bytes] = [EMPTY_LEAF]
-
-    def has(self, key: bytes) -> bool:
-        """Whether there is an item under that key."""
-        leaf = self.leaves[bisect_right(self.first_keys, key) - 1]
-        count, middle = LEAF_HEADER.unpack_from(leaf)
-        start = LEAF_HEADER.size + 2 * count
-        return leaf.find(b"\xff%b\xff" % key, start, start + middle) >= 0
-
-    def get(self, key: bytes) -> bytes | None:
-        """Return the value under that key."""
-        leaf = self.leaves[bisect_right(self.first_keys, key) - 1]
-        count, middle = LEAF_HEADER.unpack_from(leaf)
-        start = LEAF_HEADER.size + 2 * count
-        at = leaf.find(b"\xff%b\xff" % key, start, start + middle)
-        if at < 0:
-            return None
-        length = LEAF_HEADER.size + 2 * leaf.count(
-            KEY_SEPARATOR, start, at
-        )  # where its length stands
-        begin = start + middle + sum(array("H", leaf[LEAF_HEADER.size : length]))
-        return leaf[begin : begin + VALUE_LENGTH.unpack_from(leaf, length)[0]]
-
-    def set(self, key: bytes, new: bytes | None) -> bytes | None:
-        """Set or delete an item and return its former value."""
-        number = bisect_right(self.first_keys, key) - 1
-        leaf = self.leaves[number]
-        count, middle = LEAF_HEADER.unpack_from(leaf)
-        start = LEAF_HEADER.size + 2 * count
-        at = leaf.find(b"\xff%b\xff" % key, start, start + middle)
-        if at < 0 and new is None:
-            return None
-        if there := at >= 0:
-            before = leaf.count(KEY_SEPARATOR, start, at)
-        else:
-            keys = leaf[start + 1 : start + middle].split(KEY_SEPARATOR)[:-1]
-            before = bisect_left(keys, key)
-            at = start + before + sum(map(len, keys[:before]))
-        length = LEAF_HEADER.size + 2 * before
-        begin = start + middle + sum(array("H", leaf[LEAF_HEADER.size : length]))
-        made: tuple[bytes, ...]
-        if not there:
-            assert new is not None
-            count += 1
-            made = (
-                LEAF_HEADER.pack(count, middle + len(key) + 1),
-                leaf[LEAF_HEADER.size : length],
-                VALUE_LENGTH.pack(len(new)),
-                leaf[length : at + 1],
-                key,
-                leaf[at:begin],
-                new,
-                leaf[begin:],
-            )
-            old = None
-        else:
-            end = begin + VALUE_LENGTH.unpack_from(leaf, length)[0]
-            old = leaf[begin:end]
-            if old == new:
-                return old
-            if new is not None:
-                made = (
-                    leaf[:length],
-                    VALUE_LENGTH.pack(len(new)),
-                    leaf[length + 2 : begin],
-                    new,
-                    leaf[end:],
-                )
-            else:
-                count -= 1
-                made = (
-                    LEAF_HEADER.pack(count, middle - len(key) - 1),
-                    leaf[LEAF_HEADER.size : length],
-                    leaf[length + 2 : at],
-                    leaf[at + 1 + len(key) : begin],
-                    leaf[end:],
-                )
-        self.leaves[number] = b"".join(made)
-        if count > MAX_LEAF_ITEMS or count < MIN_LEAF_ITEMS and len(self.leaves) > 1:
-            self.rebalance(number)
-        return old
-
-    def items_after(self, key: bytes) -> Iterator[tuple[bytes, bytes]]:
-        """Yield the items behind a key in order; the bucket may change meanwhile."""
-        place = bisect_right
-        while True:
-            leaf = bisect_right(self.first_keys, key) - 1
-            upto = self.first_keys[leaf + 1] if leaf + 1 < len(self.first_keys) else None
-            keys, values = unpack_leaf(self.leaves[leaf])
-            for one in range(place(keys, key), len(keys)):
-                yield keys[one], values[one]
-            if upto is None:
-                return
-            key, place = upto, bisect_left
-
-    def rebalance(self, leaf: int) -> None:
-        """Split a leaf that is too large, or join one that is too small with a neighbour."""
-        keys, values = unpack_leaf(self.leaves[leaf])
-        first, upto = leaf, leaf + 1
-        if len(keys) < MIN_LEAF_ITEMS:
-            first, upto = (leaf, leaf + 2) if upto < len(self.leaves) else (leaf - 1, upto)
-            joined = [unpack_leaf(one) for one in self.leaves[first:upto]]
-            keys, values = joined[0][0] + joined[1][0], joined[0][1] + joined[1][1]
-        parts = max(1, -(-len(keys) // MAX_LEAF_ITEMS))
-        cuts = [len(keys) * part // parts for part in range(parts + 1)]
-        self.leaves[first:upto] = [pack_leaf(keys[a:b], values[a:b]) for a, b in pairwise(cuts)]
-        self.first_keys[first:upto] = [self.first_keys[first], *(keys[cut] for cut in cuts[1:-1])]
-
-
 class ScopeTable:
     """One scope: its buckets, their digests, and the number of items of each kind."""
 
@@ -399,6 +240,29 @@
         The range begins behind `after` and ends at `page.last_position`, or at the bucket's end if
         the page is its last; it covers all scopes held.
         """
+        items = self.checked_page(bucket, after, page)
+        says: dict[str, dict[bytes, bytes | None]] = {}
+        for entry in items:
+            says.setdefault(entry.scope, {})[KIND_CODES[entry.kind] + entry.key.encode()] = (
+                entry.value
+            )
+        differed, last = 0, None if page.is_last else page.last_position
+        for scope in sorted({*self.parts, *says}):
+            if after is not None and scope < after[0] or last is not None and scope > last[0]:
+                continue
+            changes = says.get(scope, {})
+            start = position_key(after) if after is not None and scope == after[0] else b""
+            end = position_key(last) if last is not None and scope == last[0] else None
+            if scope in self.parts:
+                for key, _ in self.parts[scope].buckets[bucket].items_after(start):
+                    if end is not None and key > end:
+                        break
+                    changes.setdefault(key, None)
+            differed += self.write_bucket(scope, bucket, changes)
+        return differed
+
+    def checked_page(self, bucket: int, after: ItemPosition | None, page: Page) -> list[ConfigItem]:
+        """Return the page's items. Raises `ValueError` with all that is wrong with the page."""
         check_position(after)
         taken = self.validated(page.items)
         wrong, before = [], after
@@ -418,25 +282,7 @@
             wrong.append("done: a page of nothing that is not the last")
         if wrong or not 0 <= bucket < BUCKET_COUNT:
             raise ValueError("; ".join(wrong) or f"bucket {bucket} of {BUCKET_COUNT}")
-        says: dict[str, dict[bytes, bytes | None]] = {}
-        for entry in taken:
-            says.setdefault(entry.scope, {})[KIND_CODES[entry.kind] + entry.key.encode()] = (
-                entry.value
-            )
-        differed, last = 0, None if page.is_last else page.last_position
-        for scope in sorted({*self.parts, *says}):
-            if after is not None and scope < after[0] or last is not None and scope > last[0]:
-                continue
-            changes = says.get(scope, {})
-            start = position_key(after) if after is not None and scope == after[0] else b""
-            end = position_key(last) if last is not None and scope == last[0] else None
-            if scope in self.parts:
-                for key, _ in self.parts[scope].buckets[bucket].items_after(start):
-                    if end is not None and key > end:
-                        break
-                    changes.setdefault(key, None)
-            differed += self.write_bucket(scope, bucket, changes)
-        return differed
+        return taken
 
     def locate(self, kind: str, key: str) -> tuple[int, bytes] | None:
         """Return bucket and inner key; None for a key that no item can have."""
@@ -506,32 +352,3 @@
 def position_key(place: ItemPosition) -> bytes:
     """Return a position's key within its scope, in the order of the leaves."""
     return KIND_CODES[place[1]] + place[2].encode()
-
-
-class TenantShares(Mapping[str, float]):
-    """A live view of the tenants in force, each with its portion of the service.
-
-    A lookup raises `ValueError` for a value that is no map, or whose portion is no number.
-    """
-
-    def __init__(self, table: ConfigTable) -> None:
-        self.table = table
-
-    def __contains__(self, name: object) -> bool:
-        return type(name) is str and self.table.has("tenant", name)
-
-    def __len__(self) -> int:
-        return self.table.count("tenant")
-
-    def __iter__(self) -> Iterator[str]:
-        return self.table.keys("tenant")
-
-    def __getitem__(self, name: str) -> float:
-        value = self.table.get("tenant", name)
-        if value is None:
-            raise KeyError(name)
-        got = msgpack.unpackb(value)
-        portion = got.get("portion") if type(got) is dict else None
-        if portion is not None and type(portion) not in (int, float):
-            raise ValueError(f"portion of {name!r:.40}: {portion!r:.40} is no number")
-        return float(portion or 1.0)
--- a/burlloom/lab/hollow_configuration.py
+++ b/burlloom/lab/hollow_configuration.py
@@ -29,7 +29,7 @@
 from ..distribution.control_node import ControlNode
 from ..distribution.status_report import KeyFile
 from ..distribution.stores.change_store import StoreUnavailableError
-from ..distribution.stores.sqlite import Sqlite
+from ..distribution.stores.sqlite import SqliteChangeStore
 from ..distribution.stores.store_follower import StoreFollower
 from ..distribution.table import BUCKET_COUNT
 from .distances import Place
@@ -173,7 +173,7 @@
 class Reach:
     """The store, as long as it can be reached."""
 
-    def __init__(self, store: Sqlite) -> None:
+    def __init__(self, store: SqliteChangeStore) -> None:
         self.store, self.away = store, False
 
     def __getattr__(self, name: str) -> Callable[..., Awaitable[Any]]:
@@ -236,7 +236,7 @@
     ) -> None:
         seals = KeyFile(Path(told["key_file"]), lambda: keys(told)[0], "seals")
         signing = KeyFile(Path(told["signing_key_file"]), lambda: keys(told)[1], "signing")
-        self.store = Reach(Sqlite(Path(told["store"])))
+        self.store = Reach(SqliteChangeStore(Path(told["store"])))
         self.out: deque[Any] = deque()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as nowhere:
             self.control = Machine(
--- a/burlloom/operator/distribution.py
+++ b/burlloom/operator/distribution.py
@@ -12,8 +12,8 @@
 from .part import Part
 
 if TYPE_CHECKING:
-    from ..distribution.follower import Upstream as Follows
     from ..distribution.settings import ReplicationSettings
+    from ..distribution.upstreams import Upstream as Follows
 
 MS = 1_000_000
 SIGNING_LEAST, KEYS_MOST = 16, 8  # bytes; lines of a file
@@ -137,7 +137,7 @@
 
     def followed(self) -> "list[Follows]":
         """Whom this one may follow."""
-        from ..distribution.follower import Upstream as Follows
+        from ..distribution.upstreams import Upstream as Follows
         from ..fleet.messages import parse_address
 
         return [
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -28,7 +28,7 @@
 KEY, SIGNING = "6b" * 32, "73" * 32
 BEAT = 300  # ms
 PATIENCE = 40.0
-LINE = re.compile(r"event=distribution-(open|synced|applied)\b(.*)")
+LINE = re.compile(r"event=(distribution-open|config_synced|config_changes_applied)\b(.*)")
 
 
 async def patiently(test: Callable[[], bool], what: Callable[[], Any] = lambda: None) -> None:
@@ -64,7 +64,7 @@
         if self.has_store:
             part["store"] = self.world.store_told
         (self.folder / "operator.jsonnet").write_text(json.dumps({"distribution": part}))
-        lives = self.log().count("event=distribution-control") if self.log_path.exists() else 0
+        lives = self.log().count("event=control_node_started") if self.log_path.exists() else 0
         with open(self.log_path, "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -82,13 +82,13 @@
             )
         await patiently(
             lambda: (
-                self.log().count("event=distribution-control") > lives
+                self.log().count("event=control_node_started") > lives
                 or self.process.returncode is not None
             ),
             self.log,
         )
         assert self.process.returncode is None, self.log()
-        address = re.findall(r"event=distribution-control .* address=(\S+)", self.log())[-1]
+        address = re.findall(r"event=control_node_started .* address=(\S+)", self.log())[-1]
         self.world.relay.sent_from(self.name, address)
         return self
 
@@ -360,9 +360,9 @@
             at: tuple[int, int] | None = None
             for what, rest in LINE.findall(node.log()):
                 said = dict(re.findall(r"(\w+)=(\S+)", rest))
-                if what == "open":
+                if what == "distribution-open":
                     at = None  # another life, which holds nothing
-                elif what == "synced":
+                elif what == "config_synced":
                     to = int(said["epoch"]), int(said["revision"])
                     assert at is None or to >= at, (node.name, at, to)
                     at = to
--- a/tests/explore_distribution.py
+++ b/tests/explore_distribution.py
@@ -37,7 +37,7 @@
 from burlloom.distribution import follower as following
 from burlloom.distribution import replica as replicating
 from burlloom.distribution.changes import chain_break
-from burlloom.distribution.messages import is_for_source
+from burlloom.distribution.codec import is_for_source
 from burlloom.distribution.table import BUCKET_COUNT, ItemPosition, Page, bucket_of
 
 MS = 1_000_000
@@ -537,7 +537,8 @@
 
 
 def following_seal(change: Change) -> bytes:
-    from burlloom.distribution.messages import PushedChange, Sender, seal
+    from burlloom.distribution.codec import seal
+    from burlloom.distribution.messages import PushedChange, Sender
 
     return seal(Sender("source", 1, 0), PushedChange(change), SEAL)
 
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -23,7 +23,7 @@
 )
 from burlloom.distribution.replica import Replica
 from burlloom.distribution.status_report import HeadLogger, KeyFile
-from burlloom.distribution.stores.sqlite import Sqlite
+from burlloom.distribution.stores.sqlite import SqliteChangeStore
 from burlloom.distribution.stores.store_follower import StoreFollower, StoreInconsistentError
 from burlloom.distribution.table import ConfigTable
 from burlloom.fakes.parts import fields
@@ -148,7 +148,7 @@
 def test_a_store_is_followed(tmp_path: Path) -> None:
     async def play() -> None:
         store, held, told = (
-            Sqlite(tmp_path / "changes.db"),
+            SqliteChangeStore(tmp_path / "changes.db"),
             Replica(ConfigTable(None), (SIGNING,)),
             Told(),
         )
@@ -256,10 +256,10 @@
         telling.log_moves()
     lines = [line.getMessage().split(" tag=")[0] for line in caplog.records]
     assert lines == [
-        "event=distribution-synced epoch=7 revision=0",
-        "event=distribution-applied epoch=7 from=1 to=3",
-        "event=distribution-applied epoch=7 from=4 to=4",
-        "event=distribution-synced epoch=7 revision=20",
+        "event=config_synced epoch=7 revision=0",
+        "event=config_changes_applied epoch=7 from=1 to=3",
+        "event=config_changes_applied epoch=7 from=4 to=4",
+        "event=config_synced epoch=7 revision=20",
     ]
 
 
--- a/tests/test_distribution_core.py
+++ b/tests/test_distribution_core.py
@@ -24,6 +24,7 @@
     ReplicationSettings,
     Source,
     Upstream,
+    codec,
     initial_head,
     is_for_source,
     propose,
@@ -41,10 +42,14 @@
     head_after,
     next_change,
 )
-from burlloom.distribution.follower import RULES, Input, State, by_preference, summary
-from burlloom.distribution.messages import MessageDecodeError, ReplayWindow, Sender, seal, unseal
+from burlloom.distribution.codec import MessageDecodeError, seal, unseal
+from burlloom.distribution.follower import RULES, summary
+from burlloom.distribution.follower_state import Input, State
+from burlloom.distribution.messages import Sender
+from burlloom.distribution.replay_window import ReplayWindow
 from burlloom.distribution.source import summary as summary_of_source
 from burlloom.distribution.table import Page
+from burlloom.distribution.upstreams import by_preference
 
 HEALED = 30.0  # s after which all agree, once a network of up to 20% loss is whole again
 NOW = 10**12
@@ -369,7 +374,7 @@
 def test_messages_are_read_as_they_were_sealed(body: m.Body) -> None:
     sender = Sender(LONG, MAX_NUMBER, MAX_NUMBER)
     data = seal(sender, body, SEAL)
-    assert len(data) <= m.MAX_MESSAGE_BYTES
+    assert len(data) <= codec.MAX_MESSAGE_BYTES
     assert unseal(data, (b"another key" * 2, SEAL)) == m.Message(sender, body)
     assert is_for_source(data) == (
         type(body) in (m.Report, m.PullRequest, m.DigestsRequest, m.PagesRequest, m.Leave)
@@ -408,7 +413,7 @@
                 m.PageResponse(MAX_NUMBER, MAX_NUMBER, bucket, 3, after, page),
                 SEAL,
             )
-            assert len(data) <= m.MAX_MESSAGE_BYTES
+            assert len(data) <= codec.MAX_MESSAGE_BYTES
             if page.is_last:
                 break
             after = page.last_position
@@ -416,7 +421,7 @@
 
 def sealed(got: Any) -> bytes:
     text = msgpack.packb(got)
-    return m.compute_seal(SEAL, text) + text
+    return codec.compute_seal(SEAL, text) + text
 
 
 @pytest.mark.parametrize(
@@ -484,7 +489,7 @@
     for _ in range(20_000):
         text = chance.randbytes(chance.randrange(40)) if chance.random() < 0.3 else mutated(chance)
         try:
-            unseal(m.compute_seal(SEAL, text) + text, (SEAL,))
+            unseal(codec.compute_seal(SEAL, text) + text, (SEAL,))
         except MessageDecodeError:
             pass
     for data in (b"", b"x" * 16, b"x" * 1401):
@@ -1148,7 +1153,7 @@
             seal(Sender("source", LIFE, 0), m.PushedChange(history(1)[0]), b"another key" * 2),
             "not sealed with our key",
         ),
-        (m.compute_seal(SEAL, text) + text, "an older version"),
+        (codec.compute_seal(SEAL, text) + text, "an older version"),
         (good + b"x" * 1400, "too long"),
         (good[:-1], "not sealed with our key"),
         (b"", "too short"),
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -251,7 +251,7 @@
     await made.reaches(paused)
     assert await paused.serves("while-away")
     assert not await paused.serves("acme")
-    assert paused.log().count("event=distribution-synced") == 1, "it was to catch up by changes"
+    assert paused.log().count("event=config_synced") == 1, "it was to catch up by changes"
 
 
 @world(2, 4, regions=("north", "south"))
@@ -289,7 +289,7 @@
         )
         assert await cut[0].serves(f"cut-{both}")
         assert await cut[0].serves("south-too")
-    assert all(node.log().count("event=distribution-synced") == 1 for node in cut)
+    assert all(node.log().count("event=config_synced") == 1 for node in cut)
 
 
 @world(2, 3, postgres=True)
@@ -504,7 +504,7 @@
         made.key.write_text("\n".join(keys) + "\n")
         await patiently(
             lambda: all(
-                f"event=distribution-keys what=seals count={len(keys)}" in one.log()
+                f"event=config_keys_reloaded what=seals count={len(keys)}" in one.log()
                 or len(keys) == 2
                 and keys[0] == new
                 for one in (*made.nodes, *made.machines)
--- a/tests/test_distribution_stores.py
+++ b/tests/test_distribution_stores.py
@@ -23,8 +23,8 @@
     next_change,
 )
 from burlloom.distribution.stores import ChangeStore, StoreUnavailableError
-from burlloom.distribution.stores.postgres import Postgres
-from burlloom.distribution.stores.sqlite import Sqlite
+from burlloom.distribution.stores.postgres import PostgresChangeStore
+from burlloom.distribution.stores.sqlite import SqliteChangeStore
 from burlloom.fakes import postgres
 from burlloom.operator import Place
 from burlloom.operator import Postgres as Database
@@ -161,7 +161,10 @@
 
 def test_in_a_file(tmp_path: Path) -> None:
     async def play() -> None:
-        first, second = Sqlite(tmp_path / "changes.db"), Sqlite(tmp_path / "changes.db")
+        first, second = (
+            SqliteChangeStore(tmp_path / "changes.db"),
+            SqliteChangeStore(tmp_path / "changes.db"),
+        )
         await promises(first, second)
         await replayed(first, second)
         before = await first.head()
@@ -186,7 +189,7 @@
     path = filled(tmp_path)
 
     async def play() -> None:
-        store = Sqlite(tmp_path / "record.db")
+        store = SqliteChangeStore(tmp_path / "record.db")
         await store.open()
         await append(store, ("tenant", "kept", value()))
         before = await store.head()
@@ -194,7 +197,7 @@
         await append(store, ("tenant", "lost", value()))
         await store.close()
         burlloom("record", "restore", tmp_path / "copy.db", "--window-s", 18, "-o", path)
-        store = Sqlite(tmp_path / "record.db")
+        store = SqliteChangeStore(tmp_path / "record.db")
         await store.open()
         head = await store.head()
         assert head.epoch > before.epoch
@@ -208,7 +211,7 @@
 
 def test_the_log_is_pruned(tmp_path: Path) -> None:
     async def play() -> None:
-        store = Sqlite(tmp_path / "changes.db")
+        store = SqliteChangeStore(tmp_path / "changes.db")
         await store.open()
         with sqlite3.connect(tmp_path / "changes.db") as db:  # as if so many had been written
             db.execute("UPDATE distribution_head SET revision = ?", (MAX_LOGGED_CHANGES + 8,))
@@ -236,7 +239,7 @@
 
 def test_a_lock_that_another_holds_never_keeps_the_loop(tmp_path: Path) -> None:
     async def play() -> None:
-        store = Sqlite(tmp_path / "changes.db")
+        store = SqliteChangeStore(tmp_path / "changes.db")
         await store.open()
         made = change(await store.head(), ("tenant", "a", value()))
         other = sqlite3.connect(tmp_path / "changes.db", isolation_level=None)
@@ -269,7 +272,7 @@
                 address=server.address, key_file=str(key), hang_ms=300, connect_ms=500
             )
         )
-        first, second = (Postgres(create_store(told, "-", keep=0)[0]) for _ in range(2))  # type: ignore[arg-type]
+        first, second = (PostgresChangeStore(create_store(told, "-", keep=0)[0]) for _ in range(2))  # type: ignore[arg-type]
         await promises(first, second)
         await replayed(first, second)
         made = change(await first.head(), ("tenant", "q", value()))
@@ -302,7 +305,7 @@
     """
 
     async def play() -> None:
-        store = Sqlite(tmp_path / "changes.db")
+        store = SqliteChangeStore(tmp_path / "changes.db")
         await store.open()
         held = Held(tmp_path / "changes.db", 1.9)
         store.lock_retry = held.turns()
--- a/tests/test_distribution_table.py
+++ b/tests/test_distribution_table.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from burlloom.distribution import table as module
+from burlloom.distribution import leaves
 from burlloom.distribution.changes import (
     KINDS,
     MAX_KEY_BYTES,
@@ -22,10 +22,10 @@
     MAX_SCOPES,
     ConfigTable,
     Page,
-    TenantShares,
     bucket_of,
     item_digest,
 )
+from burlloom.distribution.tenant_shares import TenantShares
 
 REGION = "north"
 SCOPES = ("", REGION)
@@ -383,12 +383,12 @@
     for start in range(0, 3_000, 50):
         table.put([ConfigItem("", "tenant", one, b"v") for one in keys[start : start + 50]])
     bucket = table.parts[""].buckets[9]
-    sizes = [len(module.unpack_leaf(leaf)[0]) for leaf in bucket.leaves]
-    assert max(sizes) <= module.MAX_LEAF_ITEMS
-    assert min(sizes) >= module.MIN_LEAF_ITEMS
+    sizes = [len(leaves.unpack_leaf(leaf)[0]) for leaf in bucket.leaves]
+    assert max(sizes) <= leaves.MAX_LEAF_ITEMS
+    assert min(sizes) >= leaves.MIN_LEAF_ITEMS
     for start in range(0, 2_950, 50):
         table.put([ConfigItem("", "tenant", one, None) for one in keys[start : start + 50]])
-    assert len(bucket.leaves) <= 50 // module.MIN_LEAF_ITEMS + 1
+    assert len(bucket.leaves) <= 50 // leaves.MIN_LEAF_ITEMS + 1
     assert sorted(table.keys("tenant")) == sorted(keys[2_950:])
     table.put([ConfigItem("", "tenant", one, None) for one in keys[2_950:]])
     assert (len(bucket.leaves), table.digest(), table.digests()) == (1, 0, (0,) * BUCKET_COUNT)
