--- a/burlloom/distribution/stores/postgres.py
+++ b/burlloom/distribution/stores/postgres.py
@@ -1,13 +1,17 @@
-"""In the record's PostgreSQL database, for control machines in many regions."""
+"""The change store in the record's PostgreSQL database, for control machines in many regions."""
 
 from typing import Any
 
 from ...record.shared_postgres import SharedPostgresDatabase
-from .tables import Statement, Tables
+from .sql import SqlChangeStore, Statement
 
 
-class Postgres(SharedPostgresDatabase, Tables):
+class PostgresChangeStore(SharedPostgresDatabase, SqlChangeStore):
+    """The change store in the record's PostgreSQL database."""
+
     async def transaction(self, guard: Statement, rest: list[Statement]) -> bool:
+        """Run all statements in one transaction if the guard gives a row."""
+
         async def work(link: Any) -> bool:
             async with link.transaction():
                 # The head's row is locked by the first: a second writer waits for our end, and then
--- a/burlloom/distribution/stores/sqlite.py
+++ b/burlloom/distribution/stores/sqlite.py
@@ -1,21 +1,23 @@
-"""In one SQLite file, the record's or one of its own, that all control machines of one machine
-share.
-"""
+"""The change store in one SQLite file, shared by all control machines of one machine."""
 
 import sqlite3
 from pathlib import Path
 
 from ...record.lock_retry import LOCK_TIMEOUT_S
 from ...record.shared_sqlite import SharedSqliteFile, execute
-from .tables import Statement, Tables
+from .sql import SqlChangeStore, Statement
 
 
-class Sqlite(SharedSqliteFile, Tables):
+class SqliteChangeStore(SharedSqliteFile, SqlChangeStore):
+    """The change store in a SQLite file."""
+
     def __init__(self, path: Path, wait: float = LOCK_TIMEOUT_S) -> None:
         """`wait`: s for the lock that another holds, until the store counts as away."""
         super().__init__(path, "distribution", wait)
 
     async def transaction(self, guard: Statement, rest: list[Statement]) -> bool:
+        """Run all statements in one transaction if the guard gives a row."""
+
         def work(db: sqlite3.Connection) -> bool:
             db.execute("BEGIN IMMEDIATE")
             try:
