--- a/burlloom/command/rollout.py
+++ b/burlloom/command/rollout.py
@@ -46,13 +46,13 @@
     can't be used, or says no.
     """
     from ..rollout import OrderRejectedError
-    from ..rollout.stores import Away, StateDecodeError
-    from ..rollout.stores.opening import create_store
+    from ..rollout.stores import StateDecodeError, StoreUnavailableError
+    from ..rollout.stores.factory import create_rollout_store
 
     told, _ = part_of(operator)
 
     async def whole() -> Any:
-        shelf = create_store(told, wait)
+        shelf = create_rollout_store(told, wait)
         try:
             await shelf.open()
             return await work(shelf)
@@ -62,7 +62,7 @@
     with told_plainly():
         try:
             return asyncio.run(whole())
-        except (OrderRejectedError, Away, StateDecodeError) as error:
+        except (OrderRejectedError, StoreUnavailableError, StateDecodeError) as error:
             click.echo(f"burlloom: {error}", err=True)
             sys.exit(2)
 
@@ -70,7 +70,7 @@
 async def step(
     shelf: "RolloutStore", order: "Callable[[RolloutState], RolloutState]"
 ) -> "StateSnapshot":
-    """Written on the book as it stands then, however many others write. Raises `Denied`, or `Away`
+    """Written on the book as it stands then, however many others write. Raises `Denied`, or `StoreUnavailableError`
     where nobody knows whether it was taken.
     """
     from ..rollout import OrderRejectedError
@@ -367,14 +367,14 @@
     told, part = part_of(operator)
 
     async def ask() -> str:
-        from ..rollout.stores import Away, StateDecodeError
-        from ..rollout.stores.opening import create_store
+        from ..rollout.stores import StateDecodeError, StoreUnavailableError
+        from ..rollout.stores.factory import create_rollout_store
 
-        shelf = create_store(told)
+        shelf = create_rollout_store(told)
         try:
             await shelf.open()
             return (await shelf.read()).state.next_version_of(name)
-        except (Away, StateDecodeError) as error:
+        except (StoreUnavailableError, StateDecodeError) as error:
             if part.release_file is None or not os.path.exists(part.release_file):
                 click.echo(f"burlloom: {error}", err=True)
                 sys.exit(2)
@@ -398,7 +398,7 @@
 
     async def work(shelf: "RolloutStore") -> None:
         from ..rollout import RolloutLeader
-        from ..rollout.stores import Away
+        from ..rollout.stores import StoreUnavailableError
         from ..rollout.stores.leader_round import run_leader_round
 
         lead = RolloutLeader(name, part.terms(), part.budgets(), part.services())
@@ -410,7 +410,7 @@
                     lead, shelf, page, time.clock_gettime_ns(time.CLOCK_BOOTTIME)
                 ):
                     click.echo(json.dumps({"step": at, "said": said}))
-            except Away as error:
+            except StoreUnavailableError as error:
                 click.echo(json.dumps({"away": str(error)}))
                 page = None
             await asyncio.sleep(part.poll_ms / 1000)
--- a/burlloom/distribution/stores/__init__.py
+++ b/burlloom/distribution/stores/__init__.py
@@ -2,6 +2,6 @@
 one interface.
 """
 
-from .store import Away, ChangeStore, Stored
+from .change_store import ChangeStore, StoredItem, StoreUnavailableError
 
-__all__ = ["Away", "ChangeStore", "Stored"]
+__all__ = ["StoreUnavailableError", "ChangeStore", "StoredItem"]
--- a/burlloom/lab/rolls.py
+++ b/burlloom/lab/rolls.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections.abc import Callable, Sequence
+from dataclasses import replace
 from typing import Any
 
 from numpy.random import default_rng
@@ -11,9 +12,13 @@
 from ..operator import RolloutPart
 from ..rollout import OrderRejectedError, RolloutState
 from ..rollout.liveness import ServerReport
-from ..rollout.stores import Away, StateSnapshot
-from ..server.assembly import Server
-from ..server.rolling import NoRolling, Rolled, Rolling
+from ..rollout.stores import RolloutStore, StateSnapshot, StoreUnavailableError
+from ..server.rollout import (
+    ConfiguredRolloutParticipation,
+    NoRolloutParticipation,
+    RolloutParticipation,
+)
+from ..server.server import Server
 from .emulator import Emulator
 from .node import Node
 
@@ -25,17 +30,18 @@
 
     def __init__(self, emulator: Emulator, node: Node, server: Server) -> None:
         self.emulator, self.node, self.server = emulator, node, server
-        self.ready, self.well = server.ready, server.well
+        self.is_ready = server.is_ready
+        self.is_healthy_and_recovered = server.is_healthy_and_recovered
 
     @property
-    def leaving(self) -> bool:
-        return self.server.leaving
+    def is_shutting_down(self) -> bool:
+        return self.server.is_shutting_down
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         self.emulator.replace(self.node)
 
 
-class SimulatedRolloutStore:
+class SimulatedRolloutStore(RolloutStore):
     """`loses`: the share of steps whose answer is lost, before or after they took hold."""
 
     def __init__(self, loses: float, seed: int) -> None:
@@ -48,11 +54,11 @@
         lost = self.chance.random()
         if lost < self.loses / 2:
             await asyncio.sleep(GIVEN_UP)
-            raise Away("lost on the way there")
+            raise StoreUnavailableError("lost on the way there")
         found = step()
         if lost < self.loses:
             await asyncio.sleep(GIVEN_UP)
-            raise Away("lost on the way back")
+            raise StoreUnavailableError("lost on the way back")
         return found
 
     async def open(self) -> None: ...
@@ -75,7 +81,7 @@
     async def heartbeat(self, epoch: int) -> None:
         def step() -> None:
             if epoch == self.snapshot.state.epoch:
-                self.snapshot = self.snapshot._replace(heartbeat=self.snapshot.heartbeat + 1)
+                self.snapshot = replace(self.snapshot, heartbeat=self.snapshot.heartbeat + 1)
 
         await self.way(step)
 
@@ -125,14 +131,14 @@
         if node.fails:
             self.ever.add(node.name)
 
-    def rolling(self, node: Node) -> Callable[[Server], Rolling]:
+    def rolling(self, node: Node) -> Callable[[Server], RolloutParticipation]:
         self.begins(node, self.versions[node.name])
-        return lambda server: NoRolling()
+        return lambda server: NoRolloutParticipation()
 
     @property
     def out(self) -> int:
         return sum(
-            not node.up or node.server is None or node.server.leaving
+            not node.up or node.server is None or node.server.is_shutting_down
             for node in self.emulator.nodes
         )
 
@@ -153,20 +159,20 @@
         self.first, self.part = version, part
         self.shelf = SimulatedRolloutStore(loses, emulator.world.seed)
 
-    def rolling(self, node: Node) -> Callable[[Server], Rolling]:
-        def make(server: Server) -> Rolled:
+    def rolling(self, node: Node) -> Callable[[Server], RolloutParticipation]:
+        def make(server: Server) -> ConfiguredRolloutParticipation:
             loop, book = self.emulator.loop, self.shelf.snapshot.state
             self.begins(node, book.next_version_of(node.name) or self.first)
-            made = Rolled(
+            made = ConfiguredRolloutParticipation(
                 self.part,
                 self.shelf,
                 node.name,
                 node.version,
-                server.orders.facts.request_classes,
+                server.config.settings.request_classes,
                 loop.wall,
                 server.tasks,
                 Host(self.emulator, node, server),
-                lambda: server.fleet,
+                lambda: server.membership,
                 loop.wall,
             )
             loop.call_soon(made.open)
@@ -177,8 +183,10 @@
     def order(self, order: Callable[[RolloutState], RolloutState]) -> bool:
         """An operator's, taken at once; False where it was denied."""
         try:
-            self.shelf.snapshot = self.shelf.snapshot._replace(
-                revision=self.shelf.snapshot.revision + 1, state=order(self.shelf.snapshot.state)
+            self.shelf.snapshot = replace(
+                self.shelf.snapshot,
+                revision=self.shelf.snapshot.revision + 1,
+                state=order(self.shelf.snapshot.state),
             )
         except OrderRejectedError:
             return False
@@ -214,7 +222,10 @@
             for _ in range(int(wait_s / 0.25)):
                 await asyncio.sleep(0.25)
                 if all(
-                    node.up and node.life > life and node.server is not None and node.server.good()
+                    node.up
+                    and node.life > life
+                    and node.server is not None
+                    and node.server.is_healthy()
                     for node, life in zip(batch, lives, strict=True)
                 ):
                     break
--- a/burlloom/server/rolling.py
+++ b/burlloom/server/rollout.py
@@ -13,17 +13,17 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Protocol
 
+from ..admission.model import RequestClass
 from ..dispatcher import Kind
-from ..interface import RequestClass
 from ..sockets import MS, Tasks, rest
-from .fleeting import since_start
+from .membership import monotonic_ns
 
 if TYPE_CHECKING:
     from ..metrics import Exposed
     from ..operator import RolloutPart
     from ..rollout import DrainAgent, RolloutLeader, ServerPhase
     from ..rollout.stores import RolloutStore, StateSnapshot
-    from .fleeting import Fleeting
+    from .membership import FleetMembership
 
 log = logging.getLogger(__name__)
 
@@ -31,38 +31,38 @@
 LAST_WORD = 0.2  # s that a way out may wait for the store
 
 
-class Rolling(Protocol):
+class RolloutParticipation(Protocol):
     """What the server tells of itself."""
 
     def open(self) -> None: ...
-    def answered(self, kind: Kind, product: int, at: int) -> None: ...
+    def request_answered(self, kind: Kind, product: int, at: int) -> None: ...
     async def close(self) -> None: ...
 
 
-class NoRolling:
+class NoRolloutParticipation:
     """Its platform alone says when it starts and stops."""
 
     def open(self) -> None:
         pass
 
-    def answered(self, kind: Kind, product: int, at: int) -> None:
+    def request_answered(self, kind: Kind, product: int, at: int) -> None:
         pass
 
     async def close(self) -> None:
         pass
 
 
-class Host(Protocol):
+class RolloutHost(Protocol):
     """The server, as far as it is asked."""
 
     @property
-    def leaving(self) -> bool: ...
-    def well(self) -> bool: ...
-    def ready(self) -> bool: ...
-    def leave(self) -> None: ...
+    def is_shutting_down(self) -> bool: ...
+    def is_healthy_and_recovered(self) -> bool: ...
+    def is_ready(self) -> bool: ...
+    def begin_shutdown(self) -> None: ...
 
 
-class Rolled:
+class ConfiguredRolloutParticipation:
     """`version`: that we run; `terms` and the like stand in `part`."""
 
     def __init__(
@@ -74,9 +74,9 @@
         products: tuple[RequestClass, ...],
         clock: Callable[[], int],
         tasks: Tasks,
-        host: Host,
-        fleet: Callable[[], Fleeting],
-        steady: Callable[[], int] = since_start,
+        host: RolloutHost,
+        fleet: Callable[[], FleetMembership],
+        steady: Callable[[], int] = monotonic_ns,
     ) -> None:
         """`clock`: Unix ns; `steady`: ns of one that nobody sets."""
         from .. import rollout
@@ -109,7 +109,7 @@
         """
         self.task = self.tasks.start(self.keep(), "rollout")
 
-    def answered(self, kind: Kind, product: int, at: int) -> None:
+    def request_answered(self, kind: Kind, product: int, at: int) -> None:
         if kind in (Kind.SETTLE, Kind.SETTLE_AS):
             self.counts[0] += 1
             self.counts[1] += self.clock() - at > self.products[product].latency_objective_ns
@@ -124,7 +124,7 @@
                 if self.away:
                     log.warning("event=rollout-back")
                 self.away, wait = "", 1
-            except (self.stores.Away, self.stores.StateDecodeError) as error:
+            except (self.stores.StoreUnavailableError, self.stores.StateDecodeError) as error:
                 if not self.away:
                     log.warning("event=rollout-away detail=%r", str(error))
                 self.away, self.page = str(error), None
@@ -140,7 +140,7 @@
         if self.life:
             try:
                 await self.shelf.open()  # its file may be another's by now, its tables gone
-            except self.stores.Away:
+            except self.stores.StoreUnavailableError:
                 pass
 
     async def round(self) -> None:
@@ -171,9 +171,9 @@
             return
         self.page = page = await self.shelf.read(self.page)
         self.heed(page)
-        if not self.host.leaving:
+        if not self.host.is_shutting_down:
             await self.mind(page)
-        if not self.host.leaving and self.lead is not None and page is self.page:
+        if not self.host.is_shutting_down and self.lead is not None and page is self.page:
             await self.go_first(self.lead, page)
 
     # What we say.
@@ -182,9 +182,9 @@
         says = self.of.ServerPhase
         return (
             says.LEAVING
-            if self.host.leaving
+            if self.host.is_shutting_down
             else says.SERVING
-            if self.host.ready()
+            if self.host.is_ready()
             else says.STARTING
         )
 
@@ -199,11 +199,11 @@
                 self.life,
                 self.beat,
                 says,
-                self.host.well(),
+                self.host.is_healthy_and_recovered(),
                 self.version,
                 self.heeded,
                 self.of.RequestCounts(*self.counts),
-                self.fleet().reports(),
+                self.fleet().recent_call_counts(),
                 self.former,
             )
         ):
@@ -218,7 +218,7 @@
         there any more.
         """
         shunned = frozenset(address for _, address in page.state.ejected_instances())
-        if self.fleet().shun(shunned):
+        if self.fleet().eject_services(shunned):
             self.heeded = page.state.step
 
     # What the book says of us.
@@ -230,7 +230,7 @@
             wanted, of = self.hand.begin_drain(page.state), self.of.agent.AgentInput
             try:
                 held = wanted is not None and await self.shelf.compare_and_swap(page, wanted)
-            except self.stores.Away:
+            except self.stores.StoreUnavailableError:
                 self.hand.apply_input(of.WRITE_UNKNOWN)
                 raise
             effect = self.hand.apply_input(of.WRITE_ACCEPTED if held else of.WRITE_CONFLICT)
@@ -252,7 +252,7 @@
                 os.replace(part, place)
             except OSError as error:
                 log.warning("event=release-not-written detail=%r", str(error))
-        self.host.leave()
+        self.host.begin_shutdown()
 
     # Leading.
 
@@ -286,7 +286,7 @@
         try:
             async with asyncio.timeout(LAST_WORD):
                 await self.last_word()
-        except (self.stores.Away, self.stores.StateDecodeError, TimeoutError):
+        except (self.stores.StoreUnavailableError, self.stores.StateDecodeError, TimeoutError):
             pass
         await self.shelf.close()
         if self.exposed is not None:
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -20,8 +20,8 @@
 from burlloom.fakes.parts import Balancer, Catalogue, fields
 from burlloom.operator import load
 from burlloom.rollout import ReleasePhase, RolloutState
-from burlloom.rollout.stores import Away, RolloutStore
-from burlloom.rollout.stores.opening import create_store
+from burlloom.rollout.stores import RolloutStore, StoreUnavailableError
+from burlloom.rollout.stores.factory import create_rollout_store
 
 QUICK = {
     "poll_ms": 40,
@@ -93,7 +93,7 @@
                 self.version = (await self.rollout.book()).next_version_of(
                     self.name
                 ) or self.version
-            except Away:
+            except StoreUnavailableError:
                 self.version = (self.folder / "release").read_text().strip()
             await self.begin()
 
@@ -249,7 +249,7 @@
         await asyncio.gather(*(node.__aenter__() for node in self.nodes))
         self.file = self.folder / "operator.jsonnet"
         self.file.write_text(json.dumps({"rollout": {**QUICK, **self.part}, **self.joined(None)}))
-        self.shelf: RolloutStore = create_store(load(self.file), PATIENCE)
+        self.shelf: RolloutStore = create_rollout_store(load(self.file), PATIENCE)
         await self.shelf.open()
         for node in self.nodes:
             node.tasks = [
@@ -291,7 +291,7 @@
                     try:
                         if test(book := await self.book()):
                             return book
-                    except Away:
+                    except StoreUnavailableError:
                         pass
                     await asyncio.sleep(0.02)
         except TimeoutError:
