--- /dev/null
+++ b/tests/test_rollout_codec.py
@@ -0,0 +1,71 @@
+"""Rollout states and reports that release 0.7.1 wrote are read, and written with the same text."""
+
+import asyncio
+import shutil
+from pathlib import Path
+
+import pytest
+
+from burlloom.rollout import ReleasePhase, ServerPhase
+from burlloom.rollout.instance import InstanceState
+from burlloom.rollout.stores import StateDecodeError, decode_state, encode_state
+from burlloom.rollout.stores.codec import decode_report, encode_report
+from burlloom.rollout.stores.sqlite import SqliteRolloutStore
+
+DATA = Path(__file__).parent / "data"
+
+
+def sample(name: str) -> str:
+    return (DATA / name).read_text(encoding="utf-8").rstrip("\n")
+
+
+def test_a_stored_state_is_written_back_with_the_same_text() -> None:
+    text = sample("rollout_state_0.7.1.json")
+    assert encode_state(decode_state(text)) == text
+
+
+def test_a_stored_report_is_written_back_with_the_same_text() -> None:
+    text = sample("rollout_report_0.7.1.json")
+    assert encode_report(decode_report(text)) == text
+
+
+def test_a_stored_state_has_its_values_in_the_fields() -> None:
+    state = decode_state(sample("rollout_state_0.7.1.json"))
+    assert (state.leader, state.epoch, state.step) == ("n1/1700000000001", 3, 41)
+    assert state.stable_version == "v2"
+    assert state.release.phase is ReleasePhase.EVALUATING
+    assert (state.release.target_version, state.release.previous_version) == ("v3", "v2")
+    assert state.release.baseline is not None
+    assert state.release.baseline.requests == 4000
+    second = state.servers["n2"]
+    assert second.state is InstanceState.OUT
+    assert second.left_incarnation == second.incarnation == 1700000000002
+    assert (second.next_version, second.release_number) == ("v3", 7)
+    assert state.groups["db"].instances["10.0.0.1:80"].drain_ticket == 37
+
+
+def test_a_wrong_field_is_named_as_it_is_stored() -> None:
+    text = sample("rollout_state_0.7.1.json").replace('"moved":7', '"moved":"x"', 1)
+    with pytest.raises(StateDecodeError) as raised:
+        decode_state(text)
+    assert raised.value.field == "groups.servers.units.n1.moved"
+
+
+async def open_stored_file(tmp_path: Path) -> None:
+    shutil.copy(DATA / "rollout_0.7.1.sqlite", tmp_path / "store")
+    store = SqliteRolloutStore(tmp_path / "store")
+    await store.open()
+    try:
+        snapshot = await store.read()
+        assert encode_state(snapshot.state) == sample("rollout_state_0.7.1.json")
+        assert snapshot.heartbeat == 1
+        (report,) = await store.reports()
+        assert encode_report(report) == sample("rollout_report_0.7.1.json")
+        assert report.phase is ServerPhase.LEAVING
+        assert await store.compare_and_swap(snapshot, snapshot.state)
+    finally:
+        await store.close()
+
+
+def test_a_stored_file_is_opened(tmp_path: Path) -> None:
+    asyncio.run(open_stored_file(tmp_path))
