--- a/benchmarks/fleet_shares.py
+++ b/benchmarks/fleet_shares.py
@@ -23,8 +23,8 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
 from burlloom.fleet import MILLICALLS_PER_CALL, QuotaSettings, assign_subsets
-from burlloom.fleet.allocator import MS
-from burlloom.fleet.subset import rank, ranked
+from burlloom.fleet.settings import NS_PER_MS
+from burlloom.fleet.subset import rank_services, rendezvous_rank
 from burlloom.lab import World, play
 from burlloom.lab.clock import simulated
 from burlloom.lab.emulator import Emulator, Watch
@@ -39,9 +39,9 @@
     return QuotaSettings(
         calls * MILLICALLS_PER_CALL,
         max(2, size // 20 + 1),
-        report_interval_ns=slow * 200 * MS,
-        lease_ns=slow * 2000 * MS,
-        reclaim_timeout_ns=14_000 * MS + (slow - 1) * 4000 * MS,
+        report_interval_ns=slow * 200 * NS_PER_MS,
+        lease_ns=slow * 2000 * NS_PER_MS,
+        reclaim_timeout_ns=14_000 * NS_PER_MS + (slow - 1) * 4000 * NS_PER_MS,
     )
 
 
@@ -225,7 +225,7 @@
 
 
 def by_rank(names: list[str], below: list[str], size: int) -> dict[str, list[str]]:
-    return {name: ranked(name, below)[:size] for name in names}
+    return {name: rank_services(name, below)[:size] for name in names}
 
 
 def bounded(names: list[str], below: list[str], size: int) -> dict[str, list[str]]:
@@ -233,7 +233,8 @@
     most = math.ceil(1.1 * len(names) * size / len(below))
     load, found = dict.fromkeys(below, 0), {name: list[str]() for name in names}
     for _, name, service in sorted(
-        ((rank(name, service), name, service) for name in names for service in below), reverse=True
+        ((rendezvous_rank(name, service), name, service) for name in names for service in below),
+        reverse=True,
     ):
         if len(found[name]) < size and load[service] < most:
             found[name].append(service)
--- a/benchmarks/scale_crowd.py
+++ b/benchmarks/scale_crowd.py
@@ -17,7 +17,6 @@
 from time import thread_time_ns
 from typing import Any
 
-import burlloom.fleet.member as whole
 from burlloom.fleet import (
     MILLICALLS_PER_CALL,
     Fleet,
@@ -26,10 +25,11 @@
     MemberUpdate,
     QuotaSettings,
 )
-from burlloom.fleet.allocator import MS
-from burlloom.fleet.member import NEWS_MOST, PAGE_WORDS
-from burlloom.fleet.membership import hash_update
+from burlloom.fleet.gossip import MAX_PIGGYBACKED_UPDATES
+from burlloom.fleet.membership import MembershipView, hash_update
 from burlloom.fleet.messages import Message, MessageKind, decode, encode
+from burlloom.fleet.settings import NS_PER_MS as MS
+from burlloom.fleet.synchronization import PAGE_UPDATES
 
 SECOND = 1_000_000_000
 KEY = b"the benchmark's own key"
@@ -45,13 +45,13 @@
 
 @contextmanager
 def members_most(size: int) -> Iterator[None]:
-    """A view ends at `MEMBERS_MOST`; past that the bound is raised here, in the benchmark alone."""
-    before = whole.MEMBERS_MOST
-    whole.MEMBERS_MOST = max(before, size)
+    """A view ends at `MembershipView.MAX_MEMBERS`; past that the bound is raised here, in the benchmark alone."""
+    before = MembershipView.MAX_MEMBERS
+    MembershipView.MAX_MEMBERS = max(before, size)
     try:
         yield
     finally:
-        whole.MEMBERS_MOST = before
+        MembershipView.MAX_MEMBERS = before
 
 
 def words(size: int) -> list[MemberUpdate]:
@@ -149,11 +149,11 @@
         self.later(0, self.slot, 0)
         if churn:
             lasts = (
-                size * self.most / NEWS_MOST / PASSED_ON
+                size * self.most / MAX_PIGGYBACKED_UPDATES / PASSED_ON
             )  # s, for which one that came has its view as news
             for peer in self.peers:
                 if self.chance.random() < lasts * RESTARTS:
-                    peer.stale = self.chance.randrange(size * self.most // NEWS_MOST)
+                    peer.stale = self.chance.randrange(size * self.most // MAX_PIGGYBACKED_UPDATES)
             self.next_event()
 
     # Time.
@@ -226,7 +226,7 @@
                     )
             case MessageKind.SYNC:
                 self.pages(peer, letter)
-            case MessageKind.PAGE if letter.name and len(letter.updates) == PAGE_WORDS:
+            case MessageKind.PAGE if letter.name and len(letter.updates) == PAGE_UPDATES:
                 self.say(peer, MessageKind.SYNC, letter.sequence, (), letter.name)
             case MessageKind.REPORT:
                 self.say(peer, MessageKind.GRANT, letter.sequence, (4 * MILLICALLS_PER_CALL, 1))
@@ -239,7 +239,7 @@
         return self.peers[int(name[1:])]
 
     def views(self, peer: Peer) -> tuple[int, int]:
-        return peer.digest >> 1, self.fleet.settings_digest()
+        return peer.digest >> 1, self.fleet.quota_settings.digest()
 
     def say(
         self,
@@ -259,8 +259,8 @@
 
     def pages(self, peer: Peer, letter: Message) -> None:
         begin = bisect_right(self.names, letter.name)
-        names = self.names[begin : begin + PAGE_WORDS]
-        more = names[-1] if begin + PAGE_WORDS < len(self.names) else ""
+        names = self.names[begin : begin + PAGE_UPDATES]
+        more = names[-1] if begin + PAGE_UPDATES < len(self.names) else ""
         page = tuple(peer.seen.get(name) or self.by_name[name] for name in names)
         self.later(
             self.delay(),
@@ -292,7 +292,7 @@
 
     def gossip(self, peer: Peer) -> list[MemberUpdate]:
         found = []
-        for name in sorted(peer.news, key=peer.news.__getitem__)[:NEWS_MOST]:
+        for name in sorted(peer.news, key=peer.news.__getitem__)[:MAX_PIGGYBACKED_UPDATES]:
             peer.news[name] += 1
             found.append(peer.seen[name])
             if peer.news[name] >= self.most:
@@ -302,7 +302,7 @@
             found += [
                 peer.seen.get(name) or self.by_name[name]
                 for name in self.chance.sample(
-                    self.names, min(NEWS_MOST - len(found), len(self.names))
+                    self.names, min(MAX_PIGGYBACKED_UPDATES - len(found), len(self.names))
                 )
             ]
         return found
@@ -347,7 +347,7 @@
                 if one.digest != another.digest and self.now - one.synced >= 200 * MS:
                     one.synced = self.now
                     self.later(
-                        len(self.words) // PAGE_WORDS * 2 * self.delay(),
+                        len(self.words) // PAGE_UPDATES * 2 * self.delay(),
                         self.reads_view,
                         one,
                         another,
@@ -359,7 +359,13 @@
 
     def reports(self, peer: Peer) -> None:
         peer.number += 1
-        told = (peer.share, peer.share, 1000 * MILLICALLS_PER_CALL, 1000, self.fleet.roster_hash)
+        told = (
+            peer.share,
+            peer.share,
+            1000 * MILLICALLS_PER_CALL,
+            1000,
+            self.fleet.quota.roster_hash,
+        )
         self.say(peer, MessageKind.REPORT, peer.number, told)
 
     # Churn.
@@ -419,7 +425,7 @@
         former = self.peers[self.chance.randrange(3)]
         peer.up, peer.share, peer.number = True, 0, 0
         peer.seen, peer.digest, peer.news = dict(former.seen), former.digest, {}
-        peer.stale = len(self.words) * self.most // NEWS_MOST
+        peer.stale = len(self.words) * self.most // MAX_PIGGYBACKED_UPDATES
         self.becomes(
             peer,
             MemberUpdate(peer.word.name, peer.word.address, self.now // MS, 0, MemberState.ALIVE),
--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -50,7 +50,7 @@
     assign_subsets,
     summarize,
 )
-from burlloom.fleet.allocator import ShareReport
+from burlloom.fleet.accounts import ShareReport
 from burlloom.fleet.messages import Message, MessageKind, decode, encode
 from burlloom.lab.slopes import Row, exponent_word, fit, keep
 from burlloom.rollout import DisruptionBudget, RolloutState, ServerReport
@@ -190,12 +190,12 @@
         ]
         all_of = [word._replace(state=MemberState(word.state)) for word in all_of]
         fleet = filled(all_of, 0)
-        fleet.refresh_presences()
-        fleet.next_probe_target()
+        fleet.quota.refresh_presences()
+        fleet.prober.next_target()
         return fleet
 
     def dealing(fleet: Fleet) -> None:
-        fleet.allocator.run_round(START, fleet.presences, True)
+        fleet.allocator.run_round(START, fleet.quota.presences, True)
         for at, word in enumerate(words(size)):
             fleet.allocator.process_report(
                 START,
--- a/burlloom/fleet/__init__.py
+++ b/burlloom/fleet/__init__.py
@@ -1,23 +1,25 @@
-"""What a fleet does as a whole: who is in it, how the calls below are shared out, who talks to
-which services.
+"""What a fleet does as a whole. No I/O.
 
-Without I/O; `server/fleeting.py` has the sockets, `lab/fleets.py` a network in simulated time.
+Who is in it (`member`, `membership`, `probing`, `gossip`, `synchronization`), how the downstream
+calls are shared out (`quota`, `allocator`, `lease_holder`), and which server calls which services
+(`subset`). `burlloom.server.membership` has the sockets, `burlloom.lab.fleets` a network in
+simulated time.
 """
 
-from .allocator import MILLICALLS_PER_CALL, QuotaSettings
-from .member import Fleet, GossipSettings, summarize
+from .member import Fleet, summarize
 from .membership import MemberState, MemberUpdate
+from .settings import MILLICALLS_PER_CALL, GossipSettings, QuotaSettings
 from .subset import SubsetAssignment, WeightedRoundRobin, assign_subsets
 
 __all__ = [
     "MILLICALLS_PER_CALL",
     "Fleet",
     "GossipSettings",
-    "SubsetAssignment",
     "MemberState",
+    "MemberUpdate",
     "QuotaSettings",
+    "SubsetAssignment",
     "WeightedRoundRobin",
-    "MemberUpdate",
     "assign_subsets",
     "summarize",
 ]
--- a/burlloom/fleet/allocator.py
+++ b/burlloom/fleet/allocator.py
@@ -1,53 +1,54 @@
-"""How the calls that the services below bear are shared out over the fleet. No I/O.
-
-One member deals, whoever has lived longest of those who are there. Each round every member reports
-to it what it holds and what it could use, and is granted a share for the length of a lease. Shares
-are thousandths of a call in hand. What keeps the sum within `total`, whatever the network does:
-
-- The dealer counts as bound, for each member, the larger of what its last report said that it holds
-and of
-  what was granted on it; a raise comes only out of what is not bound.
-- A holder takes a grant only on its newest report, so an older one that is late does nothing, and
-it reports
-  what it holds with the calls still in hand: a cut share is free once its calls are.
-- A member that was not heard is bound as before. What it is bound by is dealt anew once it left,
-was started
-  again, or was dead for `redeal`; by then it is at its floor by itself (`hold.py`), if it lives: a
-  grant says whether half of the fleet reports to the one that gave it, and without such a grant for
-  `cut` it sinks.
-- Only a dealer to whom more than half of the fleet reports may raise. One that comes new to it
-first learns:
-  until all have reported, or for as long as an older dealer could still have raised and its grants
-  hold.
-
-Source: Google's Doorman (2016) hands out leases of a capacity from an elected server with a
-learning mode; Breakwater (Cho and others, OSDI 2020) grants credits by demand. The split is max-min
-fair, by weight; whole calls go round in turns by error diffusion, so that each has its exact share
-over some turns and the sum is exact in each.
+"""Allocation of the downstream services' calls over the fleet, by leases. No I/O.
+
+One member allocates: the present one that was started first. Each round every member reports to it
+what it holds and what it could use, and is granted a share for the length of a lease. Shares are
+in millicalls: thousandths of a call in progress. What keeps the sum of all shares within the total,
+whatever the network does:
+
+- The allocator counts as bound, for each member, the larger of what its last report said that it
+  holds and of what was granted on that report. A raise comes only out of what is not bound.
+- A member takes a grant only on its newest report, so an older one that is late does nothing. It
+  reports the calls in progress as held: a lowered share is free once its calls have ended.
+- A member that has stopped reporting stays bound. Its share is allocated anew once it left, was
+  started again, or was dead for the reclaim timeout; by then it is at its minimum by itself if it
+  lives (`lease_holder.py`): a grant says whether it is confirmed, that is whether half of the fleet
+  reports to the one that gave it, and without a confirmed grant for the isolation timeout a member
+  decays to its minimum.
+- Only an allocator to whom more than half of the fleet reports may raise shares. A new one first
+  learns: until all have reported, or for as long as an older allocator could still have raised
+  shares and its grants hold.
+
+Sources: Google's Doorman (2016) hands out leases of a capacity from an elected server with a
+learning mode; Breakwater (Cho and others, OSDI 2020) grants credits by demand.
 """
 
-from collections.abc import Callable, Mapping, Sequence
-from dataclasses import dataclass
+from collections.abc import Callable, Mapping
 from enum import IntEnum
-from typing import NamedTuple
 
 from ..tables import rows
+from .accounts import Account, MemberPresence, ShareReport
+from .fair_share import max_min_fair, round_down_to_calls, round_to_calls
+from .settings import MILLICALLS_PER_CALL, NS_PER_MS, QuotaSettings
 from .totals import AllocationTotals
 
-MILLICALLS_PER_CALL = 1000  # thousandths
-STICKS = 1500  # thousandths; see `turns`
-HEADROOM = 1.25  # of what a member uses: more is free for its next peak
-MS = 1_000_000
-NEWBORN = (
-    1600 * MS
-)  # until a fleet in which nobody held anything is dealt to; knocks come each probe
+__all__ = ["Allocator", "AllocatorInput", "AllocatorPhase"]
+
+# How long a fleet in which nobody holds anything is observed before the first allocation. Join
+# requests go out with each probe: members that lived on have found us by then.
+_BOOTSTRAP_NS = 1600 * NS_PER_MS
+_MIN_LEARNING_ROUNDS = 3
+# The allocation interval is divided by this while a member wants far more than it was allocated.
+_URGENT_SPEEDUP = 8
+_URGENT_DEMAND_FACTOR = 2
 
 
 class AllocatorPhase(IntEnum):
-    IDLE = 0  # another one deals
+    """What this member does as the allocator."""
+
+    IDLE = 0  # another member allocates
     LEARNING = 1  # renews what is held, until all that may be held is known
     ALLOCATING = 2
-    RESTRICTED = 3  # too few report: another may be dealing to the rest
+    RESTRICTED = 3  # too few report: another may be allocating to the rest
 
     @property
     def label(self) -> str:
@@ -64,8 +65,10 @@
 
 
 class AllocatorInput(IntEnum):
+    """What moves the allocator from phase to phase."""
+
     ROUND = 0
-    PAUSED = 1  # our own process stood still
+    PAUSED = 1  # this process stood still for longer than a lease
 
 
 TABLE = """
@@ -85,112 +88,28 @@
 """
 
 
-@dataclass(frozen=True, slots=True)
-class QuotaSettings:
-    """Of the whole fleet, the same on each member. `total`: calls in hand that the services below
-    bear, thousandths. `least`: the fleet is never thought smaller. Times in ns: `round` between
-    reports; `lease` of a grant; `turn` between two dealings; `cut` after which one that was granted
-    nothing in the name of half of the fleet falls to its floor; `redeal` after which what the dead
-    held is dealt anew. `floor`: the part of an equal share that is kept when cut off; `idle`: by
-    one that wants nothing, for its first call.
-    """
-
-    total_millicalls: int
-    min_members: int = 1
-    report_interval_ns: int = 200 * MS
-    lease_ns: int = 2000 * MS
-    allocation_interval_ns: int = 2000 * MS
-    isolation_timeout_ns: int = 8000 * MS
-    reclaim_timeout_ns: int = 14_000 * MS
-    floor_share: float = 0.04
-    idle_share: float = 0.125
-
-    def find_faults(self) -> list[str]:
-        found = []
-        if self.lease_ns < 8 * self.report_interval_ns:
-            found.append(
-                f"lease {self.lease_ns // MS} ms is under eight rounds of {self.report_interval_ns // MS} ms: two lost letters"
-                " would end it"
-            )
-        if self.reclaim_timeout_ns < self.isolation_timeout_ns + 2 * self.lease_ns:
-            found.append(
-                f"redeal {self.reclaim_timeout_ns // MS} ms is under cut and two leases, {(self.isolation_timeout_ns + 2 * self.lease_ns) // MS} ms:"
-                " one that is cut off would still use what is dealt anew"
-            )
-        return found
-
-    @property
-    def report_ttl_ns(self) -> int:
-        """How long a report counts as one that still comes."""
-        return 8 * self.report_interval_ns
-
-    @property
-    def learning_ns(self) -> int:
-        """As long as a dealer of whom we know nothing could still raise, and what it granted
-        holds.
-        """
-        return self.report_ttl_ns + 2 * self.lease_ns
-
-    def equal_share(self, members: int) -> int:
-        return self.total_millicalls // max(members, self.min_members)
-
-    def minimum_share(self, members: int) -> int:
-        return int(self.floor_share * self.equal_share(members))
-
-
-class ShareReport(NamedTuple):
-    """A report, thousandths of a call: `held` is the share in force, or what is in hand where that
-    is more; `want` is what could be used. `roster`: equal where two members count the same fleet.
-    """
-
-    held: int
-    share: int
-    demand: int
-    weight: int
-    roster_hash: int = 0
-
-
-@dataclass(slots=True)
-class Account:
-    """What the dealer knows of one life of a member. `bound`: the most that it may hold."""
-
-    incarnation: int
-    report_number: int
-    reported_at_ns: int
-    report: ShareReport
-    bound: int
-    target: int = 0
-    allocated_demand: int = 0  # when we last dealt
-    rounding_carry: float = 0.0
-
-
-@dataclass(frozen=True, slots=True)
-class MemberPresence:
-    """A member as the view has it: `there` or dead since then. Those who left are not among
-    them.
-    """
-
-    incarnation: int
-    is_present: bool
-    since_ns: int
-
-
 class Allocator:
-    """`round` once a round with the view; `report` for each that comes, which gives the grant."""
+    """Grants shares to members, while this member is the one that allocates."""
 
     def __init__(self, settings: QuotaSettings, now: int) -> None:
+        """Begins idle.
+
+        Args:
+            settings: The same on each member.
+            now: ns on a clock that nobody sets.
+        """
         self.settings = settings
         self.phase = AllocatorPhase.IDLE
-        self.phase_since_ns = self.allocated_at_ns = self.quorum_at_ns = now
-        self.is_urgent = False  # somebody wants far more than when we last dealt
-        self.accounts: dict[
-            str, Account
-        ] = {}  # kept while another deals: old reports can't be played again
+        self.phase_since_ns = now
+        self.allocated_at_ns = now
+        self.quorum_at_ns = now
+        self.is_urgent = False  # a member wants far more than at the last allocation
+        # Kept while another member allocates: old reports can't be played again.
+        self.accounts: dict[str, Account] = {}
         self.members: Mapping[str, MemberPresence] = {}
-        self.is_oldest, self.roster_hash = False, 0
-        self.totals: AllocationTotals | None = None  # over all accounts, as they were last
-
-    # What the member calls.
+        self.is_oldest = False
+        self.roster_hash = 0
+        self.totals: AllocationTotals | None = None
 
     def run_round(
         self,
@@ -200,315 +119,292 @@
         was_paused: bool = False,
         roster_hash: int = 0,
     ) -> None:
-        """`fleet`: all that may hold something, by name, another mapping where that changed;
-        `roster`: as in a report. `gap`: nothing was done here for long.
+        """Takes in the view and moves on, once a round.
+
+        Args:
+            now: ns on a clock that nobody sets.
+            members: All that may hold a share, by name; another mapping where that changed.
+            is_oldest: Whether this member is the one to allocate.
+            was_paused: Whether this process stood still for longer than a lease.
+            roster_hash: As in this member's own report.
         """
-        self.members, self.is_oldest, self.roster_hash = members, is_oldest, roster_hash
+        self.members = members
+        self.is_oldest = is_oldest
+        self.roster_hash = roster_hash
         if self.has_quorum(now):
             self.quorum_at_ns = now
         for name, account in list(self.accounts.items()):
-            if (
-                name not in members
-                or members[name].incarnation > account.incarnation
-                or self.is_reclaimable(now, members[name])
-            ):
+            if self._is_obsolete(now, members.get(name), account):
                 del self.accounts[name]
                 self.totals = None
         self.apply_input(now, AllocatorInput.PAUSED if was_paused else AllocatorInput.ROUND)
 
     def process_report(
-        self, now: int, name: str, life: int, number: int, told: ShareReport
+        self, now: int, name: str, incarnation: int, number: int, report: ShareReport
     ) -> int | None:
-        """The grant, thousandths; None: we don't deal, or it is of no use any more."""
-        present, account = self.members.get(name), self.accounts.get(name)
-        if self.phase is AllocatorPhase.IDLE or present is None or life < present.incarnation:
+        """Takes in a member's report.
+
+        Args:
+            now: ns on a clock that nobody sets.
+            name: The member's.
+            incarnation: The member's.
+            number: Counts up with its reports.
+            report: What it holds and wants.
+
+        Returns:
+            The granted share in millicalls; None where another member allocates, or the report was
+            played again or overtaken.
+        """
+        presence = self.members.get(name)
+        account = self.accounts.get(name)
+        if self.phase is AllocatorPhase.IDLE or presence is None:
             return None
-        if account is not None and (
-            account.incarnation > life
-            or account.incarnation == life
-            and number <= account.report_number
-        ):
-            return None  # played again, or overtaken
-        sums = self.current_totals(now)
-        if account is not None:
-            sums.remove(name, account)
-        if account is None or account.incarnation < life:
-            account = self.accounts[name] = Account(life, number, now, told, told.held)
-            self.is_urgent = True
-        else:
-            account.report_number, account.reported_at_ns, account.report, account.bound = (
-                number,
-                now,
-                told,
-                told.held,
-            )
-        sums.add(name, account)
-        self.is_urgent |= told.demand > 2 * account.allocated_demand + MILLICALLS_PER_CALL
+        if incarnation < presence.incarnation:
+            return None
+        if account is not None and not _is_newer_report(account, incarnation, number):
+            return None
+        account = self._store_report(now, name, incarnation, number, report)
+        usual = _URGENT_DEMAND_FACTOR * account.allocated_demand + MILLICALLS_PER_CALL
+        self.is_urgent |= report.demand > usual
         grant = self.compute_grant(now, account)
-        sums.remove(name, account)
-        account.bound = max(told.held, grant)
-        sums.add(name, account)
+        totals = self.current_totals(now)
+        totals.remove(name, account)
+        account.bound = max(report.held, grant)
+        totals.add(name, account)
         return grant
 
-    def release_member(self, name: str, life: int, number: int) -> None:
-        """It may be raised by another from now on, and does not count as one that reports to us
-        until it does anew; a report up to that number that is still on its way does not change
-        that.
+    def _store_report(
+        self, now: int, name: str, incarnation: int, number: int, report: ShareReport
+    ) -> Account:
+        totals = self.current_totals(now)
+        account = self.accounts.get(name)
+        if account is not None:
+            totals.remove(name, account)
+        if account is None or account.incarnation < incarnation:
+            account = Account(incarnation, number, now, report, report.held)
+            self.accounts[name] = account
+            self.is_urgent = True
+        else:
+            account.report_number = number
+            account.reported_at_ns = now
+            account.report = report
+            account.bound = report.held
+        totals.add(name, account)
+        return account
+
+    def release_member(self, name: str, incarnation: int, number: int) -> None:
+        """Stops counting a member as one that reports here, until it does so anew.
+
+        Another allocator may raise it from now on. A report up to `number` that is still on its way
+        does not change that.
         """
         account = self.accounts.get(name)
-        sums = (
-            self.totals
-            if self.totals is not None and self.totals.accounts is self.accounts
-            else None
-        )
-        if sums is not None and account is not None:
-            sums.remove(name, account)
-        if account is None or account.incarnation < life:
-            account = self.accounts[name] = Account(life, number, 0, ShareReport(0, 0, 0, 1), 0)
-        if account.incarnation == life:
+        has_totals = self.totals is not None and self.totals.accounts is self.accounts
+        totals = self.totals if has_totals else None
+        if totals is not None and account is not None:
+            totals.remove(name, account)
+        if account is None or account.incarnation < incarnation:
+            account = Account(incarnation, number, 0, ShareReport(0, 0, 0, 1), 0)
+            self.accounts[name] = account
+        if account.incarnation == incarnation:
             account.report_number = max(account.report_number, number)
-            account.reported_at_ns = min(
-                account.reported_at_ns, self.phase_since_ns - 2 * self.settings.report_ttl_ns
-            )
-        if sums is not None:
-            sums.add(name, account)
-
-    # Within.
+            outdated_ns = self.phase_since_ns - 2 * self.settings.report_ttl_ns
+            account.reported_at_ns = min(account.reported_at_ns, outdated_ns)
+        if totals is not None:
+            totals.add(name, account)
 
     def compute_grant(self, now: int, account: Account) -> int:
-        share, held = account.report.share, account.report.held
+        """Returns the millicalls that a member is granted on its newest report."""
+        share = account.report.share
         if self.phase is AllocatorPhase.RESTRICTED:
             return min(share, self.settings.equal_share(len(self.members)))
         if self.phase is AllocatorPhase.LEARNING:
             return share
         if account.target <= share or not self.has_quorum(now):
             return min(share, account.target)
-        return max(
-            share, round_down_to_calls(min(account.target, held + max(0, self.free_share(now))))
-        )
+        reachable = account.report.held + max(0, self.free_share(now))
+        return max(share, round_down_to_calls(min(account.target, reachable)))
 
     def free_share(self, now: int) -> int:
-        """What is not bound by anyone."""
-        return (
-            self.settings.total_millicalls
-            - self.current_totals(now).bound
-            - self.unknown_share(now)
-        )
+        """Returns the millicalls that no member is bound by."""
+        bound = self.current_totals(now).bound
+        return self.settings.total_millicalls - bound - self.unknown_share(now)
 
     def unknown_share(self, now: int) -> int:
-        """What those may hold of whom nothing is known yet: an equal share each."""
-        return self.current_totals(now).count_unknown(now) * self.settings.equal_share(
-            len(self.members)
-        )
+        """Returns what members may hold of whom nothing is known yet: an equal share each."""
+        equal_share = self.settings.equal_share(len(self.members))
+        return self.current_totals(now).count_unknown(now) * equal_share
 
     def current_totals(self, now: int) -> AllocationTotals:
-        redeal = (
-            self.settings.reclaim_timeout_ns if self.phase is AllocatorPhase.ALLOCATING else None
-        )  # as `lost`
+        """Returns the sums over all accounts, made anew where they don't hold any more."""
+        settings = self.settings
+        is_allocating = self.phase is AllocatorPhase.ALLOCATING
+        reclaim_timeout_ns = settings.reclaim_timeout_ns if is_allocating else None
         if self.totals is None or not self.totals.is_valid_for(
-            self.accounts, self.members, now, self.phase_since_ns, redeal
+            self.accounts, self.members, now, self.phase_since_ns, reclaim_timeout_ns
         ):
-            equal = self.settings.equal_share(len(self.members))
             self.totals = AllocationTotals(
                 self.accounts,
                 self.members,
                 now,
                 self.phase_since_ns,
-                equal,
-                self.settings.report_ttl_ns,
-                redeal,
+                settings.equal_share(len(self.members)),
+                settings.report_ttl_ns,
+                reclaim_timeout_ns,
             )
         return self.totals
 
-    def is_reclaimable(self, now: int, present: MemberPresence) -> bool:
-        """Dead for so long that it is at its floor by itself. Told only where most of the fleet
-        reports.
-        """
+    def is_reclaimable(self, now: int, presence: MemberPresence) -> bool:
+        """Whether a dead member is at its minimum by itself; known only with a quorum."""
         return (
-            not present.is_present
-            and now - present.since_ns >= self.settings.reclaim_timeout_ns
+            not presence.is_present
+            and now - presence.since_ns >= self.settings.reclaim_timeout_ns
             and self.phase is AllocatorPhase.ALLOCATING
         )
 
     def is_confirmed(self, now: int) -> bool:
-        """Whether a grant is in the name of half of the fleet: then no other part of it can deal it
-        anew.
-        """
+        """Whether half of the fleet reports here: then no other part of it allocates the same."""
         return 2 * self.count_reporting(now) >= self.quorum_size()
 
     def quorum_size(self) -> int:
+        """Returns how many members a quorum is more than half of."""
         return max(len(self.members), self.settings.min_members)
 
     def count_reporting(self, now: int) -> int:
+        """Returns how many members have reported lately."""
         return self.current_totals(now).count_reporting(now)
 
-    def apply_input(self, now: int, what: AllocatorInput) -> None:
-        for test, phase, effect in RULES.get((self.phase, what), ()):
+    def apply_input(self, now: int, received: AllocatorInput) -> None:
+        """Moves by the first row of the table whose test holds; stays where there is none."""
+        for test, phase, effect in RULES.get((self.phase, received), ()):
             if test(self, now):
                 self.phase = phase
                 effect(self, now)
                 return
 
-    # Tests.
+    def _is_obsolete(self, now: int, presence: MemberPresence | None, account: Account) -> bool:
+        return (
+            presence is None
+            or presence.incarnation > account.incarnation
+            or self.is_reclaimable(now, presence)
+        )
+
+    # Tests of the table.
 
     def is_oldest_member(self, now: int) -> bool:
+        """Whether this member is the one to allocate."""
         return self.is_oldest
 
     def is_not_oldest(self, now: int) -> bool:
+        """Whether another member is the one to allocate."""
         return not self.is_oldest
 
     def has_quorum(self, now: int) -> bool:
+        """Whether more than half of the fleet reports here."""
         return 2 * self.count_reporting(now) > self.quorum_size()
 
     def has_lost_quorum(self, now: int) -> bool:
-        """For so long that it is no moment in which many came at once and have not reported yet, or
-        have not yet come to a new dealer. Raises stop at once all the same.
+        """Whether there was no quorum for so long that it is lost.
+
+        Many may have come at once and not reported yet, or not have come to a new allocator yet.
+        Raises stop at once all the same.
         """
         return now - max(self.quorum_at_ns, self.phase_since_ns) > self.settings.report_ttl_ns
 
     def has_learned(self, now: int) -> bool:
+        """Whether all that any member may hold is known."""
         if not self.has_quorum(now):
             return False
-        # Who all count the same fleet as we do leave nobody out who holds something that one of
-        # them granted.
-        known = [
-            name
+        known = self._known_accounts()
+        min_learning_ns = _MIN_LEARNING_ROUNDS * self.settings.report_interval_ns
+        if not any(account.report.share for account in known):
+            # All may be new; those who lived on, if any, may not have found us yet.
+            min_learning_ns = max(min_learning_ns, _BOOTSTRAP_NS)
+        learning_ns = now - self.phase_since_ns
+        if len(known) >= self.quorum_size() and learning_ns >= min_learning_ns:
+            return True
+        return learning_ns >= self.settings.learning_ns
+
+    def _known_accounts(self) -> list[Account]:
+        """Returns those who reported in this phase and count the same fleet as this member.
+
+        All of them together leave nobody out who holds something that one of them granted.
+        """
+        return [
+            account
             for name, account in self.accounts.items()
             if account.reported_at_ns >= self.phase_since_ns
             and name in self.members
             and account.report.roster_hash == self.roster_hash
         ]
-        # Where all are new, those who lived on, if any, may not have found us yet: they knock twice
-        # meanwhile.
-        old = any(self.accounts[name].report.share for name in known)
-        least = (
-            3 * self.settings.report_interval_ns
-            if old
-            else max(3 * self.settings.report_interval_ns, NEWBORN)
-        )
-        return (
-            len(known) >= self.quorum_size()
-            and now - self.phase_since_ns >= least
-            or now - self.phase_since_ns >= self.settings.learning_ns
-        )
 
-    # Effects.
+    # Effects of the table.
 
     def begin_learning(self, now: int) -> None:
+        """Counts reports anew, and allocates as soon as all is known."""
         self.phase_since_ns = now
         self.allocated_at_ns = now - self.settings.allocation_interval_ns
 
     def restrict(self, now: int) -> None:
+        """Counts the time without a quorum from now on."""
         self.phase_since_ns = now
 
     def allocate(self, now: int) -> None:
-        """New targets once a turn, for those who report; what the others are bound by is not there
-        to be dealt.
+        """Sets new targets for those who report, once an allocation interval.
+
+        What the others are bound by is not there to be allocated.
         """
+        settings = self.settings
+        interval_ns = settings.allocation_interval_ns
         if now - self.allocated_at_ns < (
-            self.settings.allocation_interval_ns // 8
-            if self.is_urgent
-            else self.settings.allocation_interval_ns
+            interval_ns // _URGENT_SPEEDUP if self.is_urgent else interval_ns
         ):
             return
-        self.allocated_at_ns, self.is_urgent = now, False
-        names = sorted(
-            name
-            for name, account in self.accounts.items()
-            if now - account.reported_at_ns <= self.settings.lease_ns
-        )
-        kept = sum(
-            account.bound
-            for name, account in self.accounts.items()
-            if now - account.reported_at_ns > self.settings.lease_ns
-        )
-        total = max(0, self.settings.total_millicalls - kept - self.unknown_share(now))
-        accounts = [self.accounts[name] for name in names]
-        idle = int(self.settings.idle_share * self.settings.equal_share(len(self.members)))
-        ideal = max_min_fair(
-            total,
-            [max(idle, account.report.demand) for account in accounts],
-            [account.report.weight for account in accounts],
-        )
-        for account, target in zip(accounts, round_to_calls(total, ideal, accounts), strict=True):
-            account.target, account.allocated_demand = target, account.report.demand
-
-
-def round_down_to_calls(share: int) -> int:
-    """Past one call, whole calls."""
-    return share if share < MILLICALLS_PER_CALL else share - share % MILLICALLS_PER_CALL
-
-
-def max_min_fair(total: int, wants: Sequence[int], weights: Sequence[int]) -> list[float]:
-    """Max-min fair by weight: nobody has less than it wants while another has more by weight; what
-    nobody wants is spread by weight on top, so that the sum is `total`.
-    """
-    given = [0.0] * len(wants)
-    left, open = float(total), [at for at, weight in enumerate(weights) if weight > 0]
-    every = sum(weights)
-    while open and left > 1e-6:
-        per = left / sum(weights[at] for at in open)
-        full = [at for at in open if HEADROOM * wants[at] <= weights[at] * per]
-        if not full:
-            for at in open:
-                given[at] = weights[at] * per
-            return given
-        for at in full:
-            given[at] = HEADROOM * wants[at]
-            left -= given[at]
-        over = set(full)
-        open = [at for at in open if at not in over]
-    return [
-        share + left * weight / every if every else share
-        for share, weight in zip(given, weights, strict=True)
-    ]
-
-
-def round_to_calls(total: int, ideal: Sequence[float], accounts: Sequence[Account]) -> list[int]:
-    """Whole calls where a share is one or more, thousandths; the sum is at most `total`. What a
-    share is rounded by is carried on, and a member keeps what it has until STICKS is owed to it or
-    by it: each change costs the time in which one has given a call back and the other has not yet
-    taken it.
-    """
-    owed, given = [0.0] * len(accounts), [0] * len(accounts)
-    lows = [int(share // MILLICALLS_PER_CALL) * MILLICALLS_PER_CALL for share in ideal]
-    large = [at for at, low in enumerate(lows) if low]
-    for at, (share, account) in enumerate(zip(ideal, accounts, strict=True)):
-        if not lows[at]:
-            account.rounding_carry, given[at] = 0.0, int(share)
-            continue
-        owed[at] = share + account.rounding_carry
-        stays = (
-            account.target in (lows[at], lows[at] + MILLICALLS_PER_CALL)
-            and abs(owed[at] - account.target) < STICKS
-        )
-        given[at] = account.target if stays else lows[at]
-    left = total - sum(given)
-    # Never more than a call off the ideal share: what is owed is paid by rounding, and in no other
-    # way.
-    for at in sorted(large, key=lambda at: given[at] - owed[at]):
-        if left >= MILLICALLS_PER_CALL and given[at] == lows[at]:
-            given[at] += MILLICALLS_PER_CALL
-            left -= MILLICALLS_PER_CALL
-    for at in sorted(large, key=lambda at: owed[at] - given[at]):
-        if left < 0 and given[at] > lows[at]:
-            given[at] -= MILLICALLS_PER_CALL
-            left += MILLICALLS_PER_CALL
-    for at in large:
-        accounts[at].rounding_carry = max(-2.0 * STICKS, min(2.0 * STICKS, owed[at] - given[at]))
-    return given
+        self.allocated_at_ns = now
+        self.is_urgent = False
+        reporting = []
+        bound_of_silent = 0
+        for name in sorted(self.accounts):
+            account = self.accounts[name]
+            if now - account.reported_at_ns <= settings.lease_ns:
+                reporting.append(account)
+            else:
+                bound_of_silent += account.bound
+        unknown = self.unknown_share(now)
+        total = max(0, settings.total_millicalls - bound_of_silent - unknown)
+        idle = int(settings.idle_share * settings.equal_share(len(self.members)))
+        demands = [max(idle, account.report.demand) for account in reporting]
+        weights = [account.report.weight for account in reporting]
+        targets = round_to_calls(total, max_min_fair(total, demands, weights), reporting)
+        for account, target in zip(reporting, targets, strict=True):
+            account.target = target
+            account.allocated_demand = account.report.demand
+
+
+def _is_newer_report(account: Account, incarnation: int, number: int) -> bool:
+    if account.incarnation != incarnation:
+        return incarnation > account.incarnation
+    return number > account.report_number
+
+
+_Test = Callable[[Allocator, int], bool]
+_Effect = Callable[[Allocator, int], None]
+
+
+def _always(allocator: Allocator, now: int) -> bool:
+    return True
 
 
-Test = Callable[[Allocator, int], bool]
-Effect = Callable[[Allocator, int], None]
+def _do_nothing(allocator: Allocator, now: int) -> None:
+    pass
 
 
-def _test(name: str) -> Test:
-    return (lambda dealer, now: True) if name == "-" else getattr(Allocator, name)
+def _test(name: str) -> _Test:
+    return _always if name == "-" else getattr(Allocator, name)
 
 
-def _effect(name: str) -> Effect:
-    return (lambda dealer, now: None) if name == "-" else getattr(Allocator, name)
+def _effect(name: str) -> _Effect:
+    return _do_nothing if name == "-" else getattr(Allocator, name)
 
 
 RULES = rows(TABLE, AllocatorPhase, AllocatorInput, _test, _effect)
--- a/burlloom/fleet/messages.py
+++ b/burlloom/fleet/messages.py
@@ -1,9 +1,11 @@
-"""What members send to each other: one datagram each, sealed with the fleet's key. No I/O.
+"""Messages between members, and their codec: sealed datagrams. No I/O.
 
-A letter is 16 bytes of a keyed BLAKE2b (RFC 7693) over the rest, then MessagePack: version, kind,
-the sender's own word, a number, up to four whole numbers, a name, words of others. What is not
-exactly that is refused. A letter that is played again says nothing new: words are ordered by
-themselves, answers carry the number that was asked with, reports count up.
+A datagram is 16 bytes of a keyed BLAKE2b (RFC 7693) over the rest, then a MessagePack array:
+version, kind, the sender's own update, a sequence number, whole numbers, a name, updates on other
+members. What is not exactly that is refused.
+
+A datagram that is played again says nothing new: updates are ordered by themselves, answers carry
+the sequence number that was asked with, reports count up.
 """
 
 import hashlib
@@ -14,38 +16,64 @@
 
 import msgpack
 
+from ..errors import BurlloomError
 from .membership import MemberState, MemberUpdate
 
+__all__ = [
+    "MAX_UPDATES",
+    "MIN_KEY_BYTES",
+    "Message",
+    "MessageDecodeError",
+    "MessageKind",
+    "decode",
+    "encode",
+    "parse_address",
+]
+
 VERSION = 1
-TAG = 16
-LETTER_MOST = 1400  # bytes; fits a frame of Ethernet
-WORDS_MOST, NUMBERS_MOST, NAME_MOST = 10, 5, 64  # the longest name in bytes; a full page fits
-NUMBER_MOST = (1 << 63) - 1
+TAG_BYTES = 16
+MAX_DATAGRAM_BYTES = 1400  # fits a frame of Ethernet
+MAX_UPDATES = 10
+MAX_VALUES = 5
+MAX_NAME_BYTES = 64  # a datagram with all updates of the longest names fits
+MAX_INTEGER = (1 << 63) - 1
 MIN_KEY_BYTES = 16
 
+_MESSAGE_FIELDS = 7
+_UPDATE_FIELDS = 5
+_MAX_ARRAY_LENGTH = 16
+_MAX_CACHED_ADDRESSES = 4096
+_IPV4_PARTS = 4
+
 
 class MessageKind(IntEnum):
-    PING = 0  # are you there; numbers: our view's digest
-    ACK = 1  # we are, to the PING of that number; the same
-    PING_REQUEST = 2  # ping the one that is named, and pass on its ACK
-    SYNC = 3  # send a page of your view, from after that name
-    PAGE = 4  # words of it, and the name to go on from; empty: that was all
-    REPORT = 5  # to who deals: held, share, wanted, in thousandths of a call; weight; roster
-    GRANT = (
-        6  # to the REPORT of that number: the share, and 1 where half of the fleet reports to us
-    )
-    LEAVE = 7  # our own word says that we left
-    # to one that was started again: the life of its name that we knew, which did not say that it
-    # left
-    PREVIOUS_INCARNATION = 8
-    # to the REPORT of that number: we don't deal; the word of who does, as we see it, goes with it
-    REDIRECT = 9
-    # we report to another now, and that was our last REPORT to you: don't count us; ELSEWHERE
-    # answers
-    RELEASE = 10
+    """What a message is for; a datagram carries the number."""
+
+    PING = 0  # is the receiver alive; values: digests of our view and of our settings
+    ACK = 1  # the answer to the PING of that sequence number; the same values
+    PING_REQUEST = 2  # ping the named member, and pass its ACK on
+    SYNC = 3  # send a page of your view, from behind that name
+    PAGE = 4  # updates of the view, and the name to go on from; empty: that was all
+    REPORT = 5  # to the allocator; values: the fields of `ShareReport`
+    GRANT = 6  # to the REPORT of that number; values: the share, and 1 where it is confirmed
+    LEAVE = 7  # our own update says that we left
+    PREVIOUS_INCARNATION = 8  # to one that was started again: the last one, which did not leave
+    REDIRECT = 9  # to the REPORT of that number: another member, whose update goes along, allocates
+    RELEASE = 10  # that was our last REPORT to you: don't count us; a REDIRECT answers
 
 
 class Message(NamedTuple):
+    """One datagram's content.
+
+    Attributes:
+        kind: What it is for, and so what the other fields mean.
+        sender: The sender's update on itself.
+        sequence: Of the sender's own counter; an answer carries that of the question.
+        values: Whole numbers from 0 on.
+        name: Of a member.
+        updates: On other members.
+    """
+
     kind: MessageKind
     sender: MemberUpdate
     sequence: int
@@ -54,92 +82,127 @@
     updates: tuple[MemberUpdate, ...] = ()
 
 
-class MessageDecodeError(Exception):
-    """A datagram that no member with our key would send; says why."""
+class MessageDecodeError(BurlloomError):
+    """A datagram that no member with our key would send.
 
+    Attributes:
+        reason: What is wrong with it.
+        size: Of the datagram, in bytes; 0 where its content is wrong, not its envelope.
+    """
 
-def tag(key: bytes, text: bytes) -> bytes:
-    return hashlib.blake2b(text, key=key, digest_size=TAG).digest()
+    def __init__(self, reason: str, size: int = 0) -> None:
+        """Keeps both, and shows the reason."""
+        super().__init__(reason)
+        self.reason = reason
+        self.size = size
 
 
 def encode(message: Message, key: bytes) -> bytes:
-    sender, words = [*message.sender], [[*word] for word in message.updates]
-    text: bytes = msgpack.packb(
-        [VERSION, int(message.kind), sender, message.sequence, message.values, message.name, words]
+    """Returns the datagram, sealed with `key`."""
+    content: bytes = msgpack.packb(
+        [
+            VERSION,
+            int(message.kind),
+            [*message.sender],
+            message.sequence,
+            message.values,
+            message.name,
+            [[*update] for update in message.updates],
+        ]
     )
-    return tag(key, text) + text
+    return _tag(key, content) + content
 
 
 def decode(data: bytes, keys: tuple[bytes, ...]) -> Message:
-    """Any of the keys will do, so that keys can be changed while the fleet runs. Raises
-    `Unreadable`.
+    """Reads a datagram.
+
+    Args:
+        data: The datagram.
+        keys: Any of them will do, so that keys can be changed while the fleet runs.
+
+    Raises:
+        MessageDecodeError: No member with one of the keys sent it.
     """
-    if not TAG < len(data) <= LETTER_MOST:
-        raise MessageDecodeError(f"of {len(data)} bytes")
-    mark, text = data[:TAG], data[TAG:]
-    if not any(hmac.compare_digest(mark, tag(key, text)) for key in keys):
-        raise MessageDecodeError("not sealed with our key")
+    if not TAG_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
+        raise MessageDecodeError(f"of {len(data)} bytes", len(data))
+    tag, content = data[:TAG_BYTES], data[TAG_BYTES:]
+    if not any(hmac.compare_digest(tag, _tag(key, content)) for key in keys):
+        raise MessageDecodeError("not sealed with our key", len(data))
     try:
-        got = msgpack.unpackb(
-            text, max_array_len=16, max_map_len=0, max_ext_len=0, max_str_len=NAME_MOST
+        fields = msgpack.unpackb(
+            content,
+            max_array_len=_MAX_ARRAY_LENGTH,
+            max_map_len=0,
+            max_ext_len=0,
+            max_str_len=MAX_NAME_BYTES,
         )
     except (ValueError, msgpack.UnpackException, RecursionError) as error:
-        raise MessageDecodeError(f"no MessagePack: {error}") from error
-    return letter_of(got)
+        raise MessageDecodeError(f"no MessagePack: {error}", len(data)) from error
+    return _read_message(fields)
 
 
-def letter_of(got: Any) -> Message:
-    if type(got) is not list or len(got) != 7 or got[0] != VERSION:
+def _tag(key: bytes, content: bytes) -> bytes:
+    return hashlib.blake2b(content, key=key, digest_size=TAG_BYTES).digest()
+
+
+def _read_message(fields: Any) -> Message:
+    if type(fields) is not list or len(fields) != _MESSAGE_FIELDS or fields[0] != VERSION:
         raise MessageDecodeError("of another version")
-    _, kind, sender, number, numbers, name, words = got
+    _, kind, sender, sequence, values, name, updates = fields
     if type(kind) is not int or not 0 <= kind < len(MessageKind):
         raise MessageDecodeError(f"of no kind: {kind!r}")
-    if (
-        not whole(number)
-        or type(numbers) is not list
-        or len(numbers) > NUMBERS_MOST
-        or not all(map(whole, numbers))
-    ):
+    if not _is_integer(sequence) or not _are_values(values):
         raise MessageDecodeError("numbers that are none")
-    if type(name) is not str or type(words) is not list or len(words) > WORDS_MOST:
+    if type(name) is not str or type(updates) is not list or len(updates) > MAX_UPDATES:
         raise MessageDecodeError("names or words that are none")
     return Message(
-        MessageKind(kind), word_of(sender), number, tuple(numbers), name, tuple(map(word_of, words))
+        MessageKind(kind),
+        _read_update(sender),
+        sequence,
+        tuple(values),
+        name,
+        tuple(map(_read_update, updates)),
     )
 
 
-def whole(got: Any) -> bool:
-    return type(got) is int and 0 <= got <= NUMBER_MOST
-
-
-def word_of(got: Any) -> MemberUpdate:
-    if type(got) is not list or len(got) != 5:
+def _read_update(fields: Any) -> MemberUpdate:
+    if type(fields) is not list or len(fields) != _UPDATE_FIELDS:
         raise MessageDecodeError("a word that is none")
-    name, address, life, incarnation, state = got
+    name, address, incarnation, refutation, state = fields
     if (
         type(name) is not str
         or not name
         or type(address) is not str
-        or not whole(life)
-        or not whole(incarnation)
+        or not _is_integer(incarnation)
+        or not _is_integer(refutation)
         or type(state) is not int
         or not MemberState.ALIVE <= state <= MemberState.LEFT
     ):
         raise MessageDecodeError("a word that is none")
     if parse_address(address) is None:
         raise MessageDecodeError(f"no address: {address!r:.80}")
-    return MemberUpdate(name, address, life, incarnation, MemberState(state))
+    return MemberUpdate(name, address, incarnation, refutation, MemberState(state))
+
+
+def _is_integer(value: Any) -> bool:
+    return type(value) is int and 0 <= value <= MAX_INTEGER
+
 
+def _are_values(values: Any) -> bool:
+    return type(values) is list and len(values) <= MAX_VALUES and all(map(_is_integer, values))
 
-@lru_cache(maxsize=4096)
+
+@lru_cache(maxsize=_MAX_CACHED_ADDRESSES)
 def parse_address(text: str) -> tuple[str, int] | None:
-    """Host, an IPv4 address, and port; None where it is none."""
+    """Returns host, an IPv4 address, and port; None where `text` is no such thing."""
     host, _, port = text.rpartition(":")
     parts = host.split(".")
-    if (
-        len(parts) != 4
-        or not all(part.isascii() and part.isdigit() and int(part) < 256 for part in parts)
-        or not (port.isascii() and port.isdigit() and 0 < int(port) < 65536)
-    ):
+    if len(parts) != _IPV4_PARTS or not all(map(_is_octet, parts)):
+        return None
+    if not (port.isascii() and port.isdigit() and 0 < int(port) < 65536):
         return None
     return host, int(port)
+
+
+def _is_octet(part: str) -> bool:
+    return part.isascii() and part.isdigit() and int(part) < 256
--- a/burlloom/lab/capacity.py
+++ b/burlloom/lab/capacity.py
@@ -15,7 +15,7 @@
 
 import numpy as np
 
-from ..fleet.member import MEMBERS_MOST
+from ..fleet.membership import MembershipView
 from .slopes import KEPT, Row, exponent_word, fit, kept, newest
 
 SERVERS, CALLERS, SERVICES, REGIONS, ZONES, CONTROL = 2_600, 140_000, 3_000, 6, 14, 19
@@ -166,7 +166,11 @@
                 "members that a view holds",
                 "",
                 (Given(SERVERS, "MEMBERS_MOST in code against the plan", "code", True),),
-                Budget(MEMBERS_MOST, "", f"{MEMBERS_MOST:,}, a bound of the code"),
+                Budget(
+                    MembershipView.MAX_MEMBERS,
+                    "",
+                    f"{MembershipView.MAX_MEMBERS:,}, a bound of the code",
+                ),
                 GOSSIP,
             ),
             Need("processor time at rest", "ms/s", (Slope("member cpu", "rest"),), CORE, GOSSIP),
--- a/burlloom/server/membership.py
+++ b/burlloom/server/membership.py
@@ -176,7 +176,7 @@
             self.chance,
             self.clock(),
         )
-        self.fleet.weight = int(part.weight * 1000)
+        self.fleet.set_weight(int(part.weight * 1000))
         self.call_share, self.recovery = CallShare(self.fleet, recovery.call_cap), recovery
         self.transport: asyncio.DatagramTransport | None = None
         self.turns = fleet.WeightedRoundRobin()
@@ -292,7 +292,7 @@
             log.warning("event=fleet-keys-refused detail=%r", str(error))
             return
         if keys != self.fleet.keys:
-            self.fleet.keys = keys
+            self.fleet.set_keys(keys)
             log.info("event=fleet-keys count=%d", len(keys))
 
     def key_place(self) -> Path:
--- a/burlloom/server/subsystems.py
+++ b/burlloom/server/subsystems.py
@@ -176,11 +176,11 @@
     part = operator.fleet
     if part is None:
         return None
-    from ..fleet.messages import NAME_MOST
+    from ..fleet.messages import MAX_NAME_BYTES
 
-    if not 0 < len(orders.name.encode()) <= NAME_MOST:
+    if not 0 < len(orders.name.encode()) <= MAX_NAME_BYTES:
         raise StoreRefusedError(
-            f"fleet: the name {orders.name!r:.80} is over {NAME_MOST} bytes; letters carry no longer one"
+            f"fleet: the name {orders.name!r:.80} is over {MAX_NAME_BYTES} bytes; letters carry no longer one"
         )
     host, port = part.listen.rsplit(":", 1)
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/tests/explore_fleet.py
+++ b/tests/explore_fleet.py
@@ -10,15 +10,10 @@
 from collections import deque
 from typing import Any
 
-from burlloom.fleet.allocator import (
-    MILLICALLS_PER_CALL,
-    Allocator,
-    AllocatorPhase,
-    MemberPresence,
-    QuotaSettings,
-    ShareReport,
-)
+from burlloom.fleet.accounts import MemberPresence, ShareReport
+from burlloom.fleet.allocator import Allocator, AllocatorPhase
 from burlloom.fleet.lease_holder import LeaseHolder
+from burlloom.fleet.settings import MILLICALLS_PER_CALL, QuotaSettings
 
 NOW = 10**15
 
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -15,7 +15,7 @@
     WeightedRoundRobin,
     assign_subsets,
 )
-from burlloom.fleet.allocator import max_min_fair
+from burlloom.fleet.fair_share import max_min_fair
 from burlloom.fleet.membership import RULES, MembershipInput, MembershipView, MemberState
 from burlloom.fleet.messages import Message, MessageDecodeError, MessageKind, decode, encode
 from burlloom.lab.clock import simulated
@@ -272,11 +272,14 @@
         taken[turns.next_service(0)] += 1
         assert all(abs(taken[name] - n * part) <= 2 for name, part in turns.weights.items())
     turns.record_failure("a", 0)
-    assert {turns.next_service(WeightedRoundRobin.EJECTION_NS - 1) for _ in range(20)} == {"b", "c"}
-    assert "a" in {turns.next_service(WeightedRoundRobin.EJECTION_NS) for _ in range(20)}
+    assert {turns.next_service(WeightedRoundRobin.MIN_EJECTION_NS - 1) for _ in range(20)} == {
+        "b",
+        "c",
+    }
+    assert "a" in {turns.next_service(WeightedRoundRobin.MIN_EJECTION_NS) for _ in range(20)}
     for service in "abc":
-        turns.record_failure(service, 10 * WeightedRoundRobin.EJECTION_NS)
-    assert turns.next_service(10 * WeightedRoundRobin.EJECTION_NS + 1) in "abc"
+        turns.record_failure(service, 10 * WeightedRoundRobin.MIN_EJECTION_NS)
+    assert turns.next_service(10 * WeightedRoundRobin.MIN_EJECTION_NS + 1) in "abc"
 
 
 def test_letters_are_what_they_say_or_refused() -> None:
--- a/tests/test_fleet_sums.py
+++ b/tests/test_fleet_sums.py
@@ -11,17 +11,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from burlloom.fleet import allocator as deal
-from burlloom.fleet.allocator import (
-    MILLICALLS_PER_CALL,
-    MS,
-    Allocator,
-    AllocatorPhase,
-    MemberPresence,
-    QuotaSettings,
-    ShareReport,
-    max_min_fair,
-)
+from burlloom.fleet import fair_share
+from burlloom.fleet.accounts import MemberPresence, ShareReport
+from burlloom.fleet.allocator import Allocator, AllocatorPhase
+from burlloom.fleet.fair_share import max_min_fair
+from burlloom.fleet.settings import MILLICALLS_PER_CALL, QuotaSettings
+from burlloom.fleet.settings import NS_PER_MS as MS
 
 
 class Plain(Allocator):
@@ -285,7 +280,7 @@
         gathered += len(of)
         return set(of)
 
-    monkeypatch.setattr(deal, "set", counted, raising=False)
+    monkeypatch.setattr(fair_share, "set", counted, raising=False)
     given = max_min_fair(4000 * 1000, [at % 2 * 10**6 for at in range(1000)], [1000] * 1000)
     assert gathered == 500
     assert sum(given) == pytest.approx(4000 * 1000)
--- a/tests/test_fleet_walks.py
+++ b/tests/test_fleet_walks.py
@@ -11,10 +11,12 @@
 from test_fleet_sums import steps_of
 
 from burlloom.fleet import Fleet, GossipSettings, MemberState, MemberUpdate, QuotaSettings
-from burlloom.fleet.allocator import MILLICALLS_PER_CALL, MS, MemberPresence
-from burlloom.fleet.member import PAGE_WORDS
+from burlloom.fleet.accounts import MemberPresence
 from burlloom.fleet.membership import MembershipInput, MembershipView, find_due_inputs, hash_update
 from burlloom.fleet.messages import Message, MessageKind, decode, encode
+from burlloom.fleet.settings import MILLICALLS_PER_CALL
+from burlloom.fleet.settings import NS_PER_MS as MS
+from burlloom.fleet.synchronization import PAGE_UPDATES
 
 KEY, NOW = b"the test's own key", 10**13
 NAMES = ["a", "b", "c", "d", "own"]
@@ -103,30 +105,30 @@
             view.apply_input(now, str(told), MembershipInput.PROBE_FAILED)
         elif what == "round" and isinstance(told, int):
             now += told * MS
-            fleet.resume_after_pause(now, told * MS)
+            fleet.resume_after_pause(told * MS)
             for name, input in find_due_inputs(view, now, 2000 * MS, 5000 * MS):
                 view.apply_input(now, name, input)
         else:
             view.leave(now)
         if looks:
-            before, version = fleet.presences, fleet.seen_version
-            fleet.refresh_presences()
-            assert fleet.seen_version == view.version
-            assert (fleet.presences is before) == (version == view.version)
-        if fleet.seen_version == view.version and not view.changed_names:
-            assert fleet.presences == {
+            before, version = fleet.quota.presences, fleet.quota.seen_version
+            fleet.quota.refresh_presences()
+            assert fleet.quota.seen_version == view.version
+            assert (fleet.quota.presences is before) == (version == view.version)
+        if fleet.quota.seen_version == view.version and not view.changed_names:
+            assert fleet.quota.presences == {
                 member.update.name: MemberPresence(
                     member.update.incarnation, member.is_present, member.since_ns
                 )
                 for member in view
                 if member.state is not MemberState.LEFT
             }
-            assert fleet.oldest == min(
+            assert fleet.quota.oldest == min(
                 (member.update for member in view if member.is_present),
                 key=lambda word: (word.incarnation, word.name),
                 default=view.own,
             )
-            assert fleet.roster_hash == roster(view)
+            assert fleet.quota.roster_hash == roster(view)
 
 
 def fleet_of(size: int) -> Fleet:
@@ -180,8 +182,8 @@
             )
         )
         page = asked(fleet, now, after)
-        assert [word.name for word in page.updates] == names[:PAGE_WORDS]
-        assert page.name == (names[PAGE_WORDS - 1] if len(names) > PAGE_WORDS else "")
+        assert [word.name for word in page.updates] == names[:PAGE_UPDATES]
+        assert page.name == (names[PAGE_UPDATES - 1] if len(names) > PAGE_UPDATES else "")
         seen |= set(names)
     assert 30 < len(seen) < 60
 
@@ -192,14 +194,14 @@
     for _ in range(40):  # so many that the orders of probes and the view of the dealing are made
         now += 50 * MS
         fleet.tick(now)
-        if fleet.probe is not None:
-            fleet.probe = None  # as if it had answered
+        if fleet.prober.probe is not None:
+            fleet.prober.probe = None  # as if it had answered
         fleet.outbox.clear()
     steps = 0
     for _ in range(20):
         now += 50 * MS
         steps += steps_of(lambda: fleet.tick(now))
-        fleet.probe = None
+        fleet.prober.probe = None
         fleet.outbox.clear()
     return steps
 
@@ -221,10 +223,10 @@
 def test_a_change_of_the_view_is_one_change_of_what_the_dealing_is_told() -> None:
     def change(size: int) -> int:
         fleet = fleet_of(size)
-        fleet.refresh_presences()
+        fleet.quota.refresh_presences()
         fleet.view.process_update(
             NOW, fleet.view.by_name["n7"].update._replace(state=MemberState.DEAD)
         )
-        return steps_of(fleet.refresh_presences)
+        return steps_of(fleet.quota.refresh_presences)
 
     assert change(1000) <= 1.1 * change(100)
--- a/tests/test_scale_servers.py
+++ b/tests/test_scale_servers.py
@@ -10,8 +10,8 @@
 from scale_servers import PARTS, Slope, measured, passed
 from scale_swarms import after_deaths, swarm_of
 
-import burlloom.fleet.member as whole
 from burlloom.fleet import MemberState
+from burlloom.fleet.membership import MembershipView
 from burlloom.lab.slopes import Row
 
 
@@ -123,9 +123,9 @@
 
 def test_the_bound_of_a_view_is_raised_for_the_benchmark_alone() -> None:
     with members_most(1200):
-        assert whole.MEMBERS_MOST == 1200
+        assert MembershipView.MAX_MEMBERS == 1200
         assert len(filled(words(1200), 3).view.by_name) == 1200
-    assert whole.MEMBERS_MOST == 1000
+    assert MembershipView.MAX_MEMBERS == 1000
     assert words(2600)[-1].incarnation < START // 1_000_000
 
 
