--- a/burlloom/command/rollout.py
+++ b/burlloom/command/rollout.py
@@ -47,7 +47,7 @@
     """
     from ..rollout import OrderRejectedError
     from ..rollout.stores import StateDecodeError, StoreUnavailableError
-    from ..rollout.stores.opening import create_rollout_store
+    from ..rollout.stores.factory import create_rollout_store
 
     told, _ = part_of(operator)
 
@@ -70,7 +70,7 @@
 async def step(
     shelf: "RolloutStore", order: "Callable[[RolloutState], RolloutState]"
 ) -> "StateSnapshot":
-    """Written on the book as it stands then, however many others write. Raises `Denied`, or `Away`
+    """Written on the book as it stands then, however many others write. Raises `Denied`, or `StoreUnavailableError`
     where nobody knows whether it was taken.
     """
     from ..rollout import OrderRejectedError
@@ -368,7 +368,7 @@
 
     async def ask() -> str:
         from ..rollout.stores import StateDecodeError, StoreUnavailableError
-        from ..rollout.stores.opening import create_rollout_store
+        from ..rollout.stores.factory import create_rollout_store
 
         shelf = create_rollout_store(told)
         try:
