--- a/burlloom/admission/controller.py
+++ b/burlloom/admission/controller.py
@@ -1,190 +1,61 @@
-"""The decisions of one server: what it takes, starts, turns away and calls.
-
-A host makes one `Choice` for each life of a server, calls `begin`, and from then on hands it each
-thing that happens, in order and with the time: `arrived`, `ended`, `at_call`, `call_ended`, `left`,
-`leaving`, `woke` and, where they are on, `serve_at` for levels of reduced service and `share_calls`
-for a share of the calls that the fleet deals. Each acts at once through `interface.Effects`; the
-types are in `interface.py`, the reasons in `docs/design.md`. Read TABLE first: a txn in a state
-meets an input; the first row whose tests all hold moves it and has its effect. Tests and effects
-are methods of `Choice`, or else of `interface.Effects`.
+"""The decisions of one server: what it admits, starts, rejects and calls.
+
+A host makes one `AdmissionController` for each life of a server, calls `start`, and from then on
+hands it each thing that happens, in order and with its time: `request_arrived`, `run_ended`,
+`call_requested`, `call_ended`, `caller_gone`, `drain`, `timer_fired` and, where they are on,
+`set_service_level` and `set_call_quota`. The controller acts at once through `model.Effects`.
+
+This module only hands events to the rules and requests along their life. Where to look for the
+rules:
+
+| question | module |
+| --- | --- |
+| what can happen to a request? | `lifecycle`, the table of transitions |
+| why was this request rejected? | `rejection_reasons` |
+| why was this call not made? | `downstream_calls` |
+| what does this server tell its callers, and when? | `caller_feedback` |
+| how many run at a time? | `concurrency_limit`, `slow_start`, `memory_budget` |
+| who waits, and who is evicted? | `admission_queue` |
+| why was a repeat not run? | `idempotency` |
+| what is pressure? | `load_shedding` |
+
+All times are whole nanoseconds on the host's clock.
 """
 
-from collections import OrderedDict, deque
-from collections.abc import Callable
-from dataclasses import replace
-from enum import IntEnum
 from random import Random
-from typing import Any, NamedTuple
-
-from .model import (
-    Degradation,
-    Effects,
-    Gauges,
-    Idempotency,
-    LoadReportKind,
-    Outcome,
-    Request,
-    ServerSettings,
-    ServiceLevel,
+from typing import NamedTuple
+
+from .admission_queue import AdmissionQueue
+from .arrival_statistics import ArrivalStatistics
+from .awake_clock import AwakeClock
+from .caller_feedback import CallerFeedback
+from .concurrency_limit import ConcurrencyLimit
+from .connection_limits import ConnectionIdleTime
+from .downstream_calls import DownstreamCalls
+from .drain import Drain
+from .health import HealthMonitor
+from .idempotency import IdempotencyKeys
+from .lifecycle import (
+    INPUT_OF_UNSTARTED_RUN,
+    TRANSITIONS,
+    BoundTransition,
+    Effect,
+    Input,
+    State,
+    Test,
+    TrackedRequest,
+    bind_transitions,
 )
+from .load_shedding import LoadShedding
+from .memory_budget import MemoryBudget
+from .model import Effects, Gauges, Outcome, Request, ServerSettings, ServiceLevel
+from .rejection_reasons import RejectionReasons
+from .run_time_estimates import RunTimeEstimates
+from .service_levels import ServiceLevels
+from .slow_start import SlowStart
+from .timing import TIMER_INTERVAL_NS
 
-MS = 1_000_000
-ROUND = 100 * MS  # between timer rounds
-JOSTLE = 200 * MS  # a held txn older than this may be ousted
-MARGIN = 20 * MS  # an answer's way out
-SURE = 0.6  # of what a run is thought to need
-CUT = 0.7  # what is left of the run limit after a cut
-IDLE_USE, JAMMED = 0.97, 1.5  # cores used less are idle; more than this wanting each is a jam
-HOLD_RUNS = 2  # held txns for each that may run: more would only be answered late
-HOLD_SHARE = 0.25  # of memory, for the hold
-MEMORY_SHARE = 0.97  # of memory, for everything
-CROWD_SHARE = 0.85  # of the crowd that kills
-STALL = (
-    6000 * MS
-)  # time of all runs in which none moves: work hangs; two may rest a second by chance
-GAP = 3 * ROUND  # no event for this long: the process stood still
-REST = 0.5  # of its SLA time that a held txn is given back with, to be tried elsewhere
-BREAK_AFTER, TRIAL = (
-    5,
-    500 * MS,
-)  # calls failed in a row until calling stops; between its single trials
-# a share under one call is metered over a span in which it comes to this many times the linger
-CALL_ROOM = 8
-CALLS_MIN, CROWDED, CREEP, REBASE = (
-    5,
-    3.0,
-    1.005,
-    1.1,
-)  # to judge by; too long; the base's creep, or leap
-ENDS, ENDS_FOR = (
-    16,
-    5000 * MS,
-)  # of a product, that tell what runs take: few, as slow calls are soon past
-NEWEST, QUICKER = 4, 0.7  # of those, the last ones; where they take so much less, they alone tell
-PATIENCE, PATIENCE_MIN = (
-    25,
-    100 * MS,
-)  # how many times the usual a call is waited for, but so long at least
-AILING_MIN, AILING_FROM = (
-    6,
-    0.25,
-)  # ended runs, and the share of them that failed, until that is a sign
-PRESS_GAIN, PRESS_AIM, FINAL = (
-    0.07,
-    0.1,
-    0.2,
-)  # pressure: its step, its aim, not elsewhere from there
-SPARE_LINKS, SPARE_IDLE = 4, 1000 * MS  # connections for each use, and how long one more may idle
-FLOOD_USE, FLOOD = 0.9, 0.3  # cores used more, and more turned away: no connection is spare
-ROOMY = 4.0  # allowance at no pressure, over the run limit
-
-NEVER = 1 << 62
-PROVES_UNRUN = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NO_LONGER_NEEDED)
-LEAVES_BEHIND = (
-    Outcome.TIMED_OUT,
-    Outcome.CONNECTION_LOST,
-    Outcome.ABANDONED,
-)  # the call is still in hand below
-
-State = IntEnum("State", "NEW HELD RUN DOOR CALL TAIL COPY RAN GONE", start=0)
-Input = IntEnum(
-    "Input", "READ PICK OUST ROUND LEFT LEVEL NEEDS GRANT BACK BROKE END MOOT UNRUN TAKEN", start=0
-)
-UNBEGUN = {
-    Outcome.NO_LONGER_NEEDED: Input.MOOT,
-    Outcome.NOT_RECORDED: Input.UNRUN,
-    Outcome.CLAIMED_ELSEWHERE: Input.TAKEN,
-}
-
-TABLE = """
-NEW   READ   ran_before past           GONE  fail
-NEW   READ   ran_before no_copy_room   GONE  fail
-NEW   READ   ran_before                COPY  reuse_result
-NEW   READ   reduced                   GONE  relieve
-NEW   READ   unwanted                  GONE  turn_away
-NEW   READ   no_entry                  GONE  turn_away
-NEW   READ   full                      GONE  exceed
-NEW   READ   -                         HELD  hold
-HELD  PICK   late                      GONE  turn_away
-HELD  PICK   -                         RUN   begin_run
-HELD  OUST   -                         GONE  overwrite
-HELD  ROUND  past                      GONE  turn_away
-HELD  ROUND  late                      GONE  turn_away
-HELD  LEFT   -                         GONE  drop
-HELD  LEVEL  reduced                   GONE  relieve
-RUN   NEEDS  -                         DOOR  queue
-RUN   ROUND  past                      TAIL  fail
-RUN   LEFT   -                         TAIL  -
-RUN   END    -                         RAN   finish
-RUN   MOOT   -                         GONE  drop
-RUN   UNRUN  -                         GONE  turn_away
-RUN   TAKEN  -                         COPY  reuse_result
-DOOR  GRANT  -                         CALL  dial
-DOOR  ROUND  past                      TAIL  fail
-DOOR  ROUND  can_skip no_call          RUN   skip_call
-DOOR  LEFT   -                         TAIL  -
-DOOR  END    -                         RAN   finish
-CALL  BACK   -                         RUN   -
-CALL  BROKE  may_repeat                DOOR  queue
-CALL  BROKE  can_skip                  RUN   skip_call
-CALL  BROKE  -                         TAIL  fail
-CALL  ROUND  past                      TAIL  fail
-CALL  LEFT   -                         TAIL  -
-CALL  END    -                         RAN   finish
-TAIL  END    -                         RAN   -
-TAIL  MOOT   -                         GONE  drop
-TAIL  UNRUN  -                         GONE  drop
-TAIL  TAKEN  -                         GONE  drop
-COPY  END    -                         RAN   -
-COPY  MOOT   -                         GONE  -
-COPY  ROUND  past                      GONE  fail
-COPY  LEFT   -                         GONE  -
-"""
-
-
-class Ring:
-    """What was added over the last `span`, in buckets of time that are used again in turn."""
-
-    def __init__(self, span: int, buckets: int = 10) -> None:
-        self.width = span // buckets
-        self.sums = [0.0] * buckets
-        self.sum, self.last = 0.0, 0
-
-    def total(self, now: int) -> float:
-        bucket = now // self.width
-        if bucket > self.last:
-            for old in range(max(self.last, bucket - len(self.sums)) + 1, bucket + 1):
-                self.sums[old % len(self.sums)] = 0.0
-            self.sum, self.last = sum(self.sums), bucket
-        return self.sum
-
-    def add(self, now: int, amount: float) -> None:
-        self.sum = self.total(now) + amount
-        self.sums[self.last % len(self.sums)] += amount
-
-
-class Case:
-    """A txn and where it stands."""
-
-    __slots__ = tuple("txn state arrived wanted give_back due since kept over heir outcome".split())
-
-    def __init__(self, txn: Request, now: int, facts: ServerSettings) -> None:
-        product = facts.request_classes[txn.request_class]
-        self.txn = txn
-        self.state = State.NEW
-        self.arrived = now - txn.unread_ns
-        self.due = max(now, txn.deadline_at_ns or self.arrived + product.deadline_ns)
-        sla_at = min(
-            self.due,
-            self.arrived
-            + product.latency_objective_ns
-            + int(product.latency_objective_stretch * txn.cost_ns),
-        )
-        self.wanted = self.due if product.late_value_share else sla_at
-        self.give_back = self.wanted - int(REST * (self.wanted - self.arrived))
-        self.since = self.kept = self.over = 0
-        self.heir: Case | None = None
-        self.outcome = Outcome.OK
+__all__ = ["AdmissionController", "ControllerSizes"]
 
 
 class ControllerSizes(NamedTuple):
@@ -204,146 +75,239 @@
 
 
 class AdmissionController:
-    def __init__(self, facts: ServerSettings, seed: int, effects: Effects, now: int) -> None:
-        self.facts, self.do, self.now, self.born = facts, effects, now, now
-        self.chance = Random(seed).random
-        self.limit = float(facts.cores)
-        self.weight = [1.0, 1.0] + [facts.running_memory_factor] * 5 + [0.0, 0.0]
-        self.count = [0] * len(State)
-        self.requests: dict[int, Case] = {}
-        self.live: dict[int, Case] = {}
-        self.hold_list: OrderedDict[int, Case] = OrderedDict()
-        self.door: OrderedDict[int, Case] = OrderedDict()
-        self.spent: list[Case] = []
-        self.kb = self.held_kb = self.call_base = self.call_press = 0.0
-        self.keys = self.overwritten = self.exceeded = self.call_need = 0
-        self.slept, self.moved = 0, now
-        self.stop, self.last_arrival = NEVER, NEVER
-        self.good, self.idle, self.pressure, self.told = (
-            True,
-            facts.idle_timeout_ns,
-            1 - self.warmth(),
-            -1.0,
+    """Decides for one life of a server.
+
+    Attributes:
+        live_requests: the requests that are not over, by reference.
+    """
+
+    def __init__(self, settings: ServerSettings, seed: int, effects: Effects, now: int) -> None:
+        """Makes the controller of a server that has served nothing yet.
+
+        Args:
+            settings: of the server.
+            seed: of all random draws.
+            effects: what carries out the decisions.
+            now: when the executor was started, in ns. Later events may be much later.
+        """
+        random = Random(seed).random
+        self._settings = settings
+        self._effects = effects
+        self._counts = [0] * len(State)
+        self.live_requests: dict[int, TrackedRequest] = {}
+        self._clock = AwakeClock(now)
+        self._drain = Drain()
+        self._service_levels = ServiceLevels()
+        self._arrivals = ArrivalStatistics(settings)
+        self._estimates = RunTimeEstimates(settings)
+        self._memory = MemoryBudget(settings)
+        self._queue = AdmissionQueue(settings, self._clock)
+        self._idempotency = IdempotencyKeys(settings, self._memory, effects)
+        self._requests = self._idempotency.requests
+        slow_start = SlowStart(settings, now)
+        self._concurrency = ConcurrencyLimit(settings, self._counts, slow_start)
+        self._shedding = LoadShedding(settings, self._arrivals, slow_start.speed_share(now))
+        self._health = HealthMonitor(settings, self._counts, self._arrivals, now)
+        self._idle_time = ConnectionIdleTime(settings, effects)
+        self._calls = DownstreamCalls(
+            settings, self._counts, self._queue, self._service_levels, self._drain, now, random
+        )
+        self._reasons = RejectionReasons(
+            queue=self._queue,
+            concurrency=self._concurrency,
+            memory=self._memory,
+            shedding=self._shedding,
+            idempotency=self._idempotency,
+            estimates=self._estimates,
+            health=self._health,
+            service_levels=self._service_levels,
+            drain=self._drain,
+            random=random,
+        )
+        self._feedback = CallerFeedback(
+            settings,
+            effects,
+            self.live_requests,
+            arrivals=self._arrivals,
+            shedding=self._shedding,
+            concurrency=self._concurrency,
+            health=self._health,
+            service_levels=self._service_levels,
+            drain=self._drain,
+            random=random,
         )
-        self.lingering: list[int] = []
-        self.broken = self.trial_at = self.timeouts = self.call_next = 0
-        self.call_most = facts.call_quota or facts.max_runs_per_core * facts.cores
-        self.call_limit = max(min(1.0, self.call_most), self.call_most / 2)
-        self.call_times, self.calls = Ring(1000 * MS), Ring(1000 * MS)
-        self.meter_calls()
-        self.took = [deque[tuple[int, int, int]](maxlen=ENDS) for _ in facts.request_classes]
-        self.ends, self.bad_ends = Ring(2000 * MS), Ring(2000 * MS)
-        self.read, self.turned, self.unread = Ring(1000 * MS), Ring(1000 * MS), Ring(1000 * MS)
-        self.top = 1 - 1 / len(
-            {product.value for product in facts.request_classes}
-        )  # the highest value stays above
-        self.lag = min(product.latency_objective_ns for product in facts.request_classes)
-        self.service = ServiceLevel()
-
-    # What the host calls.
+        self._transitions: list[list[tuple[BoundTransition, ...]]] = bind_transitions(
+            TRANSITIONS, self._tests(), self._transition_effects()
+        )
+
+    # Events, handed in by the host.
 
     def start(self, now: int) -> None:
-        self.do.set_health(True)
-        self.do.schedule_timer(ROUND, 0)
-
-    def request_arrived(self, now: int, txn: Request) -> None:
-        self.tick(now)
-        case = self.requests[txn.ref] = self.live[txn.ref] = Case(txn, now, self.facts)
-        self.count[State.NEW] += 1
-        self.kb += txn.memory_kb
-        self.read.add(now, 1)
-        self.unread.add(now, txn.unread_ns)
-        self.feed(case, Input.READ)
-        self.advance()
+        """The server begins to serve."""
+        self._effects.set_health(True)
+        self._effects.schedule_timer(TIMER_INTERVAL_NS, 0)
+
+    def request_arrived(self, now: int, request: Request) -> None:
+        """A request was read.
+
+        Args:
+            now: the host's clock in ns.
+            request: it, with a reference that was never given before.
+        """
+        self._advance_clock(now)
+        request_class = self._settings.request_classes[request.request_class]
+        tracked = TrackedRequest(request, request_class, now)
+        self._requests[request.ref] = tracked
+        self.live_requests[request.ref] = tracked
+        self._counts[State.NEW] += 1
+        self._memory.requests_kb += request.memory_kb
+        self._arrivals.record_arrival(now, request.unread_ns)
+        self._apply(tracked, Input.ARRIVED, now)
+        self._fill_free_slots(now)
 
     def run_ended(self, now: int, ref: int, outcome: Outcome, took: int) -> None:
-        case = self.requests.get(ref)
-        if case is not None:
-            if case.state == State.RUN and outcome not in UNBEGUN:
-                self.ends.add(now, 1)
-                self.bad_ends.add(now, outcome is Outcome.FAILED)
+        """A run ended, or was never begun, or the result that a repeat waits for is there.
+
+        Args:
+            now: the host's clock in ns.
+            ref: the request; an unknown one is passed over.
+            outcome: how it ended.
+            took: the time that the run took in ns.
+        """
+        tracked = self._requests.get(ref)
+        if tracked is not None:
+            if tracked.state == State.RUNNING and outcome not in INPUT_OF_UNSTARTED_RUN:
+                self._health.record_run_end(now, outcome)
                 if outcome is Outcome.OK:
-                    self.took[case.txn.request_class].append((now, took, case.txn.cost_ns or 1))
-            case.outcome = outcome
-        self.meet(now, ref, UNBEGUN.get(outcome, Input.END))
+                    request = tracked.request
+                    self._estimates.record(now, request.request_class, took, request.cost_ns)
+            tracked.last_outcome = outcome
+        self._progress(now, tracked, INPUT_OF_UNSTARTED_RUN.get(outcome, Input.RUN_ENDED))
 
     def call_requested(self, now: int, ref: int) -> None:
-        self.meet(now, ref, Input.NEEDS)
+        """A run wants to call the downstream dependency.
 
-    def caller_gone(self, now: int, ref: int) -> None:
-        self.meet(now, ref, Input.LEFT)
+        Args:
+            now: the host's clock in ns.
+            ref: the request; an unknown one is passed over.
+        """
+        self._progress(now, self._requests.get(ref), Input.CALL_REQUESTED)
 
     def call_ended(self, now: int, ref: int, outcome: Outcome, took: int) -> None:
-        case = self.requests.get(ref)
-        if case is not None and case.state == State.CALL:
-            case.outcome = outcome
-            self.broken = 0 if outcome is Outcome.OK else self.broken + 1
-            self.trial_at = now + TRIAL
-            self.timeouts += outcome is Outcome.TIMED_OUT
-            need = (
-                self.facts.abandoned_call_linger_ns + 2 * took
-                if outcome is Outcome.OK
-                else 2 * self.call_need
-            )
-            if outcome in (Outcome.OK, Outcome.TIMED_OUT):
-                self.call_need = int(
-                    max(2 * self.facts.abandoned_call_linger_ns, min(need, self.call_quota() / 2))
-                )
-            # Below one call the limit is a share of time, by chance: not all servers in step.
-            rest = 2 * took * self.chance() * (1 / min(1.0, self.call_limit) - 1)
-            self.call_next = now + int(min(2 * TRIAL, rest))
-            self.call_times.add(now, took * (outcome is not Outcome.TIMED_OUT))
-            self.calls.add(now, outcome is not Outcome.TIMED_OUT)
-        self.meet(now, ref, Input.BACK if outcome is Outcome.OK else Input.BROKE)
+        """A call to the downstream dependency ended.
+
+        Args:
+            now: the host's clock in ns.
+            ref: the request; an unknown one is passed over.
+            outcome: how the call ended.
+            took: the time that it took in ns.
+        """
+        tracked = self._requests.get(ref)
+        if tracked is not None and tracked.state == State.IN_CALL:
+            tracked.last_outcome = outcome
+            self._calls.record_call_end(now, outcome, took)
+        is_answered = outcome is Outcome.OK
+        self._progress(now, tracked, Input.CALL_SUCCEEDED if is_answered else Input.CALL_FAILED)
+
+    def caller_gone(self, now: int, ref: int) -> None:
+        """Nobody waits for the answer any more; this is no progress of the work.
+
+        Args:
+            now: the host's clock in ns.
+            ref: the request; an unknown one is passed over.
+        """
+        self._advance_clock(now)
+        tracked = self._requests.get(ref)
+        if tracked is not None:
+            self._apply(tracked, Input.CALLER_GONE, now)
+            self._fill_free_slots(now)
 
     def drain(self, now: int, noticed: int, stop: int) -> None:
-        """`noticed` is when the notice came, by the most cautious reckoning: the grace counts from
-        there.
+        """The server is asked to stop.
+
+        Args:
+            now: the host's clock in ns.
+            noticed: when the notice came, at the earliest; the grace counts from there.
+            stop: when the server stops.
         """
-        self.tick(now)
-        self.stop, self.last_arrival = stop, noticed + self.facts.drain_grace_ns
-        self.signal()
-        self.advance()
+        self._advance_clock(now)
+        self._drain.begin(noticed, stop, self._settings.drain_grace_ns)
+        self._feedback.update(now)
+        self._fill_free_slots(now)
 
     def set_service_level(self, now: int, service: ServiceLevel) -> None:
-        """A level of reduced service holds from now on: what it takes away of the held is told at
-        once.
+        """A service level holds from now on.
+
+        Queued requests that it takes away are rejected at once.
+
+        Args:
+            now: the host's clock in ns.
+            service: the level, and the one on trial.
         """
-        self.tick(now)
-        self.service = service
-        for case in list(self.hold_list.values()):
-            self.feed(case, Input.LEVEL)
-        self.signal()
-        self.advance()
+        self._advance_clock(now)
+        self._service_levels.level = service
+        for tracked in list(self._queue.requests.values()):
+            self._apply(tracked, Input.LEVEL_CHANGED, now)
+        self._feedback.update(now)
+        self._fill_free_slots(now)
 
     def set_call_quota(self, now: int, share: float) -> None:
-        """Our share of the calls below from now on, above 0. Those in hand stay; none is added past
-        it.
+        """This server's quota of calls changes. Calls in hand stay; none is added past it.
+
+        Args:
+            now: the host's clock in ns.
+            share: the quota as a mean number of calls in hand, above 0.
         """
-        self.tick(now)
-        self.facts, self.call_most = replace(self.facts, call_quota=share), share
-        if 0 < share < 1 and self.call_quota() < CALL_ROOM * self.facts.abandoned_call_linger_ns:
-            self.meter_calls()
-        self.call_limit = min(max(min(1.0, share), self.call_limit), share)
-        self.advance()
+        self._advance_clock(now)
+        self._calls.set_quota(now, share)
+        self._fill_free_slots(now)
 
     def timer_fired(self, now: int, handle: int, gauges: Gauges) -> None:
-        self.tick(now)
-        self.do.schedule_timer(ROUND, handle)
-        for case in list(self.live.values()):
-            self.feed(case, Input.ROUND)
-        self.clear(now)
-        self.pace(gauges)
-        self.pace_calls()
-        self.signal()
-        self.pace_links(gauges)
-        self.advance()
+        """A timer round.
+
+        Args:
+            now: the host's clock in ns.
+            handle: as it was given to `Effects.schedule_timer`.
+            gauges: what the server measures of itself.
+        """
+        self._advance_clock(now)
+        self._effects.schedule_timer(TIMER_INTERVAL_NS, handle)
+        for tracked in list(self.live_requests.values()):
+            self._apply(tracked, Input.TIMER, now)
+        self._idempotency.release_ended(now)
+        self._update_concurrency_limit(now, gauges)
+        self._shedding.update(now, gauges)
+        self._shedding.update_call_pressure(now, bool(self._calls.queue))
+        self._calls.update(now)
+        self._feedback.update(now)
+        rejected_share = self._arrivals.rejected_share(now)
+        self._idle_time.update(gauges, len(self.live_requests), rejected_share)
+        self._fill_free_slots(now)
 
     # What the host may look at.
 
+    @property
+    def pressure(self) -> float:
+        """The pressure on the server, 0 to 1 (`load_shedding`)."""
+        return self._shedding.pressure
+
+    @property
+    def overwritten(self) -> int:
+        """The number of requests evicted from the queue for a newcomer."""
+        return self._queue.overwritten
+
+    @property
+    def exceeded(self) -> int:
+        """The number of newcomers rejected since the queue was full."""
+        return self._queue.exceeded
+
+    def calls_in_hand(self) -> int:
+        """The number of calls in hand, with those given up that still linger."""
+        return self._calls.in_hand(self._clock.now)
+
     def queued_call_count(self) -> int:
         """The number of requests that wait for their turn to call."""
-        return len(self.door)
+        return len(self._calls.queue)
 
     def queue_age_share(self, now: int) -> float:
         """The age of the oldest queued request, as a share of its latency objective.
@@ -354,11 +318,11 @@
         Returns:
             The share; 0 where none is queued.
         """
-        oldest = self.oldest()
+        oldest = self._queue.oldest()
         if oldest is None:
             return 0.0
-        request_class = self.facts.request_classes[oldest.txn.request_class]
-        return (now - self.slept - oldest.since) / request_class.latency_objective_ns
+        waited_ns = now - self._clock.paused_ns - oldest.waiting_since_ns
+        return waited_ns / oldest.request_class.latency_objective_ns
 
     def read_lag_share(self) -> float:
         """How long requests lay unread in the last second, on the average.
@@ -366,537 +330,173 @@
         Returns:
             The lag as a share of the shortest latency objective.
         """
-        return self.unread_mean() / self.lag
+        return self._arrivals.read_lag_share(self._clock.now)
 
     def sizes(self) -> ControllerSizes:
         """The number of objects held, to watch that none grows without end."""
         return ControllerSizes(
-            len(self.requests), len(self.live), len(self.spent), len(self.lingering)
+            len(self._requests),
+            len(self.live_requests),
+            len(self._idempotency.ended),
+            len(self._calls.lingering_until_ns),
         )
 
-    # The loop.
-
-    def tick(self, now: int) -> None:
-        # A pause of the whole process lets every held txn look stale though no newcomer waited
-        # longer: the part of a gap that no timer round explains is left out of their ages.
-        if now - self.now > GAP:
-            self.slept += now - self.now - ROUND
-            self.moved += now - self.now - ROUND
-        self.in_hand.add(
-            now + self.phase, (now - self.now) * (self.count[State.CALL] + len(self.lingering))
-        )
-        self.now = now
-
-    def meet(self, now: int, ref: int, what: Input) -> None:
-        self.tick(now)
-        case = self.requests.get(ref)
-        if case is not None:
-            if what != Input.LEFT:
-                self.moved = now
-            self.feed(case, what)
-            self.advance()
-
-    def feed(self, case: Case, what: Input) -> None:
-        for tests, state, effect in RULES.get((case.state, what), ()):
-            if all(test(self, case) for test in tests):
-                self.move(case, state)
-                effect(self, case)
+    # From events to transitions.
+
+    def _advance_clock(self, now: int) -> None:
+        elapsed_ns = now - self._clock.now
+        self._health.last_progress_at_ns += self._clock.advance(now)
+        self._calls.record_elapsed_time(now, elapsed_ns)
+
+    def _progress(self, now: int, tracked: TrackedRequest | None, what: Input) -> None:
+        self._advance_clock(now)
+        if tracked is not None:
+            self._health.last_progress_at_ns = now
+            self._apply(tracked, what, now)
+            self._fill_free_slots(now)
+
+    def _apply(self, tracked: TrackedRequest, what: Input, now: int) -> None:
+        for tests, next_state, effect in self._transitions[tracked.state][what]:
+            for test in tests:
+                if not test(tracked, now):
+                    break
+            else:
+                self._move(tracked, next_state, now)
+                if effect is not None:
+                    effect(tracked, now)
                 return
 
-    def move(self, case: Case, state: State) -> None:
-        old, case.state = case.state, state
-        self.count[old] -= 1
-        self.count[state] += 1
-        self.kb += (self.weight[state] - self.weight[old]) * case.txn.memory_kb
-        if old == State.CALL and case.outcome in LEAVES_BEHIND:
-            self.lingering.append(self.now + self.facts.abandoned_call_linger_ns)
-        if old == State.HELD:
-            self.held_kb -= case.txn.memory_kb
-            del self.hold_list[case.txn.ref]
-        elif old == State.DOOR:
-            del self.door[case.txn.ref]
-        if state in (State.RAN, State.GONE):
-            case.over = self.now
-            del self.live[case.txn.ref]
-            self.spent.append(case)
-
-    def advance(self) -> None:
-        """Fills what is free: calls, first to those that can't go without, then runs from the
-        newest held.
-        """
-        while self.door and self.may_call():
-            self.feed(min(self.door.values(), key=self.can_skip), Input.GRANT)
-        while (
-            self.hold_list and self.running() < int(self.limit) and self.started() < self.ceiling()
-        ):
-            newest = self.hold_list[next(reversed(self.hold_list))]
-            if not self.fits_run(newest):
+    def _move(self, tracked: TrackedRequest, next_state: State, now: int) -> None:
+        state = tracked.state
+        tracked.state = next_state
+        self._counts[state] -= 1
+        self._counts[next_state] += 1
+        memory = self._memory
+        factor = memory.factors[next_state] - memory.factors[state]
+        memory.requests_kb += factor * tracked.request.memory_kb
+        if state == State.IN_CALL:
+            self._calls.leave(tracked, now)
+        elif state == State.QUEUED:
+            self._queue.remove(tracked)
+        elif state == State.AWAITING_CALL:
+            del self._calls.queue[tracked.request.ref]
+        if next_state >= State.FINISHED:
+            tracked.ended_at_ns = now
+            del self.live_requests[tracked.request.ref]
+            self._idempotency.ended.append(tracked)
+
+    def _fill_free_slots(self, now: int) -> None:
+        calls = self._calls
+        while calls.queue and calls.may_start_call(now):
+            self._apply(calls.next_in_queue(), Input.CALL_SLOT_FREE, now)
+        queue = self._queue
+        while queue.requests and self._concurrency.may_start(now, calls.limit.limit):
+            newest = queue.newest()
+            if not self._memory.has_room_to_run(newest):
                 break
-            self.feed(newest, Input.PICK)
-
-    # Measures.
-
-    def started(self) -> int:
-        return sum(self.count[State.RUN : State.COPY + 1])
-
-    def running(self) -> int:
-        """Those at a call leave the count, up to as many as may call: the rest would only queue
-        there.
-        """
-        away = self.count[State.DOOR] + self.count[State.CALL]
-        return (
-            self.count[State.RUN]
-            + self.count[State.TAIL]
-            + max(0, away - max(1, int(self.call_limit)))
-        )
-
-    def warmth(self) -> float:
-        facts, age = self.facts, self.now - self.born
-        warm = not facts.starts_cold or age >= facts.warm_up_ns
-        return (
-            1.0
-            if warm
-            else facts.cold_speed_share + (1 - facts.cold_speed_share) * age / facts.warm_up_ns
-        )
-
-    def ceiling(self) -> int:
-        """Counts all that has started, as if all calls and disks came back together."""
-        return max(
-            1,
-            int(
-                CROWD_SHARE
-                * (1 + (self.facts.max_runs_per_core - 1) * self.warmth())
-                * self.facts.cores
-            ),
-        )
-
-    def fits(self, kb: float) -> bool:
-        return (
-            self.kb + self.keys * self.facts.idempotency_key_kb + kb
-            <= MEMORY_SHARE * self.facts.memory_kb
+            self._apply(newest, Input.SLOT_FREE, now)
+
+    def _update_concurrency_limit(self, now: int, gauges: Gauges) -> None:
+        oldest = self._queue.oldest()
+        self._concurrency.update(
+            now,
+            gauges,
+            has_queued_requests=oldest is not None,
+            has_stale_requests=oldest is not None and self._queue.is_stale(oldest, now),
+            has_queued_calls=bool(self._calls.queue),
+            has_timed_out_calls=self._calls.has_timed_out_calls,
         )
-
-    def fits_run(self, case: Case) -> bool:
-        return self.fits(case.txn.memory_kb * (self.facts.running_memory_factor - 1))
-
-    def turned_share(self) -> float:
-        return min(1.0, self.turned.total(self.now) / max(1.0, self.read.total(self.now)))
-
-    def unread_mean(self) -> float:
-        return self.unread.total(self.now) / max(1.0, self.read.total(self.now))
-
-    def needs(self, case: Case) -> float:
-        ends = [end for end in self.took[case.txn.request_class] if end[0] > self.now - ENDS_FOR]
-        if not ends:
-            return 0.0
-        # Against a slow spell that is over: while most newcomers are thought too late, few new ends
-        # say so.
-        all_take, new_take = (
-            sum(end[1] for end in part) / sum(end[2] for end in part)
-            for part in (ends, ends[-NEWEST:])
-        )
-        return (new_take if new_take < QUICKER * all_take else all_take) * (case.txn.cost_ns or 1)
-
-    def oldest(self) -> Case | None:
-        return next(iter(self.hold_list.values()), None)
-
-    def stale(self, case: Case) -> bool:
-        return self.now - self.slept - case.since > JOSTLE
-
-    def hung(self) -> bool:
-        running = self.count[State.RUN] + self.count[State.TAIL]
-        return (self.now - self.moved) * min(running, self.facts.cores) > STALL
-
-    def ailing(self) -> float:
-        """The share of runs that fail here, where it is a sign and not chance."""
-        ends = self.ends.total(self.now)
-        share = self.bad_ends.total(self.now) / ends if ends >= AILING_MIN else 0.0
-        return share if share >= AILING_FROM else 0.0
-
-    def struck(self) -> bool:
-        # Against a crawling server that draws arrivals to decline them late; less may be a jam of
-        # all.
-        return self.unread_mean() > self.lag or self.hung() or self.ailing() >= 0.5
-
-    def calls_in_hand(self) -> int:
-        self.lingering = [until for until in self.lingering if until > self.now]
-        return self.count[State.CALL] + len(self.lingering)
-
-    def forerunner(self, case: Case) -> Case | None:
-        """The try that now stands for this one's effect: a batch may name one that was since
-        replaced.
-        """
-        first = self.requests.get(case.txn.original_ref)
-        while first is not None and first.heir is not None:
-            first = first.heir
-        return first
-
-    # Tests.
-
-    def past(self, case: Case) -> bool:
-        return min(case.due, self.stop) <= self.now + ROUND + MARGIN
-
-    def ran_before(self, case: Case) -> bool:
-        first = self.forerunner(case)
-        if first is None:
-            return case.txn.original_ref != -1
-        return first.state != State.GONE and (first.state != State.HELD or self.inquiry(case))
-
-    def no_copy_room(self, case: Case) -> bool:
-        return self.started() >= self.ceiling() or not self.fits_run(case)
-
-    def late(self, case: Case) -> bool:
-        """It can't make its SLA time here, or not here but perhaps elsewhere (harms without hints).
-
-        Alone it costs nobody a turn, but a faster server may make it. With others, newer ones go
-        first.
-        """
-        end = min(case.wanted, self.stop) - MARGIN
-        sure = SURE if len(self.hold_list) <= (case.state == State.HELD) else 1.0
-        return self.now + sure * self.needs(case) > end or sure == 1.0 and self.now > case.give_back
-
-    def unwanted(self, case: Case) -> bool:
-        return (
-            case.arrived > self.last_arrival
-            or self.past(case)
-            or self.late(case)
-            or self.hung()
-            or self.chance() < self.ailing()
-        )
-
-    def relief(self, case: Case) -> Degradation:
-        return (
-            self.service.trial_degradation
-            if case.txn.sampling_draw < self.service.trial_share
-            else self.service.degradation
-        )
-
-    def reduced(self, case: Case) -> bool:
-        """Never one that ran, nor its repeat: those rows come first."""
-        relief, product = self.relief(case), case.txn.request_class
-        return bool(relief.name) and (
-            relief.rejected_classes[product]
-            or relief.cached_only_classes[product]
-            or relief.rejects_over_share
-            and case.txn.is_over_share
-            or relief.retry_rejecting_classes[product]
-            and case.txn.is_retry
-        )
-
-    def no_entry(self, case: Case) -> bool:
-        product = self.facts.request_classes[case.txn.request_class]
-        reserve = self.facts.cores * self.facts.running_memory_factor * case.txn.memory_kb
-        return product.idempotency is Idempotency.KEYED and (
-            not case.txn.is_recordable
-            or case.arrived + product.idempotency_window_ns <= self.now
-            or not self.fits(self.facts.idempotency_key_kb + reserve)
-        )
-
-    def full(self, case: Case) -> bool:
-        first, oldest = self.forerunner(case), self.oldest()
-        if not self.crammed(case) or first is not None and first.state == State.HELD:
+        self._calls.has_timed_out_calls = False
+
+    # Tests and effects of the table of transitions.
+
+    def _tests(self) -> dict[str, Test]:
+        reasons = self._reasons
+        return {
+            "arrived_after_drain_grace": reasons.arrived_after_drain_grace,
+            "cannot_meet_latency_objective": reasons.cannot_meet_latency_objective,
+            "key_cannot_be_kept": reasons.key_cannot_be_kept,
+            "is_past_deadline": reasons.is_past_deadline,
+            "is_rejected_by_service_level": reasons.is_rejected_by_service_level,
+            "is_shed_for_failure_rate": reasons.is_shed_for_failure_rate,
+            "may_retry_call": self._may_retry_call,
+            "may_skip_call": self._calls.may_skip_call,
+            "no_room_for_repeat": reasons.no_room_for_repeat,
+            "may_have_run": self._idempotency.may_have_run,
+            "queue_is_full": reasons.queue_is_full,
+            "server_is_hung": reasons.server_is_hung,
+            "should_skip_call": self._calls.should_skip_call,
+        }
+
+    def _transition_effects(self) -> dict[str, Effect]:
+        return {
+            "cache_result": self._idempotency.cache_result,
+            "enqueue": self._enqueue,
+            "enqueue_call": self._enqueue_call,
+            "fail": self._fail,
+            "forget_key": self._idempotency.forget_key,
+            "reject": self._reject,
+            "reject_evicted": self._reject_evicted,
+            "reject_degraded": self._reject_degraded,
+            "reject_queue_full": self._reject_queue_full,
+            "reuse_result": self._reuse_result,
+            "skip_call": self._skip_call,
+            "start_call": self._start_call,
+            "start_run": self._start_run,
+        }
+
+    def _may_retry_call(self, tracked: TrackedRequest, now: int) -> bool:
+        if self._reasons.is_past_deadline(tracked, now):
             return False
-        return (
-            oldest is None
-            or not self.stale(oldest)
-            or not self.fits(-oldest.txn.memory_kb)
-            or case.txn.priority < self.level()
-        )
-
-    def crammed(self, case: Case) -> bool:
-        return (
-            not self.fits(0)
-            or len(self.hold_list) >= self.limit
-            and case.txn.priority < self.level()
-            or len(self.hold_list)
-            >= max(1.0, self.relief(case).queue_share * HOLD_RUNS * self.limit)
-            or self.held_kb + case.txn.memory_kb > HOLD_SHARE * self.facts.memory_kb
-        )
-
-    def level(self) -> float:
-        return max(self.pressure, self.call_press) * self.top
-
-    def may_call(self) -> bool:
-        if self.broken >= BREAK_AFTER and (self.now < self.trial_at or self.count[State.CALL]):
-            return False
-        return self.calls_in_hand() < max(1, int(self.call_limit)) and (
-            not 0 < self.facts.call_quota < 1
-            or self.now >= self.call_next
-            and self.call_room() > self.call_need
-        )
-
-    def no_call(self, case: Case) -> bool:
-        """Calling has stopped, or its queue has taken so long that even a poorer answer is at
-        stake.
-        """
-        relief = self.relief(case)
-        return (
-            self.broken >= BREAK_AFTER
-            or self.stale(case)
-            and self.now > case.give_back
-            or bool(relief.name)
-            and relief.call_skipping_classes[case.txn.request_class]
-        )
-
-    def meter_calls(self) -> None:
-        """Where our share is under one call it is a share of time, metered over a span in which
-        calls fit.
-
-        A life begins as if its share were just used up, but for a part by chance: nobody spends a
-        whole one at a start, whatever the life before had spent, nor do all servers that start
-        together call in step.
-        """
-        facts, share = self.facts, self.facts.call_quota
-        self.call_span, self.call_need, self.phase = (
-            max(facts.call_quota_window_ns, 10),
-            2 * facts.abandoned_call_linger_ns,
-            0,
-        )
-        if 0 < share < 1:
-            self.call_span = max(
-                self.call_span, int(CALL_ROOM * facts.abandoned_call_linger_ns / share)
-            )
-        self.in_hand = Ring(self.call_span * 11 // 10, 11)  # never less than the span is looked at
-        if 0 < share < 1:
-            width = self.in_hand.width
-            self.phase = int(width * (11 + self.chance()))  # a clock may begin at 0
-            used = (self.call_quota() - self.call_need * self.chance()) / 11
-            for bucket in range(11):
-                self.in_hand.add(self.now + self.phase - (10 - bucket) * width, used)
-
-    def call_quota(self) -> float:
-        return self.facts.call_quota * self.call_span
-
-    def call_room(self) -> float:
-        """What is left of our share, as time of one call in hand."""
-        return self.call_quota() - self.in_hand.total(self.now + self.phase)
-
-    def may_repeat(self, case: Case) -> bool:
-        return not self.past(case) and (self.inquiry(case) or case.outcome in PROVES_UNRUN)
-
-    def inquiry(self, case: Case) -> bool:
-        return (
-            self.facts.request_classes[case.txn.request_class].idempotency is Idempotency.IDEMPOTENT
-        )
-
-    def can_skip(self, case: Case) -> bool:
-        return self.facts.request_classes[case.txn.request_class].value_share_without_call > 0
-
-    # Effects.
-
-    def hold(self, case: Case) -> None:
-        first, oldest = self.forerunner(case), self.oldest()
-        if first is not None:
-            if first.state == State.HELD:
-                self.feed(first, Input.OUST)
-            first.heir = case
-        elif oldest is not None and self.crammed(case):
-            self.feed(oldest, Input.OUST)
-        case.since = self.now - self.slept
-        self.hold_list[case.txn.ref] = case
-        self.held_kb += case.txn.memory_kb
-        product = self.facts.request_classes[case.txn.request_class]
-        if product.idempotency is Idempotency.KEYED:
-            self.keep(case, case.arrived + product.idempotency_window_ns)
-        elif (
-            (self.facts.result_cache_ttl_ns or product.max_staleness_ns)
-            and self.inquiry(case)
-            and self.fits(self.facts.idempotency_key_kb)
-        ):
-            self.keep(case, case.due)
-
-    def keep(self, case: Case, until: int) -> None:
-        self.keys += not case.kept
-        case.kept = until
-        self.do.remember(case.txn.ref, until - self.now)
-
-    def drop(self, case: Case) -> None:
-        if case.kept:
-            self.do.forget(case.txn.ref)
-            self.keys -= 1
-            case.kept = 0
-
-    def turn_away(self, case: Case) -> None:
-        self.drop(case)
-        self.turned.add(self.now, 1)
-        alone = self.stop < NEVER or self.struck()
-        share = 1.0 if alone else self.turned_share() * self.chance()  # not all back at one time
-        self.do.reject(
-            case.txn.ref,
-            int(share * self.facts.max_retry_after_ns),
-            self.pressure > FINAL and not alone,
-        )
-
-    def relieve(self, case: Case) -> None:
-        """It does not press: what a level takes away is no strain. Final only where whole products
-        are given up: every other server would read it too. Where callers hear a floor, that keeps
-        its likes away; a long advice would keep away what is still served.
-        """
-        self.drop(case)
-        floor = self.facts.load_report_kind is LoadReportKind.PRIORITY_FLOOR
-        away = ROUND if floor else int((1 - 0.5 * self.chance()) * self.facts.max_retry_after_ns)
-        self.do.reject(
-            case.txn.ref,
-            min(away, self.facts.max_retry_after_ns),
-            self.relief(case).priority_floor > 0,
-        )
-
-    def overwrite(self, case: Case) -> None:
-        self.overwritten += 1
-        self.turn_away(case)
-
-    def exceed(self, case: Case) -> None:
-        self.exceeded += 1
-        self.turn_away(case)
-
-    def begin_run(self, case: Case) -> None:
-        if self.running() <= 1:
-            self.moved = self.now
-        self.do.start_run(case.txn.ref)
-
-    def finish(self, case: Case) -> None:
-        if case.kept and self.inquiry(case):
-            self.keep(
-                case,
-                self.now
-                + max(
-                    self.facts.result_cache_ttl_ns,
-                    self.facts.request_classes[case.txn.request_class].max_staleness_ns,
-                ),
-            )
-
-    def queue(self, case: Case) -> None:
-        case.outcome = Outcome.ABANDONED  # until a call ends well, leaving it abandons it
-        case.since = self.now - self.slept
-        self.door[case.txn.ref] = case
-
-    def dial(self, case: Case) -> None:
-        stop = min(case.due, self.stop) - ROUND
-        if 0 < self.facts.call_quota < 1:
-            stop = min(stop, self.now + int(self.call_room()) - self.facts.abandoned_call_linger_ns)
-        elif self.broken < BREAK_AFTER and self.call_base:
-            # Against calls that are never answered: waited for until the end, a few fill all there
-            # may be.
-            usual = max(
-                self.call_base, self.call_times.total(self.now) / (self.calls.total(self.now) or 1)
-            )
-            stop = min(stop, self.now + max(PATIENCE_MIN, int(PATIENCE * usual)))
-        self.do.start_call(case.txn.ref, max(stop, self.now + MS))
-
-    # Timer rounds.
-
-    def clear(self, now: int) -> None:
-        spent, self.spent = self.spent, []
-        for case in spent:
-            if case.kept > now or case.over == now:
-                self.spent.append(case)
-            else:
-                self.keys -= bool(case.kept)
-                del self.requests[case.txn.ref]
-                self.do.release(case.txn.ref)
-
-    def pace(self, gauges: Gauges) -> None:
-        # The use of the cores is a late mean; by it alone the limit overshoots: who wants one now
-        # counts.
-        oldest = self.oldest()
-        want = (gauges.runnable if gauges.runnable >= 0 else self.started()) / self.facts.cores
-        if oldest is not None and want < 1 and gauges.cpu_utilization < IDLE_USE:
-            self.limit += not self.door  # cores that idle behind crowded calls need no more starts
-        elif want > JAMMED and (self.timeouts or oldest is not None and self.stale(oldest)):
-            self.limit *= CUT
-        self.timeouts = 0
-        self.limit = max(self.facts.cores, min(self.limit, self.ceiling()))
-        # A lag presses too, though nobody turns it away yet. Chance on few cores counts little.
-        strain = (
-            min(1.0, max(self.turned_share(), self.unread_mean() / self.lag))
-            * abs(gauges.cpu_utilization) ** 3
-        )
-        self.pressure = max(0.0, min(1.0, self.pressure + PRESS_GAIN * (strain - PRESS_AIM)))
+        return self._calls.is_safe_to_retry(tracked)
+
+    def _enqueue(self, tracked: TrackedRequest, now: int) -> None:
+        original = self._idempotency.original_of(tracked)
+        if original is not None:
+            if original.state == State.QUEUED:
+                self._apply(original, Input.EVICTED, now)
+            original.successor = tracked
+        else:
+            oldest = self._queue.oldest()
+            if oldest is not None and not self._reasons.has_place(tracked):
+                self._apply(oldest, Input.EVICTED, now)
+        tracked.waiting_since_ns = now - self._clock.paused_ns
+        self._queue.add(tracked)
+        self._idempotency.keep_for_queued(tracked, now)
 
-    def pace_links(self, gauges: Gauges) -> None:
-        """Against more callers than the table holds, most of whom come back only after their
-        connection went.
+    def _enqueue_call(self, tracked: TrackedRequest, now: int) -> None:
+        tracked.waiting_since_ns = now - self._clock.paused_ns
+        self._calls.enqueue(tracked)
 
-        Those far beyond use go early. But a full table turns newcomers back unread: cheap in a
-        flood.
-        """
-        spare = gauges.connections > SPARE_LINKS * (self.facts.cores + len(self.live)) and not (
-            gauges.cpu_utilization >= FLOOD_USE and self.turned_share() > FLOOD
-        )
-        idle = min(
-            self.facts.idle_timeout_ns,
-            max(SPARE_IDLE, int(self.idle * CUT)) if spare else int(self.idle / CUT),
-        )
-        if idle != self.idle:
-            self.idle = idle
-            self.do.set_idle_timeout(idle)
-
-    def pace_calls(self) -> None:
-        # Queued calls press while they queue, or what is worth least takes as many of them as the
-        # rest.
-        more = min(1.0, self.call_press + PRESS_GAIN * self.turned_share())
-        self.call_press = more if self.door else self.call_press * CUT
-        # What lies below slows all its callers long before our share is up: calls are paced as runs
-        # are. At a quarter of our share, longer ones have another reason: their base follows (harms
-        # in crowds).
-        count = self.calls.total(self.now)
-        if count >= CALLS_MIN:
-            mean, least = self.call_times.total(self.now) / count, self.call_most / 4
-            creep = REBASE if self.call_limit <= least >= 1 else CREEP
-            self.call_base = min(mean, self.call_base * creep or mean)
-            if mean > CROWDED * self.call_base:
-                self.call_limit = max(least, self.call_limit * CUT)
-                return
-        if self.door:
-            self.call_limit = min(self.call_most, self.call_limit + min(1.0, self.call_most / 4))
-
-    def signal(self) -> None:
-        facts, good = self.facts, self.stop == NEVER and not self.struck()
-        if good != self.good:
-            self.good = good
-            self.do.set_health(good)
-        if facts.load_report_kind is LoadReportKind.PRIORITY_FLOOR:
-            value = max(self.level(), self.service.degradation.priority_floor) if good else 1.0
-            if self.service.trial_share:
-                self.do.report_trial_load(
-                    max(self.level(), self.service.trial_degradation.priority_floor)
-                    if good
-                    else 1.0
-                )
-        elif facts.load_report_kind is LoadReportKind.ROUTING_WEIGHT:
-            value = 1 - self.pressure if good else 0.0
-        elif (
-            facts.load_report_kind is LoadReportKind.CONCURRENCY_ALLOWANCE
-        ):  # split over those with a txn here, of thousands
-            here = len({case.txn.caller for case in self.live.values()})
-            value = self.limit * (1 + ROOMY * (1 - self.pressure)) / max(1, here) if good else 0.0
-        else:
-            return
-        if abs(value - self.told) > 0.01:
-            self.told = value
-            self.do.report_load(value)
+    def _start_run(self, tracked: TrackedRequest, now: int) -> None:
+        if self._concurrency.running(self._calls.limit.limit) <= 1:
+            self._health.last_progress_at_ns = now
+        self._effects.start_run(tracked.request.ref)
 
+    def _start_call(self, tracked: TrackedRequest, now: int) -> None:
+        self._effects.start_call(tracked.request.ref, self._calls.stop_at_ns(tracked, now))
 
-Step = Callable[[AdmissionController, Case], Any]
+    def _skip_call(self, tracked: TrackedRequest, now: int) -> None:
+        self._effects.skip_call(tracked.request.ref)
 
+    def _fail(self, tracked: TrackedRequest, now: int) -> None:
+        self._effects.fail(tracked.request.ref)
 
-def _step(name: str) -> Step:
-    """A method of `Choice`, or else an effect that is passed on as it is; `-` is none."""
-    if name == "-":
-        return lambda choice, case: None
-    return getattr(AdmissionController, name, None) or (
-        lambda choice, case: getattr(choice.do, name)(case.txn.ref)
-    )
+    def _reuse_result(self, tracked: TrackedRequest, now: int) -> None:
+        self._effects.reuse_result(tracked.request.ref)
 
+    def _reject(self, tracked: TrackedRequest, now: int) -> None:
+        self._idempotency.forget_key(tracked, now)
+        self._feedback.reject(tracked, now)
 
-def _rules() -> dict[tuple[State, Input], list[tuple[list[Step], State, Step]]]:
-    rules: dict[tuple[State, Input], list[tuple[list[Step], State, Step]]] = {}
-    for state, what, *tests, after, effect in filter(None, map(str.split, TABLE.split("\n"))):
-        steps = [_step(test) for test in tests if test != "-"]
-        rules.setdefault((State[state], Input[what]), []).append(
-            (steps, State[after], _step(effect))
-        )
-    return rules
+    def _reject_evicted(self, tracked: TrackedRequest, now: int) -> None:
+        self._queue.overwritten += 1
+        self._reject(tracked, now)
 
+    def _reject_queue_full(self, tracked: TrackedRequest, now: int) -> None:
+        self._queue.exceeded += 1
+        self._reject(tracked, now)
 
-RULES = _rules()
+    def _reject_degraded(self, tracked: TrackedRequest, now: int) -> None:
+        self._idempotency.forget_key(tracked, now)
+        self._feedback.reject_degraded(tracked)
--- /dev/null
+++ b/burlloom/admission/idempotency.py
@@ -0,0 +1,143 @@
+"""Original attempts, how long idempotency keys are kept, and cached results.
+
+Inputs: each request's class, key and original attempt, the room in memory. Rules:
+
+* a keyed request's key is kept from the moment it is queued until its window, counted from its
+  arrival, is over; it is forgotten when the request ends without having run. No room for it, or no
+  window left: it is rejected, since a repeat could not be told from a new request.
+* a repeat whose original attempt runs, ran, or is not known here gets its result and is not run.
+* a repeat of a queued, non-idempotent attempt takes its place: its caller has given that one up.
+* an idempotent request's key is kept too where results may be cached, so that a repeat shares it.
+
+Times are in ns on the host's clock.
+"""
+
+from .lifecycle import State, TrackedRequest
+from .memory_budget import MemoryBudget
+from .model import NO_ORIGINAL, Effects, Idempotency, ServerSettings
+
+__all__ = ["IdempotencyKeys"]
+
+
+class IdempotencyKeys:
+    """Which attempts are known, and which keys are kept.
+
+    Attributes:
+        requests: all requests whose reference may still be named.
+        ended: those that are over and not yet released.
+    """
+
+    __slots__ = (
+        "_cache_ttl_ns",
+        "_cores",
+        "_effects",
+        "_memory",
+        "_running_factor",
+        "ended",
+        "requests",
+    )
+
+    def __init__(self, settings: ServerSettings, memory: MemoryBudget, effects: Effects) -> None:
+        """Knows no attempt yet.
+
+        Args:
+            settings: of the server.
+            memory: counts the keys.
+            effects: keeps and forgets the keys.
+        """
+        self._cache_ttl_ns = settings.result_cache_ttl_ns
+        self._cores = settings.cores
+        self._running_factor = settings.running_memory_factor
+        self._memory = memory
+        self._effects = effects
+        self.requests: dict[int, TrackedRequest] = {}
+        self.ended: list[TrackedRequest] = []
+
+    def original_of(self, tracked: TrackedRequest) -> TrackedRequest | None:
+        """The attempt that now stands for this one's effect.
+
+        A host may name an attempt that was replaced since.
+        """
+        original = self.requests.get(tracked.request.original_ref)
+        while original is not None and original.successor is not None:
+            original = original.successor
+        return original
+
+    def may_have_run(self, tracked: TrackedRequest, now: int) -> bool:
+        """Whether a run of this request could be a second one, or share the original's result."""
+        original = self.original_of(tracked)
+        if original is None:
+            # An original that is not known here may have run in a former life.
+            return tracked.request.original_ref != NO_ORIGINAL
+        return original.state != State.DROPPED and (
+            original.state != State.QUEUED or is_idempotent(tracked)
+        )
+
+    def replaces_queued_original(self, tracked: TrackedRequest) -> bool:
+        """Whether the original attempt is queued, so that this one takes its place."""
+        original = self.original_of(tracked)
+        return original is not None and original.state == State.QUEUED
+
+    def key_cannot_be_kept(self, tracked: TrackedRequest, now: int) -> bool:
+        """Whether a keyed request's key has no window left, no record or no room.
+
+        Room is left to run one request of its size on each core.
+        """
+        request_class = tracked.request_class
+        if request_class.idempotency is not Idempotency.KEYED:
+            return False
+        reserve_kb = self._cores * self._running_factor * tracked.request.memory_kb
+        return (
+            not tracked.request.is_recordable
+            or tracked.arrived_at_ns + request_class.idempotency_window_ns <= now
+            or not self._memory.has_room_for_key(reserve_kb)
+        )
+
+    def keep_for_queued(self, tracked: TrackedRequest, now: int) -> None:
+        """Keeps the key of a request that was queued, where it has one."""
+        request_class = tracked.request_class
+        if request_class.idempotency is Idempotency.KEYED:
+            self._keep(tracked, tracked.arrived_at_ns + request_class.idempotency_window_ns, now)
+        elif (
+            (self._cache_ttl_ns or request_class.max_staleness_ns)
+            and is_idempotent(tracked)
+            and self._memory.has_room_for_key()
+        ):
+            self._keep(tracked, tracked.deadline_at_ns, now)
+
+    def cache_result(self, tracked: TrackedRequest, now: int) -> None:
+        """Keeps the result of an idempotent request for as long as it may be shared."""
+        if tracked.key_expires_at_ns and is_idempotent(tracked):
+            ttl_ns = max(self._cache_ttl_ns, tracked.request_class.max_staleness_ns)
+            self._keep(tracked, now + ttl_ns, now)
+
+    def forget_key(self, tracked: TrackedRequest, now: int) -> None:
+        """Forgets the key of a request that did not run: a repeat of it may run."""
+        if tracked.key_expires_at_ns:
+            self._effects.forget(tracked.request.ref)
+            self._memory.kept_keys -= 1
+            tracked.key_expires_at_ns = 0
+
+    def release_ended(self, now: int) -> None:
+        """Releases requests that are over and whose key is past; once a timer round.
+
+        What ended at this very moment stays for a round, since an event at hand may name it.
+        """
+        ended, self.ended = self.ended, []
+        for tracked in ended:
+            if tracked.key_expires_at_ns > now or tracked.ended_at_ns == now:
+                self.ended.append(tracked)
+            else:
+                self._memory.kept_keys -= bool(tracked.key_expires_at_ns)
+                del self.requests[tracked.request.ref]
+                self._effects.release(tracked.request.ref)
+
+    def _keep(self, tracked: TrackedRequest, expires_at_ns: int, now: int) -> None:
+        self._memory.kept_keys += not tracked.key_expires_at_ns
+        tracked.key_expires_at_ns = expires_at_ns
+        self._effects.remember(tracked.request.ref, expires_at_ns - now)
+
+
+def is_idempotent(tracked: TrackedRequest) -> bool:
+    """Whether a second run of the request does no harm."""
+    return tracked.request_class.idempotency is Idempotency.IDEMPOTENT
--- /dev/null
+++ b/burlloom/admission/sliding_window.py
@@ -0,0 +1,47 @@
+"""A sum over the last while, in constant memory."""
+
+__all__ = ["SlidingWindowSum"]
+
+DEFAULT_BUCKETS = 10
+
+
+class SlidingWindowSum:
+    """The sum of what was added over a sliding window of time.
+
+    Time is cut into buckets that are reused in turn, so the window is exact to one bucket.
+
+    Attributes:
+        bucket_ns: the width of a bucket.
+    """
+
+    __slots__ = ("_last_bucket", "_sum", "_sums", "bucket_ns")
+
+    def __init__(self, window_ns: int, buckets: int = DEFAULT_BUCKETS) -> None:
+        """Makes an empty window.
+
+        Args:
+            window_ns: how far back the sum reaches.
+            buckets: how many buckets the window is cut into.
+        """
+        self.bucket_ns = window_ns // buckets
+        self._sums = [0.0] * buckets
+        self._sum = 0.0
+        self._last_bucket = 0
+
+    def total(self, now: int) -> float:
+        """The sum over the window that ends at `now` (ns)."""
+        bucket = now // self.bucket_ns
+        last_bucket = self._last_bucket
+        if bucket > last_bucket:
+            sums = self._sums
+            count = len(sums)
+            for expired in range(max(last_bucket, bucket - count) + 1, bucket + 1):
+                sums[expired % count] = 0.0
+            self._sum = sum(sums)
+            self._last_bucket = bucket
+        return self._sum
+
+    def add(self, now: int, amount: float) -> None:
+        """Adds `amount` at `now` (ns). A time before the newest bucket counts in that bucket."""
+        self._sum = self.total(now) + amount
+        self._sums[self._last_bucket % len(self._sums)] += amount
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -78,7 +78,7 @@
     def kill(self) -> None:
         """Its calls are given up; they linger below for as long as the settings say."""
         assert self.choice is not None
-        for ref, case in self.choice.live.items():
+        for ref, case in self.choice.live_requests.items():
             if (self, self.life, ref) in self.world.calls:
                 self.world.abandon(self, self.life, ref)
         self.choice, self.life = None, self.life + 1
@@ -160,10 +160,12 @@
                 return
             server.choice.timer_fired(self.now, 0, Gauges(cpu_utilization=0.2, runnable=0.5))
             for ref in [
-                ref for ref, case in server.choice.live.items() if case.state.name == "RUN"
+                ref
+                for ref, case in server.choice.live_requests.items()
+                if case.state.name == "RUNNING"
             ]:
                 server.choice.call_requested(self.now, ref)
-            while len(server.choice.live) < 4:
+            while len(server.choice.live_requests) < 4:
                 server.ask()
 
     def called(self, server: Server, life: int, ref: int, outcome: Outcome, took: int) -> None:
@@ -183,7 +185,9 @@
             server.choice.run_ended(self.now, ref, Outcome.OK, took)
             server.ask()
             for other in [
-                ref for ref, case in server.choice.live.items() if case.state.name == "RUN"
+                ref
+                for ref, case in server.choice.live_requests.items()
+                if case.state.name == "RUNNING"
             ]:
                 server.choice.call_requested(self.now, other)
 
