--- a/burlloom/bench_adapter/__init__.py
+++ b/burlloom/bench_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the bench's wire and the decisions."""
+"""The adapter between the simulator's wire and the decisions."""
--- a/burlloom/bench_adapter/__main__.py
+++ b/burlloom/bench_adapter/__main__.py
@@ -1,34 +1,40 @@
-"""`python -m burlloom.bench_adapter`: reads batches on standard input, answers each on standard
-output.
+"""Reads batches on standard input and answers each on standard output.
+
+Exit status 2 means that the input could not be read; standard error says why.
 """
 
 import sys
+from typing import BinaryIO
 
-from ..settings import NS_PER_US
-from .codec import BadInput
+from .codec import BATCH_END, REPLY_END, decode_batch_start
+from .errors import FramingError, WireError
 from .host import Host
 
+EXIT_UNREADABLE_INPUT = 2
+
+
+def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Answers batches until the input ends.
 
-def serve() -> None:
+    Args:
+        source: batches, each from its first line to its end line.
+        sink: one reply for each batch, flushed at once since the other side waits for it.
+
+    Raises:
+        WireError: something can't be read.
+        UnicodeDecodeError: a line is not UTF-8.
+    """
     host = Host()
-    source, sink = sys.stdin.buffer, sys.stdout.buffer
     now: int | None = None
     lines: list[str] = []
     for raw in source:
         line = raw.decode("utf-8").rstrip("\r\n")
         if now is None:
-            if not line:
-                continue
-            name, _, clock = line.partition(" ")
-            if name != "TURN":
-                raise BadInput(f"expected TURN, got {name[:40]!r}")
-            try:
-                now = int(clock) * NS_PER_US
-            except ValueError as error:
-                raise BadInput(f"TURN: unreadable value ({error})") from error
-        elif line == "FLUSH":
-            actions = host.batch(now, lines)
-            actions.append("EOR\n")
+            if line:
+                now = decode_batch_start(line)
+        elif line == BATCH_END:
+            actions = host.run_batch(now, lines)
+            actions.append(REPLY_END)
             sink.write("\n".join(actions).encode("utf-8"))
             sink.flush()
             now = None
@@ -36,15 +42,20 @@
         else:
             lines.append(line)
     if now is not None:
-        raise BadInput("input ended inside a batch")
+        raise FramingError("input ended inside a batch")
 
 
 def main() -> int:
+    """Serves standard input.
+
+    Returns:
+        The exit status.
+    """
     try:
-        serve()
-    except (BadInput, UnicodeDecodeError) as error:
+        serve(sys.stdin.buffer, sys.stdout.buffer)
+    except (WireError, UnicodeDecodeError) as error:
         print(f"burlloom.bench_adapter: {error}", file=sys.stderr)
-        return 2
+        return EXIT_UNREADABLE_INPUT
     return 0
 
 
--- a/burlloom/bench_adapter/host.py
+++ b/burlloom/bench_adapter/host.py
@@ -1,196 +1,282 @@
-"""Carries events of the wire to one `Choice` for each instance, and its effects back as actions."""
+"""Carries events of the wire to one controller for each instance, and its effects back as actions.
 
-from typing import Any
+A request has a name on the wire and a number (reference) in the decisions; each `Instance` maps
+one to the other.
+"""
 
 from ..admission.controller import AdmissionController
-from ..admission.model import Request, ServerSettings
-from ..settings import NS_PER_US
-from . import codec
-from .codec import BadInput
+from ..admission.model import NO_ORIGINAL, Gauges, Request
+from ..settings import NS_PER_US, SettingsDocument, parse_gauges
+from .codec import (
+    Action,
+    CallEnded,
+    CallerGone,
+    CallRequested,
+    DrainNoticed,
+    Event,
+    InstanceKilled,
+    InstanceStarted,
+    RequestRead,
+    RunEnded,
+    TimerFired,
+    decode_event,
+    encode_action,
+)
+from .errors import UnreadableValueError, WireError
+
+__all__ = ["Host", "Instance"]
+
+UNKNOWN_REF = -1
+"""Of a request that the instance does not know; the decisions pass it over."""
+
+FORMER_LIFE_REF = -2
+"""Of an original attempt that this life was never given."""
+
+ANSWERED_FROM_STORE = 1
 
 
 class Instance:
-    """One life of one simulated server; implements `interface.Effects`."""
-
-    def __init__(
-        self, who: str, seed: int, facts: ServerSettings, meters: tuple[str, ...], now: int
-    ) -> None:
-        self.who = who
-        self.out: list[str] = []
-        self.refs: dict[str, int] = {}
-        self.names: dict[int, str] = {}
-        self.callers: dict[str, int] = {}
-        self.released: list[int] = []
-        self.given = 0
-        self.meters = meters
-        self.choice = AdmissionController(facts, seed, self, now)
-
-    def ref(self, name: str) -> int:
-        return self.refs.get(name, -1)
-
-    def admit(self, name: str) -> int:
-        ref = self.given
-        self.given += 1
-        self.refs[name] = ref
-        self.names[ref] = name
-        return ref
-
-    def drop_released(self) -> None:
-        """After the batch only: a later event of the same batch may still name these."""
-        for ref in self.released:
-            self.refs.pop(self.names.pop(ref), None)
-        self.released.clear()
-
-    def put(self, action: str, *values: object) -> None:
-        self.out.append(" ".join((action, self.who, *map(str, values))))
+    """One life of one simulated server; implements `admission.model.Effects`.
+
+    Attributes:
+        name: the instance on the wire.
+        actions: the lines of what was decided and not yet taken out.
+        controller: the decisions.
+    """
+
+    def __init__(self, name: str, seed: int, document: SettingsDocument, now: int) -> None:
+        """Makes an instance that has not been started yet.
+
+        Args:
+            name: the instance on the wire.
+            seed: of its random draws.
+            document: its settings.
+            now: the host's clock in ns.
+        """
+        self.name = name
+        self.actions: list[str] = []
+        self._meters = document.meters
+        self._refs: dict[str, int] = {}
+        self._request_names: dict[int, str] = {}
+        self._callers: dict[str, int] = {}
+        self._released: list[int] = []
+        self._next_ref = 0
+        self.controller = AdmissionController(document.server, seed, self, now)
+
+    # Names and numbers.
+
+    def ref(self, request_name: str) -> int:
+        """The number of a request, or `UNKNOWN_REF`."""
+        return self._refs.get(request_name, UNKNOWN_REF)
+
+    def request(self, event: RequestRead) -> Request:
+        """Gives a request its number."""
+        original_ref = NO_ORIGINAL
+        if event.original:
+            original_ref = self._refs.get(event.original, FORMER_LIFE_REF)
+        ref = self._next_ref
+        self._next_ref += 1
+        self._refs[event.name] = ref
+        self._request_names[ref] = event.name
+        return Request(
+            ref=ref,
+            caller=self._callers.setdefault(event.caller, len(self._callers)),
+            request_class=event.request_class,
+            cost_ns=event.cost_ns,
+            unread_ns=event.unread_ns,
+            deadline_at_ns=event.deadline_at_ns,
+            memory_kb=event.memory_kb,
+            priority=event.priority,
+            original_ref=original_ref,
+        )
+
+    def gauges(self, event: TimerFired) -> Gauges:
+        """The gauges of a timer round.
+
+        Raises:
+            UnreadableValueError: there are more values than meters, or fewer.
+        """
+        if event.measured is None:
+            return Gauges()
+        try:
+            return parse_gauges(self._meters, event.measured)
+        except ValueError as error:
+            raise UnreadableValueError(event.WORD, error) from error
+
+    def apply(self, now: int, event: Event) -> None:
+        """Hands an event to the decisions.
+
+        Args:
+            now: the host's clock in ns.
+            event: any but the start and the end of an instance.
+
+        Raises:
+            UnreadableValueError: the gauges do not fit the instance's meters.
+        """
+        controller = self.controller
+        match event:
+            case RequestRead():
+                controller.request_arrived(now, self.request(event))
+            case RunEnded(name=name, outcome=outcome, duration_ns=duration_ns):
+                controller.run_ended(now, self.ref(name), outcome, duration_ns)
+            case CallRequested(name=name):
+                controller.call_requested(now, self.ref(name))
+            case CallEnded(name=name, outcome=outcome, duration_ns=duration_ns):
+                controller.call_ended(now, self.ref(name), outcome, duration_ns)
+            case CallerGone(name=name):
+                controller.caller_gone(now, self.ref(name))
+            case DrainNoticed(stop_at_ns=stop_at_ns):
+                controller.drain(now, now, stop_at_ns)
+            case TimerFired(handle=handle):
+                controller.timer_fired(now, handle, self.gauges(event))
+
+    def forget_released(self) -> None:
+        """Forgets released requests; after a batch only, as a later event of it may name them."""
+        for ref in self._released:
+            self._refs.pop(self._request_names.pop(ref), None)
+        self._released.clear()
+
+    # Effects, called by the decisions.
 
     def start_run(self, ref: int) -> None:
-        self.put("ADMIT", self.names[ref])
+        """Admits the request."""
+        self._act(Action.START_RUN, self._request_names[ref])
 
-    def reject(self, ref: int, stay_away: int, final: bool) -> None:
-        self.put("REFUSE", self.names[ref], stay_away // NS_PER_US, int(final))
+    def reject(self, ref: int, retry_after_ns: int, is_final: bool) -> None:
+        """Refuses the request."""
+        retry_after_us = retry_after_ns // NS_PER_US
+        self._act(Action.REJECT, self._request_names[ref], retry_after_us, int(is_final))
 
     def fail(self, ref: int) -> None:
-        self.put("END_FAILED", self.names[ref])
+        """Ends the request with an error."""
+        self._act(Action.FAIL, self._request_names[ref])
 
-    def start_call(self, ref: int, stop_at: int) -> None:
-        self.put("DIAL", self.names[ref], stop_at // NS_PER_US)
+    def start_call(self, ref: int, stop_at_ns: int) -> None:
+        """Makes the run's call."""
+        self._act(Action.START_CALL, self._request_names[ref], stop_at_ns // NS_PER_US)
 
     def skip_call(self, ref: int) -> None:
-        self.put("GO_ON", self.names[ref])
+        """Lets the run go on without its call."""
+        self._act(Action.SKIP_CALL, self._request_names[ref])
 
-    def remember(self, ref: int, lifetime: int) -> None:
-        self.put("STORE_KEY", self.names[ref], lifetime // NS_PER_US)
+    def remember(self, ref: int, lifetime_ns: int) -> None:
+        """Stores the request's key."""
+        self._act(Action.REMEMBER, self._request_names[ref], lifetime_ns // NS_PER_US)
 
     def forget(self, ref: int) -> None:
-        self.put("UNPIN", self.names[ref])
+        """Forgets the request's key."""
+        self._act(Action.FORGET, self._request_names[ref])
 
     def reuse_result(self, ref: int) -> None:
-        self.put("ANSWER_FROM", self.names[ref])
+        """Answers from the original attempt."""
+        self._act(Action.REUSE_RESULT, self._request_names[ref])
 
-    def set_health(self, good: bool) -> None:
-        self.put("SET_HEALTH", int(good), 1)
+    def set_health(self, is_healthy: bool) -> None:
+        """Sets the answer to health checks, which is given from store."""
+        self._act(Action.SET_HEALTH, int(is_healthy), ANSWERED_FROM_STORE)
 
     def report_load(self, value: float) -> None:
-        self.put("STAMP", f"{value:.4f}")
+        """Sets the load report."""
+        self._act(Action.REPORT_LOAD, f"{value:.4f}")
 
     def report_trial_load(self, value: float) -> None:
+        """Never called: no service levels are set on this wire."""
         raise NotImplementedError("no levels of service are set on this wire")
 
-    def set_idle_timeout(self, lifetime: int) -> None:
-        self.put("TRIM_AFTER", lifetime // NS_PER_US)
+    def set_idle_timeout(self, idle_timeout_ns: int) -> None:
+        """Sets how long a connection may idle."""
+        self._act(Action.SET_IDLE_TIMEOUT, idle_timeout_ns // NS_PER_US)
 
-    def schedule_timer(self, delay: int, handle: int) -> None:
-        self.put("SCHEDULE", delay // NS_PER_US, handle)
+    def schedule_timer(self, delay_ns: int, handle: int) -> None:
+        """Asks for a timer."""
+        self._act(Action.SCHEDULE_TIMER, delay_ns // NS_PER_US, handle)
 
     def log(self, text: str) -> None:
-        self.put("EMIT", text)
+        """Writes to the simulator's log."""
+        self._act(Action.LOG, text)
 
     def release(self, ref: int) -> None:
-        self.released.append(ref)
+        """Marks the request as released."""
+        self._released.append(ref)
+
+    def _act(self, action: Action, *values: object) -> None:
+        self.actions.append(encode_action(action, self.name, *values))
 
 
 class Host:
+    """All instances that the simulator has started and not killed."""
+
     def __init__(self) -> None:
-        self.instances: dict[str, Instance] = {}
+        """Hosts no instance yet."""
+        self._instances: dict[str, Instance] = {}
+
+    def run_batch(self, now: int, lines: list[str]) -> list[str]:
+        """Hands the events of one batch to their instances.
+
+        Args:
+            now: the host's clock in ns.
+            lines: the events.
 
-    def batch(self, now: int, lines: list[str]) -> list[str]:
-        """The actions that answer one batch, in the order in which they were taken."""
-        out: list[str] = []
+        Returns:
+            The lines of the actions, in the order in which they were taken. After a defect of the
+            decisions its report is the last, and the rest of the batch is not handed on.
+
+        Raises:
+            WireError: a line can't be read.
+        """
+        actions: list[str] = []
         touched: dict[str, Instance] = {}
         for line in lines:
-            values = codec.parts(line)
-            who = values[1]
-            try:
-                event = self.read(now, values)
-            except (ValueError, KeyError, TypeError) as error:
-                raise BadInput(f"{values[0]}: unreadable value ({error})") from error
-            if event is None:
+            event = decode_event(line)
+            if isinstance(event, InstanceKilled):
+                self._instances.pop(event.instance, None)
                 continue
+            if not isinstance(event, InstanceStarted):
+                self._check_started(event)
             try:
-                event()
-            except (
-                Exception
-            ) as error:  # whatever the decisions raise is theirs to answer for, by name
-                out.append(f"BUG {who} {_place(error)}")
-                return out
-            instance = self.instances[who]
-            touched[who] = instance
-            out += instance.out
-            instance.out.clear()
+                instance = self._apply(now, event)
+            except WireError:
+                raise
+            except Exception as error:
+                # A defect of the decisions: the simulator wants it by the name of the instance.
+                report = describe_defect(error)
+                actions.append(encode_action(Action.REPORT_DEFECT, event.instance, report))
+                return actions
+            touched[event.instance] = instance
+            actions += instance.actions
+            instance.actions.clear()
         for instance in touched.values():
-            instance.drop_released()
-        return out
-
-    def read(self, now: int, values: list[str]) -> Any:
-        """Decodes one event into a call on its instance; None where there is nothing to call."""
-        name, who = values[0], values[1]
-        if name == "BOOT":
-            if int(who) < 0:
-                raise ValueError(f"instance {who}")
-            seed, (facts, meters) = int(values[2]), codec.told(values[3])
-            return lambda: self.boot(Instance(who, seed, facts, meters, now), now)
-        if name == "KILLED":
-            self.instances.pop(str(int(who)), None)
-            return None
-        instance = self.instances.get(who)
-        if instance is None:
-            int(who)
-            raise ValueError(f"instance {who} has not been started")
-        choice = instance.choice
-        if name == "WAKE":
-            handle, gauges = int(values[2]), codec.gauges(instance.meters, values[3])
-            return lambda: choice.timer_fired(now, handle, gauges)
-        if name == "WIND_DOWN":
-            stop = codec.nanos(values[2])
-            return lambda: choice.drain(now, now, stop)
-        if name == "ASK":
-            txn = self.txn(instance, values)
-            return lambda: choice.request_arrived(now, txn)
-        ref = instance.ref(values[2])
-        if name == "NEEDS":
-            return lambda: choice.call_requested(now, ref)
-        if name == "LEFT":
-            return lambda: choice.caller_gone(now, ref)
-        if name == "COMPLETED":
-            outcome, took = codec.OUTCOME[values[3]], codec.nanos(values[4])
-            return lambda: choice.run_ended(now, ref, outcome, took)
-        took, outcome = codec.nanos(values[3]), codec.OUTCOME[values[4]]
-        return lambda: choice.call_ended(now, ref, outcome, took)
-
-    def boot(self, instance: Instance, now: int) -> None:
-        self.instances[instance.who] = instance
-        instance.choice.start(now)
-
-    @staticmethod
-    def txn(instance: Instance, values: list[str]) -> Request:
-        _, _, name, caller, bits, _, cost, product, unread, _, expiry_at, kb, rank, original = (
-            values
-        )
-        forerunner = -1
-        if original not in ("-", "0"):
-            # one that this life was never given counts as run: nothing here proves that it was not
-            forerunner = instance.refs.get(original, -2)
-        return Request(
-            ref=instance.admit(name),
-            caller=instance.callers.setdefault(caller, len(instance.callers)),
-            request_class=int(product),
-            cost_ns=codec.nanos(cost) if codec.whole(bits) & 1 else 0,
-            unread_ns=codec.nanos(unread),
-            deadline_at_ns=codec.nanos(expiry_at),
-            memory_kb=codec.real(kb),
-            priority=codec.real(rank),
-            original_ref=forerunner,
-        )
-
+            instance.forget_released()
+        return actions
 
-def _place(error: Exception) -> str:
-    trace = error.__traceback__
-    while trace is not None and trace.tb_next is not None:
-        trace = trace.tb_next
-    where = (
-        f"{trace.tb_frame.f_code.co_filename.rsplit('/', 1)[-1]}:{trace.tb_lineno}"
-        if trace
-        else "?"
-    )
-    return f"{type(error).__name__}: {error} at {where}".replace("\n", " ")
+    def _check_started(self, event: Event) -> None:
+        name = event.instance
+        if name not in self._instances:
+            try:
+                int(name)
+            except ValueError as error:
+                raise UnreadableValueError(event.WORD, error) from error
+            problem = ValueError(f"instance {name} has not been started")
+            raise UnreadableValueError(event.WORD, problem)
+
+    def _apply(self, now: int, event: Event) -> Instance:
+        if isinstance(event, InstanceStarted):
+            instance = Instance(event.instance, event.seed, event.document, now)
+            self._instances[event.instance] = instance
+            instance.controller.start(now)
+        else:
+            instance = self._instances[event.instance]
+            instance.apply(now, event)
+        return instance
+
+
+def describe_defect(error: Exception) -> str:
+    """The type, text and place of an error, on one line."""
+    traceback = error.__traceback__
+    while traceback is not None and traceback.tb_next is not None:
+        traceback = traceback.tb_next
+    place = "?"
+    if traceback is not None:
+        file_name = traceback.tb_frame.f_code.co_filename.rsplit("/", 1)[-1]
+        place = f"{file_name}:{traceback.tb_lineno}"
+    return f"{type(error).__name__}: {error} at {place}".replace("\n", " ")
--- /dev/null
+++ b/burlloom/settings/parser.py
@@ -0,0 +1,148 @@
+"""Maps the keys of a settings document to `ServerSettings` and gauges.
+
+The keys are those of the simulator's wire and of the server's configuration file; all times in it
+are microseconds. No other module of the decisions knows them.
+"""
+
+from collections.abc import Iterable, Mapping, Sequence
+from typing import Any, NamedTuple
+
+from ..admission.model import (
+    Gauges,
+    Idempotency,
+    LoadReportKind,
+    RequestClass,
+    ServerSettings,
+)
+
+__all__ = [
+    "IDEMPOTENCY_KINDS",
+    "LOAD_REPORT_KINDS",
+    "NS_PER_US",
+    "SettingsDocument",
+    "parse_gauges",
+    "parse_server_settings",
+]
+
+NS_PER_US = 1000
+
+IDEMPOTENCY_KINDS = {
+    "retryable": Idempotency.IDEMPOTENT,
+    "dedup": Idempotency.KEYED,
+    "fragile": Idempotency.NON_IDEMPOTENT,
+}
+"""By the word of a category's `idempotency`."""
+
+LOAD_REPORT_KINDS = {
+    "off": LoadReportKind.NONE,
+    "floor": LoadReportKind.PRIORITY_FLOOR,
+    "allowance": LoadReportKind.CONCURRENCY_ALLOWANCE,
+    "weight": LoadReportKind.ROUTING_WEIGHT,
+}
+"""By the word of `extra.say`."""
+
+GAUGE_FIELDS = {
+    "core_use": "cpu_utilization",
+    "on_cores": "runnable",
+    "heap_share": "memory_utilization",
+    "links": "connections",
+}
+"""The field of `Gauges` by the name of a meter."""
+
+SHARED_DEPENDENCY = "one_for_all"
+"""The word of `extra.depends_on` where the whole fleet calls one dependency."""
+
+
+class SettingsDocument(NamedTuple):
+    """What a settings document says.
+
+    Attributes:
+        server: the settings that the decisions read.
+        meters: the names of the gauges, in the order in which their values come.
+    """
+
+    server: ServerSettings
+    meters: tuple[str, ...]
+
+
+def parse_gauges(meters: Iterable[str], values: Sequence[float]) -> Gauges:
+    """Puts measured values into gauges; meters that the decisions do not read are passed over.
+
+    Args:
+        meters: the names of the values.
+        values: one for each name.
+
+    Raises:
+        ValueError: there are more names than values, or fewer.
+    """
+    measured = zip(meters, values, strict=True)
+    return Gauges(**{GAUGE_FIELDS[name]: value for name, value in measured if name in GAUGE_FIELDS})
+
+
+def parse_server_settings(document: Mapping[str, Any]) -> SettingsDocument:
+    """Reads a settings document.
+
+    Args:
+        document: the JSON object, with the parts `categories`, `rules`, `extra` and maybe `limits`.
+
+    Raises:
+        KeyError: a key that is needed is not there, or a word is unknown.
+        TypeError: a value has the wrong type.
+        ValueError: a value is out of its range.
+    """
+    extra, rules = document["extra"], document["rules"]
+    is_shared = extra.get("depends_on") == SHARED_DEPENDENCY
+    server = ServerSettings(
+        cores=int(extra["n_cores"]),
+        memory_kb=float(extra["memory_kb"]),
+        running_memory_factor=float(extra["blowup"]),
+        idempotency_key_kb=_number(extra, "key_kb"),
+        max_runs_per_core=float(rules["tip_multiple"]),
+        starts_cold=bool(extra.get("fresh_start")),
+        cold_speed_share=float(rules["cold_from"]),
+        warm_up_ns=int(rules["warm_up"]) * NS_PER_US,
+        call_quota=_number(extra, "calls_out") if is_shared else 0.0,
+        call_quota_window_ns=_duration_ns(extra, "calls_over"),
+        abandoned_call_linger_ns=_duration_ns(extra, "lingers"),
+        drain_grace_ns=int(rules["drain_grace"]) * NS_PER_US,
+        max_retry_after_ns=_max_retry_after_ns(document.get("limits") or {}),
+        result_cache_ttl_ns=_duration_ns(extra, "fresh_for"),
+        idle_timeout_ns=_duration_ns(extra, "idle"),
+        load_report_kind=LOAD_REPORT_KINDS[extra.get("say", "off")],
+        request_classes=_request_classes(document["categories"], extra),
+    )
+    return SettingsDocument(server, tuple(extra.get("meters") or ()))
+
+
+def _request_classes(
+    categories: Sequence[Mapping[str, Any]], extra: Mapping[str, Any]
+) -> tuple[RequestClass, ...]:
+    shares = extra.get("class_skip_worth") or []
+    return tuple(
+        RequestClass(
+            latency_objective_ns=int(category["aim"]) * NS_PER_US,
+            latency_objective_stretch=_number(category, "aim_stretch"),
+            deadline_ns=int(category["deadline"]) * NS_PER_US,
+            idempotency=IDEMPOTENCY_KINDS[category["idempotency"]],
+            idempotency_window_ns=_duration_ns(category, "window"),
+            late_value_share=_number(category, "late_share"),
+            value_share_without_call=float(shares[at]) if at < len(shares) else 0.0,
+            value=float(category["worth"]),
+        )
+        for at, category in enumerate(categories)
+    )
+
+
+def _max_retry_after_ns(limits: Mapping[str, Any]) -> int:
+    """The longest retry-after that callers honour; 0 where they honour none."""
+    return _duration_ns(limits, "max_retry_after") if limits.get("retry_after", True) else 0
+
+
+def _number(part: Mapping[str, Any], key: str) -> float:
+    """A number; an absent or empty one is 0."""
+    return float(part.get(key) or 0.0)
+
+
+def _duration_ns(part: Mapping[str, Any], key: str) -> int:
+    """A duration; an absent or empty one is 0."""
+    return int(part.get(key) or 0) * NS_PER_US
