--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -19,7 +19,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
-from cold_fleet import bound, worst_mean  # noqa: E402
+from cold_fleet import budget_with_chance, largest_mean  # noqa: E402
 from rig import Rig, soon  # noqa: E402
 
 from burlloom.fakes.parts import Catalogue, Reply, fields  # noqa: E402
@@ -45,7 +45,7 @@
 
     def worst(self) -> float:
         """The largest mean in hand over any `SPAN`."""
-        return worst_mean([*self.steps, (time.monotonic(), self.open)], SPAN)
+        return largest_mean([*self.steps, (time.monotonic(), self.open)], SPAN)
 
 
 async def work(rig: Rig) -> None:
@@ -203,7 +203,7 @@
                 ]
                 worst, made = zip(*plays, strict=True)
                 print(
-                    f"| {story} | {processes} | {total} | 50 | {max(worst):.2f} | {bound(total):.1f} | "
+                    f"| {story} | {processes} | {total} | 50 | {max(worst):.2f} | {budget_with_chance(total):.1f} | "
                     f"{min(made)} to {max(made)} |",
                     flush=True,
                 )
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -1,13 +1,15 @@
-"""Many servers' decisions side by side against one dependency that they share, in simulated time
-and with nothing between them: what they have in hand there together, from their first moment on.
+"""Many servers' decisions beside one dependency that they share, in simulated time.
 
-As a program, `python tests/cold_fleet.py`, it plays the large form and prints the table of
+There is nothing between the servers. What counts is how many calls they have open together, from
+their first moment on.
+
+As a program, `python tests/cold_fleet.py`, it runs the large form and prints the table of
 docs/results.md.
 """
 
 import heapq
 import sys
-from collections.abc import Iterator, Sequence
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 from pathlib import Path
 from random import Random
@@ -15,8 +17,9 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from burlloom.admission.controller import AdmissionController  # noqa: E402
-from burlloom.admission.model import (
+from burlloom.admission import (  # noqa: E402
+    NO_ORIGINAL,
+    AdmissionController,
     Gauges,
     Idempotency,
     LoadReportKind,
@@ -24,260 +27,320 @@
     Request,
     RequestClass,
     ServerSettings,
-)  # noqa: E402
-
-MS = 1_000_000
-SECOND = 1000 * MS
-SPAN, LINGER, ROUND = 5 * SECOND, 200 * MS, 100 * MS
-
-
-def facts(share: float) -> ServerSettings:
-    product = RequestClass(60 * SECOND, 0.0, 120 * SECOND, Idempotency.IDEMPOTENT, 0, 0.0, 0.0, 1.0)
+)
+from burlloom.admission.lifecycle import State  # noqa: E402
+
+NS_PER_MS = 1_000_000
+NS_PER_S = 1000 * NS_PER_MS
+WINDOW_NS = 5 * NS_PER_S
+LINGER_NS = 200 * NS_PER_MS
+TIMER_INTERVAL_NS = 100 * NS_PER_MS
+LIVE_REQUESTS = 4
+IDLE_GAUGES = Gauges(cpu_utilization=0.2, runnable=0.5)
+SCENARIOS = ("together", "waves", "restarts", "pauses")
+
+OpenCallSteps = Sequence[tuple[float, float]]
+"""When (ns), and how many calls are open from then on."""
+
+
+def server_settings(call_quota: float) -> ServerSettings:
+    request_class = RequestClass(
+        latency_objective_ns=60 * NS_PER_S,
+        latency_objective_stretch=0.0,
+        deadline_ns=120 * NS_PER_S,
+        idempotency=Idempotency.IDEMPOTENT,
+        idempotency_window_ns=0,
+        late_value_share=0.0,
+        value_share_without_call=0.0,
+        value=1.0,
+    )
     return ServerSettings(
-        4,
-        1e9,
-        4.0,
-        1.0,
-        5.0,
-        True,
-        0.2,
-        10 * SECOND,
-        share,
-        SPAN,
-        LINGER,
-        SECOND,
-        0,
-        0,
-        9 * SECOND,
-        LoadReportKind.NONE,
-        (product,),
+        cores=4,
+        memory_kb=1e9,
+        running_memory_factor=4.0,
+        idempotency_key_kb=1.0,
+        max_runs_per_core=5.0,
+        starts_cold=True,
+        cold_speed_share=0.2,
+        warm_up_ns=10 * NS_PER_S,
+        call_quota=call_quota,
+        call_quota_window_ns=WINDOW_NS,
+        abandoned_call_linger_ns=LINGER_NS,
+        drain_grace_ns=NS_PER_S,
+        max_retry_after_ns=0,
+        result_cache_ttl_ns=0,
+        idle_timeout_ns=9 * NS_PER_S,
+        load_report_kind=LoadReportKind.NONE,
+        request_classes=(request_class,),
     )
 
 
 class Server:
-    """One life after another; `wanting` requests at a time stand at their call or wait for their
-    run.
-    """
-
-    def __init__(self, world: "World", seed: int) -> None:
-        self.world, self.chance = world, Random(seed)
-        self.life = 0
-        self.choice: AdmissionController | None = None
-
-    def begin_life(self) -> None:
-        self.life += 1
-        self.given = 0
-        self.asleep = False
-        self.choice = AdmissionController(
-            facts(self.world.share), self.chance.getrandbits(64), self, self.world.now
-        )
-        self.choice.start(self.world.now)
-        for _ in range(4):
-            self.ask()
+    """One incarnation after another; some requests always stand at their call or wait to run."""
+
+    def __init__(self, simulation: "FleetSimulation", seed: int) -> None:
+        self.simulation = simulation
+        self.random = Random(seed)
+        self.incarnation = 0
+        self.is_paused = False
+        self.next_ref = 0
+        self.controller: AdmissionController | None = None
+
+    def start(self) -> None:
+        self.incarnation += 1
+        self.next_ref = 0
+        self.is_paused = False
+        seed = self.random.getrandbits(64)
+        settings = server_settings(self.simulation.call_quota)
+        self.controller = AdmissionController(settings, seed, self, self.simulation.now)
+        self.controller.start(self.simulation.now)
+        for _ in range(LIVE_REQUESTS):
+            self.read_request()
 
     def kill(self) -> None:
-        """Its calls are given up; they linger below for as long as the settings say."""
-        assert self.choice is not None
-        for ref, case in self.choice.live_requests.items():
-            if (self, self.life, ref) in self.world.calls:
-                self.world.abandon(self, self.life, ref)
-        self.choice, self.life = None, self.life + 1
-
-    def ask(self) -> None:
-        ref, self.given = self.given, self.given + 1
-        assert self.choice is not None
-        self.choice.request_arrived(self.world.now, Request(ref, 0, 0, 0, 0, 0, 10.0, 0.9, -1))
-
-    # What the decisions do.
+        """Its calls are abandoned; they linger below for as long as the settings say."""
+        assert self.controller is not None
+        for ref in self.controller.live_requests:
+            if (self, self.incarnation, ref) in self.simulation.open_calls:
+                self.simulation.abandon_call(self, self.incarnation, ref)
+        self.controller = None
+        self.incarnation += 1
+
+    def read_request(self) -> None:
+        assert self.controller is not None
+        request = Request(
+            ref=self.next_ref,
+            caller=0,
+            request_class=0,
+            cost_ns=0,
+            unread_ns=0,
+            deadline_at_ns=0,
+            memory_kb=10.0,
+            priority=0.9,
+            original_ref=NO_ORIGINAL,
+        )
+        self.next_ref += 1
+        self.controller.request_arrived(self.simulation.now, request)
+
+    def request_calls(self) -> None:
+        """All that run want to call."""
+        assert self.controller is not None
+        running = [
+            ref
+            for ref, tracked in self.controller.live_requests.items()
+            if tracked.state == State.RUNNING
+        ]
+        for ref in running:
+            self.controller.call_requested(self.simulation.now, ref)
+
+    # Effects, called by the decisions; all others do nothing.
 
     def __getattr__(self, effect: str) -> Any:
         return lambda *values: None
 
-    def start_call(self, ref: int, stop_at: int) -> None:
-        self.world.begin_call(self, ref, stop_at)
+    def start_call(self, ref: int, stop_at_ns: int) -> None:
+        self.simulation.start_call(self, ref, stop_at_ns)
 
-    def schedule_timer(self, delay: int, handle: int) -> None:
-        self.world.at(self.world.now + delay, "round", self, self.life)
+    def schedule_timer(self, delay_ns: int, handle: int) -> None:
+        simulation = self.simulation
+        simulation.after(delay_ns, simulation.on_timer, self, self.incarnation)
 
 
 @dataclass
-class World:
+class FleetSimulation:
+    """Servers, and the dependency that they share."""
+
     processes: int
-    total: float  # calls that the dependency survives, as a mean in hand over SPAN
-    call: int  # how long one takes
+    budget: float  # calls that the dependency survives, as a mean of open calls over WINDOW_NS
+    call_ns: int  # how long a call takes
     seed: int = 1
-    now: int = 1_000_000 * SECOND
-    events: list[tuple[int, int, tuple[Any, ...]]] = field(default_factory=list)
-    calls: dict[tuple[Any, ...], int] = field(default_factory=dict)
-    order: int = 0
-    made: int = 0
+    now: int = 1_000_000 * NS_PER_S
+    events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = field(
+        default_factory=list
+    )
+    open_calls: set[tuple[Server, int, int]] = field(default_factory=set)
+    events_scheduled: int = 0
+    calls_made: int = 0
+    open_call_count: int = 0
 
     def __post_init__(self) -> None:
-        self.share, self.chance = self.total / self.processes, Random(self.seed)
+        self.call_quota = self.budget / self.processes
+        self.random = Random(self.seed)
         self.servers = [Server(self, self.seed * 1000 + at) for at in range(self.processes)]
-        self.begun, self.in_hand = self.now, 0
-        self.steps: list[tuple[int, int]] = [
-            (self.now, 0)
-        ]  # when, and how many are in hand from then on
-
-    def at(self, when: int, *what: Any) -> None:
-        self.order += 1
-        heapq.heappush(self.events, (when, self.order, what))
-
-    def change(self, by: int) -> None:
-        self.in_hand += by
-        self.steps.append((self.now, self.in_hand))
-
-    def begin_call(self, server: Server, ref: int, stop_at: int) -> None:
-        self.made += 1
-        self.calls[server, server.life, ref] = stop_at
-        self.change(1)
-        took = int(self.call * self.chance.uniform(0.7, 1.3))
-        if self.now + took <= stop_at:
-            self.at(self.now + took, "called", server, server.life, ref, Outcome.OK, took)
-        else:
-            self.at(
-                stop_at, "called", server, server.life, ref, Outcome.TIMED_OUT, stop_at - self.now
-            )
-
-    def abandon(self, server: Server, life: int, ref: int) -> None:
-        del self.calls[server, life, ref]
-        self.at(self.now + LINGER, "lingered")
-
-    def play(self, until: int) -> Iterator[None]:
-        while self.events and self.events[0][0] <= self.begun + until:
-            self.now, _, (what, *rest) = heapq.heappop(self.events)
-            getattr(self, what)(*rest)
-            yield
-
-    def lingered(self) -> None:
-        self.change(-1)
-
-    def round(self, server: Server, life: int) -> None:
-        if server.choice is not None and server.life == life:
-            if server.asleep:
-                self.at(self.now + ROUND, "round", server, life)
-                return
-            server.choice.timer_fired(self.now, 0, Gauges(cpu_utilization=0.2, runnable=0.5))
-            for ref in [
-                ref
-                for ref, case in server.choice.live_requests.items()
-                if case.state.name == "RUNNING"
-            ]:
-                server.choice.call_requested(self.now, ref)
-            while len(server.choice.live_requests) < 4:
-                server.ask()
-
-    def called(self, server: Server, life: int, ref: int, outcome: Outcome, took: int) -> None:
-        if (server, life, ref) not in self.calls:
+        self.started_at = self.now
+        self.open_call_steps: list[tuple[int, int]] = [(self.now, 0)]
+
+    def after(self, delay_ns: int, action: Callable[..., None], *arguments: Any) -> None:
+        self.events_scheduled += 1
+        event = (self.now + delay_ns, self.events_scheduled, action, arguments)
+        heapq.heappush(self.events, event)
+
+    def run(self, until_ns: int) -> None:
+        while self.events and self.events[0][0] <= self.started_at + until_ns:
+            self.now, _, action, arguments = heapq.heappop(self.events)
+            action(*arguments)
+
+    # Calls.
+
+    def start_call(self, server: Server, ref: int, stop_at_ns: int) -> None:
+        self.calls_made += 1
+        self.open_calls.add((server, server.incarnation, ref))
+        self.change_open_calls(1)
+        duration_ns = int(self.call_ns * self.random.uniform(0.7, 1.3))
+        outcome = Outcome.OK
+        if self.now + duration_ns > stop_at_ns:
+            outcome = Outcome.TIMED_OUT
+            duration_ns = stop_at_ns - self.now
+        incarnation = server.incarnation
+        self.after(duration_ns, self.on_call_ended, server, incarnation, ref, outcome, duration_ns)
+
+    def change_open_calls(self, by: int) -> None:
+        self.open_call_count += by
+        self.open_call_steps.append((self.now, self.open_call_count))
+
+    def abandon_call(self, server: Server, incarnation: int, ref: int) -> None:
+        self.open_calls.remove((server, incarnation, ref))
+        self.after(LINGER_NS, self.change_open_calls, -1)
+
+    def on_call_ended(
+        self, server: Server, incarnation: int, ref: int, outcome: Outcome, duration_ns: int
+    ) -> None:
+        if (server, incarnation, ref) not in self.open_calls:
             return
-        if server.asleep:
-            self.at(self.now + ROUND, "called", server, life, ref, outcome, took)
+        if server.is_paused:
+            self.after(
+                TIMER_INTERVAL_NS,
+                self.on_call_ended,
+                server,
+                incarnation,
+                ref,
+                outcome,
+                duration_ns,
+            )
             return
         if outcome is Outcome.OK:
-            del self.calls[server, life, ref]
-            self.change(-1)
+            self.open_calls.remove((server, incarnation, ref))
+            self.change_open_calls(-1)
         else:
-            self.abandon(server, life, ref)
-        assert server.choice is not None
-        server.choice.call_ended(self.now, ref, outcome, took)
+            self.abandon_call(server, incarnation, ref)
+        assert server.controller is not None
+        server.controller.call_ended(self.now, ref, outcome, duration_ns)
         if outcome is Outcome.OK:
-            server.choice.run_ended(self.now, ref, Outcome.OK, took)
-            server.ask()
-            for other in [
-                ref
-                for ref, case in server.choice.live_requests.items()
-                if case.state.name == "RUNNING"
-            ]:
-                server.choice.call_requested(self.now, other)
-
-    def starts(self, server: Server) -> None:
-        server.begin_life()
-
-    def dies(self, server: Server, again: int) -> None:
+            server.controller.run_ended(self.now, ref, Outcome.OK, duration_ns)
+            server.read_request()
+            server.request_calls()
+
+    # Servers.
+
+    def on_timer(self, server: Server, incarnation: int) -> None:
+        if server.controller is None or server.incarnation != incarnation:
+            return
+        if server.is_paused:
+            self.after(TIMER_INTERVAL_NS, self.on_timer, server, incarnation)
+            return
+        server.controller.timer_fired(self.now, 0, IDLE_GAUGES)
+        server.request_calls()
+        while len(server.controller.live_requests) < LIVE_REQUESTS:
+            server.read_request()
+
+    def restart(self, server: Server, pause_ns: int) -> None:
         server.kill()
-        self.at(self.now + again, "starts", server)
+        self.after(pause_ns, server.start)
+
+    def pause(self, server: Server, pause_ns: int) -> None:
+        server.is_paused = True
+        self.after(pause_ns, self.resume, server)
 
-    def sleeps(self, server: Server, span: int) -> None:
-        server.asleep = True
-        self.at(self.now + span, "wakes", server)
+    def resume(self, server: Server) -> None:
+        server.is_paused = False
 
-    def wakes(self, server: Server) -> None:
-        server.asleep = False
+    # Figures.
 
-    def worst(self) -> tuple[float, int]:
-        """The largest mean in hand over any SPAN, and the most at any moment."""
-        steps = [*self.steps, (self.now, self.in_hand)]
-        return worst_mean(steps, SPAN), max(count for _, count in steps)
+    def largest_mean(self) -> float:
+        """The largest mean of open calls over any window."""
+        return largest_mean([*self.open_call_steps, (self.now, self.open_call_count)], WINDOW_NS)
 
+    def most_open_calls(self) -> int:
+        """The most open calls at any moment."""
+        return max(count for _, count in self.open_call_steps)
 
-def worst_mean(steps: Sequence[tuple[float, int]], span: float) -> float:
-    """The largest mean over any span; `steps` tell when, and how many are in hand from then on, up
-    to the last.
-    """
-    sums, most, first = [0.0], 0.0, 0
+
+def largest_mean(steps: OpenCallSteps, window: float) -> float:
+    """The largest mean over any window of the steps, up to the last of them."""
+    sums, largest, first = [0.0], 0.0, 0
     for (began, count), (ended, _) in zip(steps, steps[1:], strict=False):
         sums.append(sums[-1] + (ended - began) * count)
     for last, (ended, _) in enumerate(steps):
-        while steps[first + 1][0] <= ended - span:
+        while steps[first + 1][0] <= ended - window:
             first += 1
         began, count = steps[first]
-        most = max(most, (sums[last] - sums[first] - max(0.0, ended - span - began) * count) / span)
-    return most
+        before_window = max(0.0, ended - window - began) * count
+        largest = max(largest, (sums[last] - sums[first] - before_window) / window)
+    return largest
 
 
-def bound(total: float) -> float:
+def budget_with_chance(budget: float) -> float:
     """Beyond the budget only so much is chance."""
-    return total + 2 * total**0.5 + 2
-
-
-STORIES = ("together", "waves", "restarts", "pauses")
-
-
-def story(
-    name: str, processes: int, total: float, call: int, seed: int, length: int = 40 * SECOND
-) -> World:
-    world = World(processes, total, call, seed)
-    for at, server in enumerate(world.servers):
-        world.at(world.now + (at % 3 * 4 * SECOND if name == "waves" else 0), "starts", server)
-        if (
-            name == "restarts"
-        ):  # in the middle of their way up, most of them together, and once more
-            for when in (6, 14, 25):
-                if world.chance.random() < 0.8:
-                    world.at(
-                        world.now + when * SECOND + world.chance.randrange(SECOND),
-                        "dies",
-                        server,
-                        400 * MS + world.chance.randrange(SECOND),
-                    )
+    return budget + 2 * budget**0.5 + 2
+
+
+def run_scenario(
+    name: str,
+    processes: int,
+    budget: float,
+    call_ns: int,
+    seed: int,
+    length_ns: int = 40 * NS_PER_S,
+) -> FleetSimulation:
+    simulation = FleetSimulation(processes, budget, call_ns, seed)
+    for at, server in enumerate(simulation.servers):
+        simulation.after(at % 3 * 4 * NS_PER_S if name == "waves" else 0, server.start)
+        if name == "restarts":
+            plan_restarts(simulation, server)
         elif name == "pauses":
-            for when in (8, 25):
-                world.at(
-                    world.now + when * SECOND,
-                    "sleeps",
-                    server,
-                    world.chance.choice((1, 6, 12)) * SECOND,
-                )
-    for _ in world.play(length):
-        pass
-    return world
+            for pause_at_s in (8, 25):
+                pause_ns = simulation.random.choice((1, 6, 12)) * NS_PER_S
+                simulation.after(pause_at_s * NS_PER_S, simulation.pause, server, pause_ns)
+    simulation.run(length_ns)
+    return simulation
+
+
+def plan_restarts(simulation: FleetSimulation, server: Server) -> None:
+    """In the middle of their way up, most of them together, and once more."""
+    random = simulation.random
+    for restart_at_s in (6, 14, 25):
+        if random.random() < 0.8:
+            delay_ns = restart_at_s * NS_PER_S + random.randrange(NS_PER_S)
+            pause_ns = 400 * NS_PER_MS + random.randrange(NS_PER_S)
+            simulation.after(delay_ns, simulation.restart, server, pause_ns)
+
+
+def print_row(name: str, processes: int, budget: int, call_ms: int) -> None:
+    runs = [
+        run_scenario(name, processes, budget, call_ms * NS_PER_MS, seed) for seed in range(1, 6)
+    ]
+    mean = max(run.largest_mean() for run in runs)
+    most = max(run.most_open_calls() for run in runs)
+    calls = [run.calls_made for run in runs]
+    print(
+        f"| {name} | {processes} | {budget} | {call_ms} | {mean:.2f} | {most} "
+        f"| {budget_with_chance(budget):.1f} | {min(calls)} to {max(calls)} |",
+        flush=True,
+    )
 
 
-if __name__ == "__main__":
+def main() -> None:
     print(
-        "| story | processes | N | a call takes, ms | worst mean in 5 s | most at once | N + 2 x root of N + 2 | calls made |"
+        "| story | processes | N | a call takes, ms | worst mean in 5 s | most at once "
+        "| N + 2 x root of N + 2 | calls made |"
     )
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
-    for name in STORIES:
+    for name in SCENARIOS:
         for processes in (20, 30):
-            for total in (1, 2, 5, 24, 60):
-                for call in (50, 400):
-                    plays = [story(name, processes, total, call * MS, seed) for seed in range(1, 6)]
-                    means, most = zip(*(play.worst() for play in plays), strict=True)
-                    made = [play.made for play in plays]
-                    print(
-                        f"| {name} | {processes} | {total} | {call} | {max(means):.2f} | {max(most)} | {bound(total):.1f} | "
-                        f"{min(made)} to {max(made)} |",
-                        flush=True,
-                    )
+            for budget in (1, 2, 5, 24, 60):
+                for call_ms in (50, 400):
+                    print_row(name, processes, budget, call_ms)
+
+
+if __name__ == "__main__":
+    main()
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,57 +1,55 @@
-"""A cold start that holds for the fleet: the sum of what all servers have in hand below, from the
-first moment on.
-"""
+"""A cold start that holds for the fleet: the open calls of all servers, from the first moment on."""
 
 import pytest
-from cold_fleet import MS, SECOND, SPAN, STORIES, bound, story
+from cold_fleet import (
+    NS_PER_MS,
+    NS_PER_S,
+    SCENARIOS,
+    WINDOW_NS,
+    budget_with_chance,
+    run_scenario,
+)
 
 
-@pytest.mark.parametrize("total", [1, 2, 5, 24])
+@pytest.mark.parametrize("budget", [1, 2, 5, 24])
 @pytest.mark.parametrize("processes", [20, 30])
-@pytest.mark.parametrize("name", STORIES)
-def test_the_sum_over_all_servers_stays_at_the_budget_but_for_chance(
-    name: str, processes: int, total: int
+@pytest.mark.parametrize("name", SCENARIOS)
+@pytest.mark.parametrize(("seed", "call_ms"), [(1, 50), (2, 400)])
+def test_open_calls_of_all_servers_stay_at_the_budget_but_for_chance(
+    seed: int, call_ms: int, name: str, processes: int, budget: int
 ) -> None:
-    """As a mean over the span that the settings name; and each budget, however small, is used."""
-    for seed, call in ((1, 50 * MS), (2, 400 * MS)):
-        world = story(name, processes, total, call, seed, 16 * SECOND)
-        mean, _ = world.worst()
-        assert mean <= bound(total), (seed, mean)
-        assert world.made >= total * 4, (seed, world.made)
+    """As a mean over the window that the settings name; and each budget, however small, is used."""
+    simulation = run_scenario(name, processes, budget, call_ms * NS_PER_MS, seed, 16 * NS_PER_S)
+    assert simulation.largest_mean() <= budget_with_chance(budget)
+    assert simulation.calls_made >= budget * 4
 
 
-@pytest.mark.parametrize("total", [1, 2, 5, 10])
+@pytest.mark.parametrize("budget", [1, 2, 5, 10])
 @pytest.mark.parametrize("processes", [20, 30])
-def test_servers_that_start_together_do_not_call_in_step(processes: int, total: int) -> None:
-    """At no moment of a start are more in hand than the budget and chance: not one each, as each
-    may have one.
-    """
-    for seed in range(1, 6):
-        world = story("together", processes, total, 50 * MS, seed, SECOND)
-        assert max(count for _, count in world.steps) <= bound(total), seed
-
-
-@pytest.mark.parametrize("total", [2, 5])
-def test_a_life_does_not_spend_again_what_the_one_before_had_spent(total: int) -> None:
-    """All are killed once they have used what they may, and start at once: together no more over
-    any span.
-    """
-    world = story("together", 20, total, 400 * MS, 3, 0)
-    for server in world.servers:
-        world.at(world.begun + SPAN, "dies", server, 1 * MS)
-    for _ in world.play(2 * SPAN):
-        pass
-    assert world.worst()[0] <= total + 2, world.worst()
-
-
-def test_no_server_spends_after_a_pause_what_it_saved_up_in_it() -> None:
-    """Each slept as long as it likes: in any span after it no more than its share, and those in
-    hand as it slept.
-    """
-    for sleep in (1, 6, 60):
-        world = story("together", 20, 5, 50 * MS, 4, 4 * SECOND)
-        for server in world.servers:
-            world.sleeps(server, sleep * SECOND)
-        for _ in world.play((4 + sleep + 8) * SECOND):
-            pass
-        assert world.worst()[0] <= bound(5), (sleep, world.worst())
+@pytest.mark.parametrize("seed", range(1, 6))
+def test_servers_that_start_together_do_not_call_in_step(
+    seed: int, processes: int, budget: int
+) -> None:
+    """At no moment of a start are more calls open than the budget and chance."""
+    simulation = run_scenario("together", processes, budget, 50 * NS_PER_MS, seed, NS_PER_S)
+    assert simulation.most_open_calls() <= budget_with_chance(budget)
+
+
+@pytest.mark.parametrize("budget", [2, 5])
+def test_an_incarnation_does_not_use_again_what_the_one_before_had_used(budget: int) -> None:
+    """All are killed once they have used what they may, and start again at once."""
+    simulation = run_scenario("together", 20, budget, 400 * NS_PER_MS, 3, 0)
+    for server in simulation.servers:
+        simulation.after(WINDOW_NS, simulation.restart, server, 1 * NS_PER_MS)
+    simulation.run(2 * WINDOW_NS)
+    assert simulation.largest_mean() <= budget + 2
+
+
+@pytest.mark.parametrize("pause_s", [1, 6, 60])
+def test_no_server_uses_after_a_pause_what_it_saved_up_in_it(pause_s: int) -> None:
+    """In any window after it no more than its share, and the calls open as it was paused."""
+    simulation = run_scenario("together", 20, 5, 50 * NS_PER_MS, 4, 4 * NS_PER_S)
+    for server in simulation.servers:
+        simulation.pause(server, pause_s * NS_PER_S)
+    simulation.run((4 + pause_s + 8) * NS_PER_S)
+    assert simulation.largest_mean() <= budget_with_chance(5)
--- a/tests/test_cold_processes.py
+++ b/tests/test_cold_processes.py
@@ -4,7 +4,7 @@
 
 import pytest
 import rig  # noqa: F401  (finds benchmarks/)
-from cold_fleet import bound
+from cold_fleet import budget_with_chance
 from cold_start import play, ready
 
 
@@ -14,7 +14,7 @@
     within it and chance.
     """
     worst, made = asyncio.run(play(6, total, 0.05, story, 6.0))
-    assert made > 0 and worst <= bound(total), (worst, made)
+    assert made > 0 and worst <= budget_with_chance(total), (worst, made)
 
 
 def test_restarted_processes_are_ready_within_the_terms() -> None:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -20,14 +20,17 @@
 where the line names that effect. A setting whose field ends in `_ns` is given in ms as `_ms`.
 """
 
+from collections.abc import Sequence
 from dataclasses import fields, replace
+from enum import Enum
 from pathlib import Path
 from typing import Any
 
 import pytest
 
-from burlloom.admission.controller import AdmissionController
-from burlloom.admission.model import (
+from burlloom.admission import (
+    NO_ORIGINAL,
+    AdmissionController,
     Gauges,
     Idempotency,
     LoadReportKind,
@@ -37,8 +40,9 @@
     ServerSettings,
 )
 
-MS = 1_000_000
-SHOWN = {
+NS_PER_MS = 1_000_000
+TIMER_INTERVAL_MS = 100
+EFFECTS_ON_REQUESTS = {
     "start_run",
     "reject",
     "fail",
@@ -48,30 +52,47 @@
     "forget",
     "reuse_result",
 }
-REQUEST_CLASS = RequestClass(2000 * MS, 0.0, 6000 * MS, Idempotency.IDEMPOTENT, 0, 0.0, 0.0, 1.0)
+REQUEST_CLASS = RequestClass(
+    latency_objective_ns=2000 * NS_PER_MS,
+    latency_objective_stretch=0.0,
+    deadline_ns=6000 * NS_PER_MS,
+    idempotency=Idempotency.IDEMPOTENT,
+    idempotency_window_ns=0,
+    late_value_share=0.0,
+    value_share_without_call=0.0,
+    value=1.0,
+)
 SETTINGS = ServerSettings(
-    2,
-    1000.0,
-    4.0,
-    1.0,
-    5.0,
-    False,
-    0.2,
-    10_000 * MS,
-    0.0,
-    5000 * MS,
-    200 * MS,
-    1000 * MS,
-    1000 * MS,
-    0,
-    9000 * MS,
-    LoadReportKind.NONE,
-    (REQUEST_CLASS,),
+    cores=2,
+    memory_kb=1000.0,
+    running_memory_factor=4.0,
+    idempotency_key_kb=1.0,
+    max_runs_per_core=5.0,
+    starts_cold=False,
+    cold_speed_share=0.2,
+    warm_up_ns=10_000 * NS_PER_MS,
+    call_quota=0.0,
+    call_quota_window_ns=5000 * NS_PER_MS,
+    abandoned_call_linger_ns=200 * NS_PER_MS,
+    drain_grace_ns=1000 * NS_PER_MS,
+    max_retry_after_ns=1000 * NS_PER_MS,
+    result_cache_ttl_ns=0,
+    idle_timeout_ns=9000 * NS_PER_MS,
+    load_report_kind=LoadReportKind.NONE,
+    request_classes=(REQUEST_CLASS,),
 )
-ENUMS = {"idempotency": Idempotency, "load_report_kind": LoadReportKind}
+ENUM_FIELDS: dict[str, type[Enum]] = {
+    "idempotency": Idempotency,
+    "load_report_kind": LoadReportKind,
+}
+NAME_OF_NO_REQUEST = "-"
+FORMER_LIFE_REF = -2
+UNKNOWN_REF_OFFSET = 7
+
 
+class RecordingEffects:
+    """Notes every effect in place of carrying it out."""
 
-class Recorder:
     def __init__(self) -> None:
         self.seen: list[tuple[str, tuple[Any, ...]]] = []
 
@@ -79,65 +100,133 @@
         return lambda *values: self.seen.append((effect, values))
 
 
-def changed(start: Any, words: list[str]) -> Any:
-    """The settings or class with the values that the words give; an unknown name fails."""
-    known = {field.name for field in fields(start)}
+def with_values(settings: Any, assignments: Sequence[str]) -> Any:
+    """The settings or class with the values assigned; an unknown name fails."""
+    known = {field.name for field in fields(settings)}
     values: dict[str, Any] = {}
-    for word in words:
-        name, text = word.split("=")
+    for assignment in assignments:
+        name, text = assignment.split("=")
         field = name.removesuffix("_ms") + "_ns" if name.endswith("_ms") else name
         assert field in known, name
         assert not name.endswith("_ns"), name
-        if field in ENUMS:
-            values[field] = ENUMS[field][text]
+        if field in ENUM_FIELDS:
+            values[field] = ENUM_FIELDS[field][text]
         elif field != name:
-            values[field] = int(float(text) * MS)
+            values[field] = int(float(text) * NS_PER_MS)
         else:
-            values[field] = type(getattr(start, field))(float(text))
-    return replace(start, **values)
-
-
-def send(choice: AdmissionController, names: list[str], now: int, words: list[str]) -> None:
-    event, *rest = words
-    if rest and "," in rest[0]:
-        for name in rest[0].split(","):
-            send(choice, names, now, [event, name, *rest[1:]])
-        return
-    if event == "request":
-        told = dict(word.split("=") for word in rest[1:])
-        names.append(rest[0])
-        first = told.get("repeat_of", "-")
-        choice.request_arrived(
-            now,
-            Request(
-                len(names) - 1,
-                int(told.get("caller", 0)),
-                int(told.get("class", 0)),
-                int(told.get("cost_ms", 0)) * MS,
-                int(told.get("unread_ms", 0)) * MS,
-                int(told.get("deadline_ms", 0)) * MS,
-                float(told.get("memory_kb", 10)),
-                float(told.get("priority", 0.9)),
-                -1 if first == "-" else names.index(first) if first in names else -2,
-            ),
-        )
-    elif event == "timer":
-        told = dict(word.split("=") for word in rest)
-        gauges = Gauges(cpu_utilization=1.0, connections=0.0)
-        choice.timer_fired(
-            now, 0, replace(gauges, **{name: float(value) for name, value in told.items()})
-        )
-    elif event == "drain":
-        choice.drain(now, now, int(rest[0]) * MS)
-    else:
-        ref = names.index(rest[0]) if rest[0] in names else len(names) + 7
-        if event in ("run_ended", "call_ended"):
-            call = choice.run_ended if event == "run_ended" else choice.call_ended
-            call(now, ref, Outcome[rest[1]], int(rest[2]) * MS if len(rest) > 2 else 0)
+            values[field] = type(getattr(settings, field))(float(text))
+    return replace(settings, **values)
+
+
+class ScenarioPlayer:
+    """Plays the lines of one file."""
+
+    def __init__(self) -> None:
+        self.settings = SETTINGS
+        self.request_classes: list[RequestClass] = []
+        self.controller: AdmissionController | None = None
+        self.effects = RecordingEffects()
+        self.names: list[str] = []
+
+    def play(self, line: str) -> None:
+        """Plays one line and compares its effects."""
+        first, *rest = line.split()
+        if first == "set":
+            self.settings = with_values(self.settings, rest)
+        elif first == "class":
+            self.request_classes.append(with_values(REQUEST_CLASS, rest))
         else:
-            {"call_requested": choice.call_requested, "caller_gone": choice.caller_gone}[event](
-                now, ref
-            )
+            self.play_event(line)
+
+    def play_event(self, line: str) -> None:
+        controller = self.controller or self.start()
+        event, _, wanted = line.partition("->")
+        times, *words = event.split()
+        first, _, last = times.partition("..")
+        self.effects.seen.clear()
+        for now_ms in range(int(first), int(last or first) + 1, TIMER_INTERVAL_MS):
+            self.send(controller, now_ms * NS_PER_MS, words)
+        expected = [part.strip() for part in wanted.split(",")]
+        assert self.effects_named_in(wanted) == [
+            effect for effect in expected if effect not in ("", NAME_OF_NO_REQUEST)
+        ]
+
+    def start(self) -> AdmissionController:
+        classes = tuple(self.request_classes) or self.settings.request_classes
+        settings = replace(self.settings, request_classes=classes)
+        self.controller = AdmissionController(settings, 1, self.effects, 0)
+        self.controller.start(0)
+        return self.controller
+
+    def effects_named_in(self, wanted: str) -> list[str]:
+        return [
+            self.effect_text(effect, values, wanted)
+            for effect, values in self.effects.seen
+            if effect in EFFECTS_ON_REQUESTS or effect in wanted
+        ]
+
+    def effect_text(self, effect: str, values: tuple[Any, ...], wanted: str) -> str:
+        if effect == "start_call" and " by " in wanted:
+            return f"start_call {self.names[values[0]]} by {values[1] // NS_PER_MS}"
+        if effect in EFFECTS_ON_REQUESTS:
+            return f"{effect} {self.names[values[0]]}"
+        if effect == "report_load":
+            return f"report_load {round(values[0], 3)}"
+        return f"{effect} {values[0]}"
+
+    def send(self, controller: AdmissionController, now: int, words: list[str]) -> None:
+        event, *rest = words
+        if rest and "," in rest[0]:
+            for name in rest[0].split(","):
+                self.send(controller, now, [event, name, *rest[1:]])
+        elif event == "request":
+            controller.request_arrived(now, self.request(rest[0], rest[1:]))
+        elif event == "timer":
+            values = {name: float(value) for name, value in (word.split("=") for word in rest)}
+            gauges = replace(Gauges(cpu_utilization=1.0, connections=0.0), **values)
+            controller.timer_fired(now, 0, gauges)
+        elif event == "drain":
+            controller.drain(now, now, int(rest[0]) * NS_PER_MS)
+        elif event == "run_ended":
+            controller.run_ended(now, self.ref(rest[0]), *outcome_and_duration(rest[1:]))
+        elif event == "call_ended":
+            controller.call_ended(now, self.ref(rest[0]), *outcome_and_duration(rest[1:]))
+        elif event == "call_requested":
+            controller.call_requested(now, self.ref(rest[0]))
+        else:
+            assert event == "caller_gone", event
+            controller.caller_gone(now, self.ref(rest[0]))
+
+    def ref(self, name: str) -> int:
+        """The number of a request; one that was never given for an unknown name."""
+        if name in self.names:
+            return self.names.index(name)
+        return len(self.names) + UNKNOWN_REF_OFFSET
+
+    def request(self, name: str, assignments: list[str]) -> Request:
+        values = dict(assignment.split("=") for assignment in assignments)
+        self.names.append(name)
+        return Request(
+            ref=len(self.names) - 1,
+            caller=int(values.get("caller", 0)),
+            request_class=int(values.get("class", 0)),
+            cost_ns=int(values.get("cost_ms", 0)) * NS_PER_MS,
+            unread_ns=int(values.get("unread_ms", 0)) * NS_PER_MS,
+            deadline_at_ns=int(values.get("deadline_ms", 0)) * NS_PER_MS,
+            memory_kb=float(values.get("memory_kb", 10)),
+            priority=float(values.get("priority", 0.9)),
+            original_ref=self.original_ref(values.get("repeat_of", NAME_OF_NO_REQUEST)),
+        )
+
+    def original_ref(self, name: str) -> int:
+        if name == NAME_OF_NO_REQUEST:
+            return NO_ORIGINAL
+        return self.names.index(name) if name in self.names else FORMER_LIFE_REF
+
+
+def outcome_and_duration(words: list[str]) -> tuple[Outcome, int]:
+    duration_ms = int(words[1]) if len(words) > 1 else 0
+    return Outcome[words[0]], duration_ms * NS_PER_MS
 
 
 SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
@@ -145,40 +234,11 @@
 
 @pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
 def test_scenario(path: Path) -> None:
-    settings, request_classes, choice = SETTINGS, [], None
-    names: list[str] = []
-    recorder = Recorder()
-    for number, line in enumerate(path.read_text().splitlines(), 1):
-        line = line.split("#")[0].strip()
-        words = line.split()
-        if not words:
-            continue
-        if words[0] == "set":
-            settings = changed(settings, words[1:])
-            continue
-        if words[0] == "class":
-            request_classes.append(changed(REQUEST_CLASS, words[1:]))
-            continue
-        if choice is None:
-            settings = replace(
-                settings, request_classes=tuple(request_classes) or settings.request_classes
-            )
-            choice = AdmissionController(settings, 1, recorder, 0)
-            choice.start(0)
-        told, _, wanted = line.partition("->")
-        when, *words = told.split()
-        first, _, last = when.partition("..")
-        recorder.seen.clear()
-        for now in range(int(first), int(last or first) + 1, 100):
-            send(choice, names, now * MS, words)
-        got = [
-            f"start_call {names[values[0]]} by {values[1] // MS}"
-            if effect == "start_call" and " by " in wanted
-            else f"{effect} {names[values[0]]}"
-            if effect in SHOWN
-            else f"{effect} {round(values[0], 3) if effect == 'report_load' else values[0]}"
-            for effect, values in recorder.seen
-            if effect in SHOWN or effect in wanted
-        ]
-        expected = [part.strip() for part in wanted.split(",") if part.strip() not in ("", "-")]
-        assert got == expected, f"{path.name}:{number}: {line}"
+    player = ScenarioPlayer()
+    for number, text in enumerate(path.read_text().splitlines(), 1):
+        line = text.split("#")[0].strip()
+        if line:
+            try:
+                player.play(line)
+            except AssertionError as error:
+                raise AssertionError(f"{path.name}:{number}: {line}\n{error}") from error
