--- a/burlloom/admission/admission_queue.py
+++ b/burlloom/admission/admission_queue.py
@@ -75,7 +75,7 @@
         return waited_ns > JOSTLE_TIMEOUT_NS
 
     def has_place(
-        self, memory_kb: float, run_limit: float, queue_share: float, *, is_below_floor: bool
+        self, memory_kb: float, run_limit: float, queue_share: float, *, is_under_floor: bool
     ) -> bool:
         """Whether one more fits without an eviction.
 
@@ -83,11 +83,11 @@
             memory_kb: the size of the newcomer.
             run_limit: how many may run at a time.
             queue_share: the part of the length that the service level leaves.
-            is_below_floor: the newcomer's priority is below the priority floor.
+            is_under_floor: the newcomer's priority is below the priority floor.
         """
         length = len(self.requests)
         return not (
-            (length >= run_limit and is_below_floor)
+            (length >= run_limit and is_under_floor)
             or length >= max(1.0, queue_share * QUEUED_PER_RUN * run_limit)
             or self._memory_kb + memory_kb > self._most_kb
         )
--- a/burlloom/admission/call_limit.py
+++ b/burlloom/admission/call_limit.py
@@ -1,4 +1,4 @@
-"""How many calls to the downstream dependency may be in hand at a time.
+"""How many calls to the downstream dependency may be open at a time.
 
 Inputs: how long calls take (ns), the quota, whether calls are queued. Rule: from half of the most
 that the quota allows, the limit rises by one a timer round while calls are queued, and is cut to
@@ -29,7 +29,7 @@
     """The limit, and what calls take.
 
     Attributes:
-        limit: calls that may be in hand at a time; under 1 a share of time.
+        limit: calls that may be open at a time; under 1 a share of time.
         most: what the quota, or the server's own runs, allow.
         base_ns: the time of a call when the dependency is not crowded; 0 before it is known.
     """
@@ -45,12 +45,12 @@
         self._calls = SlidingWindowSum(WINDOW_NS)
 
     def set_most(self, most: float) -> None:
-        """Follows a new quota; calls in hand stay, and none is added past it."""
+        """Follows a new quota; calls open stay, and none is added past it."""
         self.most = most
         self.limit = min(max(min(1.0, most), self.limit), most)
 
-    def whole_calls(self) -> int:
-        """The number of calls that may be in hand at a time."""
+    def max_open_calls(self) -> int:
+        """The number of calls that may be open at a time."""
         return max(1, int(self.limit))
 
     def record_call(self, now: int, call_ns: int) -> None:
--- a/burlloom/admission/call_quota.py
+++ b/burlloom/admission/call_quota.py
@@ -1,8 +1,8 @@
 """This server's quota of calls to a dependency that the fleet shares.
 
-Inputs: the quota (a mean number of calls in hand), the time that calls spent in hand (ns). Rule: a
-quota of one call or more bounds the calls in hand at each moment, which `CallLimit` does. A quota
-under one is a share of time: calls in hand may use `share * window` ns within any window, and a
+Inputs: the quota (a mean number of calls open), the time that calls spent open (ns). Rule: a
+quota of one call or more bounds the calls open at each moment, which `CallLimit` does. A quota
+under one is a share of time: calls open may use `share * window` ns within any window, and a
 call is made only while what is left exceeds what a call needs. The window is the configured one, or
 so long that the share holds `LINGERS_IN_QUOTA` times the linger of an abandoned call. Reason: whole
 calls by every server at once, or all of them in step, would crowd the dependency.
@@ -27,7 +27,7 @@
 
 
 class CallQuota:
-    """Meters the time of calls in hand.
+    """Meters the time of calls open.
 
     Attributes:
         share: the quota; 0 where there is none.
@@ -40,7 +40,7 @@
         "_needed_ns",
         "_phase_ns",
         "_random",
-        "_time_in_hand_ns",
+        "_open_time_ns",
         "_window_ns",
         "is_time_share",
         "share",
@@ -48,7 +48,7 @@
 
     _needed_ns: int
     _phase_ns: int
-    _time_in_hand_ns: SlidingWindowSum
+    _open_time_ns: SlidingWindowSum
     _window_ns: int
 
     def __init__(self, settings: ServerSettings, now: int, random: Callable[[], float]) -> None:
@@ -73,16 +73,16 @@
 
         Args:
             now: the host's clock in ns.
-            share: the quota as a mean number of calls in hand.
+            share: the quota as a mean number of calls open.
         """
         self.share = share
         self.is_time_share = 0 < share < 1
         if self.is_time_share and self._quota_ns() < LINGERS_IN_QUOTA * self._linger_ns:
             self._restart_meter(now)
 
-    def record_time_in_hand(self, now: int, time_ns: int) -> None:
-        """Adds time that calls spent in hand up to `now` (ns)."""
-        self._time_in_hand_ns.add(now + self._phase_ns, time_ns)
+    def record_open_time(self, now: int, time_ns: int) -> None:
+        """Adds time that calls spent open up to `now` (ns)."""
+        self._open_time_ns.add(now + self._phase_ns, time_ns)
 
     def record_call_end(self, outcome: Outcome, call_ns: int) -> None:
         """Learns from a call what the next one needs.
@@ -99,13 +99,13 @@
             return
         self._needed_ns = int(max(2 * self._linger_ns, min(needed_ns, self._quota_ns() / 2)))
 
-    def room_ns(self, now: int) -> float:
-        """What is left of the quota at `now` (ns), as time of one call in hand."""
-        return self._quota_ns() - self._time_in_hand_ns.total(now + self._phase_ns)
+    def remaining_ns(self, now: int) -> float:
+        """What is left of the quota at `now` (ns), as time of one call open."""
+        return self._quota_ns() - self._open_time_ns.total(now + self._phase_ns)
 
-    def has_room_for_call(self, now: int) -> bool:
+    def is_enough_for_call(self, now: int) -> bool:
         """Whether what is left exceeds what a call needs."""
-        return self.room_ns(now) > self._needed_ns
+        return self.remaining_ns(now) > self._needed_ns
 
     def _quota_ns(self) -> float:
         return self.share * self._window_ns
@@ -117,16 +117,16 @@
         if self.is_time_share:
             fitting_ns = int(LINGERS_IN_QUOTA * self._linger_ns / self.share)
             self._window_ns = max(self._window_ns, fitting_ns)
-        self._time_in_hand_ns = SlidingWindowSum(
+        self._open_time_ns = SlidingWindowSum(
             self._window_ns * BUCKETS // BUCKETS_IN_WINDOW, BUCKETS
         )
         if self.is_time_share:
             self._begin_as_used_up(now)
 
     def _begin_as_used_up(self, now: int) -> None:
-        bucket_ns = self._time_in_hand_ns.bucket_ns
+        bucket_ns = self._open_time_ns.bucket_ns
         # At least the whole meter, as the host's clock may begin at 0.
         self._phase_ns = int(bucket_ns * (BUCKETS + self._random()))
         used_ns = (self._quota_ns() - self._needed_ns * self._random()) / BUCKETS
         for buckets_ago in range(BUCKETS - 1, -1, -1):
-            self._time_in_hand_ns.add(now + self._phase_ns - buckets_ago * bucket_ns, used_ns)
+            self._open_time_ns.add(now + self._phase_ns - buckets_ago * bucket_ns, used_ns)
--- a/burlloom/admission/caller_feedback.py
+++ b/burlloom/admission/caller_feedback.py
@@ -18,16 +18,9 @@
 would be read again. An unhealthy or draining server does not say so, since others may be well.
 """
 
-from collections.abc import Callable, Mapping
-
-from .arrival_statistics import ArrivalStatistics
-from .concurrency_limit import ConcurrencyLimit
-from .drain import Drain
-from .health import HealthMonitor
 from .lifecycle import TrackedRequest
-from .load_shedding import LoadShedding
-from .model import Degradation, Effects, LoadReportKind, ServerSettings
-from .service_levels import ServiceLevels
+from .model import Degradation, LoadReportKind
+from .rule_set import RuleSet
 from .timing import TIMER_INTERVAL_NS
 
 __all__ = ["CallerFeedback"]
@@ -43,45 +36,19 @@
 class CallerFeedback:
     """Health, load reports and the hints on rejections."""
 
-    def __init__(
-        self,
-        settings: ServerSettings,
-        effects: Effects,
-        live_requests: Mapping[int, TrackedRequest],
-        *,
-        arrivals: ArrivalStatistics,
-        shedding: LoadShedding,
-        concurrency: ConcurrencyLimit,
-        health: HealthMonitor,
-        service_levels: ServiceLevels,
-        drain: Drain,
-        random: Callable[[], float],
-    ) -> None:
-        """Nothing is reported yet; health counts as good.
-
-        Args:
-            settings: of the server.
-            effects: what carries the feedback.
-            live_requests: the requests that are not over.
-            arrivals: for the share rejected.
-            shedding: for the pressure and the priority floor.
-            concurrency: for the run limit.
-            health: for the server's health.
-            service_levels: for the level in force.
-            drain: for the end of the server.
-            random: draws from 0 to under 1.
-        """
-        self._load_report_kind = settings.load_report_kind
-        self._max_retry_after_ns = settings.max_retry_after_ns
-        self._effects = effects
-        self._live_requests = live_requests
-        self._arrivals = arrivals
-        self._shedding = shedding
-        self._concurrency = concurrency
-        self._health = health
-        self._service_levels = service_levels
-        self._drain = drain
-        self._random = random
+    def __init__(self, rules: RuleSet) -> None:
+        """Nothing is reported yet; health counts as good."""
+        self._load_report_kind = rules.settings.load_report_kind
+        self._max_retry_after_ns = rules.settings.max_retry_after_ns
+        self._effects = rules.effects
+        self._live_requests = rules.live_requests
+        self._arrivals = rules.arrivals
+        self._shedding = rules.shedding
+        self._concurrency = rules.concurrency
+        self._health = rules.health
+        self._service_levels = rules.service_levels
+        self._drain = rules.drain
+        self._random = rules.random
         self._reported_health = True
         self._reported_load = NOT_REPORTED
 
--- a/burlloom/admission/controller.py
+++ b/burlloom/admission/controller.py
@@ -5,8 +5,7 @@
 `call_requested`, `call_ended`, `caller_gone`, `drain`, `timer_fired` and, where they are on,
 `set_service_level` and `set_call_quota`. The controller acts at once through `model.Effects`.
 
-This module only hands events to the rules and requests along their life. Where to look for the
-rules:
+This module only hands events to the rules, and to `state_machine`. Where to look for the rules:
 
 | question | module |
 | --- | --- |
@@ -22,37 +21,13 @@
 All times are whole nanoseconds on the host's clock.
 """
 
-from random import Random
 from typing import NamedTuple
 
-from .admission_queue import AdmissionQueue
-from .arrival_statistics import ArrivalStatistics
-from .awake_clock import AwakeClock
 from .caller_feedback import CallerFeedback
-from .concurrency_limit import ConcurrencyLimit
-from .connection_limits import ConnectionIdleTime
-from .downstream_calls import DownstreamCalls
-from .drain import Drain
-from .health import HealthMonitor
-from .idempotency import IdempotencyKeys
-from .lifecycle import (
-    INPUT_OF_UNSTARTED_RUN,
-    TRANSITIONS,
-    BoundTransition,
-    Effect,
-    Input,
-    State,
-    Test,
-    TrackedRequest,
-    bind_transitions,
-)
-from .load_shedding import LoadShedding
-from .memory_budget import MemoryBudget
+from .lifecycle import INPUT_OF_UNSTARTED_RUN, Input, State, TrackedRequest
 from .model import Effects, Gauges, Outcome, Request, ServerSettings, ServiceLevel
-from .rejection_reasons import RejectionReasons
-from .run_time_estimates import RunTimeEstimates
-from .service_levels import ServiceLevels
-from .slow_start import SlowStart
+from .rule_set import RuleSet
+from .state_machine import StateMachine
 from .timing import TIMER_INTERVAL_NS
 
 __all__ = ["AdmissionController", "ControllerSizes"]
@@ -90,55 +65,27 @@
             effects: what carries out the decisions.
             now: when the executor was started, in ns. Later events may be much later.
         """
-        random = Random(seed).random
+        rules = RuleSet(settings, seed, effects, now)
         self._settings = settings
         self._effects = effects
-        self._counts = [0] * len(State)
-        self.live_requests: dict[int, TrackedRequest] = {}
-        self._clock = AwakeClock(now)
-        self._drain = Drain()
-        self._service_levels = ServiceLevels()
-        self._arrivals = ArrivalStatistics(settings)
-        self._estimates = RunTimeEstimates(settings)
-        self._memory = MemoryBudget(settings)
-        self._queue = AdmissionQueue(settings, self._clock)
-        self._idempotency = IdempotencyKeys(settings, self._memory, effects)
-        self._requests = self._idempotency.requests
-        slow_start = SlowStart(settings, now)
-        self._concurrency = ConcurrencyLimit(settings, self._counts, slow_start)
-        self._shedding = LoadShedding(settings, self._arrivals, slow_start.speed_share(now))
-        self._health = HealthMonitor(settings, self._counts, self._arrivals, now)
-        self._idle_time = ConnectionIdleTime(settings, effects)
-        self._calls = DownstreamCalls(
-            settings, self._counts, self._queue, self._service_levels, self._drain, now, random
-        )
-        self._reasons = RejectionReasons(
-            queue=self._queue,
-            concurrency=self._concurrency,
-            memory=self._memory,
-            shedding=self._shedding,
-            idempotency=self._idempotency,
-            estimates=self._estimates,
-            health=self._health,
-            service_levels=self._service_levels,
-            drain=self._drain,
-            random=random,
-        )
-        self._feedback = CallerFeedback(
-            settings,
-            effects,
-            self.live_requests,
-            arrivals=self._arrivals,
-            shedding=self._shedding,
-            concurrency=self._concurrency,
-            health=self._health,
-            service_levels=self._service_levels,
-            drain=self._drain,
-            random=random,
-        )
-        self._transitions: list[list[tuple[BoundTransition, ...]]] = bind_transitions(
-            TRANSITIONS, self._tests(), self._transition_effects()
-        )
+        self._counts = rules.counts
+        self.live_requests = rules.live_requests
+        self._clock = rules.clock
+        self._drain = rules.drain
+        self._service_levels = rules.service_levels
+        self._arrivals = rules.arrivals
+        self._estimates = rules.estimates
+        self._memory = rules.memory
+        self._queue = rules.queue
+        self._idempotency = rules.idempotency
+        self._requests = rules.idempotency.requests
+        self._concurrency = rules.concurrency
+        self._shedding = rules.shedding
+        self._health = rules.health
+        self._idle_time = rules.idle_time
+        self._calls = rules.calls
+        self._feedback = CallerFeedback(rules)
+        self._machine = StateMachine(rules, self._feedback)
 
     # Events, handed in by the host.
 
@@ -162,17 +109,17 @@
         self._counts[State.NEW] += 1
         self._memory.requests_kb += request.memory_kb
         self._arrivals.record_arrival(now, request.unread_ns)
-        self._apply(tracked, Input.ARRIVED, now)
-        self._fill_free_slots(now)
+        self._machine.apply(tracked, Input.ARRIVED, now)
+        self._machine.fill_free_slots(now)
 
-    def run_ended(self, now: int, ref: int, outcome: Outcome, took: int) -> None:
+    def run_ended(self, now: int, ref: int, outcome: Outcome, duration_ns: int) -> None:
         """A run ended, or was never begun, or the result that a repeat waits for is there.
 
         Args:
             now: the host's clock in ns.
             ref: the request; an unknown one is passed over.
             outcome: how it ended.
-            took: the time that the run took in ns.
+            duration_ns: the time that the run took in ns.
         """
         tracked = self._requests.get(ref)
         if tracked is not None:
@@ -180,7 +127,7 @@
                 self._health.record_run_end(now, outcome)
                 if outcome is Outcome.OK:
                     request = tracked.request
-                    self._estimates.record(now, request.request_class, took, request.cost_ns)
+                    self._estimates.record(now, request.request_class, duration_ns, request.cost_ns)
             tracked.last_outcome = outcome
         self._progress(now, tracked, INPUT_OF_UNSTARTED_RUN.get(outcome, Input.RUN_ENDED))
 
@@ -193,19 +140,19 @@
         """
         self._progress(now, self._requests.get(ref), Input.CALL_REQUESTED)
 
-    def call_ended(self, now: int, ref: int, outcome: Outcome, took: int) -> None:
+    def call_ended(self, now: int, ref: int, outcome: Outcome, duration_ns: int) -> None:
         """A call to the downstream dependency ended.
 
         Args:
             now: the host's clock in ns.
             ref: the request; an unknown one is passed over.
             outcome: how the call ended.
-            took: the time that it took in ns.
+            duration_ns: the time that it took in ns.
         """
         tracked = self._requests.get(ref)
         if tracked is not None and tracked.state == State.IN_CALL:
             tracked.last_outcome = outcome
-            self._calls.record_call_end(now, outcome, took)
+            self._calls.record_call_end(now, outcome, duration_ns)
         is_answered = outcome is Outcome.OK
         self._progress(now, tracked, Input.CALL_SUCCEEDED if is_answered else Input.CALL_FAILED)
 
@@ -219,8 +166,8 @@
         self._advance_clock(now)
         tracked = self._requests.get(ref)
         if tracked is not None:
-            self._apply(tracked, Input.CALLER_GONE, now)
-            self._fill_free_slots(now)
+            self._machine.apply(tracked, Input.CALLER_GONE, now)
+            self._machine.fill_free_slots(now)
 
     def drain(self, now: int, noticed: int, stop: int) -> None:
         """The server is asked to stop.
@@ -233,7 +180,7 @@
         self._advance_clock(now)
         self._drain.begin(noticed, stop, self._settings.drain_grace_ns)
         self._feedback.update(now)
-        self._fill_free_slots(now)
+        self._machine.fill_free_slots(now)
 
     def set_service_level(self, now: int, service: ServiceLevel) -> None:
         """A service level holds from now on.
@@ -247,20 +194,20 @@
         self._advance_clock(now)
         self._service_levels.level = service
         for tracked in list(self._queue.requests.values()):
-            self._apply(tracked, Input.LEVEL_CHANGED, now)
+            self._machine.apply(tracked, Input.LEVEL_CHANGED, now)
         self._feedback.update(now)
-        self._fill_free_slots(now)
+        self._machine.fill_free_slots(now)
 
     def set_call_quota(self, now: int, share: float) -> None:
-        """This server's quota of calls changes. Calls in hand stay; none is added past it.
+        """This server's quota of calls changes. Calls open stay; none is added past it.
 
         Args:
             now: the host's clock in ns.
-            share: the quota as a mean number of calls in hand, above 0.
+            share: the quota as a mean number of calls open, above 0.
         """
         self._advance_clock(now)
         self._calls.set_quota(now, share)
-        self._fill_free_slots(now)
+        self._machine.fill_free_slots(now)
 
     def timer_fired(self, now: int, handle: int, gauges: Gauges) -> None:
         """A timer round.
@@ -273,7 +220,7 @@
         self._advance_clock(now)
         self._effects.schedule_timer(TIMER_INTERVAL_NS, handle)
         for tracked in list(self.live_requests.values()):
-            self._apply(tracked, Input.TIMER, now)
+            self._machine.apply(tracked, Input.TIMER, now)
         self._idempotency.release_ended(now)
         self._update_concurrency_limit(now, gauges)
         self._shedding.update(now, gauges)
@@ -282,7 +229,7 @@
         self._feedback.update(now)
         rejected_share = self._arrivals.rejected_share(now)
         self._idle_time.update(gauges, len(self.live_requests), rejected_share)
-        self._fill_free_slots(now)
+        self._machine.fill_free_slots(now)
 
     # What the host may look at.
 
@@ -301,9 +248,9 @@
         """The number of newcomers rejected since the queue was full."""
         return self._queue.exceeded
 
-    def calls_in_hand(self) -> int:
-        """The number of calls in hand, with those given up that still linger."""
-        return self._calls.in_hand(self._clock.now)
+    def open_call_count(self) -> int:
+        """The number of calls open, with those given up that still linger."""
+        return self._calls.open_count(self._clock.now)
 
     def queued_call_count(self) -> int:
         """The number of requests that wait for their turn to call."""
@@ -341,7 +288,7 @@
             len(self._calls.lingering_until_ns),
         )
 
-    # From events to transitions.
+    # Shared by the events.
 
     def _advance_clock(self, now: int) -> None:
         elapsed_ns = now - self._clock.now
@@ -352,49 +299,8 @@
         self._advance_clock(now)
         if tracked is not None:
             self._health.last_progress_at_ns = now
-            self._apply(tracked, what, now)
-            self._fill_free_slots(now)
-
-    def _apply(self, tracked: TrackedRequest, what: Input, now: int) -> None:
-        for tests, next_state, effect in self._transitions[tracked.state][what]:
-            for test in tests:
-                if not test(tracked, now):
-                    break
-            else:
-                self._move(tracked, next_state, now)
-                if effect is not None:
-                    effect(tracked, now)
-                return
-
-    def _move(self, tracked: TrackedRequest, next_state: State, now: int) -> None:
-        state = tracked.state
-        tracked.state = next_state
-        self._counts[state] -= 1
-        self._counts[next_state] += 1
-        memory = self._memory
-        factor = memory.factors[next_state] - memory.factors[state]
-        memory.requests_kb += factor * tracked.request.memory_kb
-        if state == State.IN_CALL:
-            self._calls.leave(tracked, now)
-        elif state == State.QUEUED:
-            self._queue.remove(tracked)
-        elif state == State.AWAITING_CALL:
-            del self._calls.queue[tracked.request.ref]
-        if next_state >= State.FINISHED:
-            tracked.ended_at_ns = now
-            del self.live_requests[tracked.request.ref]
-            self._idempotency.ended.append(tracked)
-
-    def _fill_free_slots(self, now: int) -> None:
-        calls = self._calls
-        while calls.queue and calls.may_start_call(now):
-            self._apply(calls.next_in_queue(), Input.CALL_SLOT_FREE, now)
-        queue = self._queue
-        while queue.requests and self._concurrency.may_start(now, calls.limit.limit):
-            newest = queue.newest()
-            if not self._memory.has_room_to_run(newest):
-                break
-            self._apply(newest, Input.SLOT_FREE, now)
+            self._machine.apply(tracked, what, now)
+            self._machine.fill_free_slots(now)
 
     def _update_concurrency_limit(self, now: int, gauges: Gauges) -> None:
         oldest = self._queue.oldest()
@@ -407,96 +313,3 @@
             has_timed_out_calls=self._calls.has_timed_out_calls,
         )
         self._calls.has_timed_out_calls = False
-
-    # Tests and effects of the table of transitions.
-
-    def _tests(self) -> dict[str, Test]:
-        reasons = self._reasons
-        return {
-            "arrived_after_drain_grace": reasons.arrived_after_drain_grace,
-            "cannot_meet_latency_objective": reasons.cannot_meet_latency_objective,
-            "key_cannot_be_kept": reasons.key_cannot_be_kept,
-            "is_past_deadline": reasons.is_past_deadline,
-            "is_rejected_by_service_level": reasons.is_rejected_by_service_level,
-            "is_shed_for_failure_rate": reasons.is_shed_for_failure_rate,
-            "may_retry_call": self._may_retry_call,
-            "may_skip_call": self._calls.may_skip_call,
-            "no_room_for_repeat": reasons.no_room_for_repeat,
-            "may_have_run": self._idempotency.may_have_run,
-            "queue_is_full": reasons.queue_is_full,
-            "server_is_hung": reasons.server_is_hung,
-            "should_skip_call": self._calls.should_skip_call,
-        }
-
-    def _transition_effects(self) -> dict[str, Effect]:
-        return {
-            "cache_result": self._idempotency.cache_result,
-            "enqueue": self._enqueue,
-            "enqueue_call": self._enqueue_call,
-            "fail": self._fail,
-            "forget_key": self._idempotency.forget_key,
-            "reject": self._reject,
-            "reject_evicted": self._reject_evicted,
-            "reject_degraded": self._reject_degraded,
-            "reject_queue_full": self._reject_queue_full,
-            "reuse_result": self._reuse_result,
-            "skip_call": self._skip_call,
-            "start_call": self._start_call,
-            "start_run": self._start_run,
-        }
-
-    def _may_retry_call(self, tracked: TrackedRequest, now: int) -> bool:
-        if self._reasons.is_past_deadline(tracked, now):
-            return False
-        return self._calls.is_safe_to_retry(tracked)
-
-    def _enqueue(self, tracked: TrackedRequest, now: int) -> None:
-        original = self._idempotency.original_of(tracked)
-        if original is not None:
-            if original.state == State.QUEUED:
-                self._apply(original, Input.EVICTED, now)
-            original.successor = tracked
-        else:
-            oldest = self._queue.oldest()
-            if oldest is not None and not self._reasons.has_place(tracked):
-                self._apply(oldest, Input.EVICTED, now)
-        tracked.waiting_since_ns = now - self._clock.paused_ns
-        self._queue.add(tracked)
-        self._idempotency.keep_for_queued(tracked, now)
-
-    def _enqueue_call(self, tracked: TrackedRequest, now: int) -> None:
-        tracked.waiting_since_ns = now - self._clock.paused_ns
-        self._calls.enqueue(tracked)
-
-    def _start_run(self, tracked: TrackedRequest, now: int) -> None:
-        if self._concurrency.running(self._calls.limit.limit) <= 1:
-            self._health.last_progress_at_ns = now
-        self._effects.start_run(tracked.request.ref)
-
-    def _start_call(self, tracked: TrackedRequest, now: int) -> None:
-        self._effects.start_call(tracked.request.ref, self._calls.stop_at_ns(tracked, now))
-
-    def _skip_call(self, tracked: TrackedRequest, now: int) -> None:
-        self._effects.skip_call(tracked.request.ref)
-
-    def _fail(self, tracked: TrackedRequest, now: int) -> None:
-        self._effects.fail(tracked.request.ref)
-
-    def _reuse_result(self, tracked: TrackedRequest, now: int) -> None:
-        self._effects.reuse_result(tracked.request.ref)
-
-    def _reject(self, tracked: TrackedRequest, now: int) -> None:
-        self._idempotency.forget_key(tracked, now)
-        self._feedback.reject(tracked, now)
-
-    def _reject_evicted(self, tracked: TrackedRequest, now: int) -> None:
-        self._queue.overwritten += 1
-        self._reject(tracked, now)
-
-    def _reject_queue_full(self, tracked: TrackedRequest, now: int) -> None:
-        self._queue.exceeded += 1
-        self._reject(tracked, now)
-
-    def _reject_degraded(self, tracked: TrackedRequest, now: int) -> None:
-        self._idempotency.forget_key(tracked, now)
-        self._feedback.reject_degraded(tracked)
--- a/burlloom/admission/downstream_calls.py
+++ b/burlloom/admission/downstream_calls.py
@@ -4,7 +4,7 @@
 while any of these holds, in the order of `may_start_call`:
 
 * the circuit breaker is open, and no trial is due (`circuit_breaker`);
-* as many calls are in hand as the call limit allows (`call_limit`); a call given up stays in hand
+* as many calls are open as the call limit allows (`call_limit`); a call given up stays open
   for its linger, as the dependency may still work on it;
 * the quota is under one call, and the pause after the last call is not over: it spreads calls by
   chance, so that servers do not call in step;
@@ -41,11 +41,11 @@
 
 
 class DownstreamCalls:
-    """Calls that wait, calls in hand, and the rules for both.
+    """Calls that wait, calls open, and the rules for both.
 
     Attributes:
         queue: requests that wait for their call, by reference.
-        lingering_until_ns: for each call given up, until when it counts as in hand.
+        lingering_until_ns: for each call given up, until when it counts as open.
         limit: the call limit.
         quota: this server's quota.
         breaker: the circuit breaker.
@@ -78,7 +78,7 @@
         now: int,
         random: Callable[[], float],
     ) -> None:
-        """No call waits, and none is in hand.
+        """No call waits, and none is open.
 
         Args:
             settings: of the server.
@@ -103,17 +103,17 @@
         self.breaker = CircuitBreaker()
         self.has_timed_out_calls = False
 
-    # Calls in hand.
+    # Calls open.
 
-    def in_hand(self, now: int) -> int:
-        """The number of calls in hand at `now` (ns), lingering ones included."""
+    def open_count(self, now: int) -> int:
+        """The number of calls open at `now` (ns), lingering ones included."""
         self.lingering_until_ns = [until for until in self.lingering_until_ns if until > now]
         return self._counts[State.IN_CALL] + len(self.lingering_until_ns)
 
     def record_elapsed_time(self, now: int, elapsed_ns: int) -> None:
-        """Meters the time that calls spent in hand up to `now` (ns); with each event."""
-        in_hand = self._counts[State.IN_CALL] + len(self.lingering_until_ns)
-        self.quota.record_time_in_hand(now, elapsed_ns * in_hand)
+        """Meters the time that calls spent open up to `now` (ns); with each event."""
+        open_count = self._counts[State.IN_CALL] + len(self.lingering_until_ns)
+        self.quota.record_open_time(now, elapsed_ns * open_count)
 
     def leave(self, tracked: TrackedRequest, now: int) -> None:
         """A request leaves its call; the dependency may still work on it."""
@@ -145,11 +145,11 @@
         """Whether one of the calls that wait may be made at `now` (ns)."""
         if self.breaker.blocks_call(now, self._counts[State.IN_CALL]):
             return False
-        if self.in_hand(now) >= self.limit.whole_calls():
+        if self.open_count(now) >= self.limit.max_open_calls():
             return False
         if not self.quota.is_time_share:
             return True
-        return now >= self._next_call_at_ns and self.quota.has_room_for_call(now)
+        return now >= self._next_call_at_ns and self.quota.is_enough_for_call(now)
 
     def next_in_queue(self) -> TrackedRequest:
         """The request whose call is made next; the queue must not be empty."""
@@ -177,8 +177,8 @@
         """When a call that is made at `now` (ns) is given up."""
         stop_at_ns = min(tracked.deadline_at_ns, self._drain.stop_at_ns) - TIMER_INTERVAL_NS
         if self.quota.is_time_share:
-            room_ns = int(self.quota.room_ns(now))
-            stop_at_ns = min(stop_at_ns, now + room_ns - self._linger_ns)
+            remaining_ns = int(self.quota.remaining_ns(now))
+            stop_at_ns = min(stop_at_ns, now + remaining_ns - self._linger_ns)
         elif self.limit.base_ns and not self.breaker.is_open:
             timeout_ns = int(TIMEOUT_MULTIPLE * self.limit.usual_call_ns(now))
             stop_at_ns = min(stop_at_ns, now + max(SHORTEST_TIMEOUT_NS, timeout_ns))
@@ -193,11 +193,11 @@
         self.queue[tracked.request.ref] = tracked
 
     def set_quota(self, now: int, share: float) -> None:
-        """Sets the quota; calls in hand stay, and none is added past it.
+        """Sets the quota; calls open stay, and none is added past it.
 
         Args:
             now: the host's clock in ns.
-            share: the quota as a mean number of calls in hand, above 0.
+            share: the quota as a mean number of calls open, above 0.
         """
         self.quota.set_share(now, share)
         self.limit.set_most(share)
--- a/burlloom/admission/idempotency.py
+++ b/burlloom/admission/idempotency.py
@@ -78,7 +78,7 @@
         original = self.original_of(tracked)
         return original is not None and original.state == State.QUEUED
 
-    def key_cannot_be_kept(self, tracked: TrackedRequest, now: int) -> bool:
+    def key_cannot_be_recorded(self, tracked: TrackedRequest, now: int) -> bool:
         """Whether a keyed request's key has no window left, no record or no room.
 
         Room is left to run one request of its size on each core.
@@ -90,7 +90,7 @@
         return (
             not tracked.request.is_recordable
             or tracked.arrived_at_ns + request_class.idempotency_window_ns <= now
-            or not self._memory.has_room_for_key(reserve_kb)
+            or not self._memory.has_capacity_for_key(reserve_kb)
         )
 
     def keep_for_queued(self, tracked: TrackedRequest, now: int) -> None:
@@ -101,7 +101,7 @@
         elif (
             (self._cache_ttl_ns or request_class.max_staleness_ns)
             and is_idempotent(tracked)
-            and self._memory.has_room_for_key()
+            and self._memory.has_capacity_for_key()
         ):
             self._keep(tracked, tracked.deadline_at_ns, now)
 
@@ -115,7 +115,7 @@
         """Forgets the key of a request that did not run: a repeat of it may run."""
         if tracked.key_expires_at_ns:
             self._effects.forget(tracked.request.ref)
-            self._memory.kept_keys -= 1
+            self._memory.recorded_keys -= 1
             tracked.key_expires_at_ns = 0
 
     def release_ended(self, now: int) -> None:
@@ -128,12 +128,12 @@
             if tracked.key_expires_at_ns > now or tracked.ended_at_ns == now:
                 self.ended.append(tracked)
             else:
-                self._memory.kept_keys -= bool(tracked.key_expires_at_ns)
+                self._memory.recorded_keys -= bool(tracked.key_expires_at_ns)
                 del self.requests[tracked.request.ref]
                 self._effects.release(tracked.request.ref)
 
     def _keep(self, tracked: TrackedRequest, expires_at_ns: int, now: int) -> None:
-        self._memory.kept_keys += not tracked.key_expires_at_ns
+        self._memory.recorded_keys += not tracked.key_expires_at_ns
         tracked.key_expires_at_ns = expires_at_ns
         self._effects.remember(tracked.request.ref, expires_at_ns - now)
 
--- a/burlloom/admission/lifecycle.py
+++ b/burlloom/admission/lifecycle.py
@@ -123,7 +123,7 @@
 # with that result, whatever the load.
 TRANSITION_ROWS = """
 NEW              ARRIVED         may_have_run is_past_deadline    DROPPED          fail
-NEW              ARRIVED         may_have_run no_room_for_repeat  DROPPED          fail
+NEW              ARRIVED         may_have_run no_repeat_capacity  DROPPED          fail
 NEW              ARRIVED         may_have_run                     AWAITING_RESULT  reuse_result
 NEW              ARRIVED         is_rejected_by_service_level     DROPPED          reject_degraded
 NEW              ARRIVED         arrived_after_drain_grace        DROPPED          reject
@@ -131,7 +131,7 @@
 NEW              ARRIVED         cannot_meet_latency_objective    DROPPED          reject
 NEW              ARRIVED         server_is_hung                   DROPPED          reject
 NEW              ARRIVED         is_shed_for_failure_rate         DROPPED          reject
-NEW              ARRIVED         key_cannot_be_kept               DROPPED          reject
+NEW              ARRIVED         key_cannot_be_recorded               DROPPED          reject
 NEW              ARRIVED         queue_is_full                    DROPPED          reject_queue_full
 NEW              ARRIVED         -                                QUEUED           enqueue
 QUEUED           SLOT_FREE       cannot_meet_latency_objective    DROPPED          reject
@@ -292,9 +292,9 @@
     """
     transitions = []
     for row in filter(None, rows.split("\n")):
-        words = row.split()
+        columns = row.split()
         try:
-            state, what, *tests, next_state, effect = words
+            state, what, *tests, next_state, effect = columns
             if not tests:
                 raise TransitionTableError(row, "a row needs a test, or -")
             transition = Transition(
--- a/burlloom/admission/load_shedding.py
+++ b/burlloom/admission/load_shedding.py
@@ -21,7 +21,7 @@
 PRESSURE_GAIN = 0.07
 STRAIN_TARGET = 0.1
 CPU_EXPONENT = 3
-CALL_PRESSURE_KEPT_SHARE = 0.7
+CALL_PRESSURE_DECAY = 0.7
 
 
 class LoadShedding:
@@ -68,4 +68,4 @@
             more = self.call_pressure + PRESSURE_GAIN * self._arrivals.rejected_share(now)
             self.call_pressure = min(1.0, more)
         else:
-            self.call_pressure *= CALL_PRESSURE_KEPT_SHARE
+            self.call_pressure *= CALL_PRESSURE_DECAY
--- a/burlloom/admission/memory_budget.py
+++ b/burlloom/admission/memory_budget.py
@@ -18,11 +18,18 @@
 
     Attributes:
         requests_kb: what requests use now.
-        kept_keys: the number of idempotency keys kept.
+        recorded_keys: the number of idempotency keys kept.
         factors: what a request uses in each state, as a multiple of its own size.
     """
 
-    __slots__ = ("_key_kb", "_running_factor", "_usable_kb", "factors", "kept_keys", "requests_kb")
+    __slots__ = (
+        "_key_kb",
+        "_running_factor",
+        "_usable_kb",
+        "factors",
+        "recorded_keys",
+        "requests_kb",
+    )
 
     def __init__(self, settings: ServerSettings) -> None:
         """Makes an empty budget for a server with these settings."""
@@ -30,19 +37,19 @@
         self._running_factor = settings.running_memory_factor
         self._usable_kb = USABLE_MEMORY_SHARE * settings.memory_kb
         self.requests_kb = 0.0
-        self.kept_keys = 0
+        self.recorded_keys = 0
         self.factors = [settings.running_memory_factor] * len(State)
         self.factors[State.NEW] = self.factors[State.QUEUED] = 1.0
         self.factors[State.FINISHED] = self.factors[State.DROPPED] = 0.0
 
-    def has_room(self, memory_kb: float) -> bool:
+    def has_capacity(self, memory_kb: float) -> bool:
         """Whether so much more fits."""
-        return self.requests_kb + self.kept_keys * self._key_kb + memory_kb <= self._usable_kb
+        return self.requests_kb + self.recorded_keys * self._key_kb + memory_kb <= self._usable_kb
 
-    def has_room_for_key(self, reserve_kb: float = 0.0) -> bool:
+    def has_capacity_for_key(self, reserve_kb: float = 0.0) -> bool:
         """Whether one more idempotency key fits, beside a reserve."""
-        return self.has_room(self._key_kb + reserve_kb)
+        return self.has_capacity(self._key_kb + reserve_kb)
 
-    def has_room_to_run(self, tracked: TrackedRequest) -> bool:
+    def has_capacity_to_run(self, tracked: TrackedRequest) -> bool:
         """Whether a request that is counted already may be started."""
-        return self.has_room(tracked.request.memory_kb * (self._running_factor - 1))
+        return self.has_capacity(tracked.request.memory_kb * (self._running_factor - 1))
--- a/burlloom/admission/model.py
+++ b/burlloom/admission/model.py
@@ -133,7 +133,7 @@
         cold_speed_share: the speed of a cold executor, as a share of that of a warm one.
         warm_up_ns: how long it warms up.
         call_quota: this server's share of the calls that the downstream dependency survives, as a
-            mean number in hand; 0 where the dependency is not shared.
+            mean number open; 0 where the dependency is not shared.
         call_quota_window_ns: the span that the mean is taken over.
         abandoned_call_linger_ns: how long the dependency works on a call that was given up.
         drain_grace_ns: how long after a notice to stop requests are still taken.
--- a/burlloom/admission/rejection_reasons.py
+++ b/burlloom/admission/rejection_reasons.py
@@ -11,74 +11,39 @@
 | `cannot_meet_latency_objective` | it would be late here; another server may be faster |
 | `server_is_hung` | work is open and none moves (`health`) |
 | `is_shed_for_failure_rate` | runs fail here; newcomers are shed by that share, by chance |
-| `key_cannot_be_kept` | a repeat could not be recognised (`idempotency`) |
+| `key_cannot_be_recorded` | a repeat could not be recognised (`idempotency`) |
 | `queue_is_full` | no place in the queue, and nobody to evict (`admission_queue`) |
 
-A queued request is rejected when it is evicted, when the first, fourth or fifth of these come to
-hold, or when its run could not be recorded.
+A queued request is rejected when the service level takes it away, when it is past its deadline or
+cannot meet its latency objective any more, when it is evicted, or when its run could not be
+recorded.
 """
 
-from collections.abc import Callable
-
-from .admission_queue import AdmissionQueue
-from .concurrency_limit import ConcurrencyLimit
-from .drain import Drain
-from .health import HealthMonitor
-from .idempotency import IdempotencyKeys
 from .lifecycle import State, TrackedRequest
-from .load_shedding import LoadShedding
-from .memory_budget import MemoryBudget
-from .run_time_estimates import RunTimeEstimates
-from .service_levels import ServiceLevels
+from .rule_set import RuleSet
 from .timing import ANSWER_MARGIN_NS, TIMER_INTERVAL_NS
 
 __all__ = ["RejectionReasons"]
 
-SURE_SHARE_OF_ESTIMATE = 0.6
+CERTAIN_SHARE_OF_ESTIMATE = 0.6
 """What a run needs at the very least, as a share of its estimate."""
 
 
 class RejectionReasons:
     """The reasons, over the state of the other rules."""
 
-    def __init__(
-        self,
-        *,
-        queue: AdmissionQueue,
-        concurrency: ConcurrencyLimit,
-        memory: MemoryBudget,
-        shedding: LoadShedding,
-        idempotency: IdempotencyKeys,
-        estimates: RunTimeEstimates,
-        health: HealthMonitor,
-        service_levels: ServiceLevels,
-        drain: Drain,
-        random: Callable[[], float],
-    ) -> None:
-        """Reads the state of the given rules; changes none of it.
-
-        Args:
-            queue: the admission queue.
-            concurrency: the run limit.
-            memory: the memory budget.
-            shedding: the priority floor.
-            idempotency: original attempts and keys.
-            estimates: how long runs take.
-            health: hung work and failing runs.
-            service_levels: the level in force.
-            drain: the end of the server.
-            random: draws from 0 to under 1.
-        """
-        self._queue = queue
-        self._concurrency = concurrency
-        self._memory = memory
-        self._shedding = shedding
-        self._idempotency = idempotency
-        self._estimates = estimates
-        self._health = health
-        self._service_levels = service_levels
-        self._drain = drain
-        self._random = random
+    def __init__(self, rules: RuleSet) -> None:
+        """Reads the state of the rules; changes none of it."""
+        self._queue = rules.queue
+        self._concurrency = rules.concurrency
+        self._memory = rules.memory
+        self._shedding = rules.shedding
+        self._idempotency = rules.idempotency
+        self._estimates = rules.estimates
+        self._health = rules.health
+        self._service_levels = rules.service_levels
+        self._drain = rules.drain
+        self._random = rules.random
 
     def is_rejected_by_service_level(self, tracked: TrackedRequest, now: int) -> bool:
         """The service level in force takes it away."""
@@ -104,7 +69,7 @@
         expected_ns = self._estimates.expected_ns(now, request.request_class, request.cost_ns)
         others_queued = len(self._queue.requests) - (tracked.state == State.QUEUED)
         if others_queued <= 0:
-            return now + SURE_SHARE_OF_ESTIMATE * expected_ns > end_ns
+            return now + CERTAIN_SHARE_OF_ESTIMATE * expected_ns > end_ns
         return now + expected_ns > end_ns or now > tracked.early_rejection_at_ns
 
     def server_is_hung(self, tracked: TrackedRequest, now: int) -> bool:
@@ -115,9 +80,9 @@
         """Runs fail here, and chance picks this newcomer."""
         return self._random() < self._health.failure_rate(now)
 
-    def key_cannot_be_kept(self, tracked: TrackedRequest, now: int) -> bool:
+    def key_cannot_be_recorded(self, tracked: TrackedRequest, now: int) -> bool:
         """It is keyed, and a repeat of it could not be recognised."""
-        return self._idempotency.key_cannot_be_kept(tracked, now)
+        return self._idempotency.key_cannot_be_recorded(tracked, now)
 
     def queue_is_full(self, tracked: TrackedRequest, now: int) -> bool:
         """The queue has no place for it, and evicts nobody for it.
@@ -131,22 +96,22 @@
         return (
             oldest is None
             or not self._queue.is_stale(oldest, now)
-            or not self._memory.has_room(-oldest.request.memory_kb)
-            or self._is_below_floor(tracked)
+            or not self._memory.has_capacity(-oldest.request.memory_kb)
+            or self._is_under_floor(tracked)
         )
 
     def has_place(self, tracked: TrackedRequest) -> bool:
         """Whether the queue has a place for a newcomer without an eviction."""
-        return self._memory.has_room(0) and self._queue.has_place(
+        return self._memory.has_capacity(0) and self._queue.has_place(
             tracked.request.memory_kb,
             self._concurrency.limit,
             self._service_levels.degradation_for(tracked).queue_share,
-            is_below_floor=self._is_below_floor(tracked),
+            is_under_floor=self._is_under_floor(tracked),
         )
 
-    def no_room_for_repeat(self, tracked: TrackedRequest, now: int) -> bool:
+    def no_repeat_capacity(self, tracked: TrackedRequest, now: int) -> bool:
         """A repeat that waits for a result finds no place among the started, or no memory."""
-        return self._concurrency.is_at_ceiling(now) or not self._memory.has_room_to_run(tracked)
+        return self._concurrency.is_at_ceiling(now) or not self._memory.has_capacity_to_run(tracked)
 
-    def _is_below_floor(self, tracked: TrackedRequest) -> bool:
+    def _is_under_floor(self, tracked: TrackedRequest) -> bool:
         return tracked.request.priority < self._shedding.priority_floor()
--- a/burlloom/admission/run_time_estimates.py
+++ b/burlloom/admission/run_time_estimates.py
@@ -1,7 +1,7 @@
 """How long a request will run, by the runs of its class that ended last.
 
 Inputs: the time that each run took (ns) and the cost that its caller told. Rule: time for each unit
-of cost over the last `RUNS_KEPT` runs of the class within `RUNS_KEPT_FOR_NS`; where the newest
+of cost over the last `SAMPLE_RUNS` runs of the class within `SAMPLE_MAX_AGE_NS`; where the newest
 `NEWEST_RUNS` of them took much less, those alone count. Reason: few runs and a short memory, since
 slow spells of the dependency pass soon; and while a spell makes most newcomers look too late, few
 new runs end that could show that it is over.
@@ -14,8 +14,8 @@
 
 __all__ = ["RunTimeEstimates"]
 
-RUNS_KEPT = 16
-RUNS_KEPT_FOR_NS = 5000 * NS_PER_MS
+SAMPLE_RUNS = 16
+SAMPLE_MAX_AGE_NS = 5000 * NS_PER_MS
 NEWEST_RUNS = 4
 MUCH_QUICKER_SHARE = 0.7
 
@@ -34,7 +34,7 @@
 
     def __init__(self, settings: ServerSettings) -> None:
         """Makes estimates for the request classes of these settings."""
-        self._runs = [deque[EndedRun](maxlen=RUNS_KEPT) for _ in settings.request_classes]
+        self._runs = [deque[EndedRun](maxlen=SAMPLE_RUNS) for _ in settings.request_classes]
 
     def record(self, now: int, class_index: int, run_ns: int, cost_ns: int) -> None:
         """Adds a run that ended well.
@@ -55,7 +55,7 @@
             class_index: the request class.
             cost_ns: the cost that its caller told; 0 for none.
         """
-        oldest_ns = now - RUNS_KEPT_FOR_NS
+        oldest_ns = now - SAMPLE_MAX_AGE_NS
         runs = [run for run in self._runs[class_index] if run[0] > oldest_ns]
         if not runs:
             return 0.0
--- a/burlloom/dispatcher/desk.py
+++ b/burlloom/dispatcher/desk.py
@@ -216,7 +216,7 @@
 
     def calls(self) -> tuple[int, int]:
         """Calls in hand, with those left behind below; and how many txns wait for one."""
-        return self.choice.calls_in_hand(), self.choice.queued_call_count()
+        return self.choice.open_call_count(), self.choice.queued_call_count()
 
     def strain(self) -> tuple[float, float, float]:
         """The age of the oldest held txn, of its SLA time; the lag of reading, of the shortest one;
