--- a/burlloom/admission/call_limit.py
+++ b/burlloom/admission/call_limit.py
@@ -45,7 +45,7 @@
         self._calls = SlidingWindowSum(WINDOW_NS)
 
     def set_most(self, most: float) -> None:
-        """Follows a new quota; calls open stay, and none is added past it."""
+        """Follows a new quota; open calls stay, and none is added past it."""
         self.most = most
         self.limit = min(max(min(1.0, most), self.limit), most)
 
--- a/burlloom/admission/call_quota.py
+++ b/burlloom/admission/call_quota.py
@@ -1,14 +1,14 @@
 """This server's quota of calls to a dependency that the fleet shares.
 
-Inputs: the quota (a mean number of calls open), the time that calls spent open (ns). Rule: a
-quota of one call or more bounds the calls open at each moment, which `CallLimit` does. A quota
-under one is a share of time: calls open may use `share * window` ns within any window, and a
+Inputs: the quota (a mean number of open calls), the time that calls spent open (ns). Rule: a
+quota of one call or more bounds the open calls at each moment, which `CallLimit` does. A quota
+under one is a share of time: open calls may use `share * window` ns within any window, and a
 call is made only while what is left exceeds what a call needs. The window is the configured one, or
 so long that the share holds `LINGERS_IN_QUOTA` times the linger of an abandoned call. Reason: whole
 calls by every server at once, or all of them in step, would crowd the dependency.
 
-A life begins as if its share were just used up, but for a part by chance: nobody spends a whole
-share at a start, whatever the life before had spent, nor do servers that start together call in
+An incarnation begins as if its share were just used up, but for a part by chance: nobody spends a whole
+share at a start, whatever the one before had spent, nor do servers that start together call in
 step.
 """
 
@@ -73,7 +73,7 @@
 
         Args:
             now: the host's clock in ns.
-            share: the quota as a mean number of calls open.
+            share: the quota as a mean number of open calls.
         """
         self.share = share
         self.is_time_share = 0 < share < 1
@@ -100,7 +100,7 @@
         self._needed_ns = int(max(2 * self._linger_ns, min(needed_ns, self._quota_ns() / 2)))
 
     def remaining_ns(self, now: int) -> float:
-        """What is left of the quota at `now` (ns), as time of one call open."""
+        """What is left of the quota at `now` (ns), as time of one open call."""
         return self._quota_ns() - self._open_time_ns.total(now + self._phase_ns)
 
     def is_enough_for_call(self, now: int) -> bool:
--- a/burlloom/admission/controller.py
+++ b/burlloom/admission/controller.py
@@ -1,6 +1,6 @@
 """The decisions of one server: what it admits, starts, rejects and calls.
 
-A host makes one `AdmissionController` for each life of a server, calls `start`, and from then on
+A host makes one `AdmissionController` for each incarnation of a server, calls `start`, and from then on
 hands it each thing that happens, in order and with its time: `request_arrived`, `run_ended`,
 `call_requested`, `call_ended`, `caller_gone`, `drain`, `timer_fired` and, where they are on,
 `set_service_level` and `set_call_quota`. The controller acts at once through `model.Effects`.
@@ -50,7 +50,7 @@
 
 
 class AdmissionController:
-    """Decides for one life of a server.
+    """Decides for one incarnation of a server.
 
     Attributes:
         live_requests: the requests that are not over, by reference.
@@ -199,11 +199,11 @@
         self._machine.fill_free_slots(now)
 
     def set_call_quota(self, now: int, share: float) -> None:
-        """This server's quota of calls changes. Calls open stay; none is added past it.
+        """This server's quota of calls changes. Open calls stay; none is added past it.
 
         Args:
             now: the host's clock in ns.
-            share: the quota as a mean number of calls open, above 0.
+            share: the quota as a mean number of open calls, above 0.
         """
         self._advance_clock(now)
         self._calls.set_quota(now, share)
@@ -249,7 +249,7 @@
         return self._queue.exceeded
 
     def open_call_count(self) -> int:
-        """The number of calls open, with those given up that still linger."""
+        """The number of open calls, with those given up that still linger."""
         return self._calls.open_count(self._clock.now)
 
     def queued_call_count(self) -> int:
--- a/burlloom/admission/downstream_calls.py
+++ b/burlloom/admission/downstream_calls.py
@@ -41,7 +41,7 @@
 
 
 class DownstreamCalls:
-    """Calls that wait, calls open, and the rules for both.
+    """Calls that wait, open calls, and the rules for both.
 
     Attributes:
         queue: requests that wait for their call, by reference.
@@ -103,10 +103,10 @@
         self.breaker = CircuitBreaker()
         self.has_timed_out_calls = False
 
-    # Calls open.
+    # Open calls.
 
     def open_count(self, now: int) -> int:
-        """The number of calls open at `now` (ns), lingering ones included."""
+        """The number of open calls at `now` (ns), lingering ones included."""
         self.lingering_until_ns = [until for until in self.lingering_until_ns if until > now]
         return self._counts[State.IN_CALL] + len(self.lingering_until_ns)
 
@@ -193,11 +193,11 @@
         self.queue[tracked.request.ref] = tracked
 
     def set_quota(self, now: int, share: float) -> None:
-        """Sets the quota; calls open stay, and none is added past it.
+        """Sets the quota; open calls stay, and none is added past it.
 
         Args:
             now: the host's clock in ns.
-            share: the quota as a mean number of calls open, above 0.
+            share: the quota as a mean number of open calls, above 0.
         """
         self.quota.set_share(now, share)
         self.limit.set_most(share)
--- a/burlloom/admission/drain.py
+++ b/burlloom/admission/drain.py
@@ -6,7 +6,7 @@
 
 
 class Drain:
-    """The end of a server's life, once it is known.
+    """The end of a server, once it is known.
 
     Attributes:
         stop_at_ns: when the server stops; every request is answered before.
--- a/burlloom/admission/idempotency.py
+++ b/burlloom/admission/idempotency.py
@@ -67,7 +67,7 @@
         """Whether a run of this request could be a second one, or share the original's result."""
         original = self.original_of(tracked)
         if original is None:
-            # An original that is not known here may have run in a former life.
+            # An original that is not known here may have run in a former incarnation.
             return tracked.request.original_ref != NO_ORIGINAL
         return original.state != State.DROPPED and (
             original.state != State.QUEUED or is_idempotent(tracked)
--- a/burlloom/admission/lifecycle.py
+++ b/burlloom/admission/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request: its states, the inputs that move it, and the table of transitions.
+"""The lifecycle of a request: its states, the inputs that move it, and the table of transitions.
 
 Read `TRANSITIONS` first. A request in a state meets an input; of the rows for both, the first whose
 tests all hold moves it to the next state and has its effect. Where no row holds, nothing happens.
--- a/burlloom/admission/model.py
+++ b/burlloom/admission/model.py
@@ -220,7 +220,7 @@
         memory_kb: its size.
         priority: 0 to 1.
         original_ref: the attempt that it repeats: `NO_ORIGINAL` for none, a number that was never
-            given out for one of a former life.
+            given out for one of a former incarnation.
         is_recordable: whether the idempotency key that it wants could be recorded now.
         is_retry: it is marked as a retry or a hedged request.
         is_over_share: it is past its tenant's share.
--- a/burlloom/bench_adapter/codec.py
+++ b/burlloom/bench_adapter/codec.py
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """A life of a server begins.
+    """An incarnation of a server begins.
 
     Attributes:
         instance: the instance.
@@ -87,7 +87,7 @@
         document: its settings.
     """
 
-    WORD: ClassVar[str] = "BOOT"
+    NAME: ClassVar[str] = "BOOT"
     instance: str
     seed: int
     document: SettingsDocument
@@ -95,13 +95,13 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceKilled:
-    """A life of a server is over.
+    """An incarnation of a server is over.
 
     Attributes:
         instance: the instance.
     """
 
-    WORD: ClassVar[str] = "KILLED"
+    NAME: ClassVar[str] = "KILLED"
     instance: str
 
 
@@ -122,7 +122,7 @@
         original: the attempt that it repeats; "" for none.
     """
 
-    WORD: ClassVar[str] = "ASK"
+    NAME: ClassVar[str] = "ASK"
     instance: str
     name: str
     caller: str
@@ -146,7 +146,7 @@
         duration_ns: the time that it took.
     """
 
-    WORD: ClassVar[str] = "COMPLETED"
+    NAME: ClassVar[str] = "COMPLETED"
     instance: str
     name: str
     outcome: Outcome
@@ -162,7 +162,7 @@
         name: the request.
     """
 
-    WORD: ClassVar[str] = "NEEDS"
+    NAME: ClassVar[str] = "NEEDS"
     instance: str
     name: str
 
@@ -178,7 +178,7 @@
         duration_ns: the time that it took.
     """
 
-    WORD: ClassVar[str] = "CALL_DONE"
+    NAME: ClassVar[str] = "CALL_DONE"
     instance: str
     name: str
     outcome: Outcome
@@ -194,7 +194,7 @@
         name: the request.
     """
 
-    WORD: ClassVar[str] = "LEFT"
+    NAME: ClassVar[str] = "LEFT"
     instance: str
     name: str
 
@@ -208,7 +208,7 @@
         stop_at_ns: when it stops.
     """
 
-    WORD: ClassVar[str] = "WIND_DOWN"
+    NAME: ClassVar[str] = "WIND_DOWN"
     instance: str
     stop_at_ns: int
 
@@ -223,7 +223,7 @@
         measured: the values of the instance's meters; `None` where there are none.
     """
 
-    WORD: ClassVar[str] = "WAKE"
+    NAME: ClassVar[str] = "WAKE"
     instance: str
     handle: int
     measured: tuple[float, ...] | None
@@ -369,14 +369,14 @@
 
 
 DECODERS: dict[str, tuple[int, Callable[[list[str]], Event]]] = {
-    InstanceStarted.WORD: (3, _instance_started),
-    InstanceKilled.WORD: (1, _instance_killed),
-    RequestRead.WORD: (13, _request_read),
-    RunEnded.WORD: (4, _run_ended),
-    CallRequested.WORD: (2, _call_requested),
-    CallEnded.WORD: (4, _call_ended),
-    CallerGone.WORD: (2, _caller_gone),
-    DrainNoticed.WORD: (2, _drain_noticed),
-    TimerFired.WORD: (3, _timer_fired),
+    InstanceStarted.NAME: (3, _instance_started),
+    InstanceKilled.NAME: (1, _instance_killed),
+    RequestRead.NAME: (13, _request_read),
+    RunEnded.NAME: (4, _run_ended),
+    CallRequested.NAME: (2, _call_requested),
+    CallEnded.NAME: (4, _call_ended),
+    CallerGone.NAME: (2, _caller_gone),
+    DrainNoticed.NAME: (2, _drain_noticed),
+    TimerFired.NAME: (3, _timer_fired),
 }
 """For each event, how many values it takes, and what reads them."""
--- a/burlloom/bench_adapter/host.py
+++ b/burlloom/bench_adapter/host.py
@@ -29,14 +29,14 @@
 UNKNOWN_REF = -1
 """Of a request that the instance does not know; the decisions pass it over."""
 
-FORMER_LIFE_REF = -2
-"""Of an original attempt that this life was never given."""
+FORMER_INCARNATION_REF = -2
+"""Of an original attempt that this incarnation was never given."""
 
 ANSWERED_FROM_STORE = 1
 
 
 class Instance:
-    """One life of one simulated server; implements `admission.model.Effects`.
+    """One incarnation of a simulated server; implements `admission.model.Effects`.
 
     Attributes:
         name: the instance on the wire.
@@ -73,7 +73,7 @@
         """Gives a request its number."""
         original_ref = NO_ORIGINAL
         if event.original:
-            original_ref = self._refs.get(event.original, FORMER_LIFE_REF)
+            original_ref = self._refs.get(event.original, FORMER_INCARNATION_REF)
         ref = self._next_ref
         self._next_ref += 1
         self._refs[event.name] = ref
@@ -101,7 +101,7 @@
         try:
             return parse_gauges(self._meters, event.measured)
         except ValueError as error:
-            raise UnreadableValueError(event.WORD, error) from error
+            raise UnreadableValueError(event.NAME, error) from error
 
     def apply(self, now: int, event: Event) -> None:
         """Hands an event to the decisions.
@@ -255,9 +255,9 @@
             try:
                 int(name)
             except ValueError as error:
-                raise UnreadableValueError(event.WORD, error) from error
+                raise UnreadableValueError(event.NAME, error) from error
             problem = ValueError(f"instance {name} has not been started")
-            raise UnreadableValueError(event.WORD, problem)
+            raise UnreadableValueError(event.NAME, problem)
 
     def _apply(self, now: int, event: Event) -> Instance:
         if isinstance(event, InstanceStarted):
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -86,7 +86,7 @@
     "load_report_kind": LoadReportKind,
 }
 NAME_OF_NO_REQUEST = "-"
-FORMER_LIFE_REF = -2
+FORMER_INCARNATION_REF = -2
 UNKNOWN_REF_OFFSET = 7
 
 
@@ -221,7 +221,7 @@
     def original_ref(self, name: str) -> int:
         if name == NAME_OF_NO_REQUEST:
             return NO_ORIGINAL
-        return self.names.index(name) if name in self.names else FORMER_LIFE_REF
+        return self.names.index(name) if name in self.names else FORMER_INCARNATION_REF
 
 
 def outcome_and_duration(words: list[str]) -> tuple[Outcome, int]:
