--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -40,7 +40,7 @@
 )
 from scale_swarms import after_cut, after_deaths, after_restart, metered, swarm_of
 
-from burlloom.discovery.reports import EVERY, Reports
+from burlloom.discovery.health_reporter import REPORT_INTERVAL_NS, HealthReporter
 from burlloom.fleet import (
     MILLICALLS_PER_CALL,
     Fleet,
@@ -50,7 +50,7 @@
     assign_subsets,
     summarize,
 )
-from burlloom.fleet.allocator import ShareReport
+from burlloom.fleet.accounts import ShareReport
 from burlloom.fleet.messages import Message, MessageKind, decode, encode
 from burlloom.lab.slopes import Row, exponent_word, fit, keep
 from burlloom.rollout import DisruptionBudget, RolloutState, ServerReport
@@ -190,12 +190,12 @@
         ]
         all_of = [word._replace(state=MemberState(word.state)) for word in all_of]
         fleet = filled(all_of, 0)
-        fleet.refresh_presences()
-        fleet.next_probe_target()
+        fleet.quota.refresh_presences()
+        fleet.prober.next_target()
         return fleet
 
     def dealing(fleet: Fleet) -> None:
-        fleet.allocator.run_round(START, fleet.presences, True)
+        fleet.allocator.run_round(START, fleet.quota.presences, True)
         for at, word in enumerate(words(size)):
             fleet.allocator.process_report(
                 START,
@@ -385,14 +385,14 @@
         service.bind(("127.0.0.1", 0))
         service.setblocking(False)
         for word in words(size):
-            reports = Reports(service.getsockname(), word.name)
-            reports.said = True
-            for _ in range(SECOND // EVERY):
+            reports = HealthReporter(service.getsockname(), word.name)
+            reports.last_reported = True
+            for _ in range(SECOND // REPORT_INTERVAL_NS):
                 began = thread_time_ns()
-                reports.report()
+                reports.send()
                 spent += thread_time_ns() - began
-            reports.sock.close()
-            for _ in range(SECOND // EVERY):
+            reports.socket.close()
+            for _ in range(SECOND // REPORT_INTERVAL_NS):
                 octets += len(service.recv(2048))
                 heard += 1
     note = "real reports over loopback, five a second from each; the name service itself is the platform's and not measured"
--- a/burlloom/distribution/status_report.py
+++ b/burlloom/distribution/status_report.py
@@ -1,4 +1,4 @@
-"""What is told of a copy: a line where its head moved, the keys' files, the state's file."""
+"""What a process reports of its replica: log lines, key files, the state file."""
 
 import json
 import logging
@@ -13,15 +13,17 @@
 
 
 class HeadLogger:
-    """Looked at some times a second. From line to line `from` is the revision after the last `to`:
-    all that was applied in between, in the chain's order, of which `tag` is the end; or else a sync
-    set all at once.
+    """Logs a line whenever the head moved.
+
+    `from` is the revision after the last line's `to`: the line covers all that was applied in
+    between, in the chain's order, and `tag` is the chain's end. A sync has a line of its own.
     """
 
     def __init__(self, replica: Replica) -> None:
         self.replica, self.head = replica, replica.head
 
     def log_moves(self) -> None:
+        """Log what was applied since the last call."""
         head, before = self.replica.head, self.head
         if head == before or head is None:
             return
@@ -29,12 +31,12 @@
         if before is None or before.epoch != head.epoch or log_.base_revision > before.revision:
             # Of a sync that ended, and of what was applied after it: one line each.
             at = log_.base_revision
-            log.info("event=distribution-synced epoch=%d revision=%d", head.epoch, at)
+            log.info("event=config_synced epoch=%d revision=%d", head.epoch, at)
             if at == head.revision:
                 return
             before = Head(head.epoch, at, b"", 0)
         log.info(
-            "event=distribution-applied epoch=%d from=%d to=%d tag=%s time_ms=%d",
+            "event=config_changes_applied epoch=%d from=%d to=%d tag=%s time_ms=%d",
             head.epoch,
             before.revision + 1,
             head.revision,
@@ -44,9 +46,7 @@
 
 
 class KeyFile:
-    """The keys of a file, looked at once a second. A file that can't be used leaves them as they
-    are.
-    """
+    """The keys of a file, polled once a second; an unusable file leaves the keys as they are."""
 
     def __init__(self, path: Path, read: Callable[[], tuple[bytes, ...]], what: str) -> None:
         self.path, self.read, self.what = path, read, what
@@ -54,12 +54,14 @@
         self.seen_mtime = self.modified()
 
     def modified(self) -> float:
+        """Return the file's time of change, in s; 0 where there is none."""
         try:
             return self.path.stat().st_mtime
         except OSError:
             return 0.0
 
     def reload_if_changed(self) -> bool:
+        """Read the file if it was changed; returns whether other keys are in force now."""
         seen = self.modified()
         if seen == self.seen_mtime:
             return False
@@ -69,16 +71,17 @@
             if not keys:
                 raise ValueError("no key")
         except (OSError, ValueError) as error:
-            log.warning("event=distribution-keys-refused what=%s detail=%r", self.what, str(error))
+            log.warning("event=config_keys_rejected what=%s detail=%r", self.what, str(error))
             return False
         if keys == self.keys:
             return False
         self.keys = keys
-        log.info("event=distribution-keys what=%s count=%d", self.what, len(keys))
+        log.info("event=config_keys_reloaded what=%s count=%d", self.what, len(keys))
         return True
 
 
 def write_state(path: str, told: Mapping[str, object]) -> None:
+    """Replace the state file at once; a failure is logged."""
     part = path + ".part"
     try:
         with open(part, "w", encoding="utf-8") as file:
@@ -89,7 +92,7 @@
 
 
 def replica_summary(replica: Replica) -> dict[str, object]:
-    """Of a copy, for the state's file."""
+    """Return a replica's digest and counts, for the state file."""
     table = replica.table
     return {
         "digest": f"{table.digest():016x}",
--- a/burlloom/lab/rolls.py
+++ b/burlloom/lab/rolls.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections.abc import Callable, Sequence
+from dataclasses import replace
 from typing import Any
 
 from numpy.random import default_rng
@@ -11,7 +12,7 @@
 from ..operator import RolloutPart
 from ..rollout import OrderRejectedError, RolloutState
 from ..rollout.liveness import ServerReport
-from ..rollout.stores import StateSnapshot, StoreUnavailableError
+from ..rollout.stores import RolloutStore, StateSnapshot, StoreUnavailableError
 from ..server.configured_rollout import ConfiguredRolloutParticipation
 from ..server.rollout import NoRolloutParticipation, RolloutParticipation
 from ..server.server import Server
@@ -37,7 +38,7 @@
         self.emulator.replace(self.node)
 
 
-class SimulatedRolloutStore:
+class SimulatedRolloutStore(RolloutStore):
     """`loses`: the share of steps whose answer is lost, before or after they took hold."""
 
     def __init__(self, loses: float, seed: int) -> None:
@@ -77,7 +78,7 @@
     async def heartbeat(self, epoch: int) -> None:
         def step() -> None:
             if epoch == self.snapshot.state.epoch:
-                self.snapshot = self.snapshot._replace(heartbeat=self.snapshot.heartbeat + 1)
+                self.snapshot = replace(self.snapshot, heartbeat=self.snapshot.heartbeat + 1)
 
         await self.way(step)
 
@@ -179,8 +180,10 @@
     def order(self, order: Callable[[RolloutState], RolloutState]) -> bool:
         """An operator's, taken at once; False where it was denied."""
         try:
-            self.shelf.snapshot = self.shelf.snapshot._replace(
-                revision=self.shelf.snapshot.revision + 1, state=order(self.shelf.snapshot.state)
+            self.shelf.snapshot = replace(
+                self.shelf.snapshot,
+                revision=self.shelf.snapshot.revision + 1,
+                state=order(self.shelf.snapshot.state),
             )
         except OrderRejectedError:
             return False
--- a/burlloom/rollout/agent.py
+++ b/burlloom/rollout/agent.py
@@ -7,7 +7,7 @@
 
 from enum import IntEnum
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 from .instance import InstanceInput as Step
 from .instance import InstanceState as At
 from .state import SERVERS_GROUP, RolloutState
@@ -39,7 +39,7 @@
 UNCERTAIN STATE_OUT      - DRAINING  drain
 UNCERTAIN STATE_OTHER    - SERVING   -
 """
-RULES = rows(TABLE, AgentState, AgentInput, str, str)
+RULES = parse_transitions(TABLE, AgentState, AgentInput, str, str)
 
 
 class DrainAgent:
--- a/burlloom/rollout/stores/base.py
+++ b/burlloom/rollout/stores/base.py
@@ -1,41 +1,81 @@
-"""What keeps the book: every store offers these, and refuses in one way."""
+"""What every store of the rollout state offers; each store is one module beside this one.
 
-from typing import NamedTuple, Protocol
+All methods but `close` raise `StoreUnavailableError`, and a write that raised it may have been
+taken or not. What can't be read raises `StateDecodeError`.
+"""
+
+from abc import ABC, abstractmethod
+from dataclasses import dataclass
 
 from ...record.store import StoreUnavailableError as StoreUnavailableError
 from ..liveness import ServerReport
 from ..state import RolloutState
 
+__all__ = ["RolloutStore", "StateSnapshot", "StoreUnavailableError"]
+
+
+@dataclass(frozen=True, slots=True)
+class StateSnapshot:
+    """The rollout state as it was read.
 
-class StateSnapshot(NamedTuple):
-    """The book as it was read. `beat`: whoever leads raises it."""
+    Attributes:
+        revision: Grows with each write; a write names the revision that it was made from.
+        heartbeat: Raised by the leader each round while it lives.
+        state: What is agreed.
+    """
 
     revision: int
     heartbeat: int
     state: RolloutState
 
 
-class RolloutStore(Protocol):
-    """All but `close` raise `Away`; what is read raises `Unreadable`."""
+class RolloutStore(ABC):
+    """Keeps the rollout state, and each server's newest report."""
 
+    @abstractmethod
     async def open(self) -> None:
-        """Takes missing schema steps, and begins an empty book where there is none."""
+        """Takes missing schema steps, and writes an empty state where there is none."""
 
+    @abstractmethod
     async def read(self, known: StateSnapshot | None = None) -> StateSnapshot:
-        """`known`: a page read before, whose book is not read again if nothing was written."""
+        """Reads the state.
+
+        Args:
+            known: A snapshot read before; its state is reused if nothing was written since.
+        """
+
+    @abstractmethod
+    async def compare_and_swap(self, snapshot: StateSnapshot, state: RolloutState) -> bool:
+        """Writes `state` if nobody wrote since `snapshot` was read.
 
-    async def compare_and_swap(self, page: StateSnapshot, book: RolloutState) -> bool:
-        """Writes the book that was made from this page, if nobody wrote since. On disk when it says
-        yes.
+        Returns:
+            Whether it was written; then it is on disk.
         """
 
-    async def heartbeat(self, epoch: int) -> None: ...
-    async def report(self, member: ServerReport) -> bool:
-        """False: a later life has this name, and the word was not taken."""
+    @abstractmethod
+    async def heartbeat(self, epoch: int) -> None:
+        """Raises the leader's heartbeat; does nothing where the epoch is another by now."""
 
+    @abstractmethod
+    async def report(self, report: ServerReport) -> bool:
+        """Stores a server's report in place of its last one.
+
+        Returns:
+            False where a later incarnation has reported under this name; nothing is written then.
+        """
+
+    @abstractmethod
     async def last_report(self, name: str) -> ServerReport | None:
-        """What was told under this name last."""
+        """Returns the newest report under this name; None where there is none."""
+
+    @abstractmethod
+    async def reports(self) -> list[ServerReport]:
+        """Returns the newest report of each server."""
+
+    @abstractmethod
+    async def forget_report(self, name: str) -> None:
+        """Deletes the report under this name, if there is one."""
 
-    async def reports(self) -> list[ServerReport]: ...
-    async def forget_report(self, name: str) -> None: ...
-    async def close(self) -> None: ...
+    @abstractmethod
+    async def close(self) -> None:
+        """Lets go of the store; never raises."""
--- a/burlloom/rollout/stores/leader_round.py
+++ b/burlloom/rollout/stores/leader_round.py
@@ -1,26 +1,42 @@
-"""A round of whoever may lead, between its decisions and the shelf; servers and `burlloom rollout
-drive` share it.
+"""One round of a process that may lead: its decisions, and the store's reads and writes.
+
+Servers and `burlloom rollout drive` share it.
 """
 
 from ..leader import RolloutLeader
 from .base import RolloutStore, StateSnapshot
 
+__all__ = ["run_leader_round"]
+
 
 async def run_leader_round(
-    lead: RolloutLeader, shelf: RolloutStore, page: StateSnapshot, now: int
+    leader: RolloutLeader, store: RolloutStore, snapshot: StateSnapshot, now_ns: int
 ) -> list[tuple[int, str]]:
-    """Takes the lead where nobody has it; where we have it, decides. Gives the steps that were
-    taken, in words; none where another wrote before us: the next round looks anew. Raises `Away`.
+    """Acquires leadership where nobody has it; where it is ours, decides and writes.
+
+    Args:
+        leader: The process's own part in leading.
+        store: Where the state is kept.
+        snapshot: The state as it was just read.
+        now_ns: On a clock that nobody sets.
+
+    Returns:
+        The steps that were taken, each with its number; none where another process wrote first,
+        and the next round reads anew.
+
+    Raises:
+        StoreUnavailableError: The store was lost on the way.
     """
-    taken = lead.acquire_leadership(now, page.state, page.heartbeat)
-    if taken is not None:
-        return list(taken.history[-1:]) if await shelf.compare_and_swap(page, taken) else []
-    if not lead.is_leader(page.state):
+    acquired = leader.acquire_leadership(now_ns, snapshot.state, snapshot.heartbeat)
+    if acquired is not None:
+        is_written = await store.compare_and_swap(snapshot, acquired)
+        return list(acquired.history[-1:]) if is_written else []
+    if not leader.is_leader(snapshot.state):
         return []
-    await shelf.heartbeat(page.state.epoch)
-    book = lead.run_round(now, page.state, await shelf.reports())
-    for name in lead.unknown_servers:
-        await shelf.forget_report(name)
-    if book is page.state or not await shelf.compare_and_swap(page, book):
+    await store.heartbeat(snapshot.state.epoch)
+    state = leader.run_round(now_ns, snapshot.state, await store.reports())
+    for name in leader.unknown_servers:
+        await store.forget_report(name)
+    if state is snapshot.state or not await store.compare_and_swap(snapshot, state):
         return []
-    return [note for note in book.history if note[0] > page.state.step]
+    return [entry for entry in state.history if entry[0] > snapshot.state.step]
--- a/burlloom/server/call_share.py
+++ b/burlloom/server/call_share.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from ..dispatcher import Desk
+from ..dispatcher import Dispatcher
 from ..fleet import MILLICALLS_PER_CALL
 
 if TYPE_CHECKING:
@@ -33,13 +33,13 @@
     def __init__(self, fleet: Fleet, call_cap: Callable[[], float]) -> None:
         self.fleet = fleet
         self.call_cap = call_cap
-        self.dispatcher: Desk | None = None
+        self.dispatcher: Dispatcher | None = None
         self._applied = -1
         self._demand = 0.0
 
     def report_demand(self) -> None:
-        """Reports to the fleet what is wanted and what is in use; before each of its ticks."""
-        in_use, waiting = self.dispatcher.calls() if self.dispatcher is not None else (0, 0)
+        """Reports what is wanted and what is in use; before each tick of the fleet's."""
+        in_use, waiting = self.dispatcher.call_demand() if self.dispatcher is not None else (0, 0)
         self._demand = max(float(in_use + waiting), DEMAND_DECAY * self._demand)
         self.fleet.set_usage(
             int(min(self._demand, self.call_cap()) * MILLICALLS_PER_CALL),
@@ -51,7 +51,7 @@
         share = min(self.fleet.share, int(min(self.call_cap(), MAX_CALLS) * MILLICALLS_PER_CALL))
         if self.dispatcher is not None and share != self._applied:
             self._applied = share
-            self.dispatcher.share_calls(max(MIN_CALL_SHARE, share / MILLICALLS_PER_CALL))
+            self.dispatcher.set_call_quota(max(MIN_CALL_SHARE, share / MILLICALLS_PER_CALL))
 
 
 def call_shares(fleet: Fleet) -> tuple[float, float]:
--- a/burlloom/server/configuration.py
+++ b/burlloom/server/configuration.py
@@ -9,7 +9,7 @@
 from ..admission.model import ServerSettings
 from ..errors import BurlloomError
 from ..settings import parse_server_settings
-from ..sockets import MS
+from ..sockets import NS_PER_MS
 from .configuration_schema import MAX_PORT, ConfigurationFault, find_faults
 
 Address = tuple[str, int]
@@ -132,7 +132,7 @@
         discovery_address=parse_address(configuration["naming"]),
         downstream_address=parse_address(downstream) if downstream else None,
         seed=int(configuration["seed"], 16),
-        stop_ns=int(configuration["stop_ms"]) * MS,
+        stop_ns=int(configuration["stop_ms"]) * NS_PER_MS,
         settings=settings,
         max_sockets=int(limits.get("sockets", DEFAULT_MAX_SOCKETS)),
         memory_bytes=int(memory_mb * BYTES_PER_MB),
--- a/burlloom/server/configured_membership.py
+++ b/burlloom/server/configured_membership.py
@@ -14,25 +14,25 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from ..dispatcher import Desk
+from ..dispatcher import Dispatcher
 from ..fleet import MILLICALLS_PER_CALL, Fleet, MemberState, MemberUpdate, summarize
 from ..operator import FleetPart
 from ..operator.fleet import read_keys
-from ..sockets import MS, SECOND, Tasks, rest
+from ..sockets import NS_PER_MS, NS_PER_SECOND, TaskSupervisor, sleep_ns
 from .call_share import CallShare, call_shares
 from .clock import boot_time_ns
 from .recovery import RestartRecovery
 from .service_subset import ServiceSubset, split_address
 
 if TYPE_CHECKING:
-    from ..downstream import Pool
-    from ..downstream.spread import Pools
+    from ..downstream import ConnectionPool
+    from ..downstream.service_pools import ServicePools
 
 log = logging.getLogger(__name__)
 
-TICK_NS = 50 * MS
+TICK_NS = 50 * NS_PER_MS
 # Between looks at the keys' file and at the members for the subset, and writings of the state file.
-REFRESH_INTERVAL_NS = SECOND
+REFRESH_INTERVAL_NS = NS_PER_SECOND
 WEIGHT_PARTS = 1000
 
 
@@ -59,7 +59,7 @@
         sock: socket.socket,
         name: str,
         seed: int,
-        tasks: Tasks,
+        tasks: TaskSupervisor,
         recovery: RestartRecovery,
     ) -> None:
         self.settings = settings
@@ -83,7 +83,7 @@
             random,
             self.clock(),
         )
-        self.fleet.weight = int(settings.weight * WEIGHT_PARTS)
+        self.fleet.set_weight(int(settings.weight * WEIGHT_PARTS))
         self.call_share = CallShare(self.fleet, recovery.call_cap)
         self.subset = self._create_subset(random) if settings.services else None
         self._transport: asyncio.DatagramTransport | None = None
@@ -122,7 +122,7 @@
             len(self.settings.services),
         )
 
-    def attach_dispatcher(self, dispatcher: Desk) -> None:
+    def attach_dispatcher(self, dispatcher: Dispatcher) -> None:
         """Has this dispatcher's calls bound by the server's share from now on."""
         self.call_share.dispatcher = dispatcher
         self.call_share.apply()
@@ -135,7 +135,7 @@
         self._tick()
         return False
 
-    def select_pool(self, pool: Pool) -> Pool | Pools:
+    def select_pool(self, pool: ConnectionPool) -> ConnectionPool | ServicePools:
         """Returns the pools for the subset's services, or `pool` where there is no subset."""
         return self.subset.pools if self.subset is not None else pool
 
@@ -198,7 +198,7 @@
             except Exception:
                 # Without further ticks the server would lose its share for good.
                 log.exception("event=internal_error task=membership")
-            await rest(TICK_NS)
+            await sleep_ns(TICK_NS)
 
     def _tick(self) -> None:
         now = self.clock()
@@ -262,7 +262,7 @@
             log.warning("event=membership_keys_rejected detail=%r", str(error))
             return
         if keys != self.fleet.keys:
-            self.fleet.keys = keys
+            self.fleet.set_keys(keys)
             log.info("event=membership_keys_loaded count=%d", len(keys))
 
     def _write_state(self, path: str, now: int) -> None:
--- a/burlloom/server/configured_recovery.py
+++ b/burlloom/server/configured_recovery.py
@@ -10,8 +10,8 @@
 from typing import TYPE_CHECKING
 
 from .. import recovery as decisions
-from ..dispatcher import Desk
-from ..sockets import MS, SECOND
+from ..dispatcher import Dispatcher
+from ..sockets import NS_PER_MS, NS_PER_SECOND
 
 if TYPE_CHECKING:
     from ..recovery import RecoveryPolicy
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-WRITE_INTERVAL_NS = SECOND
+WRITE_INTERVAL_NS = NS_PER_SECOND
 # What an infinite cap is logged as.
 MAX_LOGGED_CALLS = 1e9
 
@@ -57,7 +57,7 @@
         self.membership = membership
         self.calls_without_fleet = calls_without_fleet
         self.state_file = state_file
-        self.incarnation = time.time_ns() // MS
+        self.incarnation = time.time_ns() // NS_PER_MS
         found = decisions.parse_snapshot(self._read_state_file())
         self.recovery = decisions.RecoveryController(
             policy, found, name, clock(), self.incarnation, is_alone
@@ -65,7 +65,7 @@
         # Old addresses do no harm: whoever is there answers with a sealed message.
         snapshot = self.recovery.snapshot
         self.known_members = snapshot.peer_addresses if snapshot is not None else ()
-        self._dispatcher: Desk | None = None
+        self._dispatcher: Dispatcher | None = None
         self._record_incarnation = -1
         self._written_ns = 0
         self._holds_back = False
@@ -78,7 +78,7 @@
             len(self.known_members),
         )
 
-    def attach_dispatcher(self, dispatcher: Desk, record_incarnation: int) -> None:
+    def attach_dispatcher(self, dispatcher: Dispatcher, record_incarnation: int) -> None:
         """Begins the recovery, with the first request that may come.
 
         Args:
@@ -90,7 +90,7 @@
         if record_incarnation >= 0:
             self.recovery.record_opened(record_incarnation, self.clock())
         self._holds_back = True
-        dispatcher.hold_back(True)
+        dispatcher.set_recovering(True)
         self.update()
 
     def previous_incarnation_seen(self, incarnation: int) -> None:
@@ -131,10 +131,10 @@
                 self._elapsed_ms(now),
             )
             if shares is None:
-                dispatcher.share_calls(min(cap, self.calls_without_fleet))
+                dispatcher.set_call_quota(min(cap, self.calls_without_fleet))
         if self.recovery.is_complete and self._holds_back:
             self._holds_back = False
-            dispatcher.hold_back(False)
+            dispatcher.set_recovering(False)
             log.warning(
                 "event=recovery_completed elapsed_ms=%d held_back=%d",
                 self._elapsed_ms(now),
@@ -157,7 +157,7 @@
         self._write_state_file(own, clean=True)
 
     def _elapsed_ms(self, now: int) -> int:
-        return (now - self.recovery.started_at_ns) // MS
+        return (now - self.recovery.started_at_ns) // NS_PER_MS
 
     def _log_effects(self) -> None:
         for cause, effect in self.recovery.pending_log_entries:
@@ -189,7 +189,7 @@
         snapshot = decisions.RecoverySnapshot(
             self.name,
             self.incarnation,
-            time.time_ns() // MS,
+            time.time_ns() // NS_PER_MS,
             self._record_incarnation,
             share,
             clean,
--- a/burlloom/server/configured_request_record.py
+++ b/burlloom/server/configured_request_record.py
@@ -10,17 +10,17 @@
 from itertools import chain
 
 from ..admission.model import Idempotency, Outcome, RequestClass
-from ..dispatcher import Desk, Packed, RunEnded
+from ..dispatcher import Dispatcher, PackedKeyDigests, RunEnded
 from ..record import failpoints
 from ..record.coordinator import RecordCoordinator
 from ..record.store import StoreRefusedError
-from ..sockets import MS
+from ..sockets import NS_PER_MS
 from .configuration import ConfigurationError
 
 log = logging.getLogger(__name__)
 
 # That an answer keeps until its deadline, whatever it waits for.
-ANSWER_MARGIN_NS = 100 * MS
+ANSWER_MARGIN_NS = 100 * NS_PER_MS
 
 
 class ConfiguredRequestRecord:
@@ -59,9 +59,9 @@
         self.clock = clock
         self._start_run = start_run
         self.is_shared = is_shared
-        self.dispatcher: Desk | None = None
+        self.dispatcher: Dispatcher | None = None
         self.previous_note, self.incarnation = "", -1
-        self._read_back = Packed()
+        self._read_back = PackedKeyDigests()
 
     async def open(self) -> None:
         """Opens the store and reads back what this node knew.
@@ -78,25 +78,27 @@
             self.coordinator.previous_notice,
             self.coordinator.incarnation,
         )
-        self._read_back = Packed(chain.from_iterable(self.coordinator.read_recorded_keys()))
+        self._read_back = PackedKeyDigests(
+            chain.from_iterable(self.coordinator.read_recorded_keys())
+        )
         await self.coordinator.start()
         log.info(
             "event=record_opened node=%s incarnation=%d clock_shift_ms=%d migrated=%s keys=%d"
             " unfinished_runs=%d elapsed_ms=%d",
             opened.node,
             opened.incarnation,
-            opened.clock_shift_ns // MS,
+            opened.clock_shift_ns // NS_PER_MS,
             ",".join(map(str, opened.migrated)) or "-",
             len(self._read_back),
             len(self.coordinator.started_rows),
-            (self.clock() - began) // MS,
+            (self.clock() - began) // NS_PER_MS,
         )
 
     def write_note(self, text: str) -> None:
         """Writes a note for the node's next incarnation."""
         self.coordinator.store.save_notice(text)
 
-    def attach_dispatcher(self, dispatcher: Desk, executor_began_ns: int) -> None:
+    def attach_dispatcher(self, dispatcher: Dispatcher, executor_began_ns: int) -> None:
         """Hands the dispatcher what was read back; ends of runs are reported to it from now on.
 
         Args:
@@ -104,16 +106,16 @@
             executor_began_ns: Unix ns of the executor's start: runs from before it are over.
         """
         self.dispatcher = dispatcher
-        dispatcher.ledger.plant_ended(self._read_back)
+        dispatcher.idempotency_table.restore_ended_keys(self._read_back)
         for key_digest, until, asked in self.coordinator.resume_after_restart(executor_began_ns):
-            dispatcher.ledger.plant(key_digest, until, not asked)
+            dispatcher.idempotency_table.restore_open_key(key_digest, until, not asked)
 
     def accepts_claims(self) -> bool:
         """Returns whether a claim could be written now."""
         return self.coordinator.may_claim()
 
     def begin_run(
-        self, key_digest: bytes, request_id: str, received_ns: int, request_class: int
+        self, key_digest: bytes, request_id: str, sent_at_ns: int, request_class: int
     ) -> None:
         """Claims a keyed request, which then runs; has any other run at once."""
         known = self.request_classes[request_class]
@@ -121,8 +123,8 @@
             self.coordinator.begin_claim(
                 key_digest,
                 request_id,
-                received_ns,
-                received_ns + known.idempotency_window_ns,
+                sent_at_ns,
+                sent_at_ns + known.idempotency_window_ns,
                 known.latency_objective_ns,
             )
         else:
@@ -133,24 +135,24 @@
         self.coordinator.finish_run(request_id, outcome, result)
 
     async def wait_until_durable(
-        self, key_digest: bytes, received_ns: int, request_class: int
+        self, key_digest: bytes, sent_at_ns: int, request_class: int
     ) -> None:
         """Waits until the end of a keyed run is durable, for as long as the answer may wait."""
         known = self.request_classes[request_class]
         if known.idempotency is Idempotency.KEYED:
             until = min(
                 self.clock() + int(self.max_wait_share * known.latency_objective_ns),
-                received_ns + known.deadline_ns - ANSWER_MARGIN_NS,
+                sent_at_ns + known.deadline_ns - ANSWER_MARGIN_NS,
             )
             await self.coordinator.wait_until_durable(key_digest, until)
             failpoints.hit("answering")
 
     async def look_up(
-        self, key_digest: bytes, request_id: str, received_ns: int, request_class: int
+        self, key_digest: bytes, request_id: str, sent_at_ns: int, request_class: int
     ) -> None:
         """Asks the store what became of a request; the dispatcher is told what is found."""
         known = self.request_classes[request_class]
-        window_end = received_ns + known.idempotency_window_ns
+        window_end = sent_at_ns + known.idempotency_window_ns
         await self.coordinator.look_up(
             key_digest, request_id, window_end, known.latency_objective_ns
         )
@@ -205,12 +207,12 @@
     def complete(self, key_digest: bytes, result: bytes | None) -> None:
         """Reports that a request has run, with its result where it is known."""
         if self.dispatcher is not None:
-            self.dispatcher.settle(key_digest, result)
+            self.dispatcher.complete_key(key_digest, result)
 
     def release(self, key_digest: bytes) -> None:
         """Reports that a request has not run, and may."""
         if self.dispatcher is not None:
-            self.dispatcher.free(key_digest)
+            self.dispatcher.release_key(key_digest)
 
     def register(self, key_digest: bytes, until: int) -> None:
         """Reports a request of another node's that may be running.
@@ -220,13 +222,13 @@
             until: Unix ns of the end of its window.
         """
         if self.dispatcher is not None:
-            self.dispatcher.ledger.plant(key_digest, until, False)
+            self.dispatcher.idempotency_table.restore_open_key(key_digest, until, False)
 
     def forget(self, key_digest: bytes) -> None:
         """Reports that nobody will ever know what became of a run."""
         if self.dispatcher is not None:
-            self.dispatcher.lose(key_digest)
+            self.dispatcher.abandon_key(key_digest)
 
     def _report_end(self, request_id: str, outcome: Outcome) -> None:
         if self.dispatcher is not None:
-            self.dispatcher.report(RunEnded(request_id, outcome, 0, b""))
+            self.dispatcher.handle_event(RunEnded(request_id, outcome, 0, b""))
--- a/burlloom/server/configured_rollout.py
+++ b/burlloom/server/configured_rollout.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from ..admission.model import RequestClass
-from ..dispatcher import Kind
+from ..dispatcher import DirectiveKind
 from ..operator import RolloutPart
 from ..rollout import (
     SERVERS_GROUP,
@@ -29,7 +29,7 @@
     StoreUnavailableError,
 )
 from ..rollout.stores.leader_round import run_leader_round
-from ..sockets import MS, Tasks, rest
+from ..sockets import NS_PER_MS, TaskSupervisor, sleep_ns
 from .clock import boot_time_ns
 from .rollout import RolloutHost
 
@@ -70,7 +70,7 @@
         version: str,
         request_classes: tuple[RequestClass, ...],
         clock: Callable[[], int],
-        tasks: Tasks,
+        tasks: TaskSupervisor,
         host: RolloutHost,
         membership: Callable[[], FleetMembership],
         interval_clock: Callable[[], int] = boot_time_ns,
@@ -110,19 +110,19 @@
         """
         self._task = self.tasks.start(self._keep_polling(), "rollout")
 
-    def request_answered(self, kind: Kind, request_class: int, received_ns: int) -> None:
+    def request_answered(self, kind: DirectiveKind, request_class: int, sent_at_ns: int) -> None:
         """Counts an answer.
 
         Args:
             kind: What was answered.
             request_class: The request's class, its place in the settings.
-            received_ns: When it was read, in Unix ns.
+            sent_at_ns: When its caller sent it, in Unix ns.
         """
-        if kind in (Kind.SETTLE, Kind.SETTLE_AS):
+        if kind in (DirectiveKind.COMPLETE, DirectiveKind.COMPLETE_AS_ORIGINAL):
             self._completed += 1
             objective_ns = self.request_classes[request_class].latency_objective_ns
-            self._late += self.clock() - received_ns > objective_ns
-        elif kind is Kind.DECLINE:
+            self._late += self.clock() - sent_at_ns > objective_ns
+        elif kind is DirectiveKind.REJECT:
             self._rejected += 1
         else:
             self._failed += 1
@@ -174,7 +174,7 @@
             except Exception:
                 # Without further polls the server would count as missing.
                 log.exception("event=internal_error task=rollout")
-            await rest(pause * self.settings.poll_ms * MS)
+            await sleep_ns(pause * self.settings.poll_ms * NS_PER_MS)
 
     def _max_pause(self) -> int:
         """Returns the longest pause, in polls: the server must not count as silent for it."""
@@ -218,7 +218,9 @@
             self._previous_incarnation = (
                 last.incarnation if last.phase is ServerPhase.LEAVING else 0
             )
-        self._incarnation = max(self.clock() // MS, last.incarnation + 1 if last is not None else 0)
+        self._incarnation = max(
+            self.clock() // NS_PER_MS, last.incarnation + 1 if last is not None else 0
+        )
         self._agent = DrainAgent(self.name, self._incarnation)
         if self.settings.leads:
             self._leader = RolloutLeader(
@@ -243,7 +245,7 @@
 
     async def _report(self) -> None:
         now, phase = self.interval_clock(), self._phase()
-        is_due = now - self._reported_ns >= self.settings.beat_ms * MS
+        is_due = now - self._reported_ns >= self.settings.beat_ms * NS_PER_MS
         if phase == self._reported_phase and not is_due:
             return
         self._heartbeats += 1
--- a/burlloom/server/configured_service_levels.py
+++ b/burlloom/server/configured_service_levels.py
@@ -14,7 +14,7 @@
 
 from .. import levels as decisions
 from ..admission.model import Gauges, RequestClass
-from ..dispatcher import Desk
+from ..dispatcher import Dispatcher
 from ..levels import (
     DegradationController,
     HysteresisPolicy,
@@ -23,14 +23,14 @@
     LevelPlan,
     SignalReadings,
 )
-from ..sockets import MS, SECOND
+from ..sockets import NS_PER_MS, NS_PER_SECOND
 from .level_pin import PinFile
 from .service_levels import NoteStore, sampling_draw
 
 log = logging.getLogger(__name__)
 
-PIN_INTERVAL_NS = SECOND  # between looks at the pin's file
-STATE_INTERVAL_NS = 5 * SECOND  # between writings of the state file where nothing changed
+PIN_INTERVAL_NS = NS_PER_SECOND  # between looks at the pin's file
+STATE_INTERVAL_NS = 5 * NS_PER_SECOND  # between writings of the state file where nothing changed
 # Signals that every server measures itself.
 OWN_SIGNALS = frozenset({"age", "lag", "press", "late", "calls", "sockets"})
 STORE_SIGNAL = "store"
@@ -96,14 +96,14 @@
         self._late = decisions.signals.RecentShare()
         self._failed_calls = decisions.signals.RecentShare()
         self.levels: DegradationController | None = None
-        self._dispatcher: Desk | None = None
+        self._dispatcher: Dispatcher | None = None
         self._notes: NoteStore | None = None
         self._last_change: LevelChange | None = None
         self._pin_read_ns = 0
         self._state_written_ns = 0
         self._changed_ns = 0
 
-    def attach_dispatcher(self, dispatcher: Desk, is_cold: bool, notes: NoteStore) -> None:
+    def attach_dispatcher(self, dispatcher: Dispatcher, is_cold: bool, notes: NoteStore) -> None:
         """Has this dispatcher serve at the level where the last incarnation ended, if any.
 
         Args:
@@ -131,7 +131,7 @@
             levels.state_machine.policy.max_changes_per_minute,
         )
         if levels.status.level:
-            dispatcher.serve_at(levels.service_level())
+            dispatcher.set_service_level(levels.service_level())
 
     def count_request(self, tenant: str) -> bool:
         """Counts a request of a tenant; returns whether the tenant is over its share."""
@@ -141,11 +141,11 @@
         """Returns a caller's draw: a level's trial takes those whose draw is under its share."""
         return sampling_draw(caller)
 
-    def request_completed(self, request_class: int, received_ns: int) -> None:
+    def request_completed(self, request_class: int, sent_at_ns: int) -> None:
         """Counts a completed request, late where it took longer than its latency objective."""
         now = self.clock()
         objective_ns = self.request_classes[request_class][1].latency_objective_ns
-        self._late.add(now, now - received_ns > objective_ns)
+        self._late.add(now, now - sent_at_ns > objective_ns)
 
     def call_ended(self, succeeded: bool) -> None:
         """Counts the end of a call."""
@@ -181,7 +181,7 @@
             "level": float(levels.status.level),
             "trial_part": levels.trial_share,
             **{
-                f"seconds_{name.replace('-', '_')}": spent / SECOND
+                f"seconds_{name.replace('-', '_')}": spent / NS_PER_SECOND
                 for name, spent in levels.time_at_level_ns.items()
             },
             **{f"signal_{name}": value for name, value in levels.values.items()},
@@ -201,7 +201,7 @@
 
     def _readings(self, now: int, measured: Gauges) -> SignalReadings:
         assert self._dispatcher is not None
-        age, lag, pressure = self._dispatcher.strain()
+        age, lag, pressure = self._dispatcher.load_signals()
         return SignalReadings(
             cpu_utilization=known_or_none(measured.cpu_utilization),
             contention=known_or_none(measured.runnable / self.cores),
@@ -246,7 +246,7 @@
             change.value,
             change.bound,
         )
-        self._dispatcher.serve_at(self.levels.service_level())
+        self._dispatcher.set_service_level(self.levels.service_level())
         self.steps[change.effect] = self.steps.get(change.effect, 0) + 1
         if change.before != change.after and self._notes is not None:
             self._notes.write_note(change.after)
@@ -273,7 +273,7 @@
             "phase": status.phase.name.lower(),
             "part": levels.trial_share,
             "since": status.since_ns,
-            "stay_ms": levels.state_machine.min_stay_ns(status) // MS,
+            "stay_ms": levels.state_machine.min_stay_ns(status) // NS_PER_MS,
             "moved_at": self._changed_ns,
             "last": change_state(self._last_change),
             "pin": pin_state(levels.pin),
@@ -283,7 +283,8 @@
             "measured": sorted(self._signals),
             "steps": levels.transition_counts,
             "seconds": {
-                name: round(spent / SECOND, 1) for name, spent in levels.time_at_level_ns.items()
+                name: round(spent / NS_PER_SECOND, 1)
+                for name, spent in levels.time_at_level_ns.items()
             },
         }
 
--- a/burlloom/server/followed_configuration.py
+++ b/burlloom/server/followed_configuration.py
@@ -15,15 +15,15 @@
 from ..distribution.follower import summary
 from ..distribution.status_report import HeadLogger, KeyFile, replica_summary, write_state
 from ..operator import DistributionPart
-from ..sockets import MS, SECOND, Tasks, rest
+from ..sockets import NS_PER_MS, NS_PER_SECOND, TaskSupervisor, sleep_ns
 from .clock import boot_time_ns
 from .tenant_portions import ServedTenants, TenantPortions
 
 log = logging.getLogger(__name__)
 
-TICK_NS = 50 * MS
-REFRESH_INTERVAL_NS = SECOND  # between looks at the keys, and writings of the state file
-IN_FORCE_POLL_NS = 5 * MS
+TICK_NS = 50 * NS_PER_MS
+REFRESH_INTERVAL_NS = NS_PER_SECOND  # between looks at the keys, and writings of the state file
+IN_FORCE_POLL_NS = 5 * NS_PER_MS
 MS_PER_SECOND = 1000
 
 
@@ -51,7 +51,7 @@
         sock: socket.socket,
         name: str,
         seed: int,
-        tasks: Tasks,
+        tasks: TaskSupervisor,
         is_shutting_down: Callable[[], bool],
     ) -> None:
         self.settings = settings
@@ -59,7 +59,7 @@
         self.tasks = tasks
         self.is_shutting_down = is_shutting_down
         self.clock = boot_time_ns
-        incarnation = time.time_ns() // MS
+        incarnation = time.time_ns() // NS_PER_MS
         self._seal_keys = KeyFile(Path(settings.key_file), settings.keys, "seals")
         self._signing_keys = KeyFile(
             Path(settings.signing_key_file), settings.signing_keys, "signing"
@@ -117,20 +117,20 @@
         self._task = self.tasks.start(self._keep_ticking(), "distribution")
         began = self.clock()
         while self._must_wait(began):
-            await rest(IN_FORCE_POLL_NS)
+            await sleep_ns(IN_FORCE_POLL_NS)
         self._head_logger.log_moves()
         if self.replica.head is None:
             log.warning(
                 "event=distribution_not_in_force waited_ms=%d tenants=%d"
                 " detail='the configuration file holds until a first sync'",
-                (self.clock() - began) // MS,
+                (self.clock() - began) // NS_PER_MS,
                 len(self._configured),
             )
 
     def _must_wait(self, began: int) -> bool:
         if self.replica.head is not None or self.is_shutting_down():
             return False
-        return self.clock() - began < self.settings.wait_ms * MS
+        return self.clock() - began < self.settings.wait_ms * NS_PER_MS
 
     def counts(self) -> dict[str, int]:
         """Returns counts since the start, by the end of the metric's name."""
@@ -179,7 +179,7 @@
             except Exception:
                 # Without further ticks the server would follow nobody.
                 log.exception("event=internal_error task=distribution")
-            await rest(TICK_NS)
+            await sleep_ns(TICK_NS)
 
     def _tick(self) -> None:
         now = self.clock()
@@ -215,7 +215,7 @@
             self.follower.keys = self._seal_keys.keys
         if self._signing_keys.reload_if_changed():
             self.replica.keys = self._signing_keys.keys
-        self.endpoint.log_refusals(now // SECOND, self.follower.refusals)
+        self.endpoint.log_refusals(now // NS_PER_SECOND, self.follower.refusals)
         if self.settings.state_file is not None:
             write_state(self.settings.state_file, self._summary(now))
 
--- a/burlloom/server/membership.py
+++ b/burlloom/server/membership.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING, Protocol
 
-from ..dispatcher import Desk
+from ..dispatcher import Dispatcher
 
 if TYPE_CHECKING:
-    from ..downstream import Pool
-    from ..downstream.spread import Pools
+    from ..downstream import ConnectionPool
+    from ..downstream.service_pools import ServicePools
 
 
 class FleetMembership(Protocol):
@@ -17,13 +17,13 @@
     async def open(self) -> None:
         """Joins the fleet."""
 
-    def attach_dispatcher(self, dispatcher: Desk) -> None:
+    def attach_dispatcher(self, dispatcher: Dispatcher) -> None:
         """Has this dispatcher's calls bound by the server's share from now on."""
 
     def may_call(self) -> bool:
         """Returns whether the server's share is still known; asked just before a call leaves."""
 
-    def select_pool(self, pool: Pool) -> Pool | Pools:
+    def select_pool(self, pool: ConnectionPool) -> ConnectionPool | ServicePools:
         """Returns what makes the calls: `pool`, or pools for the services that this server calls.
 
         Args:
@@ -56,14 +56,14 @@
     async def open(self) -> None:
         """Does nothing."""
 
-    def attach_dispatcher(self, dispatcher: Desk) -> None:
+    def attach_dispatcher(self, dispatcher: Dispatcher) -> None:
         """Does nothing: calls are bound by the platform's settings."""
 
     def may_call(self) -> bool:
         """Returns True."""
         return True
 
-    def select_pool(self, pool: Pool) -> Pool | Pools:
+    def select_pool(self, pool: ConnectionPool) -> ConnectionPool | ServicePools:
         """Returns the pool as it is."""
         return pool
 
--- a/burlloom/server/operator_subsystems.py
+++ b/burlloom/server/operator_subsystems.py
@@ -14,7 +14,7 @@
 from ..levels.plan import find_plan_faults
 from ..operator import DistributionPart, Faults, FleetPart, Operator, load
 from ..record.store import StoreRefusedError
-from ..sockets import MS, SECOND
+from ..sockets import NS_PER_MS, NS_PER_SECOND
 from .configuration import ConfigurationError, ServerConfig
 from .metrics_exposition import MetricsExposition
 from .subsystems import SubsystemFactory
@@ -35,7 +35,7 @@
 # Between faults of the operator's file: each is printed on a line of its own.
 FAULT_SEPARATOR = "\nburlloom.server: "
 # A share of less than one call is a share of this time, where the platform sets no other.
-DEFAULT_CALL_QUOTA_WINDOW_NS = 5 * SECOND
+DEFAULT_CALL_QUOTA_WINDOW_NS = 5 * NS_PER_SECOND
 
 
 def load_subsystems(
@@ -82,7 +82,7 @@
                 ]
             )
         classes = tuple(
-            replace(request_class, max_staleness_ns=levels.kept_ms.get(name, 0) * MS)
+            replace(request_class, max_staleness_ns=levels.kept_ms.get(name, 0) * NS_PER_MS)
             for name, request_class in zip(names, settings.request_classes, strict=True)
         )
         settings = replace(settings, request_classes=classes)
@@ -112,11 +112,12 @@
     Raises:
         StoreRefusedError: The name is too long for datagrams, or the address can't be bound.
     """
-    from ..fleet.messages import NAME_MOST
+    from ..fleet.messages import MAX_NAME_BYTES
 
-    if not 0 < len(name.encode()) <= NAME_MOST:
+    if not 0 < len(name.encode()) <= MAX_NAME_BYTES:
         raise StoreRefusedError(
-            f"fleet: the name {name!r:.80} is over {NAME_MOST} bytes; letters carry no longer one"
+            f"fleet: the name {name!r:.80} is over {MAX_NAME_BYTES} bytes;"
+            " letters carry no longer one"
         )
     host, port = part.listen.rsplit(":", 1)
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -185,7 +186,7 @@
         if operator.fleet is not None:
             self.membership_socket = bind_membership_socket(operator.fleet, config.name)
         if operator.rollout is not None:
-            from ..rollout.stores.opening import create_rollout_store
+            from ..rollout.stores.factory import create_rollout_store
 
             self.rollout_store = create_rollout_store(operator)
             self.release = os.environ.get(RELEASE_VARIABLE) or operator.rollout.version
@@ -220,7 +221,7 @@
                 part.claim_share,
                 part.hold_share,
                 part.open_most,
-                part.doubt_wait_ms * MS,
+                part.doubt_wait_ms * NS_PER_MS,
             ),
             max(request_class.latency_objective_ns for request_class in classes),
             server.clock,
@@ -272,7 +273,7 @@
             config.tenant_portions,
             config.settings.cores,
             server.clock,
-            lambda: len(server.front.connections) / server.front.most,
+            lambda: len(server.front.connections) / server.front.max_connections,
             terms=part.terms(),
             store=partial(record_strain, self.coordinator, server.clock)
             if self.coordinator
--- a/burlloom/server/recovery.py
+++ b/burlloom/server/recovery.py
@@ -6,8 +6,8 @@
 import time
 from typing import Protocol
 
-from ..dispatcher import Desk
-from ..sockets import MS
+from ..dispatcher import Dispatcher
+from ..sockets import NS_PER_MS
 
 
 class RestartRecovery(Protocol):
@@ -21,7 +21,7 @@
     incarnation: int
     known_members: tuple[str, ...]
 
-    def attach_dispatcher(self, dispatcher: Desk, record_incarnation: int) -> None:
+    def attach_dispatcher(self, dispatcher: Dispatcher, record_incarnation: int) -> None:
         """Begins the recovery, with the first request that may come.
 
         Args:
@@ -69,9 +69,9 @@
 
     def __init__(self) -> None:
         """Takes the present time for the incarnation."""
-        self.incarnation = time.time_ns() // MS
+        self.incarnation = time.time_ns() // NS_PER_MS
 
-    def attach_dispatcher(self, dispatcher: Desk, record_incarnation: int) -> None:
+    def attach_dispatcher(self, dispatcher: Dispatcher, record_incarnation: int) -> None:
         """Does nothing."""
 
     def previous_incarnation_seen(self, incarnation: int) -> None:
--- a/burlloom/server/request_record.py
+++ b/burlloom/server/request_record.py
@@ -6,14 +6,14 @@
 from typing import Protocol
 
 from ..admission.model import Outcome
-from ..dispatcher import Desk
+from ..dispatcher import Dispatcher
 
 
 class RequestRecord(Protocol):
     """Where keyed requests are claimed before they run, and their results kept.
 
-    `key_digest` is that of a request, `request_class` its place in the settings, `received_ns` when
-    it was read, in Unix ns.
+    `key_digest` is that of a request, `request_class` its place in the settings, `sent_at_ns` when
+    its caller sent it, in Unix ns.
 
     Attributes:
         keeps_results: Whether results may be read that memory no longer has.
@@ -38,7 +38,7 @@
     def write_note(self, text: str) -> None:
         """Writes a note for the node's next incarnation."""
 
-    def attach_dispatcher(self, dispatcher: Desk, executor_began_ns: int) -> None:
+    def attach_dispatcher(self, dispatcher: Dispatcher, executor_began_ns: int) -> None:
         """Hands the dispatcher what was read back; ends of runs are reported to it from now on.
 
         Args:
@@ -50,7 +50,7 @@
         """Returns whether a claim could be written now."""
 
     def begin_run(
-        self, key_digest: bytes, request_id: str, received_ns: int, request_class: int
+        self, key_digest: bytes, request_id: str, sent_at_ns: int, request_class: int
     ) -> None:
         """Has a request run as soon as it may: a keyed one, once its claim is durable."""
 
@@ -58,12 +58,12 @@
         """Writes the end of a run."""
 
     async def wait_until_durable(
-        self, key_digest: bytes, received_ns: int, request_class: int
+        self, key_digest: bytes, sent_at_ns: int, request_class: int
     ) -> None:
         """Waits until the end of a run is durable, for as long as the answer may wait."""
 
     async def look_up(
-        self, key_digest: bytes, request_id: str, received_ns: int, request_class: int
+        self, key_digest: bytes, request_id: str, sent_at_ns: int, request_class: int
     ) -> None:
         """Asks the store what became of a request; the dispatcher is told what is found."""
 
@@ -108,7 +108,7 @@
     def write_note(self, text: str) -> None:
         """Does nothing."""
 
-    def attach_dispatcher(self, dispatcher: Desk, executor_began_ns: int) -> None:
+    def attach_dispatcher(self, dispatcher: Dispatcher, executor_began_ns: int) -> None:
         """Does nothing."""
 
     def accepts_claims(self) -> bool:
@@ -116,7 +116,7 @@
         return True
 
     def begin_run(
-        self, key_digest: bytes, request_id: str, received_ns: int, request_class: int
+        self, key_digest: bytes, request_id: str, sent_at_ns: int, request_class: int
     ) -> None:
         """Has the request run at once."""
         self.start_run(request_id)
@@ -125,12 +125,12 @@
         """Does nothing."""
 
     async def wait_until_durable(
-        self, key_digest: bytes, received_ns: int, request_class: int
+        self, key_digest: bytes, sent_at_ns: int, request_class: int
     ) -> None:
         """Returns at once."""
 
     async def look_up(
-        self, key_digest: bytes, request_id: str, received_ns: int, request_class: int
+        self, key_digest: bytes, request_id: str, sent_at_ns: int, request_class: int
     ) -> None:
         """Returns at once."""
 
--- a/burlloom/server/rollout.py
+++ b/burlloom/server/rollout.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from ..dispatcher import Kind
+from ..dispatcher import DirectiveKind
 
 
 class RolloutParticipation(Protocol):
@@ -13,13 +13,13 @@
     def open(self) -> None:
         """Begins to report; the server listens by now."""
 
-    def request_answered(self, kind: Kind, request_class: int, received_ns: int) -> None:
+    def request_answered(self, kind: DirectiveKind, request_class: int, sent_at_ns: int) -> None:
         """Counts an answer.
 
         Args:
             kind: What was answered.
             request_class: The request's class, its place in the settings.
-            received_ns: When it was read, in Unix ns.
+            sent_at_ns: When its caller sent it, in Unix ns.
         """
 
     async def close(self) -> None:
@@ -32,7 +32,7 @@
     def open(self) -> None:
         """Does nothing."""
 
-    def request_answered(self, kind: Kind, request_class: int, received_ns: int) -> None:
+    def request_answered(self, kind: DirectiveKind, request_class: int, sent_at_ns: int) -> None:
         """Does nothing."""
 
     async def close(self) -> None:
--- a/burlloom/server/server.py
+++ b/burlloom/server/server.py
@@ -10,25 +10,25 @@
 from typing import TYPE_CHECKING
 
 from ..admission.model import Gauges, Idempotency, ServerSettings
-from ..discovery import Reports
-from ..dispatcher import Desk, Leaving
-from ..downstream import Pool
-from ..executor import Link
-from ..rpc import Front, Known
+from ..discovery import HealthReporter
+from ..dispatcher import Dispatcher, DrainStarted
+from ..downstream import ConnectionPool
+from ..executor import ExecutorConnection
+from ..rpc import RequestRules, RpcListener
 from ..settings import parse_gauges
-from ..sockets import MS, Tasks, out_of_descriptors, rest
+from ..sockets import NS_PER_MS, TaskSupervisor, is_out_of_descriptors, sleep_ns
 from .clock import Clock
 from .configuration import ConfigurationError, ServerConfig, read_config
 from .request_handler import RequestHandler
 from .subsystems import SubsystemFactory
 
 if TYPE_CHECKING:
-    from ..downstream.spread import Pools
+    from ..downstream.service_pools import ServicePools
 
 log = logging.getLogger(__name__)
 
-SHUTDOWN_POLL_NS = 10 * MS
-GAUGES_TIMEOUT_NS = 30 * MS  # later ones would be of another moment
+SHUTDOWN_POLL_NS = 10 * NS_PER_MS
+GAUGES_TIMEOUT_NS = 30 * NS_PER_MS  # later ones would be of another moment
 # Of the process's memory, for results that retries may ask for: one part in so many.
 RESULT_MEMORY_DIVISOR = 8
 # File descriptors, at least, for the executor, calls, reports and what the process itself holds.
@@ -36,7 +36,7 @@
 # Of them, without calls: what the process holds, and idle connections that calls may use again.
 OWN_DESCRIPTORS = 32
 # Before the kill: what the last answers and this process need to get out.
-LAST_WRITES_NS = 250 * MS
+LAST_WRITES_NS = 250 * NS_PER_MS
 
 
 def max_connections(max_sockets: int, settings: ServerSettings) -> int:
@@ -84,14 +84,14 @@
     ) -> None:
         self.config = config
         self.clock = Clock()
-        self.tasks = Tasks()
+        self.tasks = TaskSupervisor()
         self.is_shutting_down = False
         self.stopped = asyncio.Event()
         self.address = listener.getsockname()
         self.requests = RequestHandler(config, self.clock, self.tasks)
         self.factory = factory or SubsystemFactory()
         self.subsystems = self.factory.create(self)
-        self.front = Front(
+        self.front = RpcListener(
             listener,
             self._known_requests(),
             max_connections(config.max_sockets, config.settings),
@@ -103,19 +103,19 @@
             self.is_healthy,
             self.requests.load_report,
         )
-        link = Link(
+        link = ExecutorConnection(
             config.executor_address,
             self.tasks,
             self.executor_connected,
             self.requests.run_ended,
             self.requests.run_reached_call,
-            self.front.make_room,
+            self.front.free_descriptor,
         )
-        pool = Pool(config.downstream_address, self.front.make_room)
+        pool = ConnectionPool(config.downstream_address, self.front.free_descriptor)
         self.connect(link, self.subsystems.membership.select_pool(pool))
-        self.reports = Reports(config.discovery_address, config.name)
+        self.reports = HealthReporter(config.discovery_address, config.name)
 
-    def connect(self, link: Link, pool: Pool | Pools) -> None:
+    def connect(self, link: ExecutorConnection, pool: ConnectionPool | ServicePools) -> None:
         """Sets what runs requests and what they call.
 
         Args:
@@ -126,13 +126,13 @@
         self.pool = pool
         self.requests.connect(self.subsystems, link, pool)
 
-    def _known_requests(self) -> Known:
+    def _known_requests(self) -> RequestRules:
         classes = self.config.settings.request_classes
         is_keyed = {
             name: request_class.idempotency is Idempotency.KEYED
             for name, request_class in zip(self.config.class_names, classes, strict=True)
         }
-        return Known(
+        return RequestRules(
             is_keyed,
             self.subsystems.distribution.served_tenants(self.config.tenant_portions),
             max(request_class.deadline_ns for request_class in classes),
@@ -158,37 +158,37 @@
         """
         await self.subsystems.open()
         self.front.listen()
-        self.tasks.start(self.link.keep(), "executor")
-        self.tasks.start(self.reports.keep(), "naming")
-        self.tasks.start(self.front.keep(), "front")
+        self.tasks.start(self.link.maintain(), "executor")
+        self.tasks.start(self.reports.run(), "naming")
+        self.tasks.start(self.front.run(), "front")
         self.subsystems.rollout.open()
         log.info("event=listening name=%s address=%s:%d", self.config.name, *self.address)
 
-    async def main_loop(self, dispatcher: Desk) -> None:
+    async def main_loop(self, dispatcher: Dispatcher) -> None:
         """Has the decisions take a round whenever the next one is due, without end."""
-        due = dispatcher.tick(Gauges())
+        due = dispatcher.fire_due_timers(Gauges())
         while True:
-            await rest(due - self.clock())
+            await sleep_ns(due - self.clock())
             try:
                 due = await self._round(dispatcher)
             except Exception:
                 # The next round is due all the same: without it no open request would ever be
                 # given up.
                 log.exception("event=internal_error task=main_loop")
-                due = dispatcher.due
+                due = dispatcher.next_timer_ns
 
-    async def _round(self, dispatcher: Desk) -> int:
+    async def _round(self, dispatcher: Dispatcher) -> int:
         """Takes a round of the decisions; returns when the next one is due, in Unix ns."""
-        values = await self.link.gauges(GAUGES_TIMEOUT_NS)
+        values = await self.link.query_gauges(GAUGES_TIMEOUT_NS)
         names = self.config.gauge_names
         is_complete = values is not None and len(values) == len(names)
         measured = parse_gauges(names, values) if is_complete and values is not None else Gauges()
-        due = dispatcher.tick(measured)
+        due = dispatcher.fire_due_timers(measured)
         self.subsystems.levels.update(measured)
         self.subsystems.recovery.update()
-        self.reports.tell(self.is_healthy())
-        self.front.idle = dispatcher.idle_for
-        self.pool.sweep()
+        self.reports.report_health(self.is_healthy())
+        self.front.idle_timeout_ns = dispatcher.idle_timeout_ns
+        self.pool.close_expired()
         return due
 
     async def shutdown(self) -> None:
@@ -208,10 +208,10 @@
         except ConfigurationError as error:
             log.warning("event=reload_failed detail=%r", str(error))
             return
-        self.link.move(config.executor_address)
-        self.pool.move(config.downstream_address)
-        self.reports.move(config.discovery_address)
-        self.front.most = max_connections(config.max_sockets, config.settings)
+        self.link.change_address(config.executor_address)
+        self.pool.change_address(config.downstream_address)
+        self.reports.change_address(config.discovery_address)
+        self.front.max_connections = max_connections(config.max_sockets, config.settings)
         downstream = config.downstream_address
         log.info(
             "event=reloaded executor=%s:%d downstream=%s discovery=%s:%d",
@@ -226,7 +226,7 @@
         except ConfigurationError as error:
             # The file itself needs a descriptor: idle clients that hold them all must not hide
             # where all went.
-            if not out_of_descriptors(error.__cause__) or not self.front.make_room():
+            if not is_out_of_descriptors(error.__cause__) or not self.front.free_descriptor():
                 raise
             return read_config()
 
@@ -239,7 +239,7 @@
     def is_healthy(self) -> bool:
         """Returns whether balancers should send requests here."""
         dispatcher = self.requests.dispatcher
-        return dispatcher is not None and dispatcher.healthy and not self.is_shutting_down
+        return dispatcher is not None and dispatcher.is_healthy and not self.is_shutting_down
 
     def is_healthy_and_recovered(self) -> bool:
         """Returns whether balancers should send requests here and the recovery is complete."""
@@ -255,12 +255,12 @@
         if self.requests.dispatcher is not None or self.is_shutting_down:
             return
         log.info("event=executor_connected cold=%s age_ms=%d", is_cold, age_ms)
-        dispatcher = self.requests.dispatcher = Desk(
+        dispatcher = self.requests.dispatcher = Dispatcher(
             replace(self.config.settings, starts_cold=is_cold),
             self.config.class_names,
             self.config.seed,
             self.clock,
-            age_ms * MS,
+            age_ms * NS_PER_MS,
             self.config.memory_bytes // RESULT_MEMORY_DIVISOR,
             self.subsystems.record.keeps_results,
         )
@@ -268,8 +268,8 @@
         self.subsystems.levels.attach_dispatcher(dispatcher, is_cold, record)
         self.subsystems.recovery.attach_dispatcher(dispatcher, record.incarnation)
         self.subsystems.membership.attach_dispatcher(dispatcher)
-        record.attach_dispatcher(dispatcher, self.clock() - age_ms * MS)
-        self.reports.tell(True)
+        record.attach_dispatcher(dispatcher, self.clock() - age_ms * NS_PER_MS)
+        self.reports.report_health(True)
         self.tasks.start(self.main_loop(dispatcher), "main_loop")
 
     # The way out.
@@ -287,10 +287,10 @@
         self.is_shutting_down = True
         now = noticed_ns or self.clock()
         stop = now + max(self.config.stop_ns - LAST_WRITES_NS, 0)
-        log.info("event=shutdown_started stop_ms=%d", self.config.stop_ns // MS)
+        log.info("event=shutdown_started stop_ms=%d", self.config.stop_ns // NS_PER_MS)
         if self.requests.dispatcher is not None:
-            self.requests.dispatcher.report(Leaving(now, stop))
-            self.reports.tell(False)
+            self.requests.dispatcher.handle_event(DrainStarted(now, stop))
+            self.reports.report_health(False)
         self.tasks.start(self.drain(now, stop), "drain")
 
     async def drain(self, now: int, stop: int) -> None:
@@ -303,12 +303,14 @@
         if self.requests.dispatcher is not None:
             grace_ns = self.config.settings.drain_grace_ns
             serve_until = min(now + grace_ns, stop - 2 * LAST_WRITES_NS)
-            await rest(serve_until - self.clock())
-        self.front.leave()
+            await sleep_ns(serve_until - self.clock())
+        self.front.start_drain()
         while self.front.connections and self.clock() < stop:
-            await rest(SHUTDOWN_POLL_NS)
+            await sleep_ns(SHUTDOWN_POLL_NS)
         answers_until = stop + LAST_WRITES_NS // 2
-        while (self.front.busy or self.requests.open_requests) and self.clock() < answers_until:
-            await rest(SHUTDOWN_POLL_NS)
+        while (
+            self.front.has_open_requests or self.requests.open_requests
+        ) and self.clock() < answers_until:
+            await sleep_ns(SHUTDOWN_POLL_NS)
         await self.front.close(stop + LAST_WRITES_NS * 3 // 4 - self.clock())
         self.stopped.set()
--- a/burlloom/server/service_levels.py
+++ b/burlloom/server/service_levels.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from ..admission.model import Gauges
-from ..dispatcher import Desk
+from ..dispatcher import Dispatcher
 
 
 class NoteStore(Protocol):
@@ -28,7 +28,7 @@
     `request_class` is a class's place in the settings.
     """
 
-    def attach_dispatcher(self, dispatcher: Desk, is_cold: bool, notes: NoteStore) -> None:
+    def attach_dispatcher(self, dispatcher: Dispatcher, is_cold: bool, notes: NoteStore) -> None:
         """Has this dispatcher serve at the present level from now on.
 
         Args:
@@ -43,12 +43,12 @@
     def sampling_draw(self, caller: str) -> float:
         """Returns a caller's draw: a level's trial takes those whose draw is under its share."""
 
-    def request_completed(self, request_class: int, received_ns: int) -> None:
+    def request_completed(self, request_class: int, sent_at_ns: int) -> None:
         """Counts a request that was answered without error.
 
         Args:
             request_class: Its class.
-            received_ns: When it was read, in Unix ns.
+            sent_at_ns: When its caller sent it, in Unix ns.
         """
 
     def call_ended(self, succeeded: bool) -> None:
@@ -68,7 +68,7 @@
 class NoServiceLevels:
     """All is served as the decisions alone have it."""
 
-    def attach_dispatcher(self, dispatcher: Desk, is_cold: bool, notes: NoteStore) -> None:
+    def attach_dispatcher(self, dispatcher: Dispatcher, is_cold: bool, notes: NoteStore) -> None:
         """Does nothing."""
 
     def count_request(self, tenant: str) -> bool:
@@ -79,7 +79,7 @@
         """Returns 0: there is no trial."""
         return 0.0
 
-    def request_completed(self, request_class: int, received_ns: int) -> None:
+    def request_completed(self, request_class: int, sent_at_ns: int) -> None:
         """Does nothing."""
 
     def call_ended(self, succeeded: bool) -> None:
--- a/burlloom/server/service_subset.py
+++ b/burlloom/server/service_subset.py
@@ -7,10 +7,10 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from ..downstream import Answer
-from ..downstream.spread import Pools
+from ..downstream import CallStatus
+from ..downstream.service_pools import ServicePools
 from ..fleet import WeightedRoundRobin, assign_subsets
-from ..sockets import SECOND, Tasks
+from ..sockets import NS_PER_SECOND, TaskSupervisor
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -20,7 +20,7 @@
 log = logging.getLogger(__name__)
 
 # Half of the time over which calls are counted by service.
-COUNT_SPAN_NS = 3 * SECOND
+COUNT_SPAN_NS = 3 * NS_PER_SECOND
 
 
 class ServiceSubset:
@@ -52,7 +52,7 @@
         member_names: Callable[[], tuple[str, ...]],
         random: Random,
         clock: Callable[[], int],
-        tasks: Tasks,
+        tasks: TaskSupervisor,
     ) -> None:
         self.services = services
         self.min_size = min_size
@@ -62,7 +62,7 @@
         self.clock = clock
         self.tasks = tasks
         self.turns = WeightedRoundRobin()
-        self.pools = Pools(self._next_address, self._count_call)
+        self.pools = ServicePools(self._next_address, self._count_call)
         self.worst_load = 1.0
         self._ejected: frozenset[str] = frozenset()
         # What the present subset was computed for: members' names, services left out.
@@ -93,7 +93,7 @@
             self._ejected = addresses
             self.refresh()
         return self._computed_for[1] == addresses and not any(
-            self.pools.open[split_address(address)] for address in addresses
+            self.pools.calls_in_progress[split_address(address)] for address in addresses
         )
 
     def recent_call_counts(self) -> dict[str, tuple[int, int]]:
@@ -131,7 +131,7 @@
         own = assignment.subsets[self.name].weights
         self.turns.set_weights(own, self.random.random())
         self.worst_load = assignment.max_load_ratio
-        self.pools.use([split_address(service) for service in own])
+        self.pools.set_addresses([split_address(service) for service in own])
         log.info(
             "event=subset_changed servers=%d size=%d worst_load=%.3f",
             len(assignment.subsets),
@@ -142,14 +142,14 @@
     def _next_address(self) -> tuple[str, int]:
         return split_address(self.turns.next_service(self.clock()))
 
-    def _count_call(self, address: tuple[str, int], answer: Answer) -> None:
+    def _count_call(self, address: tuple[str, int], answer: CallStatus) -> None:
         service = f"{address[0]}:{address[1]}"
-        if answer is Answer.UNREACHED:
+        if answer is CallStatus.UNREACHABLE:
             self.turns.record_failure(service, self.clock())
         else:
             self.turns.record_success(service)
-        if answer is not Answer.UNWANTED:  # which says nothing of the service
-            succeeded = answer in (Answer.WELL, Answer.DECLINED)
+        if answer is not CallStatus.NO_LONGER_NEEDED:  # which says nothing of the service
+            succeeded = answer in (CallStatus.OK, CallStatus.REJECTED)
             self._counts[0].setdefault(service, [0, 0])[0 if succeeded else 1] += 1
 
 
--- a/burlloom/server/tenant_portions.py
+++ b/burlloom/server/tenant_portions.py
@@ -9,13 +9,13 @@
 
 from ..distribution import Replica
 from ..distribution.table import BUCKET_COUNT
-from ..sockets import SECOND
+from ..sockets import NS_PER_SECOND
 
 if TYPE_CHECKING:
     from ..distribution.table import ItemPosition
 
 TENANT_KIND = "tenant"
-COUNT_INTERVAL_NS = 300 * SECOND  # between two counts of all portions
+COUNT_INTERVAL_NS = 300 * NS_PER_SECOND  # between two counts of all portions
 PAGE_BYTES = 32 << 10  # of a page that is counted: about a millisecond
 MAX_PAGES_PER_STEP = 16
 MAX_ENTRIES_PER_STEP = 400
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -23,13 +23,13 @@
 )
 from burlloom.distribution.replica import Replica
 from burlloom.distribution.status_report import HeadLogger, KeyFile
-from burlloom.distribution.stores.sqlite import Sqlite
+from burlloom.distribution.stores.sqlite import SqliteChangeStore
 from burlloom.distribution.stores.store_follower import StoreFollower, StoreInconsistentError
 from burlloom.distribution.table import ConfigTable
 from burlloom.fakes.parts import fields
 from burlloom.levels.signals import MAX_TENANTS
 from burlloom.levels.signals import TenantShares as Shares
-from burlloom.rpc.requests import Known, Malformed, request
+from burlloom.rpc.incoming_request import MalformedRequestError, RequestRules, parse_request
 from burlloom.server.tenant_portions import COUNT_INTERVAL_NS, ServedTenants, TenantPortions
 
 SIGNING = b"s" * 32
@@ -52,15 +52,15 @@
 
 def test_requests_are_held_against_the_tenants_in_force() -> None:
     held = Replica(ConfigTable(("", "north")), (SIGNING,))
-    known = Known({"look": False}, ServedTenants(held, {"acme": 1.0}), 6 * SECOND)
+    known = RequestRules({"look": False}, ServedTenants(held, {"acme": 1.0}), 6 * SECOND)
     told = fields()
     now = int(told["at"]) * 1_000_000
 
     def serves(name: Any) -> bool:
         try:
-            request(None, 1, "look", [{**told, "tenant": name}, b""], known, now)  # type: ignore[arg-type]
+            parse_request(None, 1, "look", [{**told, "tenant": name}, b""], known, now)  # type: ignore[arg-type]
             return True
-        except Malformed:
+        except MalformedRequestError:
             return False
 
     assert serves("acme")
@@ -144,7 +144,7 @@
 def test_a_store_is_followed(tmp_path: Path) -> None:
     async def play() -> None:
         store, held, told = (
-            Sqlite(tmp_path / "changes.db"),
+            SqliteChangeStore(tmp_path / "changes.db"),
             Replica(ConfigTable(None), (SIGNING,)),
             Told(),
         )
@@ -252,10 +252,10 @@
         telling.log_moves()
     lines = [line.getMessage().split(" tag=")[0] for line in caplog.records]
     assert lines == [
-        "event=distribution-synced epoch=7 revision=0",
-        "event=distribution-applied epoch=7 from=1 to=3",
-        "event=distribution-applied epoch=7 from=4 to=4",
-        "event=distribution-synced epoch=7 revision=20",
+        "event=config_synced epoch=7 revision=0",
+        "event=config_changes_applied epoch=7 from=1 to=3",
+        "event=config_changes_applied epoch=7 from=4 to=4",
+        "event=config_synced epoch=7 revision=20",
     ]
 
 
