--- a/burlloom/server/configured_membership.py
+++ b/burlloom/server/configured_membership.py
@@ -197,7 +197,7 @@
                 self._tick()
             except Exception:
                 # Without further ticks the server would lose its share for good.
-                log.exception("event=internal_error task=membership")
+                log.exception("event=internal_error side=membership")
             await sleep_ns(TICK_NS)
 
     def _tick(self) -> None:
--- a/burlloom/server/configured_rollout.py
+++ b/burlloom/server/configured_rollout.py
@@ -173,7 +173,7 @@
                 await self._reopen()
             except Exception:
                 # Without further polls the server would count as missing.
-                log.exception("event=internal_error task=rollout")
+                log.exception("event=internal_error side=rollout")
             await sleep_ns(pause * self.settings.poll_ms * NS_PER_MS)
 
     def _max_pause(self) -> int:
--- a/burlloom/server/followed_configuration.py
+++ b/burlloom/server/followed_configuration.py
@@ -178,7 +178,7 @@
                 self._tick()
             except Exception:
                 # Without further ticks the server would follow nobody.
-                log.exception("event=internal_error task=distribution")
+                log.exception("event=internal_error side=distribution")
             await sleep_ns(TICK_NS)
 
     def _tick(self) -> None:
--- a/burlloom/server/server.py
+++ b/burlloom/server/server.py
@@ -174,7 +174,7 @@
             except Exception:
                 # The next round is due all the same: without it no open request would ever be
                 # given up.
-                log.exception("event=internal_error task=main_loop")
+                log.exception("event=internal_error side=main_loop")
                 due = dispatcher.next_timer_ns
 
     async def _round(self, dispatcher: Dispatcher) -> int:
