--- a/burlloom/lab/fleets.py
+++ b/burlloom/lab/fleets.py
@@ -14,7 +14,14 @@
 from ..dispatcher import Dispatcher
 from ..downstream import ConnectionPool
 from ..downstream.service_pools import ServicePools
-from ..fleet import CALL, Fleet, Habits, State, Terms, Word
+from ..fleet import (
+    MILLICALLS_PER_CALL,
+    Fleet,
+    GossipSettings,
+    MemberState,
+    MemberUpdate,
+    QuotaSettings,
+)
 from ..server.membership import CallShare, FleetMembership, call_shares
 from ..server.server import Server
 from .clock import EPOCH, SECOND, SimulatedLoop
@@ -90,7 +97,11 @@
     @property
     def using(self) -> float:
         """Calls in hand: as many as it may, or would."""
-        return min(self.demand, self.fleet.share / CALL) if self.fleet is not None else 0.0
+        return (
+            min(self.demand, self.fleet.share / MILLICALLS_PER_CALL)
+            if self.fleet is not None
+            else 0.0
+        )
 
 
 class Swarm:
@@ -100,15 +111,15 @@
         self,
         loop: SimulatedLoop,
         net: Net,
-        terms: Terms,
-        habits: Habits | None = None,
+        terms: QuotaSettings,
+        habits: GossipSettings | None = None,
         seed: int = 1,
     ) -> None:
         self.loop, self.net, self.terms, self.habits, self.seed = (
             loop,
             net,
             terms,
-            habits or Habits(),
+            habits or GossipSettings(),
             seed,
         )
         self.bodies: dict[str, Body] = {}
@@ -140,7 +151,7 @@
         now, life = self.now(), (EPOCH + int(self.loop.now * SECOND)) // 1_000_000 + body.lives
         chance = Random(body.seed * 7 + body.lives)
         body.fleet = Fleet(
-            Word(body.name, body.address, life, 0, State.ALIVE),
+            MemberUpdate(body.name, body.address, life, 0, MemberState.ALIVE),
             self.seeds,
             (KEY,),
             self.terms,
@@ -176,7 +187,7 @@
             if len(body.stuck) < 200:
                 body.stuck.append(data)
         elif body.fleet is not None:
-            body.fleet.hear(self.now(), data)
+            body.fleet.receive(self.now(), data)
             self.flush(body)
 
     def tick(self, body: Body, fleet: Fleet) -> None:
@@ -184,14 +195,16 @@
             return
         if body.paused_at < 0:
             # One that may not call enough has the rest waiting.
-            fleet.uses(int(body.demand * CALL), int(body.using * CALL))
+            fleet.set_usage(
+                int(body.demand * MILLICALLS_PER_CALL), int(body.using * MILLICALLS_PER_CALL)
+            )
             fleet.tick(self.now())
             self.flush(body)
         self.loop.call_later(TICK, self.tick, body, fleet)
 
     def flush(self, body: Body) -> None:
-        while body.fleet is not None and body.fleet.out:
-            self.net.send(body.address, *body.fleet.out.popleft())
+        while body.fleet is not None and body.fleet.outbox:
+            self.net.send(body.address, *body.fleet.outbox.popleft())
 
     # What is seen from outside.
 
@@ -207,13 +220,15 @@
         )
 
     def shares(self) -> list[float]:
-        return [body.fleet.share / CALL for body in self.up() if body.fleet is not None]
+        return [
+            body.fleet.share / MILLICALLS_PER_CALL for body in self.up() if body.fleet is not None
+        ]
 
     def agreed(self) -> bool:
         """Whether all that are up, and are not paused, see exactly those as there."""
         names = {body.name for body in self.up()}
         return all(
-            {member.word.name for member in body.fleet.members.there()} == names
+            {member.update.name for member in body.fleet.view.present_members()} == names
             for body in self.up()
             if body.fleet is not None
         )
@@ -237,7 +252,9 @@
         self.fleets, self.node, self.server = fleets, node, server
         loop, world = fleets.loop, fleets.emulator.world
         self.address = address(node.index)
-        own = Word(node.name, self.address, loop.wall() // 1_000_000 + node.life, 0, State.ALIVE)
+        own = MemberUpdate(
+            node.name, self.address, loop.wall() // 1_000_000 + node.life, 0, MemberState.ALIVE
+        )
         self.fleet = Fleet(
             own,
             fleets.seeds,
@@ -262,7 +279,7 @@
         self.share.apply()
 
     def may_call(self) -> bool:
-        return self.fleet.good(self.fleets.loop.wall())
+        return self.fleet.is_current(self.fleets.loop.wall())
 
     def select_pool(self, one: ConnectionPool) -> ConnectionPool | ServicePools:
         return one
@@ -276,7 +293,7 @@
 
     def hear(self, data: bytes) -> None:
         if self.node.server is self.server:  # else it was killed
-            self.fleet.hear(self.fleets.loop.wall(), data)
+            self.fleet.receive(self.fleets.loop.wall(), data)
             self.after()
 
     def call_shares(self) -> tuple[float, float] | None:
@@ -292,13 +309,13 @@
         return {}
 
     def after(self) -> None:
-        if self.fleet.former != self.former:
-            self.former = self.fleet.former
+        if self.fleet.previous_incarnation != self.former:
+            self.former = self.fleet.previous_incarnation
             self.recovery.previous_incarnation_seen(self.former)
         self.share.apply()
-        self.fleet.moves = []
-        while self.fleet.out:
-            self.fleets.net.send(self.address, *self.fleet.out.popleft())
+        self.fleet.transitions = []
+        while self.fleet.outbox:
+            self.fleets.net.send(self.address, *self.fleet.outbox.popleft())
 
     def close(self) -> None:
         self.fleet.leave(self.fleets.loop.wall())
@@ -313,13 +330,17 @@
     """Joins the nodes of a world; zones that are cut in the world are cut for letters too."""
 
     def __init__(
-        self, emulator: Emulator, terms: Terms, habits: Habits | None = None, loss: float = 0.0
+        self,
+        emulator: Emulator,
+        terms: QuotaSettings,
+        habits: GossipSettings | None = None,
+        loss: float = 0.0,
     ) -> None:
         self.emulator, self.loop, self.terms, self.habits = (
             emulator,
             emulator.loop,
             terms,
-            habits or Habits(),
+            habits or GossipSettings(),
         )
         low, high = emulator.world.callers.net_ms
         self.net = Net(self.loop, emulator.world.seed, (low / 1000, high / 1000), loss)
@@ -344,7 +365,7 @@
     def shares(self) -> dict[str, float]:
         """Of those that are up, calls."""
         return {
-            node.name: node.server.membership.fleet.share / CALL
+            node.name: node.server.membership.fleet.share / MILLICALLS_PER_CALL
             for node in self.emulator.nodes
             if node.up and node.server is not None and isinstance(node.server.membership, Joined)
         }
--- a/burlloom/rollout/stores/postgres.py
+++ b/burlloom/rollout/stores/postgres.py
@@ -1,8 +1,8 @@
 """In the record's PostgreSQL database, for servers on many machines."""
 
 from ...record.shared_postgres import SharedPostgresDatabase
-from .tables import Tables
+from .sql import SqlRolloutStore
 
 
-class Postgres(SharedPostgresDatabase, Tables):
+class PostgresRolloutStore(SharedPostgresDatabase, SqlRolloutStore):
     pass
--- a/burlloom/server/subsystems.py
+++ b/burlloom/server/subsystems.py
@@ -176,7 +176,7 @@
     part = operator.fleet
     if part is None:
         return None
-    from ..fleet.letters import NAME_MOST
+    from ..fleet.messages import NAME_MOST
 
     if not 0 < len(orders.name.encode()) <= NAME_MOST:
         raise StoreRefusedError(
@@ -209,7 +209,7 @@
             )
             if shown is None:
                 shown = made.exposed = exposed(operator.metrics)
-            shown.numbers("burlloom_fleet", made.fleet.counts, made.gauges)
+            shown.numbers("burlloom_fleet", made.fleet.counters, made.gauges)
         return made
 
     return make
@@ -240,9 +240,9 @@
     part = operator.rollout
     if part is None:
         return None
-    from ..rollout.stores.opening import shelf_of
+    from ..rollout.stores.opening import create_rollout_store
 
-    shelf, version = shelf_of(operator), os.environ.get(RELEASE) or part.version
+    shelf, version = create_rollout_store(operator), os.environ.get(RELEASE) or part.version
 
     def make(server: Server) -> ConfiguredRolloutParticipation:
         made = ConfiguredRolloutParticipation(
