--- a/burlloom/dispatcher/dispatcher.py
+++ b/burlloom/dispatcher/dispatcher.py
@@ -235,7 +235,7 @@
 
     def call_demand(self) -> tuple[int, int]:
         """Calls in hand, with those left behind below; and how many txns wait for one."""
-        return self.controller.calls_in_hand(), self.controller.queued_call_count()
+        return self.controller.open_call_count(), self.controller.queued_call_count()
 
     def load_signals(self) -> tuple[float, float, float]:
         """The age of the oldest held txn, of its SLA time; the lag of reading, of the shortest one;
--- a/burlloom/distribution/config_query.py
+++ b/burlloom/distribution/config_query.py
@@ -1,35 +1,34 @@
-"""One question to whoever is followed: what is in force under a key. For an operator's look; keeps
-nothing.
-"""
+"""Queries a source for the items under one key, for an operator; keeps no table."""
 
 import asyncio
 import secrets
 import time
 from collections.abc import Callable, Iterable
+from contextlib import suppress
 from typing import Any, TypeVar
 
-from .follower import Upstream
+from .codec import MessageDecodeError, seal, unseal
 from .messages import (
     Body,
     HeadStatus,
     Message,
-    MessageDecodeError,
     PageResponse,
     PagesRequest,
     Redirect,
     Report,
     Sender,
-    seal,
-    unseal,
 )
 from .table import ItemPosition, bucket_of
+from .upstreams import Upstream
 
 ANSWER_TIMEOUT_S, MAX_ATTEMPTS = 0.5, 3  # s for an answer; how often each is asked
-PAGES_MOST = 10_000  # of one bucket
+MAX_PAGES = 10_000  # of one bucket
 Result = TypeVar("Result")
 
 
 class QueryClient(asyncio.DatagramProtocol):
+    """Sends one request at a time and waits for its answer; holds no table."""
+
     def __init__(self, key: bytes) -> None:
         self.key, self.received = key, asyncio.Queue[Message](256)
         self.name, self.incarnation, self.number = (
@@ -39,17 +38,23 @@
         )
 
     def connection_made(self, transport: Any) -> None:
+        """Keep the transport that asyncio gives."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        try:
+        """Queue a message that can be decoded; drop anything else."""
+        with suppress(MessageDecodeError, asyncio.QueueFull):
             self.received.put_nowait(unseal(data, (self.key,)))
-        except (MessageDecodeError, asyncio.QueueFull):
-            pass
 
     async def query(
         self, one: Upstream, body: Body, answer: Callable[[Message], Result | None]
     ) -> Result | None:
+        """Send a request until `answer` accepts a reply.
+
+        Returns:
+            What `answer` made of the reply; None after `MAX_ATTEMPTS` timeouts of
+            `ANSWER_TIMEOUT_S`.
+        """
         for _ in range(MAX_ATTEMPTS):
             self.number += 1
             self.transport.sendto(
@@ -70,14 +75,18 @@
 
 
 def answered(message: Message) -> HeadStatus | Redirect | None:
+    """Return the reply to a report, if it is one."""
     return message.body if isinstance(message.body, HeadStatus | Redirect) else None
 
 
 async def query(
     upstreams: Iterable[Upstream], region: str, key: bytes, kind: str, name: str
 ) -> tuple[list[tuple[str, bytes, str]] | None, str]:
-    """Scope and value of each that is found, the one in force first, and who said so; None where
-    nobody did.
+    """Ask the upstreams in turn for what is in force under a key.
+
+    Returns:
+        Scope, value and "" of each item, the one in force first, or None if nobody answered; and a
+        sentence that says who answered, or why nobody did.
     """
     asking = QueryClient(key)
     transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
@@ -112,10 +121,14 @@
 async def query_item(
     asking: QueryClient, one: Upstream, region: str, kind: str, name: str
 ) -> list[tuple[str, bytes, str]] | None:
+    """Return scope and value of each item under a key, the one in force first.
+
+    None if nobody answered.
+    """
     bucket = bucket_of(kind, name)
     after: ItemPosition | None = None
     found: dict[str, bytes] = {}
-    for _ in range(PAGES_MOST):
+    for _ in range(MAX_PAGES):
         paged = await asking.query(
             one,
             PagesRequest(bucket, after, 1),
--- a/burlloom/rollout/stores/__init__.py
+++ b/burlloom/rollout/stores/__init__.py
@@ -1,13 +1,13 @@
-"""Where the book is kept: the record's SQLite file or PostgreSQL database, behind one interface."""
+"""Stores of the rollout state: one interface, and a module for each kind of store."""
 
 from .base import RolloutStore, StateSnapshot, StoreUnavailableError
 from .codec import StateDecodeError, decode_state, encode_state
 
 __all__ = [
-    "StoreUnavailableError",
-    "StateSnapshot",
     "RolloutStore",
     "StateDecodeError",
+    "StateSnapshot",
+    "StoreUnavailableError",
     "decode_state",
     "encode_state",
 ]
--- /dev/null
+++ b/burlloom/rollout/stores/factory.py
@@ -0,0 +1,38 @@
+"""Makes the store of the rollout state that an operator's file names."""
+
+import time
+from typing import TYPE_CHECKING
+
+from ...record.factory import create_store
+from ...record.lock_retry import LOCK_TIMEOUT_S
+from .base import RolloutStore
+
+if TYPE_CHECKING:
+    from ...operator import Operator
+
+__all__ = ["create_rollout_store"]
+
+
+def create_rollout_store(
+    operator: "Operator", lock_timeout_s: float = LOCK_TIMEOUT_S
+) -> RolloutStore:
+    """Returns the store, not opened yet.
+
+    Args:
+        operator: The operator's file, with a `rollout` part.
+        lock_timeout_s: For a lock that another process holds, where the store is one file.
+
+    Raises:
+        StoreRefusedError: The store can't be used as it is configured.
+    """
+    place = operator.rollout_store()
+    if place.sqlite is not None:
+        from .sqlite import SqliteRolloutStore
+
+        return SqliteRolloutStore(place.sqlite.place(), lock_timeout_s)
+    from ...record.postgres import PostgresStore
+    from .postgres import PostgresRolloutStore
+
+    record, _ = create_store(place, "-", keep=0, clock=time.time_ns)
+    assert isinstance(record, PostgresStore)
+    return PostgresRolloutStore(record)
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -21,7 +21,7 @@
 from burlloom.operator import load
 from burlloom.rollout import ReleasePhase, RolloutState
 from burlloom.rollout.stores import RolloutStore, StoreUnavailableError
-from burlloom.rollout.stores.opening import create_rollout_store
+from burlloom.rollout.stores.factory import create_rollout_store
 
 QUICK = {
     "poll_ms": 40,
