--- a/burlloom/discovery/__init__.py
+++ b/burlloom/discovery/__init__.py
@@ -1,4 +1,4 @@
-"""Reports to the name service."""
+"""Health reports to service discovery."""
 
 from .health_reporter import HealthReporter
 
--- a/burlloom/executor/__init__.py
+++ b/burlloom/executor/__init__.py
@@ -1,4 +1,4 @@
-"""The link to the executor: lines of words, kept open and found again."""
+"""The connection to the executor, which runs requests; wire.py has its protocol."""
 
 from .connection import ExecutorConnection
 from .wire import RunStatus
--- a/burlloom/executor/connection.py
+++ b/burlloom/executor/connection.py
@@ -1,5 +1,7 @@
-"""Keeps the link to the executor; what was said on a lost one is said again only where that is
-safe.
+"""Keeps a connection to the executor, over which requests are run.
+
+When a connection is lost, the commands sent on it are sent again on the next one, but only those
+that cannot have been carried out: a run must not be repeated.
 """
 
 import asyncio
@@ -20,42 +22,74 @@
     sleep_ns,
 )
 from . import wire
-from .wire import RUN_STATUSES, RunStatus
+from .wire import Command, NoticeKind, RunStatus
 
 log = logging.getLogger(__name__)
 
 READ_BUFFER_BYTES = 64 << 10
-RECONNECT_INTERVAL_NS = NS_PER_SECOND // 20  # between tries to find the executor
-CONNECT_TIMEOUT_NS, MAX_CONNECT_TIMEOUT_NS = (
-    NS_PER_SECOND,
-    4 * NS_PER_SECOND,
-)  # for a link to be made, at first, and at most
-MAX_UNANSWERED_POLLS = 30  # rounds in a row whose METER is not answered in time
-CONFIRM_DELAY_NS = NS_PER_SECOND // 40  # between a command and the METER that proves it
+MAX_READ_BUFFER_BYTES = 4 * wire.MAX_BODY_BYTES
+RECONNECT_INTERVAL_NS = NS_PER_SECOND // 20
+CONNECT_TIMEOUT_NS = NS_PER_SECOND
+MAX_CONNECT_TIMEOUT_NS = 4 * NS_PER_SECOND
+MAX_UNANSWERED_POLLS = 30  # in a row
+CONFIRM_DELAY_NS = NS_PER_SECOND // 40  # from a command to the poll that confirms it
+
+# Bound once: each is used with every request, and on Python 3.11 an access through the enum takes
+# seven times as long as a comparison of strings.
+RUN_ENDED = NoticeKind.RUN_ENDED
+CALL_REQUESTED = NoticeKind.CALL_REQUESTED
+START_RUN = Command.START_RUN
+SEND_CALL_RESULT = Command.SEND_CALL_RESULT
+
+Gauges = list[float]
 
 
 class ExecutorConnection:
+    """Sends runs and call results to the executor, and hands its notices on.
+
+    A command is confirmed by a notice about its request, or by the answer to a gauge query that was
+    sent after it. Until then it may be lost with the connection, and is sent again on the next one.
+    A confirmed one must not be: its run may have ended, and would run again.
+
+    Attributes:
+        last_notice: The number of the last notice that was handled; the executor sends again what
+            came after it.
+        unconfirmed_commands: By command and request id, the command's place in the order of all
+            commands, and its bytes.
+        command_count: How many commands were sent so far.
+        pending_polls: By tag, who waits for the gauges, and how many commands were sent before.
+        is_joined: Whether this connection's replay of notices is over, and commands may be sent.
+        is_replaying: Whether the next notice's number may leave some out.
+        has_served: Whether this connection was ever joined.
+    """
+
     def __init__(
         self,
         address: tuple[str, int],
-        tasks: TaskSupervisor,
-        welcome: Callable[[bool, int], None],
-        ended: Callable[[str, RunStatus, int, bytes], None],
-        at_call: Callable[[str, bytes], None],
-        spare: Callable[[], bool] = lambda: False,
+        supervisor: TaskSupervisor,
+        on_welcome: Callable[[bool, int], None],
+        on_run_ended: Callable[[str, RunStatus, int, bytes], None],
+        on_call_requested: Callable[[str, bytes], None],
+        free_descriptor: Callable[[], bool] = lambda: False,
     ) -> None:
-        """`spare` frees a descriptor elsewhere, where none is left for a new link."""
-        self.address, self.supervisor, self.free_descriptor = address, tasks, spare
-        self.on_welcome, self.on_run_ended, self.on_call_requested = welcome, ended, at_call
+        """Prepares the connection; `maintain` makes it.
+
+        Args:
+            address: Host and port of the executor.
+            supervisor: Owner of the connection's tasks.
+            on_welcome: Called at each connect: whether the executor is cold, and its age in ms.
+            on_run_ended: Called with request id, status, duration in ns and result.
+            on_call_requested: Called with the id of the request whose run asks for a call, and
+                the call's body.
+            free_descriptor: Frees a descriptor elsewhere where none is left for a new connection.
+        """
+        self.address, self.supervisor = address, supervisor
+        self.on_welcome, self.on_run_ended = on_welcome, on_run_ended
+        self.on_call_requested, self.free_descriptor = on_call_requested, free_descriptor
         self.last_notice = 0
-        # Commands that no later answer proves to have arrived, in order; only these are in doubt
-        # when a link is lost. All others must not be repeated: their run may have ended, and would
-        # run again.
         self.unconfirmed_commands: dict[tuple[str, str], tuple[int, bytes]] = {}
-        self.command_count = (
-            0  # commands so far; a METER proves those up to its own place in the order
-        )
-        self.pending_polls: dict[str, tuple[asyncio.Future[list[float] | None], int]] = {}
+        self.command_count = 0
+        self.pending_polls: dict[str, tuple[asyncio.Future[Gauges | None], int]] = {}
         self.last_tag = 0
         self.writer: SocketWriter | None = None
         self.is_joined = self.is_replaying = self.has_served = False
@@ -64,86 +98,88 @@
         self.connection_task: asyncio.Task[tuple[CloseReason, str]] | None = None
         self.connect_timeout_ns = CONNECT_TIMEOUT_NS
 
-    def start_run(self, id: str, product: str, body: bytes) -> None:
-        self.send_command(
-            "EXEC", id, f"EXEC {id} {product} {len(body)}\r\n".encode() + body + b"\r\n"
-        )
+    def start_run(self, request_id: str, request_class: str, body: bytes) -> None:
+        """Has the executor run a request."""
+        command = wire.encode_start_run(request_id, request_class, body)
+        self.send_command(START_RUN, request_id, command)
 
-    def send_call_result(self, id: str, reply: bytes) -> None:
-        self.send_command("RETURN", id, f"RETURN {id} {len(reply)}\r\n".encode() + reply + b"\r\n")
+    def send_call_result(self, request_id: str, result: bytes) -> None:
+        """Gives a run the result of the call that it asked for."""
+        command = wire.encode_call_result(request_id, result)
+        self.send_command(SEND_CALL_RESULT, request_id, command)
 
-    def send_command(self, name: str, id: str, text: bytes) -> None:
+    def send_command(self, name: Command, request_id: str, command: bytes) -> None:
+        """Sends a command now, or once the connection is joined."""
         self.command_count += 1
-        self.unconfirmed_commands.pop((name, id), None)
-        self.unconfirmed_commands[name, id] = self.command_count, text
+        self.unconfirmed_commands.pop((name, request_id), None)
+        self.unconfirmed_commands[name, request_id] = self.command_count, command
         if self.is_joined and self.writer is not None:
-            self.writer.send(text)
+            self.writer.send(command)
             if self.confirm_timer is None:
-                # Not only once a round: what is in doubt when a link is lost is said again, and the
-                # less of it had arrived after all, the less a repeat can find its run one call
-                # further, or over.
+                # More often than the regular polls: the fewer commands are sent again although
+                # they had arrived, the fewer runs are found one call further, or over.
                 self.confirm_timer = asyncio.get_running_loop().call_later(
                     CONFIRM_DELAY_NS / NS_PER_SECOND, self.confirm_commands
                 )
 
     def confirm_commands(self) -> None:
+        """Polls the gauges, whose answer confirms the commands sent so far."""
         self.confirm_timer = None
         if self.is_joined and self.unconfirmed_commands:
             self.poll_gauges()
 
-    async def query_gauges(self, patience: int) -> list[float] | None:
-        """What the executor measures now; None if it does not say so within `patience`."""
+    async def query_gauges(self, timeout_ns: int) -> Gauges | None:
+        """Returns what the executor measures now; None where it does not answer in time."""
         if self.writer is None:
             return None
-        # One that is not joined counts too: the answer that would join it may have been lost.
-        asked = self.poll_gauges() if self.is_joined else None
-        done = asked is not None and bool(
-            (await asyncio.wait({asked}, timeout=patience / NS_PER_SECOND))[0]
+        # A connection that is not joined counts as unanswered too: the answer that would join it
+        # may have been lost.
+        poll = self.poll_gauges() if self.is_joined else None
+        is_answered = poll is not None and bool(
+            (await asyncio.wait({poll}, timeout=timeout_ns / NS_PER_SECOND))[0]
         )
-        self.unanswered_polls = 0 if done else self.unanswered_polls + 1
+        self.unanswered_polls = 0 if is_answered else self.unanswered_polls + 1
         if self.unanswered_polls > MAX_UNANSWERED_POLLS and self.writer is not None:
-            # Against a link that stays open with nobody at its other end: a new one brings what was
-            # missed.
+            # Against a connection that stays open with nobody at its other end. A new one brings
+            # the notices that were missed.
             log.warning("event=executor_unresponsive polls=%d", self.unanswered_polls)
             self.unanswered_polls = 0
-            with contextlib.suppress(
-                OSError
-            ):  # it may have been reset just now, and its reader knows it next
+            with contextlib.suppress(OSError):  # a reset just now, which the reader sees next
                 self.writer.socket.shutdown(socket.SHUT_RDWR)
-        return asked.result() if done and asked is not None else None
+        return poll.result() if is_answered and poll is not None else None
 
-    def poll_gauges(self) -> "asyncio.Future[list[float] | None]":
+    def poll_gauges(self) -> "asyncio.Future[Gauges | None]":
+        """Sends a gauge query; returns its answer to come, None once the connection is lost."""
         self.last_tag += 1
         tag = f"m{self.last_tag}"
-        asked: asyncio.Future[list[float] | None] = asyncio.get_running_loop().create_future()
-        self.pending_polls[tag] = asked, self.command_count if self.is_joined else 0
+        poll: asyncio.Future[Gauges | None] = asyncio.get_running_loop().create_future()
+        self.pending_polls[tag] = poll, self.command_count if self.is_joined else 0
         assert self.writer is not None
-        self.writer.send(f"METER {tag}\r\n".encode())
-        return asked
+        self.writer.send(wire.encode_gauge_query(tag))
+        return poll
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """The executor is found here from now on; what was said in vain on the link before is said
-        again.
-        """
+        """Connects to another address; unconfirmed commands are sent again there."""
         if address != self.address:
             self.address = address
             if self.connection_task is not None:
                 self.connection_task.cancel()
 
     async def maintain(self) -> None:
-        """Finds the executor, again whenever the link is lost."""
-        before: CloseReason | None = None
+        """Connects to the executor, and again whenever the connection is lost, for good."""
+        previous: CloseReason | None = None
         while True:
             self.has_served = False
-            self.connection_task = self.supervisor.start(self.connect_and_read(), "link")
+            self.connection_task = self.supervisor.start(self.connect_and_read(), "executor_reader")
             await asyncio.wait({self.connection_task})
             reason, detail = CloseReason.ADDRESS_CHANGED, ""
             if not self.connection_task.cancelled():
                 reason, detail = self.connection_task.result()
-            if (
-                reason not in (CloseReason.CONNECTION_REFUSED, CloseReason.CONNECT_TIMEOUT)
-                or reason is not before
-            ):
+            is_unreachable = reason in (
+                CloseReason.CONNECTION_REFUSED,
+                CloseReason.CONNECT_TIMEOUT,
+            )
+            if not is_unreachable or reason is not previous:
                 log.info(
                     "event=connection_closed side=executor reason=%s last_notice=%d "
                     "unconfirmed_commands=%d detail=%r",
@@ -152,13 +188,13 @@
                     len(self.unconfirmed_commands),
                     detail,
                 )
-            before = reason
-            # At once where a link that had served is lost: runs end and calls wait meanwhile.
+            previous = reason
+            # At once where the connection had served: runs end and calls wait meanwhile.
             if reason is not CloseReason.ADDRESS_CHANGED and not self.has_served:
                 await sleep_ns(RECONNECT_INTERVAL_NS)
 
     async def connect_and_read(self) -> tuple[CloseReason, str]:
-        """One link, from its making to its end."""
+        """Makes one connection and reads it to its end; returns why it ended, and a detail."""
         sock: socket.socket | None = None
         try:
             sock = open_stream_socket(self.free_descriptor)
@@ -166,8 +202,8 @@
                 async with asyncio.timeout(self.connect_timeout_ns / NS_PER_SECOND):
                     await asyncio.get_running_loop().sock_connect(sock, self.address)
             except TimeoutError:
-                # The system would dial again later and later, so that a machine that is back is
-                # found late. Where dials are slow by themselves, the next has longer.
+                # The system would retry ever later, and find a machine that is back late. Where
+                # connecting is slow by itself, the next try has longer.
                 self.connect_timeout_ns = min(MAX_CONNECT_TIMEOUT_NS, 2 * self.connect_timeout_ns)
                 return CloseReason.CONNECT_TIMEOUT, ""
             self.connect_timeout_ns = CONNECT_TIMEOUT_NS
@@ -175,12 +211,12 @@
             return CloseReason.PEER_CLOSED, ""
         except ConnectionRefusedError:
             return CloseReason.CONNECTION_REFUSED, ""
-        except ConnectionEndedError as ended:
-            return ended.reason, str(ended)
+        except ConnectionEndedError as error:
+            return error.reason, error.detail
         except OSError as error:
             return CloseReason.PEER_RESET, error.strerror or ""
         except Exception:
-            # Whatever a notice set off: a server that loses its link for good serves nobody.
+            # Whatever a notice set off: a server that loses its executor for good serves nobody.
             log.exception("event=internal_error side=executor")
             return CloseReason.INTERNAL_ERROR, ""
         finally:
@@ -189,95 +225,128 @@
                 sock.close()
 
     def disconnect(self) -> None:
+        """Forgets a connection that is lost; polls that wait for it get None."""
         if self.writer is not None:
             self.writer.abort()
         self.writer = None
         self.is_joined, self.barrier_tag = False, ""
-        for asked, _ in self.pending_polls.values():
-            if not asked.done():
-                asked.set_result(None)
+        for poll, _ in self.pending_polls.values():
+            if not poll.done():
+                poll.set_result(None)
         self.pending_polls.clear()
 
     async def read_notices(self, sock: socket.socket) -> None:
-        inlet, buffer = (
-            SocketReader(sock),
-            ReceiveBuffer(READ_BUFFER_BYTES, 4 * wire.MAX_BODY_BYTES),
-        )
+        """Joins, and handles notices until the executor closes the connection.
+
+        Raises:
+            ConnectionEndedError: The executor sent what is no notice.
+            OSError: The connection was lost.
+        """
+        reader = SocketReader(sock)
+        buffer = ReceiveBuffer(READ_BUFFER_BYTES, MAX_READ_BUFFER_BYTES)
         # A write that fails is followed by a read that fails too.
         self.writer = SocketWriter(sock, self.supervisor, lambda: None)
-        self.writer.send(f"JOIN {self.last_notice}\r\n".encode())
+        self.writer.send(wire.encode_join(self.last_notice))
         while True:
-            size = await inlet.receive(buffer.free_space())
+            size = await reader.receive(buffer.free_space())
             if not size:
                 return
             buffer.end += size
             while (notice := wire.read_notice(buffer)) is not None:
-                self.handle_notice(*notice)
-
-    def handle_notice(self, words: list[str], body: memoryview) -> None:
-        name, *values = words
-        if name == "WELCOME":
-            if values[0] not in ("EMPTY", "LOADED"):
-                raise ConnectionEndedError(CloseReason.MALFORMED, f"state {values[0]}")
-            self.is_replaying = True
-            self.on_welcome(values[0] == "EMPTY", wire.parse_integer(values[1]))
-            # The replay ends where this is answered: only then is it known which commands were
-            # heard.
-            self.poll_gauges()
-            self.barrier_tag = f"m{self.last_tag}"
-        elif name == "METERS":
-            self.handle_gauges(values[0], [wire.parse_decimal(value) for value in values[1:]])
-        elif name == "BAD":
-            self.handle_rejection(values)
-        elif name == "LOG":
-            log.info("event=executor_log text=%r", " ".join(values[1:]))
-            self.is_new_notice(wire.parse_integer(values[0]))
-        elif self.is_new_notice(wire.parse_integer(values[0])):
-            id = values[1]
-            self.unconfirmed_commands.pop(("EXEC", id), None)
-            self.unconfirmed_commands.pop(("RETURN", id), None)
-            if name == "CALLOUT":
-                self.on_call_requested(
-                    id, bytes(body)
-                )  # outlives the buffer: the call may be made later, and again
-            else:
-                self.on_run_ended(
-                    id,
-                    RUN_STATUSES.get(values[2], RunStatus.FAILED),
-                    int(wire.parse_decimal(values[3]) * 1e6),
-                    bytes(body),
-                )
+                self.handle_notice(notice)
+
+    def handle_notice(self, notice: wire.Notice) -> None:
+        """Acts on one notice.
+
+        Raises:
+            ConnectionEndedError: One of its fields is not what its kind asks for, or notices
+                before it were left out.
+        """
+        kind, fields, body = notice
+        if kind is RUN_ENDED:
+            if self.is_new_notice(fields[0]):
+                self.handle_run_ended(fields, body)
+        elif kind is CALL_REQUESTED:
+            if self.is_new_notice(fields[0]):
+                self.confirm_request(fields[1])
+                # A copy: the call may be made later, and again.
+                self.on_call_requested(fields[1], bytes(body))
+        elif kind is NoticeKind.GAUGES:
+            tag, *values = fields
+            self.handle_gauges(tag, [wire.parse_decimal(value) for value in values])
+        elif kind is NoticeKind.WELCOME:
+            self.handle_welcome(fields)
+        elif kind is NoticeKind.COMMAND_REJECTED:
+            self.handle_rejection(fields)
+        else:
+            log.info("event=executor_log text=%r", " ".join(fields[1:]))
+            self.is_new_notice(fields[0])
+
+    def handle_welcome(self, fields: list[str]) -> None:
+        """Begins the replay of the notices that were missed.
+
+        It ends where a gauge query sent now is answered: only then is it known which commands
+        arrived.
+        """
+        is_cold = wire.parse_is_cold(fields[0])
+        self.is_replaying = True
+        self.on_welcome(is_cold, wire.parse_integer(fields[1]))
+        self.poll_gauges()
+        self.barrier_tag = f"m{self.last_tag}"
 
-    def is_new_notice(self, number: int) -> bool:
+    def handle_run_ended(self, fields: list[str], body: memoryview) -> None:
+        """Hands the end of a run on."""
+        _, request_id, status, duration_ms, _ = fields
+        self.confirm_request(request_id)
+        self.on_run_ended(
+            request_id,
+            wire.parse_run_status(status),
+            wire.parse_duration_ns(duration_ms),
+            bytes(body),
+        )
+
+    def confirm_request(self, request_id: str) -> None:
+        """Confirms the commands about one request: the executor told of it."""
+        self.unconfirmed_commands.pop((START_RUN, request_id), None)
+        self.unconfirmed_commands.pop((SEND_CALL_RESULT, request_id), None)
+
+    def is_new_notice(self, number_field: str) -> bool:
+        """Counts a numbered notice; returns whether it was not handled before.
+
+        Raises:
+            ConnectionEndedError: Notices before it were left out, outside of a replay.
+        """
+        number = wire.parse_integer(number_field)
         if number > self.last_notice + 1 and not self.is_replaying:
-            raise ConnectionEndedError(
-                CloseReason.MALFORMED, f"notice {number} after {self.last_notice}"
-            )
+            raise wire.malformed(f"notice {number} after {self.last_notice}")
         if number > self.last_notice + 1:
-            # More than the executor keeps was said while there was no link: some ends are never
-            # learnt, and what was in doubt may be among them. Not said again, it is voided in time
-            # and never run twice.
+            # While there was no connection the executor had more notices than it keeps. Some runs'
+            # ends are never learnt, and unconfirmed commands may be among them: not sent again,
+            # such a request fails in time and is never run twice.
             log.error("event=notices_lost first=%d last=%d", self.last_notice + 1, number - 1)
             self.unconfirmed_commands.clear()
         self.is_replaying = False
-        fresh = number > self.last_notice
+        is_new = number > self.last_notice
         self.last_notice = max(self.last_notice, number)
-        return fresh
-
-    def handle_gauges(self, tag: str, values: list[float]) -> None:
-        asked, proven = self.pending_polls.pop(tag, (None, 0))
-        for command in [
-            command for command, (place, _) in self.unconfirmed_commands.items() if place <= proven
-        ]:
-            del self.unconfirmed_commands[command]
+        return is_new
+
+    def handle_gauges(self, tag: str, values: Gauges) -> None:
+        """Answers the poll with this tag, and confirms the commands sent before it."""
+        poll, confirmed_count = self.pending_polls.pop(tag, (None, 0))
+        confirmed = [
+            key for key, (place, _) in self.unconfirmed_commands.items() if place <= confirmed_count
+        ]
+        for key in confirmed:
+            del self.unconfirmed_commands[key]
         if tag == self.barrier_tag and self.writer is not None:
             self.barrier_tag, self.is_joined, self.has_served = "", True, True
-            self.writer.send(*(text for _, text in self.unconfirmed_commands.values()))
-        if asked is not None and not asked.done():
-            asked.set_result(values)
-
-    def handle_rejection(self, values: list[str]) -> None:
-        log.info("event=command_rejected command=%s id=%s", values[0], " ".join(values[1:]))
-        if len(values) > 1 and values[0] == "EXEC":
-            self.unconfirmed_commands.pop(("EXEC", values[1]), None)
-            self.on_run_ended(values[1], RunStatus.REJECTED, 0, b"")
+            self.writer.send(*(command for _, command in self.unconfirmed_commands.values()))
+        if poll is not None and not poll.done():
+            poll.set_result(values)
+
+    def handle_rejection(self, fields: list[str]) -> None:
+        """Ends the run of a request that the executor does not know."""
+        log.info("event=command_rejected command=%s id=%s", fields[0], " ".join(fields[1:]))
+        if len(fields) > 1 and fields[0] == START_RUN:
+            self.unconfirmed_commands.pop((START_RUN, fields[1]), None)
+            self.on_run_ended(fields[1], RunStatus.REJECTED, 0, b"")
--- a/burlloom/executor/wire.py
+++ b/burlloom/executor/wire.py
@@ -1,21 +1,56 @@
-"""The executor's notices, read off a buffer."""
+r"""The executor's protocol, mapped to our terms here and nowhere else.
 
-from enum import Enum
+Commands and notices are lines of fields that end in ``\r\n``. A field that is the length of a body
+comes last, and the body and another ``\r\n`` follow.
 
-from ..sockets import CloseReason, ConnectionEndedError, ReceiveBuffer
+=================================================  ==============================================
+command, sent                                      meaning
+=================================================  ==============================================
+``JOIN <number>``                                  send all notices after this number
+``EXEC <request id> <class> <length>`` body        run this request
+``RETURN <request id> <length>`` body              the result of the call that its run asked for
+``METER <tag>``                                    send the gauges
+=================================================  ==============================================
+
+=================================================  ==============================================
+notice, received                                   meaning
+=================================================  ==============================================
+``WELCOME EMPTY|LOADED <age>``                     first line; cold or warm, ms since its start
+``EXIT <number> <request id> <status> <ms> <length>`` body  a run ended with this result
+``CALLOUT <number> <request id> <length>`` body    a run asks for a call with this body
+``METERS <tag> <value>...``                        the gauges
+``BAD <command> <request id>``                     a command named a request that is not known
+``LOG <number> <text>``                            a line for our log
+=================================================  ==============================================
+"""
+
+from enum import Enum, StrEnum
+from typing import NamedTuple
+
+from ..sockets import NS_PER_MS, CloseReason, ConnectionEndedError, ReceiveBuffer
 
 MAX_LINE_BYTES = 4 << 10
 MAX_BODY_BYTES = 1 << 20
-# name -> words after the name (LOG: at least), and whether the last is the length of a body
-NOTICE_FORMATS = {
-    b"WELCOME": (2, False),
-    b"EXIT": (5, True),
-    b"CALLOUT": (3, True),
-    b"METERS": (1, False),
-    b"BAD": (1, False),
-    b"LOG": (1, False),
-}
-OPEN_ENDED_NOTICES = (b"METERS", b"BAD", b"LOG")
+MAX_QUOTED_CHARACTERS = 40  # of what was received, in an error's detail
+LINE_END = b"\r\n"
+
+
+class Command(StrEnum):
+    """The commands that carry a request."""
+
+    START_RUN = "EXEC"
+    SEND_CALL_RESULT = "RETURN"
+
+
+class NoticeKind(Enum):
+    """What a notice tells."""
+
+    WELCOME = "WELCOME"
+    RUN_ENDED = "EXIT"
+    CALL_REQUESTED = "CALLOUT"
+    GAUGES = "METERS"
+    COMMAND_REJECTED = "BAD"
+    LOG = "LOG"
 
 
 class RunStatus(Enum):
@@ -28,6 +63,47 @@
     REJECTED = "rejected"
 
 
+class Notice(NamedTuple):
+    """One notice.
+
+    Attributes:
+        kind: What it tells.
+        fields: Its fields after the first.
+        body: Its body, empty where its kind has none; a slice of the receive buffer.
+    """
+
+    kind: NoticeKind
+    fields: list[str]
+    body: memoryview
+
+
+class NoticeFormat(NamedTuple):
+    """How a notice is laid out.
+
+    Attributes:
+        kind: What it tells.
+        field_count: How many fields follow the first.
+        has_body: Whether the last field is the length of a body.
+        is_open_ended: Whether more fields may follow.
+    """
+
+    kind: NoticeKind
+    field_count: int
+    has_body: bool
+    is_open_ended: bool
+
+
+NOTICE_FORMATS = {
+    b"WELCOME": NoticeFormat(NoticeKind.WELCOME, 2, has_body=False, is_open_ended=False),
+    b"EXIT": NoticeFormat(NoticeKind.RUN_ENDED, 5, has_body=True, is_open_ended=False),
+    b"CALLOUT": NoticeFormat(NoticeKind.CALL_REQUESTED, 3, has_body=True, is_open_ended=False),
+    b"METERS": NoticeFormat(NoticeKind.GAUGES, 1, has_body=False, is_open_ended=True),
+    b"BAD": NoticeFormat(NoticeKind.COMMAND_REJECTED, 1, has_body=False, is_open_ended=True),
+    b"LOG": NoticeFormat(NoticeKind.LOG, 1, has_body=False, is_open_ended=True),
+}
+
+IS_COLD_BY_STATE = {"EMPTY": True, "LOADED": False}
+
 RUN_STATUSES = {
     "PASS": RunStatus.PASSED,
     "FAIL": RunStatus.FAILED,
@@ -37,45 +113,122 @@
 }
 
 
+def encode_start_run(request_id: str, request_class: str, body: bytes) -> bytes:
+    """Returns the command that starts a run."""
+    return f"EXEC {request_id} {request_class} {len(body)}\r\n".encode() + body + LINE_END
+
+
+def encode_call_result(request_id: str, result: bytes) -> bytes:
+    """Returns the command that gives a run the result of its call."""
+    return f"RETURN {request_id} {len(result)}\r\n".encode() + result + LINE_END
+
+
+def encode_gauge_query(tag: str) -> bytes:
+    """Returns the command that asks for the gauges; the notice that answers has the same tag."""
+    return f"METER {tag}\r\n".encode()
+
+
+def encode_join(last_notice: int) -> bytes:
+    """Returns the command that asks for all notices after `last_notice`."""
+    return f"JOIN {last_notice}\r\n".encode()
+
+
+def malformed(detail: str) -> ConnectionEndedError:
+    """Returns the error for bytes that are none of the protocol's."""
+    return ConnectionEndedError(CloseReason.MALFORMED, detail)
+
+
 def parse_integer(text: str) -> int:
+    """Parses a number without a sign.
+
+    Raises:
+        ConnectionEndedError: It is none.
+    """
     if not text.isdecimal():
-        raise ConnectionEndedError(CloseReason.MALFORMED, f"number {text[:40]!r}")
+        raise malformed(f"number {text[:MAX_QUOTED_CHARACTERS]!r}")
     return int(text)
 
 
 def parse_decimal(text: str) -> float:
+    """Parses a number with a fraction.
+
+    Raises:
+        ConnectionEndedError: It is none.
+    """
     try:
         return float(text)
     except ValueError as error:
-        raise ConnectionEndedError(CloseReason.MALFORMED, f"number {text[:40]!r}") from error
+        raise malformed(f"number {text[:MAX_QUOTED_CHARACTERS]!r}") from error
+
 
+def parse_duration_ns(text: str) -> int:
+    """Parses a duration in milliseconds; returns nanoseconds.
 
-def read_notice(buffer: ReceiveBuffer) -> tuple[list[str], memoryview] | None:
-    """The next notice as words and a slice that is its body; None if it is not all there yet."""
+    Raises:
+        ConnectionEndedError: It is no number.
+    """
+    return int(parse_decimal(text) * NS_PER_MS)
+
+
+def parse_is_cold(text: str) -> bool:
+    """Parses the state of a welcome: whether the executor has served nothing yet.
+
+    Raises:
+        ConnectionEndedError: It is no state.
+    """
+    is_cold = IS_COLD_BY_STATE.get(text)
+    if is_cold is None:
+        raise malformed(f"state {text}")
+    return is_cold
+
+
+def parse_run_status(text: str) -> RunStatus:
+    """Parses how a run ended; a status that is not known counts as failed."""
+    return RUN_STATUSES.get(text, RunStatus.FAILED)
+
+
+def read_notice(buffer: ReceiveBuffer) -> Notice | None:
+    """Takes the next notice off the buffer.
+
+    Returns:
+        The notice; None where it is not all there yet.
+
+    Raises:
+        ConnectionEndedError: What is there is no notice.
+    """
     raw = buffer.view.obj
     assert isinstance(raw, bytearray)
-    stop = raw.find(b"\r\n", buffer.start, buffer.end)
+    stop = raw.find(LINE_END, buffer.start, buffer.end)
     if stop < 0:
         if buffer.end - buffer.start > MAX_LINE_BYTES:
-            raise ConnectionEndedError(CloseReason.MALFORMED, "line without an end")
+            raise malformed("line without an end")
         return None
     line = bytes(buffer.view[buffer.start : stop])
-    name, *values = line.split(b" ")
+    name, *fields = line.split(b" ")
     if name not in NOTICE_FORMATS:
-        raise ConnectionEndedError(CloseReason.MALFORMED, f"notice {line[:40]!r}")
-    wanted, sized = NOTICE_FORMATS[name]
-    if len(values) < wanted or len(values) > wanted and name not in OPEN_ENDED_NOTICES:
-        raise ConnectionEndedError(CloseReason.MALFORMED, f"notice {line[:40]!r}")
-    after, body = stop + 2, buffer.view[:0]
-    if sized:
-        if not values[-1].isdigit() or int(values[-1]) > MAX_BODY_BYTES:
-            raise ConnectionEndedError(CloseReason.MALFORMED, f"length in {line[:40]!r}")
-        size = int(values[-1])
-        if buffer.end < after + size + 2:
+        raise malformed(f"notice {line[:MAX_QUOTED_CHARACTERS]!r}")
+    kind, field_count, has_body, is_open_ended = NOTICE_FORMATS[name]
+    if len(fields) < field_count or len(fields) > field_count and not is_open_ended:
+        raise malformed(f"notice {line[:MAX_QUOTED_CHARACTERS]!r}")
+    after, body = stop + len(LINE_END), buffer.view[:0]
+    if has_body:
+        size = body_length(fields[-1], line)
+        if buffer.end < after + size + len(LINE_END):
             return None
         body = buffer.view[after : after + size]
-        after += size + 2
-        if raw[after - 2 : after] != b"\r\n":
-            raise ConnectionEndedError(CloseReason.MALFORMED, f"body of {line[:40]!r}")
+        after += size + len(LINE_END)
+        if raw[after - len(LINE_END) : after] != LINE_END:
+            raise malformed(f"body of {line[:MAX_QUOTED_CHARACTERS]!r}")
     buffer.start = after
-    return [word.decode("latin-1") for word in (name, *values)], body
+    return Notice(kind, [field.decode("latin-1") for field in fields], body)
+
+
+def body_length(field: bytes, line: bytes) -> int:
+    """Parses the length of a body.
+
+    Raises:
+        ConnectionEndedError: It is no number, or over `MAX_BODY_BYTES`.
+    """
+    if not field.isdigit() or int(field) > MAX_BODY_BYTES:
+        raise malformed(f"length in {line[:MAX_QUOTED_CHARACTERS]!r}")
+    return int(field)
--- a/burlloom/sockets/__init__.py
+++ b/burlloom/sockets/__init__.py
@@ -1,7 +1,6 @@
-"""What every connection here is made of: a read buffer and its inlet, one ordered writer, an
-orderly close, a reason for its end.
+"""Building blocks of every connection: reader, writer, orderly close, reasons for a close.
 
-And what keeps it going: its socket as the loop wants it, its tasks, spans of time.
+Also the task supervisor, the socket options that the event loop needs, and units of time.
 """
 
 from .close_reasons import CloseReason, ConnectionEndedError
@@ -16,16 +15,16 @@
 __all__ = [
     "NS_PER_MS",
     "NS_PER_SECOND",
-    "ReceiveBuffer",
+    "CloseReason",
+    "ConnectionClose",
     "ConnectionEndedError",
+    "ReceiveBuffer",
     "SocketReader",
-    "ConnectionClose",
-    "CloseReason",
-    "TaskSupervisor",
     "SocketWriter",
-    "is_out_of_descriptors",
+    "TaskSupervisor",
     "configure_socket",
-    "sleep_ns",
-    "open_stream_socket",
     "has_unread_bytes",
+    "is_out_of_descriptors",
+    "open_stream_socket",
+    "sleep_ns",
 ]
--- a/burlloom/sockets/close_reasons.py
+++ b/burlloom/sockets/close_reasons.py
@@ -1,9 +1,13 @@
-"""Why a connection ended. The codes are explained in docs/on-call.md."""
+"""Why a connection was closed; docs/on-call.md says for each what to do."""
 
 from enum import Enum
 
+from ..errors import BurlloomError
+
 
 class CloseReason(Enum):
+    """The `reason` of the log's `connection_closed` lines."""
+
     PEER_CLOSED = "peer_closed"
     PEER_RESET = "peer_reset"
     MALFORMED = "malformed"
@@ -25,9 +29,15 @@
     INTERNAL_ERROR = "internal_error"
 
 
-class ConnectionEndedError(Exception):
-    """A connection can't go on, for a reason that is ours to name."""
+class ConnectionEndedError(BurlloomError):
+    """A connection cannot go on, for a reason that we name.
+
+    Attributes:
+        reason: Why, as it is logged.
+        detail: What was wrong, and where in the input.
+    """
 
     def __init__(self, reason: CloseReason, detail: str = "") -> None:
         super().__init__(detail)
         self.reason = reason
+        self.detail = detail
--- a/burlloom/sockets/connection_close.py
+++ b/burlloom/sockets/connection_close.py
@@ -1,4 +1,4 @@
-"""The one orderly close of a connection that we end."""
+"""The orderly close of a connection that this side ends."""
 
 import asyncio
 import socket
@@ -8,28 +8,32 @@
 from .time_units import NS_PER_MS, NS_PER_SECOND
 
 CLOSE_TIMEOUT_NS = 500 * NS_PER_MS
-DISCARD_BUFFER_BYTES, MAX_DISCARDED_BYTES = 4 << 10, 256 << 10
+DISCARD_BUFFER_BYTES = 4 << 10
+MAX_DISCARDED_BYTES = 256 << 10
 
 
 class ConnectionClose:
-    """Sends what is owed, closes our half, and reads to the other side's end, all within
-    `PART_MOST`.
+    """Sends what is pending, closes our half and reads on until the peer closes its half.
 
-    A close over bytes that nobody has read resets the connection, and the other side loses what it
-    had not yet taken of our answers. What is read here is never acted on: there is no way back for
-    an answer to it.
+    All of it takes at most `CLOSE_TIMEOUT_NS`. A close over unread bytes would reset the
+    connection, and the peer would lose the answers that it had not yet read. What is read here is
+    discarded: an answer to it could no longer be sent.
     """
 
     def __init__(self, sock: socket.socket, writer: SocketWriter) -> None:
-        self.socket, self.writer, self.socket_reader = sock, writer, SocketReader(sock)
+        self.socket = sock
+        self.writer = writer
+        self.socket_reader = SocketReader(sock)
 
     async def run(self) -> None:
-        scrap, left = memoryview(bytearray(DISCARD_BUFFER_BYTES)), MAX_DISCARDED_BYTES
+        """Closes the connection; the socket is closed when this returns."""
+        discarded = memoryview(bytearray(DISCARD_BUFFER_BYTES))
+        left = MAX_DISCARDED_BYTES
         try:
             async with asyncio.timeout(CLOSE_TIMEOUT_NS / NS_PER_SECOND):
                 await self.writer.drain()
                 self.socket.shutdown(socket.SHUT_WR)
-                while left > 0 and (size := await self.socket_reader.receive(scrap)):
+                while left > 0 and (size := await self.socket_reader.receive(discarded)):
                     left -= size
         except (TimeoutError, OSError):
             pass
@@ -37,7 +41,7 @@
             self.close_now()
 
     def close_now(self) -> None:
-        """Ends it at once, however far it is: its descriptor is free when this returns."""
+        """Closes the socket however far the close is; its descriptor is free on return."""
         self.socket_reader.stop()
         self.writer.abort()
         self.socket.close()
--- a/burlloom/sockets/receive_buffer.py
+++ b/burlloom/sockets/receive_buffer.py
@@ -1,16 +1,28 @@
-"""A read buffer: bytes come in at its end and leave as slices from its front."""
+"""A buffer that bytes are received into and messages are parsed from."""
 
 
 class ReceiveBuffer:
-    """Its slices hold until the next `room`, which may write over them."""
+    """Holds the bytes from `start` to `end`: received, and not parsed yet.
 
-    def __init__(self, size: int, most: int) -> None:
-        self.max_bytes = most
+    Whoever receives writes into `free_space()` and moves `end`; whoever parses moves `start`.
+
+    Attributes:
+        view: The whole buffer. Slices of it hold until the next `free_space()`.
+        start: Offset of the first byte that is not parsed.
+        end: Offset past the last byte that was received.
+        max_bytes: How large the buffer may grow for one unfinished message.
+    """
+
+    def __init__(self, size: int, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
         self.view = memoryview(bytearray(size))
         self.start = self.end = 0
 
     def free_space(self) -> memoryview:
-        """Where the next bytes go; empty once an unfinished message fills the most there may be."""
+        """Returns where to receive into.
+
+        It is empty once one unfinished message takes up `max_bytes`.
+        """
         if self.start == self.end:
             self.start = self.end = 0
         elif self.end == len(self.view):
--- a/burlloom/sockets/socket_reader.py
+++ b/burlloom/sockets/socket_reader.py
@@ -1,14 +1,14 @@
-"""The reading side of a connection: it waits for bytes, and takes them, in two steps."""
+"""The reading side of a connection."""
 
 import asyncio
 import socket
 
 
 class SocketReader:
-    """Not `sock_recv_into`: what that took in as it is cancelled is lost unseen, a whole request
-    with it.
+    """Waits until a socket is readable, and then reads, as two steps.
 
-    Here the wait alone can be cancelled, and bytes that came meanwhile still lie in the kernel.
+    `sock_recv_into` does both at once: what it had read when it is cancelled is lost, with a whole
+    request perhaps. Here only the wait can be cancelled, and the bytes stay in the kernel.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -16,8 +16,15 @@
         self.loop = asyncio.get_running_loop()
         self.waiter: asyncio.Future[None] | None = None
 
-    async def receive(self, room: memoryview) -> int:
-        """How many bytes came; 0 at the other side's end."""
+    async def receive(self, buffer: memoryview) -> int:
+        """Receives into `buffer`.
+
+        Returns:
+            How many bytes came; 0 where the peer closed its half.
+
+        Raises:
+            OSError: The connection was lost.
+        """
         while True:
             self.waiter = self.loop.create_future()
             self.loop.add_reader(self.socket, self.on_readable, self.waiter)
@@ -26,17 +33,19 @@
             finally:
                 self.stop()
             try:
-                return self.socket.recv_into(room)
+                return self.socket.recv_into(buffer)
             except (BlockingIOError, InterruptedError):
                 pass
 
     def on_readable(self, waiter: "asyncio.Future[None]") -> None:
+        """Wakes `receive`; called by the event loop."""
         if not waiter.done():
             waiter.set_result(None)
 
     def stop(self) -> None:
-        """Waits no more. The socket may be closed only after this: its descriptor would soon be
-        another's.
+        """Stops waiting.
+
+        The socket may be closed only after this: its descriptor may be another socket's soon.
         """
         if self.waiter is not None:
             self.loop.remove_reader(self.socket)
@@ -44,7 +53,7 @@
 
 
 def has_unread_bytes(sock: socket.socket) -> bool:
-    """Whether bytes lie there that are not yet taken."""
+    """Returns whether bytes came on a non-blocking socket that are not read yet."""
     try:
         return bool(sock.recv(1, socket.MSG_PEEK))
     except OSError:
--- a/burlloom/sockets/stream_sockets.py
+++ b/burlloom/sockets/stream_sockets.py
@@ -1,4 +1,4 @@
-"""Stream sockets as the loop wants them."""
+"""Stream sockets as the event loop needs them."""
 
 import errno
 import socket
@@ -6,8 +6,9 @@
 
 
 def configure_socket(sock: socket.socket) -> socket.socket:
-    """Its messages are small and waited for: none may block, nor be held back to be sent with the
-    next.
+    """Makes a socket non-blocking and turns Nagle's algorithm off; returns it.
+
+    Messages are small and somebody waits for each.
     """
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -15,14 +16,22 @@
 
 
 def is_out_of_descriptors(error: BaseException | None) -> bool:
+    """Returns whether an error says that the process or the system has no descriptor left."""
     return isinstance(error, OSError) and error.errno in (errno.EMFILE, errno.ENFILE)
 
 
-def open_stream_socket(spare: Callable[[], bool]) -> socket.socket:
-    """`spare` frees a descriptor where none is left, if it can: idle clients may hold them all."""
+def open_stream_socket(free_descriptor: Callable[[], bool]) -> socket.socket:
+    """Opens an unconnected TCP socket.
+
+    Args:
+        free_descriptor: Called once where no descriptor is left; returns whether it freed one.
+
+    Raises:
+        OSError: No socket could be opened.
+    """
     try:
         return configure_socket(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
     except OSError as error:
-        if not is_out_of_descriptors(error) or not spare():
+        if not is_out_of_descriptors(error) or not free_descriptor():
             raise
     return configure_socket(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -378,7 +378,7 @@
     answer = balancer.ask("look", fields())
     id = await rig.command("EXEC", "look")
     rig.executor.callout(id)
-    await until(lambda: "answer=unwanted" in rig.log())
+    await until(lambda: "answer=no_longer_needed" in rig.log())
     rig.executor.exit(id, "KILLED")
     await fails(answer, "Voided")
     assert len(rig.catalogue.calls) == 1
