--- a/burlloom/rollout/__init__.py
+++ b/burlloom/rollout/__init__.py
@@ -1,30 +1,35 @@
-"""Drains and releases agreed across the fleet: who may be out, waves, the halt, the way back. No
-I/O; `stores/` keeps what is agreed.
+"""Drains and releases agreed across the fleet. No I/O; `stores/` keeps what is agreed.
+
+`state` is what is agreed, made of `group`, `instance` and `release`; `agent` is a server's part,
+`leader` with `supervision`, `progress` and `permits` the leader's; `liveness` and `canary` are what
+it judges by.
 """
 
 from .agent import DrainAgent
-from .canary import CanarySettings
+from .errors import OrderRejectedError
+from .group import SERVERS_GROUP, DisruptionBudget, InstanceGroup
 from .instance import Instance, InstanceState
-from .leader import RolloutLeader, RolloutSettings
+from .leader import RolloutLeader
 from .liveness import RequestCounts, ServerPhase, ServerReport
 from .release import Release, ReleasePhase
-from .state import SERVERS_GROUP, DisruptionBudget, InstanceGroup, OrderRejectedError, RolloutState
+from .settings import CanarySettings, RolloutSettings
+from .state import RolloutState
 
 __all__ = [
     "SERVERS_GROUP",
-    "RolloutState",
+    "CanarySettings",
     "DisruptionBudget",
-    "RequestCounts",
-    "OrderRejectedError",
-    "InstanceGroup",
     "DrainAgent",
-    "RolloutLeader",
-    "CanarySettings",
-    "ServerReport",
-    "ReleasePhase",
-    "Release",
-    "ServerPhase",
+    "Instance",
+    "InstanceGroup",
     "InstanceState",
+    "OrderRejectedError",
+    "Release",
+    "ReleasePhase",
+    "RequestCounts",
+    "RolloutLeader",
     "RolloutSettings",
-    "Instance",
+    "RolloutState",
+    "ServerPhase",
+    "ServerReport",
 ]
--- a/burlloom/rollout/canary.py
+++ b/burlloom/rollout/canary.py
@@ -1,15 +1,15 @@
-"""Whether the changed servers do worse than those that are not changed yet, over the same moments.
-No I/O.
-
-Both sides serve the same callers at the same time, so a crowd, a slow service below or an hour of
-the day is on both. Three shares are held against each other: declined, voided, settled after the
-SLA time. One is worse where it is larger by `margin` at least and by more than chance makes of it:
-a one-sided test of two proportions (as in Fleiss, "Statistical Methods for Rates and Proportions",
-1981), with a bound far out, since it is asked anew each round. And one that is not well is sent
-nobody, so nothing speaks against it but that: it is held against the others too.
+"""Whether changed servers do worse than those that are not changed yet, at the same time. No I/O.
+
+Both sides serve the same callers at the same time, so a peak, a slow downstream service or an hour
+of the day is on both. Three shares are compared: rejected, failed, completed late. One is worse
+where it is larger by `min_difference` at least and by more than chance makes of it: a one-sided
+test of two proportions (as in Fleiss, "Statistical Methods for Rates and Proportions", 1981), with
+a bound far out, since it is asked anew each round. A server that is not healthy is sent no
+requests, so nothing speaks against it but that: it is compared too.
 """
 
 from collections import deque
+from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import IntEnum
 from math import sqrt
@@ -17,55 +17,62 @@
 
 from .liveness import RequestCounts
 from .release import OutcomeRates
-
-MIN_BAD_REQUESTS = 5  # txns: one or two that fail by chance are a large share of a few
-BASELINE_MARGIN_FACTOR = (
-    3  # margins that are wanted where nobody is left to compare with at the same time
-)
-WINDOW_PARTS, MIN_BAD_PARTS = (
-    10,
-    4,
-)  # of a span: failures come in bursts, and one burst is no sign of a bad release
-
+from .settings import CanarySettings
+
+__all__ = [
+    "CanaryWindow",
+    "CohortSample",
+    "Evaluation",
+    "ServerSample",
+    "Verdict",
+    "WindowRound",
+    "evaluate_canary",
+    "outcome_rates",
+]
+
+# One or two requests that fail by chance are a large share of a few.
+MIN_BAD_REQUESTS = 5
+# The baseline is of another hour, and what differs may be the hour.
+BASELINE_DIFFERENCE_FACTOR = 3
+# Failures come in bursts, and one burst is no sign of a bad release.
+WINDOW_PARTS = 10
+MIN_BAD_PARTS = 4
 
 # Fields of `OutcomeRates` and `RequestCounts`, each with its word in the reason for a halt.
 _OUTCOMES = (("rejected", "declined"), ("failed", "voided"), ("late", "late"))
 
 
 class Verdict(IntEnum):
-    INCONCLUSIVE = 0  # too few txns to tell
+    """What the comparison says of the changed servers."""
+
+    INCONCLUSIVE = 0  # too few requests to tell
     HEALTHY = 1
     UNHEALTHY = 2
 
 
-@dataclass(frozen=True, slots=True)
-class CanarySettings:
-    """`span`: ns that count at least. `least`: txns of the changed, before they are good. `margin`:
-    of a share; `sigmas`: how far out. `worst`: a share of the changed that is bad, unless the
-    others do as badly.
-    """
-
-    window_ns: int = 30_000_000_000
-    min_requests: int = 100
-    min_difference: float = 0.03
-    min_sigmas: float = 4.0
-    max_rate: float = 0.5
-
-
 @dataclass(frozen=True, slots=True)
 class Evaluation:
+    """A verdict; `reason` says in an operator's words what is unhealthy."""
+
     verdict: Verdict
     reason: str = ""
 
 
 class CohortSample(NamedTuple):
-    """What one side was asked, and in how many looks at one of its servers it was not `well`."""
+    """What one side did.
+
+    Attributes:
+        counts: Its requests.
+        samples: Looks at its servers.
+        unhealthy_samples: Of these, with the server not healthy.
+    """
 
     counts: RequestCounts = RequestCounts()
     samples: int = 0
     unhealthy_samples: int = 0
 
     def add(self, other: "CohortSample") -> "CohortSample":
+        """Returns the sum."""
         return CohortSample(
             self.counts.add(other.counts),
             self.samples + other.samples,
@@ -73,6 +80,7 @@
         )
 
     def subtract(self, other: "CohortSample") -> "CohortSample":
+        """Returns the difference."""
         return CohortSample(
             self.counts.subtract(other.counts),
             self.samples - other.samples,
@@ -81,11 +89,19 @@
 
     @property
     def unhealthy_rate(self) -> float:
+        """Share of the looks at which the server was not healthy."""
         return self.unhealthy_samples / max(1, self.samples)
 
 
 class ServerSample(NamedTuple):
-    """At one server, in service."""
+    """A look at one server in service.
+
+    Attributes:
+        incarnation: The server's.
+        counts: Its requests since its start.
+        is_changed: Whether it is as the release wants it.
+        is_healthy: As it reports.
+    """
 
     incarnation: int
     counts: RequestCounts
@@ -93,138 +109,164 @@
     is_healthy: bool = True
 
 
+class WindowRound(NamedTuple):
+    """What both sides did from one look to the next.
+
+    Attributes:
+        at_ns: When the second look was.
+        changed: The changed servers' part.
+        unchanged: The others'.
+    """
+
+    at_ns: int
+    changed: CohortSample
+    unchanged: CohortSample
+
+
 class CanaryWindow:
-    """What was counted on both sides, over the last `span`; further back, up to `longest`, as long
-    as the changed were asked for under `least` txns. A server counts from a look at which it was in
-    service to the next, if it lived through it.
+    """What both sides did lately.
+
+    A server counts from a look at which it was in service to the next, if it lived through it.
+
+    Attributes:
+        changed: Sum over the window.
+        unchanged: Sum over the window.
+        concurrent: Sum of the unchanged over the rounds with a look at a changed server.
+        is_complete: Whether a whole window was looked at.
+        rounds: Of the window, the oldest first.
     """
 
-    def __init__(self, span: int, least: int, longest: int) -> None:
-        self.window_ns, self.min_requests, self.max_window_ns = span, least, longest
-        self.last_samples: dict[str, ServerSample] = {}
-        self.rounds: deque[tuple[int, CohortSample, CohortSample]] = deque()
-        self.changed, self.unchanged = CohortSample(), CohortSample()
-        self.concurrent = (
-            CohortSample()
-        )  # of the others, in rounds in which one that is changed was looked at
-        self.is_complete = False  # whether a whole span was looked at
+    def __init__(self, window_ns: int, min_requests: int, max_window_ns: int) -> None:
+        """Begins empty.
 
-    def clear(self) -> None:
-        self.last_samples.clear()
-        self.rounds.clear()
-        self.changed, self.unchanged, self.concurrent, self.is_complete = (
-            CohortSample(),
-            CohortSample(),
-            CohortSample(),
-            False,
-        )
+        Args:
+            window_ns: How far the window reaches back, at least.
+            min_requests: With fewer to the changed servers it reaches further back.
+            max_window_ns: How far it reaches back at most.
+        """
+        self.window_ns = window_ns
+        self.min_requests = min_requests
+        self.max_window_ns = max_window_ns
+        self.clear()
 
-    def add(self, now: int, looks: dict[str, ServerSample]) -> None:
-        sides = [CohortSample(), CohortSample()]
-        for name, look in looks.items():
-            before = self.last_samples.get(name)
-            asked = (
-                look.counts.subtract(before.counts)
-                if before is not None and before.incarnation == look.incarnation
-                else RequestCounts()
-            )
-            sides[look.is_changed] = sides[look.is_changed].add(
-                CohortSample(asked, 1, not look.is_healthy)
-            )
-        self.last_samples = looks
-        self.rounds.append((now, sides[1], sides[0]))
-        self.changed, self.unchanged = self.changed.add(sides[1]), self.unchanged.add(sides[0])
-        self.concurrent = self.concurrent.add(sides[0]) if sides[1].samples else self.concurrent
-        while (at := self.rounds[0][0]) <= now - self.window_ns:
+    def clear(self) -> None:
+        """Forgets all."""
+        self._last_samples: Mapping[str, ServerSample] = {}
+        self.rounds: deque[WindowRound] = deque()
+        self.changed = CohortSample()
+        self.unchanged = CohortSample()
+        self.concurrent = CohortSample()
+        self.is_complete = False
+
+    def add(self, now: int, samples: Mapping[str, ServerSample]) -> None:
+        """Takes in a look at all servers in service, by name."""
+        changed = unchanged = CohortSample()
+        for name, sample in samples.items():
+            part = CohortSample(self._counts_since_last(name, sample), 1, not sample.is_healthy)
+            if sample.is_changed:
+                changed = changed.add(part)
+            else:
+                unchanged = unchanged.add(part)
+        self._last_samples = samples
+        self.rounds.append(WindowRound(now, changed, unchanged))
+        self.changed = self.changed.add(changed)
+        self.unchanged = self.unchanged.add(unchanged)
+        if changed.samples:
+            self.concurrent = self.concurrent.add(unchanged)
+        self._drop_old_rounds(now)
+
+    def is_sustained(self, outcome: str) -> bool:
+        """Whether the changed had this outcome in several parts of a window, not in one burst."""
+        part_ns = max(1, self.window_ns // WINDOW_PARTS)
+        parts = {
+            one.at_ns // part_ns for one in self.rounds if getattr(one.changed.counts, outcome)
+        }
+        return len(parts) >= MIN_BAD_PARTS
+
+    def _counts_since_last(self, name: str, sample: ServerSample) -> RequestCounts:
+        last = self._last_samples.get(name)
+        if last is None or last.incarnation != sample.incarnation:
+            return RequestCounts()
+        return sample.counts.subtract(last.counts)
+
+    def _drop_old_rounds(self, now: int) -> None:
+        while (oldest := self.rounds[0]).at_ns <= now - self.window_ns:
             self.is_complete = True
-            _, changed, others = self.rounds[0]
-            if (
-                self.changed.counts.total - changed.counts.total < self.min_requests
-                and at > now - self.max_window_ns
-            ):
+            rest = self.changed.counts.total - oldest.changed.counts.total
+            if rest < self.min_requests and oldest.at_ns > now - self.max_window_ns:
                 break
             self.rounds.popleft()
-            self.changed, self.unchanged = (
-                self.changed.subtract(changed),
-                self.unchanged.subtract(others),
-            )
-            self.concurrent = (
-                self.concurrent.subtract(others) if changed.samples else self.concurrent
-            )
-
-    def is_sustained(self, name: str) -> bool:
-        """Whether the changed failed so in several parts of a span, not in one burst."""
-        part = max(1, self.window_ns // WINDOW_PARTS)
-        return (
-            len({at // part for at, changed, _ in self.rounds if getattr(changed.counts, name)})
-            >= MIN_BAD_PARTS
-        )
+            self.changed = self.changed.subtract(oldest.changed)
+            self.unchanged = self.unchanged.subtract(oldest.unchanged)
+            if oldest.changed.samples:
+                self.concurrent = self.concurrent.subtract(oldest.unchanged)
 
 
 def outcome_rates(counts: RequestCounts) -> OutcomeRates:
-    asked = max(1, counts.total)
+    """Returns the shares of each outcome."""
+    total = max(1, counts.total)
     return OutcomeRates(
-        counts.rejected / asked,
-        counts.failed / asked,
+        counts.rejected / total,
+        counts.failed / total,
         counts.late / max(1, counts.completed),
         counts.total,
     )
 
 
 def evaluate_canary(
-    measure: CanarySettings, evidence: CanaryWindow, reference: OutcomeRates | None
+    settings: CanarySettings, window: CanaryWindow, baseline: OutcomeRates | None
 ) -> Evaluation:
-    """`reference`: what the others did while there were enough of them; in their place where they
-    are few.
+    """Compares the changed servers with the others.
+
+    Args:
+        settings: When one side is worse.
+        window: What both sides did.
+        baseline: What the others did while there were enough of them; compared with where they are
+            few.
     """
-    changed, others = evidence.changed, evidence.concurrent
-    if (
-        evidence.is_complete
-        and changed.samples
-        and changed.unhealthy_rate >= measure.max_rate
-        and others.unhealthy_rate < measure.max_rate / 2
-    ):
-        return Evaluation(
-            Verdict.UNHEALTHY,
-            f"not well in {changed.unhealthy_rate:.0%} of looks, the others in {others.unhealthy_rate:.0%}",
-        )
-    mine, its, margin = (
-        outcome_rates(changed.counts),
-        outcome_rates(others.counts),
-        measure.min_difference,
-    )
-    if others.counts.total < measure.min_requests:
-        # Of another hour: what differs may be the hour.
-        its, margin = (
-            reference or OutcomeRates(requests=0),
-            BASELINE_MARGIN_FACTOR * measure.min_difference,
-        )
-    for name, label in _OUTCOMES:
-        share, usual = getattr(mine, name), getattr(its, name)
-        count = changed.counts.completed if name == "late" else mine.requests
-        worst = (
-            count >= measure.min_requests
-            and share >= measure.max_rate
-            and (usual < measure.max_rate or not its.requests)
+    reason = _find_unhealthy_servers(settings, window)
+    if reason:
+        return Evaluation(Verdict.UNHEALTHY, reason)
+    counts = window.changed.counts
+    changed, others = outcome_rates(counts), outcome_rates(window.concurrent.counts)
+    min_difference = settings.min_difference
+    if others.requests < settings.min_requests:
+        others = baseline or OutcomeRates(requests=0)
+        min_difference *= BASELINE_DIFFERENCE_FACTOR
+    for outcome, word in _OUTCOMES:
+        rate, usual = getattr(changed, outcome), getattr(others, outcome)
+        count = counts.completed if outcome == "late" else changed.requests
+        is_beyond_max = (
+            count >= settings.min_requests
+            and rate >= settings.max_rate
+            and (usual < settings.max_rate or not others.requests)
         )
-        bad = (
-            worst
-            or its.requests
-            and is_worse(margin, measure.min_sigmas, share, count, usual, its.requests)
+        is_bad = is_beyond_max or (
+            others.requests > 0
+            and _is_worse(min_difference, settings.min_sigmas, rate, count, usual, others.requests)
         )
-        if bad and evidence.is_sustained(name):
-            return Evaluation(
-                Verdict.UNHEALTHY,
-                f"{label} {share:.1%} of {count}, the others {usual:.1%} of {its.requests}",
-            )
-    return Evaluation(
-        Verdict.HEALTHY if changed.counts.total >= measure.min_requests else Verdict.INCONCLUSIVE
-    )
-
-
-def is_worse(margin: float, sigmas: float, share: float, count: int, usual: float, of: int) -> bool:
-    if share * count < MIN_BAD_REQUESTS or share - usual < margin:
+        if is_bad and window.is_sustained(outcome):
+            reason = f"{word} {rate:.1%} of {count}, the others {usual:.1%} of {others.requests}"
+            return Evaluation(Verdict.UNHEALTHY, reason)
+    is_enough = counts.total >= settings.min_requests
+    return Evaluation(Verdict.HEALTHY if is_enough else Verdict.INCONCLUSIVE)
+
+
+def _find_unhealthy_servers(settings: CanarySettings, window: CanaryWindow) -> str:
+    """Returns why the changed are unhealthy by their own reports; empty where they are not."""
+    changed, others = window.changed.unhealthy_rate, window.concurrent.unhealthy_rate
+    if not window.is_complete or not window.changed.samples:
+        return ""
+    if changed < settings.max_rate or others >= settings.max_rate / 2:
+        return ""
+    return f"not well in {changed:.0%} of looks, the others in {others:.0%}"
+
+
+def _is_worse(
+    min_difference: float, min_sigmas: float, rate: float, count: int, usual: float, of: int
+) -> bool:
+    if rate * count < MIN_BAD_REQUESTS or rate - usual < min_difference:
         return False
-    pooled = (share * count + usual * of) / (count + of)
-    spread = sqrt(pooled * (1 - pooled) * (1 / count + 1 / of))
-    return share - usual > sigmas * spread
+    pooled = (rate * count + usual * of) / (count + of)
+    deviation = sqrt(pooled * (1 - pooled) * (1 / count + 1 / of))
+    return rate - usual > min_sigmas * deviation
--- a/burlloom/rollout/instance.py
+++ b/burlloom/rollout/instance.py
@@ -1,16 +1,13 @@
-"""One server, or one instance of a service below, while it is taken out of service and comes back:
-a table. No I/O.
-
-States: IN it serves, as far as the book knows; GRANTED it may leave and has not begun; OUT it has
-begun to leave, or was told to by its platform; BACK it serves again, or kept on, and has not
-settled; MISSING it went without a word, or is not back in time; GONE not in the book.
-
-All but IN count against the budget, so a permit's or an absence's end never frees what is not back:
-an absence ends by a life later than the one that left, or by somebody's word that it is gone for
-good. Whoever holds a permit begins by a step in the book itself; where the permit was taken back
-before, there is none to begin on. A permit out of IN wants room; one out of BACK or MISSING, for
-who is to go back to an older version, wants that fewer were sent out than the budget allows: it may
-serve, though it counts as away.
+"""One server, or one instance of a downstream service, while it leaves service and returns. No I/O.
+
+All states but IN count against the disruption budget, so the end of a permit or of an absence never
+frees what is not back: an absence ends by an incarnation later than the one that left, or by
+somebody's word that the instance is gone for good.
+
+Whoever holds a permit begins to leave by a step in the rollout state itself; where the permit was
+revoked before, there is none to begin on. A permit out of IN needs free budget. One out of BACK or
+MISSING, for an instance that is to return to an older version, needs that fewer were sent out than
+the budget allows: the instance may be serving, though it counts as out.
 """
 
 from collections.abc import Callable
@@ -19,14 +16,18 @@
 
 from ..tables import rows
 
+__all__ = ["Instance", "InstanceEvent", "InstanceInput", "InstanceState", "apply_input"]
+
 
 class InstanceState(IntEnum):
-    IN = 0
-    GRANTED = 1
-    OUT = 2
-    BACK = 3
-    MISSING = 4
-    GONE = 5
+    """Where an instance stands; stored as a number, and named so on operators' pages."""
+
+    IN = 0  # it serves, as far as is known
+    GRANTED = 1  # it may leave and has not begun
+    OUT = 2  # it has begun to leave, or was told to by its platform
+    BACK = 3  # it serves again, or kept on, and has not settled
+    MISSING = 4  # it went without a word, or is not back in time
+    GONE = 5  # not in the rollout state
 
     @property
     def label(self) -> str:
@@ -35,9 +36,11 @@
 
 
 class InstanceInput(IntEnum):
-    SEEN = 0  # it serves, in the life that is told with it
-    LOST = 1  # not heard for as long as a sign of life counts
-    LEAVING = 2  # it says that it is leaving: its platform told it to
+    """What moves an instance from state to state."""
+
+    SEEN = 0  # it serves, in the incarnation that goes along
+    LOST = 1  # no heartbeat for as long as one counts
+    LEAVING = 2  # it reports that it is leaving: its platform told it to
     PERMIT = 3
     BEGIN = 4  # by whom the permit is for
     REVOKE = 5
@@ -94,11 +97,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """`life`: the one that served last; `left`: one that is known to leave, 0 where none is.
-    `since`: the book's step that brought it to this state. `version`: that it served with last;
-    `to`: that it is to start with next, empty: the good one. `moved`: the plan that sent it out
-    last. `asked`: the ticket of an operator's order to take it out, 0: none. `span_ms`: for how
-    long, 0: as long as any other.
+    """What is agreed on one server or downstream instance.
+
+    Attributes:
+        state: Where it stands.
+        incarnation: The one that served last.
+        left_incarnation: One that is known to leave; 0 where none is.
+        since_step: The rollout state's step that brought it to its state.
+        version: That it served with last.
+        next_version: That it is to start with next; empty: the stable one.
+        release_number: Of the release that sent it out last.
+        drain_ticket: Of an operator's order to take it out; 0: none.
+        drain_ms: How long it is to be out; 0: as long as any other.
     """
 
     state: InstanceState = InstanceState.GONE
@@ -113,25 +123,29 @@
 
     @property
     def is_out(self) -> bool:
-        """Against the budget."""
+        """Whether it counts against the budget."""
         return self.state not in (InstanceState.IN, InstanceState.GONE)
 
     @property
     def was_sent_out(self) -> bool:
-        """It may have left with a permit, or may yet, and has not been seen since."""
-        return (
-            self.state in (InstanceState.GRANTED, InstanceState.OUT)
-            or self.state is InstanceState.MISSING
-            and self.left_incarnation >= self.incarnation
-        )
+        """Whether it may have left with a permit, or may yet, and has not been seen since."""
+        if self.state in (InstanceState.GRANTED, InstanceState.OUT):
+            return True
+        has_left = self.left_incarnation >= self.incarnation
+        return self.state is InstanceState.MISSING and has_left
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceEvent:
-    """What goes with an input. `life`: of who speaks; `ticket`: of the order on which it acts;
-    `room`: whether the budget has any; `few`: whether fewer were sent out by it than it allows,
-    whoever else is away; `below`: an instance of a service below, of which nobody starts a new
-    life.
+    """What goes along with an input.
+
+    Attributes:
+        step: The rollout state's, that the input is.
+        incarnation: Of whom it concerns.
+        ticket: Of the order on which it acts.
+        has_budget: Whether a permit is free.
+        has_sent_budget: Whether fewer were sent out than the budget allows, whoever else is out.
+        is_downstream: Whether it is a downstream instance, whose incarnations nobody counts.
     """
 
     step: int
@@ -142,94 +156,102 @@
     is_downstream: bool = False
 
 
-def is_newer(unit: Instance, news: InstanceEvent) -> bool:
-    return news.incarnation > unit.incarnation
+def apply_input(
+    instance: Instance, received: InstanceInput, event: InstanceEvent
+) -> tuple[Instance, str] | None:
+    """Moves an instance by the first row of the table whose test holds.
 
+    Returns:
+        The instance after it and the effect's name; None where no row holds.
+    """
+    for test, after, effect in RULES.get((instance.state, received), ()):
+        if test(instance, event):
+            changed = _EFFECTS[effect](instance, event)
+            return replace(changed, state=after, since_step=event.step), effect
+    return None
 
-def is_restarted(unit: Instance, news: InstanceEvent) -> bool:
-    """Later than the life that left: a letter of that one, late, does not bring it back."""
-    return news.incarnation > unit.left_incarnation
 
+# Tests of the table.
 
-def is_own_permit(unit: Instance, news: InstanceEvent) -> bool:
-    """Not another's order on the same instance, nor of a life before."""
-    return news.ticket == unit.drain_ticket and news.incarnation >= unit.incarnation
 
+def _always(instance: Instance, event: InstanceEvent) -> bool:
+    return True
 
-def has_budget(unit: Instance, news: InstanceEvent) -> bool:
-    return news.has_budget
 
+def _is_newer(instance: Instance, event: InstanceEvent) -> bool:
+    return event.incarnation > instance.incarnation
 
-def may_be_sent_again(unit: Instance, news: InstanceEvent) -> bool:
-    """It counts already, but may be serving all the same: it waits for those who were sent out, as
-    any other.
-    """
-    return news.has_sent_budget and unit.left_incarnation < unit.incarnation
 
+def _is_restarted(instance: Instance, event: InstanceEvent) -> bool:
+    """A late report of the incarnation that left does not bring it back."""
+    return event.incarnation > instance.left_incarnation
 
-def is_downstream(unit: Instance, news: InstanceEvent) -> bool:
-    return news.is_downstream
 
+def _is_own_permit(instance: Instance, event: InstanceEvent) -> bool:
+    """Not another's order on the same instance, nor one of an incarnation before."""
+    is_own_order = event.ticket == instance.drain_ticket
+    return is_own_order and event.incarnation >= instance.incarnation
 
-def record_incarnation(unit: Instance, news: InstanceEvent) -> Instance:
-    return replace(unit, incarnation=news.incarnation)
 
+def _has_budget(instance: Instance, event: InstanceEvent) -> bool:
+    return event.has_budget
 
-def record_return(unit: Instance, news: InstanceEvent) -> Instance:
-    return replace(unit, incarnation=max(news.incarnation, unit.incarnation), drain_ticket=0)
 
+def _may_be_sent_again(instance: Instance, event: InstanceEvent) -> bool:
+    """It counts as out already, but may be serving: it waits for those that were sent out."""
+    return event.has_sent_budget and instance.left_incarnation < instance.incarnation
 
-def record_leaving(unit: Instance, news: InstanceEvent) -> Instance:
-    return replace(
-        unit, left_incarnation=max(unit.left_incarnation, news.incarnation), drain_ticket=0
-    )
 
+def _is_downstream(instance: Instance, event: InstanceEvent) -> bool:
+    return event.is_downstream
 
-def cancel_permit(unit: Instance, news: InstanceEvent) -> Instance:
-    """Nothing has come of the permit. Whoever waited for an instance below is gone by now, or asks
-    anew.
-    """
-    return replace(
-        unit,
-        release_number=0,
-        next_version="",
-        drain_ticket=0 if news.is_downstream else unit.drain_ticket,
-    )
-
-
-def keep(unit: Instance, news: InstanceEvent) -> Instance:
-    return unit
-
-
-TESTS: dict[str, Callable[[Instance, InstanceEvent], bool]] = {
-    "-": lambda unit, news: True,
-    "is_newer": is_newer,
-    "is_restarted": is_restarted,
-    "is_own_permit": is_own_permit,
-    "has_budget": has_budget,
-    "may_be_sent_again": may_be_sent_again,
-    "is_downstream": is_downstream,
-}
-EFFECTS: dict[str, Callable[[Instance, InstanceEvent], Instance]] = {
-    "-": keep,
-    "mark_missing": keep,
-    "cancel_permit": cancel_permit,
-    "record_incarnation": record_incarnation,
-    "record_crash": record_incarnation,
-    "record_return": record_return,
-    "record_leaving": record_leaving,
-}
-RULES = rows(TABLE, InstanceState, InstanceInput, TESTS.__getitem__, str)
 
+# Effects of the table.
 
-def apply_input(
-    unit: Instance, what: InstanceInput, news: InstanceEvent
-) -> tuple[Instance, str] | None:
-    """By the first row whose test holds: the unit after it and the effect's name; None where there
-    is none.
-    """
-    for test, after, effect in RULES.get((unit.state, what), ()):
-        if test(unit, news):
-            made = EFFECTS[effect](unit, news)
-            return replace(made, state=after, since_step=news.step), effect
-    return None
+
+def _keep(instance: Instance, event: InstanceEvent) -> Instance:
+    return instance
+
+
+def _record_incarnation(instance: Instance, event: InstanceEvent) -> Instance:
+    return replace(instance, incarnation=event.incarnation)
+
+
+def _record_return(instance: Instance, event: InstanceEvent) -> Instance:
+    incarnation = max(event.incarnation, instance.incarnation)
+    return replace(instance, incarnation=incarnation, drain_ticket=0)
+
+
+def _record_leaving(instance: Instance, event: InstanceEvent) -> Instance:
+    left_incarnation = max(instance.left_incarnation, event.incarnation)
+    return replace(instance, left_incarnation=left_incarnation, drain_ticket=0)
+
+
+def _cancel_permit(instance: Instance, event: InstanceEvent) -> Instance:
+    """Whoever waited for a downstream instance is gone by now, or asks anew."""
+    drain_ticket = 0 if event.is_downstream else instance.drain_ticket
+    return replace(instance, release_number=0, next_version="", drain_ticket=drain_ticket)
+
+
+_Test = Callable[[Instance, InstanceEvent], bool]
+_Effect = Callable[[Instance, InstanceEvent], Instance]
+
+_TESTS: dict[str, _Test] = {
+    "-": _always,
+    "is_newer": _is_newer,
+    "is_restarted": _is_restarted,
+    "is_own_permit": _is_own_permit,
+    "has_budget": _has_budget,
+    "may_be_sent_again": _may_be_sent_again,
+    "is_downstream": _is_downstream,
+}
+_EFFECTS: dict[str, _Effect] = {
+    "-": _keep,
+    "mark_missing": _keep,
+    "cancel_permit": _cancel_permit,
+    "record_incarnation": _record_incarnation,
+    "record_crash": _record_incarnation,
+    "record_return": _record_return,
+    "record_leaving": _record_leaving,
+}
+RULES = rows(TABLE, InstanceState, InstanceInput, _TESTS.__getitem__, str)
--- a/burlloom/rollout/release.py
+++ b/burlloom/rollout/release.py
@@ -1,9 +1,4 @@
-"""The fleet's change: waves of a release, the halt, the way back; a table. No I/O.
-
-Phases: IDLE nothing is changed; ROLLING a wave is on its way; JUDGING all of a wave are back, and
-what they do is held against the others; HALTED nobody is sent out; BACKING all go back to the
-version that was good.
-"""
+"""A release to the whole fleet: its waves, the halt, the rollback; a table. No I/O."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -12,13 +7,31 @@
 
 from ..tables import rows
 
+__all__ = [
+    "OutcomeRates",
+    "Release",
+    "ReleaseInput",
+    "ReleasePhase",
+    "Wave",
+    "apply_input",
+    "find_wave_faults",
+    "parse_wave",
+]
+
+Wave = int | float  # so many servers, or such a part of all
+
+# A part such as 0.1 of 30 must not be rounded up to 4.
+_ROUNDING_ERROR = 1e-9
+
 
 class ReleasePhase(IntEnum):
-    IDLE = 0
-    ROLLING = 1
-    EVALUATING = 2
-    HALTED = 3
-    ROLLING_BACK = 4
+    """Where a release stands; stored as a number."""
+
+    IDLE = 0  # no release is under way
+    ROLLING = 1  # a wave is on its way
+    EVALUATING = 2  # all of a wave are back, and are compared with the others
+    HALTED = 3  # nobody is sent out
+    ROLLING_BACK = 4  # all return to the version before
 
     @property
     def label(self) -> str:
@@ -30,13 +43,15 @@
 
 
 class ReleaseInput(IntEnum):
+    """What moves a release from phase to phase."""
+
     START = 0
-    WAVE_COMPLETE = 1  # all of the wave, or of the way back, are back and settled
+    WAVE_COMPLETE = 1  # all of the wave, or of the rollback, are back and settled
     EVALUATED_HEALTHY = 2
-    EVALUATED_UNHEALTHY = 3  # the changed do worse than the others
-    SERVER_LOST = 4  # one that was changed is missing, fell, or came back with another version
-    TRAFFIC_TOO_LOW = 5  # too little was asked of the changed to tell
-    HALT = 6  # by an operator, as the next two
+    EVALUATED_UNHEALTHY = 3  # the changed servers do worse than the others
+    SERVER_LOST = 4  # a changed one is missing, crashed, or returned with another version
+    TRAFFIC_TOO_LOW = 5  # too few requests to the changed servers to tell
+    HALT = 6  # an operator's order, as the next two
     RESUME = 7
     ROLLBACK = 8
 
@@ -80,13 +95,16 @@
 ROLLING_BACK HALT                -             HALTED       halt
 """
 
-Wave = int | float  # so many servers, or such a part of all
-
 
 @dataclass(frozen=True, slots=True)
 class OutcomeRates:
-    """Of what was asked: shares declined, voided, and settled after the SLA time (of those
-    settled); `asked`: of how many.
+    """How requests came out.
+
+    Attributes:
+        rejected: Share of all requests.
+        failed: Share of all requests.
+        late: Share of the completed requests that took longer than the latency objective.
+        requests: How many there were.
     """
 
     rejected: float = 0.0
@@ -97,10 +115,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """`version`: that is brought in; `former`: that the way back leads to; `restart`: all start
-    anew, whatever they run. `backing`: whether the way back was begun; `auto`: taken by itself when
-    a wave is bad. `since`: the book's step of the last move. `reference`: what the unchanged did
-    last, for when there are none left. `lost`: changed servers that were lost.
+    """A release, or a restart of the fleet; the last one while none is under way.
+
+    Attributes:
+        number: Counts up with each release.
+        phase: Where it stands.
+        target_version: That it brings in.
+        previous_version: That a rollback returns to.
+        is_restart: Whether all servers are started anew, whatever they run.
+        wave_index: From 0 on.
+        waves: Cumulative; the last one is the whole fleet.
+        is_rollback: Whether the rollback was begun.
+        auto_rollback: Whether it begins by itself when a wave is unhealthy.
+        since_step: The rollout state's step of the last move.
+        reason: Of the last move; empty where it needs none.
+        baseline: What the unchanged servers did last, for when none are left.
+        lost_count: Changed servers that were lost.
     """
 
     number: int = 0
@@ -119,88 +149,131 @@
 
     @property
     def goal_version(self) -> str:
+        """The version that the servers are brought to now."""
         return self.previous_version if self.is_rollback else self.target_version
 
     @property
     def is_moving(self) -> bool:
+        """Whether servers are sent out."""
         return self.phase in (ReleasePhase.ROLLING, ReleasePhase.ROLLING_BACK)
 
-    def target_count(self, members: int) -> int:
-        """How many are to be changed at the end of this wave."""
+    def target_count(self, servers: int) -> int:
+        """Returns how many of so many servers are to be changed at the end of this wave."""
         if self.is_rollback:
-            return members
+            return servers
         wave = self.waves[min(self.wave_index, len(self.waves) - 1)]
-        return min(members, max(1, wave if isinstance(wave, int) else ceil(wave * members - 1e-9)))
-
-
-def begin(plan: Release) -> Release:
-    return replace(plan, wave_index=0, is_rollback=False, baseline=None)
-
-
-def next_wave(plan: Release) -> Release:
-    return replace(plan, wave_index=plan.wave_index + 1)
-
-
-def begin_rollback(plan: Release) -> Release:
-    return replace(plan, is_rollback=True)
-
-
-def resume(plan: Release) -> Release:
-    return replace(plan, lost_count=0)
-
-
-def keep(plan: Release) -> Release:
-    return plan
-
-
-TESTS: dict[str, Callable[[Release], bool]] = {
-    "-": lambda plan: True,
-    "auto_rollback": lambda plan: plan.auto_rollback and not plan.is_restart,
-    "is_last_wave": lambda plan: plan.wave_index + 1 >= len(plan.waves),
-    "is_rollback": lambda plan: plan.is_rollback,
-}
-EFFECTS: dict[str, Callable[[Release], Release]] = {
-    "-": keep,
-    "begin": begin,
-    "next_wave": next_wave,
-    "begin_rollback": begin_rollback,
-    "halt": keep,
-    "resume": resume,
-    "finish_release": keep,
-    "finish_rollback": keep,
-}
-RULES = rows(TABLE, ReleasePhase, ReleaseInput, TESTS.__getitem__, str)
+        count = wave if isinstance(wave, int) else ceil(wave * servers - _ROUNDING_ERROR)
+        return min(servers, max(1, count))
 
 
 def apply_input(
-    plan: Release, what: ReleaseInput, step: int, why: str
+    release: Release, received: ReleaseInput, step: int, reason: str
 ) -> tuple[Release, str] | None:
-    for test, after, effect in RULES.get((plan.phase, what), ()):
-        if test(plan):
-            return replace(EFFECTS[effect](plan), phase=after, since_step=step, reason=why), effect
+    """Moves a release by the first row of the table whose test holds.
+
+    Args:
+        release: As it stands.
+        received: What happened.
+        step: The rollout state's, that this is.
+        reason: Kept with the release.
+
+    Returns:
+        The release after it and the effect's name; None where no row holds.
+    """
+    for test, after, effect in RULES.get((release.phase, received), ()):
+        if test(release):
+            changed = _EFFECTS[effect](release)
+            return replace(changed, phase=after, since_step=step, reason=reason), effect
     return None
 
 
-def parse_wave(told: int | str) -> Wave:
-    """A number of servers, or a part such as `10%`. Raises `ValueError`."""
-    text = str(told).strip()
-    if text.endswith("%"):
-        return float(text[:-1]) / 100
-    return int(text)
+def parse_wave(text: int | str) -> Wave:
+    """Returns the wave that an operator wrote: a number of servers, or a part such as `10%`.
+
+    Raises:
+        ValueError: It is neither.
+    """
+    stripped = str(text).strip()
+    if stripped.endswith("%"):
+        return float(stripped[:-1]) / 100
+    return int(stripped)
 
 
 def find_wave_faults(waves: tuple[Wave, ...]) -> list[str]:
-    """What is wrong with them, in words."""
+    """Returns what is wrong with waves, in words for an operator."""
     found = []
     if not waves or waves[-1] != 1.0 or isinstance(waves[-1], int):
         found.append("waves: the last one is 100%, the whole fleet")
     for wave in waves:
         if wave <= 0 or isinstance(wave, float) and wave > 1:
             found.append(
-                f"waves: {wave!r} is neither a number of servers from 1 on nor a part of them up to 100%"
+                f"waves: {wave!r} is neither a number of servers from 1 on nor a part of them up to"
+                " 100%"
             )
-    shares = [wave for wave in waves if isinstance(wave, float)]
+    parts = [wave for wave in waves if isinstance(wave, float)]
     counts = [wave for wave in waves if isinstance(wave, int)]
-    if list(waves) != [*sorted(set(counts)), *sorted(set(shares))]:
+    if list(waves) != [*sorted(set(counts)), *sorted(set(parts))]:
         found.append("waves: numbers first, then parts, each larger than the one before")
     return found
+
+
+# Tests of the table.
+
+
+def _always(release: Release) -> bool:
+    return True
+
+
+def _auto_rollback(release: Release) -> bool:
+    """A restart brought in no other version: there is nothing to return to."""
+    return release.auto_rollback and not release.is_restart
+
+
+def _is_last_wave(release: Release) -> bool:
+    return release.wave_index + 1 >= len(release.waves)
+
+
+def _is_rollback(release: Release) -> bool:
+    return release.is_rollback
+
+
+# Effects of the table.
+
+
+def _keep(release: Release) -> Release:
+    return release
+
+
+def _begin(release: Release) -> Release:
+    return replace(release, wave_index=0, is_rollback=False, baseline=None)
+
+
+def _next_wave(release: Release) -> Release:
+    return replace(release, wave_index=release.wave_index + 1)
+
+
+def _begin_rollback(release: Release) -> Release:
+    return replace(release, is_rollback=True)
+
+
+def _resume(release: Release) -> Release:
+    return replace(release, lost_count=0)
+
+
+_TESTS: dict[str, Callable[[Release], bool]] = {
+    "-": _always,
+    "auto_rollback": _auto_rollback,
+    "is_last_wave": _is_last_wave,
+    "is_rollback": _is_rollback,
+}
+_EFFECTS: dict[str, Callable[[Release], Release]] = {
+    "-": _keep,
+    "begin": _begin,
+    "next_wave": _next_wave,
+    "begin_rollback": _begin_rollback,
+    "halt": _keep,
+    "resume": _resume,
+    "finish_release": _keep,
+    "finish_rollback": _keep,
+}
+RULES = rows(TABLE, ReleasePhase, ReleaseInput, _TESTS.__getitem__, str)
--- a/burlloom/rollout/stores/codec.py
+++ b/burlloom/rollout/stores/codec.py
@@ -10,10 +10,11 @@
 from pydantic import ConfigDict, TypeAdapter, ValidationError, with_config
 
 from ...errors import BurlloomError
+from ..group import DisruptionBudget, InstanceGroup
 from ..instance import Instance
 from ..liveness import ServerReport
 from ..release import OutcomeRates, Release
-from ..state import FORMAT_VERSION, DisruptionBudget, InstanceGroup, RolloutState
+from ..state import FORMAT_VERSION, RolloutState
 
 __all__ = ["StateDecodeError", "decode_report", "decode_state", "encode_report", "encode_state"]
 
