--- a/burlloom/distribution/endpoint.py
+++ b/burlloom/distribution/endpoint.py
@@ -1,4 +1,4 @@
-"""Datagrams in and out, for a server that follows and for a control machine."""
+"""A UDP endpoint for a follower, a control machine or a relay."""
 
 import asyncio
 import logging
@@ -10,19 +10,19 @@
 log = logging.getLogger(__name__)
 
 Address = tuple[str, int]
-UNSENT_MOST = (
+MAX_UNSENT_BYTES = (
     1 << 20
 )  # bytes that the system did not take yet; what is more is as good as lost on the way
-RECEIVE = 1 << 21  # bytes that wait to be read, as far as the system allows it
-REFUSED_EACH = 10  # lines a second about what is refused; the rest is counted
+RECEIVE_BUFFER_BYTES = 1 << 21  # bytes that wait to be read, as far as the system allows it
+MAX_REFUSAL_LINES_PER_S = 10  # lines a second about what is refused; the rest is counted
 
 
 def bind_datagram_socket(listen: str) -> socket.socket:
-    """Raises `OSError`."""
+    """Return a non-blocking UDP socket bound to "host:port". Raises `OSError`."""
     host, port = listen.rsplit(":", 1)
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         sock.bind((host, int(port)))
     except OSError:
         sock.close()
@@ -32,8 +32,10 @@
 
 
 class Endpoint(asyncio.DatagramProtocol):
-    """`hear`: called with each datagram and where it came from; an error of it is logged, and that
-    is all.
+    """Sends and receives datagrams.
+
+    `on_datagram` is called with each datagram and its source; an error it raises is logged and
+    dropped.
     """
 
     def __init__(self, sock: socket.socket, hear: Callable[[bytes, Address], None]) -> None:
@@ -47,29 +49,32 @@
         self.logged_second, self.logged_count = 0, 0
 
     async def open(self) -> None:
+        """Attach the socket to the running loop. Raises `OSError`."""
         self.transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, sock=self.sock
         )
 
     def flush(self, out: deque[tuple[Address, bytes]]) -> None:
+        """Send all datagrams of `out`; past `UNSENT_MOST` unsent bytes they are dropped."""
         while out:
             address, data = out.popleft()
-            if self.transport is None or self.transport.get_write_buffer_size() > UNSENT_MOST:
+            if self.transport is None or self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
                 self.dropped += 1
             else:
                 self.transport.sendto(data, address)
 
     def log_refusals(self, now_s: int, refusals: deque[tuple[str, Address]]) -> None:
-        """Some lines a second: whoever sends rubbish does not fill the disk."""
+        """Log refused messages, at most `REFUSED_EACH` lines a second."""
         if now_s != self.logged_second:
             self.logged_second, self.logged_count = now_s, 0
         while refusals:
             reason, (host, port) = refusals.popleft()
             self.logged_count += 1
-            if self.logged_count <= REFUSED_EACH:
-                log.info("event=distribution-refused peer=%s:%d reason=%r", host, port, reason)
+            if self.logged_count <= MAX_REFUSAL_LINES_PER_S:
+                log.info("event=config_message_rejected peer=%s:%d reason=%r", host, port, reason)
 
     def close(self) -> None:
+        """Close the socket; calling it again does nothing."""
         if self.transport is not None:
             self.transport.close()
             self.transport = None
@@ -77,10 +82,12 @@
     # Of asyncio.
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
+        """Pass a datagram on; an error of the handler is logged and ends there."""
         try:
             self.on_datagram(data, (addr[0], addr[1]))
         except Exception:
             log.exception("event=fault side=distribution")
 
     def error_received(self, exc: Exception) -> None:
+        """Ignore errors of the system: a lost peer is found by its silence."""
         pass  # whoever is not there will be found silent
--- a/burlloom/distribution/source.py
+++ b/burlloom/distribution/source.py
@@ -1,9 +1,9 @@
-"""The side that is followed: of a control machine, or of a relay (a Follower beside it on the same
-Replica). No I/O.
+"""The side of replication that is followed: a control machine, or a relay. No I/O.
 
-A host gives it the time (`tick`, once a beat or so) and what datagrams come (`hear`), calls `push`
-after anything that may have moved the copy, and sends what lies in `out`. A change is sealed once
-for all followers: nothing in it is of one of them. Times are ns of a clock that never steps back.
+A relay has a `Follower` beside it on the same `Replica`. A host calls `tick` about once a
+heartbeat, passes datagrams to `receive`, calls `push_changes` after anything that may have moved
+the replica, and sends what lies in `out`. A change is sealed once for all followers, since nothing
+in it depends on one of them. Times are ns of a clock that never goes back.
 """
 
 from collections import deque
@@ -12,6 +12,7 @@
 from random import Random
 
 from .changes import Change
+from .codec import MessageDecodeError, seal, unseal
 from .messages import (
     HALF_BUCKETS,
     MAX_PAGE_BYTES,
@@ -21,19 +22,16 @@
     HeadStatus,
     Leave,
     Message,
-    MessageDecodeError,
     PageResponse,
     PagesRequest,
     PullRequest,
     PushedChange,
     Redirect,
-    ReplayWindow,
     Report,
     Sender,
-    seal,
-    unseal,
 )
 from .refusals import MAX_PENDING_REFUSALS, count_refusal
+from .replay_window import ReplayWindow
 from .replica import Replica
 from .settings import MS, ReplicationSettings
 
@@ -47,7 +45,7 @@
 
 @dataclass(slots=True)
 class Lease:
-    """One that follows. `until`: ns."""
+    """A follower's lease; `expires_at` is in ns."""
 
     incarnation: int
     address: Address
@@ -60,7 +58,7 @@
 
 @dataclass(slots=True)
 class Counts:
-    """For whoever reads metrics."""
+    """Counters for metrics and the state file, under these names."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -77,8 +75,18 @@
 
 
 class Source:
-    """`age`: ms since the copy was surely the newest, at a time; None: never. The first key
-    seals.
+    """Serves followers from a replica.
+
+    Args:
+        replica: the table that is served.
+        name: this server's name.
+        incarnation: Unix ms of the process's start.
+        keys: the first seals messages, any opens them.
+        settings: intervals and limits.
+        random: source of jitter.
+        now: current time in ns.
+        age_ms: given a time, returns how many ms ago the replica was confirmed to be the newest;
+            None: never.
     """
 
     def __init__(
@@ -111,12 +119,13 @@
     # Once in a while.
 
     def tick(self, now: int) -> None:
+        """Forget followers whose lease is over, and push what is new."""
         for name in [name for name, lease in self.followers.items() if lease.expires_at <= now]:
             del self.followers[name]
         self.push_changes(now)
 
     def push_changes(self, now: int) -> None:
-        """What is new goes to all who follow. After a sync, or where it is very much, they pull."""
+        """Push new changes to all followers; after a sync or too many changes they pull instead."""
         head = self.replica.head
         if head is None or not self.replica.is_complete or self.pushed_up_to == head[:2]:
             return
@@ -138,6 +147,7 @@
                 self.counts.pushed += 1
 
     def sealed_change(self, change: Change, full: bool) -> bytes:
+        """Return the datagram of a change, sealed once for all followers; `full`: with its body."""
         key = change.epoch, change.revision, full
         data = self.sealed_changes.get(key)
         if data is None:
@@ -153,6 +163,7 @@
     # What comes.
 
     def receive(self, now: int, data: bytes, source: Address) -> None:
+        """Handle one datagram; what is refused is counted by its reason."""
         self.counts.heard += 1
         self.counts.heard_bytes += len(data)
         try:
@@ -166,9 +177,11 @@
             self.count_refusal(reason, source)
 
     def count_refusal(self, reason: str, source: Address) -> None:
+        """Count a refused message and keep it for the host's log."""
         self.refusals.append((count_refusal(self.counts.refused, reason), source))
 
     def on_report(self, now: int, message: Message, source: Address) -> str:
+        """Grant or renew a lease, or redirect; returns why the report is refused, else ""."""
         sender, body, head = message.sender, message.body, self.replica.head
         assert isinstance(body, Report)
         lease = self.followers.get(sender.name)
@@ -209,7 +222,7 @@
         return ""
 
     def reason_not_to_serve(self, body: Report) -> str:
-        """Why we can't be followed by that one; empty where we can."""
+        """Return why that follower can't be served here; "" if it can."""
         held = self.replica.table.scopes
         if self.is_draining:
             return "leaving"
@@ -220,12 +233,14 @@
         return ""
 
     def is_full(self, now: int) -> bool:
+        """Whether no further follower is taken; leases that are over are dropped first."""
         if len(self.followers) >= self.settings.max_followers:
             for name in [name for name, lease in self.followers.items() if lease.expires_at <= now]:
                 del self.followers[name]
         return len(self.followers) >= self.settings.max_followers
 
     def differs(self, body: Report) -> bool:
+        """Whether a follower's digest differs from ours at the same revision; counted."""
         head = self.replica.head
         if (
             head is None
@@ -239,6 +254,7 @@
         return found
 
     def send_head(self, now: int, number: int, to: Address, differs: bool) -> None:
+        """Send our head, in answer to the message of that number."""
         assert self.replica.head is not None
         # A copy on its way to a later revision is nothing to pull from or sync with, and says no
         # other head.
@@ -251,7 +267,7 @@
         )
 
     def lease_of(self, now: int, message: Message) -> Lease | None:
-        """Who asked, where that is one that follows, and did not ask with that number before."""
+        """Return the sender's lease; None if it has none, or its number was seen before."""
         sender = message.sender
         lease = self.followers.get(sender.name)
         if (
@@ -264,6 +280,7 @@
         return lease
 
     def on_pull(self, now: int, message: Message, source: Address) -> str:
+        """Send the changes that a follower asks for; returns why it is refused, else ""."""
         lease, body, head = self.lease_of(now, message), message.body, self.replica.head
         assert isinstance(body, PullRequest)
         if lease is None or head is None:
@@ -282,6 +299,7 @@
         return ""
 
     def on_digests_request(self, now: int, message: Message, source: Address) -> str:
+        """Send both halves of the digests; returns why the request is refused, else ""."""
         lease, head = self.lease_of(now, message), self.replica.head
         if lease is None:
             return "a DIGESTS_ASK of none that follows, or played again"
@@ -299,6 +317,7 @@
         return ""
 
     def on_pages_request(self, now: int, message: Message, source: Address) -> str:
+        """Send pages within the byte rate; returns why the request is refused, else ""."""
         lease, body, head = self.lease_of(now, message), message.body, self.replica.head
         assert isinstance(body, PagesRequest)
         if lease is None:
@@ -329,6 +348,7 @@
         return ""
 
     def on_leave(self, now: int, message: Message, source: Address) -> str:
+        """End a follower's lease; always accepted."""
         if self.lease_of(now, message) is not None:
             del self.followers[message.sender.name]
         return ""
@@ -336,19 +356,20 @@
     # What leaves.
 
     def drain(self) -> None:
-        """Sends all followers on; whoever reports later is sent on too."""
+        """Redirect all followers, and from now on whoever reports."""
         self.is_draining = True
         for lease in self.followers.values():
             self.send(lease.address, 0, Redirect("leaving"))
         self.followers.clear()
 
     def send(self, to: Address, number: int, body: Body) -> int:
-        """The bytes that it took."""
+        """Send a message and return its size in bytes."""
         data = seal(Sender(self.name, self.incarnation, number), body, self.keys[0])
         self.post(to, data)
         return len(data)
 
     def post(self, to: Address, data: bytes) -> None:
+        """Queue a datagram for the host; over `MAX_OUT_DATAGRAMS` it is dropped and counted."""
         if len(self.out) >= MAX_OUT_DATAGRAMS:
             self.counts.dropped += 1
             return
@@ -358,7 +379,7 @@
 
 
 def summary(source: Source, now: int) -> Mapping[str, object]:
-    """For an operator's eyes; plain values."""
+    """Return plain values for an operator, as the state file has them."""
     head, counts = source.replica.head, source.counts
     return {
         "name": source.name,
--- a/burlloom/fleet/lease_holder.py
+++ b/burlloom/fleet/lease_holder.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from enum import IntEnum
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 from .settings import QuotaSettings
 
 __all__ = ["LeaseHolder", "LeaseInput", "LeaseState"]
@@ -174,4 +174,4 @@
     return _do_nothing if name == "-" else getattr(LeaseHolder, name)
 
 
-RULES = rows(TABLE, LeaseState, LeaseInput, _test, _effect)
+RULES = parse_transitions(TABLE, LeaseState, LeaseInput, _test, _effect)
--- a/burlloom/fleet/membership.py
+++ b/burlloom/fleet/membership.py
@@ -22,7 +22,7 @@
 
 import xxhash
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 
 __all__ = [
     "Member",
@@ -397,4 +397,6 @@
     "mark_left": MembershipView.change_state,
     "remove": MembershipView.remove,
 }
-RULES = rows(TABLE, MemberState, MembershipInput, _TESTS.__getitem__, _EFFECTS.__getitem__)
+RULES = parse_transitions(
+    TABLE, MemberState, MembershipInput, _TESTS.__getitem__, _EFFECTS.__getitem__
+)
--- a/burlloom/lab/fleets.py
+++ b/burlloom/lab/fleets.py
@@ -11,9 +11,9 @@
 
 from numpy.random import default_rng
 
-from ..dispatcher import Desk
-from ..downstream import Pool
-from ..downstream.spread import Pools
+from ..dispatcher import Dispatcher
+from ..downstream import ConnectionPool
+from ..downstream.service_pools import ServicePools
 from ..fleet import (
     MILLICALLS_PER_CALL,
     Fleet,
@@ -274,14 +274,14 @@
 
     async def open(self) -> None: ...
 
-    def attach_dispatcher(self, desk: Desk) -> None:
+    def attach_dispatcher(self, desk: Dispatcher) -> None:
         self.share.desk = desk
         self.share.apply()
 
     def may_call(self) -> bool:
         return self.fleet.is_current(self.fleets.loop.wall())
 
-    def select_pool(self, one: Pool) -> Pool | Pools:
+    def select_pool(self, one: ConnectionPool) -> ConnectionPool | ServicePools:
         return one
 
     async def keep(self) -> None:
--- a/burlloom/recovery/bootstrap.py
+++ b/burlloom/recovery/bootstrap.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from enum import IntEnum
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 from .snapshot import SnapshotValidity
 
 
@@ -115,6 +115,6 @@
     return (lambda start: True) if name == "-" else getattr(Bootstrap, name)
 
 
-RULES = rows(
+RULES = parse_transitions(
     TABLE, BootstrapState, BootstrapEvent, _test, lambda name: "nothing" if name == "-" else name
 )
--- a/burlloom/rollout/agent.py
+++ b/burlloom/rollout/agent.py
@@ -5,7 +5,7 @@
 
 from enum import IntEnum
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 from .group import SERVERS_GROUP
 from .instance import InstanceInput, InstanceState
 from .state import RolloutState
@@ -43,7 +43,7 @@
 UNCERTAIN STATE_OUT      - DRAINING  drain
 UNCERTAIN STATE_OTHER    - SERVING   -
 """
-RULES = rows(TABLE, AgentState, AgentInput, str, str)
+RULES = parse_transitions(TABLE, AgentState, AgentInput, str, str)
 
 
 class DrainAgent:
--- a/burlloom/rollout/instance.py
+++ b/burlloom/rollout/instance.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, replace
 from enum import IntEnum
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 
 __all__ = ["Instance", "InstanceEvent", "InstanceInput", "InstanceState", "apply_input"]
 
@@ -254,4 +254,4 @@
     "record_return": _record_return,
     "record_leaving": _record_leaving,
 }
-RULES = rows(TABLE, InstanceState, InstanceInput, _TESTS.__getitem__, str)
+RULES = parse_transitions(TABLE, InstanceState, InstanceInput, _TESTS.__getitem__, str)
--- a/burlloom/rollout/release.py
+++ b/burlloom/rollout/release.py
@@ -5,7 +5,7 @@
 from enum import IntEnum
 from math import ceil
 
-from ..tables import rows
+from ..transition_table import parse_transitions
 
 __all__ = [
     "OutcomeRates",
@@ -276,4 +276,4 @@
     "finish_release": _keep,
     "finish_rollback": _keep,
 }
-RULES = rows(TABLE, ReleasePhase, ReleaseInput, _TESTS.__getitem__, str)
+RULES = parse_transitions(TABLE, ReleasePhase, ReleaseInput, _TESTS.__getitem__, str)
--- a/burlloom/rollout/state.py
+++ b/burlloom/rollout/state.py
@@ -130,10 +130,10 @@
             group: The instance's.
             name: The instance's.
             received: What happened.
-            incarnation: As in `InstanceEvent`, like the rest.
-            ticket: See there.
-            has_budget: See there.
-            has_sent_budget: See there.
+            incarnation: As in `InstanceEvent`, like all that follow.
+            ticket: Of the order.
+            has_budget: For a permit.
+            has_sent_budget: For a permit.
 
         Returns:
             The state after it and the effect's name; this state and an empty name where no row of
@@ -261,15 +261,7 @@
             OrderRejectedError: There is nothing to release, or a release is under way.
         """
         release = self.release
-        running = Counter(
-            server.version for server in self.servers.values() if server.version or is_restart
-        )
-        if not running and self.servers:
-            raise OrderRejectedError(
-                "no server tells its version: set `rollout.version` or BURLLOOM_RELEASE for each"
-            )
-        if not running:
-            raise OrderRejectedError("no server is in the book yet")
+        running_version = self._most_common_version(is_restart)
         if release.phase is not ReleasePhase.IDLE:
             raise OrderRejectedError(
                 f"change {release.number} to {release.target_version} is {release.phase.label}:"
@@ -277,7 +269,7 @@
             )
         if faults := find_wave_faults(waves):
             raise OrderRejectedError("; ".join(faults))
-        previous_version = self.stable_version or running.most_common(1)[0][0]
+        previous_version = self.stable_version or running_version
         version = version or previous_version
         if not is_restart and all(server.version == version for server in self.servers.values()):
             raise OrderRejectedError(
@@ -294,6 +286,18 @@
         state = replace(self, release=release, stable_version=previous_version)
         return state.apply_to_release(ReleaseInput.START, "")[0]
 
+    def _most_common_version(self, is_restart: bool) -> str:
+        versions = Counter(
+            server.version for server in self.servers.values() if server.version or is_restart
+        )
+        if versions:
+            return versions.most_common(1)[0][0]
+        if self.servers:
+            raise OrderRejectedError(
+                "no server tells its version: set `rollout.version` or BURLLOOM_RELEASE for each"
+            )
+        raise OrderRejectedError("no server is in the book yet")
+
     def order(self, received: ReleaseInput, reason: str) -> "RolloutState":
         """Halts, resumes or rolls back the release.
 
--- a/burlloom/server/request_record.py
+++ b/burlloom/server/request_record.py
@@ -10,8 +10,8 @@
 from typing import TYPE_CHECKING, Protocol
 
 from ..admission.model import Idempotency, Outcome, RequestClass
-from ..dispatcher import Desk, Packed, RunEnded
-from ..sockets import MS
+from ..dispatcher import Dispatcher, PackedKeyDigests, RunEnded
+from ..sockets import NS_PER_MS
 from .configuration import ConfigurationError
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
 
 log = logging.getLogger(__name__)
 
-WAY_OUT = 100 * MS  # that an answer keeps to its expiry, whatever it waits for
+WAY_OUT = 100 * NS_PER_MS  # that an answer keeps to its expiry, whatever it waits for
 
 
 class RequestRecord(Protocol):
@@ -33,7 +33,7 @@
 
     async def open(self) -> None: ...
     def write_note(self, text: str) -> None: ...
-    def attach_dispatcher(self, desk: Desk, executor_began: int) -> None: ...
+    def attach_dispatcher(self, desk: Dispatcher, executor_began: int) -> None: ...
     def accepts_claims(self) -> bool: ...
     def begin_run(self, mark: bytes, id: str, at: int, product: int) -> None: ...
     def run_ended(self, id: str, outcome: Outcome, result: bytes) -> None: ...
@@ -60,7 +60,7 @@
     def write_note(self, text: str) -> None:
         pass
 
-    def attach_dispatcher(self, desk: Desk, executor_began: int) -> None:
+    def attach_dispatcher(self, desk: Dispatcher, executor_began: int) -> None:
         pass
 
     def accepts_claims(self) -> bool:
@@ -113,8 +113,8 @@
         )
         self.keeper: RecordCoordinator
         self.exposed: Exposed | None = None
-        self.desk: Desk | None = None
-        self.former = Packed()
+        self.desk: Dispatcher | None = None
+        self.former = PackedKeyDigests()
         self.previous_note, self.incarnation = "", -1
 
     def write_note(self, text: str) -> None:
@@ -129,24 +129,24 @@
         except StoreRefusedError as error:
             raise ConfigurationError(str(error)) from error
         self.previous_note, self.incarnation = self.keeper.previous_notice, self.keeper.incarnation
-        self.former = Packed(chain.from_iterable(self.keeper.read_recorded_keys()))
+        self.former = PackedKeyDigests(chain.from_iterable(self.keeper.read_recorded_keys()))
         await self.keeper.start()
         log.info(
             "event=record-open node=%s life=%d shift_ms=%d migrated=%s marks=%d begun=%d ms=%d",
             opened.node,
             opened.incarnation,
-            opened.clock_shift_ns // MS,
+            opened.clock_shift_ns // NS_PER_MS,
             ",".join(map(str, opened.migrated)) or "-",
             len(self.former),
             len(self.keeper.started_rows),
-            (self.clock() - began) // MS,
+            (self.clock() - began) // NS_PER_MS,
         )
 
-    def attach_dispatcher(self, desk: Desk, executor_began: int) -> None:
+    def attach_dispatcher(self, desk: Dispatcher, executor_began: int) -> None:
         self.desk = desk
-        desk.ledger.plant_ended(self.former)
+        desk.idempotency_table.restore_ended_keys(self.former)
         for mark, until, asked in self.keeper.resume_after_restart(executor_began):
-            desk.ledger.plant(mark, until, not asked)
+            desk.idempotency_table.restore_open_key(mark, until, not asked)
 
     def accepts_claims(self) -> bool:
         return self.keeper.may_claim()
@@ -223,20 +223,20 @@
 
     def report(self, id: str, outcome: Outcome) -> None:
         if self.desk is not None:
-            self.desk.report(RunEnded(id, outcome, 0, b""))
+            self.desk.handle_event(RunEnded(id, outcome, 0, b""))
 
     def complete(self, mark: bytes, result: bytes | None) -> None:
         if self.desk is not None:
-            self.desk.settle(mark, result)
+            self.desk.complete_key(mark, result)
 
     def release(self, mark: bytes) -> None:
         if self.desk is not None:
-            self.desk.free(mark)
+            self.desk.release_key(mark)
 
     def register(self, mark: bytes, until: int) -> None:
         if self.desk is not None:
-            self.desk.ledger.plant(mark, until, False)
+            self.desk.idempotency_table.restore_open_key(mark, until, False)
 
     def forget(self, mark: bytes) -> None:
         if self.desk is not None:
-            self.desk.lose(mark)
+            self.desk.abandon_key(mark)
--- a/burlloom/server/rollout.py
+++ b/burlloom/server/rollout.py
@@ -14,8 +14,8 @@
 from typing import TYPE_CHECKING, Protocol
 
 from ..admission.model import RequestClass
-from ..dispatcher import Kind
-from ..sockets import MS, Tasks, rest
+from ..dispatcher import DirectiveKind
+from ..sockets import NS_PER_MS, TaskSupervisor, sleep_ns
 from .membership import monotonic_ns
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
     """What the server tells of itself."""
 
     def open(self) -> None: ...
-    def request_answered(self, kind: Kind, product: int, at: int) -> None: ...
+    def request_answered(self, kind: DirectiveKind, product: int, at: int) -> None: ...
     async def close(self) -> None: ...
 
 
@@ -45,7 +45,7 @@
     def open(self) -> None:
         pass
 
-    def request_answered(self, kind: Kind, product: int, at: int) -> None:
+    def request_answered(self, kind: DirectiveKind, product: int, at: int) -> None:
         pass
 
     async def close(self) -> None:
@@ -73,7 +73,7 @@
         version: str,
         products: tuple[RequestClass, ...],
         clock: Callable[[], int],
-        tasks: Tasks,
+        tasks: TaskSupervisor,
         host: RolloutHost,
         fleet: Callable[[], FleetMembership],
         steady: Callable[[], int] = monotonic_ns,
@@ -109,12 +109,12 @@
         """
         self.task = self.tasks.start(self.keep(), "rollout")
 
-    def request_answered(self, kind: Kind, product: int, at: int) -> None:
-        if kind in (Kind.SETTLE, Kind.SETTLE_AS):
+    def request_answered(self, kind: DirectiveKind, product: int, at: int) -> None:
+        if kind in (DirectiveKind.COMPLETE, DirectiveKind.COMPLETE_AS_ORIGINAL):
             self.counts[0] += 1
             self.counts[1] += self.clock() - at > self.products[product].latency_objective_ns
         else:
-            self.counts[2 if kind is Kind.DECLINE else 3] += 1
+            self.counts[2 if kind is DirectiveKind.REJECT else 3] += 1
 
     async def keep(self) -> None:
         wait = 1
@@ -134,7 +134,7 @@
                 await self.reopen()
             except Exception:
                 log.exception("event=fault side=rollout")
-            await rest(wait * self.part.poll_ms * MS)
+            await sleep_ns(wait * self.part.poll_ms * NS_PER_MS)
 
     async def reopen(self) -> None:
         if self.life:
@@ -151,7 +151,9 @@
             last = await self.shelf.last_report(self.name)
             if last is not None:
                 self.former = last.incarnation if last.phase is self.of.ServerPhase.LEAVING else 0
-            self.life = max(self.clock() // MS, last.incarnation + 1 if last is not None else 0)
+            self.life = max(
+                self.clock() // NS_PER_MS, last.incarnation + 1 if last is not None else 0
+            )
             self.hand = self.of.DrainAgent(self.name, self.life)
             if self.part.leads:
                 self.lead = self.of.RolloutLeader(
@@ -190,7 +192,7 @@
 
     async def tell(self) -> None:
         now, says = self.steady(), self.says()
-        if says == self.said and now - self.told_at < self.part.beat_ms * MS:
+        if says == self.said and now - self.told_at < self.part.beat_ms * NS_PER_MS:
             return
         self.beat += 1
         if not await self.shelf.report(
--- a/burlloom/server/service_levels.py
+++ b/burlloom/server/service_levels.py
@@ -14,8 +14,8 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from ..admission.model import Gauges, RequestClass
-from ..dispatcher import Desk
-from ..sockets import MS, SECOND
+from ..dispatcher import Dispatcher
+from ..sockets import NS_PER_MS, NS_PER_SECOND
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -25,8 +25,8 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_EVERY = SECOND  # between looks at the pin's file
-TELL_EVERY = 5 * SECOND  # between writings of the state's file where nothing moved
+LOOK_EVERY = NS_PER_SECOND  # between looks at the pin's file
+TELL_EVERY = 5 * NS_PER_SECOND  # between writings of the state's file where nothing moved
 
 
 class NoteStore(Protocol):
@@ -40,7 +40,7 @@
 class ServiceLevels(Protocol):
     """What the server tells its levels, on a txn's way and once a round."""
 
-    def attach_dispatcher(self, desk: Desk, cold: bool, notes: NoteStore) -> None: ...
+    def attach_dispatcher(self, desk: Dispatcher, cold: bool, notes: NoteStore) -> None: ...
     def count_request(self, tenant: str) -> bool: ...
     def sampling_draw(self, caller: str) -> float: ...
     def request_completed(self, product: int, at: int) -> None: ...
@@ -52,7 +52,7 @@
 class NoServiceLevels:
     """All is served as the decisions alone have it."""
 
-    def attach_dispatcher(self, desk: Desk, cold: bool, notes: NoteStore) -> None:
+    def attach_dispatcher(self, desk: Dispatcher, cold: bool, notes: NoteStore) -> None:
         pass
 
     def count_request(self, tenant: str) -> bool:
@@ -127,12 +127,12 @@
         self.tenants = levels.TenantShares(tenants.items(), share=share)
         self.late, self.calls = levels.signals.RecentShare(), levels.signals.RecentShare()
         self.levels: DegradationController | None = None
-        self.desk: Desk | None = None
+        self.desk: Dispatcher | None = None
         self.last: LevelChange | None = None
         self.looked_at = self.told_at = self.moved_at = 0
         self.pin_read = ""
 
-    def attach_dispatcher(self, desk: Desk, cold: bool, notes: NoteStore) -> None:
+    def attach_dispatcher(self, desk: Dispatcher, cold: bool, notes: NoteStore) -> None:
         self.desk, self.notes, died_at = desk, notes, notes.previous_note
         self.levels = self.of.DegradationController(
             self.plan,
@@ -151,7 +151,7 @@
             self.levels.state_machine.policy.max_changes_per_minute,
         )
         if self.levels.status.level:
-            desk.serve_at(self.levels.service_level())
+            desk.set_service_level(self.levels.service_level())
 
     def count_request(self, tenant: str) -> bool:
         return self.tenants.is_over_share(self.clock(), tenant)
@@ -182,7 +182,7 @@
             self.tell(now)
 
     def readings(self, now: int, measured: Gauges) -> Any:
-        age, lag, press = self.desk.strain() if self.desk is not None else (None, None, None)
+        age, lag, press = self.desk.load_signals() if self.desk is not None else (None, None, None)
         return self.of.SignalReadings(
             cpu_utilization=known(measured.cpu_utilization),
             contention=known(measured.runnable / self.cores),
@@ -211,7 +211,7 @@
             step.value,
             step.bound,
         )
-        self.desk.serve_at(self.levels.service_level())
+        self.desk.set_service_level(self.levels.service_level())
         self.steps[step.effect] = self.steps.get(step.effect, 0) + 1
         if step.before != step.after and self.notes is not None:
             self.notes.write_note(step.after)
@@ -239,13 +239,13 @@
         except ValueError as error:
             log.warning("event=pin-refused detail=%r", str(error))
             return
-        if pin is not None and pin.until <= now:
+        if pin is not None and pin.until_ns <= now:
             pin = None
         if pin != self.levels.pin:
             log.info(
                 "event=pin level=%s until=%d reason=%r",
                 pin.level if pin else "-",
-                pin.until if pin else 0,
+                pin.until_ns if pin else 0,
                 pin.reason if pin else "",
             )
             self.moved(now, self.levels.set_pin(now, pin))
@@ -271,7 +271,7 @@
             "phase": at.phase.name.lower(),
             "part": levels.trial_share,
             "since": at.since_ns,
-            "stay_ms": levels.state_machine.min_stay_ns(at) // MS,
+            "stay_ms": levels.state_machine.min_stay_ns(at) // NS_PER_MS,
             "moved_at": self.moved_at,
             "last": None
             if last is None
@@ -296,7 +296,8 @@
             "measured": sorted(self.measured),
             "steps": levels.transition_counts,
             "seconds": {
-                name: round(spent / SECOND, 1) for name, spent in levels.time_at_level_ns.items()
+                name: round(spent / NS_PER_SECOND, 1)
+                for name, spent in levels.time_at_level_ns.items()
             },
         }
 
@@ -308,7 +309,7 @@
             "level": float(self.levels.status.level),
             "trial_part": self.levels.trial_share,
             **{
-                f"seconds_{name.replace('-', '_')}": spent / SECOND
+                f"seconds_{name.replace('-', '_')}": spent / NS_PER_SECOND
                 for name, spent in self.levels.time_at_level_ns.items()
             },
             **{f"signal_{name}": value for name, value in self.levels.values.items()},
