--- a/burlloom/command/rollout.py
+++ b/burlloom/command/rollout.py
@@ -1,11 +1,12 @@
 """`burlloom rollout ...`: releases, drains and who may be out, agreed across the fleet."""
 
 import asyncio
+import contextlib
 import json
 import os
 import sys
 import time
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Iterable
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
@@ -15,13 +16,17 @@
 
 if TYPE_CHECKING:
     from ..operator import Operator, Rollout
-    from ..rollout import Instance, RolloutState
+    from ..rollout import Instance, InstanceGroup, RolloutState, ServerReport
     from ..rollout.stores import RolloutStore, StateSnapshot
 
-TRIES = 50  # at a step while others write too
-LOOK_S = 0.2
-LOCK_S = 30.0  # a person waits rather than is told that others write just now
-DRIVE_LOCK_S = 2.0  # who leads looks again by itself
+MAX_WRITE_ATTEMPTS = 50  # while others write too
+POLL_INTERVAL_S = 0.2
+# A person waits for the lock rather than is told that others write just now.
+ORDER_LOCK_TIMEOUT_S = 30.0
+LEADER_LOCK_TIMEOUT_S = 2.0  # a leader looks again by itself
+MAX_DRAIN_S = 30 * 86_400
+MS_PER_S = 1000
+
 reason_option = click.option(
     "--reason", default="", help="Kept with the step, for those who look later."
 )
@@ -32,85 +37,97 @@
     """Releases and drains: waves, halt, way back; never more out at once than the budget has."""
 
 
-def part_of(operator: Path | None) -> "tuple[Operator, Rollout]":
-    found = operator_file(operator)
-    if found.rollout is None:
-        raise click.UsageError(f"{operator} has no `rollout` part")
-    return found, found.rollout
+def load_rollout_part(path: Path | None) -> "tuple[Operator, Rollout]":
+    """Returns the operator's file and its `rollout` part; a usage error where it has none."""
+    operator = operator_file(path)
+    if operator.rollout is None:
+        raise click.UsageError(f"{path} has no `rollout` part")
+    return operator, operator.rollout
 
 
-def with_shelf(
-    operator: Path | None, work: "Callable[[RolloutStore], Awaitable[Any]]", wait: float = LOCK_S
+def run_with_store(
+    path: Path | None,
+    work: "Callable[[RolloutStore], Awaitable[Any]]",
+    lock_timeout_s: float = ORDER_LOCK_TIMEOUT_S,
 ) -> Any:
-    """`wait`: s for a lock that another holds. Ends with one line and status 2 where the store
-    can't be used, or says no.
+    """Runs `work` with the opened store, and returns what it gives.
+
+    Ends with one line and status 2 where the store can't be used, or an order is rejected.
+
+    Args:
+        path: Of the operator's file.
+        work: What is done with the store.
+        lock_timeout_s: For a lock that another process holds.
     """
     from ..rollout import OrderRejectedError
     from ..rollout.stores import StateDecodeError, StoreUnavailableError
     from ..rollout.stores.factory import create_rollout_store
 
-    told, _ = part_of(operator)
+    operator, _ = load_rollout_part(path)
 
-    async def whole() -> Any:
-        shelf = create_rollout_store(told, wait)
+    async def run() -> Any:
+        store = create_rollout_store(operator, lock_timeout_s)
         try:
-            await shelf.open()
-            return await work(shelf)
+            await store.open()
+            return await work(store)
         finally:
-            await shelf.close()
+            await store.close()
 
     with told_plainly():
         try:
-            return asyncio.run(whole())
+            return asyncio.run(run())
         except (OrderRejectedError, StoreUnavailableError, StateDecodeError) as error:
             click.echo(f"burlloom: {error}", err=True)
             sys.exit(2)
 
 
-async def step(
-    shelf: "RolloutStore", order: "Callable[[RolloutState], RolloutState]"
+async def write_order(
+    store: "RolloutStore", order: "Callable[[RolloutState], RolloutState]"
 ) -> "StateSnapshot":
-    """Written on the book as it stands then, however many others write. Raises `Denied`, or `StoreUnavailableError`
-    where nobody knows whether it was taken.
+    """Writes an order on the state as it stands then, however many others write.
+
+    Raises:
+        OrderRejectedError: It can't be carried out, or others were always faster.
+        StoreUnavailableError: Nobody knows whether it was written.
     """
     from ..rollout import OrderRejectedError
     from ..rollout.stores import StateSnapshot
 
-    for _ in range(TRIES):
-        page = await shelf.read()
-        book = order(page.state)
-        if await shelf.compare_and_swap(page, book):
-            return StateSnapshot(page.revision + 1, page.heartbeat, book)
-    raise OrderRejectedError(f"others wrote before us {TRIES} times in a row; try again")
+    for _ in range(MAX_WRITE_ATTEMPTS):
+        snapshot = await store.read()
+        state = order(snapshot.state)
+        if await store.compare_and_swap(snapshot, state):
+            return StateSnapshot(snapshot.revision + 1, snapshot.heartbeat, state)
+    raise OrderRejectedError(
+        f"others wrote before us {MAX_WRITE_ATTEMPTS} times in a row; try again"
+    )
 
 
-def ordered(operator: Path | None, order: "Callable[[RolloutState], RolloutState]") -> None:
-    page = with_shelf(operator, lambda shelf: step(shelf, order))
-    click.echo(headline(page.state))
+def run_order(path: Path | None, order: "Callable[[RolloutState], RolloutState]") -> None:
+    """Writes an order, and shows in one line how things stand."""
+    snapshot = run_with_store(path, lambda store: write_order(store, order))
+    click.echo(format_headline(snapshot.state))
 
 
-def headline(book: "RolloutState") -> str:
+def format_headline(state: "RolloutState") -> str:
+    """Returns in one line who is out and what is under way."""
     from ..rollout import SERVERS_GROUP, ReleasePhase
 
-    plan, servers = book.release, book.groups[SERVERS_GROUP]
-    bound = servers.budget.limit(len(servers.instances))
-    said = f"{len(servers.instances)} servers, {servers.out_count} out of {bound} allowed; "
-    if plan.phase is ReleasePhase.IDLE:
-        return said + (
-            f"nothing under way; good is {book.stable_version}"
-            if book.stable_version
-            else "nothing under way"
-        )
-    done = sum(book.is_done(unit) for unit in servers.instances.values())
-    way = (
-        f"back to {plan.previous_version}"
-        if plan.is_rollback
-        else f"{'restart' if plan.is_restart else 'to ' + plan.target_version}, wave {plan.wave_index + 1} of {len(plan.waves)}"
-    )
+    release, servers = state.release, state.groups[SERVERS_GROUP]
+    size = len(servers.instances)
+    head = f"{size} servers, {servers.out_count} out of {servers.limit} allowed; "
+    if release.phase is ReleasePhase.IDLE:
+        stable = f"; good is {state.stable_version}" if state.stable_version else ""
+        return f"{head}nothing under way{stable}"
+    done = sum(state.is_done(server) for server in servers.instances.values())
+    if release.is_rollback:
+        way = f"back to {release.previous_version}"
+    else:
+        goal = "restart" if release.is_restart else f"to {release.target_version}"
+        way = f"{goal}, wave {release.wave_index + 1} of {len(release.waves)}"
+    reason = f" ({release.reason})" if release.reason else ""
     return (
-        said
-        + f"change {plan.number} {way}: {plan.phase.label}, {done} of {len(servers.instances)} done"
-        + (f" ({plan.reason})" if plan.reason else "")
+        f"{head}change {release.number} {way}: {release.phase.label}, {done} of {size} done{reason}"
     )
 
 
@@ -120,38 +137,45 @@
 @click.option("--notes", type=click.IntRange(0, 40), default=8, help="How many of the last steps.")
 def show(operator: Path | None, as_json: bool, notes: int) -> None:
     """What is under way, who is out, who leads, and the last steps."""
-    from ..rollout import InstanceState
     from ..rollout.stores import encode_state
 
-    book = with_shelf(operator, lambda shelf: shelf.read()).state
+    state: RolloutState = run_with_store(operator, lambda store: store.read()).state
     if as_json:
-        click.echo(encode_state(book))
+        click.echo(encode_state(state))
         return
-    click.echo(headline(book))
-    click.echo(f"led by {book.leader or 'nobody'}, epoch {book.epoch}, step {book.step}")
-    for group, one in book.groups.items():
-        share = f" ({one.budget.max_out_share:.0%})" if one.budget.max_out_share else ""
+    click.echo(format_headline(state))
+    click.echo(f"led by {state.leader or 'nobody'}, epoch {state.epoch}, step {state.step}")
+    for name, group in state.groups.items():
+        show_group(name, group, state.stable_version)
+    for step, text in state.history[len(state.history) - notes :] if notes else ():
+        click.echo(f"  step {step:6} {text}")
+
+
+def show_group(name: str, group: "InstanceGroup", stable_version: str) -> None:
+    """Shows a group's budget, and those of its instances that are not as usual."""
+    from ..rollout import InstanceState
+
+    share = f" ({group.budget.max_out_share:.0%})" if group.budget.max_out_share else ""
+    size = len(group.instances)
+    click.echo(f"{name}: {group.out_count} out of {group.limit}{share} allowed, of {size}")
+    for instance_name, instance in sorted(group.instances.items()):
+        is_stable = instance.version in ("", stable_version)
+        if instance.state is InstanceState.IN and not instance.drain_ticket and is_stable:
+            continue
         click.echo(
-            f"{group}: {one.out_count} out of {one.budget.limit(len(one.instances))}{share} allowed,"
-            f" of {len(one.instances)}"
+            f"  {instance_name:24} {instance.state.label:8} {instance.version or '-'}"
+            f"{format_plans(instance)}"
         )
-        for name, unit in sorted(one.instances.items()):
-            if (
-                unit.state is not InstanceState.IN
-                or unit.drain_ticket
-                or unit.version not in ("", book.stable_version)
-            ):
-                click.echo(f"  {name:24} {unit.state.label:8} {unit.version or '-'}" + detail(unit))
-    for at, said in book.history[len(book.history) - notes :] if notes else ():
-        click.echo(f"  step {at:6} {said}")
-
-
-def detail(unit: "Instance") -> str:
-    return (
-        f", next {unit.next_version}"
-        if unit.next_version and unit.next_version != unit.version
-        else ""
-    ) + (", asked for" if unit.drain_ticket else "")
+
+
+def format_plans(instance: "Instance") -> str:
+    """Returns what is to become of an instance; empty where nothing is."""
+    plans = ""
+    if instance.next_version and instance.next_version != instance.version:
+        plans += f", next {instance.next_version}"
+    if instance.drain_ticket:
+        plans += ", asked for"
+    return plans
 
 
 @rollout.command()
@@ -180,34 +204,42 @@
         raise click.UsageError("which VERSION? Only with --restart may it be left out")
     from ..rollout.release import parse_wave
 
-    _, part = part_of(operator)
+    _, part = load_rollout_part(operator)
     try:
-        told = tuple(parse_wave(wave) for wave in waves) or part.plan_waves()
+        parsed = tuple(parse_wave(wave) for wave in waves) or part.plan_waves()
     except ValueError:
         raise click.UsageError(
             f"--wave: {', '.join(waves)}: each is a number such as 3, or a part such as 25%"
         ) from None
-    auto = part.auto_back if auto_back is None else auto_back
-    ordered(operator, lambda book: book.start_release(version, told, auto, restart))
+    auto_rollback = part.auto_back if auto_back is None else auto_back
+    run_order(operator, lambda state: state.start_release(version, parsed, auto_rollback, restart))
+
 
+def make_release_order(name: str, help_text: str) -> click.Command:
+    """Returns the command that gives the release an order of this name."""
 
-def order(name: str, said: str) -> click.Command:
     @operator_option
     @reason_option
     def run(operator: Path | None, reason: str) -> None:
         from ..rollout.release import ReleaseInput
 
-        ordered(operator, lambda book: book.order(ReleaseInput[name.upper()], reason))
+        run_order(operator, lambda state: state.order(ReleaseInput[name.upper()], reason))
 
-    return click.command(name, help=said)(run)
+    return click.command(name, help=help_text)(run)
 
 
 rollout.add_command(
-    order("halt", "Send nobody out any more; take back permits that nobody has begun on.")
+    make_release_order(
+        "halt", "Send nobody out any more; take back permits that nobody has begun on."
+    )
+)
+rollout.add_command(
+    make_release_order("resume", "Go on with what was halted, with the wave it stood at.")
 )
-rollout.add_command(order("resume", "Go on with what was halted, with the wave it stood at."))
 rollout.add_command(
-    order("rollback", "Bring all back to the version that was good, within the budget.")
+    make_release_order(
+        "rollback", "Bring all back to the version that was good, within the budget."
+    )
 )
 
 
@@ -216,7 +248,7 @@
 @click.argument("names", nargs=-1, required=True)
 @click.option(
     "--for-s",
-    type=click.IntRange(0, 30 * 86_400),
+    type=click.IntRange(0, MAX_DRAIN_S),
     default=0,
     help="How long each may be away before it counts as missing; 0: as after a release.",
 )
@@ -224,12 +256,12 @@
     """Have servers leave, as the budget has room; what starts them again is yours."""
     from ..rollout import SERVERS_GROUP
 
-    def order(book: "RolloutState") -> "RolloutState":
+    def order(state: "RolloutState") -> "RolloutState":
         for name in names:
-            book = book.request_drain(SERVERS_GROUP, name, for_s * 1000)
-        return book
+            state = state.request_drain(SERVERS_GROUP, name, for_s * MS_PER_S)
+        return state
 
-    ordered(operator, order)
+    run_order(operator, order)
 
 
 @rollout.command()
@@ -238,7 +270,7 @@
 @click.argument("address")
 @click.option(
     "--for-s",
-    type=click.IntRange(1, 30 * 86_400),
+    type=click.IntRange(1, MAX_DRAIN_S),
     required=True,
     help="When it is over, servers call the instance again.",
 )
@@ -246,49 +278,19 @@
     "--wait-s", type=click.IntRange(1, 86_400), default=600, help="For room in the budget."
 )
 def take(operator: Path | None, service: str, address: str, for_s: int, wait_s: int) -> None:
-    """Take an instance of a service below out: waits until no server calls it any more. Status 1 if
-    there was no room.
-    """
-    _, part = part_of(operator)
+    """Take an instance of a service below out, and wait until no server calls it.
 
-    async def work(shelf: "RolloutStore") -> bool:
-        from ..rollout import InstanceState, OrderRejectedError
-        from ..rollout.instance import InstanceInput
+    Status 1 if there was no room.
+    """
 
-        page = await step(shelf, lambda book: book.request_drain(service, address, for_s * 1000))
-        ticket, until = (
-            page.state.groups[service].instances[address].drain_ticket,
-            time.monotonic() + wait_s,
-        )
-        while True:
-            page = await shelf.read(page)
-            unit = page.state.groups[service].instances.get(address)
-            if unit is None or unit.drain_ticket != ticket:
-                raise OrderRejectedError(f"{address}: the order was taken back")
-            if unit.state is InstanceState.GRANTED:
-                book, effect = page.state.apply_input(
-                    service,
-                    address,
-                    InstanceInput.BEGIN,
-                    incarnation=unit.incarnation,
-                    ticket=ticket,
-                )
-                if effect and await shelf.compare_and_swap(page, book):
-                    break
-            if time.monotonic() > until:
-                await step(shelf, lambda book: book.end_drain(service, address))
-                return False
-            await asyncio.sleep(LOOK_S)
-        while not emptied(page, await shelf.reports(), book.step):
-            page = await shelf.read(page)
-            if page.state.groups[service].instances[address].state is not InstanceState.OUT:
-                raise OrderRejectedError(
-                    f"{address}: its time was over before all servers had left it"
-                )
-            await asyncio.sleep(LOOK_S)
+    async def work(store: "RolloutStore") -> bool:
+        snapshot = await begin_drain(store, service, address, for_s, wait_s)
+        if snapshot is None:
+            return False
+        await wait_until_unused(store, snapshot, service, address)
         return True
 
-    if not with_shelf(operator, work):
+    if not run_with_store(operator, work):
         click.echo(
             f"burlloom: {address}: no room in the budget of {service} within {wait_s} s", err=True
         )
@@ -298,17 +300,83 @@
     )
 
 
-def emptied(page: "StateSnapshot", members: Any, step: int) -> bool:
-    """All servers that may call below have acted on this step. One that is missing may be calling
-    still: it holds this up until it is back, or retired.
+async def begin_drain(
+    store: "RolloutStore", service: str, address: str, drain_s: int, wait_s: int
+) -> "StateSnapshot | None":
+    """Takes a downstream instance out as soon as the budget allows.
+
+    Returns:
+        The state as it was written; None where the budget did not allow it within `wait_s`.
+
+    Raises:
+        OrderRejectedError: The order can't be carried out, or was taken back.
+        StoreUnavailableError: The store was lost on the way.
+    """
+    from ..rollout import InstanceState, OrderRejectedError
+    from ..rollout.instance import InstanceInput
+    from ..rollout.stores import StateSnapshot
+
+    snapshot = await write_order(
+        store, lambda state: state.request_drain(service, address, drain_s * MS_PER_S)
+    )
+    ticket = snapshot.state.groups[service].instances[address].drain_ticket
+    deadline_s = time.monotonic() + wait_s
+    while True:
+        snapshot = await store.read(snapshot)
+        instance = snapshot.state.groups[service].instances.get(address)
+        if instance is None or instance.drain_ticket != ticket:
+            raise OrderRejectedError(f"{address}: the order was taken back", service, address)
+        if instance.state is InstanceState.GRANTED:
+            state, effect = snapshot.state.apply_input(
+                service,
+                address,
+                InstanceInput.BEGIN,
+                incarnation=instance.incarnation,
+                ticket=ticket,
+            )
+            if effect and await store.compare_and_swap(snapshot, state):
+                return StateSnapshot(snapshot.revision + 1, snapshot.heartbeat, state)
+        if time.monotonic() > deadline_s:
+            await write_order(store, lambda state: state.end_drain(service, address))
+            return None
+        await asyncio.sleep(POLL_INTERVAL_S)
+
+
+async def wait_until_unused(
+    store: "RolloutStore", begun: "StateSnapshot", service: str, address: str
+) -> None:
+    """Waits until all servers have acted on the drain.
+
+    Raises:
+        OrderRejectedError: Its time was over before.
+        StoreUnavailableError: The store was lost on the way.
+    """
+    from ..rollout import InstanceState, OrderRejectedError
+
+    snapshot = begun
+    while not have_all_acknowledged(snapshot.state, await store.reports(), begun.state.step):
+        snapshot = await store.read(snapshot)
+        if snapshot.state.groups[service].instances[address].state is not InstanceState.OUT:
+            raise OrderRejectedError(
+                f"{address}: its time was over before all servers had left it", service, address
+            )
+        await asyncio.sleep(POLL_INTERVAL_S)
+
+
+def have_all_acknowledged(
+    state: "RolloutState", reports: "Iterable[ServerReport]", step: int
+) -> bool:
+    """Whether all servers that may call downstream have acted on this step.
+
+    One that is missing may be calling still: it holds this up until it is back, or retired.
     """
-    heeded = {member.name: member.acknowledged_step for member in members}
     from ..rollout import InstanceState
 
+    acknowledged = {report.name: report.acknowledged_step for report in reports}
     return all(
-        heeded.get(name, 0) >= step
-        for name, unit in page.state.servers.items()
-        if unit.state is not InstanceState.OUT
+        acknowledged.get(name, 0) >= step
+        for name, server in state.servers.items()
+        if server.state is not InstanceState.OUT
     )
 
 
@@ -317,10 +385,11 @@
 @click.argument("service")
 @click.argument("address")
 def give(operator: Path | None, service: str, address: str) -> None:
-    """An instance below may be called again; it counts as out until calls to it have gone well for
-    a while.
+    """An instance below may be called again.
+
+    It counts as out until calls to it have gone well for a while.
     """
-    ordered(operator, lambda book: book.end_drain(service, address))
+    run_order(operator, lambda state: state.end_drain(service, address))
 
 
 @rollout.command()
@@ -330,12 +399,12 @@
 def retire(operator: Path | None, names: tuple[str, ...], group: str) -> None:
     """Servers, or instances below, that will not come back: they count for nothing any more."""
 
-    def order(book: "RolloutState") -> "RolloutState":
+    def order(state: "RolloutState") -> "RolloutState":
         for name in names:
-            book = book.retire(group, name)
-        return book
+            state = state.retire(group, name)
+        return state
 
-    ordered(operator, order)
+    run_order(operator, order)
 
 
 @rollout.command()
@@ -351,9 +420,8 @@
 
     if (most is None) == (share is None):
         raise click.UsageError("name either --most or --share")
-    ordered(
-        operator, lambda book: book.set_budget(group, DisruptionBudget(most or 1, share or 0.0))
-    )
+    changed = DisruptionBudget(most or 1, share or 0.0)
+    run_order(operator, lambda state: state.set_budget(group, changed))
 
 
 @rollout.command()
@@ -364,58 +432,67 @@
 
     Where the store can't be reached, what the release file has; status 2 if there is none either.
     """
-    told, part = part_of(operator)
+    loaded, part = load_rollout_part(operator)
 
-    async def ask() -> str:
-        from ..rollout.stores import StateDecodeError, StoreUnavailableError
+    async def read_version() -> str:
         from ..rollout.stores.factory import create_rollout_store
 
-        shelf = create_rollout_store(told)
+        store = create_rollout_store(loaded)
         try:
-            await shelf.open()
-            return (await shelf.read()).state.next_version_of(name)
-        except (StoreUnavailableError, StateDecodeError) as error:
-            if part.release_file is None or not os.path.exists(part.release_file):
-                click.echo(f"burlloom: {error}", err=True)
-                sys.exit(2)
-            click.echo(f"burlloom: {error}; from {part.release_file}", err=True)
-            return Path(part.release_file).read_text(encoding="utf-8").strip()
+            await store.open()
+            return (await store.read()).state.next_version_of(name)
         finally:
-            await shelf.close()
+            await store.close()
+
+    from ..rollout.stores import StateDecodeError, StoreUnavailableError
 
     with told_plainly():
-        click.echo(asyncio.run(ask()) or part.version)
+        try:
+            found = asyncio.run(read_version())
+        except (StoreUnavailableError, StateDecodeError) as error:
+            found = read_release_file(part.release_file, error)
+        click.echo(found or part.version)
+
+
+def read_release_file(path: str | None, error: Exception) -> str:
+    """Returns what the release file has, in place of a store that failed with `error`.
+
+    Ends with status 2 where there is no such file.
+    """
+    if path is None or not os.path.exists(path):
+        click.echo(f"burlloom: {error}", err=True)
+        sys.exit(2)
+    click.echo(f"burlloom: {error}; from {path}", err=True)
+    return Path(path).read_text(encoding="utf-8").strip()
 
 
 @rollout.command()
 @operator_option
 @click.option("--name", default=f"driver-{os.getpid()}", help="Under which it leads.")
 def drive(operator: Path | None, name: str) -> None:
-    """Lead the fleet's changes from here, in the foreground, where servers are not to; any number
-    may run.
+    """Lead the fleet's changes from here, in the foreground, where servers are not to.
+
+    Any number may run.
     """
-    _, part = part_of(operator)
+    _, part = load_rollout_part(operator)
 
-    async def work(shelf: "RolloutStore") -> None:
+    async def lead(store: "RolloutStore") -> None:
         from ..rollout import RolloutLeader
         from ..rollout.stores import StoreUnavailableError
         from ..rollout.stores.leader_round import run_leader_round
 
-        lead = RolloutLeader(name, part.terms(), part.budgets(), part.services())
-        page = None
+        leader = RolloutLeader(name, part.terms(), part.budgets(), part.services())
+        snapshot = None
         while True:
             try:
-                page = await shelf.read(page)
-                for at, said in await run_leader_round(
-                    lead, shelf, page, time.clock_gettime_ns(time.CLOCK_BOOTTIME)
-                ):
-                    click.echo(json.dumps({"step": at, "said": said}))
+                snapshot = await store.read(snapshot)
+                now_ns = time.clock_gettime_ns(time.CLOCK_BOOTTIME)
+                for step, text in await run_leader_round(leader, store, snapshot, now_ns):
+                    click.echo(json.dumps({"step": step, "said": text}))
             except StoreUnavailableError as error:
                 click.echo(json.dumps({"away": str(error)}))
-                page = None
-            await asyncio.sleep(part.poll_ms / 1000)
+                snapshot = None
+            await asyncio.sleep(part.poll_ms / MS_PER_S)
 
-    try:
-        with_shelf(operator, work, DRIVE_LOCK_S)
-    except KeyboardInterrupt:
-        pass
+    with contextlib.suppress(KeyboardInterrupt):
+        run_with_store(operator, lead, LEADER_LOCK_TIMEOUT_S)
