--- a/burlloom/fleet/allocator.py
+++ b/burlloom/fleet/allocator.py
@@ -37,7 +37,7 @@
 # requests go out with each probe: members that lived on have found us by then.
 _BOOTSTRAP_NS = 1600 * NS_PER_MS
 _MIN_LEARNING_ROUNDS = 3
-# The allocation interval is divided by this while a member wants far more than it was allocated.
+# Divides the allocation interval while a member wants far more than it was allocated.
 _URGENT_SPEEDUP = 8
 _URGENT_DEMAND_FACTOR = 2
 
@@ -185,10 +185,7 @@
             self.accounts[name] = account
             self.is_urgent = True
         else:
-            account.report_number = number
-            account.reported_at_ns = now
-            account.report = report
-            account.bound = report.held
+            account.take(now, number, report)
         totals.add(name, account)
         return account
 
