--- a/benchmarks/hollow_releases.py
+++ b/benchmarks/hollow_releases.py
@@ -10,9 +10,9 @@
 
 import uvloop
 
-from burlloom.rollout import Counts, Hand, Member, Says
-from burlloom.rollout.stores import Away
-from burlloom.rollout.stores.sqlite import Sqlite
+from burlloom.rollout import DrainAgent, RequestCounts, ServerPhase, ServerReport
+from burlloom.rollout.stores import StoreUnavailableError
+from burlloom.rollout.stores.sqlite import SqliteRolloutStore
 
 ROUND = 0.5  # s
 BEAT = 1.0  # s
@@ -35,24 +35,24 @@
 class Teller:
     def __init__(self, name: str, life: int) -> None:
         self.name, self.life, self.version, self.beat = name, life, FORMER, 0
-        self.hand, self.down_until = Hand(name, life), 0.0
+        self.hand, self.down_until = DrainAgent(name, life), 0.0
 
-    def word(self) -> Member:
+    def word(self) -> ServerReport:
         self.beat += 1
-        return Member(
+        return ServerReport(
             self.name,
             self.life,
             self.beat,
-            Says.SERVING,
+            ServerPhase.SERVING,
             True,
             self.version,
             0,
-            Counts(ASKED * self.beat),
+            RequestCounts(ASKED * self.beat),
         )
 
 
 async def play(pipe: Pipe, path: Path, tellers: list[Teller]) -> None:
-    shelf = Sqlite(path)
+    shelf = SqliteRolloutStore(path)
     await shelf.open()
     page, told_at, over = None, 0.0, False
     while not over:
@@ -60,34 +60,42 @@
         try:
             if now - told_at >= BEAT:
                 told_at = now
-                await shelf.run("BEGIN IMMEDIATE")
+                await shelf.execute("BEGIN IMMEDIATE")
                 for one in tellers:
                     if now >= one.down_until:
-                        await shelf.tell(one.word())
-                await shelf.run("COMMIT")
+                        await shelf.report(one.word())
+                await shelf.execute("COMMIT")
             page = await shelf.read(page)
             while pipe.poll():
                 match pipe.recv():
                     case "start":
-                        pipe.send(await shelf.swap(page, page.book.start(NEXT, (1.0,), False)))
+                        pipe.send(
+                            await shelf.compare_and_swap(
+                                page, page.state.start_release(NEXT, (1.0,), False)
+                            )
+                        )
                     case "see":
                         pipe.send(
-                            (len(page.book.servers), page.book.plan.phase.name, page.book.holder)
+                            (
+                                len(page.state.servers),
+                                page.state.release.phase.name,
+                                page.state.leader,
+                            )
                         )
                     case "over":
                         over = True
                 page = await shelf.read(page)
             for one in tellers:
-                if now >= one.down_until and one.hand.reads(page.book) == "ask":
-                    wanted = one.hand.step(page.book)
-                    if wanted is not None and await shelf.swap(page, wanted):
-                        one.version, one.down_until = wanted.version_of(one.name), now + DOWN
+                if now >= one.down_until and one.hand.process_state(page.state) == "begin":
+                    wanted = one.hand.begin_drain(page.state)
+                    if wanted is not None and await shelf.compare_and_swap(page, wanted):
+                        one.version, one.down_until = wanted.next_version_of(one.name), now + DOWN
                         one.life, one.beat = one.life + 1, 0
-                        one.hand = Hand(one.name, one.life)
+                        one.hand = DrainAgent(one.name, one.life)
                     else:
-                        one.hand = Hand(one.name, one.life)
+                        one.hand = DrainAgent(one.name, one.life)
                     page = await shelf.read(page)
-        except Away:
+        except StoreUnavailableError:
             page = None  # the store was held by another for long: a round is left out
         await asyncio.sleep(ROUND)
     await shelf.close()
--- a/burlloom/distribution/changes.py
+++ b/burlloom/distribution/changes.py
@@ -1,15 +1,14 @@
-"""Changes of configuration: entries, the chain that seals their order, and what is wrong with a bad
-one. No I/O.
-
-A change sets some entries of one scope, all or none; each sets an absolute value, so a change that
-is applied again after later state does no harm once those after it are applied as well. Revisions
-are dense within an epoch. The tag of a change is a keyed BLAKE2b (RFC 7693) over the tag before it
-and all that it says: whoever has the key notices one that is missing, moved or altered. The chain
-covers the digest of the body in place of the body, so that a follower which does not hold the scope
-checks it without the body.
-
-Source: hash chains of logs, Schneier and Kelsey, "Secure Audit Logs" (1999); here with one key for
-all, which keeps strangers out and not a holder of the key.
+"""Changes of configuration: items, the hash chain that seals their order, and validation.
+
+A change sets some items of one scope, all or none. Each item has an absolute value, so applying a
+change again after later ones is harmless once those are applied again as well. Revisions are dense
+within an epoch. The tag of a change is a keyed BLAKE2b (RFC 7693) over the tag before it and the
+change's fields: whoever has the key detects one that is missing, moved or altered. The chain covers
+the hash of the body in place of the body, so that a follower that does not hold the scope can
+verify it without the body. No I/O.
+
+Source: hash chains of logs, Schneier and Kelsey, "Secure Audit Logs" (1999); here one key is shared
+by all, which keeps out strangers but not a holder of the key.
 """
 
 import hashlib
@@ -19,22 +18,27 @@
 
 import msgpack
 
+from ..errors import BurlloomError
+
 KINDS = ("tenant", "route", "setting")
-KEY_MOST = 128  # bytes of UTF-8
-SCOPE_MOST = 64  # bytes of UTF-8: a region's name
-VALUE_MOST = 512  # bytes of MessagePack, a map
-BODY_MOST, ENTRIES_MOST = (
-    1000,
-    64,
-)  # bytes and entries of one change: it fits a datagram with its seal
-TAG = 16  # bytes of a tag and of a body's digest
-NUMBER_MOST = (1 << 63) - 1
-FAULTS_MOST = 100  # that are told of one change
-
-
-class Entry(NamedTuple):
-    """`scope`: "" holds everywhere, else a region's name. `value`: MessagePack of a map; None
-    deletes.
+MAX_KEY_BYTES = 128  # bytes of UTF-8
+MAX_SCOPE_BYTES = 64  # bytes of UTF-8: a region's name
+MAX_VALUE_BYTES = 512  # bytes of MessagePack, a map
+MAX_BODY_BYTES = 1000  # a change fits a datagram with its seal
+MAX_CHANGE_ITEMS = 64
+TAG_BYTES = 16  # bytes of a tag and of a body's digest
+MAX_NUMBER = (1 << 63) - 1
+MAX_FAULTS = 100  # that are told of one change
+
+
+class ConfigItem(NamedTuple):
+    """One configuration item.
+
+    Attributes:
+        scope: "" holds everywhere, else a region's name.
+        kind: one of `KINDS`.
+        key: the item's name within its kind.
+        value: MessagePack of a map; None deletes the item.
     """
 
     scope: str
@@ -44,9 +48,17 @@
 
 
 class Change(NamedTuple):
-    """`time_ms`: Unix ms at the origin, never less than of the change before. `body`: MessagePack
-    of a list of [kind, key, value or nil]; None where it was left out for who does not hold the
-    scope. `body_digest`: BLAKE2b-128 of it.
+    """One change of a scope's items.
+
+    Attributes:
+        epoch: number of the log; it grows when the store was restored.
+        revision: dense number within the epoch.
+        time_ms: Unix ms at the origin, never less than that of the change before.
+        scope: scope of all items.
+        body: MessagePack of a list of [kind, key, value or nil]; None if left out for a follower
+            that does not hold the scope.
+        tag: hash that chains it to the change before.
+        body_digest: BLAKE2b-128 of the body.
     """
 
     epoch: int
@@ -58,11 +70,12 @@
     body_digest: bytes
 
     def without_body(self) -> "Change":
+        """Return the change as it goes to a follower that does not hold its scope."""
         return self._replace(body=None)
 
 
 class Head(NamedTuple):
-    """The last change of an epoch: revision 0 where there is none yet. `time_ms`: Unix ms of it."""
+    """The last change of an epoch; revision 0 if there is none yet. `time_ms` is Unix ms."""
 
     epoch: int
     revision: int
@@ -70,26 +83,34 @@
     time_ms: int
 
 
-class Refused(Exception):
-    """A change that can't be; `faults`: all of them, each with its place."""
+class InvalidChangeError(BurlloomError):
+    """A change that can't be made.
+
+    Attributes:
+        faults: all that is wrong, each with its place.
+    """
 
     def __init__(self, faults: Sequence[str]) -> None:
         super().__init__("; ".join(faults))
         self.faults = list(faults)
 
 
-def first_head(epoch: int, time_ms: int) -> Head:
-    """Where an epoch begins, before its first change. What lies in the table then is whatever the
-    store had.
+def initial_head(epoch: int, time_ms: int) -> Head:
+    """Return the head of an epoch before its first change.
+
+    The table then holds whatever the store had.
     """
-    return Head(epoch, 0, hashlib.blake2b(b"epoch %d" % epoch, digest_size=TAG).digest(), time_ms)
+    return Head(
+        epoch, 0, hashlib.blake2b(b"epoch %d" % epoch, digest_size=TAG_BYTES).digest(), time_ms
+    )
 
 
-def digest_of_body(body: bytes) -> bytes:
-    return hashlib.blake2b(body, digest_size=TAG).digest()
+def hash_body(body: bytes) -> bytes:
+    """Return the BLAKE2b-128 of a change's body."""
+    return hashlib.blake2b(body, digest_size=TAG_BYTES).digest()
 
 
-def tag_of(
+def chain_tag(
     key: bytes,
     before: bytes,
     epoch: int,
@@ -98,76 +119,77 @@
     scope: str,
     body_digest: bytes,
 ) -> bytes:
-    """`before`: the tag of the change before, 16 bytes."""
+    """Return the tag of a change that follows one with the tag `before` (16 bytes)."""
     text = b"%b%d %d %d " % (before, epoch, revision, time_ms) + body_digest + scope.encode()
-    return hashlib.blake2b(text, key=key, digest_size=TAG).digest()
+    return hashlib.blake2b(text, key=key, digest_size=TAG_BYTES).digest()
 
 
-def encode(entries: Iterable[Entry]) -> bytes:
+def encode_items(entries: Iterable[ConfigItem]) -> bytes:
+    """Return the body of a change: MessagePack of a list of [kind, key, value or nil]."""
     body: bytes = msgpack.packb([[entry.kind, entry.key, entry.value] for entry in entries])
     return body
 
 
-def decode(scope: str, body: bytes) -> list[Entry]:
-    """Raises `Refused` with all faults of the body and of what it sets."""
-    if len(body) > BODY_MOST:
-        raise Refused([f"body: {len(body)} bytes, {BODY_MOST} at most"])
+def decode_items(scope: str, body: bytes) -> list[ConfigItem]:
+    """Return the items of a body. Raises `InvalidChangeError` with all faults."""
+    if len(body) > MAX_BODY_BYTES:
+        raise InvalidChangeError([f"body: {len(body)} bytes, {MAX_BODY_BYTES} at most"])
     try:
-        got = msgpack.unpackb(body, max_array_len=ENTRIES_MOST, max_map_len=0, max_ext_len=0)
+        got = msgpack.unpackb(body, max_array_len=MAX_CHANGE_ITEMS, max_map_len=0, max_ext_len=0)
     except (ValueError, msgpack.UnpackException, RecursionError) as error:
-        raise Refused([f"body: no MessagePack that may be here: {error}"]) from error
+        raise InvalidChangeError([f"body: no MessagePack that may be here: {error}"]) from error
     if type(got) is not list:
-        raise Refused(["body: no list"])
+        raise InvalidChangeError(["body: no list"])
     found = [
         f"entries[{at}]: not of kind, key and value"
         for at, part in enumerate(got)
         if type(part) is not list or len(part) != 3
     ]
     if found:
-        raise Refused(found)
-    entries = [Entry(scope, *part) for part in got]
-    found = faults(scope, entries)
+        raise InvalidChangeError(found)
+    entries = [ConfigItem(scope, *part) for part in got]
+    found = change_faults(scope, entries)
     if found:
-        raise Refused(found)
+        raise InvalidChangeError(found)
     return entries
 
 
-def faults(scope: Any, entries: Sequence[Entry]) -> list[str]:
-    """All that is wrong with what a change would set, each with its place; empty where it may
-    be.
-    """
+def change_faults(scope: Any, entries: Sequence[ConfigItem]) -> list[str]:
+    """Return all that is wrong with the items of a change, each with its place."""
     found = (
-        [] if is_text(scope, 0, SCOPE_MOST) else [f"scope: not text of {SCOPE_MOST} bytes at most"]
+        []
+        if is_text(scope, 0, MAX_SCOPE_BYTES)
+        else [f"scope: not text of {MAX_SCOPE_BYTES} bytes at most"]
     )
-    if not 0 < len(entries) <= ENTRIES_MOST:
-        found.append(f"entries: {len(entries)}, of 1 to {ENTRIES_MOST}")
+    if not 0 < len(entries) <= MAX_CHANGE_ITEMS:
+        found.append(f"entries: {len(entries)}, of 1 to {MAX_CHANGE_ITEMS}")
     known: dict[Any, int] = {}
-    for at, entry in enumerate(entries[:ENTRIES_MOST]):
+    for at, entry in enumerate(entries[:MAX_CHANGE_ITEMS]):
         place = f"entries[{at}]"
         if entry.scope != scope:
             found.append(f"{place}.scope: {entry.scope!r:.80}, and the change's is {scope!r:.80}")
         kind = type(entry.kind) is str and entry.kind in KINDS
         if not kind:
             found.append(f"{place}.kind: {entry.kind!r:.80}, of {', '.join(KINDS)}")
-        key = is_text(entry.key, 1, KEY_MOST)
+        key = is_text(entry.key, 1, MAX_KEY_BYTES)
         if not key:
-            found.append(f"{place}.key: not text of 1 to {KEY_MOST} bytes")
+            found.append(f"{place}.key: not text of 1 to {MAX_KEY_BYTES} bytes")
         if kind and key and known.setdefault((entry.kind, entry.key), at) != at:
             found.append(f"{place}.key: set by entries[{known[entry.kind, entry.key]}] already")
         fault = value_fault(entry.value)
         if fault:
             found.append(f"{place}.value: {fault}")
-    return found[:FAULTS_MOST]
+    return found[:MAX_FAULTS]
 
 
 def value_fault(value: Any) -> str:
-    """Why that is no value of an entry; empty where it is one."""
+    """Return why a value can't be an item's; "" if it can."""
     if value is None:
         return ""
     if type(value) is not bytes:
         return "not bytes"
-    if len(value) > VALUE_MOST:
-        return f"{len(value)} bytes, {VALUE_MOST} at most"
+    if len(value) > MAX_VALUE_BYTES:
+        return f"{len(value)} bytes, {MAX_VALUE_BYTES} at most"
     try:
         got = msgpack.unpackb(value, max_ext_len=0)
     except (ValueError, TypeError, msgpack.UnpackException, RecursionError) as error:
@@ -176,7 +198,7 @@
 
 
 def is_text(got: Any, least: int, most: int) -> bool:
-    """`least` and `most`: bytes of UTF-8."""
+    """Whether a value is text of `least` to `most` bytes of UTF-8."""
     if type(got) is not str or len(got) > most:
         return False
     try:
@@ -185,20 +207,21 @@
         return False
 
 
-def chained(before: Head, scope: str, body: bytes, time_ms: int, key: bytes) -> Change:
-    """The change that comes after `before`, sealed. Time never steps back."""
+def next_change(before: Head, scope: str, body: bytes, time_ms: int, key: bytes) -> Change:
+    """Return the sealed change that follows `before`. Time never goes back."""
     revision, time_ms, digest = (
         before.revision + 1,
         max(before.time_ms, time_ms),
-        digest_of_body(body),
+        hash_body(body),
     )
-    tag = tag_of(key, before.tag, before.epoch, revision, time_ms, scope, digest)
+    tag = chain_tag(key, before.tag, before.epoch, revision, time_ms, scope, digest)
     return Change(before.epoch, revision, time_ms, scope, body, tag, digest)
 
 
-def break_of(before: Head, change: Change, keys: Sequence[bytes]) -> str:
-    """Why that change does not come right after `before`; empty where it does. Any of the keys will
-    do, so that they can be changed while the fleet runs.
+def chain_break(before: Head, change: Change, keys: Sequence[bytes]) -> str:
+    """Return why a change does not directly follow `before`; "" if it does.
+
+    Any of the keys may have signed it, so that keys can be rotated while the fleet runs.
     """
     if change.epoch != before.epoch:
         return "another epoch"
@@ -206,12 +229,12 @@
         return "an older revision" if change.revision <= before.revision else "a gap before it"
     if change.time_ms < before.time_ms:
         return "its time steps back"
-    if change.body is not None and digest_of_body(change.body) != change.body_digest:
+    if change.body is not None and hash_body(change.body) != change.body_digest:
         return "its body was altered"
     if not any(
         hmac.compare_digest(
             change.tag,
-            tag_of(
+            chain_tag(
                 key,
                 before.tag,
                 change.epoch,
@@ -227,10 +250,11 @@
     return ""
 
 
-def head_of(change: Change) -> Head:
+def head_after(change: Change) -> Head:
+    """Return the head of a log whose last change this is."""
     return Head(change.epoch, change.revision, change.tag, change.time_ms)
 
 
-Check = Callable[
-    [Entry], list[str]
+ItemCheck = Callable[
+    [ConfigItem], list[str]
 ]  # faults of one entry by its meaning, with places within the value
--- a/burlloom/distribution/stores/__init__.py
+++ b/burlloom/distribution/stores/__init__.py
@@ -1,7 +1,5 @@
-"""Where changes of configuration are kept: the record's SQLite file or PostgreSQL database, behind
-one interface.
-"""
+"""Stores of configuration changes: SQLite or PostgreSQL, behind one interface."""
 
-from .store import Away, ChangeStore, Stored
+from .change_store import ChangeStore, StoredItem, StoreUnavailableError
 
-__all__ = ["Away", "ChangeStore", "Stored"]
+__all__ = ["StoreUnavailableError", "ChangeStore", "StoredItem"]
--- a/burlloom/fleet/subset.py
+++ b/burlloom/fleet/subset.py
@@ -26,27 +26,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
+class ServerSubset:
     """Of one server: the services by rank, each with its part of the server's calls. The parts sum
     to 1.
     """
 
-    parts: Mapping[str, float]
+    weights: Mapping[str, float]
 
 
 @dataclass(frozen=True, slots=True)
-class Spread:
+class SubsetAssignment:
     """Of the whole fleet: each server's choice; `worst`: the load of the most loaded service over
     the mean.
     """
 
-    choices: Mapping[str, Choice]
-    worst: float
-    size: float  # of the subsets, on average
+    subsets: Mapping[str, ServerSubset]
+    max_load_ratio: float
+    mean_size: float  # of the subsets, on average
 
     def pairs(self) -> set[tuple[str, str]]:
         return {
-            (server, service) for server, choice in self.choices.items() for service in choice.parts
+            (server, service)
+            for server, choice in self.subsets.items()
+            for service in choice.weights
         }
 
 
@@ -71,9 +73,9 @@
     return int(mean + rank(server, "") / (1 << 64))
 
 
-def spread(
+def assign_subsets(
     servers: Sequence[str], services: Sequence[str], least: int, bound: float = 1.1
-) -> Spread:
+) -> SubsetAssignment:
     """The subsets of all servers, with weights such that no service has more than `bound` times the
     mean load, where each server calls as much as the next. Raises `ValueError` where there is none
     to talk to.
@@ -87,12 +89,14 @@
         found = fitted(
             {server: order[server][: size_of(server, mean)] for server in servers}, services, mean
         )
-        if found.worst <= bound or mean >= len(services):
+        if found.max_load_ratio <= bound or mean >= len(services):
             return found
         mean = min(float(len(services)), mean * WIDER)
 
 
-def fitted(subsets: Mapping[str, Sequence[str]], services: Sequence[str], size: float) -> Spread:
+def fitted(
+    subsets: Mapping[str, Sequence[str]], services: Sequence[str], size: float
+) -> SubsetAssignment:
     parts = {server: dict.fromkeys(subset, 1 / len(subset)) for server, subset in subsets.items()}
     mean, worst = len(subsets) / len(services), 1.0
     for _ in range(ROUNDS_MOST):
@@ -109,52 +113,56 @@
             every = sum(part.values())
             for service in part:
                 part[service] /= every
-    return Spread({server: Choice(part) for server, part in parts.items()}, worst, size)
+    return SubsetAssignment(
+        {server: ServerSubset(part) for server, part in parts.items()}, worst, size
+    )
 
 
-class Turns:
+class WeightedRoundRobin:
     """Calls of one server spread over its subset: smooth weighted round robin, so that any stretch
     of them is split as the parts say, within one call each. A service that could not be reached is
     left out for a while, longer each time.
     """
 
-    SKIP, SKIP_MOST = 500_000_000, 16_000_000_000  # ns
+    EJECTION_NS, MAX_EJECTION_NS = 500_000_000, 16_000_000_000  # ns
 
     def __init__(self) -> None:
-        self.parts: Mapping[str, float] = {}
-        self.credit: dict[str, float] = {}
-        self.out: dict[str, tuple[int, int]] = {}  # until when, and for how long that was
+        self.weights: Mapping[str, float] = {}
+        self.credits: dict[str, float] = {}
+        self.ejections: dict[str, tuple[int, int]] = {}  # until when, and for how long that was
 
-    def take(self, parts: Mapping[str, float], phase: float = 0.0) -> None:
+    def set_weights(self, parts: Mapping[str, float], phase: float = 0.0) -> None:
         """`phase`, from 0 to under 1: where a server starts, as all would begin with the same."""
-        if not self.parts:
-            self.credit = {
+        if not self.weights:
+            self.credits = {
                 service: (at * 0.618 + phase) % 1 - 0.5 for at, service in enumerate(parts)
             }
-        self.parts = parts
-        self.credit = {service: self.credit.get(service, 0.0) for service in parts}
-        self.out = {service: out for service, out in self.out.items() if service in parts}
+        self.weights = parts
+        self.credits = {service: self.credits.get(service, 0.0) for service in parts}
+        self.ejections = {
+            service: out for service, out in self.ejections.items() if service in parts
+        }
 
-    def unreached(self, service: str, now: int) -> None:
+    def record_failure(self, service: str, now: int) -> None:
         """Several calls that fail at once count once."""
-        until, span = self.out.get(service, (0, 0))
-        if service in self.parts and now >= until:
-            span = min(self.SKIP_MOST, max(self.SKIP, 2 * span))
-            self.out[service] = now + span, span
+        until, span = self.ejections.get(service, (0, 0))
+        if service in self.weights and now >= until:
+            span = min(self.MAX_EJECTION_NS, max(self.EJECTION_NS, 2 * span))
+            self.ejections[service] = now + span, span
 
-    def reached(self, service: str) -> None:
-        self.out.pop(service, None)
+    def record_success(self, service: str) -> None:
+        self.ejections.pop(service, None)
 
-    def next(self, now: int) -> str:
+    def next_service(self, now: int) -> str:
         """Those that are left out count again once all are. Raises `ValueError` where there are
         none.
         """
         open = [
-            service for service in self.parts if self.out.get(service, (0, 0))[0] <= now
-        ] or list(self.parts)
-        every = sum(self.parts[service] for service in open)
+            service for service in self.weights if self.ejections.get(service, (0, 0))[0] <= now
+        ] or list(self.weights)
+        every = sum(self.weights[service] for service in open)
         for service in open:
-            self.credit[service] += self.parts[service] / every
-        best = max(open, key=lambda service: (self.credit[service], service))
-        self.credit[best] -= 1
+            self.credits[service] += self.weights[service] / every
+        best = max(open, key=lambda service: (self.credits[service], service))
+        self.credits[best] -= 1
         return best
--- a/burlloom/lab/hollow.py
+++ b/burlloom/lab/hollow.py
@@ -29,7 +29,14 @@
 
 import uvloop
 
-from ..fleet import CALL, Fleet, Habits, State, Terms, Word
+from ..fleet import (
+    MILLICALLS_PER_CALL,
+    Fleet,
+    GossipSettings,
+    MemberState,
+    MemberUpdate,
+    QuotaSettings,
+)
 from .distances import Distances, Place, place
 
 # s; a server ticks each 0.05, a control machine by itself
@@ -72,33 +79,37 @@
     def __init__(
         self, own: Place, address: str, life: int, told: dict[str, Any], chance: Random, now: int
     ) -> None:
-        word = Word(own.name, address, life, 0, State.ALIVE)
+        word = MemberUpdate(own.name, address, life, 0, MemberState.ALIVE)
         self.fleet = Fleet(
             word,
             tuple(told["seeds"]),
             (bytes.fromhex(told["key"]),),
-            Terms(**told["terms"]),
-            Habits(**told.get("habits", {})),
+            QuotaSettings(**told["terms"]),
+            GossipSettings(**told.get("habits", {})),
             chance,
             now,
         )
-        self.out, self.demand, self.share = self.fleet.out, int(told.get("demand", 8.0) * CALL), -1
+        self.out, self.demand, self.share = (
+            self.fleet.outbox,
+            int(told.get("demand", 8.0) * MILLICALLS_PER_CALL),
+            -1,
+        )
         self.seen: list[list[Any]] = []
 
     def tick(self, now: int) -> None:
         fleet = self.fleet
-        fleet.uses(self.demand, min(self.demand, fleet.share))
+        fleet.set_usage(self.demand, min(self.demand, fleet.share))
         fleet.tick(now)
         self.after(now)
 
     def hear(self, now: int, data: bytes, source: tuple[str, int]) -> None:
-        self.fleet.hear(now, data)
+        self.fleet.receive(now, data)
         self.after(now)
 
     def after(self, now: int) -> None:
         fleet = self.fleet
-        fleet.moves = []
-        share = fleet.share if fleet.good(now) else 0  # as the server asks before each call
+        fleet.transitions = []
+        share = fleet.share if fleet.is_current(now) else 0  # as the server asks before each call
         if share != self.share:
             self.share = share
             self.seen.append([now, "share", self.share])
@@ -114,18 +125,20 @@
 
     def told(self, message: dict[str, Any]) -> None:
         """`demand`: calls that it would have in hand."""
-        self.demand = int(float(message.get("demand", self.demand / CALL)) * CALL)
+        self.demand = int(
+            float(message.get("demand", self.demand / MILLICALLS_PER_CALL)) * MILLICALLS_PER_CALL
+        )
 
     def facts(self, now: int) -> dict[str, Any]:
         fleet = self.fleet
         return {
             "share": fleet.share,
-            f"holder {fleet.holder.state.name.lower()}": 1,
-            "there": len(fleet.members.there()),
-            "deals": int(fleet.dealer.phase > 0),
-            "dropped": fleet.counts.dropped,
-            "unreadable": fleet.counts.unreadable,
-            f"view {fleet.members.digest}": 1,
+            f"holder {fleet.lease_holder.state.label}": 1,
+            "there": len(fleet.view.present_members()),
+            "deals": int(fleet.allocator.phase > 0),
+            "dropped": fleet.counters.dropped,
+            "unreadable": fleet.counters.unreadable,
+            f"view {fleet.view.digest}": 1,
         }
 
     def events(self, now: int) -> Iterable[list[Any]]:
--- a/burlloom/operator/distribution.py
+++ b/burlloom/operator/distribution.py
@@ -12,8 +12,8 @@
 from .part import Part
 
 if TYPE_CHECKING:
-    from ..distribution.follower import Upstream as Follows
-    from ..distribution.terms import Terms
+    from ..distribution.settings import ReplicationSettings
+    from ..distribution.upstreams import Upstream as Follows
 
 MS = 1_000_000
 SIGNING_LEAST, KEYS_MOST = 16, 8  # bytes; lines of a file
@@ -55,22 +55,22 @@
 
     def faults(self) -> list[str]:
         """What no single value can tell, each with its place."""
-        from ..fleet.letters import KEY_LEAST, address_of
+        from ..fleet.messages import MIN_KEY_BYTES, parse_address
 
         wrong = []
-        if address_of(self.listen) is None and not (
-            self.listen.endswith(":0") and address_of(self.listen + "1")
+        if parse_address(self.listen) is None and not (
+            self.listen.endswith(":0") and parse_address(self.listen + "1")
         ):
             wrong.append(
                 f"listen: {self.listen!r} is no IPv4 address with a port"
             )  # 0: one that the system gives
-        if self.advertise is not None and address_of(self.advertise) is None:
+        if self.advertise is not None and parse_address(self.advertise) is None:
             wrong.append(f"advertise: {self.advertise!r} is no IPv4 address with a port")
         names: dict[str, int] = {}
         addresses: dict[str, int] = {}
         for at, one in enumerate(self.upstreams):
             place = f"upstreams[{at}]"
-            if address_of(one.address) is None:
+            if parse_address(one.address) is None:
                 wrong.append(f"{place}.address: {one.address!r} is no IPv4 address with a port")
             for what, value, seen in (
                 ("name", one.name, names),
@@ -82,7 +82,7 @@
                     )
                 seen.setdefault(value, at)
         for what, file, least in (
-            ("key_file", self.key_file, KEY_LEAST),
+            ("key_file", self.key_file, MIN_KEY_BYTES),
             ("signing_key_file", self.signing_key_file, SIGNING_LEAST),
         ):
             try:
@@ -114,34 +114,34 @@
         """Raises `OSError` or `ValueError`."""
         return read_keys(Path(self.signing_key_file))
 
-    def terms(self) -> "Terms":
+    def terms(self) -> "ReplicationSettings":
         """What is not told follows the beat."""
-        from ..distribution.terms import Terms
+        from ..distribution.settings import ReplicationSettings
 
-        plain, beat = Terms(), self.beat_ms * MS
-        part = beat / plain.beat
+        plain, beat = ReplicationSettings(), self.beat_ms * MS
+        part = beat / plain.heartbeat_ns
         return replace(
             plain,
-            beat=beat,
-            silence=int(plain.silence * part),
-            knock=int(plain.knock * part),
-            retry=int(plain.retry * part),
-            prefer=int(plain.prefer * part),
-            stale=int(plain.stale * part),
-            stuck=int(plain.stuck * part),
-            lease=int(plain.lease * part),
-            followers_most=self.followers_most,
-            page_rate=self.page_rate,
-            page_burst=max(1, self.page_rate // 10),
+            heartbeat_ns=beat,
+            upstream_timeout_ns=int(plain.upstream_timeout_ns * part),
+            first_answer_timeout_ns=int(plain.first_answer_timeout_ns * part),
+            request_retry_ns=int(plain.request_retry_ns * part),
+            preferred_retry_ns=int(plain.preferred_retry_ns * part),
+            stale_after_ns=int(plain.stale_after_ns * part),
+            sync_stall_timeout_ns=int(plain.sync_stall_timeout_ns * part),
+            lease_ns=int(plain.lease_ns * part),
+            max_followers=self.followers_most,
+            page_bytes_per_s=self.page_rate,
+            page_burst_bytes=max(1, self.page_rate // 10),
         )
 
     def followed(self) -> "list[Follows]":
         """Whom this one may follow."""
-        from ..distribution.follower import Upstream as Follows
-        from ..fleet.letters import address_of
+        from ..distribution.upstreams import Upstream as Follows
+        from ..fleet.messages import parse_address
 
         return [
             Follows(one.name, one.region, address)
             for one in self.upstreams
-            if (address := address_of(one.address)) is not None
+            if (address := parse_address(one.address)) is not None
         ]
--- a/burlloom/server/__main__.py
+++ b/burlloom/server/__main__.py
@@ -78,7 +78,7 @@
     """What the operator's file asks for. Raises `Broken`, with a line for each fault."""
     from ..operator import Faults
     from .subsystems import (
-        Refused,
+        StoreRefusedError,
         distributed,
         fleeted,
         leveled,
@@ -104,7 +104,7 @@
         )
     except Faults as faults:
         raise ConfigurationError("\nburlloom.server: ".join(faults.lines)) from faults
-    except Refused as refused:
+    except StoreRefusedError as refused:
         raise ConfigurationError(str(refused)) from refused
 
 
--- a/burlloom/server/request_record.py
+++ b/burlloom/server/request_record.py
@@ -10,17 +10,17 @@
 from typing import TYPE_CHECKING, Protocol
 
 from ..admission.model import Idempotency, Outcome, RequestClass
-from ..dispatcher import Desk, Packed, RunEnded
-from ..sockets import MS
+from ..dispatcher import Dispatcher, PackedKeyDigests, RunEnded
+from ..sockets import NS_PER_MS
 from .configuration import ConfigurationError
 
 if TYPE_CHECKING:
     from ..metrics import Exposed
-    from ..record.keeper import Keeper
+    from ..record.coordinator import RecordCoordinator
 
 log = logging.getLogger(__name__)
 
-WAY_OUT = 100 * MS  # that an answer keeps to its expiry, whatever it waits for
+WAY_OUT = 100 * NS_PER_MS  # that an answer keeps to its expiry, whatever it waits for
 
 
 class RequestRecord(Protocol):
@@ -33,7 +33,7 @@
 
     async def open(self) -> None: ...
     def write_note(self, text: str) -> None: ...
-    def attach_dispatcher(self, desk: Desk, executor_began: int) -> None: ...
+    def attach_dispatcher(self, desk: Dispatcher, executor_began: int) -> None: ...
     def accepts_claims(self) -> bool: ...
     def begin_run(self, mark: bytes, id: str, at: int, product: int) -> None: ...
     def run_ended(self, id: str, outcome: Outcome, result: bytes) -> None: ...
@@ -60,7 +60,7 @@
     def write_note(self, text: str) -> None:
         pass
 
-    def attach_dispatcher(self, desk: Desk, executor_began: int) -> None:
+    def attach_dispatcher(self, desk: Dispatcher, executor_began: int) -> None:
         pass
 
     def accepts_claims(self) -> bool:
@@ -102,7 +102,7 @@
         looks: bool,
     ) -> None:
         """`looks`: other nodes write to the record too."""
-        from ..record import points
+        from ..record import failpoints as points
 
         self.points, self.is_shared = points, looks
         self.products, self.hold_share, self.clock, self.execute = (
@@ -111,57 +111,57 @@
             clock,
             execute,
         )
-        self.keeper: Keeper
+        self.keeper: RecordCoordinator
         self.exposed: Exposed | None = None
-        self.desk: Desk | None = None
-        self.former = Packed()
+        self.desk: Dispatcher | None = None
+        self.former = PackedKeyDigests()
         self.previous_note, self.incarnation = "", -1
 
     def write_note(self, text: str) -> None:
-        self.keeper.store.note(text)
+        self.keeper.store.save_notice(text)
 
     async def open(self) -> None:
-        from ..record.store import Refused
+        from ..record.store import StoreRefusedError
 
         began = self.clock()
         try:
             opened = await self.keeper.open()
-        except Refused as error:
+        except StoreRefusedError as error:
             raise ConfigurationError(str(error)) from error
-        self.previous_note, self.incarnation = self.keeper.noted, self.keeper.life
-        self.former = Packed(chain.from_iterable(self.keeper.read_back()))
+        self.previous_note, self.incarnation = self.keeper.previous_notice, self.keeper.incarnation
+        self.former = PackedKeyDigests(chain.from_iterable(self.keeper.read_recorded_keys()))
         await self.keeper.start()
         log.info(
             "event=record-open node=%s life=%d shift_ms=%d migrated=%s marks=%d begun=%d ms=%d",
             opened.node,
-            opened.life,
-            opened.shift // MS,
+            opened.incarnation,
+            opened.clock_shift_ns // NS_PER_MS,
             ",".join(map(str, opened.migrated)) or "-",
             len(self.former),
-            len(self.keeper.began),
-            (self.clock() - began) // MS,
+            len(self.keeper.started_rows),
+            (self.clock() - began) // NS_PER_MS,
         )
 
-    def attach_dispatcher(self, desk: Desk, executor_began: int) -> None:
+    def attach_dispatcher(self, desk: Dispatcher, executor_began: int) -> None:
         self.desk = desk
-        desk.ledger.plant_ended(self.former)
-        for mark, until, asked in self.keeper.executor(executor_began):
-            desk.ledger.plant(mark, until, not asked)
+        desk.idempotency_table.restore_ended_keys(self.former)
+        for mark, until, asked in self.keeper.resume_after_restart(executor_began):
+            desk.idempotency_table.restore_open_key(mark, until, not asked)
 
     def accepts_claims(self) -> bool:
-        return self.keeper.accepts()
+        return self.keeper.may_claim()
 
     def begin_run(self, mark: bytes, id: str, at: int, product: int) -> None:
         known = self.products[product]
         if known.idempotency is Idempotency.KEYED:
-            self.keeper.begin(
+            self.keeper.begin_claim(
                 mark, id, at, at + known.idempotency_window_ns, known.latency_objective_ns
             )
         else:
             self.execute(id)
 
     def run_ended(self, id: str, outcome: Outcome, result: bytes) -> None:
-        self.keeper.ended(id, outcome, result)
+        self.keeper.finish_run(id, outcome, result)
 
     async def wait_until_durable(self, mark: bytes, at: int, product: int) -> None:
         known = self.products[product]
@@ -170,73 +170,73 @@
                 self.clock() + int(self.hold_share * known.latency_objective_ns),
                 at + known.deadline_ns - WAY_OUT,
             )
-            await self.keeper.durable(mark, until)
-            self.points.reached("answering")
+            await self.keeper.wait_until_durable(mark, until)
+            self.points.hit("answering")
 
     def request_answered(self, id: str) -> None:
-        self.keeper.left(id)
-        self.points.reached_once_sent("answered")
+        self.keeper.abandon(id)
+        self.points.hit_after_send("answered")
 
     async def look_up(self, mark: bytes, id: str, at: int, product: int) -> None:
         known = self.products[product]
-        await self.keeper.look(
+        await self.keeper.look_up(
             mark, id, at + known.idempotency_window_ns, known.latency_objective_ns
         )
 
     async def read_result(self, mark: bytes, until: int) -> bytes | None:
-        return await self.keeper.recall(mark, until - WAY_OUT)
+        return await self.keeper.fetch_result(mark, until - WAY_OUT)
 
     async def close(self) -> None:
         await self.keeper.close()
-        counts = self.keeper.counts
+        counts = self.keeper.counters
         log.info(
             "event=record-closed-down claims=%d refused=%d late=%d unkept=%d taken=%d recalled=%d doubts=%d"
             " resolved=%d altered=%d conflicts=%d answered_before=%d",
             counts.claims,
-            counts.refused,
-            counts.late,
-            counts.unkept,
-            counts.taken,
-            counts.recalled,
+            counts.rejected,
+            counts.store_timeouts,
+            counts.unrecorded_runs,
+            counts.claimed_elsewhere,
+            counts.results_fetched,
             counts.doubts,
             counts.resolved,
-            counts.altered,
+            counts.altered_rows,
             counts.conflicts,
-            counts.held_past,
+            counts.answered_before_durable,
         )
         if self.exposed is not None:
             self.exposed.close()
 
     # What the keeper tells.
 
-    def run(self, id: str) -> None:
+    def start_run(self, id: str) -> None:
         self.execute(id)
 
-    def refuse(self, id: str) -> None:
+    def reject(self, id: str) -> None:
         self.report(id, Outcome.NOT_RECORDED)
 
-    def unrun(self, id: str) -> None:
+    def report_never_ran(self, id: str) -> None:
         self.report(id, Outcome.NO_LONGER_NEEDED)
 
-    def follow(self, id: str) -> None:
+    def report_claimed_elsewhere(self, id: str) -> None:
         self.report(id, Outcome.CLAIMED_ELSEWHERE)
 
     def report(self, id: str, outcome: Outcome) -> None:
         if self.desk is not None:
-            self.desk.report(RunEnded(id, outcome, 0, b""))
+            self.desk.handle_event(RunEnded(id, outcome, 0, b""))
 
-    def settle(self, mark: bytes, result: bytes | None) -> None:
+    def complete(self, mark: bytes, result: bytes | None) -> None:
         if self.desk is not None:
-            self.desk.settle(mark, result)
+            self.desk.complete_key(mark, result)
 
-    def free(self, mark: bytes) -> None:
+    def release(self, mark: bytes) -> None:
         if self.desk is not None:
-            self.desk.free(mark)
+            self.desk.release_key(mark)
 
-    def plant(self, mark: bytes, until: int) -> None:
+    def register(self, mark: bytes, until: int) -> None:
         if self.desk is not None:
-            self.desk.ledger.plant(mark, until, False)
+            self.desk.idempotency_table.restore_open_key(mark, until, False)
 
-    def lose(self, mark: bytes) -> None:
+    def forget(self, mark: bytes) -> None:
         if self.desk is not None:
-            self.desk.lose(mark)
+            self.desk.abandon_key(mark)
--- a/burlloom/server/rollout.py
+++ b/burlloom/server/rollout.py
@@ -14,15 +14,15 @@
 from typing import TYPE_CHECKING, Protocol
 
 from ..admission.model import RequestClass
-from ..dispatcher import Kind
-from ..sockets import MS, Tasks, rest
+from ..dispatcher import DirectiveKind
+from ..sockets import NS_PER_MS, TaskSupervisor, sleep_ns
 from .membership import monotonic_ns
 
 if TYPE_CHECKING:
     from ..metrics import Exposed
     from ..operator import RolloutPart
-    from ..rollout import Hand, Lead, Says
-    from ..rollout.stores import Page, Shelf
+    from ..rollout import DrainAgent, RolloutLeader, ServerPhase
+    from ..rollout.stores import RolloutStore, StateSnapshot
     from .membership import FleetMembership
 
 log = logging.getLogger(__name__)
@@ -35,7 +35,7 @@
     """What the server tells of itself."""
 
     def open(self) -> None: ...
-    def request_answered(self, kind: Kind, product: int, at: int) -> None: ...
+    def request_answered(self, kind: DirectiveKind, product: int, at: int) -> None: ...
     async def close(self) -> None: ...
 
 
@@ -45,7 +45,7 @@
     def open(self) -> None:
         pass
 
-    def request_answered(self, kind: Kind, product: int, at: int) -> None:
+    def request_answered(self, kind: DirectiveKind, product: int, at: int) -> None:
         pass
 
     async def close(self) -> None:
@@ -68,12 +68,12 @@
     def __init__(
         self,
         part: RolloutPart,
-        shelf: Shelf,
+        shelf: RolloutStore,
         name: str,
         version: str,
         products: tuple[RequestClass, ...],
         clock: Callable[[], int],
-        tasks: Tasks,
+        tasks: TaskSupervisor,
         host: RolloutHost,
         fleet: Callable[[], FleetMembership],
         steady: Callable[[], int] = monotonic_ns,
@@ -93,10 +93,10 @@
         )
         self.life = self.former = self.beat = self.told_at = self.heeded = 0
         self.counts = [0, 0, 0, 0]  # settled, late, declined, voided
-        self.hand: Hand | None = None
-        self.lead: Lead | None = None
-        self.page: Page | None = None
-        self.said: Says | None = None
+        self.hand: DrainAgent | None = None
+        self.lead: RolloutLeader | None = None
+        self.page: StateSnapshot | None = None
+        self.said: ServerPhase | None = None
         self.away = ""
         self.outbid = False
         self.steps = {"drains": 0, "beaten": 0, "away": 0}
@@ -109,12 +109,12 @@
         """
         self.task = self.tasks.start(self.keep(), "rollout")
 
-    def request_answered(self, kind: Kind, product: int, at: int) -> None:
-        if kind in (Kind.SETTLE, Kind.SETTLE_AS):
+    def request_answered(self, kind: DirectiveKind, product: int, at: int) -> None:
+        if kind in (DirectiveKind.COMPLETE, DirectiveKind.COMPLETE_AS_ORIGINAL):
             self.counts[0] += 1
             self.counts[1] += self.clock() - at > self.products[product].latency_objective_ns
         else:
-            self.counts[2 if kind is Kind.DECLINE else 3] += 1
+            self.counts[2 if kind is DirectiveKind.REJECT else 3] += 1
 
     async def keep(self) -> None:
         wait = 1
@@ -124,7 +124,7 @@
                 if self.away:
                     log.warning("event=rollout-back")
                 self.away, wait = "", 1
-            except (self.stores.Away, self.stores.Unreadable) as error:
+            except (self.stores.StoreUnavailableError, self.stores.StateDecodeError) as error:
                 if not self.away:
                     log.warning("event=rollout-away detail=%r", str(error))
                 self.away, self.page = str(error), None
@@ -134,13 +134,13 @@
                 await self.reopen()
             except Exception:
                 log.exception("event=fault side=rollout")
-            await rest(wait * self.part.poll_ms * MS)
+            await sleep_ns(wait * self.part.poll_ms * NS_PER_MS)
 
     async def reopen(self) -> None:
         if self.life:
             try:
                 await self.shelf.open()  # its file may be another's by now, its tables gone
-            except self.stores.Away:
+            except self.stores.StoreUnavailableError:
                 pass
 
     async def round(self) -> None:
@@ -148,13 +148,15 @@
             return
         if not self.life:
             await self.shelf.open()
-            last = await self.shelf.last(self.name)
+            last = await self.shelf.last_report(self.name)
             if last is not None:
-                self.former = last.life if last.says is self.of.Says.LEAVING else 0
-            self.life = max(self.clock() // MS, last.life + 1 if last is not None else 0)
-            self.hand = self.of.Hand(self.name, self.life)
+                self.former = last.incarnation if last.phase is self.of.ServerPhase.LEAVING else 0
+            self.life = max(
+                self.clock() // NS_PER_MS, last.incarnation + 1 if last is not None else 0
+            )
+            self.hand = self.of.DrainAgent(self.name, self.life)
             if self.part.leads:
-                self.lead = self.of.Lead(
+                self.lead = self.of.RolloutLeader(
                     f"{self.name}/{self.life}",
                     self.part.terms(),
                     self.part.budgets(),
@@ -178,8 +180,8 @@
 
     # What we say.
 
-    def says(self) -> Says:
-        says = self.of.Says
+    def says(self) -> ServerPhase:
+        says = self.of.ServerPhase
         return (
             says.LEAVING
             if self.host.is_shutting_down
@@ -190,11 +192,11 @@
 
     async def tell(self) -> None:
         now, says = self.steady(), self.says()
-        if says == self.said and now - self.told_at < self.part.beat_ms * MS:
+        if says == self.said and now - self.told_at < self.part.beat_ms * NS_PER_MS:
             return
         self.beat += 1
-        if not await self.shelf.tell(
-            self.of.Member(
+        if not await self.shelf.report(
+            self.of.ServerReport(
                 self.name,
                 self.life,
                 self.beat,
@@ -202,7 +204,7 @@
                 self.host.is_healthy_and_recovered(),
                 self.version,
                 self.heeded,
-                self.of.Counts(*self.counts),
+                self.of.RequestCounts(*self.counts),
                 self.fleet().recent_call_counts(),
                 self.former,
             )
@@ -213,35 +215,35 @@
             )  # another was started under it after us
         self.said, self.told_at = says, now
 
-    def heed(self, page: Page) -> None:
+    def heed(self, page: StateSnapshot) -> None:
         """Instances below that are out are not called. What was acted on is told once no call is
         there any more.
         """
-        shunned = frozenset(address for _, address in page.book.shunned())
+        shunned = frozenset(address for _, address in page.state.ejected_instances())
         if self.fleet().eject_services(shunned):
-            self.heeded = page.book.steps
+            self.heeded = page.state.step
 
     # What the book says of us.
 
-    async def mind(self, page: Page) -> None:
+    async def mind(self, page: StateSnapshot) -> None:
         assert self.hand is not None
-        effect = self.hand.reads(page.book)
-        if effect == "ask":
-            wanted, of = self.hand.step(page.book), self.of.hand.Input
+        effect = self.hand.process_state(page.state)
+        if effect == "begin":
+            wanted, of = self.hand.begin_drain(page.state), self.of.agent.AgentInput
             try:
-                held = wanted is not None and await self.shelf.swap(page, wanted)
-            except self.stores.Away:
-                self.hand.meet(of.UNSURE)
+                held = wanted is not None and await self.shelf.compare_and_swap(page, wanted)
+            except self.stores.StoreUnavailableError:
+                self.hand.apply_input(of.WRITE_UNKNOWN)
                 raise
-            effect = self.hand.meet(of.HELD if held else of.BEATEN)
+            effect = self.hand.apply_input(of.WRITE_ACCEPTED if held else of.WRITE_CONFLICT)
             self.page = None
             self.steps["beaten"] += not held
         if effect == "drain":
             self.go(page)
 
-    def go(self, page: Page) -> None:
+    def go(self, page: StateSnapshot) -> None:
         """The book has us out, durably: now, and no earlier, we drain."""
-        to = page.book.version_of(self.name)
+        to = page.state.next_version_of(self.name)
         log.info("event=rollout-drain life=%d next=%s", self.life, to or "-")
         self.steps["drains"] += 1
         if self.part.release_file is not None:
@@ -256,27 +258,27 @@
 
     # Leading.
 
-    async def go_first(self, lead: Lead, page: Page) -> None:
-        from ..rollout.stores.leading import led
+    async def go_first(self, lead: RolloutLeader, page: StateSnapshot) -> None:
+        from ..rollout.stores.leader_round import run_leader_round
 
-        for step, said in await led(lead, self.shelf, page, self.steady()):
+        for step, said in await run_leader_round(lead, self.shelf, page, self.steady()):
             log.info("event=rollout-step step=%d said=%r", step, said)
 
     def gauges(self) -> dict[str, float]:
         """For whoever reads metrics."""
         if self.page is None:
             return {"away": float(bool(self.away))}
-        book = self.page.book
-        servers = book.groups[self.of.SERVERS]
+        book = self.page.state
+        servers = book.groups[self.of.SERVERS_GROUP]
         return {
             "away": float(bool(self.away)),
-            "phase": float(book.plan.phase),
-            "wave": float(book.plan.wave),
-            "servers": float(len(servers.units)),
-            "out": float(servers.taken),
-            "bound": float(servers.budget.bound(len(servers.units))),
-            "steps_read": float(book.steps),
-            "done": float(sum(book.done(unit) for unit in servers.units.values())),
+            "phase": float(book.release.phase),
+            "wave": float(book.release.wave_index),
+            "servers": float(len(servers.instances)),
+            "out": float(servers.out_count),
+            "bound": float(servers.budget.limit(len(servers.instances))),
+            "steps_read": float(book.step),
+            "done": float(sum(book.is_done(unit) for unit in servers.instances.values())),
         }
 
     async def close(self) -> None:
@@ -286,7 +288,7 @@
         try:
             async with asyncio.timeout(LAST_WORD):
                 await self.last_word()
-        except (self.stores.Away, self.stores.Unreadable, TimeoutError):
+        except (self.stores.StoreUnavailableError, self.stores.StateDecodeError, TimeoutError):
             pass
         await self.shelf.close()
         if self.exposed is not None:
@@ -303,6 +305,6 @@
         await self.tell()
         if self.lead is not None:
             page = await self.shelf.read()
-            resigned = self.lead.resign(page.book)
+            resigned = self.lead.resign(page.state)
             if resigned is not None:
-                await self.shelf.swap(page, resigned)
+                await self.shelf.compare_and_swap(page, resigned)
--- a/burlloom/server/subsystems.py
+++ b/burlloom/server/subsystems.py
@@ -10,13 +10,13 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from ..levels import NAMES
-from ..levels.plan import faults
+from ..levels import SIGNAL_NAMES
+from ..levels.plan import find_plan_faults
 from ..operator import Faults, Metrics, Operator, load
-from ..record.keeper import Keeper, Terms
-from ..record.opening import store_of
-from ..record.store import Refused
-from ..sockets import MS, SECOND
+from ..record.coordinator import RecordCoordinator, RecordPolicy
+from ..record.factory import create_store
+from ..record.store import StoreRefusedError
+from ..sockets import NS_PER_MS, NS_PER_SECOND
 from .configuration import ServerConfig
 from .configuration_distribution import FollowedConfiguration
 from .membership import ConfiguredFleetMembership
@@ -31,7 +31,7 @@
 
 __all__ = [
     "Operator",
-    "Refused",
+    "StoreRefusedError",
     "distributed",
     "fleeted",
     "leveled",
@@ -43,7 +43,7 @@
     "stale",
 ]
 
-CALLS_SPAN = 5 * SECOND
+CALLS_SPAN = 5 * NS_PER_SECOND
 
 
 def load_operator(path: str) -> Operator:
@@ -59,13 +59,13 @@
     if record is None:
         return None
     slack = max(product.deadline_ns for product in orders.settings.request_classes)
-    store, sealer = store_of(record, record.node or orders.name, keep=slack)
-    terms = Terms(
+    store, sealer = create_store(record, record.node or orders.name, keep=slack)
+    terms = RecordPolicy(
         record.mode == "prefer",
         record.claim_share,
         record.hold_share,
         record.open_most,
-        record.doubt_wait_ms * MS,
+        record.doubt_wait_ms * NS_PER_MS,
     )
 
     def make(server: Server) -> ConfiguredRequestRecord:
@@ -73,7 +73,7 @@
         made = ConfiguredRequestRecord(
             products, record.hold_share, server.clock, server.start_run, record.postgres is not None
         )
-        keeper = made.keeper = Keeper(
+        keeper = made.keeper = RecordCoordinator(
             store,
             sealer,
             terms,
@@ -103,7 +103,7 @@
             ]
         )
     products = tuple(
-        replace(product, max_staleness_ns=levels.kept_ms.get(name, 0) * MS)
+        replace(product, max_staleness_ns=levels.kept_ms.get(name, 0) * NS_PER_MS)
         for name, product in zip(names, orders.settings.request_classes, strict=True)
     )
     return replace(orders, settings=replace(orders.settings, request_classes=products))
@@ -120,7 +120,7 @@
         told.plan(),
         tuple(zip(orders.class_names, orders.settings.request_classes, strict=True)),
     )
-    if lines := faults(plan, products, NAMES):
+    if lines := find_plan_faults(plan, products, SIGNAL_NAMES):
         raise Faults([f"levels.{line}" for line in lines])
 
     def make(server: Server) -> ConfiguredServiceLevels:
@@ -131,7 +131,7 @@
             orders.tenant_portions,
             orders.settings.cores,
             server.clock,
-            lambda: len(server.front.connections) / server.front.most,
+            lambda: len(server.front.connections) / server.front.max_connections,
             terms=told.terms(),
             store=partial(strain, record.keeper, server.clock)
             if isinstance(record, ConfiguredRequestRecord)
@@ -176,10 +176,10 @@
     part = operator.fleet
     if part is None:
         return None
-    from ..fleet.letters import NAME_MOST
+    from ..fleet.messages import NAME_MOST
 
     if not 0 < len(orders.name.encode()) <= NAME_MOST:
-        raise Refused(
+        raise StoreRefusedError(
             f"fleet: the name {orders.name!r:.80} is over {NAME_MOST} bytes; letters carry no longer one"
         )
     host, port = part.listen.rsplit(":", 1)
@@ -187,7 +187,7 @@
     try:
         sock.bind((host, int(port)))
     except OSError as error:
-        raise Refused(f"fleet.listen: {part.listen}: {error.strerror}") from error
+        raise StoreRefusedError(f"fleet.listen: {part.listen}: {error.strerror}") from error
     sock.setblocking(False)
 
     def make(server: Server) -> ConfiguredFleetMembership:
@@ -209,7 +209,7 @@
             )
             if shown is None:
                 shown = made.exposed = exposed(operator.metrics)
-            shown.numbers("burlloom_fleet", made.fleet.counts, made.gauges)
+            shown.numbers("burlloom_fleet", made.fleet.counters, made.gauges)
         return made
 
     return make
@@ -240,9 +240,9 @@
     part = operator.rollout
     if part is None:
         return None
-    from ..rollout.stores.opening import shelf_of
+    from ..rollout.stores.opening import create_rollout_store
 
-    shelf, version = shelf_of(operator), os.environ.get(RELEASE) or part.version
+    shelf, version = create_rollout_store(operator), os.environ.get(RELEASE) or part.version
 
     def make(server: Server) -> ConfiguredRolloutParticipation:
         made = ConfiguredRolloutParticipation(
@@ -293,19 +293,19 @@
     if part is None:
         return None
     if not part.upstreams:
-        raise Refused("distribution.upstreams: is empty: a server follows others")
-    from ..distribution.endpoint import bound
-    from ..distribution.messages import NAME_MOST
+        raise StoreRefusedError("distribution.upstreams: is empty: a server follows others")
+    from ..distribution.endpoint import bind_datagram_socket
+    from ..distribution.messages import MAX_NAME_BYTES
 
-    if not 0 < len(orders.name.encode()) <= NAME_MOST:
-        raise Refused(
-            f"distribution: the name {orders.name!r:.80} is over {NAME_MOST} bytes; messages carry no longer"
+    if not 0 < len(orders.name.encode()) <= MAX_NAME_BYTES:
+        raise StoreRefusedError(
+            f"distribution: the name {orders.name!r:.80} is over {MAX_NAME_BYTES} bytes; messages carry no longer"
             " one"
         )
     try:
-        sock = bound(part.listen)
+        sock = bind_datagram_socket(part.listen)
     except OSError as error:
-        raise Refused(f"distribution.listen: {part.listen}: {error.strerror}") from error
+        raise StoreRefusedError(f"distribution.listen: {part.listen}: {error.strerror}") from error
 
     def make(server: Server) -> FollowedConfiguration:
         made = FollowedConfiguration(
@@ -325,8 +325,8 @@
     return make
 
 
-def strain(keeper: Keeper, clock: Callable[[], int]) -> float:
-    return keeper.budget.strain(clock())
+def strain(keeper: RecordCoordinator, clock: Callable[[], int]) -> float:
+    return keeper.breaker.load(clock())
 
 
 def exposed(told: Metrics) -> Exposed:
@@ -342,30 +342,30 @@
             Path(told.file) if told.file is not None else None, told.every_ms / 1000, listen
         )
     except OSError as error:
-        raise Refused(f"metrics.listen: {told.listen}: {error.strerror}") from error
+        raise StoreRefusedError(f"metrics.listen: {told.listen}: {error.strerror}") from error
     return made
 
 
-def expose_record(made: Exposed, keeper: Keeper) -> None:
-    keeper.watch.claim = made.histogram(
+def expose_record(made: Exposed, keeper: RecordCoordinator) -> None:
+    keeper.observer.observe_claim = made.histogram(
         "burlloom_record_claim_seconds", "from a claim's posting to its word"
     )
-    keeper.watch.finish = made.histogram(
+    keeper.observer.observe_finish = made.histogram(
         "burlloom_record_finish_seconds", "from an end's posting to its word"
     )
     store = keeper.store
     made.numbers(
         "burlloom_record",
-        keeper.counts,
+        keeper.counters.as_metrics,
         lambda: {
-            "open_writes": len(keeper.budget.open),
-            "fates": len(keeper.fates),
-            "cut_off": float(keeper.budget.state != 0),
-            "cuts": keeper.budget.cuts,
-            "commits": store.commits,
-            "writes": store.written,
-            "largest_batch": store.largest,
-            "pruned": store.pruned,
-            "life": keeper.life,
+            "open_writes": len(keeper.breaker.in_flight),
+            "fates": len(keeper.requests),
+            "cut_off": float(keeper.breaker.state != 0),
+            "cuts": keeper.breaker.times_opened,
+            "commits": store.commit_count,
+            "writes": store.write_count,
+            "largest_batch": store.largest_batch,
+            "pruned": store.pruned_rows,
+            "life": keeper.incarnation,
         },
     )
--- a/tests/explore_rollout.py
+++ b/tests/explore_rollout.py
@@ -10,12 +10,26 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from burlloom.rollout import SERVERS, Book, Budget, Group, Hand, State, Unit
-from burlloom.rollout.hand import Input as Heard
-from burlloom.rollout.hand import State as At
-from burlloom.rollout.units import Input
-
-INPUTS = (Input.SILENT, Input.SETTLED, Input.EXPIRED, Input.GRANT, Input.REVOKE)
+from burlloom.rollout import (
+    SERVERS_GROUP,
+    DisruptionBudget,
+    DrainAgent,
+    Instance,
+    InstanceGroup,
+    InstanceState,
+    RolloutState,
+)
+from burlloom.rollout.agent import AgentInput as Heard
+from burlloom.rollout.agent import AgentState as At
+from burlloom.rollout.instance import InstanceInput
+
+INPUTS = (
+    InstanceInput.LOST,
+    InstanceInput.SETTLED,
+    InstanceInput.EXPIRED,
+    InstanceInput.PERMIT,
+    InstanceInput.REVOKE,
+)
 
 
 @dataclass
@@ -23,8 +37,8 @@
     life: int = 1
     up: bool = True
     sent: bool = False  # by the book: its drain has begun, or is over
-    hand: Hand = field(default_factory=lambda: Hand("", 1))
-    read: tuple[int, Book] | None = None  # a page that its step may still be written on
+    hand: DrainAgent = field(default_factory=lambda: DrainAgent("", 1))
+    read: tuple[int, RolloutState] | None = None  # a page that its step may still be written on
 
     def key(self) -> Any:
         return self.life, self.up, self.sent, self.hand.state
@@ -33,12 +47,15 @@
 @dataclass
 class World:
     revision: int
-    book: Book
+    book: RolloutState
     servers: list[Server]
-    leads: list[tuple[int, Book] | None]
+    leads: list[tuple[int, RolloutState] | None]
 
     def copy(self) -> "World":
-        servers = [replace(one, hand=Hand(one.hand.name, one.hand.life)) for one in self.servers]
+        servers = [
+            replace(one, hand=DrainAgent(one.hand.name, one.hand.incarnation))
+            for one in self.servers
+        ]
         for mine, its in zip(servers, self.servers, strict=True):
             mine.hand.state = its.hand.state
         return World(self.revision, self.book, servers, list(self.leads))
@@ -46,13 +63,13 @@
     def key(self, stale: bool) -> Any:
         """`stale`: what an old page says matters."""
 
-        def units(book: Book) -> Any:
+        def units(book: RolloutState) -> Any:
             return tuple(
-                (name, unit.state, unit.life, unit.left)
+                (name, unit.state, unit.incarnation, unit.left_incarnation)
                 for name, unit in sorted(book.servers.items())
             )
 
-        def page(read: tuple[int, Book] | None) -> Any:
+        def page(read: tuple[int, RolloutState] | None) -> Any:
             if read is None or read[0] == self.revision:
                 return read and "newest"
             return units(read[1]) if stale else "stale"
@@ -83,30 +100,38 @@
         )
 
     def begun(self) -> World:
-        units = {str(at): Unit(State.IN, life=1) for at in range(self.count)}
-        book = Book(groups={SERVERS: Group(Budget(self.most), units)})
-        servers = [Server(hand=Hand(name, 1)) for name in units]
+        units = {str(at): Instance(InstanceState.IN, incarnation=1) for at in range(self.count)}
+        book = RolloutState(
+            groups={SERVERS_GROUP: InstanceGroup(DisruptionBudget(self.most), units)}
+        )
+        servers = [Server(hand=DrainAgent(name, 1)) for name in units]
         return World(0, book, servers, [None] * self.lead_count)
 
-    def swap(self, world: World, page: tuple[int, Book], book: Book) -> bool:
+    def swap(self, world: World, page: tuple[int, RolloutState], book: RolloutState) -> bool:
         if page[0] != world.revision and self.broken != "swap":
             return False
         world.revision, world.book = world.revision + 1, book
         return True
 
-    def step(self, book: Book, name: str, what: Input, life: int = 0) -> Book | None:
+    def step(
+        self, book: RolloutState, name: str, what: InstanceInput, life: int = 0
+    ) -> RolloutState | None:
         """What whoever leads makes of it; None where nothing."""
-        if what is Input.GRANT:
+        if what is InstanceInput.PERMIT:
             if self.broken == "room":
-                made, effect = book.meet(SERVERS, name, what, room=True, few=True)
+                made, effect = book.apply_input(
+                    SERVERS_GROUP, name, what, has_budget=True, has_sent_budget=True
+                )
                 return made if effect else None
-            made, held = book.permit(SERVERS, name, 0)
+            made, held = book.grant_permit(SERVERS_GROUP, name, 0)
             return made if held else None
-        if self.broken == "again" and what is Input.SEEN and life:
-            life = book.servers[name].left + 1
-        made, effect = book.meet(SERVERS, name, what, life=life)
-        if self.broken == "expiry" and effect == "lose":
-            made = made.put(SERVERS, name, replace(made.servers[name], state=State.IN))
+        if self.broken == "again" and what is InstanceInput.SEEN and life:
+            life = book.servers[name].left_incarnation + 1
+        made, effect = book.apply_input(SERVERS_GROUP, name, what, incarnation=life)
+        if self.broken == "expiry" and effect == "mark_missing":
+            made = made.with_instance(
+                SERVERS_GROUP, name, replace(made.servers[name], state=InstanceState.IN)
+            )
         return made if effect else None
 
     def after(self, world: World) -> Iterator[World]:
@@ -121,8 +146,8 @@
             for at, server in enumerate(world.servers):
                 # A word of any life that served until now may be read, late.
                 words = [(what, 0) for what in INPUTS]
-                words += [(Input.SEEN, life) for life in range(1, server.life + 1)]
-                words += [(Input.PARTS, server.life)] if server.sent and server.up else []
+                words += [(InstanceInput.SEEN, life) for life in range(1, server.life + 1)]
+                words += [(InstanceInput.LEAVING, server.life)] if server.sent and server.up else []
                 for what, life in words:
                     made = self.step(page[1], str(at), what, life)
                     if made is not None:
@@ -139,28 +164,36 @@
             if server.life < self.lives:
                 now = world.copy()
                 life = server.life + 1
-                now.servers[at] = Server(life, hand=Hand(str(at), life))
+                now.servers[at] = Server(life, hand=DrainAgent(str(at), life))
                 yield now
             return
         now = world.copy()  # it ends: a drain that is over, or a crash
         now.servers[at].up, now.servers[at].read = False, None
         yield now
-        if server.hand.state is At.ASKING and server.read is not None:
-            for heard in (Heard.HELD, Heard.UNSURE, Heard.BEATEN):
+        if server.hand.state is At.BEGINNING and server.read is not None:
+            for heard in (Heard.WRITE_ACCEPTED, Heard.WRITE_UNKNOWN, Heard.WRITE_CONFLICT):
                 now = world.copy()
                 mine, page = now.servers[at], server.read
                 mine.read = None
-                made = mine.hand.step(page[1])
-                held = made is not None and heard is not Heard.BEATEN and self.swap(now, page, made)
+                made = mine.hand.begin_drain(page[1])
+                held = (
+                    made is not None
+                    and heard is not Heard.WRITE_CONFLICT
+                    and self.swap(now, page, made)
+                )
                 stale = page[0] != world.revision
-                if {Heard.UNSURE: True, Heard.HELD: held, Heard.BEATEN: stale}[heard]:
-                    self.told(mine, mine.hand.meet(heard))
+                if {
+                    Heard.WRITE_UNKNOWN: True,
+                    Heard.WRITE_ACCEPTED: held,
+                    Heard.WRITE_CONFLICT: stale,
+                }[heard]:
+                    self.told(mine, mine.hand.apply_input(heard))
                     yield now
             return
         now = world.copy()
         mine = now.servers[at]
-        effect = mine.hand.reads(now.book)
-        if effect == "ask":
+        effect = mine.hand.process_state(now.book)
+        if effect == "begin":
             mine.read = now.revision, now.book
             if self.broken == "permit":  # drains on the permit alone
                 effect = "drain"
