--- a/burlloom/admission/controller.py
+++ b/burlloom/admission/controller.py
@@ -1,9 +1,10 @@
 """The decisions of one server: what it admits, starts, rejects and calls.
 
 A host makes one `AdmissionController` for each incarnation of a server, calls `start`, and from
-then on hands it each thing that happens, in order and with its time: `request_arrived`, `run_ended`,
-`call_requested`, `call_ended`, `caller_gone`, `drain`, `timer_fired` and, where they are on,
-`set_service_level` and `set_call_quota`. The controller acts at once through `model.Effects`.
+then on hands it each thing that happens, in order and with its time: `request_arrived`,
+`run_ended`, `call_requested`, `call_ended`, `caller_gone`, `drain`, `timer_fired` and, where they
+are on, `set_service_level` and `set_call_quota`. The controller acts at once through
+`model.Effects`.
 
 This module only hands events to the rules, and to `state_machine`. Where to look for the rules:
 
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -1,47 +1,54 @@
-"""Seeded worlds of tests/simulate.py: whole nodes in simulated time, under crashes and a store that
-misbehaves.
+"""Seeded runs of tests/simulate.py: whole servers in simulated time.
+
+Servers crash and come back, and the store of record misbehaves.
 """
 
 import logging
 from collections import Counter
+from collections.abc import Iterator
 
 import pytest
 from simulate import simulate
 
-from burlloom.record import request_lifecycle as fate
+from burlloom.record import request_lifecycle
+
+SEEDS_PER_CASE = 8
+SEEDS_THAT_FIND_A_FAULT = 12
 
 
 @pytest.fixture(autouse=True)
-def quiet() -> object:
+def _without_log() -> Iterator[None]:
     logging.disable(logging.CRITICAL)
     yield
     logging.disable(logging.NOTSET)
 
 
-@pytest.mark.parametrize("nodes", [1, 2])
-@pytest.mark.parametrize("trouble", [0, 0.05, 0.2, 0.5])
-def test_no_world_runs_a_charge_twice_or_leaves_a_try_unanswered(
-    nodes: int, trouble: float
+@pytest.mark.parametrize("servers", [1, 2])
+@pytest.mark.parametrize("fault_rate", [0, 0.05, 0.2, 0.5])
+def test_no_request_runs_twice_and_no_attempt_is_left_unanswered(
+    servers: int, fault_rate: float
 ) -> None:
     count: Counter[str] = Counter()
-    for seed in range(8):
-        world = simulate(seed, nodes, trouble, crashes=seed % 5)
-        assert not world.faults, (seed, world.faults)
-        count += world.count
+    for seed in range(SEEDS_PER_CASE):
+        simulation = simulate(seed, servers, fault_rate, crashes=seed % 5)
+        assert not simulation.faults, (seed, simulation.faults)
+        count += simulation.count
     assert count["settled"] > 20
     assert count["crashes"] > 8
 
 
-def test_the_same_seed_tells_the_same_story() -> None:
+def test_the_same_seed_gives_the_same_run() -> None:
     assert simulate(5, 2, 0.2, 3).count == simulate(5, 2, 0.2, 3).count
 
 
-def test_a_broken_row_is_seen_by_the_checker(monkeypatch: pytest.MonkeyPatch) -> None:
-    broken = fate.TABLE.replace(
-        "CLAIMING          STORE_TIMED_OUT                    WITHDRAWING       reject+withdraw",
-        "CLAIMING          STORE_TIMED_OUT                    RUNNING           start_run",
-    )
-    monkeypatch.setattr(fate, "RULES", fate.parse_rules(broken))
+def test_the_checker_sees_a_broken_transition(monkeypatch: pytest.MonkeyPatch) -> None:
+    good = "CLAIMING          STORE_TIMED_OUT                    WITHDRAWING       reject+withdraw"
+    bad = "CLAIMING          STORE_TIMED_OUT                    RUNNING           start_run"
+    assert good in request_lifecycle.TABLE
+    broken = request_lifecycle.parse_rules(request_lifecycle.TABLE.replace(good, bad))
+    monkeypatch.setattr(request_lifecycle, "RULES", broken)
     assert any(
-        "ran twice" in fault for seed in range(12) for fault in simulate(seed, 2, 0.3, 3).faults
+        "ran twice" in fault
+        for seed in range(SEEDS_THAT_FIND_A_FAULT)
+        for fault in simulate(seed, 2, 0.3, 3).faults
     )
