--- a/benchmarks/scale_members.py
+++ b/benchmarks/scale_members.py
@@ -31,7 +31,7 @@
 
 def terms(size: int) -> dict[str, Any]:
     """The defaults of the operator's file."""
-    return {"total": int(SHARE * 1000 * size), "least": size // 2 + 1}
+    return {"total_millicalls": int(SHARE * 1000 * size), "min_members": size // 2 + 1}
 
 
 async def measured(size: int, seconds: float, settle: float, seed: int) -> dict[str, Any]:
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -229,7 +229,10 @@
         }
         fleet = {
             "key": KEY,
-            "terms": {"total": self.total, "least": (len(self.zone) + setting.real) // 2 + 1},
+            "terms": {
+                "total_millicalls": self.total,
+                "min_members": (len(self.zone) + setting.real) // 2 + 1,
+            },
             "seeds": [],
             "demand": 2 * SHARE,
         }
