--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -216,7 +216,7 @@
     them.
     """
     places = laid_out(count)
-    terms = {"total": 2000 * count, "least": count // 2 + 1}
+    terms = {"total_millicalls": 2000 * count, "min_members": count // 2 + 1}
     cores = {"fleet": {"key": KEY, "terms": terms, "seeds": [], "demand": 6.0}}
     async with Hosts(folder, [(group, cores) for group in spread(places, 2)], 1, main) as hosts:
         seeds = [hosts.address(name, "fleet") for name in ("h0", "h1", "h2")]
@@ -224,17 +224,17 @@
         hosts.tell_names("start", ["h0"])
         await asyncio.sleep(0.5)
         hosts.tell("start")
-        await until(lambda: hosts.facts().get("share", 0) >= 0.95 * terms["total"])
+        await until(lambda: hosts.facts().get("share", 0) >= 0.95 * terms["total_millicalls"])
         began = clock()
         hosts.tell_names("kill", ["h3", "h4"])
         await until(lambda: hosts.up() == count - 2 and clock() - began > 2 * SECOND)
         hosts.tell_names("start", ["h3", "h4"])
         await until(
-            lambda: hosts.up() == count and hosts.facts().get("share", 0) >= 0.95 * terms["total"]
+            lambda: hosts.up() == count and hosts.facts().get("share", 0) >= 0.95 * terms["total_millicalls"]
         )
         faults = [fault for host in hosts.hosts for fault in host.faults]
     assert faults == []
-    return Checker(terms["total"]).check(read(folder))
+    return Checker(terms["total_millicalls"]).check(read(folder))
 
 
 def test_hollow_servers_share_out_calls(tmp_path: Path):
