--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -362,7 +362,7 @@
 
     async def known(self, real: Real) -> None:
         """All hosts learn where it is reached, and by what address it sends."""
-        for event in ("fleet-open", "distribution-open"):
+        for event in ("membership_opened", "distribution_opened"):
             told = [
                 await ready(real, event, real.life),
                 *row(place(real.name, self.zone[0].region, 0, 99)),
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -28,7 +28,7 @@
 KEY, SIGNING = "6b" * 32, "73" * 32
 BEAT = 300  # ms
 PATIENCE = 40.0
-LINE = re.compile(r"event=(distribution-open|config_synced|config_changes_applied)\b(.*)")
+LINE = re.compile(r"event=(distribution_opened|config_synced|config_changes_applied)\b(.*)")
 
 
 async def patiently(test: Callable[[], bool], what: Callable[[], Any] = lambda: None) -> None:
@@ -360,7 +360,7 @@
             at: tuple[int, int] | None = None
             for what, rest in LINE.findall(node.log()):
                 said = dict(re.findall(r"(\w+)=(\S+)", rest))
-                if what == "distribution-open":
+                if what == "distribution_opened":
                     at = None  # another life, which holds nothing
                 elif what == "config_synced":
                     to = int(said["epoch"]), int(said["revision"])
