--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -21,7 +21,7 @@
 from burlloom.operator import load
 from burlloom.rollout import ReleasePhase, RolloutState
 from burlloom.rollout.stores import RolloutStore, StoreUnavailableError
-from burlloom.rollout.stores.opening import create_rollout_store
+from burlloom.rollout.stores.factory import create_rollout_store
 
 QUICK = {
     "poll_ms": 40,
@@ -103,7 +103,7 @@
             log.seek(self.log_at)
             new = log.read()
         self.log_at += len(new)
-        if b"event=leaving" in new and not self.out:
+        if b"event=shutdown_started" in new and not self.out:
             self.out = True
             if self.rollout.out - 1 >= self.rollout.most:
                 self.rollout.over += 1
