--- a/burlloom/downstream/__init__.py
+++ b/burlloom/downstream/__init__.py
@@ -1,5 +1,6 @@
-"""Calls to the catalogue, over HTTP."""
+"""Calls to the downstream dependency, over HTTP."""
 
-from .connection_pool import CallStatus, ConnectionPool
+from .connection_pool import ConnectionPool
+from .wire import CallStatus
 
 __all__ = ["CallStatus", "ConnectionPool"]
