--- a/burlloom/lab/callers.py
+++ b/burlloom/lab/callers.py
@@ -34,7 +34,7 @@
     def reject(self, number: int, stay_away: int, final: bool) -> None:
         self.said("declined", stay_away, final)
 
-    def fail(self, number: int, name: str) -> None:
+    def fail(self, number: int) -> None:
         self.said("voided", 0, False)
 
     def report_fault(self, what: str) -> None: ...
--- a/burlloom/rpc/__init__.py
+++ b/burlloom/rpc/__init__.py
@@ -1,6 +1,6 @@
-"""Requests over MessagePack-RPC: the listener, its connections and their frames."""
+"""Requests over MessagePack-RPC: the listener, its connections, and their wire format."""
 
 from .incoming_request import IncomingRequest, RequestRules
 from .listener import RpcListener
 
-__all__ = ["RpcListener", "RequestRules", "IncomingRequest"]
+__all__ = ["IncomingRequest", "RequestRules", "RpcListener"]
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -312,7 +312,7 @@
         if self.settled_before and not self.world.prefer and self.world.trouble == 0:
             self.world.fault("declined though it had been settled")
 
-    def fail(self, number: int, name: str) -> None:
+    def fail(self, number: int) -> None:
         self.said("voided")
 
     def report_fault(self, what: str) -> None: ...
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -29,7 +29,8 @@
 from burlloom.fakes.parts import fields
 from burlloom.levels.signals import MAX_TENANTS
 from burlloom.levels.signals import TenantShares as Shares
-from burlloom.rpc.incoming_request import MalformedRequestError, RequestRules, parse_request
+from burlloom.rpc.incoming_request import MalformedRequestError, RequestRules
+from burlloom.rpc.wire import parse_request
 from burlloom.server.configuration_distribution import (
     COUNT_INTERVAL_NS,
     ServedTenants,
