--- a/burlloom/admission/call_quota.py
+++ b/burlloom/admission/call_quota.py
@@ -7,9 +7,9 @@
 so long that the share holds `LINGERS_IN_QUOTA` times the linger of an abandoned call. Reason: whole
 calls by every server at once, or all of them in step, would crowd the dependency.
 
-An incarnation begins as if its share were just used up, but for a part by chance: nobody spends a whole
-share at a start, whatever the one before had spent, nor do servers that start together call in
-step.
+An incarnation begins as if its share were just used up, but for a part by chance: nobody spends a
+whole share at a start, whatever the one before had spent, nor do servers that start together call
+in step.
 """
 
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 
 
 class CallQuota:
-    """Meters the time of calls open.
+    """Meters the time of open calls.
 
     Attributes:
         share: the quota; 0 where there is none.
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -31,11 +31,7 @@
 from burlloom.levels.signals import TenantShares as Shares
 from burlloom.rpc.incoming_request import MalformedRequestError, RequestRules
 from burlloom.rpc.wire import parse_request
-from burlloom.server.configuration_distribution import (
-    COUNT_INTERVAL_NS,
-    ServedTenants,
-    TenantPortions,
-)
+from burlloom.server.tenant_portions import COUNT_INTERVAL_NS, ServedTenants, TenantPortions
 
 SIGNING = b"s" * 32
 SECOND = 1_000_000_000
