--- a/benchmarks/key_digests.py
+++ b/benchmarks/key_digests.py
@@ -1,5 +1,4 @@
-"""Marks in memory: what was (an ordered dictionary, swept whole each second) against what is, and
-plain ones.
+"""Key digests in memory: the table in use against plain structures and that of 0.3.0.
 
 python benchmarks/key_digests.py [COUNT ...]
 """
@@ -26,41 +25,41 @@
 
 
 class Swept:
-    """0.3.0: text marks, an ordered dictionary of records, looked at whole each second."""
+    """0.3.0: text digests, an ordered dictionary of records, looked at whole each second."""
 
     def __init__(self) -> None:
         self.inner: OrderedDict[str, Any] = OrderedDict()
 
-    def add(self, mark: bytes, until: int) -> None:
-        self.inner[f"1 {mark.hex()} {mark[:9].hex()}"] = [0, until, False, None, []]
+    def add(self, key_digest: bytes, until: int) -> None:
+        self.inner[f"1 {key_digest.hex()} {key_digest[:9].hex()}"] = [0, until, False, None, []]
 
-    def find(self, mark: bytes) -> int:
-        record = self.inner.get(f"1 {mark.hex()} {mark[:9].hex()}")
+    def find(self, key_digest: bytes) -> int:
+        record = self.inner.get(f"1 {key_digest.hex()} {key_digest[:9].hex()}")
         return record[1] if record is not None else 0
 
     def expire(self, now: int) -> int:
-        over = [mark for mark, record in self.inner.items() if record[1] <= now]
-        for mark in over:
-            del self.inner[mark]
+        over = [key_digest for key_digest, record in self.inner.items() if record[1] <= now]
+        for key_digest in over:
+            del self.inner[key_digest]
         return len(over)
 
 
 class Plain:
-    """A dictionary from mark to its end, swept whole."""
+    """A dictionary from key digest to its end, swept whole."""
 
     def __init__(self) -> None:
         self.inner: dict[bytes, int] = {}
 
-    def add(self, mark: bytes, until: int) -> None:
-        self.inner[mark] = until
+    def add(self, key_digest: bytes, until: int) -> None:
+        self.inner[key_digest] = until
 
-    def find(self, mark: bytes) -> int:
-        return self.inner.get(mark, 0)
+    def find(self, key_digest: bytes) -> int:
+        return self.inner.get(key_digest, 0)
 
     def expire(self, now: int) -> int:
-        over = [mark for mark, until in self.inner.items() if until <= now]
-        for mark in over:
-            del self.inner[mark]
+        over = [key_digest for key_digest, until in self.inner.items() if until <= now]
+        for key_digest in over:
+            del self.inner[key_digest]
         return len(over)
 
 
@@ -71,14 +70,14 @@
         super().__init__()
         self.wheel = TimerWheel()
 
-    def add(self, mark: bytes, until: int) -> None:
-        self.inner[mark] = until
-        self.wheel.add(mark, until)
+    def add(self, key_digest: bytes, until: int) -> None:
+        self.inner[key_digest] = until
+        self.wheel.add(key_digest, until)
 
     def expire(self, now: int) -> int:
         over = self.wheel.take_due(now)
-        for mark in over:
-            del self.inner[mark]
+        for key_digest in over:
+            del self.inner[key_digest]
         return len(over)
 
 
@@ -88,13 +87,13 @@
     def __init__(self) -> None:
         self.inner: dict[int, dict[bytes, int]] = {}
 
-    def add(self, mark: bytes, until: int) -> None:
-        self.inner.setdefault(until // (WINDOW // 4), {})[mark] = until
+    def add(self, key_digest: bytes, until: int) -> None:
+        self.inner.setdefault(until // (WINDOW // 4), {})[key_digest] = until
 
-    def find(self, mark: bytes) -> int:
+    def find(self, key_digest: bytes) -> int:
         for one in self.inner.values():
-            if mark in one:
-                return one[mark]
+            if key_digest in one:
+                return one[key_digest]
         return 0
 
     def expire(self, now: int) -> int:
@@ -103,18 +102,18 @@
 
 
 class Now(IdempotencyTable):
-    """What the server has: records by mark with a wheel."""
+    """What the server has: records by key digest with a wheel."""
 
     def __init__(self) -> None:
         super().__init__(0, 0, 16 << 20)
         self.ref = 0
 
-    def add(self, mark: bytes, until: int) -> None:
+    def add(self, key_digest: bytes, until: int) -> None:
         self.ref += 1
-        self.claim(mark, self.ref, until)
+        self.claim(key_digest, self.ref, until)
 
-    def find(self, mark: bytes) -> int:
-        return self.find_original(mark, 0)
+    def find(self, key_digest: bytes) -> int:
+        return self.find_original(key_digest, 0)
 
     def expire(self, now: int) -> int:
         before = len(self.records)
@@ -129,48 +128,48 @@
         self.pairs: list[tuple[bytes, int]] = []
         self.packed = PackedKeyDigests()
 
-    def add(self, mark: bytes, until: int) -> None:
-        self.pairs.append((mark, until))
+    def add(self, key_digest: bytes, until: int) -> None:
+        self.pairs.append((key_digest, until))
 
     def ready(self) -> None:
         self.packed, self.pairs = PackedKeyDigests(self.pairs), []
 
-    def find(self, mark: bytes) -> int:
-        return self.packed.window_end_ns(mark)
+    def find(self, key_digest: bytes) -> int:
+        return self.packed.window_end_ns(key_digest)
 
     def expire(self, now: int) -> int:
         return 0
 
 
-def measure(make: Callable[[], Any], marks: list[bytes]) -> dict[str, float]:
-    count = len(marks)
+def measure(make: Callable[[], Any], key_digests: list[bytes]) -> dict[str, float]:
+    count = len(key_digests)
     tracemalloc.start()
     one = make()
     fresh = [
-        bytes(bytearray(mark)) for mark in marks
+        bytes(bytearray(key_digest)) for key_digest in key_digests
     ]  # their own objects, as off a socket: they count too
-    for at, mark in enumerate(fresh):
-        one.add(mark, WINDOW * at // count)
+    for at, key_digest in enumerate(fresh):
+        one.add(key_digest, WINDOW * at // count)
     if hasattr(one, "ready"):
         one.ready()
-    del fresh, mark
+    del fresh, key_digest
     gc.collect()
     size = tracemalloc.get_traced_memory()[0] / count
     tracemalloc.stop()
     del one
     gc.collect()
     one, began = make(), time.perf_counter()
-    for at, mark in enumerate(marks):
-        one.add(mark, WINDOW * at // count)
+    for at, key_digest in enumerate(key_digests):
+        one.add(key_digest, WINDOW * at // count)
     if hasattr(one, "ready"):
         one.ready()
     laid = time.perf_counter() - began
-    asked = random.Random(1).sample(marks, min(20_000, count)) + [
+    asked = random.Random(1).sample(key_digests, min(20_000, count)) + [
         os.urandom(16) for _ in range(20_000)
     ]
     began = time.perf_counter()
-    for mark in asked:
-        one.find(mark)
+    for key_digest in asked:
+        one.find(key_digest)
     found = time.perf_counter() - began
     longest = 0.0
     for second in range(1, 20):
@@ -187,17 +186,17 @@
 
 def main() -> None:
     for count in [int(word) for word in sys.argv[1:]] or [10_000, 1_000_000]:
-        marks = [os.urandom(16) for _ in range(count)]
-        print(f"{count} marks; longest sweep of nineteen, one a second")
+        key_digests = [os.urandom(16) for _ in range(count)]
+        print(f"{count} key digests; longest sweep of nineteen, one a second")
         for name, make in {
             "swept ordered dictionary (0.3.0)": Swept,
             "plain dictionary, swept": Plain,
             "dictionary and wheel": Wheeled,
             "dictionaries by generation": Generations,
-            "the ledger: records and wheel": Now,
+            "idempotency table: records and wheel": Now,
             "packed, read back": ReadBack,
         }.items():
-            got = measure(make, marks)
+            got = measure(make, key_digests)
             print(
                 f"| {name} | {got['bytes']:.0f} | {got['lay_us']:.2f} | {got['look_us']:.2f} |"
                 f" {got['sweep_ms']:.1f} |",
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -22,62 +22,63 @@
 from burlloom.executor import ExecutorConnection
 from burlloom.fakes.parts import fields
 from burlloom.rpc import IncomingRequest, RequestRules, RpcListener
+from burlloom.rpc.connection import Connection
 from burlloom.sockets import NS_PER_MS, NS_PER_SECOND, CloseReason, TaskSupervisor
 
-KNOWN = RequestRules({"look": False}, (), 6 * NS_PER_SECOND)
+RULES = RequestRules({"look": False}, (), 6 * NS_PER_SECOND)
 
 
-class Place:
-    """A front on the loopback, with a clock that we move; every request it hands over is kept,
+class ListenerHarness:
+    """A listener on the loopback whose clock the test moves; requests are collected,
     unanswered.
     """
 
     def __init__(self, most: int = 8) -> None:
-        self.now, self.asked, self.lost = (
+        self.now, self.requests, self.lost = (
             time.time_ns(),
             list[IncomingRequest](),
             list[IncomingRequest](),
         )
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = self.listener.getsockname()
-        self.front = RpcListener(
+        self.rpc_listener = RpcListener(
             self.listener,
-            KNOWN,
+            RULES,
             most,
             TaskSupervisor(),
             lambda: self.now,
-            self.asked.append,
+            self.requests.append,
             self.lost.append,
             lambda id: False,
             lambda: True,
             lambda caller: "",
         )
-        self.front.listen()
+        self.rpc_listener.listen()
 
     async def client(self) -> "Client":
-        known = set(self.front.connections)
+        known = set(self.rpc_listener.connections)
         sock = socket.create_connection(self.address)
-        await until(lambda: self.front.connections - known)
-        return Client(sock, (self.front.connections - known).pop())
+        await until(lambda: self.rpc_listener.connections - known)
+        return Client(sock, (self.rpc_listener.connections - known).pop())
 
-    async def rested(self) -> "Client":
-        """One that has spoken, was asked to go, and rests until we end it."""
+    async def client_asked_to_close(self) -> "Client":
+        """A client whose connection was used, and that ignores that it was asked to close."""
         client = await self.client()
         client.sock.sendall(request(1, "health", {}))
-        await until(lambda: client.there.has_received)
+        await until(lambda: client.connection.has_received)
         self.now += 60 * NS_PER_SECOND
-        self.front.sweep()
-        self.front.sweep()  # the first may take the leap of the clock for a pause
-        assert client.there.is_shutdown_sent
+        self.rpc_listener.sweep()
+        self.rpc_listener.sweep()  # the first may take the leap of the clock for a pause
+        assert client.connection.is_shutdown_sent
         self.now += 2 * NS_PER_SECOND
         return client
 
 
 class Client:
-    def __init__(self, sock: socket.socket, there: Any) -> None:
-        self.sock, self.there = sock, there
+    def __init__(self, sock: socket.socket, connection: Connection) -> None:
+        self.sock, self.connection = sock, connection
 
-    async def rest(self) -> list[Any]:
+    async def read_to_end(self) -> list[Any]:
         """All that comes to the end; raises if the connection is reset instead of closed."""
         self.sock.setblocking(False)
         unpacker, loop = msgpack.Unpacker(), asyncio.get_running_loop()
@@ -115,53 +116,53 @@
     asyncio.get_running_loop().call_soon(then)
 
 
-async def is_served(place: Place, client: Client) -> None:
+async def assert_served(harness: ListenerHarness, client: Client) -> None:
     """Its one request was taken, and its answer comes, with an end in good order."""
-    assert [asked.message_id for asked in place.asked] == [1]
-    assert not place.lost
-    place.asked[0].complete(b"served")
+    assert [attempt.message_id for attempt in harness.requests] == [1]
+    assert not harness.lost
+    harness.requests[0].complete(b"served")
     client.sock.shutdown(socket.SHUT_WR)
-    assert await client.rest() == [[1, 1, None, [b"served", {}]]]
+    assert await client.read_to_end() == [[1, 1, None, [b"served", {}]]]
 
 
 @on_loop
 async def test_a_request_comes_as_its_deaf_connection_is_closed() -> None:
-    place = Place()
-    client = await place.rested()
-    in_one_turn(lambda: client.sock.sendall(ask(2, place.now)), place.front.sweep)
+    harness = ListenerHarness()
+    client = await harness.client_asked_to_close()
+    in_one_turn(lambda: client.sock.sendall(ask(2, harness.now)), harness.rpc_listener.sweep)
     await turns()
-    assert [asked.message_id for asked in place.asked] == [2]
-    place.asked[0].complete(b"served")
+    assert [attempt.message_id for attempt in harness.requests] == [2]
+    harness.requests[0].complete(b"served")
     await turns()
-    place.now += 2 * NS_PER_SECOND
-    place.front.sweep()
-    assert [1, 2, None, [b"served", {}]] in await client.rest()
+    harness.now += 2 * NS_PER_SECOND
+    harness.rpc_listener.sweep()
+    assert [1, 2, None, [b"served", {}]] in await client.read_to_end()
 
 
 @on_loop
 async def test_a_first_request_comes_as_its_silent_connection_is_closed() -> None:
-    place = Place()
-    client = await place.client()
-    place.now += 1600 * NS_PER_MS
-    place.front.last_sweep_ns = place.now - 250 * NS_PER_MS
-    in_one_turn(lambda: client.sock.sendall(ask(1, place.now)), place.front.sweep)
+    harness = ListenerHarness()
+    client = await harness.client()
+    harness.now += 1600 * NS_PER_MS
+    harness.rpc_listener.last_sweep_ns = harness.now - 250 * NS_PER_MS
+    in_one_turn(lambda: client.sock.sendall(ask(1, harness.now)), harness.rpc_listener.sweep)
     await turns()
-    await is_served(place, client)
+    await assert_served(harness, client)
 
 
 @on_loop
 async def test_a_request_comes_as_its_connection_goes_for_a_newcomer() -> None:
-    place = Place(most=1)
-    client = await place.client()
+    harness = ListenerHarness(most=1)
+    client = await harness.client()
     with socket.create_server(("127.0.0.1", 0)) as other:
         newcomer = socket.create_connection(other.getsockname())
         accepted = other.accept()
         in_one_turn(
-            lambda: client.sock.sendall(ask(1, place.now)),
-            lambda: place.front.add_connection(*accepted),
+            lambda: client.sock.sendall(ask(1, harness.now)),
+            lambda: harness.rpc_listener.add_connection(*accepted),
         )
         await turns()
-    await is_served(place, client)
+    await assert_served(harness, client)
     newcomer.close()
 
 
@@ -170,19 +171,19 @@
     """The kernel takes a part of what a slow reader is owed; then bytes come that end the
     connection.
     """
-    place = Place()
-    client = await place.client()
-    client.there.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 32768)
+    harness = ListenerHarness()
+    client = await harness.client()
+    client.connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 32768)
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32768)
-    client.sock.sendall(b"".join(ask(number, place.now) for number in range(1, 5)))
-    await until(lambda: len(place.asked) == 4)
-    for asked in place.asked:
-        asked.complete(b"x" * 100_000)
+    client.sock.sendall(b"".join(ask(number, harness.now) for number in range(1, 5)))
+    await until(lambda: len(harness.requests) == 4)
+    for attempt in harness.requests:
+        attempt.complete(b"x" * 100_000)
     await turns()
-    assert client.there.writer.write_task is not None
+    assert client.connection.writer.write_task is not None
     client.sock.sendall(b"\xc1")
-    await until(lambda: client.there.is_ended)
-    assert [len(answer[3][0]) for answer in await client.rest()] == [100_000] * 4
+    await until(lambda: client.connection.is_ended)
+    assert [len(answer[3][0]) for answer in await client.read_to_end()] == [100_000] * 4
 
 
 @on_loop
@@ -190,13 +191,13 @@
     """Whoever goes on sending as we end the connection still gets its answers, and an end in good
     order.
     """
-    place = Place()
-    client = await place.client()
-    client.sock.sendall(ask(1, place.now))
-    await until(lambda: place.asked)
-    place.asked[0].complete(b"served")
+    harness = ListenerHarness()
+    client = await harness.client()
+    client.sock.sendall(ask(1, harness.now))
+    await until(lambda: harness.requests)
+    harness.requests[0].complete(b"served")
     client.sock.sendall(b"\xc1" + b"z" * 60_000)
-    answers = await client.rest()
+    answers = await client.read_to_end()
     assert answers == [[1, 1, None, [b"served", {}]]]
     client.sock.close()
 
@@ -204,17 +205,17 @@
 @on_loop
 async def test_half_a_line_as_its_connection_is_asked_to_go() -> None:
     """The rest of it may still come within its time; then the request is answered there."""
-    place = Place()
-    client = await place.rested()
-    whole = ask(2, place.now)
+    harness = ListenerHarness()
+    client = await harness.client_asked_to_close()
+    whole = ask(2, harness.now)
     client.sock.sendall(whole[:9])
-    await until(lambda: client.there.partial_since_ns)
-    place.front.sweep()
+    await until(lambda: client.connection.partial_since_ns)
+    harness.rpc_listener.sweep()
     client.sock.sendall(whole[9:])
-    await until(lambda: place.asked)
-    place.asked[0].complete(b"served")
+    await until(lambda: harness.requests)
+    harness.requests[0].complete(b"served")
     client.sock.shutdown(socket.SHUT_WR)
-    assert (await client.rest())[-1] == [1, 2, None, [b"served", {}]]
+    assert (await client.read_to_end())[-1] == [1, 2, None, [b"served", {}]]
 
 
 @on_loop
@@ -222,13 +223,13 @@
     """Each look comes long after the one before, as where the cores are short; the silent go all
     the same.
     """
-    place = Place()
-    client = await place.client()
+    harness = ListenerHarness()
+    client = await harness.client()
     for _ in range(4):
-        place.now += NS_PER_SECOND
-        place.front.sweep()
-    assert await client.rest() == []
-    assert client.there.is_ended
+        harness.now += NS_PER_SECOND
+        harness.rpc_listener.sweep()
+    assert await client.read_to_end() == []
+    assert client.connection.is_ended
 
 
 @on_loop
@@ -236,46 +237,48 @@
     """A message that never ends goes on at each look: its time is over all the same, and 1.5 s
     after it connected.
     """
-    place = Place()
-    client = await place.client()
-    client.sock.sendall(ask(1, place.now)[:3])
-    await until(lambda: client.there.partial_since_ns)
-    place.now += 1600 * NS_PER_MS
-    place.front.last_sweep_ns = place.now - 250 * NS_PER_MS
-    in_one_turn(lambda: client.sock.sendall(ask(1, place.now)[3:9]), place.front.sweep)
+    harness = ListenerHarness()
+    client = await harness.client()
+    client.sock.sendall(ask(1, harness.now)[:3])
+    await until(lambda: client.connection.partial_since_ns)
+    harness.now += 1600 * NS_PER_MS
+    harness.rpc_listener.last_sweep_ns = harness.now - 250 * NS_PER_MS
+    in_one_turn(lambda: client.sock.sendall(ask(1, harness.now)[3:9]), harness.rpc_listener.sweep)
     await turns()
-    assert client.there.is_ended
-    assert await client.rest() == []
+    assert client.connection.is_ended
+    assert await client.read_to_end() == []
 
 
 @on_loop
 async def test_the_rest_of_a_message_comes_as_its_time_is_over() -> None:
-    place = Place()
-    client = await place.client()
-    whole = ask(1, place.now)
+    harness = ListenerHarness()
+    client = await harness.client()
+    whole = ask(1, harness.now)
     client.sock.sendall(whole[:9])
-    await until(lambda: client.there.partial_since_ns)
-    place.now += 1600 * NS_PER_MS
-    place.front.last_sweep_ns = place.now - 250 * NS_PER_MS
-    in_one_turn(lambda: client.sock.sendall(whole[9:]), place.front.sweep)
+    await until(lambda: client.connection.partial_since_ns)
+    harness.now += 1600 * NS_PER_MS
+    harness.rpc_listener.last_sweep_ns = harness.now - 250 * NS_PER_MS
+    in_one_turn(lambda: client.sock.sendall(whole[9:]), harness.rpc_listener.sweep)
     await turns()
-    await is_served(place, client)
+    await assert_served(harness, client)
 
 
 @on_loop
 async def test_closes_under_way_count_as_connections() -> None:
-    """Those who never close their half hold a descriptor: a newcomer takes the place of the oldest
+    """Those who never close their half hold a descriptor: a newcomer takes the harness of the oldest
     of them.
     """
-    place = Place(most=3)
-    clients = [await place.client() for _ in range(3)]
+    harness = ListenerHarness(most=3)
+    clients = [await harness.client() for _ in range(3)]
     for client in clients:
         client.sock.sendall(request(1, "health", {}) + b"\xc1")
-    await until(lambda: len(place.front.closing) == 3)
-    await place.client()
-    await until(lambda: len(place.front.closing) == 2)
-    assert len(place.front.connections) == 1
-    await until(lambda: not place.front.closing)  # within their bound, though nobody closed
+    await until(lambda: len(harness.rpc_listener.closing) == 3)
+    await harness.client()
+    await until(lambda: len(harness.rpc_listener.closing) == 2)
+    assert len(harness.rpc_listener.connections) == 1
+    await until(
+        lambda: not harness.rpc_listener.closing
+    )  # within their bound, though nobody closed
 
 
 def test_a_request_in_the_kernel_as_the_process_ends(tmp_path: Path) -> None:
@@ -384,23 +387,25 @@
 @on_loop
 async def test_closes_under_way_hold_no_more_than_connections_may() -> None:
     """Clients that never read, each owed 400 KB, send what ends them all in one moment."""
-    place = Place(most=64)
-    clients = [await place.client() for _ in range(40)]
+    harness = ListenerHarness(most=64)
+    clients = [await harness.client() for _ in range(40)]
     for client in clients:
-        client.there.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        client.connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        client.sock.sendall(ask(1, place.now))
-    await until(lambda: len(place.asked) == 40)
-    for asked in place.asked:
-        asked.complete(b"x" * 400_000)
+        client.sock.sendall(ask(1, harness.now))
+    await until(lambda: len(harness.requests) == 40)
+    for attempt in harness.requests:
+        attempt.complete(b"x" * 400_000)
     await turns()
     most = 0
     for client in clients:
-        client.there.close_with_detail(CloseReason.MALFORMED)
-        most = max(most, sum(parting.writer.unsent_bytes for parting in place.front.closing))
+        client.connection.close_with_detail(CloseReason.MALFORMED)
+        most = max(
+            most, sum(parting.writer.unsent_bytes for parting in harness.rpc_listener.closing)
+        )
     assert 4 << 20 < most <= 8 << 20
-    assert not place.front.connections
-    await until(lambda: not place.front.closing)
+    assert not harness.rpc_listener.connections
+    await until(lambda: not harness.rpc_listener.closing)
 
 
 @played(drain_grace=300000)
