--- /dev/null
+++ b/tests/test_subsystems.py
@@ -0,0 +1,118 @@
+"""The parts beside the decisions: one exposition of metrics, outcomes, and files of 0.7.1."""
+
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from burlloom.admission.model import Gauges, Outcome
+from burlloom.downstream import CallStatus
+from burlloom.executor import RunStatus
+from burlloom.levels import DEFAULT_PLAN
+from burlloom.operator import Metrics
+from burlloom.record.store import StoreRefusedError
+from burlloom.server.configuration import ConfigurationError
+from burlloom.server.configuration_schema import ConfigurationFault
+from burlloom.server.configured_service_levels import ConfiguredServiceLevels
+from burlloom.server.level_pin import PinFile, parse_pin
+from burlloom.server.metrics_exposition import MetricsExposition
+from burlloom.server.outcomes import CALL_OUTCOMES, RUN_OUTCOMES
+
+DATA = Path(__file__).parent / "data"
+NOW = 1_700_000_000_000_000_000
+
+
+class IdleDispatcher:
+    """Serves at any level and has nothing to measure."""
+
+    def set_service_level(self, level: Any) -> None: ...
+
+    def load_signals(self) -> tuple[float, float, float]:
+        return 0.0, 0.0, 0.0
+
+
+class EmptyNotes:
+    previous_note = ""
+
+    def write_note(self, text: str) -> None: ...
+
+
+def test_every_end_of_a_run_has_an_outcome() -> None:
+    assert set(RUN_OUTCOMES) == set(RunStatus)
+    assert {status for status, outcome in RUN_OUTCOMES.items() if outcome is Outcome.OK} == {
+        RunStatus.PASSED
+    }
+
+
+def test_every_end_of_a_call_has_an_outcome_of_its_own() -> None:
+    assert set(CALL_OUTCOMES) == set(CallStatus)
+    assert len(set(CALL_OUTCOMES.values())) == len(CallStatus)
+
+
+def test_metrics_are_exposed_once_for_all_that_register(tmp_path: Path) -> None:
+    path = tmp_path / "metrics.prom"
+    metrics = MetricsExposition(Metrics(file=str(path)))
+    metrics.register("burlloom_first", {"seen": 1}, lambda: {"level": 2.0})
+    metrics.register("burlloom_second", lambda: {"seen": 3}, dict)
+    metrics.close()
+    lines = path.read_text().splitlines()
+    assert "burlloom_first_seen_total 1.0" in lines
+    assert "burlloom_first_level 2.0" in lines
+    assert "burlloom_second_seen_total 3.0" in lines
+
+
+def test_metrics_that_nobody_registers_are_not_exposed(tmp_path: Path) -> None:
+    path = tmp_path / "metrics.prom"
+    MetricsExposition(Metrics(file=str(path))).close()
+    assert not path.exists()
+
+
+def test_metrics_that_can_not_listen_are_refused_by_the_first_to_register() -> None:
+    metrics = MetricsExposition(Metrics(listen="192.0.2.1:1"))
+    with pytest.raises(StoreRefusedError, match=r"metrics\.listen: 192\.0\.2\.1:1: "):
+        metrics.register("burlloom_first", {"seen": 1}, dict)
+
+
+def test_a_configuration_error_has_its_place_and_all_faults() -> None:
+    faults = [ConfigurationFault("seed", "is missing"), ConfigurationFault("", "is no object")]
+    error = ConfigurationError(place="/etc/server.json", faults=faults)
+    assert str(error) == "/etc/server.json: seed: is missing; is no object"
+    assert error.place == "/etc/server.json"
+    assert error.faults == tuple(faults)
+
+
+def test_a_pin_of_0_7_1_is_read() -> None:
+    text = (DATA / "level_pin_0.7.1.json").read_text()
+    pin = parse_pin(text, DEFAULT_PLAN)
+    assert (pin.level, pin.until_ns, pin.reason) == ("essential", 1796294029652910103, "drill")
+
+
+def test_a_pin_is_handed_on_once_for_each_text(tmp_path: Path) -> None:
+    path, pins = tmp_path / "pin", []
+    pin_file = PinFile(path, DEFAULT_PLAN)
+    pin_file.read_change(NOW, pins.append)
+    assert pins == [], "without a file there never was a pin"
+    path.write_bytes((DATA / "level_pin_0.7.1.json").read_bytes())
+    for _ in range(2):
+        pin_file.read_change(NOW, pins.append)
+    assert [pin.level for pin in pins] == ["essential"]
+    path.write_text("{")
+    pin_file.read_change(NOW, pins.append)
+    assert len(pins) == 1, "one that can't be read leaves the pin as it is"
+    path.unlink()
+    pin_file.read_change(NOW, pins.append)
+    assert pins[1:] == [None]
+
+
+def test_the_levels_state_is_written_as_0_7_1_wrote_it(tmp_path: Path) -> None:
+    path = tmp_path / "state"
+    levels = ConfiguredServiceLevels(
+        DEFAULT_PLAN, (), {}, 4, lambda: NOW, lambda: 0.1, state_file=path
+    )
+    levels.attach_dispatcher(IdleDispatcher(), False, EmptyNotes())  # type: ignore[arg-type]
+    levels.update(Gauges())
+    levels.close()
+    assert json.loads(path.read_text()) == json.loads(
+        (DATA / "levels_state_0.7.1.json").read_text()
+    )
