--- a/burlloom/fleet/accounts.py
+++ b/burlloom/fleet/accounts.py
@@ -48,6 +48,13 @@
     allocated_demand: int = 0
     rounding_carry: float = 0.0
 
+    def take(self, now: int, number: int, report: ShareReport) -> None:
+        """Takes in a newer report of the same incarnation."""
+        self.report_number = number
+        self.reported_at_ns = now
+        self.report = report
+        self.bound = report.held
+
 
 @dataclass(frozen=True, slots=True)
 class MemberPresence:
