--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -20,7 +20,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
 from cold_fleet import budget_with_chance, largest_mean  # noqa: E402
-from rig import Rig, soon  # noqa: E402
+from rig import Rig, within_timeout  # noqa: E402
 
 from burlloom.fakes.parts import Catalogue, Reply, fields  # noqa: E402
 
@@ -142,7 +142,7 @@
         for balancer in rig.balancers:
             balancer.close()
     # Here, not by each rig's end: asyncio loses the status of a child that is signalled as it ends.
-    await soon(asyncio.gather(*(rig.process.wait() for rig in rigs)))
+    await within_timeout(asyncio.gather(*(rig.process.wait() for rig in rigs)))
 
 
 async def start(rig: Rig) -> float:
@@ -151,10 +151,10 @@
         rig.naming.reports.get_nowait()
     began = time.monotonic()
     await rig.begin()
-    while not (await soon(rig.naming.reports.get())).endswith(" yes"):
+    while not (await within_timeout(rig.naming.reports.get())).endswith(" yes"):
         pass
     balancer = await rig.balancer()
-    error, result = await soon(balancer.health())
+    error, result = await within_timeout(balancer.health())
     assert error is None
     assert result[0] is True
     return time.monotonic() - began
--- a/benchmarks/scale_configuration.py
+++ b/benchmarks/scale_configuration.py
@@ -42,7 +42,7 @@
     status_mb,
     told,
 )
-from rig import Rig, until  # noqa: E402
+from rig import Rig, wait_until  # noqa: E402
 
 from burlloom.lab.slopes import KEPT, Row, fit  # noqa: E402
 
@@ -122,7 +122,7 @@
         await noting
 
     async def note(self) -> None:
-        await until(lambda: self.log_path.exists() and "event=listening" in self.log())
+        await wait_until(lambda: self.log_path.exists() and "event=listening" in self.log())
         self.listens = time.perf_counter() - self.began
         self.start_cpu = processor_s(self.process.pid)
 
--- a/benchmarks/scale_real.py
+++ b/benchmarks/scale_real.py
@@ -20,7 +20,7 @@
 sys.path.insert(0, str(ROOT / "tests"))
 
 from hdrh.histogram import HdrHistogram  # noqa: E402
-from rig import Rig, until  # noqa: E402
+from rig import Rig, wait_until  # noqa: E402
 
 from burlloom.fakes.parts import Catalogue, Reply, fields  # noqa: E402
 from burlloom.lab.rules import Rules  # noqa: E402
@@ -228,5 +228,5 @@
 
 async def ready(one: Real, event: str, count: int) -> str:
     """Its address by that event of its log, once it was said so often."""
-    await until(lambda: len(one.addresses(event)) >= count)
+    await wait_until(lambda: len(one.addresses(event)) >= count)
     return one.addresses(event)[-1]
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -18,7 +18,7 @@
 
 import msgpack
 import xxhash
-from rig import ROOT, Rig, soon, until
+from rig import ROOT, Rig, wait_until, within_timeout
 from test_command import burlloom
 
 from burlloom.fakes.parts import Catalogue, Reply, fields
@@ -104,14 +104,14 @@
     async def kill(self) -> None:
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGKILL)
-        await soon(self.process.wait())
+        await within_timeout(self.process.wait())
 
     async def stop(self, kind: Any = None) -> None:
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.send_signal(signal.SIGTERM)
         try:
-            status = await soon(self.process.wait())
+            status = await within_timeout(self.process.wait())
         finally:
             if self.process.returncode is None:
                 self.process.send_signal(
@@ -151,7 +151,7 @@
         lives = self.log().count("event=distribution_opened") if self.log_path.exists() else 0
 
         async def reached() -> None:
-            await until(
+            await wait_until(
                 lambda: (
                     self.log_path.exists() and self.log().count("event=distribution_opened") > lives
                 )
@@ -176,7 +176,7 @@
     async def serves(self, tenant: str) -> bool:
         """Asked anew on a connection of its own: whether that tenant's txn is run."""
         balancer = await self.balancer()
-        error, result = await soon(balancer.ask("look", fields(tenant=tenant)))
+        error, result = await within_timeout(balancer.ask("look", fields(tenant=tenant)))
         balancer.close()
         assert (error is None and result[0] == b"made") or error[0] == "BadRequest", (error, result)
         return error is None
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from rig import Rig, until
+from rig import Rig, wait_until
 
 from burlloom.fakes.parts import Catalogue, Reply, fields
 from burlloom.fakes.relay import Relay
@@ -84,7 +84,7 @@
         lives = self.log().count("event=membership_opened") if self.log_path.exists() else 0
         await super().begin()
         if self.fleet.on:
-            await until(lambda: self.log().count("event=membership_opened") > lives)
+            await wait_until(lambda: self.log().count("event=membership_opened") > lives)
             self.fleet.relay.sent_from(
                 self.name, re.findall(r"event=membership_opened .* address=(\S+)", self.log())[-1]
             )
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""Starts the program as a process between stand-ins, on ports that the system gives."""
+"""Starts the program as a process between fakes, on ports that the system gives."""
 
 import asyncio
 import copy
@@ -17,16 +17,16 @@
 from burlloom.fakes.parts import Balancer, Catalogue, Executor, NameService, Reply  # noqa: E402
 
 GIVEN = json.loads((ROOT / "examples" / "configuration.json").read_text())
-PATIENCE = 20.0
+TIMEOUT_S = 20.0
 
 
-async def soon(what: Any) -> Any:
-    async with asyncio.timeout(PATIENCE):
+async def within_timeout(what: Any) -> Any:
+    async with asyncio.timeout(TIMEOUT_S):
         return await what
 
 
-async def until(test: Any) -> None:
-    async with asyncio.timeout(PATIENCE):
+async def wait_until(test: Any) -> None:
+    async with asyncio.timeout(TIMEOUT_S):
         while not test():
             await asyncio.sleep(0.002)
 
@@ -63,7 +63,7 @@
         self.catalogue = catalogue or Catalogue(self.reply)
         self.replies: list[Reply] = []
         self.balancers: list[Balancer] = []
-        self.errors = 0  # that the story is to leave in the log
+        self.errors = 0  # that the test is to leave in the log
 
     async def reply(self, id: str) -> Reply:
         return self.replies.pop(0) if self.replies else (200, False, b"fetched")
@@ -108,7 +108,7 @@
                 stderr=log,
                 env=env,
             )
-        await until(
+        await wait_until(
             lambda: (
                 self.log().count("event=listening") > lives or self.process.returncode is not None
             )
@@ -117,7 +117,7 @@
         self.address = re.findall(r"event=listening .*address=(\S+)", self.log())[-1]
         if self.executor.up.is_set():
             # The link is joined once the first was answered.
-            await until(
+            await wait_until(
                 lambda: self.executor.asked > asked + 1 or self.process.returncode is not None
             )
             assert self.process.returncode is None, self.log()
@@ -126,9 +126,9 @@
         """As a crash would."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGKILL)
-        await soon(self.process.wait())
+        await within_timeout(self.process.wait())
         for balancer in self.balancers:
-            await soon(balancer.ended.wait())
+            await within_timeout(balancer.ended.wait())
         self.balancers.clear()
 
     async def __aexit__(self, kind: Any, *rest: Any) -> None:
@@ -137,7 +137,7 @@
             self.process.send_signal(signal.SIGTERM)
             for balancer in self.balancers:
                 balancer.close()
-        status = await soon(self.process.wait())
+        status = await within_timeout(self.process.wait())
         if not self.shared:
             await self.catalogue.stop()
         if kind is None:
@@ -163,43 +163,41 @@
     async def proven(self) -> None:
         """Until a METER that was asked after all commands so far has been answered."""
         asked = self.executor.asked
-        await until(lambda: self.executor.asked > asked + 2)
+        await wait_until(lambda: self.executor.asked > asked + 2)
 
     async def command(self, *wanted: str) -> str:
         """The next command is this one; gives its id."""
-        got = await soon(self.executor.commands.get())
+        got = await within_timeout(self.executor.commands.get())
         assert (got[0], *got[2:]) == wanted, got
         return got[1]
 
 
-def played(
+def with_server(
     operator: Callable[[Path], Any] | None = None, **changes: Any
 ) -> Callable[[Any], Callable[..., None]]:
-    """Makes a test of a story that is told with a rig; `operator` gives what the operator's file
-    says, for a folder.
-    """
+    """Runs a test with a server between fakes; `operator` returns the operator's file for a folder."""
 
-    def wrap(story: Callable[..., Awaitable[None]]) -> Callable[..., None]:
+    def wrap(scenario: Callable[..., Awaitable[None]]) -> Callable[..., None]:
         def test(tmp_path: Path) -> None:
-            async def play() -> None:
+            async def run() -> None:
                 told = operator(tmp_path) if operator is not None else None
                 async with Rig(tmp_path, operator=told, **changes) as rig:
-                    await story(rig)
+                    await scenario(rig)
 
-            asyncio.run(play())
+            asyncio.run(run())
 
-        test.__name__, test.__doc__ = story.__name__, story.__doc__
+        test.__name__, test.__doc__ = scenario.__name__, scenario.__doc__
         return test
 
     return wrap
 
 
-async def gets(answer: Any, body: bytes) -> None:
-    error, result = await soon(answer)
+async def expect_result(answer: Any, body: bytes) -> None:
+    error, result = await within_timeout(answer)
     assert error is None and result[0] == body, (error, result)
 
 
-async def fails(answer: Any, name: str) -> dict[str, str]:
-    error, result = await soon(answer)
+async def expect_error(answer: Any, name: str) -> dict[str, str]:
+    error, result = await within_timeout(answer)
     assert result is None and error[0] == name, (error, result)
     return dict(error[1])
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -15,7 +15,7 @@
 from random import Random
 from typing import Any
 
-from rig import PATIENCE, ROOT, Rig, until
+from rig import ROOT, TIMEOUT_S, Rig, wait_until
 
 from burlloom.fakes.parts import Balancer, Catalogue, fields
 from burlloom.operator import load
@@ -249,7 +249,7 @@
         await asyncio.gather(*(node.__aenter__() for node in self.nodes))
         self.file = self.folder / "operator.jsonnet"
         self.file.write_text(json.dumps({"rollout": {**QUICK, **self.part}, **self.joined(None)}))
-        self.shelf: RolloutStore = create_rollout_store(load(self.file), PATIENCE)
+        self.shelf: RolloutStore = create_rollout_store(load(self.file), TIMEOUT_S)
         await self.shelf.open()
         for node in self.nodes:
             node.tasks = [
@@ -266,7 +266,7 @@
 
     async def calls(self, node: Node) -> None:
         while True:
-            await until(lambda: node.ready and not node.out)
+            await wait_until(lambda: node.ready and not node.out)
             client = Client(node)
             node.clients.append(client)
             await client.load()
@@ -283,7 +283,7 @@
         return (await self.shelf.read()).state
 
     async def comes_to(
-        self, test: Callable[[RolloutState], bool], patience: float = 3 * PATIENCE
+        self, test: Callable[[RolloutState], bool], patience: float = 3 * TIMEOUT_S
     ) -> RolloutState:
         try:
             async with asyncio.timeout(patience):
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -1,12 +1,9 @@
-"""What the server and a control machine make of a copy, without processes: tenants in force, their
-shares, the store as it is followed.
-"""
+"""What a control machine makes of its store, and what a copy is logged as, without processes."""
 
 import asyncio
 import logging
 import os
 from pathlib import Path
-from random import Random
 from typing import Any
 
 import msgpack
@@ -26,11 +23,6 @@
 from burlloom.distribution.stores.sqlite import SqliteChangeStore
 from burlloom.distribution.stores.store_follower import StoreFollower, StoreInconsistentError
 from burlloom.distribution.table import ConfigTable
-from burlloom.fakes.parts import fields
-from burlloom.levels.signals import MAX_TENANTS
-from burlloom.levels.signals import TenantShares as Shares
-from burlloom.rpc.incoming_request import MalformedRequestError, RequestRules, parse_request
-from burlloom.server.tenant_portions import COUNT_INTERVAL_NS, ServedTenants, TenantPortions
 
 SIGNING = b"s" * 32
 SECOND = 1_000_000_000
@@ -50,86 +42,6 @@
     return next_change(before, "", encode_items(entries), 1, SIGNING)
 
 
-def test_requests_are_held_against_the_tenants_in_force() -> None:
-    held = Replica(ConfigTable(("", "north")), (SIGNING,))
-    known = RequestRules({"look": False}, ServedTenants(held, {"acme": 1.0}), 6 * SECOND)
-    told = fields()
-    now = int(told["at"]) * 1_000_000
-
-    def serves(name: Any) -> bool:
-        try:
-            parse_request(None, 1, "look", [{**told, "tenant": name}, b""], known, now)  # type: ignore[arg-type]
-            return True
-        except MalformedRequestError:
-            return False
-
-    assert serves("acme")
-    assert not serves("blue")
-    assert not serves(7)
-    assert not serves(["acme"])
-    held.load(initial_head(1, 0), [tenant("blue")])
-    assert serves("blue")
-    assert not serves("acme")
-    assert not serves(7)
-    assert not serves(["blue"])
-    assert not serves("\ud800")
-    assert (
-        held.apply_change(
-            change(held.head or initial_head(1, 0), ConfigItem("", "tenant", "blue", None))
-        )
-        is None
-    )
-    assert not serves("blue"), "a table without any tenant serves none"
-    assert not ServedTenants(Replica(ConfigTable(("",)), ()), {}), (
-        "a configuration without any serves all"
-    )
-
-
-def test_shares_follow_the_table() -> None:
-    held = replica(
-        tenant("a", portion=3),
-        tenant("b"),
-        tenant("odd", portion="many"),
-        ConfigItem("", "route", "r", msgpack.packb({})),
-    )
-    portions = TenantPortions(held)
-    assert portions.share("a") == 1.0 and portions.share("b") == pytest.approx(1 / 3), (
-        "each for one, until counted"
-    )
-    for at in range(256):
-        portions.advance(at)
-    assert portions.total == 5.0
-    assert portions.share("a") == pytest.approx(0.6)
-    assert portions.share("none") is None
-    assert (
-        held.apply_change(change(held.head or initial_head(1, 0), tenant("a", portion=8))) is None
-    )
-    portions.advance(1000)
-    assert portions.bucket < 0, "again only some minutes later"
-    for at in range(256):
-        portions.advance(COUNT_INTERVAL_NS + 1000 + at)
-    assert portions.total == 10.0
-    assert portions.share("a") == pytest.approx(0.8)
-
-    shares = Shares((), share=portions.share)
-    chance, past = Random(1), {"a": 0, "b": 0}
-    for n in range(3000):
-        name = "b" if chance.random() < 0.6 else "a"
-        past[name] += shares.is_over_share(n * SECOND // 100, name)
-    assert past["b"] > 1000
-    assert not past["a"]
-    assert not shares.is_over_share(0, "none")
-
-
-def test_reads_of_many_tenants_are_counted_for_a_bounded_number() -> None:
-    shares = Shares((), share=lambda name: 1e-5)
-    for n in range(MAX_TENANTS + 100):
-        shares.is_over_share(n, f"t{n}")
-    assert len(shares.rings) == MAX_TENANTS
-    assert len(shares.past) <= MAX_TENANTS
-    assert "t0" not in shares.rings
-
-
 class Told:
     def __init__(self) -> None:
         self.loads, self.renewals = 0, 0
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -19,7 +19,7 @@
 
 import pytest
 from distribution_rig import KEY, SIGNING, World, patiently, tenant, without
-from rig import ROOT, soon
+from rig import ROOT, within_timeout
 from test_command import burlloom
 
 from burlloom.operator import Faults, load
@@ -141,7 +141,7 @@
     first, second = made.machines[1:]
     first.signal(signal.SIGTERM)
     second.signal(signal.SIGINT)
-    assert [await soon(one.process.wait()) for one in (first, second)] == [0, 0]
+    assert [await within_timeout(one.process.wait()) for one in (first, second)] == [0, 0]
 
 
 @world(1, 1)
@@ -207,7 +207,7 @@
         made.nodes[0].signal(signal.SIGTERM)
         await starting
     node = made.nodes.pop()
-    assert await soon(node.process.wait()) == 0, node.log()
+    assert await within_timeout(node.process.wait()) == 0, node.log()
     assert "event=stopped" in node.log()
     assert "level=error" not in node.log()
 
@@ -386,7 +386,7 @@
     await patiently(lambda: taken("three") > 10)
     killed.kill()
     await killed.wait()
-    assert await soon(first.wait()) == 0 == await soon(second.wait())
+    assert await within_timeout(first.wait()) == 0 == await within_timeout(second.wait())
     assert taken("one") == taken("two") == 300
     part = taken("three")
     assert 10 < part < 1500
--- a/tests/test_distribution_stores.py
+++ b/tests/test_distribution_stores.py
@@ -9,7 +9,7 @@
 import msgpack
 import pytest
 from fleet_rig import KEY
-from held import Held
+from locked_database import LockedDatabase
 from test_command import burlloom, filled
 
 from burlloom.distribution.change_log import MAX_LOGGED_CHANGES
@@ -307,15 +307,15 @@
     async def play() -> None:
         store = SqliteChangeStore(tmp_path / "changes.db")
         await store.open()
-        held = Held(tmp_path / "changes.db", 1.9)
-        store.lock_retry = held.turns()
+        held = LockedDatabase(tmp_path / "changes.db", 1.9)
+        store.lock_retry = held.lock_retry()
         assert await store.append(change(await store.head(), ("tenant", "a", value())))
-        assert held.looks >= 100
-        held = Held(tmp_path / "changes.db", 9.0)
-        store.lock_retry = held.turns()
+        assert held.attempts >= 100
+        held = LockedDatabase(tmp_path / "changes.db", 9.0)
+        store.lock_retry = held.lock_retry()
         with pytest.raises(StoreUnavailableError, match="database is locked"):
             await store.append(change(await store.head(), ("tenant", "b", value())))
-        assert 2.0 <= held.now < 2.1
+        assert 2.0 <= held.now_s < 2.1
         assert (await store.head()).revision == 1
         held.db.close()
         await store.close()
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -16,7 +16,7 @@
 
 import pytest
 from fleet_rig import KEY, QUICK, Fleet, Server
-from rig import until
+from rig import wait_until
 from test_command import burlloom
 
 from burlloom.operator import Faults, load
@@ -86,7 +86,9 @@
                 )
     await within(made, 0.5)
     await made.settles(full(made))
-    await until(lambda: all(server.state()["counts"]["unreadable"] > 0 for server in made.servers))
+    await wait_until(
+        lambda: all(server.state()["counts"]["unreadable"] > 0 for server in made.servers)
+    )
 
 
 @fleet(4)
@@ -206,7 +208,7 @@
     await made.settles(full(made))
     for keys in ((KEY, "aa" * 32), ("aa" * 32, KEY), ("aa" * 32,)):
         made.key.write_text("\n".join(keys) + "\n")
-        await until(
+        await wait_until(
             lambda: all(
                 f"event=membership_keys_loaded count={len(keys)}" in server.log()
                 for server in made.servers
@@ -214,7 +216,7 @@
         )
         await within(made, 1.2)
     made.key.write_text("not hex\n")
-    await until(
+    await wait_until(
         lambda: all("event=membership_keys_rejected" in server.log() for server in made.servers)
     )
     await made.settles(full(made))
@@ -222,7 +224,7 @@
     made.key = made.folder / "other"
     made.key.write_text("bb" * 32 + "\n")
     stranger = (await made.add(1))[0]
-    await until(lambda: stranger.state().get("counts", {}).get("sent", 0) > 5)
+    await wait_until(lambda: stranger.state().get("counts", {}).get("sent", 0) > 5)
     await made.settles(full(made))
     assert all(len(server.state()["members"]) == 3 for server in made.servers[:3])
 
@@ -246,7 +248,7 @@
     assert "n1: is alive to n2; say --force" in await command("forget", "n1", "nobody", status=2)
     for server in gone:
         await server.kill()
-    await until(
+    await wait_until(
         lambda: all(said.count("state=dead") >= 2 for said in (server.log() for server in here))
     )
     await asyncio.sleep(QUICK["redeal_ms"] / 1000)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -8,7 +8,7 @@
 import time
 from pathlib import Path
 
-from rig import GIVEN, soon, until
+from rig import GIVEN, wait_until, within_timeout
 
 from burlloom.downstream import ConnectionPool
 from burlloom.fakes.parts import Balancer, Catalogue, Executor, NameService, Reply, fields
@@ -113,7 +113,7 @@
                 )
 
         working = asyncio.create_task(work())
-        await until(lambda: server.requests.dispatcher is not None and server.link.is_joined)
+        await wait_until(lambda: server.requests.dispatcher is not None and server.link.is_joined)
 
         async def a_round(first: int) -> dict[str, int]:
             """So many callers at once, each on a connection of its own, each with a name never
@@ -129,7 +129,7 @@
                     balancer.ask("pay", fields(**told, once=secrets.token_hex(16)), b"b"),
                 ]
             for answer in answers:
-                error, _ = await soon(answer)
+                error, _ = await within_timeout(answer)
                 assert error is None, error
             most = sizes(server)
             for balancer in balancers:
@@ -141,7 +141,7 @@
             seconds.
             """
             clock.by += WINDOW + 2 * LIFE
-            await until(rested)
+            await wait_until(rested)
 
         def rested() -> bool:
             now = sizes(server)
@@ -186,7 +186,7 @@
             name: size for name, size in again.items() if size > at_rest[name] and name != "kept"
         } == {}, (at_rest, again)
         server.begin_shutdown()
-        await soon(running)
+        await within_timeout(running)
         working.cancel()
         await catalogue.stop()
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -16,7 +16,7 @@
 import msgpack
 import pytest
 import uvloop
-from rig import Rig, gets, played, soon, until
+from rig import Rig, expect_result, wait_until, with_server, within_timeout
 
 from burlloom.downstream import CallStatus, ConnectionPool
 from burlloom.executor import ExecutorConnection
@@ -57,14 +57,14 @@
     async def client(self) -> "Client":
         known = set(self.front.connections)
         sock = socket.create_connection(self.address)
-        await until(lambda: self.front.connections - known)
+        await wait_until(lambda: self.front.connections - known)
         return Client(sock, (self.front.connections - known).pop())
 
     async def rested(self) -> "Client":
         """One that has spoken, was asked to go, and rests until we end it."""
         client = await self.client()
         client.sock.sendall(request(1, "health", {}))
-        await until(lambda: client.there.has_received)
+        await wait_until(lambda: client.there.has_received)
         self.now += 60 * NS_PER_SECOND
         self.front.sweep()
         self.front.sweep()  # the first may take the leap of the clock for a pause
@@ -81,7 +81,7 @@
         """All that comes to the end; raises if the connection is reset instead of closed."""
         self.sock.setblocking(False)
         unpacker, loop = msgpack.Unpacker(), asyncio.get_running_loop()
-        while data := await soon(loop.sock_recv(self.sock, 1 << 16)):
+        while data := await within_timeout(loop.sock_recv(self.sock, 1 << 16)):
             unpacker.feed(data)
         return list(unpacker)
 
@@ -175,13 +175,13 @@
     client.there.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 32768)
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32768)
     client.sock.sendall(b"".join(ask(number, place.now) for number in range(1, 5)))
-    await until(lambda: len(place.asked) == 4)
+    await wait_until(lambda: len(place.asked) == 4)
     for asked in place.asked:
         asked.complete(b"x" * 100_000)
     await turns()
     assert client.there.writer.write_task is not None
     client.sock.sendall(b"\xc1")
-    await until(lambda: client.there.is_ended)
+    await wait_until(lambda: client.there.is_ended)
     assert [len(answer[3][0]) for answer in await client.rest()] == [100_000] * 4
 
 
@@ -193,7 +193,7 @@
     place = Place()
     client = await place.client()
     client.sock.sendall(ask(1, place.now))
-    await until(lambda: place.asked)
+    await wait_until(lambda: place.asked)
     place.asked[0].complete(b"served")
     client.sock.sendall(b"\xc1" + b"z" * 60_000)
     answers = await client.rest()
@@ -208,10 +208,10 @@
     client = await place.rested()
     whole = ask(2, place.now)
     client.sock.sendall(whole[:9])
-    await until(lambda: client.there.partial_since_ns)
+    await wait_until(lambda: client.there.partial_since_ns)
     place.front.sweep()
     client.sock.sendall(whole[9:])
-    await until(lambda: place.asked)
+    await wait_until(lambda: place.asked)
     place.asked[0].complete(b"served")
     client.sock.shutdown(socket.SHUT_WR)
     assert (await client.rest())[-1] == [1, 2, None, [b"served", {}]]
@@ -239,7 +239,7 @@
     place = Place()
     client = await place.client()
     client.sock.sendall(ask(1, place.now)[:3])
-    await until(lambda: client.there.partial_since_ns)
+    await wait_until(lambda: client.there.partial_since_ns)
     place.now += 1600 * NS_PER_MS
     place.front.last_sweep_ns = place.now - 250 * NS_PER_MS
     in_one_turn(lambda: client.sock.sendall(ask(1, place.now)[3:9]), place.front.sweep)
@@ -254,7 +254,7 @@
     client = await place.client()
     whole = ask(1, place.now)
     client.sock.sendall(whole[:9])
-    await until(lambda: client.there.partial_since_ns)
+    await wait_until(lambda: client.there.partial_since_ns)
     place.now += 1600 * NS_PER_MS
     place.front.last_sweep_ns = place.now - 250 * NS_PER_MS
     in_one_turn(lambda: client.sock.sendall(whole[9:]), place.front.sweep)
@@ -271,11 +271,11 @@
     clients = [await place.client() for _ in range(3)]
     for client in clients:
         client.sock.sendall(request(1, "health", {}) + b"\xc1")
-    await until(lambda: len(place.front.closing) == 3)
+    await wait_until(lambda: len(place.front.closing) == 3)
     await place.client()
-    await until(lambda: len(place.front.closing) == 2)
+    await wait_until(lambda: len(place.front.closing) == 2)
     assert len(place.front.connections) == 1
-    await until(lambda: not place.front.closing)  # within their bound, though nobody closed
+    await wait_until(lambda: not place.front.closing)  # within their bound, though nobody closed
 
 
 def test_a_request_in_the_kernel_as_the_process_ends(tmp_path: Path) -> None:
@@ -286,17 +286,17 @@
             tmp_path, main=LATE.replace("FOLDER", str(tmp_path)), drain_grace=0, stop_ms=900
         ) as rig:
             balancer = await rig.balancer()
-            await soon(balancer.health())
+            await within_timeout(balancer.health())
             rig.process.send_signal(signal.SIGTERM)
-            await soon(balancer.shutdown.wait())
-            await until(lambda: LATE_MARK in rig.log())
+            await within_timeout(balancer.shutdown.wait())
+            await wait_until(lambda: LATE_MARK in rig.log())
             answer = balancer.ask("look", fields())
             await balancer.writer.drain()
             (tmp_path / "go").touch()
-            error, _ = await soon(answer)
+            error, _ = await within_timeout(answer)
             assert error[0] == "Backoff"
-            await soon(balancer.ended.wait())
-            assert await soon(rig.process.wait()) == 0
+            await within_timeout(balancer.ended.wait())
+            assert await within_timeout(rig.process.wait()) == 0
 
     asyncio.run(play())
 
@@ -346,7 +346,7 @@
             cwd=Path(__file__).parent.parent,
             stdout=asyncio.subprocess.PIPE,
         )
-        out, _ = await soon(process.communicate())
+        out, _ = await within_timeout(process.communicate())
         assert (
             process.returncode == 0 and b"event=shutdown_started" in out and b"event=stopped" in out
         ), (
@@ -376,7 +376,7 @@
         main = signalled(MOMENTS[moment].replace("NUMBER", number))
         async with Rig(tmp_path, main=main) as rig:
             rig.process.send_signal(signal.SIGTERM)
-            assert await soon(rig.process.wait()) == 0
+            assert await within_timeout(rig.process.wait()) == 0
 
     asyncio.run(play())
 
@@ -390,7 +390,7 @@
         client.there.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.sock.sendall(ask(1, place.now))
-    await until(lambda: len(place.asked) == 40)
+    await wait_until(lambda: len(place.asked) == 40)
     for asked in place.asked:
         asked.complete(b"x" * 400_000)
     await turns()
@@ -400,16 +400,16 @@
         most = max(most, sum(parting.writer.unsent_bytes for parting in place.front.closing))
     assert 4 << 20 < most <= 8 << 20
     assert not place.front.connections
-    await until(lambda: not place.front.closing)
+    await wait_until(lambda: not place.front.closing)
 
 
-@played(drain_grace=300000)
+@with_server(drain_grace=300000)
 async def test_the_grace_counts_from_the_notice_not_from_its_hearing(rig: Rig) -> None:
     """The process stood still as the notice came: what arrives past the grace is not run, however
     late it hears.
     """
     balancer = await rig.balancer()
-    await soon(balancer.health())
+    await within_timeout(balancer.health())
     rig.process.send_signal(signal.SIGSTOP)
     sent = time.time_ns()
     rig.process.send_signal(signal.SIGTERM)
@@ -417,7 +417,7 @@
     answer = balancer.ask("look", fields(at=str((sent + 400 * NS_PER_MS) // NS_PER_MS)))
     await balancer.writer.drain()
     rig.process.send_signal(signal.SIGCONT)
-    error, _ = await soon(answer)
+    error, _ = await within_timeout(answer)
     assert error[0] == "Backoff"
     assert rig.executor.commands.empty()
     balancer.close()
@@ -446,13 +446,13 @@
     """
     heard = sum(1 << number - 1 for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
 
-    @played(operator=operator)
+    @with_server(operator=operator)
     async def story(rig: Rig) -> None:
         answer = (await rig.balancer()).ask("look", fields())
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"seen")
-        await gets(answer, b"seen")
+        await expect_result(answer, b"seen")
         # A store's thread is started at its first use.
-        await until(lambda: operator is None or "event=rollout_joined name=" in rig.log())
+        await wait_until(lambda: operator is None or "event=rollout_joined name=" in rig.log())
         blocked: dict[int, int] = {}
         for thread in Path(f"/proc/{rig.process.pid}/task").iterdir():
             told = dict(line.split(":", 1) for line in (thread / "status").read_text().splitlines())
@@ -478,7 +478,7 @@
             pass
         sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nthis")
         time.sleep(0.25)  # the loop sees both at once: the reply, and that the time is up
-        assert await soon(call) == (CallStatus.OK, b"this")
+        assert await within_timeout(call) == (CallStatus.OK, b"this")
         sock.close()
 
 
@@ -502,12 +502,12 @@
         listener.setblocking(False)
         told = b""
         while b"which" not in told:
-            sock, _ = await soon(loop.sock_accept(listener))
+            sock, _ = await within_timeout(loop.sock_accept(listener))
             told = await loop.sock_recv(sock, 4096)
         patience = int(told.split(b"X-Patience: ")[1].split(b"\r\n")[0])
         assert patience < 4300, told
         sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nthis")
-        assert await soon(call) == (CallStatus.OK, b"this")
+        assert await within_timeout(call) == (CallStatus.OK, b"this")
 
 
 @on_loop
@@ -524,12 +524,12 @@
         keeping = loop.create_task(link.maintain())
         listener.setblocking(False)
         sock, _ = await loop.sock_accept(listener)
-        await until(lambda: link.writer is not None)
+        await wait_until(lambda: link.writer is not None)
         link.unanswered_polls = 1000
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         sock.close()
         assert await link.query_gauges(0) is None
-        sock, _ = await soon(loop.sock_accept(listener))  # and a new link is made
+        sock, _ = await within_timeout(loop.sock_accept(listener))  # and a new link is made
         sock.close()
         keeping.cancel()
 
@@ -578,20 +578,20 @@
     listener, dials = unanswered()
     link = linked(listener.getsockname())
     keeping = loop.create_task(link.maintain())
-    await until(lambda: link.connection_task is not None)
+    await wait_until(lambda: link.connection_task is not None)
     await turns()
     with socket.create_server(("127.0.0.1", 0)) as other:
         link.change_address(other.getsockname())
         other.setblocking(False)
-        sock, _ = await soon(loop.sock_accept(other))
-        assert await soon(loop.sock_recv(sock, 64)) == b"JOIN 0\r\n"
+        sock, _ = await within_timeout(loop.sock_accept(other))
+        assert await within_timeout(loop.sock_recv(sock, 64)) == b"JOIN 0\r\n"
         keeping.cancel()
         sock.close()
     for dial in (*dials, listener):
         dial.close()
 
 
-@played(n_cores=4, window=60_000_000)
+@with_server(n_cores=4, window=60_000_000)
 async def test_a_repeat_comes_as_the_first_ends(rig: Rig) -> None:
     """Both lie in the kernel as the process goes on, on two connections; whichever is taken first,
     it runs once.
@@ -607,12 +607,12 @@
         await asyncio.sleep(0)
         await second.writer.drain()
         rig.process.send_signal(signal.SIGCONT)
-        await gets(answer, key.encode())
-        await gets(repeat, key.encode())
+        await expect_result(answer, key.encode())
+        await expect_result(repeat, key.encode())
         assert rig.executor.commands.empty()
 
 
-@played(n_cores=4, window=300_000)
+@with_server(n_cores=4, window=300_000)
 async def test_a_window_that_is_over_before_the_run_is(rig: Rig) -> None:
     """Short windows: what was written within one is never run again, however late it is read; what
     came after may be.
@@ -623,21 +623,21 @@
     id = await rig.command("EXEC", "pay")
     await asyncio.sleep(0.5)  # the window is over, the run is not
     inside = other.ask("pay", fields(once="k", at=str(at + 299), retry="1"))
-    await soon(other.health())
+    await within_timeout(other.health())
     assert rig.executor.commands.empty()
     assert not inside.done()
     rig.executor.exit(id, result=b"paid")
-    await gets(answer, b"paid")
-    await gets(inside, b"paid")
-    await gets(
+    await expect_result(answer, b"paid")
+    await expect_result(inside, b"paid")
+    await expect_result(
         other.ask("pay", fields(once="k", at=str(at + 300), retry="1")), b"paid"
     )  # read late, once it had ended
     after = other.ask("pay", fields(once="k"))
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid anew")
-    await gets(after, b"paid anew")
+    await expect_result(after, b"paid anew")
 
 
-@played(n_cores=4, fresh_for=400_000)
+@with_server(n_cores=4, fresh_for=400_000)
 async def test_a_read_shares_no_answer_that_is_too_old(rig: Rig) -> None:
     """The last moments of the time in which answers may be shared: within it, and some milliseconds
     past it.
@@ -647,9 +647,9 @@
         key = f"k{count}"
         answer = balancer.ask("look", fields(key=key))
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"first")
-        await gets(answer, b"first")
+        await expect_result(answer, b"first")
         ended = time.time_ns() // NS_PER_MS
-        await gets(balancer.ask("look", fields(key=key, at=str(ended + 350))), b"first")
+        await expect_result(balancer.ask("look", fields(key=key, at=str(ended + 350))), b"first")
         late = balancer.ask("look", fields(key=key, at=str(ended + 401 + 10 * count)))
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"second")
-        await gets(late, b"second")
+        await expect_result(late, b"second")
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 import pytest
-from rig import Rig, fails, gets, soon, until
-from rig import played as rig_played
+from rig import Rig, expect_error, expect_result, wait_until, within_timeout
+from rig import with_server as rig_played
 
 from burlloom.fakes.parts import Executor, fields
 from burlloom.fakes.postgres import Postgres
@@ -29,15 +29,15 @@
 async def test_a_charge_is_known_after_a_crash(rig: Rig) -> None:
     first = (await rig.balancer()).ask("pay", fields(once="k"), b"b")
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid")
-    await gets(first, b"paid")
+    await expect_result(first, b"paid")
     await rig.kill()
     rig.executor.restart()
     await rig.begin()
     balancer = await rig.balancer()
-    await gets(balancer.ask("pay", fields(once="k", retry="1"), b"b"), b"paid")
+    await expect_result(balancer.ask("pay", fields(once="k", retry="1"), b"b"), b"paid")
     other = balancer.ask("pay", fields(once="k"), b"another")
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid too")
-    await gets(other, b"paid too")
+    await expect_result(other, b"paid too")
     assert rig.executor.commands.empty()
 
 
@@ -54,14 +54,16 @@
         async with Rig(tmp_path, operator=told) as rig:
             answer = (await rig.balancer()).ask("pay", fields(once="k"))
             rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid")
-            await gets(answer, b"paid")
-            await until(
+            await expect_result(answer, b"paid")
+            await wait_until(
                 lambda: "burlloom_record_claims_total 1.0" in read(tmp_path / "metrics.prom")
             )
             host, port = re.findall(r"event=metrics-listening address=(\S+):(\d+)", rig.log())[0]
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"GET /metrics HTTP/1.0\r\n\r\n")
-            assert b"burlloom_record_finish_seconds_count 1.0" in await soon(reader.read())
+            assert b"burlloom_record_finish_seconds_count 1.0" in await within_timeout(
+                reader.read()
+            )
             writer.close()
         assert "event=record_stopped claims=1" in rig.log()
 
@@ -80,7 +82,7 @@
     await rig.kill()
     rig.executor.restart()
     await rig.begin()
-    await fails((await rig.balancer()).ask("pay", fields(once="k", retry="1")), "Voided")
+    await expect_error((await rig.balancer()).ask("pay", fields(once="k", retry="1")), "Voided")
     assert rig.executor.commands.empty()
     assert "event=record-doubts count=1" in rig.log()
 
@@ -100,14 +102,14 @@
             rig.executor.exit(never, "NOOP")
             await rig.begin()
             balancer = await rig.balancer()
-            await gets(balancer.ask("pay", fields(once="ended", retry="1")), b"paid")
+            await expect_result(balancer.ask("pay", fields(once="ended", retry="1")), b"paid")
             waits = balancer.ask("pay", fields(once="runs", retry="1"))
             anew = balancer.ask("pay", fields(once="never", retry="1"))
             id = await rig.command("EXEC", "pay")
             rig.executor.exit(id, result=b"anew")
-            await gets(anew, b"anew")
+            await expect_result(anew, b"anew")
             rig.executor.exit(runs, result=b"late")
-            await gets(waits, b"late")
+            await expect_result(waits, b"late")
             assert rig.executor.commands.empty()
 
     asyncio.run(play())
@@ -127,7 +129,7 @@
         pass
     assert other.process.returncode == 2
     assert "in use by another process (pid " in other.log()
-    await until(lambda: not rig.executor.commands.qsize())
+    await wait_until(lambda: not rig.executor.commands.qsize())
 
 
 # Several nodes, one store.
@@ -202,11 +204,11 @@
     ran = await one.command("EXEC", "pay")
     before = looks(standin)
     waits = there.ask("pay", fields(once="k", retry="1"))
-    await until(lambda: looks(standin) > before)
+    await wait_until(lambda: looks(standin) > before)
     one.executor.exit(ran, result=b"paid")
-    await gets(first, b"paid")
-    await gets(waits, b"paid")
-    await gets(there.ask("pay", fields(once="k", retry="1")), b"paid")
+    await expect_result(first, b"paid")
+    await expect_result(waits, b"paid")
+    await expect_result(there.ask("pay", fields(once="k", retry="1")), b"paid")
     assert two.executor.commands.empty()
 
 
@@ -219,15 +221,15 @@
     """
     first = (await one.balancer()).ask("pay", fields(once="k"))
     one.executor.exit(await one.command("EXEC", "pay"), result=b"paid")
-    await gets(first, b"paid")
+    await expect_result(first, b"paid")
     there = await two.balancer()
-    await fails(there.ask("pay", fields(once="other", retry="1", kb="900")), "Backoff")
-    await gets(there.ask("pay", fields(once="k", retry="1")), b"paid")
+    await expect_error(there.ask("pay", fields(once="other", retry="1", kb="900")), "Backoff")
+    await expect_result(there.ask("pay", fields(once="k", retry="1")), b"paid")
     blocking = there.ask("look", fields())
     running = await two.command("EXEC", "look")
-    await gets(there.ask("pay", fields(once="k", retry="1")), b"paid")
+    await expect_result(there.ask("pay", fields(once="k", retry="1")), b"paid")
     two.executor.exit(running, result=b"done")
-    await gets(blocking, b"done")
+    await expect_result(blocking, b"done")
     assert two.executor.commands.empty()
 
 
@@ -243,14 +245,14 @@
     waits = there.ask(
         "pay", fields(once="k", retry="1", at=str(time.time_ns() // 1_000_000 - 56_000))
     )
-    await until(lambda: looks(standin) > before + 1)
+    await wait_until(lambda: looks(standin) > before + 1)
     assert not waits.done()  # it asks again and again
-    await fails(waits, "Voided")
+    await expect_error(waits, "Voided")
     await one.kill()
     one.executor.restart()
     await one.begin()
-    await fails(there.ask("pay", fields(once="k", retry="1")), "Voided")
-    await fails((await one.balancer()).ask("pay", fields(once="k", retry="1")), "Voided")
+    await expect_error(there.ask("pay", fields(once="k", retry="1")), "Voided")
+    await expect_error((await one.balancer()).ask("pay", fields(once="k", retry="1")), "Voided")
     assert two.executor.commands.empty()
     assert one.executor.commands.empty()
 
@@ -258,12 +260,12 @@
 @fleet(2)
 async def test_a_fenced_node_runs_no_charge(standin: Postgres, one: Rig, two: Rig) -> None:
     standin.db.execute("UPDATE node SET fenced = 1 WHERE name = 'n0'")
-    await fails((await one.balancer()).ask("pay", fields(once="k")), "Backoff")
+    await expect_error((await one.balancer()).ask("pay", fields(once="k")), "Backoff")
     assert one.executor.commands.empty()
     one.errors = one.log().count("level=error")
     answer = (await two.balancer()).ask("pay", fields(once="k"))
     two.executor.exit(await two.command("EXEC", "pay"), result=b"paid")
-    await gets(answer, b"paid")
+    await expect_result(answer, b"paid")
 
 
 @fleet(1, {"mode": "require", "claim_share": 0.1}, n_cores=4)
@@ -274,19 +276,19 @@
     standin.orders.hang = True
     balancer = await rig.balancer()
     for n in range(8):
-        await fails(balancer.ask("pay", fields(once=f"k{n}")), "Backoff")
-    await until(lambda: "event=record-cut-off" in rig.log())
+        await expect_error(balancer.ask("pay", fields(once=f"k{n}")), "Backoff")
+    await wait_until(lambda: "event=record-cut-off" in rig.log())
     asked = asyncio.get_running_loop().time()
-    await fails(balancer.ask("pay", fields(once="later")), "Backoff")
+    await expect_error(balancer.ask("pay", fields(once="later")), "Backoff")
     assert asyncio.get_running_loop().time() - asked < 0.1
     answer = balancer.ask("look", fields())
     rig.executor.exit(await rig.command("EXEC", "look"), result=b"seen")
-    await gets(answer, b"seen")
+    await expect_result(answer, b"seen")
     standin.orders.hang = False
-    await until(lambda: "event=record-back" in rig.log())
+    await wait_until(lambda: "event=record-back" in rig.log())
     answer = balancer.ask("pay", fields(once="k1"))
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid")
-    await gets(answer, b"paid")
+    await expect_result(answer, b"paid")
     assert rig.executor.commands.empty()
 
 
@@ -299,8 +301,8 @@
     for n in range(8):
         answer = balancer.ask("pay", fields(once=f"k{n}"))
         rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid")
-        await gets(answer, b"paid")
-        await gets(balancer.ask("pay", fields(once=f"k{n}", retry="1")), b"paid")
+        await expect_result(answer, b"paid")
+        await expect_result(balancer.ask("pay", fields(once=f"k{n}", retry="1")), b"paid")
     assert rig.executor.commands.empty()
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from fleet_rig import Fleet, Server
-from rig import ROOT, Rig, fails, gets, played, until
+from rig import ROOT, Rig, expect_error, expect_result, wait_until, with_server
 from test_command import burlloom
 from test_fleet_processes import fleet, full
 
@@ -228,7 +228,7 @@
     (gone.folder / "kept").unlink()
     shutil.copy(older.folder / "older", older.folder / "kept")
     await asyncio.gather(*(server.begin() for server in killed))
-    await until(
+    await wait_until(
         lambda: all(
             "event=recovery_state_changed" in server.log().rsplit("event=recovery_started ", 1)[-1]
             for server in killed
@@ -242,7 +242,7 @@
         assert made.worst <= 1.05 * made.calls
         made.again()
     await made.settles(full(made))
-    await until(
+    await wait_until(
         lambda: all(
             "event=recovery_completed" in server.log().rsplit("event=recovery_started ", 1)[-1]
             for server in killed
@@ -274,12 +274,12 @@
         balancer.ask("look", fields(retry="1"))
     first = balancer.ask("look", fields())
     await asyncio.wait_for(first, 5)
-    await until(lambda: balancer.answers >= 150)
+    await wait_until(lambda: balancer.answers >= 150)
     # A few a second and a fifth of the first tries: of 200 in a moment hardly any had to wait for a
     # run.
     assert len(server.executor.bodies) < ran + 40
     server.open_most = 20
-    await until(
+    await wait_until(
         lambda: "event=recovery_completed" in server.log().rsplit("event=recovery_started ", 1)[-1]
     )
     await made.settles(full(made))
@@ -287,7 +287,7 @@
     assert int(held) >= 150
 
 
-@played(
+@with_server(
     operator=lambda folder: {
         "record": {"sqlite": {"path": str(folder / "record.db")}},
         **coming_back(folder),
@@ -303,7 +303,7 @@
         told = fields(once=key)
         answer = (await rig.balancer()).ask("pay", told, b"charge")
         rig.executor.exit(await rig.command("EXEC", "pay"), result=b"receipt")
-        await gets(answer, b"receipt")
+        await expect_result(answer, b"receipt")
         return {**told, "retry": "1"}
 
     async def again(told: dict[str, str]) -> Any:
@@ -319,37 +319,39 @@
         return kept.record_incarnation if isinstance(kept, RecoverySnapshot) else 0
 
     told = await charge("k1")
-    await until(lambda: of_the_record() == 1)
+    await wait_until(lambda: of_the_record() == 1)
     await rig.kill()
     await rig.begin()
-    await gets(await again(told), b"receipt")
+    await expect_result(await again(told), b"receipt")
     assert "input=said_same effect=use state=warm" in rig.log()
-    await until(lambda: of_the_record() == 2)  # so that a new store's first life is an earlier one
+    await wait_until(
+        lambda: of_the_record() == 2
+    )  # so that a new store's first life is an earlier one
     await rig.kill()
     for path in rig.folder.glob("record.db*"):
         path.unlink()
     await rig.begin()
-    await until(lambda: "input=said_earlier effect=fence state=cold" in rig.log())
-    await fails(await again(told), "Voided")
+    await wait_until(lambda: "input=said_earlier effect=fence state=cold" in rig.log())
+    await expect_error(await again(told), "Voided")
     other = (await rig.balancer()).ask(
         "pay", fields(once="k2"), b"charge"
     )  # a first try is as good as ever
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"second")
-    await gets(other, b"second")
+    await expect_result(other, b"second")
     assert rig.executor.commands.empty()
 
 
-@played(operator=coming_back, n_cores=4)
+@with_server(operator=coming_back, n_cores=4)
 async def test_without_a_record_a_crash_leaves_doubt_and_a_drain_none(rig: Rig) -> None:
     told = fields(once="k1")
     answer = (await rig.balancer()).ask("pay", told, b"charge")
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"receipt")
-    await gets(answer, b"receipt")
-    await until(lambda: (rig.folder / "kept").exists())
+    await expect_result(answer, b"receipt")
+    await wait_until(lambda: (rig.folder / "kept").exists())
     await rig.kill()
     await rig.begin()
     again = fields(once=told["once"], retry="1")
-    await fails((await rig.balancer()).ask("pay", again, b"charge"), "Voided")
+    await expect_error((await rig.balancer()).ask("pay", again, b"charge"), "Voided")
     assert rig.executor.commands.empty()
     rig.process.send_signal(signal.SIGTERM)
     for balancer in rig.balancers:
@@ -359,7 +361,7 @@
     await rig.begin()
     new = (await rig.balancer()).ask("pay", fields(once="k2", retry="1"), b"charge")
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"taken")
-    await gets(new, b"taken")
+    await expect_result(new, b"taken")
 
 
 def recorded(folder: Path) -> dict[str, Any]:
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -9,7 +9,7 @@
 
 import pytest
 from fleet_rig import KEY
-from rig import until
+from rig import wait_until
 from rollout_rig import Rollout, rolled
 from test_command import burlloom
 
@@ -60,7 +60,7 @@
 @rolled(5, most=2, waves=["100%"], auto_back=True)
 async def test_halted_by_hand_in_the_middle_and_taken_back_by_itself(made: Rollout) -> None:
     await made.says("start", "v2")
-    await until(lambda: made.out == 2)
+    await wait_until(lambda: made.out == 2)
     await made.says("halt")
     await made.comes_to(
         lambda book: (
@@ -89,11 +89,11 @@
     # The servers do not lead here, so that who leads can go without taking a server with it.
     await made.says("start", "v2")
     first = made.drivers[0]
-    await until(lambda: made.out == 1)
+    await wait_until(lambda: made.out == 1)
     first.kill()
     second = await made.drive("second")
     await made.comes_to(lambda book: book.leader == "second")
-    await until(lambda: made.out == 1)
+    await wait_until(lambda: made.out == 1)
     await made.drive("third")
     for _ in range(5):
         second.send_signal(signal.SIGSTOP)
@@ -117,7 +117,7 @@
 async def test_servers_are_killed_while_they_drain_and_while_they_lead(made: Rollout) -> None:
     made.run_s = 0.3  # a drain takes as long
     await made.says("start", "v2")
-    await until(lambda: any(node.out and node.ready and node.killed() for node in made.nodes))
+    await wait_until(lambda: any(node.out and node.ready and node.killed() for node in made.nodes))
     await made.comes_to(
         lambda book: sum(unit.version == "v2" for unit in book.servers.values()) >= 1
     )
@@ -142,7 +142,7 @@
     for node in made.nodes:
         node.dead = True
     await made.says("start", "v2")
-    await until(lambda: made.ends == 1)
+    await wait_until(lambda: made.ends == 1)
     gone = next(node for node in made.nodes if node.out)
     book = await made.comes_to(lambda book: book.release.phase is ReleasePhase.HALTED)
     assert made.out == 1
@@ -210,7 +210,7 @@
             assert made.out == 0
             assert made.nodes[1].settled > settled
             pipes[1].heal()
-            await until(lambda: made.out == 1)
+            await wait_until(lambda: made.out == 1)
             await database.restart()
             await made.idle("v2")
             assert made.worst == 1
@@ -229,7 +229,7 @@
     again.
     """
     first, second = made.services[0].address, made.services[1].address
-    await until(lambda: all(service.calls for service in made.services))
+    await wait_until(lambda: all(service.calls for service in made.services))
     said = await made.says("take", "db", first, "--for-s", "60")
     assert "no server calls it" in said
     assert not made.services[0].open
@@ -239,7 +239,7 @@
     )
     assert len(made.services[0].calls) == count
     await made.says("give", "db", first)
-    await until(lambda: len(made.services[0].calls) > count)
+    await wait_until(lambda: len(made.services[0].calls) > count)
     await made.comes_to(lambda book: not book.groups["db"].out_count)
     made.nothing_lost()
 
--- a/tests/test_rollout_stores.py
+++ b/tests/test_rollout_stores.py
@@ -8,7 +8,7 @@
 import pytest
 from click.testing import CliRunner
 from fleet_rig import KEY
-from held import Held
+from locked_database import LockedDatabase
 
 from burlloom.command.rollout import rollout
 from burlloom.fakes import postgres
@@ -66,23 +66,23 @@
         shelf = SqliteRolloutStore(tmp_path / "agreed.db")
         await shelf.open()
         page = await shelf.read()
-        held = Held(tmp_path / "agreed.db", 1.9)
-        shelf.lock_retry = held.turns()
+        held = LockedDatabase(tmp_path / "agreed.db", 1.9)
+        shelf.lock_retry = held.lock_retry()
         assert await shelf.compare_and_swap(page, RolloutState("a"))
-        assert held.looks >= 100
-        page, held = await shelf.read(), Held(tmp_path / "agreed.db", 9.0)
-        shelf.lock_retry = held.turns()
+        assert held.attempts >= 100
+        page, held = await shelf.read(), LockedDatabase(tmp_path / "agreed.db", 9.0)
+        shelf.lock_retry = held.lock_retry()
         with pytest.raises(StoreUnavailableError, match="database is locked"):
             await shelf.compare_and_swap(page, RolloutState("b"))
-        assert 2.0 <= held.now < 2.1
+        assert 2.0 <= held.now_s < 2.1
         assert (await shelf.read()).state.leader == "a"
-        before = held.looks
-        shelf.lock_retry = held.turns(
-            is_cancelled=lambda: held.looks == before + 50
+        before = held.attempts
+        shelf.lock_retry = held.lock_retry(
+            is_cancelled=lambda: held.attempts == before + 50
         )  # it is being closed: nobody waits for it
         with pytest.raises(StoreUnavailableError, match="database is locked"):
             await shelf.open()
-        assert held.looks == before + 50
+        assert held.attempts == before + 50
         held.db.close()
         await shelf.close()
 
@@ -96,8 +96,8 @@
     )
     assert CliRunner().invoke(rollout, ["show", "-o", str(path)]).exit_code == 0
     for until, status in ((20.0, 0), (60.0, 2)):
-        held = Held(tmp_path / "agreed.db", until)
-        monkeypatch.setattr(shared_sqlite, "LockRetry", held.turns)
+        held = LockedDatabase(tmp_path / "agreed.db", until)
+        monkeypatch.setattr(shared_sqlite, "LockRetry", held.lock_retry)
         got = CliRunner().invoke(rollout, ["budget", "--most", "3", "-o", str(path)])
         assert got.exit_code == status, got.output
         held.db.close()
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -10,7 +10,7 @@
 
 import pytest
 from hollow_hosts import KEY, Hosts, clock, spread
-from rig import ROOT, until  # first: it has the benchmarks found
+from rig import ROOT, wait_until  # first: it has the benchmarks found
 from scale_checker import SECOND, Budget, Checker, Contents, Faults, digest_of, worst_rate
 from scale_run import Setting, played
 
@@ -224,12 +224,12 @@
         hosts.tell_names("start", ["h0"])
         await asyncio.sleep(0.5)
         hosts.tell("start")
-        await until(lambda: hosts.facts().get("share", 0) >= 0.95 * terms["total"])
+        await wait_until(lambda: hosts.facts().get("share", 0) >= 0.95 * terms["total"])
         began = clock()
         hosts.tell_names("kill", ["h3", "h4"])
-        await until(lambda: hosts.up() == count - 2 and clock() - began > 2 * SECOND)
+        await wait_until(lambda: hosts.up() == count - 2 and clock() - began > 2 * SECOND)
         hosts.tell_names("start", ["h3", "h4"])
-        await until(
+        await wait_until(
             lambda: hosts.up() == count and hosts.facts().get("share", 0) >= 0.95 * terms["total"]
         )
         faults = [fault for host in hosts.hosts for fault in host.faults]
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -16,7 +16,16 @@
 
 import msgpack
 import pytest
-from rig import GIVEN, ROOT, Rig, fails, gets, played, soon, until
+from rig import (
+    GIVEN,
+    ROOT,
+    Rig,
+    expect_error,
+    expect_result,
+    wait_until,
+    with_server,
+    within_timeout,
+)
 
 from burlloom.discovery import HealthReporter
 from burlloom.fakes.parts import Catalogue, Executor, NameService, fields
@@ -25,7 +34,7 @@
 TRAP = re.search(r'run = "(.*;) exec ', (ROOT / "deploy" / "balancer.toml").read_text())[1]  # type: ignore[index]
 
 
-@played(memory_kb=200000, n_cores=32)
+@with_server(memory_kb=200000, n_cores=32)
 async def test_frames_split_at_any_byte_and_many_in_one_read(rig: Rig) -> None:
     balancer = await rig.balancer()
     body = bytes(range(256)) * 8
@@ -40,10 +49,10 @@
     assert rig.executor.bodies[id] == body
     waiting = [balancer.waiting[1]]
     rig.executor.exit(id, result=result)
-    await gets(waiting[0], result)
+    await expect_result(waiting[0], result)
     waiting = [balancer.ask("look", fields())]
     rig.executor.exit(await rig.command("EXEC", "look"), result=b"z" * 70000)
-    await gets(waiting[0], b"z" * 70000)
+    await expect_result(waiting[0], b"z" * 70000)
     told = [fields() for _ in range(32)]
     frames = [balancer.frame("look", one, one["id"].encode()) for one in told]
     waiting = [balancer.waiting[number] for number in sorted(balancer.waiting)]
@@ -53,20 +62,20 @@
     for id in reversed(ids):
         rig.executor.exit(id, result=b"of " + id.encode())
     for one, answer in zip(told, waiting):
-        await gets(answer, b"of " + one["id"].encode())
+        await expect_result(answer, b"of " + one["id"].encode())
     assert balancer.answers == 34
 
 
-@played(n_cores=1, memory_kb=1000, idle=2000000)
-async def test_declines_and_the_value_that_rides_on_answers(rig: Rig) -> None:
+@with_server(n_cores=1, memory_kb=1000, idle=2000000)
+async def test_rejections_and_health_carry_the_load_report(rig: Rig) -> None:
     balancer = await rig.balancer()
     said: dict[str, str] = {}
     while not said:
-        error, (good, said) = await soon(balancer.health())
+        error, (good, said) = await within_timeout(balancer.health())
         assert error is None
         assert good is True
     for _ in range(20):  # how long to stay away is drawn
-        told = await fails(balancer.ask("look", fields(kb="990")), "Backoff")
+        told = await expect_error(balancer.ask("look", fields(kb="990")), "Backoff")
         assert {"say"} <= set(told) <= {"say", "after", "last"}
         assert float(told["say"]) >= 0
         assert 1 <= int(told.get("after", 1)) <= 1000
@@ -74,45 +83,45 @@
     assert rig.executor.commands.empty()
 
 
-def test_executor_up_long_after_the_server(tmp_path: Path) -> None:
+def test_the_executor_may_start_long_after_the_server(tmp_path: Path) -> None:
     async def play() -> None:
         rig = Rig(tmp_path)
         rig.executor.up.clear()
         async with rig:
             balancer = await rig.balancer()
-            assert (await soon(balancer.health()))[1][0] is False
+            assert (await within_timeout(balancer.health()))[1][0] is False
             assert rig.naming.reports.empty()
             rig.executor.up.set()
-            assert await soon(rig.naming.reports.get()) == "renew n1 yes"
-            assert (await soon(balancer.health()))[1][0] is True
+            assert await within_timeout(rig.naming.reports.get()) == "renew n1 yes"
+            assert (await within_timeout(balancer.health()))[1][0] is True
             answer = balancer.ask("look", fields())
             rig.executor.exit(await rig.command("EXEC", "look"), result=b"late")
-            await gets(answer, b"late")
+            await expect_result(answer, b"late")
 
     asyncio.run(play())
 
 
-@played(idle=300000)
+@with_server(idle=300000)
 async def test_idle_connections_are_asked_to_close(rig: Rig) -> None:
     idle, health = await rig.balancer(), await rig.balancer()
-    await soon(health.health())
+    await within_timeout(health.health())
     await gets_one(rig, idle)
-    await soon(idle.shutdown.wait())
+    await within_timeout(idle.shutdown.wait())
     # Until the other side closes, what it had sent meanwhile is served.
     await gets_one(rig, idle)
     idle.close()
-    await until(lambda: "reason=idle_timeout" in rig.log())
+    await wait_until(lambda: "reason=idle_timeout" in rig.log())
     assert not health.shutdown.is_set()
 
 
 async def gets_one(rig: Rig, balancer: Any) -> None:
     answer = balancer.ask("look", fields())
     rig.executor.exit(await rig.command("EXEC", "look"), result=b"one")
-    await gets(answer, b"one")
+    await expect_result(answer, b"one")
 
 
-@played(n_cores=4)
-async def test_link_lost_in_mid_run(rig: Rig) -> None:
+@with_server(n_cores=4)
+async def test_the_executor_connection_is_lost_during_a_run(rig: Rig) -> None:
     """Ends told while there is no link are learnt; only a command lost on the way is said again."""
     balancer, executor = await rig.balancer(), rig.executor
     first, second = balancer.ask("look", fields()), balancer.ask("pay", fields(once="k1"))
@@ -123,23 +132,23 @@
     await rig.proven()
     executor.deaf = True
     third = balancer.ask("look", fields(), b"lost")
-    await until(lambda: executor.lost)
+    await wait_until(lambda: executor.lost)
     executor.drop()
     executor.exit(ran, result=b"unheard")
     executor.deaf = False
-    await gets(first, b"unheard")
+    await expect_result(first, b"unheard")
     again = await rig.command("EXEC", "look")
     assert executor.bodies[again] == b"lost"
     executor.exit(again, result=b"found")
-    await gets(third, b"found")
+    await expect_result(third, b"found")
     executor.exit(called, result=b"paid")
-    await gets(second, b"paid")
+    await expect_result(second, b"paid")
     assert executor.commands.empty()
     assert executor.joins == [0, 1]
 
 
-@played()
-async def test_notices_broken_off_and_told_twice(rig: Rig) -> None:
+@with_server()
+async def test_end_notices_broken_off_and_repeated(rig: Rig) -> None:
     """Half a notice goes with its link and comes whole on the next; one of an old number is told in
     vain.
     """
@@ -152,7 +161,7 @@
     executor.say(whole[:-5])
     executor.link.close()
     executor.notices.append(whole)
-    await gets(first, b"done")
+    await expect_result(first, b"done")
     for again in executor.notices:
         executor.say(again)
     await gets_one(rig, balancer)
@@ -161,11 +170,11 @@
 
 async def gets_health(balancer: Any) -> None:
     for _ in range(3):
-        await soon(balancer.health())
+        await within_timeout(balancer.health())
 
 
-@played()
-async def test_an_earlier_meter_proves_no_later_reply(rig: Rig) -> None:
+@with_server()
+async def test_an_earlier_meter_does_not_prove_a_later_reply(rig: Rig) -> None:
     """One asked after the run's first reply and answered after its second: a lost second is said
     again.
     """
@@ -175,30 +184,30 @@
     executor.callout(id, b"first")
     await rig.command("RETURN")
     executor.deaf, asked = True, executor.asked
-    await until(lambda: executor.asked > asked)
+    await wait_until(lambda: executor.asked > asked)
     tag = executor.tag
     executor.callout(id, b"second")
-    await until(lambda: executor.lost)
+    await wait_until(lambda: executor.lost)
     executor.say(f"METERS {tag} 0.2 1 0.1 3\r\n".encode())
     executor.drop()
     executor.deaf = False
     assert await rig.command("RETURN") == id
     executor.exit(id, result=b"done")
-    await gets(answer, b"done")
+    await expect_result(answer, b"done")
 
 
-@played()
-async def test_a_link_that_is_open_but_silent(rig: Rig) -> None:
+@with_server()
+async def test_an_executor_connection_that_is_open_but_silent(rig: Rig) -> None:
     """Joined or not: the answer that would join it may be lost too."""
     rig.executor.deaf = True
-    await until(lambda: rig.log().count("event=executor_unresponsive") == 2)
+    await wait_until(lambda: rig.log().count("event=executor_unresponsive") == 2)
     rig.executor.deaf = False
-    await until(lambda: len(rig.executor.joins) > 2)
+    await wait_until(lambda: len(rig.executor.joins) > 2)
     await gets_one(rig, await rig.balancer())
 
 
-@played(deadline=2200000)
-async def test_notices_that_are_kept_no_more(rig: Rig) -> None:
+@with_server(deadline=2200000)
+async def test_end_notices_that_the_executor_no_longer_keeps(rig: Rig) -> None:
     """A command in doubt whose end may be among them is not said again: it is voided, never run
     twice.
     """
@@ -206,18 +215,18 @@
     rig.errors = 1
     executor.deaf = True
     answer = balancer.ask("look", fields(cost="1"))
-    await until(lambda: executor.lost)
+    await wait_until(lambda: executor.lost)
     executor.drop()
     executor.notices += [b"", b""]
     executor.notify("LOG what came before is lost")
     executor.deaf = False
-    await fails(answer, "Voided")
+    await expect_error(answer, "Voided")
     assert "event=notices_lost first=1 last=2" in rig.log()
     await gets_one(rig, balancer)
 
 
 @pytest.mark.parametrize("end", ["NOOP", "KILLED", "FAIL", "BAD"])
-def test_runs_that_come_to_nothing(end: str, tmp_path: Path) -> None:
+def test_runs_that_fail(end: str, tmp_path: Path) -> None:
     async def play() -> None:
         async with Rig(tmp_path) as rig:
             balancer = await rig.balancer()
@@ -228,14 +237,14 @@
                 rig.executor.say(f"BAD EXEC {id}\r\n".encode())
             else:
                 rig.executor.exit(id, end)
-            await fails(answer, "Voided")
+            await expect_error(answer, "Voided")
             await gets_one(rig, balancer)
 
     asyncio.run(play())
 
 
-@played(n_cores=4)
-async def test_repeats_of_a_referenced_txn(rig: Rig) -> None:
+@with_server(n_cores=4)
+async def test_retries_of_a_keyed_request(rig: Rig) -> None:
     """Running, at a call, or long answered, and on another connection: it runs once, each try is
     answered.
     """
@@ -245,24 +254,24 @@
     id = await rig.command("EXEC", "pay")
     running = other.ask("pay", fields(once="k", retry="1"), b"b")
     rig.executor.callout(id)
-    await until(lambda: rig.catalogue.calls)
+    await wait_until(lambda: rig.catalogue.calls)
     at_call = one.ask("pay", fields(once="k", retry="1"), b"b")
     await gets_health(one)
     rig.executor.exit(id, result=b"paid")
     for answer in (first, running, at_call):
-        await gets(answer, b"paid")
-    await gets(other.ask("pay", fields(once="k", retry="1"), b"b"), b"paid")
-    assert await soon(rig.catalogue.given_up.get()) == id
+        await expect_result(answer, b"paid")
+    await expect_result(other.ask("pay", fields(once="k", retry="1"), b"b"), b"paid")
+    assert await within_timeout(rig.catalogue.given_up.get()) == id
     # The window counts from when the try that ran came: one that comes after it runs anew.
     late = str(int(fields()["at"]) + 18500)
     fresh = other.ask("pay", fields(once="k", at=late), b"b")
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid anew")
-    await gets(fresh, b"paid anew")
+    await expect_result(fresh, b"paid anew")
     assert rig.executor.commands.empty()
 
 
-@played(memory_kb=2000)
-async def test_marks_take_none_of_the_memory_of_runs(rig: Rig) -> None:
+@with_server(memory_kb=2000)
+async def test_key_digests_take_none_of_the_memory_of_runs(rig: Rig) -> None:
     """They are ours to keep: at 50 KB each as on the simulator, forty would leave no room for a
     run.
     """
@@ -270,36 +279,36 @@
     for turn in range(60):
         answer = balancer.ask("pay", fields(once=f"k{turn}", kb="1.0"))
         rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid")
-        await gets(answer, b"paid")
+        await expect_result(answer, b"paid")
 
 
-@played(n_cores=1)
-async def test_repeat_of_a_held_txn_takes_its_place(rig: Rig) -> None:
+@with_server(n_cores=1)
+async def test_a_retry_of_a_queued_request_takes_its_place(rig: Rig) -> None:
     balancer, other = await rig.balancer(), await rig.balancer()
     blocking = balancer.ask("look", fields())
     running = await rig.command("EXEC", "look")
     held = balancer.ask("pay", fields(once="h"))
     await gets_health(balancer)
     repeat = other.ask("pay", fields(once="h", retry="1"))
-    await fails(held, "Backoff")
+    await expect_error(held, "Backoff")
     rig.executor.exit(running, result=b"done")
-    await gets(blocking, b"done")
+    await expect_result(blocking, b"done")
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid")
-    await gets(repeat, b"paid")
+    await expect_result(repeat, b"paid")
 
 
-@played()
+@with_server()
 async def test_a_reset_loses_only_the_answer(rig: Rig) -> None:
     """The run goes on, and its result is there for a repeat on another connection."""
     gone, other = await rig.balancer(), await rig.balancer()
     gone.ask("pay", fields(once="k"))
     id = await rig.command("EXEC", "pay")
     gone.reset()
-    await until(lambda: "reason=peer_reset" in rig.log())
+    await wait_until(lambda: "reason=peer_reset" in rig.log())
     repeat = other.ask("pay", fields(once="k", retry="1"))
     await gets_health(other)
     rig.executor.exit(id, result=b"paid")
-    await gets(repeat, b"paid")
+    await expect_result(repeat, b"paid")
 
 
 PROVEN = [(503, True, b""), (409, True, b"")]
@@ -345,17 +354,17 @@
                 assert await rig.command("RETURN") == id
                 assert rig.catalogue.calls == [(id, b"what")] * 2
                 rig.executor.exit(id, result=b"well")
-                await gets(answer, b"well")
+                await expect_result(answer, b"well")
             else:
-                await fails(answer, "Voided")
+                await expect_error(answer, "Voided")
                 assert rig.catalogue.calls == [(id, b"what")]
                 rig.executor.exit(id, "KILLED")
 
     asyncio.run(play())
 
 
-@played()
-async def test_good_replies_with_more_than_belongs_to_them(rig: Rig) -> None:
+@with_server()
+async def test_valid_replies_with_surplus_bytes(rig: Rig) -> None:
     """They are good, and a connection with something behind its reply is not used again."""
     balancer = await rig.balancer()
     for count, reply in enumerate([*GOOD, GOOD[0]]):
@@ -366,11 +375,11 @@
         assert await rig.command("RETURN") == id
         assert rig.executor.bodies[id] == b"well"
         rig.executor.exit(id, result=b"done")
-        await gets(answer, b"done")
+        await expect_result(answer, b"done")
     assert rig.catalogue.links == len(GOOD)
 
 
-@played()
+@with_server()
 async def test_a_call_that_no_run_waits_for(rig: Rig) -> None:
     """The run's end, which follows, comes before another call is made."""
     balancer = await rig.balancer()
@@ -378,14 +387,14 @@
     answer = balancer.ask("look", fields())
     id = await rig.command("EXEC", "look")
     rig.executor.callout(id)
-    await until(lambda: "outcome=no_longer_needed" in rig.log())
+    await wait_until(lambda: "outcome=no_longer_needed" in rig.log())
     rig.executor.exit(id, "KILLED")
-    await fails(answer, "Voided")
+    await expect_error(answer, "Voided")
     assert len(rig.catalogue.calls) == 1
 
 
-@played(n_cores=4)
-async def test_catalogue_down_and_kept_connections_closed(rig: Rig) -> None:
+@with_server(n_cores=4)
+async def test_the_downstream_is_down_and_its_idle_connections_close(rig: Rig) -> None:
     balancer = await rig.balancer()
     # A call that may not be repeated has a connection of its own: a kept one may be forgotten at
     # its other end.
@@ -395,22 +404,22 @@
         rig.executor.callout(id)
         assert await rig.command("RETURN") == id
         rig.executor.exit(id, result=b"paid")
-        await gets(answer, b"paid")
+        await expect_result(answer, b"paid")
         assert rig.catalogue.links == links
     address = rig.catalogue.address
     await rig.catalogue.stop()
     answer = balancer.ask("pay", fields(once="k9"))
     id = await rig.command("EXEC", "pay")
     rig.executor.callout(id)
-    await until(lambda: "side=downstream reason=connection_refused" in rig.log())
+    await wait_until(lambda: "side=downstream reason=connection_refused" in rig.log())
     rig.catalogue = await Catalogue(rig.reply).start(address)
     assert await rig.command("RETURN") == id
     rig.executor.exit(id, result=b"paid")
-    await gets(answer, b"paid")
+    await expect_result(answer, b"paid")
 
 
-@played(calls_out=1.0, n_cores=4)
-async def test_calls_open_stay_within_the_pool(rig: Rig) -> None:
+@with_server(calls_out=1.0, n_cores=4)
+async def test_open_calls_stay_within_the_pool(rig: Rig) -> None:
     balancer = await rig.balancer()
     answers = [balancer.ask("look", fields()) for _ in range(4)]
     ids = [await rig.command("EXEC", "look") for _ in answers]
@@ -419,26 +428,26 @@
     for _ in answers:
         rig.executor.exit(await rig.command("RETURN"), result=b"well")
     for answer in answers:
-        await gets(answer, b"well")
+        await expect_result(answer, b"well")
     assert rig.catalogue.most == 1
 
 
-@played(deadline=1000000, aim=900000)
-async def test_silent_catalogue_past_the_patience(rig: Rig) -> None:
+@with_server(deadline=1000000, aim=900000)
+async def test_a_silent_downstream_past_the_timeout(rig: Rig) -> None:
     balancer = await rig.balancer()
     rig.replies = ["silence"]
     answer = balancer.ask("pay", fields(once="k", cost="1"))
     id = await rig.command("EXEC", "pay")
     rig.executor.callout(id)
-    await fails(answer, "Voided")
-    assert await soon(rig.catalogue.given_up.get()) == id
+    await expect_error(answer, "Voided")
+    assert await within_timeout(rig.catalogue.given_up.get()) == id
     rig.executor.exit(id, "KILLED")
 
 
-@played()
-async def test_reports_to_the_name_service(rig: Rig) -> None:
+@with_server()
+async def test_health_is_reported_to_the_name_service(rig: Rig) -> None:
     asked = rig.executor.asked
-    reports = [await soon(rig.naming.reports.get()) for _ in range(32)]
+    reports = [await within_timeout(rig.naming.reports.get()) for _ in range(32)]
     # Four a second at least, by the rounds of the decisions, each of which asks for the gauges: one
     # in four is lost. Over so many that a moment in which we stand still ourselves, and do not
     # count what comes, weighs little.
@@ -447,11 +456,11 @@
     await gets_one(rig, await rig.balancer())
     rig.process.send_signal(signal.SIGTERM)
     while reports[-1] == "renew n1 yes":
-        reports.append(await soon(rig.naming.reports.get()))
+        reports.append(await within_timeout(rig.naming.reports.get()))
     assert reports[-1] == "renew n1 no"
 
 
-def test_reports_keep_their_pace_in_a_late_process(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_health_reports_keep_their_pace_in_a_late_process(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each rest takes 0.09 s more than it should; once the process stands still for ten seconds."""
     now, at = 0, list[int]()
 
@@ -478,17 +487,17 @@
     assert at[99] - at[50] <= 49 * NS_PER_SECOND // 5 + 90 * NS_PER_MS
 
 
-@played()
+@with_server()
 async def test_a_silent_name_service_changes_nothing(rig: Rig) -> None:
     balancer = await rig.balancer()
-    await soon(rig.naming.reports.get())
+    await within_timeout(rig.naming.reports.get())
     rig.naming.transport.close()
     await gets_health(balancer)
     await gets_one(rig, balancer)
 
 
-@played(n_cores=1)
-async def test_drain_answers_all(rig: Rig) -> None:
+@with_server(n_cores=1)
+async def test_a_drain_answers_all_requests(rig: Rig) -> None:
     """What runs, what is held, and what waits on a connection the program has not yet accepted."""
     balancer = await rig.balancer()
     answers = [balancer.ask("look", fields()) for _ in range(2)]
@@ -504,27 +513,27 @@
     for _ in range(2):
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"done")
     for answer in [*answers, last]:
-        await gets(answer, b"done")
-    await soon(asyncio.gather(balancer.shutdown.wait(), backlog.shutdown.wait()))
+        await expect_result(answer, b"done")
+    await within_timeout(asyncio.gather(balancer.shutdown.wait(), backlog.shutdown.wait()))
     balancer.close()
     backlog.close()
-    assert await soon(rig.process.wait()) == 0
+    assert await within_timeout(rig.process.wait()) == 0
     assert "unanswered=0" in rig.log()
     assert rig.log().count("reason=shutdown") == 2
 
 
-@played(n_cores=1, stop_ms=2000)
-async def test_drain_with_a_run_that_does_not_end(rig: Rig) -> None:
+@with_server(n_cores=1, stop_ms=2000)
+async def test_a_drain_with_a_run_that_does_not_end(rig: Rig) -> None:
     balancer = await rig.balancer()
     answer = balancer.ask("look", fields())
     await rig.command("EXEC", "look")
     rig.process.send_signal(signal.SIGTERM)
-    await fails(answer, "Voided")
-    assert await soon(rig.process.wait()) == 0
+    await expect_error(answer, "Voided")
+    assert await within_timeout(rig.process.wait()) == 0
 
 
-@played(n_cores=32, memory_kb=200000)
-async def test_slow_reader_holds_up_nobody(rig: Rig) -> None:
+@with_server(n_cores=32, memory_kb=200000)
+async def test_a_slow_reader_delays_nobody_else(rig: Rig) -> None:
     slow, other = await rig.balancer(), await rig.balancer()
     slow.writer.transport.pause_reading()  # type: ignore[attr-defined]
     for _ in range(32):
@@ -532,16 +541,16 @@
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"y" * 4096)
     await gets_one(rig, other)
     slow.writer.transport.resume_reading()  # type: ignore[attr-defined]
-    await until(lambda: slow.answers == 32)
+    await wait_until(lambda: slow.answers == 32)
 
 
-@played(n_cores=32, memory_kb=200000)
-async def test_one_that_never_reads_is_let_go(rig: Rig) -> None:
+@with_server(n_cores=32, memory_kb=200000)
+async def test_a_peer_that_never_reads_is_disconnected(rig: Rig) -> None:
     greedy = await rig.balancer(buffer=8192)
     greedy.writer.transport.pause_reading()  # type: ignore[attr-defined]
     for _ in range(4000):
         greedy.ask("look", fields())
-        await until(
+        await wait_until(
             lambda: "reason=slow_consumer" in rig.log() or not rig.executor.commands.empty()
         )
         if "reason=slow_consumer" in rig.log():
@@ -553,11 +562,11 @@
     while (id := await rig.command("EXEC", "look")) != other["id"]:
         rig.executor.exit(id)
     rig.executor.exit(id, result=b"one")
-    await gets(answer, b"one")
+    await expect_result(answer, b"one")
 
 
-@played()
-async def test_pause_of_the_machine(rig: Rig) -> None:
+@with_server()
+async def test_a_pause_of_the_process(rig: Rig) -> None:
     balancer = await rig.balancer()
     answer = balancer.ask("look", fields())
     id = await rig.command("EXEC", "look")
@@ -565,11 +574,11 @@
     rig.executor.exit(id, result=b"done")
     await asyncio.sleep(0.5)
     rig.process.send_signal(signal.SIGCONT)
-    await gets(answer, b"done")
+    await expect_result(answer, b"done")
     await gets_one(rig, balancer)
 
 
-@played(before="ulimit -n 24;")
+@with_server(before="ulimit -n 24;")
 async def test_out_of_descriptors(rig: Rig) -> None:
     """Those that never said anything go for whoever comes: the newest is served though nobody went
     by itself.
@@ -577,7 +586,7 @@
     first = await rig.balancer()
     await gets_one(rig, first)
     others = [await rig.balancer() for _ in range(24)]
-    assert (await soon(others[-1].health()))[1][0] is True
+    assert (await within_timeout(others[-1].health()))[1][0] is True
     assert "reason=connection_limit" in rig.log()
     assert not first.ended.is_set()
     await gets_one(rig, first)
@@ -593,7 +602,7 @@
     resource.prlimit(rig.process.pid, resource.RLIMIT_NOFILE, (most, most))
 
 
-@played(n_cores=64, memory_kb=200000)
+@with_server(n_cores=64, memory_kb=200000)
 async def test_out_of_descriptors_with_all_in_use(rig: Rig) -> None:
     """Nobody is cut off who waits for an answer; newcomers wait in the kernel, and accepting does
     not spin.
@@ -604,7 +613,7 @@
     ids = [await rig.command("EXEC", "look") for _ in answers]
     newcomer = await rig.balancer()
     checked = newcomer.health()
-    await until(lambda: "event=accept_failed" in rig.log())
+    await wait_until(lambda: "event=accept_failed" in rig.log())
     before, began = used(rig), time.monotonic()
     await asyncio.sleep(0.5)
     assert used(rig) - before < 0.5 * (time.monotonic() - began)
@@ -612,8 +621,8 @@
     for id in ids:
         rig.executor.exit(id, result=b"done")
     for answer in answers:
-        await gets(answer, b"done")
-    assert (await soon(checked))[1][0] is True
+        await expect_result(answer, b"done")
+    assert (await within_timeout(checked))[1][0] is True
 
 
 def used(rig: Rig) -> float:
@@ -630,9 +639,9 @@
     descriptors.
     """
 
-    @played(n_cores=4)
+    @with_server(n_cores=4)
     async def story(rig: Rig) -> None:
-        await soon(rig.naming.reports.get())
+        await within_timeout(rig.naming.reports.get())
         rig.naming.transport.close()
         balancer = await rig.balancer()
         open_there, called = balancer.ask("look", fields()), balancer.ask("pay", fields(once="k"))
@@ -644,12 +653,12 @@
             for _ in range(12):
                 client = await rig.balancer()
                 if asked:
-                    await soon(client.health())
+                    await within_timeout(client.health())
 
         await fill()
         rig.executor.drop()
         rig.executor.exit(id, result=b"done")
-        await gets(open_there, b"done")
+        await expect_result(open_there, b"done")
         assert len(rig.executor.joins) == 2
         await fill()
         rig.executor.callout(calling)
@@ -658,21 +667,21 @@
         rig.naming = await NameService().start()
         rig.told["naming"] = rig.naming.address
         rig.reload()
-        assert await soon(rig.naming.reports.get()) == "renew n1 yes"
+        assert await within_timeout(rig.naming.reports.get()) == "renew n1 yes"
         await fill()
         await gets_one(rig, await rig.balancer())
         rig.executor.exit(calling, result=b"paid")
-        await gets(called, b"paid")
+        await expect_result(called, b"paid")
         assert "event=accept_failed" not in rig.log()
 
     story(tmp_path)
 
 
-@played()
-async def test_one_whose_bytes_lie_unread_is_not_let_go_for_a_newcomer(rig: Rig) -> None:
+@with_server()
+async def test_a_peer_with_unread_bytes_is_not_closed_for_a_new_one(rig: Rig) -> None:
     clients = [await rig.balancer() for _ in range(6)]
     for client in clients:
-        await soon(client.health())
+        await within_timeout(client.health())
     allow(rig, 0)
     rig.process.send_signal(signal.SIGSTOP)
     answers = [client.health() for client in clients[:5]]
@@ -682,8 +691,8 @@
     checked = newcomer.health()
     rig.process.send_signal(signal.SIGCONT)
     for answer in [*answers, checked]:
-        assert (await soon(answer))[1][0] is True
-    await soon(clients[5].ended.wait())
+        assert (await within_timeout(answer))[1][0] is True
+    await within_timeout(clients[5].ended.wait())
 
 
 def request(number: Any, method: Any, params: Any) -> bytes:
@@ -719,7 +728,7 @@
 }
 
 
-@played()
+@with_server()
 async def test_bad_input_ends_that_connection_alone(rig: Rig) -> None:
     good = await rig.balancer()
     pending = good.ask("look", fields())
@@ -731,32 +740,32 @@
                 number: asyncio.get_running_loop().create_future() for number in range(1, 5)
             }
             bad.writer.write(data)
-            await soon(bad.ended.wait())
+            await within_timeout(bad.ended.wait())
             ended = f"peer={peer(bad)} reason={reason} requests"
-            await until(lambda: rig.log().count(ended) == 1)
-    await fails(good.ask("look", fields(id=id)), "BadRequest")
+            await wait_until(lambda: rig.log().count(ended) == 1)
+    await expect_error(good.ask("look", fields(id=id)), "BadRequest")
     rig.executor.exit(id, result=b"fine")
-    await gets(pending, b"fine")
+    await expect_result(pending, b"fine")
 
 
-@played()
-async def test_one_that_begins_late_is_unfinished_not_silent(rig: Rig) -> None:
+@with_server()
+async def test_a_peer_that_begins_late_is_unfinished_not_silent(rig: Rig) -> None:
     """Its first bytes come well after it connected, so that a look at it falls between the two
     bounds.
     """
     late = await rig.balancer()
     await asyncio.sleep(0.6)
     late.writer.write(b"\x94")
-    await soon(late.ended.wait())
-    await until(lambda: f"peer={peer(late)} reason=message_timeout requests" in rig.log())
+    await within_timeout(late.ended.wait())
+    await wait_until(lambda: f"peer={peer(late)} reason=message_timeout requests" in rig.log())
 
 
 def peer(balancer: Any) -> str:
     return "%s:%d" % balancer.writer.get_extra_info("sockname")
 
 
-@played(n_cores=1)
-async def test_bad_input_ends_what_else_is_open_there_at_once(rig: Rig) -> None:
+@with_server(n_cores=1)
+async def test_bad_input_ends_the_open_requests_of_its_connection_at_once(rig: Rig) -> None:
     """No result goes to whoever sends it; what was held leaves, and a referenced run is kept for
     its repeat.
     """
@@ -764,17 +773,17 @@
     ran, held = bad.ask("pay", fields(once="k")), bad.ask("look", fields())
     id = await rig.command("EXEC", "pay")
     bad.writer.write(b"\xc1")
-    await fails(ran, "Voided")
-    await fails(held, "Voided")
-    await soon(bad.ended.wait())
+    await expect_error(ran, "Voided")
+    await expect_error(held, "Voided")
+    await within_timeout(bad.ended.wait())
     rig.executor.exit(id, result=b"paid")
-    await gets(other.ask("pay", fields(once="k", retry="1")), b"paid")
+    await expect_result(other.ask("pay", fields(once="k", retry="1")), b"paid")
     await gets_health(other)
     assert rig.executor.commands.empty()
 
 
-@played()
-async def test_txns_that_can_not_be_read_are_answered(rig: Rig) -> None:
+@with_server()
+async def test_malformed_requests_are_answered(rig: Rig) -> None:
     short, old = fields(), str(int(fields()["at"]) - 13000)
     del short["kb"]
     for product, told in [
@@ -798,24 +807,24 @@
         ("look", fields(cost=" 1")),
     ]:
         balancer = await rig.balancer()
-        await fails(balancer.ask(product, told), "BadRequest")
+        await expect_error(balancer.ask(product, told), "BadRequest")
         await gets_one(rig, balancer)
 
 
-@played(n_cores=64, memory_kb=200000)
-async def test_more_open_than_there_may_be(rig: Rig) -> None:
+@with_server(n_cores=64, memory_kb=200000)
+async def test_more_connections_than_allowed(rig: Rig) -> None:
     balancer = await rig.balancer()
     answers = [balancer.ask("look", fields()) for _ in range(34)]
     for answer in answers[32:]:
-        await fails(answer, "BadRequest")
+        await expect_error(answer, "BadRequest")
     for answer in answers[:32]:
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"one")
     for answer in answers[:32]:
-        await gets(answer, b"one")
+        await expect_result(answer, b"one")
 
 
-@played(sockets=72)
-async def test_the_silent_make_room_for_those_that_ask(rig: Rig) -> None:
+@with_server(sockets=72)
+async def test_silent_connections_make_room_for_those_that_ask(rig: Rig) -> None:
     """The table holds 36: one with a txn open stays, those that never asked go for whoever
     comes.
     """
@@ -824,7 +833,7 @@
     id = await rig.command("EXEC", "look")
     for _ in range(80):
         await rig.balancer()
-    await until(
+    await wait_until(
         lambda: (
             "event=log_lines_dropped" in rig.log()
             or rig.log().count("reason=connection_limit") == 45
@@ -832,10 +841,10 @@
     )  # of 81
     await gets_one(rig, await rig.balancer())
     rig.executor.exit(id, result=b"done")
-    await gets(answer, b"done")
+    await expect_result(answer, b"done")
 
 
-@played()
+@with_server()
 async def test_a_flood_of_connections_leaves_few_lines(rig: Rig) -> None:
     while "event=log_lines_dropped" not in rig.log():
         (await rig.balancer()).close()
@@ -844,40 +853,40 @@
     assert rig.log().count("side=balancer") < count + 200
 
 
-@played(idle=200000)
+@with_server(idle=200000)
 async def test_a_peer_that_ignores_shutdown_is_closed(rig: Rig) -> None:
     deaf = await rig.balancer()
     await gets_one(rig, deaf)
-    await soon(deaf.shutdown.wait())
-    await soon(deaf.ended.wait())
+    await within_timeout(deaf.shutdown.wait())
+    await within_timeout(deaf.ended.wait())
 
 
-@played()
+@with_server()
 async def test_a_half_closed_peer_gets_its_answers(rig: Rig) -> None:
     half = await rig.balancer()
     answer = half.ask("look", fields())
     half.writer.write_eof()
     rig.executor.exit(await rig.command("EXEC", "look"), result=b"heard")
-    await gets(answer, b"heard")
-    await soon(half.ended.wait())
+    await expect_result(answer, b"heard")
+    await within_timeout(half.ended.wait())
 
 
-@played(n_cores=1)
-async def test_what_was_held_for_a_lost_connection_leaves(rig: Rig) -> None:
+@with_server(n_cores=1)
+async def test_queued_requests_of_a_lost_connection_are_dropped(rig: Rig) -> None:
     gone, other = await rig.balancer(), await rig.balancer()
     gone.ask("look", fields())
     id = await rig.command("EXEC", "look")
     gone.ask("look", fields())
     await gets_health(gone)
     gone.reset()
-    await until(lambda: "reason=peer_reset" in rig.log())
+    await wait_until(lambda: "reason=peer_reset" in rig.log())
     rig.executor.exit(id, result=b"unheard")
     await gets_one(rig, other)
     assert rig.executor.commands.empty()
 
 
-@played(n_cores=2)
-async def test_a_mark_with_another_body_is_another_txn(rig: Rig) -> None:
+@with_server(n_cores=2)
+async def test_a_key_with_another_body_is_another_request(rig: Rig) -> None:
     """Unknown to the executor, it is voided; neither it nor an unknown id stops a true try, or its
     repeat.
     """
@@ -887,23 +896,23 @@
     answer = good.ask("pay", fields(once="k"), b"true")
     id = await rig.command("EXEC", "pay")
     rig.executor.say(f"BAD EXEC {unknown}\r\n".encode())
-    await fails(forged, "Voided")
+    await expect_error(forged, "Voided")
     rig.executor.exit(id, result=b"paid")
-    await gets(answer, b"paid")
+    await expect_result(answer, b"paid")
     guessed = bad.ask("pay", fields(once="q"), b"true")
     unknown = await rig.command("EXEC", "pay")
     waiting = good.ask("pay", fields(once="q"), b"true")
     await gets_health(good)
     rig.executor.say(f"BAD EXEC {unknown}\r\n".encode())
-    await fails(guessed, "Voided")
-    await fails(waiting, "Backoff")
+    await expect_error(guessed, "Voided")
+    await expect_error(waiting, "Backoff")
     again = good.ask("pay", fields(once="q"), b"true")
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid")
-    await gets(again, b"paid")
-    assert (await soon(good.health()))[1][0] is True
+    await expect_result(again, b"paid")
+    assert (await within_timeout(good.health()))[1][0] is True
 
 
-@played()
+@with_server()
 async def test_garbage_from_the_executor(rig: Rig) -> None:
     balancer = await rig.balancer()
     answer = balancer.ask("look", fields())
@@ -923,9 +932,9 @@
     ):
         rig.executor.notify("LOG the next is garbage")
         rig.executor.say(line)
-        await until(lambda: len(rig.executor.joins) == count)
+        await wait_until(lambda: len(rig.executor.joins) == count)
     rig.executor.exit(id, result=b"still")
-    await gets(answer, b"still")
+    await expect_result(answer, b"still")
     assert rig.log().count("side=executor reason=malformed") == 8
 
 
@@ -989,7 +998,7 @@
 @pytest.mark.parametrize(
     ("path", "value"), ABSURD, ids=[f"{path}={value}" for path, value in ABSURD]
 )
-def test_absurd_settings_end_the_start_with_their_place(
+def test_invalid_settings_end_the_start_with_their_place(
     path: str, value: Any, tmp_path: Path
 ) -> None:
     known = path.replace(".0.", "[0].").replace(".1.", "[1].")
@@ -998,7 +1007,7 @@
     assert f"{known}: " in refused(changed(path, value), tmp_path)
 
 
-def test_all_faults_of_a_configuration_are_told_at_once(tmp_path: Path) -> None:
+def test_all_faults_of_a_configuration_are_named_at_once(tmp_path: Path) -> None:
     told = json.loads(json.dumps(GIVEN))
     told["seed"], told["limits"]["sockets"], told["settings"]["tenants"] = (
         "q",
@@ -1035,16 +1044,16 @@
     return done.stderr
 
 
-@played()
+@with_server()
 async def test_an_unusable_configuration_at_a_reload_changes_nothing(rig: Rig) -> None:
     for count, (path, value) in enumerate(ABSURD, 1):
         (rig.folder / "configuration.json").write_text(changed(path, value))
         rig.process.send_signal(signal.SIGHUP)
-        await until(lambda: rig.log().count("event=reload_failed") == count)
+        await wait_until(lambda: rig.log().count("event=reload_failed") == count)
     await gets_one(rig, await rig.balancer())
 
 
-@played(warm_up=0, cold_from=0.2)
+@with_server(warm_up=0, cold_from=0.2)
 async def test_a_warm_up_of_no_time_is_over_at_once(rig: Rig) -> None:
     """Nothing divides by it, and a server that starts cold so serves."""
     rig.executor.restart()
@@ -1070,7 +1079,7 @@
     assert (done.returncode, done.stdout, done.stderr.count(b"\n")) == (2, b"", 1), done
 
 
-def test_a_server_that_calls_nothing_is_told_of_no_catalogue(tmp_path: Path) -> None:
+def test_a_server_without_a_downstream(tmp_path: Path) -> None:
     """Those of a last tier: without `catalog`, they start, serve and reload. A run that calls all
     the same is ended.
     """
@@ -1084,18 +1093,18 @@
             answer = balancer.ask("pay", fields(once="k"))
             id = await rig.command("EXEC", "pay")
             rig.reload()
-            await until(lambda: "event=reloaded" in rig.log())
+            await wait_until(lambda: "event=reloaded" in rig.log())
             assert " downstream=none " in rig.log()
             rig.executor.callout(id)
-            await until(lambda: f"event=call_failed id={id} outcome=unreachable" in rig.log())
+            await wait_until(lambda: f"event=call_failed id={id} outcome=unreachable" in rig.log())
             rig.executor.exit(id, "KILLED")
-            await fails(answer, "Voided")
+            await expect_error(answer, "Voided")
             assert not rig.catalogue.calls
 
     asyncio.run(play())
 
 
-@played(n_cores=4)
+@with_server(n_cores=4)
 async def test_reloads_move_to_new_addresses(rig: Rig) -> None:
     """Runs, notice numbers and a call in flight carry on; what the old link lost is said on the new
     one.
@@ -1105,11 +1114,11 @@
     ran, calling = await rig.command("EXEC", "look"), await rig.command("EXEC", "pay")
     rig.replies = ["silence"]
     old.callout(calling)
-    await until(lambda: below.calls)
+    await wait_until(lambda: below.calls)
     await rig.proven()
     old.deaf = True
     third = balancer.ask("look", fields(), b"lost")
-    await until(lambda: old.lost)
+    await wait_until(lambda: old.lost)
     rig.executor, rig.naming = Executor(), NameService()
     rig.executor.notices = old.notices
     rig.catalogue = Catalogue(rig.reply)
@@ -1123,42 +1132,42 @@
     again = await rig.command("EXEC", "look")
     assert rig.executor.bodies[again] == b"lost"
     assert rig.executor.joins == [1]
-    assert await soon(rig.naming.reports.get()) == "renew n1 yes"
+    assert await within_timeout(rig.naming.reports.get()) == "renew n1 yes"
     rig.executor.callout(again)
     assert await rig.command("RETURN") == again
     assert len(rig.catalogue.calls) == 1
     for id, answer in ((again, third), (ran, first)):
         rig.executor.exit(id, result=id.encode())
-        await gets(answer, id.encode())
+        await expect_result(answer, id.encode())
     assert not called.done()
     assert len(below.calls) == 1
     rig.executor.exit(calling, result=b"paid")
-    await gets(called, b"paid")
+    await expect_result(called, b"paid")
     rig.told["catalog"] = "nowhere"
     rig.reload()
-    await until(lambda: "event=reload_failed" in rig.log())
+    await wait_until(lambda: "event=reload_failed" in rig.log())
     rig.executor.drop()
     await gets_one(rig, balancer)
     await below.stop()
 
 
-@played(n_cores=1)
+@with_server(n_cores=1)
 async def test_a_reload_in_a_drain(rig: Rig) -> None:
     balancer = await rig.balancer()
     answer = balancer.ask("look", fields())
     id = await rig.command("EXEC", "look")
     rig.process.send_signal(signal.SIGTERM)
-    await until(lambda: "event=shutdown_started" in rig.log())
+    await wait_until(lambda: "event=shutdown_started" in rig.log())
     rig.naming = await NameService().start()
     rig.told["naming"] = rig.naming.address
     rig.reload()
-    assert await soon(rig.naming.reports.get()) == "renew n1 no"
+    assert await within_timeout(rig.naming.reports.get()) == "renew n1 no"
     rig.executor.exit(id, result=b"done")
-    await gets(answer, b"done")
+    await expect_result(answer, b"done")
 
 
-@played(before=f"{TRAP} kill -HUP $$; (while kill -HUP $$; do sleep 0.01; done) &")
+@with_server(before=f"{TRAP} kill -HUP $$; (while kill -HUP $$; do sleep 0.01; done) &")
 async def test_reloads_from_the_first_moment_on(rig: Rig) -> None:
     """SIGHUP before the program is there, while it starts and as it serves: it never ends it."""
-    await until(lambda: rig.log().count("event=reloaded") > 20)
+    await wait_until(lambda: rig.log().count("event=reloaded") > 20)
     await gets_one(rig, await rig.balancer())
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -1,6 +1,4 @@
-"""Levels on the real program over sockets, and the commands that an operator has for them and for
-the lab.
-"""
+"""Service levels of the program over sockets, and an operator's commands for them and for the lab."""
 
 import asyncio
 import json
@@ -10,63 +8,85 @@
 from typing import Any
 
 import pytest
-from rig import ROOT, Rig, fails, gets, played, until
+from rig import ROOT, Rig, expect_error, expect_result, wait_until, with_server
 from test_command import burlloom
 
 from burlloom.fakes.parts import fields
 
+IMPOSSIBLE_LEVELS = {
+    "stay_ms": 9000,
+    "stay_most_ms": 10,
+    "levels": [
+        {"name": "normal"},
+        {
+            "name": "lean",
+            "when": {"age": {"enter": 0.1, "leave": 0.2}, "heat": {"leave": 1}},
+            "products": ["buy"],
+        },
+    ],
+    "cold": "frozen",
+}
+FAULTS_OF_IMPOSSIBLE_LEVELS = (
+    ("levels.levels.1 (lean).age", "left at 0.2, which is not below"),
+    ("levels.levels.1 (lean).heat", "no such signal"),
+    ("levels.cold", "no level 'frozen'"),
+    ("levels.stay_most_ms", "under stay_ms"),
+)
+
 
-def leveled(folder: Path) -> dict[str, Any]:
+def with_level_files(folder: Path) -> dict[str, Any]:
     return {"levels": {"pin_file": str(folder / "pin"), "state_file": str(folder / "state")}}
 
 
-async def command(rig: Rig, *words: Any, status: int = 0) -> str:
+async def levels_command(rig: Rig, *words: Any, status: int = 0) -> str:
     return await asyncio.to_thread(
         burlloom, "levels", *words, "-o", rig.folder / "operator.jsonnet", status=status
     )
 
 
-@played(operator=leveled, n_cores=4, memory_kb=200000)
-async def test_a_pinned_node_gives_up_all_but_what_ran(rig: Rig) -> None:
+@with_server(operator=with_level_files, n_cores=4, memory_kb=200000)
+async def test_a_server_pinned_to_drain_serves_only_completed_requests(rig: Rig) -> None:
     balancer = await rig.balancer()
     told = fields(once="k1")
     first = balancer.ask("pay", told, b"charge")
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"receipt")
-    await gets(first, b"receipt")
-    assert "say --force" in await command(rig, "pin", "drain", "--for-s", "60", status=2)
-    assert "is none of normal, lean" in await command(
+    await expect_result(first, b"receipt")
+    assert "say --force" in await levels_command(rig, "pin", "drain", "--for-s", "60", status=2)
+    assert "is none of normal, lean" in await levels_command(
         rig, "pin", "asleep", "--for-s", "60", status=2
     )
-    assert "pinned to drain" in await command(
+    assert "pinned to drain" in await levels_command(
         rig, "pin", "drain", "--for-s", "60", "--force", "--reason", "drill"
     )
-    await until(lambda: "event=service_level_changed effect=pin from=normal to=drain" in rig.log())
+    await wait_until(
+        lambda: "event=service_level_changed effect=pin from=normal to=drain" in rig.log()
+    )
     for product in ("look", "pay"):
-        said = await fails(
+        said = await expect_error(
             balancer.ask(product, fields(once="k2") if product == "pay" else fields()), "Backoff"
         )
         assert said["say"] == "1.0000"
         assert said["last"] == "1"
         assert int(said["after"]) >= 1
-    await gets(
+    await expect_result(
         balancer.ask("pay", {**told, "id": fields()["id"], "retry": "1"}, b"charge"), b"receipt"
     )
-    state = await command(rig, "show")
+    state = await levels_command(rig, "show")
     assert "* 4 drain" in state
     assert "at drain (pinned)" in state
     assert "at most 4 changes" in state
-    assert "pinned: drain (drill)" in await command(rig, "explain")
-    assert "released" in await command(rig, "release")
-    await until(
+    assert "pinned: drain (drill)" in await levels_command(rig, "explain")
+    assert "released" in await levels_command(rig, "release")
+    await wait_until(
         lambda: "event=service_level_changed effect=release from=drain to=highest" in rig.log()
     )
     again = balancer.ask("pay", fields(once="k3"))
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"second")
-    await gets(again, b"second")
+    await expect_result(again, b"second")
     assert rig.executor.commands.empty()
 
 
-@played(
+@with_server(
     operator=lambda folder: {
         "levels": {
             "kept_ms": {"look": 60000},
@@ -80,42 +100,44 @@
     n_cores=4,
     memory_kb=200000,
 )
-async def test_kept_results_stand_in_only_at_a_level_that_says_so(rig: Rig) -> None:
+async def test_cached_results_are_served_only_at_a_level_that_allows_them(rig: Rig) -> None:
     balancer = await rig.balancer()
     for n in range(2):  # in normal service each is read anew
         answer = balancer.ask("look", fields(key="page1"))
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"read %d" % n)
-        await gets(answer, b"read %d" % n)
-    await command(rig, "pin", "kept", "--for-s", "60")
-    await until(lambda: "event=service_level_changed effect=pin from=normal to=kept" in rig.log())
-    await gets(balancer.ask("look", fields(key="page1")), b"read 1")
-    await fails(balancer.ask("look", fields(key="page2")), "Backoff")
+        await expect_result(answer, b"read %d" % n)
+    await levels_command(rig, "pin", "kept", "--for-s", "60")
+    await wait_until(
+        lambda: "event=service_level_changed effect=pin from=normal to=kept" in rig.log()
+    )
+    await expect_result(balancer.ask("look", fields(key="page1")), b"read 1")
+    await expect_error(balancer.ask("look", fields(key="page2")), "Backoff")
     pay = balancer.ask("pay", fields(once="k1"))
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"receipt")
-    await gets(pay, b"receipt")
+    await expect_result(pay, b"receipt")
     assert rig.executor.commands.empty()
 
 
-@played(
+@with_server(
     operator=lambda folder: {
-        **leveled(folder),
+        **with_level_files(folder),
         "record": {"sqlite": {"path": str(folder / "record.db")}},
     },
     n_cores=4,
 )
-async def test_a_node_knows_the_level_that_it_died_at(rig: Rig) -> None:
-    await command(rig, "pin", "essential", "--for-s", "60")
-    await until(lambda: "to=essential" in rig.log())
+async def test_a_server_starts_at_the_level_at_which_it_was_killed(rig: Rig) -> None:
+    await levels_command(rig, "pin", "essential", "--for-s", "60")
+    await wait_until(lambda: "to=essential" in rig.log())
 
     def noted() -> bool:  # the record's thread writes it meanwhile
         with closing(sqlite3.connect(rig.folder / "record.db")) as db:
             return bool(db.execute("SELECT 1 FROM node WHERE note = 'essential'").fetchall())
 
-    await until(noted)
+    await wait_until(noted)
     (rig.folder / "pin").unlink()
     await rig.kill()
     await rig.begin()
-    await until(
+    await wait_until(
         lambda: (
             "event=service_levels_started level=essential cold=False previous_level=essential"
             in rig.log()
@@ -123,46 +145,23 @@
     )
 
 
-def test_levels_that_can_not_be(tmp_path: Path) -> None:
+def test_check_names_all_faults_of_the_levels(tmp_path: Path) -> None:
+    path = tmp_path / "operator.jsonnet"
+    path.write_text(json.dumps({"levels": IMPOSSIBLE_LEVELS}))
+    lines = burlloom("check", "-o", path, status=2).splitlines()
+    for place, fault in FAULTS_OF_IMPOSSIBLE_LEVELS:
+        assert any(f"{path}: {place}: " in line and fault in line for line in lines), (place, lines)
+
+
+def test_check_names_classes_that_the_platform_does_not_have(tmp_path: Path) -> None:
     path = tmp_path / "operator.jsonnet"
-    path.write_text(
-        json.dumps(
-            {
-                "levels": {
-                    "stay_ms": 9000,
-                    "stay_most_ms": 10,
-                    "levels": [
-                        {"name": "normal"},
-                        {
-                            "name": "lean",
-                            "when": {"age": {"enter": 0.1, "leave": 0.2}, "heat": {"leave": 1}},
-                            "products": ["buy"],
-                        },
-                    ],
-                    "cold": "frozen",
-                }
-            }
-        )
-    )
-    said = burlloom("check", "-o", path, status=2)
-    for place, fault in (
-        ("levels.levels.1 (lean).age", "left at 0.2, which is not below"),
-        ("levels.levels.1 (lean).heat", "no such signal"),
-        ("levels.cold", "no level 'frozen'"),
-        ("levels.stay_most_ms", "under stay_ms"),
-    ):
-        assert any(f"{path}: {place}: " in line and fault in line for line in said.splitlines()), (
-            place,
-            said,
-        )
     path.write_text(json.dumps({"levels": {"kept_ms": {"buy": 5}}}))
-    said = burlloom(
-        "check", "-o", path, "--config", ROOT / "examples" / "configuration.json", status=2
-    )
-    assert "levels.kept_ms: there is no product 'buy'" in said
+    configuration = ROOT / "examples" / "configuration.json"
+    output = burlloom("check", "-o", path, "--config", configuration, status=2)
+    assert "levels.kept_ms: there is no product 'buy'" in output
 
 
-def test_a_recorded_series_is_tried(tmp_path: Path) -> None:
+def test_try_runs_a_plan_on_a_recorded_series(tmp_path: Path) -> None:
     series, chart = tmp_path / "night.csv", tmp_path / "night.svg"
     rows = [
         f"{at},{0.9 if 20 <= at < 60 else 0.01},{1.0 if 20 <= at < 60 else 0.3}"
@@ -203,7 +202,7 @@
 
 
 @pytest.mark.parametrize("name", ["sawtooth", "bad-days", "ablations"])
-def test_the_example_experiments_are_good(name: str) -> None:
+def test_the_example_experiments_are_valid(name: str) -> None:
     from burlloom.lab.experiment import Experiment
     from burlloom.operator.load import checked, evaluated
 
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 import pytest
-from held import Held
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from locked_database import LockedDatabase
 
 from burlloom.fakes.postgres import Postgres as StandIn
 from burlloom.record.authentication import RowAuthenticator, load_key
@@ -602,27 +602,27 @@
         store = SqliteStore(path, SEALER, "n1")
         await store.open()
         await store.start()
-        held = Held(path, 1.9)
-        store.turns = held.turns()
+        held = LockedDatabase(path, 1.9)
+        store.turns = held.lock_retry()
         assert await Log(store).ask(claim()) == [WriteResult(RequestEvent.WRITE_APPLIED)]
-        assert held.looks >= 100
-        held = Held(path, 9.0)
-        store.turns = held.turns()
+        assert held.attempts >= 100
+        held = LockedDatabase(path, 9.0)
+        store.turns = held.lock_retry()
         assert await Log(store).ask(finish()) == [WriteResult(RequestEvent.WRITE_FAILED)]
-        assert 2.0 <= held.now < 2.1
+        assert 2.0 <= held.now_s < 2.1
         held.db.execute("ROLLBACK")
         assert await Log(store).ask(finish()) == [WriteResult(RequestEvent.WRITE_APPLIED)]
         await store.close()
-        again, held = SqliteStore(path, SEALER, "n1"), Held(path, 9.0)
-        again.turns = held.turns()
+        again, held = SqliteStore(path, SEALER, "n1"), LockedDatabase(path, 9.0)
+        again.turns = held.lock_retry()
         with pytest.raises(
             StoreRefusedError, match="record.db: another process has held its lock for 2 s"
         ):
             await again.open()
-        held.until, held.now = 1.9, 0.0
-        again.turns = held.turns()
+        held.released_at_s, held.now_s = 1.9, 0.0
+        again.turns = held.lock_retry()
         assert (await again.open()).incarnation == 2
-        assert held.looks >= 100
+        assert held.attempts >= 100
         await again.close()
 
     asyncio.run(play())
