--- a/benchmarks/rollout_core.py
+++ b/benchmarks/rollout_core.py
@@ -44,35 +44,39 @@
         self, size: int, budget: DisruptionBudget, terms: RolloutSettings = TERMS, seed: int = 1
     ) -> None:
         self.chance, self.now, self.terms = Random(seed), 0, terms
-        self.book, self.beat, self.budget = RolloutState(), 0, budget
+        self.state, self.heartbeat, self.budget = RolloutState(), 0, budget
         self.members = {
             f"n{at}": ServerReport(f"n{at}", 1, 0, version="v1", counts=RequestCounts())
             for at in range(size)
         }
         self.down: dict[str, int] = {}
-        self.voids: dict[str, float] = {}
-        self.frozen: set[str] = set()
-        self.lead = self.new_lead("a")
-        self.worst = 0
+        self.failure_rates: dict[str, float] = {}
+        self.silent: set[str] = set()
+        self.leader = self.new_leader("a")
+        self.most_down = 0
 
-    def new_lead(self, name: str) -> RolloutLeader:
+    def new_leader(self, name: str) -> RolloutLeader:
         return RolloutLeader(name, self.terms, {SERVERS_GROUP: self.budget})
 
     def second(self) -> None:
         for _ in range(4):
             self.now += S // 4
             for name, member in self.members.items():
-                if name in self.frozen:
+                if name in self.silent:
                     continue
                 if name in self.down:
                     if self.now >= self.down[name]:
                         del self.down[name]
                         self.members[name] = ServerReport(
-                            name, member.incarnation + 1, 0, version=self.book.next_version_of(name)
+                            name,
+                            member.incarnation + 1,
+                            0,
+                            version=self.state.next_version_of(name),
                         )
                     continue
                 bad = sum(
-                    self.chance.random() < self.voids.get(member.version, 0.0) for _ in range(10)
+                    self.chance.random() < self.failure_rates.get(member.version, 0.0)
+                    for _ in range(10)
                 )
                 self.members[name] = replace(
                     member,
@@ -80,28 +84,31 @@
                     counts=member.counts.add(RequestCounts(10 - bad, 0, 0, bad)),
                 )
                 one = hand.DrainAgent(name, member.incarnation)
-                if one.process_state(self.book) == "begin":
-                    self.book = one.begin_drain(self.book) or self.book
+                if one.process_state(self.state) == "begin":
+                    self.state = one.begin_drain(self.state) or self.state
                     self.down[name] = self.now + 2 * S
-            self.beat += self.lead.is_leader(self.book)
-            taken = self.lead.acquire_leadership(self.now, self.book, self.beat)
+            self.heartbeat += self.leader.is_leader(self.state)
+            taken = self.leader.acquire_leadership(self.now, self.state, self.heartbeat)
             if taken is not None:
-                self.book = taken
-            elif self.lead.is_leader(self.book):
-                self.book = self.lead.run_round(self.now, self.book, list(self.members.values()))
-            self.worst = max(self.worst, len(self.down))
+                self.state = taken
+            elif self.leader.is_leader(self.state):
+                self.state = self.leader.run_round(
+                    self.now, self.state, list(self.members.values())
+                )
+            self.most_down = max(self.most_down, len(self.down))
 
     def until(self, phase: ReleasePhase, most: int = 2000) -> int:
         """Seconds that it took."""
         for at in range(most):
-            if self.book.release.phase is phase:
+            if self.state.release.phase is phase:
                 return at
             self.second()
-        raise AssertionError((self.book.release, self.book.history))
+        raise AssertionError((self.state.release, self.state.history))
 
     def settled(self) -> "World":
         while (
-            len(self.book.servers) < len(self.members) or self.book.groups[SERVERS_GROUP].out_count
+            len(self.state.servers) < len(self.members)
+            or self.state.groups[SERVERS_GROUP].out_count
         ):
             self.second()
         return self
@@ -109,8 +116,8 @@
 
 def cost(size: int) -> str:
     world = World(size, DisruptionBudget(max_out_share=0.1)).settled()
-    world.book = world.book.start_release("v2", (1, 0.1, 0.5, 1.0), False)
-    spans, of = [], world.lead.run_round
+    world.state = world.state.start_release("v2", (1, 0.1, 0.5, 1.0), False)
+    spans, of = [], world.leader.run_round
 
     def timed(now: int, book: RolloutState, members: list[ServerReport]) -> RolloutState:
         began = time.perf_counter()
@@ -119,11 +126,11 @@
         finally:
             spans.append(1000 * (time.perf_counter() - began))
 
-    world.lead.run_round = timed  # type: ignore[method-assign,assignment]
+    world.leader.run_round = timed  # type: ignore[method-assign,assignment]
     for _ in range(100):
         world.second()
     began = time.perf_counter()
-    text = encode_state(world.book)
+    text = encode_state(world.state)
     written = time.perf_counter()
     decode_state(text)
     read = time.perf_counter()
--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -284,7 +284,7 @@
     world = World(size, DisruptionBudget(max_out_share=0.1)).settled()
     idle: list[int] = []
     rounds: list[int] = []
-    steps, spans, of, step = 0, idle, world.lead.run_round, hand.DrainAgent.begin_drain
+    steps, spans, of, step = 0, idle, world.leader.run_round, hand.DrainAgent.begin_drain
 
     def timed(now: int, book: RolloutState, members: list[ServerReport]) -> RolloutState:
         nonlocal steps
@@ -299,19 +299,23 @@
         steps += 1
         return step(one, book)
 
-    world.lead.run_round = timed  # type: ignore[method-assign,assignment]
+    world.leader.run_round = timed  # type: ignore[method-assign,assignment]
     for _ in range(5):
         world.second()
-    world.book, spans, steps = world.book.start_release("v2", (1, 0.1, 0.5, 1.0), False), rounds, 0
+    world.state, spans, steps = (
+        world.state.start_release("v2", (1, 0.1, 0.5, 1.0), False),
+        rounds,
+        0,
+    )
     hand.DrainAgent.begin_drain = stepped  # type: ignore[method-assign]
     try:
         for _ in range(25):
             world.second()
     finally:
         hand.DrainAgent.begin_drain = step  # type: ignore[method-assign]
-    text, spent = encode_state(world.book), [0, 0]
+    text, spent = encode_state(world.state), [0, 0]
     for _ in range(5):
-        for at, work in enumerate((lambda: encode_state(world.book), lambda: decode_state(text))):
+        for at, work in enumerate((lambda: encode_state(world.state), lambda: decode_state(text))):
             began = thread_time_ns()
             work()
             spent[at] += thread_time_ns() - began
@@ -320,7 +324,7 @@
         " 25 s from its start; all sizes measured"
     )
     cost = sum(rounds) / len(rounds) / 1e6
-    swap, tell = asyncio.run(stored(world.book, list(world.members.values())[:50]))
+    swap, tell = asyncio.run(stored(world.state, list(world.members.values())[:50]))
     store = "SQLite on this machine's disk, processor time of the process; PostgreSQL not measured; all sizes measured"
     return {
         Slope("release round cpu", "ms", state, note): cost,
--- a/tests/explore_rollout.py
+++ b/tests/explore_rollout.py
@@ -34,31 +34,31 @@
 
 @dataclass
 class Server:
-    life: int = 1
+    incarnation: int = 1
     up: bool = True
-    sent: bool = False  # by the book: its drain has begun, or is over
-    hand: DrainAgent = field(default_factory=lambda: DrainAgent("", 1))
+    is_sent_out: bool = False  # by the book: its drain has begun, or is over
+    agent: DrainAgent = field(default_factory=lambda: DrainAgent("", 1))
     read: tuple[int, RolloutState] | None = None  # a page that its step may still be written on
 
     def key(self) -> Any:
-        return self.life, self.up, self.sent, self.hand.state
+        return self.incarnation, self.up, self.is_sent_out, self.agent.state
 
 
 @dataclass
 class World:
     revision: int
-    book: RolloutState
+    state: RolloutState
     servers: list[Server]
-    leads: list[tuple[int, RolloutState] | None]
+    leaders: list[tuple[int, RolloutState] | None]
 
     def copy(self) -> "World":
         servers = [
-            replace(one, hand=DrainAgent(one.hand.name, one.hand.incarnation))
+            replace(one, agent=DrainAgent(one.agent.name, one.agent.incarnation))
             for one in self.servers
         ]
         for mine, its in zip(servers, self.servers, strict=True):
-            mine.hand.state = its.hand.state
-        return World(self.revision, self.book, servers, list(self.leads))
+            mine.agent.state = its.agent.state
+        return World(self.revision, self.state, servers, list(self.leaders))
 
     def key(self, stale: bool) -> Any:
         """`stale`: what an old page says matters."""
@@ -75,14 +75,14 @@
             return units(read[1]) if stale else "stale"
 
         return (
-            units(self.book),
+            units(self.state),
             tuple((one.key(), page(one.read)) for one in self.servers),
-            tuple(page(one) for one in self.leads),
+            tuple(page(one) for one in self.leaders),
         )
 
     @property
     def sent(self) -> int:
-        return sum(one.sent for one in self.servers)
+        return sum(one.is_sent_out for one in self.servers)
 
 
 class Explorer:
@@ -104,13 +104,15 @@
         book = RolloutState(
             groups={SERVERS_GROUP: InstanceGroup(DisruptionBudget(self.most), units)}
         )
-        servers = [Server(hand=DrainAgent(name, 1)) for name in units]
+        servers = [Server(agent=DrainAgent(name, 1)) for name in units]
         return World(0, book, servers, [None] * self.lead_count)
 
-    def swap(self, world: World, page: tuple[int, RolloutState], book: RolloutState) -> bool:
+    def compare_and_swap(
+        self, world: World, page: tuple[int, RolloutState], book: RolloutState
+    ) -> bool:
         if page[0] != world.revision and self.broken != "swap":
             return False
-        world.revision, world.book = world.revision + 1, book
+        world.revision, world.state = world.revision + 1, book
         return True
 
     def step(
@@ -138,22 +140,26 @@
         """All that may happen next."""
         for lead in range(self.lead_count):
             now = world.copy()
-            now.leads[lead] = now.revision, now.book
+            now.leaders[lead] = now.revision, now.state
             yield now
-            page = world.leads[lead]
+            page = world.leaders[lead]
             if page is None or page[0] != world.revision and self.broken != "swap":
                 continue  # what it wrote would not be taken
             for at, server in enumerate(world.servers):
                 # A word of any life that served until now may be read, late.
                 words = [(what, 0) for what in INPUTS]
-                words += [(InstanceInput.SEEN, life) for life in range(1, server.life + 1)]
-                words += [(InstanceInput.LEAVING, server.life)] if server.sent and server.up else []
+                words += [(InstanceInput.SEEN, life) for life in range(1, server.incarnation + 1)]
+                words += (
+                    [(InstanceInput.LEAVING, server.incarnation)]
+                    if server.is_sent_out and server.up
+                    else []
+                )
                 for what, life in words:
                     made = self.step(page[1], str(at), what, life)
                     if made is not None:
                         now = world.copy()
-                        now.leads[lead] = None
-                        if self.swap(now, page, made):
+                        now.leaders[lead] = None
+                        if self.compare_and_swap(now, page, made):
                             yield now
         for at in range(self.count):
             yield from self.of_server(world, at)
@@ -161,25 +167,25 @@
     def of_server(self, world: World, at: int) -> Iterator[World]:
         server = world.servers[at]
         if not server.up:
-            if server.life < self.lives:
+            if server.incarnation < self.lives:
                 now = world.copy()
-                life = server.life + 1
-                now.servers[at] = Server(life, hand=DrainAgent(str(at), life))
+                life = server.incarnation + 1
+                now.servers[at] = Server(life, agent=DrainAgent(str(at), life))
                 yield now
             return
         now = world.copy()  # it ends: a drain that is over, or a crash
         now.servers[at].up, now.servers[at].read = False, None
         yield now
-        if server.hand.state is At.BEGINNING and server.read is not None:
+        if server.agent.state is At.BEGINNING and server.read is not None:
             for heard in (Heard.WRITE_ACCEPTED, Heard.WRITE_UNKNOWN, Heard.WRITE_CONFLICT):
                 now = world.copy()
                 mine, page = now.servers[at], server.read
                 mine.read = None
-                made = mine.hand.begin_drain(page[1])
+                made = mine.agent.begin_drain(page[1])
                 held = (
                     made is not None
                     and heard is not Heard.WRITE_CONFLICT
-                    and self.swap(now, page, made)
+                    and self.compare_and_swap(now, page, made)
                 )
                 stale = page[0] != world.revision
                 if {
@@ -187,14 +193,14 @@
                     Heard.WRITE_ACCEPTED: held,
                     Heard.WRITE_CONFLICT: stale,
                 }[heard]:
-                    self.told(mine, mine.hand.apply_input(heard))
+                    self.told(mine, mine.agent.apply_input(heard))
                     yield now
             return
         now = world.copy()
         mine = now.servers[at]
-        effect = mine.hand.process_state(now.book)
+        effect = mine.agent.process_state(now.state)
         if effect == "begin":
-            mine.read = now.revision, now.book
+            mine.read = now.revision, now.state
             if self.broken == "permit":  # drains on the permit alone
                 effect = "drain"
         self.told(mine, effect)
@@ -202,7 +208,7 @@
 
     def told(self, server: Server, effect: str) -> None:
         if effect == "drain":
-            server.sent = True
+            server.is_sent_out = True
 
     def walk(self, most: int) -> tuple[int, int]:
         """How many worlds were seen, at most so many; the most that were ever sent out at once."""
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -249,8 +249,8 @@
         await asyncio.gather(*(node.__aenter__() for node in self.nodes))
         self.file = self.folder / "operator.jsonnet"
         self.file.write_text(json.dumps({"rollout": {**QUICK, **self.part}, **self.joined(None)}))
-        self.shelf: RolloutStore = create_rollout_store(load(self.file), PATIENCE)
-        await self.shelf.open()
+        self.store: RolloutStore = create_rollout_store(load(self.file), PATIENCE)
+        await self.store.open()
         for node in self.nodes:
             node.tasks = [
                 asyncio.create_task(node.platform()),
@@ -280,7 +280,7 @@
             await asyncio.sleep(0.005)
 
     async def book(self) -> RolloutState:
-        return (await self.shelf.read()).state
+        return (await self.store.read()).state
 
     async def comes_to(
         self, test: Callable[[RolloutState], bool], patience: float = 3 * PATIENCE
@@ -357,7 +357,7 @@
             task.cancel()
         await asyncio.gather(*(node.__aexit__(kind) for node in self.nodes))
         if kind is None:
-            await self.shelf.close()
+            await self.store.close()
         for service in self.services:
             await service.stop()
 
--- a/tests/test_rollout_codec.py
+++ b/tests/test_rollout_codec.py
@@ -6,8 +6,18 @@
 
 import pytest
 
-from burlloom.rollout import ReleasePhase, ServerPhase
-from burlloom.rollout.instance import InstanceState
+from burlloom.rollout import (
+    SERVERS_GROUP,
+    DisruptionBudget,
+    Instance,
+    InstanceGroup,
+    InstanceState,
+    Release,
+    ReleasePhase,
+    RolloutState,
+    ServerPhase,
+)
+from burlloom.rollout.release import OutcomeRates
 from burlloom.rollout.stores import StateDecodeError, decode_state, encode_state
 from burlloom.rollout.stores.codec import decode_report, encode_report
 from burlloom.rollout.stores.sqlite import SqliteRolloutStore
@@ -51,6 +61,26 @@
     assert raised.value.field == "groups.servers.units.n1.moved"
 
 
+def test_a_state_is_read_whole_or_not_at_all() -> None:
+    baseline = OutcomeRates(9 / 11, 1 / 11, 0.0, 11)
+    release = Release(1, ReleasePhase.ROLLING, "v2", "v1", waves=(1, 1.0), baseline=baseline)
+    servers = {"n1": Instance(InstanceState.OUT, 5, 5, version="v1")}
+    groups = {SERVERS_GROUP: InstanceGroup(DisruptionBudget(2), servers)}
+    state = RolloutState("n1/5", 3, 9, "v1", release, groups, ((1, "began"),))
+    text = encode_state(state)
+    again = decode_state(text)
+    assert again == state
+    assert [type(wave) for wave in again.release.waves] == [int, float]
+    for at in range(0, len(text) - 1, 7):
+        with pytest.raises(StateDecodeError):
+            decode_state(text[:at])
+
+
+def test_a_state_of_a_newer_format_is_refused() -> None:
+    with pytest.raises(StateDecodeError, match="newer program"):
+        decode_state(encode_state(RolloutState(format_version=99)))
+
+
 async def open_stored_file(tmp_path: Path) -> None:
     shutil.copy(DATA / "rollout_0.7.1.sqlite", tmp_path / "store")
     store = SqliteRolloutStore(tmp_path / "store")
--- /dev/null
+++ b/tests/test_rollout_instance.py
@@ -0,0 +1,36 @@
+"""The table of an instance, over all sequences of four inputs."""
+
+from itertools import product
+
+from burlloom.rollout.instance import (
+    RULES,
+    Instance,
+    InstanceEvent,
+    InstanceInput,
+    InstanceState,
+    apply_input,
+)
+
+
+def test_every_row_is_met_and_what_left_counts_until_it_is_seen_or_retired() -> None:
+    met = set()
+    for inputs in product(InstanceInput, repeat=4):
+        instance, incarnation = Instance(InstanceState.IN, incarnation=1), 1
+        for step, received in enumerate(inputs):
+            incarnation += received is InstanceInput.SEEN
+            for is_downstream in (False, True):
+                event = InstanceEvent(step, incarnation, 0, True, True, is_downstream)
+                for test, *_ in RULES.get((instance.state, received), ()):
+                    if test(instance, event):
+                        met.add((instance.state, received))
+                        break
+            before = instance
+            moved = apply_input(instance, received, InstanceEvent(step, incarnation, 0, True, True))
+            if moved is not None:
+                instance = moved[0]
+            if before.was_sent_out and not instance.is_out:
+                assert received is InstanceInput.RETIRE, inputs
+            if before.state is InstanceState.OUT and instance.state is InstanceState.BACK:
+                is_restarted = instance.incarnation > before.left_incarnation
+                assert received is InstanceInput.DRAIN_ENDED or is_restarted
+    assert met == set(RULES)
