--- a/burlloom/server/request_record.py
+++ b/burlloom/server/request_record.py
@@ -1,242 +1,145 @@
-"""Between the server and its store of record: who keeps a charge, and what the store's words mean
-to the desk.
+"""What a server asks of its record of keyed requests; the implementation for one without any."""
 
-Where no record is kept, `NoRecord` stands here, and nothing of the record is imported.
-"""
+from __future__ import annotations
 
-import logging
 from collections.abc import Callable
-from itertools import chain
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
-from ..admission.model import Idempotency, Outcome, RequestClass
-from ..dispatcher import Dispatcher, PackedKeyDigests, RunEnded
-from ..sockets import NS_PER_MS
-from .configuration import ConfigurationError
-
-if TYPE_CHECKING:
-    from ..metrics import Exposed
-    from ..record.coordinator import RecordCoordinator
-
-log = logging.getLogger(__name__)
-
-WAY_OUT = 100 * NS_PER_MS  # that an answer keeps to its expiry, whatever it waits for
+from ..admission.model import Outcome
+from ..dispatcher import Dispatcher
 
 
 class RequestRecord(Protocol):
-    """What the server asks of its record, on a txn's way."""
-
-    keeps_results: bool
-    is_shared: bool  # whether a retry that is not known here may be known to the record
-    incarnation: int  # of this node in the store, from 1; -1 where there is none
-    previous_note: str  # what this node's last life left to this one
-
-    async def open(self) -> None: ...
-    def write_note(self, text: str) -> None: ...
-    def attach_dispatcher(self, desk: Dispatcher, executor_began: int) -> None: ...
-    def accepts_claims(self) -> bool: ...
-    def begin_run(self, mark: bytes, id: str, at: int, product: int) -> None: ...
-    def run_ended(self, id: str, outcome: Outcome, result: bytes) -> None: ...
-    async def wait_until_durable(self, mark: bytes, at: int, product: int) -> None: ...
-    async def look_up(self, mark: bytes, id: str, at: int, product: int) -> None: ...
-    def request_answered(self, id: str) -> None: ...
-    async def read_result(self, mark: bytes, until: int) -> bytes | None: ...
-    async def close(self) -> None: ...
+    """Where keyed requests are claimed before they run, and their results kept.
 
+    `key_digest` is that of a request, `request_class` its place in the settings, `sent_at_ns` when
+    its caller sent it, in Unix ns.
 
-class NoRequestRecord:
-    """Memory's marks alone: every run begins at once."""
-
-    keeps_results = is_shared = False
-    incarnation = -1
-    previous_note = ""
+    Attributes:
+        keeps_results: Whether results may be read that memory no longer has.
+        is_shared: Whether a retry that is not known here may be known to the record, because other
+            nodes write to it.
+        incarnation: This node's in the store, from 1; -1 where there is none.
+        previous_note: What this node's last incarnation wrote for this one.
+    """
 
-    def __init__(self, execute: Callable[[str], None]) -> None:
-        self.execute = execute
+    keeps_results: bool
+    is_shared: bool
+    incarnation: int
+    previous_note: str
 
     async def open(self) -> None:
-        pass
+        """Opens the store and reads back what this node knew.
+
+        Raises:
+            ConfigurationError: The store can't be used.
+        """
 
     def write_note(self, text: str) -> None:
-        pass
+        """Writes a note for the node's next incarnation."""
+
+    def attach_dispatcher(self, dispatcher: Dispatcher, executor_began_ns: int) -> None:
+        """Hands the dispatcher what was read back; ends of runs are reported to it from now on.
 
-    def attach_dispatcher(self, desk: Dispatcher, executor_began: int) -> None:
-        pass
+        Args:
+            dispatcher: Decides what the record's answers mean to a request.
+            executor_began_ns: Unix ns of the executor's start: runs from before it are over.
+        """
 
     def accepts_claims(self) -> bool:
-        return True
+        """Returns whether a claim could be written now."""
+
+    def begin_run(
+        self, key_digest: bytes, request_id: str, sent_at_ns: int, request_class: int
+    ) -> None:
+        """Has a request run as soon as it may: a keyed one, once its claim is durable."""
 
-    def begin_run(self, mark: bytes, id: str, at: int, product: int) -> None:
-        self.execute(id)
+    def run_ended(self, request_id: str, outcome: Outcome, result: bytes) -> None:
+        """Writes the end of a run."""
 
-    def run_ended(self, id: str, outcome: Outcome, result: bytes) -> None:
-        pass
+    async def wait_until_durable(
+        self, key_digest: bytes, sent_at_ns: int, request_class: int
+    ) -> None:
+        """Waits until the end of a run is durable, for as long as the answer may wait."""
 
-    async def wait_until_durable(self, mark: bytes, at: int, product: int) -> None:
-        pass
+    async def look_up(
+        self, key_digest: bytes, request_id: str, sent_at_ns: int, request_class: int
+    ) -> None:
+        """Asks the store what became of a request; the dispatcher is told what is found."""
 
-    async def look_up(self, mark: bytes, id: str, at: int, product: int) -> None:
-        pass
+    def request_answered(self, request_id: str) -> None:
+        """Notes that a request's answer was sent, or that nobody waits for it."""
 
-    def request_answered(self, id: str) -> None:
-        pass
+    async def read_result(self, key_digest: bytes, deadline_ns: int) -> bytes | None:
+        """Returns a result from the store, None where none can be given in time.
 
-    async def read_result(self, mark: bytes, until: int) -> bytes | None:
-        return None
+        Args:
+            key_digest: The request's key digest.
+            deadline_ns: The request's, in Unix ns.
+        """
 
     async def close(self) -> None:
-        pass
+        """Writes what is left and closes the store."""
+
 
+class NoRequestRecord:
+    """Memory alone knows keyed requests: every run begins at once.
 
-class ConfiguredRequestRecord:
-    """Referenced txns run only once their claim is durable; implements `record.Hand`."""
+    Attributes:
+        keeps_results: False.
+        is_shared: False.
+        incarnation: -1.
+        previous_note: Empty.
 
-    keeps_results = True
+    Args:
+        start_run: Has the executor run the request of an id.
+    """
 
-    def __init__(
-        self,
-        products: tuple[RequestClass, ...],
-        hold_share: float,
-        clock: Callable[[], int],
-        execute: Callable[[str], None],
-        looks: bool,
-    ) -> None:
-        """`looks`: other nodes write to the record too."""
-        from ..record import failpoints as points
-
-        self.points, self.is_shared = points, looks
-        self.products, self.hold_share, self.clock, self.execute = (
-            products,
-            hold_share,
-            clock,
-            execute,
-        )
-        self.keeper: RecordCoordinator
-        self.exposed: Exposed | None = None
-        self.desk: Dispatcher | None = None
-        self.former = PackedKeyDigests()
-        self.previous_note, self.incarnation = "", -1
+    keeps_results = is_shared = False
+    incarnation = -1
+    previous_note = ""
 
-    def write_note(self, text: str) -> None:
-        self.keeper.store.save_notice(text)
+    def __init__(self, start_run: Callable[[str], None]) -> None:
+        self.start_run = start_run
 
     async def open(self) -> None:
-        from ..record.store import StoreRefusedError
-
-        began = self.clock()
-        try:
-            opened = await self.keeper.open()
-        except StoreRefusedError as error:
-            raise ConfigurationError(str(error)) from error
-        self.previous_note, self.incarnation = self.keeper.previous_notice, self.keeper.incarnation
-        self.former = PackedKeyDigests(chain.from_iterable(self.keeper.read_recorded_keys()))
-        await self.keeper.start()
-        log.info(
-            "event=record-open node=%s life=%d shift_ms=%d migrated=%s marks=%d begun=%d ms=%d",
-            opened.node,
-            opened.incarnation,
-            opened.clock_shift_ns // NS_PER_MS,
-            ",".join(map(str, opened.migrated)) or "-",
-            len(self.former),
-            len(self.keeper.started_rows),
-            (self.clock() - began) // NS_PER_MS,
-        )
-
-    def attach_dispatcher(self, desk: Dispatcher, executor_began: int) -> None:
-        self.desk = desk
-        desk.idempotency_table.restore_ended_keys(self.former)
-        for mark, until, asked in self.keeper.resume_after_restart(executor_began):
-            desk.idempotency_table.restore_open_key(mark, until, not asked)
+        """Does nothing."""
+
+    def write_note(self, text: str) -> None:
+        """Does nothing."""
+
+    def attach_dispatcher(self, dispatcher: Dispatcher, executor_began_ns: int) -> None:
+        """Does nothing."""
 
     def accepts_claims(self) -> bool:
-        return self.keeper.may_claim()
-
-    def begin_run(self, mark: bytes, id: str, at: int, product: int) -> None:
-        known = self.products[product]
-        if known.idempotency is Idempotency.KEYED:
-            self.keeper.begin_claim(
-                mark, id, at, at + known.idempotency_window_ns, known.latency_objective_ns
-            )
-        else:
-            self.execute(id)
-
-    def run_ended(self, id: str, outcome: Outcome, result: bytes) -> None:
-        self.keeper.finish_run(id, outcome, result)
-
-    async def wait_until_durable(self, mark: bytes, at: int, product: int) -> None:
-        known = self.products[product]
-        if known.idempotency is Idempotency.KEYED:
-            until = min(
-                self.clock() + int(self.hold_share * known.latency_objective_ns),
-                at + known.deadline_ns - WAY_OUT,
-            )
-            await self.keeper.wait_until_durable(mark, until)
-            self.points.hit("answering")
-
-    def request_answered(self, id: str) -> None:
-        self.keeper.abandon(id)
-        self.points.hit_after_send("answered")
-
-    async def look_up(self, mark: bytes, id: str, at: int, product: int) -> None:
-        known = self.products[product]
-        await self.keeper.look_up(
-            mark, id, at + known.idempotency_window_ns, known.latency_objective_ns
-        )
-
-    async def read_result(self, mark: bytes, until: int) -> bytes | None:
-        return await self.keeper.fetch_result(mark, until - WAY_OUT)
+        """Returns True: nothing is claimed."""
+        return True
+
+    def begin_run(
+        self, key_digest: bytes, request_id: str, sent_at_ns: int, request_class: int
+    ) -> None:
+        """Has the request run at once."""
+        self.start_run(request_id)
+
+    def run_ended(self, request_id: str, outcome: Outcome, result: bytes) -> None:
+        """Does nothing."""
+
+    async def wait_until_durable(
+        self, key_digest: bytes, sent_at_ns: int, request_class: int
+    ) -> None:
+        """Returns at once."""
+
+    async def look_up(
+        self, key_digest: bytes, request_id: str, sent_at_ns: int, request_class: int
+    ) -> None:
+        """Returns at once."""
+
+    def request_answered(self, request_id: str) -> None:
+        """Does nothing."""
+
+    async def read_result(self, key_digest: bytes, deadline_ns: int) -> bytes | None:
+        """Returns None."""
+        return None
 
     async def close(self) -> None:
-        await self.keeper.close()
-        counts = self.keeper.counters
-        log.info(
-            "event=record-closed-down claims=%d refused=%d late=%d unkept=%d taken=%d recalled=%d doubts=%d"
-            " resolved=%d altered=%d conflicts=%d answered_before=%d",
-            counts.claims,
-            counts.rejected,
-            counts.store_timeouts,
-            counts.unrecorded_runs,
-            counts.claimed_elsewhere,
-            counts.results_fetched,
-            counts.doubts,
-            counts.resolved,
-            counts.altered_rows,
-            counts.conflicts,
-            counts.answered_before_durable,
-        )
-        if self.exposed is not None:
-            self.exposed.close()
-
-    # What the keeper tells.
-
-    def start_run(self, id: str) -> None:
-        self.execute(id)
-
-    def reject(self, id: str) -> None:
-        self.report(id, Outcome.NOT_RECORDED)
-
-    def report_never_ran(self, id: str) -> None:
-        self.report(id, Outcome.NO_LONGER_NEEDED)
-
-    def report_claimed_elsewhere(self, id: str) -> None:
-        self.report(id, Outcome.CLAIMED_ELSEWHERE)
-
-    def report(self, id: str, outcome: Outcome) -> None:
-        if self.desk is not None:
-            self.desk.handle_event(RunEnded(id, outcome, 0, b""))
-
-    def complete(self, mark: bytes, result: bytes | None) -> None:
-        if self.desk is not None:
-            self.desk.complete_key(mark, result)
-
-    def release(self, mark: bytes) -> None:
-        if self.desk is not None:
-            self.desk.release_key(mark)
-
-    def register(self, mark: bytes, until: int) -> None:
-        if self.desk is not None:
-            self.desk.idempotency_table.restore_open_key(mark, until, False)
-
-    def forget(self, mark: bytes) -> None:
-        if self.desk is not None:
-            self.desk.abandon_key(mark)
+        """Does nothing."""
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -30,11 +30,7 @@
 from burlloom.levels.signals import MAX_TENANTS
 from burlloom.levels.signals import TenantShares as Shares
 from burlloom.rpc.incoming_request import MalformedRequestError, RequestRules, parse_request
-from burlloom.server.configuration_distribution import (
-    COUNT_INTERVAL_NS,
-    ServedTenants,
-    TenantPortions,
-)
+from burlloom.server.tenant_portions import COUNT_INTERVAL_NS, ServedTenants, TenantPortions
 
 SIGNING = b"s" * 32
 SECOND = 1_000_000_000
