--- a/benchmarks/fleet_shares.py
+++ b/benchmarks/fleet_shares.py
@@ -28,7 +28,7 @@
 from burlloom.lab import World, play
 from burlloom.lab.clock import simulated
 from burlloom.lab.emulator import Emulator, Watch
-from burlloom.lab.fleets import Joining, Net, Swarm
+from burlloom.lab.fleets import SimulatedFleet, SimulatedNetwork, Swarm
 
 SIZES = (3, 30, 300)
 
@@ -53,7 +53,7 @@
         swarm.sample = self.look
 
     def look(self) -> None:
-        self.peak = max(self.peak, self.swarm.total())
+        self.peak = max(self.peak, self.swarm.total_calls())
 
     def settles(self, fair: float, most: float = 60) -> float:
         """s until all shares lie within a tenth, or one call, of the fair one, and all of it is
@@ -73,7 +73,7 @@
     calls, began = 4 * size, time.perf_counter()
     small = max(3, size // 10)
     with simulated() as loop:
-        net = Net(loop, 1)
+        net = SimulatedNetwork(loop, 1)
         swarm = Swarm(loop, net, terms(size, calls))
         seen = Seen(swarm, calls)
         swarm.add(small, 1e6)
@@ -81,17 +81,17 @@
         if size > small:
             more = swarm.add(size - small, 1e6)
             rows.append(("grow tenfold", size, seen.settles(calls / size)))
-            before, sent, octets = loop.now, net.sent, net.bytes
+            before, sent, octets = loop.now, net.sent, net.bytes_sent
             fair: dict[str, float] = {}
             for _ in range(60):
                 swarm.run(0.5)
-                for body in swarm.up():
-                    fair[body.name] = fair.get(body.name, 0.0) + body.using / 60
+                for body in swarm.running_members():
+                    fair[body.name] = fair.get(body.name, 0.0) + body.calls_in_progress / 60
             off = max(abs(share / (calls / size) - 1) for share in fair.values())
             each = (loop.now - before) * size
             rows.append(
                 (
-                    f"30 s at rest: {(net.sent - sent) / each:.1f} letters and {(net.bytes - octets) / each:.0f} bytes"
+                    f"30 s at rest: {(net.sent - sent) / each:.1f} letters and {(net.bytes_sent - octets) / each:.0f} bytes"
                     f" a server a second; mean share off by {off:.1%} at most",
                     size,
                     0.0,
@@ -103,10 +103,10 @@
             for body in more:
                 swarm.start(body)
             rows.append(("grow again", size, seen.settles(calls / size)))
-        first = swarm.up()[0]
+        first = swarm.running_members()[0]
         swarm.kill(first)
         noticed = loop.now
-        while not swarm.agreed():
+        while not swarm.has_agreed_view():
             swarm.run(0.1)
         rows.append(("who deals is killed: noticed by all", size - 1, loop.now - noticed))
         rows.append(
@@ -118,13 +118,13 @@
         )
         swarm.start(first)
         rows.append(("started again", size, seen.settles(calls / size)))
-        up = swarm.up()
+        up = swarm.running_members()
         third = [body.address for body in up[: max(1, size // 3)]]
         net.cut(third, [body.address for body in up if body.address not in third])
         swarm.run(30)
         net.heal()
         healed = loop.now
-        while not swarm.agreed():
+        while not swarm.has_agreed_view():
             swarm.run(0.1)
         rows.append(("a third cut off for 30 s, healed: all agree", size, loop.now - healed))
         rows.append(("and shares are fair", size, loop.now - healed + seen.settles(calls / size)))
@@ -185,11 +185,11 @@
 def servers(size: int, variant: str) -> str:
     told = world(size)
     calls = int(told.below.slots * told.below.headroom)
-    made: list[Joining] = []
+    made: list[SimulatedFleet] = []
     rows: list[tuple[float, float, float, int]] = []
 
-    def joined(emulator: Emulator) -> Joining:
-        made.append(Joining(emulator, terms(size, calls)))
+    def joined(emulator: Emulator) -> SimulatedFleet:
+        made.append(SimulatedFleet(emulator, terms(size, calls)))
         return made[0]
 
     def look(emulator: Emulator) -> dict[str, float]:
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -24,7 +24,7 @@
 from burlloom.lab import World, play
 from burlloom.lab.charts import recovery_chart
 from burlloom.lab.emulator import Emulator, Watch
-from burlloom.lab.fleets import Joining
+from burlloom.lab.fleets import SimulatedFleet
 from burlloom.recovery import RecoveryPolicy
 from burlloom.server.configured_recovery import ConfiguredRestartRecovery
 from burlloom.server.recovery import RestartRecovery
@@ -109,8 +109,8 @@
     told = world(size, seed, variant == "grown")
     calls = int(told.below.slots * told.below.headroom)
 
-    def joined(emulator: Emulator) -> Joining:
-        return Joining(emulator, terms(size, calls))
+    def joined(emulator: Emulator) -> SimulatedFleet:
+        return SimulatedFleet(emulator, terms(size, calls))
 
     def look(emulator: Emulator) -> dict[str, float]:
         most, emulator.below.most = emulator.below.most, emulator.below.in_hand
--- a/benchmarks/rollout_waves.py
+++ b/benchmarks/rollout_waves.py
@@ -28,7 +28,7 @@
 
 from burlloom.lab import World, play
 from burlloom.lab.emulator import Emulator, Watch
-from burlloom.lab.rolls import Agreed, Releases, Scripted
+from burlloom.lab.rolls import CoordinatedReleases, ScriptedReleases, SimulatedReleases
 from burlloom.operator import RolloutPart
 from burlloom.rollout import SERVERS_GROUP, CanarySettings, ReleasePhase, RequestCounts
 from burlloom.rollout.canary import CanaryWindow, ServerSample, Verdict, evaluate_canary
@@ -113,7 +113,7 @@
     kill.
     """
 
-    def __init__(self, releases: Releases, bound: int) -> None:
+    def __init__(self, releases: SimulatedReleases, bound: int) -> None:
         self.releases, self.bound = releases, bound
         self.most = self.over = self.unseen = self.drains = 0
         self.draining: set[tuple[str, int]] = set()
@@ -129,8 +129,8 @@
         } - self.draining
         self.draining |= new
         self.drains += len(new)
-        self.most = max(self.most, releases.out)
-        over = max(0, min(len(new), releases.out - self.bound))
+        self.most = max(self.most, releases.out_count)
+        over = max(0, min(len(new), releases.out_count - self.bound))
         self.over += over
         # Whoever was killed a moment ago counts from when its silence is seen.
         self.unseen += over if KILLED <= releases.emulator.loop.now <= KILLED + FRESH else 0
@@ -140,9 +140,9 @@
         ):
             self.done_at = now - BEGIN
         if (
-            isinstance(releases, Agreed)
+            isinstance(releases, CoordinatedReleases)
             and self.halted_at < 0
-            and releases.shelf.snapshot.state.release.phase is ReleasePhase.HALTED
+            and releases.store.snapshot.state.release.phase is ReleasePhase.HALTED
         ):
             self.halted_at = now - BEGIN
         if (
@@ -159,11 +159,11 @@
     made: list[Seen] = []
     voids = {"v2": BAD} if bad else {}
 
-    def releases(emulator: Emulator) -> Releases:
+    def releases(emulator: Emulator) -> SimulatedReleases:
         loop, nodes = emulator.loop, emulator.nodes
         second = nodes[-bound:]
         if variant == "agreed":
-            agreed = Agreed(emulator, "v1", voids, RESTART_S, part(), 0.02)
+            agreed = CoordinatedReleases(emulator, "v1", voids, RESTART_S, part(), 0.02)
             loop.call_later(
                 BEGIN,
                 agreed.order,
@@ -190,7 +190,7 @@
                 )
             made.append(Seen(agreed, bound))
             return agreed
-        scripted = Scripted(emulator, "v1", voids, RESTART_S)
+        scripted = ScriptedReleases(emulator, "v1", voids, RESTART_S)
         pause = 6.0 if variant == "clock" else 0.0
         loop.call_later(BEGIN, scripted.script, nodes, "v2", bound, 20.0, pause)
         if not bad:
@@ -215,7 +215,7 @@
         "done": seen.done_at,
         "halted": seen.halted_at,
         "back": seen.bad_done_at,
-        "ever": len(seen.releases.ever),
+        "ever": len(seen.releases.nodes_with_bad_version),
         "value": outcome.share,
         "pay": outcome.share_of("pay"),
         "faults": len(outcome.faults),
--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -457,7 +457,7 @@
         found[Slope(name, "s", state, f"{note}; {said}")] = seconds
 
     with swarm_of(size, terms(size)) as swarm:
-        bodies = swarm.up()
+        bodies = swarm.running_members()
         deaths = [after_deaths(swarm, [body]) for body in bodies[5:8]]
         put("agree after death", "mean of three", sum(took for took, _ in deaths) / 3)
         put(
@@ -483,10 +483,10 @@
 @part("cold", (30, 60, 100, 150, 200, 300), ("cold",))
 def cold(size: int, state: str) -> Found:
     with metered() as spent, swarm_of(size, terms(size), cold=True) as swarm:
-        took = swarm.until(swarm.agreed)
+        took = swarm.until(swarm.has_agreed_view)
         plain = sorted(cost for name, cost in spent.items() if int(name[1:]) > 2)
         net, note = (
-            swarm.net,
+            swarm.network,
             (
                 SWARM
                 + "all start at once knowing three addresses, until all agree; sizes to 300 measured,"
@@ -499,7 +499,7 @@
                 plain
             )
             / 1e6,
-            Slope("cold start bytes", "B", state, note + "; sent, the mean of all"): net.bytes
+            Slope("cold start bytes", "B", state, note + "; sent, the mean of all"): net.bytes_sent
             / size,
             Slope("member cpu", "ms/s", state, note + "; the median of plain members"): median(
                 plain
@@ -507,7 +507,7 @@
             / 1e6
             / took,
             Slope("member bytes", "B/s", state, note + "; sent and received, the mean of all"): 2
-            * net.bytes
+            * net.bytes_sent
             / size
             / took,
             Slope("dealer cpu", "ms/s", state, note + "; the first by name, a seed too"): spent[
--- a/benchmarks/scale_swarms.py
+++ b/benchmarks/scale_swarms.py
@@ -9,7 +9,7 @@
 
 import burlloom.fleet.member as whole
 from burlloom.lab.clock import simulated
-from burlloom.lab.fleets import Body, Net, Swarm
+from burlloom.lab.fleets import SimulatedNetwork, Swarm, SwarmMember
 
 MOST = 180.0  # s of simulated time, in which all agree or never
 
@@ -21,13 +21,13 @@
 
     shown: dict[str, tuple[object, int, frozenset[str]]]
 
-    def agreed(self) -> bool:
+    def has_agreed_view(self) -> bool:
         self.shown = getattr(self, "shown", {})
-        up = self.up()
+        up = self.running_members()
         names = frozenset(body.name for body in up)
         return all(self.names_of(body) == names for body in up)
 
-    def names_of(self, body: Body) -> frozenset[str]:
+    def names_of(self, body: SwarmMember) -> frozenset[str]:
         fleet = body.fleet
         assert fleet is not None
         known = self.shown.get(body.name)
@@ -41,7 +41,7 @@
         began = self.loop.now
         while not test():
             if self.loop.now - began > MOST:
-                raise AssertionError(f"{len(self.bodies)} servers: not within {MOST} s")
+                raise AssertionError(f"{len(self.members)} servers: not within {MOST} s")
             self.run(0.1)
         return self.loop.now - began
 
@@ -50,11 +50,11 @@
 def swarm_of(size: int, terms: Any, cold: bool = False) -> Iterator[Agreeing]:
     """All started; unless `cold`, each has the whole view already, taken in without messages."""
     with simulated() as loop:
-        swarm = Agreeing(loop, Net(loop, 1), terms)
+        swarm = Agreeing(loop, SimulatedNetwork(loop, 1), terms)
         swarm.add(size, 4.0)
         if not cold:
-            words = [body.fleet.own for body in swarm.up() if body.fleet is not None]
-            for body in swarm.up():
+            words = [body.fleet.own for body in swarm.running_members() if body.fleet is not None]
+            for body in swarm.running_members():
                 assert body.fleet is not None
                 for word in words:
                     body.fleet.view.process_update(swarm.now(), word)
@@ -63,35 +63,35 @@
         yield swarm
 
 
-def after_deaths(swarm: Agreeing, bodies: list[Body]) -> tuple[float, float]:
+def after_deaths(swarm: Agreeing, bodies: list[SwarmMember]) -> tuple[float, float]:
     """Until all that are left agree, and then until all agree with these started again."""
     for body in bodies:
         swarm.kill(body)
-    took = swarm.until(swarm.agreed)
+    took = swarm.until(swarm.has_agreed_view)
     for body in bodies:
         swarm.start(body)
-    back = swarm.until(swarm.agreed)
+    back = swarm.until(swarm.has_agreed_view)
     swarm.run(3)
     return took, back
 
 
-def after_restart(swarm: Agreeing, body: Body) -> float:
+def after_restart(swarm: Agreeing, body: SwarmMember) -> float:
     """It leaves, and is started again 2 s later: from then until all agree."""
     swarm.leave(body)
     swarm.run(2)
     swarm.start(body)
-    took = swarm.until(swarm.agreed)
+    took = swarm.until(swarm.has_agreed_view)
     swarm.run(3)
     return took
 
 
-def after_cut(swarm: Agreeing, part: list[Body], seconds: float) -> tuple[float, float]:
+def after_cut(swarm: Agreeing, part: list[SwarmMember], seconds: float) -> tuple[float, float]:
     """Until both sides agree each with itself; and from the healing until all agree."""
-    up = swarm.up()
+    up = swarm.running_members()
     inside = {body.name for body in part}
     sides = [frozenset(inside), frozenset(body.name for body in up if body.name not in inside)]
     swarm.shown = {}
-    swarm.net.cut(
+    swarm.network.cut(
         [body.address for body in part], [body.address for body in up if body.name not in inside]
     )
     began = swarm.loop.now
@@ -99,8 +99,8 @@
         lambda: all(swarm.names_of(body) == sides[body.name not in inside] for body in up)
     )
     swarm.run(max(0.0, seconds - (swarm.loop.now - began)))
-    swarm.net.heal()
-    return took, swarm.until(swarm.agreed)
+    swarm.network.heal()
+    return took, swarm.until(swarm.has_agreed_view)
 
 
 @contextmanager
--- a/burlloom/lab/emulator.py
+++ b/burlloom/lab/emulator.py
@@ -85,8 +85,8 @@
 class Rolls(Protocol):
     """What agrees on the nodes' releases, and when a new process is there."""
 
-    def rolling(self, node: Node) -> Callable[[Server], RolloutParticipation]: ...
-    def restarts(self) -> float: ...
+    def participation(self, node: Node) -> Callable[[Server], RolloutParticipation]: ...
+    def draw_restart_s(self) -> float: ...
 
 
 class Emulator:
@@ -387,7 +387,7 @@
         if node.life == life and node.up:
             self.loop.call_soon(node.stop, False)
             if comes_back:
-                again = self.rolls.restarts() if self.rolls is not None else RESTARTING
+                again = self.rolls.draw_restart_s() if self.rolls is not None else RESTARTING
                 self.loop.call_later(again, self.come_back, [node])
 
     def outcome(self, took: float) -> Outcome:
--- a/burlloom/lab/node.py
+++ b/burlloom/lab/node.py
@@ -42,7 +42,7 @@
         """
         self.fleet = fleet
         self.node = node
-        self.make_rollout = fleet.rolls.rolling(node) if fleet.rolls is not None else None
+        self.make_rollout = fleet.rolls.participation(node) if fleet.rolls is not None else None
 
     def create_record(self, server: Server) -> RequestRecord:
         """Creates the record that the experiment asks for."""
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -19,7 +19,7 @@
 from burlloom.fleet.membership import RULES, MembershipInput, MembershipView, MemberState
 from burlloom.fleet.messages import Message, MessageDecodeError, MessageKind, decode, encode
 from burlloom.lab.clock import simulated
-from burlloom.lab.fleets import Body, Net, Swarm
+from burlloom.lab.fleets import SimulatedNetwork, Swarm, SwarmMember
 
 OWN = MemberUpdate("own", "10.0.0.1:1", 5, 0, MemberState.ALIVE)
 WORDS = [
@@ -118,7 +118,7 @@
     """Kills, pauses, cuts both ways and one, losses to 20% and delays to 300 ms, then peace."""
     chance = Random(seed)
     with simulated() as loop:
-        net = Net(
+        net = SimulatedNetwork(
             loop,
             seed,
             (0.0003, chance.choice([0.001, 0.05, 0.3])),
@@ -130,7 +130,7 @@
         )
 
         def look() -> None:
-            assert swarm.total() <= 1.05 * calls, (seed, loop.now, swarm.total())
+            assert swarm.total_calls() <= 1.05 * calls, (seed, loop.now, swarm.total_calls())
 
         swarm.sample = look
         bodies = swarm.add(members, 1000.0)
@@ -144,14 +144,14 @@
             if body.fleet is None:
                 swarm.start(body)
             elif body.paused_at >= 0:
-                swarm.wake(body)
+                swarm.resume(body)
         swarm.run(30)
-        assert swarm.agreed(), seed
+        assert swarm.has_agreed_view(), seed
         shares = swarm.shares()
         assert sum(shares) >= 0.95 * calls and max(shares) - min(shares) <= 1, (seed, shares)
 
 
-def happens(swarm: Swarm, body: Body, chance: Random) -> None:
+def happens(swarm: Swarm, body: SwarmMember, chance: Random) -> None:
     paused = body.paused_at >= 0
     match chance.choice(
         [
@@ -176,13 +176,13 @@
         case "pause" if body.fleet is not None and not paused:
             swarm.pause(body)
         case "wake" if body.fleet is not None and paused:
-            swarm.wake(body)
+            swarm.resume(body)
         case "cut" | "one-way" as what:
-            side = [one.address for one in swarm.bodies.values() if chance.random() < 0.4]
-            rest = [one.address for one in swarm.bodies.values() if one.address not in side]
-            swarm.net.cut(side, rest, what == "cut")
+            side = [one.address for one in swarm.members.values() if chance.random() < 0.4]
+            rest = [one.address for one in swarm.members.values() if one.address not in side]
+            swarm.network.cut(side, rest, what == "cut")
         case "heal":
-            swarm.net.heal()
+            swarm.network.heal()
         case "leave" if not paused:
             swarm.leave(body)
         case "want":
@@ -196,10 +196,10 @@
 
 def test_forty_grow_and_shrink_fairly() -> None:
     with simulated() as loop:
-        swarm = Swarm(loop, Net(loop, 1), QuotaSettings(160 * MILLICALLS_PER_CALL, 3))
+        swarm = Swarm(loop, SimulatedNetwork(loop, 1), QuotaSettings(160 * MILLICALLS_PER_CALL, 3))
         bodies = swarm.add(3, 1000.0)
         swarm.sample = lambda: (
-            None if swarm.total() <= 1.05 * 160 else pytest.fail(str(swarm.total()))
+            None if swarm.total_calls() <= 1.05 * 160 else pytest.fail(str(swarm.total_calls()))
         )
         swarm.run(4)
         bodies += swarm.add(37, 1000.0)
@@ -208,9 +208,9 @@
         for _ in range(30):
             swarm.run(1)
             for body in bodies:
-                mean[body.name] = mean.get(body.name, 0.0) + body.using / 30
-        assert swarm.agreed() and all(abs(share - 4) <= 0.4 for share in mean.values()), sorted(
-            mean.values()
+                mean[body.name] = mean.get(body.name, 0.0) + body.calls_in_progress / 30
+        assert swarm.has_agreed_view() and all(abs(share - 4) <= 0.4 for share in mean.values()), (
+            sorted(mean.values())
         )
         for body in bodies[3:]:
             swarm.leave(body)
--- a/tests/test_scale_servers.py
+++ b/tests/test_scale_servers.py
@@ -22,14 +22,14 @@
     before = crowd.tally.sent, crowd.tally.bytes_sent
     crowd.run(30)
     with swarm_of(30, terms(30)) as swarm:
-        sent, octets = swarm.net.sent, swarm.net.bytes
+        sent, octets = swarm.network.sent, swarm.network.bytes_sent
         swarm.run(30)
         # One of thirty deals: what it grants the others counts with theirs.
-        each = (swarm.net.sent - sent - 29 * 5 * 30) / 30 / 30
+        each = (swarm.network.sent - sent - 29 * 5 * 30) / 30 / 30
         assert (crowd.tally.sent - before[0]) / 30 == pytest.approx(each, rel=0.1)
         assert (
             crowd.tally.bytes_sent - before[1]
-            < (swarm.net.bytes - octets) / 30
+            < (swarm.network.bytes_sent - octets) / 30
             < 2 * (crowd.tally.bytes_sent - before[1])
         )
     members = crowd.fleet.view
@@ -80,11 +80,11 @@
     with swarm_of(40, terms(40)) as swarm:
 
         def sends(seconds: float) -> float:
-            before = swarm.net.bytes
+            before = swarm.network.bytes_sent
             swarm.run(seconds)
-            return (swarm.net.bytes - before) / 40
+            return (swarm.network.bytes_sent - before) / 40
 
-        rest, (one, other) = sends(12), swarm.up()[10:12]
+        rest, (one, other) = sends(12), swarm.running_members()[10:12]
         swarm.leave(one)
         restart = sends(2) - rest
         swarm.start(one)
@@ -115,8 +115,8 @@
 
 def test_a_swarm_begins_agreed_and_agrees_after_a_death() -> None:
     with swarm_of(12, terms(12)) as swarm:
-        assert swarm.agreed()
-        took, back = after_deaths(swarm, swarm.up()[4:5])
+        assert swarm.has_agreed_view()
+        took, back = after_deaths(swarm, swarm.running_members()[4:5])
         assert 2 < took < 12
         assert 0 < back < 5
 
