--- a/burlloom/fleet/allocator.py
+++ b/burlloom/fleet/allocator.py
@@ -37,7 +37,7 @@
 # requests go out with each probe: members that lived on have found us by then.
 _BOOTSTRAP_NS = 1600 * NS_PER_MS
 _MIN_LEARNING_ROUNDS = 3
-# Divides the allocation interval while a member wants far more than it was allocated.
+# Divides the allocation interval while a member wants far more than its share.
 _URGENT_SPEEDUP = 8
 _URGENT_DEMAND_FACTOR = 2
 
--- a/burlloom/fleet/member.py
+++ b/burlloom/fleet/member.py
@@ -8,7 +8,9 @@
 from collections.abc import Callable, Mapping
 from random import Random
 
+from .allocator import Allocator
 from .gossip import GossipSender
+from .lease_holder import LeaseHolder
 from .membership import (
     MembershipInput,
     MembershipView,
@@ -85,8 +87,6 @@
             self.view, self.sender, self.synchronizer, gossip_settings, seeds, random, never_ns
         )
         self.quota = QuotaProtocol(self.view, self.sender, quota_settings, now, never_ns)
-        self.allocator = self.quota.allocator
-        self.lease_holder = self.quota.lease_holder
         self.outbox: deque[tuple[str, bytes]] = self.sender.outbox
         self.counters = self.sender.counters
         self.transitions: list[Transition] = []
@@ -118,7 +118,17 @@
     @property
     def share(self) -> int:
         """Millicalls that may be in progress downstream."""
-        return self.lease_holder.share
+        return self.quota.lease_holder.share
+
+    @property
+    def allocator(self) -> Allocator:
+        """Idle while another member allocates."""
+        return self.quota.allocator
+
+    @property
+    def lease_holder(self) -> LeaseHolder:
+        """The lease of this member's share."""
+        return self.quota.lease_holder
 
     @property
     def allocator_name(self) -> str:
--- a/burlloom/rollout/supervision.py
+++ b/burlloom/rollout/supervision.py
@@ -69,13 +69,8 @@
         is_silent = report is None or self.observer.is_silent(now, report)
         received, incarnation = _interpret_report(report, is_serving, is_silent)
         effect = ""
-        if received is InstanceInput.SEEN and _was_missed_leaving(before, report):
-            state, _ = state.apply_input(
-                SERVERS_GROUP,
-                name,
-                InstanceInput.LEAVING,
-                incarnation=before.incarnation if before is not None else 0,
-            )
+        if received is InstanceInput.SEEN:
+            state = _record_missed_leaving(state, name, before, report)
         if received is not None:
             state, effect = state.apply_input(
                 SERVERS_GROUP, name, received, incarnation=incarnation
@@ -185,11 +180,16 @@
     return InstanceInput.LEAVING, report.incarnation
 
 
-def _was_missed_leaving(before: Instance | None, report: ServerReport | None) -> bool:
-    """Whether the server left in good order, and was back before we looked."""
-    if before is None or report is None:
-        return False
-    return before.incarnation == report.previous_incarnation
+def _record_missed_leaving(
+    state: RolloutState, name: str, before: Instance | None, report: ServerReport | None
+) -> RolloutState:
+    """Records that a server left in good order, where it was back before we looked."""
+    if before is None or report is None or before.incarnation != report.previous_incarnation:
+        return state
+    state, _ = state.apply_input(
+        SERVERS_GROUP, name, InstanceInput.LEAVING, incarnation=before.incarnation
+    )
+    return state
 
 
 def _record_version(state: RolloutState, name: str, report: ServerReport) -> RolloutState:
--- a/tests/test_fleet_walks.py
+++ b/tests/test_fleet_walks.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_fleet_sums import steps_of
+from test_fleet_totals import steps_of
 
 from burlloom.fleet import Fleet, GossipSettings, MemberState, MemberUpdate, QuotaSettings
 from burlloom.fleet.accounts import MemberPresence
