--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -284,7 +284,7 @@
     world = World(size, DisruptionBudget(max_out_share=0.1)).settled()
     idle: list[int] = []
     rounds: list[int] = []
-    steps, spans, of, step = 0, idle, world.lead.run_round, hand.DrainAgent.begin_drain
+    steps, spans, of, step = 0, idle, world.leader.run_round, hand.DrainAgent.begin_drain
 
     def timed(now: int, book: RolloutState, members: list[ServerReport]) -> RolloutState:
         nonlocal steps
@@ -299,19 +299,23 @@
         steps += 1
         return step(one, book)
 
-    world.lead.run_round = timed  # type: ignore[method-assign,assignment]
+    world.leader.run_round = timed  # type: ignore[method-assign,assignment]
     for _ in range(5):
         world.second()
-    world.book, spans, steps = world.book.start_release("v2", (1, 0.1, 0.5, 1.0), False), rounds, 0
+    world.state, spans, steps = (
+        world.state.start_release("v2", (1, 0.1, 0.5, 1.0), False),
+        rounds,
+        0,
+    )
     hand.DrainAgent.begin_drain = stepped  # type: ignore[method-assign]
     try:
         for _ in range(25):
             world.second()
     finally:
         hand.DrainAgent.begin_drain = step  # type: ignore[method-assign]
-    text, spent = encode_state(world.book), [0, 0]
+    text, spent = encode_state(world.state), [0, 0]
     for _ in range(5):
-        for at, work in enumerate((lambda: encode_state(world.book), lambda: decode_state(text))):
+        for at, work in enumerate((lambda: encode_state(world.state), lambda: decode_state(text))):
             began = thread_time_ns()
             work()
             spent[at] += thread_time_ns() - began
@@ -320,7 +324,7 @@
         " 25 s from its start; all sizes measured"
     )
     cost = sum(rounds) / len(rounds) / 1e6
-    swap, tell = asyncio.run(stored(world.book, list(world.members.values())[:50]))
+    swap, tell = asyncio.run(stored(world.state, list(world.members.values())[:50]))
     store = "SQLite on this machine's disk, processor time of the process; PostgreSQL not measured; all sizes measured"
     return {
         Slope("release round cpu", "ms", state, note): cost,
@@ -453,7 +457,7 @@
         found[Slope(name, "s", state, f"{note}; {said}")] = seconds
 
     with swarm_of(size, terms(size)) as swarm:
-        bodies = swarm.up()
+        bodies = swarm.running_members()
         deaths = [after_deaths(swarm, [body]) for body in bodies[5:8]]
         put("agree after death", "mean of three", sum(took for took, _ in deaths) / 3)
         put(
@@ -479,10 +483,10 @@
 @part("cold", (30, 60, 100, 150, 200, 300), ("cold",))
 def cold(size: int, state: str) -> Found:
     with metered() as spent, swarm_of(size, terms(size), cold=True) as swarm:
-        took = swarm.until(swarm.agreed)
+        took = swarm.until(swarm.has_agreed_view)
         plain = sorted(cost for name, cost in spent.items() if int(name[1:]) > 2)
         net, note = (
-            swarm.net,
+            swarm.network,
             (
                 SWARM
                 + "all start at once knowing three addresses, until all agree; sizes to 300 measured,"
@@ -495,7 +499,7 @@
                 plain
             )
             / 1e6,
-            Slope("cold start bytes", "B", state, note + "; sent, the mean of all"): net.bytes
+            Slope("cold start bytes", "B", state, note + "; sent, the mean of all"): net.bytes_sent
             / size,
             Slope("member cpu", "ms/s", state, note + "; the median of plain members"): median(
                 plain
@@ -503,7 +507,7 @@
             / 1e6
             / took,
             Slope("member bytes", "B/s", state, note + "; sent and received, the mean of all"): 2
-            * net.bytes
+            * net.bytes_sent
             / size
             / took,
             Slope("dealer cpu", "ms/s", state, note + "; the first by name, a seed too"): spent[
