--- a/tests/test_tenant_portions.py
+++ b/tests/test_tenant_portions.py
@@ -11,7 +11,8 @@
 from burlloom.distribution.table import ConfigTable
 from burlloom.fakes.parts import fields
 from burlloom.levels.signals import MAX_TENANTS, TenantShares
-from burlloom.rpc.incoming_request import MalformedRequestError, RequestRules, parse_request
+from burlloom.rpc.incoming_request import MalformedRequestError, RequestRules
+from burlloom.rpc.wire import parse_request
 from burlloom.server.tenant_portions import COUNT_INTERVAL_NS, ServedTenants, TenantPortions
 from burlloom.sockets import NS_PER_MS, NS_PER_SECOND
 
