--- a/benchmarks/distribution_core.py
+++ b/benchmarks/distribution_core.py
@@ -124,7 +124,7 @@
     counts = newcomer.followers[0].counts
     print(
         f"a newcomer to {NEWCOMERS_ENTRIES} entries: {newcomer.below:.2f} s, its source {newcomer.above:.2f} s, {counts.pages} pages, "
-        f"{counts.heard_bytes} bytes, the longest datagram {newcomer.worst * 1000:.2f} ms"
+        f"{counts.received_bytes} bytes, the longest datagram {newcomer.worst * 1000:.2f} ms"
     )
     for rate in (0, 0.4, 4):
         sent, sent_bytes, heard, heard_bytes = cost(rate)
--- a/burlloom/distribution/changes.py
+++ b/burlloom/distribution/changes.py
@@ -124,9 +124,9 @@
     return hashlib.blake2b(text, key=key, digest_size=TAG_BYTES).digest()
 
 
-def encode_items(entries: Iterable[ConfigItem]) -> bytes:
+def encode_items(items: Iterable[ConfigItem]) -> bytes:
     """Return the body of a change: MessagePack of a list of [kind, key, value or nil]."""
-    body: bytes = msgpack.packb([[entry.kind, entry.key, entry.value] for entry in entries])
+    body: bytes = msgpack.packb([[item.kind, item.key, item.value] for item in items])
     return body
 
 
@@ -147,36 +147,36 @@
     ]
     if found:
         raise InvalidChangeError(found)
-    entries = [ConfigItem(scope, *part) for part in got]
-    found = change_faults(scope, entries)
+    items = [ConfigItem(scope, *part) for part in got]
+    found = change_faults(scope, items)
     if found:
         raise InvalidChangeError(found)
-    return entries
+    return items
 
 
-def change_faults(scope: Any, entries: Sequence[ConfigItem]) -> list[str]:
+def change_faults(scope: Any, items: Sequence[ConfigItem]) -> list[str]:
     """Return all that is wrong with the items of a change, each with its place."""
     found = (
         []
         if is_text(scope, 0, MAX_SCOPE_BYTES)
         else [f"scope: not text of {MAX_SCOPE_BYTES} bytes at most"]
     )
-    if not 0 < len(entries) <= MAX_CHANGE_ITEMS:
-        found.append(f"entries: {len(entries)}, of 1 to {MAX_CHANGE_ITEMS}")
+    if not 0 < len(items) <= MAX_CHANGE_ITEMS:
+        found.append(f"entries: {len(items)}, of 1 to {MAX_CHANGE_ITEMS}")
     known: dict[Any, int] = {}
-    for at, entry in enumerate(entries[:MAX_CHANGE_ITEMS]):
+    for at, item in enumerate(items[:MAX_CHANGE_ITEMS]):
         place = f"entries[{at}]"
-        if entry.scope != scope:
-            found.append(f"{place}.scope: {entry.scope!r:.80}, and the change's is {scope!r:.80}")
-        kind = type(entry.kind) is str and entry.kind in KINDS
+        if item.scope != scope:
+            found.append(f"{place}.scope: {item.scope!r:.80}, and the change's is {scope!r:.80}")
+        kind = type(item.kind) is str and item.kind in KINDS
         if not kind:
-            found.append(f"{place}.kind: {entry.kind!r:.80}, of {', '.join(KINDS)}")
-        key = is_text(entry.key, 1, MAX_KEY_BYTES)
+            found.append(f"{place}.kind: {item.kind!r:.80}, of {', '.join(KINDS)}")
+        key = is_text(item.key, 1, MAX_KEY_BYTES)
         if not key:
             found.append(f"{place}.key: not text of 1 to {MAX_KEY_BYTES} bytes")
-        if kind and key and known.setdefault((entry.kind, entry.key), at) != at:
-            found.append(f"{place}.key: set by entries[{known[entry.kind, entry.key]}] already")
-        fault = value_fault(entry.value)
+        if kind and key and known.setdefault((item.kind, item.key), at) != at:
+            found.append(f"{place}.key: set by entries[{known[item.kind, item.key]}] already")
+        fault = value_fault(item.value)
         if fault:
             found.append(f"{place}.value: {fault}")
     return found[:MAX_FAULTS]
--- a/burlloom/distribution/codec.py
+++ b/burlloom/distribution/codec.py
@@ -66,8 +66,8 @@
     {
         MessageKind.REPORT,
         MessageKind.PULL,
-        MessageKind.DIGESTS_ASK,
-        MessageKind.PAGES_ASK,
+        MessageKind.DIGESTS_REQUEST,
+        MessageKind.PAGES_REQUEST,
         MessageKind.BYE,
     }
 )
@@ -96,8 +96,8 @@
     """
     if not SEAL_BYTES < len(data) <= MAX_MESSAGE_BYTES:
         raise MessageDecodeError("too short" if len(data) <= SEAL_BYTES else "too long")
-    mark, text = data[:SEAL_BYTES], data[SEAL_BYTES:]
-    if not any(hmac.compare_digest(mark, compute_seal(key, text)) for key in keys):
+    received_seal, text = data[:SEAL_BYTES], data[SEAL_BYTES:]
+    if not any(hmac.compare_digest(received_seal, compute_seal(key, text)) for key in keys):
         raise MessageDecodeError("not sealed with our key")
     try:
         got = msgpack.unpackb(text, max_array_len=MAX_PAGE_ITEMS, max_map_len=0, max_ext_len=0)
@@ -115,18 +115,18 @@
     """Return the message of unpacked MessagePack. Raises `MessageDecodeError`."""
     if type(got) is not list or len(got) < 5:
         raise MessageDecodeError("no message")
-    version, kind, name, life, number = got[:5]
+    version, kind, name, incarnation, number = got[:5]
     if type(version) is not int or version != VERSION:
         older = type(version) is int and version < VERSION
         raise MessageDecodeError("an older version" if older else "another version")
     if type(kind) is not int or not 0 <= kind < len(MessageKind):
         raise MessageDecodeError("of no kind")
-    if not is_text(name, 1, MAX_NAME_BYTES) or not is_number(life) or not is_number(number):
+    if not is_text(name, 1, MAX_NAME_BYTES) or not is_number(incarnation) or not is_number(number):
         raise MessageDecodeError("a sender that is none")
     length, read = DECODERS[kind]
     if len(got) != 5 + length:
         raise MessageDecodeError(f"no {MessageKind(kind).name}")
-    return Message(Sender(name, life, number), read(*got[5:]))
+    return Message(Sender(name, incarnation, number), read(*got[5:]))
 
 
 def is_number(got: Any) -> bool:
@@ -238,7 +238,7 @@
 
 
 def read_page(
-    epoch: Any, revision: Any, bucket: Any, place: Any, after: Any, entries: Any, done: Any
+    epoch: Any, revision: Any, bucket: Any, place: Any, after: Any, items: Any, done: Any
 ) -> Body:
     """Decode PAGE. Raises `MessageDecodeError`."""
     require(
@@ -249,15 +249,15 @@
         and bucket < BUCKET_COUNT
         and is_number(place)
         and place < MAX_PAGES_PER_REQUEST
-        and type(entries) is list
+        and type(items) is list
         and type(done) is bool,
         "PAGE",
     )
-    found = tuple(map(item_from, entries))
+    found = tuple(map(item_from, items))
     last = found[-1][:3] if found else None
     begin = position_from(after)
     require(done or bool(found), "PAGE")
-    places = [entry[:3] for entry in found]
+    places = [item[:3] for item in found]
     require(
         all(one < other for one, other in pairwise(places))
         and (begin is None or not places or begin < places[0]),
@@ -306,9 +306,9 @@
     HeadStatus: int(MessageKind.HEAD),
     PushedChange: int(MessageKind.CHANGE),
     PullRequest: int(MessageKind.PULL),
-    DigestsRequest: int(MessageKind.DIGESTS_ASK),
+    DigestsRequest: int(MessageKind.DIGESTS_REQUEST),
     DigestsResponse: int(MessageKind.DIGESTS),
-    PagesRequest: int(MessageKind.PAGES_ASK),
+    PagesRequest: int(MessageKind.PAGES_REQUEST),
     PageResponse: int(MessageKind.PAGE),
     Redirect: int(MessageKind.REDIRECT),
     Leave: int(MessageKind.BYE),
--- a/burlloom/distribution/config_query.py
+++ b/burlloom/distribution/config_query.py
@@ -88,30 +88,30 @@
         Scope, value and "" of each item, the one in force first, or None if nobody answered; and a
         sentence that says who answered, or why nobody did.
     """
-    asking = QueryClient(key)
+    client = QueryClient(key)
     transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-        lambda: asking, local_addr=("0.0.0.0", 0)
+        lambda: client, local_addr=("0.0.0.0", 0)
     )
     said = "no upstream answers"
     try:
         for one in upstreams:
-            told: HeadStatus | Redirect | None = await asking.query(
+            status: HeadStatus | Redirect | None = await client.query(
                 one, Report(("", region), 0, 0, 0), answered
             )
-            if isinstance(told, Redirect):
-                said = f"{one.name} sends on: {told.reason}"
+            if isinstance(status, Redirect):
+                said = f"{one.name} sends on: {status.reason}"
             elif (
-                told is not None
-                and (found := await query_item(asking, one, region, kind, name)) is not None
+                status is not None
+                and (found := await query_item(client, one, region, kind, name)) is not None
             ):
                 age = (
                     "never surely the newest"
-                    if told.age_ms is None
-                    else f"surely the newest {told.age_ms / 1000:.1f} s ago"
+                    if status.age_ms is None
+                    else f"surely the newest {status.age_ms / 1000:.1f} s ago"
                 )
                 return (
                     found,
-                    f"{one.name}: epoch {told.head.epoch} revision {told.head.revision}, {age}",
+                    f"{one.name}: epoch {status.head.epoch} revision {status.head.revision}, {age}",
                 )
         return None, said
     finally:
@@ -119,7 +119,7 @@
 
 
 async def query_item(
-    asking: QueryClient, one: Upstream, region: str, kind: str, name: str
+    client: QueryClient, one: Upstream, region: str, kind: str, name: str
 ) -> list[tuple[str, bytes, str]] | None:
     """Return scope and value of each item under a key, the one in force first.
 
@@ -129,16 +129,16 @@
     after: ItemPosition | None = None
     found: dict[str, bytes] = {}
     for _ in range(MAX_PAGES):
-        paged = await asking.query(
+        paged = await client.query(
             one,
             PagesRequest(bucket, after, 1),
             lambda message: message.body if isinstance(message.body, PageResponse) else None,
         )
         if paged is None:
             return None
-        for entry in paged.page.items:
-            if entry[1:3] == (kind, name) and entry.value is not None:
-                found[entry.scope] = entry.value
+        for item in paged.page.items:
+            if item[1:3] == (kind, name) and item.value is not None:
+                found[item.scope] = item.value
         if paged.page.is_last:
             return [(scope, found[scope], "") for scope in (region, "") if scope in found]
         after = paged.page.last_position
--- a/burlloom/distribution/control_node.py
+++ b/burlloom/distribution/control_node.py
@@ -63,7 +63,7 @@
         sock: socket.socket,
         seals: KeyFile,
         signing: KeyFile,
-        terms: ReplicationSettings,
+        settings: ReplicationSettings,
         upstreams: Iterable[Upstream],
         store: ChangeStore | None,
         state_file: str | None = None,
@@ -74,7 +74,7 @@
             region,
             seals,
             signing,
-            terms,
+            settings,
         )
         self.upstreams = [one for one in upstreams if one.name != name]
         self.store, self.state_file = store, state_file
@@ -83,7 +83,7 @@
         self.incarnation, now = time.time_ns() // MS, since_start()
         self.replica = Replica(ConfigTable(None), signing.keys)
         self.source = Source(
-            self.replica, name, self.incarnation, seals.keys, terms, self.random, now, self.age
+            self.replica, name, self.incarnation, seals.keys, settings, self.random, now, self.age
         )
         self.follower: Follower | None = None
         self.store_follower = (
@@ -103,8 +103,8 @@
     def age(self, now: int) -> int | None:
         """Return how long ago the table was confirmed to be the newest, in ms; None if never."""
         ages = [] if self.store_read_at is None else [max(0, now - self.store_read_at) // MS]
-        told = self.follower.age(now) if self.follower is not None else None
-        return min([*ages, *([] if told is None else [told])], default=None)
+        own_age = self.follower.age(now) if self.follower is not None else None
+        return min([*ages, *([] if own_age is None else [own_age])], default=None)
 
     async def run(self) -> None:
         """Serve until `stop` is called, then send all followers elsewhere and close."""
@@ -169,7 +169,7 @@
                     log.error("event=config_store_inconsistent detail=%r", str(error))
                 wait = MAX_RETRY_DELAY_S
             except Exception:
-                log.exception("event=fault side=distribution-store")
+                log.exception("event=internal_error side=config_store")
                 wait = MAX_RETRY_DELAY_S
             await asyncio.sleep(wait)
 
@@ -197,7 +197,7 @@
             try:
                 self.tick()
             except Exception:
-                log.exception("event=fault side=distribution")
+                log.exception("event=internal_error side=distribution")
             await asyncio.sleep(TICK_S)
 
     def tick(self) -> None:
@@ -308,9 +308,8 @@
     def metrics(self) -> dict[str, int]:
         """Return the counters that are exposed, by name."""
         counts = self.source.counts
-        told = {name: getattr(counts, name) for name in type(counts).__slots__ if name != "refused"}
         return {
-            **told,
+            **counts.exported(),
             "refused": sum(counts.refused.values()),
             "unsent": self.endpoint.dropped,
             **{f"store_{name}": getattr(self.counts, name) for name in Counts.__slots__},
--- a/burlloom/distribution/endpoint.py
+++ b/burlloom/distribution/endpoint.py
@@ -38,8 +38,8 @@
     dropped.
     """
 
-    def __init__(self, sock: socket.socket, hear: Callable[[bytes, Address], None]) -> None:
-        self.sock, self.on_datagram = sock, hear
+    def __init__(self, sock: socket.socket, on_datagram: Callable[[bytes, Address], None]) -> None:
+        self.sock, self.on_datagram = sock, on_datagram
         host, port = sock.getsockname()
         self.address = f"{host}:{port}"
         self.transport: Any = (
@@ -55,7 +55,7 @@
         )
 
     def flush(self, out: deque[tuple[Address, bytes]]) -> None:
-        """Send all datagrams of `out`; past `UNSENT_MOST` unsent bytes they are dropped."""
+        """Send all datagrams of `out`; past `MAX_UNSENT_BYTES` unsent bytes they are dropped."""
         while out:
             address, data = out.popleft()
             if self.transport is None or self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
@@ -64,7 +64,7 @@
                 self.transport.sendto(data, address)
 
     def log_refusals(self, now_s: int, refusals: deque[tuple[str, Address]]) -> None:
-        """Log refused messages, at most `REFUSED_EACH` lines a second."""
+        """Log refused messages, at most `MAX_REFUSAL_LINES_PER_S` lines a second."""
         if now_s != self.logged_second:
             self.logged_second, self.logged_count = now_s, 0
         while refusals:
@@ -86,7 +86,7 @@
         try:
             self.on_datagram(data, (addr[0], addr[1]))
         except Exception:
-            log.exception("event=fault side=distribution")
+            log.exception("event=internal_error side=distribution")
 
     def error_received(self, exc: Exception) -> None:
         """Ignore errors of the system: a lost peer is found by its silence."""
--- a/burlloom/distribution/follower.py
+++ b/burlloom/distribution/follower.py
@@ -55,7 +55,7 @@
 )
 ITEMS_PER_PUT = 64  # entries at once, of what was folded
 MAX_BACKOFF_DOUBLINGS = 4  # after which a try waits no longer than the one before
-MAX_FETCHES = 16  # buckets that are fetched at once, of PAGES_MOST pages each
+MAX_FETCHES = 16  # buckets that are fetched at once, of MAX_PAGES_PER_REQUEST pages each
 MAX_OPEN_REPORTS = 4  # that may still be answered
 MAX_PENDING_AGES = 8  # of an upstream's age, for revisions that are still to come
 MAX_REFUSED_IN_A_ROW = 3  # changes in a row that don't follow: then another upstream is asked
@@ -117,65 +117,68 @@
         self,
         replica: Replica,
         name: str,
-        life: int,
+        incarnation: int,
         region: str,
         upstreams: Iterable[Upstream],
         keys: tuple[bytes, ...],
-        terms: ReplicationSettings,
-        chance: Random,
+        settings: ReplicationSettings,
+        random: Random,
         now: int,
     ) -> None:
-        self.replica, self.name, self.incarnation, self.keys = replica, name, life, keys
-        self.settings, self.random = terms, chance
+        self.replica, self.name, self.incarnation, self.keys = replica, name, incarnation, keys
+        self.settings, self.random = settings, random
         self.upstreams = by_preference(name, region, upstreams)
-        if not 0 < len(self.upstreams) <= MAX_UPSTREAMS or terms.faults():
+        if not 0 < len(self.upstreams) <= MAX_UPSTREAMS or settings.faults():
             raise ValueError(
-                "; ".join(terms.faults())
+                "; ".join(settings.faults())
                 or f"{len(self.upstreams)} upstreams, of 1 to {MAX_UPSTREAMS}"
             )
         self.state = State.EMPTY if replica.head is None else State.ALONE
         self.out: deque[tuple[Address, bytes]] = deque()
         self.counts = Counts()
-        self.refusals: deque[tuple[str, Address]] = deque(
-            maxlen=MAX_PENDING_REFUSALS
-        )  # until the host takes them
-        # Numbers of two lives are never the same: an answer to an earlier life means nothing to
-        # this one.
-        self.number = life << 20 & MAX_NUMBER
-        self.upstream_index = 0  # whom we follow, of `upstreams`
-        self.has_answered = False  # whether it ever did, since we came to it
-        self.upstreams_tried = 0  # upstreams, since one answered
+        # Kept until the host takes them for its log.
+        self.refusals: deque[tuple[str, Address]] = deque(maxlen=MAX_PENDING_REFUSALS)
+        # Numbers of two incarnations never coincide: an answer to an earlier one means nothing here.
+        self.number = incarnation << 20 & MAX_NUMBER
+        self.last_tick_at = now
+        self._init_upstream(now)
+        self._init_changes(now)
+
+    def _init_upstream(self, now: int) -> None:
+        """Begin with the first upstream, unanswered."""
+        self.upstream_index = 0
+        self.has_answered = False
+        # Since one of them answered.
+        self.upstreams_tried = 0
         self.upstream_incarnation = 0
-        self.upstream_head: HeadStatus | None = None  # its last word
-        self.upstream_head_number = 0  # of the report that it answered
-        self.latest = 0  # revision that it is known to have
-        self.last_answer_at = self.last_tick_at = (
-            now  # its last answer, or our coming to it; the last tick
-        )
-        self.reports: dict[int, int] = {}  # by number, when it left
-        self.next_report_at = now  # the next
-        self.probe = (
-            -1,
-            -1,
-            now,
-        )  # of a better upstream: which, our report's number, and when it left
+        self.upstream_head: HeadStatus | None = None
+        # Number of the report that `upstream_head` answered.
+        self.upstream_head_number = 0
+        # Revision that the upstream is known to have.
+        self.latest = 0
+        # The upstream's last answer, or when it was chosen.
+        self.last_answer_at = now
+        # Unanswered reports: number to the time of sending.
+        self.reports: dict[int, int] = {}
+        self.next_report_at = now
+        # The probe of a preferred upstream: its index, our report's number, the time of sending.
+        self.probe = (-1, -1, now)
         self.last_probe_index = -1
-        self.next_probe_at = now + self.jittered(terms.preferred_retry_ns)
+        self.next_probe_at = now + self.jittered(self.settings.preferred_retry_ns)
+
+    def _init_changes(self, now: int) -> None:
+        """Begin without changes on their way."""
         self.early_changes: dict[int, Change] = {}
         self.pull_number, self.pull_sent_at, self.pull_up_to, self.pull_retry_at = -1, -1, 0, now
         self.refused_in_a_row = 0
         self.sync: Sync | None = None
-        self.pages_up_to = (
-            0,
-            0,
-        )  # epoch and revision that pages lie in the table of, where no sync ended since
-        self.first_judged_number = (
-            self.number
-        )  # reports before this number say nothing of the table any more
+        # Epoch and revision of the latest page in the table, while no sync has ended since.
+        self.pages_up_to = (0, 0)
+        # Reports before this number say nothing of the table any more.
+        self.first_judged_number = self.number
         self.confirmed_newest_at: int | None = None
-        self.pending_ages: deque[tuple[int, int, int]] = deque(
-            maxlen=MAX_PENDING_AGES
-        )  # epoch, revision, newest when
+        # Ages for revisions that are still to come: epoch, revision, when that was the newest.
+        self.pending_ages: deque[tuple[int, int, int]] = deque(maxlen=MAX_PENDING_AGES)
 
     # What others ask.
 
@@ -297,8 +300,8 @@
 
     def receive(self, now: int, data: bytes, source: Address) -> None:
         """Handle one datagram; what is refused is counted by its reason."""
-        self.counts.heard += 1
-        self.counts.heard_bytes += len(data)
+        self.counts.received += 1
+        self.counts.received_bytes += len(data)
         try:
             message = unseal(data, self.keys)
         except MessageDecodeError as error:
@@ -316,57 +319,59 @@
     def on_head(self, now: int, message: Message) -> str:
         """Take the upstream's head, or a probed upstream's; returns why it is refused, else ""."""
         assert isinstance(message.body, HeadStatus)
-        sender, told = message.sender, message.body
-        which, number, left_at = self.probe
+        sender, status = message.sender, message.body
+        which, number, sent_at = self.probe
         if number == sender.number and self.upstreams[which].name == sender.name:
             self.probe = -1, -1, now
-            if not self.is_preferable(told, which):
+            if not self.is_preferable(status, which):
                 self.send(self.upstreams[which], Leave())
                 return ""
             self.follow_upstream(now, which)
-            self.reports[number] = left_at
+            self.reports[number] = sent_at
         elif sender.name != self.upstream.name:
             return "a HEAD of another"
         elif sender.number == self.pull_number:
             self.pull_sent_at = -1
         elif sender.number not in self.reports:
             return "a HEAD that was not asked for"
-        self.last_answer_at, self.has_answered, self.upstream_incarnation = (
-            now,
-            True,
-            sender.incarnation,
-        )
-        asked_at = self.reports.pop(sender.number, None)
-        fault = self.reason_not_to_follow(told.head)
-        if fault:
+        return self._take_head(now, sender, status)
+
+    def _take_head(self, now: int, sender: Sender, status: HeadStatus) -> str:
+        """Take the head of the upstream; returns why it can't be followed any more, else ""."""
+        self.last_answer_at, self.has_answered = now, True
+        self.upstream_incarnation = sender.incarnation
+        report_sent_at = self.reports.pop(sender.number, None)
+        reason = self.reason_not_to_follow(status.head)
+        if reason:
             self.lose_upstream(now)
-            return fault
-        if self.upstream_is_stale() != (
-            told.age_ms is None or told.age_ms * MS > self.settings.stale_after_ns
-        ):
-            self.next_probe_at = min(
-                self.next_probe_at, now + self.jittered(self.settings.heartbeat_ns)
-            )
-        back = (
-            self.upstream_head is not None
-            and told.head[:2] < self.upstream_head.head[:2]
-            and sender.number > self.upstream_head_number
-        )
-        same = (
-            self.upstream_head is not None
-            and self.upstream_head.head.epoch == told.head.epoch
-            and not back
-        )
-        self.latest = max(self.latest if same else 0, told.head.revision)
-        self.upstream_head, self.upstream_head_number, self.upstreams_tried = told, sender.number, 0
-        if asked_at is not None and told.age_ms is not None:
-            self.pending_ages.append(
-                (told.head.epoch, told.head.revision, asked_at - told.age_ms * MS)
-            )
+            return reason
+        is_stale = status.age_ms is None or status.age_ms * MS > self.settings.stale_after_ns
+        if self.upstream_is_stale() != is_stale:
+            soon = now + self.jittered(self.settings.heartbeat_ns)
+            self.next_probe_at = min(self.next_probe_at, soon)
+        self._keep_head(sender.number, status)
+        if report_sent_at is not None and status.age_ms is not None:
+            newest_at = report_sent_at - status.age_ms * MS
+            self.pending_ages.append((status.head.epoch, status.head.revision, newest_at))
             self.update_confirmed_age()
         self.handle(now, Input.HEAD)
         return ""
 
+    def _keep_head(self, number: int, status: HeadStatus) -> None:
+        """Remember the upstream's head, and the latest revision that it is known to have."""
+        before = self.upstream_head
+        went_back = (
+            before is not None
+            and status.head[:2] < before.head[:2]
+            and number > self.upstream_head_number
+        )
+        is_same_log = (
+            before is not None and before.head.epoch == status.head.epoch and not went_back
+        )
+        self.latest = max(self.latest if is_same_log else 0, status.head.revision)
+        self.upstream_head, self.upstream_head_number = status, number
+        self.upstreams_tried = 0
+
     def reason_not_to_follow(self, head: Head) -> str:
         """Return why an upstream with that head can't be followed; "" if it can."""
         own = self.replica.head
@@ -378,14 +383,14 @@
             return "another history of this epoch"
         return ""
 
-    def is_preferable(self, told: HeadStatus, which: int) -> bool:
+    def is_preferable(self, status: HeadStatus, which: int) -> bool:
         """Whether that upstream should be followed in place of the present one."""
-        if self.reason_not_to_follow(told.head) or told.age_ms is None:
+        if self.reason_not_to_follow(status.head) or status.age_ms is None:
             return False
         own = self.upstream_head.age_ms if self.upstream_head is not None else None
-        if which < self.upstream_index and told.age_ms * MS <= self.settings.stale_after_ns:
+        if which < self.upstream_index and status.age_ms * MS <= self.settings.stale_after_ns:
             return True
-        return self.upstream_is_stale() and (own is None or 2 * told.age_ms < own)
+        return self.upstream_is_stale() and (own is None or 2 * status.age_ms < own)
 
     def update_confirmed_age(self) -> None:
         """Apply the upstream's ages for revisions that are in force here now."""
@@ -452,7 +457,7 @@
                     self.lose_upstream(now)
                 return reason
             self.refused_in_a_row = 0
-            self.counts.taken += 1
+            self.counts.applied += 1
             if self.sync is not None:
                 self.sync.last_progress_at = now
             self.update_confirmed_age()
@@ -463,11 +468,11 @@
         reason = chain_break(sync.tip, change, self.replica.keys)
         if not reason and self.replica.holds_scope(change.scope):
             try:
-                entries = self.replica.items_of(change)
+                items = self.replica.items_of(change)
             except InvalidChangeError as refused:
                 return str(refused)
-            for entry in entries:
-                sync.folded_items[entry[:3]] = entry
+            for item in items:
+                sync.folded_items[item[:3]] = item
         if not reason:
             sync.tip = head_after(change)
         return reason
@@ -541,27 +546,27 @@
         That is so if nothing is complete here, the upstream's epoch is later, the changes can't be
         pulled any more, or digests differ at the same revision.
         """
-        told, head = self.upstream_head, self.replica.head
-        if told is None:
+        status, head = self.upstream_head, self.replica.head
+        if status is None:
             return False
-        if head is None or self.replica.is_partial or told.head.epoch > head.epoch:
+        if head is None or self.replica.is_partial or status.head.epoch > head.epoch:
             return True
         return (
-            told.head.revision > head.revision
-            and told.oldest_revision > head.revision
-            or told.differs
+            status.head.revision > head.revision
+            and status.oldest_revision > head.revision
+            or status.differs
             and self.upstream_head_number >= self.first_judged_number
         )
 
     def has_lost_sync_base(self) -> bool:
         """Whether the upstream no longer has the changes after the sync's tip."""
-        sync, told = self.sync, self.upstream_head
+        sync, status = self.sync, self.upstream_head
         if sync is None:
             return True
         return (
-            told is not None
+            status is not None
             and sync.tip is not None
-            and (told.head.epoch != sync.tip.epoch or told.oldest_revision > sync.tip.revision)
+            and (status.head.epoch != sync.tip.epoch or status.oldest_revision > sync.tip.revision)
         )
 
     def is_behind(self) -> bool:
@@ -623,10 +628,10 @@
         sync = self.sync
         assert sync is not None
         assert sync.tip is not None
-        entries = list(sync.folded_items.values())
+        items = list(sync.folded_items.values())
         try:
-            for at in range(0, len(entries), ITEMS_PER_PUT):
-                self.replica.table.put(entries[at : at + ITEMS_PER_PUT])
+            for at in range(0, len(items), ITEMS_PER_PUT):
+                self.replica.table.put(items[at : at + ITEMS_PER_PUT])
         except ValueError as error:  # a table's own bounds
             self.count_refusal(f"the table refuses: {error!s:.100}", self.upstream.address)
             self.lose_upstream(now)
@@ -641,7 +646,7 @@
             for revision, change in self.early_changes.items()
             if change.epoch == sync.tip.epoch and revision > sync.tip.revision
         }
-        self.counts.settled += 1
+        self.counts.finished_syncs += 1
         self.apply_early_changes(now)
         self.update_confirmed_age()
         if self.is_behind():
@@ -719,7 +724,14 @@
             ):
                 fetch.early_pages[body.after] = body
             return ""
-        page: PageResponse | None = body
+        return self._put_pages(now, sync, fetch, body)
+
+    def _put_pages(self, now: int, sync: Sync, fetch: Fetch, first: PageResponse) -> str:
+        """Put a page and the early ones behind it into the table.
+
+        Returns why the table refuses one, else "".
+        """
+        page: PageResponse | None = first
         while page is not None:
             sync.target_revision = max(sync.target_revision, page.revision)
             self.pages_up_to = max(self.pages_up_to, (page.epoch, page.revision))
@@ -734,14 +746,12 @@
                 del sync.fetching[page.bucket]
                 self.fetch_buckets(now, sync)
                 return ""
-            fetch.after, last = (
-                page.page.last_position,
-                page.page_index == MAX_PAGES_PER_REQUEST - 1,
-            )
+            fetch.after = page.page.last_position
+            is_last_of_request = page.page_index == MAX_PAGES_PER_REQUEST - 1
             page = fetch.early_pages.pop(fetch.after, None) if fetch.after is not None else None
             fetch.tries = 0
-            if page is None and last:
-                self.request_pages(now, body.bucket, fetch)
+            if page is None and is_last_of_request:
+                self.request_pages(now, first.bucket, fetch)
         return ""
 
     def request_pages(self, now: int, bucket: int, fetch: Fetch) -> None:
@@ -796,7 +806,7 @@
         "age_ms": follower.age(now),
         "mixed": follower.replica.is_partial,
         "buckets_left": len(sync.buckets_left) + len(sync.fetching) if sync else 0,
-        "counts": {name: getattr(counts, name) for name in counts.__slots__},
+        "counts": counts.exported(),
     }
 
 
--- a/burlloom/distribution/follower_state.py
+++ b/burlloom/distribution/follower_state.py
@@ -2,8 +2,10 @@
 
 from dataclasses import dataclass, field
 from enum import IntEnum
+from typing import Any
 
 from .changes import ConfigItem, Head
+from .counters import export_counters
 from .messages import DigestsResponse, PageResponse
 from .table import ItemPosition
 
@@ -22,30 +24,34 @@
 class Input(IntEnum):
     """What the state machine is told."""
 
-    HEAD = 0  # the upstream's word
-    CHANGE = 1  # changes came, were taken as far as they follow
+    HEAD = 0  # the upstream sent its head
+    CHANGE = 1  # changes came and were applied as far as they follow
     FETCHED = 2  # a bucket, or none differed
     LOST = 3  # the upstream is silent, full, leaves, or is of no use
 
 
 @dataclass(slots=True)
 class Counts:
-    """Counters for metrics and the state file, under these names."""
+    """Counters since the start; `exported` gives them for metrics and the state file."""
 
     sent: int = 0
     sent_bytes: int = 0
-    heard: int = 0
-    heard_bytes: int = 0
-    taken: int = 0
+    received: int = 0
+    received_bytes: int = 0
+    applied: int = 0
     pulls: int = 0
     syncs: int = 0
-    settled: int = 0
+    finished_syncs: int = 0
     pages: int = 0
-    mended: int = 0  # entries that a page found differing
+    mended: int = 0  # items that a page found differing
     moves: int = 0  # to another upstream
     dropped: int = 0
     refused: dict[str, int] = field(default_factory=dict)  # by reason
 
+    def exported(self) -> dict[str, Any]:
+        """Return the counters by the names that state files and metrics have for them."""
+        return export_counters(self)
+
 
 @dataclass(slots=True)
 class Fetch:
@@ -70,7 +76,7 @@
     """A running sync.
 
     Attributes:
-        first_number: number of the first DIGESTS_ASK.
+        first_number: number of the first request for digests.
         retry_at: when to ask for digests again, in ns.
         last_progress_at: when anything last came of it, in ns.
         digest_halves: digests received, by number and half.
--- a/burlloom/distribution/messages.py
+++ b/burlloom/distribution/messages.py
@@ -30,9 +30,9 @@
     HEAD = 1  # to the REPORT of that number, or to a PULL that can't be answered: what there is
     CHANGE = 2  # pushed, or asked for
     PULL = 3  # changes after that revision
-    DIGESTS_ASK = 4
+    DIGESTS_REQUEST = 4
     DIGESTS = 5  # half of the buckets' digests, and the head of that moment
-    PAGES_ASK = 6  # pages of a bucket, from there on
+    PAGES_REQUEST = 6  # pages of a bucket, from there on
     PAGE = 7
     REDIRECT = 8  # go to your next: we are full, leave, or don't hold what you want
     BYE = 9  # to whom we followed: we go, or follow another
--- a/burlloom/distribution/proposal.py
+++ b/burlloom/distribution/proposal.py
@@ -41,7 +41,7 @@
     found = change_faults(scope, entries)
     if not found and check is not None:
         found = [
-            f"entries[{at}].{fault}" for at, entry in enumerate(entries) for fault in check(entry)
+            f"entries[{at}].{fault}" for at, item in enumerate(entries) for fault in check(item)
         ]
     if not found:
         body = encode_items(entries)
--- a/burlloom/distribution/source.py
+++ b/burlloom/distribution/source.py
@@ -10,9 +10,11 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 from random import Random
+from typing import Any
 
 from .changes import Change
 from .codec import MessageDecodeError, seal, unseal
+from .counters import export_counters
 from .messages import (
     HALF_BUCKETS,
     MAX_PAGE_BYTES,
@@ -58,12 +60,12 @@
 
 @dataclass(slots=True)
 class Counts:
-    """Counters for metrics and the state file, under these names."""
+    """Counters since the start; `exported` gives them for metrics and the state file."""
 
     sent: int = 0
     sent_bytes: int = 0
-    heard: int = 0
-    heard_bytes: int = 0
+    received: int = 0
+    received_bytes: int = 0
     pushed: int = 0  # changes to followers, each to each
     pulled: int = 0
     pages: int = 0
@@ -73,6 +75,10 @@
     dropped: int = 0
     refused: dict[str, int] = field(default_factory=dict)  # by reason
 
+    def exported(self) -> dict[str, Any]:
+        """Return the counters by the names that state files and metrics have for them."""
+        return export_counters(self)
+
 
 class Source:
     """Serves followers from a replica.
@@ -93,15 +99,15 @@
         self,
         replica: Replica,
         name: str,
-        life: int,
+        incarnation: int,
         keys: tuple[bytes, ...],
-        terms: ReplicationSettings,
-        chance: Random,
+        settings: ReplicationSettings,
+        random: Random,
         now: int,
         age: Callable[[int], int | None],
     ) -> None:
-        self.replica, self.name, self.incarnation, self.keys = replica, name, life, keys
-        self.settings, self.random = terms, chance
+        self.replica, self.name, self.incarnation, self.keys = replica, name, incarnation, keys
+        self.settings, self.random = settings, random
         self.age_ms = age
         self.out: deque[tuple[Address, bytes]] = deque()
         self.counts = Counts()
@@ -113,7 +119,7 @@
             (replica.head.epoch, replica.head.revision) if replica.head is not None else (0, 0)
         )
         self.sealed_changes: dict[tuple[int, int, bool], bytes] = {}
-        self.tokens, self.tokens_filled_at = float(terms.page_burst_bytes), now
+        self.tokens, self.tokens_filled_at = float(settings.page_burst_bytes), now
         self.is_draining = False
 
     # Once in a while.
@@ -164,8 +170,8 @@
 
     def receive(self, now: int, data: bytes, source: Address) -> None:
         """Handle one datagram; what is refused is counted by its reason."""
-        self.counts.heard += 1
-        self.counts.heard_bytes += len(data)
+        self.counts.received += 1
+        self.counts.received_bytes += len(data)
         try:
             message = unseal(data, self.keys)
         except MessageDecodeError as error:
@@ -395,7 +401,7 @@
             for lease in source.followers.values()
             if head and (lease.epoch, lease.revision) < head[:2]
         ),
-        "counts": {name: getattr(counts, name) for name in counts.__slots__},
+        "counts": counts.exported(),
     }
 
 
--- a/burlloom/distribution/status_report.py
+++ b/burlloom/distribution/status_report.py
@@ -80,15 +80,15 @@
         return True
 
 
-def write_state(path: str, told: Mapping[str, object]) -> None:
+def write_state(path: str, state: Mapping[str, object]) -> None:
     """Replace the state file at once; a failure is logged."""
     part = path + ".part"
     try:
         with open(part, "w", encoding="utf-8") as file:
-            file.write(json.dumps(told) + "\n")
+            file.write(json.dumps(state) + "\n")
         os.replace(part, path)
     except OSError as error:
-        log.warning("event=state-not-written detail=%r", str(error))
+        log.warning("event=state_file_not_written detail=%r", str(error))
 
 
 def replica_summary(replica: Replica) -> dict[str, object]:
--- a/burlloom/distribution/stores/sql.py
+++ b/burlloom/distribution/stores/sql.py
@@ -14,56 +14,58 @@
 Statement = tuple[str, tuple[Any, ...]]
 
 # An epoch that begins is beyond all that there were: it is told by the clock.
-BEGIN = (
+INSERT_HEAD = (
     "INSERT INTO distribution_head (id, epoch, revision, tag, time_ms)"
     " VALUES (1, $1::bigint, 0, $2::bytea, $3::bigint) ON CONFLICT (id) DO NOTHING"
     " RETURNING revision"
 )
-HEAD = "SELECT epoch, revision, tag, time_ms FROM distribution_head WHERE id = 1"
-ADVANCE = (
+SELECT_HEAD = "SELECT epoch, revision, tag, time_ms FROM distribution_head WHERE id = 1"
+ADVANCE_HEAD = (
     "UPDATE distribution_head SET revision = $1::bigint, tag = $2::bytea, time_ms = $3::bigint"
     " WHERE id = 1 AND epoch = $4::bigint AND revision = $1::bigint - 1 RETURNING revision"
 )
-RENEW = (
+BEGIN_EPOCH = (
     "UPDATE distribution_head SET epoch = $1::bigint, revision = 0, tag = $2::bytea,"
     " time_ms = $3::bigint"
     " WHERE id = 1 AND epoch = $4::bigint AND revision = $5::bigint AND tag = $6::bytea"
     " RETURNING revision"
 )
-FORGET = "DELETE FROM distribution_change WHERE revision > -1 RETURNING revision"
-INSERT = (
+DELETE_CHANGES = "DELETE FROM distribution_change WHERE revision > -1 RETURNING revision"
+INSERT_CHANGE = (
     "INSERT INTO distribution_change (revision, epoch, time_ms, scope, body, tag) VALUES"
     " ($1::bigint,"
     " $2::bigint, $3::bigint, $4::bytea, $5::bytea, $6::bytea) RETURNING revision"
 )
-PRUNE = "DELETE FROM distribution_change WHERE revision <= $1::bigint RETURNING revision"
-SINCE = (
+DELETE_OLD_CHANGES = (
+    "DELETE FROM distribution_change WHERE revision <= $1::bigint RETURNING revision"
+)
+SELECT_CHANGES = (
     "SELECT epoch, revision, time_ms, scope, body, tag FROM distribution_change WHERE"
     " revision > $1::bigint"
     " ORDER BY revision LIMIT $2::bigint"
 )
-PUT = (
+UPSERT_ITEM = (
     "INSERT INTO distribution_entry (scope, kind, key, value, epoch, revision) VALUES"
     " ($1::bytea, $2::bytea,"
     " $3::bytea, $4::bytea, $5::bigint, $6::bigint) ON CONFLICT (scope, kind, key) DO UPDATE SET"
     " value = excluded.value, epoch = excluded.epoch, revision = excluded.revision"
     " RETURNING revision"
 )
-DELETE = (
+DELETE_ITEM = (
     "DELETE FROM distribution_entry WHERE scope = $1::bytea AND kind = $2::bytea AND key"
     " = $3::bytea"
     " RETURNING revision"
 )
-PAGE = (
+SELECT_PAGE = (
     "SELECT scope, kind, key, value, epoch, revision FROM distribution_entry"
     " ORDER BY scope, kind, key LIMIT $1::bigint"
 )
-PAGE_AFTER = (
+SELECT_PAGE_AFTER = (
     "SELECT scope, kind, key, value, epoch, revision FROM distribution_entry"
     " WHERE (scope, kind, key) > ($2::bytea, $3::bytea, $4::bytea)"
     " ORDER BY scope, kind, key LIMIT $1::bigint"
 )
-ENTRY = (
+SELECT_ITEM = (
     "SELECT scope, kind, key, value, epoch, revision FROM distribution_entry"
     " WHERE scope = $1::bytea AND kind = $2::bytea AND key = $3::bytea"
 )
@@ -108,7 +110,7 @@
         """Run one statement and return its rows. Raises `StoreUnavailableError`."""
         raise NotImplementedError
 
-    async def transaction(self, guard: Statement, rest: list[Statement]) -> bool:
+    async def transaction(self, guard: Statement, statements: list[Statement]) -> bool:
         """Run all statements if the guard gives a row, else none; returns whether it did."""
         raise NotImplementedError
 
@@ -120,11 +122,11 @@
         """Prepare the schema, and begin an epoch where there is none."""
         await self.prepare()
         head = initial_head(time.time_ns() // 1_000_000, time.time_ns() // 1_000_000)
-        await self.execute(BEGIN, head.epoch, head.tag, head.time_ms)
+        await self.execute(INSERT_HEAD, head.epoch, head.tag, head.time_ms)
 
     async def head(self) -> Head:
         """Return the last change's head."""
-        found = await self.execute(HEAD)
+        found = await self.execute(SELECT_HEAD)
         if not found:
             raise StoreUnavailableError("the head is gone: its table is empty")
         ((epoch, revision, tag, time_ms),) = found
@@ -132,7 +134,7 @@
 
     async def changes_since(self, revision: int, most: int) -> list[Change]:
         """Return at most `most` logged changes after a revision, in order."""
-        return [change_of(row) for row in await self.execute(SINCE, revision, most)]
+        return [change_of(row) for row in await self.execute(SELECT_CHANGES, revision, most)]
 
     async def change_at(self, revision: int) -> Change | None:
         """Return the change of that revision, if it is still in the log."""
@@ -143,34 +145,41 @@
         """Write a change if nobody wrote its revision before; returns whether it was written."""
         assert change.body is not None
         scope, revision = change.scope.encode(), change.revision
-        rest: list[Statement] = [
-            (INSERT, (revision, change.epoch, change.time_ms, scope, change.body, change.tag))
+        statements: list[Statement] = [
+            (
+                INSERT_CHANGE,
+                (revision, change.epoch, change.time_ms, scope, change.body, change.tag),
+            )
         ]
-        for entry in decode_items(change.scope, change.body):
-            place = place_of(entry.scope, entry.kind, entry.key)
-            rest.append(
-                (DELETE, place)
-                if entry.value is None
-                else (PUT, (*place, entry.value, change.epoch, revision))
+        for item in decode_items(change.scope, change.body):
+            place = place_of(item.scope, item.kind, item.key)
+            statements.append(
+                (DELETE_ITEM, place)
+                if item.value is None
+                else (UPSERT_ITEM, (*place, item.value, change.epoch, revision))
             )
-        rest.append((PRUNE, (revision - MAX_LOGGED_CHANGES,)))
+        statements.append((DELETE_OLD_CHANGES, (revision - MAX_LOGGED_CHANGES,)))
         return await self.transaction(
-            (ADVANCE, (revision, change.tag, change.time_ms, change.epoch)), rest
+            (ADVANCE_HEAD, (revision, change.tag, change.time_ms, change.epoch)), statements
         )
 
     async def items(self, after: Place | None, most: int) -> list[StoredItem]:
         """Return a page of the items in force behind `after`, in order."""
         rows = await (
-            self.execute(PAGE, most)
+            self.execute(SELECT_PAGE, most)
             if after is None
-            else self.execute(PAGE_AFTER, most, *place_of(*after))
+            else self.execute(SELECT_PAGE_AFTER, most, *place_of(*after))
         )
         return [stored_of(row) for row in rows]
 
     async def item(self, scope: str, kind: str, key: str) -> StoredItem | None:
         """Return the item in force under a key of that scope."""
         return next(
-            (stored_of(row) for row in await self.execute(ENTRY, *place_of(scope, kind, key))), None
+            (
+                stored_of(row)
+                for row in await self.execute(SELECT_ITEM, *place_of(scope, kind, key))
+            ),
+            None,
         )
 
     async def begin_epoch(self, seen: Head, beyond: int) -> bool:
@@ -181,6 +190,9 @@
         now = time.time_ns() // 1_000_000
         head = initial_head(max(seen.epoch + 1, beyond + 1, now), max(seen.time_ms, now))
         return await self.transaction(
-            (RENEW, (head.epoch, head.tag, head.time_ms, seen.epoch, seen.revision, seen.tag)),
-            [(FORGET, ())],
+            (
+                BEGIN_EPOCH,
+                (head.epoch, head.tag, head.time_ms, seen.epoch, seen.revision, seen.tag),
+            ),
+            [(DELETE_CHANGES, ())],
         )
--- a/burlloom/distribution/stores/sqlite.py
+++ b/burlloom/distribution/stores/sqlite.py
@@ -15,14 +15,15 @@
         """`wait`: s for the lock that another holds, until the store counts as away."""
         super().__init__(path, "distribution", wait)
 
-    async def transaction(self, guard: Statement, rest: list[Statement]) -> bool:
+    async def transaction(self, guard: Statement, statements: list[Statement]) -> bool:
         """Run all statements in one transaction if the guard gives a row."""
 
-        def work(db: sqlite3.Connection) -> bool:
+        def run_transaction(db: sqlite3.Connection) -> bool:
+            """Run guard and statements; returns whether the guard gave a row."""
             db.execute("BEGIN IMMEDIATE")
             try:
                 held = bool(execute(db, *guard))
-                for sql, values in rest if held else ():
+                for sql, values in statements if held else ():
                     execute(db, sql, values)
                 db.execute("COMMIT" if held else "ROLLBACK")
                 return held
@@ -31,4 +32,4 @@
                     db.execute("ROLLBACK")
                 raise
 
-        return await self.run_transaction(work)
+        return await self.run_transaction(run_transaction)
--- a/burlloom/distribution/stores/store_follower.py
+++ b/burlloom/distribution/stores/store_follower.py
@@ -39,9 +39,9 @@
         store: ChangeStore,
         replica: Replica,
         table: Callable[[], ConfigTable],
-        told: StoreEvents,
+        events: StoreEvents,
     ) -> None:
-        self.store, self.replica, self.new_table, self.events = store, replica, table, told
+        self.store, self.replica, self.new_table, self.events = store, replica, table, events
         self.is_open = False
 
     async def poll(self) -> None:
@@ -68,7 +68,7 @@
         """Apply changes up to the store's head. Raises `StoreInconsistentError`."""
         while (own := self.replica.head) is not None and own.revision < head.revision:
             found = await self.store.changes_since(own.revision, CHANGES_PER_READ)
-            if self.replica.head != own:  # a peer told us meanwhile
+            if self.replica.head != own:  # a peer was faster
                 continue
             if not found or found[0].revision != own.revision + 1:
                 await self.load_table()  # we were away for longer than the log reaches
--- a/burlloom/distribution/table.py
+++ b/burlloom/distribution/table.py
@@ -54,12 +54,12 @@
     return int(xxhash.xxh3_64_intdigest(msgpack.packb((scope, kind, key, value))))
 
 
-def item_faults(entry: ConfigItem) -> list[str]:
+def item_faults(item: ConfigItem) -> list[str]:
     """Return why an item can't be held, each with its field; empty if it can."""
     found = []
     for name, text, least, most in (
-        ("scope", entry.scope, 0, MAX_SCOPE_BYTES),
-        ("key", entry.key, 1, MAX_KEY_BYTES),
+        ("scope", item.scope, 0, MAX_SCOPE_BYTES),
+        ("key", item.key, 1, MAX_KEY_BYTES),
     ):
         try:
             length = len(text.encode())
@@ -68,12 +68,12 @@
         else:
             if not least <= length <= most:
                 found.append(f"{name}: {length} bytes, {least} to {most} allowed")
-    if type(entry.kind) is not str or entry.kind not in KIND_CODES:
-        found.append(f"kind: {entry.kind!r:.40} is none of {', '.join(sorted(KINDS))}")
-    if entry.value is not None and type(entry.value) is not bytes:
+    if type(item.kind) is not str or item.kind not in KIND_CODES:
+        found.append(f"kind: {item.kind!r:.40} is none of {', '.join(sorted(KINDS))}")
+    if item.value is not None and type(item.value) is not bytes:
         found.append("value: not bytes")
-    elif entry.value is not None and len(entry.value) > MAX_VALUE_BYTES:
-        found.append(f"value: {len(entry.value)} bytes, at most {MAX_VALUE_BYTES} allowed")
+    elif item.value is not None and len(item.value) > MAX_VALUE_BYTES:
+        found.append(f"value: {len(item.value)} bytes, at most {MAX_VALUE_BYTES} allowed")
     return found
 
 
@@ -164,15 +164,15 @@
                     if not any(one.buckets[bucket].has(key) for one in self.lookups[:number]):
                         yield key[1:].decode()
 
-    def put(self, entries: Iterable[ConfigItem]) -> None:
+    def put(self, items: Iterable[ConfigItem]) -> None:
         """Set or delete all items, or none; of two with the same key the later counts."""
-        taken = self.validated(entries)
+        checked_items = self.validated(items)
         writes: dict[tuple[str, int], dict[bytes, bytes | None]] = {}
-        for entry in taken:
-            bucket = bucket_of(entry.kind, entry.key)
-            writes.setdefault((entry.scope, bucket), {})[
-                KIND_CODES[entry.kind] + entry.key.encode()
-            ] = entry.value
+        for item in checked_items:
+            bucket = bucket_of(item.kind, item.key)
+            writes.setdefault((item.scope, bucket), {})[
+                KIND_CODES[item.kind] + item.key.encode()
+            ] = item.value
         for (scope, bucket), changes in writes.items():
             self.write_bucket(scope, bucket, changes)
 
@@ -186,20 +186,20 @@
 
     def digest_of(self, scopes: Iterable[str] | None) -> int:
         """Return the digest over those of the scopes that are held; None: over all."""
-        whole = 0
+        combined = 0
         for part in self.scope_tables(scopes):
-            whole ^= part.digest
-        return whole
+            combined ^= part.digest
+        return combined
 
     def digests_of(self, scopes: Iterable[str] | None) -> tuple[int, ...]:
         """Return each bucket's digest over those of the scopes that are held; None: over all."""
         held = [part.digests for part in self.scope_tables(scopes)]
         if len(held) == 1:
             return tuple(held[0])
-        whole = [0] * BUCKET_COUNT
+        combined = [0] * BUCKET_COUNT
         for digests in held:
-            whole = [a ^ b for a, b in zip(whole, digests, strict=True)]
-        return tuple(whole)
+            combined = [a ^ b for a, b in zip(combined, digests, strict=True)]
+        return tuple(combined)
 
     def scope_tables(self, scopes: Iterable[str] | None) -> list[ScopeTable]:
         """Return the tables of those scopes that are held; None: of all."""
@@ -242,10 +242,8 @@
         """
         items = self.checked_page(bucket, after, page)
         says: dict[str, dict[bytes, bytes | None]] = {}
-        for entry in items:
-            says.setdefault(entry.scope, {})[KIND_CODES[entry.kind] + entry.key.encode()] = (
-                entry.value
-            )
+        for item in items:
+            says.setdefault(item.scope, {})[KIND_CODES[item.kind] + item.key.encode()] = item.value
         differed, last = 0, None if page.is_last else page.last_position
         for scope in sorted({*self.parts, *says}):
             if after is not None and scope < after[0] or last is not None and scope > last[0]:
@@ -264,25 +262,27 @@
     def checked_page(self, bucket: int, after: ItemPosition | None, page: Page) -> list[ConfigItem]:
         """Return the page's items. Raises `ValueError` with all that is wrong with the page."""
         check_position(after)
-        taken = self.validated(page.items)
+        checked_items = self.validated(page.items)
         wrong, before = [], after
-        for number, entry in enumerate(taken):
-            words = (
-                ("deletes", entry.value is None),
-                ("is of another bucket", bucket_of(entry.kind, entry.key) != bucket),
-                ("is not behind the one before", before is not None and entry[:3] <= before),
+        for number, item in enumerate(checked_items):
+            conditions = (
+                ("deletes", item.value is None),
+                ("is of another bucket", bucket_of(item.kind, item.key) != bucket),
+                ("is not behind the one before", before is not None and item[:3] <= before),
             )
             wrong += [
-                f"entries[{number}]: {entry[:3]!r:.80} {word}" for word, true in words if true
+                f"entries[{number}]: {item[:3]!r:.80} {condition}"
+                for condition, true in conditions
+                if true
             ]
-            before = entry[:3]
-        if page.last_position != (taken[-1][:3] if taken else None):
+            before = item[:3]
+        if page.last_position != (checked_items[-1][:3] if checked_items else None):
             wrong.append("last: is not the last entry")
-        if not taken and not page.is_last:
+        if not checked_items and not page.is_last:
             wrong.append("done: a page of nothing that is not the last")
         if wrong or not 0 <= bucket < BUCKET_COUNT:
             raise ValueError("; ".join(wrong) or f"bucket {bucket} of {BUCKET_COUNT}")
-        return taken
+        return checked_items
 
     def locate(self, kind: str, key: str) -> tuple[int, bytes] | None:
         """Return bucket and inner key; None for a key that no item can have."""
@@ -291,30 +291,30 @@
         except (KeyError, UnicodeEncodeError):
             return None
 
-    def validated(self, entries: Iterable[ConfigItem]) -> list[ConfigItem]:
+    def validated(self, items: Iterable[ConfigItem]) -> list[ConfigItem]:
         """Return the items as a list. Raises `ValueError` with all faults."""
-        taken: list[ConfigItem] = []
-        for entry in entries:
-            if len(taken) == MAX_PUT_ITEMS:
+        checked_items: list[ConfigItem] = []
+        for item in items:
+            if len(checked_items) == MAX_PUT_ITEMS:
                 raise ValueError(f"over {MAX_PUT_ITEMS} entries at once")
-            taken.append(entry)
+            checked_items.append(item)
         wrong = [
             f"entries[{number}].{fault}"
-            for number, entry in enumerate(taken)
-            for fault in item_faults(entry)
+            for number, item in enumerate(checked_items)
+            for fault in item_faults(item)
         ]
-        scopes = {entry.scope for entry in taken} if not wrong else set()
+        scopes = {item.scope for item in checked_items} if not wrong else set()
         if self.scopes is not None:
             wrong += [
-                f"entries[{number}].scope: {entry.scope!r} is not held here"
-                for number, entry in enumerate(taken)
-                if scopes and entry.scope not in self.parts
+                f"entries[{number}].scope: {item.scope!r} is not held here"
+                for number, item in enumerate(checked_items)
+                if scopes and item.scope not in self.parts
             ]
         elif len(scopes | set(self.parts)) > MAX_SCOPES:
             wrong.append(f"scopes: over {MAX_SCOPES}")
         if wrong:
             raise ValueError("; ".join(wrong))
-        return taken
+        return checked_items
 
     def write_bucket(self, scope: str, bucket: int, changes: Mapping[bytes, bytes | None]) -> int:
         """Set or delete items of one bucket and move its digest; returns how many differed."""
--- a/burlloom/distribution/upstreams.py
+++ b/burlloom/distribution/upstreams.py
@@ -24,6 +24,7 @@
     """
 
     def weight(one: Upstream) -> tuple[bool, int]:
+        """Return the sort key: own region first, then the rendezvous hash."""
         return one.region == region, int(xxhash.xxh3_64_intdigest(f"{name}\n{one.name}".encode()))
 
     return sorted((one for one in upstreams if one.name != name), key=weight, reverse=True)
--- a/burlloom/server/followed_configuration.py
+++ b/burlloom/server/followed_configuration.py
@@ -135,9 +135,8 @@
     def counts(self) -> dict[str, int]:
         """Returns counts since the start, by the end of the metric's name."""
         counts = self.follower.counts
-        plain = {name: getattr(counts, name) for name in counts.__slots__ if name != "refused"}
         refused = sum(counts.refused.values())
-        return {**plain, "refused": refused, "unsent": self.endpoint.dropped}
+        return {**counts.exported(), "refused": refused, "unsent": self.endpoint.dropped}
 
     def gauges(self) -> dict[str, float]:
         """Returns what stands now, by the end of the metric's name.
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -375,7 +375,7 @@
                 and follower is not None
             ):
                 # Several in one step are dense by the chain: the count says so.
-                jumped = follower.counts.settled > node.settled
+                jumped = follower.counts.finished_syncs > node.settled
                 assert jumped or key[0] == node.seen[0], ("a gap", where)
             if key[0] != node.seen[0]:
                 node.keys = {}
@@ -383,7 +383,7 @@
             for revision in range(1, head.revision + 1):
                 node.in_force.setdefault((head.epoch, revision), self.now)
         if follower is not None:
-            node.settled = follower.counts.settled
+            node.settled = follower.counts.finished_syncs
         if replica.is_complete:
             assert replica.table.digest() == truth.digest(key, replica.table.scopes), (
                 "another table",
--- a/tests/test_distribution_core.py
+++ b/tests/test_distribution_core.py
@@ -791,9 +791,9 @@
     assert not world.agreed()
     assert node.follower.counts.mended == 403
     assert node.follower.counts.pages - pages <= 6
-    assert node.follower.counts.settled == 2
+    assert node.follower.counts.finished_syncs == 2
     world.run(20)
-    assert node.follower.counts.settled == 2
+    assert node.follower.counts.finished_syncs == 2
 
 
 def test_a_flipped_entry_of_a_relay_is_mended_below_it_too() -> None:
@@ -994,10 +994,10 @@
     assert 29_000 < (node.follower.age(world.now) or 0) < 32_000
     assert told["age_ms"] == node.follower.age(world.now)
     world.cut.clear()
-    taken = node.follower.counts.taken
+    taken = node.follower.counts.applied
     world.run(4)
     assert not world.agreed()
-    assert node.follower.counts.taken - taken == 30
+    assert node.follower.counts.applied - taken == 30
     assert node.follower.counts.syncs == 1
     assert (node.follower.age(world.now) or 0) < 1500
 
