--- a/burlloom/recovery/__init__.py
+++ b/burlloom/recovery/__init__.py
@@ -1,7 +1,7 @@
 """Coming back after a mass restart or with state lost: what of the last life may be acted on, and
 how service rises.
 
-Without I/O, and importable alone; `server/recovering.py` has the file and the clock.
+Without I/O, and importable alone; `server/configured_recovery.py` has the file and the clock.
 """
 
 from .bootstrap import Bootstrap, BootstrapEvent, BootstrapState
