--- a/benchmarks/hollow_releases.py
+++ b/benchmarks/hollow_releases.py
@@ -16,7 +16,7 @@
 
 ROUND = 0.5  # s
 BEAT = 1.0  # s
-DOWN = 2.0  # s from leaving until the next life serves
+DOWN = 2.0  # s from leaving until the next incarnation serves
 FORMER, NEXT = "v1", "v2"
 ASKED = 100  # requests that each settles between two beats
 
@@ -52,53 +52,53 @@
 
 
 async def play(pipe: Pipe, path: Path, tellers: list[Teller]) -> None:
-    shelf = SqliteRolloutStore(path)
-    await shelf.open()
-    page, told_at, over = None, 0.0, False
+    store = SqliteRolloutStore(path)
+    await store.open()
+    snapshot, told_at, over = None, 0.0, False
     while not over:
         now = time.monotonic()
         try:
             if now - told_at >= BEAT:
                 told_at = now
-                await shelf.execute("BEGIN IMMEDIATE")
+                await store.execute("BEGIN IMMEDIATE")
                 for one in tellers:
                     if now >= one.down_until:
-                        await shelf.report(one.word())
-                await shelf.execute("COMMIT")
-            page = await shelf.read(page)
+                        await store.report(one.word())
+                await store.execute("COMMIT")
+            snapshot = await store.read(snapshot)
             while pipe.poll():
                 match pipe.recv():
                     case "start":
                         pipe.send(
-                            await shelf.compare_and_swap(
-                                page, page.state.start_release(NEXT, (1.0,), False)
+                            await store.compare_and_swap(
+                                snapshot, snapshot.state.start_release(NEXT, (1.0,), False)
                             )
                         )
                     case "see":
                         pipe.send(
                             (
-                                len(page.state.servers),
-                                page.state.release.phase.name,
-                                page.state.leader,
+                                len(snapshot.state.servers),
+                                snapshot.state.release.phase.name,
+                                snapshot.state.leader,
                             )
                         )
                     case "over":
                         over = True
-                page = await shelf.read(page)
+                snapshot = await store.read(snapshot)
             for one in tellers:
-                if now >= one.down_until and one.hand.process_state(page.state) == "begin":
-                    wanted = one.hand.begin_drain(page.state)
-                    if wanted is not None and await shelf.compare_and_swap(page, wanted):
+                if now >= one.down_until and one.hand.process_state(snapshot.state) == "begin":
+                    wanted = one.hand.begin_drain(snapshot.state)
+                    if wanted is not None and await store.compare_and_swap(snapshot, wanted):
                         one.version, one.down_until = wanted.next_version_of(one.name), now + DOWN
                         one.life, one.beat = one.life + 1, 0
                         one.hand = DrainAgent(one.name, one.life)
                     else:
                         one.hand = DrainAgent(one.name, one.life)
-                    page = await shelf.read(page)
+                    snapshot = await store.read(snapshot)
         except StoreUnavailableError:
-            page = None  # the store was held by another for long: a round is left out
+            snapshot = None  # the store was held by another for long: a round is left out
         await asyncio.sleep(ROUND)
-    await shelf.close()
+    await store.close()
 
 
 def tell(pipe: Pipe, path: str, names: list[str]) -> None:
--- a/benchmarks/rollout_core.py
+++ b/benchmarks/rollout_core.py
@@ -23,7 +23,7 @@
     RolloutState,
     ServerReport,
 )
-from burlloom.rollout import agent as hand
+from burlloom.rollout import agent
 from burlloom.rollout.stores import decode_state, encode_state
 
 S = 1_000_000_000
@@ -36,7 +36,7 @@
 
 
 class World:
-    """A fleet of the core alone: servers that do as the book lets them, on a clock of its own;
+    """A fleet of the core alone: servers that do as the state lets them, on a clock of its own;
     `share`: of txns that a version voids.
     """
 
@@ -83,7 +83,7 @@
                     heartbeat=member.heartbeat + 1,
                     counts=member.counts.add(RequestCounts(10 - bad, 0, 0, bad)),
                 )
-                one = hand.DrainAgent(name, member.incarnation)
+                one = agent.DrainAgent(name, member.incarnation)
                 if one.process_state(self.state) == "begin":
                     self.state = one.begin_drain(self.state) or self.state
                     self.down[name] = self.now + 2 * S
@@ -119,10 +119,10 @@
     world.state = world.state.start_release("v2", (1, 0.1, 0.5, 1.0), False)
     spans, of = [], world.leader.run_round
 
-    def timed(now: int, book: RolloutState, members: list[ServerReport]) -> RolloutState:
+    def timed(now: int, state: RolloutState, members: list[ServerReport]) -> RolloutState:
         began = time.perf_counter()
         try:
-            return of(now, book, members)
+            return of(now, state, members)
         finally:
             spans.append(1000 * (time.perf_counter() - began))
 
--- a/benchmarks/rollout_waves.py
+++ b/benchmarks/rollout_waves.py
@@ -167,14 +167,14 @@
             loop.call_later(
                 BEGIN,
                 agreed.order,
-                lambda book: book.start_release("v2", (1, 0.1, 0.5, 1.0), False),
+                lambda state: state.start_release("v2", (1, 0.1, 0.5, 1.0), False),
             )
             if not bad:
                 for node in second:
                     loop.call_later(
                         SECOND_OPERATOR,
                         agreed.order,
-                        lambda book, name=node.name: book.request_drain(SERVERS_GROUP, name, 0),
+                        lambda state, name=node.name: state.request_drain(SERVERS_GROUP, name, 0),
                     )
             for at in range(
                 int(BEGIN), 200, 2
@@ -182,10 +182,10 @@
                 loop.call_later(
                     at,
                     agreed.order,
-                    lambda book: (
-                        book.order(ReleaseInput.ROLLBACK, "")
-                        if book.release.phase is ReleasePhase.HALTED
-                        else book
+                    lambda state: (
+                        state.order(ReleaseInput.ROLLBACK, "")
+                        if state.release.phase is ReleasePhase.HALTED
+                        else state
                     ),
                 )
             made.append(Seen(agreed, bound))
--- a/tests/explore_fleet.py
+++ b/tests/explore_fleet.py
@@ -1,4 +1,4 @@
-"""Walks every history of one dealer and its holders: letters late, lost, doubled, out of order,
+"""Walks every history of one allocator and its members: messages late, lost, doubled, out of order,
 members started again.
 
 Dealer and holder are those of burlloom.fleet. What is counted is counted here: what all may have in
@@ -28,8 +28,10 @@
             0,
         )
         self.newest = -1  # the report whose grant counts
-        self.reports: list[tuple[int, int, ShareReport]] = []  # life, number and what it says
-        self.grants: list[tuple[int, int, int]] = []  # life, number and the share
+        self.reports: list[
+            tuple[int, int, ShareReport]
+        ] = []  # incarnation, number and what it says
+        self.grants: list[tuple[int, int, int]] = []  # incarnation, number and the share
 
     def copy(self, terms: QuotaSettings) -> "Member":
         other = Member(terms)
@@ -67,22 +69,22 @@
 
 class World:
     def __init__(self, terms: QuotaSettings, members: int) -> None:
-        self.dealer = Allocator(terms, NOW)
-        self.dealer.phase = AllocatorPhase.ALLOCATING
+        self.allocator = Allocator(terms, NOW)
+        self.allocator.phase = AllocatorPhase.ALLOCATING
         self.members = [Member(terms) for _ in range(members)]
         self.seen()
 
     def copy(self) -> "World":
         other = World.__new__(World)
-        other.dealer = copy.copy(self.dealer)
-        other.dealer.accounts = {
-            name: copy.copy(account) for name, account in self.dealer.accounts.items()
+        other.allocator = copy.copy(self.allocator)
+        other.allocator.accounts = {
+            name: copy.copy(account) for name, account in self.allocator.accounts.items()
         }
-        other.members = [member.copy(self.dealer.settings) for member in self.members]
+        other.members = [member.copy(self.allocator.settings) for member in self.members]
         return other
 
     def seen(self) -> None:
-        self.dealer.members = {
+        self.allocator.members = {
             str(at): MemberPresence(one.life, True, NOW) for at, one in enumerate(self.members)
         }
 
@@ -96,7 +98,7 @@
                 one.bound,
                 one.target,
             )
-            for name, one in sorted(self.dealer.accounts.items())
+            for name, one in sorted(self.allocator.accounts.items())
         )
         return accounts, tuple(member.key() for member in self.members)
 
@@ -133,7 +135,7 @@
         for at, member in enumerate(world.members):
             if member.reported < self.numbers and len(member.reports) < self.in_flight:
                 found += [(self.report, at, wants) for wants in self.wants]
-            # Each letter may come once more, late.
+            # Each message may come once more, late.
             found += [
                 (self.hear, at, which, keeps)
                 for which in range(len(member.reports))
@@ -167,9 +169,9 @@
         life, number, told = member.reports[which]
         if not keeps:
             del member.reports[which]
-        if self.broken == "old-report" and str(at) in world.dealer.accounts:
-            world.dealer.accounts[str(at)].report_number = number - 1
-        grant = world.dealer.process_report(NOW, str(at), life, number, told)
+        if self.broken == "old-report" and str(at) in world.allocator.accounts:
+            world.allocator.accounts[str(at)].report_number = number - 1
+        grant = world.allocator.process_report(NOW, str(at), life, number, told)
         if grant is not None and len(member.grants) < self.in_flight:
             member.grants.append((life, number, grant))
 
@@ -194,11 +196,11 @@
         member.in_hand, member.newest = 0, -1
         member.holder = LeaseHolder(self.terms, NOW)
         world.seen()
-        world.dealer.run_round(NOW, world.dealer.members, True)
+        world.allocator.run_round(NOW, world.allocator.members, True)
 
     def turn(self, world: World, member: Member, at: int) -> None:
-        world.dealer.allocated_at_ns = NOW - self.terms.allocation_interval_ns
-        world.dealer.allocate(NOW)
+        world.allocator.allocated_at_ns = NOW - self.terms.allocation_interval_ns
+        world.allocator.allocate(NOW)
 
     def walk(self, most: int) -> tuple[int, int]:
         """How many worlds were seen, at most so many; the most that was ever in hand,
--- a/tests/explore_rollout.py
+++ b/tests/explore_rollout.py
@@ -1,4 +1,4 @@
-"""Walks every history of a few servers, two that lead, and the book between them: stale reads,
+"""Walks every history of a few servers, two that lead, and the state between them: stale reads,
 steps in doubt, crashes, restarts, words of lives that are over, times that are over too early.
 
 The book's steps are those of burlloom.rollout. What is counted is counted here: servers that have
@@ -36,7 +36,7 @@
 class Server:
     incarnation: int = 1
     up: bool = True
-    is_sent_out: bool = False  # by the book: its drain has begun, or is over
+    is_sent_out: bool = False  # by the state: its drain has begun, or is over
     agent: DrainAgent = field(default_factory=lambda: DrainAgent("", 1))
     read: tuple[int, RolloutState] | None = None  # a page that its step may still be written on
 
@@ -63,21 +63,21 @@
     def key(self, stale: bool) -> Any:
         """`stale`: what an old page says matters."""
 
-        def units(book: RolloutState) -> Any:
+        def units(state: RolloutState) -> Any:
             return tuple(
-                (name, unit.state, unit.incarnation, unit.left_incarnation)
-                for name, unit in sorted(book.servers.items())
+                (name, instance.state, instance.incarnation, instance.left_incarnation)
+                for name, instance in sorted(state.servers.items())
             )
 
-        def page(read: tuple[int, RolloutState] | None) -> Any:
+        def snapshot(read: tuple[int, RolloutState] | None) -> Any:
             if read is None or read[0] == self.revision:
                 return read and "newest"
             return units(read[1]) if stale else "stale"
 
         return (
             units(self.state),
-            tuple((one.key(), page(one.read)) for one in self.servers),
-            tuple(page(one) for one in self.leaders),
+            tuple((one.key(), snapshot(one.read)) for one in self.servers),
+            tuple(snapshot(one) for one in self.leaders),
         )
 
     @property
@@ -89,47 +89,52 @@
     """`broken`: a rule left out, to show that the walk would notice."""
 
     def __init__(
-        self, servers: int = 2, most: int = 1, lives: int = 2, leads: int = 2, broken: str = ""
+        self,
+        servers: int = 2,
+        most: int = 1,
+        incarnations: int = 2,
+        leads: int = 2,
+        broken: str = "",
     ) -> None:
-        self.count, self.most, self.lives, self.lead_count, self.broken = (
+        self.count, self.most, self.incarnations, self.lead_count, self.broken = (
             servers,
             most,
-            lives,
+            incarnations,
             leads,
             broken,
         )
 
     def begun(self) -> World:
         units = {str(at): Instance(InstanceState.IN, incarnation=1) for at in range(self.count)}
-        book = RolloutState(
+        state = RolloutState(
             groups={SERVERS_GROUP: InstanceGroup(DisruptionBudget(self.most), units)}
         )
         servers = [Server(agent=DrainAgent(name, 1)) for name in units]
-        return World(0, book, servers, [None] * self.lead_count)
+        return World(0, state, servers, [None] * self.lead_count)
 
     def compare_and_swap(
-        self, world: World, page: tuple[int, RolloutState], book: RolloutState
+        self, world: World, snapshot: tuple[int, RolloutState], state: RolloutState
     ) -> bool:
-        if page[0] != world.revision and self.broken != "swap":
+        if snapshot[0] != world.revision and self.broken != "swap":
             return False
-        world.revision, world.state = world.revision + 1, book
+        world.revision, world.state = world.revision + 1, state
         return True
 
     def step(
-        self, book: RolloutState, name: str, what: InstanceInput, life: int = 0
+        self, state: RolloutState, name: str, what: InstanceInput, life: int = 0
     ) -> RolloutState | None:
         """What whoever leads makes of it; None where nothing."""
         if what is InstanceInput.PERMIT:
             if self.broken == "room":
-                made, effect = book.apply_input(
+                made, effect = state.apply_input(
                     SERVERS_GROUP, name, what, has_budget=True, has_sent_budget=True
                 )
                 return made if effect else None
-            made, held = book.grant_permit(SERVERS_GROUP, name, 0)
+            made, held = state.grant_permit(SERVERS_GROUP, name, 0)
             return made if held else None
         if self.broken == "again" and what is InstanceInput.SEEN and life:
-            life = book.servers[name].left_incarnation + 1
-        made, effect = book.apply_input(SERVERS_GROUP, name, what, incarnation=life)
+            life = state.servers[name].left_incarnation + 1
+        made, effect = state.apply_input(SERVERS_GROUP, name, what, incarnation=life)
         if self.broken == "expiry" and effect == "mark_missing":
             made = made.with_instance(
                 SERVERS_GROUP, name, replace(made.servers[name], state=InstanceState.IN)
@@ -142,11 +147,11 @@
             now = world.copy()
             now.leaders[lead] = now.revision, now.state
             yield now
-            page = world.leaders[lead]
-            if page is None or page[0] != world.revision and self.broken != "swap":
+            snapshot = world.leaders[lead]
+            if snapshot is None or snapshot[0] != world.revision and self.broken != "swap":
                 continue  # what it wrote would not be taken
             for at, server in enumerate(world.servers):
-                # A word of any life that served until now may be read, late.
+                # A report of any incarnation that served until now may be read, late.
                 words = [(what, 0) for what in INPUTS]
                 words += [(InstanceInput.SEEN, life) for life in range(1, server.incarnation + 1)]
                 words += (
@@ -155,11 +160,11 @@
                     else []
                 )
                 for what, life in words:
-                    made = self.step(page[1], str(at), what, life)
+                    made = self.step(snapshot[1], str(at), what, life)
                     if made is not None:
                         now = world.copy()
                         now.leaders[lead] = None
-                        if self.compare_and_swap(now, page, made):
+                        if self.compare_and_swap(now, snapshot, made):
                             yield now
         for at in range(self.count):
             yield from self.of_server(world, at)
@@ -167,7 +172,7 @@
     def of_server(self, world: World, at: int) -> Iterator[World]:
         server = world.servers[at]
         if not server.up:
-            if server.incarnation < self.lives:
+            if server.incarnation < self.incarnations:
                 now = world.copy()
                 life = server.incarnation + 1
                 now.servers[at] = Server(life, agent=DrainAgent(str(at), life))
@@ -179,15 +184,15 @@
         if server.agent.state is At.BEGINNING and server.read is not None:
             for heard in (Heard.WRITE_ACCEPTED, Heard.WRITE_UNKNOWN, Heard.WRITE_CONFLICT):
                 now = world.copy()
-                mine, page = now.servers[at], server.read
+                mine, snapshot = now.servers[at], server.read
                 mine.read = None
-                made = mine.agent.begin_drain(page[1])
+                made = mine.agent.begin_drain(snapshot[1])
                 held = (
                     made is not None
                     and heard is not Heard.WRITE_CONFLICT
-                    and self.compare_and_swap(now, page, made)
+                    and self.compare_and_swap(now, snapshot, made)
                 )
-                stale = page[0] != world.revision
+                stale = snapshot[0] != world.revision
                 if {
                     Heard.WRITE_UNKNOWN: True,
                     Heard.WRITE_ACCEPTED: held,
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -90,7 +90,7 @@
             while self.dead:
                 await asyncio.sleep(0.02)
             try:
-                self.version = (await self.rollout.book()).next_version_of(
+                self.version = (await self.rollout.state()).next_version_of(
                     self.name
                 ) or self.version
             except StoreUnavailableError:
@@ -261,7 +261,7 @@
         if part.get("leads") is False:
             await self.drive("first")
         await self.comes_to(
-            lambda book: len(book.servers) == count and not book.groups["servers"].out_count
+            lambda state: len(state.servers) == count and not state.groups["servers"].out_count
         )
 
     async def calls(self, node: Node) -> None:
@@ -279,7 +279,7 @@
             self.worst = max(self.worst, self.out)
             await asyncio.sleep(0.005)
 
-    async def book(self) -> RolloutState:
+    async def state(self) -> RolloutState:
         return (await self.store.read()).state
 
     async def comes_to(
@@ -289,23 +289,24 @@
             async with asyncio.timeout(patience):
                 while True:
                     try:
-                        if test(book := await self.book()):
-                            return book
+                        if test(state := await self.state()):
+                            return state
                     except StoreUnavailableError:
                         pass
                     await asyncio.sleep(0.02)
         except TimeoutError:
-            book = await self.book()
-            raise AssertionError((book.release, book.servers, book.history)) from None
+            state = await self.state()
+            raise AssertionError((state.release, state.servers, state.history)) from None
 
     async def idle(self, version: str) -> RolloutState:
         """Until all run this version and nothing is under way."""
         return await self.comes_to(
-            lambda book: (
-                book.release.phase is ReleasePhase.IDLE
-                and book.stable_version == version
+            lambda state: (
+                state.release.phase is ReleasePhase.IDLE
+                and state.stable_version == version
                 and all(
-                    unit.version == version and unit.state == 0 for unit in book.servers.values()
+                    instance.version == version and instance.state == 0
+                    for instance in state.servers.values()
                 )
             )
         )
--- a/tests/test_fleet_totals.py
+++ b/tests/test_fleet_totals.py
@@ -80,15 +80,15 @@
 )
 
 
-def seen(dealer: Allocator, now: int) -> object:
+def seen(allocator: Allocator, now: int) -> object:
     return (
-        dealer.phase,
-        dealer.phase_since_ns,
-        dealer.has_quorum(now),
-        dealer.is_confirmed(now),
-        dealer.count_reporting(now),
-        dealer.free_share(now),
-        dealer.unknown_share(now),
+        allocator.phase,
+        allocator.phase_since_ns,
+        allocator.has_quorum(now),
+        allocator.is_confirmed(now),
+        allocator.count_reporting(now),
+        allocator.free_share(now),
+        allocator.unknown_share(now),
         {
             name: (
                 one.incarnation,
@@ -98,7 +98,7 @@
                 one.bound,
                 one.target,
             )
-            for name, one in dealer.accounts.items()
+            for name, one in allocator.accounts.items()
         },
     )
 
@@ -239,26 +239,26 @@
     counted.
     """
     now = 10**13
-    dealer, told = (
+    allocator, told = (
         kind(QuotaSettings(4 * size * MILLICALLS_PER_CALL), now),
         ShareReport(MILLICALLS_PER_CALL, MILLICALLS_PER_CALL, 100 * MILLICALLS_PER_CALL, 1, 7),
     )
     fleet = {f"n{at}": MemberPresence(1, True, now) for at in range(size)}
     steps = 0
     for number in range(10):
-        dealer.run_round(now, fleet, True, False, 7)
+        allocator.run_round(now, fleet, True, False, 7)
         for at in range(size):
             now += 200 * MS // size
 
             def report(at: int = at, number: int = number) -> None:
-                dealer.process_report(now, f"n{at}", 1, number, told)
-                dealer.is_confirmed(now)
+                allocator.process_report(now, f"n{at}", 1, number, told)
+                allocator.is_confirmed(now)
 
             if number >= 5 and at % (size // 20) == 0:
                 steps += steps_of(report)
             else:
                 report()
-    assert dealer.phase is AllocatorPhase.ALLOCATING
+    assert allocator.phase is AllocatorPhase.ALLOCATING
     return steps // 100
 
 
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -23,12 +23,12 @@
 async def test_a_release_in_waves(made: Rollout) -> None:
     said = await made.says("start", "v2")
     assert "change 1 to v2, wave 1 of 3: rolling" in said, said
-    book = await made.idle("v2")
+    state = await made.idle("v2")
     assert made.worst == 1
     assert not made.over
     assert {node.version for node in made.nodes} == {"v2"}
     assert made.ends == 4
-    assert sum("complete" in said for _, said in book.history) == 3
+    assert sum("complete" in said for _, said in state.history) == 3
     made.nothing_lost()
     assert "all servers run v2" in await made.says("start", "v2", status=2)
     assert "nothing to halt" in await made.says("halt", status=2)
@@ -42,10 +42,10 @@
     """Half of what it runs fails. One server had it; a command brings that back."""
     made.bad.add("v2")
     await made.says("start", "v2")
-    book = await made.comes_to(lambda book: book.release.phase is ReleasePhase.HALTED)
+    state = await made.comes_to(lambda state: state.release.phase is ReleasePhase.HALTED)
     # Voided, or declined since so much is voided, or so bad that nobody is sent there.
-    assert book.release.reason.split()[0] in ("voided", "declined", "not"), book.release.reason
-    assert sum(unit.version == "v2" for unit in book.servers.values()) == 1
+    assert state.release.reason.split()[0] in ("voided", "declined", "not"), state.release.reason
+    assert sum(instance.version == "v2" for instance in state.servers.values()) == 1
     await asyncio.sleep(0.5)
     assert made.out == 0
     assert "halted" in await made.says("show")
@@ -63,8 +63,8 @@
     await until(lambda: made.out == 2)
     await made.says("halt")
     await made.comes_to(
-        lambda book: (
-            book.release.phase is ReleasePhase.HALTED and not book.groups["servers"].out_count
+        lambda state: (
+            state.release.phase is ReleasePhase.HALTED and not state.groups["servers"].out_count
         )
     )
     ends = made.ends
@@ -73,7 +73,7 @@
     assert made.out == 0
     made.bad.add("v2")
     await made.says("resume")
-    await made.comes_to(lambda book: book.release.is_rollback)
+    await made.comes_to(lambda state: state.release.is_rollback)
     await made.idle("v1")
     assert made.worst == 2
     assert not made.over
@@ -92,13 +92,13 @@
     await until(lambda: made.out == 1)
     first.kill()
     second = await made.drive("second")
-    await made.comes_to(lambda book: book.leader == "second")
+    await made.comes_to(lambda state: state.leader == "second")
     await until(lambda: made.out == 1)
     await made.drive("third")
     for _ in range(5):
         second.send_signal(signal.SIGSTOP)
         try:
-            await made.comes_to(lambda book: book.leader == "third", 5)
+            await made.comes_to(lambda state: state.leader == "third", 5)
             break
         except (
             AssertionError
@@ -106,10 +106,10 @@
             assert made.worst == 1
         finally:
             second.send_signal(signal.SIGCONT)
-    book = await made.idle("v2")
+    state = await made.idle("v2")
     assert made.worst == 1
     assert not made.over
-    assert book.epoch >= 3
+    assert state.epoch >= 3
     made.nothing_lost()
 
 
@@ -119,12 +119,12 @@
     await made.says("start", "v2")
     await until(lambda: any(node.out and node.ready and node.killed() for node in made.nodes))
     await made.comes_to(
-        lambda book: sum(unit.version == "v2" for unit in book.servers.values()) >= 1
+        lambda state: sum(instance.version == "v2" for instance in state.servers.values()) >= 1
     )
     made.worst = 0
     await made.comes_to(
-        lambda book: any(
-            book.leader.startswith(node.name + "/") and node.killed() for node in made.nodes
+        lambda state: any(
+            state.leader.startswith(node.name + "/") and node.killed() for node in made.nodes
         )
     )
     await made.idle("v2")
@@ -144,9 +144,9 @@
     await made.says("start", "v2")
     await until(lambda: made.ends == 1)
     gone = next(node for node in made.nodes if node.out)
-    book = await made.comes_to(lambda book: book.release.phase is ReleasePhase.HALTED)
+    state = await made.comes_to(lambda state: state.release.phase is ReleasePhase.HALTED)
     assert made.out == 1
-    assert f"{gone.name} is missing" in book.release.reason
+    assert f"{gone.name} is missing" in state.release.reason
     for node in made.nodes:
         node.dead = node is gone
     await made.says("resume")
@@ -155,12 +155,12 @@
     gone.retired = True
     await made.says("retire", gone.name)
     await made.comes_to(
-        lambda book: len(book.servers) == 2 and book.release.phase is ReleasePhase.IDLE
+        lambda state: len(state.servers) == 2 and state.release.phase is ReleasePhase.IDLE
     )
     assert made.worst == 1
     assert not made.over
     gone.dead = False
-    await made.comes_to(lambda book: len(book.servers) == 3)
+    await made.comes_to(lambda state: len(state.servers) == 3)
     await made.idle("v2")
     made.nothing_lost()
 
@@ -203,7 +203,7 @@
             }
             await made.begin(3)
             pipes[1].cut()
-            await made.comes_to(lambda book: book.servers["n1"].state is InstanceState.MISSING)
+            await made.comes_to(lambda state: state.servers["n1"].state is InstanceState.MISSING)
             await made.says("start", "v2")
             settled = made.nodes[1].settled
             await asyncio.sleep(1.0)
@@ -240,14 +240,14 @@
     assert len(made.services[0].calls) == count
     await made.says("give", "db", first)
     await until(lambda: len(made.services[0].calls) > count)
-    await made.comes_to(lambda book: not book.groups["db"].out_count)
+    await made.comes_to(lambda state: not state.groups["db"].out_count)
     made.nothing_lost()
 
 
 @rolled(3)
 async def test_a_drain_and_the_commands_around_it(made: Rollout) -> None:
     await made.says("drain", "n0", "n1", "--for-s", "30")
-    await made.comes_to(lambda book: made.ends == 2 and not book.groups["servers"].out_count)
+    await made.comes_to(lambda state: made.ends == 2 and not state.groups["servers"].out_count)
     assert made.worst == 1
     assert not made.over
     assert (await made.says("version", "n2")).strip() in ("", "v1")
@@ -256,7 +256,7 @@
     made.most = 2
     await made.says("start", "v1", "--restart", "--wave", "100%")
     await made.comes_to(
-        lambda book: book.release.phase is ReleasePhase.IDLE and book.release.number == 1
+        lambda state: state.release.phase is ReleasePhase.IDLE and state.release.number == 1
     )
     assert made.ends == 5
     assert made.worst == 2
--- a/tests/test_rollout_stores.py
+++ b/tests/test_rollout_stores.py
@@ -1,4 +1,4 @@
-"""The book on its two shelves: what is promised of a step holds on either."""
+"""The rollout state in its two stores: what is promised of a step holds in either."""
 
 import asyncio
 import json
@@ -29,14 +29,14 @@
     assert not await first.compare_and_swap(old, RolloutState("b", epoch=9)), (
         "written over what another wrote"
     )
-    page = await first.read(old)
-    assert (page.state.leader, page.revision) == ("a", old.revision + 1)
+    snapshot = await first.read(old)
+    assert (snapshot.state.leader, snapshot.revision) == ("a", old.revision + 1)
     await second.heartbeat(2)  # of an epoch that is over
-    assert (await first.read(page)).heartbeat == page.heartbeat
+    assert (await first.read(snapshot)).heartbeat == snapshot.heartbeat
     await second.heartbeat(3)
-    again = await first.read(page)
-    assert again.heartbeat == page.heartbeat + 1
-    assert again.state is page.state
+    again = await first.read(snapshot)
+    assert again.heartbeat == snapshot.heartbeat + 1
+    assert again.state is snapshot.state
     one = ServerReport("n1", 5, 1, ServerPhase.SERVING, downstream={"10.0.0.1:1": (3, 1)})
     assert await first.report(one)
     assert await second.report(replace(one, incarnation=6, phase=ServerPhase.LEAVING))
@@ -50,8 +50,8 @@
     assert await second.last_report("n1") is None
     held = await asyncio.gather(
         *(
-            shelf.compare_and_swap(again, RolloutState(str(at)))
-            for at, shelf in enumerate((first, second))
+            store.compare_and_swap(again, RolloutState(str(at)))
+            for at, store in enumerate((first, second))
         )
     )
     assert sorted(held) == [False, True]
@@ -63,28 +63,28 @@
     """
 
     async def play() -> None:
-        shelf = SqliteRolloutStore(tmp_path / "agreed.db")
-        await shelf.open()
-        page = await shelf.read()
+        store = SqliteRolloutStore(tmp_path / "agreed.db")
+        await store.open()
+        snapshot = await store.read()
         held = Held(tmp_path / "agreed.db", 1.9)
-        shelf.lock_retry = held.turns()
-        assert await shelf.compare_and_swap(page, RolloutState("a"))
+        store.lock_retry = held.turns()
+        assert await store.compare_and_swap(snapshot, RolloutState("a"))
         assert held.looks >= 100
-        page, held = await shelf.read(), Held(tmp_path / "agreed.db", 9.0)
-        shelf.lock_retry = held.turns()
+        snapshot, held = await store.read(), Held(tmp_path / "agreed.db", 9.0)
+        store.lock_retry = held.turns()
         with pytest.raises(StoreUnavailableError, match="database is locked"):
-            await shelf.compare_and_swap(page, RolloutState("b"))
+            await store.compare_and_swap(snapshot, RolloutState("b"))
         assert 2.0 <= held.now < 2.1
-        assert (await shelf.read()).state.leader == "a"
+        assert (await store.read()).state.leader == "a"
         before = held.looks
-        shelf.lock_retry = held.turns(
+        store.lock_retry = held.turns(
             is_cancelled=lambda: held.looks == before + 50
         )  # it is being closed: nobody waits for it
         with pytest.raises(StoreUnavailableError, match="database is locked"):
-            await shelf.open()
+            await store.open()
         assert held.looks == before + 50
         held.db.close()
-        await shelf.close()
+        await store.close()
 
     asyncio.run(play())
 
@@ -141,10 +141,10 @@
         )
         first, second = (PostgresRolloutStore(create_store(told, "-", keep=0)[0]) for _ in range(2))  # type: ignore[arg-type]
         await promises(first, second)
-        page = await first.read()
+        snapshot = await first.read()
         server.orders.reset_after_commit = 1  # taken, and nobody is told
         with pytest.raises(StoreUnavailableError):
-            await first.compare_and_swap(page, RolloutState("d"))
+            await first.compare_and_swap(snapshot, RolloutState("d"))
         assert (await first.read()).state.leader == "d"
         server.orders.hang = True
         with pytest.raises(StoreUnavailableError):
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -230,7 +230,10 @@
         await until(lambda: hosts.up() == count - 2 and clock() - began > 2 * SECOND)
         hosts.tell_names("start", ["h3", "h4"])
         await until(
-            lambda: hosts.up() == count and hosts.facts().get("share", 0) >= 0.95 * terms["total_millicalls"]
+            lambda: (
+                hosts.up() == count
+                and hosts.facts().get("share", 0) >= 0.95 * terms["total_millicalls"]
+            )
         )
         faults = [fault for host in hosts.hosts for fault in host.faults]
     assert faults == []
