--- a/benchmarks/rollout_core.py
+++ b/benchmarks/rollout_core.py
@@ -22,8 +22,8 @@
     RolloutSettings,
     RolloutState,
     ServerReport,
+    agent,
 )
-from burlloom.rollout import agent
 from burlloom.rollout.stores import decode_state, encode_state
 
 S = 1_000_000_000
--- a/tests/explore_fleet.py
+++ b/tests/explore_fleet.py
@@ -1,7 +1,7 @@
 """Walks every history of one allocator and its members: messages late, lost, doubled, out of order,
 members started again.
 
-Dealer and holder are those of burlloom.fleet. What is counted is counted here: what all may have in
+Allocator and lease holder are those of burlloom.fleet. What is counted is counted here: what all may have in
 hand below, at once.
 """
 
--- a/tests/explore_rollout.py
+++ b/tests/explore_rollout.py
@@ -1,8 +1,8 @@
 """Walks every history of a few servers, two that lead, and the state between them: stale reads,
-steps in doubt, crashes, restarts, words of lives that are over, times that are over too early.
+steps in doubt, crashes, restarts, reports of incarnations that are over, times that are over too early.
 
-The book's steps are those of burlloom.rollout. What is counted is counted here: servers that have
-drained, or are draining, because the book let them, and whose next life does not serve yet.
+The state's steps are those of burlloom.rollout. What is counted is counted here: servers that have
+drained, or are draining, because the state let them, and whose next incarnation does not serve yet.
 """
 
 from collections import deque
