--- a/burlloom/server/tenant_portions.py
+++ b/burlloom/server/tenant_portions.py
@@ -12,6 +12,7 @@
 from ..sockets import NS_PER_SECOND
 
 if TYPE_CHECKING:
+    from ..distribution import Head
     from ..distribution.table import ItemPosition
 
 TENANT_KIND = "tenant"
@@ -103,7 +104,8 @@
         Args:
             now: ns of a clock that nobody sets.
         """
-        if self.bucket < 0 and not self._begin(now):
+        head = self.replica.head
+        if head is None or self.bucket < 0 and not self._begin(head, now):
             return
         entries = 0
         for _ in range(MAX_PAGES_PER_STEP):
@@ -122,11 +124,8 @@
         total = self.total or float(self.replica.table.count(TENANT_KIND))
         return min(1.0, decode_portion(value) / total) if total else 1.0
 
-    def _begin(self, now: int) -> bool:
+    def _begin(self, head: Head, now: int) -> bool:
         """Begins a count if one is due; returns whether it did."""
-        head = self.replica.head
-        if head is None:
-            return False
         revision = head.epoch, head.revision
         if self._counted == revision or now - self._began_ns < COUNT_INTERVAL_NS:
             return False
