--- a/benchmarks/key_digests.py
+++ b/benchmarks/key_digests.py
@@ -16,7 +16,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from burlloom.dispatcher.idempotency import IdempotencyTable  # noqa: E402
+from burlloom.dispatcher.idempotency_table import IdempotencyTable  # noqa: E402
 from burlloom.dispatcher.key_digests import PackedKeyDigests  # noqa: E402
 from burlloom.dispatcher.timer_wheel import TimerWheel  # noqa: E402
 
--- a/burlloom/admission/downstream_calls.py
+++ b/burlloom/admission/downstream_calls.py
@@ -12,7 +12,8 @@
 
 Of the calls that wait, those of requests that cannot do without go first. A request that can do
 without skips its call when the circuit breaker is open, when the wait puts its latency objective at
-stake, or when the service level says so. A call is waited for `TIMEOUT_MULTIPLE` times what calls
+stake, or when the service level says so; the protocol of balancers has no such answer, so on a real
+server none is skipped. A call is waited for `TIMEOUT_MULTIPLE` times what calls
 take. Reason: calls that are never answered would otherwise hold their places until the deadline.
 """
 
--- a/burlloom/admission/lifecycle.py
+++ b/burlloom/admission/lifecycle.py
@@ -2,7 +2,8 @@
 
 Read `TRANSITIONS` first. A request in a state meets an input; of the rows for both, the first whose
 tests all hold moves it to the next state and has its effect. Where no row holds, nothing happens.
-Tests and effects are names; `AdmissionController` binds each to the method that implements it.
+Tests and effects are names; `state_machine.StateMachine` binds each to the method that implements
+it.
 
 Every rejection stands here with its reason: a row that ends in `reject` (or in `reject_evicted`,
 `reject_queue_full`, `reject_degraded`) names it by its test, and `rejection_reasons.py`
--- a/burlloom/admission/rejection_reasons.py
+++ b/burlloom/admission/rejection_reasons.py
@@ -17,6 +17,10 @@
 A queued request is rejected when the service level takes it away, when it is past its deadline or
 cannot meet its latency objective any more, when it is evicted, or when its run could not be
 recorded.
+
+Three rejections are no decision of this package: no executor has connected yet
+(`server/request_handler.py`), a retry is held back while service recovers after a restart, and a
+duplicate waited for an original that never ran (both `dispatcher/dispatcher.py`).
 """
 
 from .lifecycle import State, TrackedRequest
--- a/burlloom/command/lab.py
+++ b/burlloom/command/lab.py
@@ -23,15 +23,15 @@
 def experiment_of(path: Path) -> "Experiment":
     """An experiment, or a world alone; all faults at once, then status 2."""
     from ..lab.experiment import Experiment
-    from ..operator import Faults
-    from ..operator.load import checked, evaluated
+    from ..operator import OperatorFileError
+    from ..operator.load import evaluate_template, validate
 
     try:
-        got = evaluated(path)
+        got = evaluate_template(path)
         if isinstance(got, dict) and "worlds" not in got:
             got = {"name": str(got.get("name", path.stem)), "worlds": [got]}
-        return checked(Experiment, got, path)
-    except Faults as faults:
+        return validate(Experiment, got, path)
+    except OperatorFileError as faults:
         for line in faults.lines:
             click.echo(line, err=True)
         sys.exit(2)
--- a/burlloom/command/root.py
+++ b/burlloom/command/root.py
@@ -60,7 +60,7 @@
     """Check an operator's file and a configuration: a line for each fault, with its place; status 2
     if any.
     """
-    from ..operator import Faults, load
+    from ..operator import OperatorFileError, load
     from ..server.configuration import ConfigurationError, read_config
 
     if operator is None and config is None:
@@ -71,7 +71,7 @@
         try:
             told = load(operator)
             click.echo(f"{operator}: good")
-        except Faults as found:
+        except OperatorFileError as found:
             faults += found.lines
     if config is not None:
         os.environ["EDGE_CONFIG"] = str(config)
@@ -85,7 +85,7 @@
                 check_levels(told, apply_operator_settings(told, orders))
         except ConfigurationError as broken:
             faults.append(str(broken))
-        except Faults as found:
+        except OperatorFileError as found:
             faults += [f"{operator}: {line}" for line in found.lines]
     for fault in faults:
         click.echo(fault, err=True)
--- a/burlloom/command/shared.py
+++ b/burlloom/command/shared.py
@@ -35,13 +35,13 @@
 
 
 def operator_file(path: Path | None) -> "Operator":
-    from ..operator import Faults, load
+    from ..operator import OperatorFileError, load
 
     if path is None:
         raise click.UsageError(f"which operator's file? Name it by --operator or {OPERATOR}")
     try:
         return load(path)
-    except Faults as faults:
+    except OperatorFileError as faults:
         for line in faults.lines:
             click.echo(line, err=True)
         sys.exit(2)
--- a/burlloom/dispatcher/dispatcher.py
+++ b/burlloom/dispatcher/dispatcher.py
@@ -25,7 +25,7 @@
 from .directives import Directive, DirectiveKind, complete_as_original
 from .effects import AdmissionEffects
 from .events import CallEnded, CallRequested, DrainStarted, Event, RequestAttempt, RunEnded
-from .idempotency import NO_ORIGINAL, IdempotencyTable
+from .idempotency_table import NO_ORIGINAL, IdempotencyTable
 from .key_digests import digest_key
 from .request_slot import RequestSlot
 
--- a/burlloom/dispatcher/effects.py
+++ b/burlloom/dispatcher/effects.py
@@ -13,7 +13,7 @@
 from ..admission.controller import AdmissionController
 from ..admission.model import Outcome
 from .directives import Directive, DirectiveKind, complete_as_original
-from .idempotency import IdempotencyTable, KeyRecord
+from .idempotency_table import IdempotencyTable, KeyRecord
 from .request_slot import RequestSlot
 
 log = logging.getLogger(__name__)
--- a/burlloom/distribution/follower.py
+++ b/burlloom/distribution/follower.py
@@ -138,7 +138,7 @@
         self.counts = Counts()
         # Kept until the host takes them for its log.
         self.refusals: deque[tuple[str, Address]] = deque(maxlen=MAX_PENDING_REFUSALS)
-        # Numbers of two incarnations never coincide: an answer to an earlier one means nothing here.
+        # Numbers of two incarnations never coincide: an answer to an earlier one means nothing.
         self.number = incarnation << 20 & MAX_NUMBER
         self.last_tick_at = now
         self._init_upstream(now)
--- a/burlloom/lab/node.py
+++ b/burlloom/lab/node.py
@@ -132,10 +132,10 @@
         )
         with socket.socket() as listener:
             server = self.server = Server(config, listener, EmulatedSubsystems(fleet, self))
-        server.reports.socket.close()
-        server.clock = server.front.clock = server.requests.clock = loop.wall  # type: ignore[assignment]
-        server.front.socket = None
-        server.reports = Reports(self)  # type: ignore[assignment]
+        server.health_reporter.socket.close()
+        server.clock = server.listener.clock = server.requests.clock = loop.wall  # type: ignore[assignment]
+        server.listener.socket = None
+        server.health_reporter = Reports(self)  # type: ignore[assignment]
         life = self.life
         self.executor = Executor(
             self.cores,
@@ -171,7 +171,7 @@
         came, life, order = self.fleet.loop.now, self.life, attempt.order
         self.attempts[attempt.id] = attempt
         assert self.server is not None
-        self.server.front.connections.add(attempt)  # type: ignore[arg-type]
+        self.server.listener.connections.add(attempt)  # type: ignore[arg-type]
         self.booked += order.kb
         self.reading += 1
         work = self.fleet.world.machines.intake * self.fleet.world.work_ms
@@ -220,7 +220,7 @@
         if self.attempts.pop(attempt.id, None) is not None:
             self.booked -= attempt.order.kb
             if self.server is not None:
-                self.server.front.connections.discard(attempt)
+                self.server.listener.connections.discard(attempt)
 
     def answered(self, attempt: "Attempt", answer: str, result: bytes) -> None:
         self.fleet.rules.answers(self.fleet.loop.now, attempt.id, answer, result)
@@ -230,7 +230,7 @@
     @property
     def open(self) -> bool:
         """Whether its listener is."""
-        return self.up and self.server is not None and not self.server.front.is_draining
+        return self.up and self.server is not None and not self.server.listener.is_draining
 
     def cut(self, attempt: "Attempt") -> None:
         """The connection of this try went."""
--- a/burlloom/lab/variants.py
+++ b/burlloom/lab/variants.py
@@ -24,7 +24,7 @@
             orders.tenant_portions,
             facts.cores,
             lambda: server.clock(),
-            lambda: len(server.front.connections) / server.front.max_connections,
+            lambda: len(server.listener.connections) / server.listener.max_connections,
             terms=terms,
             meters=frozenset(orders.gauge_names),
         )
--- a/burlloom/operator/__init__.py
+++ b/burlloom/operator/__init__.py
@@ -5,7 +5,7 @@
 from .distribution import DistributionPart
 from .fleet import FleetPart
 from .levels import LevelsPart
-from .load import Faults, load
+from .load import OperatorFileError, load
 from .part import Part
 from .recovery import RecoveryPart
 from .rollout import RolloutPart
@@ -14,7 +14,7 @@
 __all__ = [
     "Distribution",
     "DistributionPart",
-    "Faults",
+    "OperatorFileError",
     "FleetPart",
     "LevelsPart",
     "Metrics",
--- a/burlloom/server/operator_subsystems.py
+++ b/burlloom/server/operator_subsystems.py
@@ -12,7 +12,7 @@
 
 from ..levels import SIGNAL_NAMES, LevelPlan
 from ..levels.plan import find_plan_faults
-from ..operator import DistributionPart, Faults, FleetPart, Operator, load
+from ..operator import DistributionPart, FleetPart, Operator, OperatorFileError, load
 from ..record.store import StoreRefusedError
 from ..sockets import NS_PER_MS, NS_PER_SECOND
 from .configuration import ConfigurationError, ServerConfig
@@ -57,7 +57,7 @@
         operator = load(Path(path))
         config = apply_operator_settings(operator, config)
         return config, OperatorSubsystemFactory(operator, config)
-    except Faults as faults:
+    except OperatorFileError as faults:
         raise ConfigurationError(FAULT_SEPARATOR.join(faults.lines)) from faults
     except StoreRefusedError as refused:
         raise ConfigurationError(str(refused)) from refused
@@ -67,7 +67,7 @@
     """Returns the configuration with what the operator's file changes in the decisions' settings.
 
     Raises:
-        Faults: The file names classes that the platform does not have.
+        OperatorFileError: The file names classes that the platform does not have.
     """
     settings = config.settings
     levels = operator.levels
@@ -75,7 +75,7 @@
         names = config.class_names
         if unknown := [name for name in levels.kept_ms if name not in names]:
             known = ", ".join(names)
-            raise Faults(
+            raise OperatorFileError(
                 [
                     f"levels.kept_ms: there is no product {name!r}; known are {known}"
                     for name in unknown
@@ -95,14 +95,14 @@
     """Returns the operator's plan of service levels, None where there is none.
 
     Raises:
-        Faults: The plan does not fit the platform's request classes; all that does not is named.
+        OperatorFileError: The plan does not fit the platform's request classes; all that does not is named.
     """
     if operator.levels is None:
         return None
     plan = operator.levels.plan()
     classes = tuple(zip(config.class_names, config.settings.request_classes, strict=True))
     if lines := find_plan_faults(plan, classes, SIGNAL_NAMES):
-        raise Faults([f"levels.{line}" for line in lines])
+        raise OperatorFileError([f"levels.{line}" for line in lines])
     return plan
 
 
@@ -165,7 +165,7 @@
         config: The platform's configuration, as the file changes it.
 
     Raises:
-        Faults: The file does not fit the platform's configuration.
+        OperatorFileError: The file does not fit the platform's configuration.
         StoreRefusedError: A store, a socket or a key can't be used.
     """
 
@@ -273,7 +273,7 @@
             config.tenant_portions,
             config.settings.cores,
             server.clock,
-            lambda: len(server.front.connections) / server.front.max_connections,
+            lambda: len(server.listener.connections) / server.listener.max_connections,
             terms=part.terms(),
             store=partial(record_strain, self.coordinator, server.clock)
             if self.coordinator
--- a/burlloom/server/server.py
+++ b/burlloom/server/server.py
@@ -91,7 +91,7 @@
         self.requests = RequestHandler(config, self.clock, self.tasks)
         self.factory = factory or SubsystemFactory()
         self.subsystems = self.factory.create(self)
-        self.front = RpcListener(
+        self.listener = RpcListener(
             listener,
             self._known_requests(),
             max_connections(config.max_sockets, config.settings),
@@ -109,11 +109,11 @@
             self.executor_connected,
             self.requests.run_ended,
             self.requests.run_reached_call,
-            self.front.free_descriptor,
+            self.listener.free_descriptor,
         )
-        pool = ConnectionPool(config.downstream_address, self.front.free_descriptor)
+        pool = ConnectionPool(config.downstream_address, self.listener.free_descriptor)
         self.connect(link, self.subsystems.membership.select_pool(pool))
-        self.reports = HealthReporter(config.discovery_address, config.name)
+        self.health_reporter = HealthReporter(config.discovery_address, config.name)
 
     def connect(self, link: ExecutorConnection, pool: ConnectionPool | ServicePools) -> None:
         """Sets what runs requests and what they call.
@@ -122,8 +122,8 @@
             link: The connection to the executor.
             pool: The connections to the downstream.
         """
-        self.link = link
-        self.pool = pool
+        self.executor = link
+        self.downstream = pool
         self.requests.connect(self.subsystems, link, pool)
 
     def _known_requests(self) -> RequestRules:
@@ -157,10 +157,10 @@
             ConfigurationError: The store of record can't be used.
         """
         await self.subsystems.open()
-        self.front.listen()
-        self.tasks.start(self.link.maintain(), "executor")
-        self.tasks.start(self.reports.run(), "naming")
-        self.tasks.start(self.front.run(), "front")
+        self.listener.listen()
+        self.tasks.start(self.executor.maintain(), "executor")
+        self.tasks.start(self.health_reporter.run(), "discovery")
+        self.tasks.start(self.listener.run(), "front")
         self.subsystems.rollout.open()
         log.info("event=listening name=%s address=%s:%d", self.config.name, *self.address)
 
@@ -179,16 +179,16 @@
 
     async def _round(self, dispatcher: Dispatcher) -> int:
         """Takes a round of the decisions; returns when the next one is due, in Unix ns."""
-        values = await self.link.query_gauges(GAUGES_TIMEOUT_NS)
+        values = await self.executor.query_gauges(GAUGES_TIMEOUT_NS)
         names = self.config.gauge_names
         is_complete = values is not None and len(values) == len(names)
         measured = parse_gauges(names, values) if is_complete and values is not None else Gauges()
         due = dispatcher.fire_due_timers(measured)
         self.subsystems.levels.update(measured)
         self.subsystems.recovery.update()
-        self.reports.report_health(self.is_healthy())
-        self.front.idle_timeout_ns = dispatcher.idle_timeout_ns
-        self.pool.close_expired()
+        self.health_reporter.report_health(self.is_healthy())
+        self.listener.idle_timeout_ns = dispatcher.idle_timeout_ns
+        self.downstream.close_expired()
         return due
 
     async def shutdown(self) -> None:
@@ -208,10 +208,10 @@
         except ConfigurationError as error:
             log.warning("event=reload_failed detail=%r", str(error))
             return
-        self.link.change_address(config.executor_address)
-        self.pool.change_address(config.downstream_address)
-        self.reports.change_address(config.discovery_address)
-        self.front.max_connections = max_connections(config.max_sockets, config.settings)
+        self.executor.change_address(config.executor_address)
+        self.downstream.change_address(config.downstream_address)
+        self.health_reporter.change_address(config.discovery_address)
+        self.listener.max_connections = max_connections(config.max_sockets, config.settings)
         downstream = config.downstream_address
         log.info(
             "event=reloaded executor=%s:%d downstream=%s discovery=%s:%d",
@@ -226,7 +226,7 @@
         except ConfigurationError as error:
             # The file itself needs a descriptor: idle clients that hold them all must not hide
             # where all went.
-            if not is_out_of_descriptors(error.__cause__) or not self.front.free_descriptor():
+            if not is_out_of_descriptors(error.__cause__) or not self.listener.free_descriptor():
                 raise
             return read_config()
 
@@ -269,7 +269,7 @@
         self.subsystems.recovery.attach_dispatcher(dispatcher, record.incarnation)
         self.subsystems.membership.attach_dispatcher(dispatcher)
         record.attach_dispatcher(dispatcher, self.clock() - age_ms * NS_PER_MS)
-        self.reports.report_health(True)
+        self.health_reporter.report_health(True)
         self.tasks.start(self.main_loop(dispatcher), "main_loop")
 
     # The way out.
@@ -290,7 +290,7 @@
         log.info("event=shutdown_started stop_ms=%d", self.config.stop_ns // NS_PER_MS)
         if self.requests.dispatcher is not None:
             self.requests.dispatcher.handle_event(DrainStarted(now, stop))
-            self.reports.report_health(False)
+            self.health_reporter.report_health(False)
         self.tasks.start(self.drain(now, stop), "drain")
 
     async def drain(self, now: int, stop: int) -> None:
@@ -304,13 +304,13 @@
             grace_ns = self.config.settings.drain_grace_ns
             serve_until = min(now + grace_ns, stop - 2 * LAST_WRITES_NS)
             await sleep_ns(serve_until - self.clock())
-        self.front.start_drain()
-        while self.front.connections and self.clock() < stop:
+        self.listener.start_drain()
+        while self.listener.connections and self.clock() < stop:
             await sleep_ns(SHUTDOWN_POLL_NS)
         answers_until = stop + LAST_WRITES_NS // 2
         while (
-            self.front.has_open_requests or self.requests.open_requests
+            self.listener.has_open_requests or self.requests.open_requests
         ) and self.clock() < answers_until:
             await sleep_ns(SHUTDOWN_POLL_NS)
-        await self.front.close(stop + LAST_WRITES_NS * 3 // 4 - self.clock())
+        await self.listener.close(stop + LAST_WRITES_NS * 3 // 4 - self.clock())
         self.stopped.set()
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -250,9 +250,9 @@
 
         with socket.socket() as listener:
             server = Server(config, listener, RecordOnly())
-        server.front.clock = loop.wall
-        server.reports.report_health = lambda serving: None  # type: ignore[method-assign]
-        server.connect(self.link, server.pool)  # type: ignore[arg-type]
+        server.listener.clock = loop.wall
+        server.health_reporter.report_health = lambda serving: None  # type: ignore[method-assign]
+        server.connect(self.link, server.downstream)  # type: ignore[arg-type]
         self.link.query_gauges = no_gauges  # type: ignore[attr-defined]
         await server.subsystems.record.open()
         server.executor_connected(False, int((loop.time() - self.link.born) * 1000))
@@ -273,7 +273,7 @@
         for task in list(self.server.tasks.running):
             task.cancel()
         recorded.dispatcher = None
-        self.server.reports.socket.close()
+        self.server.health_reporter.socket.close()
         self.server = self.link.server = None
         if self.world.chance.random() < 0.5:
             self.link.crash(world_loop().time())
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -11,7 +11,7 @@
 import pytest
 from rig import ROOT
 
-from burlloom.operator import Faults, load
+from burlloom.operator import OperatorFileError, load
 from burlloom.record.authentication import RowAuthenticator, load_key
 from burlloom.record.rows import ROW_COMPLETED, ROW_STARTED, RecordRow
 from burlloom.record.sqlite import SqliteStore
@@ -193,7 +193,7 @@
 def test_operator_files_that_can_not_be_used(text: str, said: str, tmp_path: Path) -> None:
     path = tmp_path / "operator.jsonnet"
     path.write_bytes(text.encode("latin-1"))
-    with pytest.raises(Faults, match=said):
+    with pytest.raises(OperatorFileError, match=said):
         load(path)
 
 
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -22,7 +22,7 @@
 from rig import ROOT, within_timeout
 from test_command import burlloom
 
-from burlloom.operator import Faults, load
+from burlloom.operator import OperatorFileError, load
 
 BASE = [
     tenant("acme"),
@@ -613,7 +613,7 @@
             }
         )
     )
-    with pytest.raises(Faults) as refused:
+    with pytest.raises(OperatorFileError) as refused:
         load(path)
     for part in said:
         assert any(part in line for line in refused.value.lines), (part, refused.value.lines)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -19,7 +19,7 @@
 from rig import wait_until
 from test_command import burlloom
 
-from burlloom.operator import Faults, load
+from burlloom.operator import OperatorFileError, load
 
 CALLS = 24
 WITHIN = 1.05  # of the share below
@@ -317,6 +317,6 @@
             }
         )
     )
-    with pytest.raises(Faults) as refused:
+    with pytest.raises(OperatorFileError) as refused:
         load(path)
     assert any(said in line for line in refused.value.lines), refused.value.lines
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -60,11 +60,13 @@
         "lingering": desk.controller.sizes().lingering_calls,
         "serving": len(server.requests.open_requests),
         "tasks": len(server.tasks.running),
-        "connections": len(server.front.connections),
-        "spare": len(server.front.evictable_connections),
-        "doubtful": len(server.link.unconfirmed_commands),
-        "metered": len(server.link.pending_polls),
-        "kept": len(server.pool.idle_connections) if isinstance(server.pool, ConnectionPool) else 0,
+        "connections": len(server.listener.connections),
+        "spare": len(server.listener.evictable_connections),
+        "doubtful": len(server.executor.unconfirmed_commands),
+        "metered": len(server.executor.pending_polls),
+        "kept": len(server.downstream.idle_connections)
+        if isinstance(server.downstream, ConnectionPool)
+        else 0,
     }
 
 
@@ -102,7 +104,7 @@
         )
         listener = bind_listener(config)
         server, clock = Server(config, listener), Ahead()
-        server.clock = server.front.clock = server.requests.clock = clock
+        server.clock = server.listener.clock = server.requests.clock = clock
         running = asyncio.create_task(server.run())
 
         async def work() -> None:
@@ -113,7 +115,9 @@
                 )
 
         working = asyncio.create_task(work())
-        await wait_until(lambda: server.requests.dispatcher is not None and server.link.is_joined)
+        await wait_until(
+            lambda: server.requests.dispatcher is not None and server.executor.is_joined
+        )
 
         async def a_round(first: int) -> dict[str, int]:
             """So many callers at once, each on a connection of its own, each with a name never
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from burlloom.dispatcher.idempotency import FORMER_INCARNATION, NO_ORIGINAL, IdempotencyTable
+from burlloom.dispatcher.idempotency_table import FORMER_INCARNATION, NO_ORIGINAL, IdempotencyTable
 from burlloom.dispatcher.key_digests import PackedKeyDigests
 from burlloom.sockets import NS_PER_SECOND
 
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -15,7 +15,7 @@
 
 from burlloom.fakes.pipe import Pipe
 from burlloom.fakes.postgres import Postgres
-from burlloom.operator import Faults, load
+from burlloom.operator import OperatorFileError, load
 from burlloom.rollout import InstanceState, ReleasePhase
 
 
@@ -290,7 +290,7 @@
     path = tmp_path / "operator.jsonnet"
     store = {"sqlite": {"path": str(tmp_path / "agreed.db")}}
     path.write_text(json.dumps({"rollout": {"store": store, **told}}))
-    with pytest.raises(Faults) as refused:
+    with pytest.raises(OperatorFileError) as refused:
         load(path)
     assert any(said in line for line in refused.value.lines), refused.value.lines
 
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -204,7 +204,7 @@
 @pytest.mark.parametrize("name", ["sawtooth", "bad-days", "ablations"])
 def test_the_example_experiments_are_valid(name: str) -> None:
     from burlloom.lab.experiment import Experiment
-    from burlloom.operator.load import checked, evaluated
+    from burlloom.operator.load import evaluate_template, validate
 
     path = ROOT / "examples" / "lab" / f"{name}.jsonnet"
-    assert checked(Experiment, evaluated(path), path).name == name
+    assert validate(Experiment, evaluate_template(path), path).name == name
