--- a/benchmarks/kill_restart.py
+++ b/benchmarks/kill_restart.py
@@ -272,7 +272,7 @@
             moment if rig.process.returncode == -signal.SIGKILL or moment == "random" else "random"
         ] += 1
         await rig.kill()
-        for id in re.findall(r"event=record-answered-before id=(\w+)", rig.log()):
+        for id in re.findall(r"event=record_answered_before_durable request_id=(\w+)", rig.log()):
             self.book.early.add(self.book.marks[id])
         await crash
         if chance.random() < 0.4:
--- a/benchmarks/record_rates.py
+++ b/benchmarks/record_rates.py
@@ -30,6 +30,7 @@
 from burlloom.fakes.postgres import Postgres as StandIn  # noqa: E402
 from burlloom.record.authentication import RowAuthenticator, load_key  # noqa: E402
 from burlloom.record.postgres import PostgresStore  # noqa: E402
+from burlloom.record.postgres_database import PostgresDatabase  # noqa: E402
 from burlloom.record.request_lifecycle import RequestEvent  # noqa: E402
 from burlloom.record.rows import (
     ROW_COMPLETED,
@@ -69,7 +70,7 @@
     COMMIT.
     """
 
-    def moment(self, batch: Any, name: str) -> None:
+    def hit_failpoint(self, batch: Any, name: str) -> None:
         if name == "commit":
             time.sleep(0.002)
 
@@ -117,7 +118,7 @@
             for disk, make in (("this disk", SqliteStore), ("2 ms a sync", Slower)):
                 for label, batch in (("a commit for each", 1), ("group commit", 256)):
                     path = folder / f"{batch}-{turn}-{disk[0]}.db"
-                    store = make(path, SEALER, "n1", batch=batch)
+                    store = make(path, SEALER, "n1", max_batch=batch)
                     await store.open()
                     await store.start()
                     got, told = await rate(store, 3)
@@ -132,7 +133,9 @@
                     )
         standin = await StandIn(folder).start()
         host, port = standin.address.split(":")
-        pg = PostgresStore((host, int(port)), "b", "b", "", SEALER, "n1", clock=lambda: 0)
+        pg = PostgresStore(
+            PostgresDatabase(host, int(port), "b", "b", ""), SEALER, "n1", clock=lambda: 0
+        )
         await pg.open()
         await pg.start()
         got, told = await rate(pg, 4)
--- a/burlloom/command/record.py
+++ b/burlloom/command/record.py
@@ -44,17 +44,13 @@
     return SqliteRecordAdmin(told.sqlite.place(), load_authenticator(told, make))
 
 
-def node_of(operator: Path | None) -> str:
-    return section(operator).node or "n1"
-
-
 @record.command()
 @operator_option
 def init(operator: Path | None) -> None:
     """Make an empty record and its key."""
     with told_plainly():
         admin = admin_of(operator, make=True)
-        admin.init(node_of(operator))
+        admin.init()
         click.echo(
             f"{admin.path}: made; keep its key with your secrets, a record without it proves nothing"
         )
@@ -72,9 +68,9 @@
     with told_plainly():
         told = section(operator)
         if told.sqlite is None:
-            from ..record import postgres_admin as fleet
+            from ..record import postgres_admin
 
-            got = asyncio.run(fleet.stats(told, time.time_ns()))
+            got = asyncio.run(postgres_admin.stats(told, time.time_ns()))
             click.echo(
                 json.dumps(got)
                 if as_json
@@ -116,9 +112,9 @@
     with told_plainly():
         told = section(operator)
         if told.sqlite is None:
-            from ..record import postgres_admin as fleet
+            from ..record import postgres_admin
 
-            found = asyncio.run(fleet.doubts(told, now))
+            found = asyncio.run(postgres_admin.list_in_doubt(told, now))
         else:
             found = list(admin_of(operator).list_in_doubt(now))
     for row, verdict in found:
@@ -170,10 +166,10 @@
     with told_plainly():
         told = section(operator)
         if told.sqlite is None:
-            from ..record import postgres_admin as fleet
+            from ..record import postgres_admin
 
             said = asyncio.run(
-                fleet.resolve(told, mark_of(mark), ran == "ran", reason, time.time_ns())
+                postgres_admin.resolve(told, mark_of(mark), ran == "ran", reason, time.time_ns())
             )
         else:
             said = admin_of(operator).resolve(mark_of(mark), ran == "ran", reason, time.time_ns())
@@ -208,8 +204,10 @@
     """Copy the record to a file, whole and verified, also while it is served. The key is not
     copied.
     """
+    from ..record.sqlite_snapshot import take_snapshot
+
     with told_plainly():
-        found = admin_of(operator).snapshot(to)
+        found = take_snapshot(admin_of(operator), to)
         click.echo(f"{to}: {found.row_count} records, verified")
 
 
@@ -233,10 +231,11 @@
     name.
     """
     from ..record.sqlite_admin import format_time
+    from ..record.sqlite_snapshot import restore_snapshot
 
     with told_plainly():
         admin = admin_of(operator, make=False)
-        closed = admin.restore(source, int(window_s * 1e9), nothing_lost, time.time_ns())
+        closed = restore_snapshot(admin, source, int(window_s * 1e9), nothing_lost, time.time_ns())
         click.echo(
             f"{admin.path}: restored; "
             + (
@@ -254,8 +253,10 @@
     """Add what a snapshot has and the record lacks, also while it is served; what stands is left as
     it is.
     """
+    from ..record.sqlite_snapshot import merge_snapshot
+
     with told_plainly():
-        added, looked_at = admin_of(operator).merge(source, time.time_ns())
+        added, looked_at = merge_snapshot(admin_of(operator), source, time.time_ns())
         click.echo(f"{added} records added of {looked_at} whose window is not over")
 
 
@@ -278,7 +279,7 @@
 def migrate(operator: Path | None) -> None:
     """Take the schema's missing steps; a server does so too when it starts."""
     with told_plainly():
-        taken = admin_of(operator).migrate(node_of(operator))
+        taken = admin_of(operator).migrate()
         click.echo(f"steps taken: {', '.join(map(str, taken)) or 'none'}")
 
 
@@ -288,13 +289,13 @@
     """Make the key that the nodes of one PostgreSQL record share; give each node a copy, readable
     to its owner.
     """
-    from ..record.authentication import load_key as key_in
+    from ..record.authentication import create_key
 
     if file.exists():
         click.echo(f"burlloom: {file}: exists already", err=True)
         sys.exit(2)
     try:
-        key_in(file, True)
+        create_key(file)
     except OSError as error:
         click.echo(f"burlloom: {file}: {error.strerror}", err=True)
         sys.exit(2)
@@ -324,7 +325,7 @@
         told = section(operator)
         if told.postgres is None:
             raise click.UsageError(FLEET_ONLY)
-        from ..record import postgres_admin as fleet
+        from ..record import postgres_admin
 
-        asyncio.run(fleet.fence(told, node, out))
+        asyncio.run(postgres_admin.fence(told, node, out))
         click.echo(f"{node}: {'fenced off' if out else 'may start again'}")
--- a/burlloom/distribution/stores/factory.py
+++ b/burlloom/distribution/stores/factory.py
@@ -19,6 +19,6 @@
     from ...record.postgres import PostgresStore as Record
     from .postgres import Postgres
 
-    record, _ = create_store(place, "-", keep=0, clock=time.time_ns)
+    record, _ = create_store(place, "-", retention_ns=0, clock=time.time_ns)
     assert isinstance(record, Record)
     return Postgres(record)
--- a/burlloom/record/__init__.py
+++ b/burlloom/record/__init__.py
@@ -1,6 +1,6 @@
-"""The store of record: which txns that must not run twice have run, kept through crashes.
+"""The store of record: which requests that must not run twice have run, kept through crashes.
 
-`fate`, `budget`, `rows` and `recovery` decide and do no I/O; `sqlite` and `postgres` store;
-`keeper` puts them together; `admin` and `fleet` are the operator's. Imported only where an
-operator's file asks for a record.
+`request_lifecycle`, `circuit_breaker`, `rows` and `recovery_rules` decide and do no I/O. `sqlite`
+and `postgres` store; `coordinator` puts them together; `sqlite_admin` and `postgres_admin` are the
+operator's. The package is imported only where an operator's file asks for a record.
 """
--- a/burlloom/record/authentication.py
+++ b/burlloom/record/authentication.py
@@ -1,6 +1,4 @@
-"""The keyed checksum that each record carries: what was altered on disk is found and never
-served.
-"""
+"""The keyed MAC over each row: what was altered on disk is found and never served."""
 
 import hashlib
 import hmac
@@ -9,54 +7,81 @@
 
 from .rows import RecordRow
 
-KEY_BYTES, SEAL_BYTES = 32, 16
+__all__ = ["RowAuthenticator", "load_key"]
+
+KEY_BYTES = 32
+MAC_BYTES = 16
+MAX_KEY_FILE_BYTES = 4096
+MAC_PERSONALIZATION = b"burlloom seal"
 
 
 class RowAuthenticator:
+    """Computes and checks the MAC of rows under one key."""
+
     def __init__(self, key: bytes) -> None:
+        """Takes the key, `KEY_BYTES` long."""
         self.key = key
 
     def compute_mac(self, row: RecordRow) -> bytes:
-        head = f"{row.state} {row.node} {row.incarnation} {row.claim_number} {row.request_id} {row.started_at_ns} {row.expires_at_ns} {len(row.result)}\0"
+        """The MAC over all fields of a row but `mac` itself."""
+        head = (
+            f"{row.state} {row.node} {row.incarnation} {row.claim_number} {row.request_id}"
+            f" {row.started_at_ns} {row.expires_at_ns} {len(row.result)}\0"
+        )
         digest = hashlib.blake2b(
-            head.encode(), key=self.key, digest_size=SEAL_BYTES, person=b"burlloom seal"
+            head.encode(), key=self.key, digest_size=MAC_BYTES, person=MAC_PERSONALIZATION
         )
         digest.update(row.key_digest)
         digest.update(row.result)
         return digest.digest()
 
     def is_authentic(self, row: RecordRow) -> bool:
-        """A row whose very types were altered does not hold either."""
+        """Whether the row's MAC holds; False too for a row whose column types were altered."""
         try:
             return hmac.compare_digest(self.compute_mac(row), row.mac)
         except (TypeError, AttributeError):
             return False
 
 
-def load_key(path: Path, make: bool) -> bytes:
-    """The key in this file, of 32 bytes as hex; made where there is none yet and `make` allows it.
+def load_key(path: Path, create: bool) -> bytes:
+    """Reads the key in a file, as hex, readable to its owner alone.
+
+    Args:
+        path: The file.
+        create: Whether to make a new key where there is no file.
 
-    Raises `OSError`, and `ValueError` where it is no key or others may read it.
+    Raises:
+        OSError: The file can't be read or made.
+        ValueError: It holds no key, or others than its owner may use it.
     """
     try:
         handle = os.open(path, os.O_RDONLY)
     except FileNotFoundError:
-        if not make:
+        if not create:
             raise
-        handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
-        made = os.urandom(KEY_BYTES)
-        with os.fdopen(handle, "w") as file:
-            file.write(made.hex() + "\n")
-            file.flush()
-            os.fsync(file.fileno())
-        return made
+        return create_key(path)
     with os.fdopen(handle) as file:
         if os.fstat(file.fileno()).st_mode & 0o077:
             raise ValueError(f"{path}: others than its owner may use the key; chmod 600")
         try:
-            found = bytes.fromhex(file.read(4096).strip())
+            key = bytes.fromhex(file.read(MAX_KEY_FILE_BYTES).strip())
         except ValueError:
-            found = b""
-    if len(found) != KEY_BYTES:
+            key = b""
+    if len(key) != KEY_BYTES:
         raise ValueError(f"{path}: not a key of {KEY_BYTES} bytes in hex")
-    return found
+    return key
+
+
+def create_key(path: Path) -> bytes:
+    """Makes a key file; it is on disk when this returns.
+
+    Raises:
+        OSError: The file exists already or can't be made.
+    """
+    handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
+    key = os.urandom(KEY_BYTES)
+    with os.fdopen(handle, "w") as file:
+        file.write(key.hex() + "\n")
+        file.flush()
+        os.fsync(file.fileno())
+    return key
--- a/burlloom/record/circuit_breaker.py
+++ b/burlloom/record/circuit_breaker.py
@@ -1,9 +1,9 @@
 """A circuit breaker around the store: which writes may be sent now, and when the store is cut off.
 
 No I/O. It has one mechanism for one symptom, a store that is slow or gone. A write that took longer
-than its timeout or surely failed counts as bad. `MAX_CONSECUTIVE_FAILURES` bad ones in a row, or one
-write that hangs, open the breaker. From then on only probes, commits of their own that no request
-waits for, test whether the store works again, after pauses that grow.
+than its timeout or surely failed counts as bad. `MAX_CONSECUTIVE_FAILURES` bad ones in a row, or
+one write that hangs, open the breaker. From then on only probes, commits of their own that no
+request waits for, test whether the store works again, after pauses that grow.
 """
 
 from collections import OrderedDict
--- a/burlloom/record/coordinator.py
+++ b/burlloom/record/coordinator.py
@@ -1,646 +1,350 @@
-"""Keeps the record: hands what happens to the fates, and does what they say with the store and the
-server.
+"""Puts the record together: passes events to the state machine and carries out its effects.
 
-All that it decides stands in fate.py, budget.py, rows.py and recovery.py; here are the timers and
-the writes.
+All that is decided stands in `request_lifecycle`, `circuit_breaker`, `rows` and `recovery_rules`.
 """
 
 import asyncio
 import logging
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass, field
-from functools import partial
-from typing import Protocol
 
 from ..admission.model import Outcome
-from . import failpoints as points
+from . import failpoints
 from .authentication import RowAuthenticator
-from .circuit_breaker import BreakerEffect, CircuitBreaker
+from .circuit_breaker import CircuitBreaker
+from .policy import RecordListener, RecordObserver, RecordPolicy
 from .recovery_rules import classify_recovered_row
-from .request_lifecycle import RULES, DurableRequest, RequestEvent, RequestState
-from .rows import ROW_COMPLETED, RecordRow, RecordWrite, WriteKind, WriteResult
+from .request_effects import RequestEffects
+from .request_lifecycle import DurableRequest, RequestEvent, RequestState
+from .request_registry import RequestRegistry
+from .request_writer import RequestWriter, ResultFetcher, lookup_row
+from .rows import RecordRow
 from .store import RecordStore, StoreSession
+from .store_health import StoreHealth
 
-log = logging.getLogger(__name__)
-
-MS, SECOND = 1_000_000, 1_000_000_000
-AGAIN_LEAST, AGAIN_MOST = 20 * MS, 1000 * MS  # between tries of a write whose run has ended
-FATES_MOST = 8192  # fates in hand, of claims, of ends on their way and of doubts
-RECALLS_MOST = 256  # results asked of the store at once
-ROUND = 50 * MS
-
-
-class RecordListener(Protocol):
-    """What the keeper tells the server, on the loop. `id` names a try, `mark` what all its tries
-    share.
-    """
-
-    def start_run(self, id: str) -> None: ...
-    def reject(self, id: str) -> None: ...
-    def report_never_ran(self, id: str) -> None: ...
-    def report_claimed_elsewhere(self, id: str) -> None: ...
-    def complete(self, mark: bytes, result: bytes | None) -> None: ...
-    def release(self, mark: bytes) -> None: ...
-    def register(self, mark: bytes, until: int) -> None: ...
-    def forget(self, mark: bytes) -> None: ...
-
+__all__ = ["RecordCoordinator"]
 
-@dataclass(slots=True)
-class RecordCounters:
-    """Since the start. `late`: claims that had had their time. `unkept`: runs begun on memory's
-    marks alone.
-    """
+log = logging.getLogger(__name__)
 
-    claims: int = 0
-    rejected: int = 0
-    store_timeouts: int = 0
-    unrecorded_runs: int = 0
-    claimed_elsewhere: int = 0
-    results_fetched: int = 0
-    results_not_fetched: int = 0
-    altered_rows: int = 0
-    conflicts: int = 0
-    retried_writes: int = 0
-    answered_before_durable: int = 0  # answers that left before their result was durable
-    doubts: int = 0
-    resolved: int = 0
-    recovered_keys: int = 0
-
-    def as_metrics(self) -> dict[str, int]:
-        """The counters under the names that they have as metrics."""
-        return {metric: getattr(self, field) for metric, field in METRIC_FIELDS.items()}
-
-
-METRIC_FIELDS = {
-    "claims": "claims",
-    "refused": "rejected",
-    "late": "store_timeouts",
-    "unkept": "unrecorded_runs",
-    "taken": "claimed_elsewhere",
-    "recalled": "results_fetched",
-    "recalled_in_vain": "results_not_fetched",
-    "altered": "altered_rows",
-    "conflicts": "conflicts",
-    "again": "retried_writes",
-    "held_past": "answered_before_durable",
-    "doubts": "doubts",
-    "resolved": "resolved",
-    "read_back": "recovered_keys",
+MS = 1_000_000
+NS_PER_S = 1_000_000_000
+TICK_INTERVAL_S = 0.05
+DONE_STATES = (
+    RequestState.CLOSED,
+    RequestState.SUCCESS_RECORDED,
+    RequestState.FAILURE_RECORDED,
+)
+UNRESOLVED_STATES = (RequestState.IN_DOUBT, RequestState.AWAITING_EXECUTOR)
+ENDED_STATES = (RequestState.SUCCEEDED, RequestState.FAILED)
+EVENT_OF_OUTCOME = {
+    Outcome.OK: RequestEvent.RUN_SUCCEEDED,
+    Outcome.NO_LONGER_NEEDED: RequestEvent.NEVER_RAN,
 }
-
-
-@dataclass(frozen=True, slots=True)
-class RecordPolicy:
-    """What the operator set. Shares are of a product's SLA time, spans in ns."""
-
-    may_run_unrecorded: bool
-    claim_share: float
-    answer_delay_share: float
-    max_writes_in_flight: int
-    executor_wait_ns: int
-
-
-@dataclass(slots=True)
-class RecordObserver:
-    """Whoever observes times: ns and sizes. Each may be replaced; none by default."""
-
-    observe_claim: Callable[[int], None] | None = None
-    observe_finish: Callable[[int], None] | None = None
-    counters: RecordCounters = field(default_factory=RecordCounters)
+"""Of all other outcomes the run failed: one that was stopped may have had its effect."""
 
 
 class RecordCoordinator:
+    """One node's record. All methods run on the event loop; all times are wall-clock nanoseconds.
+
+    Attributes:
+        store: The store.
+        policy: What the operator set.
+        observer: Whoever observes times and counts; may be replaced part by part.
+        counters: The observer's counts.
+        breaker: The circuit breaker around the store.
+        registry: The requests in hand.
+        incarnation: This node's incarnation; 0 until the record is open.
+        previous_notice: The notice of this node's last incarnation.
+        started_rows: Rows without an end that were read back, until the executor is there.
+    """
+
     def __init__(
         self,
         store: RecordStore,
-        sealer: RowAuthenticator,
-        terms: RecordPolicy,
-        slowest: int,
+        authenticator: RowAuthenticator,
+        policy: RecordPolicy,
+        max_latency_objective_ns: int,
         clock: Callable[[], int],
-        hand: RecordListener,
+        listener: RecordListener,
     ) -> None:
-        """`slowest`: the longest SLA time there is, ns; a write may take its claim's share of
-        it.
+        """Makes a record that is not open.
+
+        Args:
+            store: The store.
+            authenticator: Computes and checks the rows' MACs.
+            policy: What the operator set.
+            max_latency_objective_ns: The longest latency objective of all request classes; a write
+                may take the claim's share of it.
+            clock: The wall clock.
+            listener: The server.
         """
-        self.store, self.authenticator, self.policy, self.clock, self.listener = (
-            store,
-            sealer,
-            terms,
-            clock,
-            hand,
-        )
-        self.breaker = CircuitBreaker(
-            terms.max_writes_in_flight, max(1, int(terms.claim_share * slowest))
-        )
+        self.store = store
+        self.policy = policy
         self.observer = RecordObserver()
         self.counters = self.observer.counters
-        (
-            self.node,
-            self.incarnation,
-            self.claim_number,
-            self.closed_until_ns,
-            self.previous_notice,
-        ) = "", 0, 0, 0, ""
-        self.requests: dict[str, DurableRequest] = {}
-        self.by_key_digest: dict[
-            bytes, DurableRequest
-        ] = {}  # the same by mark, the last to hold it
-        self.claim_timers: dict[str, asyncio.TimerHandle] = {}
-        self.waiters: dict[str, list[asyncio.Future[None]]] = {}
+        self.incarnation = 0
+        self.previous_notice = ""
         self.started_rows: list[RecordRow] = []
-        self.pending_fetches = 0
-        self.is_probing = self.closed = False
-        self.tick_timer: asyncio.TimerHandle | None = None
+        self._authenticator = authenticator
+        self._clock = clock
+        self._node = ""
+        self._claim_number = 0
+        self._closed_until_ns = 0
+        self._is_closed = False
+        self._tick_timer: asyncio.TimerHandle | None = None
+        write_timeout_ns = max(1, int(policy.claim_share * max_latency_objective_ns))
+        self.breaker = CircuitBreaker(policy.max_writes_in_flight, write_timeout_ns)
+        self.registry = RequestRegistry(clock, self._claim_timed_out)
+        self._health = StoreHealth(store, self.breaker, clock)
+        self._writer = RequestWriter(
+            store, authenticator, self._health, self.observer, clock, self._handle
+        )
+        self._fetcher = ResultFetcher(store, self.observer, clock)
+        self._effects = RequestEffects(self._writer, self.registry, listener, self.counters)
 
-    # At the start.
+    # At the start and at the end.
 
     async def open(self) -> StoreSession:
-        """Raises `store.Refused`."""
-        opened = await self.store.open()
-        self.previous_notice = opened.previous_notice
-        self.node, self.incarnation, self.closed_until_ns = (
-            opened.node,
-            opened.incarnation,
-            opened.closed_until_ns,
-        )
-        if self.closed_until_ns > self.clock():
-            log.warning("event=record-closed until=%d reason=restored", self.closed_until_ns // MS)
-        return opened
+        """Opens the store.
+
+        Raises:
+            StoreRefusedError: It can't be used.
+        """
+        session = await self.store.open()
+        self.previous_notice = session.previous_notice
+        self.incarnation = session.incarnation
+        self._node = self._writer.node = session.node
+        self._closed_until_ns = session.closed_until_ns
+        if self._closed_until_ns > self._clock():
+            log.warning(
+                "event=record_closed until_ms=%d reason=restored", self._closed_until_ns // MS
+            )
+        return session
 
     def read_recorded_keys(self) -> Iterator[list[tuple[bytes, int]]]:
-        """Marks and ends of windows of former lives; those that have no end are told once more, by
-        `executor`.
+        """Key digests and ends of windows of earlier incarnations, by batches.
+
+        Those without an end are told once more by `resume_after_restart`.
         """
-        now = self.clock()
-        for batch in self.store.read_recorded_keys(now):
+        now_ns = self._clock()
+        for batch in self.store.read_recorded_keys(now_ns):
             self.counters.recovered_keys += len(batch)
             yield batch
-        self.started_rows = list(self.store.read_started_rows(now))
+        self.started_rows = list(self.store.read_started_rows(now_ns))
 
     async def start(self) -> None:
+        """Starts the store and the timer."""
         await self.store.start()
         self.store.on_verdict = self.apply_verdict
-        self.round()
+        self._tick()
 
-    def resume_after_restart(self, began: int) -> list[tuple[bytes, int, bool]]:
-        """The executor is there, and started at `began`: what became of what former lives had
-        begun.
+    def resume_after_restart(self, executor_started_ns: int) -> list[tuple[bytes, int, bool]]:
+        """Takes up what earlier incarnations had begun, now that the executor is there.
 
-        Gives mark, end of window, and whether its end may still be told.
+        Returns:
+            Key digest, end of window, and whether the executor may still report the end.
         """
-        told: list[tuple[bytes, int, bool]] = []
+        resumed: list[tuple[bytes, int, bool]] = []
         rows, self.started_rows = self.started_rows, []
         for row in rows:
-            sound = self.authenticator.is_authentic(row)
-            self.counters.altered_rows += not sound
-            if not sound:
-                log.error("event=record-altered mark=%s", row.key_digest.hex())
-            what = classify_recovered_row(row, sound, began)
-            if what is None:
-                continue
-            fate = DurableRequest(
-                row.key_digest,
-                row.request_id,
-                row.incarnation,
-                row.claim_number,
-                row.started_at_ns,
-                row.expires_at_ns,
-            )
-            self.by_key_digest[row.key_digest] = fate
-            if row.request_id not in self.requests:
-                self.requests[row.request_id] = fate
-            self.meet(fate, what)
-            told.append(
-                (row.key_digest, row.expires_at_ns, fate.state is RequestState.AWAITING_EXECUTOR)
-            )
-        if told:
-            waits = sum(open for _, _, open in told)
+            event = self._classify(row, executor_started_ns)
+            if event is not None:
+                request = self._resume(row, event)
+                is_awaited = request.state is RequestState.AWAITING_EXECUTOR
+                resumed.append((row.key_digest, row.expires_at_ns, is_awaited))
+        if resumed:
+            awaited = sum(is_awaited for _, _, is_awaited in resumed)
             log.warning(
-                "event=record-doubts count=%d asked_of_executor=%d", len(told) - waits, waits
-            )
-        if any(open for _, _, open in told):
-            asyncio.get_running_loop().call_later(
-                self.policy.executor_wait_ns / SECOND, self.executor_silent
+                "event=record_doubts in_doubt=%d awaiting_executor=%d",
+                len(resumed) - awaited,
+                awaited,
             )
-        return told
-
-    def executor_silent(self) -> None:
-        for fate in [
-            fate for fate in self.requests.values() if fate.state is RequestState.AWAITING_EXECUTOR
-        ]:
-            self.meet(fate, RequestEvent.EXECUTOR_SILENT)
+            if awaited:
+                asyncio.get_running_loop().call_later(
+                    self.policy.executor_wait_ns / NS_PER_S, self._executor_timed_out
+                )
+        return resumed
+
+    def _classify(self, row: RecordRow, executor_started_ns: int) -> RequestEvent | None:
+        is_authentic = self._authenticator.is_authentic(row)
+        if not is_authentic:
+            self.counters.altered_rows += 1
+            log.error("event=record_row_altered key_digest=%s", row.key_digest.hex())
+        return classify_recovered_row(row, is_authentic, executor_started_ns)
+
+    def _resume(self, row: RecordRow, event: RequestEvent) -> DurableRequest:
+        request = DurableRequest(
+            row.key_digest,
+            row.request_id,
+            row.incarnation,
+            row.claim_number,
+            row.started_at_ns,
+            row.expires_at_ns,
+        )
+        self.registry.by_key_digest[row.key_digest] = request
+        self.registry.by_id.setdefault(row.request_id, request)
+        self._handle(request, event)
+        return request
+
+    def _executor_timed_out(self) -> None:
+        for request in list(self.registry.by_id.values()):
+            if request.state is RequestState.AWAITING_EXECUTOR:
+                self._handle(request, RequestEvent.EXECUTOR_SILENT)
+
+    def stop(self) -> None:
+        """Stops all timers; nothing is sent to the store any more but what was submitted."""
+        self._is_closed = True
+        self._writer.is_stopped = True
+        self._fetcher.is_stopped = True
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
+        self.registry.cancel_all_timers()
 
     async def close(self) -> None:
-        self.closed = True
-        if self.tick_timer is not None:
-            self.tick_timer.cancel()
-        for timer in self.claim_timers.values():
-            timer.cancel()
+        """Stops, and closes the store."""
+        self.stop()
         await self.store.close()
 
     # What the server tells.
 
     def may_claim(self) -> bool:
-        """Whether the decisions may take a txn that wants an entry; where memory's marks do,
-        always.
-        """
-        now = self.clock()
-        if now < self.closed_until_ns:
+        """Whether the admission controller may start a request that needs a claim."""
+        now_ns = self._clock()
+        if now_ns < self._closed_until_ns:
             return False
-        return (
-            self.policy.may_run_unrecorded
-            or len(self.requests) < FATES_MOST
-            and self.breaker.may_write(now)
-        )
+        return self.policy.may_run_unrecorded or self._may_write(now_ns)
+
+    def _may_write(self, now_ns: int) -> bool:
+        return not self.registry.is_full() and self.breaker.may_write(now_ns)
 
-    def begin_claim(self, mark: bytes, id: str, at: int, until: int, sla: int) -> None:
-        """The decisions start it: `hand.run` follows once that is durable, or another word."""
-        now = self.clock()
-        self.claim_number += 1
-        fate = DurableRequest(
-            mark,
-            id,
+    def begin_claim(
+        self,
+        key_digest: bytes,
+        request_id: str,
+        started_at_ns: int,
+        expires_at_ns: int,
+        latency_objective_ns: int,
+    ) -> None:
+        """Claims a key for a request; the listener's `start_run` or another call follows."""
+        now_ns = self._clock()
+        self._claim_number += 1
+        request = DurableRequest(
+            key_digest,
+            request_id,
             self.incarnation,
-            self.claim_number,
-            at,
-            until,
+            self._claim_number,
+            started_at_ns,
+            expires_at_ns,
+            claim_deadline_ns=now_ns + int(self.policy.claim_share * latency_objective_ns),
             may_run_unrecorded=self.policy.may_run_unrecorded,
-            claim_deadline_ns=now + int(self.policy.claim_share * sla),
         )
-        if self.closed or len(self.requests) >= FATES_MOST or not self.breaker.may_write(now):
-            if self.policy.may_run_unrecorded:
-                self.counters.unrecorded_runs += 1
-                self.listener.start_run(id)
-            else:
-                self.counters.rejected += 1
-                self.listener.reject(id)
+        if self._is_closed or not self._may_write(now_ns):
+            self._effects.decide_without_store(request)
             return
-        self.requests[id] = self.by_key_digest[mark] = fate
-        self.meet(fate, RequestEvent.STARTED)
+        self.registry.by_id[request_id] = request
+        self.registry.by_key_digest[key_digest] = request
+        self._handle(request, RequestEvent.STARTED)
+
+    async def look_up(
+        self, key_digest: bytes, request_id: str, expires_at_ns: int, latency_objective_ns: int
+    ) -> None:
+        """Asks the store about a marked retry that is not known here.
 
-    async def look_up(self, mark: bytes, id: str, until: int, sla: int) -> None:
-        """A marked retry that is not known here: what the store knows of it is made known, if it
-        says so in time.
+        What the store knows of the key is told to the listener, if it answers in time.
         """
-        now = self.clock()
-        if (
-            self.closed
-            or len(self.requests) >= FATES_MOST
-            or not self.breaker.may_write(now)
-            or id in self.requests
-        ):
+        now_ns = self._clock()
+        is_known = request_id in self.registry.by_id
+        if self._is_closed or not self._may_write(now_ns) or is_known:
             return
-        fate = DurableRequest(
-            mark,
-            id,
+        request = DurableRequest(
+            key_digest,
+            request_id,
             self.incarnation,
             0,
-            now,
-            until,
-            claim_deadline_ns=now + int(self.policy.claim_share * sla),
+            now_ns,
+            expires_at_ns,
+            claim_deadline_ns=now_ns + int(self.policy.claim_share * latency_objective_ns),
         )
-        self.requests[id] = fate
-        self.meet(fate, RequestEvent.RETRY_RECEIVED)
-        future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.waiters.setdefault(id, []).append(future)
-        await future  # SLOW ends it at the latest
-
-    def abandon(self, id: str) -> None:
-        """The decisions gave it up; what runs runs on."""
-        fate = self.requests.get(id)
-        if fate is not None:
-            self.meet(fate, RequestEvent.ABANDONED)
-
-    def finish_run(self, id: str, outcome: Outcome, result: bytes) -> None:
-        """The executor's word, of a run of a former life too. One that was stopped may have had its
-        effect.
-        """
-        fate = self.requests.get(id)
-        if fate is not None:
-            points.hit("ended")
-            what = {
-                Outcome.OK: RequestEvent.RUN_SUCCEEDED,
-                Outcome.NO_LONGER_NEEDED: RequestEvent.NEVER_RAN,
-            }.get(outcome, RequestEvent.RUN_FAILED)
-            fate.result = result if what is RequestEvent.RUN_SUCCEEDED else b""
-            self.meet(fate, what)
-
-    def is_tracking(self, id: str) -> bool:
-        return id in self.requests
-
-    async def wait_until_durable(self, mark: bytes, until: int) -> None:
-        """Until the end of the mark's run is durable, but not past `until`: its beginning is, so no
-        repeat runs.
+        self.registry.by_id[request_id] = request
+        self._handle(request, RequestEvent.RETRY_RECEIVED)
+        await self.registry.add_waiter(request_id)  # the claim timer ends it at the latest
+
+    def abandon(self, request_id: str) -> None:
+        """The admission controller gave the request up; what runs runs on."""
+        request = self.registry.by_id.get(request_id)
+        if request is not None:
+            self._handle(request, RequestEvent.ABANDONED)
+
+    def finish_run(self, request_id: str, outcome: Outcome, result: bytes) -> None:
+        """The executor reports the end of a run, of an earlier incarnation too."""
+        request = self.registry.by_id.get(request_id)
+        if request is None:
+            return
+        failpoints.hit("ended")
+        event = EVENT_OF_OUTCOME.get(outcome, RequestEvent.RUN_FAILED)
+        request.result = result if event is RequestEvent.RUN_SUCCEEDED else b""
+        self._handle(request, event)
+
+    async def wait_until_durable(self, key_digest: bytes, deadline_ns: int) -> None:
+        """Waits until the end of the key's run is durable, but not past the deadline.
+
+        An answer may leave before that: the run's beginning is durable, so no repeat runs.
         """
-        fate = self.by_key_digest.get(mark)
-        if fate is None or fate.state not in (RequestState.SUCCEEDED, RequestState.FAILED):
+        request = self.registry.by_key_digest.get(key_digest)
+        if request is None or request.state not in ENDED_STATES:
             return
-        wait = until - self.clock()
-        if wait > 0:
-            future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-            self.waiters.setdefault(fate.request_id, []).append(future)
-            await asyncio.wait({future}, timeout=wait / SECOND)
+        left_ns = deadline_ns - self._clock()
+        if left_ns > 0:
+            future = self.registry.add_waiter(request.request_id)
+            await asyncio.wait({future}, timeout=left_ns / NS_PER_S)
             if future.done():
                 return
             future.cancel()
         self.counters.answered_before_durable += 1
-        log.warning("event=record-answered-before id=%s state=%s", fate.request_id, fate.state.name)
-
-    async def fetch_result(self, mark: bytes, until: int) -> bytes | None:
-        """The result that is kept for a mark; None where there is none to give, or it can't be had
-        in time.
-        """
-        if self.pending_fetches >= RECALLS_MOST or self.closed:
-            self.counters.results_not_fetched += 1
-            return None
-        self.pending_fetches += 1
-        try:
-            word = await self.find(mark, until)
-        finally:
-            self.pending_fetches -= 1
-        if word.row is not None and word.outcome is RequestEvent.FOUND_RESULT:
-            self.counters.results_fetched += 1
-            return word.row.result
-        self.counters.results_not_fetched += 1
-        return None
-
-    async def find(self, mark: bytes, until: int) -> WriteResult:
-        """Asks again, ever more slowly, while the store can't be reached and there is time."""
-        delay, word = AGAIN_LEAST, WriteResult(RequestEvent.WRITE_FAILED)
-        while (
-            word.outcome in (RequestEvent.WRITE_FAILED, RequestEvent.WRITE_UNCERTAIN)
-            and (wait := until - self.clock()) > 0
-        ):
-            future: asyncio.Future[WriteResult] = asyncio.get_running_loop().create_future()
-            self.store.submit(RecordWrite(WriteKind.FIND, self.bare(mark)), partial(tell, future))
-            await asyncio.wait({future}, timeout=wait / SECOND)
-            if not future.done():
-                future.cancel()
-                return WriteResult(RequestEvent.STORE_TIMED_OUT)
-            word = future.result()
-            if word.outcome in (RequestEvent.WRITE_FAILED, RequestEvent.WRITE_UNCERTAIN):
-                await asyncio.sleep(delay / SECOND)
-                delay = min(AGAIN_MOST, 2 * delay)
-        return word
-
-    def apply_verdict(self, mark: bytes, life: int, turn: int, ran: bool) -> None:
-        """An operator's word on a doubt; on that claim alone, not on a later one of the same
-        mark.
-        """
-        fate = self.by_key_digest.get(mark)
-        if (
-            fate is not None
-            and fate.state in (RequestState.IN_DOUBT, RequestState.AWAITING_EXECUTOR)
-            and (fate.incarnation, fate.claim_number) == (life, turn)
-        ):
-            log.warning("event=record-resolved mark=%s ran=%s", mark.hex(), ran)
-            self.counters.resolved += 1
-            self.meet(
-                fate, RequestEvent.RESOLVED_AS_RAN if ran else RequestEvent.RESOLVED_AS_NEVER_RAN
-            )
-
-    # Within.
-
-    def round(self) -> None:
-        self.tick_timer = asyncio.get_running_loop().call_later(ROUND / SECOND, self.round)
-        now = self.clock()
-        for fate in [fate for fate in self.requests.values() if fate.expires_at_ns <= now]:
-            self.meet(fate, RequestEvent.WINDOW_EXPIRED)
-        self.do(self.breaker.tick(now))
-
-    def do(self, effect: BreakerEffect) -> None:
-        if effect in (BreakerEffect.OPEN, BreakerEffect.OPEN_LONGER):
-            log.warning(
-                "event=record-cut-off open=%d rest_ms=%d",
-                len(self.breaker.in_flight),
-                self.breaker.pause_ns // MS,
-            )
-        elif effect is BreakerEffect.CLOSE:
-            log.info("event=record-back cuts=%d", self.breaker.times_opened)
-        elif effect in (BreakerEffect.PROBE, BreakerEffect.PROBE_AGAIN) and not self.is_probing:
-            self.is_probing = True
-            self.store.probe(self.clock(), self.beaten)
-
-    def beaten(self, good: bool) -> None:
-        self.is_probing = False
-        self.do(self.breaker.probe_finished(self.clock(), good))
-
-    def meet(self, fate: DurableRequest, what: RequestEvent) -> None:
-        for effect in fate.handle(what, self.clock()):
-            getattr(self, "_" + effect)(fate)
-        if fate.state is RequestState.CLAIMED_ELSEWHERE:
-            self.wake(fate)
-        if fate.state in (
-            RequestState.CLOSED,
-            RequestState.SUCCESS_RECORDED,
-            RequestState.FAILURE_RECORDED,
-        ):
-            self.drop(fate)
-
-    def drop(self, fate: DurableRequest) -> None:
-        if self.requests.get(fate.request_id) is fate:
-            del self.requests[fate.request_id]
-        if self.by_key_digest.get(fate.key_digest) is fate:
-            del self.by_key_digest[fate.key_digest]
-        self.in_time(fate)
-        self.wake(fate)
-
-    def wake(self, fate: DurableRequest) -> None:
-        for future in self.waiters.pop(fate.request_id, ()):
-            if not future.done():
-                future.set_result(None)
-
-    def later(self, fate: DurableRequest, kind: WriteKind) -> None:
-        delay = min(AGAIN_MOST, AGAIN_LEAST << min(fate.write_count, 8))
-        asyncio.get_running_loop().call_later(
-            delay / SECOND, self.again, fate, kind, fate.write_count, fate.state
-        )
-
-    def again(
-        self, fate: DurableRequest, kind: WriteKind, writes: int, state: RequestState
-    ) -> None:
-        if not self.closed and (fate.write_count, fate.state) == (writes, state):
-            self.counters.retried_writes += 1
-            self.write(fate, kind)
-
-    def slow(self, fate: DurableRequest) -> None:
-        self.claim_timers.pop(fate.request_id, None)
-        self.counters.store_timeouts += 1
-        self.meet(fate, RequestEvent.STORE_TIMED_OUT)
-
-    def in_time(self, fate: DurableRequest) -> None:
-        if (timer := self.claim_timers.pop(fate.request_id, None)) is not None:
-            timer.cancel()
-
-    def bare(self, mark: bytes) -> RecordRow:
-        return RecordRow(mark, ROW_COMPLETED, self.node, self.incarnation, 0, "", 0, 0)
-
-    def row(self, fate: DurableRequest) -> RecordRow:
-        row = RecordRow(
-            fate.key_digest,
-            fate.row_state,
-            self.node,
-            fate.incarnation,
-            fate.claim_number,
-            fate.request_id,
-            fate.started_at_ns,
-            fate.expires_at_ns,
-            fate.result if fate.row_state is RequestState.SUCCESS_RECORDED else b"",
-        )
-        return row._replace(mac=self.authenticator.compute_mac(row))
-
-    def write(self, fate: DurableRequest, kind: WriteKind) -> None:
-        """Of the words on a fate only that on its last write counts: an earlier one speaks of what
-        is past.
-        """
-        fate.write_count += 1
-        turn, began = fate.write_count, self.clock()
-        number = self.breaker.write_started(began)
-
-        def done(word: WriteResult) -> None:
-            now = self.clock()
-            good = word.outcome not in (
-                RequestEvent.WRITE_FAILED,
-                RequestEvent.WRITE_UNCERTAIN,
-                RequestEvent.FENCED,
-            )
-            self.do(self.breaker.write_finished(number, now, good))
-            observe = (
-                self.observer.observe_claim
-                if kind is WriteKind.CLAIM
-                else self.observer.observe_finish
-                if kind is WriteKind.FINISH
-                else None
-            )
-            if observe is not None:
-                observe(now - began)
-            if turn == fate.write_count:
-                if word.row is not None and word.outcome is RequestEvent.FOUND_RESULT:
-                    fate.result = word.row.result
-                self.meet(fate, word.outcome)
-
-        self.store.submit(RecordWrite(kind, self.row(fate)), done)
-
-    # Effects of fate.TABLE.
-
-    def _claim(self, fate: DurableRequest) -> None:
-        self.counters.claims += 1
-        self.limit(fate)
-        self.write(fate, WriteKind.CLAIM)
-        points.hit("claim-posted")
-
-    def limit(self, fate: DurableRequest) -> None:
-        self.claim_timers[fate.request_id] = asyncio.get_running_loop().call_later(
-            max(0, fate.claim_deadline_ns - self.clock()) / SECOND, self.slow, fate
-        )
-
-    def _look_up(self, fate: DurableRequest) -> None:
-        self.limit(fate)
-        self.write(fate, WriteKind.LOOK)
-
-    def _register(self, fate: DurableRequest) -> None:
-        self.in_time(fate)
-        self.counters.claimed_elsewhere += 1
-        self.by_key_digest[fate.key_digest] = fate
-        self.listener.register(fate.key_digest, fate.expires_at_ns)
-
-    def _forget(self, fate: DurableRequest) -> None:
-        self.listener.forget(fate.key_digest)
-
-    def _retry_claim(self, fate: DurableRequest) -> None:
-        self.later(fate, WriteKind.CLAIM)
-
-    def _start_run(self, fate: DurableRequest) -> None:
-        self.in_time(fate)
-        self.listener.start_run(fate.request_id)
-        points.hit_after_send("executed")
-
-    def _start_run_unrecorded(self, fate: DurableRequest) -> None:
-        self.counters.unrecorded_runs += 1
-        self._start_run(fate)
-
-    def _reject(self, fate: DurableRequest) -> None:
-        self.counters.rejected += 1
-        self.listener.reject(fate.request_id)
-
-    def _report_never_ran(self, fate: DurableRequest) -> None:
-        self.listener.report_never_ran(fate.request_id)
-
-    def _withdraw(self, fate: DurableRequest) -> None:
-        self.in_time(fate)
-        self.write(fate, WriteKind.WITHDRAW)
-
-    def _retry_withdraw(self, fate: DurableRequest) -> None:
-        self.later(fate, WriteKind.WITHDRAW)
-
-    def _finish(self, fate: DurableRequest) -> None:
-        self.write(fate, WriteKind.FINISH)
-        points.hit("finish-posted")
-
-    def _retry_finish(self, fate: DurableRequest) -> None:
-        self.later(fate, WriteKind.FINISH)
-
-    def _insert(self, fate: DurableRequest) -> None:
-        self.write(fate, WriteKind.INSERT)
-
-    def _report_conflict(self, fate: DurableRequest) -> None:
-        """Another's row stands where ours should, or we were fenced off: what ran stays
-        answered.
-        """
-        self.counters.conflicts += 1
-        log.error(
-            "event=record-conflict id=%s mark=%s state=%s",
-            fate.request_id,
-            fate.key_digest.hex(),
-            fate.state.name,
+        log.warning(
+            "event=record_answered_before_durable request_id=%s state=%s",
+            request.request_id,
+            request.state.name.lower(),
         )
 
-    def _follow(self, fate: DurableRequest) -> None:
-        self.in_time(fate)
-        self.counters.claimed_elsewhere += 1
-        self.listener.report_claimed_elsewhere(fate.request_id)
-
-    def _poll(self, fate: DurableRequest) -> None:
-        self.later(fate, WriteKind.LOOK)
-
-    def _deliver_result(self, fate: DurableRequest) -> None:
-        self.listener.complete(fate.key_digest, fate.result)
-
-    def _fail(self, fate: DurableRequest) -> None:
-        self.listener.complete(fate.key_digest, None)
-
-    def _release(self, fate: DurableRequest) -> None:
-        self.listener.release(fate.key_digest)
-
-    def _mark_in_doubt(self, fate: DurableRequest) -> None:
-        self.counters.doubts += 1
-        self.listener.complete(fate.key_digest, None)
+    async def fetch_result(self, key_digest: bytes, deadline_ns: int) -> bytes | None:
+        """The stored result for a key; None where there is none, or it can't be had in time."""
+        row = lookup_row(key_digest, self._node, self.incarnation)
+        return await self._fetcher.fetch(row, deadline_ns)
 
-    def _resolve_as_succeeded(self, fate: DurableRequest) -> None:
-        self.counters.resolved += 1
-        self.listener.complete(fate.key_digest, fate.result)
-        self.write(fate, WriteKind.FINISH)
-
-    def _resolve_as_failed(self, fate: DurableRequest) -> None:
-        self.counters.resolved += 1
-        self.listener.complete(fate.key_digest, None)
-        self.write(fate, WriteKind.FINISH)
-
-    def _resolve_as_never_ran(self, fate: DurableRequest) -> None:
+    def apply_verdict(
+        self, key_digest: bytes, incarnation: int, claim_number: int, ran: bool
+    ) -> None:
+        """Resolves a doubt by an operator's verdict; on that claim alone, not on a later one."""
+        request = self.registry.by_key_digest.get(key_digest)
+        if request is None or request.state not in UNRESOLVED_STATES:
+            return
+        if (request.incarnation, request.claim_number) != (incarnation, claim_number):
+            return
+        log.warning("event=record_doubt_resolved key_digest=%s ran=%s", key_digest.hex(), ran)
         self.counters.resolved += 1
-        self.listener.release(fate.key_digest)
-        self.write(fate, WriteKind.WITHDRAW)
-
+        self._handle(
+            request,
+            RequestEvent.RESOLVED_AS_RAN if ran else RequestEvent.RESOLVED_AS_NEVER_RAN,
+        )
 
-def tell(future: asyncio.Future[WriteResult], word: WriteResult) -> None:
-    if not future.done():
-        future.set_result(word)
+    # Within.
 
+    def _tick(self) -> None:
+        self._tick_timer = asyncio.get_running_loop().call_later(TICK_INTERVAL_S, self._tick)
+        now_ns = self._clock()
+        expired = [one for one in self.registry.by_id.values() if one.expires_at_ns <= now_ns]
+        for request in expired:
+            self._handle(request, RequestEvent.WINDOW_EXPIRED)
+        self._health.tick(now_ns)
 
-# A typo in the table is found at import, not at the first charge that meets the row.
-assert all(
-    hasattr(RecordCoordinator, f"_{effect}")
-    for rows in RULES.values()
-    for row in rows
-    for effect in row[2]
-)
+    def _claim_timed_out(self, request: DurableRequest) -> None:
+        self.counters.store_timeouts += 1
+        self._handle(request, RequestEvent.STORE_TIMED_OUT)
+
+    def _handle(self, request: DurableRequest, event: RequestEvent) -> None:
+        for effect in request.handle(event, self._clock()):
+            getattr(self._effects, effect)(request)
+        if request.state is RequestState.CLAIMED_ELSEWHERE:
+            self.registry.wake(request)
+        if request.state in DONE_STATES:
+            self.registry.remove(request)
--- a/burlloom/record/factory.py
+++ b/burlloom/record/factory.py
@@ -1,4 +1,4 @@
-"""The store that an operator's file names."""
+"""Makes the store that an operator's file names."""
 
 import time
 from collections.abc import Callable
@@ -11,67 +11,105 @@
 if TYPE_CHECKING:
     from ..operator import Place
 
+__all__ = ["create_store", "load_authenticator", "read_password"]
+
 PAGE_BYTES = 4096
+BYTES_PER_MB = 1 << 20
+MS_PER_S = 1000
+
+
+def load_authenticator(record: "Place", create: bool) -> RowAuthenticator:
+    """Reads the record's key.
 
+    Args:
+        record: The operator's file on the record.
+        create: Whether to make the key of a new SQLite record.
 
-def load_authenticator(record: "Place", make: bool) -> RowAuthenticator:
-    """Raises `Refused`."""
-    place = record.sqlite.key_place() if record.sqlite is not None else None
-    if place is None:
+    Raises:
+        StoreRefusedError: There is no key, or it can't be used.
+    """
+    if record.sqlite is not None:
+        key_path = record.sqlite.key_place()
+        if create and record.sqlite.place().exists() and not key_path.exists():
+            raise StoreRefusedError(
+                f"the key of {record.sqlite.path} is missing: without it nothing there can be"
+                " proven. Put it back, or move the file away to begin with an empty one",
+                place=key_path,
+            )
+    else:
         assert record.postgres is not None
-        place, make = record.postgres.key_place(), False
-    if make and record.sqlite is not None and record.sqlite.place().exists() and not place.exists():
-        raise StoreRefusedError(
-            f"{place}: the key of {record.sqlite.path} is missing: without it nothing there can be proven."
-            " Put it back, or move the file away to begin with an empty one"
-        )
+        key_path = record.postgres.key_place()
+        create = False
     try:
-        return RowAuthenticator(load_key(place, make))
+        return RowAuthenticator(load_key(key_path, create))
     except OSError as error:
-        raise StoreRefusedError(f"{place}: {error.strerror}") from error
+        raise StoreRefusedError(str(error.strerror), place=key_path) from error
     except ValueError as error:
         raise StoreRefusedError(str(error)) from error
 
 
-def read_password(file: str | None) -> str:
-    """Raises `Refused`."""
+def read_password(path: str | None) -> str:
+    """Reads the database's password, empty where no file is named.
+
+    Raises:
+        StoreRefusedError: The file can't be read.
+    """
+    if path is None:
+        return ""
     try:
-        return Path(file).read_text(encoding="utf-8").strip() if file is not None else ""
+        return Path(path).read_text(encoding="utf-8").strip()
     except (OSError, UnicodeDecodeError) as error:
-        raise StoreRefusedError(f"{file}: {error}") from error
+        raise StoreRefusedError(str(error), place=path) from error
 
 
 def create_store(
-    record: "Place", node: str, keep: int, clock: Callable[[], int] = time.time_ns
+    record: "Place", node: str, retention_ns: int, clock: Callable[[], int] = time.time_ns
 ) -> tuple[RecordStore, RowAuthenticator]:
-    """`keep`: ns that a mark stays past the end of its window. Raises `Refused`."""
-    sealer = load_authenticator(record, True)
+    """Makes the store, not opened, and what checks its rows.
+
+    Args:
+        record: The operator's file on the record.
+        node: The name of this node.
+        retention_ns: How long a row stays past the end of its window.
+        clock: The wall clock, nanoseconds.
+
+    Raises:
+        StoreRefusedError: The key or the password can't be used.
+    """
+    authenticator = load_authenticator(record, create=True)
     if record.sqlite is not None:
         from .sqlite import SqliteStore
 
-        return SqliteStore(
+        sqlite_store = SqliteStore(
             record.sqlite.place(),
-            sealer,
+            authenticator,
             node,
-            pages=record.sqlite.max_mb * (1 << 20) // PAGE_BYTES,
-            batch=record.sqlite.batch_most,
-            keep=keep,
-        ), sealer
+            max_pages=record.sqlite.max_mb * BYTES_PER_MB // PAGE_BYTES,
+            max_batch=record.sqlite.batch_most,
+            retention_ns=retention_ns,
+        )
+        return sqlite_store, authenticator
     assert record.postgres is not None
     from .postgres import PostgresStore
+    from .postgres_database import PostgresDatabase
 
-    told = record.postgres
-    host, port = told.address.rsplit(":", 1)
-    return PostgresStore(
-        (host, int(port)),
-        told.database,
-        told.user,
-        read_password(told.password_file),
-        sealer,
+    settings = record.postgres
+    host, port = settings.address.rsplit(":", 1)
+    database = PostgresDatabase(
+        host,
+        int(port),
+        settings.database,
+        settings.user,
+        read_password(settings.password_file),
+        connect_timeout_s=settings.connect_ms / MS_PER_S,
+        statement_timeout_s=settings.hang_ms / MS_PER_S,
+    )
+    postgres_store = PostgresStore(
+        database,
+        authenticator,
         node,
-        connect=told.connect_ms / 1000,
-        hang=told.hang_ms / 1000,
-        batch=told.batch_most,
-        keep=keep,
         clock=clock,
-    ), sealer
+        max_batch=settings.batch_most,
+        retention_ns=retention_ns,
+    )
+    return postgres_store, authenticator
--- a/burlloom/record/failpoints.py
+++ b/burlloom/record/failpoints.py
@@ -1,4 +1,4 @@
-"""Named moments on a charge's way, at which tests stop or kill the program.
+"""Named moments in the handling of a keyed request, at which tests stop or kill the program.
 
 Nothing in the program sets `hook`; the kill-and-restart rig does, in a process of its own.
 """
@@ -6,6 +6,8 @@
 import asyncio
 from collections.abc import Callable
 
+__all__ = ["FAILPOINT_NAMES", "hit", "hit_after_send", "hit_for_batch"]
+
 FAILPOINT_NAMES = (
     "claim-posted",
     "claim-commit",
@@ -18,24 +20,26 @@
     "answering",
     "answered",
 )
+BATCH_KINDS = ("claim", "finish")
 hook: Callable[[str], None] | None = None
 
 
 def hit(name: str) -> None:
+    """Calls the hook, if there is one, with the failpoint's name."""
     if hook is not None:
         hook(name)
 
 
 def hit_after_send(name: str) -> None:
-    """After what was posted in this turn of the loop has left."""
+    """Calls the hook once what was submitted in this iteration of the loop has left."""
     if hook is not None:
         loop = asyncio.get_running_loop()
         loop.call_soon(loop.call_soon, loop.call_soon, hit, name)
 
 
 def hit_for_batch(kinds: set[str], moment: str) -> None:
-    """Of a batch with writes of these kinds; those without a name here are passed over."""
+    """Calls the hook for a batch with writes of these kinds; others are skipped."""
     if hook is not None:
-        for kind in ("claim", "finish"):
+        for kind in BATCH_KINDS:
             if kind in kinds:
                 hit(f"{kind}-{moment}")
--- a/burlloom/record/postgres.py
+++ b/burlloom/record/postgres.py
@@ -1,12 +1,13 @@
 """A store in PostgreSQL, shared by several nodes; through asyncpg.
 
-One connection writes: what is posted while a transaction is on its way goes into the next one
-together. Each transaction first locks its node's row for sharing, so that a fence or a newer life
-either comes before it, and it writes nothing, or waits for it. What a lost connection means is told
-by how far the transaction had come.
+One connection writes: what is submitted while a transaction is on its way goes into the next one
+together. Each transaction first locks its node's row for sharing, so that a fence or a newer
+incarnation either comes before it, and it writes nothing, or waits for it. What a lost connection
+means is told by how far the transaction had come.
 """
 
 import asyncio
+import contextlib
 import logging
 from collections import Counter, deque
 from collections.abc import AsyncIterator, Callable, Iterator
@@ -15,73 +16,36 @@
 
 import asyncpg
 
-from . import failpoints as points
-from . import schema
+from . import postgres_statements as sql
 from .authentication import RowAuthenticator
-from .recovery_rules import TransactionStage, classify_broken_transaction
+from .broken_transaction import TransactionStage, classify_broken_transaction
+from .postgres_database import CONNECTION_ERRORS, PostgresDatabase, describe_error, migrate
 from .request_lifecycle import RequestEvent
-from .rows import (
-    KEY_DIGEST_BYTES,
-    ROW_STARTED,
-    RecordRow,
-    RecordWrite,
-    WriteKind,
-    WriteResult,
-    of_finish,
-    of_withdraw,
-    result_of_unapplied_write,
+from .rows import KEY_DIGEST_BYTES, NodeIncarnation, RecordRow, RecordWrite, WriteKind, WriteResult
+from .store import (
+    PendingWrite,
+    ProbeCallback,
+    RecordStore,
+    StoreRefusedError,
+    StoreSession,
+    WriteCallback,
+    deliver_results,
+    take_batch,
 )
-from .store import StoreRefusedError, StoreSession, VerdictCallback, WriteCallback, deliver
+
+__all__ = ["PostgresStore", "read_incarnations"]
 
 log = logging.getLogger(__name__)
 
-BATCH_MOST = 128
-AGAIN_LEAST, AGAIN_MOST = 0.05, 2.0  # s between tries to connect
-LOOK_EVERY = 1.0  # s between looks for verdicts and rows to be given up
-PRUNE_ROWS = 2_000
-ENTRY = KEY_DIGEST_BYTES + 8  # a mark read back, and the end of its window
-LOCK = 0x6275726C6F6F  # "burloo": the advisory lock under which the tables are changed
-COLUMNS = "mark, state, node, life, turn, id, at, until, result, seal"
-ROW = (
-    "$1::bytea, $2::bigint, $3::text, $4::bigint, $5::bigint, $6::text, $7::bigint, $8::bigint, $9::bytea,"
-    " $10::bytea"
-)
-CLAIM = (
-    f"INSERT INTO fate ({COLUMNS}) VALUES ({ROW}) ON CONFLICT (mark) DO UPDATE SET"
-    " turn = excluded.turn, id = excluded.id, at = excluded.at, until = excluded.until, seal = excluded.seal"
-    f" WHERE fate.state = {ROW_STARTED} AND fate.node = excluded.node AND fate.life = excluded.life"
-    " AND fate.turn <= excluded.turn RETURNING mark"
-)
-INSERT = f"INSERT INTO fate ({COLUMNS}) VALUES ({ROW}) ON CONFLICT (mark) DO NOTHING RETURNING mark"
-FINISH = (
-    "UPDATE fate SET state = $1::bigint, result = $2::bytea, seal = $3::bytea WHERE mark = $4::bytea AND"
-    f" node = $5::text AND life = $6::bigint AND turn = $7::bigint AND state = {ROW_STARTED} RETURNING mark"
-)
-WITHDRAW = (
-    "DELETE FROM fate WHERE mark = $1::bytea AND node = $2::text AND life = $3::bigint AND"
-    f" turn = $4::bigint AND state = {ROW_STARTED} RETURNING mark"
-)
-LOOK = f"SELECT {COLUMNS} FROM fate WHERE mark = $1::bytea"
-PRESENT = "SELECT life, fenced FROM node WHERE name = $1::text FOR SHARE"
-LIVES = "SELECT name, life, fenced FROM node"
-BIRTH = (
-    "INSERT INTO node (name, life, fenced) VALUES ($1::text, 1, 0) ON CONFLICT (name) DO UPDATE SET"
-    " life = node.life + 1 RETURNING life, fenced, note"
-)
-KNOWN = (
-    "SELECT mark, until FROM fate WHERE node = $1::text AND until > $2::bigint AND mark > $3::bytea"
-    " ORDER BY mark LIMIT $4::bigint"
-)
-NOTE = "UPDATE node SET note = $1::text WHERE name = $2::text AND life = $3::bigint"
-PAGE = 10_000  # marks that are read back at a time, some 100 bytes each until they are packed
-OPEN = f"SELECT {COLUMNS} FROM fate WHERE node = $1::text AND until > $2::bigint AND state = {ROW_STARTED}"
-PRUNE = (
-    "DELETE FROM fate WHERE mark IN (SELECT mark FROM fate WHERE until <= $1::bigint LIMIT"
-    f" {PRUNE_ROWS}) RETURNING mark"
-)
-VERDICTS = "SELECT mark, life, turn, ran FROM verdict"
-VERSION = "SELECT version FROM burlloom_schema"
-ORDER = {
+MAX_BATCH = 128
+MIN_RECONNECT_PAUSE_S = 0.05
+MAX_RECONNECT_PAUSE_S = 2.0
+MAINTENANCE_INTERVAL_S = 1.0  # between looks for verdicts and for rows to be deleted
+CLOSE_TIMEOUT_S = 2.0
+TIME_BYTES = 8
+KEY_ENTRY_BYTES = KEY_DIGEST_BYTES + TIME_BYTES
+KEYS_PER_PAGE = 10_000  # some 100 bytes each until they are packed
+LOCK_ORDER = {
     WriteKind.CLAIM: 0,
     WriteKind.INSERT: 1,
     WriteKind.FINISH: 2,
@@ -89,369 +53,351 @@
     WriteKind.LOOK: 4,
     WriteKind.FIND: 4,
 }
-CONNECTION_ERRORS = (
-    OSError,
-    asyncpg.InterfaceError,
-    asyncpg.PostgresConnectionError,
-    asyncio.TimeoutError,
-    EOFError,
-)
-
 
-def row_of(record: Any) -> RecordRow:
-    return RecordRow(*record)
 
+class PostgresStore(RecordStore):
+    """One node's connection to a record that several nodes share."""
 
-class PostgresStore:
     def __init__(
         self,
-        address: tuple[str, int],
-        database: str,
-        user: str,
-        password: str,
-        sealer: RowAuthenticator,
+        database: PostgresDatabase,
+        authenticator: RowAuthenticator,
         node: str,
         *,
-        connect: float = 2.0,
-        hang: float = 5.0,
-        batch: int = BATCH_MOST,
-        keep: int = 0,
         clock: Callable[[], int],
+        max_batch: int = MAX_BATCH,
+        retention_ns: int = 0,
     ) -> None:
-        """`connect`, `hang`: s until a connection is not to be had, or one that says nothing is
-        given up.
+        """Does not connect yet.
+
+        Args:
+            database: Where the record is.
+            authenticator: Computes and checks the rows' MACs.
+            node: The name of this node.
+            clock: The wall clock, nanoseconds.
+            max_batch: The most writes in one transaction.
+            retention_ns: How long a row stays past the end of its window.
         """
-        self.address, self.database, self.user, self.password = address, database, user, password
-        self.authenticator, self.node, self.connect_for, self.hang = sealer, node, connect, hang
-        self.batch, self.keep, self.clock = batch, keep, clock
-        self.incarnation = 0
+        super().__init__(node, authenticator, max_batch, retention_ns)
+        self.database = database
+        self.clock = clock
         self.connection: Any = None
-        self.posted: deque[tuple[RecordWrite, WriteCallback] | Callable[[bool], None]] = deque()
-        self.wake = asyncio.Event()
-        self.stopping = False
-        self.worker: asyncio.Task[None] | None = None
-        self.on_verdict: VerdictCallback | None = None
-        self.known_raw, self.page = bytearray(), PAGE
-        self.begun_rows: list[RecordRow] = []
-        self.commit_count = self.write_count = self.largest_batch = self.pruned_rows = (
-            self.connects
-        ) = 0
-        self.look_at = 0.0
-        self.noted: str | None = None
+        self.connection_count = 0
+        self.keys_per_page = KEYS_PER_PAGE
+        self._queue: deque[PendingWrite | ProbeCallback] = deque()
+        self._wake = asyncio.Event()
+        self._is_stopping = False
+        self._writer: asyncio.Task[None] | None = None
+        self._packed_keys = bytearray()
+        self._started_rows: list[RecordRow] = []
+        self._next_maintenance_s = 0.0
+        self._unsaved_notice: str | None = None
 
     # Opening.
 
-    async def connect(self) -> Any:
-        host, port = self.address
-        return await asyncpg.connect(
-            host=host,
-            port=port,
-            database=self.database,
-            user=self.user,
-            password=self.password or None,
-            timeout=self.connect_for,
-            command_timeout=self.hang,
-            ssl=False,
-        )
-
     async def open(self) -> StoreSession:
-        where = f"{self.address[0]}:{self.address[1]}/{self.database}"
+        """Connects, takes missing steps of the schema, and begins an incarnation.
+
+        Raises:
+            StoreRefusedError: The database can't be used, or this node was fenced off.
+        """
+        place = self.database.place
         try:
-            self.connection = await self.connect()
-            self.connects += 1
-            migrated = await self.migrate(where)
+            await self._connect()
+            migrated = await migrate(self.connection, place)
             async with self.connection.transaction():
-                ((life, fenced, note),) = await self.connection.fetch(BIRTH, self.node)
-                if fenced:
-                    raise StoreRefusedError(
-                        f"{where}: node {self.node} was fenced off by an operator; `burlloom record unfence"
-                        f" {self.node}` lets it back in"
-                    )
-                since = self.clock() - self.keep
-                await self.read_marks(since)
-                self.begun_rows = [
-                    row_of(row) for row in await self.connection.fetch(OPEN, self.node, since)
-                ]
-            self.incarnation = life
+                notice = await self._begin_incarnation(place)
         except StoreRefusedError:
             await self.disconnect()
             raise
         except (*CONNECTION_ERRORS, asyncpg.PostgresError) as error:
             await self.disconnect()
-            raise StoreRefusedError(f"{where}: {str(error) or type(error).__name__}") from error
-        return StoreSession(self.node, self.incarnation, 0, migrated, previous_notice=note)
-
-    async def migrate(self, where: str) -> tuple[int, ...]:
-        link = self.connection
-        async with link.transaction():
-            await link.fetch("SELECT pg_advisory_xact_lock($1::bigint)", LOCK)
-            await link.execute(
-                "CREATE TABLE IF NOT EXISTS burlloom_schema (version BIGINT PRIMARY KEY)"
+            raise StoreRefusedError(describe_error(error), place=place) from error
+        return StoreSession(self.node, self.incarnation, 0, migrated, previous_notice=notice)
+
+    async def _connect(self) -> None:
+        self.connection = await self.database.connect()
+        self.connection_count += 1
+
+    async def _begin_incarnation(self, place: str) -> str:
+        """Begins an incarnation, reads what earlier ones left, and returns the last notice."""
+        rows = await self.connection.fetch(sql.BEGIN_INCARNATION, self.node)
+        ((incarnation, is_fenced, notice),) = rows
+        if is_fenced:
+            raise StoreRefusedError(
+                f"node {self.node} was fenced off by an operator; `burlloom record unfence"
+                f" {self.node}` lets it back in",
+                place=place,
             )
-            have = max((row[0] for row in await link.fetch(VERSION)), default=0)
-            if have > schema.LATEST:
-                raise StoreRefusedError(
-                    f"{where}: schema {have} is newer than {schema.LATEST}, the newest this program knows;"
-                    " start the newer program"
-                )
-            taken = schema.steps(have, schema.POSTGRES)
-            for number in taken:
-                for statement in schema.POSTGRES[number]:
-                    await link.execute(statement)
-                await link.fetch(
-                    "INSERT INTO burlloom_schema (version) VALUES ($1::bigint) RETURNING version",
-                    number,
-                )
-        return tuple(taken)
-
-    async def read_marks(self, since: int) -> None:
-        """By pages along their order, each packed before the next is asked for: 24 bytes a mark at
-        the most.
-        """
+        since_ns = self.clock() - self.retention_ns
+        await self._read_keys(since_ns)
+        started = await self.connection.fetch(sql.SELECT_STARTED, self.node, since_ns)
+        self._started_rows = [RecordRow(*row) for row in started]
+        self.incarnation = incarnation
+        return str(notice)
+
+    async def _read_keys(self, since_ns: int) -> None:
+        """Reads by pages in the keys' order, each packed before the next: 24 bytes a key."""
         last = b""
-        self.known_raw.clear()
-        while page := await self.connection.fetch(KNOWN, self.node, since, last, self.page):
-            self.known_raw += b"".join(mark + until.to_bytes(8, "big") for mark, until in page)
+        self._packed_keys.clear()
+        while page := await self.connection.fetch(
+            sql.SELECT_KEYS, self.node, since_ns, last, self.keys_per_page
+        ):
+            self._packed_keys += b"".join(
+                key_digest + expires_at_ns.to_bytes(TIME_BYTES, "big")
+                for key_digest, expires_at_ns in page
+            )
             last = page[-1][0]
-            if len(page) < self.page:
+            if len(page) < self.keys_per_page:
                 break
 
-    def read_recorded_keys(self, now: int) -> Iterator[list[tuple[bytes, int]]]:
-        raw = bytes(self.known_raw)
-        self.known_raw.clear()
-        for start in range(0, len(raw), ENTRY * self.page):
-            part = raw[start : start + ENTRY * self.page]
-            yield [
-                (
-                    part[at : at + KEY_DIGEST_BYTES],
-                    int.from_bytes(part[at + KEY_DIGEST_BYTES : at + ENTRY], "big"),
-                )
-                for at in range(0, len(part), ENTRY)
-            ]
+    def read_recorded_keys(self, now_ns: int) -> Iterator[list[tuple[bytes, int]]]:
+        """Key digest and end of window of this node's rows, by batches, as `open` read them."""
+        packed = bytes(self._packed_keys)
+        self._packed_keys.clear()
+        page_bytes = KEY_ENTRY_BYTES * self.keys_per_page
+        for start in range(0, len(packed), page_bytes):
+            yield unpack_keys(packed[start : start + page_bytes])
 
-    def read_started_rows(self, now: int) -> Iterator[RecordRow]:
-        yield from self.begun_rows
-        self.begun_rows = []
+    def read_started_rows(self, now_ns: int) -> Iterator[RecordRow]:
+        """This node's rows without an end, of any incarnation, as `open` read them."""
+        yield from self._started_rows
+        self._started_rows = []
 
     async def start(self) -> None:
-        self.worker = asyncio.get_running_loop().create_task(self.work(), name="record")
-
-    # On the loop.
+        """Starts the task that writes."""
+        self._writer = asyncio.get_running_loop().create_task(self._run(), name="record")
 
-    def submit(self, write: RecordWrite, done: WriteCallback) -> None:
-        self.posted.append((write, done))
-        self.wake.set()
+    def submit(self, write: RecordWrite, callback: WriteCallback) -> None:
+        """Sends a write; the callback gets its result."""
+        self._queue.append((write, callback))
+        self._wake.set()
 
-    def probe(self, now: int, done: Callable[[bool], None]) -> None:
-        self.posted.append(done)
-        self.wake.set()
+    def probe(self, callback: ProbeCallback) -> None:
+        """Makes a commit of its own; the callback hears whether the store works."""
+        self._queue.append(callback)
+        self._wake.set()
 
     def save_notice(self, text: str) -> None:
-        self.noted = text
-        self.wake.set()
+        """Leaves a notice to this node's next incarnation, once it can be written."""
+        self._unsaved_notice = text
+        self._wake.set()
 
     async def close(self) -> None:
-        self.stopping = True
-        self.wake.set()
-        if self.worker is not None:
-            await asyncio.wait({self.worker}, timeout=2.0)
-            self.worker.cancel()
+        """Writes what was submitted and lets go; a store that hangs is left after two seconds."""
+        self._is_stopping = True
+        self._wake.set()
+        if self._writer is not None:
+            await asyncio.wait({self._writer}, timeout=CLOSE_TIMEOUT_S)
+            self._writer.cancel()
         await self.disconnect()
 
     async def disconnect(self) -> None:
-        link, self.connection = self.connection, None
-        if link is not None:
-            link.terminate()
+        """Ends the connection at once."""
+        connection, self.connection = self.connection, None
+        if connection is not None:
+            connection.terminate()
 
-    async def work(self) -> None:
-        again = AGAIN_LEAST
-        while not (self.stopping and not self.posted):
-            try:
-                async with asyncio.timeout(LOOK_EVERY):
-                    await self.wake.wait()
-            except TimeoutError:
-                pass
-            self.wake.clear()
+    # The task that writes.
+
+    async def _run(self) -> None:
+        pause_s = MIN_RECONNECT_PAUSE_S
+        while not (self._is_stopping and not self._queue):
+            await self._wait_for_work()
             try:
                 if self.connection is None or self.connection.is_closed():
-                    self.connection = await self.connect()
-                    self.connects += 1
-                    log.info("event=record-connected address=%s:%d", *self.address)
-                again = AGAIN_LEAST
-                while self.posted:
-                    await self.one()
-                if self.noted is not None:
-                    text, self.noted = self.noted, None
-                    await self.connection.execute(NOTE, text, self.node, self.incarnation)
-                await self.look_round()
+                    await self._connect()
+                    log.info("event=record_connected address=%s", self._address)
+                pause_s = MIN_RECONNECT_PAUSE_S
+                await self._work()
             except (*CONNECTION_ERRORS, asyncpg.PostgresError) as error:
                 await self.disconnect()
-                self.fail_posted()
+                self._fail_pending()
                 log.warning(
-                    "event=record-unreached address=%s:%d detail=%r",
-                    *self.address,
-                    str(error) or type(error).__name__,
+                    "event=record_unreachable address=%s error=%r",
+                    self._address,
+                    describe_error(error),
                 )
-                if not self.stopping:
-                    await asyncio.sleep(again)
-                    again = min(AGAIN_MOST, 2 * again)
-                self.fail_posted()
-
-    def fail_posted(self) -> None:
-        """Nobody is there: what was not said to anyone surely did not take hold."""
-        posted, self.posted = self.posted, deque()
-        for one in posted:
-            if isinstance(one, tuple):
-                deliver([one], [WriteResult(RequestEvent.WRITE_FAILED)])
+                if not self._is_stopping:
+                    await asyncio.sleep(pause_s)
+                    pause_s = min(MAX_RECONNECT_PAUSE_S, 2 * pause_s)
+                self._fail_pending()
+
+    @property
+    def _address(self) -> str:
+        return f"{self.database.host}:{self.database.port}"
+
+    async def _wait_for_work(self) -> None:
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(MAINTENANCE_INTERVAL_S):
+                await self._wake.wait()
+        self._wake.clear()
+
+    async def _work(self) -> None:
+        while self._queue:
+            item = self._queue.popleft()
+            if isinstance(item, tuple):
+                await self._commit(take_batch(item, self._queue, self.max_batch))
+            else:
+                await self._probe(item)
+        if self._unsaved_notice is not None:
+            text, self._unsaved_notice = self._unsaved_notice, None
+            await self.connection.execute(sql.UPDATE_NOTICE, text, self.node, self.incarnation)
+        await self._maintain()
+
+    def _fail_pending(self) -> None:
+        """What was not sent to anyone surely did not take effect."""
+        pending, self._queue = self._queue, deque()
+        for item in pending:
+            if isinstance(item, tuple):
+                deliver_results([item], [WriteResult(RequestEvent.WRITE_FAILED)])
             else:
-                one(False)
+                item(False)
 
-    async def one(self) -> None:
-        first = self.posted.popleft()
-        if not isinstance(first, tuple):
-            try:
-                async with self.transaction([]) as link:
-                    await link.execute(
-                        "UPDATE node SET life = life WHERE name = $1::text", self.node
-                    )
-            except BaseException:
-                first(False)
-                raise
-            first(True)
-            return
-        batch = [first]
-        while self.posted and len(batch) < self.batch and isinstance(self.posted[0], tuple):
-            batch.append(self.posted.popleft())  # type: ignore[arg-type]
-        await self.commit(batch)
+    async def _probe(self, callback: ProbeCallback) -> None:
+        try:
+            async with self._transaction([]) as connection:
+                await connection.execute(sql.PROBE, self.node)
+        except BaseException:
+            callback(False)
+            raise
+        callback(True)
 
     @asynccontextmanager
-    async def transaction(self, stage: list[TransactionStage]) -> AsyncIterator[Any]:
-        """Says in `stage` how far it came."""
-        stage.append(TransactionStage.BEFORE)
-        link = self.connection
-        await link.execute("BEGIN")
+    async def _transaction(self, stages: list[TransactionStage]) -> AsyncIterator[Any]:
+        """A transaction that appends to `stages` how far it came."""
+        stages.append(TransactionStage.BEFORE_COMMIT)
+        connection = self.connection
+        await connection.execute("BEGIN")
         try:
-            yield link
-            stage.append(TransactionStage.COMMITTING)
-            await link.execute("COMMIT")
-            stage.append(TransactionStage.DONE)
+            yield connection
+            stages.append(TransactionStage.COMMITTING)
+            await connection.execute("COMMIT")
+            stages.append(TransactionStage.COMMITTED)
         except asyncpg.PostgresError:
-            if not link.is_closed():
-                await link.execute("ROLLBACK")
+            if not connection.is_closed():
+                await connection.execute("ROLLBACK")
             raise
 
-    async def commit(self, batch: list[tuple[RecordWrite, WriteCallback]]) -> None:
-        # Rows are touched in one order by all nodes: two that want the same ones do not wait for
-        # each other.
-        order = sorted(
-            range(len(batch)),
-            key=lambda at: (ORDER[batch[at][0].kind], batch[at][0].row.key_digest),
-        )
-        stage: list[TransactionStage] = []
-        words: dict[int, WriteResult] = {}
-        trouble: BaseException | None = None
+    async def _commit(self, batch: list[PendingWrite]) -> None:
+        stages: list[TransactionStage] = []
+        broken: BaseException | None = None
         try:
-            async with self.transaction(stage) as link:
-                words = await self.apply(link, batch, order)
-                self.moment(batch, "commit")
+            async with self._transaction(stages) as connection:
+                results = await self._apply(connection, [write for write, _ in batch])
+                self.hit_failpoint(batch, "commit")
         except (*CONNECTION_ERRORS, asyncpg.PostgresError, asyncio.CancelledError) as error:
-            trouble = error
-            code = (
-                getattr(error, "sqlstate", None)
-                if isinstance(error, asyncpg.PostgresError)
-                else None
-            )
-            how = classify_broken_transaction(stage[-1] if stage else TransactionStage.BEFORE, code)
-            words = dict.fromkeys(range(len(batch)), WriteResult(how))
+            broken = error
+            stage = stages[-1] if stages else TransactionStage.BEFORE_COMMIT
+            outcome = classify_broken_transaction(stage, sqlstate_of(error))
+            results = [WriteResult(outcome)] * len(batch)
             log.warning(
-                "event=record-write-failed count=%d how=%s detail=%r",
+                "event=record_write_failed writes=%d outcome=%s error=%r",
                 len(batch),
-                how.name,
-                str(error) or type(error).__name__,
+                outcome.name.lower(),
+                describe_error(error),
             )
-        self.moment(batch, "durable")
-        self.commit_count += 1
-        self.write_count += len(batch)
-        self.largest_batch = max(self.largest_batch, len(batch))
-        deliver(batch, [words[at] for at in range(len(batch))])
-        if trouble is not None and not (
-            isinstance(trouble, asyncpg.PostgresError)
+        self.hit_failpoint(batch, "durable")
+        self.count_commit(batch)
+        deliver_results(batch, results)
+        if broken is not None and not self._is_connection_usable_after(broken):
+            raise broken
+
+    def _is_connection_usable_after(self, error: BaseException) -> bool:
+        return (
+            isinstance(error, asyncpg.PostgresError)
             and self.connection is not None
             and not self.connection.is_closed()
-        ):
-            raise trouble
-
-    def moment(self, batch: list[tuple[RecordWrite, WriteCallback]], name: str) -> None:
-        points.hit_for_batch({write.kind.name.lower() for write, _ in batch}, name)
-
-    async def apply(
-        self, link: Any, batch: list[tuple[RecordWrite, WriteCallback]], order: list[int]
-    ) -> dict[int, WriteResult]:
-        present = await link.fetch(PRESENT, self.node)
-        if not present or (present[0][0], present[0][1]) != (self.incarnation, 0):
-            log.error("event=record-fenced node=%s life=%d", self.node, self.incarnation)
-            return dict.fromkeys(order, WriteResult(RequestEvent.FENCED))
-        words: dict[int, WriteResult] = {}
-        left: list[int] = []
-        for kind, sql, arguments in (
-            (WriteKind.CLAIM, CLAIM, tuple),
-            (WriteKind.INSERT, INSERT, tuple),
-            (WriteKind.FINISH, FINISH, of_finish),
-            (WriteKind.WITHDRAW, WITHDRAW, of_withdraw),
-        ):
-            these = [at for at in order if batch[at][0].kind is kind]
-            if not these:
-                continue
-            # Each is a statement of its own, in one round trip; a row comes back for each that took
-            # hold.
-            found = await self.many(link, sql, [arguments(batch[at][0].row) for at in these])
-            for at, held in zip(these, found, strict=True):
-                if held:
-                    words[at] = WriteResult(RequestEvent.WRITE_APPLIED)
-                else:
-                    left.append(at)
-        left += [at for at in order if batch[at][0].kind in (WriteKind.LOOK, WriteKind.FIND)]
-        if left:
-            lives = {name: (life, bool(fenced)) for name, life, fenced in await link.fetch(LIVES)}
-            for at in left:
-                words[at] = self.word(
-                    batch[at][0], await link.fetch(LOOK, batch[at][0].row.key_digest), lives
-                )
-        return words
-
-    @staticmethod
-    async def many(link: Any, sql: str, arguments: list[Any]) -> list[bool]:
-        """Which of them took hold, told by the marks that come back.
+        )
 
-        Two of one kind on one mark in a batch are turns of ours: whichever of them took hold, the
-        other's row is gone or ours, which says the same to both.
-        """
-        held = Counter(row[0] for row in await link.fetchmany(sql, arguments))
-        found = []
-        for one in arguments:
-            mark = next(
-                part for part in one if isinstance(part, bytes) and len(part) == KEY_DIGEST_BYTES
-            )
-            found.append(held[mark] > 0)
-            held[mark] -= 1
-        return found
-
-    def word(
-        self, write: RecordWrite, there: list[Any], lives: dict[str, tuple[int, bool]]
-    ) -> WriteResult:
-        row, found = write.row, row_of(there[0]) if there else None
-        sound = found is None or self.authenticator.is_authentic(found)
-        if not sound:
-            log.error("event=record-altered mark=%s", row.key_digest.hex())
-        return result_of_unapplied_write(write, found, lives, sound)
-
-    async def look_round(self) -> None:
-        """Now and then: what an operator said, and rows whose window is long over."""
-        now = asyncio.get_running_loop().time()
-        if now < self.look_at:
+    async def _apply(self, connection: Any, writes: list[RecordWrite]) -> list[WriteResult]:
+        """Applies a batch; the results are in the order of the writes."""
+        if not await self._may_write(connection):
+            return [WriteResult(RequestEvent.FENCED)] * len(writes)
+        # All nodes touch rows in one order: two that want the same ones do not wait for each other.
+        order = sorted(
+            range(len(writes)),
+            key=lambda at: (LOCK_ORDER[writes[at].kind], writes[at].row.key_digest),
+        )
+        applied: set[int] = set()
+        for kind, (statement, values) in sql.STATEMENTS.items():
+            positions = [at for at in order if writes[at].kind is kind]
+            if positions:
+                # Each is a statement of its own, in one round trip.
+                flags = await apply_many(
+                    connection, statement, [values(writes[at].row) for at in positions]
+                )
+                applied.update(at for at, flag in zip(positions, flags, strict=True) if flag)
+        results = [WriteResult(RequestEvent.WRITE_APPLIED)] * len(writes)
+        unapplied = sorted(
+            (at for at in order if at not in applied),
+            key=lambda at: writes[at].kind in (WriteKind.LOOK, WriteKind.FIND),
+        )
+        if unapplied:
+            incarnations = await read_incarnations(connection)
+            for at in unapplied:
+                rows = await connection.fetch(sql.SELECT_ROW, writes[at].row.key_digest)
+                stored = RecordRow(*rows[0]) if rows else None
+                results[at] = self.result_of(writes[at], stored, incarnations)
+        return results
+
+    async def _may_write(self, connection: Any) -> bool:
+        """Whether this incarnation is the present one and not fenced; locks the node's row."""
+        rows = await connection.fetch(sql.SELECT_OWN_INCARNATION, self.node)
+        if rows and (rows[0][0], rows[0][1]) == (self.incarnation, 0):
+            return True
+        log.error("event=record_node_fenced node=%s incarnation=%d", self.node, self.incarnation)
+        return False
+
+    async def _maintain(self) -> None:
+        """Now and then: takes up operators' verdicts, and deletes rows long over."""
+        now_s = asyncio.get_running_loop().time()
+        if now_s < self._next_maintenance_s:
             return
-        self.look_at = now + LOOK_EVERY
+        self._next_maintenance_s = now_s + MAINTENANCE_INTERVAL_S
         if self.on_verdict is not None:
-            for mark, life, turn, ran in await self.connection.fetch(VERDICTS):
-                self.on_verdict(mark, life, turn, bool(ran))
-        self.pruned_rows += len(await self.connection.fetch(PRUNE, self.clock() - self.keep))
+            verdicts = await self.connection.fetch(sql.SELECT_VERDICTS)
+            for key_digest, incarnation, claim_number, ran in verdicts:
+                self.on_verdict(key_digest, incarnation, claim_number, bool(ran))
+        expired = await self.connection.fetch(sql.PRUNE, self.clock() - self.retention_ns)
+        self.pruned_rows += len(expired)
+
+
+def unpack_keys(packed: bytes) -> list[tuple[bytes, int]]:
+    """Key digests and ends of windows, as `PostgresStore` packs them."""
+    return [
+        (
+            packed[at : at + KEY_DIGEST_BYTES],
+            int.from_bytes(packed[at + KEY_DIGEST_BYTES : at + KEY_ENTRY_BYTES], "big"),
+        )
+        for at in range(0, len(packed), KEY_ENTRY_BYTES)
+    ]
+
+
+def sqlstate_of(error: BaseException) -> str | None:
+    """The server's SQLSTATE; None where the error is not the server's."""
+    return getattr(error, "sqlstate", None) if isinstance(error, asyncpg.PostgresError) else None
+
+
+async def read_incarnations(connection: Any) -> dict[str, NodeIncarnation]:
+    """Each node's present incarnation."""
+    rows = await connection.fetch(sql.SELECT_INCARNATIONS)
+    return {name: NodeIncarnation(life, bool(fenced)) for name, life, fenced in rows}
+
+
+async def apply_many(connection: Any, statement: str, values: list[tuple[Any, ...]]) -> list[bool]:
+    """Runs a statement for each set of values, and says which of them applied.
+
+    That is told by the key digests that come back. Two writes of one kind on one key in a batch are
+    claims of ours: whichever of them applied, the other's row is gone or ours, which says the same
+    to both.
+    """
+    returned = Counter(row[0] for row in await connection.fetchmany(statement, values))
+    flags = []
+    for row in values:
+        key_digest = next(
+            value for value in row if isinstance(value, bytes) and len(value) == KEY_DIGEST_BYTES
+        )
+        flags.append(returned[key_digest] > 0)
+        returned[key_digest] -= 1
+    return flags
--- a/burlloom/record/postgres_admin.py
+++ b/burlloom/record/postgres_admin.py
@@ -8,7 +8,9 @@
 import asyncpg
 
 from .factory import create_store
-from .postgres import COLUMNS, CONNECTION_ERRORS, LIVES, PostgresStore, row_of
+from .postgres import PostgresStore, read_incarnations
+from .postgres_database import CONNECTION_ERRORS, describe_error
+from .postgres_statements import COLUMNS
 from .request_lifecycle import RequestEvent
 from .rows import (
     ROW_COMPLETED_WITHOUT_RESULT,
@@ -22,112 +24,126 @@
 if TYPE_CHECKING:
     from ..operator import Record
 
+__all__ = ["fence", "list_in_doubt", "resolve", "stats"]
+
+NO_NODE = "-"
+UPSERT_VERDICT = (
+    "INSERT INTO verdict (mark, life, turn, ran, said_at, reason) VALUES ($1::bytea, $2::bigint,"
+    " $3::bigint, $4::bigint, $5::bigint, $6::text) ON CONFLICT (mark) DO UPDATE SET"
+    " life = excluded.life, turn = excluded.turn, ran = excluded.ran, said_at = excluded.said_at,"
+    " reason = excluded.reason RETURNING mark"
+)
+MARK_AS_RAN = (
+    "UPDATE fate SET state = $1::bigint, seal = $2::bytea WHERE mark = $3::bytea AND"
+    f" life = $4::bigint AND turn = $5::bigint AND state = {ROW_STARTED} RETURNING mark"
+)
+DELETE_CLAIM = (
+    "DELETE FROM fate WHERE mark = $1::bytea AND life = $2::bigint AND turn = $3::bigint"
+    f" AND state = {ROW_STARTED} RETURNING mark"
+)
+
 
 @asynccontextmanager
-async def link_of(record: "Record") -> AsyncIterator[Any]:
-    """A connection that starts no life. Raises `Refused`."""
-    store, _ = create_store(record, "-", keep=0, clock=time.time_ns)
+async def open_connection(record: "Record") -> AsyncIterator[Any]:
+    """A connection that begins no incarnation.
+
+    Raises:
+        StoreRefusedError: The database failed in any way.
+    """
+    store, _ = create_store(record, NO_NODE, retention_ns=0)
     assert isinstance(store, PostgresStore)
-    where = f"{store.address[0]}:{store.address[1]}/{store.database}"
     try:
-        link = await store.connect()
+        connection = await store.database.connect()
         try:
-            yield link
+            yield connection
         finally:
-            await link.close()
+            await connection.close()
     except (*CONNECTION_ERRORS, asyncpg.PostgresError) as error:
-        raise StoreRefusedError(f"{where}: {str(error) or type(error).__name__}") from error
-
-
-async def lives(link: Any) -> dict[str, tuple[int, bool]]:
-    return {name: (life, bool(fenced)) for name, life, fenced in await link.fetch(LIVES)}
-
-
-async def stats(record: "Record", now: int) -> dict[str, Any]:
-    async with link_of(record) as link:
-        nodes = await lives(link)
-        rows = await link.fetch("SELECT state, count(*) AS count FROM fate GROUP BY state")
-    counted = {ROW_STATE_NAMES.get(state, str(state)): count for state, count in rows}
-    told = {
-        name: f"life {life}{', fenced off' if fenced else ''}"
-        for name, (life, fenced) in nodes.items()
+        raise StoreRefusedError(describe_error(error), place=store.database.place) from error
+
+
+async def stats(record: "Record", now_ns: int) -> dict[str, Any]:
+    """Counts of rows by state, rows in doubt, and the nodes, by the names that are printed.
+
+    Raises:
+        StoreRefusedError: The database failed in any way.
+    """
+    async with open_connection(record) as connection:
+        incarnations = await read_incarnations(connection)
+        rows = await connection.fetch("SELECT state, count(*) AS count FROM fate GROUP BY state")
+    counts = {ROW_STATE_NAMES.get(state, str(state)): count for state, count in rows}
+    nodes = {
+        name: f"life {node.incarnation}{', fenced off' if node.is_fenced else ''}"
+        for name, node in incarnations.items()
     }
     return {
-        **{name: counted.get(name, 0) for name in ROW_STATE_NAMES.values()},
-        "in doubt": len(await doubts(record, now)),
-        **told,
+        **{name: counts.get(name, 0) for name in ROW_STATE_NAMES.values()},
+        "in doubt": len(await list_in_doubt(record, now_ns)),
+        **nodes,
     }
 
 
-async def doubts(record: "Record", now: int) -> list[tuple[RecordRow, str]]:
-    async with link_of(record) as link:
-        nodes = await lives(link)
-        said = {
-            mark: "ran" if ran else "never ran"
-            for mark, _, _, ran in await link.fetch("SELECT mark, life, turn, ran FROM verdict")
+async def list_in_doubt(record: "Record", now_ns: int) -> list[tuple[RecordRow, str]]:
+    """Rows of which nobody knows whether they ran, with the verdict that waits, or "".
+
+    Raises:
+        StoreRefusedError: The database failed in any way.
+    """
+    async with open_connection(record) as connection:
+        incarnations = await read_incarnations(connection)
+        verdicts = {
+            key_digest: "ran" if ran else "never ran"
+            for key_digest, ran in await connection.fetch("SELECT mark, ran FROM verdict")
         }
-        rows = [
-            row_of(row)
-            for row in await link.fetch(
-                f"SELECT {COLUMNS} FROM fate WHERE state = {ROW_STARTED} AND until > $1::bigint",
-                now,
-            )
-        ]
-    # Whose it is to somebody else: bare, where no life may end it any more.
+        rows = await connection.fetch(
+            f"SELECT {COLUMNS} FROM fate WHERE state = {ROW_STARTED} AND until > $1::bigint", now_ns
+        )
+    started = [RecordRow(*row) for row in rows]
+    # To a node that is none of them, a claim has no result where nobody may end it any more.
     return [
-        (row, said.get(row.key_digest, ""))
-        for row in rows
-        if classify_row(row, "", 0, 0, nodes) is RequestEvent.FOUND_NO_RESULT
+        (row, verdicts.get(row.key_digest, ""))
+        for row in started
+        if classify_row(row, "", 0, 0, incarnations) is RequestEvent.FOUND_NO_RESULT
     ]
 
 
-async def resolve(record: "Record", mark: bytes, ran: bool, reason: str, now: int) -> str:
-    doubt = next((row for row, _ in await doubts(record, now) if row.key_digest == mark), None)
+async def resolve(record: "Record", key_digest: bytes, ran: bool, reason: str, now_ns: int) -> str:
+    """Writes an operator's verdict on a row in doubt, and returns what was done with it.
+
+    Raises:
+        StoreRefusedError: It is not in doubt, or the database failed in any way.
+    """
+    in_doubt = await list_in_doubt(record, now_ns)
+    doubt = next((row for row, _ in in_doubt if row.key_digest == key_digest), None)
     if doubt is None:
         raise StoreRefusedError(
-            f"mark {mark.hex()} is not in doubt; `burlloom record doubts` lists those that are"
-        )
-    _, sealer = create_store(record, "-", keep=0, clock=time.time_ns)
-    async with link_of(record) as link, link.transaction():
-        await link.fetch(
-            "INSERT INTO verdict (mark, life, turn, ran, said_at, reason) VALUES ($1::bytea, $2::bigint, $3::bigint,"
-            " $4::bigint, $5::bigint, $6::text) ON CONFLICT (mark) DO UPDATE SET life = excluded.life,"
-            " turn = excluded.turn, ran = excluded.ran, said_at = excluded.said_at, reason = excluded.reason"
-            " RETURNING mark",
-            mark,
-            doubt.incarnation,
-            doubt.claim_number,
-            int(ran),
-            now,
-            reason,
+            f"mark {key_digest.hex()} is not in doubt; `burlloom record doubts` lists those that"
+            " are"
         )
+    _, authenticator = create_store(record, NO_NODE, retention_ns=0, clock=time.time_ns)
+    claim = (key_digest, doubt.incarnation, doubt.claim_number)
+    async with open_connection(record) as connection, connection.transaction():
+        await connection.fetch(UPSERT_VERDICT, *claim, int(ran), now_ns, reason)
         # The row itself too: its node may be gone for good.
         if ran:
-            await link.fetch(
-                "UPDATE fate SET state = $1::bigint, seal = $2::bytea WHERE mark = $3::bytea AND"
-                f" life = $4::bigint AND turn = $5::bigint AND state = {ROW_STARTED} RETURNING mark",
-                ROW_COMPLETED_WITHOUT_RESULT,
-                sealer.compute_mac(doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)),
-                mark,
-                doubt.incarnation,
-                doubt.claim_number,
-            )
+            completed = doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)
+            mac = authenticator.compute_mac(completed)
+            await connection.fetch(MARK_AS_RAN, completed.state, mac, *claim)
         else:
-            await link.fetch(
-                "DELETE FROM fate WHERE mark = $1::bytea AND life = $2::bigint AND turn = $3::bigint"
-                f" AND state = {ROW_STARTED} RETURNING mark",
-                mark,
-                doubt.incarnation,
-                doubt.claim_number,
-            )
+            await connection.fetch(DELETE_CLAIM, *claim)
     return "done; its node takes it up within a second"
 
 
-async def fence(record: "Record", node: str, out: bool) -> None:
-    async with link_of(record) as link:
-        rows = await link.fetch(
+async def fence(record: "Record", node: str, is_fenced: bool) -> None:
+    """Fences a node off, or lets it back in.
+
+    Raises:
+        StoreRefusedError: The node is not known, or the database failed in any way.
+    """
+    async with open_connection(record) as connection:
+        rows = await connection.fetch(
             "UPDATE node SET fenced = $1::bigint WHERE name = $2::text RETURNING name",
-            int(out),
+            int(is_fenced),
             node,
         )
         if not rows:
--- /dev/null
+++ b/burlloom/record/postgres_database.py
@@ -0,0 +1,98 @@
+"""The record's PostgreSQL database through asyncpg: its address, connections and schema."""
+
+import asyncio
+from dataclasses import dataclass
+from typing import Any
+
+import asyncpg
+
+from . import postgres_statements as sql
+from . import schema
+from .store import StoreRefusedError
+
+__all__ = ["CONNECTION_ERRORS", "PostgresDatabase", "describe_error", "migrate"]
+
+SCHEMA_LOCK = 0x6275726C6F6F  # "burloo": the advisory lock under which the tables are changed
+CONNECTION_ERRORS = (
+    OSError,
+    asyncpg.InterfaceError,
+    asyncpg.PostgresConnectionError,
+    asyncio.TimeoutError,
+    EOFError,
+)
+
+
+@dataclass(frozen=True, slots=True)
+class PostgresDatabase:
+    """Where the database is, and how long it is waited for.
+
+    Attributes:
+        host: Its host.
+        port: Its port.
+        name: The database's name.
+        user: The user.
+        password: Its password, empty for none.
+        connect_timeout_s: Until a connection is given up that is not made.
+        statement_timeout_s: Until a connection is given up that does not answer a statement.
+    """
+
+    host: str
+    port: int
+    name: str
+    user: str
+    password: str
+    connect_timeout_s: float = 2.0
+    statement_timeout_s: float = 5.0
+
+    @property
+    def place(self) -> str:
+        """Where it is, for messages."""
+        return f"{self.host}:{self.port}/{self.name}"
+
+    async def connect(self) -> Any:
+        """Makes a connection.
+
+        Raises:
+            asyncpg.PostgresError: The server refuses it.
+            OSError: The server can't be reached; or another of `CONNECTION_ERRORS`.
+        """
+        return await asyncpg.connect(
+            host=self.host,
+            port=self.port,
+            database=self.name,
+            user=self.user,
+            password=self.password or None,
+            timeout=self.connect_timeout_s,
+            command_timeout=self.statement_timeout_s,
+            ssl=False,
+        )
+
+
+def describe_error(error: BaseException) -> str:
+    """The error's text, or its kind where it has none."""
+    return str(error) or type(error).__name__
+
+
+async def migrate(connection: Any, place: str) -> tuple[int, ...]:
+    """Takes the schema's missing steps in one transaction, and returns their numbers.
+
+    Raises:
+        StoreRefusedError: The schema is newer than this program's.
+    """
+    async with connection.transaction():
+        await connection.fetch(sql.LOCK_SCHEMA, SCHEMA_LOCK)
+        await connection.execute(sql.CREATE_SCHEMA_TABLE)
+        versions = await connection.fetch(sql.SELECT_SCHEMA_VERSIONS)
+        version = max((row[0] for row in versions), default=0)
+        if version > schema.LATEST_VERSION:
+            raise StoreRefusedError(
+                f"schema {version} is newer than {schema.LATEST_VERSION}, the newest this program"
+                " knows; start the newer program",
+                place=place,
+            )
+        pending = schema.pending_steps(version, schema.POSTGRES_STEPS)
+        for number in pending:
+            for statement in schema.POSTGRES_STEPS[number]:
+                await connection.execute(statement)
+            await connection.fetch(sql.INSERT_SCHEMA_VERSION, number)
+    return tuple(pending)
--- a/burlloom/record/request_lifecycle.py
+++ b/burlloom/record/request_lifecycle.py
@@ -3,8 +3,8 @@
 No I/O. A `DurableRequest` stands for one attempt's claim on a key digest, from the moment that the
 admission controller starts it until its outcome is durable. A claim that an earlier incarnation of
 this node left behind is read back into one too. The owner passes each event to `handle`, which
-moves the request by `TABLE` and names the effects that are to follow. tests/test_request_lifecycle.py
-walks the same table exhaustively, with a crash at every step.
+moves the request by `TABLE` and names the effects that are to follow.
+tests/test_request_lifecycle.py walks the same table exhaustively, with a crash at every step.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class RequestState(IntEnum):
-    """Where a request stands; RUNNING, SUCCESS_RECORDED and FAILURE_RECORDED are stored as numbers."""
+    """Where a request stands; RUNNING and the two RECORDED states are stored as numbers."""
 
     NEW = 0
     """Nothing is known of it here."""
--- /dev/null
+++ b/burlloom/record/request_writer.py
@@ -0,0 +1,183 @@
+"""Writes the rows of keyed requests, sends them again, and reads results for repeats."""
+
+import asyncio
+from collections.abc import Callable
+from functools import partial
+
+from .authentication import RowAuthenticator
+from .policy import RecordObserver
+from .request_lifecycle import DurableRequest, RequestEvent, RequestState
+from .rows import ROW_COMPLETED, RecordRow, RecordWrite, WriteKind, WriteResult
+from .store import RecordStore
+from .store_health import StoreHealth
+
+__all__ = ["ResultFetcher", "RequestWriter"]
+
+MS = 1_000_000
+NS_PER_S = 1_000_000_000
+MIN_RETRY_PAUSE_NS = 20 * MS
+MAX_RETRY_PAUSE_NS = 1000 * MS
+MAX_BACKOFF_DOUBLINGS = 8
+MAX_PENDING_FETCHES = 256
+UNANSWERED = (RequestEvent.WRITE_FAILED, RequestEvent.WRITE_UNCERTAIN)
+
+EventHandler = Callable[[DurableRequest, RequestEvent], None]
+
+
+class RequestWriter:
+    """Sends the writes of requests to the store.
+
+    Attributes:
+        node: The name of this node; empty until the store is open.
+        is_stopped: Whether no write is sent again any more.
+    """
+
+    def __init__(
+        self,
+        store: RecordStore,
+        authenticator: RowAuthenticator,
+        health: StoreHealth,
+        observer: RecordObserver,
+        clock: Callable[[], int],
+        handle: EventHandler,
+    ) -> None:
+        """Makes a writer.
+
+        Args:
+            store: The store.
+            authenticator: Computes the rows' MACs.
+            health: Notes how writes went.
+            observer: Observes how long they took, and counts.
+            clock: The wall clock, nanoseconds.
+            handle: Takes the store's answers as events of their requests.
+        """
+        self.node = ""
+        self.is_stopped = False
+        self._store = store
+        self._authenticator = authenticator
+        self._health = health
+        self._observer = observer
+        self._clock = clock
+        self._handle = handle
+
+    def write(self, request: DurableRequest, kind: WriteKind) -> None:
+        """Sends a write; only the answer to a request's last one counts."""
+        request.write_count += 1
+        count, started_ns = request.write_count, self._clock()
+        number = self._health.breaker.write_started(started_ns)
+
+        def finished(result: WriteResult) -> None:
+            now_ns = self._clock()
+            succeeded = result.outcome not in (*UNANSWERED, RequestEvent.FENCED)
+            self._health.write_finished(number, now_ns, succeeded)
+            self._observe(kind, now_ns - started_ns)
+            if count == request.write_count:
+                if result.row is not None and result.outcome is RequestEvent.FOUND_RESULT:
+                    request.result = result.row.result
+                self._handle(request, result.outcome)
+
+        self._store.submit(RecordWrite(kind, self._row_of(request)), finished)
+
+    def write_later(self, request: DurableRequest, kind: WriteKind) -> None:
+        """Sends a write after a pause that grows, unless something else happened meanwhile."""
+        doublings = min(request.write_count, MAX_BACKOFF_DOUBLINGS)
+        pause_ns = min(MAX_RETRY_PAUSE_NS, MIN_RETRY_PAUSE_NS << doublings)
+        asyncio.get_running_loop().call_later(
+            pause_ns / NS_PER_S, self._retry, request, kind, request.write_count, request.state
+        )
+
+    def _retry(
+        self, request: DurableRequest, kind: WriteKind, write_count: int, state: RequestState
+    ) -> None:
+        if not self.is_stopped and (request.write_count, request.state) == (write_count, state):
+            self._observer.counters.retried_writes += 1
+            self.write(request, kind)
+
+    def _observe(self, kind: WriteKind, duration_ns: int) -> None:
+        if kind is WriteKind.CLAIM:
+            observe = self._observer.observe_claim
+        elif kind is WriteKind.FINISH:
+            observe = self._observer.observe_finish
+        else:
+            return
+        if observe is not None:
+            observe(duration_ns)
+
+    def _row_of(self, request: DurableRequest) -> RecordRow:
+        state = request.row_state
+        row = RecordRow(
+            request.key_digest,
+            state,
+            self.node,
+            request.incarnation,
+            request.claim_number,
+            request.request_id,
+            request.started_at_ns,
+            request.expires_at_ns,
+            request.result if state is RequestState.SUCCESS_RECORDED else b"",
+        )
+        return row._replace(mac=self._authenticator.compute_mac(row))
+
+
+class ResultFetcher:
+    """Reads stored results for repeats.
+
+    Attributes:
+        is_stopped: Whether no result is read any more.
+    """
+
+    def __init__(
+        self, store: RecordStore, observer: RecordObserver, clock: Callable[[], int]
+    ) -> None:
+        """Takes the store, whoever counts, and the wall clock in nanoseconds."""
+        self._store = store
+        self.is_stopped = False
+        self._counters = observer.counters
+        self._clock = clock
+        self._pending = 0
+
+    async def fetch(self, row: RecordRow, deadline_ns: int) -> bytes | None:
+        """The result stored for a row's key; None where there is none, or not in time."""
+        if self._pending >= MAX_PENDING_FETCHES or self.is_stopped:
+            self._counters.results_not_fetched += 1
+            return None
+        self._pending += 1
+        try:
+            result = await self._find(row, deadline_ns)
+        finally:
+            self._pending -= 1
+        if result.row is not None and result.outcome is RequestEvent.FOUND_RESULT:
+            self._counters.results_fetched += 1
+            return result.row.result
+        self._counters.results_not_fetched += 1
+        return None
+
+    async def _find(self, row: RecordRow, deadline_ns: int) -> WriteResult:
+        """Asks again, ever more slowly, while the store can't be reached and there is time."""
+        pause_ns = MIN_RETRY_PAUSE_NS
+        result = WriteResult(RequestEvent.WRITE_FAILED)
+        while result.outcome in UNANSWERED and (left_ns := deadline_ns - self._clock()) > 0:
+            future: asyncio.Future[WriteResult] = asyncio.get_running_loop().create_future()
+            self._store.submit(
+                RecordWrite(WriteKind.FIND, row), partial(set_result_if_pending, future)
+            )
+            await asyncio.wait({future}, timeout=left_ns / NS_PER_S)
+            if not future.done():
+                future.cancel()
+                return WriteResult(RequestEvent.STORE_TIMED_OUT)
+            result = future.result()
+            if result.outcome in UNANSWERED:
+                await asyncio.sleep(pause_ns / NS_PER_S)
+                pause_ns = min(MAX_RETRY_PAUSE_NS, 2 * pause_ns)
+        return result
+
+
+def lookup_row(key_digest: bytes, node: str, incarnation: int) -> RecordRow:
+    """A row that only says which key is asked for, and by whom."""
+    return RecordRow(key_digest, ROW_COMPLETED, node, incarnation, 0, "", 0, 0)
+
+
+def set_result_if_pending(future: asyncio.Future[WriteResult], result: WriteResult) -> None:
+    """Sets a future's result, unless its waiter is gone."""
+    if not future.done():
+        future.set_result(result)
--- a/burlloom/record/shared_postgres.py
+++ b/burlloom/record/shared_postgres.py
@@ -1,49 +1,73 @@
-"""The record's PostgreSQL database as several machines agree through it: one connection; through
-asyncpg.
-"""
+"""The record's PostgreSQL database as several machines agree through it; through asyncpg."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
 
 import asyncpg
 
-from .postgres import CONNECTION_ERRORS, PostgresStore
+from .postgres import PostgresStore
+from .postgres_database import CONNECTION_ERRORS, describe_error, migrate
 from .store import StoreRefusedError, StoreUnavailableError
 
+__all__ = ["SharedPostgresDatabase"]
+
 
 class SharedPostgresDatabase:
-    """`record`: a store of record that was not opened: where the database is, and its schema's
-    steps. One connection, made anew after any error: of a statement whose answer was lost nobody
-    knows whether it holds.
+    """One connection, made anew after any error.
+
+    Of a statement whose answer was lost nobody knows whether it took effect.
     """
 
     def __init__(self, record: PostgresStore) -> None:
-        self.record = record
-        self.where = f"{record.address[0]}:{record.address[1]}/{record.database}"
+        """Does not connect yet.
+
+        Args:
+            record: A store of record that is not opened; it says where the database is.
+        """
+        self.database = record.database
+        self.connection: Any = None
 
     async def run_guarded(self, work: Callable[[Any], Awaitable[Any]]) -> Any:
-        record = self.record
+        """Runs work with the connection.
+
+        Raises:
+            StoreUnavailableError: The database failed in any way.
+        """
         try:
-            if record.connection is None or record.connection.is_closed():
-                record.connection = await record.connect()
-            return await work(record.connection)
+            if self.connection is None or self.connection.is_closed():
+                self.connection = await self.database.connect()
+            return await work(self.connection)
         except (*CONNECTION_ERRORS, asyncpg.PostgresError, StoreRefusedError) as error:
-            await record.disconnect()
-            raise StoreUnavailableError(
-                f"{self.where}: {str(error) or type(error).__name__}"
-            ) from error
+            self.disconnect()
+            raise StoreUnavailableError(describe_error(error), place=self.database.place) from error
         except BaseException:
-            await (
-                record.disconnect()
-            )  # cancelled on the way: the connection is in the middle of something
+            # Cancelled on the way: the connection is in the middle of something.
+            self.disconnect()
             raise
 
     async def prepare(self) -> None:
-        await self.run_guarded(lambda link: self.record.migrate(self.where))
+        """Takes the schema's missing steps.
+
+        Raises:
+            StoreUnavailableError: The database failed in any way.
+        """
+        await self.run_guarded(lambda connection: migrate(connection, self.database.place))
 
     async def execute(self, sql: str, *values: Any) -> list[Any]:
-        found: list[Any] = await self.run_guarded(lambda link: link.fetch(sql, *values))
-        return [tuple(row) for row in found]
+        """Runs one statement and returns its rows.
+
+        Raises:
+            StoreUnavailableError: The database failed in any way.
+        """
+        rows: list[Any] = await self.run_guarded(lambda connection: connection.fetch(sql, *values))
+        return [tuple(row) for row in rows]
+
+    def disconnect(self) -> None:
+        """Ends the connection at once."""
+        connection, self.connection = self.connection, None
+        if connection is not None:
+            connection.terminate()
 
     async def close(self) -> None:
-        await self.record.disconnect()
+        """Ends the connection."""
+        self.disconnect()
--- a/burlloom/record/shared_sqlite.py
+++ b/burlloom/record/shared_sqlite.py
@@ -1,8 +1,7 @@
-"""One SQLite file that several processes of a machine agree through: a thread of its own, and turns
-at its lock.
-"""
+"""One SQLite file that several processes of a machine agree through, in a thread of its own."""
 
 import asyncio
+import contextlib
 import re
 import sqlite3
 from collections.abc import Callable
@@ -12,87 +11,112 @@
 
 from ..signals import block_signals
 from .lock_retry import LOCK_TIMEOUT_S, LockRetry
-from .sqlite import connect, migrate
+from .sqlite_file import connect, migrate
 from .store import StoreRefusedError, StoreUnavailableError
 
-PARAMETER = re.compile(r"\$(\d+)::\w+")
-CLOSE_MOST = 1.0  # s that a disk which hangs is waited for
+__all__ = ["SharedSqliteFile", "execute"]
+
+POSTGRES_PARAMETER = re.compile(r"\$(\d+)::\w+")
+CLOSE_TIMEOUT_S = 1.0  # a disk that hangs is not waited for longer
 Result = TypeVar("Result")
 
 
 class SharedSqliteFile:
-    """A disk that is slow, or a lock that another holds, never keeps the loop. Every method raises
-    `Away`.
-    """
-
-    def __init__(self, path: Path, thread: str, wait: float = LOCK_TIMEOUT_S) -> None:
-        """`thread`: its name. `wait`: s for the lock that another holds, until the store counts as
-        away.
+    """A disk that is slow, or a lock that another holds, never blocks the event loop."""
+
+    def __init__(
+        self, path: Path, thread_name: str, lock_timeout_s: float = LOCK_TIMEOUT_S
+    ) -> None:
+        """Does not open the file yet.
+
+        Args:
+            path: The file.
+            thread_name: The name of its thread.
+            lock_timeout_s: Seconds for a lock that another holds, until the store counts as
+                unavailable.
         """
-        self.path, self.closing = path, False
-        self.lock_retry = LockRetry(wait, is_cancelled=lambda: self.closing)
-        self.db: sqlite3.Connection | None = None
-        self.file = 0
-        self.thread = ThreadPoolExecutor(1, thread, initializer=block_signals)
+        self.path = path
+        self.lock_retry = LockRetry(lock_timeout_s, is_cancelled=lambda: self._is_closing)
+        self._is_closing = False
+        self._db: sqlite3.Connection | None = None
+        self._inode = 0
+        self._thread = ThreadPoolExecutor(1, thread_name, initializer=block_signals)
 
     async def run_in_thread(self, work: Callable[[], Result]) -> Result:
+        """Runs work in the file's thread.
+
+        Raises:
+            StoreUnavailableError: The file failed in any way.
+        """
         try:
-            return await asyncio.get_running_loop().run_in_executor(self.thread, work)
+            return await asyncio.get_running_loop().run_in_executor(self._thread, work)
         except (sqlite3.Error, OSError) as error:
-            raise StoreUnavailableError(f"{self.path}: {error}") from error
+            raise StoreUnavailableError(str(error), place=self.path) from error
         except StoreRefusedError as error:
-            raise StoreUnavailableError(str(error)) from error
+            raise StoreUnavailableError(error.problem, place=error.place) from error
 
     async def prepare(self) -> None:
-        def work() -> None:
-            self.disconnect()
-            db = connect(self.path, turns=self.lock_retry)
-            try:
-                migrate(db, self.path, self.lock_retry)
-            except BaseException:
-                db.close()
-                raise
-            self.db, self.file = db, self.path.stat().st_ino
-
-        await self.run_in_thread(work)
+        """Opens the file, made if there is none, and takes the schema's missing steps.
+
+        Raises:
+            StoreUnavailableError: The file failed in any way.
+        """
+        await self.run_in_thread(self._open)
 
     async def run_transaction(self, work: Callable[[sqlite3.Connection], Result]) -> Result:
-        """A statement, or a whole transaction: one that was refused for the lock took no hold, and
-        is said again.
+        """Runs a statement or a whole transaction; sent again while another holds the lock.
+
+        Raises:
+            StoreUnavailableError: The file failed in any way.
         """
         return await self.run_in_thread(
-            lambda: self.lock_retry.run(lambda: work(self.connection()))
+            lambda: self.lock_retry.run(lambda: work(self._open_connection()))
         )
 
     async def execute(self, sql: str, *values: Any) -> list[Any]:
+        """Runs one statement and returns its rows.
+
+        Raises:
+            StoreUnavailableError: The file failed in any way.
+        """
         return await self.run_transaction(lambda db: execute(db, sql, values))
 
     async def close(self) -> None:
-        self.closing = True
-        try:
-            async with asyncio.timeout(CLOSE_MOST):
-                await self.run_in_thread(self.disconnect)
-        except (StoreUnavailableError, TimeoutError):
-            pass
-        self.thread.shutdown(wait=False, cancel_futures=True)
+        """Closes the file, unless it hangs."""
+        self._is_closing = True
+        with contextlib.suppress(StoreUnavailableError, TimeoutError):
+            async with asyncio.timeout(CLOSE_TIMEOUT_S):
+                await self.run_in_thread(self._disconnect)
+        self._thread.shutdown(wait=False, cancel_futures=True)
 
     # In the thread.
 
-    def connection(self) -> sqlite3.Connection:
-        if self.db is None:
+    def _open(self) -> None:
+        self._disconnect()
+        db = connect(self.path, lock_retry=self.lock_retry)
+        try:
+            migrate(db, self.path, self.lock_retry)
+        except BaseException:
+            db.close()
+            raise
+        self._db = db
+        self._inode = self.path.stat().st_ino
+
+    def _open_connection(self) -> sqlite3.Connection:
+        if self._db is None:
             raise sqlite3.OperationalError("not open")
-        if (
-            self.path.stat().st_ino != self.file
-        ):  # a restore put another in its place: ours is nobody's now
-            self.disconnect()
+        if self.path.stat().st_ino != self._inode:
+            # A restore put another file in its place: this one is nobody's now.
+            self._disconnect()
             raise sqlite3.OperationalError("another file has taken its place")
-        return self.db
+        return self._db
 
-    def disconnect(self) -> None:
-        if self.db is not None:
-            self.db.close()
-            self.db = None
+    def _disconnect(self) -> None:
+        if self._db is not None:
+            self._db.close()
+            self._db = None
 
 
 def execute(db: sqlite3.Connection, sql: str, values: tuple[Any, ...]) -> list[Any]:
-    return db.execute(PARAMETER.sub(r"?\1", sql), values).fetchall()
+    """Runs a statement that is written with PostgreSQL's parameters, and returns its rows."""
+    return db.execute(POSTGRES_PARAMETER.sub(r"?\1", sql), values).fetchall()
--- a/burlloom/record/sqlite.py
+++ b/burlloom/record/sqlite.py
@@ -1,14 +1,11 @@
-"""A store in one SQLite file: write-ahead log, synced at each commit, one writer thread, group
-commit.
+"""A store in one SQLite file: a write-ahead log synced at each commit, one writer thread.
 
-What is posted while a commit is on its way waits and goes into the next one together: the busier it
-is, the more charges share one sync of the disk.
+What is submitted while a commit is on its way waits and goes into the next one together: the busier
+the store is, the more requests share one sync of the disk.
 """
 
 import asyncio
-import fcntl
 import logging
-import os
 import sqlite3
 import threading
 import time
@@ -16,542 +13,403 @@
 from collections.abc import Callable, Iterator
 from functools import partial
 from pathlib import Path
-from typing import Any
 
 from ..signals import signals_blocked
-from . import failpoints as points
-from . import schema
+from . import sqlite_statements as sql
 from .authentication import RowAuthenticator
-from .lock_retry import LOCK_TIMEOUT_S, LockRetry, is_lock_error
-from .recovery_rules import ClockReading, clock_shift
+from .clock_shift import ClockReading, clock_shift
+from .lock_retry import LockRetry, is_lock_error
 from .request_lifecycle import RequestEvent
-from .rows import (
-    ROW_STARTED,
-    RecordRow,
-    RecordWrite,
-    WriteKind,
-    WriteResult,
-    of_finish,
-    of_withdraw,
-    result_of_unapplied_write,
+from .rows import NodeIncarnation, RecordRow, RecordWrite, WriteKind, WriteResult
+from .sqlite_file import FileLock, connect, migrate, read_clocks, transaction
+from .store import (
+    PendingWrite,
+    ProbeCallback,
+    RecordStore,
+    StoreRefusedError,
+    StoreSession,
+    WriteCallback,
+    deliver_results,
+    take_batch,
 )
-from .store import StoreRefusedError, StoreSession, VerdictCallback, WriteCallback, deliver
+
+__all__ = ["SqliteStore"]
 
 log = logging.getLogger(__name__)
 
-BULK_LEAST = 8  # writes of a batch from which on they are made kind by kind
-BATCH_MOST = 256  # writes in one commit: one that takes long keeps the ones behind it waiting
-READ_AT_ONCE = 4096
-PRUNE_EVERY, PRUNE_ROWS = 1_000_000_000, 2_000
-LOOK_EVERY = 1.0  # s between looks for an operator's word, where nothing is written
-LOG_PAGES = 4_000  # of the write-ahead log before it is carried over: 16 MiB
-GIVE_BACK_PAGES = 200  # of free ones, at each prune
-SURE = (
-    "database or disk is full",
-    "database is locked",
-)  # errors that roll back whole: nothing took hold
-COLUMNS = "mark, state, node, life, turn, id, at, until, result, seal"
-CLAIM = (
-    f"INSERT INTO fate ({COLUMNS}) VALUES (?,?,?,?,?,?,?,?,?,?) ON CONFLICT (mark) DO UPDATE SET"
-    " turn = excluded.turn, id = excluded.id, at = excluded.at, until = excluded.until, seal = excluded.seal"
-    f" WHERE state = {ROW_STARTED} AND node = excluded.node AND life = excluded.life AND turn <= excluded.turn"
-)
-INSERT = f"INSERT INTO fate ({COLUMNS}) VALUES (?,?,?,?,?,?,?,?,?,?) ON CONFLICT (mark) DO NOTHING"
-FINISH = (
-    "UPDATE fate SET state = ?, result = ?, seal = ? WHERE mark = ? AND node = ? AND life = ? AND turn = ?"
-    f" AND state = {ROW_STARTED}"
-)
-WITHDRAW = f"DELETE FROM fate WHERE mark = ? AND node = ? AND life = ? AND turn = ? AND state = {ROW_STARTED}"
-LOOK = f"SELECT {COLUMNS} FROM fate WHERE mark = ?"
-ALL = f"SELECT {COLUMNS} FROM fate WHERE until > ?"
-KNOWN = (
-    "SELECT mark, until FROM fate INDEXED BY fate_until WHERE until > ? AND typeof(mark) = 'blob'"
-    " AND length(mark) = 16 AND typeof(until) = 'integer'"
-)  # off the index alone: the rows are far larger
-OPEN = f"SELECT {COLUMNS} FROM fate INDEXED BY fate_begun WHERE until > ? AND state = {ROW_STARTED}"
-PRUNE = "DELETE FROM fate WHERE rowid IN (SELECT rowid FROM fate WHERE until <= ? LIMIT ?)"
-
-
-Arguments = Callable[[RecordRow], tuple[Any, ...]]
-STATEMENTS: dict[WriteKind, tuple[str, Arguments]] = {
-    WriteKind.CLAIM: (CLAIM, tuple),
-    WriteKind.INSERT: (INSERT, tuple),
-    WriteKind.FINISH: (FINISH, of_finish),
-    WriteKind.WITHDRAW: (WITHDRAW, of_withdraw),
-}
-
-
-def read_clocks() -> ClockReading:
-    try:
-        boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
-    except OSError:
-        boot = ""
-    return ClockReading(boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME), time.time_ns())
-
-
-def connect(path: Path, pages: int = 0, turns: LockRetry | None = None) -> sqlite3.Connection:
-    """Of a record's file, made if there is none. Raises `Refused`, or what sqlite3 raises.
-
-    `turns`: of whoever has each statement wait for the file's lock by them; without, SQLite waits
-    for it.
-    """
-    db = (turns or LockRetry()).run(lambda: connected(path, pages))
-    if turns is None:
-        db.execute(f"PRAGMA busy_timeout = {LOCK_TIMEOUT_S * 1000:.0f}")
-    return db
-
-
-def connected(path: Path, pages: int) -> sqlite3.Connection:
-    fresh = not path.exists() or not path.stat().st_size
-    try:
-        db = sqlite3.connect(
-            path, isolation_level=None, check_same_thread=False, timeout=0.0, cached_statements=64
-        )
-    except sqlite3.OperationalError as error:
-        raise StoreRefusedError(f"{path}: {error}") from error
-    try:
-        if fresh:
-            os.chmod(path, 0o600)
-            db.execute("PRAGMA auto_vacuum = INCREMENTAL")
-            db.execute(f"PRAGMA application_id = {schema.APPLICATION}")
-        (application,) = db.execute("PRAGMA application_id").fetchone()
-        if not application and db.execute("SELECT 1 FROM sqlite_schema").fetchone() is None:
-            # Nothing is in it: another, who makes it just now, has written its first page and not
-            # yet whose it is.
-            db.execute(f"PRAGMA application_id = {schema.APPLICATION}")
-            (application,) = db.execute("PRAGMA application_id").fetchone()
-        if application != schema.APPLICATION:
-            raise StoreRefusedError(f"{path}: not a burlloom record but another program's database")
-        db.execute("PRAGMA journal_mode = WAL")
-        db.execute("PRAGMA synchronous = FULL")
-        db.execute(f"PRAGMA wal_autocheckpoint = {LOG_PAGES}")
-        db.execute("PRAGMA trusted_schema = OFF")
-        db.execute("PRAGMA cell_size_check = ON")
-        if pages:
-            db.execute(f"PRAGMA max_page_count = {pages}")
-    except BaseException:
-        db.close()
-        raise
-    return db
-
-
-def migrate(db: sqlite3.Connection, path: Path, turns: LockRetry | None = None) -> tuple[int, ...]:
-    """The steps taken. Each looks anew under the lock: several processes may open one file at
-    once.
-    """
-    done: list[int] = []
-    turns = turns or LockRetry()
-    while True:
-        turns.run(lambda: db.execute("BEGIN IMMEDIATE"))
-        try:
-            (have,) = db.execute("PRAGMA user_version").fetchone()
-            if have > schema.LATEST:
-                raise StoreRefusedError(
-                    f"{path}: schema {have} is newer than {schema.LATEST}, the newest this program knows;"
-                    " start the newer program, or restore a snapshot of the older one"
-                )
-            left = schema.steps(have, schema.SQLITE)
-            if not left:
-                return tuple(done)
-            for statement in schema.SQLITE[left[0]]:
-                db.execute(statement)
-            db.execute(f"PRAGMA user_version = {left[0]}")
-            db.execute("COMMIT")
-            done.append(left[0])
-        finally:
-            if db.in_transaction:
-                db.execute("ROLLBACK")
+MIN_BULK_WRITES = 8  # from which on a batch is written kind by kind
+MAX_BATCH = 256  # a commit that takes long keeps the writes behind it waiting
+ROWS_PER_READ = 4096
+PRUNE_INTERVAL_NS = 1_000_000_000
+MAX_PRUNED_ROWS = 2_000
+VERDICT_INTERVAL_S = 1.0  # between looks for an operator's verdict, where nothing is written
+VACUUM_PAGES = 200  # free pages that go back to the disk after a prune
+CLOSE_TIMEOUT_S = 2.0
+# Errors of a COMMIT that roll back completely: nothing took effect.
+CERTAIN_ERRORS = ("database or disk is full", "database is locked")
 
+Task = Callable[[], None]
+
+
+class SqliteStore(RecordStore):
+    """One record in one file, for one server."""
 
-class SqliteStore:
     def __init__(
         self,
         path: Path,
-        sealer: RowAuthenticator,
+        authenticator: RowAuthenticator,
         node: str,
         *,
-        pages: int = 0,
-        batch: int = BATCH_MOST,
-        keep: int = 0,
-        tick: Callable[[], ClockReading] = read_clocks,
+        max_pages: int = 0,
+        max_batch: int = MAX_BATCH,
+        retention_ns: int = 0,
+        read_clocks: Callable[[], ClockReading] = read_clocks,
     ) -> None:
-        """`pages`: the most pages the file may have, 0 for no bound of ours. `keep`: ns past a
-        window's end.
+        """Does not open the file yet.
+
+        Args:
+            path: The file.
+            authenticator: Computes and checks the rows' MACs.
+            node: The name of this node.
+            max_pages: The most pages that the file may have, 0 for no bound.
+            max_batch: The most writes in one commit.
+            retention_ns: How long a row stays past the end of its window.
+            read_clocks: Gives both clocks.
         """
-        self.path, self.authenticator, self.node, self.pages, self.batch = (
-            path,
-            sealer,
-            node,
-            pages,
-            batch,
-        )
-        self.keep, self.tick = keep, tick
-        self.incarnation = 0
-        self.shift = 0
-        self.lock = -1
+        super().__init__(node, authenticator, max_batch, retention_ns)
+        self.path = path
+        self.max_pages = max_pages
+        self.read_clocks = read_clocks
+        self.clock_shift_ns = 0
+        self.file_lock = FileLock(path)
         self.db: sqlite3.Connection | None = None
-        self.posted: deque[tuple[RecordWrite, WriteCallback] | Callable[[], None]] = deque()
-        self.wake = threading.Event()
-        self.stopping = False
-        self.thread: threading.Thread | None = None
-        self.loop: asyncio.AbstractEventLoop | None = None
-        self.commit_count = self.write_count = self.largest_batch = self.pruned_rows = 0
-        self.prune_at = 0
-        self.version = 0
-        self.free_pages = False
-        self.look_at = 0.0
-        self.on_verdict: VerdictCallback | None = None
-        self.turns = LockRetry()
+        self.lock_retry = LockRetry()
+        self.prune_at_ns = 0
+        self._queue: deque[PendingWrite | Task] = deque()
+        self._wake = threading.Event()
+        self._is_stopping = False
+        self._thread: threading.Thread | None = None
+        self._loop: asyncio.AbstractEventLoop | None = None
+        self._data_version = 0
+        self._has_free_pages = False
+        self._next_verdict_look_s = 0.0
 
     # Opening.
 
     async def open(self) -> StoreSession:
+        """Opens the store, takes missing steps of the schema, and begins an incarnation.
+
+        Raises:
+            StoreRefusedError: The file is in use, damaged, or no record.
+        """
         return self.open_now()
 
     def open_now(self) -> StoreSession:
-        self.take_lock()
+        """As `open`, outside of an event loop."""
+        self.file_lock.acquire()
         try:
-            self.db = connect(self.path, self.pages, self.turns)
-            migrated = migrate(self.db, self.path, self.turns)
-            return self.begin_life(self.db, migrated)
+            self.db = connect(self.path, self.max_pages, self.lock_retry)
+            migrated = migrate(self.db, self.path, self.lock_retry)
+            return self._begin_incarnation(self.db, migrated)
         except sqlite3.DatabaseError as error:
             self.release()
-            if is_lock_error(error):
-                raise StoreRefusedError(
-                    f"{self.path}: another process has held its lock for {self.turns.timeout_s:g} s; start again"
-                    " once that has ended"
-                ) from error
-            raise StoreRefusedError(
-                f"{self.path}: {error}; the file is damaged or is no record. Nothing was changed: look at"
-                f" it with `burlloom record verify`, or restore a snapshot"
-            ) from error
+            raise StoreRefusedError(self._open_problem(error), place=self.path) from error
         except StoreRefusedError:
             self.release()
             raise
 
-    def take_lock(self) -> None:
-        """Against a second process on the same file: both would take the other's claims for a
-        former life's.
-        """
-        try:
-            self.lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT, 0o600)
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except BlockingIOError as error:
-            holder = os.pread(self.lock, 32, 0).decode("ascii", "replace").strip()
-            os.close(self.lock)
-            self.lock = -1
-            raise StoreRefusedError(
-                f"{self.path}: in use by another process{f' ({holder})' if holder else ''}; one server"
-                " to a file"
-            ) from error
-        except OSError as error:
-            raise StoreRefusedError(f"{self.path}: {error.strerror}") from error
-        os.ftruncate(self.lock, 0)
-        os.pwrite(self.lock, f"pid {os.getpid()}".encode(), 0)
+    def _open_problem(self, error: sqlite3.DatabaseError) -> str:
+        if is_lock_error(error):
+            return (
+                f"another process has held its lock for {self.lock_retry.timeout_s:g} s; start"
+                " again once that has ended"
+            )
+        return (
+            f"{error}; the file is damaged or is no record. Nothing was changed: look at it with"
+            " `burlloom record verify`, or restore a snapshot"
+        )
 
     def release(self) -> None:
+        """Closes the file and lets its lock go."""
         if self.db is not None:
             self.db.close()
             self.db = None
-        if self.lock >= 0:
-            os.close(self.lock)
-            self.lock = -1
-
-    def begin_life(self, db: sqlite3.Connection, migrated: tuple[int, ...]) -> StoreSession:
-        now = self.tick()
-        told = dict(self.turns.run(lambda: db.execute("SELECT name, value FROM meta").fetchall()))
-        then = (
-            ClockReading(told["boot"], int(told["steady"]), int(told["wall"]))
-            if "wall" in told
-            else None
-        )
-        self.shift = clock_shift(then, now)
-        self.begin(db)
-        if self.shift > 0:
-            # Windows are kept by the wall clock: it went ahead, so their ends go along. The rows
-            # say so of themselves from now on, or a further life would end them too early.
-            rows = [RecordRow(*row) for row in db.execute(ALL, (then.wall_ns if then else 0,))]
-            db.executemany(
-                "UPDATE fate SET until = ?, seal = ? WHERE mark = ?",
-                [
-                    (
-                        row.expires_at_ns + self.shift,
-                        self.authenticator.compute_mac(
-                            row._replace(expires_at_ns=row.expires_at_ns + self.shift)
-                        ),
-                        row.key_digest,
-                    )
-                    for row in rows
-                    if self.authenticator.is_authentic(row)
-                ],
+        self.file_lock.release()
+
+    def _begin_incarnation(self, db: sqlite3.Connection, migrated: tuple[int, ...]) -> StoreSession:
+        now = self.read_clocks()
+        meta = dict(self.lock_retry.run(lambda: db.execute(sql.SELECT_META).fetchall()))
+        before = None
+        if "wall" in meta:
+            before = ClockReading(meta["boot"], int(meta["steady"]), int(meta["wall"]))
+        self.clock_shift_ns = clock_shift(before, now)
+        with transaction(db, self.lock_retry):
+            if self.clock_shift_ns > 0 and before is not None:
+                self._shift_windows(db, before.wall_ns)
+            db.execute(
+                "INSERT INTO node (name, life) VALUES (?, 1) ON CONFLICT (name) DO UPDATE SET"
+                " life = life + 1, fenced = 0",
+                (self.node,),
             )
-        db.execute(
-            "INSERT INTO node (name, life) VALUES (?, 1) ON CONFLICT (name) DO UPDATE SET life = life + 1,"
-            " fenced = 0",
-            (self.node,),
-        )
-        self.incarnation, note = db.execute(
-            "SELECT life, note FROM node WHERE name = ?", (self.node,)
-        ).fetchone()
-        self.note_tick(db, now)
-        db.execute("COMMIT")
+            self.incarnation, notice = db.execute(sql.SELECT_NODE, (self.node,)).fetchone()
+            save_clocks(db, now)
+            db.execute("COMMIT")
         return StoreSession(
             self.node,
             self.incarnation,
-            self.shift,
+            self.clock_shift_ns,
             migrated,
-            int(told.get("closed_until", 0)),
-            note,
+            int(meta.get("closed_until", 0)),
+            notice,
         )
 
-    def begin(self, db: sqlite3.Connection) -> None:
-        """A transaction that has the lock from its start: none of its statements waits for it."""
-        self.turns.run(lambda: db.execute("BEGIN IMMEDIATE"))
+    def _shift_windows(self, db: sqlite3.Connection, since_ns: int) -> None:
+        """Moves the ends of windows along with a wall clock that was stepped ahead.
 
-    @staticmethod
-    def note_tick(db: sqlite3.Connection, now: ClockReading) -> None:
+        The rows themselves are changed: a further incarnation would end them too early otherwise.
+        """
+        rows = [RecordRow(*row) for row in db.execute(sql.SELECT_UNEXPIRED, (since_ns,))]
+        moved = [
+            row._replace(expires_at_ns=row.expires_at_ns + self.clock_shift_ns)
+            for row in rows
+            if self.authenticator.is_authentic(row)
+        ]
         db.executemany(
-            "INSERT INTO meta (name, value) VALUES (?, ?) ON CONFLICT (name) DO UPDATE SET"
-            " value = excluded.value",
-            [("boot", now.boot_id), ("steady", str(now.monotonic_ns)), ("wall", str(now.wall_ns))],
+            sql.UPDATE_EXPIRY,
+            [
+                (row.expires_at_ns, self.authenticator.compute_mac(row), row.key_digest)
+                for row in moved
+            ],
         )
 
-    def read_recorded_keys(self, now: int) -> Iterator[list[tuple[bytes, int]]]:
+    def read_recorded_keys(self, now_ns: int) -> Iterator[list[tuple[bytes, int]]]:
+        """Key digest and end of window of all rows, by batches."""
         assert self.db is not None
-        cursor = self.db.execute(KNOWN, (now - self.keep,))
-        while rows := cursor.fetchmany(READ_AT_ONCE):
+        cursor = self.db.execute(sql.SELECT_KEYS, (now_ns - self.retention_ns,))
+        while rows := cursor.fetchmany(ROWS_PER_READ):
             yield rows
 
-    def read_started_rows(self, now: int) -> Iterator[RecordRow]:
-        """What was begun and has no end, by whatever life of this node."""
+    def read_started_rows(self, now_ns: int) -> Iterator[RecordRow]:
+        """The rows without an end, of any incarnation."""
         assert self.db is not None
-        for row in self.db.execute(OPEN, (now - self.keep,)):
+        for row in self.db.execute(sql.SELECT_STARTED, (now_ns - self.retention_ns,)):
             yield RecordRow(*row)
 
+    # On the event loop.
+
     async def start(self) -> None:
-        self.loop = asyncio.get_running_loop()
-        self.thread = threading.Thread(target=self.work, name="record", daemon=True)
+        """Starts the writer thread."""
+        self._loop = asyncio.get_running_loop()
+        self._thread = threading.Thread(target=self._run, name="record", daemon=True)
         with signals_blocked():
-            self.thread.start()
-
-    # On the loop.
-
-    def submit(self, write: RecordWrite, done: WriteCallback) -> None:
-        self.posted.append((write, done))
-        self.wake.set()
-
-    def probe(self, now: int, done: Callable[[bool], None]) -> None:
-        """A commit of its own, that tells whether the store works; `done` hears it on the loop."""
-
-        def work() -> None:
-            try:
-                assert self.db is not None
-                self.begin(self.db)
-                self.note_tick(self.db, self.tick())
-                self.prune(time.time_ns())
-                self.db.execute("COMMIT")
-                good = True
-            except sqlite3.Error as error:
-                self.roll_back()
-                log.warning("event=record-beat-failed detail=%r", str(error))
-                good = False
-            self.hand(lambda: done(good))
-
-        self.posted.append(work)
-        self.wake.set()
+            self._thread.start()
+
+    def submit(self, write: RecordWrite, callback: WriteCallback) -> None:
+        """Sends a write; the callback gets its result."""
+        self._enqueue((write, callback))
+
+    def probe(self, callback: ProbeCallback) -> None:
+        """Makes a commit of its own; the callback hears whether the store works."""
+        self._enqueue(partial(self._probe, callback))
 
     def save_notice(self, text: str) -> None:
-        def work() -> None:
-            try:
-                assert (db := self.db) is not None
-                self.turns.run(
-                    lambda: db.execute(
-                        "UPDATE node SET note = ? WHERE name = ? AND life = ?",
-                        (text, self.node, self.incarnation),
-                    )
-                )
-            except sqlite3.Error as error:
-                log.warning("event=record-note-failed detail=%r", str(error))
+        """Leaves a notice to this node's next incarnation, if it can be written now."""
+        self._enqueue(partial(self._save_notice, text))
 
-        self.posted.append(work)
-        self.wake.set()
+    def _enqueue(self, item: PendingWrite | Task) -> None:
+        self._queue.append(item)
+        self._wake.set()
 
     async def close(self) -> None:
-        """Writes what is posted, then lets go; a store that hangs is left to itself after two
-        seconds.
-        """
-        self.stopping = True
-        self.wake.set()
-        if self.thread is not None:
-            await asyncio.to_thread(self.thread.join, 2.0)
-            if self.thread.is_alive():
-                log.warning("event=record-left-hanging posted=%d", len(self.posted))
+        """Writes what was submitted and lets go; a store that hangs is left after two seconds."""
+        self._is_stopping = True
+        self._wake.set()
+        if self._thread is not None:
+            await asyncio.to_thread(self._thread.join, CLOSE_TIMEOUT_S)
+            if self._thread.is_alive():
+                log.warning("event=record_store_hangs pending=%d", len(self._queue))
                 return
         self.release()
 
-    # In the thread.
+    # In the writer thread.
 
-    def work(self) -> None:
+    def _run(self) -> None:
         while True:
-            if not self.wake.wait(LOOK_EVERY):
-                assert self.db is not None
-                self.look_for_verdicts(self.db)
-            self.wake.clear()
-            while self.posted:
-                one = self.posted.popleft()
-                if isinstance(one, tuple):
-                    batch = [one]
-                    while (
-                        self.posted
-                        and len(batch) < self.batch
-                        and isinstance(self.posted[0], tuple)
-                    ):
-                        batch.append(self.posted.popleft())  # type: ignore[arg-type]
-                    self.commit(batch)
+            if not self._wake.wait(VERDICT_INTERVAL_S):
+                self._look_for_verdicts()
+            self._wake.clear()
+            while self._queue:
+                item = self._queue.popleft()
+                if isinstance(item, tuple):
+                    self._commit(take_batch(item, self._queue, self.max_batch))
                 else:
-                    one()
-            if self.stopping:
+                    item()
+            if self._is_stopping:
                 return
 
-    def hand(self, told: Callable[[], None]) -> None:
-        assert self.loop is not None
+    def _call_on_loop(self, callback: Task) -> None:
+        assert self._loop is not None
         try:
-            self.loop.call_soon_threadsafe(told)
+            self._loop.call_soon_threadsafe(callback)
         except RuntimeError:
-            pass  # the loop is gone, and whoever waited with it
+            # The loop is closed, and whoever waited is gone with it.
+            return
 
-    def commit(self, batch: list[tuple[RecordWrite, WriteCallback]]) -> None:
-        words: list[WriteResult] = []
+    def _commit(self, batch: list[PendingWrite]) -> None:
+        results = self._write(batch)
+        self.hit_failpoint(batch, "durable")
+        self.count_commit(batch)
+        self._call_on_loop(partial(deliver_results, batch, results))
+        self._look_for_verdicts()
+        if self._has_free_pages:
+            self._vacuum()
+
+    def _write(self, batch: list[PendingWrite]) -> list[WriteResult]:
+        """Writes a batch in one transaction; never raises, as the thread must live on."""
         db = self.db
         assert db is not None
-        committing = False
+        is_committing = False
         try:
-            self.begin(db)
-            words = self.apply_all(db, [write for write, _ in batch])
-            now = time.time_ns()
-            if now >= self.prune_at:
-                self.prune_at = now + PRUNE_EVERY
-                self.prune(now)
-                self.note_tick(db, self.tick())
-            self.moment(batch, "commit")
-            committing = True
-            db.execute("COMMIT")
+            with transaction(db, self.lock_retry):
+                results = self._apply_all(db, [write for write, _ in batch])
+                self._prune_now_and_then(db)
+                self.hit_failpoint(batch, "commit")
+                is_committing = True
+                db.execute("COMMIT")
+            return results
         except sqlite3.Error as error:
-            self.roll_back()
-            # A commit that failed for want of room rolled back whole. Of any other the log may hold
-            # the frames, and a restart would find them: nobody knows.
-            sure = not committing or any(known in str(error) for known in SURE)
+            # Of a COMMIT that failed the log may hold the pages, and a restart would find them,
+            # unless it is known to roll back completely.
+            is_certain = not is_committing or any(known in str(error) for known in CERTAIN_ERRORS)
             log.warning(
-                "event=record-write-failed count=%d sure=%s detail=%r", len(batch), sure, str(error)
+                "event=record_write_failed writes=%d is_certain=%s error=%r",
+                len(batch),
+                is_certain,
+                str(error),
             )
-            words = [
-                WriteResult(RequestEvent.WRITE_FAILED if sure else RequestEvent.WRITE_UNCERTAIN)
-            ] * len(batch)
         except Exception:
-            # Against an error of ours that would end the thread: every later charge would wait for
-            # nobody.
-            self.roll_back()
-            log.exception("event=fault side=record")
-            words = [
-                WriteResult(
-                    RequestEvent.WRITE_UNCERTAIN if committing else RequestEvent.WRITE_FAILED
-                )
-            ] * len(batch)
-        self.moment(batch, "durable")
-        self.commit_count += 1
-        self.write_count += len(batch)
-        self.largest_batch = max(self.largest_batch, len(batch))
-        self.hand(lambda: deliver(batch, words))
-        self.look_for_verdicts(db)
-        if self.free_pages:
-            self.give_back(db)
-
-    def moment(self, batch: list[tuple[RecordWrite, WriteCallback]], name: str) -> None:
-        points.hit_for_batch({write.kind.name.lower() for write, _ in batch}, name)
-
-    def roll_back(self) -> None:
-        try:
-            if self.db is not None and self.db.in_transaction:
-                self.db.execute("ROLLBACK")
-        except sqlite3.Error as error:
-            log.warning("event=record-rollback-failed detail=%r", str(error))
+            # An error of ours would end the thread, and every later write would wait for nobody.
+            is_certain = not is_committing
+            log.exception("event=fault component=record")
+        outcome = RequestEvent.WRITE_FAILED if is_certain else RequestEvent.WRITE_UNCERTAIN
+        return [WriteResult(outcome)] * len(batch)
+
+    def _apply_all(self, db: sqlite3.Connection, writes: list[RecordWrite]) -> list[WriteResult]:
+        """Applies a batch, kind by kind where no key is written twice.
 
-    def apply_all(self, db: sqlite3.Connection, writes: list[RecordWrite]) -> list[WriteResult]:
-        """Those of one kind at a time where no mark is written twice: mostly all take hold, which a
-        count tells.
+        Mostly all writes of a kind apply, which one count tells.
         """
-        if len(writes) < BULK_LEAST or len({write.row.key_digest for write in writes}) < len(
-            writes
-        ):
-            return [self.apply(db, write) for write in writes]
-        words: dict[int, WriteResult] = {}
+        keys = {write.row.key_digest for write in writes}
+        if len(writes) < MIN_BULK_WRITES or len(keys) < len(writes):
+            return [self._apply(db, write) for write in writes]
+        results: dict[int, WriteResult] = {}
         for kind in WriteKind:
-            these = [at for at, write in enumerate(writes) if write.kind is kind]
-            sql, arguments = STATEMENTS.get(kind, ("", None))
-            if arguments is not None and these:
-                db.execute("SAVEPOINT bulk")
-                rows = [arguments(writes[at].row) for at in these]
-                if db.executemany(sql, rows).rowcount == len(rows):
-                    words.update(dict.fromkeys(these, WriteResult(RequestEvent.WRITE_APPLIED)))
-                else:
-                    db.execute("ROLLBACK TO bulk")  # one by one, to learn which
-                db.execute("RELEASE bulk")
-            for at in these:
-                if at not in words:
-                    words[at] = self.apply(db, writes[at])
-        return [words[at] for at in range(len(writes))]
-
-    def apply(self, db: sqlite3.Connection, write: RecordWrite) -> WriteResult:
-        row = write.row
-        sql, arguments = STATEMENTS.get(write.kind, ("", None))
-        done = db.execute(sql, arguments(row)).rowcount if arguments is not None else 0
-        if done > 0:
-            return WriteResult(RequestEvent.WRITE_APPLIED)
-        there = db.execute(LOOK, (row.key_digest,)).fetchone()
-        found = RecordRow(*there) if there is not None else None
-        sound = found is None or self.authenticator.is_authentic(found)
-        if not sound:
-            log.error("event=record-altered mark=%s", row.key_digest.hex())
-        return result_of_unapplied_write(
-            write, found, {self.node: (self.incarnation, False)}, sound
+            positions = [at for at, write in enumerate(writes) if write.kind is kind]
+            if self._apply_bulk(db, kind, [writes[at].row for at in positions]):
+                results.update(dict.fromkeys(positions, WriteResult(RequestEvent.WRITE_APPLIED)))
+            else:
+                results.update((at, self._apply(db, writes[at])) for at in positions)
+        return [results[at] for at in range(len(writes))]
+
+    def _apply_bulk(self, db: sqlite3.Connection, kind: WriteKind, rows: list[RecordRow]) -> bool:
+        """Whether all writes of a kind applied; if not, none did."""
+        if kind not in sql.STATEMENTS or not rows:
+            return False
+        statement, values = sql.STATEMENTS[kind]
+        db.execute("SAVEPOINT bulk")
+        all_applied = db.executemany(statement, [values(row) for row in rows]).rowcount == len(rows)
+        if not all_applied:
+            db.execute("ROLLBACK TO bulk")
+        db.execute("RELEASE bulk")
+        return all_applied
+
+    def _apply(self, db: sqlite3.Connection, write: RecordWrite) -> WriteResult:
+        if write.kind in sql.STATEMENTS:
+            statement, values = sql.STATEMENTS[write.kind]
+            if db.execute(statement, values(write.row)).rowcount > 0:
+                return WriteResult(RequestEvent.WRITE_APPLIED)
+        stored = db.execute(sql.SELECT_ROW, (write.row.key_digest,)).fetchone()
+        return self.result_of(
+            write,
+            RecordRow(*stored) if stored is not None else None,
+            {self.node: NodeIncarnation(self.incarnation, False)},
         )
 
-    def prune(self, now: int) -> None:
+    def _prune_now_and_then(self, db: sqlite3.Connection) -> None:
+        now_ns = time.time_ns()
+        if now_ns >= self.prune_at_ns:
+            self.prune_at_ns = now_ns + PRUNE_INTERVAL_NS
+            self._prune(db, now_ns)
+            save_clocks(db, self.read_clocks())
+
+    def _prune(self, db: sqlite3.Connection, now_ns: int) -> None:
+        """Deletes rows whose windows are long over, some at a time."""
+        count = db.execute(sql.PRUNE, (now_ns - self.retention_ns, MAX_PRUNED_ROWS)).rowcount
+        if count > 0:
+            self.pruned_rows += count
+            db.execute(sql.PRUNE_VERDICTS)
+            self._has_free_pages = True
+
+    def _vacuum(self) -> None:
+        """Gives some free pages back to the disk."""
         db = self.db
         assert db is not None
-        gone = db.execute(PRUNE, (now - self.keep, PRUNE_ROWS)).rowcount
-        if gone > 0:
-            self.pruned_rows += gone
-            db.execute("DELETE FROM verdict WHERE mark NOT IN (SELECT mark FROM fate)")
-            self.free_pages = True
-
-    def give_back(self, db: sqlite3.Connection) -> None:
-        """Free pages go back to the disk, some at a time."""
-        self.free_pages = False
+        self._has_free_pages = False
         try:
-            # `execute` takes one step of it: a page.
-            self.turns.run(
-                lambda: db.executescript(f"PRAGMA incremental_vacuum({GIVE_BACK_PAGES})")
+            # `execute` would take one step of it, a page.
+            self.lock_retry.run(
+                lambda: db.executescript(f"PRAGMA incremental_vacuum({VACUUM_PAGES})")
             )
         except sqlite3.Error as error:
-            log.warning("event=record-vacuum-failed detail=%r", str(error))
+            log.warning("event=record_vacuum_failed error=%r", str(error))
 
-    def look_for_verdicts(self, db: sqlite3.Connection) -> None:
-        """Another process wrote to the file: an operator may have resolved a doubt. Asked once a
-        second: it reads.
-        """
-        if time.monotonic() < self.look_at:
+    def _probe(self, callback: ProbeCallback) -> None:
+        db = self.db
+        assert db is not None
+        try:
+            with transaction(db, self.lock_retry):
+                save_clocks(db, self.read_clocks())
+                self._prune(db, time.time_ns())
+                db.execute("COMMIT")
+            succeeded = True
+        except sqlite3.Error as error:
+            log.warning("event=record_probe_failed error=%r", str(error))
+            succeeded = False
+        self._call_on_loop(partial(callback, succeeded))
+
+    def _save_notice(self, text: str) -> None:
+        db = self.db
+        assert db is not None
+        values = (text, self.node, self.incarnation)
+        try:
+            self.lock_retry.run(lambda: db.execute(sql.UPDATE_NOTICE, values))
+        except sqlite3.Error as error:
+            log.warning("event=record_notice_not_saved error=%r", str(error))
+
+    def _look_for_verdicts(self) -> None:
+        """Takes up the verdicts of operators, at most once a second, if another process wrote."""
+        db = self.db
+        assert db is not None
+        if time.monotonic() < self._next_verdict_look_s:
             return
-        self.look_at = time.monotonic() + LOOK_EVERY
+        self._next_verdict_look_s = time.monotonic() + VERDICT_INTERVAL_S
         try:
-            (version,) = self.turns.run(lambda: db.execute("PRAGMA data_version").fetchone())
-            if version == self.version or self.on_verdict is None:
+            (version,) = self.lock_retry.run(lambda: db.execute("PRAGMA data_version").fetchone())
+            if version == self._data_version or self.on_verdict is None:
                 return
-            said = self.turns.run(
-                lambda: db.execute("SELECT mark, life, turn, ran FROM verdict").fetchall()
-            )
-            self.version = version
-            for mark, life, turn, ran in said:
-                self.hand(partial(self.on_verdict, mark, life, turn, bool(ran)))
+            verdicts = self.lock_retry.run(lambda: db.execute(sql.SELECT_VERDICTS).fetchall())
+            self._data_version = version
+            for key_digest, incarnation, claim_number, ran in verdicts:
+                self._call_on_loop(
+                    partial(self.on_verdict, key_digest, incarnation, claim_number, bool(ran))
+                )
         except sqlite3.Error as error:
-            log.warning("event=record-look-failed detail=%r", str(error))
+            log.warning("event=record_verdicts_not_read error=%r", str(error))
+
+
+def save_clocks(db: sqlite3.Connection, now: ClockReading) -> None:
+    """Writes both clocks, by which the next start knows whether the wall clock was stepped."""
+    db.executemany(
+        sql.UPSERT_META,
+        [("boot", now.boot_id), ("steady", str(now.monotonic_ns)), ("wall", str(now.wall_ns))],
+    )
--- a/burlloom/record/sqlite_admin.py
+++ b/burlloom/record/sqlite_admin.py
@@ -1,8 +1,7 @@
-"""What an operator does to a record: look, resolve, verify, copy, put back. Each is one call, and
-reports plainly.
+"""What an operator does to a SQLite record: look, resolve, verify, export, migrate, compact.
 
-While a server has the file, only what leaves its rows alone is allowed: looks, snapshots, and
-verdicts on doubts, which the server takes up within a second.
+While a server has the file, only what leaves its rows alone is allowed: looks, and verdicts on rows
+in doubt, which the server takes up within a second.
 """
 
 import fcntl
@@ -16,17 +15,46 @@
 from typing import Any
 
 from . import schema
+from . import sqlite_statements as sql
 from .authentication import RowAuthenticator
 from .rows import ROW_COMPLETED_WITHOUT_RESULT, ROW_STARTED, ROW_STATE_NAMES, RecordRow
-from .sqlite import COLUMNS, INSERT, SqliteStore, connect, migrate
+from .sqlite_file import FileLock, connect, migrate
 from .store import StoreRefusedError
 
-SECOND = 1_000_000_000
-MERGE_AT_ONCE = 500
+__all__ = ["RecordStats", "SqliteRecordAdmin", "VerificationReport", "format_time"]
+
+NS_PER_S = 1_000_000_000
+BUSY_TIMEOUT_S = 5.0
+MAX_STRUCTURE_FAULTS = 20
+NO_TIME = "-"
+UPSERT_VERDICT = (
+    "INSERT INTO verdict (mark, life, turn, ran, said_at, reason) VALUES (?,?,?,?,?,?)"
+    " ON CONFLICT (mark) DO UPDATE SET life = excluded.life, turn = excluded.turn,"
+    " ran = excluded.ran, said_at = excluded.said_at, reason = excluded.reason"
+)
+MARK_AS_RAN = "UPDATE fate SET state = ?, seal = ? WHERE mark = ? AND life = ? AND turn = ?"
+DELETE_CLAIM = "DELETE FROM fate WHERE mark = ? AND life = ? AND turn = ?"
 
 
 @dataclass(slots=True)
 class RecordStats:
+    """What a record holds; the names of the fields are those of the command's JSON.
+
+    Attributes:
+        schema: The number of the schema's last step.
+        nodes: Each node's incarnation.
+        rows: Counts by state, under the names that operators read.
+        doubts: Rows of which nobody knows whether they ran.
+        over: Rows whose windows are over.
+        first_end: The earliest end of a window, wall-clock nanoseconds; 0 for none.
+        last_end: The latest end of a window, wall-clock nanoseconds; 0 for none.
+        result_bytes: The size of all results.
+        file_bytes: The size of the file.
+        free_bytes: What of it is free.
+        served: Whether a server has the file.
+        closed_until: Until when nothing may be claimed, wall-clock nanoseconds; 0 for no bound.
+    """
+
     schema: int
     nodes: dict[str, int]
     rows: dict[str, int]
@@ -43,59 +71,74 @@
 
 @dataclass(slots=True)
 class VerificationReport:
-    """What `verify` found; `faults` is empty where all is well."""
+    """What a verification found.
+
+    Attributes:
+        row_count: Rows looked at.
+        faults: A line for each fault; empty where all is well.
+    """
 
     row_count: int = 0
     faults: list[str] = field(default_factory=list)
 
 
 class SqliteRecordAdmin:
-    """One SQLite record. Raises `Refused` with what is wrong and what to do."""
+    """One SQLite record, as an operator looks after it.
 
-    def __init__(self, path: Path, sealer: RowAuthenticator) -> None:
-        self.path, self.authenticator = path, sealer
+    Every method raises `StoreRefusedError` with what is wrong and what to do.
+    """
 
-    # Looks.
+    def __init__(self, path: Path, authenticator: RowAuthenticator) -> None:
+        """Takes the file, and what checks its rows."""
+        self.path = path
+        self.authenticator = authenticator
 
     @contextmanager
     def open_for_reading(self) -> Iterator[sqlite3.Connection]:
+        """A connection that can't write."""
         if not self.path.is_file():
-            raise StoreRefusedError(f"{self.path}: no such file; `burlloom record init` makes one")
+            raise self._refusal("no such file; `burlloom record init` makes one")
+        uri = f"file:{self.path}?mode=ro"
         try:
-            with closing(sqlite3.connect(f"file:{self.path}?mode=ro", uri=True, timeout=5.0)) as db:
-                self.check(db)
+            with closing(sqlite3.connect(uri, uri=True, timeout=BUSY_TIMEOUT_S)) as db:
+                self._check_header(db)
                 yield db
         except sqlite3.DatabaseError as error:
-            raise StoreRefusedError(f"{self.path}: {error}") from error
+            raise self._refusal(str(error)) from error
 
     @contextmanager
     def open_for_writing(self) -> Iterator[sqlite3.Connection]:
+        """A connection that writes, also while a server has the file."""
         with self.open_for_reading():
             pass
         try:
-            with closing(sqlite3.connect(self.path, isolation_level=None, timeout=5.0)) as db:
+            with closing(
+                sqlite3.connect(self.path, isolation_level=None, timeout=BUSY_TIMEOUT_S)
+            ) as db:
                 db.execute("PRAGMA synchronous = FULL")
                 yield db
         except sqlite3.DatabaseError as error:
-            raise StoreRefusedError(f"{self.path}: {error}") from error
-
-    def check(self, db: sqlite3.Connection) -> None:
-        (application,) = db.execute("PRAGMA application_id").fetchone()
-        (have,) = db.execute("PRAGMA user_version").fetchone()
-        if application != schema.APPLICATION:
-            raise StoreRefusedError(
-                f"{self.path}: not a burlloom record but another program's database"
-            )
-        if have > schema.LATEST:
-            raise StoreRefusedError(
-                f"{self.path}: schema {have} is newer than {schema.LATEST}, the newest this program knows"
+            raise self._refusal(str(error)) from error
+
+    def _check_header(self, db: sqlite3.Connection) -> None:
+        (application_id,) = db.execute("PRAGMA application_id").fetchone()
+        (version,) = db.execute("PRAGMA user_version").fetchone()
+        if application_id != schema.SQLITE_APPLICATION_ID:
+            raise self._refusal("not a burlloom record but another program's database")
+        if version > schema.LATEST_VERSION:
+            raise self._refusal(
+                f"schema {version} is newer than {schema.LATEST_VERSION}, the newest this program"
+                " knows"
             )
-        if have < schema.LATEST:
-            raise StoreRefusedError(
-                f"{self.path}: schema {have} is older than {schema.LATEST}; `burlloom record migrate` takes"
-                " the steps between, and so does a server when it starts"
+        if version < schema.LATEST_VERSION:
+            raise self._refusal(
+                f"schema {version} is older than {schema.LATEST_VERSION}; `burlloom record migrate`"
+                " takes the steps between, and so does a server when it starts"
             )
 
+    def _refusal(self, problem: str) -> StoreRefusedError:
+        return StoreRefusedError(problem, place=self.path)
+
     def is_served(self) -> bool:
         """Whether a server has the file."""
         try:
@@ -111,91 +154,94 @@
             os.close(handle)
 
     @contextmanager
-    def exclusive(self, what: str) -> Iterator[None]:
-        holder = SqliteStore(self.path, self.authenticator, "-")
+    def exclusive(self, purpose: str) -> Iterator[None]:
+        """Keeps servers out; `purpose` ends the sentence "stop it before you ..."."""
+        lock = FileLock(self.path)
         try:
-            holder.take_lock()
+            lock.acquire()
         except StoreRefusedError as error:
-            raise StoreRefusedError(f"{error}: stop it before you {what}") from error
+            problem = f"{error.problem}: stop it before you {purpose}"
+            raise StoreRefusedError(problem, place=error.place) from error
         try:
             yield
         finally:
-            holder.release()
+            lock.release()
 
-    def stats(self, now: int) -> RecordStats:
+    def stats(self, now_ns: int) -> RecordStats:
+        """Counts and sizes."""
         with self.open_for_reading() as db:
             nodes = dict(db.execute("SELECT name, life FROM node").fetchall())
-            counted = dict(db.execute("SELECT state, count(*) FROM fate GROUP BY state").fetchall())
-            first, last, size = db.execute(
+            counts = dict(db.execute("SELECT state, count(*) FROM fate GROUP BY state").fetchall())
+            first_end_ns, last_end_ns, result_bytes = db.execute(
                 "SELECT min(until), max(until), total(length(result)) FROM fate"
             ).fetchone()
-            (over,) = db.execute("SELECT count(*) FROM fate WHERE until <= ?", (now,)).fetchone()
-            pages, free, page, version = (
+            (expired,) = db.execute(
+                "SELECT count(*) FROM fate WHERE until <= ?", (now_ns,)
+            ).fetchone()
+            pages, free_pages, page_bytes, version = (
                 db.execute(f"PRAGMA {name}").fetchone()[0]
                 for name in ("page_count", "freelist_count", "page_size", "user_version")
             )
             closed = db.execute("SELECT value FROM meta WHERE name = 'closed_until'").fetchone()
-        doubts = sum(1 for _ in self.list_in_doubt(now))
         return RecordStats(
-            version,
-            nodes,
-            {name: counted.get(state, 0) for state, name in ROW_STATE_NAMES.items()},
-            doubts,
-            over,
-            first or 0,
-            last or 0,
-            int(size),
-            pages * page,
-            free * page,
-            self.is_served(),
-            int(closed[0]) if closed else 0,
+            schema=version,
+            nodes=nodes,
+            rows={name: counts.get(state, 0) for state, name in ROW_STATE_NAMES.items()},
+            doubts=sum(1 for _ in self.list_in_doubt(now_ns)),
+            over=expired,
+            first_end=first_end_ns or 0,
+            last_end=last_end_ns or 0,
+            result_bytes=int(result_bytes),
+            file_bytes=pages * page_bytes,
+            free_bytes=free_pages * page_bytes,
+            served=self.is_served(),
+            closed_until=int(closed[0]) if closed else 0,
         )
 
     def read_rows(self, where: str = "1", values: tuple[Any, ...] = ()) -> Iterator[RecordRow]:
+        """Rows by the ends of their windows; `where` is this program's SQL, not an operator's."""
         with self.open_for_reading() as db:
             for row in db.execute(
-                f"SELECT {COLUMNS} FROM fate WHERE {where} ORDER BY until", values
+                f"SELECT {sql.COLUMNS} FROM fate WHERE {where} ORDER BY until", values
             ):
                 yield RecordRow(*row)
 
-    def list_in_doubt(self, now: int) -> Iterator[tuple[RecordRow, str]]:
-        """Begun by a life that is over, with no end and the window not over; and the verdict that
-        waits, if any.
+    def list_in_doubt(self, now_ns: int) -> Iterator[tuple[RecordRow, str]]:
+        """Rows of which nobody knows whether they ran, with the verdict that waits, or "".
 
-        Where no server has the file, the life that is written there is over too.
+        These were begun by an incarnation that is over, have no end, and their windows are not
+        over. Where no server has the file, the incarnation that is written there is over too.
         """
         with self.open_for_reading() as db:
-            lives = dict(db.execute("SELECT name, life FROM node").fetchall())
-            said = {
-                mark: "ran" if ran else "never ran"
-                for mark, ran in db.execute("SELECT mark, ran FROM verdict")
+            incarnations = dict(db.execute("SELECT name, life FROM node").fetchall())
+            verdicts = {
+                key_digest: "ran" if ran else "never ran"
+                for key_digest, ran in db.execute("SELECT mark, ran FROM verdict")
             }
-        served = self.is_served()
-        for row in self.read_rows(f"state = {ROW_STARTED} AND until > ?", (now,)):
-            if not served or row.incarnation != lives.get(row.node):
-                yield row, said.get(row.key_digest, "")
+        is_served = self.is_served()
+        for row in self.read_rows(f"state = {ROW_STARTED} AND until > ?", (now_ns,)):
+            if not is_served or row.incarnation != incarnations.get(row.node):
+                yield row, verdicts.get(row.key_digest, "")
 
     def verify(self) -> VerificationReport:
-        """The file's own structure, and the seal of each row."""
-        found = VerificationReport()
+        """Checks the file's own structure, and the MAC of each row."""
+        report = VerificationReport()
         with self.open_for_reading() as db:
-            for (said,) in db.execute("PRAGMA integrity_check(20)"):
-                if said != "ok":
-                    found.faults.append(f"structure: {said}")
+            for (line,) in db.execute(f"PRAGMA integrity_check({MAX_STRUCTURE_FAULTS})"):
+                if line != "ok":
+                    report.faults.append(f"structure: {line}")
         for row in self.read_rows():
-            found.row_count += 1
+            report.row_count += 1
             if not self.authenticator.is_authentic(row):
-                name = (
-                    row.key_digest.hex()
-                    if isinstance(row.key_digest, bytes)
-                    else repr(row.key_digest)
-                )
-                found.faults.append(
+                key = row.key_digest
+                name = key.hex() if isinstance(key, bytes) else repr(key)
+                report.faults.append(
                     f"mark {name}: its seal does not hold; it was altered, or sealed by another key"
                 )
-        return found
+        return report
 
     def export(self) -> Iterator[dict[str, Any]]:
+        """Each row under the names of the export's JSON."""
         for row in self.read_rows():
             yield {
                 "mark": row.key_digest.hex(),
@@ -210,67 +256,54 @@
                 "sound": self.authenticator.is_authentic(row),
             }
 
-    # Changes.
-
-    def resolve(self, mark: bytes, ran: bool, reason: str, now: int) -> str:
-        """An operator's word on a doubt; what was done with it."""
-        doubt = next((row for row, _ in self.list_in_doubt(now) if row.key_digest == mark), None)
+    def resolve(self, key_digest: bytes, ran: bool, reason: str, now_ns: int) -> str:
+        """Writes an operator's verdict on a row in doubt, and returns what was done with it."""
+        in_doubt = (row for row, _ in self.list_in_doubt(now_ns) if row.key_digest == key_digest)
+        doubt = next(in_doubt, None)
         if doubt is None:
             raise StoreRefusedError(
-                f"mark {mark.hex()} is not in doubt; `burlloom record doubts` lists those that are"
+                f"mark {key_digest.hex()} is not in doubt; `burlloom record doubts` lists those"
+                " that are"
             )
-        served = self.is_served()
+        is_served = self.is_served()
+        claim = (key_digest, doubt.incarnation, doubt.claim_number)
         with self.open_for_writing() as db:
             db.execute("BEGIN IMMEDIATE")
-            db.execute(
-                "INSERT INTO verdict (mark, life, turn, ran, said_at, reason) VALUES (?,?,?,?,?,?)"
-                " ON CONFLICT (mark) DO UPDATE SET life = excluded.life, turn = excluded.turn,"
-                " ran = excluded.ran, said_at = excluded.said_at, reason = excluded.reason",
-                (mark, doubt.incarnation, doubt.claim_number, int(ran), now, reason),
-            )
-            if not served:
-                self.apply(db, doubt, ran)
+            db.execute(UPSERT_VERDICT, (*claim, int(ran), now_ns, reason))
+            if not is_served:
+                self._apply_verdict(db, doubt, ran)
             db.execute("COMMIT")
-        return "the server takes it up within a second" if served else "done"
+        return "the server takes it up within a second" if is_served else "done"
 
-    def apply(self, db: sqlite3.Connection, doubt: RecordRow, ran: bool) -> None:
+    def _apply_verdict(self, db: sqlite3.Connection, doubt: RecordRow, ran: bool) -> None:
+        claim = (doubt.key_digest, doubt.incarnation, doubt.claim_number)
         if ran:
-            spent = doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)
-            db.execute(
-                "UPDATE fate SET state = ?, seal = ? WHERE mark = ? AND life = ? AND turn = ?",
-                (
-                    ROW_COMPLETED_WITHOUT_RESULT,
-                    self.authenticator.compute_mac(spent),
-                    doubt.key_digest,
-                    doubt.incarnation,
-                    doubt.claim_number,
-                ),
-            )
+            completed = doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)
+            mac = self.authenticator.compute_mac(completed)
+            db.execute(MARK_AS_RAN, (completed.state, mac, *claim))
         else:
-            db.execute(
-                "DELETE FROM fate WHERE mark = ? AND life = ? AND turn = ?",
-                (doubt.key_digest, doubt.incarnation, doubt.claim_number),
-            )
+            db.execute(DELETE_CLAIM, claim)
 
-    def init(self, node: str) -> None:
+    def init(self) -> None:
+        """Makes an empty record."""
         if self.path.exists():
-            raise StoreRefusedError(f"{self.path}: exists already")
-        self.migrate(node)
+            raise self._refusal("exists already")
+        self.migrate()
 
-    def migrate(self, node: str) -> tuple[int, ...]:
-        """The steps that were taken; makes the file where there is none."""
-        store = SqliteStore(self.path, self.authenticator, node)
-        store.take_lock()
+    def migrate(self) -> tuple[int, ...]:
+        """Takes the schema's missing steps, and returns them; makes a missing file."""
+        lock = FileLock(self.path)
+        lock.acquire()
         try:
-            db = store.db = connect(self.path)
-            return migrate(db, self.path)
+            with closing(connect(self.path)) as db:
+                return migrate(db, self.path)
         except sqlite3.DatabaseError as error:
-            raise StoreRefusedError(f"{self.path}: {error}") from error
+            raise self._refusal(str(error)) from error
         finally:
-            store.release()
+            lock.release()
 
     def compact(self) -> tuple[int, int]:
-        """Bytes before and after."""
+        """Gives all free space back to the disk; returns the file's bytes before and after."""
         with self.exclusive("compact it"), self.open_for_writing() as db:
             before = self.path.stat().st_size
             db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
@@ -278,125 +311,9 @@
             db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
         return before, self.path.stat().st_size
 
-    def snapshot(self, to: Path) -> VerificationReport:
-        """A whole copy of one moment, also while a server writes; verified before it gets its
-        name.
-        """
-        if to.exists():
-            raise StoreRefusedError(f"{to}: exists already")
-        part = to.with_name(to.name + ".part")
-        part.unlink(missing_ok=True)
-        try:
-            with self.open_for_reading() as db, closing(sqlite3.connect(part)) as copy:
-                db.backup(copy)
-                copy.execute("PRAGMA journal_mode = DELETE")
-        except (sqlite3.Error, OSError) as error:
-            part.unlink(missing_ok=True)
-            raise StoreRefusedError(f"{to}: {error}") from error
-        found = SqliteRecordAdmin(part, self.authenticator).verify()
-        if found.faults:
-            part.unlink()
-            raise StoreRefusedError(
-                f"{to}: the copy does not verify: {found.faults[0]} ({len(found.faults)} in all)"
-            )
-        sync(part)
-        os.chmod(part, 0o600)
-        part.rename(to)
-        sync(to.parent)
-        return found
-
-    def merge(self, source: Path, now: int) -> tuple[int, int]:
-        """Adds what a snapshot has and the record has not, also while it is served: how many were
-        added, and looked at.
-
-        Nothing that stands is changed, and what is over is left out. A server learns of them by its
-        claims: a repeat of what had ended gets its first answer, and of what a former life had
-        begun it is voided, as it is after a start.
-        """
-        copy = SqliteRecordAdmin(source, self.authenticator)
-        found = copy.verify()
-        if found.faults:
-            raise StoreRefusedError(
-                f"{source}: {found.faults[0]} ({len(found.faults)} faults in all); nothing was changed"
-            )
-        rows = [tuple(row) for row in copy.read_rows("until > ?", (now,))]
-        added = 0
-        with self.open_for_writing() as db:
-            for start in range(
-                0, len(rows), MERGE_AT_ONCE
-            ):  # the server's own commits wait for no more than these
-                db.execute("BEGIN IMMEDIATE")
-                before = db.total_changes
-                db.executemany(INSERT, rows[start : start + MERGE_AT_ONCE])
-                db.execute("COMMIT")
-                added += db.total_changes - before
-        return added, len(rows)
-
-    def restore(self, source: Path, window: int, nothing_lost: bool, now: int) -> int:
-        """Puts a snapshot in place; until when the record stays closed, 0 where it does not.
-
-        What ran between the snapshot and now is not in it, and a repeat of that would run again: so
-        the record stays closed for charges for one whole window. `nothing_lost`: the operator knows
-        that nothing ran since.
-        """
-        copy = SqliteRecordAdmin(source, self.authenticator)
-        found = copy.verify()
-        if found.faults:
-            raise StoreRefusedError(
-                f"{source}: {found.faults[0]} ({len(found.faults)} faults in all); nothing was changed"
-            )
-        with self.exclusive("restore it"):
-            part = self.path.with_name(self.path.name + ".part")
-            part.unlink(missing_ok=True)
-            with (
-                copy.open_for_reading() as db,
-                closing(sqlite3.connect(part, isolation_level=None)) as fresh,
-            ):
-                db.backup(fresh)
-                closed = 0 if nothing_lost else now + window
-                # A life beyond all that there was: no claim of before may pass for one of the life
-                # to come.
-                fresh.execute("UPDATE node SET life = life + 1000")
-                fresh.execute(
-                    "INSERT INTO meta (name, value) VALUES ('closed_until', ?) ON CONFLICT (name) DO UPDATE"
-                    " SET value = excluded.value",
-                    (str(closed),),
-                )
-                fresh.execute("DELETE FROM meta WHERE name IN ('boot', 'steady', 'wall')")
-                # What a fleet agreed on since is not in it: who was out then says nothing of who is
-                # out now.
-                for (table,) in fresh.execute(
-                    "SELECT name FROM sqlite_master WHERE name LIKE 'rollout\\_%' ESCAPE"
-                    " '\\' AND type = 'table'"
-                ).fetchall():
-                    fresh.execute(f"DELETE FROM {table}")
-                # Configuration stays in force as it is there. Revisions after it were given before,
-                # to others: with no head, whoever opens it next begins a new epoch.
-                if fresh.execute(
-                    "SELECT name FROM sqlite_master WHERE name = 'distribution_head'"
-                ).fetchone():
-                    fresh.execute("DELETE FROM distribution_head")
-                    fresh.execute("DELETE FROM distribution_change")
-            sync(part)
-            os.chmod(part, 0o600)
-            for tail in ("", "-wal", "-shm"):  # what is there is put aside whole, its log with it
-                there = self.path.with_name(self.path.name + tail)
-                if there.exists():
-                    there.rename(
-                        self.path.with_name(f"{self.path.name}.before-{now // SECOND}{tail}")
-                    )
-            part.rename(self.path)
-            sync(self.path.parent)
-        return closed
-
-
-def sync(path: Path) -> None:
-    handle = os.open(path, os.O_RDONLY)
-    try:
-        os.fsync(handle)
-    finally:
-        os.close(handle)
-
-
-def format_time(at: int) -> str:
-    return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(at // SECOND)) if at else "-"
+
+def format_time(time_ns: int) -> str:
+    """A wall-clock time in UTC, to the second; "-" for none."""
+    if not time_ns:
+        return NO_TIME
+    return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(time_ns // NS_PER_S))
--- a/burlloom/rollout/stores/opening.py
+++ b/burlloom/rollout/stores/opening.py
@@ -23,6 +23,6 @@
     from ...record.postgres import PostgresStore as Record
     from .postgres import Postgres
 
-    record, _ = create_store(place, "-", keep=0, clock=time.time_ns)
+    record, _ = create_store(place, "-", retention_ns=0, clock=time.time_ns)
     assert isinstance(record, Record)
     return Postgres(record)
--- a/burlloom/server/subsystems.py
+++ b/burlloom/server/subsystems.py
@@ -13,8 +13,9 @@
 from ..levels import SIGNAL_NAMES
 from ..levels.plan import find_plan_faults
 from ..operator import Faults, Metrics, Operator, load
-from ..record.coordinator import RecordCoordinator, RecordPolicy
+from ..record.coordinator import RecordCoordinator
 from ..record.factory import create_store
+from ..record.policy import RecordPolicy
 from ..record.store import StoreRefusedError
 from ..sockets import MS, SECOND
 from .configuration import ServerConfig
@@ -59,7 +60,7 @@
     if record is None:
         return None
     slack = max(product.deadline_ns for product in orders.settings.request_classes)
-    store, sealer = create_store(record, record.node or orders.name, keep=slack)
+    store, sealer = create_store(record, record.node or orders.name, retention_ns=slack)
     terms = RecordPolicy(
         record.mode == "prefer",
         record.claim_share,
@@ -359,7 +360,7 @@
         keeper.counters.as_metrics,
         lambda: {
             "open_writes": len(keeper.breaker.in_flight),
-            "fates": len(keeper.requests),
+            "fates": len(keeper.registry),
             "cut_off": float(keeper.breaker.state != 0),
             "cuts": keeper.breaker.times_opened,
             "commits": store.commit_count,
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -16,7 +16,8 @@
 from burlloom.executor import End
 from burlloom.lab.clock import EPOCH, SECOND, SimulatedLoop, simulated
 from burlloom.record.authentication import RowAuthenticator
-from burlloom.record.coordinator import RecordCoordinator, RecordPolicy
+from burlloom.record.coordinator import RecordCoordinator
+from burlloom.record.policy import RecordPolicy
 from burlloom.record.request_lifecycle import RequestEvent
 from burlloom.record.rows import (
     ROW_STARTED,
@@ -139,7 +140,7 @@
             asyncio.get_running_loop().call_later(self.chance.random() * 8, self.base.write, write)
             done(WriteResult(RequestEvent.WRITE_UNCERTAIN))
 
-    def probe(self, now: int, done: Callable[[bool], None]) -> None:
+    def probe(self, done: Callable[[bool], None]) -> None:
         good = self.chance.random() > self.trouble
         asyncio.get_running_loop().call_later(0.002, lambda: None if self.dead else done(good))
 
@@ -248,11 +249,7 @@
         self.store.crash()
         recorded = self.server.record
         assert isinstance(recorded, ConfiguredRequestRecord)
-        keeper = recorded.keeper
-        keeper.closed = True
-        for timer in [keeper.tick_timer, *keeper.claim_timers.values()]:
-            if timer is not None:
-                timer.cancel()
+        recorded.keeper.stop()
         for task in list(self.server.tasks.running):
             task.cancel()
         recorded.desk = None
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -3,6 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from burlloom.record.broken_transaction import TransactionStage, classify_broken_transaction
 from burlloom.record.circuit_breaker import (
     HANG_TIMEOUT_MULTIPLE,
     MAX_CONSECUTIVE_FAILURES,
@@ -12,13 +13,7 @@
     BreakerState,
     CircuitBreaker,
 )
-from burlloom.record.recovery_rules import (
-    CLOCK_STEP_MIN_NS,
-    ClockReading,
-    TransactionStage,
-    classify_broken_transaction,
-    clock_shift,
-)
+from burlloom.record.clock_shift import MIN_CLOCK_STEP_NS, ClockReading, clock_shift
 from burlloom.record.request_lifecycle import DurableRequest, RequestEvent
 from burlloom.record.request_lifecycle import RequestState as Stand
 
@@ -127,7 +122,7 @@
     wall: int, passed: int, step: int
 ) -> None:
     then, now = ClockReading("a", 5, wall), ClockReading("a", 5 + passed, wall + passed + step)
-    assert clock_shift(then, now) == (step if abs(step) >= CLOCK_STEP_MIN_NS else 0)
+    assert clock_shift(then, now) == (step if abs(step) >= MIN_CLOCK_STEP_NS else 0)
     assert clock_shift(then, ClockReading("b", 0, wall + passed + step)) == min(0, passed + step)
     assert clock_shift(None, now) == 0
 
@@ -135,7 +130,8 @@
 def test_what_a_broken_transaction_means() -> None:
     for code in (None, "08006", "57P01", "40001", "XX000"):
         assert (
-            classify_broken_transaction(TransactionStage.BEFORE, code) is RequestEvent.WRITE_FAILED
+            classify_broken_transaction(TransactionStage.BEFORE_COMMIT, code)
+            is RequestEvent.WRITE_FAILED
         )
     for code, meant in (
         (None, RequestEvent.WRITE_UNCERTAIN),
@@ -147,4 +143,6 @@
         ("23505", RequestEvent.WRITE_FAILED),
     ):
         assert classify_broken_transaction(TransactionStage.COMMITTING, code) is meant
-    assert classify_broken_transaction(TransactionStage.DONE, None) is RequestEvent.WRITE_APPLIED
+    assert (
+        classify_broken_transaction(TransactionStage.COMMITTED, None) is RequestEvent.WRITE_APPLIED
+    )
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -15,6 +15,7 @@
 from burlloom.record.authentication import RowAuthenticator, load_key
 from burlloom.record.rows import ROW_COMPLETED, ROW_STARTED, RecordRow
 from burlloom.record.sqlite import SqliteStore
+from burlloom.record.sqlite_file import FileLock
 
 NOW = time.time_ns()
 
@@ -139,10 +140,10 @@
     with sqlite3.connect(tmp_path / "record.db") as db:
         db.execute("UPDATE fate SET id = 'other'")
     assert burlloom("record", "verify", "-o", path, status=1).count("seal does not hold") == 2
-    store = SqliteStore(tmp_path / "record.db", RowAuthenticator(b"k" * 32), "n1")
-    store.take_lock()
+    lock = FileLock(tmp_path / "record.db")
+    lock.acquire()
     assert "stop it before you compact it" in burlloom("record", "compact", "-o", path, status=2)
-    store.release()
+    lock.release()
     (tmp_path / "record.db.key").unlink()
     assert "No such file" in burlloom("record", "verify", "-o", path, status=2)
 
@@ -219,7 +220,7 @@
             ),
         ),
         (
-            "burlloom.record.request_lifecycle, burlloom.record.circuit_breaker, burlloom.record.rows, burlloom.record.recovery_rules",
+            "burlloom.record.request_lifecycle, burlloom.record.circuit_breaker, burlloom.record.rows, burlloom.record.recovery_rules, burlloom.record.clock_shift, burlloom.record.broken_transaction",
             (
                 "asyncio",
                 "sqlite3",
--- a/tests/test_distribution_stores.py
+++ b/tests/test_distribution_stores.py
@@ -269,7 +269,7 @@
                 address=server.address, key_file=str(key), hang_ms=300, connect_ms=500
             )
         )
-        first, second = (Postgres(create_store(told, "-", keep=0)[0]) for _ in range(2))  # type: ignore[arg-type]
+        first, second = (Postgres(create_store(told, "-", retention_ns=0)[0]) for _ in range(2))  # type: ignore[arg-type]
         await promises(first, second)
         await replayed(first, second)
         made = change(await first.head(), ("tenant", "q", value()))
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -82,7 +82,7 @@
     await rig.begin()
     await fails((await rig.balancer()).ask("pay", fields(once="k", retry="1")), "Voided")
     assert rig.executor.commands.empty()
-    assert "event=record-doubts count=1" in rig.log()
+    assert "event=record_doubts in_doubt=1" in rig.log()
 
 
 def test_an_executor_that_lived_on_tells_the_end(tmp_path: Path) -> None:
@@ -275,7 +275,7 @@
     balancer = await rig.balancer()
     for n in range(8):
         await fails(balancer.ask("pay", fields(once=f"k{n}")), "Backoff")
-    await until(lambda: "event=record-cut-off" in rig.log())
+    await until(lambda: "event=record_breaker_opened" in rig.log())
     asked = asyncio.get_running_loop().time()
     await fails(balancer.ask("pay", fields(once="later")), "Backoff")
     assert asyncio.get_running_loop().time() - asked < 0.1
@@ -283,7 +283,7 @@
     rig.executor.exit(await rig.command("EXEC", "look"), result=b"seen")
     await gets(answer, b"seen")
     standin.orders.hang = False
-    await until(lambda: "event=record-back" in rig.log())
+    await until(lambda: "event=record_breaker_closed" in rig.log())
     answer = balancer.ask("pay", fields(once="k1"))
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid")
     await gets(answer, b"paid")
