--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -14,8 +14,9 @@
 
 from burlloom.fakes.postgres import Postgres as StandIn
 from burlloom.record.authentication import RowAuthenticator, load_key
+from burlloom.record.clock_shift import ClockReading
 from burlloom.record.postgres import PostgresStore
-from burlloom.record.recovery_rules import ClockReading
+from burlloom.record.postgres_database import PostgresDatabase
 from burlloom.record.request_lifecycle import RequestEvent
 from burlloom.record.rows import (
     ROW_COMPLETED,
@@ -28,8 +29,10 @@
     apply_write,
     result_of_unapplied_write,
 )
-from burlloom.record.sqlite import SqliteStore, connect
+from burlloom.record.sqlite import SqliteStore
 from burlloom.record.sqlite_admin import SqliteRecordAdmin
+from burlloom.record.sqlite_file import connect
+from burlloom.record.sqlite_snapshot import merge_snapshot, take_snapshot
 from burlloom.record.store import StoreRefusedError
 
 SEALER = RowAuthenticator(b"k" * 32)
@@ -99,13 +102,11 @@
         return SqliteStore(folder / "record.db", SEALER, node, **more)
     host, port = standin.address.split(":")
     return PostgresStore(
-        (host, int(port)),
-        "burlloom",
-        "burlloom",
-        "secret",
+        PostgresDatabase(
+            host, int(port), "burlloom", "burlloom", "secret", statement_timeout_s=0.5
+        ),
         SEALER,
         node,
-        hang=0.5,
         clock=lambda: 0,
         **more,
     )
@@ -354,7 +355,7 @@
         while (word := (await store.ask(finish()))[0]).outcome is RequestEvent.WRITE_FAILED:
             await asyncio.sleep(0.01)
         assert word.outcome is RequestEvent.WRITE_APPLIED
-        assert store.store.connects > 1
+        assert store.store.connection_count > 1
 
     with_store("postgres", story)
 
@@ -366,7 +367,7 @@
             *(claim(mark=mark) for mark in marks), *(finish(mark=mark) for mark in marks[:9])
         )
         again = made("postgres", standin.path.parent, standin)
-        again.page = 5
+        again.keys_per_page = 5
         await again.open()
         pages = list(again.read_recorded_keys(0))
         assert [len(page) for page in pages] == [5, 5, 5, 5, 3]
@@ -380,7 +381,7 @@
 
 def test_a_cancelled_statement_ends_and_its_connection_goes_on() -> None:
     async def story(store: Log, standin: Any) -> None:
-        link = await store.store.connect()
+        link = await store.store.database.connect()
         standin.orders.hang = True
         with pytest.raises(TimeoutError):
             await link.fetch("SELECT name FROM node", timeout=0.1)
@@ -403,17 +404,17 @@
         await store.start()
         log, admin = Log(store), SqliteRecordAdmin(store.path, SEALER)
         await log.ask(claim(mark=MARKS[0]), finish(mark=MARKS[0]), claim(mark=MARKS[1]))
-        admin.snapshot(tmp_path / "copy.db")
+        take_snapshot(admin, tmp_path / "copy.db")
         store.db.execute("DELETE FROM fate WHERE mark = ?", (MARKS[0],))
         await log.ask(finish(mark=MARKS[1], result=b"since"), claim(mark=MARKS[2]))
         assert admin.is_served()
-        assert admin.merge(tmp_path / "copy.db", 1) == (1, 2)
+        assert merge_snapshot(admin, tmp_path / "copy.db", 1) == (1, 2)
         words = await log.ask(*(claim(mark=mark, turn=9) for mark in MARKS[:2]))
         assert [(word.outcome, word.row and word.row.result) for word in words] == [
             (RequestEvent.FOUND_RESULT, b"paid"),
             (RequestEvent.FOUND_RESULT, b"since"),
         ]
-        assert admin.merge(tmp_path / "copy.db", FAR) == (0, 0)
+        assert merge_snapshot(admin, tmp_path / "copy.db", FAR) == (0, 0)
         assert not admin.verify().faults
         await store.close()
 
@@ -445,7 +446,7 @@
     """SQLite's own page limit stands for the disk."""
 
     async def play() -> None:
-        store = opened(tmp_path / "record.db", pages=40)
+        store = opened(tmp_path / "record.db", max_pages=40)
         await store.start()
         log, held, word = Log(store), [], WriteResult(RequestEvent.WRITE_APPLIED)
         for n in range(400):
@@ -477,7 +478,7 @@
         store = opened(tmp_path / "record.db")
         await store.start()
         log = Log(store)
-        store.prune_at = FAR
+        store.prune_at_ns = FAR
         old = [
             RecordWrite(
                 WriteKind.INSERT,
@@ -488,7 +489,7 @@
         await log.ask(*old)
         size = store.db.execute("PRAGMA page_count").fetchone()[0]  # type: ignore[union-attr]
         for n in range(6):
-            store.prune_at = 0
+            store.prune_at_ns = 0
             await log.ask(claim(mark=bytes([n, 1]) * 8))
         assert store.pruned_rows == 200
         assert store.db.execute("PRAGMA page_count").fetchone()[0] < size / 2  # type: ignore[union-attr]
@@ -555,16 +556,20 @@
     second = 1_000_000_000
     for boot in ("same", "another"):
         path = tmp_path / f"{boot}.db"
-        first = opened(path, tick=lambda: ClockReading("same", 10 * second, 100_000 * second))
+        first = opened(
+            path, read_clocks=lambda: ClockReading("same", 10 * second, 100_000 * second)
+        )
         first.db.execute(
             "INSERT INTO fate VALUES (?,?,?,?,?,?,?,?,?,?)",  # type: ignore[union-attr]
             sealed(100_018 * second),
         )
         first.release()
         now = (100_005 + ahead) * second
-        later = opened(path, tick=lambda: ClockReading(boot, 15 * second, now))
+        later = opened(path, read_clocks=lambda: ClockReading(boot, 15 * second, now))
         held = [mark for batch in later.read_recorded_keys(now) for mark, _ in batch]
-        assert later.shift == (ahead * second if boot == "same" else min(0, (5 + ahead) * second))
+        assert later.clock_shift_ns == (
+            ahead * second if boot == "same" else min(0, (5 + ahead) * second)
+        )
         # Over a restart of the machine a clock that went ahead is not to be told from time that
         # went by.
         assert held == ([] if ahead > 0 and boot == "another" else [MARKS[0]])
@@ -603,24 +608,24 @@
         await store.open()
         await store.start()
         held = Held(path, 1.9)
-        store.turns = held.turns()
+        store.lock_retry = held.turns()
         assert await Log(store).ask(claim()) == [WriteResult(RequestEvent.WRITE_APPLIED)]
         assert held.looks >= 100
         held = Held(path, 9.0)
-        store.turns = held.turns()
+        store.lock_retry = held.turns()
         assert await Log(store).ask(finish()) == [WriteResult(RequestEvent.WRITE_FAILED)]
         assert 2.0 <= held.now < 2.1
         held.db.execute("ROLLBACK")
         assert await Log(store).ask(finish()) == [WriteResult(RequestEvent.WRITE_APPLIED)]
         await store.close()
         again, held = SqliteStore(path, SEALER, "n1"), Held(path, 9.0)
-        again.turns = held.turns()
+        again.lock_retry = held.turns()
         with pytest.raises(
             StoreRefusedError, match="record.db: another process has held its lock for 2 s"
         ):
             await again.open()
         held.until, held.now = 1.9, 0.0
-        again.turns = held.turns()
+        again.lock_retry = held.turns()
         assert (await again.open()).incarnation == 2
         assert held.looks >= 100
         await again.close()
