--- a/benchmarks/fleet_shares.py
+++ b/benchmarks/fleet_shares.py
@@ -22,26 +22,26 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
-from burlloom.fleet import CALL, Terms, spread
-from burlloom.fleet.deal import MS
-from burlloom.fleet.subset import rank, ranked
+from burlloom.fleet import MILLICALLS_PER_CALL, QuotaSettings, assign_subsets
+from burlloom.fleet.settings import NS_PER_MS
+from burlloom.fleet.subset import rank_services, rendezvous_rank
 from burlloom.lab import World, play
 from burlloom.lab.clock import simulated
 from burlloom.lab.emulator import Emulator, Watch
-from burlloom.lab.fleets import Joining, Net, Swarm
+from burlloom.lab.fleets import SimulatedFleet, SimulatedNetwork, Swarm
 
 SIZES = (3, 30, 300)
 
 
-def terms(size: int, calls: int) -> Terms:
+def terms(size: int, calls: int) -> QuotaSettings:
     """Hundreds report half as often."""
     slow = 2 if size >= 100 else 1
-    return Terms(
-        calls * CALL,
+    return QuotaSettings(
+        calls * MILLICALLS_PER_CALL,
         max(2, size // 20 + 1),
-        round=slow * 200 * MS,
-        lease=slow * 2000 * MS,
-        redeal=14_000 * MS + (slow - 1) * 4000 * MS,
+        report_interval_ns=slow * 200 * NS_PER_MS,
+        lease_ns=slow * 2000 * NS_PER_MS,
+        reclaim_timeout_ns=14_000 * NS_PER_MS + (slow - 1) * 4000 * NS_PER_MS,
     )
 
 
@@ -53,7 +53,7 @@
         swarm.sample = self.look
 
     def look(self) -> None:
-        self.peak = max(self.peak, self.swarm.total())
+        self.peak = max(self.peak, self.swarm.total_calls())
 
     def settles(self, fair: float, most: float = 60) -> float:
         """s until all shares lie within a tenth, or one call, of the fair one, and all of it is
@@ -73,7 +73,7 @@
     calls, began = 4 * size, time.perf_counter()
     small = max(3, size // 10)
     with simulated() as loop:
-        net = Net(loop, 1)
+        net = SimulatedNetwork(loop, 1)
         swarm = Swarm(loop, net, terms(size, calls))
         seen = Seen(swarm, calls)
         swarm.add(small, 1e6)
@@ -81,17 +81,17 @@
         if size > small:
             more = swarm.add(size - small, 1e6)
             rows.append(("grow tenfold", size, seen.settles(calls / size)))
-            before, sent, octets = loop.now, net.sent, net.bytes
+            before, sent, octets = loop.now, net.sent, net.bytes_sent
             fair: dict[str, float] = {}
             for _ in range(60):
                 swarm.run(0.5)
-                for body in swarm.up():
-                    fair[body.name] = fair.get(body.name, 0.0) + body.using / 60
+                for body in swarm.running_members():
+                    fair[body.name] = fair.get(body.name, 0.0) + body.calls_in_progress / 60
             off = max(abs(share / (calls / size) - 1) for share in fair.values())
             each = (loop.now - before) * size
             rows.append(
                 (
-                    f"30 s at rest: {(net.sent - sent) / each:.1f} letters and {(net.bytes - octets) / each:.0f} bytes"
+                    f"30 s at rest: {(net.sent - sent) / each:.1f} letters and {(net.bytes_sent - octets) / each:.0f} bytes"
                     f" a server a second; mean share off by {off:.1%} at most",
                     size,
                     0.0,
@@ -103,10 +103,10 @@
             for body in more:
                 swarm.start(body)
             rows.append(("grow again", size, seen.settles(calls / size)))
-        first = swarm.up()[0]
+        first = swarm.running_members()[0]
         swarm.kill(first)
         noticed = loop.now
-        while not swarm.agreed():
+        while not swarm.has_agreed_view():
             swarm.run(0.1)
         rows.append(("who deals is killed: noticed by all", size - 1, loop.now - noticed))
         rows.append(
@@ -118,13 +118,13 @@
         )
         swarm.start(first)
         rows.append(("started again", size, seen.settles(calls / size)))
-        up = swarm.up()
+        up = swarm.running_members()
         third = [body.address for body in up[: max(1, size // 3)]]
         net.cut(third, [body.address for body in up if body.address not in third])
         swarm.run(30)
         net.heal()
         healed = loop.now
-        while not swarm.agreed():
+        while not swarm.has_agreed_view():
             swarm.run(0.1)
         rows.append(("a third cut off for 30 s, healed: all agree", size, loop.now - healed))
         rows.append(("and shares are fair", size, loop.now - healed + seen.settles(calls / size)))
@@ -185,11 +185,11 @@
 def servers(size: int, variant: str) -> str:
     told = world(size)
     calls = int(told.below.slots * told.below.headroom)
-    made: list[Joining] = []
+    made: list[SimulatedFleet] = []
     rows: list[tuple[float, float, float, int]] = []
 
-    def joined(emulator: Emulator) -> Joining:
-        made.append(Joining(emulator, terms(size, calls)))
+    def joined(emulator: Emulator) -> SimulatedFleet:
+        made.append(SimulatedFleet(emulator, terms(size, calls)))
         return made[0]
 
     def look(emulator: Emulator) -> dict[str, float]:
@@ -225,7 +225,7 @@
 
 
 def by_rank(names: list[str], below: list[str], size: int) -> dict[str, list[str]]:
-    return {name: ranked(name, below)[:size] for name in names}
+    return {name: rank_services(name, below)[:size] for name in names}
 
 
 def bounded(names: list[str], below: list[str], size: int) -> dict[str, list[str]]:
@@ -233,7 +233,8 @@
     most = math.ceil(1.1 * len(names) * size / len(below))
     load, found = dict.fromkeys(below, 0), {name: list[str]() for name in names}
     for _, name, service in sorted(
-        ((rank(name, service), name, service) for name in names for service in below), reverse=True
+        ((rendezvous_rank(name, service), name, service) for name in names for service in below),
+        reverse=True,
     ):
         if len(found[name]) < size and load[service] < most:
             found[name].append(service)
@@ -283,15 +284,19 @@
             ("rendezvous, bounded", bounded),
         )
     ]
-    before = spread(names, below, size)
+    before = assign_subsets(names, below, size)
 
     def moved(names: list[str], below: list[str], of: int) -> float:
-        return len(spread(names, below, size).pairs() ^ before.pairs()) / len(before.pairs()) * of
+        return (
+            len(assign_subsets(names, below, size).pairs() ^ before.pairs())
+            / len(before.pairs())
+            * of
+        )
 
     rows.append(
         (
             "rendezvous, fitted (ours)",
-            before.worst,
+            before.max_load_ratio,
             moved(names[1:], below, count),
             moved(names, below[1:], services),
         )
@@ -303,9 +308,9 @@
 
 
 def chance(seed: int) -> int:
-    from test_fleet_core import chaos
+    from test_fleet_member import run_chaos
 
-    chaos(seed, seconds=150)
+    run_chaos(seed, seconds=150)
     return seed
 
 
--- a/benchmarks/rollout_waves.py
+++ b/benchmarks/rollout_waves.py
@@ -28,11 +28,11 @@
 
 from burlloom.lab import World, play
 from burlloom.lab.emulator import Emulator, Watch
-from burlloom.lab.rolls import Agreed, Releases, Scripted
+from burlloom.lab.rolls import CoordinatedReleases, ScriptedReleases, SimulatedReleases
 from burlloom.operator import RolloutPart
-from burlloom.rollout import SERVERS, Counts, Measure, Phase
-from burlloom.rollout.judge import Evidence, Look, Verdict, judge
-from burlloom.rollout.plan import Input
+from burlloom.rollout import SERVERS_GROUP, CanarySettings, ReleasePhase, RequestCounts
+from burlloom.rollout.canary import CanaryWindow, ServerSample, Verdict, evaluate_canary
+from burlloom.rollout.release import ReleaseInput
 
 VARIANTS = ("clock", "waiting", "agreed")
 BEGIN, KILLED, DOWN_FOR, SECOND_OPERATOR, RESTART_S = 10.0, 22.0, 12.0, 24.0, (0.5, 8.0)
@@ -113,7 +113,7 @@
     kill.
     """
 
-    def __init__(self, releases: Releases, bound: int) -> None:
+    def __init__(self, releases: SimulatedReleases, bound: int) -> None:
         self.releases, self.bound = releases, bound
         self.most = self.over = self.unseen = self.drains = 0
         self.draining: set[tuple[str, int]] = set()
@@ -129,8 +129,8 @@
         } - self.draining
         self.draining |= new
         self.drains += len(new)
-        self.most = max(self.most, releases.out)
-        over = max(0, min(len(new), releases.out - self.bound))
+        self.most = max(self.most, releases.out_count)
+        over = max(0, min(len(new), releases.out_count - self.bound))
         self.over += over
         # Whoever was killed a moment ago counts from when its silence is seen.
         self.unseen += over if KILLED <= releases.emulator.loop.now <= KILLED + FRESH else 0
@@ -140,9 +140,9 @@
         ):
             self.done_at = now - BEGIN
         if (
-            isinstance(releases, Agreed)
+            isinstance(releases, CoordinatedReleases)
             and self.halted_at < 0
-            and releases.shelf.page.book.plan.phase is Phase.HALTED
+            and releases.store.snapshot.state.release.phase is ReleasePhase.HALTED
         ):
             self.halted_at = now - BEGIN
         if (
@@ -159,20 +159,22 @@
     made: list[Seen] = []
     voids = {"v2": BAD} if bad else {}
 
-    def releases(emulator: Emulator) -> Releases:
+    def releases(emulator: Emulator) -> SimulatedReleases:
         loop, nodes = emulator.loop, emulator.nodes
         second = nodes[-bound:]
         if variant == "agreed":
-            agreed = Agreed(emulator, "v1", voids, RESTART_S, part(), 0.02)
+            agreed = CoordinatedReleases(emulator, "v1", voids, RESTART_S, part(), 0.02)
             loop.call_later(
-                BEGIN, agreed.order, lambda book: book.start("v2", (1, 0.1, 0.5, 1.0), False)
+                BEGIN,
+                agreed.order,
+                lambda state: state.start_release("v2", (1, 0.1, 0.5, 1.0), False),
             )
             if not bad:
                 for node in second:
                     loop.call_later(
                         SECOND_OPERATOR,
                         agreed.order,
-                        lambda book, name=node.name: book.ask(SERVERS, name, 0),
+                        lambda state, name=node.name: state.request_drain(SERVERS_GROUP, name, 0),
                     )
             for at in range(
                 int(BEGIN), 200, 2
@@ -180,13 +182,15 @@
                 loop.call_later(
                     at,
                     agreed.order,
-                    lambda book: (
-                        book.order(Input.ROLLBACK, "") if book.plan.phase is Phase.HALTED else book
+                    lambda state: (
+                        state.order(ReleaseInput.ROLLBACK, "")
+                        if state.release.phase is ReleasePhase.HALTED
+                        else state
                     ),
                 )
             made.append(Seen(agreed, bound))
             return agreed
-        scripted = Scripted(emulator, "v1", voids, RESTART_S)
+        scripted = ScriptedReleases(emulator, "v1", voids, RESTART_S)
         pause = 6.0 if variant == "clock" else 0.0
         loop.call_later(BEGIN, scripted.script, nodes, "v2", bound, 20.0, pause)
         if not bad:
@@ -211,7 +215,7 @@
         "done": seen.done_at,
         "halted": seen.halted_at,
         "back": seen.bad_done_at,
-        "ever": len(seen.releases.ever),
+        "ever": len(seen.releases.nodes_with_bad_version),
         "value": outcome.share,
         "pay": outcome.share_of("pay"),
         "faults": len(outcome.faults),
@@ -231,12 +235,12 @@
     point. Judged each half second over a minute; `spread`: by which servers differ by themselves.
     """
     chance, found, plain = Random(hash((share, spread, changed))), 0, 0
-    measure = Measure(span=30_000_000_000, least=100)
+    measure = CanarySettings(window_ns=30_000_000_000, min_requests=100)
     usual = 0.02
     for _ in range(plays):
         mine = max(0.0, usual + share + chance.gauss(0, spread))
-        evidence = Evidence(measure.span, measure.least, measure.span)
-        totals = {"a": Counts(), "b": Counts()}
+        evidence = CanaryWindow(measure.window_ns, measure.min_requests, measure.window_ns)
+        totals = {"a": RequestCounts(), "b": RequestCounts()}
         bad = over = False
         for at in range(120):
             for name, rate, asked in (("a", mine, changed), ("b", usual, others)):
@@ -251,17 +255,17 @@
                         ),
                     )
                 )
-                totals[name] = totals[name].plus(Counts(asked - failed, 0, 0, failed))
+                totals[name] = totals[name].add(RequestCounts(asked - failed, 0, 0, failed))
             evidence.add(
                 at * 500_000_000,
-                {"a": Look(1, totals["a"], True), "b": Look(1, totals["b"], False)},
+                {"a": ServerSample(1, totals["a"], True), "b": ServerSample(1, totals["b"], False)},
             )
-            one, other = evidence.changed.counts, evidence.others.counts
-            bad = bad or judge(measure, evidence, None).verdict is Verdict.BAD
+            one, other = evidence.changed.counts, evidence.unchanged.counts
+            bad = bad or evaluate_canary(measure, evidence, None).verdict is Verdict.UNHEALTHY
             over = (
                 over
-                or one.asked >= measure.least
-                and one.voided / one.asked > 2 * other.voided / max(1, other.asked) + 0.01
+                or one.total >= measure.min_requests
+                and one.failed / one.total > 2 * other.failed / max(1, other.total) + 0.01
             )
         found, plain = found + bad, plain + over
     return found / plays, plain / plays
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -35,7 +35,7 @@
 from scale_real import Below, Real, ready  # noqa: E402
 
 from burlloom.distribution import ConfigItem, ReplicationSettings, propose  # noqa: E402
-from burlloom.distribution.stores.sqlite import Sqlite  # noqa: E402
+from burlloom.distribution.stores.sqlite import SqliteChangeStore  # noqa: E402
 from burlloom.lab.distances import ZONES, laid_out, place  # noqa: E402
 from burlloom.lab.rules import Rules  # noqa: E402
 
@@ -105,7 +105,7 @@
         )  # of answers: as long as the configuration has it, or longer where time is not judged
         self.below = Below(self.events)
         self.up, self.dead = set[str](), set[str]()
-        self.store = Sqlite(folder / "store.sqlite")
+        self.store = SqliteChangeStore(folder / "store.sqlite")
         self.put_count = 0
         self.zone = [one for one in self.places if one.zone == 0][: setting.fleet]
         self.total = int(SHARE * 1000 * (len(self.zone) + setting.real))
@@ -229,7 +229,10 @@
         }
         fleet = {
             "key": KEY,
-            "terms": {"total": self.total, "least": (len(self.zone) + setting.real) // 2 + 1},
+            "terms": {
+                "total_millicalls": self.total,
+                "min_members": (len(self.zone) + setting.real) // 2 + 1,
+            },
             "seeds": [],
             "demand": 2 * SHARE,
         }
@@ -359,7 +362,7 @@
 
     async def known(self, real: Real) -> None:
         """All hosts learn where it is reached, and by what address it sends."""
-        for event in ("fleet-open", "distribution-open"):
+        for event in ("membership_opened", "distribution_opened"):
             told = [
                 await ready(real, event, real.life),
                 *row(place(real.name, self.zone[0].region, 0, 99)),
--- a/burlloom/dispatcher/__init__.py
+++ b/burlloom/dispatcher/__init__.py
@@ -1,19 +1,32 @@
-"""The decisions in blocking style, for a server on sockets: plain txns in, plain steps out."""
+"""Between the server and the admission controller: events in, directives out.
 
-from .desk import Desk, Seat
-from .marks import Packed
-from .steps import AtCall, CallEnded, Kind, Leaving, Recalled, RequestAttempt, RunEnded, Step
+`Dispatcher` takes request attempts and events from the server, and hands out for each request what
+to do next. `IdempotencyTable` knows the requests that were seen before.
+"""
+
+from .directives import Directive, DirectiveKind
+from .dispatcher import Dispatcher
+from .events import (
+    CallEnded,
+    CallRequested,
+    DrainStarted,
+    RequestAttempt,
+    ResultRecalled,
+    RunEnded,
+)
+from .key_digests import PackedKeyDigests
+from .request_slot import RequestSlot
 
 __all__ = [
-    "AtCall",
     "CallEnded",
-    "Desk",
-    "Kind",
-    "Leaving",
-    "Packed",
-    "Recalled",
-    "RunEnded",
-    "Seat",
-    "Step",
+    "CallRequested",
+    "Directive",
+    "DirectiveKind",
+    "Dispatcher",
+    "DrainStarted",
+    "PackedKeyDigests",
     "RequestAttempt",
+    "RequestSlot",
+    "ResultRecalled",
+    "RunEnded",
 ]
--- a/burlloom/distribution/config_query.py
+++ b/burlloom/distribution/config_query.py
@@ -1,35 +1,34 @@
-"""One question to whoever is followed: what is in force under a key. For an operator's look; keeps
-nothing.
-"""
+"""Queries a source for the items under one key, for an operator; keeps no table."""
 
 import asyncio
 import secrets
 import time
 from collections.abc import Callable, Iterable
+from contextlib import suppress
 from typing import Any, TypeVar
 
-from .follower import Upstream
+from .codec import MessageDecodeError, seal, unseal
 from .messages import (
     Body,
     HeadStatus,
     Message,
-    MessageDecodeError,
     PageResponse,
     PagesRequest,
     Redirect,
     Report,
     Sender,
-    seal,
-    unseal,
 )
 from .table import ItemPosition, bucket_of
+from .upstreams import Upstream
 
 ANSWER_TIMEOUT_S, MAX_ATTEMPTS = 0.5, 3  # s for an answer; how often each is asked
-PAGES_MOST = 10_000  # of one bucket
+MAX_PAGES = 10_000  # of one bucket
 Result = TypeVar("Result")
 
 
 class QueryClient(asyncio.DatagramProtocol):
+    """Sends one request at a time and waits for its answer; holds no table."""
+
     def __init__(self, key: bytes) -> None:
         self.key, self.received = key, asyncio.Queue[Message](256)
         self.name, self.incarnation, self.number = (
@@ -39,17 +38,23 @@
         )
 
     def connection_made(self, transport: Any) -> None:
+        """Keep the transport that asyncio gives."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        try:
+        """Queue a message that can be decoded; drop anything else."""
+        with suppress(MessageDecodeError, asyncio.QueueFull):
             self.received.put_nowait(unseal(data, (self.key,)))
-        except (MessageDecodeError, asyncio.QueueFull):
-            pass
 
     async def query(
         self, one: Upstream, body: Body, answer: Callable[[Message], Result | None]
     ) -> Result | None:
+        """Send a request until `answer` accepts a reply.
+
+        Returns:
+            What `answer` made of the reply; None after `MAX_ATTEMPTS` timeouts of
+            `ANSWER_TIMEOUT_S`.
+        """
         for _ in range(MAX_ATTEMPTS):
             self.number += 1
             self.transport.sendto(
@@ -70,39 +75,43 @@
 
 
 def answered(message: Message) -> HeadStatus | Redirect | None:
+    """Return the reply to a report, if it is one."""
     return message.body if isinstance(message.body, HeadStatus | Redirect) else None
 
 
 async def query(
     upstreams: Iterable[Upstream], region: str, key: bytes, kind: str, name: str
 ) -> tuple[list[tuple[str, bytes, str]] | None, str]:
-    """Scope and value of each that is found, the one in force first, and who said so; None where
-    nobody did.
+    """Ask the upstreams in turn for what is in force under a key.
+
+    Returns:
+        Scope, value and "" of each item, the one in force first, or None if nobody answered; and a
+        sentence that says who answered, or why nobody did.
     """
-    asking = QueryClient(key)
+    client = QueryClient(key)
     transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-        lambda: asking, local_addr=("0.0.0.0", 0)
+        lambda: client, local_addr=("0.0.0.0", 0)
     )
     said = "no upstream answers"
     try:
         for one in upstreams:
-            told: HeadStatus | Redirect | None = await asking.query(
+            status: HeadStatus | Redirect | None = await client.query(
                 one, Report(("", region), 0, 0, 0), answered
             )
-            if isinstance(told, Redirect):
-                said = f"{one.name} sends on: {told.reason}"
+            if isinstance(status, Redirect):
+                said = f"{one.name} sends on: {status.reason}"
             elif (
-                told is not None
-                and (found := await query_item(asking, one, region, kind, name)) is not None
+                status is not None
+                and (found := await query_item(client, one, region, kind, name)) is not None
             ):
                 age = (
                     "never surely the newest"
-                    if told.age_ms is None
-                    else f"surely the newest {told.age_ms / 1000:.1f} s ago"
+                    if status.age_ms is None
+                    else f"surely the newest {status.age_ms / 1000:.1f} s ago"
                 )
                 return (
                     found,
-                    f"{one.name}: epoch {told.head.epoch} revision {told.head.revision}, {age}",
+                    f"{one.name}: epoch {status.head.epoch} revision {status.head.revision}, {age}",
                 )
         return None, said
     finally:
@@ -110,22 +119,26 @@
 
 
 async def query_item(
-    asking: QueryClient, one: Upstream, region: str, kind: str, name: str
+    client: QueryClient, one: Upstream, region: str, kind: str, name: str
 ) -> list[tuple[str, bytes, str]] | None:
+    """Return scope and value of each item under a key, the one in force first.
+
+    None if nobody answered.
+    """
     bucket = bucket_of(kind, name)
     after: ItemPosition | None = None
     found: dict[str, bytes] = {}
-    for _ in range(PAGES_MOST):
-        paged = await asking.query(
+    for _ in range(MAX_PAGES):
+        paged = await client.query(
             one,
             PagesRequest(bucket, after, 1),
             lambda message: message.body if isinstance(message.body, PageResponse) else None,
         )
         if paged is None:
             return None
-        for entry in paged.page.items:
-            if entry[1:3] == (kind, name) and entry.value is not None:
-                found[entry.scope] = entry.value
+        for item in paged.page.items:
+            if item[1:3] == (kind, name) and item.value is not None:
+                found[item.scope] = item.value
         if paged.page.is_last:
             return [(scope, found[scope], "") for scope in (region, "") if scope in found]
         after = paged.page.last_position
--- a/burlloom/distribution/follower.py
+++ b/burlloom/distribution/follower.py
@@ -1,35 +1,31 @@
-"""One server's side: it follows one upstream of several, and holds what that has. No I/O.
+"""A server's side of replication: it follows one of several upstreams. No I/O.
 
-A host gives it the time (`tick`, at `due` or several times a second) and what datagrams come
-(`hear`), and sends what lies in `out`. Times are ns of a clock that never steps back.
+A host calls `tick` at `next_due` or several times a second, passes datagrams to `receive`, and
+sends what lies in `out`. Times are ns of a clock that never goes back.
 
-The applied revisions of an epoch are dense whatever the network does, since only the change right
-after the head whose tag continues the head's is taken (`Replica.take`); the rest is held for its
-turn, or asked for again. A sync makes the table the upstream's by pages: it remembers the head from
-before the first page (the base), folds the changes after the base, and ends at a revision not
-before that of any page. Within an epoch nothing goes back; what the head of a later epoch says is
-taken by a sync.
+The applied revisions of an epoch are dense whatever the network does: only the change directly
+after the head whose tag continues the head's is applied (`Replica.apply_change`); others wait for
+their turn or are requested again. A sync makes the table equal to the upstream's by pages: it
+records the head from before the first page (the base), folds the changes after the base, and ends
+at a revision not before that of any page. Within an epoch nothing goes back; the head of a later
+epoch is taken by a sync.
 """
 
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping
-from dataclasses import dataclass, field
-from enum import IntEnum
 from random import Random
-from typing import NamedTuple
 
-import xxhash
-
-from ..tables import rows
+from ..transition_table import parse_transitions
 from .changes import (
     MAX_NUMBER,
     Change,
-    ConfigItem,
     Head,
     InvalidChangeError,
     chain_break,
     head_after,
 )
+from .codec import MessageDecodeError, seal, unseal
+from .follower_state import Counts, Fetch, Input, State, Sync
 from .messages import (
     MAX_PAGES_PER_REQUEST,
     MAX_PULL_CHANGES,
@@ -39,7 +35,6 @@
     HeadStatus,
     Leave,
     Message,
-    MessageDecodeError,
     PageResponse,
     PagesRequest,
     PullRequest,
@@ -47,13 +42,12 @@
     Redirect,
     Report,
     Sender,
-    seal,
-    unseal,
 )
 from .refusals import MAX_PENDING_REFUSALS, count_refusal
 from .replica import Replica
 from .settings import MS, ReplicationSettings
-from .table import BUCKET_COUNT, ItemPosition
+from .table import BUCKET_COUNT
+from .upstreams import Address, Upstream, by_preference
 
 MAX_EARLY_CHANGES = 256  # changes that wait for those before them, the earliest; 280 KB at most
 MAX_FOLDED_ITEMS = (
@@ -61,7 +55,7 @@
 )
 ITEMS_PER_PUT = 64  # entries at once, of what was folded
 MAX_BACKOFF_DOUBLINGS = 4  # after which a try waits no longer than the one before
-MAX_FETCHES = 16  # buckets that are fetched at once, of PAGES_MOST pages each
+MAX_FETCHES = 16  # buckets that are fetched at once, of MAX_PAGES_PER_REQUEST pages each
 MAX_OPEN_REPORTS = 4  # that may still be answered
 MAX_PENDING_AGES = 8  # of an upstream's age, for revisions that are still to come
 MAX_REFUSED_IN_A_ROW = 3  # changes in a row that don't follow: then another upstream is asked
@@ -69,30 +63,6 @@
 MAX_OUT_DATAGRAMS = 256  # datagrams that wait for the host
 JITTER_SHARE = 0.1
 
-Address = tuple[str, int]
-
-
-class Upstream(NamedTuple):
-    name: str
-    region: str
-    address: Address
-
-
-class State(IntEnum):
-    EMPTY = 0  # nothing is in force
-    SYNCING = 1  # buckets that differ are fetched
-    REPLAYING = 2  # changes since the sync's base, up to the latest page's revision
-    CURRENT = 3
-    BEHIND = 4  # changes are pulled
-    ALONE = 5  # no upstream answers; what is in force stays
-
-
-class Input(IntEnum):
-    HEAD = 0  # the upstream's word
-    CHANGE = 1  # changes came, were taken as far as they follow
-    FETCHED = 2  # a bucket, or none differed
-    LOST = 3  # the upstream is silent, full, leaves, or is of no use
-
 
 TABLE = """
 EMPTY      HEAD     -                   SYNCING    start_sync
@@ -125,133 +95,100 @@
 """
 
 
-@dataclass(slots=True)
-class Counts:
-    """For whoever reads metrics."""
-
-    sent: int = 0
-    sent_bytes: int = 0
-    heard: int = 0
-    heard_bytes: int = 0
-    taken: int = 0
-    pulls: int = 0
-    syncs: int = 0
-    settled: int = 0
-    pages: int = 0
-    mended: int = 0  # entries that a page found differing
-    moves: int = 0  # to another upstream
-    dropped: int = 0
-    refused: dict[str, int] = field(default_factory=dict)  # by reason
-
-
-@dataclass(slots=True)
-class Fetch:
-    """A bucket on its way: behind `after` nothing came yet; `early` pages wait for those before
-    them. `tries`: since one came; each waits twice as long, as a source that has no bytes left for
-    pages answers nothing.
-    """
-
-    after: ItemPosition | None
-    retry_at: int
-    tries: int = 0
-    early_pages: dict[ItemPosition, PageResponse] = field(default_factory=dict)
-
-
-@dataclass(slots=True)
-class Sync:
-    """`base`: the head from before the first page; `tip`: how far the changes after it are folded;
-    `target`: the latest revision that a page was of.
-    """
-
-    first_number: int  # number of the first DIGESTS_ASK
-    retry_at: int
-    last_progress_at: int  # when anything last came of it
-    digest_halves: dict[tuple[int, int], DigestsResponse] = field(default_factory=dict)
-    base: Head | None = None
-    tip: Head | None = None
-    target_revision: int = 0
-    buckets_left: list[int] = field(default_factory=list)
-    fetching: dict[int, Fetch] = field(default_factory=dict)
-    folded_items: dict[ItemPosition, ConfigItem] = field(default_factory=dict)
-
-
 class Follower:
-    """`life`: Unix ms of the start. `upstreams`: own region's come first, each part in rendezvous
-    order. The first key seals. Raises `ValueError` for terms or upstreams that can't be.
+    """Follows one upstream of several and keeps a replica of its table.
+
+    Args:
+        replica: the table that is kept.
+        name: this server's name.
+        incarnation: Unix ms of the process's start.
+        region: upstreams of this region are preferred.
+        upstreams: whom it may follow.
+        keys: the first seals messages, any opens them.
+        settings: intervals and limits.
+        random: source of jitter.
+        now: current time in ns.
+
+    Raises:
+        ValueError: for settings or upstreams that can't be used.
     """
 
     def __init__(
         self,
         replica: Replica,
         name: str,
-        life: int,
+        incarnation: int,
         region: str,
         upstreams: Iterable[Upstream],
         keys: tuple[bytes, ...],
-        terms: ReplicationSettings,
-        chance: Random,
+        settings: ReplicationSettings,
+        random: Random,
         now: int,
     ) -> None:
-        self.replica, self.name, self.incarnation, self.keys = replica, name, life, keys
-        self.settings, self.random = terms, chance
+        self.replica, self.name, self.incarnation, self.keys = replica, name, incarnation, keys
+        self.settings, self.random = settings, random
         self.upstreams = by_preference(name, region, upstreams)
-        if not 0 < len(self.upstreams) <= MAX_UPSTREAMS or terms.faults():
+        if not 0 < len(self.upstreams) <= MAX_UPSTREAMS or settings.faults():
             raise ValueError(
-                "; ".join(terms.faults())
+                "; ".join(settings.faults())
                 or f"{len(self.upstreams)} upstreams, of 1 to {MAX_UPSTREAMS}"
             )
         self.state = State.EMPTY if replica.head is None else State.ALONE
         self.out: deque[tuple[Address, bytes]] = deque()
         self.counts = Counts()
-        self.refusals: deque[tuple[str, Address]] = deque(
-            maxlen=MAX_PENDING_REFUSALS
-        )  # until the host takes them
-        # Numbers of two lives are never the same: an answer to an earlier life means nothing to
-        # this one.
-        self.number = life << 20 & MAX_NUMBER
-        self.upstream_index = 0  # whom we follow, of `upstreams`
-        self.has_answered = False  # whether it ever did, since we came to it
-        self.upstreams_tried = 0  # upstreams, since one answered
+        # Kept until the host takes them for its log.
+        self.refusals: deque[tuple[str, Address]] = deque(maxlen=MAX_PENDING_REFUSALS)
+        # Numbers of two incarnations never coincide: an answer to an earlier one means nothing here.
+        self.number = incarnation << 20 & MAX_NUMBER
+        self.last_tick_at = now
+        self._init_upstream(now)
+        self._init_changes(now)
+
+    def _init_upstream(self, now: int) -> None:
+        """Begin with the first upstream, unanswered."""
+        self.upstream_index = 0
+        self.has_answered = False
+        # Since one of them answered.
+        self.upstreams_tried = 0
         self.upstream_incarnation = 0
-        self.upstream_head: HeadStatus | None = None  # its last word
-        self.upstream_head_number = 0  # of the report that it answered
-        self.latest = 0  # revision that it is known to have
-        self.last_answer_at = self.last_tick_at = (
-            now  # its last answer, or our coming to it; the last tick
-        )
-        self.reports: dict[int, int] = {}  # by number, when it left
-        self.next_report_at = now  # the next
-        self.probe = (
-            -1,
-            -1,
-            now,
-        )  # of a better upstream: which, our report's number, and when it left
+        self.upstream_head: HeadStatus | None = None
+        # Number of the report that `upstream_head` answered.
+        self.upstream_head_number = 0
+        # Revision that the upstream is known to have.
+        self.latest = 0
+        # The upstream's last answer, or when it was chosen.
+        self.last_answer_at = now
+        # Unanswered reports: number to the time of sending.
+        self.reports: dict[int, int] = {}
+        self.next_report_at = now
+        # The probe of a preferred upstream: its index, our report's number, the time of sending.
+        self.probe = (-1, -1, now)
         self.last_probe_index = -1
-        self.next_probe_at = now + self.jittered(terms.preferred_retry_ns)
+        self.next_probe_at = now + self.jittered(self.settings.preferred_retry_ns)
+
+    def _init_changes(self, now: int) -> None:
+        """Begin without changes on their way."""
         self.early_changes: dict[int, Change] = {}
         self.pull_number, self.pull_sent_at, self.pull_up_to, self.pull_retry_at = -1, -1, 0, now
         self.refused_in_a_row = 0
         self.sync: Sync | None = None
-        self.pages_up_to = (
-            0,
-            0,
-        )  # epoch and revision that pages lie in the table of, where no sync ended since
-        self.first_judged_number = (
-            self.number
-        )  # reports before this number say nothing of the table any more
+        # Epoch and revision of the latest page in the table, while no sync has ended since.
+        self.pages_up_to = (0, 0)
+        # Reports before this number say nothing of the table any more.
+        self.first_judged_number = self.number
         self.confirmed_newest_at: int | None = None
-        self.pending_ages: deque[tuple[int, int, int]] = deque(
-            maxlen=MAX_PENDING_AGES
-        )  # epoch, revision, newest when
+        # Ages for revisions that are still to come: epoch, revision, when that was the newest.
+        self.pending_ages: deque[tuple[int, int, int]] = deque(maxlen=MAX_PENDING_AGES)
 
     # What others ask.
 
     @property
     def upstream(self) -> Upstream:
+        """The one that is followed now."""
         return self.upstreams[self.upstream_index]
 
     def age(self, now: int) -> int | None:
-        """ms since what is in force was surely the newest; None where it never was."""
+        """Return how long ago the table was confirmed to be the newest, in ms; None if never."""
         return (
             None
             if self.confirmed_newest_at is None
@@ -260,7 +197,7 @@
 
     @property
     def next_due(self) -> int:
-        """When `tick` has something to do."""
+        """When `tick` next has something to do, in ns."""
         found = min(
             self.next_report_at, self.next_probe_at, self.last_answer_at + self.answer_timeout_ns()
         )
@@ -277,6 +214,7 @@
         return found
 
     def answer_timeout_ns(self) -> int:
+        """Return how long the upstream may be silent, in ns."""
         return (
             self.settings.upstream_timeout_ns
             if self.has_answered
@@ -284,11 +222,13 @@
         )
 
     def jittered(self, span: int) -> int:
+        """Return a span of time, in ns, spread by `JITTER_SHARE` to both sides."""
         return int(span * (1 + JITTER_SHARE * (2 * self.random.random() - 1)))
 
     # Once in a while.
 
     def tick(self, now: int) -> None:
+        """Do what is due: give up a silent upstream, report, probe, repeat unanswered requests."""
         if now - self.last_tick_at > self.settings.upstream_timeout_ns:
             self.resume_after_pause(now)
         self.last_tick_at = now
@@ -310,13 +250,13 @@
             self.repeat_requests(now, self.sync)
 
     def resume_after_pause(self, now: int) -> None:
-        """We stood still; that the upstream was not heard meanwhile says nothing of it."""
+        """Restart timeouts after a pause of this process: it says nothing of the upstream."""
         self.last_answer_at = self.next_report_at = now
         if self.sync is not None:
             self.sync.last_progress_at = now
 
     def send_report(self, now: int) -> None:
-        """Until an upstream answers, twice a beat."""
+        """Report to the upstream; twice a heartbeat until one answers."""
         self.next_report_at = now + self.jittered(
             self.settings.heartbeat_ns if self.has_answered else self.settings.heartbeat_ns // 2
         )
@@ -325,15 +265,14 @@
             del self.reports[next(iter(self.reports))]
 
     def own_report(self) -> Report:
+        """Return the report of what is in force here."""
         head, table = self.replica.head, self.replica.table
         if head is None or self.replica.is_partial:
             return Report(table.scopes, 0, 0, 0)
         return Report(table.scopes, head.epoch, head.revision, table.digest())
 
     def probe_preferred_upstream(self, now: int) -> None:
-        """A report to one of the better upstreams, each in turn; to any where the own one has old
-        news.
-        """
+        """Report to a preferred upstream, each in turn; to any while the own one is stale."""
         most = len(self.upstreams) if self.upstream_is_stale() else self.upstream_index
         self.next_probe_at = now + self.jittered(
             self.settings.heartbeat_ns
@@ -351,7 +290,7 @@
             )
 
     def upstream_is_stale(self) -> bool:
-        """Whether the upstream itself has old news, or none."""
+        """Whether the upstream's own table is old, or never was the newest."""
         return self.upstream_head is not None and (
             self.upstream_head.age_ms is None
             or self.upstream_head.age_ms * MS > self.settings.stale_after_ns
@@ -360,8 +299,9 @@
     # What comes.
 
     def receive(self, now: int, data: bytes, source: Address) -> None:
-        self.counts.heard += 1
-        self.counts.heard_bytes += len(data)
+        """Handle one datagram; what is refused is counted by its reason."""
+        self.counts.received += 1
+        self.counts.received_bytes += len(data)
         try:
             message = unseal(data, self.keys)
         except MessageDecodeError as error:
@@ -373,63 +313,67 @@
             self.count_refusal(reason, source)
 
     def count_refusal(self, reason: str, source: Address) -> None:
+        """Count a refused message and keep it for the host's log."""
         self.refusals.append((count_refusal(self.counts.refused, reason), source))
 
     def on_head(self, now: int, message: Message) -> str:
+        """Take the upstream's head, or a probed upstream's; returns why it is refused, else ""."""
         assert isinstance(message.body, HeadStatus)
-        sender, told = message.sender, message.body
-        which, number, left_at = self.probe
+        sender, status = message.sender, message.body
+        which, number, sent_at = self.probe
         if number == sender.number and self.upstreams[which].name == sender.name:
             self.probe = -1, -1, now
-            if not self.is_preferable(told, which):
+            if not self.is_preferable(status, which):
                 self.send(self.upstreams[which], Leave())
                 return ""
             self.follow_upstream(now, which)
-            self.reports[number] = left_at
+            self.reports[number] = sent_at
         elif sender.name != self.upstream.name:
             return "a HEAD of another"
         elif sender.number == self.pull_number:
             self.pull_sent_at = -1
         elif sender.number not in self.reports:
             return "a HEAD that was not asked for"
-        self.last_answer_at, self.has_answered, self.upstream_incarnation = (
-            now,
-            True,
-            sender.incarnation,
-        )
-        asked_at = self.reports.pop(sender.number, None)
-        fault = self.reason_not_to_follow(told.head)
-        if fault:
+        return self._take_head(now, sender, status)
+
+    def _take_head(self, now: int, sender: Sender, status: HeadStatus) -> str:
+        """Take the head of the upstream; returns why it can't be followed any more, else ""."""
+        self.last_answer_at, self.has_answered = now, True
+        self.upstream_incarnation = sender.incarnation
+        report_sent_at = self.reports.pop(sender.number, None)
+        reason = self.reason_not_to_follow(status.head)
+        if reason:
             self.lose_upstream(now)
-            return fault
-        if self.upstream_is_stale() != (
-            told.age_ms is None or told.age_ms * MS > self.settings.stale_after_ns
-        ):
-            self.next_probe_at = min(
-                self.next_probe_at, now + self.jittered(self.settings.heartbeat_ns)
-            )
-        back = (
-            self.upstream_head is not None
-            and told.head[:2] < self.upstream_head.head[:2]
-            and sender.number > self.upstream_head_number
-        )
-        same = (
-            self.upstream_head is not None
-            and self.upstream_head.head.epoch == told.head.epoch
-            and not back
-        )
-        self.latest = max(self.latest if same else 0, told.head.revision)
-        self.upstream_head, self.upstream_head_number, self.upstreams_tried = told, sender.number, 0
-        if asked_at is not None and told.age_ms is not None:
-            self.pending_ages.append(
-                (told.head.epoch, told.head.revision, asked_at - told.age_ms * MS)
-            )
+            return reason
+        is_stale = status.age_ms is None or status.age_ms * MS > self.settings.stale_after_ns
+        if self.upstream_is_stale() != is_stale:
+            soon = now + self.jittered(self.settings.heartbeat_ns)
+            self.next_probe_at = min(self.next_probe_at, soon)
+        self._keep_head(sender.number, status)
+        if report_sent_at is not None and status.age_ms is not None:
+            newest_at = report_sent_at - status.age_ms * MS
+            self.pending_ages.append((status.head.epoch, status.head.revision, newest_at))
             self.update_confirmed_age()
         self.handle(now, Input.HEAD)
         return ""
 
+    def _keep_head(self, number: int, status: HeadStatus) -> None:
+        """Remember the upstream's head, and the latest revision that it is known to have."""
+        before = self.upstream_head
+        went_back = (
+            before is not None
+            and status.head[:2] < before.head[:2]
+            and number > self.upstream_head_number
+        )
+        is_same_log = (
+            before is not None and before.head.epoch == status.head.epoch and not went_back
+        )
+        self.latest = max(self.latest if is_same_log else 0, status.head.revision)
+        self.upstream_head, self.upstream_head_number = status, number
+        self.upstreams_tried = 0
+
     def reason_not_to_follow(self, head: Head) -> str:
-        """Why nobody with that head may be followed; empty where one may."""
+        """Return why an upstream with that head can't be followed; "" if it can."""
         own = self.replica.head
         if own is None:
             return ""
@@ -439,17 +383,17 @@
             return "another history of this epoch"
         return ""
 
-    def is_preferable(self, told: HeadStatus, which: int) -> bool:
-        """Whether that upstream is to be followed in place of the own one."""
-        if self.reason_not_to_follow(told.head) or told.age_ms is None:
+    def is_preferable(self, status: HeadStatus, which: int) -> bool:
+        """Whether that upstream should be followed in place of the present one."""
+        if self.reason_not_to_follow(status.head) or status.age_ms is None:
             return False
         own = self.upstream_head.age_ms if self.upstream_head is not None else None
-        if which < self.upstream_index and told.age_ms * MS <= self.settings.stale_after_ns:
+        if which < self.upstream_index and status.age_ms * MS <= self.settings.stale_after_ns:
             return True
-        return self.upstream_is_stale() and (own is None or 2 * told.age_ms < own)
+        return self.upstream_is_stale() and (own is None or 2 * status.age_ms < own)
 
     def update_confirmed_age(self) -> None:
-        """Words about revisions that we have say when what is in force was surely the newest."""
+        """Apply the upstream's ages for revisions that are in force here now."""
         head = self.replica.head
         while head is not None and self.pending_ages:
             epoch, revision, at = self.pending_ages[0]
@@ -462,6 +406,7 @@
                 )
 
     def on_change(self, now: int, message: Message) -> str:
+        """Take a pushed or pulled change; returns why it is refused, else ""."""
         assert isinstance(message.body, PushedChange)
         change = message.body.change
         tip = self.tip()
@@ -488,15 +433,13 @@
         return reason
 
     def tip(self) -> Head | None:
-        """The revision that the next change is to follow: of the table, or of what a sync
-        folded.
-        """
+        """Return the head that the next change must follow: the table's, or the sync's tip."""
         if self.sync is not None:
             return self.sync.tip
         return None if self.replica.is_partial else self.replica.head
 
     def apply_early_changes(self, now: int) -> str:
-        """Takes what follows, as far as it goes; says why a change was refused."""
+        """Apply waiting changes as far as they follow; returns why one was refused, else ""."""
         while True:
             tip = self.tip()
             change = self.early_changes.pop(tip.revision + 1, None) if tip is not None else None
@@ -514,27 +457,28 @@
                     self.lose_upstream(now)
                 return reason
             self.refused_in_a_row = 0
-            self.counts.taken += 1
+            self.counts.applied += 1
             if self.sync is not None:
                 self.sync.last_progress_at = now
             self.update_confirmed_age()
 
     def fold_change(self, sync: Sync, change: Change) -> str:
-        """The next change after the base: for the end of the sync."""
+        """Keep the items of the next change after the base for the end of the sync."""
         assert sync.tip is not None
         reason = chain_break(sync.tip, change, self.replica.keys)
         if not reason and self.replica.holds_scope(change.scope):
             try:
-                entries = self.replica.items_of(change)
+                items = self.replica.items_of(change)
             except InvalidChangeError as refused:
                 return str(refused)
-            for entry in entries:
-                sync.folded_items[entry[:3]] = entry
+            for item in items:
+                sync.folded_items[item[:3]] = item
         if not reason:
             sync.tip = head_after(change)
         return reason
 
     def on_redirect(self, now: int, message: Message) -> str:
+        """Leave an upstream that sends us elsewhere; returns why it is refused, else ""."""
         sender, body = message.sender, message.body
         assert isinstance(body, Redirect)
         if sender.number == self.probe[1]:
@@ -555,13 +499,18 @@
     # Whom we follow.
 
     def lose_upstream(self, now: int) -> None:
+        """Give up the upstream: it is silent, full, leaving, or of no use."""
         self.handle(now, Input.LOST)
 
     def follow_next_upstream(self, now: int) -> None:
+        """Follow the next upstream in the order of preference."""
         self.follow_upstream(now, (self.upstream_index + 1) % len(self.upstreams))
 
     def follow_upstream(self, now: int, which: int) -> None:
-        """What a sync has fetched stays in the table; the next one finds it by its digests."""
+        """Follow that upstream.
+
+        Pages that were fetched stay in the table; the next sync finds them by their digests.
+        """
         if self.has_answered and which != self.upstream_index:
             self.send(self.upstream, Leave())
         self.upstream_index, self.has_answered, self.upstream_incarnation = which, False, 0
@@ -582,6 +531,7 @@
     # The table of states.
 
     def handle(self, now: int, what: Input) -> None:
+        """Move by the first row of the table whose test holds, and have its effect."""
         for test, state, effect in RULES.get((self.state, what), ()):
             if test(self):
                 self.state = state
@@ -591,38 +541,41 @@
     # Tests.
 
     def needs_sync(self) -> bool:
-        """Whether only a sync helps: nothing whole here, a later epoch, changes that can't be
-        pulled any more, or digests that differ at the same revision.
+        """Whether only a sync helps.
+
+        That is so if nothing is complete here, the upstream's epoch is later, the changes can't be
+        pulled any more, or digests differ at the same revision.
         """
-        told, head = self.upstream_head, self.replica.head
-        if told is None:
+        status, head = self.upstream_head, self.replica.head
+        if status is None:
             return False
-        if head is None or self.replica.is_partial or told.head.epoch > head.epoch:
+        if head is None or self.replica.is_partial or status.head.epoch > head.epoch:
             return True
         return (
-            told.head.revision > head.revision
-            and told.oldest_revision > head.revision
-            or told.differs
+            status.head.revision > head.revision
+            and status.oldest_revision > head.revision
+            or status.differs
             and self.upstream_head_number >= self.first_judged_number
         )
 
     def has_lost_sync_base(self) -> bool:
-        """Whether what a sync was begun from is gone."""
-        sync, told = self.sync, self.upstream_head
+        """Whether the upstream no longer has the changes after the sync's tip."""
+        sync, status = self.sync, self.upstream_head
         if sync is None:
             return True
         return (
-            told is not None
+            status is not None
             and sync.tip is not None
-            and (told.head.epoch != sync.tip.epoch or told.oldest_revision > sync.tip.revision)
+            and (status.head.epoch != sync.tip.epoch or status.oldest_revision > sync.tip.revision)
         )
 
     def is_behind(self) -> bool:
+        """Whether the upstream is known to have a later revision."""
         head = self.replica.head
         return head is not None and self.latest > head.revision
 
     def is_sync_unfinished(self) -> bool:
-        """Whether a sync is not at its end yet."""
+        """Whether buckets are missing, or changes up to the latest page's revision."""
         sync = self.sync
         return (
             sync is None
@@ -634,7 +587,7 @@
     # Effects.
 
     def pull_changes(self, now: int) -> None:
-        """Asks for the next changes, unless asked for just now."""
+        """Request the next changes, unless they were requested just now."""
         tip = self.tip()
         if tip is None or tip.revision >= self.wanted_revision():
             self.pull_sent_at = -1
@@ -657,11 +610,11 @@
         self.pull_number = self.send(self.upstream, PullRequest(tip.epoch, tip.revision, most))
 
     def wanted_revision(self) -> int:
-        """The latest that we know of."""
+        """Return the latest revision that is known."""
         return max(self.latest, self.sync.target_revision if self.sync is not None else 0)
 
     def start_sync(self, now: int) -> None:
-        """Asks for the digests of all buckets."""
+        """Request the digests of all buckets."""
         self.counts.syncs += 1
         self.pull_sent_at = self.pull_number = -1
         self.sync = Sync(
@@ -671,14 +624,14 @@
         )
 
     def finish_sync(self, now: int) -> None:
-        """The end of a sync: what was folded lies over the pages."""
+        """End a sync: put the folded items over the pages."""
         sync = self.sync
         assert sync is not None
         assert sync.tip is not None
-        entries = list(sync.folded_items.values())
+        items = list(sync.folded_items.values())
         try:
-            for at in range(0, len(entries), ITEMS_PER_PUT):
-                self.replica.table.put(entries[at : at + ITEMS_PER_PUT])
+            for at in range(0, len(items), ITEMS_PER_PUT):
+                self.replica.table.put(items[at : at + ITEMS_PER_PUT])
         except ValueError as error:  # a table's own bounds
             self.count_refusal(f"the table refuses: {error!s:.100}", self.upstream.address)
             self.lose_upstream(now)
@@ -693,7 +646,7 @@
             for revision, change in self.early_changes.items()
             if change.epoch == sync.tip.epoch and revision > sync.tip.revision
         }
-        self.counts.settled += 1
+        self.counts.finished_syncs += 1
         self.apply_early_changes(now)
         self.update_confirmed_age()
         if self.is_behind():
@@ -703,6 +656,7 @@
     # A sync on its way.
 
     def on_digests(self, now: int, message: Message) -> str:
+        """Begin a sync from both halves of the digests; returns why they are refused, else ""."""
         body, sync = message.body, self.sync
         assert isinstance(body, DigestsResponse)
         number = message.sender.number
@@ -737,7 +691,7 @@
         return ""
 
     def fetch_buckets(self, now: int, sync: Sync) -> None:
-        """Asks for the next buckets, or goes on where none is left."""
+        """Request the next buckets, or go on if none is left."""
         while sync.buckets_left and len(sync.fetching) < MAX_FETCHES:
             bucket = sync.buckets_left.pop()
             sync.fetching[bucket] = Fetch(None, now)
@@ -746,6 +700,10 @@
             self.handle(now, Input.FETCHED)
 
     def on_page(self, now: int, message: Message) -> str:
+        """Put a page, and those that waited for it, into the table.
+
+        Returns why it is refused, else "".
+        """
         body, sync = message.body, self.sync
         assert isinstance(body, PageResponse)
         if (
@@ -766,7 +724,14 @@
             ):
                 fetch.early_pages[body.after] = body
             return ""
-        page: PageResponse | None = body
+        return self._put_pages(now, sync, fetch, body)
+
+    def _put_pages(self, now: int, sync: Sync, fetch: Fetch, first: PageResponse) -> str:
+        """Put a page and the early ones behind it into the table.
+
+        Returns why the table refuses one, else "".
+        """
+        page: PageResponse | None = first
         while page is not None:
             sync.target_revision = max(sync.target_revision, page.revision)
             self.pages_up_to = max(self.pages_up_to, (page.epoch, page.revision))
@@ -781,17 +746,16 @@
                 del sync.fetching[page.bucket]
                 self.fetch_buckets(now, sync)
                 return ""
-            fetch.after, last = (
-                page.page.last_position,
-                page.page_index == MAX_PAGES_PER_REQUEST - 1,
-            )
+            fetch.after = page.page.last_position
+            is_last_of_request = page.page_index == MAX_PAGES_PER_REQUEST - 1
             page = fetch.early_pages.pop(fetch.after, None) if fetch.after is not None else None
             fetch.tries = 0
-            if page is None and last:
-                self.request_pages(now, body.bucket, fetch)
+            if page is None and is_last_of_request:
+                self.request_pages(now, first.bucket, fetch)
         return ""
 
     def request_pages(self, now: int, bucket: int, fetch: Fetch) -> None:
+        """Ask for the next pages of a bucket; each attempt waits twice as long for them."""
         fetch.retry_at = now + self.jittered(
             self.settings.request_retry_ns << min(fetch.tries, MAX_BACKOFF_DOUBLINGS)
         )
@@ -799,6 +763,7 @@
         self.send(self.upstream, PagesRequest(bucket, fetch.after, MAX_PAGES_PER_REQUEST))
 
     def repeat_requests(self, now: int, sync: Sync) -> None:
+        """Repeat the sync's requests that were not answered in time."""
         if sync.base is None and now >= sync.retry_at:
             sync.retry_at = now + self.jittered(self.settings.request_retry_ns)
             self.send(self.upstream, DigestsRequest())
@@ -812,10 +777,11 @@
     # What leaves.
 
     def leave(self) -> None:
+        """Tell the upstream that this follower goes."""
         self.send(self.upstream, Leave())
 
     def send(self, to: Upstream, body: Body) -> int:
-        """The message's number."""
+        """Queue a message to an upstream and return its number."""
         self.number += 1
         if len(self.out) >= MAX_OUT_DATAGRAMS:
             self.counts.dropped += 1
@@ -827,19 +793,8 @@
         return self.number
 
 
-def by_preference(name: str, region: str, upstreams: Iterable[Upstream]) -> list[Upstream]:
-    """Own region's first, each part in rendezvous order (Thaler and Ravishankar, 1998), so that
-    each follower has its own and a lost one's followers spread over all others.
-    """
-
-    def weight(one: Upstream) -> tuple[bool, int]:
-        return one.region == region, int(xxhash.xxh3_64_intdigest(f"{name}\n{one.name}".encode()))
-
-    return sorted((one for one in upstreams if one.name != name), key=weight, reverse=True)
-
-
 def summary(follower: Follower, now: int) -> Mapping[str, object]:
-    """For an operator's eyes; plain values."""
+    """Return plain values for an operator, as the state file has them."""
     head, sync, counts = follower.replica.head, follower.sync, follower.counts
     return {
         "name": follower.name,
@@ -851,7 +806,7 @@
         "age_ms": follower.age(now),
         "mixed": follower.replica.is_partial,
         "buckets_left": len(sync.buckets_left) + len(sync.fetching) if sync else 0,
-        "counts": {name: getattr(counts, name) for name in counts.__slots__},
+        "counts": counts.exported(),
     }
 
 
@@ -867,7 +822,7 @@
     return (lambda follower, now: None) if name == "-" else getattr(Follower, name)
 
 
-RULES = rows(TABLE, State, Input, _test, _effect)
+RULES = parse_transitions(TABLE, State, Input, _test, _effect)
 HANDLERS: dict[type[Body], Callable[[Follower, int, Message], str]] = {
     HeadStatus: Follower.on_head,
     PushedChange: Follower.on_change,
--- a/burlloom/distribution/source.py
+++ b/burlloom/distribution/source.py
@@ -1,17 +1,20 @@
-"""The side that is followed: of a control machine, or of a relay (a Follower beside it on the same
-Replica). No I/O.
+"""The side of replication that is followed: a control machine, or a relay. No I/O.
 
-A host gives it the time (`tick`, once a beat or so) and what datagrams come (`hear`), calls `push`
-after anything that may have moved the copy, and sends what lies in `out`. A change is sealed once
-for all followers: nothing in it is of one of them. Times are ns of a clock that never steps back.
+A relay has a `Follower` beside it on the same `Replica`. A host calls `tick` about once a
+heartbeat, passes datagrams to `receive`, calls `push_changes` after anything that may have moved
+the replica, and sends what lies in `out`. A change is sealed once for all followers, since nothing
+in it depends on one of them. Times are ns of a clock that never goes back.
 """
 
 from collections import deque
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 from random import Random
+from typing import Any
 
 from .changes import Change
+from .codec import MessageDecodeError, seal, unseal
+from .counters import export_counters
 from .messages import (
     HALF_BUCKETS,
     MAX_PAGE_BYTES,
@@ -21,19 +24,16 @@
     HeadStatus,
     Leave,
     Message,
-    MessageDecodeError,
     PageResponse,
     PagesRequest,
     PullRequest,
     PushedChange,
     Redirect,
-    ReplayWindow,
     Report,
     Sender,
-    seal,
-    unseal,
 )
 from .refusals import MAX_PENDING_REFUSALS, count_refusal
+from .replay_window import ReplayWindow
 from .replica import Replica
 from .settings import MS, ReplicationSettings
 
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Lease:
-    """One that follows. `until`: ns."""
+    """A follower's lease; `expires_at` is in ns."""
 
     incarnation: int
     address: Address
@@ -60,12 +60,12 @@
 
 @dataclass(slots=True)
 class Counts:
-    """For whoever reads metrics."""
+    """Counters since the start; `exported` gives them for metrics and the state file."""
 
     sent: int = 0
     sent_bytes: int = 0
-    heard: int = 0
-    heard_bytes: int = 0
+    received: int = 0
+    received_bytes: int = 0
     pushed: int = 0  # changes to followers, each to each
     pulled: int = 0
     pages: int = 0
@@ -75,25 +75,39 @@
     dropped: int = 0
     refused: dict[str, int] = field(default_factory=dict)  # by reason
 
+    def exported(self) -> dict[str, Any]:
+        """Return the counters by the names that state files and metrics have for them."""
+        return export_counters(self)
+
 
 class Source:
-    """`age`: ms since the copy was surely the newest, at a time; None: never. The first key
-    seals.
+    """Serves followers from a replica.
+
+    Args:
+        replica: the table that is served.
+        name: this server's name.
+        incarnation: Unix ms of the process's start.
+        keys: the first seals messages, any opens them.
+        settings: intervals and limits.
+        random: source of jitter.
+        now: current time in ns.
+        age_ms: given a time, returns how many ms ago the replica was confirmed to be the newest;
+            None: never.
     """
 
     def __init__(
         self,
         replica: Replica,
         name: str,
-        life: int,
+        incarnation: int,
         keys: tuple[bytes, ...],
-        terms: ReplicationSettings,
-        chance: Random,
+        settings: ReplicationSettings,
+        random: Random,
         now: int,
         age: Callable[[int], int | None],
     ) -> None:
-        self.replica, self.name, self.incarnation, self.keys = replica, name, life, keys
-        self.settings, self.random = terms, chance
+        self.replica, self.name, self.incarnation, self.keys = replica, name, incarnation, keys
+        self.settings, self.random = settings, random
         self.age_ms = age
         self.out: deque[tuple[Address, bytes]] = deque()
         self.counts = Counts()
@@ -105,18 +119,19 @@
             (replica.head.epoch, replica.head.revision) if replica.head is not None else (0, 0)
         )
         self.sealed_changes: dict[tuple[int, int, bool], bytes] = {}
-        self.tokens, self.tokens_filled_at = float(terms.page_burst_bytes), now
+        self.tokens, self.tokens_filled_at = float(settings.page_burst_bytes), now
         self.is_draining = False
 
     # Once in a while.
 
     def tick(self, now: int) -> None:
+        """Forget followers whose lease is over, and push what is new."""
         for name in [name for name, lease in self.followers.items() if lease.expires_at <= now]:
             del self.followers[name]
         self.push_changes(now)
 
     def push_changes(self, now: int) -> None:
-        """What is new goes to all who follow. After a sync, or where it is very much, they pull."""
+        """Push new changes to all followers; after a sync or too many changes they pull instead."""
         head = self.replica.head
         if head is None or not self.replica.is_complete or self.pushed_up_to == head[:2]:
             return
@@ -138,6 +153,7 @@
                 self.counts.pushed += 1
 
     def sealed_change(self, change: Change, full: bool) -> bytes:
+        """Return the datagram of a change, sealed once for all followers; `full`: with its body."""
         key = change.epoch, change.revision, full
         data = self.sealed_changes.get(key)
         if data is None:
@@ -153,8 +169,9 @@
     # What comes.
 
     def receive(self, now: int, data: bytes, source: Address) -> None:
-        self.counts.heard += 1
-        self.counts.heard_bytes += len(data)
+        """Handle one datagram; what is refused is counted by its reason."""
+        self.counts.received += 1
+        self.counts.received_bytes += len(data)
         try:
             message = unseal(data, self.keys)
         except MessageDecodeError as error:
@@ -166,9 +183,11 @@
             self.count_refusal(reason, source)
 
     def count_refusal(self, reason: str, source: Address) -> None:
+        """Count a refused message and keep it for the host's log."""
         self.refusals.append((count_refusal(self.counts.refused, reason), source))
 
     def on_report(self, now: int, message: Message, source: Address) -> str:
+        """Grant or renew a lease, or redirect; returns why the report is refused, else ""."""
         sender, body, head = message.sender, message.body, self.replica.head
         assert isinstance(body, Report)
         lease = self.followers.get(sender.name)
@@ -209,7 +228,7 @@
         return ""
 
     def reason_not_to_serve(self, body: Report) -> str:
-        """Why we can't be followed by that one; empty where we can."""
+        """Return why that follower can't be served here; "" if it can."""
         held = self.replica.table.scopes
         if self.is_draining:
             return "leaving"
@@ -220,12 +239,14 @@
         return ""
 
     def is_full(self, now: int) -> bool:
+        """Whether no further follower is taken; leases that are over are dropped first."""
         if len(self.followers) >= self.settings.max_followers:
             for name in [name for name, lease in self.followers.items() if lease.expires_at <= now]:
                 del self.followers[name]
         return len(self.followers) >= self.settings.max_followers
 
     def differs(self, body: Report) -> bool:
+        """Whether a follower's digest differs from ours at the same revision; counted."""
         head = self.replica.head
         if (
             head is None
@@ -239,6 +260,7 @@
         return found
 
     def send_head(self, now: int, number: int, to: Address, differs: bool) -> None:
+        """Send our head, in answer to the message of that number."""
         assert self.replica.head is not None
         # A copy on its way to a later revision is nothing to pull from or sync with, and says no
         # other head.
@@ -251,7 +273,7 @@
         )
 
     def lease_of(self, now: int, message: Message) -> Lease | None:
-        """Who asked, where that is one that follows, and did not ask with that number before."""
+        """Return the sender's lease; None if it has none, or its number was seen before."""
         sender = message.sender
         lease = self.followers.get(sender.name)
         if (
@@ -264,6 +286,7 @@
         return lease
 
     def on_pull(self, now: int, message: Message, source: Address) -> str:
+        """Send the changes that a follower asks for; returns why it is refused, else ""."""
         lease, body, head = self.lease_of(now, message), message.body, self.replica.head
         assert isinstance(body, PullRequest)
         if lease is None or head is None:
@@ -282,6 +305,7 @@
         return ""
 
     def on_digests_request(self, now: int, message: Message, source: Address) -> str:
+        """Send both halves of the digests; returns why the request is refused, else ""."""
         lease, head = self.lease_of(now, message), self.replica.head
         if lease is None:
             return "a DIGESTS_ASK of none that follows, or played again"
@@ -299,6 +323,7 @@
         return ""
 
     def on_pages_request(self, now: int, message: Message, source: Address) -> str:
+        """Send pages within the byte rate; returns why the request is refused, else ""."""
         lease, body, head = self.lease_of(now, message), message.body, self.replica.head
         assert isinstance(body, PagesRequest)
         if lease is None:
@@ -329,6 +354,7 @@
         return ""
 
     def on_leave(self, now: int, message: Message, source: Address) -> str:
+        """End a follower's lease; always accepted."""
         if self.lease_of(now, message) is not None:
             del self.followers[message.sender.name]
         return ""
@@ -336,19 +362,20 @@
     # What leaves.
 
     def drain(self) -> None:
-        """Sends all followers on; whoever reports later is sent on too."""
+        """Redirect all followers, and from now on whoever reports."""
         self.is_draining = True
         for lease in self.followers.values():
             self.send(lease.address, 0, Redirect("leaving"))
         self.followers.clear()
 
     def send(self, to: Address, number: int, body: Body) -> int:
-        """The bytes that it took."""
+        """Send a message and return its size in bytes."""
         data = seal(Sender(self.name, self.incarnation, number), body, self.keys[0])
         self.post(to, data)
         return len(data)
 
     def post(self, to: Address, data: bytes) -> None:
+        """Queue a datagram for the host; over `MAX_OUT_DATAGRAMS` it is dropped and counted."""
         if len(self.out) >= MAX_OUT_DATAGRAMS:
             self.counts.dropped += 1
             return
@@ -358,7 +385,7 @@
 
 
 def summary(source: Source, now: int) -> Mapping[str, object]:
-    """For an operator's eyes; plain values."""
+    """Return plain values for an operator, as the state file has them."""
     head, counts = source.replica.head, source.counts
     return {
         "name": source.name,
@@ -374,7 +401,7 @@
             for lease in source.followers.values()
             if head and (lease.epoch, lease.revision) < head[:2]
         ),
-        "counts": {name: getattr(counts, name) for name in counts.__slots__},
+        "counts": counts.exported(),
     }
 
 
--- /dev/null
+++ b/burlloom/executor/connection.py
@@ -0,0 +1,352 @@
+"""Keeps a connection to the executor, over which requests are run.
+
+When a connection is lost, the commands sent on it are sent again on the next one, but only those
+that cannot have been carried out: a run must not be repeated.
+"""
+
+import asyncio
+import contextlib
+import logging
+import socket
+from collections.abc import Callable
+
+from ..sockets import (
+    NS_PER_SECOND,
+    CloseReason,
+    ConnectionEndedError,
+    ReceiveBuffer,
+    SocketReader,
+    SocketWriter,
+    TaskSupervisor,
+    open_stream_socket,
+    sleep_ns,
+)
+from . import wire
+from .wire import Command, NoticeKind, RunStatus
+
+log = logging.getLogger(__name__)
+
+READ_BUFFER_BYTES = 64 << 10
+MAX_READ_BUFFER_BYTES = 4 * wire.MAX_BODY_BYTES
+RECONNECT_INTERVAL_NS = NS_PER_SECOND // 20
+CONNECT_TIMEOUT_NS = NS_PER_SECOND
+MAX_CONNECT_TIMEOUT_NS = 4 * NS_PER_SECOND
+MAX_UNANSWERED_POLLS = 30  # in a row
+CONFIRM_DELAY_NS = NS_PER_SECOND // 40  # from a command to the poll that confirms it
+
+# Bound once: each is used with every request, and on Python 3.11 an access through the enum takes
+# seven times as long as a comparison of strings.
+RUN_ENDED = NoticeKind.RUN_ENDED
+CALL_REQUESTED = NoticeKind.CALL_REQUESTED
+START_RUN = Command.START_RUN
+SEND_CALL_RESULT = Command.SEND_CALL_RESULT
+
+Gauges = list[float]
+
+
+class ExecutorConnection:
+    """Sends runs and call results to the executor, and hands its notices on.
+
+    A command is confirmed by a notice about its request, or by the answer to a gauge query that was
+    sent after it. Until then it may be lost with the connection, and is sent again on the next one.
+    A confirmed one must not be: its run may have ended, and would run again.
+
+    Attributes:
+        last_notice: The number of the last notice that was handled; the executor sends again what
+            came after it.
+        unconfirmed_commands: By command and request id, the command's place in the order of all
+            commands, and its bytes.
+        command_count: How many commands were sent so far.
+        pending_polls: By tag, who waits for the gauges, and how many commands were sent before.
+        is_joined: Whether this connection's replay of notices is over, and commands may be sent.
+        is_replaying: Whether the next notice's number may leave some out.
+        has_served: Whether this connection was ever joined.
+    """
+
+    def __init__(
+        self,
+        address: tuple[str, int],
+        supervisor: TaskSupervisor,
+        on_welcome: Callable[[bool, int], None],
+        on_run_ended: Callable[[str, RunStatus, int, bytes], None],
+        on_call_requested: Callable[[str, bytes], None],
+        free_descriptor: Callable[[], bool] = lambda: False,
+    ) -> None:
+        """Prepares the connection; `maintain` makes it.
+
+        Args:
+            address: Host and port of the executor.
+            supervisor: Owner of the connection's tasks.
+            on_welcome: Called at each connect: whether the executor is cold, and its age in ms.
+            on_run_ended: Called with request id, status, duration in ns and result.
+            on_call_requested: Called with the id of the request whose run asks for a call, and
+                the call's body.
+            free_descriptor: Frees a descriptor elsewhere where none is left for a new connection.
+        """
+        self.address, self.supervisor = address, supervisor
+        self.on_welcome, self.on_run_ended = on_welcome, on_run_ended
+        self.on_call_requested, self.free_descriptor = on_call_requested, free_descriptor
+        self.last_notice = 0
+        self.unconfirmed_commands: dict[tuple[str, str], tuple[int, bytes]] = {}
+        self.command_count = 0
+        self.pending_polls: dict[str, tuple[asyncio.Future[Gauges | None], int]] = {}
+        self.last_tag = 0
+        self.writer: SocketWriter | None = None
+        self.is_joined = self.is_replaying = self.has_served = False
+        self.barrier_tag, self.unanswered_polls = "", 0
+        self.confirm_timer: asyncio.TimerHandle | None = None
+        self.connection_task: asyncio.Task[tuple[CloseReason, str]] | None = None
+        self.connect_timeout_ns = CONNECT_TIMEOUT_NS
+
+    def start_run(self, request_id: str, request_class: str, body: bytes) -> None:
+        """Has the executor run a request."""
+        command = wire.encode_start_run(request_id, request_class, body)
+        self.send_command(START_RUN, request_id, command)
+
+    def send_call_result(self, request_id: str, result: bytes) -> None:
+        """Gives a run the result of the call that it asked for."""
+        command = wire.encode_call_result(request_id, result)
+        self.send_command(SEND_CALL_RESULT, request_id, command)
+
+    def send_command(self, name: Command, request_id: str, command: bytes) -> None:
+        """Sends a command now, or once the connection is joined."""
+        self.command_count += 1
+        self.unconfirmed_commands.pop((name, request_id), None)
+        self.unconfirmed_commands[name, request_id] = self.command_count, command
+        if self.is_joined and self.writer is not None:
+            self.writer.send(command)
+            if self.confirm_timer is None:
+                # More often than the regular polls: the fewer commands are sent again although
+                # they had arrived, the fewer runs are found one call further, or over.
+                self.confirm_timer = asyncio.get_running_loop().call_later(
+                    CONFIRM_DELAY_NS / NS_PER_SECOND, self.confirm_commands
+                )
+
+    def confirm_commands(self) -> None:
+        """Polls the gauges, whose answer confirms the commands sent so far."""
+        self.confirm_timer = None
+        if self.is_joined and self.unconfirmed_commands:
+            self.poll_gauges()
+
+    async def query_gauges(self, timeout_ns: int) -> Gauges | None:
+        """Returns what the executor measures now; None where it does not answer in time."""
+        if self.writer is None:
+            return None
+        # A connection that is not joined counts as unanswered too: the answer that would join it
+        # may have been lost.
+        poll = self.poll_gauges() if self.is_joined else None
+        is_answered = poll is not None and bool(
+            (await asyncio.wait({poll}, timeout=timeout_ns / NS_PER_SECOND))[0]
+        )
+        self.unanswered_polls = 0 if is_answered else self.unanswered_polls + 1
+        if self.unanswered_polls > MAX_UNANSWERED_POLLS and self.writer is not None:
+            # Against a connection that stays open with nobody at its other end. A new one brings
+            # the notices that were missed.
+            log.warning("event=executor_unresponsive polls=%d", self.unanswered_polls)
+            self.unanswered_polls = 0
+            with contextlib.suppress(OSError):  # a reset just now, which the reader sees next
+                self.writer.socket.shutdown(socket.SHUT_RDWR)
+        return poll.result() if is_answered and poll is not None else None
+
+    def poll_gauges(self) -> "asyncio.Future[Gauges | None]":
+        """Sends a gauge query; returns its answer to come, None once the connection is lost."""
+        self.last_tag += 1
+        tag = f"m{self.last_tag}"
+        poll: asyncio.Future[Gauges | None] = asyncio.get_running_loop().create_future()
+        self.pending_polls[tag] = poll, self.command_count if self.is_joined else 0
+        assert self.writer is not None
+        self.writer.send(wire.encode_gauge_query(tag))
+        return poll
+
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Connects to another address; unconfirmed commands are sent again there."""
+        if address != self.address:
+            self.address = address
+            if self.connection_task is not None:
+                self.connection_task.cancel()
+
+    async def maintain(self) -> None:
+        """Connects to the executor, and again whenever the connection is lost, for good."""
+        previous: CloseReason | None = None
+        while True:
+            self.has_served = False
+            self.connection_task = self.supervisor.start(self.connect_and_read(), "executor_reader")
+            await asyncio.wait({self.connection_task})
+            reason, detail = CloseReason.ADDRESS_CHANGED, ""
+            if not self.connection_task.cancelled():
+                reason, detail = self.connection_task.result()
+            is_unreachable = reason in (
+                CloseReason.CONNECTION_REFUSED,
+                CloseReason.CONNECT_TIMEOUT,
+            )
+            if not is_unreachable or reason is not previous:
+                log.info(
+                    "event=connection_closed side=executor reason=%s last_notice=%d "
+                    "unconfirmed_commands=%d detail=%r",
+                    reason.value,
+                    self.last_notice,
+                    len(self.unconfirmed_commands),
+                    detail,
+                )
+            previous = reason
+            # At once where the connection had served: runs end and calls wait meanwhile.
+            if reason is not CloseReason.ADDRESS_CHANGED and not self.has_served:
+                await sleep_ns(RECONNECT_INTERVAL_NS)
+
+    async def connect_and_read(self) -> tuple[CloseReason, str]:
+        """Makes one connection and reads it to its end; returns why it ended, and a detail."""
+        sock: socket.socket | None = None
+        try:
+            sock = open_stream_socket(self.free_descriptor)
+            try:
+                async with asyncio.timeout(self.connect_timeout_ns / NS_PER_SECOND):
+                    await asyncio.get_running_loop().sock_connect(sock, self.address)
+            except TimeoutError:
+                # The system would retry ever later, and find a machine that is back late. Where
+                # connecting is slow by itself, the next try has longer.
+                self.connect_timeout_ns = min(MAX_CONNECT_TIMEOUT_NS, 2 * self.connect_timeout_ns)
+                return CloseReason.CONNECT_TIMEOUT, ""
+            self.connect_timeout_ns = CONNECT_TIMEOUT_NS
+            await self.read_notices(sock)
+            return CloseReason.PEER_CLOSED, ""
+        except ConnectionRefusedError:
+            return CloseReason.CONNECTION_REFUSED, ""
+        except ConnectionEndedError as error:
+            return error.reason, error.detail
+        except OSError as error:
+            return CloseReason.PEER_RESET, error.strerror or ""
+        except Exception:
+            # Whatever a notice set off: a server that loses its executor for good serves nobody.
+            log.exception("event=internal_error side=executor")
+            return CloseReason.INTERNAL_ERROR, ""
+        finally:
+            self.disconnect()
+            if sock is not None:
+                sock.close()
+
+    def disconnect(self) -> None:
+        """Forgets a connection that is lost; polls that wait for it get None."""
+        if self.writer is not None:
+            self.writer.abort()
+        self.writer = None
+        self.is_joined, self.barrier_tag = False, ""
+        for poll, _ in self.pending_polls.values():
+            if not poll.done():
+                poll.set_result(None)
+        self.pending_polls.clear()
+
+    async def read_notices(self, sock: socket.socket) -> None:
+        """Joins, and handles notices until the executor closes the connection.
+
+        Raises:
+            ConnectionEndedError: The executor sent what is no notice.
+            OSError: The connection was lost.
+        """
+        reader = SocketReader(sock)
+        buffer = ReceiveBuffer(READ_BUFFER_BYTES, MAX_READ_BUFFER_BYTES)
+        # A write that fails is followed by a read that fails too.
+        self.writer = SocketWriter(sock, self.supervisor, lambda: None)
+        self.writer.send(wire.encode_join(self.last_notice))
+        while True:
+            size = await reader.receive(buffer.free_space())
+            if not size:
+                return
+            buffer.end += size
+            while (notice := wire.read_notice(buffer)) is not None:
+                self.handle_notice(notice)
+
+    def handle_notice(self, notice: wire.Notice) -> None:
+        """Acts on one notice.
+
+        Raises:
+            ConnectionEndedError: One of its fields is not what its kind asks for, or notices
+                before it were left out.
+        """
+        kind, fields, body = notice
+        if kind is RUN_ENDED:
+            if self.is_new_notice(fields[0]):
+                self.handle_run_ended(fields, body)
+        elif kind is CALL_REQUESTED:
+            if self.is_new_notice(fields[0]):
+                self.confirm_request(fields[1])
+                # A copy: the call may be made later, and again.
+                self.on_call_requested(fields[1], bytes(body))
+        elif kind is NoticeKind.GAUGES:
+            tag, *values = fields
+            self.handle_gauges(tag, [wire.parse_decimal(value) for value in values])
+        elif kind is NoticeKind.WELCOME:
+            self.handle_welcome(fields)
+        elif kind is NoticeKind.COMMAND_REJECTED:
+            self.handle_rejection(fields)
+        else:
+            log.info("event=executor_log text=%r", " ".join(fields[1:]))
+            self.is_new_notice(fields[0])
+
+    def handle_welcome(self, fields: list[str]) -> None:
+        """Begins the replay of the notices that were missed.
+
+        It ends where a gauge query sent now is answered: only then is it known which commands
+        arrived.
+        """
+        is_cold = wire.parse_is_cold(fields[0])
+        self.is_replaying = True
+        self.on_welcome(is_cold, wire.parse_integer(fields[1]))
+        self.poll_gauges()
+        self.barrier_tag = f"m{self.last_tag}"
+
+    def handle_run_ended(self, fields: list[str], body: memoryview) -> None:
+        """Hands the end of a run on."""
+        _, request_id, status, duration_ms, _ = fields
+        self.confirm_request(request_id)
+        self.on_run_ended(
+            request_id,
+            wire.parse_run_status(status),
+            wire.parse_duration_ns(duration_ms),
+            bytes(body),
+        )
+
+    def confirm_request(self, request_id: str) -> None:
+        """Confirms the commands about one request: the executor told of it."""
+        self.unconfirmed_commands.pop((START_RUN, request_id), None)
+        self.unconfirmed_commands.pop((SEND_CALL_RESULT, request_id), None)
+
+    def is_new_notice(self, number_field: str) -> bool:
+        """Counts a numbered notice; returns whether it was not handled before.
+
+        Raises:
+            ConnectionEndedError: Notices before it were left out, outside of a replay.
+        """
+        number = wire.parse_integer(number_field)
+        if number > self.last_notice + 1 and not self.is_replaying:
+            raise wire.malformed(f"notice {number} after {self.last_notice}")
+        if number > self.last_notice + 1:
+            # While there was no connection the executor had more notices than it keeps. Some runs'
+            # ends are never learnt, and unconfirmed commands may be among them: not sent again,
+            # such a request fails in time and is never run twice.
+            log.error("event=notices_lost first=%d last=%d", self.last_notice + 1, number - 1)
+            self.unconfirmed_commands.clear()
+        self.is_replaying = False
+        is_new = number > self.last_notice
+        self.last_notice = max(self.last_notice, number)
+        return is_new
+
+    def handle_gauges(self, tag: str, values: Gauges) -> None:
+        """Answers the poll with this tag, and confirms the commands sent before it."""
+        poll, confirmed_count = self.pending_polls.pop(tag, (None, 0))
+        confirmed = [
+            key for key, (place, _) in self.unconfirmed_commands.items() if place <= confirmed_count
+        ]
+        for key in confirmed:
+            del self.unconfirmed_commands[key]
+        if tag == self.barrier_tag and self.writer is not None:
+            self.barrier_tag, self.is_joined, self.has_served = "", True, True
+            self.writer.send(*(command for _, command in self.unconfirmed_commands.values()))
+        if poll is not None and not poll.done():
+            poll.set_result(values)
+
+    def handle_rejection(self, fields: list[str]) -> None:
+        """Ends the run of a request that the executor does not know."""
+        log.info("event=command_rejected command=%s id=%s", fields[0], " ".join(fields[1:]))
+        if len(fields) > 1 and fields[0] == START_RUN:
+            self.unconfirmed_commands.pop((START_RUN, fields[1]), None)
+            self.on_run_ended(fields[1], RunStatus.REJECTED, 0, b"")
--- a/burlloom/lab/node.py
+++ b/burlloom/lab/node.py
@@ -5,10 +5,17 @@
 import socket
 from typing import TYPE_CHECKING
 
-from ..executor import End
+from ..executor import RunStatus
 from ..rpc import IncomingRequest
 from ..server.configuration import ServerConfig
+from ..server.configuration_distribution import ConfigurationDistribution
+from ..server.membership import FleetMembership
+from ..server.recovery import RestartRecovery
+from ..server.request_record import RequestRecord
+from ..server.rollout import RolloutParticipation
 from ..server.server import Server
+from ..server.service_levels import ServiceLevels
+from ..server.subsystems import SubsystemFactory
 from ..settings import parse_server_settings
 from .below import Pool
 from .clock import SECOND
@@ -20,6 +27,50 @@
     from .emulator import Emulator
 
 MS = 1_000_000
+NOWHERE = ("", 0)  # no socket is opened
+
+
+class EmulatedSubsystems(SubsystemFactory):
+    """The parts of one emulated node's server; those that no experiment asks for are off."""
+
+    def __init__(self, fleet: "Emulator", node: "Node") -> None:
+        """Creates the factory of one start of a node.
+
+        Args:
+            fleet: Has what makes the parts.
+            node: The machine that the server is on.
+        """
+        self.fleet = fleet
+        self.node = node
+        self.make_rollout = fleet.rolls.participation(node) if fleet.rolls is not None else None
+
+    def create_record(self, server: Server) -> RequestRecord:
+        """Creates the record that the experiment asks for."""
+        make = self.fleet.keeping
+        return make(server) if make is not None else super().create_record(server)
+
+    def create_levels(
+        self, server: Server, distribution: ConfigurationDistribution
+    ) -> ServiceLevels:
+        """Creates the levels that the experiment asks for."""
+        make = self.fleet.leveling
+        return make(server) if make is not None else super().create_levels(server, distribution)
+
+    def create_recovery(self, server: Server) -> RestartRecovery:
+        """Creates the recovery that the experiment asks for."""
+        make = self.fleet.recovering
+        return make(server) if make is not None else super().create_recovery(server)
+
+    def create_membership(self, server: Server, recovery: RestartRecovery) -> FleetMembership:
+        """Creates the membership over the emulated network."""
+        if self.fleet.fleets is None:
+            return super().create_membership(server, recovery)
+        return self.fleet.fleets.membership(self.node, server, recovery)
+
+    def create_rollout(self, server: Server) -> RolloutParticipation:
+        """Creates the participation in the experiment's releases."""
+        make = self.make_rollout
+        return make(server) if make is not None else super().create_rollout(server)
 
 
 class Reports:
@@ -27,14 +78,14 @@
 
     def __init__(self, node: "Node") -> None:
         self.node = node
-        self.said: bool | None = None
+        self.last_reported: bool | None = None
 
-    def tell(self, serving: bool) -> None:
-        if serving != self.said:
-            self.said = serving
+    def report_health(self, serving: bool) -> None:
+        if serving != self.last_reported:
+            self.last_reported = serving
             self.node.fleet.listed(self.node, serving)
 
-    def move(self, address: tuple[str, int]) -> None: ...
+    def change_address(self, address: tuple[str, int]) -> None: ...
 
 
 class Node:
@@ -64,34 +115,26 @@
         self.cores = Cores(loop, told, self.speed, loop.now if cold else -1e6)
         self.cores.slow = self.slow
         known, meters = parse_server_settings(fleet.settings)
-        orders = ServerConfig(
-            self.name,
-            ("", 0),
-            ("", 0),
-            ("", 0),
-            ("", 0),
-            fleet.seed_of(self),
-            int(told.stop_ms * MS),
-            known,
-            512,
-            64 << 20,
-            tuple(one.name for one in fleet.world.products),
-            {one.name: one.share for one in fleet.world.tenants},
-            meters,
+        config = ServerConfig(
+            name=self.name,
+            listen_address=NOWHERE,
+            executor_address=NOWHERE,
+            discovery_address=NOWHERE,
+            downstream_address=NOWHERE,
+            seed=fleet.seed_of(self),
+            stop_ns=int(told.stop_ms * MS),
+            settings=known,
+            max_sockets=512,
+            memory_bytes=64 << 20,
+            class_names=tuple(one.name for one in fleet.world.products),
+            tenant_portions={one.name: one.share for one in fleet.world.tenants},
+            gauge_names=meters,
         )
         with socket.socket() as listener:
-            server = self.server = Server(
-                orders,
-                listener,
-                fleet.keeping,
-                fleet.leveling,
-                fleet.fleets.fleeting(self) if fleet.fleets is not None else None,
-                fleet.recovering,
-                fleet.rolls.rolling(self) if fleet.rolls is not None else None,
-            )
-        server.reports.sock.close()
-        server.clock = server.front.clock = loop.wall  # type: ignore[assignment]
-        server.front.listener = None
+            server = self.server = Server(config, listener, EmulatedSubsystems(fleet, self))
+        server.reports.socket.close()
+        server.clock = server.front.clock = server.requests.clock = loop.wall  # type: ignore[assignment]
+        server.front.socket = None
         server.reports = Reports(self)  # type: ignore[assignment]
         life = self.life
         self.executor = Executor(
@@ -99,10 +142,10 @@
             self.work,
             self.ran,
             lambda *told: self.ended(life, *told),
-            server.run_reached_call,
+            server.requests.run_reached_call,
         )
-        server.link, server.pool = self.executor, Pool(fleet.below)  # type: ignore[assignment]
-        server.executor_welcomed(cold, 0 if cold else 600_000)
+        server.connect(self.executor, Pool(fleet.below))  # type: ignore[arg-type]
+        server.executor_connected(cold, 0 if cold else 600_000)
 
     def work(self, id: str) -> tuple[float, int, float]:
         order = self.attempts[id].order
@@ -111,13 +154,17 @@
     def ran(self, id: str, body: bytes) -> None:
         self.fleet.rules.runs(self.fleet.loop.now, id)
 
-    def ended(self, life: int, id: str, end: End, took: int, result: bytes) -> None:
+    def ended(self, life: int, id: str, end: RunStatus, took: int, result: bytes) -> None:
         if life == self.life and self.up and self.server is not None:
-            if self.fails and end is End.PASS and self.fleet.fault_chance.random() < self.fails:
-                end, result = End.FAIL, b""
-            if end is End.PASS:
+            if (
+                self.fails
+                and end is RunStatus.PASSED
+                and self.fleet.fault_chance.random() < self.fails
+            ):
+                end, result = RunStatus.FAILED, b""
+            if end is RunStatus.PASSED:
                 self.fleet.rules.makes(id, result)
-            self.server.run_ended(id, end, took, result)
+            self.server.requests.run_ended(id, end, took, result)
 
     def reach(self, attempt: "Attempt") -> None:
         """A try's last byte comes to the machine; reading it takes its cores first."""
@@ -167,7 +214,7 @@
             attempt.retry,
             tenants[order.tenant].name if tenants else "",
         )
-        server.receive(attempt.asked)
+        server.requests.receive(attempt.asked)
 
     def forget(self, attempt: "Attempt") -> None:
         if self.attempts.pop(attempt.id, None) is not None:
@@ -183,7 +230,7 @@
     @property
     def open(self) -> bool:
         """Whether its listener is."""
-        return self.up and self.server is not None and not self.server.front.leaving
+        return self.up and self.server is not None and not self.server.front.is_draining
 
     def cut(self, attempt: "Attempt") -> None:
         """The connection of this try went."""
@@ -194,7 +241,7 @@
             and attempt.id in self.attempts
             and attempt.asked is not None
         ):
-            self.server.connection_lost(attempt.asked)
+            self.server.requests.connection_lost(attempt.asked)
 
     def drain(self) -> None:
         if self.up and self.server is not None and not self.server.is_shutting_down:
@@ -209,9 +256,9 @@
         self.fleet.rules.stopped(self.fleet.loop.now, self.name, self.life, killed)
         self.executor.stop()
         if not killed:
-            self.server.membership.close()
+            self.server.subsystems.membership.close()
             if self.fleet.rolls is not None:
-                self.fleet.loop.create_task(self.server.rollout.close())
+                self.fleet.loop.create_task(self.server.subsystems.rollout.close())
         for task in list(self.server.tasks.running):
             task.cancel()
         self.server = None
@@ -240,23 +287,23 @@
 
     def sizes(self) -> dict[str, int]:
         """How many of everything that could grow."""
-        desk = self.server.desk if self.server is not None else None
+        desk = self.server.requests.dispatcher if self.server is not None else None
         if desk is None or self.server is None:
             return {}
-        sizes = desk.choice.sizes()
+        sizes = desk.controller.sizes()
         return {
-            "seats": len(desk.seats),
-            "refs": len(desk.refs),
+            "seats": len(desk.slots),
+            "refs": len(desk.refs_by_id),
             "callers": len(desk.callers),
-            "wakes": len(desk.wakes),
+            "wakes": len(desk.timers),
             "outbox": len(desk.outbox),
-            "copies": len(desk.copies),
-            "marks": len(desk.ledger.records),
-            "wheel": sum(map(len, desk.ledger.wheel.slots.values())),
+            "copies": len(desk.duplicate_answers),
+            "marks": len(desk.idempotency_table.records),
+            "wheel": sum(map(len, desk.idempotency_table.timer_wheel.slots.values())),
             "cases": sizes.requests,
             "live": sizes.live,
             "spent": sizes.ended,
             "lingering": sizes.lingering_calls,
-            "serving": len(self.server.open_requests),
+            "serving": len(self.server.requests.open_requests),
             "tasks": len(self.server.tasks.running),
         }
--- a/burlloom/lab/variants.py
+++ b/burlloom/lab/variants.py
@@ -6,8 +6,9 @@
 from dataclasses import replace
 
 from ..levels import DEFAULT_PLAN, HysteresisPolicy, LevelPlan, SignalBounds
+from ..server.configured_service_levels import ConfiguredServiceLevels
 from ..server.server import Server
-from ..server.service_levels import ConfiguredServiceLevels, ServiceLevels
+from ..server.service_levels import ServiceLevels
 
 Leveler = Callable[[Server], ServiceLevels] | None
 SECOND = 1_000_000_000
@@ -23,7 +24,7 @@
             orders.tenant_portions,
             facts.cores,
             lambda: server.clock(),
-            lambda: len(server.front.connections) / server.front.most,
+            lambda: len(server.front.connections) / server.front.max_connections,
             terms=terms,
             meters=frozenset(orders.gauge_names),
         )
--- a/burlloom/rollout/stores/postgres.py
+++ b/burlloom/rollout/stores/postgres.py
@@ -1,8 +1,10 @@
-"""In the record's PostgreSQL database, for servers on many machines."""
+"""The rollout state in the record's PostgreSQL database, for servers on many machines."""
 
 from ...record.shared_postgres import SharedPostgresDatabase
-from .tables import Tables
+from .sql import SqlRolloutStore
 
+__all__ = ["PostgresRolloutStore"]
 
-class Postgres(SharedPostgresDatabase, Tables):
-    pass
+
+class PostgresRolloutStore(SharedPostgresDatabase, SqlRolloutStore):
+    """The tables beside the record's, over its connections."""
--- /dev/null
+++ b/burlloom/server/configured_rollout.py
@@ -0,0 +1,334 @@
+"""A server's part in drains and releases over the shared store; imported only where it is on."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import logging
+import os
+from collections.abc import Callable
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from ..admission.model import RequestClass
+from ..dispatcher import DirectiveKind
+from ..operator import RolloutPart
+from ..rollout import (
+    SERVERS_GROUP,
+    DrainAgent,
+    RequestCounts,
+    RolloutLeader,
+    ServerPhase,
+    ServerReport,
+)
+from ..rollout.agent import AgentInput
+from ..rollout.stores import (
+    RolloutStore,
+    StateDecodeError,
+    StateSnapshot,
+    StoreUnavailableError,
+)
+from ..rollout.stores.leader_round import run_leader_round
+from ..sockets import NS_PER_MS, TaskSupervisor, sleep_ns
+from .clock import boot_time_ns
+from .rollout import RolloutHost
+
+if TYPE_CHECKING:
+    from .membership import FleetMembership
+
+log = logging.getLogger(__name__)
+
+LAST_REPORT_TIMEOUT_S = 0.2
+# Of the time after which a silent server counts as missing: the longest pause between two polls.
+MAX_PAUSE_DIVISOR = 4
+
+
+class ConfiguredRolloutParticipation:
+    """The participation that an operator's file configures.
+
+    Attributes:
+        steps: Counts since the start, by the end of the metric's name.
+
+    Args:
+        settings: The operator's.
+        store: What the fleet agrees in.
+        name: The server's.
+        version: The release that it runs; empty where it is not known.
+        request_classes: Those of the settings.
+        clock: Unix ns.
+        tasks: Where polls run.
+        host: The server.
+        membership: Returns the server's membership; called once there is one.
+        interval_clock: ns of a clock that nobody sets.
+    """
+
+    def __init__(
+        self,
+        settings: RolloutPart,
+        store: RolloutStore,
+        name: str,
+        version: str,
+        request_classes: tuple[RequestClass, ...],
+        clock: Callable[[], int],
+        tasks: TaskSupervisor,
+        host: RolloutHost,
+        membership: Callable[[], FleetMembership],
+        interval_clock: Callable[[], int] = boot_time_ns,
+    ) -> None:
+        self.settings = settings
+        self.store = store
+        self.name = name
+        self.version = version
+        self.request_classes = request_classes
+        self.clock = clock
+        self.tasks = tasks
+        self.host = host
+        self.membership = membership
+        self.interval_clock = interval_clock
+        self.steps = {"drains": 0, "beaten": 0, "away": 0}
+        self._incarnation = 0
+        self._previous_incarnation = 0
+        self._heartbeats = 0
+        self._reported_ns = 0
+        self._steps_applied = 0
+        self._completed = 0
+        self._late = 0
+        self._rejected = 0
+        self._failed = 0
+        self._agent: DrainAgent | None = None
+        self._leader: RolloutLeader | None = None
+        self._snapshot: StateSnapshot | None = None
+        self._reported_phase: ServerPhase | None = None
+        self._unreachable = ""  # why the store can't be used; empty where it can
+        self._is_superseded = False
+        self._task: asyncio.Task[None] | None = None
+
+    def open(self) -> None:
+        """Begins to poll the store.
+
+        Serving does not wait for it: a server that can't reach it serves on, and is not drained.
+        """
+        self._task = self.tasks.start(self._keep_polling(), "rollout")
+
+    def request_answered(self, kind: DirectiveKind, request_class: int, sent_at_ns: int) -> None:
+        """Counts an answer.
+
+        Args:
+            kind: What was answered.
+            request_class: The request's class, its place in the settings.
+            sent_at_ns: When its caller sent it, in Unix ns.
+        """
+        if kind in (DirectiveKind.COMPLETE, DirectiveKind.COMPLETE_AS_ORIGINAL):
+            self._completed += 1
+            objective_ns = self.request_classes[request_class].latency_objective_ns
+            self._late += self.clock() - sent_at_ns > objective_ns
+        elif kind is DirectiveKind.REJECT:
+            self._rejected += 1
+        else:
+            self._failed += 1
+
+    def gauges(self) -> dict[str, float]:
+        """Returns what stands now, by the end of the metric's name."""
+        if self._snapshot is None:
+            return {"away": float(bool(self._unreachable))}
+        state = self._snapshot.state
+        servers = state.groups[SERVERS_GROUP]
+        return {
+            "away": float(bool(self._unreachable)),
+            "phase": float(state.release.phase),
+            "wave": float(state.release.wave_index),
+            "servers": float(len(servers.instances)),
+            "out": float(servers.out_count),
+            "bound": float(servers.budget.limit(len(servers.instances))),
+            "steps_read": float(state.step),
+            "done": float(sum(state.is_done(instance) for instance in servers.instances.values())),
+        }
+
+    async def close(self) -> None:
+        """Reports that the server leaves; a leader resigns, so that another need not wait."""
+        if self._task is not None:
+            self._task.cancel()
+        with contextlib.suppress(StoreUnavailableError, StateDecodeError, TimeoutError):
+            async with asyncio.timeout(LAST_REPORT_TIMEOUT_S):
+                await self._report_leaving()
+        await self.store.close()
+        log.info(
+            "event=rollout_closed %s",
+            " ".join(f"{name}={count}" for name, count in self.steps.items()),
+        )
+
+    # Polls.
+
+    async def _keep_polling(self) -> None:
+        pause = 1
+        while True:
+            try:
+                await self._poll()
+                if self._unreachable:
+                    log.warning("event=rollout_store_reachable")
+                self._unreachable, pause = "", 1
+            except (StoreUnavailableError, StateDecodeError) as error:
+                self._note_unreachable(error)
+                pause = min(self._max_pause(), 2 * pause)
+                await self._reopen()
+            except Exception:
+                # Without further polls the server would count as missing.
+                log.exception("event=internal_error side=rollout")
+            await sleep_ns(pause * self.settings.poll_ms * NS_PER_MS)
+
+    def _max_pause(self) -> int:
+        """Returns the longest pause, in polls: the server must not count as silent for it."""
+        settings = self.settings
+        return max(1, settings.fresh_ms // (MAX_PAUSE_DIVISOR * settings.poll_ms))
+
+    def _note_unreachable(self, error: Exception) -> None:
+        if not self._unreachable:
+            log.warning("event=rollout_store_unreachable detail=%r", str(error))
+        self._unreachable, self._snapshot = str(error), None
+        self.steps["away"] += 1
+
+    async def _reopen(self) -> None:
+        if self._incarnation:
+            with contextlib.suppress(StoreUnavailableError):
+                await self.store.open()  # its file may be another's by now, its tables gone
+
+    async def _poll(self) -> None:
+        if self._is_superseded:
+            return
+        if not self._incarnation:
+            await self._join()
+        await self._report()
+        if self._is_superseded:
+            return
+        self._snapshot = snapshot = await self.store.read(self._snapshot)
+        self._eject_services(snapshot)
+        if not self.host.is_shutting_down:
+            await self._follow(snapshot)
+        if (
+            not self.host.is_shutting_down
+            and self._leader is not None
+            and snapshot is self._snapshot
+        ):
+            await self._lead(self._leader, snapshot)
+
+    async def _join(self) -> None:
+        await self.store.open()
+        last = await self.store.last_report(self.name)
+        if last is not None:
+            self._previous_incarnation = (
+                last.incarnation if last.phase is ServerPhase.LEAVING else 0
+            )
+        self._incarnation = max(
+            self.clock() // NS_PER_MS, last.incarnation + 1 if last is not None else 0
+        )
+        self._agent = DrainAgent(self.name, self._incarnation)
+        if self.settings.leads:
+            self._leader = RolloutLeader(
+                f"{self.name}/{self._incarnation}",
+                self.settings.terms(),
+                self.settings.budgets(),
+                self.settings.services(),
+            )
+        log.info(
+            "event=rollout_joined name=%s incarnation=%d version=%s",
+            self.name,
+            self._incarnation,
+            self.version or "-",
+        )
+
+    # Reports.
+
+    def _phase(self) -> ServerPhase:
+        if self.host.is_shutting_down:
+            return ServerPhase.LEAVING
+        return ServerPhase.SERVING if self.host.is_ready() else ServerPhase.STARTING
+
+    async def _report(self) -> None:
+        now, phase = self.interval_clock(), self._phase()
+        is_due = now - self._reported_ns >= self.settings.beat_ms * NS_PER_MS
+        if phase == self._reported_phase and not is_due:
+            return
+        self._heartbeats += 1
+        report = ServerReport(
+            self.name,
+            self._incarnation,
+            self._heartbeats,
+            phase,
+            self.host.is_healthy_and_recovered(),
+            self.version,
+            self._steps_applied,
+            RequestCounts(self._completed, self._late, self._rejected, self._failed),
+            self.membership().recent_call_counts(),
+            self._previous_incarnation,
+        )
+        if not await self.store.report(report):
+            self._is_superseded = True
+            # Another process was started under the name after this one.
+            log.error("event=rollout_superseded name=%s", self.name)
+        self._reported_phase = phase
+        self._reported_ns = now
+
+    async def _report_leaving(self) -> None:
+        if not self._incarnation or self._is_superseded or self._unreachable:
+            return
+        self._reported_phase = None
+        await self._report()
+        if self._leader is not None:
+            snapshot = await self.store.read()
+            resigned = self._leader.resign(snapshot.state)
+            if resigned is not None:
+                await self.store.compare_and_swap(snapshot, resigned)
+
+    def _eject_services(self, snapshot: StateSnapshot) -> None:
+        """Has services that are out not called; reported once no call to them is in progress."""
+        ejected = frozenset(address for _, address in snapshot.state.ejected_instances())
+        if self.membership().eject_services(ejected):
+            self._steps_applied = snapshot.state.step
+
+    # What the rollout state says of this server.
+
+    async def _follow(self, snapshot: StateSnapshot) -> None:
+        agent = self._agent
+        assert agent is not None
+        effect = agent.process_state(snapshot.state)
+        if effect == "begin":
+            wanted = agent.begin_drain(snapshot.state)
+            try:
+                is_held = wanted is not None and await self.store.compare_and_swap(snapshot, wanted)
+            except StoreUnavailableError:
+                agent.apply_input(AgentInput.WRITE_UNKNOWN)
+                raise
+            effect = agent.apply_input(
+                AgentInput.WRITE_ACCEPTED if is_held else AgentInput.WRITE_CONFLICT
+            )
+            self._snapshot = None
+            self.steps["beaten"] += not is_held
+        if effect == "drain":
+            self._begin_drain(snapshot)
+
+    def _begin_drain(self, snapshot: StateSnapshot) -> None:
+        """Drains: the store has this server out, durably; no earlier."""
+        version = snapshot.state.next_version_of(self.name)
+        log.info(
+            "event=rollout_drain_started incarnation=%d next_version=%s",
+            self._incarnation,
+            version or "-",
+        )
+        self.steps["drains"] += 1
+        if self.settings.release_file is not None:
+            self._write_release(Path(self.settings.release_file), version)
+        self.host.begin_shutdown()
+
+    def _write_release(self, path: Path, version: str) -> None:
+        try:
+            temporary = path.with_name(path.name + ".part")
+            temporary.write_text(version + "\n", encoding="utf-8")
+            os.replace(temporary, path)
+        except OSError as error:
+            log.warning("event=release_file_not_written detail=%r", str(error))
+
+    async def _lead(self, leader: RolloutLeader, snapshot: StateSnapshot) -> None:
+        for step, reason in await run_leader_round(
+            leader, self.store, snapshot, self.interval_clock()
+        ):
+            log.info("event=rollout_step step=%d reason=%r", step, reason)
--- a/burlloom/sockets/__init__.py
+++ b/burlloom/sockets/__init__.py
@@ -1,31 +1,30 @@
-"""What every connection here is made of: a read buffer and its inlet, one ordered writer, an
-orderly close, a reason for its end.
+"""Building blocks of every connection: reader, writer, orderly close, reasons for a close.
 
-And what keeps it going: its socket as the loop wants it, its tasks, spans of time.
+Also the task supervisor, the socket options that the event loop needs, and units of time.
 """
 
-from .buffer import Buffer
-from .inlet import Inlet, unread
-from .parting import Parting
-from .reasons import Ended, Reason
-from .spans import MS, SECOND, rest
-from .streams import out_of_descriptors, ready, stream
-from .tasks import Tasks
-from .writer import Writer
+from .close_reasons import CloseReason, ConnectionEndedError
+from .connection_close import ConnectionClose
+from .receive_buffer import ReceiveBuffer
+from .socket_reader import SocketReader, has_unread_bytes
+from .socket_writer import SocketWriter
+from .stream_sockets import configure_socket, is_out_of_descriptors, open_stream_socket
+from .task_supervisor import TaskSupervisor
+from .time_units import NS_PER_MS, NS_PER_SECOND, sleep_ns
 
 __all__ = [
-    "MS",
-    "SECOND",
-    "Buffer",
-    "Ended",
-    "Inlet",
-    "Parting",
-    "Reason",
-    "Tasks",
-    "Writer",
-    "out_of_descriptors",
-    "ready",
-    "rest",
-    "stream",
-    "unread",
+    "NS_PER_MS",
+    "NS_PER_SECOND",
+    "CloseReason",
+    "ConnectionClose",
+    "ConnectionEndedError",
+    "ReceiveBuffer",
+    "SocketReader",
+    "SocketWriter",
+    "TaskSupervisor",
+    "configure_socket",
+    "has_unread_bytes",
+    "is_out_of_descriptors",
+    "open_stream_socket",
+    "sleep_ns",
 ]
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -18,7 +18,7 @@
 
 import msgpack
 import xxhash
-from rig import ROOT, Rig, soon, until
+from rig import ROOT, Rig, wait_until, within_timeout
 from test_command import burlloom
 
 from burlloom.fakes.parts import Catalogue, Reply, fields
@@ -28,7 +28,7 @@
 KEY, SIGNING = "6b" * 32, "73" * 32
 BEAT = 300  # ms
 PATIENCE = 40.0
-LINE = re.compile(r"event=distribution-(open|synced|applied)\b(.*)")
+LINE = re.compile(r"event=(distribution_opened|config_synced|config_changes_applied)\b(.*)")
 
 
 async def patiently(test: Callable[[], bool], what: Callable[[], Any] = lambda: None) -> None:
@@ -64,7 +64,7 @@
         if self.has_store:
             part["store"] = self.world.store_told
         (self.folder / "operator.jsonnet").write_text(json.dumps({"distribution": part}))
-        lives = self.log().count("event=distribution-control") if self.log_path.exists() else 0
+        lives = self.log().count("event=control_node_started") if self.log_path.exists() else 0
         with open(self.log_path, "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -82,13 +82,13 @@
             )
         await patiently(
             lambda: (
-                self.log().count("event=distribution-control") > lives
+                self.log().count("event=control_node_started") > lives
                 or self.process.returncode is not None
             ),
             self.log,
         )
         assert self.process.returncode is None, self.log()
-        address = re.findall(r"event=distribution-control .* address=(\S+)", self.log())[-1]
+        address = re.findall(r"event=control_node_started .* address=(\S+)", self.log())[-1]
         self.world.relay.sent_from(self.name, address)
         return self
 
@@ -104,14 +104,14 @@
     async def kill(self) -> None:
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGKILL)
-        await soon(self.process.wait())
+        await within_timeout(self.process.wait())
 
     async def stop(self, kind: Any = None) -> None:
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.send_signal(signal.SIGTERM)
         try:
-            status = await soon(self.process.wait())
+            status = await within_timeout(self.process.wait())
         finally:
             if self.process.returncode is None:
                 self.process.send_signal(
@@ -148,15 +148,15 @@
         return self
 
     async def begin(self) -> None:
-        lives = self.log().count("event=distribution-open") if self.log_path.exists() else 0
+        lives = self.log().count("event=distribution_opened") if self.log_path.exists() else 0
 
         async def reached() -> None:
-            await until(
+            await wait_until(
                 lambda: (
-                    self.log_path.exists() and self.log().count("event=distribution-open") > lives
+                    self.log_path.exists() and self.log().count("event=distribution_opened") > lives
                 )
             )
-            address = re.findall(r"event=distribution-open .* address=(\S+)", self.log())[-1]
+            address = re.findall(r"event=distribution_opened .* address=(\S+)", self.log())[-1]
             self.world.relay.sent_from(self.name, address)
 
         await asyncio.gather(reached(), super().begin())
@@ -176,7 +176,7 @@
     async def serves(self, tenant: str) -> bool:
         """Asked anew on a connection of its own: whether that tenant's txn is run."""
         balancer = await self.balancer()
-        error, result = await soon(balancer.ask("look", fields(tenant=tenant)))
+        error, result = await within_timeout(balancer.ask("look", fields(tenant=tenant)))
         balancer.close()
         assert (error is None and result[0] == b"made") or error[0] == "BadRequest", (error, result)
         return error is None
@@ -360,9 +360,9 @@
             at: tuple[int, int] | None = None
             for what, rest in LINE.findall(node.log()):
                 said = dict(re.findall(r"(\w+)=(\S+)", rest))
-                if what == "open":
+                if what == "distribution_opened":
                     at = None  # another life, which holds nothing
-                elif what == "synced":
+                elif what == "config_synced":
                     to = int(said["epoch"]), int(said["revision"])
                     assert at is None or to >= at, (node.name, at, to)
                     at = to
--- a/tests/explore_rollout.py
+++ b/tests/explore_rollout.py
@@ -1,8 +1,8 @@
-"""Walks every history of a few servers, two that lead, and the book between them: stale reads,
-steps in doubt, crashes, restarts, words of lives that are over, times that are over too early.
+"""Walks every history of a few servers, two that lead, and the state between them: stale reads,
+steps in doubt, crashes, restarts, reports of incarnations that are over, times that are over too early.
 
-The book's steps are those of burlloom.rollout. What is counted is counted here: servers that have
-drained, or are draining, because the book let them, and whose next life does not serve yet.
+The state's steps are those of burlloom.rollout. What is counted is counted here: servers that have
+drained, or are draining, because the state let them, and whose next incarnation does not serve yet.
 """
 
 from collections import deque
@@ -10,125 +10,161 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from burlloom.rollout import SERVERS, Book, Budget, Group, Hand, State, Unit
-from burlloom.rollout.hand import Input as Heard
-from burlloom.rollout.hand import State as At
-from burlloom.rollout.units import Input
-
-INPUTS = (Input.SILENT, Input.SETTLED, Input.EXPIRED, Input.GRANT, Input.REVOKE)
+from burlloom.rollout import (
+    SERVERS_GROUP,
+    DisruptionBudget,
+    DrainAgent,
+    Instance,
+    InstanceGroup,
+    InstanceState,
+    RolloutState,
+)
+from burlloom.rollout.agent import AgentInput as Heard
+from burlloom.rollout.agent import AgentState as At
+from burlloom.rollout.instance import InstanceInput
+
+INPUTS = (
+    InstanceInput.LOST,
+    InstanceInput.SETTLED,
+    InstanceInput.EXPIRED,
+    InstanceInput.PERMIT,
+    InstanceInput.REVOKE,
+)
 
 
 @dataclass
 class Server:
-    life: int = 1
+    incarnation: int = 1
     up: bool = True
-    sent: bool = False  # by the book: its drain has begun, or is over
-    hand: Hand = field(default_factory=lambda: Hand("", 1))
-    read: tuple[int, Book] | None = None  # a page that its step may still be written on
+    is_sent_out: bool = False  # by the state: its drain has begun, or is over
+    agent: DrainAgent = field(default_factory=lambda: DrainAgent("", 1))
+    read: tuple[int, RolloutState] | None = None  # a page that its step may still be written on
 
     def key(self) -> Any:
-        return self.life, self.up, self.sent, self.hand.state
+        return self.incarnation, self.up, self.is_sent_out, self.agent.state
 
 
 @dataclass
 class World:
     revision: int
-    book: Book
+    state: RolloutState
     servers: list[Server]
-    leads: list[tuple[int, Book] | None]
+    leaders: list[tuple[int, RolloutState] | None]
 
     def copy(self) -> "World":
-        servers = [replace(one, hand=Hand(one.hand.name, one.hand.life)) for one in self.servers]
+        servers = [
+            replace(one, agent=DrainAgent(one.agent.name, one.agent.incarnation))
+            for one in self.servers
+        ]
         for mine, its in zip(servers, self.servers, strict=True):
-            mine.hand.state = its.hand.state
-        return World(self.revision, self.book, servers, list(self.leads))
+            mine.agent.state = its.agent.state
+        return World(self.revision, self.state, servers, list(self.leaders))
 
     def key(self, stale: bool) -> Any:
         """`stale`: what an old page says matters."""
 
-        def units(book: Book) -> Any:
+        def units(state: RolloutState) -> Any:
             return tuple(
-                (name, unit.state, unit.life, unit.left)
-                for name, unit in sorted(book.servers.items())
+                (name, instance.state, instance.incarnation, instance.left_incarnation)
+                for name, instance in sorted(state.servers.items())
             )
 
-        def page(read: tuple[int, Book] | None) -> Any:
+        def snapshot(read: tuple[int, RolloutState] | None) -> Any:
             if read is None or read[0] == self.revision:
                 return read and "newest"
             return units(read[1]) if stale else "stale"
 
         return (
-            units(self.book),
-            tuple((one.key(), page(one.read)) for one in self.servers),
-            tuple(page(one) for one in self.leads),
+            units(self.state),
+            tuple((one.key(), snapshot(one.read)) for one in self.servers),
+            tuple(snapshot(one) for one in self.leaders),
         )
 
     @property
     def sent(self) -> int:
-        return sum(one.sent for one in self.servers)
+        return sum(one.is_sent_out for one in self.servers)
 
 
 class Explorer:
     """`broken`: a rule left out, to show that the walk would notice."""
 
     def __init__(
-        self, servers: int = 2, most: int = 1, lives: int = 2, leads: int = 2, broken: str = ""
+        self,
+        servers: int = 2,
+        most: int = 1,
+        incarnations: int = 2,
+        leads: int = 2,
+        broken: str = "",
     ) -> None:
-        self.count, self.most, self.lives, self.lead_count, self.broken = (
+        self.count, self.most, self.incarnations, self.lead_count, self.broken = (
             servers,
             most,
-            lives,
+            incarnations,
             leads,
             broken,
         )
 
     def begun(self) -> World:
-        units = {str(at): Unit(State.IN, life=1) for at in range(self.count)}
-        book = Book(groups={SERVERS: Group(Budget(self.most), units)})
-        servers = [Server(hand=Hand(name, 1)) for name in units]
-        return World(0, book, servers, [None] * self.lead_count)
+        units = {str(at): Instance(InstanceState.IN, incarnation=1) for at in range(self.count)}
+        state = RolloutState(
+            groups={SERVERS_GROUP: InstanceGroup(DisruptionBudget(self.most), units)}
+        )
+        servers = [Server(agent=DrainAgent(name, 1)) for name in units]
+        return World(0, state, servers, [None] * self.lead_count)
 
-    def swap(self, world: World, page: tuple[int, Book], book: Book) -> bool:
-        if page[0] != world.revision and self.broken != "swap":
+    def compare_and_swap(
+        self, world: World, snapshot: tuple[int, RolloutState], state: RolloutState
+    ) -> bool:
+        if snapshot[0] != world.revision and self.broken != "swap":
             return False
-        world.revision, world.book = world.revision + 1, book
+        world.revision, world.state = world.revision + 1, state
         return True
 
-    def step(self, book: Book, name: str, what: Input, life: int = 0) -> Book | None:
+    def step(
+        self, state: RolloutState, name: str, what: InstanceInput, life: int = 0
+    ) -> RolloutState | None:
         """What whoever leads makes of it; None where nothing."""
-        if what is Input.GRANT:
+        if what is InstanceInput.PERMIT:
             if self.broken == "room":
-                made, effect = book.meet(SERVERS, name, what, room=True, few=True)
+                made, effect = state.apply_input(
+                    SERVERS_GROUP, name, what, has_budget=True, has_sent_budget=True
+                )
                 return made if effect else None
-            made, held = book.permit(SERVERS, name, 0)
+            made, held = state.grant_permit(SERVERS_GROUP, name, 0)
             return made if held else None
-        if self.broken == "again" and what is Input.SEEN and life:
-            life = book.servers[name].left + 1
-        made, effect = book.meet(SERVERS, name, what, life=life)
-        if self.broken == "expiry" and effect == "lose":
-            made = made.put(SERVERS, name, replace(made.servers[name], state=State.IN))
+        if self.broken == "again" and what is InstanceInput.SEEN and life:
+            life = state.servers[name].left_incarnation + 1
+        made, effect = state.apply_input(SERVERS_GROUP, name, what, incarnation=life)
+        if self.broken == "expiry" and effect == "mark_missing":
+            made = made.with_instance(
+                SERVERS_GROUP, name, replace(made.servers[name], state=InstanceState.IN)
+            )
         return made if effect else None
 
     def after(self, world: World) -> Iterator[World]:
         """All that may happen next."""
         for lead in range(self.lead_count):
             now = world.copy()
-            now.leads[lead] = now.revision, now.book
+            now.leaders[lead] = now.revision, now.state
             yield now
-            page = world.leads[lead]
-            if page is None or page[0] != world.revision and self.broken != "swap":
+            snapshot = world.leaders[lead]
+            if snapshot is None or snapshot[0] != world.revision and self.broken != "swap":
                 continue  # what it wrote would not be taken
             for at, server in enumerate(world.servers):
-                # A word of any life that served until now may be read, late.
+                # A report of any incarnation that served until now may be read, late.
                 words = [(what, 0) for what in INPUTS]
-                words += [(Input.SEEN, life) for life in range(1, server.life + 1)]
-                words += [(Input.PARTS, server.life)] if server.sent and server.up else []
+                words += [(InstanceInput.SEEN, life) for life in range(1, server.incarnation + 1)]
+                words += (
+                    [(InstanceInput.LEAVING, server.incarnation)]
+                    if server.is_sent_out and server.up
+                    else []
+                )
                 for what, life in words:
-                    made = self.step(page[1], str(at), what, life)
+                    made = self.step(snapshot[1], str(at), what, life)
                     if made is not None:
                         now = world.copy()
-                        now.leads[lead] = None
-                        if self.swap(now, page, made):
+                        now.leaders[lead] = None
+                        if self.compare_and_swap(now, snapshot, made):
                             yield now
         for at in range(self.count):
             yield from self.of_server(world, at)
@@ -136,32 +172,40 @@
     def of_server(self, world: World, at: int) -> Iterator[World]:
         server = world.servers[at]
         if not server.up:
-            if server.life < self.lives:
+            if server.incarnation < self.incarnations:
                 now = world.copy()
-                life = server.life + 1
-                now.servers[at] = Server(life, hand=Hand(str(at), life))
+                life = server.incarnation + 1
+                now.servers[at] = Server(life, agent=DrainAgent(str(at), life))
                 yield now
             return
         now = world.copy()  # it ends: a drain that is over, or a crash
         now.servers[at].up, now.servers[at].read = False, None
         yield now
-        if server.hand.state is At.ASKING and server.read is not None:
-            for heard in (Heard.HELD, Heard.UNSURE, Heard.BEATEN):
+        if server.agent.state is At.BEGINNING and server.read is not None:
+            for heard in (Heard.WRITE_ACCEPTED, Heard.WRITE_UNKNOWN, Heard.WRITE_CONFLICT):
                 now = world.copy()
-                mine, page = now.servers[at], server.read
+                mine, snapshot = now.servers[at], server.read
                 mine.read = None
-                made = mine.hand.step(page[1])
-                held = made is not None and heard is not Heard.BEATEN and self.swap(now, page, made)
-                stale = page[0] != world.revision
-                if {Heard.UNSURE: True, Heard.HELD: held, Heard.BEATEN: stale}[heard]:
-                    self.told(mine, mine.hand.meet(heard))
+                made = mine.agent.begin_drain(snapshot[1])
+                held = (
+                    made is not None
+                    and heard is not Heard.WRITE_CONFLICT
+                    and self.compare_and_swap(now, snapshot, made)
+                )
+                stale = snapshot[0] != world.revision
+                if {
+                    Heard.WRITE_UNKNOWN: True,
+                    Heard.WRITE_ACCEPTED: held,
+                    Heard.WRITE_CONFLICT: stale,
+                }[heard]:
+                    self.told(mine, mine.agent.apply_input(heard))
                     yield now
             return
         now = world.copy()
         mine = now.servers[at]
-        effect = mine.hand.reads(now.book)
-        if effect == "ask":
-            mine.read = now.revision, now.book
+        effect = mine.agent.process_state(now.state)
+        if effect == "begin":
+            mine.read = now.revision, now.state
             if self.broken == "permit":  # drains on the permit alone
                 effect = "drain"
         self.told(mine, effect)
@@ -169,7 +213,7 @@
 
     def told(self, server: Server, effect: str) -> None:
         if effect == "drain":
-            server.sent = True
+            server.is_sent_out = True
 
     def walk(self, most: int) -> tuple[int, int]:
         """How many worlds were seen, at most so many; the most that were ever sent out at once."""
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -15,13 +15,13 @@
 from random import Random
 from typing import Any
 
-from rig import PATIENCE, ROOT, Rig, until
+from rig import ROOT, TIMEOUT_S, Rig, wait_until
 
 from burlloom.fakes.parts import Balancer, Catalogue, fields
 from burlloom.operator import load
-from burlloom.rollout import Book, Phase
-from burlloom.rollout.stores import Shelf, StoreUnavailableError
-from burlloom.rollout.stores.opening import shelf_of
+from burlloom.rollout import ReleasePhase, RolloutState
+from burlloom.rollout.stores import RolloutStore, StoreUnavailableError
+from burlloom.rollout.stores.factory import create_rollout_store
 
 QUICK = {
     "poll_ms": 40,
@@ -90,7 +90,9 @@
             while self.dead:
                 await asyncio.sleep(0.02)
             try:
-                self.version = (await self.rollout.book()).version_of(self.name) or self.version
+                self.version = (await self.rollout.state()).next_version_of(
+                    self.name
+                ) or self.version
             except StoreUnavailableError:
                 self.version = (self.folder / "release").read_text().strip()
             await self.begin()
@@ -101,7 +103,7 @@
             log.seek(self.log_at)
             new = log.read()
         self.log_at += len(new)
-        if b"event=leaving" in new and not self.out:
+        if b"event=shutdown_started" in new and not self.out:
             self.out = True
             if self.rollout.out - 1 >= self.rollout.most:
                 self.rollout.over += 1
@@ -247,8 +249,8 @@
         await asyncio.gather(*(node.__aenter__() for node in self.nodes))
         self.file = self.folder / "operator.jsonnet"
         self.file.write_text(json.dumps({"rollout": {**QUICK, **self.part}, **self.joined(None)}))
-        self.shelf: Shelf = shelf_of(load(self.file), PATIENCE)
-        await self.shelf.open()
+        self.store: RolloutStore = create_rollout_store(load(self.file), TIMEOUT_S)
+        await self.store.open()
         for node in self.nodes:
             node.tasks = [
                 asyncio.create_task(node.platform()),
@@ -259,12 +261,12 @@
         if part.get("leads") is False:
             await self.drive("first")
         await self.comes_to(
-            lambda book: len(book.servers) == count and not book.groups["servers"].taken
+            lambda state: len(state.servers) == count and not state.groups["servers"].out_count
         )
 
     async def calls(self, node: Node) -> None:
         while True:
-            await until(lambda: node.ready and not node.out)
+            await wait_until(lambda: node.ready and not node.out)
             client = Client(node)
             node.clients.append(client)
             await client.load()
@@ -277,31 +279,34 @@
             self.worst = max(self.worst, self.out)
             await asyncio.sleep(0.005)
 
-    async def book(self) -> Book:
-        return (await self.shelf.read()).book
+    async def state(self) -> RolloutState:
+        return (await self.store.read()).state
 
-    async def comes_to(self, test: Callable[[Book], bool], patience: float = 3 * PATIENCE) -> Book:
+    async def comes_to(
+        self, test: Callable[[RolloutState], bool], patience: float = 3 * TIMEOUT_S
+    ) -> RolloutState:
         try:
             async with asyncio.timeout(patience):
                 while True:
                     try:
-                        if test(book := await self.book()):
-                            return book
+                        if test(state := await self.state()):
+                            return state
                     except StoreUnavailableError:
                         pass
                     await asyncio.sleep(0.02)
         except TimeoutError:
-            book = await self.book()
-            raise AssertionError((book.plan, book.servers, book.notes)) from None
+            state = await self.state()
+            raise AssertionError((state.release, state.servers, state.history)) from None
 
-    async def idle(self, version: str) -> Book:
+    async def idle(self, version: str) -> RolloutState:
         """Until all run this version and nothing is under way."""
         return await self.comes_to(
-            lambda book: (
-                book.plan.phase is Phase.IDLE
-                and book.good == version
+            lambda state: (
+                state.release.phase is ReleasePhase.IDLE
+                and state.stable_version == version
                 and all(
-                    unit.version == version and unit.state == 0 for unit in book.servers.values()
+                    instance.version == version and instance.state == 0
+                    for instance in state.servers.values()
                 )
             )
         )
@@ -353,7 +358,7 @@
             task.cancel()
         await asyncio.gather(*(node.__aexit__(kind) for node in self.nodes))
         if kind is None:
-            await self.shelf.close()
+            await self.store.close()
         for service in self.services:
             await service.stop()
 
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -13,7 +13,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterator
 
-from burlloom.executor import End
+from burlloom.executor import RunStatus
 from burlloom.lab.clock import EPOCH, SECOND, SimulatedLoop, simulated
 from burlloom.record.authentication import RowAuthenticator
 from burlloom.record.coordinator import RecordCoordinator
@@ -31,11 +31,13 @@
 from burlloom.record.store import StoreSession, WriteCallback
 from burlloom.rpc import IncomingRequest
 from burlloom.server.configuration import ServerConfig
-from burlloom.server.request_record import ConfiguredRequestRecord
+from burlloom.server.configured_request_record import ConfiguredRequestRecord
 from burlloom.server.server import Server
+from burlloom.server.subsystems import SubsystemFactory
 from burlloom.settings import parse_server_settings
 
 MS = 1_000_000
+NOWHERE = ("", 0)  # no socket is opened
 SEALER = RowAuthenticator(b"s" * 32)
 SETTINGS = {
     "categories": [
@@ -161,31 +163,39 @@
         self.world, self.chance = world, chance
         self.server: Server | None = None
         self.born = -90.0
-        self.told: list[tuple[str, End, bytes]] = []
+        self.told: list[tuple[str, RunStatus, bytes]] = []
         self.runs: dict[str, list[asyncio.TimerHandle]] = {}
 
-    def run(self, id: str, product: str, body: bytes) -> None:
+    def start_run(self, id: str, product: str, body: bytes) -> None:
         if id in self.runs:
             return
         loop = asyncio.get_running_loop()
         begins, ends = self.chance.random() * 0.02, 0.02 + self.chance.expovariate(1 / 0.05)
         draw = self.chance.random()
-        end = End.NOOP if draw < 0.03 else End.FAIL if draw < 0.06 else End.PASS
+        end = (
+            RunStatus.NO_LONGER_NEEDED
+            if draw < 0.03
+            else RunStatus.FAILED
+            if draw < 0.06
+            else RunStatus.PASSED
+        )
         timers = self.runs[id] = []
-        if end is not End.NOOP:
+        if end is not RunStatus.NO_LONGER_NEEDED:
             timers.append(loop.call_later(begins, self.world.ran, body, id))
         timers.append(loop.call_later(ends, self.end, id, end, body))
 
-    def end(self, id: str, end: End, body: bytes) -> None:
+    def end(self, id: str, end: RunStatus, body: bytes) -> None:
         del self.runs[id]
-        self.told.append((id, end, b"receipt of " + id.encode() if end is End.PASS else b""))
+        self.told.append(
+            (id, end, b"receipt of " + id.encode() if end is RunStatus.PASSED else b"")
+        )
         if self.server is not None:
-            self.server.run_ended(id, end, 12 * MS, self.told[-1][2])
+            self.server.requests.run_ended(id, end, 12 * MS, self.told[-1][2])
 
     def replay(self, server: Server) -> None:
         self.server = server
         for id, end, result in list(self.told):
-            server.run_ended(id, end, 12 * MS, result)
+            server.requests.run_ended(id, end, 12 * MS, result)
 
     def crash(self, now: float) -> None:
         for timers in self.runs.values():
@@ -206,40 +216,47 @@
     async def start(self) -> None:
         world, loop = self.world, world_loop()
         known, meters = parse_server_settings(SETTINGS)
-        orders = ServerConfig(
-            self.name,
-            ("", 0),
-            ("", 0),
-            ("", 0),
-            ("", 0),
-            7,
-            3 * SECOND,
-            known,
-            100,
-            64 << 20,
-            ("pay",),
-            {},
-            meters,
+        config = ServerConfig(
+            name=self.name,
+            listen_address=NOWHERE,
+            executor_address=NOWHERE,
+            discovery_address=NOWHERE,
+            downstream_address=NOWHERE,
+            seed=7,
+            stop_ns=3 * SECOND,
+            settings=known,
+            max_sockets=100,
+            memory_bytes=64 << 20,
+            class_names=("pay",),
+            tenant_portions={},
+            gauge_names=meters,
         )
         store = self.store = FakeStore(world.base, self.name, world.chance, world.trouble)
         terms = RecordPolicy(world.prefer, 0.25, 0.1, 64, 3 * SECOND)
 
-        def make(server: Server) -> ConfiguredRequestRecord:
-            server.clock = loop.wall  # type: ignore[assignment]
-            made = ConfiguredRequestRecord(
-                known.request_classes, 0.1, loop.wall, server.start_run, world.nodes_count > 1
-            )
-            made.keeper = RecordCoordinator(store, SEALER, terms, 1500 * MS, loop.wall, made)
-            return made
+        class RecordOnly(SubsystemFactory):
+            def create_record(self, server: Server) -> ConfiguredRequestRecord:
+                server.clock = server.requests.clock = loop.wall  # type: ignore[assignment]
+                record = ConfiguredRequestRecord(
+                    known.request_classes,
+                    0.1,
+                    loop.wall,
+                    server.requests.start_run,
+                    world.nodes_count > 1,
+                )
+                record.coordinator = RecordCoordinator(
+                    store, SEALER, terms, 1500 * MS, loop.wall, record
+                )
+                return record
 
         with socket.socket() as listener:
-            server = Server(orders, listener, make)
+            server = Server(config, listener, RecordOnly())
         server.front.clock = loop.wall
-        server.reports.tell = lambda serving: None  # type: ignore[method-assign]
-        server.link = self.link  # type: ignore[assignment]
-        self.link.gauges = no_gauges  # type: ignore[attr-defined]
-        await server.record.open()
-        server.executor_welcomed(False, int((loop.time() - self.link.born) * 1000))
+        server.reports.report_health = lambda serving: None  # type: ignore[method-assign]
+        server.connect(self.link, server.pool)  # type: ignore[arg-type]
+        self.link.query_gauges = no_gauges  # type: ignore[attr-defined]
+        await server.subsystems.record.open()
+        server.executor_connected(False, int((loop.time() - self.link.born) * 1000))
         self.server = server
         self.link.replay(server)
 
@@ -247,13 +264,13 @@
         assert self.server is not None
         assert self.store is not None
         self.store.crash()
-        recorded = self.server.record
+        recorded = self.server.subsystems.record
         assert isinstance(recorded, ConfiguredRequestRecord)
-        recorded.keeper.stop()
+        recorded.coordinator.stop()
         for task in list(self.server.tasks.running):
             task.cancel()
-        recorded.desk = None
-        self.server.reports.sock.close()
+        recorded.dispatcher = None
+        self.server.reports.socket.close()
         self.server = self.link.server = None
         if self.world.chance.random() < 0.5:
             self.link.crash(world_loop().time())
@@ -290,21 +307,21 @@
         if world_loop().wall() > self.sent + 6 * SECOND:
             world.fault(f"{answer} past its due time")
 
-    def settle(self, number: int, result: bytes) -> None:
+    def complete(self, number: int, result: bytes) -> None:
         self.said("settled")
         if result != self.world.runs.get(self.mark, b""):
             self.world.fault("settled with what its run did not make")
         self.world.settled.add(self.mark)
 
-    def refuse(self, number: int, stay_away: int, final: bool) -> None:
+    def reject(self, number: int, stay_away: int, final: bool) -> None:
         self.said("declined")
         if self.settled_before and not self.world.prefer and self.world.trouble == 0:
             self.world.fault("declined though it had been settled")
 
-    def fail(self, number: int, name: str) -> None:
+    def fail(self, number: int) -> None:
         self.said("voided")
 
-    def blame(self, what: str) -> None: ...
+    def report_fault(self, what: str) -> None: ...
 
 
 class World:
@@ -342,7 +359,7 @@
         self.ways.append(way)
         self.count["tries"] += 1
         id = f"{self.chance.getrandbits(64):016x}"
-        node.server.receive(
+        node.server.requests.receive(
             IncomingRequest(
                 way,
                 len(self.ways),
--- /dev/null
+++ b/tests/test_admission_package.py
@@ -0,0 +1,28 @@
+"""What holds for the package of decisions as a whole."""
+
+import ast
+import tomllib
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parent.parent
+MODULES = sorted((ROOT / "burlloom" / "admission").glob("*.py"))
+MODULES_WITH_IO = {"asyncio", "io", "logging", "os", "socket", "subprocess", "sys", "time"}
+
+
+@pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
+def test_a_module_imports_nothing_of_burlloom_but_the_package_and_the_errors(path: Path) -> None:
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.ImportFrom):
+            module = node.module or ""
+            assert node.level < 2 or module == "errors"
+            assert node.level > 0 or module.split(".")[0] not in {"burlloom", *MODULES_WITH_IO}
+        elif isinstance(node, ast.Import):
+            for alias in node.names:
+                assert alias.name.split(".")[0] not in {"burlloom", *MODULES_WITH_IO}
+
+
+def test_the_deploy_file_names_all_modules_as_the_policy() -> None:
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    assert deploy["policy"] == [str(path.relative_to(ROOT)) for path in MODULES]
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -19,7 +19,7 @@
 
 import pytest
 from distribution_rig import KEY, SIGNING, World, patiently, tenant, without
-from rig import ROOT, soon
+from rig import ROOT, within_timeout
 from test_command import burlloom
 
 from burlloom.operator import Faults, load
@@ -141,7 +141,7 @@
     first, second = made.machines[1:]
     first.signal(signal.SIGTERM)
     second.signal(signal.SIGINT)
-    assert [await soon(one.process.wait()) for one in (first, second)] == [0, 0]
+    assert [await within_timeout(one.process.wait()) for one in (first, second)] == [0, 0]
 
 
 @world(1, 1)
@@ -185,7 +185,7 @@
     """Cut off from the start, it serves its configuration's tenants; healed, those of the table."""
     made.relay.cut({"n0"}, {"c0"})
     (node,) = await made.add(1, wait_ms=300)
-    assert "event=distribution-not-in-force" in node.log()
+    assert "event=distribution_not_in_force" in node.log()
     assert "tenants=1" in node.log()
     assert await node.serves("acme")
     assert not await node.serves("blue")
@@ -203,11 +203,11 @@
     with pytest.raises(AssertionError):  # it leaves before it is ready
         starting = asyncio.create_task(made.add(1, wait_ms=60_000))
         log = made.folder / "n0" / "log"
-        await patiently(lambda: log.exists() and "event=distribution-open" in log.read_text())
+        await patiently(lambda: log.exists() and "event=distribution_opened" in log.read_text())
         made.nodes[0].signal(signal.SIGTERM)
         await starting
     node = made.nodes.pop()
-    assert await soon(node.process.wait()) == 0, node.log()
+    assert await within_timeout(node.process.wait()) == 0, node.log()
     assert "event=stopped" in node.log()
     assert "level=error" not in node.log()
 
@@ -251,7 +251,7 @@
     await made.reaches(paused)
     assert await paused.serves("while-away")
     assert not await paused.serves("acme")
-    assert paused.log().count("event=distribution-synced") == 1, "it was to catch up by changes"
+    assert paused.log().count("event=config_synced") == 1, "it was to catch up by changes"
 
 
 @world(2, 4, regions=("north", "south"))
@@ -289,7 +289,7 @@
         )
         assert await cut[0].serves(f"cut-{both}")
         assert await cut[0].serves("south-too")
-    assert all(node.log().count("event=distribution-synced") == 1 for node in cut)
+    assert all(node.log().count("event=config_synced") == 1 for node in cut)
 
 
 @world(2, 3, postgres=True)
@@ -386,7 +386,7 @@
     await patiently(lambda: taken("three") > 10)
     killed.kill()
     await killed.wait()
-    assert await soon(first.wait()) == 0 == await soon(second.wait())
+    assert await within_timeout(first.wait()) == 0 == await within_timeout(second.wait())
     assert taken("one") == taken("two") == 300
     part = taken("three")
     assert 10 < part < 1500
@@ -457,7 +457,7 @@
     made.key = right
     reason = "not sealed with our key"
     await patiently(lambda: made.machines[0].state()["counts"]["refused"].get(reason, 0) > 2)
-    assert "event=distribution-not-in-force" in stranger.log()
+    assert "event=distribution_not_in_force" in stranger.log()
     assert f"reason='{reason}'" in made.machines[0].log()
     assert "n2" not in made.machines[0].log()
     assert stranger.state()["revision"] is None
@@ -504,7 +504,7 @@
         made.key.write_text("\n".join(keys) + "\n")
         await patiently(
             lambda: all(
-                f"event=distribution-keys what=seals count={len(keys)}" in one.log()
+                f"event=config_keys_reloaded what=seals count={len(keys)}" in one.log()
                 or len(keys) == 2
                 and keys[0] == new
                 for one in (*made.nodes, *made.machines)
--- a/tests/test_scale_servers.py
+++ b/tests/test_scale_servers.py
@@ -10,8 +10,8 @@
 from scale_servers import PARTS, Slope, measured, passed
 from scale_swarms import after_deaths, swarm_of
 
-import burlloom.fleet.fleet as whole
-from burlloom.fleet import State
+from burlloom.fleet import MemberState
+from burlloom.fleet.membership import MembershipView
 from burlloom.lab.slopes import Row
 
 
@@ -22,28 +22,28 @@
     before = crowd.tally.sent, crowd.tally.bytes_sent
     crowd.run(30)
     with swarm_of(30, terms(30)) as swarm:
-        sent, octets = swarm.net.sent, swarm.net.bytes
+        sent, octets = swarm.network.sent, swarm.network.bytes_sent
         swarm.run(30)
         # One of thirty deals: what it grants the others counts with theirs.
-        each = (swarm.net.sent - sent - 29 * 5 * 30) / 30 / 30
+        each = (swarm.network.sent - sent - 29 * 5 * 30) / 30 / 30
         assert (crowd.tally.sent - before[0]) / 30 == pytest.approx(each, rel=0.1)
         assert (
             crowd.tally.bytes_sent - before[1]
-            < (swarm.net.bytes - octets) / 30
+            < (swarm.network.bytes_sent - octets) / 30
             < 2 * (crowd.tally.bytes_sent - before[1])
         )
-    members = crowd.fleet.members
-    assert len(members.there()) == 30
-    assert not crowd.fleet.counts.suspected
-    assert not crowd.fleet.counts.unreadable
+    members = crowd.fleet.view
+    assert len(members.present_members()) == 30
+    assert not crowd.fleet.counters.suspected
+    assert not crowd.fleet.counters.unreadable
 
 
 def test_one_that_deals_deals_to_its_crowd() -> None:
     crowd = Crowd(30, 0)
     crowd.run(8)
     shares = [peer.share for peer in crowd.peers[1:]]
-    assert crowd.fleet.dealer.phase.name == "DEALING"
-    assert sum(shares) + crowd.fleet.share == pytest.approx(terms(30).total, rel=0.01)
+    assert crowd.fleet.allocator.phase.name == "ALLOCATING"
+    assert sum(shares) + crowd.fleet.share == pytest.approx(terms(30).total_millicalls, rel=0.01)
     assert min(shares) >= 3000
 
 
@@ -59,10 +59,10 @@
     crowd.dies(dead)
     crowd.later(2_000_000_000, crowd.comes, left)
     crowd.run(20)
-    view = crowd.fleet.members
-    assert view.by_name["n10"].word == left.word
-    assert view.by_name["n10"].state is State.ALIVE
-    assert view.by_name["n11"].state is State.DEAD
+    view = crowd.fleet.view
+    assert view.by_name["n10"].update == left.word
+    assert view.by_name["n10"].state is MemberState.ALIVE
+    assert view.by_name["n11"].state is MemberState.DEAD
     assert {peer.digest for peer in crowd.peers if peer.up and peer.at != at} == {view.digest}
     crowd.tally.kinds.clear()
     crowd.run(5)
@@ -80,11 +80,11 @@
     with swarm_of(40, terms(40)) as swarm:
 
         def sends(seconds: float) -> float:
-            before = swarm.net.bytes
+            before = swarm.network.bytes_sent
             swarm.run(seconds)
-            return (swarm.net.bytes - before) / 40
+            return (swarm.network.bytes_sent - before) / 40
 
-        rest, (one, other) = sends(12), swarm.up()[10:12]
+        rest, (one, other) = sends(12), swarm.running_members()[10:12]
         swarm.leave(one)
         restart = sends(2) - rest
         swarm.start(one)
@@ -115,18 +115,18 @@
 
 def test_a_swarm_begins_agreed_and_agrees_after_a_death() -> None:
     with swarm_of(12, terms(12)) as swarm:
-        assert swarm.agreed()
-        took, back = after_deaths(swarm, swarm.up()[4:5])
+        assert swarm.has_agreed_view()
+        took, back = after_deaths(swarm, swarm.running_members()[4:5])
         assert 2 < took < 12
         assert 0 < back < 5
 
 
 def test_the_bound_of_a_view_is_raised_for_the_benchmark_alone() -> None:
     with members_most(1200):
-        assert whole.MEMBERS_MOST == 1200
-        assert len(filled(words(1200), 3).members.by_name) == 1200
-    assert whole.MEMBERS_MOST == 1000
-    assert words(2600)[-1].life < START // 1_000_000
+        assert MembershipView.MAX_MEMBERS == 1200
+        assert len(filled(words(1200), 3).view.by_name) == 1200
+    assert MembershipView.MAX_MEMBERS == 1000
+    assert words(2600)[-1].incarnation < START // 1_000_000
 
 
 SLOPES = {
