--- a/burlloom/rollout/stores/factory.py
+++ b/burlloom/rollout/stores/factory.py
@@ -33,6 +33,6 @@
     from ...record.postgres import PostgresStore
     from .postgres import PostgresRolloutStore
 
-    record, _ = create_store(place, "-", keep=0, clock=time.time_ns)
+    record, _ = create_store(place, "-", retention_ns=0, clock=time.time_ns)
     assert isinstance(record, PostgresStore)
     return PostgresRolloutStore(record)
--- a/burlloom/server/operator_subsystems.py
+++ b/burlloom/server/operator_subsystems.py
@@ -180,7 +180,7 @@
 
             longest_deadline = max(one.deadline_ns for one in settings.request_classes)
             self.record_store, self.record_sealer = create_store(
-                operator.record, operator.record.node or config.name, keep=longest_deadline
+                operator.record, operator.record.node or config.name, retention_ns=longest_deadline
             )
         self.plan = check_levels(operator, config)
         if operator.fleet is not None:
@@ -202,7 +202,8 @@
         part = self.operator.record
         if part is None:
             return super().create_record(server)
-        from ..record.coordinator import RecordCoordinator, RecordPolicy
+        from ..record.coordinator import RecordCoordinator
+        from ..record.policy import RecordPolicy
         from .configured_request_record import ConfiguredRequestRecord
 
         classes = self.config.settings.request_classes
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -16,7 +16,8 @@
 from burlloom.executor import RunStatus
 from burlloom.lab.clock import EPOCH, SECOND, SimulatedLoop, simulated
 from burlloom.record.authentication import RowAuthenticator
-from burlloom.record.coordinator import RecordCoordinator, RecordPolicy
+from burlloom.record.coordinator import RecordCoordinator
+from burlloom.record.policy import RecordPolicy
 from burlloom.record.request_lifecycle import RequestEvent
 from burlloom.record.rows import (
     ROW_STARTED,
@@ -141,7 +142,7 @@
             asyncio.get_running_loop().call_later(self.chance.random() * 8, self.base.write, write)
             done(WriteResult(RequestEvent.WRITE_UNCERTAIN))
 
-    def probe(self, now: int, done: Callable[[bool], None]) -> None:
+    def probe(self, done: Callable[[bool], None]) -> None:
         good = self.chance.random() > self.trouble
         asyncio.get_running_loop().call_later(0.002, lambda: None if self.dead else done(good))
 
@@ -265,11 +266,7 @@
         self.store.crash()
         recorded = self.server.subsystems.record
         assert isinstance(recorded, ConfiguredRequestRecord)
-        coordinator = recorded.coordinator
-        coordinator.closed = True
-        for timer in [coordinator.tick_timer, *coordinator.claim_timers.values()]:
-            if timer is not None:
-                timer.cancel()
+        recorded.coordinator.stop()
         for task in list(self.server.tasks.running):
             task.cancel()
         recorded.dispatcher = None
--- a/tests/test_rollout_stores.py
+++ b/tests/test_rollout_stores.py
@@ -139,7 +139,9 @@
                 address=server.address, key_file=str(key), hang_ms=300, connect_ms=500
             )
         )
-        first, second = (PostgresRolloutStore(create_store(told, "-", keep=0)[0]) for _ in range(2))  # type: ignore[arg-type]
+        first, second = (
+            PostgresRolloutStore(create_store(told, "-", retention_ns=0)[0]) for _ in range(2)
+        )  # type: ignore[arg-type]
         await promises(first, second)
         snapshot = await first.read()
         server.orders.reset_after_commit = 1  # taken, and nobody is told
