--- a/benchmarks/hollow_members.py
+++ b/benchmarks/hollow_members.py
@@ -46,7 +46,15 @@
         self.sock, self.world = sock, world
         word = MemberUpdate(*own, 0, MemberState.ALIVE)
         now = clock()
-        self.fleet = Fleet(word, (), part.keys(), part.terms(), part.habits(), Random(own[0]), now)
+        self.fleet = Fleet(
+            word,
+            (),
+            part.keys(),
+            part.quota_settings(),
+            part.gossip_settings(),
+            Random(own[0]),
+            now,
+        )
         for other in all_of_them:
             if other != own:
                 self.fleet.view.process_update(now, MemberUpdate(*other, 0, MemberState.ALIVE))
--- a/burlloom/command/distribution.py
+++ b/burlloom/command/distribution.py
@@ -98,8 +98,8 @@
             sock,
             KeyFile(Path(part.key_file), part.keys, "seals"),
             KeyFile(Path(part.signing_key_file), part.signing_keys, "signing"),
-            part.terms(),
-            part.followed(),
+            part.replication_settings(),
+            part.allowed_upstreams(),
             store,
             part.state_file,
         )
@@ -354,7 +354,9 @@
     else:
         from ..distribution.config_query import query
 
-        found, where = asyncio.run(query(part.followed(), part.region, part.keys()[0], kind, key))
+        found, where = asyncio.run(
+            query(part.allowed_upstreams(), part.region, part.keys()[0], kind, key)
+        )
     if found is None:
         click.echo(f"burlloom: {where}", err=True)
         sys.exit(1)
--- a/burlloom/command/levels.py
+++ b/burlloom/command/levels.py
@@ -97,7 +97,7 @@
     for signal, (enter, name) in plan.emergencies.items():
         click.echo(f"  ! {signal} from {enter:g}: at once to {name}")
     click.echo(
-        f"  at most {part.terms().max_changes_per_minute} changes in any minute, whatever the signals do"
+        f"  at most {part.hysteresis_policy().max_changes_per_minute} changes in any minute, whatever the signals do"
     )
     if state is not None:
         click.echo(told(state))
@@ -188,7 +188,11 @@
     plan = part.plan()
     rows = read_series(series, SIGNAL_NAMES)
     walker = DegradationController(
-        plan, tuple(bare(plan)), 0, part.terms(), measured={name for _, row in rows for name in row}
+        plan,
+        tuple(bare(plan)),
+        0,
+        part.hysteresis_policy(),
+        measured={name for _, row in rows for name in row},
     )
     moves: list[tuple[float, LevelChange]] = []
     points = [(rows[0][0], float(walker.status.level))]
--- a/burlloom/command/rollout.py
+++ b/burlloom/command/rollout.py
@@ -481,7 +481,7 @@
         from ..rollout.stores import StoreUnavailableError
         from ..rollout.stores.leader_round import run_leader_round
 
-        leader = RolloutLeader(name, part.terms(), part.budgets(), part.services())
+        leader = RolloutLeader(name, part.rollout_settings(), part.budgets(), part.services())
         snapshot = None
         while True:
             try:
--- a/burlloom/metrics/__init__.py
+++ b/burlloom/metrics/__init__.py
@@ -1,6 +1,4 @@
-"""Counters and histograms of the server, in the Prometheus text format; imported only where
-somebody reads them.
-"""
+"""Metrics in the Prometheus text format."""
 
 from .exposed import Exposed
 
--- a/burlloom/operator/__init__.py
+++ b/burlloom/operator/__init__.py
@@ -1,6 +1,4 @@
-"""The operator's own file: a Jsonnet template, checked whole against a typed schema. Off unless a
-file is named.
-"""
+"""The operator's file: a Jsonnet template, its schema, and every fault in it."""
 
 from .distribution import DistributionPart
 from .fleet import FleetPart
--- a/burlloom/operator/distribution.py
+++ b/burlloom/operator/distribution.py
@@ -1,6 +1,4 @@
-"""The operator's word on configuration that is carried to the servers: who is followed, by which
-keys, what is told where.
-"""
+"""The operator's part on the distribution of configuration."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -30,15 +28,17 @@
 
 
 class DistributionPart(Part):
-    """`listen`: where this one hears the others (UDP); `advertise`: where they reach it, if
-    elsewhere. `upstreams`: whom it may follow, its own region's first; at a control machine its
-    peers, for when the store is away.
-
-    `key_file`: one key in hex on a line; the first seals datagrams, all open. `signing_key_file`:
-    as well; the first chains changes, any is believed: the same for all, and for nobody else.
-    `followers_most` and `page_rate` (bytes/s, for whole tables): what a control machine bears.
-    `wait_ms`: how long a server waits for its first sync before it listens; then it serves with its
-    configuration's tenants. `state_file`: written each second.
+    """Whom a server, relay or control machine follows, and with which keys.
+
+    `listen` is the UDP address; `advertise` is where others reach it, if elsewhere. `upstreams` are
+    whom it may follow, its own region's first; at a control machine its peers, for when the store
+    is unavailable.
+
+    `key_file` has one key in hex a line: the first seals datagrams, all open them.
+    `signing_key_file` likewise: the first chains changes, any verifies them. `followers_most` and
+    `page_rate` (bytes/s, for whole tables) bound a control machine. `wait_ms` is how long a server
+    waits for its first sync before it listens; then it serves with its configuration's tenants.
+    `state_file` is written each second.
     """
 
     listen: Host
@@ -54,8 +54,14 @@
     state_file: str | None = None
 
     def faults(self) -> list[str]:
-        """What no single value can tell, each with its place."""
-        from ..fleet.messages import MIN_KEY_BYTES, parse_address
+        """Return what no single value can tell, each with its place."""
+        wrong = self._address_faults() + self._key_faults()
+        if self.state_file is not None and not Path(self.state_file).parent.is_dir():
+            wrong.append(f"state_file: the folder {Path(self.state_file).parent} does not exist")
+        return wrong
+
+    def _address_faults(self) -> list[str]:
+        from ..fleet.messages import parse_address
 
         wrong = []
         if parse_address(self.listen) is None and not (
@@ -81,6 +87,12 @@
                         f"{place}.{what}: {value} stands twice, also in upstreams[{seen[value]}]"
                     )
                 seen.setdefault(value, at)
+        return wrong
+
+    def _key_faults(self) -> list[str]:
+        from ..fleet.messages import MIN_KEY_BYTES
+
+        wrong = []
         for what, file, least in (
             ("key_file", self.key_file, MIN_KEY_BYTES),
             ("signing_key_file", self.signing_key_file, SIGNING_LEAST),
@@ -93,8 +105,8 @@
                     or any(not least <= len(key) <= 64 for key in keys)
                 ):
                     wrong.append(
-                        f"{what}: {file}: each line wants a key of {least} to 64 bytes, in hex, and there"
-                        f" are at most {KEYS_MOST}; `burlloom distribution key` makes one"
+                        f"{what}: {file}: each line wants a key of {least} to 64 bytes, in hex,"
+                        f" and there are at most {KEYS_MOST}; `burlloom distribution key` makes one"
                     )
             except OSError as error:
                 wrong.append(
@@ -102,8 +114,6 @@
                 )
             except ValueError as error:
                 wrong.append(f"{what}: {file}: {error}")
-        if self.state_file is not None and not Path(self.state_file).parent.is_dir():
-            wrong.append(f"state_file: the folder {Path(self.state_file).parent} does not exist")
         return wrong
 
     def keys(self) -> tuple[bytes, ...]:
@@ -114,28 +124,28 @@
         """Raises `OSError` or `ValueError`."""
         return read_keys(Path(self.signing_key_file))
 
-    def terms(self) -> "ReplicationSettings":
+    def replication_settings(self) -> "ReplicationSettings":
         """What is not told follows the beat."""
         from ..distribution.settings import ReplicationSettings
 
-        plain, beat = ReplicationSettings(), self.beat_ms * MS
-        part = beat / plain.heartbeat_ns
+        plain, heartbeat_ns = ReplicationSettings(), self.beat_ms * MS
+        factor = heartbeat_ns / plain.heartbeat_ns
         return replace(
             plain,
-            heartbeat_ns=beat,
-            upstream_timeout_ns=int(plain.upstream_timeout_ns * part),
-            first_answer_timeout_ns=int(plain.first_answer_timeout_ns * part),
-            request_retry_ns=int(plain.request_retry_ns * part),
-            preferred_retry_ns=int(plain.preferred_retry_ns * part),
-            stale_after_ns=int(plain.stale_after_ns * part),
-            sync_stall_timeout_ns=int(plain.sync_stall_timeout_ns * part),
-            lease_ns=int(plain.lease_ns * part),
+            heartbeat_ns=heartbeat_ns,
+            upstream_timeout_ns=int(plain.upstream_timeout_ns * factor),
+            first_answer_timeout_ns=int(plain.first_answer_timeout_ns * factor),
+            request_retry_ns=int(plain.request_retry_ns * factor),
+            preferred_retry_ns=int(plain.preferred_retry_ns * factor),
+            stale_after_ns=int(plain.stale_after_ns * factor),
+            sync_stall_timeout_ns=int(plain.sync_stall_timeout_ns * factor),
+            lease_ns=int(plain.lease_ns * factor),
             max_followers=self.followers_most,
             page_bytes_per_s=self.page_rate,
             page_burst_bytes=max(1, self.page_rate // 10),
         )
 
-    def followed(self) -> "list[Follows]":
+    def allowed_upstreams(self) -> "list[Follows]":
         """Whom this one may follow."""
         from ..distribution.upstreams import Upstream as Follows
         from ..fleet.messages import parse_address
--- a/burlloom/operator/fleet.py
+++ b/burlloom/operator/fleet.py
@@ -1,6 +1,4 @@
-"""The operator's word on the fleet: who may be in it, what the services below bear, which they
-are.
-"""
+"""The operator's part on the fleet: membership and the shared call quota."""
 
 from pathlib import Path
 from typing import TYPE_CHECKING, Annotated, Self
@@ -20,14 +18,16 @@
 
 
 class FleetPart(Part):
-    """Servers that share out the calls below among themselves. `listen`: where this one hears the
-    others (UDP); `advertise`: where they reach it, if elsewhere. `seeds`: addresses of some others.
-    `key_file`: one key in hex on a line; the first seals, all open.
-
-    `calls`: in hand at once, that the services below bear from all servers together. `least`: more
-    than half of the servers that there usually are. `weight`: this one's, against the others'.
-    `services`: the addresses below, in place of the platform's one; this server talks to `subset`
-    of them or more.
+    """Servers that share a call quota.
+
+    `listen` is the UDP address; `advertise` is where others reach it, if elsewhere. `seeds` are
+    addresses of some other servers. `key_file` has one key in hex a line: the first seals
+    datagrams, all open them.
+
+    `calls` is how many calls in progress the downstream services bear from all servers together.
+    `least` is more than half of the usual number of servers. `weight` is this one's against the
+    others'. `services` are downstream addresses in place of the platform's one; this server calls
+    `subset` of them or more.
     """
 
     listen: Host
@@ -52,13 +52,15 @@
     state_file: str | None = None
 
     @model_validator(mode="after")
-    def it_can_be(self) -> Self:
+    def validate_part(self) -> Self:
+        """Refuse values that can't be used together; all faults at once."""
         wrong = self.faults()
         if wrong:
             raise ValueError("; ".join(wrong))
         return self
 
     def faults(self) -> list[str]:
+        """Return what no single value can tell, each with its place."""
         from ..fleet.messages import MIN_KEY_BYTES, parse_address
 
         wrong = []
@@ -81,12 +83,12 @@
                 wrong.append(f"{what}: {address!r} is no IPv4 address with a port")
         if len(set(self.services)) < len(self.services):
             wrong.append("services: an address stands twice")
-        wrong += self.terms().find_faults() + self.habits().find_faults()
+        wrong += self.quota_settings().find_faults() + self.gossip_settings().find_faults()
         try:
             if any(len(key) < MIN_KEY_BYTES for key in self.keys()) or not self.keys():
                 wrong.append(
-                    f"key_file: {self.key_file}: each line wants a key of at least {MIN_KEY_BYTES} bytes, in hex;"
-                    " `burlloom fleet key` makes one"
+                    f"key_file: {self.key_file}: each line wants a key of at least"
+                    f" {MIN_KEY_BYTES} bytes, in hex; `burlloom fleet key` makes one"
                 )
         except OSError as error:
             wrong.append(
@@ -99,10 +101,11 @@
         return wrong
 
     def keys(self) -> tuple[bytes, ...]:
-        """Raises `OSError` or `ValueError`."""
+        """Return the keys of the key file. Raises `OSError` or `ValueError`."""
         return read_keys(Path(self.key_file))
 
-    def terms(self) -> "QuotaSettings":
+    def quota_settings(self) -> "QuotaSettings":
+        """Return the settings of the shared call quota."""
         from ..fleet import MILLICALLS_PER_CALL, QuotaSettings
 
         return QuotaSettings(
@@ -116,7 +119,8 @@
             self.floor,
         )
 
-    def habits(self) -> "GossipSettings":
+    def gossip_settings(self) -> "GossipSettings":
+        """Return the settings of the membership protocol."""
         from ..fleet import GossipSettings
 
         return GossipSettings(
@@ -125,7 +129,12 @@
 
 
 def read_keys(path: Path) -> tuple[bytes, ...]:
-    """Raises `OSError`, or `ValueError` with the line."""
+    """Return the keys of a file, one in hex a line.
+
+    Raises:
+        OSError: the file can't be read.
+        ValueError: a line is no key; its number is named.
+    """
     found = []
     for at, line in enumerate(path.read_text(encoding="ascii").splitlines(), 1):
         if line.strip() and not line.startswith("#"):
--- a/burlloom/operator/levels.py
+++ b/burlloom/operator/levels.py
@@ -1,6 +1,4 @@
-"""The operator's levels of reduced service, as the file tells them; turned into the plan that the
-ladder walks.
-"""
+"""The operator's part on service levels."""
 
 from pathlib import Path
 from typing import Annotated, Literal, Self
@@ -31,8 +29,10 @@
 
 
 class OneLevel(Part):
-    """One level. `gives_up`: of the values that products have, so many of the lowest;
-    "all-but-highest"; or "all".
+    """One service level.
+
+    `gives_up` is how many of the lowest values of request classes are rejected, "all-but-highest"
+    or "all".
     """
 
     name: str = Field(min_length=1, max_length=32)
@@ -47,6 +47,7 @@
     optional: bool = True
 
     def level(self) -> LevelDefinition:
+        """Return the level that this part describes."""
         gone = {"all": ALL_VALUES, "all-but-highest": ALL_VALUES - 1}.get(
             str(self.gives_up), self.gives_up
         )
@@ -66,6 +67,8 @@
 
 
 class Emergency(Part):
+    """A signal's value from which a level is entered at once."""
+
     enter: Annotated[float, Field(gt=0)]
     level: str
 
@@ -92,13 +95,15 @@
     state_file: str | None = None
 
     @model_validator(mode="after")
-    def folders_are_there(self) -> Self:
+    def validate_folders(self) -> Self:
+        """Refuse files whose folder does not exist."""
         for what, place in (("pin_file", self.pin_file), ("state_file", self.state_file)):
             if place is not None and not Path(place).parent.is_dir():
                 raise ValueError(f"{what}: the folder {Path(place).parent} does not exist")
         return self
 
     def plan(self) -> LevelPlan:
+        """Return the plan of levels: the file's, or the default one."""
         if self.levels is None:
             levels, emergencies, cold = (
                 DEFAULT_PLAN.levels,
@@ -109,11 +114,12 @@
             levels, emergencies, cold = tuple(one.level() for one in self.levels), {}, ""
         if self.emergencies is not None:
             emergencies = {
-                signal: (told.enter, told.level) for signal, told in self.emergencies.items()
+                signal: (emergency.enter, emergency.level)
+                for signal, emergency in self.emergencies.items()
             }
         return LevelPlan(levels, emergencies, self.cold if self.cold is not None else cold)
 
-    def terms(self) -> HysteresisPolicy:
+    def hysteresis_policy(self) -> HysteresisPolicy:
         """Raises `ValueError`, which `faults` has told by then."""
         automatic = self.plan().automatic_levels
         most = self.changes_a_minute if self.changes_a_minute is not None else max(4, automatic)
@@ -128,13 +134,14 @@
         )
 
     def faults(self) -> list[str]:
-        """What the file alone can tell; products are held against the platform's configuration by
-        `check` and a start.
+        """Return what the file alone can tell.
+
+        Classes are checked against the platform's configuration by `burlloom check` and at a start.
         """
         found = find_plan_faults(self.plan(), (), SIGNAL_NAMES)
         if not found:
             try:
-                self.terms()
+                self.hysteresis_policy()
             except ValueError as error:
                 found.append(f"changes_a_minute: {error}")
         if self.stay_most_ms < self.stay_ms:
--- a/burlloom/operator/load.py
+++ b/burlloom/operator/load.py
@@ -10,7 +10,7 @@
 from ..errors import BurlloomError
 from .schema import Operator
 
-FILE_MOST = 1 << 20
+MAX_FILE_BYTES = 1 << 20
 Model = TypeVar("Model", bound=BaseModel)
 
 
@@ -27,7 +27,13 @@
 
 
 def load(path: Path) -> Operator:
-    """Raises `OperatorFileError`. Imports in the template are looked up beside it."""
+    """Read a template and return the operator's settings.
+
+    Imports in the template are looked up beside it.
+
+    Raises:
+        OperatorFileError: with a line for each fault.
+    """
     found = validate(Operator, evaluate_template(path), path)
     lines = [f"levels.{line}" for line in found.levels.faults()] if found.levels is not None else []
     if found.distribution is not None:
@@ -38,10 +44,10 @@
 
 
 def evaluate_template(path: Path) -> Any:
-    """What the template makes. Raises `OperatorFileError`."""
+    """Return what the template evaluates to. Raises `OperatorFileError`."""
     try:
-        if path.stat().st_size > FILE_MOST:
-            raise OperatorFileError([f"{path}: over {FILE_MOST} bytes"])
+        if path.stat().st_size > MAX_FILE_BYTES:
+            raise OperatorFileError([f"{path}: over {MAX_FILE_BYTES} bytes"])
         text = path.read_text(encoding="utf-8")
     except OSError as error:
         raise OperatorFileError([f"{path}: {error.strerror}"]) from error
@@ -54,20 +60,22 @@
 
 
 def validate(model: type[Model], got: Any, path: Path) -> Model:
-    """Raises `OperatorFileError`."""
+    """Return a value checked against a model. Raises `OperatorFileError`."""
     try:
         return model.model_validate(got)
     except ValidationError as error:
         raise OperatorFileError(
             [
-                f"{path}: {'.'.join(map(str, fault['loc'])) or 'the whole file'}: {said(fault['msg'])}"
+                f"{path}: {'.'.join(map(str, fault['loc'])) or 'the whole file'}: "
+                + fault_text(fault["msg"])
                 + ("" if isinstance(fault["input"], dict) else f" (got {fault['input']!r:.60})")
                 for fault in error.errors()
             ]
         ) from error
 
 
-def said(message: str) -> str:
+def fault_text(message: str) -> str:
+    """Return pydantic's message in the words of the operator's page."""
     return {"Extra inputs are not permitted": "unknown key", "Field required": "is missing"}.get(
         message, message.removeprefix("Value error, ")
     )
--- a/burlloom/operator/part.py
+++ b/burlloom/operator/part.py
@@ -4,4 +4,6 @@
 
 
 class Part(BaseModel):
+    """A part of the operator's file: unknown keys are refused, and it is read-only."""
+
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
--- a/burlloom/operator/recovery.py
+++ b/burlloom/operator/recovery.py
@@ -16,15 +16,15 @@
 
 
 class RecoveryPart(Part):
-    """`state_file`: what a life leaves to the next, written each second; without one, each start is
-    cold.
+    """How service comes back after a restart.
 
-    `begin`: the part of an equal share of the calls that a start begins with, doubled each
-    `step_ms` while calls come back well; `begin_warm`: of the last share, where what was left is
-    believed. `ask_ms`: how long peers and the store are waited for. `age_ms`: what is older is not
-    believed. `retries`: marked retries for each first try, while service comes back. `fence`:
-    "retries": those that may have run in a life whose marks are lost are voided for one window;
-    "off": they are taken for new.
+    `state_file` is the snapshot for the next incarnation, written each second; without one each
+    start is cold. `begin` is the part of an equal share of the calls that a start begins with,
+    doubled each `step_ms` while calls succeed; `begin_warm` likewise of the last share, if the
+    snapshot is trusted. `ask_ms` is how long peers and the store are waited for; a snapshot older
+    than `age_ms` is not trusted. `retries` is how many marked retries are read for each first
+    attempt meanwhile. `fence` "retries": those that may have run in an incarnation whose keys are
+    lost are failed for one window; "off": they are taken for new.
     """
 
     state_file: str | None = None
@@ -38,7 +38,8 @@
     fence: Literal["retries", "off"] = "retries"
 
     @model_validator(mode="after")
-    def it_can_be(self) -> Self:
+    def validate_part(self) -> Self:
+        """Refuse values that can't be used together."""
         if self.state_file is not None and not Path(self.state_file).parent.is_dir():
             raise ValueError(
                 f"state_file: the folder {Path(self.state_file).parent} does not exist"
@@ -47,9 +48,12 @@
             raise ValueError(f"begin_warm {self.begin_warm:g} is under begin, {self.begin:g}")
         return self
 
-    def terms(self, window: int, durable: bool) -> "RecoveryPolicy":
-        """`window`: the longest of the products', ns. `durable`: no run begins before its mark is
-        in the record.
+    def recovery_policy(self, window: int, durable: bool) -> "RecoveryPolicy":
+        """Return the policy of recovery.
+
+        Args:
+            window: the longest idempotency window of the request classes, in ns.
+            durable: no run begins before its key is in the record.
         """
         from ..recovery import RecoveryPolicy
 
--- a/burlloom/operator/rollout.py
+++ b/burlloom/operator/rollout.py
@@ -1,6 +1,4 @@
-"""The operator's word on drains and releases: where the fleet agrees, how many may be out, how a
-release is judged.
-"""
+"""The operator's part on releases and drains."""
 
 from typing import TYPE_CHECKING, Annotated, Self
 
@@ -20,8 +18,9 @@
 
 
 class Below(Part):
-    """A service below and its instances, as they stand in `fleet.services`; so many of them, or
-    such a part, may be out at once.
+    """A downstream service and its instances, as in `fleet.services`.
+
+    `out_most` of them, or the part `out_share`, may be out at once.
     """
 
     addresses: Annotated[list[Host], Field(min_length=2, max_length=1000)]
@@ -30,17 +29,20 @@
 
 
 class RolloutPart(Part):
-    """`version`: that this server runs; else `BURLLOOM_RELEASE`. `leads`: whether it may lead the
-    fleet's changes. `release_file`: written before a drain, with the version to be started next.
-
-    `out_most` servers, or the part `out_share` of them, may be out at once. `waves`: numbers of
-    servers, then parts of all such as "10%"; the last is "100%". `auto_back`: a bad release is
-    taken back without a word of an operator. `fresh_ms`: a sign of life counts for; `lead_ms`:
-    until another leads; `permit_ms`, `back_ms`, `settle_ms`, `write_off_ms` (0: never):
-    docs/rollout.md. `judge_ms`: what counts of both sides; `judge_least`: txns of the changed;
-    `judge_margin`, `judge_sigmas`: by how much they may do worse; `judge_worst`: a share that is
-    bad whatever the others do; `quiet_ms`: for so many to come, and whether a wave without them
-    passes.
+    """Releases and drains over the fleet.
+
+    `version` is what this server runs; without it, `BURLLOOM_RELEASE`. `leads` is whether it may
+    lead the fleet's changes. `release_file` is written before a drain, with the version to start
+    next.
+
+    `out_most` servers, or the part `out_share`, may be out at once. `waves` are numbers of servers,
+    then parts of all such as "10%"; the last is "100%". `auto_back` rolls a bad release back
+    without an operator. `fresh_ms` is how long a report counts; `lead_ms` until another server
+    leads; `permit_ms`, `back_ms`, `settle_ms` and `write_off_ms` (0: never) are in docs/rollout.md.
+    `judge_ms` is the span that both sides are compared over; `judge_least` requests of the changed
+    side are needed; `judge_margin` and `judge_sigmas` are by how much it may do worse;
+    `judge_worst` is a share that is bad whatever the others do; `quiet_ms` is how long to wait for
+    so many requests, and `quiet_passes` whether a wave without them passes.
     """
 
     version: Annotated[str, Field(max_length=200)] = ""
@@ -70,14 +72,18 @@
     quiet_passes: bool = False
 
     @model_validator(mode="after")
-    def it_can_be(self) -> Self:
+    def validate_part(self) -> Self:
+        """Refuse values that can't be used together; all faults at once."""
         from ..rollout import release
 
-        wrong = [*release.find_wave_faults(self.plan_waves()), *self.terms().find_faults()]
+        wrong = [
+            *release.find_wave_faults(self.plan_waves()),
+            *self.rollout_settings().find_faults(),
+        ]
         if self.fresh_ms < 3 * max(self.beat_ms, self.poll_ms):
             wrong.append(
-                f"fresh_ms {self.fresh_ms} is under three of beat_ms and poll_ms: a server that is well would"
-                " be taken for silent"
+                f"fresh_ms {self.fresh_ms} is under three of beat_ms and poll_ms: a server that is"
+                " well would be taken for silent"
             )
         if "servers" in self.below:
             wrong.append("below: `servers` is the name of the fleet's own group")
@@ -89,30 +95,37 @@
                 seen[address] = name
             if service.out_share is None and service.out_most >= len(service.addresses):
                 wrong.append(
-                    f"below.{name}: out_most {service.out_most} of {len(service.addresses)} is all of them"
+                    f"below.{name}: out_most {service.out_most} of {len(service.addresses)} is all of"
+                    " them"
                 )
         if wrong:
             raise ValueError("; ".join(wrong))
         return self
 
     def plan_waves(self) -> "tuple[release.Wave, ...]":
+        """Return the waves of a release."""
         from ..rollout import release
 
         return tuple(release.parse_wave(wave) for wave in self.waves)
 
     def budgets(self) -> "dict[str, DisruptionBudget]":
+        """Return how many may be out of each group."""
         from ..rollout import SERVERS_GROUP, DisruptionBudget
 
-        told = {
+        limits = {
             SERVERS_GROUP: (self.out_most, self.out_share),
             **{name: (one.out_most, one.out_share) for name, one in self.below.items()},
         }
-        return {name: DisruptionBudget(most, share or 0.0) for name, (most, share) in told.items()}
+        return {
+            name: DisruptionBudget(most, share or 0.0) for name, (most, share) in limits.items()
+        }
 
     def services(self) -> dict[str, list[str]]:
+        """Return the addresses of each downstream service."""
         return {name: list(one.addresses) for name, one in self.below.items()}
 
-    def terms(self) -> "RolloutSettings":
+    def rollout_settings(self) -> "RolloutSettings":
+        """Return the settings of releases and drains."""
         from ..rollout import CanarySettings, RolloutSettings
 
         measure = CanarySettings(
--- a/burlloom/operator/schema.py
+++ b/burlloom/operator/schema.py
@@ -1,6 +1,4 @@
-"""What the operator's file may say. Units stand in the names; shares are parts of a product's SLA
-time.
-"""
+"""The schema of the operator's file, part by part."""
 
 from pathlib import Path
 from typing import Annotated, Literal, Self
@@ -20,7 +18,7 @@
 
 
 class Sqlite(Part):
-    """One file on a disk that lasts. `max_mb` bounds it; 0: the disk does."""
+    """One SQLite file on a disk that lasts; `max_mb` bounds it, 0 leaves that to the disk."""
 
     path: str
     key_file: str | None = None
@@ -28,13 +26,16 @@
     batch_most: int = Field(default=256, ge=1, le=4096)
 
     def place(self) -> Path:
+        """Return the file's path."""
         return Path(self.path)
 
     def key_place(self) -> Path:
+        """Return the key file's path."""
         return Path(self.key_file or self.path + ".key")
 
     @model_validator(mode="after")
-    def folder_is_there(self) -> Self:
+    def validate_folders(self) -> Self:
+        """Refuse files whose folder does not exist."""
         for what, place in (("path", self.place()), ("key_file", self.key_place())):
             if not place.parent.is_dir():
                 raise ValueError(f"{what}: the folder {place.parent} does not exist")
@@ -42,7 +43,7 @@
 
 
 class Postgres(Part):
-    """One database for several nodes. The password stands in a file of its own."""
+    """One PostgreSQL database for several nodes; the password stands in a file of its own."""
 
     address: Address
     database: str = Field(default="burlloom", min_length=1, max_length=63)
@@ -54,10 +55,12 @@
     batch_most: int = Field(default=128, ge=1, le=4096)
 
     def key_place(self) -> Path:
+        """Return the key file's path."""
         return Path(self.key_file)
 
     @model_validator(mode="after")
-    def files_are_there(self) -> Self:
+    def validate_files(self) -> Self:
+        """Refuse key or password files that do not exist."""
         if self.password_file is not None and not Path(self.password_file).is_file():
             raise ValueError(f"password_file: {self.password_file} does not exist")
         if not Path(self.key_file).is_file():
@@ -69,13 +72,14 @@
 
 
 class Place(Part):
-    """A store of record by itself: its file, or its database."""
+    """A store of record: its file, or its database."""
 
     sqlite: Sqlite | None = None
     postgres: Postgres | None = None
 
     @model_validator(mode="after")
-    def one_store(self) -> Self:
+    def validate_one_store(self) -> Self:
+        """Refuse none and both of the stores."""
         if (self.sqlite is None) == (self.postgres is None):
             raise ValueError("one store is wanted: either sqlite or postgres")
         return self
@@ -97,7 +101,8 @@
     doubt_wait_ms: int = Field(default=8000, ge=0, le=3_600_000)
 
     @model_validator(mode="after")
-    def time_is_left(self) -> Self:
+    def validate_time_shares(self) -> Self:
+        """Refuse shares that leave no time for the run."""
         if self.claim_share + self.hold_share > 1:
             raise ValueError(
                 f"claim_share and hold_share together are {self.claim_share + self.hold_share:g}"
@@ -107,16 +112,15 @@
 
 
 class Metrics(Part):
-    """Counters and histograms, in the Prometheus text format: a file that is written anew, or a
-    listener.
-    """
+    """Counters and histograms in the Prometheus text format: a file, or a listener."""
 
     file: str | None = None
     every_ms: int = Field(default=5000, ge=100, le=3_600_000)
     listen: Address | None = None
 
     @model_validator(mode="after")
-    def someone_reads(self) -> Self:
+    def validate_reader(self) -> Self:
+        """Refuse metrics that nobody reads."""
         if self.file is None and self.listen is None:
             raise ValueError("nobody reads them: name a file, or an address to listen on")
         if self.file is not None and not Path(self.file).parent.is_dir():
@@ -125,13 +129,18 @@
 
 
 class Rollout(RolloutPart):
-    """`store`: where the fleet agrees, the same for all; left out: where the record is."""
+    """Releases and drains.
+
+    `store` is where the fleet agrees, the same for all; without it, where the record is.
+    """
 
     store: Place | None = None
 
 
 class Distribution(DistributionPart):
-    """`store`: where control machines keep the changes, the same for all; left out: where the
+    """The distribution of configuration.
+
+    `store` is where control machines keep the changes, the same for all; without it, where the
     record is.
     """
 
@@ -150,12 +159,12 @@
     distribution: Distribution | None = None
 
     def distribution_store(self) -> Place | None:
-        """None at servers, and at relays, which follow others alone."""
-        told = self.distribution.store if self.distribution is not None else None
-        return told if told is not None else self.record
+        """Return the store of changes; None at servers and relays, which follow others alone."""
+        store = self.distribution.store if self.distribution is not None else None
+        return store if store is not None else self.record
 
     def rollout_store(self) -> Place:
-        """Of a file that was checked."""
+        """Return the store of a checked file."""
         place = (
             self.rollout.store
             if self.rollout is not None and self.rollout.store is not None
@@ -165,7 +174,8 @@
         return place
 
     @model_validator(mode="after")
-    def somewhere_to_agree(self) -> Self:
+    def validate_rollout(self) -> Self:
+        """Refuse a rollout without a store, or with services that are not called."""
         if self.rollout is None:
             return self
         if self.rollout.store is None and self.record is None:
@@ -176,13 +186,14 @@
         for name, service in self.rollout.below.items():
             if strange := [address for address in service.addresses if address not in called]:
                 raise ValueError(
-                    f"rollout.below.{name}: {', '.join(strange)} not in fleet.services: this server does not"
-                    " call it, and could not leave it out"
+                    f"rollout.below.{name}: {', '.join(strange)} not in fleet.services: this"
+                    " server does not call it, and could not leave it out"
                 )
         return self
 
     @model_validator(mode="after")
-    def something_to_expose(self) -> Self:
+    def validate_metrics(self) -> Self:
+        """Refuse metrics where nothing would be exposed."""
         if (
             self.metrics is not None
             and self.record is None
@@ -192,7 +203,7 @@
             and self.distribution is None
         ):
             raise ValueError(
-                "metrics: there is nothing to expose without a record, levels, a fleet, a rollout or"
-                " a distribution"
+                "metrics: there is nothing to expose without a record, levels, a fleet, a"
+                " rollout or a distribution"
             )
         return self
--- a/burlloom/server/configured_membership.py
+++ b/burlloom/server/configured_membership.py
@@ -78,8 +78,8 @@
             own,
             (*settings.seeds, *recovery.known_members),
             settings.keys(),
-            settings.terms(),
-            settings.habits(),
+            settings.quota_settings(),
+            settings.gossip_settings(),
             random,
             self.clock(),
         )
--- a/burlloom/server/configured_rollout.py
+++ b/burlloom/server/configured_rollout.py
@@ -225,7 +225,7 @@
         if self.settings.leads:
             self._leader = RolloutLeader(
                 f"{self.name}/{self._incarnation}",
-                self.settings.terms(),
+                self.settings.rollout_settings(),
                 self.settings.budgets(),
                 self.settings.services(),
             )
--- a/burlloom/server/followed_configuration.py
+++ b/burlloom/server/followed_configuration.py
@@ -70,9 +70,9 @@
             name,
             incarnation,
             settings.region,
-            settings.followed(),
+            settings.allowed_upstreams(),
             self._seal_keys.keys,
-            settings.terms(),
+            settings.replication_settings(),
             Random(seed ^ incarnation),
             self.clock(),
         )
--- a/burlloom/server/metrics_exposition.py
+++ b/burlloom/server/metrics_exposition.py
@@ -54,7 +54,7 @@
 
     def write_only_while(self, is_wanted: Callable[[], bool]) -> None:
         """Has the metrics' file written seldom while this returns False."""
-        self._open().wanted = is_wanted
+        self._open().is_wanted = is_wanted
 
     def close(self) -> None:
         """Writes the file a last time and stops listening."""
--- a/burlloom/server/operator_subsystems.py
+++ b/burlloom/server/operator_subsystems.py
@@ -95,7 +95,8 @@
     """Returns the operator's plan of service levels, None where there is none.
 
     Raises:
-        OperatorFileError: The plan does not fit the platform's request classes; all that does not is named.
+        OperatorFileError: The plan does not fit the platform's request classes; each that does not
+            is named.
     """
     if operator.levels is None:
         return None
@@ -275,7 +276,7 @@
             config.settings.cores,
             server.clock,
             lambda: len(server.listener.connections) / server.listener.max_connections,
-            terms=part.terms(),
+            terms=part.hysteresis_policy(),
             store=partial(record_strain, self.coordinator, server.clock)
             if self.coordinator
             else None,
@@ -300,7 +301,7 @@
         is_durable = record is not None and record.mode == "require"
         longest_window = max(one.idempotency_window_ns for one in settings.request_classes)
         return ConfiguredRestartRecovery(
-            part.terms(longest_window, is_durable),
+            part.recovery_policy(longest_window, is_durable),
             self.config.name,
             server.clock,
             lambda: server.subsystems.membership,
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -58,7 +58,7 @@
             await wait_until(
                 lambda: "burlloom_record_claims_total 1.0" in read(tmp_path / "metrics.prom")
             )
-            host, port = re.findall(r"event=metrics-listening address=(\S+):(\d+)", rig.log())[0]
+            host, port = re.findall(r"event=metrics_listening address=(\S+):(\d+)", rig.log())[0]
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"GET /metrics HTTP/1.0\r\n\r\n")
             assert b"burlloom_record_finish_seconds_count 1.0" in await within_timeout(
