--- a/burlloom/operator/rollout.py
+++ b/burlloom/operator/rollout.py
@@ -95,8 +95,8 @@
                 seen[address] = name
             if service.out_share is None and service.out_most >= len(service.addresses):
                 wrong.append(
-                    f"below.{name}: out_most {service.out_most} of {len(service.addresses)} is all of"
-                    " them"
+                    f"below.{name}: out_most {service.out_most} of {len(service.addresses)} is"
+                    " all of them"
                 )
         if wrong:
             raise ValueError("; ".join(wrong))
