--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -24,6 +24,8 @@
 PATH = re.compile(rf"(?<![\w./-])(?:{'|'.join(FOLDERS)})/[\w./*-]*[\w/*]")
 MODULE_FILE = re.compile(r"`([\w/]+\.py)`")
 DOTTED = re.compile(r"\bburlloom(?:\.\w+)+")
+RACES = ROOT / "docs" / "races.md"
+TEST_NAME = re.compile(r"`([a-z]+(?:_[a-z0-9]+)+)`")
 
 
 def defines(module: Path, name: str) -> bool:
@@ -87,3 +89,12 @@
 def test_dotted_names_exist(page: Path) -> None:
     lost = {name for name in DOTTED.findall(text_of(page)) if not names_something(name)}
     assert lost == set()
+
+
+def test_races_name_tests_that_exist() -> None:
+    """The last column has names of tests, without `test_` and as far as they tell them apart."""
+    rows = [line for line in text_of(RACES).splitlines() if line.startswith("|")]
+    named = {name for row in rows for name in TEST_NAME.findall(row.rsplit("|", 2)[1])}
+    code = "".join(text_of(path) for path in (ROOT / "tests").glob("*.py"))
+    assert {name for name in named if f"def test_{name}" not in code} == set()
+    assert named != set()
