--- a/burlloom/server/metrics_exposition.py
+++ b/burlloom/server/metrics_exposition.py
@@ -91,7 +91,7 @@
     store = coordinator.store
     return {
         "open_writes": len(coordinator.breaker.in_flight),
-        "fates": len(coordinator.requests),
+        "fates": len(coordinator.registry),
         "cut_off": float(coordinator.breaker.state != 0),
         "cuts": coordinator.breaker.times_opened,
         "commits": store.commit_count,
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -16,7 +16,8 @@
 from burlloom.executor import RunStatus
 from burlloom.lab.clock import EPOCH, SECOND, SimulatedLoop, simulated
 from burlloom.record.authentication import RowAuthenticator
-from burlloom.record.coordinator import RecordCoordinator, RecordPolicy
+from burlloom.record.coordinator import RecordCoordinator
+from burlloom.record.policy import RecordPolicy
 from burlloom.record.request_lifecycle import RequestEvent
 from burlloom.record.rows import (
     ROW_STARTED,
@@ -141,7 +142,7 @@
             asyncio.get_running_loop().call_later(self.chance.random() * 8, self.base.write, write)
             done(WriteResult(RequestEvent.WRITE_UNCERTAIN))
 
-    def probe(self, now: int, done: Callable[[bool], None]) -> None:
+    def probe(self, done: Callable[[bool], None]) -> None:
         good = self.chance.random() > self.trouble
         asyncio.get_running_loop().call_later(0.002, lambda: None if self.dead else done(good))
 
@@ -250,9 +251,9 @@
 
         with socket.socket() as listener:
             server = Server(config, listener, RecordOnly())
-        server.front.clock = loop.wall
-        server.reports.report_health = lambda serving: None  # type: ignore[method-assign]
-        server.connect(self.link, server.pool)  # type: ignore[arg-type]
+        server.listener.clock = loop.wall
+        server.health_reporter.report_health = lambda serving: None  # type: ignore[method-assign]
+        server.connect(self.link, server.downstream)  # type: ignore[arg-type]
         self.link.query_gauges = no_gauges  # type: ignore[attr-defined]
         await server.subsystems.record.open()
         server.executor_connected(False, int((loop.time() - self.link.born) * 1000))
@@ -265,15 +266,11 @@
         self.store.crash()
         recorded = self.server.subsystems.record
         assert isinstance(recorded, ConfiguredRequestRecord)
-        coordinator = recorded.coordinator
-        coordinator.closed = True
-        for timer in [coordinator.tick_timer, *coordinator.claim_timers.values()]:
-            if timer is not None:
-                timer.cancel()
+        recorded.coordinator.stop()
         for task in list(self.server.tasks.running):
             task.cancel()
         recorded.dispatcher = None
-        self.server.reports.socket.close()
+        self.server.health_reporter.socket.close()
         self.server = self.link.server = None
         if self.world.chance.random() < 0.5:
             self.link.crash(world_loop().time())
