--- a/burlloom/record/sqlite.py
+++ b/burlloom/record/sqlite.py
@@ -290,7 +290,7 @@
         except Exception:
             # An error of ours would end the thread, and every later write would wait for nobody.
             is_certain = not is_committing
-            log.exception("event=fault component=record")
+            log.exception("event=internal_error side=record")
         outcome = RequestEvent.WRITE_FAILED if is_certain else RequestEvent.WRITE_UNCERTAIN
         return [WriteResult(outcome)] * len(batch)
 
--- a/burlloom/record/store.py
+++ b/burlloom/record/store.py
@@ -190,4 +190,4 @@
         try:
             callback(result)
         except Exception:
-            log.exception("event=fault component=record")
+            log.exception("event=internal_error side=record")
