--- a/burlloom/recovery/__init__.py
+++ b/burlloom/recovery/__init__.py
@@ -1,7 +1,7 @@
-"""Coming back after a mass restart or with state lost: what of the last life may be acted on, and
-how service rises.
+"""Recovery after a restart or a loss of state: snapshot validation, slow start, retry budget.
 
-Without I/O, and importable alone; `server/configured_recovery.py` has the file and the clock.
+The package does no I/O and can be imported alone; `server/configured_recovery.py` reads and writes
+the state file and has the clock.
 """
 
 from .bootstrap import Bootstrap, BootstrapEvent, BootstrapState
--- a/burlloom/recovery/bootstrap.py
+++ b/burlloom/recovery/bootstrap.py
@@ -1,13 +1,9 @@
-"""Whether what a former life left is acted on: a table. No I/O.
+"""State machine that decides whether a previous incarnation's snapshot is used. No I/O.
 
-States: READING nothing is known yet; ASKING what was kept looks good, and peers or the store are
-asked whether a later life than that one is known; COLD nothing kept is acted on; WARM what was kept
-is.
-
-Two things are decided apart from each other. Hints (where to begin the ramp) are dropped at the
-least doubt: cold costs seconds. The fence is raised at the least doubt: while it stands, a marked
-retry of which nothing is known here is voided, as it may have run in a life of which the marks are
-lost. Addresses of others are no decision: they are asked in any case, and letters are sealed.
+Two decisions are independent. Hints (the initial cap of the slow start) are dropped on any doubt: a
+cold start costs seconds. The fence is raised on any doubt: while it stands, a marked retry that
+this node knows nothing of is voided, as it may have run in an incarnation whose idempotency marks
+are lost. Peer addresses need no decision: they are contacted in any case, and messages are sealed.
 """
 
 from collections.abc import Callable
@@ -18,6 +14,8 @@
 
 
 class BootstrapState(IntEnum):
+    """What is known of the previous incarnation's snapshot."""
+
     READING = 0
     ASKING = 1
     COLD = 2
@@ -25,17 +23,17 @@
 
 
 class BootstrapEvent(IntEnum):
+    """Inputs of the state machine; the log shows their names in lower case."""
+
     KEPT_GOOD = 0
-    KEPT_BAD = 1  # torn, another's, of the future
+    KEPT_BAD = 1  # torn, foreign or from the future
     KEPT_OLD = 2
     KEPT_NONE = 3
-    SAID_SAME = 4  # a peer, or the store, knows no later life than the one that wrote it
-    SAID_LATER = 5  # it knows a later one: what was kept is of an older epoch
-    SAID_EARLIER = (
-        6  # the store knows less than what was kept: it was lost, or put back from before
-    )
-    SAID_LIVED = 7  # nothing was kept, and a peer knows that we lived
-    SILENT = 8  # nobody has said anything in time
+    SAID_SAME = 4  # a peer or the store knows no later incarnation than the snapshot
+    SAID_LATER = 5  # a later incarnation is known: the snapshot is of an older epoch
+    SAID_EARLIER = 6  # the store knows fewer incarnations: it was lost or restored
+    SAID_LIVED = 7  # there is no snapshot, and a peer knows an earlier incarnation
+    SILENT = 8  # no answer before the timeout
 
 
 TABLE = """
@@ -55,7 +53,7 @@
 WARM    SAID_EARLIER -      COLD   fence
 """
 
-OF_VERDICT = {
+EVENT_BY_VALIDITY = {
     SnapshotValidity.GOOD: BootstrapEvent.KEPT_GOOD,
     SnapshotValidity.OLD: BootstrapEvent.KEPT_OLD,
     SnapshotValidity.MISSING: BootstrapEvent.KEPT_NONE,
@@ -66,8 +64,17 @@
 
 
 class Bootstrap:
-    """`lonely`: there are neither peers nor a store to ask. `clean`: the life that wrote had
-    drained. Times in ns.
+    """State of one node's bootstrap.
+
+    Attributes:
+        state: The current state.
+        fenced_until_ns: When the fence ends, ns on the host's clock; 0 without a fence.
+        uses_snapshot: Whether the snapshot's hints are used.
+
+    Args:
+        lonely: Whether there are neither peers nor a store to query.
+        clean: Whether the incarnation that wrote the snapshot had drained.
+        window: How long idempotency marks are valid, ns.
     """
 
     def __init__(self, lonely: bool, clean: bool, window: int) -> None:
@@ -77,7 +84,15 @@
         self.uses_snapshot = False
 
     def handle(self, what: BootstrapEvent, now: int) -> str:
-        """Gives the effect; empty where no row holds."""
+        """Applies the first transition whose test holds.
+
+        Args:
+            what: The input.
+            now: The time, ns on the host's clock.
+
+        Returns:
+            The name of the effect, `nothing` included; empty where no transition applies.
+        """
         for test, state, effect in RULES.get((self.state, what), ()):
             if test(self):
                 self.state = state
@@ -86,24 +101,29 @@
         return ""
 
     def lonely(self) -> bool:
+        """Test: there are neither peers nor a store to query."""
         return self.has_no_peers
 
     # Effects.
 
     def nothing(self, now: int) -> None:
+        """Effect: only the state changes."""
         pass
 
     def use(self, now: int) -> None:
+        """Effect: the snapshot's hints are used."""
         self.uses_snapshot = True
 
     def fence(self, now: int) -> None:
-        """A life that we know nothing of ended before now: what it ran is within its window until
-        then.
+        """Effect: drops the hints and raises the fence for one idempotency window.
+
+        An unknown incarnation ended before `now`, so the marks of what it ran expire by then.
         """
         self.uses_snapshot = False
         self.fenced_until_ns = max(self.fenced_until_ns, now + self.idempotency_window_ns)
 
     def fence_unclean(self, now: int) -> None:
+        """Effect: raises the fence for one window unless the previous incarnation had drained."""
         if not self.was_drained:
             self.fenced_until_ns = max(self.fenced_until_ns, now + self.idempotency_window_ns)
 
--- a/burlloom/recovery/controller.py
+++ b/burlloom/recovery/controller.py
@@ -1,26 +1,35 @@
-"""One server's way back, whole: what was kept is judged, the ramp rises, retries are held, the
-fence stands. No I/O.
-"""
+"""One server's recovery: snapshot validation, slow start, retry budget and fence. No I/O."""
 
 from dataclasses import dataclass
 
-from .bootstrap import OF_VERDICT, Bootstrap, BootstrapEvent, BootstrapState
+from .bootstrap import EVENT_BY_VALIDITY, Bootstrap, BootstrapEvent, BootstrapState
 from .retry_budget import RetryBudget
-from .slow_start import SlowStart
-from .slow_start import StepOutcome as Push
+from .slow_start import SlowStart, StepOutcome
 from .snapshot import RecoverySnapshot, SnapshotValidity, validate_snapshot
 
 MS = 1_000_000
-CALLS_MIN = 3  # in a step, to judge by
-PUSHED_FROM = 0.25  # of the calls of a step, refused, failed or late
+MIN_CALLS_TO_JUDGE = 3  # in a step
+FAILED_SHARE_TO_STEP_BACK = 0.25  # of the calls of a step
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryPolicy:
-    """ns. `step` of the ramp; `begin`: the part of an equal share that it begins with;
-    `begin_warm`: of what was held last, where what was kept is used; `least`: calls, the cap is
-    never lower. `ask`: for how long peers and the store may say something of a later life.
-    `age_most` of what was kept. `retry_part`, `retry_few` a second, over `retry_span`.
+    """Parameters of the recovery. Times are in ns.
+
+    Attributes:
+        idempotency_window_ns: How long idempotency marks are valid; the fence stands as long.
+        step_ns: Step of the slow start.
+        initial_share: Initial cap of a cold start, as a share of an equal share.
+        warm_initial_share: Initial cap with a valid snapshot, as a share of its last call share.
+        min_calls: The cap is never lower, concurrent calls.
+        verification_timeout_ns: How long to wait for peers and the store to report a later
+            incarnation.
+        max_snapshot_age_ns: Older snapshots are not used.
+        retry_ratio: Retries allowed for each first attempt.
+        min_retries_per_second: Retries allowed whatever the first attempts are.
+        retry_window_ns: Window over which attempts are counted.
+        fence: `retries`, or `off` where lost idempotency marks do not matter.
+        requires_record: Whether a run begins only after its mark is in the store of record.
     """
 
     idempotency_window_ns: int
@@ -33,11 +42,22 @@
     retry_ratio: float = 0.2
     min_retries_per_second: float = 2.0
     retry_window_ns: int = 2000 * MS
-    fence: str = "retries"  # "off": marks of the last life are thought never to matter
-    requires_record: bool = False  # no run begins before its mark is in the store of record
+    fence: str = "retries"
+    requires_record: bool = False
 
 
 class RecoveryController:
+    """Decides for one server, from its start until service is back.
+
+    Args:
+        terms: The parameters.
+        found: The parsed snapshot, or why there is none.
+        node: This node's name.
+        now: The time of the start, ns on the host's clock.
+        wall: The same time, Unix ms.
+        lonely: Whether there are neither peers nor a store to query.
+    """
+
     def __init__(
         self,
         terms: RecoveryPolicy,
@@ -47,14 +67,11 @@
         wall: int,
         lonely: bool,
     ) -> None:
-        """`now` in ns on the host's clock, `wall` in Unix ms. `lonely`: neither peers nor a store
-        to ask.
-        """
         self.policy = terms
         self.snapshot = found if isinstance(found, RecoverySnapshot) else None
         self.validity = validate_snapshot(found, node, wall, terms.max_snapshot_age_ns // MS)
-        # What a crash left is in the store, if there is one; whether that is the same store, it
-        # says itself.
+        # After a crash the store of record still has the marks; `record_opened` verifies that it
+        # is the same store.
         stored = (
             self.snapshot is not None
             and terms.requires_record
@@ -76,67 +93,75 @@
         self.pending_log_entries: list[
             tuple[str, str]
         ] = []  # input and effect, until the host takes them
-        self.handle(OF_VERDICT[self.validity], now)
+        self.handle(EVENT_BY_VALIDITY[self.validity], now)
 
     def handle(self, what: BootstrapEvent, now: int) -> None:
+        """Passes an input to the bootstrap, and notes its effect for the log."""
         effect = self.bootstrap.handle(what, now)
         if effect:
             self.pending_log_entries.append((what.name.lower(), effect))
 
-    # What others know.
+    def peer_reported_incarnation(self, incarnation: int, now: int) -> None:
+        """Handles a peer's report of an earlier incarnation of this node.
 
-    def peer_reported_incarnation(self, life: int, now: int) -> None:
-        """A peer says that a life of ours, Unix ms, was there before this one."""
+        Args:
+            incarnation: The start of that incarnation, Unix ms.
+            now: The time, ns on the host's clock.
+        """
         if self.snapshot is None:
             self.handle(BootstrapEvent.SAID_LIVED, now)
         else:
             self.handle(
                 BootstrapEvent.SAID_LATER
-                if life > self.snapshot.incarnation
+                if incarnation > self.snapshot.incarnation
                 else BootstrapEvent.SAID_SAME,
                 now,
             )
 
-    def record_opened(self, life: int, now: int) -> None:
-        """The store of record was opened and counts this as our life of that number, from 1."""
+    def record_opened(self, incarnation: int, now: int) -> None:
+        """Handles the store's count of this node's incarnations, from 1.
+
+        Args:
+            incarnation: The number of this incarnation in the store of record.
+            now: The time, ns on the host's clock.
+        """
         if self.snapshot is None:
-            return  # the store's own marks hold, and nothing says that there are others
+            return  # the store's marks are valid, and no other store is known
         if self.snapshot.record_incarnation < 0:
             return
         expected = self.snapshot.record_incarnation + 1
         self.handle(
             BootstrapEvent.SAID_SAME
-            if life == expected
+            if incarnation == expected
             else BootstrapEvent.SAID_LATER
-            if life > expected
+            if incarnation > expected
             else BootstrapEvent.SAID_EARLIER,
             now,
         )
 
-    # Rounds.
-
     def record_call(self, well: bool) -> None:
+        """Counts one finished downstream call of the current step."""
         self.succeeded_calls += well
         self.failed_calls += not well
 
     def tick(self, now: int, equal: float, share: float) -> bool:
-        """`equal`: an equal share, `share` what we may have now, calls. Whether the cap changed."""
+        """Advances the recovery; called in each round.
+
+        Args:
+            now: The time, ns on the host's clock.
+            equal: An equal share of the fleet's calls, concurrent calls.
+            share: What this node is granted now, concurrent calls.
+
+        Returns:
+            Whether the cap changed.
+        """
         if (
             now - self.started_at_ns >= self.policy.verification_timeout_ns
             and self.bootstrap.state is BootstrapState.ASKING
         ):
             self.handle(BootstrapEvent.SILENT, now)
         if self.slow_start is None:
-            if equal <= 0:
-                return False
-            self.slow_start = SlowStart(
-                self.policy.initial_share * equal,
-                min(self.policy.min_calls, equal),
-                self.policy.step_ns,
-                now,
-            )
-            self.stepped_at_ns, self.succeeded_calls, self.failed_calls = now, 0, 0
-            return True
+            return self._begin_slow_start(now, equal)
         if self.bootstrap.uses_snapshot and not self.is_warmed:
             self.is_warmed = True
             hint = self.policy.warm_initial_share * min(
@@ -146,34 +171,48 @@
                 return True
         if self.slow_start.is_complete or now - self.stepped_at_ns < self.policy.step_ns:
             return False
-        calls = self.succeeded_calls + self.failed_calls
-        what = (
-            Push.QUIET
-            if calls < min(CALLS_MIN, self.slow_start.cap)
-            else Push.PUSHED
-            if self.failed_calls >= PUSHED_FROM * calls
-            else Push.WELL
+        changed = self.slow_start.tick(
+            now, self._step_outcome(self.slow_start.cap), max(share, equal)
         )
-        changed = self.slow_start.tick(now, what, max(share, equal))
         self.stepped_at_ns, self.succeeded_calls, self.failed_calls = now, 0, 0
         return changed
 
+    def _begin_slow_start(self, now: int, equal: float) -> bool:
+        """Begins the slow start once an equal share is known; returns whether it began."""
+        if equal <= 0:
+            return False
+        self.slow_start = SlowStart(
+            self.policy.initial_share * equal,
+            min(self.policy.min_calls, equal),
+            self.policy.step_ns,
+            now,
+        )
+        self.stepped_at_ns, self.succeeded_calls, self.failed_calls = now, 0, 0
+        return True
+
+    def _step_outcome(self, cap: float) -> StepOutcome:
+        """Judges the calls of the current step, made under that cap."""
+        calls = self.succeeded_calls + self.failed_calls
+        if calls < min(MIN_CALLS_TO_JUDGE, cap):
+            return StepOutcome.QUIET
+        if self.failed_calls >= FAILED_SHARE_TO_STEP_BACK * calls:
+            return StepOutcome.PUSHED
+        return StepOutcome.WELL
+
     @property
     def call_cap(self) -> float:
-        """Calls in hand, that the start allows; without bound once it is over."""
+        """Concurrent calls that the slow start allows; infinite once it is over."""
         return 0.0 if self.slow_start is None else self.slow_start.cap
 
     @property
     def is_complete(self) -> bool:
-        """Whether service is back: no cap, and nothing is asked any more."""
+        """Whether service is back: the slow start is over and there is no cap."""
         return self.slow_start is not None and self.slow_start.is_complete
 
     def should_hold_back_retry(self, now: int, retry: bool) -> bool:
-        """A try was read; whether it is a retry past the budget."""
+        """Counts an attempt that was read; returns whether it is a retry over the budget."""
         return not self.is_complete and self.retry_budget.is_over_budget(now, retry)
 
     def is_fenced(self, now: int) -> bool:
-        """Whether a marked retry that nothing is known of may have run in a life whose marks are
-        lost.
-        """
+        """Whether an unknown marked retry may have run in an incarnation whose marks are lost."""
         return self.policy.fence != "off" and now < self.bootstrap.fenced_until_ns
--- a/burlloom/recovery/retry_budget.py
+++ b/burlloom/recovery/retry_budget.py
@@ -1,15 +1,19 @@
-"""A budget for marked retries while service comes back: a part of the first tries, over fixed
-buckets. No I/O.
+"""A retry budget for the recovery, as a ratio to first attempts. No I/O.
 
-After a mass restart nearly all that comes is a retry. Without a bound they are read, held and
-turned away again and again, and keep first tries out. What is past the budget is given up by the
-decisions, with a time to come back. Source: the retry budgets of Google's book on site reliability
-(2016, chapter 21), here on the receiving side.
+After a mass restart nearly all requests are retries. Without a bound they are read, queued and
+rejected again and again, and crowd out first attempts. Source: the retry budgets of "Site
+Reliability Engineering" (Google, 2016, chapter 21), here on the receiving side.
 """
 
 
 class RetryBudget:
-    """`part`: how many retries for each first try; `few` a second are taken whatever comes."""
+    """Counts first attempts and retries over a ring of fixed buckets.
+
+    Args:
+        part: Retries allowed for each first attempt.
+        few: Retries a second that are allowed in any case.
+        span: The window over which attempts are counted, ns.
+    """
 
     BUCKETS = 10
 
@@ -21,6 +25,7 @@
         self.rejected = 0
 
     def turn(self, now: int) -> int:
+        """Clears the buckets that have expired by `now` (ns); returns the current one's index."""
         bucket = now // self.width
         if bucket > self.last:
             for old in range(max(self.last, bucket - self.BUCKETS) + 1, bucket + 1):
@@ -29,7 +34,7 @@
         return self.last % self.BUCKETS
 
     def is_over_budget(self, now: int, retry: bool) -> bool:
-        """Counts one that was read; whether it is past the budget."""
+        """Counts one attempt, read at `now` (ns); returns whether it is a retry over the budget."""
         at = self.turn(now)
         if not retry:
             self.firsts[at] += 1
--- a/burlloom/recovery/slow_start.py
+++ b/burlloom/recovery/slow_start.py
@@ -1,10 +1,7 @@
-"""How the calls below rise after a start: slow start with a bound, as of a connection's window (RFC
-5681). No I/O.
+"""Slow start of downstream calls, modelled on a connection's window (RFC 5681). No I/O.
 
-States: RISE the cap doubles each `step`, if calls were made and came back well; HOLD it was pushed
-back, and stays for two steps; FULL there is no cap any more. Whatever happens, the cap never
-doubles more than once in a step, so T after the start it is at most what it began with times 2 to
-the T over step: the sum over a whole fleet is bounded by the same curve.
+The cap never doubles more than once in a step, so at time T after the start it is at most the
+initial cap times 2 to the T over step: the sum over a whole fleet is bounded by the same curve.
 """
 
 from collections.abc import Callable
@@ -14,32 +11,43 @@
 
 
 class SlowStartState(IntEnum):
+    """Whether the cap doubles, is held for two steps after a step back, or is off."""
+
     RISE = 0
-    HOLD = 1
+    HELD = 1
     FULL = 2
 
 
 class StepOutcome(IntEnum):
-    WELL = 0  # calls of this step came back well
+    """How the calls of one step ended."""
+
+    WELL = 0  # calls succeeded
     PUSHED = 1  # too many were refused, failed or late
-    QUIET = 2  # too few were made to say anything
+    QUIET = 2  # too few calls to judge by
 
 
 TABLE = """
 RISE WELL   covered FULL free
 RISE WELL   stepped RISE widen
 RISE QUIET  rested  FULL free
-RISE PUSHED stepped HOLD narrow
-HOLD WELL   held    RISE widen
-HOLD QUIET  held    RISE -
-HOLD PUSHED stepped HOLD narrow
+RISE PUSHED stepped HELD narrow
+HELD WELL   held    RISE widen
+HELD QUIET  held    RISE -
+HELD PUSHED stepped HELD narrow
 """
 
-REST = 20  # steps without a call that matters: there is nothing to be careful of
+IDLE_STEPS = 20  # without enough calls to judge by: the cap is removed
 
 
 class SlowStart:
-    """`start`, and `most` as it is told each round: calls in hand. `step` in ns."""
+    """The cap on concurrent calls after a start.
+
+    Args:
+        start: The initial cap, concurrent calls.
+        least: The cap's lower bound, concurrent calls.
+        step: Length of a step, ns.
+        now: The time, ns on the host's clock.
+    """
 
     def __init__(self, start: float, least: float, step: int, now: int) -> None:
         self.cap, self.min_cap, self.step_ns = max(start, least), least, step
@@ -48,7 +56,16 @@
         self.call_quota = float("inf")
 
     def tick(self, now: int, what: StepOutcome, most: float) -> bool:
-        """Once a round; `most`: what we may have at all. Whether the cap changed."""
+        """Applies one step's outcome.
+
+        Args:
+            now: The time, ns on the host's clock.
+            what: The outcome of the step.
+            most: The calls that this node is granted without a cap.
+
+        Returns:
+            Whether the cap changed.
+        """
         self.call_quota = most
         for test, state, effect in RULES.get((self.state, what), ()):
             if test(self, now):
@@ -58,8 +75,10 @@
         return False
 
     def raise_initial_cap(self, cap: float) -> bool:
-        """A hint of a former life lifts the beginning, once, and only while nothing speaks against
-        it.
+        """Raises the cap to a snapshot's hint, unless it is held, over or already higher.
+
+        Returns:
+            Whether the cap changed.
         """
         if self.state is not SlowStartState.RISE or cap <= self.cap:
             return False
@@ -68,31 +87,39 @@
 
     @property
     def is_complete(self) -> bool:
+        """Whether the slow start is over."""
         return self.state is SlowStartState.FULL
 
     # Tests.
 
     def stepped(self, now: int) -> bool:
+        """Test: a step has passed since the last change."""
         return now - self.changed_at_ns >= self.step_ns
 
     def held(self, now: int) -> bool:
+        """Test: two steps have passed since the last change."""
         return now - self.changed_at_ns >= 2 * self.step_ns
 
     def covered(self, now: int) -> bool:
+        """Test: a step has passed, and the cap reaches what this node is granted."""
         return self.stepped(now) and self.cap >= self.call_quota
 
     def rested(self, now: int) -> bool:
-        return now - self.changed_at_ns >= REST * self.step_ns
+        """Test: the idle steps have passed without a change."""
+        return now - self.changed_at_ns >= IDLE_STEPS * self.step_ns
 
     # Effects.
 
     def widen(self, now: int) -> None:
+        """Effect: doubles the cap."""
         self.cap, self.changed_at_ns = 2 * self.cap, now
 
     def narrow(self, now: int) -> None:
+        """Effect: halves the cap, down to its lower bound."""
         self.cap, self.changed_at_ns = max(self.min_cap, self.cap / 2), now
 
     def free(self, now: int) -> None:
+        """Effect: removes the cap."""
         self.cap = float("inf")
 
 
--- a/burlloom/recovery/snapshot.py
+++ b/burlloom/recovery/snapshot.py
@@ -1,9 +1,8 @@
-"""What a server leaves to its next life, and whether that may be believed. No I/O: texts in, texts
-out.
+"""The snapshot that a server leaves to its next incarnation, and its validation. No I/O.
 
-One line of JSON with a BLAKE2b over the rest: written whole beside the old one and renamed, so that
-a crash leaves the old or the new. The sum finds what was torn all the same, or touched by hand; it
-keeps no secret and proves no author.
+One line of JSON with a BLAKE2b checksum, which the caller writes to a temporary file and renames,
+so that a crash leaves the old file or the new one. The checksum detects torn writes and edits; it
+does not authenticate the author.
 """
 
 import hashlib
@@ -14,26 +13,33 @@
 from typing import Any
 
 VERSION = 1
-TEXT_MOST = 1 << 20
-MEMBERS_MOST = 64  # addresses of others that are kept: some of them will be there
+MAX_TEXT_CHARACTERS = 1 << 20
+MAX_MEMBERS = 64
 
 
 class SnapshotValidity(IntEnum):
-    """The first of these that is true."""
+    """Result of the validation: the first of these that applies."""
 
     MISSING = 0
     TORN = 1  # not what was written, or not by this version
-    FOREIGN = 2  # of another name
-    FUTURE = 3  # told later than now: the clock was stepped back, its ages mean nothing
-    OLD = 4  # told longer ago than counts
+    FOREIGN = 2  # another node's
+    FUTURE = 3  # written after now: the clock was stepped back, so its age is unknown
+    OLD = 4  # older than the highest age
     GOOD = 5
 
 
 @dataclass(frozen=True, slots=True)
 class RecoverySnapshot:
-    """`life`: Unix ms, of the life that wrote it, `told_at` when; `record_life`: of the store of
-    record, -1 for none; `share` in calls; `clean`: it drained, so that nothing was in doubt when it
-    went.
+    """What an incarnation left behind.
+
+    Attributes:
+        node: The node's name.
+        incarnation: Start of the incarnation that wrote it, Unix ms.
+        written_at_ms: When it was written, Unix ms.
+        record_incarnation: The incarnation's number in the store of record, -1 without one.
+        call_share: Concurrent calls that it was granted.
+        was_drained: Whether it drained, so that no request was in doubt when it ended.
+        peer_addresses: Addresses of other members.
     """
 
     node: str
@@ -56,63 +62,83 @@
 }
 
 
-def serialize_snapshot(kept: RecoverySnapshot) -> str:
-    stored = {name: getattr(kept, field) for name, field in STORED_NAMES.items()}
+def serialize_snapshot(snapshot: RecoverySnapshot) -> str:
+    """Returns the snapshot as one line of JSON with its checksum."""
+    stored = {name: getattr(snapshot, field) for name, field in STORED_NAMES.items()}
     body = json.dumps({"version": VERSION, **stored}, sort_keys=True, separators=(",", ":"))
-    return json.dumps({"kept": body, "sum": total(body)}) + "\n"
+    return json.dumps({"kept": body, "sum": checksum(body)}) + "\n"
 
 
-def total(body: str) -> str:
+def checksum(body: str) -> str:
+    """Returns the checksum of a snapshot's body, in hexadecimal digits."""
     return hashlib.blake2b(body.encode(), digest_size=16, person=b"burlloom-kept").hexdigest()
 
 
 def parse_snapshot(text: str | None) -> RecoverySnapshot | SnapshotValidity:
-    """What was written, or MISSING, or TORN."""
+    """Parses a state file's text; None stands for a missing file.
+
+    Returns:
+        The snapshot, or MISSING, or TORN.
+    """
     if text is None:
         return SnapshotValidity.MISSING
     try:
-        got = json.loads(text[:TEXT_MOST])
+        got = json.loads(text[:MAX_TEXT_CHARACTERS])
         body = got["kept"]
-        if got["sum"] != total(body):
+        if got["sum"] != checksum(body):
             return SnapshotValidity.TORN
-        told = json.loads(body)
-        if told.pop("version") != VERSION:
+        fields = json.loads(body)
+        if fields.pop("version") != VERSION:
             return SnapshotValidity.TORN
-        return checked(told)
+        return parse_fields(fields)
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError):
         return SnapshotValidity.TORN
 
 
-def checked(told: dict[str, Any]) -> RecoverySnapshot | SnapshotValidity:
-    """A sum can be right over values that nobody wrote."""
-    if set(told) != set(STORED_NAMES):
+def parse_fields(fields: dict[str, Any]) -> RecoverySnapshot | SnapshotValidity:
+    """Checks the types of the stored fields: a checksum can be right over invalid values.
+
+    Returns:
+        The snapshot, or TORN.
+    """
+    if set(fields) != set(STORED_NAMES):
         return SnapshotValidity.TORN
-    whole = all(type(told[name]) is int for name in ("life", "told_at", "record_life"))
-    names = told["members"]
+    are_integers = all(type(fields[name]) is int for name in ("life", "told_at", "record_life"))
+    names = fields["members"]
     if (
-        not whole
-        or type(told["node"]) is not str
-        or type(told["clean"]) is not bool
+        not are_integers
+        or type(fields["node"]) is not str
+        or type(fields["clean"]) is not bool
         or type(names) is not list
         or not all(type(name) is str for name in names)
-        or type(told["share"]) not in (int, float)
+        or type(fields["share"]) not in (int, float)
     ):
         return SnapshotValidity.TORN
     return RecoverySnapshot(
-        told["node"],
-        told["life"],
-        told["told_at"],
-        told["record_life"],
-        float(told["share"]),
-        told["clean"],
-        tuple(names[:MEMBERS_MOST]),
+        fields["node"],
+        fields["life"],
+        fields["told_at"],
+        fields["record_life"],
+        float(fields["share"]),
+        fields["clean"],
+        tuple(names[:MAX_MEMBERS]),
     )
 
 
 def validate_snapshot(
     found: RecoverySnapshot | SnapshotValidity, node: str, now: int, age_most: int
 ) -> SnapshotValidity:
-    """`now` and `age_most` in ms."""
+    """Validates a parsed snapshot.
+
+    Args:
+        found: The snapshot, or why there is none, which is then returned.
+        node: This node's name.
+        now: The time, Unix ms.
+        age_most: The highest age, ms.
+
+    Returns:
+        The first validity that applies.
+    """
     if not isinstance(found, RecoverySnapshot):
         return found
     if found.node != node:
@@ -123,4 +149,5 @@
 
 
 def limit_members(addresses: Sequence[str]) -> tuple[str, ...]:
-    return tuple(sorted(set(addresses)))[:MEMBERS_MOST]
+    """Returns the addresses that a snapshot holds: sorted, distinct, bounded in number."""
+    return tuple(sorted(set(addresses)))[:MAX_MEMBERS]
