--- a/burlloom/levels/__init__.py
+++ b/burlloom/levels/__init__.py
@@ -1,6 +1,4 @@
-"""Levels of reduced service: in which state a node is, why, and what each level takes away. No
-I/O.
-"""
+"""Service levels: which level a node is at, why, and what each level takes away. No I/O."""
 
 from .controller import DegradationController, LevelChange, LevelPin
 from .plan import DEFAULT_PLAN, InvalidPlanError, LevelDefinition, LevelPlan, degradations
--- a/burlloom/levels/controller.py
+++ b/burlloom/levels/controller.py
@@ -1,5 +1,6 @@
-"""A node's levels as a whole: readings in, the level in force and the reasons out. No I/O; times
-are the host's.
+"""Controls a node's service level: readings in, level and cause out. No I/O.
+
+Times are in ns on the host's clock.
 """
 
 from collections.abc import Collection
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelPin:
-    """An operator's word: this level until then."""
+    """An operator's order to stay at a level until a time, ns on the host's clock."""
 
     level: str
     until_ns: int
@@ -29,8 +30,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelChange:
-    """A step of the ladder, for the log: its effect, from where to where, and the signal behind it
-    with its value.
+    """A transition for the log.
+
+    Attributes:
+        effect: The transition's effect in the state machine's table.
+        before: Name of the level before.
+        after: Name of the level after.
+        trial_share: Share of the callers served at the level above, from 0 to 1.
+        cause: The signal behind it, or `pin` or `calm`.
+        value: The signal's value.
+        bound: The bound that it reached.
     """
 
     effect: str
@@ -43,7 +52,25 @@
 
 
 class DegradationController:
-    """`reliefs` are the plan's levels as the decisions take them (`plan.reliefs`)."""
+    """Decides a node's level from signal readings and an operator's pin.
+
+    Attributes:
+        status: Where the state machine stands.
+        values: The last values of the signals, by name; unknown ones are absent.
+        pin: The operator's pin, if there is one.
+        transition_counts: Number of transitions by effect.
+        time_at_level_ns: Time spent at each level.
+
+    Args:
+        plan: The levels.
+        reliefs: The plan's levels as the decisions take them (`plan.degradations`).
+        now: The time, ns on the host's clock.
+        terms: Hysteresis; by default that of the plan's number of levels.
+        cold: Whether the node starts cold, at the plan's level for that.
+        died_at: The level of the previous incarnation by the record; empty where unknown.
+        measured: The signals that this node has. Bounds on others are ignored: a signal that never
+            has a value would keep the node from leaving a level.
+    """
 
     def __init__(
         self,
@@ -56,10 +83,6 @@
         died_at: str = "",
         measured: Collection[str] = SIGNAL_NAMES,
     ) -> None:
-        """`died_at`: the level that a record says this node's last life stood at. `measured`: the
-        signals that this node has at all; bounds on others do not count, else one that is never
-        told would hold it down for good.
-        """
         self.plan, self.degradations = plan, reliefs
         self.bounds = [
             {name: bound for name, bound in level.bounds.items() if name in measured}
@@ -72,30 +95,38 @@
             )
         )
         names = [level.name for level in plan.levels]
-        starts = [
-            names.index(name)
-            for name in (plan.cold_start_level if cold else "", died_at)
-            if name in names
-        ]
-        # One that died where only a pin puts a node comes back to the last level that it can leave
-        # by itself.
-        first = min(max(starts, default=0), self.state_machine.policy.level_count - 1)
-        self.status = self.state_machine.start(first, now)
+        self.status = self.state_machine.start(self._first_level(cold, died_at), now)
         self.signals = SignalAggregator()
         self.values: dict[str, float] = {}
         self.pin: LevelPin | None = None
         self.transition_counts = dict.fromkeys(
             ("up", "down", "drop", "begin", "widen", "abort", "pin", "release"), 0
         )
-        self.time_at_level_ns = dict.fromkeys(names, 0)  # ns at each level
+        self.time_at_level_ns = dict.fromkeys(names, 0)
         self.counted_until_ns = now
 
+    def _first_level(self, cold: bool, previous_level: str) -> int:
+        """Returns the index of the level to start at.
+
+        A previous incarnation that ended at a level that only a pin reaches starts at the last
+        level that a node can leave by itself.
+        """
+        names = [level.name for level in self.plan.levels]
+        candidates = [
+            names.index(name)
+            for name in (self.plan.cold_start_level if cold else "", previous_level)
+            if name in names
+        ]
+        return min(max(candidates, default=0), self.state_machine.policy.level_count - 1)
+
     @property
     def level(self) -> str:
+        """Name of the level in force."""
         return self.plan.levels[self.status.level].name
 
     @property
     def trial_share(self) -> float:
+        """Share of the callers served at the level above, from 0 to 1; 0 outside a trial."""
         return (
             TRIAL_SHARES[self.status.trial_step]
             if self.status.phase is DegradationPhase.TRIAL
@@ -104,57 +135,65 @@
 
     @property
     def allows_optional_work(self) -> bool:
+        """Whether the node's own optional work continues at this level."""
         return self.plan.levels[self.status.level].allows_optional_work
 
     def service_level(self) -> ServiceLevel:
+        """Returns this level, the one above and the trial's share for the admission decisions."""
         at = self.status.level
         return ServiceLevel(
             self.degradations[at], self.degradations[max(0, at - 1)], self.trial_share
         )
 
     def tick(self, now: int, readings: SignalReadings) -> LevelChange | None:
-        """Once a timer round; what it changed, if anything."""
+        """Takes one round's readings.
+
+        Returns:
+            The transition, or None where nothing changed.
+        """
         self.time_at_level_ns[self.level] += now - self.counted_until_ns
         self.counted_until_ns = now
         self.signals.take(now, readings)
         self.values = self.signals.values(now)
         if self.pin is not None and now >= self.pin.until_ns:
             self.pin = None
-        what, target, cause = self.looks()
+        what, target, cause = self.classify()
         return self.step(now, what, target, cause)
 
     def set_pin(self, now: int, pin: LevelPin | None) -> LevelChange | None:
-        """An operator pins a level, or takes the pin away."""
+        """Pins a level, or removes the pin where `pin` is None.
+
+        Returns:
+            The transition, or None where nothing changed.
+        """
         self.pin = pin
         return self.step(now, *self.by_pin())
 
-    # Within.
-
     def by_pin(self) -> tuple[DegradationEvent, int, tuple[str, float, float]]:
+        """Returns the event, target level and cause of the pin as it is now."""
         if self.pin is not None:
             return DegradationEvent.PIN, self.plan.index_of(self.pin.level), ("pin", 0.0, 0.0)
         return DegradationEvent.RELEASE, 0, ("pin", 0.0, 0.0)
 
-    def looks(self) -> tuple[DegradationEvent, int, tuple[str, float, float]]:
-        """What the table is told this round, the level that it names, and why."""
+    def classify(self) -> tuple[DegradationEvent, int, tuple[str, float, float]]:
+        """Returns this round's event, the level that it names (0 for none), and its cause."""
         at = self.status
         for signal, (enter, name) in self.plan.emergencies.items():
             value = self.values.get(signal)
             if value is not None and value >= enter and self.plan.index_of(name) > at.level:
                 return DegradationEvent.EMERGENCY, self.plan.index_of(name), (signal, value, enter)
         if at.phase is DegradationPhase.PINNED:
-            if self.pin is None:
-                return self.by_pin()
-            wanted = self.plan.index_of(self.pin.level)
-            return (
-                (DegradationEvent.PIN, wanted, ("pin", 0.0, 0.0))
-                if wanted > at.level
-                else (DegradationEvent.SAME, 0, ("", 0.0, 0.0))
-            )
+            is_held = self.pin is not None and self.plan.index_of(self.pin.level) <= at.level
+            return (DegradationEvent.SAME, 0, ("", 0.0, 0.0)) if is_held else self.by_pin()
         if self.pin is not None:
             return self.by_pin()
+        return self._classify_signals()
+
+    def _classify_signals(self) -> tuple[DegradationEvent, int, tuple[str, float, float]]:
+        """Compares the signals with the bounds of the levels next to this one."""
+        at = self.status
         last, bounds = self.state_machine.policy.level_count - 1, self.bounds
-        # In a trial what called for this level speaks against leaving it.
+        # In a trial the bounds that entered this level also count against leaving it.
         own = reached(bounds[at.level], self.values) if at.phase is DegradationPhase.TRIAL else None
         worse = own or (reached(bounds[at.level + 1], self.values) if at.level < last else None)
         if worse is not None:
@@ -164,8 +203,10 @@
         return DegradationEvent.SAME, 0, ("", 0.0, 0.0)
 
     def bounds_to_leave(self) -> dict[str, SignalBounds]:
-        """Those of the level, and of all between it and the first: none of them may call it back at
-        once.
+        """Returns the bounds that must be clear before this level is left.
+
+        They include those of all levels between it and the first, so that none of them enters it
+        again at once.
         """
         found: dict[str, SignalBounds] = {}
         for bounds in self.bounds[1 : self.status.level + 1]:
@@ -175,6 +216,11 @@
     def step(
         self, now: int, what: DegradationEvent, target: int, cause: tuple[str, float, float]
     ) -> LevelChange | None:
+        """Passes an event to the state machine.
+
+        Returns:
+            The transition; None where nothing changed, or a pin was renewed at its level.
+        """
         change: Transition = self.state_machine.handle(self.status, what, now, target)
         before, self.status = self.status, change.after
         if not change.effect or (
--- a/burlloom/levels/plan.py
+++ b/burlloom/levels/plan.py
@@ -1,11 +1,14 @@
-"""What the levels are: told by value and by what a repeat does, never by a product's name unless an
-operator names one.
+"""Definitions of the service levels, and the validation of a plan.
+
+Levels are defined by a request's value and by whether it is idempotent; an operator may name
+request classes.
 """
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
 from ..admission.model import Degradation, Idempotency, RequestClass
+from ..errors import BurlloomError
 from .signals import SignalBounds
 
 DRAIN = "drain"
@@ -13,13 +16,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelDefinition:
-    """`gives_up`: of the values that products have, the lowest this many, all but the highest at
-    the most; or ALL.
+    """One level and what it takes away.
 
-    `products` names what goes beside them, `kept` what is then answered from kept results alone.
-    `repeats`: marked retries and copies of products up to the highest value are declined
-    (inquiry-like ones). Bounds that are empty are never entered: such a level is reached by an
-    emergency or a pin alone.
+    Attributes:
+        name: The level's name.
+        bounds: Bounds by signal. A level without bounds is entered by an emergency or a pin alone.
+        dropped_values: How many of the request classes' distinct values are dropped, lowest first;
+            the highest stays unless this is ALL_VALUES.
+        dropped_classes: Names of further request classes that are dropped.
+        cached_classes: Names of request classes that are answered from cached results alone.
+        classes_without_calls: Names of request classes that are answered without downstream calls.
+        rejects_retries: Whether marked retries and copies of idempotent requests are rejected.
+        rejects_over_share: Whether requests over their tenant's share are rejected.
+        queue_share: The part of the queue that may be used, from 0 to 1.
+        allows_optional_work: Whether the node's own optional work continues.
     """
 
     name: str
@@ -31,30 +41,31 @@
     rejects_retries: bool = False
     rejects_over_share: bool = False
     queue_share: float = 1.0
-    allows_optional_work: bool = True  # whether the node's own optional work goes on
+    allows_optional_work: bool = True
 
 
 ALL_VALUES = 1 << 30
-UNREACHABLE = (
-    1e9  # an entry that no signal reaches: such a bound only says when a level may be left
-)
+# An entry that no signal reaches: such a bound only says when a level may be left.
+UNREACHABLE = 1e9
 
 
 @dataclass(frozen=True, slots=True)
 class LevelPlan:
-    """Ordered levels, the first of which takes nothing away. `emergencies`: signal to entry and
-    level's name.
+    """Ordered levels, the first of which takes nothing away.
+
+    Attributes:
+        levels: The levels, in order of what they take away.
+        emergencies: By signal, the bound and the name of the level that it enters at once.
+        cold_start_level: Name of the level that a cold node starts at; empty for the first.
     """
 
     levels: tuple[LevelDefinition, ...]
     emergencies: Mapping[str, tuple[float, str]] = field(default_factory=dict)
-    cold_start_level: str = ""  # where a cold node starts; empty: at the first
+    cold_start_level: str = ""
 
     @property
     def automatic_levels(self) -> int:
-        """How many the ladder walks by itself: up to the last that has bounds, or that an emergency
-        names.
-        """
+        """How many levels are entered without a pin: up to the last with bounds or an emergency."""
         named = {name for _, name in self.emergencies.values()}
         return max(
             (at + 1 for at, level in enumerate(self.levels) if level.bounds or level.name in named),
@@ -62,11 +73,16 @@
         )
 
     def index_of(self, name: str) -> int:
+        """Returns the index of the level of that name, which must be in the plan."""
         return next(at for at, level in enumerate(self.levels) if level.name == name)
 
 
-class InvalidPlanError(Exception):
-    """The plan can't be used: a line for each fault, with its place."""
+class InvalidPlanError(BurlloomError):
+    """The plan can't be used.
+
+    Attributes:
+        lines: One line for each fault, with its place.
+    """
 
     def __init__(self, lines: list[str]) -> None:
         super().__init__("; ".join(lines))
@@ -74,101 +90,140 @@
 
 
 def find_plan_faults(
-    plan: LevelPlan, products: Sequence[tuple[str, RequestClass]] = (), signals: Sequence[str] = ()
+    plan: LevelPlan,
+    request_classes: Sequence[tuple[str, RequestClass]] = (),
+    signals: Sequence[str] = (),
 ) -> list[str]:
-    """All that is wrong with it, each with its place; against these products, where they are
-    known.
+    """Returns what is invalid in a plan, each fault with its place.
+
+    Args:
+        plan: The plan.
+        request_classes: Names and classes to check the plan against; empty where not known.
+        signals: Names of the signals that there are; empty where not known.
     """
-    found: list[str] = []
-    names = [level.name for level in plan.levels]
-    known = dict(products)
     if not plan.levels:
         return ["levels: there is none"]
-    if takes(plan.levels[0]):
-        found.append(f"levels.0 ({names[0]}): the first level takes nothing away")
-    found += [
-        f"levels.{at} ({name}): the name stands twice"
-        for at, name in enumerate(names)
-        if name in names[:at]
+    faults = _find_name_faults(plan)
+    known_classes = dict(request_classes)
+    for index, level in enumerate(plan.levels):
+        place = f"levels.{index} ({level.name})"
+        faults += _find_bound_faults(level, place, signals)
+        if not 0 <= level.queue_share <= 1:
+            faults.append(f"{place}.hold: {level.queue_share:g} is no share from 0 to 1")
+        faults += _find_request_class_faults(level, place, known_classes)
+        faults += _find_order_faults(plan, index, place)
+    return faults + _find_reference_faults(plan, signals)
+
+
+def _find_name_faults(plan: LevelPlan) -> list[str]:
+    """Returns the faults of the levels' names, and of a first level that takes something away."""
+    faults: list[str] = []
+    names = [level.name for level in plan.levels]
+    if is_restrictive(plan.levels[0]):
+        faults.append(f"levels.0 ({names[0]}): the first level takes nothing away")
+    faults += [
+        f"levels.{index} ({name}): the name stands twice"
+        for index, name in enumerate(names)
+        if name in names[:index]
     ]
-    found += [
-        f"levels.{at}: a level needs a name of plain letters"
-        for at, name in enumerate(names)
+    faults += [
+        f"levels.{index}: a level needs a name of plain letters"
+        for index, name in enumerate(names)
         if not name.replace("-", "").replace("_", "").isalnum()
     ]
-    for at, level in enumerate(plan.levels):
-        place = f"levels.{at} ({level.name})"
-        for signal, bound in level.bounds.items():
-            if signals and signal not in signals:
-                found.append(
-                    f"{place}.{signal}: there is no such signal; known are {', '.join(signals)}"
-                )
-            if bound.leave >= bound.enter:
-                found.append(
-                    f"{place}.{signal}: it is left at {bound.leave:g}, which is not below its entry"
-                    f" {bound.enter:g}"
-                )
-        if not 0 <= level.queue_share <= 1:
-            found.append(f"{place}.hold: {level.queue_share:g} is no share from 0 to 1")
-        for what, listed in (
-            ("products", level.dropped_classes),
-            ("kept", level.cached_classes),
-            ("skips", level.classes_without_calls),
-        ):
-            for name in listed:
-                product = known.get(name)
-                if known and product is None:
-                    found.append(
-                        f"{place}.{what}: there is no product {name!r}; known are {', '.join(known)}"
-                    )
-                elif (
-                    product is not None
-                    and what == "kept"
-                    and product.idempotency is not Idempotency.IDEMPOTENT
-                ):
-                    found.append(
-                        f"{place}.kept: {name} has an effect: what is kept of it can't stand for another's"
-                    )
-                elif product is not None and what == "kept" and not product.max_staleness_ns:
-                    found.append(
-                        f"{place}.kept: {name} allows no kept result; say for how long in kept_ms"
-                    )
-                elif (
-                    product is not None and what == "skips" and not product.value_share_without_call
-                ):
-                    found.append(
-                        f"{place}.skips: an answer of {name} is worth nothing without its calls here"
-                    )
-        if at and level.bounds and not plan.levels[at - 1].bounds and at > 1:
-            found.append(
-                f"{place}: it has bounds and {names[at - 1]} before it has none: it could never be reached"
+    return faults
+
+
+def _find_bound_faults(level: LevelDefinition, place: str, signals: Sequence[str]) -> list[str]:
+    """Returns the faults of one level's bounds."""
+    faults: list[str] = []
+    for signal, bound in level.bounds.items():
+        if signals and signal not in signals:
+            faults.append(
+                f"{place}.{signal}: there is no such signal; known are {', '.join(signals)}"
+            )
+        if bound.leave >= bound.enter:
+            faults.append(
+                f"{place}.{signal}: it is left at {bound.leave:g}, which is not below its entry"
+                f" {bound.enter:g}"
+            )
+    return faults
+
+
+def _find_request_class_faults(
+    level: LevelDefinition, place: str, known: Mapping[str, RequestClass]
+) -> list[str]:
+    """Returns the faults of one level's lists of request classes, by the operators' keys."""
+    faults: list[str] = []
+    for key, names in (
+        ("products", level.dropped_classes),
+        ("kept", level.cached_classes),
+        ("skips", level.classes_without_calls),
+    ):
+        for name in names:
+            fault = _find_request_class_fault(key, name, known)
+            if fault:
+                faults.append(f"{place}.{key}: {fault}")
+    return faults
+
+
+def _find_request_class_fault(key: str, name: str, known: Mapping[str, RequestClass]) -> str:
+    """Returns why a request class can't stand under that key; empty where it can."""
+    request_class = known.get(name)
+    if request_class is None:
+        return f"there is no product {name!r}; known are {', '.join(known)}" if known else ""
+    if key == "kept" and request_class.idempotency is not Idempotency.IDEMPOTENT:
+        return f"{name} has an effect: what is kept of it can't stand for another's"
+    if key == "kept" and not request_class.max_staleness_ns:
+        return f"{name} allows no kept result; say for how long in kept_ms"
+    if key == "skips" and not request_class.value_share_without_call:
+        return f"an answer of {name} is worth nothing without its calls here"
+    return ""
+
+
+def _find_order_faults(plan: LevelPlan, index: int, place: str) -> list[str]:
+    """Returns the faults of a level's bounds against those of the level before it."""
+    if index < 2:
+        return []
+    faults: list[str] = []
+    level, previous = plan.levels[index], plan.levels[index - 1]
+    if level.bounds and not previous.bounds:
+        faults.append(
+            f"{place}: it has bounds and {previous.name} before it has none: it could never be"
+            " reached"
+        )
+    for signal in level.bounds.keys() & previous.bounds.keys():
+        enter, previous_enter = level.bounds[signal].enter, previous.bounds[signal].enter
+        if enter < previous_enter:
+            faults.append(
+                f"{place}.{signal}: it is entered at {enter:g}, before"
+                f" {previous.name} at {previous_enter:g}: levels out of order"
             )
-        if at > 1:
-            for signal in level.bounds.keys() & plan.levels[at - 1].bounds.keys():
-                before = plan.levels[at - 1].bounds[signal]
-                if level.bounds[signal].enter < before.enter:
-                    found.append(
-                        f"{place}.{signal}: it is entered at {level.bounds[signal].enter:g}, before"
-                        f" {names[at - 1]} at {before.enter:g}: levels out of order"
-                    )
+    return faults
+
+
+def _find_reference_faults(plan: LevelPlan, signals: Sequence[str]) -> list[str]:
+    """Returns the faults of emergencies and of the cold start's level."""
+    faults: list[str] = []
+    names = [level.name for level in plan.levels]
     for signal, (_, name) in plan.emergencies.items():
         if signals and signal not in signals:
-            found.append(
+            faults.append(
                 f"emergencies.{signal}: there is no such signal; known are {', '.join(signals)}"
             )
         if name not in names:
-            found.append(
+            faults.append(
                 f"emergencies.{signal}: there is no level {name!r}; known are {', '.join(names)}"
             )
     if plan.cold_start_level and plan.cold_start_level not in names:
-        found.append(
+        faults.append(
             f"cold: there is no level {plan.cold_start_level!r}; known are {', '.join(names)}"
         )
-    return found
+    return faults
 
 
-def takes(level: LevelDefinition) -> bool:
-    """Whether it takes anything away at all."""
+def is_restrictive(level: LevelDefinition) -> bool:
+    """Returns whether a level takes anything away or has bounds."""
     return bool(
         level.dropped_values
         or level.dropped_classes
@@ -182,54 +237,69 @@
 
 
 def degradations(
-    plan: LevelPlan, products: Sequence[tuple[str, RequestClass]]
+    plan: LevelPlan, request_classes: Sequence[tuple[str, RequestClass]]
 ) -> tuple[Degradation, ...]:
-    """Each level as the decisions take it. Raises `PlanFaults`."""
-    wrong = find_plan_faults(plan, products)
-    if wrong:
-        raise InvalidPlanError(wrong)
-    values = sorted({product.value for _, product in products})
-    made = []
-    for at, level in enumerate(plan.levels):
-        if not at:
-            made.append(Degradation())
-            continue
-        gone = (
-            set(values[: level.dropped_values])
-            if level.dropped_values == ALL_VALUES
-            else set(values[:-1][: level.dropped_values])
-        )
-        declined = tuple(
-            product.value in gone or name in level.dropped_classes for name, product in products
-        )
-        kept = tuple(name in level.cached_classes for name, _ in products)
-        # Of what has an effect, a marked retry may be of one that ran elsewhere: only what may run
-        # again is refused for it.
-        repeats = tuple(
-            level.rejects_retries and product.idempotency is Idempotency.IDEMPOTENT
-            for _, product in products
-        )
-        lowest = [
-            product.value for (_, product), away in zip(products, declined, strict=True) if not away
-        ]
-        floor = sum(value < min(lowest) for value in values) / len(values) if lowest else 1.0
-        made.append(
-            Degradation(
-                level.name,
-                tuple(away and not stays for away, stays in zip(declined, kept, strict=True)),
-                kept,
-                repeats,
-                tuple(name in level.classes_without_calls for name, _ in products),
-                level.rejects_over_share,
-                level.queue_share,
-                floor,
-            )
-        )
-    return tuple(made)
+    """Returns each level in the form that the admission decisions take.
+
+    Args:
+        plan: The plan.
+        request_classes: Names and classes, in the order of the decisions' class indices.
+
+    Raises:
+        InvalidPlanError: The plan has faults.
+    """
+    faults = find_plan_faults(plan, request_classes)
+    if faults:
+        raise InvalidPlanError(faults)
+    return (
+        Degradation(),
+        *(_degradation(level, request_classes) for level in plan.levels[1:]),
+    )
+
+
+def _degradation(
+    level: LevelDefinition, request_classes: Sequence[tuple[str, RequestClass]]
+) -> Degradation:
+    """Returns one level in the form that the admission decisions take."""
+    values = sorted({request_class.value for _, request_class in request_classes})
+    droppable = values if level.dropped_values == ALL_VALUES else values[:-1]
+    dropped_values = set(droppable[: level.dropped_values])
+    dropped = tuple(
+        request_class.value in dropped_values or name in level.dropped_classes
+        for name, request_class in request_classes
+    )
+    cached = tuple(name in level.cached_classes for name, _ in request_classes)
+    # A marked retry of a request with an effect may be of one that ran elsewhere: only idempotent
+    # ones are rejected for being retries.
+    rejects_retries = tuple(
+        level.rejects_retries and request_class.idempotency is Idempotency.IDEMPOTENT
+        for _, request_class in request_classes
+    )
+    admitted_values = [
+        request_class.value
+        for (_, request_class), is_dropped in zip(request_classes, dropped, strict=True)
+        if not is_dropped
+    ]
+    floor = 1.0
+    if admitted_values:
+        lowest = min(admitted_values)
+        floor = sum(value < lowest for value in values) / len(values)
+    return Degradation(
+        level.name,
+        tuple(
+            is_dropped and not is_cached
+            for is_dropped, is_cached in zip(dropped, cached, strict=True)
+        ),
+        cached,
+        rejects_retries,
+        tuple(name in level.classes_without_calls for name, _ in request_classes),
+        level.rejects_over_share,
+        level.queue_share,
+        floor,
+    )
 
 
-# Works without tuning: bounds are shares of the cores, of SLA times and of limits, none of one
-# deployment's figures.
+# Bounds are shares of cores, SLA times and limits: they hold for any deployment.
 DEFAULT_PLAN = LevelPlan(
     levels=(
         LevelDefinition("normal"),
--- a/burlloom/levels/signals.py
+++ b/burlloom/levels/signals.py
@@ -1,7 +1,7 @@
-"""What a node measures of itself to know how things look: each signal over a ring of fixed buckets.
+"""Load signals of a node, each aggregated over a ring of fixed buckets.
 
-A signal that was not told for as long as its ring spans is stale: it is neither high nor low, so it
-never raises service.
+A signal without a reading for its ring's span is stale: it is neither high nor low, so it never
+raises the service level.
 """
 
 from collections import OrderedDict
@@ -11,18 +11,25 @@
 
 SECOND = 1_000_000_000
 MS = 1_000_000
-MAX_TENANTS = 4096  # tenants whose reads are counted: some hundred bytes each
+MAX_TENANTS = 4096  # some hundred bytes each
 
 
 @dataclass(frozen=True, slots=True)
 class SignalReadings:
-    """One round's; None where it is not known. All are shares, or multiples, of what there is.
-
-    use: of the cores, 0 to 1. crowd: what wants a core, each. age: the oldest held txn's, of its
-    SLA time. lag: of reading, of the shortest SLA time. press: the decisions' own pressure, 0 to 1.
-    late: of those settled, past their SLA time. calls: of them, refused, failed or given up. store:
-    the record's time for a claim, of what it may take; 1 and more where it is cut off. memory,
-    sockets: of the limits.
+    """One round's readings; None where a reading is not known.
+
+    Attributes:
+        cpu_utilization: Of the cores, from 0 to 1.
+        contention: Runnable tasks per core.
+        queue_age: Age of the oldest queued request, as a multiple of its SLA time.
+        read_lag: Delay of reading, as a multiple of the shortest SLA time.
+        pressure: The admission decisions' own pressure, from 0 to 1.
+        late_share: Of the settled requests, the share past their SLA time.
+        call_failure_share: Of the downstream calls, the share rejected, failed or abandoned.
+        store_load: The record's time for a claim, as a multiple of what it may take; 1 and more
+            where the store is unreachable.
+        memory_utilization: Share of the memory limit.
+        socket_utilization: Share of the socket limit.
     """
 
     cpu_utilization: float | None = None
@@ -38,7 +45,7 @@
 
     @classmethod
     def from_signals(cls, values: Mapping[str, float]) -> "SignalReadings":
-        """Readings by the operators' names of the signals; those left out are not known."""
+        """Returns readings by the operators' names of the signals; those left out are not known."""
         return cls(**{SIGNAL_FIELDS[name]: value for name, value in values.items()})
 
 
@@ -59,16 +66,22 @@
 
 
 class Ring:
-    """Sums and counts of the last buckets, used again in turn; nothing is kept of single values."""
+    """Sums, counts and peaks of the last buckets; single values are not stored.
+
+    Args:
+        span: What all buckets cover, ns.
+        buckets: Number of buckets.
+    """
 
-    __slots__ = ("width", "sums", "counts", "peaks", "last", "told_at")
+    __slots__ = ("width", "sums", "counts", "peaks", "last", "updated_at_ns")
 
     def __init__(self, span: int, buckets: int) -> None:
         self.width = span // buckets
         self.sums, self.counts, self.peaks = [0.0] * buckets, [0] * buckets, [0.0] * buckets
-        self.last, self.told_at = -1, -1
+        self.last, self.updated_at_ns = -1, -1
 
     def turn(self, now: int) -> int:
+        """Clears the buckets that have expired by `now` (ns); returns the current one's index."""
         bucket, size = now // self.width, len(self.sums)
         if bucket > self.last:
             for old in range(max(self.last + 1, bucket - size + 1), bucket + 1):
@@ -77,38 +90,41 @@
         return self.last % size
 
     def add(self, now: int, value: float, weight: int = 1) -> None:
+        """Adds a value, which counts as `weight` samples, at `now` (ns)."""
         at = self.turn(now)
         self.sums[at] += value
         self.counts[at] += weight
         self.peaks[at] = max(self.peaks[at], value)
-        self.told_at = now
+        self.updated_at_ns = now
 
     def mean(self, now: int, least: int = 1) -> float | None:
-        """None where fewer than `least` were told within the span."""
+        """Returns the mean over the span; None with fewer than `least` samples."""
         self.turn(now)
         count = sum(self.counts)
         return sum(self.sums) / count if count >= least else None
 
     def peak(self, now: int) -> float | None:
+        """Returns the highest value of the span; None without samples."""
         self.turn(now)
         return max(self.peaks) if any(self.counts) else None
 
 
 class SignalAggregator:
-    """The rings of all signals: a second and a half, and five for what turns over slowly."""
+    """Rings of all signals: 1.5 s, and 5 s for the shares of late requests and failed calls."""
 
     def __init__(self, buckets: int = 10) -> None:
-        told = {"late": 5 * SECOND, "calls": 5 * SECOND}
-        self.rings = {name: Ring(told.get(name, 1500 * MS), buckets) for name in SIGNAL_NAMES}
+        spans = {"late": 5 * SECOND, "calls": 5 * SECOND}
+        self.rings = {name: Ring(spans.get(name, 1500 * MS), buckets) for name in SIGNAL_NAMES}
 
     def take(self, now: int, readings: SignalReadings) -> None:
+        """Adds one round's readings at `now` (ns)."""
         for name, ring in self.rings.items():
             value = getattr(readings, SIGNAL_FIELDS[name])
             if value is not None:
                 ring.add(now, value)
 
     def values(self, now: int) -> dict[str, float]:
-        """Those that are known; a stale one is left out."""
+        """Returns the known signals by the operators' names; stale ones are left out."""
         found = {
             name: ring.peak(now) if name in PEAKS else ring.mean(now)
             for name, ring in self.rings.items()
@@ -117,9 +133,7 @@
 
 
 class SignalBounds(NamedTuple):
-    """A level is entered from `enter` on and may be left at `leave` or below: between them nothing
-    changes.
-    """
+    """A level's bounds on a signal: entered from `enter` on, left at `leave` or below."""
 
     enter: float
     leave: float
@@ -128,7 +142,11 @@
 def reached(
     bounds: Mapping[str, SignalBounds], values: Mapping[str, float]
 ) -> tuple[str, float, float] | None:
-    """The signal that calls for a level, the one furthest past its entry: name, value, entry."""
+    """Finds the signal that is furthest past its entry.
+
+    Returns:
+        Its name, value and entry; None where no signal has reached its entry.
+    """
     found = [
         (value / bound.enter, name, value, bound.enter)
         for name, bound in bounds.items()
@@ -138,38 +156,46 @@
 
 
 def low(bounds: Mapping[str, SignalBounds], values: Mapping[str, float]) -> bool:
-    """Whether all of them are known, and at or under their exit."""
+    """Returns whether all signals with bounds are known, and at or below their exit."""
     return all(name in values and values[name] <= bound.leave for name, bound in bounds.items())
 
 
 class RecentShare:
-    """A count that turns over in time: of what was settled, how much was late; of calls, how many
-    failed.
+    """Share of recent events that count, such as late requests or failed calls.
+
+    Args:
+        span: Window, ns.
+        buckets: Number of buckets.
+        least: Events needed to judge by.
     """
 
     def __init__(self, span: int = 5 * SECOND, buckets: int = 10, least: int = 20) -> None:
         self.ring, self.least = Ring(span, buckets), least
 
     def add(self, now: int, counts: bool) -> None:
+        """Adds an event at `now` (ns); `counts` says whether it belongs to the share."""
         self.ring.add(now, float(counts))
 
     def share(self, now: int) -> float | None:
-        """None where nothing was told; 0 where too few to judge by."""
+        """Returns the share; None without events, 0 with too few to judge by."""
         if self.ring.mean(now) is None:
             return None
         return self.ring.mean(now, self.least) or 0.0
 
 
 class TenantShares:
-    """Which tenants take more than their share of what is read, over the last seconds, and which of
-    their txns that is.
-
-    One is past its share at `factor` times it and `sure` deviations beyond what chance alone makes
-    of so few reads, and no more at the share itself. Of its txns only the excess is marked, spread
-    evenly: the rest is within its share.
-
-    `share`, where given, says a tenant's share of the whole at any time, None of one that is not
-    known; then `portions` count for nothing. The RINGS_MOST that were read last are measured.
+    """Finds tenants over their share of recent requests, and which requests are the excess.
+
+    A tenant is over its share from `factor` times it on, if that is also `deviations` standard
+    deviations beyond what chance makes of so few requests, until it is back at the share. Only the
+    excess is marked, spread evenly. The MAX_TENANTS that were read last are measured.
+
+    Args:
+        portions: Tenants' names and portions; not used where `share` is given.
+        span: Window, ns.
+        factor: Multiple of the share from which a tenant is over it.
+        deviations: Standard deviations that the excess must exceed.
+        share: Returns a tenant's current share, from 0 to 1; None for an unknown one.
     """
 
     def __init__(
@@ -177,20 +203,23 @@
         portions: Iterable[tuple[str, float]],
         span: int = 10 * SECOND,
         factor: float = 1.25,
-        sure: float = 4.0,
+        deviations: float = 4.0,
         share: Callable[[str], float | None] | None = None,
     ) -> None:
-        told = dict(portions)
-        whole = sum(told.values()) or 1.0
-        self.share = share or {name: portion / whole for name, portion in told.items()}.get
+        portion_by_tenant = dict(portions)
+        total = sum(portion_by_tenant.values()) or 1.0
+        self.share = (
+            share or {name: portion / total for name, portion in portion_by_tenant.items()}.get
+        )
         self.span = span
         self.rings: OrderedDict[str, Ring] = OrderedDict()
-        self.all, self.factor, self.sure = Ring(span, 10), factor, sure
-        self.past: dict[str, float] = {}  # with the part of a txn that is owed to be marked
+        self.all, self.factor, self.deviations = Ring(span, 10), factor, deviations
+        self.past: dict[str, float] = {}  # fraction of a request still to be marked, by tenant
 
     def is_over_share(self, now: int, tenant: str) -> bool:
-        """Counts one read; whether it is past its tenant's share. Those that are not known have
-        none.
+        """Counts a request read at `now` (ns); returns whether it is its tenant's excess.
+
+        Unknown tenants have no share and are never over it.
         """
         portion = self.share(tenant)
         if portion is None:
@@ -209,11 +238,11 @@
         by_chance = (portion * (1 - portion) / total) ** 0.5
         if share <= portion:
             self.past.pop(tenant, None)
-        elif share >= max(portion * self.factor, portion + self.sure * by_chance):
+        elif share >= max(portion * self.factor, portion + self.deviations * by_chance):
             self.past.setdefault(tenant, 0.0)
         if tenant not in self.past:
             return False
-        # Of n reads the tenant may have portion / (1 - portion) times what the others have.
+        # Of the reads the tenant may have portion / (1 - portion) times what the others have.
         allowed = portion / (1 - portion) * (total - sum(ring.counts)) if portion < 1 else total
         owed = self.past[tenant] + 1 - min(1.0, allowed / sum(ring.counts))
         self.past[tenant] = owed - (owed >= 1)
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -80,7 +80,7 @@
     ("row", "broken"),
     [
         (
-            "TRIAL  BETTER     tried widest room    STEADY up",
+            "TRIAL  BETTER     tried widest within_cap STEADY up",
             "TRIAL  BETTER     tried widest         STEADY up",
         ),
         (
