--- a/burlloom/levels/controller.py
+++ b/burlloom/levels/controller.py
@@ -63,11 +63,11 @@
 
     Args:
         plan: The levels.
-        reliefs: The plan's levels as the decisions take them (`plan.degradations`).
+        degradations: The plan's levels as the decisions take them (`plan.degradations`).
         now: The time, ns on the host's clock.
-        terms: Hysteresis; by default that of the plan's number of levels.
+        policy: Hysteresis; by default that of the plan's number of levels.
         cold: Whether the node starts cold, at the plan's level for that.
-        died_at: The level of the previous incarnation by the record; empty where unknown.
+        previous_level: The level of the previous incarnation by the record; empty where unknown.
         measured: The signals that this node has. Bounds on others are ignored: a signal that never
             has a value would keep the node from leaving a level.
     """
@@ -75,27 +75,27 @@
     def __init__(
         self,
         plan: LevelPlan,
-        reliefs: tuple[Degradation, ...],
+        degradations: tuple[Degradation, ...],
         now: int,
-        terms: HysteresisPolicy | None = None,
+        policy: HysteresisPolicy | None = None,
         *,
         cold: bool = False,
-        died_at: str = "",
+        previous_level: str = "",
         measured: Collection[str] = SIGNAL_NAMES,
     ) -> None:
-        self.plan, self.degradations = plan, reliefs
+        self.plan, self.degradations = plan, degradations
         self.bounds = [
             {name: bound for name, bound in level.bounds.items() if name in measured}
             for level in plan.levels
         ]
         self.state_machine = DegradationStateMachine(
-            terms
+            policy
             or HysteresisPolicy(
                 plan.automatic_levels, max_changes_per_minute=max(4, plan.automatic_levels)
             )
         )
         names = [level.name for level in plan.levels]
-        self.status = self.state_machine.start(self._first_level(cold, died_at), now)
+        self.status = self.state_machine.start(self._first_level(cold, previous_level), now)
         self.signals = SignalAggregator()
         self.values: dict[str, float] = {}
         self.pin: LevelPin | None = None
@@ -157,8 +157,8 @@
         self.values = self.signals.values(now)
         if self.pin is not None and now >= self.pin.until_ns:
             self.pin = None
-        what, target, cause = self.classify()
-        return self.step(now, what, target, cause)
+        event, target, cause = self.classify()
+        return self.step(now, event, target, cause)
 
     def set_pin(self, now: int, pin: LevelPin | None) -> LevelChange | None:
         """Pins a level, or removes the pin where `pin` is None.
@@ -214,14 +214,14 @@
         return found
 
     def step(
-        self, now: int, what: DegradationEvent, target: int, cause: tuple[str, float, float]
+        self, now: int, event: DegradationEvent, target: int, cause: tuple[str, float, float]
     ) -> LevelChange | None:
         """Passes an event to the state machine.
 
         Returns:
             The transition; None where nothing changed, or a pin was renewed at its level.
         """
-        change: Transition = self.state_machine.handle(self.status, what, now, target)
+        change: Transition = self.state_machine.handle(self.status, event, now, target)
         before, self.status = self.status, change.after
         if not change.effect or (
             change.effect == "pin"
--- a/burlloom/levels/signals.py
+++ b/burlloom/levels/signals.py
@@ -69,15 +69,17 @@
     """Sums, counts and peaks of the last buckets; single values are not stored.
 
     Args:
-        span: What all buckets cover, ns.
+        span_ns: What all buckets cover, ns.
         buckets: Number of buckets.
     """
 
     __slots__ = ("width", "sums", "counts", "peaks", "last", "updated_at_ns")
 
-    def __init__(self, span: int, buckets: int) -> None:
-        self.width = span // buckets
-        self.sums, self.counts, self.peaks = [0.0] * buckets, [0] * buckets, [0.0] * buckets
+    def __init__(self, span_ns: int, buckets: int) -> None:
+        self.width = span_ns // buckets
+        self.sums = [0.0] * buckets
+        self.counts = [0] * buckets
+        self.peaks = [0.0] * buckets
         self.last, self.updated_at_ns = -1, -1
 
     def turn(self, now: int) -> int:
@@ -85,7 +87,9 @@
         bucket, size = now // self.width, len(self.sums)
         if bucket > self.last:
             for old in range(max(self.last + 1, bucket - size + 1), bucket + 1):
-                self.sums[old % size], self.counts[old % size], self.peaks[old % size] = 0.0, 0, 0.0
+                self.sums[old % size] = 0.0
+                self.counts[old % size] = 0
+                self.peaks[old % size] = 0.0
             self.last = bucket
         return self.last % size
 
@@ -97,11 +101,11 @@
         self.peaks[at] = max(self.peaks[at], value)
         self.updated_at_ns = now
 
-    def mean(self, now: int, least: int = 1) -> float | None:
-        """Returns the mean over the span; None with fewer than `least` samples."""
+    def mean(self, now: int, min_samples: int = 1) -> float | None:
+        """Returns the mean over the span; None with fewer than `min_samples` samples."""
         self.turn(now)
         count = sum(self.counts)
-        return sum(self.sums) / count if count >= least else None
+        return sum(self.sums) / count if count >= min_samples else None
 
     def peak(self, now: int) -> float | None:
         """Returns the highest value of the span; None without samples."""
@@ -164,13 +168,13 @@
     """Share of recent events that count, such as late requests or failed calls.
 
     Args:
-        span: Window, ns.
+        span_ns: Window, ns.
         buckets: Number of buckets.
-        least: Events needed to judge by.
+        min_samples: Events needed to judge by.
     """
 
-    def __init__(self, span: int = 5 * SECOND, buckets: int = 10, least: int = 20) -> None:
-        self.ring, self.least = Ring(span, buckets), least
+    def __init__(self, span_ns: int = 5 * SECOND, buckets: int = 10, min_samples: int = 20) -> None:
+        self.ring, self.min_samples = Ring(span_ns, buckets), min_samples
 
     def add(self, now: int, counts: bool) -> None:
         """Adds an event at `now` (ns); `counts` says whether it belongs to the share."""
@@ -180,7 +184,7 @@
         """Returns the share; None without events, 0 with too few to judge by."""
         if self.ring.mean(now) is None:
             return None
-        return self.ring.mean(now, self.least) or 0.0
+        return self.ring.mean(now, self.min_samples) or 0.0
 
 
 class TenantShares:
@@ -192,7 +196,7 @@
 
     Args:
         portions: Tenants' names and portions; not used where `share` is given.
-        span: Window, ns.
+        span_ns: Window, ns.
         factor: Multiple of the share from which a tenant is over it.
         deviations: Standard deviations that the excess must exceed.
         share: Returns a tenant's current share, from 0 to 1; None for an unknown one.
@@ -201,7 +205,7 @@
     def __init__(
         self,
         portions: Iterable[tuple[str, float]],
-        span: int = 10 * SECOND,
+        span_ns: int = 10 * SECOND,
         factor: float = 1.25,
         deviations: float = 4.0,
         share: Callable[[str], float | None] | None = None,
@@ -211,9 +215,11 @@
         self.share = (
             share or {name: portion / total for name, portion in portion_by_tenant.items()}.get
         )
-        self.span = span
+        self.span_ns = span_ns
         self.rings: OrderedDict[str, Ring] = OrderedDict()
-        self.all, self.factor, self.deviations = Ring(span, 10), factor, deviations
+        self.all = Ring(span_ns, 10)
+        self.factor = factor
+        self.deviations = deviations
         self.past: dict[str, float] = {}  # fraction of a request still to be marked, by tenant
 
     def is_over_share(self, now: int, tenant: str) -> bool:
@@ -226,7 +232,7 @@
             return False
         ring = self.rings.get(tenant)
         if ring is None:
-            ring = self.rings[tenant] = Ring(self.span, 10)
+            ring = self.rings[tenant] = Ring(self.span_ns, 10)
             if len(self.rings) > MAX_TENANTS:
                 self.past.pop(self.rings.popitem(last=False)[0], None)
         else:
--- a/burlloom/levels/state_machine.py
+++ b/burlloom/levels/state_machine.py
@@ -140,16 +140,16 @@
         return self.before.level != self.after.level
 
 
-def max_changes_per_minute(terms: HysteresisPolicy) -> int:
+def max_changes_per_minute(policy: HysteresisPolicy) -> int:
     """Returns the most changes in any minute, without an operator's pins."""
-    return terms.max_changes_per_minute
+    return policy.max_changes_per_minute
 
 
 class DegradationStateMachine:
     """Applies the table under a policy; `handle` depends on its arguments alone."""
 
-    def __init__(self, terms: HysteresisPolicy) -> None:
-        self.policy = terms
+    def __init__(self, policy: HysteresisPolicy) -> None:
+        self.policy = policy
 
     def start(self, level: int, now: int) -> DegradationStatus:
         """Returns the status of a node that starts at that level at `now` (ns)."""
@@ -158,13 +158,13 @@
         )
 
     def handle(
-        self, at: DegradationStatus, what: DegradationEvent, now: int, target: int = 0
+        self, at: DegradationStatus, event: DegradationEvent, now: int, target: int = 0
     ) -> Transition:
         """Applies the first transition whose tests all hold.
 
         Args:
             at: The status before.
-            what: The event.
+            event: The event.
             now: The time, ns on the host's clock.
             target: The level that an emergency or a pin names.
 
@@ -174,7 +174,7 @@
         status = at._replace(
             recent_changes=tuple(change for change in at.recent_changes if change > now - MINUTE)
         )
-        for tests, phase, effect in RULES.get((at.phase, what), ()):
+        for tests, phase, effect in RULES.get((at.phase, event), ()):
             if all(test(self, status, now, target) for test in tests):
                 after = EFFECTS[effect](self, status, now, target)
                 return Transition(at, after._replace(phase=phase, changed_at_ns=now), effect)
@@ -327,9 +327,9 @@
         AttributeError: A row names an unknown test.
     """
     found: Rules = {}
-    for phase, what, *tests, after, effect in filter(None, map(str.split, table.split("\n"))):
+    for phase, event, *tests, after, effect in filter(None, map(str.split, table.split("\n"))):
         named = tuple(getattr(DegradationStateMachine, test) for test in tests if test != "-")
-        found.setdefault((DegradationPhase[phase], DegradationEvent[what]), []).append(
+        found.setdefault((DegradationPhase[phase], DegradationEvent[event]), []).append(
             (named, DegradationPhase[after], effect)
         )
     return found
--- a/burlloom/recovery/bootstrap.py
+++ b/burlloom/recovery/bootstrap.py
@@ -72,28 +72,30 @@
         uses_snapshot: Whether the snapshot's hints are used.
 
     Args:
-        lonely: Whether there are neither peers nor a store to query.
-        clean: Whether the incarnation that wrote the snapshot had drained.
-        window: How long idempotency marks are valid, ns.
+        has_no_peers: Whether there are neither peers nor a store to query.
+        was_drained: Whether the incarnation that wrote the snapshot had drained.
+        idempotency_window_ns: How long idempotency marks are valid, ns.
     """
 
-    def __init__(self, lonely: bool, clean: bool, window: int) -> None:
-        self.has_no_peers, self.was_drained, self.idempotency_window_ns = lonely, clean, window
+    def __init__(self, has_no_peers: bool, was_drained: bool, idempotency_window_ns: int) -> None:
+        self.has_no_peers = has_no_peers
+        self.was_drained = was_drained
+        self.idempotency_window_ns = idempotency_window_ns
         self.state = BootstrapState.READING
         self.fenced_until_ns = 0
         self.uses_snapshot = False
 
-    def handle(self, what: BootstrapEvent, now: int) -> str:
+    def handle(self, event: BootstrapEvent, now: int) -> str:
         """Applies the first transition whose test holds.
 
         Args:
-            what: The input.
+            event: The input.
             now: The time, ns on the host's clock.
 
         Returns:
             The name of the effect, `nothing` included; empty where no transition applies.
         """
-        for test, state, effect in RULES.get((self.state, what), ()):
+        for test, state, effect in RULES.get((self.state, event), ()):
             if test(self):
                 self.state = state
                 getattr(self, effect)(now)
--- a/burlloom/recovery/controller.py
+++ b/burlloom/recovery/controller.py
@@ -50,40 +50,42 @@
     """Decides for one server, from its start until service is back.
 
     Args:
-        terms: The parameters.
-        found: The parsed snapshot, or why there is none.
+        policy: The parameters.
+        snapshot: The parsed snapshot, or why there is none.
         node: This node's name.
         now: The time of the start, ns on the host's clock.
-        wall: The same time, Unix ms.
-        lonely: Whether there are neither peers nor a store to query.
+        now_unix_ms: The same time, Unix ms.
+        has_no_peers: Whether there are neither peers nor a store to query.
     """
 
     def __init__(
         self,
-        terms: RecoveryPolicy,
-        found: RecoverySnapshot | SnapshotValidity,
+        policy: RecoveryPolicy,
+        snapshot: RecoverySnapshot | SnapshotValidity,
         node: str,
         now: int,
-        wall: int,
-        lonely: bool,
+        now_unix_ms: int,
+        has_no_peers: bool,
     ) -> None:
-        self.policy = terms
-        self.snapshot = found if isinstance(found, RecoverySnapshot) else None
-        self.validity = validate_snapshot(found, node, wall, terms.max_snapshot_age_ns // MS)
+        self.policy = policy
+        self.snapshot = snapshot if isinstance(snapshot, RecoverySnapshot) else None
+        self.validity = validate_snapshot(
+            snapshot, node, now_unix_ms, policy.max_snapshot_age_ns // MS
+        )
         # After a crash the store of record still has the marks; `record_opened` verifies that it
         # is the same store.
         stored = (
             self.snapshot is not None
-            and terms.requires_record
+            and policy.requires_record
             and self.snapshot.record_incarnation >= 0
         )
         self.bootstrap = Bootstrap(
-            lonely,
+            has_no_peers,
             self.snapshot is not None and (self.snapshot.was_drained or stored),
-            terms.idempotency_window_ns,
+            policy.idempotency_window_ns,
         )
         self.retry_budget = RetryBudget(
-            terms.retry_ratio, terms.min_retries_per_second, terms.retry_window_ns
+            policy.retry_ratio, policy.min_retries_per_second, policy.retry_window_ns
         )
         self.started_at_ns = now
         self.slow_start: SlowStart | None = None
@@ -95,11 +97,11 @@
         ] = []  # input and effect, until the host takes them
         self.handle(EVENT_BY_VALIDITY[self.validity], now)
 
-    def handle(self, what: BootstrapEvent, now: int) -> None:
+    def handle(self, event: BootstrapEvent, now: int) -> None:
         """Passes an input to the bootstrap, and notes its effect for the log."""
-        effect = self.bootstrap.handle(what, now)
+        effect = self.bootstrap.handle(event, now)
         if effect:
-            self.pending_log_entries.append((what.name.lower(), effect))
+            self.pending_log_entries.append((event.name.lower(), effect))
 
     def peer_reported_incarnation(self, incarnation: int, now: int) -> None:
         """Handles a peer's report of an earlier incarnation of this node.
@@ -139,17 +141,17 @@
             now,
         )
 
-    def record_call(self, well: bool) -> None:
+    def record_call(self, succeeded: bool) -> None:
         """Counts one finished downstream call of the current step."""
-        self.succeeded_calls += well
-        self.failed_calls += not well
+        self.succeeded_calls += succeeded
+        self.failed_calls += not succeeded
 
-    def tick(self, now: int, equal: float, share: float) -> bool:
+    def tick(self, now: int, equal_share: float, share: float) -> bool:
         """Advances the recovery; called in each round.
 
         Args:
             now: The time, ns on the host's clock.
-            equal: An equal share of the fleet's calls, concurrent calls.
+            equal_share: An equal share of the fleet's calls, concurrent calls.
             share: What this node is granted now, concurrent calls.
 
         Returns:
@@ -161,33 +163,37 @@
         ):
             self.handle(BootstrapEvent.SILENT, now)
         if self.slow_start is None:
-            return self._begin_slow_start(now, equal)
+            return self._begin_slow_start(now, equal_share)
         if self.bootstrap.uses_snapshot and not self.is_warmed:
             self.is_warmed = True
             hint = self.policy.warm_initial_share * min(
-                equal, self.snapshot.call_share if self.snapshot is not None else 0.0
+                equal_share, self.snapshot.call_share if self.snapshot is not None else 0.0
             )
             if self.slow_start.raise_initial_cap(hint):
                 return True
         if self.slow_start.is_complete or now - self.stepped_at_ns < self.policy.step_ns:
             return False
         changed = self.slow_start.tick(
-            now, self._step_outcome(self.slow_start.cap), max(share, equal)
+            now, self._step_outcome(self.slow_start.cap), max(share, equal_share)
         )
-        self.stepped_at_ns, self.succeeded_calls, self.failed_calls = now, 0, 0
+        self.stepped_at_ns = now
+        self.succeeded_calls = 0
+        self.failed_calls = 0
         return changed
 
-    def _begin_slow_start(self, now: int, equal: float) -> bool:
+    def _begin_slow_start(self, now: int, equal_share: float) -> bool:
         """Begins the slow start once an equal share is known; returns whether it began."""
-        if equal <= 0:
+        if equal_share <= 0:
             return False
         self.slow_start = SlowStart(
-            self.policy.initial_share * equal,
-            min(self.policy.min_calls, equal),
+            self.policy.initial_share * equal_share,
+            min(self.policy.min_calls, equal_share),
             self.policy.step_ns,
             now,
         )
-        self.stepped_at_ns, self.succeeded_calls, self.failed_calls = now, 0, 0
+        self.stepped_at_ns = now
+        self.succeeded_calls = 0
+        self.failed_calls = 0
         return True
 
     def _step_outcome(self, cap: float) -> StepOutcome:
--- a/burlloom/recovery/slow_start.py
+++ b/burlloom/recovery/slow_start.py
@@ -43,31 +43,33 @@
     """The cap on concurrent calls after a start.
 
     Args:
-        start: The initial cap, concurrent calls.
-        least: The cap's lower bound, concurrent calls.
-        step: Length of a step, ns.
+        initial_cap: The initial cap, concurrent calls.
+        min_cap: The cap's lower bound, concurrent calls.
+        step_ns: Length of a step, ns.
         now: The time, ns on the host's clock.
     """
 
-    def __init__(self, start: float, least: float, step: int, now: int) -> None:
-        self.cap, self.min_cap, self.step_ns = max(start, least), least, step
+    def __init__(self, initial_cap: float, min_cap: float, step_ns: int, now: int) -> None:
+        self.cap = max(initial_cap, min_cap)
+        self.min_cap = min_cap
+        self.step_ns = step_ns
         self.state = SlowStartState.RISE
         self.changed_at_ns = now
         self.call_quota = float("inf")
 
-    def tick(self, now: int, what: StepOutcome, most: float) -> bool:
+    def tick(self, now: int, outcome: StepOutcome, call_quota: float) -> bool:
         """Applies one step's outcome.
 
         Args:
             now: The time, ns on the host's clock.
-            what: The outcome of the step.
-            most: The calls that this node is granted without a cap.
+            outcome: The outcome of the step.
+            call_quota: The calls that this node is granted without a cap.
 
         Returns:
             Whether the cap changed.
         """
-        self.call_quota = most
-        for test, state, effect in RULES.get((self.state, what), ()):
+        self.call_quota = call_quota
+        for test, state, effect in RULES.get((self.state, outcome), ()):
             if test(self, now):
                 before, self.state = self.cap, state
                 effect(self, now)
--- a/burlloom/recovery/snapshot.py
+++ b/burlloom/recovery/snapshot.py
@@ -126,26 +126,28 @@
 
 
 def validate_snapshot(
-    found: RecoverySnapshot | SnapshotValidity, node: str, now: int, age_most: int
+    snapshot: RecoverySnapshot | SnapshotValidity, node: str, now: int, max_age_ms: int
 ) -> SnapshotValidity:
     """Validates a parsed snapshot.
 
     Args:
-        found: The snapshot, or why there is none, which is then returned.
+        snapshot: The snapshot, or why there is none, which is then returned.
         node: This node's name.
         now: The time, Unix ms.
-        age_most: The highest age, ms.
+        max_age_ms: The highest age, ms.
 
     Returns:
         The first validity that applies.
     """
-    if not isinstance(found, RecoverySnapshot):
-        return found
-    if found.node != node:
+    if not isinstance(snapshot, RecoverySnapshot):
+        return snapshot
+    if snapshot.node != node:
         return SnapshotValidity.FOREIGN
-    if found.written_at_ms > now or found.incarnation > now:
+    if snapshot.written_at_ms > now or snapshot.incarnation > now:
         return SnapshotValidity.FUTURE
-    return SnapshotValidity.OLD if now - found.written_at_ms > age_most else SnapshotValidity.GOOD
+    return (
+        SnapshotValidity.OLD if now - snapshot.written_at_ms > max_age_ms else SnapshotValidity.GOOD
+    )
 
 
 def limit_members(addresses: Sequence[str]) -> tuple[str, ...]:
--- a/burlloom/server/configured_service_levels.py
+++ b/burlloom/server/configured_service_levels.py
@@ -116,7 +116,7 @@
             self.clock(),
             self.terms,
             cold=is_cold,
-            died_at=previous_level,
+            previous_level=previous_level,
             measured=self._signals,
         )
         log.info(
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -203,9 +203,9 @@
 
 def test_cold_nodes_and_those_that_died_low_start_low() -> None:
     assert of_plan(cold=True).level == "lean"
-    assert of_plan(died_at="highest").level == "highest"
-    assert of_plan(died_at="drain").level == "highest"  # from there it comes up by itself
-    assert of_plan(died_at="no-longer-there").level == "normal"
+    assert of_plan(previous_level="highest").level == "highest"
+    assert of_plan(previous_level="drain").level == "highest"  # from there it comes up by itself
+    assert of_plan(previous_level="no-longer-there").level == "normal"
 
 
 def test_an_emergency_goes_at_once_and_a_pin_holds() -> None:
