--- a/burlloom/admission/__init__.py
+++ b/burlloom/admission/__init__.py
@@ -1,8 +1,9 @@
-"""The decisions of one server: what it admits, starts, rejects and calls.
+"""The admission control of one server: which requests it admits, starts, rejects and calls for.
 
-The package does no I/O and imports nothing of the rest of burlloom but its errors. `model` has what
-the host hands in and carries out, `controller` the events, and `lifecycle` the table of what can
-happen to a request. Each rule is a module, whose head says its inputs, units, rule and reason.
+The package does no I/O, and imports nothing from the rest of burlloom but its errors. `model`
+defines the types that the host passes in and the effects that it implements, `controller` the
+events, and `lifecycle` the transition table of a request. Each rule is a module of its own; its
+docstring states inputs, units, rule and reason.
 """
 
 from .controller import AdmissionController, ControllerSizes
--- a/burlloom/admission/awake_clock.py
+++ b/burlloom/admission/awake_clock.py
@@ -1,8 +1,9 @@
-"""Waiting time without the pauses of the process.
+"""Measures waiting time without the pauses of the process.
 
-Input: the time of each event (ns). Rule: where no event came for `MAX_EVENT_GAP_NS`, the process
-stood still, and the gap less one timer interval counts to nobody's waiting time. Reason: after a
-pause of the whole process every queued request would look stale although no newcomer waited longer.
+Input: the time of each event (ns). Rule: when no event came for longer than `MAX_EVENT_GAP_NS`, the
+process was paused, and the gap less one timer interval is excluded from all waiting times. Reason:
+after a pause of the whole process every queued request would look stale although none had waited
+longer than the others.
 """
 
 from .timing import TIMER_INTERVAL_NS
@@ -13,25 +14,25 @@
 
 
 class AwakeClock:
-    """Measures time during which this process ran.
+    """Measures the time during which this process was running.
 
     Attributes:
-        now: the host's clock at the last event, in ns.
-        paused_ns: the sum of all pauses so far.
+        now: The host's clock at the last event, in ns.
+        paused_ns: The total length of all pauses so far, in ns.
     """
 
     __slots__ = ("now", "paused_ns")
 
     def __init__(self, now: int) -> None:
-        """Starts at `now` (ns)."""
+        """Starts the clock at `now` (ns)."""
         self.now = now
         self.paused_ns = 0
 
     def advance(self, now: int) -> int:
-        """Moves on to `now` (ns).
+        """Advances the clock to `now` (ns).
 
         Returns:
-            The length of the pause that was found, 0 for none.
+            The length of the detected pause in ns; 0 without one.
         """
         pause_ns = 0
         if now - self.now > MAX_EVENT_GAP_NS:
--- a/burlloom/admission/call_limit.py
+++ b/burlloom/admission/call_limit.py
@@ -1,13 +1,14 @@
-"""How many calls to the downstream dependency may be open at a time.
+"""Limits how many calls to the downstream dependency may be open at once.
 
-Inputs: how long calls take (ns), the quota, whether calls are queued. Rule: from half of the most
-that the quota allows, the limit rises by one a timer round while calls are queued, and is cut to
-`CUT_SHARE` when calls take `CROWDED_MULTIPLE` of their base time, to a quarter of the most at least
-(additive increase, multiplicative decrease). Reason: a crowded dependency slows all its callers
-long before a quota is used up.
+Inputs: call durations (ns), the quota, whether calls are queued. Rule: the limit starts at half of
+the maximum that the quota allows. It rises by one each timer round while calls are queued. When the
+mean call duration exceeds `CONGESTED_LATENCY_MULTIPLE` times the base latency, the limit is
+multiplied by `DECREASE_FACTOR`, down to a quarter of the maximum (additive increase, multiplicative
+decrease). Reason: a congested dependency slows down all its callers long before a quota is used up.
 
-The base time is the shortest mean seen; it creeps up, so that a lasting change is learnt. Where the
-limit is at its least already, calls are slow for a reason of their own, and the base follows fast.
+The base latency is the shortest mean duration seen. It grows slowly, so that a lasting change of
+the dependency is learnt. Where the limit is already at its minimum, the calls are slow for another
+reason than this server's load, and the base latency grows faster.
 """
 
 from .model import ServerSettings
@@ -17,63 +18,69 @@
 __all__ = ["CallLimit"]
 
 WINDOW_NS = 1000 * NS_PER_MS
-CALLS_TO_JUDGE_BY = 5
-CROWDED_MULTIPLE = 3.0
-CUT_SHARE = 0.7
-LEAST_DIVISOR = 4
-BASE_GROWTH = 1.005
-BASE_GROWTH_AT_LEAST_LIMIT = 1.1
+MIN_CALLS_FOR_CONGESTION = 5
+CONGESTED_LATENCY_MULTIPLE = 3.0
+DECREASE_FACTOR = 0.7
+MIN_LIMIT_DIVISOR = 4
+BASE_LATENCY_GROWTH = 1.005
+BASE_LATENCY_GROWTH_AT_MIN_LIMIT = 1.1
 
 
 class CallLimit:
-    """The limit, and what calls take.
+    """The limit on open calls, and the call durations that it follows.
 
     Attributes:
-        limit: calls that may be open at a time; under 1 a share of time.
-        most: what the quota, or the server's own runs, allow.
-        base_ns: the time of a call when the dependency is not crowded; 0 before it is known.
+        limit: The number of calls that may be open; below 1, the share of time for which one may
+            be.
+        max_limit: The maximum that the quota allows or, without a quota, the server's own runs.
+        base_latency_ns: The duration of a call when the dependency is not congested; 0 until known.
     """
 
-    __slots__ = ("_call_ns", "_calls", "base_ns", "limit", "most")
+    __slots__ = ("_call_ns", "_calls", "base_latency_ns", "limit", "max_limit")
 
     def __init__(self, settings: ServerSettings) -> None:
-        """Begins at half of the most."""
-        self.most = settings.call_quota or settings.max_runs_per_core * settings.cores
-        self.limit = max(min(1.0, self.most), self.most / 2)
-        self.base_ns = 0.0
+        """Starts the limit at half of the maximum."""
+        self.max_limit = settings.call_quota or settings.max_runs_per_core * settings.cores
+        self.limit = max(min(1.0, self.max_limit), self.max_limit / 2)
+        self.base_latency_ns = 0.0
         self._call_ns = SlidingWindowSum(WINDOW_NS)
         self._calls = SlidingWindowSum(WINDOW_NS)
 
-    def set_most(self, most: float) -> None:
-        """Follows a new quota; open calls stay, and none is added past it."""
-        self.most = most
-        self.limit = min(max(min(1.0, most), self.limit), most)
+    def set_max_limit(self, max_limit: float) -> None:
+        """Applies a new quota; open calls continue, and no call is started beyond the quota."""
+        self.max_limit = max_limit
+        self.limit = min(max(min(1.0, max_limit), self.limit), max_limit)
 
     def max_open_calls(self) -> int:
-        """The number of calls that may be open at a time."""
+        """Returns the number of calls that may be open at once."""
         return max(1, int(self.limit))
 
     def record_call(self, now: int, call_ns: int) -> None:
-        """Counts a call that ended at `now` (ns), timed out ones left out, and the time it took."""
+        """Records a call that ended at `now` (ns) without timing out, and its duration in ns."""
         self._call_ns.add(now, call_ns)
         self._calls.add(now, 1)
 
-    def usual_call_ns(self, now: int) -> float:
-        """What a call takes now: the mean of the last second, but its base time at least."""
+    def expected_call_ns(self, now: int) -> float:
+        """Returns the expected duration of a call in ns.
+
+        It is the mean of the last second, but not less than the base latency.
+        """
         mean_ns = self._call_ns.total(now) / (self._calls.total(now) or 1)
-        return max(self.base_ns, mean_ns)
+        return max(self.base_latency_ns, mean_ns)
 
     def update(self, now: int, has_queued_calls: bool) -> None:
-        """Moves the limit; once a timer round at `now` (ns)."""
+        """Adjusts the limit; called once each timer round, at `now` (ns)."""
         calls = self._calls.total(now)
-        if calls >= CALLS_TO_JUDGE_BY:
+        if calls >= MIN_CALLS_FOR_CONGESTION:
             mean_ns = self._call_ns.total(now) / calls
-            least = self.most / LEAST_DIVISOR
-            is_at_least = self.limit <= least and least >= 1
-            growth = BASE_GROWTH_AT_LEAST_LIMIT if is_at_least else BASE_GROWTH
-            self.base_ns = min(mean_ns, self.base_ns * growth or mean_ns)
-            if mean_ns > CROWDED_MULTIPLE * self.base_ns:
-                self.limit = max(least, self.limit * CUT_SHARE)
+            min_limit = self.max_limit / MIN_LIMIT_DIVISOR
+            is_at_minimum = self.limit <= min_limit and min_limit >= 1
+            growth = BASE_LATENCY_GROWTH_AT_MIN_LIMIT if is_at_minimum else BASE_LATENCY_GROWTH
+            self.base_latency_ns = min(mean_ns, self.base_latency_ns * growth or mean_ns)
+            if mean_ns > CONGESTED_LATENCY_MULTIPLE * self.base_latency_ns:
+                self.limit = max(min_limit, self.limit * DECREASE_FACTOR)
                 return
         if has_queued_calls:
-            self.limit = min(self.most, self.limit + min(1.0, self.most / LEAST_DIVISOR))
+            self.limit = min(
+                self.max_limit, self.limit + min(1.0, self.max_limit / MIN_LIMIT_DIVISOR)
+            )
--- a/burlloom/admission/call_quota.py
+++ b/burlloom/admission/call_quota.py
@@ -1,15 +1,16 @@
 """This server's quota of calls to a dependency that the fleet shares.
 
-Inputs: the quota (a mean number of open calls), the time that calls spent open (ns). Rule: a
-quota of one call or more bounds the open calls at each moment, which `CallLimit` does. A quota
-under one is a share of time: open calls may use `share * window` ns within any window, and a
-call is made only while what is left exceeds what a call needs. The window is the configured one, or
-so long that the share holds `LINGERS_IN_QUOTA` times the linger of an abandoned call. Reason: whole
-calls by every server at once, or all of them in step, would crowd the dependency.
-
-An incarnation begins as if its share were just used up, but for a part by chance: nobody spends a
-whole share at a start, whatever the one before had spent, nor do servers that start together call
-in step.
+Inputs: the quota (a mean number of open calls), for how long calls were open (ns). Rule: a quota of
+one call or more limits the number of open calls at any time, which `CallLimit` enforces. A quota
+below one is a share of time: open calls may use `share * window` ns within any window, and a call
+is made only while more is left than one call needs. The window is the configured one, or longer, so
+that the quota holds at least `MIN_LINGERS_PER_QUOTA` times the linger time of an abandoned call.
+Reason: whole calls by every server at once, or calls of all servers in step, would congest the
+dependency.
+
+An incarnation starts with the quota nearly used up, except for a random part. A server therefore
+cannot spend a whole quota at its start, whatever the previous incarnation spent, and servers that
+start together do not call in step.
 """
 
 from collections.abc import Callable
@@ -19,19 +20,20 @@
 
 __all__ = ["CallQuota"]
 
-LINGERS_IN_QUOTA = 8
-SHORTEST_WINDOW_NS = 10
-# One bucket more than a tenth of the window each: never less than the whole window is looked at.
+MIN_LINGERS_PER_QUOTA = 8
+MIN_WINDOW_NS = 10
+# Each bucket is a tenth of the window. One extra bucket makes the meter cover at least the whole
+# window, although the current bucket is only partly filled.
 BUCKETS = 11
-BUCKETS_IN_WINDOW = 10
+BUCKETS_PER_WINDOW = 10
 
 
 class CallQuota:
-    """Meters the time of open calls.
+    """Meters for how long calls are open.
 
     Attributes:
-        share: the quota; 0 where there is none.
-        is_time_share: whether it is under one call, and thus a share of time.
+        share: The quota as a mean number of open calls; 0 without a quota.
+        is_time_share: Whether the quota is below one call, and therefore a share of time.
     """
 
     __slots__ = (
@@ -52,12 +54,12 @@
     _window_ns: int
 
     def __init__(self, settings: ServerSettings, now: int, random: Callable[[], float]) -> None:
-        """Begins to meter.
+        """Starts the meter.
 
         Args:
-            settings: of the server.
-            now: the host's clock in ns.
-            random: draws from 0 to under 1.
+            settings: The server's settings.
+            now: The host's clock, in ns.
+            random: Returns a draw from 0 to below 1.
         """
         self._configured_window_ns = settings.call_quota_window_ns
         self._linger_ns = settings.abandoned_call_linger_ns
@@ -67,29 +69,29 @@
         self._restart_meter(now)
 
     def set_share(self, now: int, share: float) -> None:
-        """Sets the quota, above 0.
+        """Sets the quota.
 
-        The meter goes on unless the window has become too short for the new share.
+        The meter continues unless its window has become too short for the new share.
 
         Args:
-            now: the host's clock in ns.
-            share: the quota as a mean number of open calls.
+            now: The host's clock, in ns.
+            share: The quota as a mean number of open calls, above 0.
         """
         self.share = share
         self.is_time_share = 0 < share < 1
-        if self.is_time_share and self._quota_ns() < LINGERS_IN_QUOTA * self._linger_ns:
+        if self.is_time_share and self._quota_ns() < MIN_LINGERS_PER_QUOTA * self._linger_ns:
             self._restart_meter(now)
 
     def record_open_time(self, now: int, time_ns: int) -> None:
-        """Adds time that calls spent open up to `now` (ns)."""
+        """Records `time_ns` of open calls up to `now` (ns)."""
         self._open_time_ns.add(now + self._phase_ns, time_ns)
 
     def record_call_end(self, outcome: Outcome, call_ns: int) -> None:
-        """Learns from a call what the next one needs.
+        """Updates the estimate of what the next call needs.
 
         Args:
-            outcome: how it ended.
-            call_ns: the time that it took.
+            outcome: How the call ended.
+            call_ns: The duration of the call.
         """
         if outcome is Outcome.OK:
             needed_ns = self._linger_ns + 2 * call_ns
@@ -100,32 +102,32 @@
         self._needed_ns = int(max(2 * self._linger_ns, min(needed_ns, self._quota_ns() / 2)))
 
     def remaining_ns(self, now: int) -> float:
-        """What is left of the quota at `now` (ns), as time of one open call."""
+        """Returns what is left of the quota at `now` (ns), as ns of one open call."""
         return self._quota_ns() - self._open_time_ns.total(now + self._phase_ns)
 
     def is_enough_for_call(self, now: int) -> bool:
-        """Whether what is left exceeds what a call needs."""
+        """Returns whether more is left of the quota than one call needs."""
         return self.remaining_ns(now) > self._needed_ns
 
     def _quota_ns(self) -> float:
         return self.share * self._window_ns
 
     def _restart_meter(self, now: int) -> None:
-        self._window_ns = max(self._configured_window_ns, SHORTEST_WINDOW_NS)
+        self._window_ns = max(self._configured_window_ns, MIN_WINDOW_NS)
         self._needed_ns = 2 * self._linger_ns
         self._phase_ns = 0
         if self.is_time_share:
-            fitting_ns = int(LINGERS_IN_QUOTA * self._linger_ns / self.share)
-            self._window_ns = max(self._window_ns, fitting_ns)
+            min_window_ns = int(MIN_LINGERS_PER_QUOTA * self._linger_ns / self.share)
+            self._window_ns = max(self._window_ns, min_window_ns)
         self._open_time_ns = SlidingWindowSum(
-            self._window_ns * BUCKETS // BUCKETS_IN_WINDOW, BUCKETS
+            self._window_ns * BUCKETS // BUCKETS_PER_WINDOW, BUCKETS
         )
         if self.is_time_share:
-            self._begin_as_used_up(now)
+            self._fill_meter(now)
 
-    def _begin_as_used_up(self, now: int) -> None:
+    def _fill_meter(self, now: int) -> None:
         bucket_ns = self._open_time_ns.bucket_ns
-        # At least the whole meter, as the host's clock may begin at 0.
+        # At least as long as the whole meter, since the host's clock may start at 0.
         self._phase_ns = int(bucket_ns * (BUCKETS + self._random()))
         used_ns = (self._quota_ns() - self._needed_ns * self._random()) / BUCKETS
         for buckets_ago in range(BUCKETS - 1, -1, -1):
--- a/burlloom/admission/caller_feedback.py
+++ b/burlloom/admission/caller_feedback.py
@@ -1,21 +1,23 @@
-"""What this server tells its callers, and when.
+"""Health, load reports and rejection hints for the callers of this server.
 
 | what | when |
 | --- | --- |
-| health | in a timer round, at a drain or a change of service level, when it changed |
-| load report | at the same moments, when it moved by more than `REPORTED_CHANGE` |
-| load report on trial | at the same moments, always while a service level is on trial |
+| health | when it changed: each timer round, at a drain or a change of service level |
+| load report | at the same times, when it changed by more than `MIN_REPORTED_CHANGE` |
+| load report on trial | at the same times, always while a service level is on trial |
 | retry-after and "final" | with each rejection |
 
-Health is bad while the server drains or is unhealthy (`health`). The load report is the kind that
-the settings name: the priority floor (1 in bad health), a routing weight (1 less the pressure, 0 in
-bad health), or a concurrency allowance for each caller that has a request here (0 in bad health):
-callers may be thousands, and a split over all of them would leave none any.
-
-A rejection under load names a retry-after (ns) of the share rejected, by chance, of the longest
-that callers honour, so that they do not come back together; an unhealthy or draining server names
-the longest. From `FINAL_PRESSURE` it is final: the request is not to be tried elsewhere, where it
-would be read again. An unhealthy or draining server does not say so, since others may be well.
+Health is bad while the server drains or is unhealthy (`health`). The settings name the kind of load
+report. A priority floor is 1 in bad health. A routing weight is 1 minus the pressure, and 0 in bad
+health. A concurrency allowance is for each caller that has a request here, and 0 in bad health:
+there may be thousands of callers, and an allowance split over all of them would leave each with
+nothing.
+
+A rejection under load carries a retry-after (ns): the longest that callers honour, times the
+rejected share, times a random draw, so that callers do not return all at once. An unhealthy or
+draining server sends the longest. Above `FINAL_REJECTION_PRESSURE` the rejection is final: the
+caller must not try another server, which would have to read the request again. An unhealthy or
+draining server does not send that, since other servers may be healthy.
 """
 
 from .lifecycle import TrackedRequest
@@ -25,19 +27,19 @@
 
 __all__ = ["CallerFeedback"]
 
-FINAL_PRESSURE = 0.2
-REPORTED_CHANGE = 0.01
-ALLOWANCE_AT_NO_PRESSURE = 4.0
-"""Concurrency allowance at no pressure, over the run limit, as a multiple of it."""
-SERVICE_LEVEL_RETRY_AFTER_SPREAD = 0.5
+FINAL_REJECTION_PRESSURE = 0.2
+MIN_REPORTED_CHANGE = 0.01
+MAX_EXTRA_ALLOWANCE_MULTIPLE = 4.0
+"""Extra concurrency allowance at no pressure, as a multiple of the run limit."""
+RETRY_AFTER_JITTER_SHARE = 0.5
 NOT_REPORTED = -1.0
 
 
 class CallerFeedback:
-    """Health, load reports and the hints on rejections."""
+    """Reports health and load, and sets the hints on rejections."""
 
     def __init__(self, rules: RuleSet) -> None:
-        """Nothing is reported yet; health counts as good."""
+        """Starts with nothing reported; callers assume good health."""
         self._load_report_kind = rules.settings.load_report_kind
         self._max_retry_after_ns = rules.settings.max_retry_after_ns
         self._effects = rules.effects
@@ -55,26 +57,29 @@
     def reject(self, tracked: TrackedRequest, now: int) -> None:
         """Rejects a request under load."""
         self._arrivals.record_rejection(now)
-        is_unfit = self._drain.is_draining or self._health.is_unhealthy(now)
-        share = 1.0 if is_unfit else self._arrivals.rejected_share(now) * self._random()
+        is_draining_or_unhealthy = self._drain.is_draining or self._health.is_unhealthy(now)
+        share = (
+            1.0 if is_draining_or_unhealthy else self._arrivals.rejected_share(now) * self._random()
+        )
         self._effects.reject(
             tracked.request.ref,
             int(share * self._max_retry_after_ns),
-            self._shedding.pressure > FINAL_PRESSURE and not is_unfit,
+            self._shedding.pressure > FINAL_REJECTION_PRESSURE and not is_draining_or_unhealthy,
         )
 
     def reject_degraded(self, tracked: TrackedRequest) -> None:
-        """Rejects a request that the service level takes away.
+        """Rejects a request that the service level excludes.
 
-        It does not count as rejected: what a level takes away is no strain. It is final only where
-        the level takes whole classes away, since every other server would reject it too. Where
-        callers hear a priority floor, that keeps its likes away, and a long retry-after would keep
-        away what is still served.
+        The rejection does not count towards the rejected share, as the exclusion is not a sign of
+        load. It is final only where the level excludes whole classes, since every other server
+        would reject the request too. Callers that receive a priority floor hold back similar
+        requests on their own; a long retry-after would also hold back requests that are still
+        served.
         """
         if self._load_report_kind is LoadReportKind.PRIORITY_FLOOR:
             retry_after_ns = TIMER_INTERVAL_NS
         else:
-            share = 1 - SERVICE_LEVEL_RETRY_AFTER_SPREAD * self._random()
+            share = 1 - RETRY_AFTER_JITTER_SHARE * self._random()
             retry_after_ns = int(share * self._max_retry_after_ns)
         self._effects.reject(
             tracked.request.ref,
@@ -83,18 +88,18 @@
         )
 
     def update(self, now: int) -> None:
-        """Reports what has changed, at `now` (ns)."""
+        """Reports health and load that changed, at `now` (ns)."""
         is_healthy = not self._drain.is_draining and not self._health.is_unhealthy(now)
         if is_healthy != self._reported_health:
             self._reported_health = is_healthy
             self._effects.set_health(is_healthy)
         self._report_trial_load(is_healthy)
-        load = self._load(is_healthy)
-        if load is not None and abs(load - self._reported_load) > REPORTED_CHANGE:
+        load = self._load_report(is_healthy)
+        if load is not None and abs(load - self._reported_load) > MIN_REPORTED_CHANGE:
             self._reported_load = load
             self._effects.report_load(load)
 
-    def _load(self, is_healthy: bool) -> float | None:
+    def _load_report(self, is_healthy: bool) -> float | None:
         kind = self._load_report_kind
         if kind is LoadReportKind.PRIORITY_FLOOR:
             return self._priority_floor(self._service_levels.level.degradation, is_healthy)
@@ -111,7 +116,7 @@
 
     def _allowance(self) -> float:
         callers = len({tracked.request.caller for tracked in self._live_requests.values()})
-        multiple = 1 + ALLOWANCE_AT_NO_PRESSURE * (1 - self._shedding.pressure)
+        multiple = 1 + MAX_EXTRA_ALLOWANCE_MULTIPLE * (1 - self._shedding.pressure)
         return self._concurrency.limit * multiple / max(1, callers)
 
     def _report_trial_load(self, is_healthy: bool) -> None:
--- a/burlloom/admission/concurrency_limit.py
+++ b/burlloom/admission/concurrency_limit.py
@@ -1,18 +1,18 @@
-"""How many requests may run at a time.
-
-Inputs: how many requests are in each state, the use of the cores and how many processes want one
-(gauges), the queue, timed out calls. Rules:
-
-* limit: from the core count it rises by one each timer round while cores idle and requests are
-  queued, and is cut to `CUT_SHARE` when more than `JAMMED_WANT_PER_CORE` want each core and queued
-  requests wait past the jostle timeout or calls time out (additive increase, multiplicative
-  decrease). The use of the cores is a mean that lags; how many want one now keeps the limit from
-  overshooting.
-* ceiling: all that has started stays within `SAFE_CONTENTION_SHARE` of the contention that the
-  server survives, as if all calls and disks came back together. It falls with a cold server's
-  speed.
-* requests at a call leave the count of the running, as many as may call at once; more would only
-  queue there.
+"""Limits how many requests may run at once.
+
+Inputs: the number of requests in each state, core utilization and the number of runnable processes
+(gauges), the queue, timed-out calls. Rules:
+
+* Limit: starts at the core count. It rises by one each timer round while cores idle and requests
+  are queued. It is multiplied by `DECREASE_FACTOR` when more than `OVERLOADED_RUNNABLE_PER_CORE`
+  processes are runnable per core and either queued requests wait longer than the jostle timeout or
+  calls time out (additive increase, multiplicative decrease). Core utilization is a mean that lags;
+  the number of runnable processes keeps the limit from overshooting.
+* Ceiling: all started requests stay within `SAFE_CONTENTION_SHARE` of the contention that the
+  server survives, as if all of them returned from calls and disks at once. It is lower while the
+  server is cold and slow.
+* Requests that wait for or are in a downstream call do not count as running, up to the number of
+  calls that may be open at once; any more would only queue for their call.
 """
 
 from .lifecycle import State
@@ -22,8 +22,8 @@
 __all__ = ["ConcurrencyLimit"]
 
 IDLE_CPU_UTILIZATION = 0.97
-JAMMED_WANT_PER_CORE = 1.5
-CUT_SHARE = 0.7
+OVERLOADED_RUNNABLE_PER_CORE = 1.5
+DECREASE_FACTOR = 0.7
 SAFE_CONTENTION_SHARE = 0.85
 
 
@@ -31,18 +31,18 @@
     """The run limit and its ceiling.
 
     Attributes:
-        limit: how many may run at a time; whole runs count.
+        limit: The number of requests that may run at once; its fraction is ignored.
     """
 
     __slots__ = ("_cores", "_counts", "_max_runs_per_core", "_slow_start", "limit")
 
     def __init__(self, settings: ServerSettings, counts: list[int], slow_start: SlowStart) -> None:
-        """Begins at the core count.
+        """Starts the limit at the core count.
 
         Args:
-            settings: of the server.
-            counts: how many requests are in each state, kept by the controller.
-            slow_start: the speed of a cold server.
+            settings: The server's settings.
+            counts: The number of requests in each state, maintained by the controller.
+            slow_start: The speed of a cold server.
         """
         self._cores = settings.cores
         self._max_runs_per_core = settings.max_runs_per_core
@@ -50,15 +50,15 @@
         self._slow_start = slow_start
         self.limit = float(settings.cores)
 
-    def started(self) -> int:
-        """The number of requests that were started and are not over."""
+    def count_started(self) -> int:
+        """Returns the number of requests that were started and have not ended."""
         return sum(self._counts[State.RUNNING : State.AWAITING_RESULT + 1])
 
-    def running(self, call_limit: float) -> int:
-        """The number that counts towards the limit.
+    def count_running(self, call_limit: float) -> int:
+        """Returns the number of requests that count towards the limit.
 
         Args:
-            call_limit: how many may be in a call at once.
+            call_limit: The number of calls that may be open at once.
         """
         counts = self._counts
         at_calls = counts[State.AWAITING_CALL] + counts[State.IN_CALL]
@@ -66,23 +66,25 @@
         return counts[State.RUNNING] + counts[State.ABANDONED] + beyond_call_limit
 
     def ceiling(self, now: int) -> int:
-        """The most that may be started at `now` (ns)."""
+        """Returns the number of requests that may be started and not ended at `now` (ns)."""
         speed_share = self._slow_start.speed_share(now)
         runs_per_core = 1 + (self._max_runs_per_core - 1) * speed_share
         return max(1, int(SAFE_CONTENTION_SHARE * runs_per_core * self._cores))
 
     def is_at_ceiling(self, now: int) -> bool:
-        """Whether no more may be started at `now` (ns), for whatever reason."""
-        return self.started() >= self.ceiling(now)
+        """Returns whether the ceiling forbids any further start at `now` (ns)."""
+        return self.count_started() >= self.ceiling(now)
 
     def may_start(self, now: int, call_limit: float) -> bool:
-        """Whether one more may be started at `now` (ns).
+        """Returns whether one more request may be started.
 
         Args:
-            now: the host's clock in ns.
-            call_limit: how many may be in a call at once.
+            now: The host's clock, in ns.
+            call_limit: The number of calls that may be open at once.
         """
-        return self.running(call_limit) < int(self.limit) and self.started() < self.ceiling(now)
+        return self.count_running(call_limit) < int(
+            self.limit
+        ) and self.count_started() < self.ceiling(now)
 
     def update(
         self,
@@ -94,25 +96,27 @@
         has_queued_calls: bool,
         has_timed_out_calls: bool,
     ) -> None:
-        """Moves the limit; once a timer round.
+        """Adjusts the limit; called once each timer round.
 
         Args:
-            now: the host's clock in ns.
-            gauges: what the server measures of itself.
-            has_queued_requests: requests wait for a run slot.
-            has_stale_requests: one of them has waited past the jostle timeout.
-            has_queued_calls: requests wait for their call. Cores that idle behind crowded calls
-                need no more runs.
-            has_timed_out_calls: a call timed out since the last round.
+            now: The host's clock, in ns.
+            gauges: The server's measurements of itself.
+            has_queued_requests: Whether requests wait for a run slot.
+            has_stale_requests: Whether one of them has waited longer than the jostle timeout.
+            has_queued_calls: Whether requests wait for their call. More runs do not help cores that
+                idle while calls are congested.
+            has_timed_out_calls: Whether a call timed out since the last round.
         """
-        wanting = gauges.runnable if gauges.runnable >= 0 else self.started()
-        want_per_core = wanting / self._cores
+        runnable = gauges.runnable if gauges.runnable >= 0 else self.count_started()
+        runnable_per_core = runnable / self._cores
         if (
             has_queued_requests
-            and want_per_core < 1
+            and runnable_per_core < 1
             and gauges.cpu_utilization < IDLE_CPU_UTILIZATION
         ):
             self.limit += not has_queued_calls
-        elif want_per_core > JAMMED_WANT_PER_CORE and (has_timed_out_calls or has_stale_requests):
-            self.limit *= CUT_SHARE
+        elif runnable_per_core > OVERLOADED_RUNNABLE_PER_CORE and (
+            has_timed_out_calls or has_stale_requests
+        ):
+            self.limit *= DECREASE_FACTOR
         self.limit = max(self._cores, min(self.limit, self.ceiling(now)))
--- a/burlloom/admission/connection_limits.py
+++ b/burlloom/admission/connection_limits.py
@@ -1,11 +1,12 @@
-"""How long a connection may idle before it is closed.
-
-Inputs: the number of connections and the use of the cores (gauges), how many requests are live, the
-share rejected. Rule: while there are more than `CONNECTIONS_PER_USE` connections for each core and
-live request, the idle time is cut to `CUT_SHARE` of itself a timer round, to `SHORTEST_IDLE_NS` at
-least; else it grows back by the same steps to the configured time. Reason: callers may be more than
-the table of connections holds, and most come back only after their connection went. In a flood
-(cores in use and much rejected) none is closed: a full table turns newcomers back unread, which is
+"""Sets how long a connection may idle before it is closed.
+
+Inputs: the number of connections and core utilization (gauges), the number of live requests, the
+rejected share. Rule: while there are more than `MAX_CONNECTIONS_PER_CORE_OR_REQUEST` connections
+per core and live request, the idle timeout is multiplied by `IDLE_TIMEOUT_CUT_FACTOR` each timer
+round, down to `MIN_IDLE_TIMEOUT_NS`; otherwise it grows back at the same rate to the configured
+timeout. Reason: there may be more callers than the connection table can hold, and most return only
+after their connection was closed. During a flood (busy cores and many rejections) no further
+connections are closed: a full table refuses new callers without reading their requests, which is
 cheaper than reading them over a new connection.
 """
 
@@ -14,24 +15,24 @@
 
 __all__ = ["ConnectionIdleTime"]
 
-CONNECTIONS_PER_USE = 4
-SHORTEST_IDLE_NS = 1000 * NS_PER_MS
-CUT_SHARE = 0.7
+MAX_CONNECTIONS_PER_CORE_OR_REQUEST = 4
+MIN_IDLE_TIMEOUT_NS = 1000 * NS_PER_MS
+IDLE_TIMEOUT_CUT_FACTOR = 0.7
 FLOOD_CPU_UTILIZATION = 0.9
 FLOOD_REJECTED_SHARE = 0.3
 
 
 class ConnectionIdleTime:
-    """The idle time in force."""
+    """The idle timeout in force."""
 
     __slots__ = ("_configured_ns", "_cores", "_effects", "_idle_ns")
 
     def __init__(self, settings: ServerSettings, effects: Effects) -> None:
-        """Begins with the configured idle time.
+        """Starts with the configured idle timeout.
 
         Args:
-            settings: of the server.
-            effects: told when the idle time changes.
+            settings: The server's settings.
+            effects: Receives each change of the idle timeout.
         """
         self._configured_ns = settings.idle_timeout_ns
         self._cores = settings.cores
@@ -39,22 +40,22 @@
         self._idle_ns = settings.idle_timeout_ns
 
     def update(self, gauges: Gauges, live_requests: int, rejected_share: float) -> None:
-        """Moves the idle time; once a timer round.
+        """Adjusts the idle timeout; called once each timer round.
 
         Args:
-            gauges: what the server measures of itself.
-            live_requests: the number of requests that are not over.
-            rejected_share: the share of requests rejected, 0 to 1.
+            gauges: The server's measurements of itself.
+            live_requests: The number of requests that have not ended.
+            rejected_share: The share of requests that were rejected, 0 to 1.
         """
         is_flooded = (
             gauges.cpu_utilization >= FLOOD_CPU_UTILIZATION
             and rejected_share > FLOOD_REJECTED_SHARE
         )
-        enough = CONNECTIONS_PER_USE * (self._cores + live_requests)
-        if gauges.connections > enough and not is_flooded:
-            idle_ns = max(SHORTEST_IDLE_NS, int(self._idle_ns * CUT_SHARE))
+        max_connections = MAX_CONNECTIONS_PER_CORE_OR_REQUEST * (self._cores + live_requests)
+        if gauges.connections > max_connections and not is_flooded:
+            idle_ns = max(MIN_IDLE_TIMEOUT_NS, int(self._idle_ns * IDLE_TIMEOUT_CUT_FACTOR))
         else:
-            idle_ns = int(self._idle_ns / CUT_SHARE)
+            idle_ns = int(self._idle_ns / IDLE_TIMEOUT_CUT_FACTOR)
         idle_ns = min(self._configured_ns, idle_ns)
         if idle_ns != self._idle_ns:
             self._idle_ns = idle_ns
--- a/burlloom/admission/controller.py
+++ b/burlloom/admission/controller.py
@@ -1,25 +1,25 @@
-"""The decisions of one server: what it admits, starts, rejects and calls.
+"""The entry point of admission control: passes the host's events to the rules.
 
-A host makes one `AdmissionController` for each incarnation of a server, calls `start`, and from
-then on hands it each thing that happens, in order and with its time: `request_arrived`,
-`run_ended`, `call_requested`, `call_ended`, `caller_gone`, `drain`, `timer_fired` and, where they
-are on, `set_service_level` and `set_call_quota`. The controller acts at once through
+A host creates one `AdmissionController` for each incarnation of a server and calls `start`. From
+then on it reports each event, in order and with its time: `request_arrived`, `run_ended`,
+`call_requested`, `call_ended`, `caller_gone`, `drain`, `timer_fired` and, where these features are
+enabled, `set_service_level` and `set_call_quota`. The controller acts at once through
 `model.Effects`.
 
-This module only hands events to the rules, and to `state_machine`. Where to look for the rules:
+This module only passes events to the rules and to `state_machine`. Where to find a rule:
 
 | question | module |
 | --- | --- |
-| what can happen to a request? | `lifecycle`, the table of transitions |
+| what can happen to a request? | `lifecycle`, the transition table |
 | why was this request rejected? | `rejection_reasons` |
 | why was this call not made? | `downstream_calls` |
-| what does this server tell its callers, and when? | `caller_feedback` |
-| how many run at a time? | `concurrency_limit`, `slow_start`, `memory_budget` |
-| who waits, and who is evicted? | `admission_queue` |
+| what does this server report to its callers, and when? | `caller_feedback` |
+| how many requests run at once? | `concurrency_limit`, `slow_start`, `memory_budget` |
+| which requests are queued, and which are evicted? | `admission_queue` |
 | why was a repeat not run? | `idempotency` |
 | what is pressure? | `load_shedding` |
 
-All times are whole nanoseconds on the host's clock.
+All times are integer nanoseconds on the host's clock.
 """
 
 from typing import NamedTuple
@@ -38,10 +38,10 @@
     """The number of objects that an `AdmissionController` holds.
 
     Attributes:
-        requests: requests whose reference may still be named.
-        live: those of them that are not over.
-        ended: those of them that are over and not yet released.
-        lingering_calls: calls given up that the dependency may still work on.
+        requests: Requests whose reference may still be used.
+        live: Those of them that have not ended.
+        ended: Those of them that have ended and are not yet released.
+        lingering_calls: Abandoned calls that the dependency may still process.
     """
 
     requests: int
@@ -54,17 +54,17 @@
     """Decides for one incarnation of a server.
 
     Attributes:
-        live_requests: the requests that are not over, by reference.
+        live_requests: The requests that have not ended, by reference.
     """
 
     def __init__(self, settings: ServerSettings, seed: int, effects: Effects, now: int) -> None:
-        """Makes the controller of a server that has served nothing yet.
+        """Creates the controller of a server that has served nothing yet.
 
         Args:
-            settings: of the server.
-            seed: of all random draws.
-            effects: what carries out the decisions.
-            now: when the executor was started, in ns. Later events may be much later.
+            settings: The server's settings.
+            seed: Seeds all random draws.
+            effects: Carries out the decisions.
+            now: When the executor was started, in ns. Later events may follow much later.
         """
         rules = RuleSet(settings, seed, effects, now)
         self._settings = settings
@@ -88,19 +88,19 @@
         self._feedback = CallerFeedback(rules)
         self._machine = StateMachine(rules, self._feedback)
 
-    # Events, handed in by the host.
+    # Events that the host reports.
 
     def start(self, now: int) -> None:
-        """The server begins to serve."""
+        """Starts to serve: reports good health and schedules the first timer round."""
         self._effects.set_health(True)
         self._effects.schedule_timer(TIMER_INTERVAL_NS, 0)
 
     def request_arrived(self, now: int, request: Request) -> None:
-        """A request was read.
+        """Handles a request that was read.
 
         Args:
-            now: the host's clock in ns.
-            request: it, with a reference that was never given before.
+            now: The host's clock, in ns.
+            request: The request; its reference must never have been used before.
         """
         self._advance_clock(now)
         request_class = self._settings.request_classes[request.request_class]
@@ -114,13 +114,13 @@
         self._machine.fill_free_slots(now)
 
     def run_ended(self, now: int, ref: int, outcome: Outcome, duration_ns: int) -> None:
-        """A run ended, or was never begun, or the result that a repeat waits for is there.
+        """Handles a run that ended or was not begun, or the result that a repeat waits for.
 
         Args:
-            now: the host's clock in ns.
-            ref: the request; an unknown one is passed over.
-            outcome: how it ended.
-            duration_ns: the time that the run took in ns.
+            now: The host's clock, in ns.
+            ref: The request; an unknown one is ignored.
+            outcome: How the run ended.
+            duration_ns: The duration of the run.
         """
         tracked = self._requests.get(ref)
         if tracked is not None:
@@ -133,22 +133,22 @@
         self._progress(now, tracked, INPUT_OF_UNSTARTED_RUN.get(outcome, Input.RUN_ENDED))
 
     def call_requested(self, now: int, ref: int) -> None:
-        """A run wants to call the downstream dependency.
+        """Handles a run that asks to call the downstream dependency.
 
         Args:
-            now: the host's clock in ns.
-            ref: the request; an unknown one is passed over.
+            now: The host's clock, in ns.
+            ref: The request; an unknown one is ignored.
         """
         self._progress(now, self._requests.get(ref), Input.CALL_REQUESTED)
 
     def call_ended(self, now: int, ref: int, outcome: Outcome, duration_ns: int) -> None:
-        """A call to the downstream dependency ended.
+        """Handles a call to the downstream dependency that ended.
 
         Args:
-            now: the host's clock in ns.
-            ref: the request; an unknown one is passed over.
-            outcome: how the call ended.
-            duration_ns: the time that it took in ns.
+            now: The host's clock, in ns.
+            ref: The request; an unknown one is ignored.
+            outcome: How the call ended.
+            duration_ns: The duration of the call.
         """
         tracked = self._requests.get(ref)
         if tracked is not None and tracked.state == State.IN_CALL:
@@ -158,11 +158,11 @@
         self._progress(now, tracked, Input.CALL_SUCCEEDED if is_answered else Input.CALL_FAILED)
 
     def caller_gone(self, now: int, ref: int) -> None:
-        """Nobody waits for the answer any more; this is no progress of the work.
+        """Handles a caller that no longer waits for its answer; this is not progress of the work.
 
         Args:
-            now: the host's clock in ns.
-            ref: the request; an unknown one is passed over.
+            now: The host's clock, in ns.
+            ref: The request; an unknown one is ignored.
         """
         self._advance_clock(now)
         tracked = self._requests.get(ref)
@@ -171,12 +171,13 @@
             self._machine.fill_free_slots(now)
 
     def drain(self, now: int, noticed: int, stop: int) -> None:
-        """The server is asked to stop.
+        """Handles a notice that the server has to stop.
 
         Args:
-            now: the host's clock in ns.
-            noticed: when the notice came, at the earliest; the grace counts from there.
-            stop: when the server stops.
+            now: The host's clock, in ns.
+            noticed: The earliest time at which the notice can have come, in ns; the grace period
+                starts then.
+            stop: When the server stops, in ns.
         """
         self._advance_clock(now)
         self._drain.begin(noticed, stop, self._settings.drain_grace_ns)
@@ -184,13 +185,13 @@
         self._machine.fill_free_slots(now)
 
     def set_service_level(self, now: int, service: ServiceLevel) -> None:
-        """A service level holds from now on.
+        """Applies a service level from now on.
 
-        Queued requests that it takes away are rejected at once.
+        Queued requests that the level excludes are rejected at once.
 
         Args:
-            now: the host's clock in ns.
-            service: the level, and the one on trial.
+            now: The host's clock, in ns.
+            service: The level in force, and the one on trial.
         """
         self._advance_clock(now)
         self._service_levels.level = service
@@ -200,23 +201,23 @@
         self._machine.fill_free_slots(now)
 
     def set_call_quota(self, now: int, share: float) -> None:
-        """This server's quota of calls changes. Open calls stay; none is added past it.
+        """Changes this server's quota of calls; open calls continue, and none is started beyond it.
 
         Args:
-            now: the host's clock in ns.
-            share: the quota as a mean number of open calls, above 0.
+            now: The host's clock, in ns.
+            share: The quota as a mean number of open calls, above 0.
         """
         self._advance_clock(now)
         self._calls.set_quota(now, share)
         self._machine.fill_free_slots(now)
 
     def timer_fired(self, now: int, handle: int, gauges: Gauges) -> None:
-        """A timer round.
+        """Runs a timer round.
 
         Args:
-            now: the host's clock in ns.
-            handle: as it was given to `Effects.schedule_timer`.
-            gauges: what the server measures of itself.
+            now: The host's clock, in ns.
+            handle: The handle that was passed to `Effects.schedule_timer`.
+            gauges: The server's measurements of itself.
         """
         self._advance_clock(now)
         self._effects.schedule_timer(TIMER_INTERVAL_NS, handle)
@@ -232,7 +233,7 @@
         self._idle_time.update(gauges, len(self.live_requests), rejected_share)
         self._machine.fill_free_slots(now)
 
-    # What the host may look at.
+    # State that the host may read.
 
     @property
     def pressure(self) -> float:
@@ -240,31 +241,31 @@
         return self._shedding.pressure
 
     @property
-    def overwritten(self) -> int:
-        """The number of requests evicted from the queue for a newcomer."""
-        return self._queue.overwritten
+    def evictions(self) -> int:
+        """The number of requests evicted from the queue for a new one."""
+        return self._queue.evictions
 
     @property
-    def exceeded(self) -> int:
-        """The number of newcomers rejected since the queue was full."""
-        return self._queue.exceeded
+    def queue_full_rejections(self) -> int:
+        """The number of new requests rejected because the queue was full."""
+        return self._queue.queue_full_rejections
 
     def open_call_count(self) -> int:
-        """The number of open calls, with those given up that still linger."""
+        """Returns the number of open calls, including abandoned ones that still linger."""
         return self._calls.open_count(self._clock.now)
 
     def queued_call_count(self) -> int:
-        """The number of requests that wait for their turn to call."""
+        """Returns the number of requests that wait for their call."""
         return len(self._calls.queue)
 
     def queue_age_share(self, now: int) -> float:
-        """The age of the oldest queued request, as a share of its latency objective.
+        """Returns the age of the oldest queued request, as a share of its latency objective.
 
         Args:
-            now: the host's clock in ns.
+            now: The host's clock, in ns.
 
         Returns:
-            The share; 0 where none is queued.
+            The share; 0 for an empty queue.
         """
         oldest = self._queue.oldest()
         if oldest is None:
@@ -273,7 +274,7 @@
         return waited_ns / oldest.request_class.latency_objective_ns
 
     def read_lag_share(self) -> float:
-        """How long requests lay unread in the last second, on the average.
+        """Returns for how long requests lay unread on average in the last second.
 
         Returns:
             The lag as a share of the shortest latency objective.
@@ -281,7 +282,7 @@
         return self._arrivals.read_lag_share(self._clock.now)
 
     def sizes(self) -> ControllerSizes:
-        """The number of objects held, to watch that none grows without end."""
+        """Returns the number of objects held, so that their growth can be monitored."""
         return ControllerSizes(
             len(self._requests),
             len(self.live_requests),
@@ -289,18 +290,16 @@
             len(self._calls.lingering_until_ns),
         )
 
-    # Shared by the events.
-
     def _advance_clock(self, now: int) -> None:
         elapsed_ns = now - self._clock.now
         self._health.last_progress_at_ns += self._clock.advance(now)
         self._calls.record_elapsed_time(now, elapsed_ns)
 
-    def _progress(self, now: int, tracked: TrackedRequest | None, what: Input) -> None:
+    def _progress(self, now: int, tracked: TrackedRequest | None, lifecycle_input: Input) -> None:
         self._advance_clock(now)
         if tracked is not None:
             self._health.last_progress_at_ns = now
-            self._machine.apply(tracked, what, now)
+            self._machine.apply(tracked, lifecycle_input, now)
             self._machine.fill_free_slots(now)
 
     def _update_concurrency_limit(self, now: int, gauges: Gauges) -> None:
--- a/burlloom/admission/downstream_calls.py
+++ b/burlloom/admission/downstream_calls.py
@@ -1,20 +1,21 @@
-"""Calls to the downstream dependency: why one was not made, and how long one is waited for.
-
-Inputs: the calls that requests want, how calls end and what they take (ns), the quota. A call waits
-while any of these holds, in the order of `may_start_call`:
-
-* the circuit breaker is open, and no trial is due (`circuit_breaker`);
-* as many calls are open as the call limit allows (`call_limit`); a call given up stays open
-  for its linger, as the dependency may still work on it;
-* the quota is under one call, and the pause after the last call is not over: it spreads calls by
-  chance, so that servers do not call in step;
-* the quota is under one call, and too little of it is left (`call_quota`).
-
-Of the calls that wait, those of requests that cannot do without go first. A request that can do
-without skips its call when the circuit breaker is open, when the wait puts its latency objective at
-stake, or when the service level says so; the protocol of balancers has no such answer, so on a real
-server none is skipped. A call is waited for `TIMEOUT_MULTIPLE` times what calls
-take. Reason: calls that are never answered would otherwise hold their places until the deadline.
+"""Calls to the downstream dependency: when one is made, and how long its result is awaited.
+
+Inputs: the calls that requests ask for, how calls end and how long they take (ns), the quota. A
+call waits while any of these conditions holds; `may_start_call` checks them in this order:
+
+* The circuit breaker is open, and no trial is due (`circuit_breaker`).
+* As many calls are open as the call limit allows (`call_limit`). An abandoned call counts as open
+  for its linger time, as the dependency may still process it.
+* The quota is below one call, and the pause after the last call is not over. The length of the
+  pause is random, so that servers do not call in step.
+* The quota is below one call, and too little of it is left (`call_quota`).
+
+Of the waiting calls, those of requests that cannot be answered without go first. A request that can
+be answered without skips its call when the circuit breaker is open, when waiting endangers its
+latency objective, or when the service level says so. The balancers' protocol has no answer without
+the call, so a real server never skips one. A call is awaited for `CALL_TIMEOUT_MULTIPLE` times the
+expected duration. Reason: calls that are never answered would otherwise occupy their slots until
+the request's deadline.
 """
 
 from collections import OrderedDict
@@ -33,24 +34,24 @@
 
 __all__ = ["DownstreamCalls"]
 
-TIMEOUT_MULTIPLE = 25
-SHORTEST_TIMEOUT_NS = 100 * NS_PER_MS
-LONGEST_PAUSE_NS = 2 * TRIAL_INTERVAL_NS
+CALL_TIMEOUT_MULTIPLE = 25
+MIN_CALL_TIMEOUT_NS = 100 * NS_PER_MS
+MAX_PAUSE_NS = 2 * TRIAL_INTERVAL_NS
 
-PROVES_CALL_DID_NOT_RUN = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NO_LONGER_NEEDED)
-LEAVES_CALL_LINGERING = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.ABANDONED)
+OUTCOMES_OF_UNEXECUTED_CALLS = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NO_LONGER_NEEDED)
+OUTCOMES_OF_LINGERING_CALLS = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.ABANDONED)
 
 
 class DownstreamCalls:
-    """Calls that wait, open calls, and the rules for both.
+    """The waiting and the open calls, and the rules for both.
 
     Attributes:
-        queue: requests that wait for their call, by reference.
-        lingering_until_ns: for each call given up, until when it counts as open.
-        limit: the call limit.
-        quota: this server's quota.
-        breaker: the circuit breaker.
-        has_timed_out_calls: a call timed out since the last timer round.
+        queue: The requests that wait for their call, by reference.
+        lingering_until_ns: For each abandoned call, until when it counts as open.
+        limit: The call limit.
+        quota: This server's quota.
+        breaker: The circuit breaker.
+        has_timed_out_calls: Whether a call timed out since the last timer round.
     """
 
     __slots__ = (
@@ -79,16 +80,16 @@
         now: int,
         random: Callable[[], float],
     ) -> None:
-        """No call waits, and none is open.
+        """Starts with no waiting and no open call.
 
         Args:
-            settings: of the server.
-            counts: how many requests are in each state, kept by the controller.
-            admission_queue: for the jostle timeout.
-            service_levels: for calls that are left out.
-            drain: for the stop of the server.
-            now: the host's clock in ns.
-            random: draws from 0 to under 1.
+            settings: The server's settings.
+            counts: The number of requests in each state, maintained by the controller.
+            admission_queue: Applies the jostle timeout.
+            service_levels: Tells which calls are skipped.
+            drain: Tells when the server stops.
+            now: The host's clock, in ns.
+            random: Returns a draw from 0 to below 1.
         """
         self._counts = counts
         self._admission_queue = admission_queue
@@ -104,46 +105,42 @@
         self.breaker = CircuitBreaker()
         self.has_timed_out_calls = False
 
-    # Open calls.
-
     def open_count(self, now: int) -> int:
-        """The number of open calls at `now` (ns), lingering ones included."""
+        """Returns the number of open calls at `now` (ns), including lingering ones."""
         self.lingering_until_ns = [until for until in self.lingering_until_ns if until > now]
         return self._counts[State.IN_CALL] + len(self.lingering_until_ns)
 
     def record_elapsed_time(self, now: int, elapsed_ns: int) -> None:
-        """Meters the time that calls spent open up to `now` (ns); with each event."""
+        """Meters the time of open calls up to `now` (ns); called with each event."""
         open_count = self._counts[State.IN_CALL] + len(self.lingering_until_ns)
         self.quota.record_open_time(now, elapsed_ns * open_count)
 
-    def leave(self, tracked: TrackedRequest, now: int) -> None:
-        """A request leaves its call; the dependency may still work on it."""
-        if tracked.last_outcome in LEAVES_CALL_LINGERING:
+    def leave_call(self, tracked: TrackedRequest, now: int) -> None:
+        """Handles a request that leaves its call; the dependency may still process the call."""
+        if tracked.last_outcome in OUTCOMES_OF_LINGERING_CALLS:
             self.lingering_until_ns.append(now + self._linger_ns)
 
     def record_call_end(self, now: int, outcome: Outcome, call_ns: int) -> None:
-        """Learns from a call that ended.
+        """Updates breaker, quota, limit and pause after a call.
 
         Args:
-            now: the host's clock in ns.
-            outcome: how it ended.
-            call_ns: the time that it took.
+            now: The host's clock, in ns.
+            outcome: How the call ended.
+            call_ns: The duration of the call.
         """
         self.breaker.record(now, is_success=outcome is Outcome.OK)
         self.quota.record_call_end(outcome, call_ns)
-        # Under one call the limit is a share of time: the next call waits for the rest of it.
+        # A limit below one call is a share of time: the next call waits for the remaining share.
         waiting_share = 1 / min(1.0, self.limit.limit) - 1
         pause_ns = 2 * call_ns * self._random() * waiting_share
-        self._next_call_at_ns = now + int(min(LONGEST_PAUSE_NS, pause_ns))
+        self._next_call_at_ns = now + int(min(MAX_PAUSE_NS, pause_ns))
         if outcome is Outcome.TIMED_OUT:
             self.has_timed_out_calls = True
         else:
             self.limit.record_call(now, call_ns)
 
-    # Whether and when a call is made.
-
     def may_start_call(self, now: int) -> bool:
-        """Whether one of the calls that wait may be made at `now` (ns)."""
+        """Returns whether one of the waiting calls may be made at `now` (ns)."""
         if self.breaker.blocks_call(now, self._counts[State.IN_CALL]):
             return False
         if self.open_count(now) >= self.limit.max_open_calls():
@@ -153,15 +150,15 @@
         return now >= self._next_call_at_ns and self.quota.is_enough_for_call(now)
 
     def next_in_queue(self) -> TrackedRequest:
-        """The request whose call is made next; the queue must not be empty."""
+        """Returns the request whose call is made next; the queue must not be empty."""
         return min(self.queue.values(), key=_can_skip_call)
 
     def may_skip_call(self, tracked: TrackedRequest, now: int) -> bool:
-        """Whether an answer without the call is of some worth."""
+        """Returns whether an answer without the call has any value."""
         return tracked.request_class.value_share_without_call > 0
 
     def should_skip_call(self, tracked: TrackedRequest, now: int) -> bool:
-        """Whether the call is not worth waiting for any more."""
+        """Returns whether the request should no longer wait for its call."""
         return (
             self.breaker.is_open
             or (
@@ -171,40 +168,38 @@
         )
 
     def is_safe_to_retry(self, tracked: TrackedRequest) -> bool:
-        """Whether a call that failed may be made again without a second effect."""
-        return is_idempotent(tracked) or tracked.last_outcome in PROVES_CALL_DID_NOT_RUN
+        """Returns whether a failed call may be repeated without a second effect."""
+        return is_idempotent(tracked) or tracked.last_outcome in OUTCOMES_OF_UNEXECUTED_CALLS
 
     def stop_at_ns(self, tracked: TrackedRequest, now: int) -> int:
-        """When a call that is made at `now` (ns) is given up."""
+        """Returns when a call that is made at `now` (ns) is abandoned."""
         stop_at_ns = min(tracked.deadline_at_ns, self._drain.stop_at_ns) - TIMER_INTERVAL_NS
         if self.quota.is_time_share:
             remaining_ns = int(self.quota.remaining_ns(now))
             stop_at_ns = min(stop_at_ns, now + remaining_ns - self._linger_ns)
-        elif self.limit.base_ns and not self.breaker.is_open:
-            timeout_ns = int(TIMEOUT_MULTIPLE * self.limit.usual_call_ns(now))
-            stop_at_ns = min(stop_at_ns, now + max(SHORTEST_TIMEOUT_NS, timeout_ns))
+        elif self.limit.base_latency_ns and not self.breaker.is_open:
+            timeout_ns = int(CALL_TIMEOUT_MULTIPLE * self.limit.expected_call_ns(now))
+            stop_at_ns = min(stop_at_ns, now + max(MIN_CALL_TIMEOUT_NS, timeout_ns))
         return max(stop_at_ns, now + NS_PER_MS)
 
-    # The queue.
-
     def enqueue(self, tracked: TrackedRequest) -> None:
-        """Has a request wait for its call."""
-        # Until a call ends well, leaving it abandons it.
+        """Adds a request that waits for its call."""
+        # A request that leaves its call before the call has ended abandons it.
         tracked.last_outcome = Outcome.ABANDONED
         self.queue[tracked.request.ref] = tracked
 
     def set_quota(self, now: int, share: float) -> None:
-        """Sets the quota; open calls stay, and none is added past it.
+        """Sets the quota; open calls continue, and none is started beyond it.
 
         Args:
-            now: the host's clock in ns.
-            share: the quota as a mean number of open calls, above 0.
+            now: The host's clock, in ns.
+            share: The quota as a mean number of open calls, above 0.
         """
         self.quota.set_share(now, share)
-        self.limit.set_most(share)
+        self.limit.set_max_limit(share)
 
     def update(self, now: int) -> None:
-        """Moves the call limit; once a timer round at `now` (ns)."""
+        """Adjusts the call limit; called once each timer round, at `now` (ns)."""
         self.limit.update(now, bool(self.queue))
 
 
--- a/burlloom/admission/health.py
+++ b/burlloom/admission/health.py
@@ -1,15 +1,16 @@
-"""Whether the server can serve at all: hung work, failing runs, reading that lags.
+"""Decides whether the server can serve requests: hung work, failing runs, read lag.
 
-Inputs: run ends and their outcomes, the moment of the last progress (ns), the lag of reading.
-Rules:
+Inputs: run ends and their outcomes, the time of the last progress (ns), the read lag. Rules:
 
-* hung: the runs that are open, at most one a core, have together spent `HUNG_RUN_TIME_NS` without
-  any of them moving. Reason: two runs may rest a second by chance, six do not.
-* failure rate: the share of runs that failed in the last 2 s, where there are enough to tell it
-  from chance and it is high enough to matter. Newcomers are shed by that share.
-* unhealthy: reading lags by the whole shortest latency objective, work hangs, or half of the runs
-  fail. Reason: a server that is that slow still attracts requests and rejects them too late. A
-  lesser lag may be a jam of the whole fleet, where sending callers away jams the rest.
+* Hung: the open runs, at most one per core, have together spent more than `HUNG_RUN_TIME_NS`
+  without progress of any of them. Reason: two runs may make no progress for a second by chance; six
+  hardly do.
+* Failure rate: the share of runs that failed in the last 2 s, if there were enough runs to tell it
+  from chance and the share is high enough to matter. New requests are rejected at that rate.
+* Unhealthy: the read lag exceeds the whole shortest latency objective, work hangs, or half of the
+  runs fail. Reason: so slow a server still attracts requests and rejects them too late. A shorter
+  lag may be due to congestion of the whole fleet, where sending callers away congests the other
+  servers.
 """
 
 from .arrival_statistics import ArrivalStatistics
@@ -22,16 +23,17 @@
 
 HUNG_RUN_TIME_NS = 6000 * NS_PER_MS
 FAILURE_WINDOW_NS = 2000 * NS_PER_MS
-RUNS_TO_JUDGE_BY = 6
-SIGNIFICANT_FAILURE_SHARE = 0.25
+MIN_RUNS_FOR_FAILURE_RATE = 6
+MIN_SHED_FAILURE_SHARE = 0.25
 UNHEALTHY_FAILURE_SHARE = 0.5
 
 
 class HealthMonitor:
-    """Judges the server by what its runs do.
+    """Judges the server by the progress and the outcomes of its runs.
 
     Attributes:
-        last_progress_at_ns: when a run last moved: began alone, called, or ended.
+        last_progress_at_ns: When a run last made progress: it began while no other ran, made a
+            call, or ended.
     """
 
     __slots__ = ("_arrivals", "_cores", "_counts", "_ended", "_failed", "last_progress_at_ns")
@@ -39,13 +41,13 @@
     def __init__(
         self, settings: ServerSettings, counts: list[int], arrivals: ArrivalStatistics, now: int
     ) -> None:
-        """Makes a monitor that has seen nothing yet.
+        """Creates a monitor without any observations.
 
         Args:
-            settings: of the server.
-            counts: how many requests are in each state, kept by the controller.
-            arrivals: for the lag of reading.
-            now: the host's clock in ns.
+            settings: The server's settings.
+            counts: The number of requests in each state, maintained by the controller.
+            arrivals: Measures the read lag.
+            now: The host's clock, in ns.
         """
         self._cores = settings.cores
         self._counts = counts
@@ -55,23 +57,23 @@
         self.last_progress_at_ns = now
 
     def record_run_end(self, now: int, outcome: Outcome) -> None:
-        """Counts a run that ended at `now` (ns)."""
+        """Records a run that ended at `now` (ns)."""
         self._ended.add(now, 1)
         self._failed.add(now, outcome is Outcome.FAILED)
 
     def is_hung(self, now: int) -> bool:
-        """Whether work is open and none of it moves."""
+        """Returns whether runs are open and all of them stand still."""
         running = self._counts[State.RUNNING] + self._counts[State.ABANDONED]
         return (now - self.last_progress_at_ns) * min(running, self._cores) > HUNG_RUN_TIME_NS
 
     def failure_rate(self, now: int) -> float:
-        """The share of runs that fail here; 0 where it may be chance."""
+        """Returns the share of runs that fail on this server; 0 where it may be chance."""
         ended = self._ended.total(now)
-        share = self._failed.total(now) / ended if ended >= RUNS_TO_JUDGE_BY else 0.0
-        return share if share >= SIGNIFICANT_FAILURE_SHARE else 0.0
+        share = self._failed.total(now) / ended if ended >= MIN_RUNS_FOR_FAILURE_RATE else 0.0
+        return share if share >= MIN_SHED_FAILURE_SHARE else 0.0
 
     def is_unhealthy(self, now: int) -> bool:
-        """Whether requests are better served by any other server."""
+        """Returns whether any other server would serve requests better."""
         return (
             self._arrivals.mean_read_lag_ns(now) > self._arrivals.shortest_objective_ns
             or self.is_hung(now)
--- a/burlloom/admission/lifecycle.py
+++ b/burlloom/admission/lifecycle.py
@@ -1,13 +1,13 @@
-"""The lifecycle of a request: its states, the inputs that move it, and the table of transitions.
+"""The lifecycle of a request: its states, the inputs that change them, and the transition table.
 
-Read `TRANSITIONS` first. A request in a state meets an input; of the rows for both, the first whose
-tests all hold moves it to the next state and has its effect. Where no row holds, nothing happens.
-Tests and effects are names; `state_machine.StateMachine` binds each to the method that implements
+Read `TRANSITION_ROWS` first. When an input reaches a request in some state, the first row for both
+whose tests all hold gives the next state and the effect. If no row applies, nothing happens. Tests
+and effects are named; `state_machine.StateMachine` binds each name to the method that implements
 it.
 
-Every rejection stands here with its reason: a row that ends in `reject` (or in `reject_evicted`,
-`reject_queue_full`, `reject_degraded`) names it by its test, and `rejection_reasons.py`
-has that test.
+The table lists every rejection with its reason: a row with the effect `reject`, `reject_evicted`,
+`reject_queue_full` or `reject_degraded` names the reason as its test, which `rejection_reasons`
+implements.
 """
 
 from collections.abc import Callable, Mapping
@@ -32,49 +32,51 @@
 ]
 
 EARLY_REJECTION_SHARE = 0.5
-"""Share of its time to the latency objective that a queued request is given back with, so that its
-caller can still try another server."""
+"""The share of its time to the latency objective at which a queued request may be rejected.
+
+When so much is left, its caller can still try another server.
+"""
 
 
 class State(IntEnum):
-    """Where a request stands. The order matters: the states of a started request are adjacent."""
+    """The state of a request. The order matters: the states of a started request are adjacent."""
 
     NEW = 0
-    """Read, and not yet decided upon."""
+    """Read, and not yet decided on."""
 
     QUEUED = 1
-    """In the admission queue (the source's jostle list)."""
+    """In the admission queue."""
 
     RUNNING = 2
-    """Run by the executor."""
+    """Running in the executor."""
 
     AWAITING_CALL = 3
-    """Started; waits for its turn to call the downstream dependency."""
+    """Started; waits until it may call the downstream dependency."""
 
     IN_CALL = 4
-    """Started; its call to the downstream dependency is made."""
+    """Started; its call to the downstream dependency is open."""
 
     ABANDONED = 5
-    """Started and still run, but answered already or left by its caller."""
+    """Started and still running, but already answered or left by its caller."""
 
     AWAITING_RESULT = 6
-    """A repeat that gets the result of its original attempt."""
+    """A repeat that waits for the result of its original attempt."""
 
     FINISHED = 7
-    """Over, and it ran: a repeat of it must not run."""
+    """Ended after it ran: a repeat of it must not run."""
 
     DROPPED = 8
-    """Over, and it did not run: a repeat of it may run."""
+    """Ended without having run: a repeat of it may run."""
 
 
 class Input(IntEnum):
-    """What a request can meet."""
+    """The events that can reach a request."""
 
     ARRIVED = 0
-    """It was read."""
+    """The request was read."""
 
     SLOT_FREE = 1
-    """A run slot is free, and it is the newest in the queue."""
+    """A run slot is free, and the request is the newest in the queue."""
 
     EVICTED = 2
     """Another request takes its place in the queue."""
@@ -83,16 +85,16 @@
     """A timer round."""
 
     CALLER_GONE = 4
-    """Its caller does not wait any more."""
+    """Its caller no longer waits for the answer."""
 
     LEVEL_CHANGED = 5
-    """A service level holds from now on."""
+    """The service level changed."""
 
     CALL_REQUESTED = 6
-    """Its run wants to call the downstream dependency."""
+    """Its run asks to call the downstream dependency."""
 
     CALL_SLOT_FREE = 7
-    """It may call."""
+    """Its call may be made."""
 
     CALL_SUCCEEDED = 8
     """Its call was answered."""
@@ -101,16 +103,16 @@
     """Its call ended in any other way."""
 
     RUN_ENDED = 10
-    """Its run ended, or the result that it waits for is there."""
+    """Its run ended, or the result that it waits for is available."""
 
     NOT_NEEDED = 11
-    """The executor did not begin its run, since nobody needs it any more."""
+    """The executor did not begin its run, since nobody needs the result any more."""
 
     NOT_RECORDED = 12
     """Its run was not begun, since its key could not be recorded."""
 
     CLAIMED = 13
-    """Its run was not begun, since another server runs or ran it."""
+    """Its run was not begun, since another server runs it or ran it."""
 
 
 INPUT_OF_UNSTARTED_RUN = {
@@ -118,13 +120,13 @@
     Outcome.NOT_RECORDED: Input.NOT_RECORDED,
     Outcome.CLAIMED_ELSEWHERE: Input.CLAIMED,
 }
-"""The input for each outcome which says that a run was never begun."""
+"""The input for each outcome of a run that was never begun."""
 
-# The rows of what ran come before all that reject: a request whose original attempt ran is answered
-# with that result, whatever the load.
+# The rows with `may_have_run` precede all rejections: a request whose original attempt ran is
+# answered with that result under any load.
 TRANSITION_ROWS = """
 NEW              ARRIVED         may_have_run is_past_deadline    DROPPED          fail
-NEW              ARRIVED         may_have_run no_repeat_capacity  DROPPED          fail
+NEW              ARRIVED         may_have_run is_at_run_capacity  DROPPED          fail
 NEW              ARRIVED         may_have_run                     AWAITING_RESULT  reuse_result
 NEW              ARRIVED         is_rejected_by_service_level     DROPPED          reject_degraded
 NEW              ARRIVED         arrived_after_drain_grace        DROPPED          reject
@@ -132,7 +134,7 @@
 NEW              ARRIVED         cannot_meet_latency_objective    DROPPED          reject
 NEW              ARRIVED         server_is_hung                   DROPPED          reject
 NEW              ARRIVED         is_shed_for_failure_rate         DROPPED          reject
-NEW              ARRIVED         key_cannot_be_recorded               DROPPED          reject
+NEW              ARRIVED         key_cannot_be_recorded           DROPPED          reject
 NEW              ARRIVED         queue_is_full                    DROPPED          reject_queue_full
 NEW              ARRIVED         -                                QUEUED           enqueue
 QUEUED           SLOT_FREE       cannot_meet_latency_objective    DROPPED          reject
@@ -173,22 +175,22 @@
 
 
 class TrackedRequest:
-    """A request and where it stands.
+    """A request and its state.
 
     Attributes:
-        request: the attempt as it was read.
-        request_class: its class.
-        state: where it stands.
-        arrived_at_ns: when it reached the server, before it was read.
-        deadline_at_ns: when it is given up.
-        answer_by_ns: when an answer must be there to be worth its full value.
-        early_rejection_at_ns: from when on it is given back while others are queued.
-        waiting_since_ns: when it began to wait in the admission queue or for its call, in awake
+        request: The attempt as it was read.
+        request_class: The class of the request.
+        state: Its current state.
+        arrived_at_ns: When it reached the server, before it was read.
+        deadline_at_ns: When it is given up.
+        answer_by_ns: The latest time for an answer of full value.
+        early_rejection_at_ns: From when on it may be rejected early while others are queued.
+        waiting_since_ns: When it began to wait in the admission queue or for its call, in awake
             time (`AwakeClock`).
-        key_expires_at_ns: until when its idempotency key is kept; 0 where it is not.
-        ended_at_ns: when it was over; 0 before.
-        successor: the attempt that stands in its place, if it was replaced.
-        last_outcome: how its last run or call ended; ABANDONED while a call is open.
+        key_expires_at_ns: Until when its idempotency key is kept; 0 if no key is kept.
+        ended_at_ns: When it ended; 0 before.
+        successor: The attempt that replaced it, if any.
+        last_outcome: How its last run or call ended; ABANDONED while a call is open.
     """
 
     __slots__ = (
@@ -207,12 +209,12 @@
     )
 
     def __init__(self, request: Request, request_class: RequestClass, now: int) -> None:
-        """Tracks a request from its reading on.
+        """Tracks a request that was just read.
 
         Args:
-            request: the attempt as it was read.
-            request_class: its class.
-            now: the host's clock in ns.
+            request: The attempt as it was read.
+            request_class: The class of the request.
+            now: The host's clock, in ns.
         """
         self.request = request
         self.request_class = request_class
@@ -247,19 +249,19 @@
 
 
 class TransitionTableError(BurlloomError):
-    """A row of the table of transitions cannot be read.
+    """A row of the transition table is invalid.
 
     Attributes:
-        row: the row as it stands in the table.
-        problem: what is wrong with it.
+        row: The row as it stands in the table.
+        problem: What is wrong with the row.
     """
 
     def __init__(self, row: str, problem: str) -> None:
-        """Makes the error.
+        """Creates the error.
 
         Args:
-            row: the row as it stands in the table.
-            problem: what is wrong with it.
+            row: The row as it stands in the table.
+            problem: What is wrong with the row.
         """
         super().__init__(f"{problem}: {row!r}")
         self.row = row
@@ -268,14 +270,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """One row of the table.
+    """One row of the transition table.
 
     Attributes:
-        state: the state in which it applies.
-        input: the input that it applies to.
-        tests: names of the tests that must all hold.
-        next_state: the state that it leads to.
-        effect: the name of its effect; "" for none.
+        state: The state in which the row applies.
+        input: The input to which it applies.
+        tests: The names of the tests that must all hold.
+        next_state: The state that follows.
+        effect: The name of its effect; "" for none.
     """
 
     state: State
@@ -286,27 +288,33 @@
 
 
 def parse_transitions(rows: str) -> tuple[Transition, ...]:
-    """Reads a table: a row a line of state, input, tests, next state and effect; `-` is none.
+    """Parses a transition table.
+
+    Args:
+        rows: One row a line, with columns for state, input, one or more tests, next state and
+            effect; `-` stands for no test or no effect.
 
     Raises:
-        TransitionTableError: a row is too short, or names a state or input that there is not.
+        TransitionTableError: A row has too few columns, or names an unknown state or input.
     """
     transitions = []
     for row in filter(None, rows.split("\n")):
         columns = row.split()
         try:
-            state, what, *tests, next_state, effect = columns
+            state, input_name, *tests, next_state, effect = columns
             if not tests:
-                raise TransitionTableError(row, "a row needs a test, or -")
+                raise TransitionTableError(row, "a row needs at least one test, or - for none")
             transition = Transition(
                 State[state],
-                Input[what],
+                Input[input_name],
                 tuple(test for test in tests if test != "-"),
                 State[next_state],
                 "" if effect == "-" else effect,
             )
         except (KeyError, ValueError) as error:
-            raise TransitionTableError(row, f"unreadable ({error})") from error
+            raise TransitionTableError(
+                row, f"wrong number of columns, or unknown state or input ({error})"
+            ) from error
         transitions.append(transition)
     return tuple(transitions)
 
@@ -319,18 +327,18 @@
     tests: Mapping[str, Test],
     effects: Mapping[str, Effect],
 ) -> list[list[tuple[BoundTransition, ...]]]:
-    """Puts the methods in place of the names, once, so that no name is looked up at run time.
+    """Replaces names by methods once, so that no name is looked up while requests are handled.
 
     Args:
-        transitions: the table.
-        tests: each test by its name.
-        effects: each effect by its name.
+        transitions: The transition table.
+        tests: The tests by name.
+        effects: The effects by name.
 
     Returns:
         The transitions by state and then by input, in the order of the table.
 
     Raises:
-        TransitionTableError: a row names a test or an effect that there is not.
+        TransitionTableError: A row names an unknown test or effect.
     """
     table: list[list[list[BoundTransition]]] = [[[] for _ in Input] for _ in State]
     for row in transitions:
@@ -338,6 +346,6 @@
             bound_tests = tuple(tests[name] for name in row.tests)
             effect = effects[row.effect] if row.effect else None
         except KeyError as error:
-            raise TransitionTableError(str(row), f"no test or effect {error}") from error
+            raise TransitionTableError(str(row), f"unknown test or effect {error}") from error
         table[row.state][row.input].append((bound_tests, row.next_state, effect))
-    return [[tuple(found) for found in by_input] for by_input in table]
+    return [[tuple(bound) for bound in by_input] for by_input in table]
--- a/burlloom/admission/model.py
+++ b/burlloom/admission/model.py
@@ -1,9 +1,9 @@
-"""What the decisions are told of a server and its requests, and what they may do to them.
+"""The types of admission control: server settings, requests, gauges, and the effects of decisions.
 
-Whoever hosts an `AdmissionController` (the server's dispatcher, or the bench adapter) builds a
-`ServerSettings`, implements `Effects`, and calls the controller's methods for events. All times are
-whole nanoseconds on the host's clock. Requests, request classes and callers are small numbers that
-the host gives out.
+The host of an `AdmissionController` (the server's dispatcher or the bench adapter) builds a
+`ServerSettings`, implements `Effects`, and calls the controller's methods to report events. All
+times are integer nanoseconds on the host's clock. Requests, request classes and callers are
+identified by small integers that the host assigns.
 """
 
 from dataclasses import dataclass
@@ -25,87 +25,90 @@
 ]
 
 NO_ORIGINAL = -1
-"""`Request.original_ref` of a request that repeats no other."""
+"""The `Request.original_ref` of a request that is not a repeat."""
 
 
 class Idempotency(IntEnum):
-    """What a second run of a request would do."""
+    """The effect of a second run of a request."""
 
     IDEMPOTENT = 0
-    """No harm: it has no effect, or the same one."""
+    """No harm: a run has no effect, or a second run has the same one."""
 
     KEYED = 1
-    """A second effect, unless its key tells it from a new request."""
+    """A second effect, unless the idempotency key tells the repeat from a new request."""
 
     NON_IDEMPOTENT = 2
-    """A second effect; callers do not repeat it."""
+    """A second effect; callers do not repeat such a request."""
 
 
 class Outcome(IntEnum):
     """How a run or a call ended."""
 
     OK = 0
-    """It was answered."""
+    """Answered with a result."""
 
     FAILED = 1
-    """It was answered with an error."""
+    """Answered with an error."""
 
     OVERLOADED = 2
     """The dependency rejected the call and did not run it."""
 
     TIMED_OUT = 3
-    """The call was given up at the time that `Effects.start_call` named."""
+    """The call was abandoned at the `stop_at_ns` of `Effects.start_call`."""
 
     UNREACHABLE = 4
-    """No connection was had, so the call was not run."""
+    """No connection could be opened, so the call was not run."""
 
     CONNECTION_LOST = 5
     """The connection broke while the call was open."""
 
     ABANDONED = 6
-    """It was stopped before its end."""
+    """Stopped before its end."""
 
     NO_LONGER_NEEDED = 7
-    """The run was not begun, as nobody needs it."""
+    """The run was not begun, since nobody needs its result."""
 
     CLAIMED_ELSEWHERE = 8
-    """The run was not begun, as another server runs or ran it."""
+    """The run was not begun, since another server runs it or ran it."""
 
     NOT_RECORDED = 9
-    """The run was not begun, as its key could not be recorded."""
+    """The run was not begun, since its key could not be recorded."""
 
 
 class LoadReportKind(Enum):
-    """What the load report on answers means to callers."""
+    """The kind of the load report on answers."""
 
     NONE = 0
-    """Nothing is reported."""
+    """No load is reported."""
 
     PRIORITY_FLOOR = 1
     """The priority below which requests are shed first, 0 to 1."""
 
     CONCURRENCY_ALLOWANCE = 2
-    """How many requests one caller may have open here."""
+    """The number of requests that one caller may have open at this server."""
 
     ROUTING_WEIGHT = 3
-    """The part of its fair share that the server wants, 0 to 1."""
+    """The fraction of its fair share that the server asks for, 0 to 1."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What all requests of a kind have in common.
+    """The properties that all requests of a class share.
 
     Attributes:
-        latency_objective_ns: time from arrival to an answer of full value.
-        latency_objective_stretch: added to it for each ns of the cost that the caller told.
-        deadline_ns: time from arrival to when a request is given up, unless its caller told one.
-        idempotency: what a second run would do.
-        idempotency_window_ns: how long repeats of a keyed request may come, from its arrival.
-        late_value_share: the worth of an answer past the objective, 0 to 1.
-        value_share_without_call: the worth of an answer without the downstream call, 0 to 1.
-        value: the worth of an answer, against that of other classes.
-        max_staleness_ns: how old a cached result may be at a service level that serves those; 0
-            for none.
+        latency_objective_ns: Time from arrival within which an answer has its full value.
+        latency_objective_stretch: Extra objective time for each ns of the cost that the caller
+            stated.
+        deadline_ns: Time from arrival until a request is given up, unless its caller set a
+            deadline.
+        idempotency: What a second run would cause.
+        idempotency_window_ns: Time from the arrival of a keyed request during which repeats may
+            come.
+        late_value_share: The value share of an answer after the objective, 0 to 1.
+        value_share_without_call: The value share of an answer without the downstream call, 0 to 1.
+        value: The value of an answer, relative to other classes.
+        max_staleness_ns: The maximum age of a cached result at a service level that serves cached
+            results; 0 for none.
     """
 
     latency_objective_ns: int
@@ -121,27 +124,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSettings:
-    """What a server is told of itself and its site.
+    """The settings of a server and its site.
 
     Attributes:
-        cores: the executor's cores.
-        memory_kb: the executor's memory.
-        running_memory_factor: memory of a started request, as a multiple of its size.
-        idempotency_key_kb: memory of a kept idempotency key.
-        max_runs_per_core: contention, in runs for each core, that the server does not survive.
-        starts_cold: whether a new executor has to warm up.
-        cold_speed_share: the speed of a cold executor, as a share of that of a warm one.
-        warm_up_ns: how long it warms up.
-        call_quota: this server's share of the calls that the downstream dependency survives, as a
-            mean number open; 0 where the dependency is not shared.
-        call_quota_window_ns: the span that the mean is taken over.
-        abandoned_call_linger_ns: how long the dependency works on a call that was given up.
-        drain_grace_ns: how long after a notice to stop requests are still taken.
-        max_retry_after_ns: the longest retry-after that callers honour; 0 where they honour none.
-        result_cache_ttl_ns: how long an idempotent result may be shared with repeats; 0 for none.
-        idle_timeout_ns: how long a connection may idle.
-        load_report_kind: what is reported to callers.
-        request_classes: all classes; a request names its class by its index here.
+        cores: The number of the executor's cores.
+        memory_kb: The executor's memory.
+        running_memory_factor: The memory of a started request, as a multiple of its size.
+        idempotency_key_kb: The memory of a kept idempotency key.
+        max_runs_per_core: The contention, in runs per core, that the server does not survive.
+        starts_cold: Whether a new executor has to warm up.
+        cold_speed_share: The speed of a cold executor, as a share of that of a warm one.
+        warm_up_ns: The duration of the warm-up.
+        call_quota: This server's share of the calls that the downstream dependency survives, as a
+            mean number of open calls; 0 where the dependency is not shared.
+        call_quota_window_ns: The span over which the mean is taken.
+        abandoned_call_linger_ns: For how long the dependency processes a call that was abandoned.
+        drain_grace_ns: For how long after a stop notice requests are still admitted.
+        max_retry_after_ns: The longest retry-after that callers honour; 0 if they honour none.
+        result_cache_ttl_ns: For how long an idempotent result may be shared with repeats; 0 for
+            none.
+        idle_timeout_ns: For how long a connection may idle.
+        load_report_kind: What is reported to callers.
+        request_classes: All request classes; a request names its class by index.
     """
 
     cores: int
@@ -165,19 +169,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Degradation:
-    """What a service level takes away; the empty one takes nothing.
+    """The restrictions of a service level; the default has none.
 
-    Each tuple has a flag for each request class.
+    Each tuple holds one flag for each request class.
 
     Attributes:
-        name: of the level; "" where nothing is taken away.
-        rejected_classes: newcomers are rejected.
-        cached_only_classes: newcomers get a cached result, or are rejected.
-        retry_rejecting_classes: retries and hedged requests that are marked so are rejected.
-        call_skipping_classes: calls are skipped where an answer without is of worth.
-        rejects_over_share: requests past their tenant's share are rejected.
-        queue_share: the part of the admission queue's length that is left, 0 to 1.
-        priority_floor: the least priority floor that is reported to callers, 0 to 1.
+        name: The name of the level; "" without restrictions.
+        rejected_classes: New requests are rejected.
+        cached_only_classes: New requests get a cached result, or are rejected.
+        retry_rejecting_classes: Requests marked as retries or hedged requests are rejected.
+        call_skipping_classes: Calls are skipped where an answer without the call has any value.
+        rejects_over_share: Requests beyond their tenant's share are rejected.
+        queue_share: The share of the admission queue's length that remains, 0 to 1.
+        priority_floor: The minimum of the priority floor that is reported to callers, 0 to 1.
     """
 
     name: str = ""
@@ -192,13 +196,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceLevel:
-    """The service level in force, and the one above it on trial.
+    """The service level in force, and the level above it that is on trial.
 
     Attributes:
-        degradation: of the level in force.
-        trial_degradation: of the level on trial.
-        trial_share: the share of callers that are served at the level on trial: those whose
-            sampling draw is under it; 0 for no trial.
+        degradation: The restrictions of the level in force.
+        trial_degradation: The restrictions of the level on trial.
+        trial_share: The share of callers served at the level on trial: those whose sampling draw is
+            below it; 0 without a trial.
     """
 
     degradation: Degradation = Degradation()
@@ -208,23 +212,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One attempt as it was read.
+    """One attempt, as the server read it.
 
     Attributes:
-        ref: the number that names it from now on.
-        caller: the number of its caller.
-        request_class: the index of its class.
-        cost_ns: what its caller thinks that a run takes; 0 where it told none.
-        unread_ns: how long it lay unread.
-        deadline_at_ns: when it is given up; 0 where its caller told none.
-        memory_kb: its size.
-        priority: 0 to 1.
-        original_ref: the attempt that it repeats: `NO_ORIGINAL` for none, a number that was never
-            given out for one of a former incarnation.
-        is_recordable: whether the idempotency key that it wants could be recorded now.
-        is_retry: it is marked as a retry or a hedged request.
-        is_over_share: it is past its tenant's share.
-        sampling_draw: its caller's own, from 0 to under 1.
+        ref: The number that identifies it from now on.
+        caller: The number of its caller.
+        request_class: The index of its class.
+        cost_ns: The duration that its caller expects for a run; 0 if not stated.
+        unread_ns: For how long it lay unread.
+        deadline_at_ns: When it is given up; 0 if its caller set no deadline.
+        memory_kb: Its size.
+        priority: Its priority, 0 to 1.
+        original_ref: The attempt that it repeats: `NO_ORIGINAL` for none, a number that was never
+            assigned for an attempt of a previous incarnation.
+        is_recordable: Whether the idempotency key that it needs could be recorded now.
+        is_retry: Whether it is marked as a retry or a hedged request.
+        is_over_share: Whether it is beyond its tenant's share.
+        sampling_draw: Its caller's own random draw, from 0 to below 1.
     """
 
     ref: int
@@ -244,13 +248,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """What a server measures of itself; -1 where it does not.
+    """A server's measurements of itself; -1 for one that is not measured.
 
     Attributes:
-        cpu_utilization: the use of the cores, 0 to 1, a mean that lags.
-        runnable: how many runs want a core at this moment.
-        memory_utilization: the use of memory, 0 to 1.
-        connections: the number of connections.
+        cpu_utilization: The utilization of the cores, 0 to 1, a mean that lags.
+        runnable: The number of runs that are ready to use a core now.
+        memory_utilization: The utilization of memory, 0 to 1.
+        connections: The number of connections.
     """
 
     cpu_utilization: float = -1.0
@@ -260,37 +264,37 @@
 
 
 class Effects(Protocol):
-    """What the decisions do; the host carries it out in the order in which it was decided."""
+    """The effects of decisions; the host carries them out in the order of the decisions."""
 
     def start_run(self, ref: int) -> None:
         """Runs the request."""
 
     def reject(self, ref: int, retry_after_ns: int, is_final: bool) -> None:
-        """Answers that the request is not served.
+        """Answers that the request is rejected.
 
         Args:
-            ref: the request.
-            retry_after_ns: how long its caller should stay away from this server.
-            is_final: whether it should not be tried at another server either.
+            ref: The request.
+            retry_after_ns: For how long its caller should not send it to this server again.
+            is_final: Whether its caller should not try another server either.
         """
 
     def fail(self, ref: int) -> None:
-        """Answers with an error; the request may have run, or run still."""
+        """Answers with an error; the request may have run or may still be running."""
 
     def start_call(self, ref: int, stop_at_ns: int) -> None:
-        """Makes the call that the run asked for, and gives it up at `stop_at_ns`."""
+        """Makes the call that the run asked for, and abandons it at `stop_at_ns`."""
 
     def skip_call(self, ref: int) -> None:
-        """Lets the run go on without its call."""
+        """Lets the run continue without its call."""
 
     def remember(self, ref: int, lifetime_ns: int) -> None:
-        """Keeps the request's key, and its result, for so long from now on."""
+        """Keeps the request's key, and its result, for `lifetime_ns` from now on."""
 
     def forget(self, ref: int) -> None:
-        """Forgets the request's key: it did not run."""
+        """Forgets the key of a request that did not run."""
 
     def reuse_result(self, ref: int) -> None:
-        """Answers with the result of the original attempt, as soon as it is there."""
+        """Answers with the result of the original attempt, as soon as it is available."""
 
     def set_health(self, is_healthy: bool) -> None:
         """Sets the answer to health checks."""
@@ -302,13 +306,13 @@
         """Sets the load report for callers that are served at the level on trial."""
 
     def set_idle_timeout(self, idle_timeout_ns: int) -> None:
-        """Sets how long a connection may idle."""
+        """Sets for how long a connection may idle."""
 
     def schedule_timer(self, delay_ns: int, handle: int) -> None:
-        """Calls `timer_fired` with this handle, after this delay."""
+        """Calls `AdmissionController.timer_fired` with this handle after this delay."""
 
     def log(self, text: str) -> None:
         """Writes a line to the log."""
 
     def release(self, ref: int) -> None:
-        """The decisions will not name this request again."""
+        """Releases the request: the controller will not refer to it again."""
--- a/burlloom/admission/rule_set.py
+++ b/burlloom/admission/rule_set.py
@@ -1,4 +1,4 @@
-"""All rules of one server, made once and wired to each other."""
+"""Creates all rules of one server and connects them to each other."""
 
 from random import Random
 
@@ -23,37 +23,37 @@
 
 
 class RuleSet:
-    """The state of one server's decisions, by rule.
+    """The rules of one server, each with its state.
 
     Attributes:
-        settings: of the server.
-        effects: what carries out the decisions.
-        random: draws from 0 to under 1; one sequence for all rules.
-        counts: how many requests are in each state.
-        live_requests: the requests that are not over, by reference.
-        clock: time without the pauses of the process.
-        drain: the end of the server.
-        service_levels: the service level in force.
-        arrivals: what arrived and was rejected of late.
-        estimates: how long runs take.
-        memory: the executor's memory.
-        queue: the admission queue.
-        idempotency: original attempts and idempotency keys.
-        concurrency: how many may run.
-        shedding: pressure and the priority floor.
-        health: hung work and failing runs.
-        idle_time: how long connections may idle.
-        calls: calls to the downstream dependency.
+        settings: The server's settings.
+        effects: Carries out the decisions.
+        random: Returns a draw from 0 to below 1; one sequence for all rules.
+        counts: The number of requests in each state.
+        live_requests: The requests that have not ended, by reference.
+        clock: Measures time without the pauses of the process.
+        drain: The planned stop of the server.
+        service_levels: The service level in force.
+        arrivals: Recent arrivals, rejections and read lag.
+        estimates: Estimates of run times.
+        memory: The budget of the executor's memory.
+        queue: The admission queue.
+        idempotency: Original attempts and idempotency keys.
+        concurrency: The run limit.
+        shedding: Pressure and the priority floor.
+        health: Detects hung work and failing runs.
+        idle_time: The idle timeout of connections.
+        calls: Calls to the downstream dependency.
     """
 
     def __init__(self, settings: ServerSettings, seed: int, effects: Effects, now: int) -> None:
-        """Makes the rules of a server that has served nothing yet.
+        """Creates the rules of a server that has served nothing yet.
 
         Args:
-            settings: of the server.
-            seed: of all random draws.
-            effects: what carries out the decisions.
-            now: when the executor was started, in ns.
+            settings: The server's settings.
+            seed: Seeds all random draws.
+            effects: Carries out the decisions.
+            now: When the executor was started, in ns.
         """
         self.settings = settings
         self.effects = effects
--- a/burlloom/admission/service_levels.py
+++ b/burlloom/admission/service_levels.py
@@ -1,8 +1,8 @@
-"""What the service level in force takes away from a request.
+"""Applies the service level in force to requests.
 
 Inputs: the level, the trial of the level above it, and each request's class, sampling draw and
-marks. Rule: a request whose sampling draw is under the share of the trial is served at the level on
-trial, any other at the level in force.
+marks. Rule: a request whose sampling draw is below the trial share is served at the level on trial,
+any other at the level in force.
 """
 
 from .lifecycle import TrackedRequest
@@ -15,24 +15,24 @@
     """The service level in force.
 
     Attributes:
-        level: the level, and the one on trial.
+        level: The level in force and the one on trial.
     """
 
     __slots__ = ("level",)
 
     def __init__(self) -> None:
-        """Full service."""
+        """Starts at full service."""
         self.level = ServiceLevel()
 
     def degradation_for(self, tracked: TrackedRequest) -> Degradation:
-        """What is taken away from this request."""
+        """Returns the restrictions that apply to this request."""
         level = self.level
         if tracked.request.sampling_draw < level.trial_share:
             return level.trial_degradation
         return level.degradation
 
     def rejects(self, tracked: TrackedRequest) -> bool:
-        """Whether this request is not served. Never ask it of one that ran."""
+        """Returns whether the level excludes this request; the request must not have run."""
         degradation = self.degradation_for(tracked)
         if not degradation.name:
             return False
@@ -46,7 +46,7 @@
         )
 
     def skips_call(self, tracked: TrackedRequest) -> bool:
-        """Whether this request's call is left out."""
+        """Returns whether the level skips this request's call."""
         degradation = self.degradation_for(tracked)
         return (
             bool(degradation.name)
--- a/burlloom/admission/sliding_window.py
+++ b/burlloom/admission/sliding_window.py
@@ -1,27 +1,27 @@
-"""A sum over the last while, in constant memory."""
+"""Sums over a sliding window of time, in constant memory."""
 
 __all__ = ["SlidingWindowSum"]
 
-DEFAULT_BUCKETS = 10
+DEFAULT_BUCKET_COUNT = 10
 
 
 class SlidingWindowSum:
-    """The sum of what was added over a sliding window of time.
+    """The sum of the amounts added within a sliding window of time.
 
-    Time is cut into buckets that are reused in turn, so the window is exact to one bucket.
+    Time is divided into buckets that are reused in turn, so the window is accurate to one bucket.
 
     Attributes:
-        bucket_ns: the width of a bucket.
+        bucket_ns: The width of a bucket.
     """
 
     __slots__ = ("_last_bucket", "_sum", "_sums", "bucket_ns")
 
-    def __init__(self, window_ns: int, buckets: int = DEFAULT_BUCKETS) -> None:
-        """Makes an empty window.
+    def __init__(self, window_ns: int, buckets: int = DEFAULT_BUCKET_COUNT) -> None:
+        """Creates an empty window.
 
         Args:
-            window_ns: how far back the sum reaches.
-            buckets: how many buckets the window is cut into.
+            window_ns: The length of the window.
+            buckets: The number of buckets in the window.
         """
         self.bucket_ns = window_ns // buckets
         self._sums = [0.0] * buckets
@@ -29,7 +29,7 @@
         self._last_bucket = 0
 
     def total(self, now: int) -> float:
-        """The sum over the window that ends at `now` (ns)."""
+        """Returns the sum over the window that ends at `now` (ns)."""
         bucket = now // self.bucket_ns
         last_bucket = self._last_bucket
         if bucket > last_bucket:
--- a/burlloom/admission/slow_start.py
+++ b/burlloom/admission/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: how fast a server is that has just been started.
+"""Slow start: the speed of a server that was just started.
 
-Inputs: the age of the server (ns) and, of its settings, `starts_cold`, `cold_speed_share` and
-`warm_up_ns`. Rule: its speed grows evenly from `cold_speed_share` to 1 over the warm-up. Reason: a
-cold server survives fewer runs at a time.
+Inputs: the age of the server (ns) and its settings `starts_cold`, `cold_speed_share` and
+`warm_up_ns`. Rule: the speed grows linearly from `cold_speed_share` to 1 over the warm-up. Reason:
+a cold server survives fewer concurrent runs.
 """
 
 from .model import ServerSettings
@@ -16,11 +16,11 @@
     __slots__ = ("_cold_speed_share", "_started_at_ns", "_starts_cold", "_warm_up_ns")
 
     def __init__(self, settings: ServerSettings, started_at_ns: int) -> None:
-        """Makes the rule.
+        """Creates the rule.
 
         Args:
-            settings: of the server.
-            started_at_ns: when its executor was started.
+            settings: The server's settings.
+            started_at_ns: When its executor was started.
         """
         self._started_at_ns = started_at_ns
         self._starts_cold = settings.starts_cold
@@ -28,7 +28,7 @@
         self._warm_up_ns = settings.warm_up_ns
 
     def speed_share(self, now: int) -> float:
-        """The speed at `now` (ns), as a share of that of a warm server."""
+        """Returns the speed at `now` (ns), as a share of that of a warm server."""
         age_ns = now - self._started_at_ns
         if not self._starts_cold or age_ns >= self._warm_up_ns:
             return 1.0
--- a/burlloom/admission/state_machine.py
+++ b/burlloom/admission/state_machine.py
@@ -1,7 +1,7 @@
-"""Moves requests along the table of transitions, and carries out what a transition does.
+"""Applies the transition table to requests and implements its effects.
 
-`lifecycle` has the table; the tests are in `rejection_reasons`, `idempotency` and
-`downstream_calls`, and the effects here.
+`lifecycle` holds the table. Its tests are in `rejection_reasons`, `idempotency` and
+`downstream_calls`, its effects in this module and `idempotency`.
 """
 
 from .caller_feedback import CallerFeedback
@@ -25,11 +25,11 @@
     """The state machine of all requests of a server."""
 
     def __init__(self, rules: RuleSet, feedback: CallerFeedback) -> None:
-        """Binds the table of transitions.
+        """Binds the transition table.
 
         Args:
-            rules: of the server.
-            feedback: carries the rejections.
+            rules: The server's rules.
+            feedback: Sends the rejections.
         """
         self._effects = rules.effects
         self._counts = rules.counts
@@ -47,15 +47,15 @@
             TRANSITIONS, self._tests(), self._transition_effects()
         )
 
-    def apply(self, tracked: TrackedRequest, what: Input, now: int) -> None:
-        """Has a request meet an input: the first row that holds moves it.
+    def apply(self, tracked: TrackedRequest, lifecycle_input: Input, now: int) -> None:
+        """Applies an input to a request: the first row whose tests hold moves the request.
 
         Args:
-            tracked: the request.
-            what: the input.
-            now: the host's clock in ns.
+            tracked: The request.
+            lifecycle_input: The input.
+            now: The host's clock, in ns.
         """
-        for tests, next_state, effect in self._transitions[tracked.state][what]:
+        for tests, next_state, effect in self._transitions[tracked.state][lifecycle_input]:
             for test in tests:
                 if not test(tracked, now):
                     break
@@ -74,7 +74,7 @@
         factor = memory.factors[next_state] - memory.factors[state]
         memory.requests_kb += factor * tracked.request.memory_kb
         if state == State.IN_CALL:
-            self._calls.leave(tracked, now)
+            self._calls.leave_call(tracked, now)
         elif state == State.QUEUED:
             self._queue.remove(tracked)
         elif state == State.AWAITING_CALL:
@@ -85,9 +85,9 @@
             self._idempotency.ended.append(tracked)
 
     def fill_free_slots(self, now: int) -> None:
-        """Makes the calls and starts the runs that may be, at `now` (ns); after each event.
+        """Makes the calls and starts the runs that are allowed at `now` (ns), after each event.
 
-        Calls go first; of the queued requests the newest is started first.
+        Calls are made first; of the queued requests the newest is started first.
         """
         calls = self._calls
         while calls.queue and calls.may_start_call(now):
@@ -112,7 +112,7 @@
             "is_shed_for_failure_rate": reasons.is_shed_for_failure_rate,
             "may_retry_call": self._may_retry_call,
             "may_skip_call": self._calls.may_skip_call,
-            "no_repeat_capacity": reasons.no_repeat_capacity,
+            "is_at_run_capacity": reasons.is_at_run_capacity,
             "may_have_run": self._idempotency.may_have_run,
             "queue_is_full": reasons.queue_is_full,
             "server_is_hung": reasons.server_is_hung,
@@ -149,18 +149,18 @@
             original.successor = tracked
         else:
             oldest = self._queue.oldest()
-            if oldest is not None and not self._reasons.has_place(tracked):
+            if oldest is not None and not self._reasons.has_queue_capacity(tracked):
                 self.apply(oldest, Input.EVICTED, now)
         tracked.waiting_since_ns = now - self._clock.paused_ns
         self._queue.add(tracked)
-        self._idempotency.keep_for_queued(tracked, now)
+        self._idempotency.keep_key_of_queued(tracked, now)
 
     def _enqueue_call(self, tracked: TrackedRequest, now: int) -> None:
         tracked.waiting_since_ns = now - self._clock.paused_ns
         self._calls.enqueue(tracked)
 
     def _start_run(self, tracked: TrackedRequest, now: int) -> None:
-        if self._concurrency.running(self._calls.limit.limit) <= 1:
+        if self._concurrency.count_running(self._calls.limit.limit) <= 1:
             self._health.last_progress_at_ns = now
         self._effects.start_run(tracked.request.ref)
 
@@ -181,11 +181,11 @@
         self._feedback.reject(tracked, now)
 
     def _reject_evicted(self, tracked: TrackedRequest, now: int) -> None:
-        self._queue.overwritten += 1
+        self._queue.evictions += 1
         self._reject(tracked, now)
 
     def _reject_queue_full(self, tracked: TrackedRequest, now: int) -> None:
-        self._queue.exceeded += 1
+        self._queue.queue_full_rejections += 1
         self._reject(tracked, now)
 
     def _reject_degraded(self, tracked: TrackedRequest, now: int) -> None:
--- a/burlloom/errors.py
+++ b/burlloom/errors.py
@@ -1,12 +1,12 @@
-"""The root of the package's errors.
+"""The base class of the package's errors.
 
-Every error that burlloom raises on purpose derives from `BurlloomError`, so that a caller can tell
-a refused input or a lost peer from a defect. Each concern has its own subclass beside the code that
-raises it, with what was wrong and where as fields.
+Every error that burlloom raises deliberately derives from `BurlloomError`, so that a caller can
+distinguish an invalid input or an unreachable peer from a defect. Each package defines its own
+subclasses next to the code that raises them. Their attributes hold what was wrong and where.
 """
 
 __all__ = ["BurlloomError"]
 
 
 class BurlloomError(Exception):
-    """Base of all errors that burlloom raises on purpose."""
+    """Base class of all errors that burlloom raises deliberately."""
--- a/burlloom/signals.py
+++ b/burlloom/signals.py
@@ -1,8 +1,9 @@
-"""Has the signals that the program handles delivered to its main thread alone.
+"""Delivers the signals that the program handles to its main thread only.
 
-The kernel delivers a signal to any thread that does not block it. Another thread would only note
-it, and the main thread, which runs the handler, might have accepted requests meanwhile: many, after
-a pause of the process or on a machine on which the other thread waits for a core.
+The kernel delivers a signal to any thread that does not block it. Python runs handlers in the main
+thread only: another thread that receives the signal merely marks it as pending. Until the main
+thread runs the handler it may accept further requests: many of them after the process was paused,
+or on a machine where the receiving thread waits for a core.
 """
 
 import signal
@@ -15,18 +16,18 @@
 
 
 def block_signals() -> None:
-    """Blocks the handled signals in this thread and in all threads that it starts from now on."""
+    """Blocks the handled signals in this thread and in every thread that it starts afterwards."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 def unblock_signals() -> None:
-    """Lets this thread receive the handled signals again; one that waited arrives at once."""
+    """Unblocks the handled signals in this thread; pending ones are delivered at once."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
 
 
 @contextmanager
 def signals_blocked() -> Iterator[None]:
-    """Blocks the handled signals in the block: a thread that is started in it inherits that."""
+    """Blocks the handled signals within a `with` block; threads started in it inherit the mask."""
     before = signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     try:
         yield
--- a/burlloom/transition_table.py
+++ b/burlloom/transition_table.py
@@ -1,4 +1,7 @@
-"""Reads the tables of state machines: state, input, test, next state and effect, one row a line."""
+"""Parses the transition tables of state machines.
+
+Each line has five columns: state, input, test, next state and effect.
+"""
 
 from collections.abc import Callable
 from enum import IntEnum
@@ -17,22 +20,22 @@
     test: Callable[[str], Test],
     effect: Callable[[str], Effect],
 ) -> dict[tuple[State, Input], list[tuple[Test, State, Effect]]]:
-    """Parses a table of transitions.
+    """Parses a transition table.
 
     Args:
-        table: Rows of five words; empty lines are left out.
-        states: The enum that has the first and the fourth word.
-        inputs: The enum that has the second word.
-        test: Returns what the third word stands for.
-        effect: Returns what the fifth word stands for.
+        table: One row a line, each of five words; empty lines are skipped.
+        states: The enum of the first and the fourth column.
+        inputs: The enum of the second column.
+        test: Returns the test that the third column names.
+        effect: Returns the effect that the fifth column names.
 
     Returns:
-        For each state and input its transitions in the table's order. The first whose test holds
-        is taken.
+        The transitions of each state and input, in the order of the table. The first one whose test
+        holds applies.
 
     Raises:
-        ValueError: A row has not five words.
-        KeyError: A row names a state or an input that there is not.
+        ValueError: A row does not have five words.
+        KeyError: A row names an unknown state or input.
     """
     transitions: dict[tuple[State, Input], list[tuple[Test, State, Effect]]] = {}
     for state, event, condition, next_state, action in filter(
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -42,7 +42,7 @@
 
 
 def test_a_test_without_a_method_is_an_error() -> None:
-    with pytest.raises(TransitionTableError, match="no test or effect 'may_have_run'"):
+    with pytest.raises(TransitionTableError, match="unknown test or effect 'may_have_run'"):
         bind_transitions(TRANSITIONS, {}, {})
 
 
