--- a/burlloom/dispatcher/__init__.py
+++ b/burlloom/dispatcher/__init__.py
@@ -1,7 +1,7 @@
-"""Between the server and the admission controller: events in, directives out.
+"""Connects the server and the admission controller: takes events, returns directives.
 
-`Dispatcher` takes request attempts and events from the server, and hands out for each request what
-to do next. `IdempotencyTable` knows the requests that were seen before.
+`Dispatcher` takes request attempts and events from the server, and returns for each request what to
+do next. `IdempotencyTable` holds the requests that were seen before.
 """
 
 from .directives import Directive, DirectiveKind
--- a/burlloom/dispatcher/directives.py
+++ b/burlloom/dispatcher/directives.py
@@ -1,16 +1,19 @@
-"""What the dispatcher tells the server to do with a request."""
+"""Directives: what the dispatcher tells the server to do with a request."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class DirectiveKind(Enum):
-    """What to do next; all but the first three are the request's answer.
-
-    RUN: run it. CALL: make the call that its run asked for. RECALL_RESULT: look its result up
-    outside of our memory. COMPLETE: answer with its result. COMPLETE_AS_ORIGINAL: answer with the
-    result of the original attempt. REJECT: answer that it is not served. FAIL: answer with an
-    error; it may have run.
+    """The kind of a directive; all but the first three are the request's answer.
+
+    * RUN: Run the request.
+    * CALL: Make the call that its run asked for.
+    * RECALL_RESULT: Look up its result outside of this server's memory.
+    * COMPLETE: Answer with its result.
+    * COMPLETE_AS_ORIGINAL: Answer with the result of the original attempt.
+    * REJECT: Answer that the request is rejected.
+    * FAIL: Answer with an error; the request may have run.
     """
 
     RUN = "run"
@@ -24,17 +27,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Directive:
-    """One thing to do with a request.
+    """One step to take for a request.
 
     Attributes:
         kind: What to do.
-        give_up_at_ns: CALL: when to give the call up.
-        is_repeatable: CALL: whether a call may be made again whose outcome is not known.
-        body: CALL: the call's body. COMPLETE, COMPLETE_AS_ORIGINAL: the result.
-        key_digest: All but FAIL and REJECT: the digest that all attempts of the request share;
-            empty where none do.
-        retry_after_ns: REJECT: how long the caller should stay away.
-        is_final: REJECT: whether it should not be tried at another server either.
+        give_up_at_ns: CALL: When to abandon the call.
+        is_repeatable: CALL: Whether a call with an unknown outcome may be made again.
+        body: CALL: The call's body. COMPLETE, COMPLETE_AS_ORIGINAL: The result.
+        key_digest: All but FAIL and REJECT: The digest that all attempts of the request share;
+            empty if it has none.
+        retry_after_ns: REJECT: For how long the caller should not send it to this server again.
+        is_final: REJECT: Whether the caller should not try another server either.
     """
 
     kind: DirectiveKind
@@ -47,7 +50,7 @@
 
 
 def complete_as_original(result: bytes | None, key_digest: bytes) -> Directive:
-    """Returns the answer to a duplicate whose original has ended; FAIL where it has no result."""
+    """Returns the answer to a duplicate whose original has ended; FAIL if there is no result."""
     if result is None:
         return Directive(DirectiveKind.FAIL)
     return Directive(DirectiveKind.COMPLETE_AS_ORIGINAL, body=result, key_digest=key_digest)
--- a/burlloom/dispatcher/dispatcher.py
+++ b/burlloom/dispatcher/dispatcher.py
@@ -1,8 +1,8 @@
-"""The one place in the server that speaks to the admission controller.
+"""The dispatcher: the only part of the server that talks to the admission controller.
 
-`Dispatcher.submit` takes an attempt. Where its answer is not known at once, the attempt's coroutine
-calls `next_directive` until it is. `handle_event` takes what happens outside, and
-`fire_due_timers` lets time pass.
+`Dispatcher.submit` takes an attempt. If the answer is not known at once, the attempt's coroutine
+calls `next_directive` until it is. `handle_event` takes events of the executor, of calls and of the
+server, and `fire_due_timers` fires the controller's timers.
 """
 
 import heapq
@@ -31,17 +31,17 @@
 
 log = logging.getLogger(__name__)
 
-MAX_KEY_DIGESTS = 40_000  # each takes some 500 bytes
-DEADLINE_SLACK_NS = 50_000_000  # by which time limits are longer on sockets
+MAX_KEY_DIGESTS = 40_000  # about 500 bytes each
+DEADLINE_SLACK_NS = 50_000_000  # added to time limits when requests arrive over sockets
 RECOVERY_DEGRADATION = "coming-back"
 
 
 class CallDemand(NamedTuple):
-    """How many downstream calls are wanted.
+    """The demand for downstream calls.
 
     Attributes:
-        in_progress: Open calls, with those whose request was answered meanwhile.
-        queued: Requests that wait for their call.
+        in_progress: The number of open calls, including those whose request was answered meanwhile.
+        queued: The number of requests that wait for their call.
     """
 
     in_progress: int
@@ -49,12 +49,12 @@
 
 
 class LoadSignals(NamedTuple):
-    """How loaded this server is.
+    """The load of this server.
 
     Attributes:
-        queue_age: Age of the oldest queued request, as a share of its latency objective.
-        read_lag: How late requests are read, as a share of the shortest latency objective.
-        pressure: The controller's pressure.
+        queue_age: The age of the oldest queued request, as a share of its latency objective.
+        read_lag: For how long requests lie unread, as a share of the shortest latency objective.
+        pressure: The controller's pressure, 0 to 1.
     """
 
     queue_age: float
@@ -63,14 +63,15 @@
 
 
 def adapt_settings(settings: ServerSettings) -> ServerSettings:
-    """Returns the settings as they hold with this executor and with keys in our own memory.
+    """Returns the settings adjusted to this executor and to keys in the server's own memory.
 
-    The executor's protocol has no command to skip a call, so the controller does not hear that one
-    may be skipped. The controller counts a key's memory as the executor's; what is left of that
-    rule is a bound on the number of keys.
+    The executor's protocol has no command to skip a call, so the controller is told that no answer
+    without its call has any value. The controller counts the memory of keys as the executor's, but
+    they are held by this process; the adjusted size of a key only limits the number of keys.
     """
     request_classes = tuple(
-        replace(one, value_share_without_call=0.0) for one in settings.request_classes
+        replace(request_class, value_share_without_call=0.0)
+        for request_class in settings.request_classes
     )
     return replace(
         settings,
@@ -80,11 +81,11 @@
 
 
 class Dispatcher(AdmissionEffects):
-    """Takes attempts and events from the server, and hands directives out.
+    """Takes attempts and events from the server, and returns directives.
 
     Attributes:
         settings: The controller's settings.
-        class_names: The names of the request classes, in the settings' order.
+        class_names: The names of the request classes, in the order of the settings.
         service_level: The service level in force.
     """
 
@@ -102,15 +103,17 @@
 
         Args:
             settings: The server's settings.
-            class_names: The names of the request classes, in the settings' order.
+            class_names: The names of the request classes, in the order of the settings.
             seed: Seeds the controller's random draws.
-            clock: Returns Unix ns and never steps back.
-            executor_age_ns: Since when the executor runs; it may be warm long before this process
-                starts.
-            max_result_bytes: Bound on the size of results in memory.
+            clock: Returns Unix ns, and never steps back.
+            executor_age_ns: For how long the executor has been running; it may be warm long before
+                this process starts.
+            max_result_bytes: The maximum total size of results in memory.
             recalls_results: Whether results that are not in memory may be persisted elsewhere.
         """
-        max_deadline_ns = max(one.deadline_ns for one in settings.request_classes)
+        max_deadline_ns = max(
+            request_class.deadline_ns for request_class in settings.request_classes
+        )
         super().__init__(
             clock,
             IdempotencyTable(max_deadline_ns, DEADLINE_SLACK_NS, max_result_bytes),
@@ -134,8 +137,9 @@
         """Takes an attempt.
 
         Returns:
-            Its answer where that is decided at once, as for most that are neither queued nor run:
-            those cost no coroutine. Else its slot, for `next_directive`.
+            The answer if it is decided at once, as for most attempts that are neither queued nor
+            run; such attempts need no coroutine. Otherwise the attempt's slot, for
+            `next_directive`.
         """
         slot = self.accept_request(attempt)
         if (
@@ -151,8 +155,8 @@
     async def next_directive(self, slot: RequestSlot) -> Directive:
         """Waits for the request's next directive.
 
-        The request may be released by then: where hundreds are read in one turn of the event loop,
-        timers fire between an attempt's arrival and its first call of this method.
+        The request may already be released: when hundreds of requests are read in one turn of the
+        event loop, timers fire between an attempt's arrival and its first call of this method.
         """
         while not slot.directives:
             slot.waiter = self.loop.create_future()
@@ -160,7 +164,7 @@
         return slot.directives.popleft()
 
     def cancel_request(self, request_id: str) -> None:
-        """Drops an attempt that nobody waits for any more; a run goes on."""
+        """Drops an attempt whose caller no longer waits; a started run continues."""
         ref = self.refs_by_id.get(request_id, -1)
         if ref >= 0 and not self.slots[ref].is_started and not self.slots[ref].is_answered:
             self.issue(ref, Directive(DirectiveKind.FAIL))
@@ -168,7 +172,7 @@
             self.schedule_delivery()
 
     def handle_event(self, event: Event) -> None:
-        """Takes what happened outside; events of requests that are over are logged."""
+        """Handles an event from outside; an event of a request that is not open is only logged."""
         now = self.clock()
         if isinstance(event, DrainStarted):
             self.controller.drain(now, event.noticed_at_ns, event.stop_at_ns)
@@ -187,7 +191,11 @@
         self.schedule_delivery()
 
     def fire_due_timers(self, gauges: Gauges) -> int:
-        """Fires the timers that are due, with what was measured; returns when the next one is."""
+        """Fires the due timers with these gauges.
+
+        Returns:
+            When the next timer is due, in Unix ns.
+        """
         now = self.clock()
         while self.timers and self.timers[0][0] <= now:
             _, handle = heapq.heappop(self.timers)
@@ -197,7 +205,7 @@
         return self.next_timer_ns
 
     def set_service_level(self, service_level: ServiceLevel) -> None:
-        """Sets the service level from now on."""
+        """Applies a service level from now on."""
         self.rejects_over_share = (
             service_level.degradation.rejects_over_share
             or service_level.trial_degradation.rejects_over_share
@@ -206,12 +214,12 @@
         self.apply_service_level()
 
     def set_recovering(self, is_recovering: bool) -> None:
-        """Sets whether service is coming back: then retries held back are rejected at any level."""
+        """Sets whether service is recovering; held-back retries are then rejected at any level."""
         self.is_recovering = is_recovering
         self.apply_service_level()
 
     def apply_service_level(self) -> None:
-        """Tells the controller the service level in force."""
+        """Passes the service level in force to the controller."""
         service_level = self.configured_service_level
         if self.is_recovering:
             service_level = replace(
@@ -224,7 +232,7 @@
         self.schedule_delivery()
 
     def reject_over_share(self, degradation: Degradation) -> Degradation:
-        """Returns a degradation that also rejects requests past their tenant's share."""
+        """Returns the restrictions, extended by rejecting requests beyond their tenant's share."""
         if degradation.rejects_over_share:
             return degradation
         no_class = (False,) * len(self.class_names)
@@ -239,16 +247,16 @@
         )
 
     def set_call_quota(self, calls: float) -> None:
-        """Sets how many downstream calls this server may make at once."""
+        """Sets this server's quota of downstream calls, as a mean number of open calls."""
         self.controller.set_call_quota(self.clock(), calls)
         self.schedule_delivery()
 
     def call_demand(self) -> CallDemand:
-        """Returns how many downstream calls are wanted."""
+        """Returns the demand for downstream calls."""
         return CallDemand(self.controller.open_call_count(), self.controller.queued_call_count())
 
     def load_signals(self) -> LoadSignals:
-        """Returns how loaded this server is."""
+        """Returns the load of this server."""
         controller = self.controller
         return LoadSignals(
             controller.queue_age_share(self.clock()),
@@ -257,11 +265,11 @@
         )
 
     def complete_key(self, key_digest: bytes, result: bytes | None) -> None:
-        """Sets the result of a request that ran elsewhere, or before this process started.
+        """Records the result of a request that ran elsewhere or before this process started.
 
         Args:
-            key_digest: Its key.
-            result: Its result; None where there is none to give.
+            key_digest: The key digest of the request.
+            result: The result; None if there is none to return.
         """
         record = self.idempotency_table.records.get(key_digest)
         if record is not None and not record.has_succeeded:
@@ -273,17 +281,17 @@
         self.remove_key(key_digest, Directive(DirectiveKind.REJECT))
 
     def abandon_key(self, key_digest: bytes) -> None:
-        """Forgets a key whose request nobody follows: its next attempt is looked up anew."""
+        """Forgets a key whose request is no longer followed: its next attempt is looked up."""
         self.remove_key(key_digest, Directive(DirectiveKind.FAIL))
 
     def remove_key(self, key_digest: bytes, answer: Directive) -> None:
-        """Forgets a key, and gives the duplicates that wait for it this answer."""
+        """Forgets a key, and answers the duplicates that wait for it."""
         refs = self.idempotency_table.remove(key_digest)
         self.duplicate_answers.extend((ref, answer) for ref in refs)
         self.schedule_delivery()
 
-    def unknown_key(self, attempt: RequestAttempt) -> bytes:
-        """Returns the key digest of a keyed attempt of which nothing is known here; else empty."""
+    def unknown_key_digest(self, attempt: RequestAttempt) -> bytes:
+        """Returns the key digest of a keyed attempt that is not known here; otherwise empty."""
         request_class = self.settings.request_classes[attempt.request_class]
         if request_class.idempotency is not Idempotency.KEYED:
             return b""
@@ -293,7 +301,7 @@
         return key_digest if original == NO_ORIGINAL else b""
 
     def accept_request(self, attempt: RequestAttempt) -> RequestSlot:
-        """Gives an attempt its slot and tells the controller that it has arrived."""
+        """Assigns a slot to an attempt and reports its arrival to the controller."""
         now = self.clock()
         request_class = self.settings.request_classes[attempt.request_class]
         key_digest = self.attempt_key_digest(request_class, attempt)
@@ -333,7 +341,7 @@
         return slot
 
     def attempt_key_digest(self, request_class: RequestClass, attempt: RequestAttempt) -> bytes:
-        """Returns the digest that the request's attempts share; empty where none do."""
+        """Returns the digest that the request's attempts share; empty if they share none."""
         if request_class.idempotency is Idempotency.KEYED:
             name = self.class_names[attempt.request_class]
             return digest_key(name, attempt.idempotency_key, attempt.body)
@@ -346,9 +354,9 @@
         return b""
 
     def may_reuse_result(self, key_digest: bytes, attempt: RequestAttempt, now: int) -> bool:
-        """Returns whether a result known for this key may answer the attempt.
+        """Returns whether a known result for this key may answer the attempt.
 
-        One that is only kept for a degraded service level may do so only at such a level.
+        A result that is kept only for a degraded service level may be used only at such a level.
         """
         request_class = self.settings.request_classes[attempt.request_class]
         record = self.idempotency_table.records.get(key_digest)
@@ -366,12 +374,12 @@
         )
 
     def handle_run_ended(self, now: int, ref: int, event: RunEnded) -> None:
-        """Answers the request and its duplicates, and tells the controller."""
+        """Answers the request and its duplicates, and reports the run's end to the controller."""
         outcome, is_ok = event.outcome, event.outcome is Outcome.OK
         key_digest = self.slots[ref].key_digest
         if outcome not in (Outcome.NOT_RECORDED, Outcome.CLAIMED_ELSEWHERE):
-            # A run that was started for nobody is over without having run; whoever may still
-            # listen is told that it failed.
+            # A run that nobody needed ended without having run; a caller that still listens is
+            # told that it failed.
             answer = (
                 Directive(DirectiveKind.COMPLETE, body=event.result, key_digest=key_digest)
                 if is_ok
@@ -381,8 +389,8 @@
         record = self.idempotency_table.find_by_ref(ref)
         if record is not None and not record.has_ended and outcome is not Outcome.CLAIMED_ELSEWHERE:
             self.idempotency_table.complete(record, event.result if is_ok else None)
-            # Where nothing ran, or the executor knew no such request, its duplicates have not run
-            # either.
+            # If nothing ran, or the executor did not know the request, its duplicates have not run
+            # either and are rejected.
             if outcome in (Outcome.NO_LONGER_NEEDED, Outcome.NOT_RECORDED):
                 answer = Directive(DirectiveKind.REJECT)
             else:
--- a/burlloom/dispatcher/effects.py
+++ b/burlloom/dispatcher/effects.py
@@ -1,7 +1,8 @@
-"""What the admission controller decides, as directives for the server's coroutines.
+"""Turns the decisions of the admission controller into directives for the server's coroutines.
 
-The directives of one event leave in the order in which they were decided: the event loop delivers
-them one by one, and the coroutine that waits for each acts without waiting for anything else.
+The directives of one event are delivered in the order of the decisions: the event loop delivers
+them one by one, and the coroutine that waits for a directive acts on it without waiting for
+anything else.
 """
 
 import asyncio
@@ -20,10 +21,10 @@
 
 NO_TIMER_NS = 1 << 62
 
-# Bound once: on Python 3.11 each access through the enum takes some 0.2 us, and these are several a
-# request.
+# Bound to module names: on Python 3.11 each access through the enum takes about 0.2 us, and there
+# are several per request.
 RUN = DirectiveKind.RUN
-NOT_ANSWERS = (RUN, DirectiveKind.CALL, DirectiveKind.RECALL_RESULT)
+INTERMEDIATE_KINDS = (RUN, DirectiveKind.CALL, DirectiveKind.RECALL_RESULT)
 
 DUPLICATE_OUTCOMES = {
     DirectiveKind.COMPLETE_AS_ORIGINAL: Outcome.OK,
@@ -37,19 +38,19 @@
 
     Attributes:
         controller: The admission controller; set by `Dispatcher`.
-        slots: Open requests by their number.
-        refs_by_id: The number of an open request by its attempt's id.
-        callers: By name, a caller's index and how many of its requests are open.
-        unanswered: How many open requests have no answer yet.
+        slots: The open requests by their reference.
+        refs_by_id: The reference of an open request by its attempt's id.
+        callers: By caller name, the caller's index and the number of its open requests.
+        unanswered: The number of open requests without an answer.
         idempotency_table: The requests seen before.
-        recalls_results: Whether results that are not in our memory may be persisted elsewhere.
-        timers: Heap of due time and handle.
-        outbox: Directives that are decided and not delivered, in order.
-        duplicate_answers: Answers to duplicates, which the controller is told of at delivery.
+        recalls_results: Whether results that are not in memory may be persisted elsewhere.
+        timers: A heap of due times and timer handles.
+        outbox: Directives that are decided but not delivered, in order.
+        duplicate_answers: Answers to duplicates, reported to the controller at delivery.
         is_healthy: The answer to health checks.
-        load_report: The load report on answers; empty before the first.
-        trial_load_report: The one for callers served at the level on trial.
-        idle_timeout_ns: How long a connection may idle.
+        load_report: The load report on answers; empty before the first report.
+        trial_load_report: The load report for callers that are served at the level on trial.
+        idle_timeout_ns: For how long a connection may idle.
     """
 
     controller: AdmissionController
@@ -76,15 +77,15 @@
 
     @property
     def next_timer_ns(self) -> int:
-        """When the next timer is due."""
+        """When the next timer is due, in Unix ns."""
         return self.timers[0][0] if self.timers else NO_TIMER_NS
 
     def issue(self, ref: int, directive: Directive) -> None:
-        """Queues a directive; of a request's answers only the first counts."""
+        """Queues a directive; after a request's first answer all further directives are ignored."""
         slot = self.slots[ref]
         if slot.is_answered:
             return
-        if directive.kind not in NOT_ANSWERS:
+        if directive.kind not in INTERMEDIATE_KINDS:
             slot.is_answered = True
             self.unanswered -= 1
         elif directive.kind is RUN:
@@ -92,17 +93,17 @@
         self.outbox.append((slot, directive))
 
     def schedule_delivery(self) -> None:
-        """Has the event loop deliver what is queued.
+        """Schedules the delivery of what is queued on the event loop.
 
-        Not at once: the coroutine of a request that was just read does not wait yet, and its own
-        directives would overtake it.
+        Nothing is delivered at once: the coroutine of a request that was just read does not wait
+        yet, so later directives would overtake those for it.
         """
         if not self.is_delivery_scheduled and (self.outbox or self.duplicate_answers):
             self.is_delivery_scheduled = True
             self.loop.call_soon(self.deliver)
 
     def deliver(self) -> None:
-        """Delivers all that is queued, and what it leads to."""
+        """Delivers all queued directives, and those that result from the delivery."""
         self.is_delivery_scheduled = False
         while self.outbox or self.duplicate_answers:
             if self.outbox:
@@ -123,14 +124,14 @@
         record.waiting_duplicates = []
         self.schedule_delivery()
 
-    # The methods of `Effects`, which documents them.
+    # The methods of `Effects`; see there for their documentation.
 
     def start_run(self, ref: int) -> None:
         """Tells the request's coroutine to run it."""
         self.issue(ref, Directive(RUN, key_digest=self.slots[ref].key_digest))
 
     def reject(self, ref: int, retry_after_ns: int, is_final: bool) -> None:
-        """Answers that the request is not served."""
+        """Answers that the request is rejected."""
         self.issue(
             ref, Directive(DirectiveKind.REJECT, retry_after_ns=retry_after_ns, is_final=is_final)
         )
@@ -151,22 +152,24 @@
         self.issue(ref, directive)
 
     def skip_call(self, ref: int) -> None:
-        """Is never decided: the executor's protocol has no command for it.
+        """Is never called: the executor's protocol has no command to skip a call.
 
         Raises:
             NotImplementedError: Always.
         """
-        raise NotImplementedError("this protocol has no command to leave a call out")
+        raise NotImplementedError("the executor protocol has no command to skip a call")
 
     def remember(self, ref: int, lifetime_ns: int) -> None:
-        """Claims the request's key; duplicates of the attempt that had it fail."""
+        """Claims the request's key; duplicates of the attempt that held it before fail."""
         key_digest = self.slots[ref].key_digest
         if key_digest:
-            stranded = self.idempotency_table.claim(key_digest, ref, self.clock() + lifetime_ns)
-            self.fail_duplicates(stranded)
+            orphaned_refs = self.idempotency_table.claim(
+                key_digest, ref, self.clock() + lifetime_ns
+            )
+            self.fail_duplicates(orphaned_refs)
 
     def forget(self, ref: int) -> None:
-        """Gives the request's key up, if it still has it."""
+        """Releases the request's key, if the request still holds it."""
         if self.idempotency_table.find_by_ref(ref) is not None:
             self.fail_duplicates(self.idempotency_table.remove(self.slots[ref].key_digest))
 
@@ -175,7 +178,7 @@
         self.duplicate_answers.extend((ref, Directive(DirectiveKind.FAIL)) for ref in refs)
 
     def reuse_result(self, ref: int) -> None:
-        """Answers a duplicate with the original's result: now, once it is there, or looked up."""
+        """Answers a duplicate with the original's result: now, at its end, or after a lookup."""
         key_digest = self.slots[ref].key_digest
         record = self.idempotency_table.records.get(key_digest)
         if record is None:
@@ -199,25 +202,25 @@
         self.load_report = f"{value:.4f}"
 
     def report_trial_load(self, value: float) -> None:
-        """Sets the load report for callers served at the level on trial."""
+        """Sets the load report for callers that are served at the level on trial."""
         self.trial_load_report = f"{value:.4f}"
 
     def set_idle_timeout(self, idle_timeout_ns: int) -> None:
-        """Sets how long a connection may idle."""
+        """Sets for how long a connection may idle."""
         self.idle_timeout_ns = idle_timeout_ns
 
     def schedule_timer(self, delay_ns: int, handle: int) -> None:
-        """Has `Dispatcher.fire_due_timers` call the controller with this handle."""
+        """Schedules a timer that `Dispatcher.fire_due_timers` fires with this handle."""
         heapq.heappush(self.timers, (self.clock() + delay_ns, handle))
 
     def log(self, text: str) -> None:
-        """Writes a line of the controller's to the log."""
+        """Writes a line of the controller to the log."""
         log.info("event=controller_note text=%r", text)
 
     def release(self, ref: int) -> None:
-        """Forgets a request, and its caller with the last one of it.
+        """Forgets a request; with a caller's last open request also the caller.
 
-        Names of callers are not kept beyond that: there may be any number of them.
+        Caller names are not kept any longer, since their number is unbounded.
         """
         slot = self.slots[ref]
         if not slot.is_answered:
--- a/burlloom/dispatcher/events.py
+++ b/burlloom/dispatcher/events.py
@@ -1,4 +1,4 @@
-"""What the server tells the dispatcher. Times are Unix nanoseconds."""
+"""The events that the server reports to the dispatcher. All times are Unix nanoseconds."""
 
 from dataclasses import dataclass
 
@@ -11,20 +11,21 @@
 
     Attributes:
         id: The attempt's id.
-        sent_at_ns: When it was sent, in whole milliseconds, rounded down.
+        sent_at_ns: When it was sent, rounded down to whole milliseconds.
         caller: The caller's name.
-        request_class: Index of its class in the settings.
-        cost_ns: Processor time that the caller expects; 0 where it told none.
-        memory_kb: Memory that the request holds.
-        priority: Its rank among those of its class, from 0 to under 1.
-        idempotency_key: The key that all attempts of a keyed request share; else empty.
-        cache_key: The key under which reads may share a result; empty where they may not.
+        request_class: The index of its class in the settings.
+        cost_ns: The processor time that the caller expects; 0 if not stated.
+        memory_kb: The memory that the request uses.
+        priority: Its rank among the requests of its class, from 0 to below 1.
+        idempotency_key: The key that all attempts of a keyed request share; otherwise empty.
+        cache_key: The key under which idempotent requests may share a result; empty if they may
+            not.
         body: The request's body.
-        is_recordable: Whether a record could be kept for it, where it wants one.
+        is_recordable: Whether a record could be kept for it, if it needs one.
         is_retry: Whether it is marked as a retry or a hedged request.
-        is_over_share: Whether its tenant is past its share.
-        sampling_draw: The caller's draw, from 0 to under 1.
-        is_held_back: Whether it is a retry past what is admitted during recovery.
+        is_over_share: Whether its tenant is beyond its share.
+        sampling_draw: The caller's random draw, from 0 to below 1.
+        is_held_back: Whether it is a retry beyond those that are admitted during recovery.
     """
 
     id: str
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRequested:
-    """A run asks for its call.
+    """A run asked for a downstream call.
 
     Attributes:
         id: The request's id.
@@ -63,9 +64,9 @@
 
     Attributes:
         id: The request's id.
-        outcome: How it ended.
-        duration_ns: How long it ran.
-        result: Its result; empty where it has none.
+        outcome: How the run ended.
+        duration_ns: The duration of the run.
+        result: The result; empty if there is none.
     """
 
     id: str
@@ -80,8 +81,8 @@
 
     Attributes:
         id: The request's id.
-        outcome: How it ended.
-        duration_ns: How long it took.
+        outcome: How the call ended.
+        duration_ns: The duration of the call.
     """
 
     id: str
@@ -91,11 +92,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ResultRecalled:
-    """A result was looked up outside of our memory.
+    """A result was looked up outside of this server's memory.
 
     Attributes:
-        id: The id of the request that asked for it.
-        result: The result; None where there is none to give.
+        id: The id of the request that asked for the result.
+        result: The result; None if there is none to return.
     """
 
     id: str
@@ -104,11 +105,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainStarted:
-    """The server was asked to stop.
+    """The server was told to stop.
 
     Attributes:
-        noticed_at_ns: When it was asked, at the earliest.
-        stop_at_ns: When it must have stopped.
+        noticed_at_ns: The earliest time at which the stop notice can have come.
+        stop_at_ns: When the server must have stopped.
     """
 
     noticed_at_ns: int
--- a/burlloom/dispatcher/idempotency_table.py
+++ b/burlloom/dispatcher/idempotency_table.py
@@ -1,8 +1,8 @@
-"""The idempotency table: which requests were seen before, and their results.
+"""The idempotency table: the requests that were seen before, and their results.
 
-An attempt claims its key digest. Until the window of the key is over, another attempt with the same
-digest is a duplicate: it waits for the original attempt, or is answered with its result, and never
-runs.
+An attempt claims its key digest. Until the window of the key ends, another attempt with the same
+digest is a duplicate: it waits for the original attempt or is answered with the original's result,
+and never runs.
 """
 
 from collections import OrderedDict
@@ -12,20 +12,20 @@
 from .timer_wheel import TimerWheel
 
 NO_ORIGINAL = -1
-FORMER_INCARNATION = -2  # stands for an attempt that ran before this process started
+FORMER_INCARNATION = -2  # the reference of any attempt that ran before this process started
 
 
 class KeyRecord:
-    """What is known of one key.
+    """The record of one key.
 
     Attributes:
-        ref: The attempt that claimed it.
+        ref: The attempt that claimed the key.
         window_end_ns: Until when a duplicate is recognised.
         forget_at_ns: When the record is dropped.
         has_ended: Whether the attempt has ended.
         has_succeeded: Whether it ended with a result.
-        result: The result; None before the end, without one, or once it was dropped.
-        waiting_duplicates: Duplicates that wait for the end.
+        result: The result; None before the end, without a result, or once the result was dropped.
+        waiting_duplicates: The duplicates that wait for the end of the attempt.
     """
 
     __slots__ = (
@@ -47,25 +47,25 @@
 
 
 class IdempotencyTable:
-    """Records by key digest; those that former incarnations ended are packed.
+    """Records by key digest; keys that previous incarnations ended are held in a packed set.
 
     Attributes:
-        records: By key digest, the oldest first.
+        records: The records by key digest, oldest first.
         digests_by_ref: The key digest that an attempt has claimed.
-        former_digests: Keys that former incarnations ended.
-        restored_digests: Those of them that have a record again, which alone counts.
-        result_bytes: The size of all results.
+        former_digests: The keys whose requests previous incarnations ended.
+        restored_digests: Those of them that have a record again; the record takes precedence.
+        result_bytes: The total size of all results.
     """
 
     def __init__(self, retention_ns: int, deadline_slack_ns: int, max_result_bytes: int) -> None:
-        """Makes an empty table.
+        """Creates an empty table.
 
         Args:
-            retention_ns: How long past its window a key is known. An attempt that was sent within
-                the window may be read as late as its deadline.
-            deadline_slack_ns: By how much windows are longer than told.
-            max_result_bytes: Bound on the results' size; the oldest are dropped first. The
-                admission controller bounds the number of keys.
+            retention_ns: For how long after its window a key is kept. An attempt that was sent
+                within the window may be read as late as its deadline.
+            deadline_slack_ns: The tolerance that is added to windows.
+            max_result_bytes: The maximum total size of results; the oldest are dropped first. The
+                admission controller limits the number of keys.
         """
         self.retention_ns, self.deadline_slack_ns = retention_ns, deadline_slack_ns
         self.max_result_bytes = max_result_bytes
@@ -79,9 +79,9 @@
     def find_original(self, key_digest: bytes, sent_at_ns: int, is_shared: bool = False) -> int:
         """Returns the attempt that an attempt sent at this time duplicates, or `NO_ORIGINAL`.
 
-        In doubt a keyed request is a duplicate, so that it runs once. A read that would share a
-        result (`is_shared`) is none, so that it gets no result that is too old: times of arrival
-        are whole milliseconds, rounded down.
+        In doubt a keyed request is treated as a duplicate, so that it runs only once. In doubt an
+        idempotent request that would share a result (`is_shared`) is not, so that it never gets a
+        result that is too old: arrival times are rounded down to whole milliseconds.
         """
         record = self.records.get(key_digest)
         if (
@@ -96,20 +96,20 @@
         return NO_ORIGINAL
 
     def former_window_end_ns(self, key_digest: bytes) -> int:
-        """Returns when the window of a key that a former incarnation ended is over; 0 for none."""
+        """Returns when the window of a key that a previous incarnation ended is over; 0 if none."""
         if len(self.former_digests) and key_digest not in self.restored_digests:
             return self.former_digests.window_end_ns(key_digest)
         return 0
 
     def restore_open_key(self, key_digest: bytes, window_end_ns: int, has_ended: bool) -> None:
-        """Adds a key of a former incarnation that has no recorded end.
+        """Restores a key of a previous incarnation without a recorded end.
 
-        Call it after `restore_ended_keys`.
+        Must be called after `restore_ended_keys`.
 
         Args:
-            key_digest: The key.
+            key_digest: The key digest.
             window_end_ns: When its window ends.
-            has_ended: Whether no end is to be expected any more.
+            has_ended: Whether no end of the request is expected any more.
         """
         if self.former_digests.window_end_ns(key_digest):
             self.restored_digests.add(key_digest)
@@ -120,28 +120,28 @@
         self.timer_wheel.add(key_digest, record.forget_at_ns)
 
     def restore_ended_keys(self, key_digests: PackedKeyDigests) -> None:
-        """Sets the keys that former incarnations ended."""
+        """Sets the keys whose requests previous incarnations ended."""
         self.former_digests = key_digests
 
     def claim(self, key_digest: bytes, ref: int, window_end_ns: int) -> list[int]:
         """Claims a key for an attempt, or moves the end of its window.
 
         Returns:
-            The duplicates that waited for the attempt which the key is taken from.
+            The duplicates that waited for the attempt from which the key is taken.
         """
         record = self.records.get(key_digest)
-        stranded: list[int] = []
+        orphaned_refs: list[int] = []
         if record is None or record.ref != ref:
-            stranded = self.remove(key_digest)
+            orphaned_refs = self.remove(key_digest)
             record = self.records[key_digest] = KeyRecord(ref)
             self.digests_by_ref[ref] = key_digest
             self.timer_wheel.add(key_digest, window_end_ns + self.retention_ns)
         record.window_end_ns = window_end_ns
         record.forget_at_ns = window_end_ns + self.retention_ns
-        return stranded
+        return orphaned_refs
 
     def remove(self, key_digest: bytes) -> list[int]:
-        """Forgets a key; returns the duplicates that waited for its end."""
+        """Forgets a key; returns the duplicates that waited for the end of its attempt."""
         record = self.records.pop(key_digest, None)
         if record is None:
             return []
@@ -150,12 +150,12 @@
         return record.waiting_duplicates
 
     def find_by_ref(self, ref: int) -> KeyRecord | None:
-        """Returns the record of the key that an attempt has claimed."""
+        """Returns the record of the key that an attempt has claimed; None without one."""
         key_digest = self.digests_by_ref.get(ref)
         return self.records[key_digest] if key_digest is not None else None
 
     def complete(self, record: KeyRecord, result: bytes | None) -> None:
-        """Sets the end of a record's attempt; `result` is None where there is none to give."""
+        """Records the end of a record's attempt; `result` is None if there is none to return."""
         record.has_ended, record.result = True, result
         record.has_succeeded = result is not None
         self.result_bytes += len(result or b"")
@@ -163,9 +163,9 @@
             self.drop_oldest_results(record)
 
     def drop_oldest_results(self, newest: KeyRecord) -> None:
-        """Drops results but that of `newest` until the rest is within the bound.
+        """Drops the oldest results, except that of `newest`, until the rest is within the bound.
 
-        The keys stay, so that a duplicate fails and does not run.
+        The keys are kept, so that a duplicate fails instead of running.
         """
         for record in self.records.values():
             if record is not newest and record.result is not None:
@@ -175,7 +175,7 @@
                     break
 
     def forget_expired(self, now: int) -> None:
-        """Drops the keys that are over; one whose window moved meanwhile stays."""
+        """Drops expired keys; a key whose window was moved meanwhile is kept."""
         former = self.former_digests
         if len(former) and former.last_window_end_ns + self.retention_ns <= now:
             self.former_digests = PackedKeyDigests()
--- a/burlloom/dispatcher/request_slot.py
+++ b/burlloom/dispatcher/request_slot.py
@@ -1,4 +1,4 @@
-"""What the dispatcher keeps of one request."""
+"""The state that the dispatcher keeps for one request."""
 
 import asyncio
 from collections import deque
@@ -12,13 +12,13 @@
     Attributes:
         id: The attempt's id.
         caller: The caller's name.
-        key_digest: The digest that all attempts of the request share; empty where none do.
+        key_digest: The digest that all attempts of the request share; empty if they share none.
         body: The body of the call that its run asked for last.
         is_idempotent: Whether its class is idempotent.
-        is_started: Whether it was told to run.
+        is_started: Whether a directive to run it was issued.
         is_answered: Whether its answer was decided.
-        directives: What its coroutine has not taken yet.
-        waiter: Done once there is something to take.
+        directives: The directives that its coroutine has not taken yet.
+        waiter: Completes once a directive is available.
     """
 
     __slots__ = (
--- a/burlloom/dispatcher/timer_wheel.py
+++ b/burlloom/dispatcher/timer_wheel.py
@@ -1,13 +1,13 @@
-"""A timer wheel: key digests by the second in which they expire."""
+"""A timer wheel: holds key digests by the second in which they expire."""
 
 SLOT_NS = 1_000_000_000
 
 
 class TimerWheel:
-    """Entries in slots of one second; taking what is due costs no more than what is due.
+    """Entries in slots of one second; removing the due entries costs no more than their number.
 
-    An entry whose time has moved stays in its slot: whoever takes it out looks whether it is due,
-    and adds it again if not.
+    An entry whose time was moved stays in its slot: the code that removes it checks whether it is
+    due, and adds it again if not.
     """
 
     __slots__ = ("next_slot", "slots")
@@ -17,7 +17,7 @@
         self.next_slot = 0
 
     def add(self, key_digest: bytes, due_ns: int) -> None:
-        """Adds an entry that is due at a time."""
+        """Adds an entry that is due at `due_ns`."""
         slot = due_ns // SLOT_NS + 1
         if not self.slots:
             self.next_slot = slot
@@ -25,11 +25,11 @@
         self.slots.setdefault(slot, []).append(key_digest)
 
     def take_due(self, now: int) -> list[bytes]:
-        """Removes and returns the entries of all slots that are over."""
+        """Removes and returns the entries of all elapsed slots."""
         due: list[bytes] = []
-        last = now // SLOT_NS
-        if self.slots and self.next_slot <= last:
-            for slot in sorted(slot for slot in self.slots if slot <= last):
+        last_elapsed_slot = now // SLOT_NS
+        if self.slots and self.next_slot <= last_elapsed_slot:
+            for slot in sorted(slot for slot in self.slots if slot <= last_elapsed_slot):
                 due += self.slots.pop(slot)
-            self.next_slot = min(self.slots, default=last + 1)
+            self.next_slot = min(self.slots, default=last_elapsed_slot + 1)
         return due
--- a/burlloom/server/request_handler.py
+++ b/burlloom/server/request_handler.py
@@ -118,7 +118,7 @@
         if (
             request.is_retry
             and self.record.is_shared
-            and (key_digest := dispatcher.unknown_key(attempt))
+            and (key_digest := dispatcher.unknown_key_digest(attempt))
         ):
             self.open_requests[request.id] = request
             self.tasks.start(self._look_up(dispatcher, request, attempt, key_digest), "look_up")
@@ -160,7 +160,11 @@
     def _dispatch(
         self, dispatcher: Dispatcher, request: IncomingRequest, attempt: RequestAttempt
     ) -> None:
-        if request.is_retry and self.recovery.is_fenced() and dispatcher.unknown_key(attempt):
+        if (
+            request.is_retry
+            and self.recovery.is_fenced()
+            and dispatcher.unknown_key_digest(attempt)
+        ):
             # It may have run in an incarnation whose digests are lost: neither run again nor
             # rejected.
             request.fail()
