--- a/burlloom/admission/idempotency.py
+++ b/burlloom/admission/idempotency.py
@@ -119,7 +119,7 @@
     def forget_key(self, tracked: TrackedRequest, now: int) -> None:
         """Forgets the key of a request that did not run: a repeat of it may run."""
         if tracked.key_expires_at_ns:
-            self._effects.forget(tracked.request.ref)
+            self._effects.forget_key(tracked.request.ref)
             self._memory.recorded_keys -= 1
             tracked.key_expires_at_ns = 0
 
@@ -141,7 +141,7 @@
     def _keep_key(self, tracked: TrackedRequest, expires_at_ns: int, now: int) -> None:
         self._memory.recorded_keys += not tracked.key_expires_at_ns
         tracked.key_expires_at_ns = expires_at_ns
-        self._effects.remember(tracked.request.ref, expires_at_ns - now)
+        self._effects.keep_key(tracked.request.ref, expires_at_ns - now)
 
 
 def is_idempotent(tracked: TrackedRequest) -> bool:
--- a/burlloom/admission/model.py
+++ b/burlloom/admission/model.py
@@ -287,10 +287,10 @@
     def skip_call(self, ref: int) -> None:
         """Lets the run continue without its call."""
 
-    def remember(self, ref: int, lifetime_ns: int) -> None:
+    def keep_key(self, ref: int, lifetime_ns: int) -> None:
         """Keeps the request's key, and its result, for `lifetime_ns` from now on."""
 
-    def forget(self, ref: int) -> None:
+    def forget_key(self, ref: int) -> None:
         """Forgets the key of a request that did not run."""
 
     def reuse_result(self, ref: int) -> None:
--- a/burlloom/bench_adapter/host.py
+++ b/burlloom/bench_adapter/host.py
@@ -159,11 +159,11 @@
         """Lets the run go on without its call."""
         self._act(Action.SKIP_CALL, self._request_names[ref])
 
-    def remember(self, ref: int, lifetime_ns: int) -> None:
+    def keep_key(self, ref: int, lifetime_ns: int) -> None:
         """Stores the request's key."""
         self._act(Action.REMEMBER, self._request_names[ref], lifetime_ns // NS_PER_US)
 
-    def forget(self, ref: int) -> None:
+    def forget_key(self, ref: int) -> None:
         """Forgets the request's key."""
         self._act(Action.FORGET, self._request_names[ref])
 
--- a/burlloom/dispatcher/effects.py
+++ b/burlloom/dispatcher/effects.py
@@ -159,7 +159,7 @@
         """
         raise NotImplementedError("the executor protocol has no command to skip a call")
 
-    def remember(self, ref: int, lifetime_ns: int) -> None:
+    def keep_key(self, ref: int, lifetime_ns: int) -> None:
         """Claims the request's key; duplicates of the attempt that held it before fail."""
         key_digest = self.slots[ref].key_digest
         if key_digest:
@@ -168,7 +168,7 @@
             )
             self.fail_duplicates(orphaned_refs)
 
-    def forget(self, ref: int) -> None:
+    def forget_key(self, ref: int) -> None:
         """Releases the request's key, if the request still holds it."""
         if self.idempotency_table.find_by_ref(ref) is not None:
             self.fail_duplicates(self.idempotency_table.remove(self.slots[ref].key_digest))
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -48,8 +48,8 @@
     "fail",
     "start_call",
     "skip_call",
-    "remember",
-    "forget",
+    "keep_key",
+    "forget_key",
     "reuse_result",
 }
 REQUEST_CLASS = RequestClass(
