--- a/tests/test_admission_package.py
+++ b/tests/test_admission_package.py
@@ -1,4 +1,4 @@
-"""What holds for the package of decisions as a whole."""
+"""Checks on the admission package as a whole: its imports, and its list in the deploy file."""
 
 import ast
 import tomllib
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
-def test_a_module_imports_nothing_of_burlloom_but_the_package_and_the_errors(path: Path) -> None:
+def test_modules_import_only_the_package_and_the_errors_and_do_no_io(path: Path) -> None:
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom):
             module = node.module or ""
@@ -23,6 +23,6 @@
                 assert alias.name.split(".")[0] not in {"burlloom", *MODULES_WITH_IO}
 
 
-def test_the_deploy_file_names_all_modules_as_the_policy() -> None:
+def test_deploy_file_lists_every_module_as_policy() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert deploy["policy"] == [str(path.relative_to(ROOT)) for path in MODULES]
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher without sockets."""
+"""Tests of the dispatcher without sockets."""
 
 import asyncio
 
@@ -17,11 +17,12 @@
 from burlloom.sockets import NS_PER_SECOND
 
 
-def test_a_request_released_before_its_coroutine_starts_keeps_its_answer() -> None:
-    """Hundreds are read in one turn of the event loop.
+def test_request_released_before_its_coroutine_starts_still_gets_its_answer() -> None:
+    """A rejected request must not fail because it was released early.
 
-    Timers fired and released the request before its coroutine asked for a directive, which failed:
-    the request failed where it had been rejected.
+    When hundreds of requests are read in one turn of the event loop, timers can fire and release
+    a request before its coroutine asks for a directive. That lookup used to fail, so the caller
+    got an error in place of the rejection.
     """
     now = [1000 * NS_PER_SECOND]
     settings, _ = parse_server_settings(GIVEN["settings"])
@@ -33,9 +34,9 @@
         dispatcher = Dispatcher(
             settings, ("look", "pay"), 1, lambda: now[0], 100 * NS_PER_SECOND, 1 << 20
         )
-        # Some run, some are queued. The drain gives the queued up; their answers are not
-        # delivered yet.
-        taken = [dispatcher.submit(attempt(f"t{n}")) for n in range(30)]
+        # Some of the requests run, some are queued. The drain rejects the queued ones; their answers
+        # are not delivered yet.
+        earlier = [dispatcher.submit(attempt(f"t{n}")) for n in range(30)]
         dispatcher.handle_event(DrainStarted(now[0], now[0]))
         late = dispatcher.submit(attempt("late"))
         assert isinstance(late, RequestSlot)
@@ -46,6 +47,6 @@
         assert not dispatcher.has_request("late")
         directive = await asyncio.wait_for(dispatcher.next_directive(late), 5)
         assert directive.kind is DirectiveKind.REJECT
-        assert all(isinstance(one, RequestSlot | Directive) for one in taken)
+        assert all(isinstance(result, RequestSlot | Directive) for result in earlier)
 
     asyncio.run(scenario())
--- a/tests/test_key_digests.py
+++ b/tests/test_key_digests.py
@@ -1,4 +1,4 @@
-"""The packed set of key digests, against a dictionary."""
+"""Compares the packed set of key digests with a dictionary."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -6,7 +6,8 @@
 from burlloom.dispatcher.key_digests import PackedKeyDigests
 
 KEY_DIGESTS = st.binary(min_size=16, max_size=16)
-# Evenly spread and not at all: the guess may be wrong by any amount, and only costs steps.
+# Evenly distributed digests and clustered ones: the estimated position may be wrong by any amount,
+# which may only cost search steps.
 UNEVEN_KEY_DIGESTS = st.one_of(
     KEY_DIGESTS,
     st.integers(0, 40).map(lambda n: bytes(15) + bytes([n])),
@@ -18,11 +19,11 @@
     st.dictionaries(UNEVEN_KEY_DIGESTS, st.integers(1, 1 << 62), max_size=200),
     st.lists(UNEVEN_KEY_DIGESTS, max_size=40),
 )
-def test_packed_key_digests_are_found_as_in_a_dictionary(
-    window_ends: dict[bytes, int], others: list[bytes]
+def test_packed_set_returns_the_same_window_ends_as_a_dictionary(
+    window_ends: dict[bytes, int], other_digests: list[bytes]
 ) -> None:
     packed = PackedKeyDigests(window_ends.items())
     assert len(packed) == len(window_ends)
     assert packed.last_window_end_ns == max(window_ends.values(), default=0)
-    for key_digest in [*window_ends, *others]:
+    for key_digest in [*window_ends, *other_digests]:
         assert packed.window_end_ns(key_digest) == window_ends.get(key_digest, 0)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,8 +1,8 @@
-"""Plays each file of tests/scenarios/ against the decisions alone.
+"""Replays each file of tests/scenarios/ against the admission controller and checks its effects.
 
-A line is either `set NAME=VALUE ...` (settings of the server), `class NAME=VALUE ...` (one more
-request class; the first such line takes the place of the default), or a time in milliseconds, an
-event and what it must bring:
+A line is either `set NAME=VALUE ...` (server settings), `class NAME=VALUE ...` (one more request
+class; the first such line replaces the default class), or a time in milliseconds, an event and the
+expected effects:
 
     TIME request NAME [class=N] [cost_ms=MS] [unread_ms=MS] [deadline_ms=MS] [memory_kb=N]
         [priority=X] [caller=N] [repeat_of=NAME]
@@ -13,11 +13,12 @@
     TIME drain STOP
     TIME timer [cpu_utilization=X] [runnable=N] [connections=N]
 
-A NAME may be several, `a,b`. What follows `->` is what the requests meet, in order: `start_run a,
-reject b`; `-` is none; `start_call a by TIME` looks at the call's deadline too. A `timer` line
-repeated as `FROM..TO timer` plays a round each 100 ms and looks at all their effects. Effects not
-on a request (set_health, report_load, set_idle_timeout, schedule_timer, log, release) count only
-where the line names that effect. A setting whose field ends in `_ns` is given in ms as `_ms`.
+NAME may list several requests, `a,b`. The text after `->` lists the expected effects on requests,
+in order: `start_run a, reject b`; `-` stands for none; `start_call a by TIME` also checks when the
+call is abandoned. `FROM..TO timer` fires a timer round every 100 ms and checks all their effects.
+Effects that are not on a request (set_health, report_load, set_idle_timeout, schedule_timer, log,
+release) are checked only where the line names them. A setting whose field ends in `_ns` is given
+in ms as `_ms`. A `#` starts a comment.
 """
 
 from collections.abc import Sequence
@@ -85,29 +86,29 @@
     "idempotency": Idempotency,
     "load_report_kind": LoadReportKind,
 }
-NAME_OF_NO_REQUEST = "-"
+NO_NAME = "-"
 FORMER_INCARNATION_REF = -2
 UNKNOWN_REF_OFFSET = 7
 
 
 class RecordingEffects:
-    """Notes every effect in place of carrying it out."""
+    """Records every effect instead of carrying it out."""
 
     def __init__(self) -> None:
-        self.seen: list[tuple[str, tuple[Any, ...]]] = []
+        self.recorded: list[tuple[str, tuple[Any, ...]]] = []
 
     def __getattr__(self, effect: str) -> Any:
-        return lambda *values: self.seen.append((effect, values))
+        return lambda *values: self.recorded.append((effect, values))
 
 
 def with_values(settings: Any, assignments: Sequence[str]) -> Any:
-    """The settings or class with the values assigned; an unknown name fails."""
-    known = {field.name for field in fields(settings)}
+    """Returns a copy of settings or a request class with the values; an unknown name fails."""
+    field_names = {field.name for field in fields(settings)}
     values: dict[str, Any] = {}
     for assignment in assignments:
         name, text = assignment.split("=")
         field = name.removesuffix("_ms") + "_ns" if name.endswith("_ms") else name
-        assert field in known, name
+        assert field in field_names, name
         assert not name.endswith("_ns"), name
         if field in ENUM_FIELDS:
             values[field] = ENUM_FIELDS[field][text]
@@ -118,8 +119,8 @@
     return replace(settings, **values)
 
 
-class ScenarioPlayer:
-    """Plays the lines of one file."""
+class ScenarioRunner:
+    """Replays the lines of one file."""
 
     def __init__(self) -> None:
         self.settings = SETTINGS
@@ -128,27 +129,27 @@
         self.effects = RecordingEffects()
         self.names: list[str] = []
 
-    def play(self, line: str) -> None:
-        """Plays one line and compares its effects."""
-        first, *rest = line.split()
-        if first == "set":
-            self.settings = with_values(self.settings, rest)
-        elif first == "class":
-            self.request_classes.append(with_values(REQUEST_CLASS, rest))
+    def run_line(self, line: str) -> None:
+        """Runs one line and checks its effects."""
+        keyword, *assignments = line.split()
+        if keyword == "set":
+            self.settings = with_values(self.settings, assignments)
+        elif keyword == "class":
+            self.request_classes.append(with_values(REQUEST_CLASS, assignments))
         else:
-            self.play_event(line)
+            self.run_event(line)
 
-    def play_event(self, line: str) -> None:
+    def run_event(self, line: str) -> None:
         controller = self.controller or self.start()
-        event, _, wanted = line.partition("->")
+        event, _, expected_text = line.partition("->")
         times, *words = event.split()
-        first, _, last = times.partition("..")
-        self.effects.seen.clear()
-        for now_ms in range(int(first), int(last or first) + 1, TIMER_INTERVAL_MS):
+        first_ms, _, last_ms = times.partition("..")
+        self.effects.recorded.clear()
+        for now_ms in range(int(first_ms), int(last_ms or first_ms) + 1, TIMER_INTERVAL_MS):
             self.send(controller, now_ms * NS_PER_MS, words)
-        expected = [part.strip() for part in wanted.split(",")]
-        assert self.effects_named_in(wanted) == [
-            effect for effect in expected if effect not in ("", NAME_OF_NO_REQUEST)
+        expected = [effect.strip() for effect in expected_text.split(",")]
+        assert self.checked_effects(expected_text) == [
+            effect for effect in expected if effect not in ("", NO_NAME)
         ]
 
     def start(self) -> AdmissionController:
@@ -158,15 +159,15 @@
         self.controller.start(0)
         return self.controller
 
-    def effects_named_in(self, wanted: str) -> list[str]:
+    def checked_effects(self, expected_text: str) -> list[str]:
         return [
-            self.effect_text(effect, values, wanted)
-            for effect, values in self.effects.seen
-            if effect in EFFECTS_ON_REQUESTS or effect in wanted
+            self.effect_text(effect, values, expected_text)
+            for effect, values in self.effects.recorded
+            if effect in EFFECTS_ON_REQUESTS or effect in expected_text
         ]
 
-    def effect_text(self, effect: str, values: tuple[Any, ...], wanted: str) -> str:
-        if effect == "start_call" and " by " in wanted:
+    def effect_text(self, effect: str, values: tuple[Any, ...], expected_text: str) -> str:
+        if effect == "start_call" and " by " in expected_text:
             return f"start_call {self.names[values[0]]} by {values[1] // NS_PER_MS}"
         if effect in EFFECTS_ON_REQUESTS:
             return f"{effect} {self.names[values[0]]}"
@@ -198,7 +199,7 @@
             controller.caller_gone(now, self.ref(rest[0]))
 
     def ref(self, name: str) -> int:
-        """The number of a request; one that was never given for an unknown name."""
+        """Returns the reference of a request; one that was never assigned for an unknown name."""
         if name in self.names:
             return self.names.index(name)
         return len(self.names) + UNKNOWN_REF_OFFSET
@@ -215,11 +216,11 @@
             deadline_at_ns=int(values.get("deadline_ms", 0)) * NS_PER_MS,
             memory_kb=float(values.get("memory_kb", 10)),
             priority=float(values.get("priority", 0.9)),
-            original_ref=self.original_ref(values.get("repeat_of", NAME_OF_NO_REQUEST)),
+            original_ref=self.original_ref(values.get("repeat_of", NO_NAME)),
         )
 
     def original_ref(self, name: str) -> int:
-        if name == NAME_OF_NO_REQUEST:
+        if name == NO_NAME:
             return NO_ORIGINAL
         return self.names.index(name) if name in self.names else FORMER_INCARNATION_REF
 
@@ -234,11 +235,11 @@
 
 @pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
 def test_scenario(path: Path) -> None:
-    player = ScenarioPlayer()
+    runner = ScenarioRunner()
     for number, text in enumerate(path.read_text().splitlines(), 1):
         line = text.split("#")[0].strip()
         if line:
             try:
-                player.play(line)
+                runner.run_line(line)
             except AssertionError as error:
                 raise AssertionError(f"{path.name}:{number}: {line}\n{error}") from error
--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -1,4 +1,4 @@
-"""The timer wheel."""
+"""Tests of the timer wheel."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,13 +7,15 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 60), st.integers(0, 5))))
-def test_each_entry_is_taken_once_when_it_is_due(steps: list[tuple[int, int]]) -> None:
-    wheel, now, waiting = TimerWheel(), 0, {}
-    for number, (delay, passed) in enumerate(steps):
+def test_each_entry_is_removed_once_and_within_a_slot_of_its_time(
+    steps: list[tuple[int, int]],
+) -> None:
+    wheel, now, pending = TimerWheel(), 0, {}
+    for number, (delay_sevenths, elapsed_thirds) in enumerate(steps):
         key_digest = number.to_bytes(16, "big")
-        wheel.add(key_digest, now + delay * SLOT_NS // 7)
-        waiting[key_digest] = now + delay * SLOT_NS // 7
-        now += passed * SLOT_NS // 3
-        for due in wheel.take_due(now):
-            assert waiting.pop(due) <= now
-        assert all(due_ns > now - SLOT_NS for due_ns in waiting.values())
+        wheel.add(key_digest, now + delay_sevenths * SLOT_NS // 7)
+        pending[key_digest] = now + delay_sevenths * SLOT_NS // 7
+        now += elapsed_thirds * SLOT_NS // 3
+        for due_digest in wheel.take_due(now):
+            assert pending.pop(due_digest) <= now
+        assert all(due_ns > now - SLOT_NS for due_ns in pending.values())
