--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -19,7 +19,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
-from cold_fleet import budget_with_chance, largest_mean  # noqa: E402
+from cold_fleet import budget_with_tolerance, largest_mean  # noqa: E402
 from rig import Rig, within_timeout  # noqa: E402
 
 from burlloom.fakes.parts import Catalogue, Reply, fields  # noqa: E402
@@ -203,7 +203,7 @@
                 ]
                 worst, made = zip(*plays, strict=True)
                 print(
-                    f"| {story} | {processes} | {total} | 50 | {max(worst):.2f} | {budget_with_chance(total):.1f} | "
+                    f"| {story} | {processes} | {total} | 50 | {max(worst):.2f} | {budget_with_tolerance(total):.1f} | "
                     f"{min(made)} to {max(made)} |",
                     flush=True,
                 )
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -1,10 +1,10 @@
-"""Many servers' decisions beside one dependency that they share, in simulated time.
+"""Simulates many admission controllers that share one downstream dependency, in simulated time.
 
-There is nothing between the servers. What counts is how many calls they have open together, from
-their first moment on.
+The servers do not communicate with each other. The simulation measures how many calls all of them
+have open together, from their start on.
 
-As a program, `python tests/cold_fleet.py`, it runs the large form and prints the table of
-docs/results.md.
+Run as a program, `python tests/cold_fleet.py`, it simulates the large configurations and prints the
+table of docs/results.md.
 """
 
 import heapq
@@ -40,7 +40,7 @@
 SCENARIOS = ("together", "waves", "restarts", "pauses")
 
 OpenCallSteps = Sequence[tuple[float, float]]
-"""When (ns), and how many calls are open from then on."""
+"""Pairs of a time (ns) and the number of calls that are open from then on."""
 
 
 def server_settings(call_quota: float) -> ServerSettings:
@@ -76,7 +76,7 @@
 
 
 class Server:
-    """One incarnation after another; some requests always stand at their call or wait to run."""
+    """Successive incarnations of one server; some requests always wait to run or to call."""
 
     def __init__(self, simulation: "FleetSimulation", seed: int) -> None:
         self.simulation = simulation
@@ -98,7 +98,7 @@
             self.read_request()
 
     def kill(self) -> None:
-        """Its calls are abandoned; they linger below for as long as the settings say."""
+        """Abandons the open calls, which the dependency still processes for the linger time."""
         assert self.controller is not None
         for ref in self.controller.live_requests:
             if (self, self.incarnation, ref) in self.simulation.open_calls:
@@ -123,7 +123,7 @@
         self.controller.request_arrived(self.simulation.now, request)
 
     def request_calls(self) -> None:
-        """All that run want to call."""
+        """Requests a call for each running request."""
         assert self.controller is not None
         running = [
             ref
@@ -133,7 +133,7 @@
         for ref in running:
             self.controller.call_requested(self.simulation.now, ref)
 
-    # Effects, called by the decisions; all others do nothing.
+    # The methods of `admission.Effects`; those not defined here do nothing.
 
     def __getattr__(self, effect: str) -> Any:
         return lambda *values: None
@@ -148,11 +148,11 @@
 
 @dataclass
 class FleetSimulation:
-    """Servers, and the dependency that they share."""
+    """The servers and the dependency that they share."""
 
     processes: int
-    budget: float  # calls that the dependency survives, as a mean of open calls over WINDOW_NS
-    call_ns: int  # how long a call takes
+    budget: float  # calls that the dependency survives, as a mean number open over WINDOW_NS
+    call_ns: int  # duration of a call
     seed: int = 1
     now: int = 1_000_000 * NS_PER_S
     events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = field(
@@ -166,7 +166,7 @@
     def __post_init__(self) -> None:
         self.call_quota = self.budget / self.processes
         self.random = Random(self.seed)
-        self.servers = [Server(self, self.seed * 1000 + at) for at in range(self.processes)]
+        self.servers = [Server(self, self.seed * 1000 + index) for index in range(self.processes)]
         self.started_at = self.now
         self.open_call_steps: list[tuple[int, int]] = [(self.now, 0)]
 
@@ -180,8 +180,6 @@
             self.now, _, action, arguments = heapq.heappop(self.events)
             action(*arguments)
 
-    # Calls.
-
     def start_call(self, server: Server, ref: int, stop_at_ns: int) -> None:
         self.calls_made += 1
         self.open_calls.add((server, server.incarnation, ref))
@@ -194,8 +192,8 @@
         incarnation = server.incarnation
         self.after(duration_ns, self.on_call_ended, server, incarnation, ref, outcome, duration_ns)
 
-    def change_open_calls(self, by: int) -> None:
-        self.open_call_count += by
+    def change_open_calls(self, change: int) -> None:
+        self.open_call_count += change
         self.open_call_steps.append((self.now, self.open_call_count))
 
     def abandon_call(self, server: Server, incarnation: int, ref: int) -> None:
@@ -230,8 +228,6 @@
             server.read_request()
             server.request_calls()
 
-    # Servers.
-
     def on_timer(self, server: Server, incarnation: int) -> None:
         if server.controller is None or server.incarnation != incarnation:
             return
@@ -254,33 +250,31 @@
     def resume(self, server: Server) -> None:
         server.is_paused = False
 
-    # Figures.
-
     def largest_mean(self) -> float:
-        """The largest mean of open calls over any window."""
+        """Returns the largest mean number of open calls over any window."""
         return largest_mean([*self.open_call_steps, (self.now, self.open_call_count)], WINDOW_NS)
 
-    def most_open_calls(self) -> int:
-        """The most open calls at any moment."""
+    def max_open_calls(self) -> int:
+        """Returns the largest number of calls open at once."""
         return max(count for _, count in self.open_call_steps)
 
 
 def largest_mean(steps: OpenCallSteps, window: float) -> float:
-    """The largest mean over any window of the steps, up to the last of them."""
+    """Returns the largest mean over any window of the steps, up to the last step."""
     sums, largest, first = [0.0], 0.0, 0
-    for (began, count), (ended, _) in zip(steps, steps[1:], strict=False):
-        sums.append(sums[-1] + (ended - began) * count)
-    for last, (ended, _) in enumerate(steps):
-        while steps[first + 1][0] <= ended - window:
+    for (started_at, count), (ended_at, _) in zip(steps, steps[1:], strict=False):
+        sums.append(sums[-1] + (ended_at - started_at) * count)
+    for last, (ended_at, _) in enumerate(steps):
+        while steps[first + 1][0] <= ended_at - window:
             first += 1
-        began, count = steps[first]
-        before_window = max(0.0, ended - window - began) * count
+        started_at, count = steps[first]
+        before_window = max(0.0, ended_at - window - started_at) * count
         largest = max(largest, (sums[last] - sums[first] - before_window) / window)
     return largest
 
 
-def budget_with_chance(budget: float) -> float:
-    """Beyond the budget only so much is chance."""
+def budget_with_tolerance(budget: float) -> float:
+    """Returns the budget plus what chance explains: twice its square root, and two calls."""
     return budget + 2 * budget**0.5 + 2
 
 
@@ -293,8 +287,8 @@
     length_ns: int = 40 * NS_PER_S,
 ) -> FleetSimulation:
     simulation = FleetSimulation(processes, budget, call_ns, seed)
-    for at, server in enumerate(simulation.servers):
-        simulation.after(at % 3 * 4 * NS_PER_S if name == "waves" else 0, server.start)
+    for index, server in enumerate(simulation.servers):
+        simulation.after(index % 3 * 4 * NS_PER_S if name == "waves" else 0, server.start)
         if name == "restarts":
             plan_restarts(simulation, server)
         elif name == "pauses":
@@ -306,7 +300,7 @@
 
 
 def plan_restarts(simulation: FleetSimulation, server: Server) -> None:
-    """In the middle of their way up, most of them together, and once more."""
+    """Schedules three restarts during the warm-up, each for most servers at about the same time."""
     random = simulation.random
     for restart_at_s in (6, 14, 25):
         if random.random() < 0.8:
@@ -320,11 +314,11 @@
         run_scenario(name, processes, budget, call_ms * NS_PER_MS, seed) for seed in range(1, 6)
     ]
     mean = max(run.largest_mean() for run in runs)
-    most = max(run.most_open_calls() for run in runs)
+    max_open = max(run.max_open_calls() for run in runs)
     calls = [run.calls_made for run in runs]
     print(
-        f"| {name} | {processes} | {budget} | {call_ms} | {mean:.2f} | {most} "
-        f"| {budget_with_chance(budget):.1f} | {min(calls)} to {max(calls)} |",
+        f"| {name} | {processes} | {budget} | {call_ms} | {mean:.2f} | {max_open} "
+        f"| {budget_with_tolerance(budget):.1f} | {min(calls)} to {max(calls)} |",
         flush=True,
     )
 
--- a/tests/test_cold_processes.py
+++ b/tests/test_cold_processes.py
@@ -1,25 +1,33 @@
-"""Processes of the program that start together: the small form of benchmarks/cold_start.py."""
+"""Starts several server processes together: the small form of benchmarks/cold_start.py."""
 
 import asyncio
 
 import pytest
 import rig  # noqa: F401  (finds benchmarks/)
-from cold_fleet import budget_with_chance
+from cold_fleet import budget_with_tolerance
 from cold_start import play, ready
 
 
 @pytest.mark.parametrize(("story", "total"), [("together", 1), ("restarts", 2)])
-def test_what_processes_have_in_hand_together_from_their_start(story: str, total: int) -> None:
-    """Six share a budget of one or two calls: none is too small for it, and together they stay
-    within it and chance.
+def test_open_calls_of_processes_that_start_together_stay_within_budget(
+    story: str, total: int
+) -> None:
+    """Six processes share a budget of one or two calls.
+
+    Together they use it, and stay within the budget and what chance explains.
     """
-    worst, made = asyncio.run(play(6, total, 0.05, story, 6.0))
-    assert made > 0 and worst <= budget_with_chance(total), (worst, made)
+    largest_mean, calls_made = asyncio.run(play(6, total, 0.05, story, 6.0))
+    assert calls_made > 0 and largest_mean <= budget_with_tolerance(total), (
+        largest_mean,
+        calls_made,
+    )
+
 
+def test_restarted_processes_are_ready_within_the_time_limits() -> None:
+    """Restarted processes are ready soon although their executors connect a second late.
 
-def test_restarted_processes_are_ready_within_the_terms() -> None:
-    """All of six together, while their executors are a second late: nine in ten within 10 s, none
-    over 30.
+    Six processes start together, and most of them restart together twice. Nine in ten must be ready
+    within 10 s, and all within 30 s.
     """
-    spans = sorted(asyncio.run(ready(6, 0, 1.0, 2)))
-    assert spans[int(0.9 * (len(spans) - 1))] < 10 and spans[-1] < 30, spans
+    ready_s = sorted(asyncio.run(ready(6, 0, 1.0, 2)))
+    assert ready_s[int(0.9 * (len(ready_s) - 1))] < 10 and ready_s[-1] < 30, ready_s
