--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,5 +1,7 @@
-"""The real server on sockets, in this process: whatever it keeps returns once ten times as many as
-ever at once have gone.
+"""Checks that the server's memory does not grow with the number of requests served.
+
+The real server runs in this process, on sockets. After ten rounds of clients every collection must
+be as small as after the first round.
 """
 
 import asyncio
@@ -19,74 +21,73 @@
 from burlloom.settings import parse_server_settings
 from burlloom.sockets import NS_PER_MS, NS_PER_SECOND
 
-AT_ONCE, ROUNDS = 20, 10
-# 25 times the usual are waited for: a late reply, on a machine that is late itself, is none that
-# failed
-CALL_S = 0.2
-LIFE, WINDOW = (
+CLIENTS_PER_ROUND, ROUNDS = 20, 10
+# A call is awaited for 25 times its expected duration, so that a reply that is late on a busy machine
+# does not count as a failed call.
+CALL_DURATION_S = 0.2
+# Longer than any answer takes, even on a busy machine.
+DEADLINE_NS, WINDOW_NS = (
     60 * NS_PER_SECOND,
     30 * NS_PER_SECOND,
-)  # no answer comes as late, on however busy a machine
+)
 
 
-class Ahead(Clock):
-    """Goes as any other, and on order ahead at once: what lives for a time is over, without waiting
-    for that.
-    """
+class AdjustableClock(Clock):
+    """A clock that the test can set ahead, so that entries expire without waiting."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.by = 0
+        self.offset_ns = 0
 
     def __call__(self) -> int:
-        self.last_ns = max(self.last_ns, time.time_ns() + self.by)
+        self.last_ns = max(self.last_ns, time.time_ns() + self.offset_ns)
         return self.last_ns
 
 
 def sizes(server: Server) -> dict[str, int]:
-    desk = server.requests.dispatcher
-    assert desk is not None
+    dispatcher = server.requests.dispatcher
+    assert dispatcher is not None
     return {
-        "seats": len(desk.slots),
-        "refs": len(desk.refs_by_id),
-        "callers": len(desk.callers),
-        "wakes": len(desk.timers),
-        "outbox": len(desk.outbox),
-        "copies": len(desk.duplicate_answers),
-        "marks": len(desk.idempotency_table.records),
-        "wheel": sum(map(len, desk.idempotency_table.timer_wheel.slots.values())),
-        "bytes": desk.idempotency_table.result_bytes,
-        "cases": desk.controller.sizes().requests,
-        "lingering": desk.controller.sizes().lingering_calls,
-        "serving": len(server.requests.open_requests),
-        "tasks": len(server.tasks.running),
+        "slots": len(dispatcher.slots),
+        "refs": len(dispatcher.refs_by_id),
+        "callers": len(dispatcher.callers),
+        "timers": len(dispatcher.timers),
+        "outbox": len(dispatcher.outbox),
+        "duplicate_answers": len(dispatcher.duplicate_answers),
+        "key_records": len(dispatcher.idempotency_table.records),
+        "timer_wheel": sum(map(len, dispatcher.idempotency_table.timer_wheel.slots.values())),
+        "result_bytes": dispatcher.idempotency_table.result_bytes,
+        "tracked_requests": dispatcher.controller.sizes().requests,
+        "lingering_calls": dispatcher.controller.sizes().lingering_calls,
+        "open_requests": len(server.requests.open_requests),
+        "running_tasks": len(server.tasks.running),
         "connections": len(server.listener.connections),
-        "spare": len(server.listener.evictable_connections),
-        "doubtful": len(server.executor.unconfirmed_commands),
-        "metered": len(server.executor.pending_polls),
-        "kept": len(server.downstream.idle_connections)
+        "evictable_connections": len(server.listener.evictable_connections),
+        "unconfirmed_commands": len(server.executor.unconfirmed_commands),
+        "pending_polls": len(server.executor.pending_polls),
+        "idle_connections": len(server.downstream.idle_connections)
         if isinstance(server.downstream, ConnectionPool)
         else 0,
     }
 
 
-def test_what_the_server_keeps_returns(tmp_path: Path) -> None:
+def test_collections_shrink_back_after_many_clients(tmp_path: Path) -> None:
     async def reply(id: str) -> Reply:
-        await asyncio.sleep(CALL_S)
+        await asyncio.sleep(CALL_DURATION_S)
         return 200, False, b"fetched"
 
-    async def play() -> None:
+    async def scenario() -> None:
         executor, naming, catalogue = Executor(), NameService(), Catalogue(reply)
         for part in (executor, naming, catalogue):
             await part.start()
-        told = copy.deepcopy(GIVEN)
-        settings = told["settings"]
+        given = copy.deepcopy(GIVEN)
+        settings = given["settings"]
         settings["extra"].update(n_cores=64, memory_kb=200000, idle=100000, calls_out=128)
         for product in settings["categories"]:
-            product.update(deadline=LIFE // 1000, aim=LIFE // 2000)
+            product.update(deadline=DEADLINE_NS // 1000, aim=DEADLINE_NS // 2000)
             if "window" in product:
-                product["window"] = WINDOW // 1000
-        known, meters = parse_server_settings(settings)
+                product["window"] = WINDOW_NS // 1000
+        server_settings, gauge_names = parse_server_settings(settings)
         config = ServerConfig(
             name="n1",
             listen_address=("127.0.0.1", 0),
@@ -95,103 +96,104 @@
             downstream_address=parse_address(catalogue.address),
             seed=7,
             stop_ns=3_000_000_000,
-            settings=known,
+            settings=server_settings,
             max_sockets=512,
             memory_bytes=64 << 20,
-            class_names=tuple(one["name"] for one in settings["categories"]),
-            tenant_portions={one["name"]: 1.0 for one in settings["tenants"]},
-            gauge_names=meters,
+            class_names=tuple(category["name"] for category in settings["categories"]),
+            tenant_portions={tenant["name"]: 1.0 for tenant in settings["tenants"]},
+            gauge_names=gauge_names,
         )
         listener = bind_listener(config)
-        server, clock = Server(config, listener), Ahead()
+        server, clock = Server(config, listener), AdjustableClock()
         server.clock = server.listener.clock = server.requests.clock = clock
         running = asyncio.create_task(server.run())
 
-        async def work() -> None:
+        async def execute_commands() -> None:
             while True:
                 name, id, *_ = await executor.commands.get()
                 executor.callout(id) if name == "EXEC" else executor.exit(
                     id, result=b"made " + id.encode()
                 )
 
-        working = asyncio.create_task(work())
+        executing = asyncio.create_task(execute_commands())
         await wait_until(
             lambda: server.requests.dispatcher is not None and server.executor.is_joined
         )
 
-        async def a_round(first: int) -> dict[str, int]:
-            """So many callers at once, each on a connection of its own, each with a name never
-            heard before.
-            """
+        async def run_round(first_caller: int) -> dict[str, int]:
+            """Sends requests of new callers, each on its own connection; returns the sizes then."""
             balancers, answers = [], []
-            for at in range(AT_ONCE):
-                # Each asks as soon as it is there: one that says nothing for long is closed.
+            for index in range(CLIENTS_PER_ROUND):
+                # Each sends as soon as it is connected: a silent connection is closed.
                 balancers.append(balancer := await Balancer("%s:%d" % server.address).open())
-                told = {"from": str(first + at), "at": str(clock() // NS_PER_MS)}
+                params = {"from": str(first_caller + index), "at": str(clock() // NS_PER_MS)}
                 answers += [
-                    balancer.ask("look", fields(**told)),
-                    balancer.ask("pay", fields(**told, once=secrets.token_hex(16)), b"b"),
+                    balancer.ask("look", fields(**params)),
+                    balancer.ask("pay", fields(**params, once=secrets.token_hex(16)), b"b"),
                 ]
             for answer in answers:
                 error, _ = await within_timeout(answer)
                 assert error is None, error
-            most = sizes(server)
+            round_sizes = sizes(server)
             for balancer in balancers:
                 balancer.close()
-            return most
+            return round_sizes
 
-        async def over() -> None:
-            """A mark lives through its window and the longest life of a txn after it; a caller, ten
-            seconds.
-            """
-            clock.by += WINDOW + 2 * LIFE
-            await wait_until(rested)
+        async def wait_until_expired() -> None:
+            """Sets the clock past the expiry of all keys: their window and the longest deadline."""
+            clock.offset_ns += WINDOW_NS + 2 * DEADLINE_NS
+            await wait_until(is_empty)
 
-        def rested() -> bool:
+        def is_empty() -> bool:
             now = sizes(server)
             return all(
                 now[name] == 0
                 for name in (
-                    "seats",
+                    "slots",
                     "refs",
                     "callers",
                     "outbox",
-                    "copies",
-                    "marks",
-                    "wheel",
-                    "bytes",
-                    "cases",
-                    "lingering",
-                    "serving",
+                    "duplicate_answers",
+                    "key_records",
+                    "timer_wheel",
+                    "result_bytes",
+                    "tracked_requests",
+                    "lingering_calls",
+                    "open_requests",
                     "connections",
-                    "doubtful",
-                    "metered",
+                    "unconfirmed_commands",
+                    "pending_polls",
                 )
             )
 
-        first = await a_round(1)
-        await over()
+        first = await run_round(1)
+        await wait_until_expired()
         at_rest = sizes(server)
         later = first
         for turn in range(1, ROUNDS):
             later = {
                 name: max(size, later[name])
-                for name, size in (await a_round(1 + turn * AT_ONCE)).items()
+                for name, size in (await run_round(1 + turn * CLIENTS_PER_ROUND)).items()
             }
-        # A mark lives through its window and the longest life of a txn after it: all of this play's
-        # may stand at once.
-        assert later["callers"] <= ROUNDS * AT_ONCE and later["connections"] <= 2 * AT_ONCE, (
+        # A key is kept for its window and the longest deadline after it, so the keys of all rounds may
+        # be held at once.
+        assert (
+            later["callers"] <= ROUNDS * CLIENTS_PER_ROUND
+            and later["connections"] <= 2 * CLIENTS_PER_ROUND
+        ), (
             first,
             later,
         )
-        await over()
+        await wait_until_expired()
         again = sizes(server)
         assert {
-            name: size for name, size in again.items() if size > at_rest[name] and name != "kept"
+            name: size
+            for name, size in again.items()
+            if size > at_rest[name] and name != "idle_connections"
         } == {}, (at_rest, again)
         server.begin_shutdown()
         await within_timeout(running)
-        working.cancel()
+        executing.cancel()
         await catalogue.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -1,5 +1,6 @@
-"""Rare moments: what comes in the very turn in which something else ends. Each test forces the bad
-order on real connections; docs/races.md lists the places and the findings.
+"""Tests of races: an event that arrives in the same event loop turn in which something else ends.
+
+Each test forces the harmful order on real connections; docs/races.md lists the places and findings.
 """
 
 import asyncio
@@ -29,11 +30,9 @@
 
 
 class ListenerHarness:
-    """A listener on the loopback whose clock the test moves; requests are collected,
-    unanswered.
-    """
+    """A listener on the loopback with a clock that the test sets; collects requests unanswered."""
 
-    def __init__(self, most: int = 8) -> None:
+    def __init__(self, max_connections: int = 8) -> None:
         self.now, self.requests, self.lost = (
             time.time_ns(),
             list[IncomingRequest](),
@@ -44,7 +43,7 @@
         self.rpc_listener = RpcListener(
             self.listener,
             RULES,
-            most,
+            max_connections,
             TaskSupervisor(),
             lambda: self.now,
             self.requests.append,
@@ -62,13 +61,13 @@
         return Client(sock, (self.rpc_listener.connections - known).pop())
 
     async def client_asked_to_close(self) -> "Client":
-        """A client whose connection was used, and that ignores that it was asked to close."""
+        """Returns a client that ignores the request to close its idle connection."""
         client = await self.client()
         client.sock.sendall(request(1, "health", {}))
         await wait_until(lambda: client.connection.has_received)
         self.now += 60 * NS_PER_SECOND
         self.rpc_listener.sweep()
-        self.rpc_listener.sweep()  # the first may take the leap of the clock for a pause
+        self.rpc_listener.sweep()  # the first sweep may take the clock step for a pause
         assert client.connection.is_shutdown_sent
         self.now += 2 * NS_PER_SECOND
         return client
@@ -79,7 +78,7 @@
         self.sock, self.connection = sock, connection
 
     async def read_to_end(self) -> list[Any]:
-        """All that comes to the end; raises if the connection is reset instead of closed."""
+        """Returns all messages up to the end; raises if the connection is reset and not closed."""
         self.sock.setblocking(False)
         unpacker, loop = msgpack.Unpacker(), asyncio.get_running_loop()
         while data := await within_timeout(loop.sock_recv(self.sock, 1 << 16)):
@@ -95,29 +94,27 @@
     return request(number, "look", fields(at=str(now // NS_PER_MS)), b"body")
 
 
-def on_loop(story: Callable[[], Awaitable[None]]) -> Callable[[], None]:
+def on_loop(scenario: Callable[[], Awaitable[None]]) -> Callable[[], None]:
     def test() -> None:
-        uvloop.run(story())  # type: ignore[arg-type]
+        uvloop.run(scenario())  # type: ignore[arg-type]
 
-    test.__name__, test.__doc__ = story.__name__, story.__doc__
+    test.__name__, test.__doc__ = scenario.__name__, scenario.__doc__
     return test
 
 
-async def turns(count: int = 10) -> None:
+async def run_loop_turns(count: int = 10) -> None:
     for _ in range(count):
         await asyncio.sleep(0)
 
 
 def in_one_turn(first: Callable[[], Any], then: Callable[[], Any]) -> None:
-    """What `first` sends is seen by the loop before `then` runs, and by whoever waits for it only
-    after.
-    """
+    """Runs `then` after the loop has seen what `first` sends, before any waiting task resumes."""
     first()
     asyncio.get_running_loop().call_soon(then)
 
 
 async def assert_served(harness: ListenerHarness, client: Client) -> None:
-    """Its one request was taken, and its answer comes, with an end in good order."""
+    """Asserts that the only request was accepted and answered, and that the close was clean."""
     assert [attempt.message_id for attempt in harness.requests] == [1]
     assert not harness.lost
     harness.requests[0].complete(b"served")
@@ -126,33 +123,33 @@
 
 
 @on_loop
-async def test_a_request_comes_as_its_deaf_connection_is_closed() -> None:
+async def test_request_arrives_as_its_unresponsive_connection_is_closed() -> None:
     harness = ListenerHarness()
     client = await harness.client_asked_to_close()
     in_one_turn(lambda: client.sock.sendall(ask(2, harness.now)), harness.rpc_listener.sweep)
-    await turns()
+    await run_loop_turns()
     assert [attempt.message_id for attempt in harness.requests] == [2]
     harness.requests[0].complete(b"served")
-    await turns()
+    await run_loop_turns()
     harness.now += 2 * NS_PER_SECOND
     harness.rpc_listener.sweep()
     assert [1, 2, None, [b"served", {}]] in await client.read_to_end()
 
 
 @on_loop
-async def test_a_first_request_comes_as_its_silent_connection_is_closed() -> None:
+async def test_first_request_arrives_as_its_silent_connection_is_closed() -> None:
     harness = ListenerHarness()
     client = await harness.client()
     harness.now += 1600 * NS_PER_MS
     harness.rpc_listener.last_sweep_ns = harness.now - 250 * NS_PER_MS
     in_one_turn(lambda: client.sock.sendall(ask(1, harness.now)), harness.rpc_listener.sweep)
-    await turns()
+    await run_loop_turns()
     await assert_served(harness, client)
 
 
 @on_loop
-async def test_a_request_comes_as_its_connection_goes_for_a_newcomer() -> None:
-    harness = ListenerHarness(most=1)
+async def test_request_arrives_as_its_connection_is_evicted_for_a_new_one() -> None:
+    harness = ListenerHarness(max_connections=1)
     client = await harness.client()
     with socket.create_server(("127.0.0.1", 0)) as other:
         newcomer = socket.create_connection(other.getsockname())
@@ -161,15 +158,16 @@
             lambda: client.sock.sendall(ask(1, harness.now)),
             lambda: harness.rpc_listener.add_connection(*accepted),
         )
-        await turns()
+        await run_loop_turns()
     await assert_served(harness, client)
     newcomer.close()
 
 
 @on_loop
-async def test_an_answer_on_its_way_is_not_cut_by_the_close() -> None:
-    """The kernel takes a part of what a slow reader is owed; then bytes come that end the
-    connection.
+async def test_answer_being_written_is_not_cut_by_the_close() -> None:
+    """Answers to a slow reader must arrive in full although its connection is ended.
+
+    The kernel has accepted only a part of the answers when malformed bytes end the connection.
     """
     harness = ListenerHarness()
     client = await harness.client()
@@ -179,7 +177,7 @@
     await wait_until(lambda: len(harness.requests) == 4)
     for attempt in harness.requests:
         attempt.complete(b"x" * 100_000)
-    await turns()
+    await run_loop_turns()
     assert client.connection.writer.write_task is not None
     client.sock.sendall(b"\xc1")
     await wait_until(lambda: client.connection.is_ended)
@@ -187,10 +185,8 @@
 
 
 @on_loop
-async def test_a_close_over_unread_bytes_is_no_reset() -> None:
-    """Whoever goes on sending as we end the connection still gets its answers, and an end in good
-    order.
-    """
+async def test_close_with_unread_bytes_is_not_a_reset() -> None:
+    """A client that still sends as its connection is ended gets its answers and a clean close."""
     harness = ListenerHarness()
     client = await harness.client()
     client.sock.sendall(ask(1, harness.now))
@@ -203,8 +199,8 @@
 
 
 @on_loop
-async def test_half_a_line_as_its_connection_is_asked_to_go() -> None:
-    """The rest of it may still come within its time; then the request is answered there."""
+async def test_half_a_message_arrives_before_its_connection_is_asked_to_close() -> None:
+    """The rest of the message may still arrive within its time limit; then it is answered."""
     harness = ListenerHarness()
     client = await harness.client_asked_to_close()
     whole = ask(2, harness.now)
@@ -219,10 +215,8 @@
 
 
 @on_loop
-async def test_no_process_is_too_late_to_let_go_of_the_silent() -> None:
-    """Each look comes long after the one before, as where the cores are short; the silent go all
-    the same.
-    """
+async def test_silent_connections_are_closed_although_sweeps_come_late() -> None:
+    """Sweeps far apart, as on a busy machine, must still close silent connections."""
     harness = ListenerHarness()
     client = await harness.client()
     for _ in range(4):
@@ -233,9 +227,10 @@
 
 
 @on_loop
-async def test_bytes_that_lie_unread_prolong_no_unfinished_message() -> None:
-    """A message that never ends goes on at each look: its time is over all the same, and 1.5 s
-    after it connected.
+async def test_unread_bytes_do_not_extend_an_unfinished_message() -> None:
+    """An endless message must not keep its connection open by sending bytes before each sweep.
+
+    Its time limit of 1.5 s counts from the connect, whatever is unread at the sweep.
     """
     harness = ListenerHarness()
     client = await harness.client()
@@ -244,13 +239,13 @@
     harness.now += 1600 * NS_PER_MS
     harness.rpc_listener.last_sweep_ns = harness.now - 250 * NS_PER_MS
     in_one_turn(lambda: client.sock.sendall(ask(1, harness.now)[3:9]), harness.rpc_listener.sweep)
-    await turns()
+    await run_loop_turns()
     assert client.connection.is_ended
     assert await client.read_to_end() == []
 
 
 @on_loop
-async def test_the_rest_of_a_message_comes_as_its_time_is_over() -> None:
+async def test_rest_of_a_message_arrives_as_its_time_limit_ends() -> None:
     harness = ListenerHarness()
     client = await harness.client()
     whole = ask(1, harness.now)
@@ -259,16 +254,14 @@
     harness.now += 1600 * NS_PER_MS
     harness.rpc_listener.last_sweep_ns = harness.now - 250 * NS_PER_MS
     in_one_turn(lambda: client.sock.sendall(whole[9:]), harness.rpc_listener.sweep)
-    await turns()
+    await run_loop_turns()
     await assert_served(harness, client)
 
 
 @on_loop
-async def test_closes_under_way_count_as_connections() -> None:
-    """Those who never close their half hold a descriptor: a newcomer takes the harness of the oldest
-    of them.
-    """
-    harness = ListenerHarness(most=3)
+async def test_connections_being_closed_count_as_connections() -> None:
+    """A client that never closes its half keeps a descriptor: a new client takes the oldest one."""
+    harness = ListenerHarness(max_connections=3)
     clients = [await harness.client() for _ in range(3)]
     for client in clients:
         client.sock.sendall(request(1, "health", {}) + b"\xc1")
@@ -278,13 +271,13 @@
     assert len(harness.rpc_listener.connections) == 1
     await wait_until(
         lambda: not harness.rpc_listener.closing
-    )  # within their bound, though nobody closed
+    )  # each within its time limit, although no client closed
 
 
-def test_a_request_in_the_kernel_as_the_process_ends(tmp_path: Path) -> None:
-    """It comes after the last look at the connections, and before the end of the process."""
+def test_request_in_the_kernel_as_the_process_ends(tmp_path: Path) -> None:
+    """The request arrives after the last sweep of the connections and before the process ends."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with Rig(
             tmp_path, main=LATE.replace("FOLDER", str(tmp_path)), drain_grace=0, stop_ms=900
         ) as rig:
@@ -301,11 +294,12 @@
             await within_timeout(balancer.ended.wait())
             assert await within_timeout(rig.process.wait()) == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 LATE_MARK = "event=test-late"
-# The program, held between its last look at the connections and its end until the test says go on.
+# The server program, held between its last sweep of the connections and its end until the test
+# creates the file `go`.
 LATE = f'''-c "
 import sys, time, os
 from burlloom.server import __main__, server
@@ -329,22 +323,22 @@
 "'''
 
 
-def signalled(when: str) -> str:
-    return f'-c "import os, signal, sys, uvloop; import burlloom.server.__main__ as m; run = uvloop.run; {when}; sys.exit(m.main())"'
+def program_with(statement: str) -> str:
+    return f'-c "import os, signal, sys, uvloop; import burlloom.server.__main__ as m; run = uvloop.run; {statement}; sys.exit(m.main())"'
 
 
 @pytest.mark.parametrize("number", ["SIGTERM", "SIGINT"])
-def test_a_notice_to_leave_while_the_program_starts(number: str, tmp_path: Path) -> None:
-    """It waits for its handler: the program ends by itself, with status 0."""
+def test_signal_to_stop_while_the_program_starts(number: str, tmp_path: Path) -> None:
+    """The signal stays pending until its handler is installed: the program ends with status 0."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         env = {
             **os.environ,
             "EDGE_CONFIG": str(Path(__file__).parent.parent / "examples" / "configuration.json"),
             "EDGE_LISTEN": "127.0.0.1:0",
         }
         process = await asyncio.create_subprocess_shell(
-            f"exec {sys.executable} " + signalled(f"os.kill(os.getpid(), signal.{number})"),
+            f"exec {sys.executable} " + program_with(f"os.kill(os.getpid(), signal.{number})"),
             env=env,
             cwd=Path(__file__).parent.parent,
             stdout=asyncio.subprocess.PIPE,
@@ -357,13 +351,12 @@
             out,
         )
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-MOMENTS = {
+STATEMENTS_BY_MOMENT = {
     "the-loop-has-closed": "uvloop.run = lambda work: (run(work), os.kill(os.getpid(), signal.NUMBER))",
-    # Python looks for its last garbage after it has put back the defaults of all signals that it
-    # handled.
+    # Python collects its last garbage after it has restored the default handlers of all signals.
     "python-has-let-go-of-signals": "Last = type('Last', (), {'__del__': lambda self, kill=os.kill, pid=os.getpid(), "
     "number=signal.NUMBER: kill(pid, number)}); uvloop.run = lambda work: "
     "(run(work), (lambda last: setattr(last, 'itself', last))(Last()))",
@@ -371,23 +364,25 @@
 
 
 @pytest.mark.parametrize("number", ["SIGTERM", "SIGINT", "SIGHUP"])
-@pytest.mark.parametrize("moment", MOMENTS)
-def test_a_second_notice_as_the_program_ends(moment: str, number: str, tmp_path: Path) -> None:
-    """The process is over but for its end, and still ends with status 0."""
-
-    async def play() -> None:
-        main = signalled(MOMENTS[moment].replace("NUMBER", number))
+@pytest.mark.parametrize("moment", STATEMENTS_BY_MOMENT)
+def test_second_signal_to_stop_as_the_program_ends(
+    moment: str, number: str, tmp_path: Path
+) -> None:
+    """Only the end of the process is left; it must still end with status 0."""
+
+    async def scenario() -> None:
+        main = program_with(STATEMENTS_BY_MOMENT[moment].replace("NUMBER", number))
         async with Rig(tmp_path, main=main) as rig:
             rig.process.send_signal(signal.SIGTERM)
             assert await within_timeout(rig.process.wait()) == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @on_loop
-async def test_closes_under_way_hold_no_more_than_connections_may() -> None:
-    """Clients that never read, each owed 400 KB, send what ends them all in one moment."""
-    harness = ListenerHarness(most=64)
+async def test_connections_being_closed_hold_bounded_memory() -> None:
+    """40 clients that never read, each owed 400 KB, are all disconnected at once."""
+    harness = ListenerHarness(max_connections=64)
     clients = [await harness.client() for _ in range(40)]
     for client in clients:
         client.connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -396,22 +391,25 @@
     await wait_until(lambda: len(harness.requests) == 40)
     for attempt in harness.requests:
         attempt.complete(b"x" * 400_000)
-    await turns()
-    most = 0
+    await run_loop_turns()
+    max_unsent_bytes = 0
     for client in clients:
         client.connection.close_with_detail(CloseReason.MALFORMED)
-        most = max(
-            most, sum(parting.writer.unsent_bytes for parting in harness.rpc_listener.closing)
+        max_unsent_bytes = max(
+            max_unsent_bytes,
+            sum(parting.writer.unsent_bytes for parting in harness.rpc_listener.closing),
         )
-    assert 4 << 20 < most <= 8 << 20
+    assert 4 << 20 < max_unsent_bytes <= 8 << 20
     assert not harness.rpc_listener.connections
     await wait_until(lambda: not harness.rpc_listener.closing)
 
 
 @with_server(drain_grace=300000)
-async def test_the_grace_counts_from_the_notice_not_from_its_hearing(rig: Rig) -> None:
-    """The process stood still as the notice came: what arrives past the grace is not run, however
-    late it hears.
+async def test_grace_period_starts_at_the_signal_not_when_it_is_handled(rig: Rig) -> None:
+    """The process is stopped while the signal arrives.
+
+    A request that arrives past the grace period must not run, however late the process handles the
+    signal.
     """
     balancer = await rig.balancer()
     await within_timeout(balancer.health())
@@ -428,7 +426,7 @@
     balancer.close()
 
 
-def everything_on(folder: Path) -> dict[str, Any]:
+def all_subsystems(folder: Path) -> dict[str, Any]:
     (folder / "fleet-key").write_text("6b" * 32)
     return {
         "record": {"sqlite": {"path": str(folder / "record.db")}},
@@ -444,34 +442,37 @@
     }
 
 
-@pytest.mark.parametrize("operator", [None, everything_on])
-def test_signals_go_to_the_thread_that_acts_on_them(tmp_path: Path, operator: Any) -> None:
-    """Noted by another, a notice would be acted on after what the main thread takes in
-    meanwhile.
+@pytest.mark.parametrize("operator", [None, all_subsystems])
+def test_signals_are_delivered_to_the_main_thread_only(tmp_path: Path, operator: Any) -> None:
+    """A signal that another thread receives is handled late.
+
+    Until it handles the signal, the main thread still accepts requests.
     """
-    heard = sum(1 << number - 1 for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
+    handled_mask = sum(1 << number - 1 for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
 
     @with_server(operator=operator)
-    async def story(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         answer = (await rig.balancer()).ask("look", fields())
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"seen")
         await expect_result(answer, b"seen")
-        # A store's thread is started at its first use.
+        # The thread of a store is started at its first use.
         await wait_until(lambda: operator is None or "event=rollout_joined name=" in rig.log())
         blocked: dict[int, int] = {}
         for thread in Path(f"/proc/{rig.process.pid}/task").iterdir():
-            told = dict(line.split(":", 1) for line in (thread / "status").read_text().splitlines())
-            blocked[int(thread.name)] = int(told["SigBlk"], 16) & heard
+            status = dict(
+                line.split(":", 1) for line in (thread / "status").read_text().splitlines()
+            )
+            blocked[int(thread.name)] = int(status["SigBlk"], 16) & handled_mask
         assert blocked.pop(rig.process.pid) == 0
         assert len(blocked) >= (4 if operator is None else 8) and set(blocked.values()) == {
-            heard
+            handled_mask
         }, blocked
 
-    story(tmp_path)
+    scenario(tmp_path)
 
 
 @on_loop
-async def test_a_reply_comes_in_the_turn_in_which_the_call_runs_out_of_time() -> None:
+async def test_reply_arrives_in_the_turn_in_which_the_call_times_out() -> None:
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         call = loop.create_task(
@@ -482,14 +483,14 @@
         while b"which" not in await loop.sock_recv(sock, 4096):
             pass
         sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nthis")
-        time.sleep(0.25)  # the loop sees both at once: the reply, and that the time is up
+        time.sleep(0.25)  # the loop sees the reply and the timeout at once
         assert await within_timeout(call) == (CallStatus.OK, b"this")
         sock.close()
 
 
 @on_loop
-async def test_what_a_slow_dial_took_is_not_told_as_patience() -> None:
-    """The backlog is full, so that the kernel dials again after a second."""
+async def test_time_for_connecting_is_not_sent_as_patience() -> None:
+    """The backlog is full, so the kernel repeats its connection attempt after a second."""
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
         first = socket.create_connection(listener.getsockname())
@@ -501,22 +502,22 @@
                 "0" * 16, b"which", 5 * NS_PER_SECOND, False
             )
         )
-        await asyncio.sleep(0.3)  # the first dial is lost by now
+        await asyncio.sleep(0.3)  # the first connection attempt is lost by now
         first.close()
         second.close()
         listener.setblocking(False)
-        told = b""
-        while b"which" not in told:
+        received = b""
+        while b"which" not in received:
             sock, _ = await within_timeout(loop.sock_accept(listener))
-            told = await loop.sock_recv(sock, 4096)
-        patience = int(told.split(b"X-Patience: ")[1].split(b"\r\n")[0])
-        assert patience < 4300, told
+            received = await loop.sock_recv(sock, 4096)
+        patience = int(received.split(b"X-Patience: ")[1].split(b"\r\n")[0])
+        assert patience < 4300, received
         sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nthis")
         assert await within_timeout(call) == (CallStatus.OK, b"this")
 
 
 @on_loop
-async def test_a_silent_link_is_reset_in_the_turn_in_which_it_is_given_up() -> None:
+async def test_silent_link_is_reset_in_the_turn_in_which_it_is_closed() -> None:
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         link = ExecutorConnection(
@@ -534,43 +535,46 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         sock.close()
         assert await link.query_gauges(0) is None
-        sock, _ = await within_timeout(loop.sock_accept(listener))  # and a new link is made
+        sock, _ = await within_timeout(loop.sock_accept(listener))  # a new link is opened
         sock.close()
         keeping.cancel()
 
 
-def unanswered() -> tuple[socket.socket, list[socket.socket]]:
-    """A listener whose backlog is full: nobody answers a dial there."""
+def full_backlog_listener() -> tuple[socket.socket, list[socket.socket]]:
+    """Returns a listener whose backlog is full, so that connection attempts stay unanswered."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=0)
-    dials = [socket.socket() for _ in range(2)]
-    for dial in dials:
-        dial.setblocking(False)
-        dial.connect_ex(listener.getsockname())
-    return listener, dials
+    attempts = [socket.socket() for _ in range(2)]
+    for attempt in attempts:
+        attempt.setblocking(False)
+        attempt.connect_ex(listener.getsockname())
+    return listener, attempts
 
 
-def linked(address: tuple[str, int]) -> ExecutorConnection:
+def executor_connection(address: tuple[str, int]) -> ExecutorConnection:
     return ExecutorConnection(
         address, TaskSupervisor(), lambda empty, age: None, lambda *ended: None, lambda *at: None
     )
 
 
 @on_loop
-async def test_a_dial_that_nobody_answers_is_made_again() -> None:
-    """Older systems dial again only 1, 3, 7 and 15 s after the first (newer ones each second at
-    first, where this held before): the link is found within the next second or two on either.
+async def test_unanswered_connection_attempt_is_repeated() -> None:
+    """The link must be established within one or two seconds after the listener accepts again.
+
+    Older kernels repeat a connection attempt only 1, 3, 7 and 15 s after the first. Newer ones
+    repeat it each second at first, so there the test passed even before attempts were repeated by
+    the program.
     """
     loop = asyncio.get_running_loop()
-    listener, dials = unanswered()
-    link = linked(listener.getsockname())
+    listener, attempts = full_backlog_listener()
+    link = executor_connection(listener.getsockname())
     keeping = loop.create_task(link.maintain())
-    await asyncio.sleep(1.5)  # the first dial and the system's own second are lost
-    for dial in dials:
-        dial.close()
+    await asyncio.sleep(1.5)  # the first attempt and the kernel's repeat are lost
+    for attempt in attempts:
+        attempt.close()
     listener.setblocking(False)
-    until_, joined = time.monotonic() + 1.4, False
+    deadline_s, joined = time.monotonic() + 1.4, False
     while not joined:
-        async with asyncio.timeout(until_ - time.monotonic()):
+        async with asyncio.timeout(deadline_s - time.monotonic()):
             sock, _ = await loop.sock_accept(listener)
             joined = await loop.sock_recv(sock, 64) == b"JOIN 0\r\n"
     keeping.cancel()
@@ -578,13 +582,13 @@
 
 
 @on_loop
-async def test_a_move_in_the_middle_of_a_dial() -> None:
+async def test_address_changes_during_a_connection_attempt() -> None:
     loop = asyncio.get_running_loop()
-    listener, dials = unanswered()
-    link = linked(listener.getsockname())
+    listener, attempts = full_backlog_listener()
+    link = executor_connection(listener.getsockname())
     keeping = loop.create_task(link.maintain())
     await wait_until(lambda: link.connection_task is not None)
-    await turns()
+    await run_loop_turns()
     with socket.create_server(("127.0.0.1", 0)) as other:
         link.change_address(other.getsockname())
         other.setblocking(False)
@@ -592,14 +596,15 @@
         assert await within_timeout(loop.sock_recv(sock, 64)) == b"JOIN 0\r\n"
         keeping.cancel()
         sock.close()
-    for dial in (*dials, listener):
-        dial.close()
+    for attempt in (*attempts, listener):
+        attempt.close()
 
 
 @with_server(n_cores=4, window=60_000_000)
-async def test_a_repeat_comes_as_the_first_ends(rig: Rig) -> None:
-    """Both lie in the kernel as the process goes on, on two connections; whichever is taken first,
-    it runs once.
+async def test_repeat_arrives_as_the_original_ends(rig: Rig) -> None:
+    """Both are in the kernel, on two connections, when the process resumes.
+
+    Whichever is read first, the request must run only once.
     """
     first, second = await rig.balancer(), await rig.balancer()
     for count in range(10):
@@ -618,35 +623,34 @@
 
 
 @with_server(n_cores=4, window=300_000)
-async def test_a_window_that_is_over_before_the_run_is(rig: Rig) -> None:
-    """Short windows: what was written within one is never run again, however late it is read; what
-    came after may be.
+async def test_idempotency_window_ends_before_the_run(rig: Rig) -> None:
+    """A repeat sent within a short window must never run again, however late it is read.
+
+    An attempt that was sent after the window may run again.
     """
     balancer, other = await rig.balancer(), await rig.balancer()
     at = time.time_ns() // NS_PER_MS
     answer = balancer.ask("pay", fields(once="k", at=str(at)))
     id = await rig.command("EXEC", "pay")
-    await asyncio.sleep(0.5)  # the window is over, the run is not
-    inside = other.ask("pay", fields(once="k", at=str(at + 299), retry="1"))
+    await asyncio.sleep(0.5)  # the window has ended, the run has not
+    within_window = other.ask("pay", fields(once="k", at=str(at + 299), retry="1"))
     await within_timeout(other.health())
     assert rig.executor.commands.empty()
-    assert not inside.done()
+    assert not within_window.done()
     rig.executor.exit(id, result=b"paid")
     await expect_result(answer, b"paid")
-    await expect_result(inside, b"paid")
+    await expect_result(within_window, b"paid")
     await expect_result(
         other.ask("pay", fields(once="k", at=str(at + 300), retry="1")), b"paid"
-    )  # read late, once it had ended
-    after = other.ask("pay", fields(once="k"))
+    )  # read after the run had ended
+    after_window = other.ask("pay", fields(once="k"))
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid anew")
-    await expect_result(after, b"paid anew")
+    await expect_result(after_window, b"paid anew")
 
 
 @with_server(n_cores=4, fresh_for=400_000)
-async def test_a_read_shares_no_answer_that_is_too_old(rig: Rig) -> None:
-    """The last moments of the time in which answers may be shared: within it, and some milliseconds
-    past it.
-    """
+async def test_idempotent_request_gets_no_result_that_is_too_old(rig: Rig) -> None:
+    """Requests within the last moments of the time to share a result, and some ms after it."""
     balancer = await rig.balancer()
     for count in range(5):
         key = f"k{count}"
