--- a/burlloom/admission/call_limit.py
+++ b/burlloom/admission/call_limit.py
@@ -18,10 +18,13 @@
 __all__ = ["CallLimit"]
 
 WINDOW_NS = 1000 * NS_PER_MS
+# With fewer calls in the window, neither congestion nor the base latency is judged.
 MIN_CALLS_FOR_CONGESTION = 5
 CONGESTED_LATENCY_MULTIPLE = 3.0
 DECREASE_FACTOR = 0.7
+# The limit is not cut below the maximum divided by this.
 MIN_LIMIT_DIVISOR = 4
+# Growth of the base latency, as a factor per timer round.
 BASE_LATENCY_GROWTH = 1.005
 BASE_LATENCY_GROWTH_AT_MIN_LIMIT = 1.1
 
--- a/burlloom/admission/call_quota.py
+++ b/burlloom/admission/call_quota.py
@@ -21,6 +21,7 @@
 __all__ = ["CallQuota"]
 
 MIN_LINGERS_PER_QUOTA = 8
+# Makes every bucket at least 1 ns wide.
 MIN_WINDOW_NS = 10
 # Each bucket is a tenth of the window. One extra bucket makes the meter cover at least the whole
 # window, although the current bucket is only partly filled.
--- a/burlloom/admission/caller_feedback.py
+++ b/burlloom/admission/caller_feedback.py
@@ -28,9 +28,11 @@
 __all__ = ["CallerFeedback"]
 
 FINAL_REJECTION_PRESSURE = 0.2
+# A smaller change of the load is not reported.
 MIN_REPORTED_CHANGE = 0.01
 MAX_EXTRA_ALLOWANCE_MULTIPLE = 4.0
 """Extra concurrency allowance at no pressure, as a multiple of the run limit."""
+# The random part of the retry-after when the service level excludes a request.
 RETRY_AFTER_JITTER_SHARE = 0.5
 NOT_REPORTED = -1.0
 
--- a/burlloom/admission/concurrency_limit.py
+++ b/burlloom/admission/concurrency_limit.py
@@ -21,6 +21,7 @@
 
 __all__ = ["ConcurrencyLimit"]
 
+# Cores count as idle below this utilization.
 IDLE_CPU_UTILIZATION = 0.97
 OVERLOADED_RUNNABLE_PER_CORE = 1.5
 DECREASE_FACTOR = 0.7
--- a/burlloom/admission/connection_limits.py
+++ b/burlloom/admission/connection_limits.py
@@ -18,6 +18,7 @@
 MAX_CONNECTIONS_PER_CORE_OR_REQUEST = 4
 MIN_IDLE_TIMEOUT_NS = 1000 * NS_PER_MS
 IDLE_TIMEOUT_CUT_FACTOR = 0.7
+# The server counts as flooded from this utilization on, if more than this share is rejected.
 FLOOD_CPU_UTILIZATION = 0.9
 FLOOD_REJECTED_SHARE = 0.3
 
--- a/burlloom/admission/downstream_calls.py
+++ b/burlloom/admission/downstream_calls.py
@@ -36,6 +36,7 @@
 
 CALL_TIMEOUT_MULTIPLE = 25
 MIN_CALL_TIMEOUT_NS = 100 * NS_PER_MS
+# The longest pause between two calls when the quota is below one call.
 MAX_PAUSE_NS = 2 * TRIAL_INTERVAL_NS
 
 OUTCOMES_OF_UNEXECUTED_CALLS = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NO_LONGER_NEEDED)
--- a/burlloom/admission/health.py
+++ b/burlloom/admission/health.py
@@ -23,6 +23,7 @@
 
 HUNG_RUN_TIME_NS = 6000 * NS_PER_MS
 FAILURE_WINDOW_NS = 2000 * NS_PER_MS
+# With fewer runs in the window, or a smaller failed share, the failure rate counts as 0.
 MIN_RUNS_FOR_FAILURE_RATE = 6
 MIN_SHED_FAILURE_SHARE = 0.25
 UNHEALTHY_FAILURE_SHARE = 0.5
--- a/burlloom/admission/load_shedding.py
+++ b/burlloom/admission/load_shedding.py
@@ -23,6 +23,7 @@
 PRESSURE_GAIN = 0.07
 STRAIN_TARGET = 0.1
 CPU_UTILIZATION_EXPONENT = 3
+# Factor per timer round without queued calls.
 CALL_PRESSURE_DECAY = 0.7
 
 
--- a/burlloom/dispatcher/effects.py
+++ b/burlloom/dispatcher/effects.py
@@ -96,7 +96,7 @@
         """Schedules the delivery of what is queued on the event loop.
 
         Nothing is delivered at once: the coroutine of a request that was just read does not wait
-        yet, so later directives would overtake those for it.
+        yet, and its own directives would overtake it.
         """
         if not self.is_delivery_scheduled and (self.outbox or self.duplicate_answers):
             self.is_delivery_scheduled = True
