--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -44,6 +44,7 @@
 
 
 def server_settings(call_quota: float) -> ServerSettings:
+    """Returns the settings of one server with this quota of calls."""
     request_class = RequestClass(
         latency_objective_ns=60 * NS_PER_S,
         latency_objective_stretch=0.0,
@@ -87,6 +88,7 @@
         self.controller: AdmissionController | None = None
 
     def start(self) -> None:
+        """Starts a new incarnation, which reads its requests at once."""
         self.incarnation += 1
         self.next_ref = 0
         self.is_paused = False
@@ -107,6 +109,7 @@
         self.incarnation += 1
 
     def read_request(self) -> None:
+        """Reports a new request to the controller."""
         assert self.controller is not None
         request = Request(
             ref=self.next_ref,
@@ -139,9 +142,11 @@
         return lambda *values: None
 
     def start_call(self, ref: int, stop_at_ns: int) -> None:
+        """Makes the call of a request."""
         self.simulation.start_call(self, ref, stop_at_ns)
 
     def schedule_timer(self, delay_ns: int, handle: int) -> None:
+        """Schedules the next timer round of this incarnation."""
         simulation = self.simulation
         simulation.after(delay_ns, simulation.on_timer, self, self.incarnation)
 
@@ -171,16 +176,19 @@
         self.open_call_steps: list[tuple[int, int]] = [(self.now, 0)]
 
     def after(self, delay_ns: int, action: Callable[..., None], *arguments: Any) -> None:
+        """Schedules an action after a delay."""
         self.events_scheduled += 1
         event = (self.now + delay_ns, self.events_scheduled, action, arguments)
         heapq.heappush(self.events, event)
 
     def run(self, until_ns: int) -> None:
+        """Runs all events up to `until_ns` after the start of the simulation."""
         while self.events and self.events[0][0] <= self.started_at + until_ns:
             self.now, _, action, arguments = heapq.heappop(self.events)
             action(*arguments)
 
     def start_call(self, server: Server, ref: int, stop_at_ns: int) -> None:
+        """Opens a call, which is answered after its duration or times out at `stop_at_ns`."""
         self.calls_made += 1
         self.open_calls.add((server, server.incarnation, ref))
         self.change_open_calls(1)
@@ -193,16 +201,19 @@
         self.after(duration_ns, self.on_call_ended, server, incarnation, ref, outcome, duration_ns)
 
     def change_open_calls(self, change: int) -> None:
+        """Changes the number of open calls, and records when."""
         self.open_call_count += change
         self.open_call_steps.append((self.now, self.open_call_count))
 
     def abandon_call(self, server: Server, incarnation: int, ref: int) -> None:
+        """Abandons a call, which stays open at the dependency for the linger time."""
         self.open_calls.remove((server, incarnation, ref))
         self.after(LINGER_NS, self.change_open_calls, -1)
 
     def on_call_ended(
         self, server: Server, incarnation: int, ref: int, outcome: Outcome, duration_ns: int
     ) -> None:
+        """Ends a call; a paused server sees the end only after its pause."""
         if (server, incarnation, ref) not in self.open_calls:
             return
         if server.is_paused:
@@ -229,6 +240,7 @@
             server.request_calls()
 
     def on_timer(self, server: Server, incarnation: int) -> None:
+        """Fires the timer of a server; a paused server's timer fires only after its pause."""
         if server.controller is None or server.incarnation != incarnation:
             return
         if server.is_paused:
@@ -240,14 +252,17 @@
             server.read_request()
 
     def restart(self, server: Server, pause_ns: int) -> None:
+        """Kills a server, and starts it again after a pause."""
         server.kill()
         self.after(pause_ns, server.start)
 
     def pause(self, server: Server, pause_ns: int) -> None:
+        """Pauses the process of a server."""
         server.is_paused = True
         self.after(pause_ns, self.resume, server)
 
     def resume(self, server: Server) -> None:
+        """Ends the pause of a server."""
         server.is_paused = False
 
     def largest_mean(self) -> float:
@@ -286,6 +301,7 @@
     seed: int,
     length_ns: int = 40 * NS_PER_S,
 ) -> FleetSimulation:
+    """Simulates one of `SCENARIOS` for a time."""
     simulation = FleetSimulation(processes, budget, call_ns, seed)
     for index, server in enumerate(simulation.servers):
         simulation.after(index % 3 * 4 * NS_PER_S if name == "waves" else 0, server.start)
@@ -310,6 +326,7 @@
 
 
 def print_row(name: str, processes: int, budget: int, call_ms: int) -> None:
+    """Prints the worst values of five simulations as a row of the table."""
     runs = [
         run_scenario(name, processes, budget, call_ms * NS_PER_MS, seed) for seed in range(1, 6)
     ]
@@ -324,6 +341,7 @@
 
 
 def main() -> None:
+    """Prints the table of docs/results.md."""
     print(
         "| story | processes | N | a call takes, ms | worst mean in 5 s | most at once "
         "| N + 2 x root of N + 2 | calls made |"
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -45,6 +45,7 @@
 
 
 def sizes(server: Server) -> dict[str, int]:
+    """Returns the number of objects, or of bytes, in each collection of the server."""
     dispatcher = server.requests.dispatcher
     assert dispatcher is not None
     return {
@@ -77,23 +78,23 @@
         return 200, False, b"fetched"
 
     async def scenario() -> None:
-        executor, naming, catalogue = Executor(), NameService(), Catalogue(reply)
-        for part in (executor, naming, catalogue):
-            await part.start()
+        executor, name_service, downstream = Executor(), NameService(), Catalogue(reply)
+        for peer in (executor, name_service, downstream):
+            await peer.start()
         given = copy.deepcopy(GIVEN)
         settings = given["settings"]
         settings["extra"].update(n_cores=64, memory_kb=200000, idle=100000, calls_out=128)
-        for product in settings["categories"]:
-            product.update(deadline=DEADLINE_NS // 1000, aim=DEADLINE_NS // 2000)
-            if "window" in product:
-                product["window"] = WINDOW_NS // 1000
+        for category in settings["categories"]:
+            category.update(deadline=DEADLINE_NS // 1000, aim=DEADLINE_NS // 2000)
+            if "window" in category:
+                category["window"] = WINDOW_NS // 1000
         server_settings, gauge_names = parse_server_settings(settings)
         config = ServerConfig(
             name="n1",
             listen_address=("127.0.0.1", 0),
             executor_address=parse_address(executor.address),
-            discovery_address=parse_address(naming.address),
-            downstream_address=parse_address(catalogue.address),
+            discovery_address=parse_address(name_service.address),
+            downstream_address=parse_address(downstream.address),
             seed=7,
             stop_ns=3_000_000_000,
             settings=server_settings,
@@ -166,34 +167,34 @@
                 )
             )
 
-        first = await run_round(1)
+        first_sizes = await run_round(1)
         await wait_until_expired()
-        at_rest = sizes(server)
-        later = first
-        for turn in range(1, ROUNDS):
-            later = {
-                name: max(size, later[name])
-                for name, size in (await run_round(1 + turn * CLIENTS_PER_ROUND)).items()
+        idle_sizes = sizes(server)
+        max_sizes = first_sizes
+        for round_number in range(1, ROUNDS):
+            max_sizes = {
+                name: max(size, max_sizes[name])
+                for name, size in (await run_round(1 + round_number * CLIENTS_PER_ROUND)).items()
             }
         # A key is kept for its window and the longest deadline after it, so the keys of all rounds may
         # be held at once.
         assert (
-            later["callers"] <= ROUNDS * CLIENTS_PER_ROUND
-            and later["connections"] <= 2 * CLIENTS_PER_ROUND
+            max_sizes["callers"] <= ROUNDS * CLIENTS_PER_ROUND
+            and max_sizes["connections"] <= 2 * CLIENTS_PER_ROUND
         ), (
-            first,
-            later,
+            first_sizes,
+            max_sizes,
         )
         await wait_until_expired()
-        again = sizes(server)
+        final_sizes = sizes(server)
         assert {
             name: size
-            for name, size in again.items()
-            if size > at_rest[name] and name != "idle_connections"
-        } == {}, (at_rest, again)
+            for name, size in final_sizes.items()
+            if size > idle_sizes[name] and name != "idle_connections"
+        } == {}, (idle_sizes, final_sizes)
         server.begin_shutdown()
         await within_timeout(running)
         executing.cancel()
-        await catalogue.stop()
+        await downstream.stop()
 
     asyncio.run(scenario())
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -86,11 +86,11 @@
         return list(unpacker)
 
 
-def request(number: int, product: str, *params: Any) -> bytes:
-    return bytes(msgpack.packb([0, number, product, params]))
+def request(number: int, class_name: str, *params: Any) -> bytes:
+    return bytes(msgpack.packb([0, number, class_name, params]))
 
 
-def ask(number: int, now: int) -> bytes:
+def look_request(number: int, now: int) -> bytes:
     return request(number, "look", fields(at=str(now // NS_PER_MS)), b"body")
 
 
@@ -126,7 +126,9 @@
 async def test_request_arrives_as_its_unresponsive_connection_is_closed() -> None:
     harness = ListenerHarness()
     client = await harness.client_asked_to_close()
-    in_one_turn(lambda: client.sock.sendall(ask(2, harness.now)), harness.rpc_listener.sweep)
+    in_one_turn(
+        lambda: client.sock.sendall(look_request(2, harness.now)), harness.rpc_listener.sweep
+    )
     await run_loop_turns()
     assert [attempt.message_id for attempt in harness.requests] == [2]
     harness.requests[0].complete(b"served")
@@ -142,7 +144,9 @@
     client = await harness.client()
     harness.now += 1600 * NS_PER_MS
     harness.rpc_listener.last_sweep_ns = harness.now - 250 * NS_PER_MS
-    in_one_turn(lambda: client.sock.sendall(ask(1, harness.now)), harness.rpc_listener.sweep)
+    in_one_turn(
+        lambda: client.sock.sendall(look_request(1, harness.now)), harness.rpc_listener.sweep
+    )
     await run_loop_turns()
     await assert_served(harness, client)
 
@@ -155,7 +159,7 @@
         newcomer = socket.create_connection(other.getsockname())
         accepted = other.accept()
         in_one_turn(
-            lambda: client.sock.sendall(ask(1, harness.now)),
+            lambda: client.sock.sendall(look_request(1, harness.now)),
             lambda: harness.rpc_listener.add_connection(*accepted),
         )
         await run_loop_turns()
@@ -173,7 +177,7 @@
     client = await harness.client()
     client.connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 32768)
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32768)
-    client.sock.sendall(b"".join(ask(number, harness.now) for number in range(1, 5)))
+    client.sock.sendall(b"".join(look_request(number, harness.now) for number in range(1, 5)))
     await wait_until(lambda: len(harness.requests) == 4)
     for attempt in harness.requests:
         attempt.complete(b"x" * 100_000)
@@ -189,7 +193,7 @@
     """A client that still sends as its connection is ended gets its answers and a clean close."""
     harness = ListenerHarness()
     client = await harness.client()
-    client.sock.sendall(ask(1, harness.now))
+    client.sock.sendall(look_request(1, harness.now))
     await wait_until(lambda: harness.requests)
     harness.requests[0].complete(b"served")
     client.sock.sendall(b"\xc1" + b"z" * 60_000)
@@ -203,11 +207,11 @@
     """The rest of the message may still arrive within its time limit; then it is answered."""
     harness = ListenerHarness()
     client = await harness.client_asked_to_close()
-    whole = ask(2, harness.now)
-    client.sock.sendall(whole[:9])
+    message = look_request(2, harness.now)
+    client.sock.sendall(message[:9])
     await wait_until(lambda: client.connection.partial_since_ns)
     harness.rpc_listener.sweep()
-    client.sock.sendall(whole[9:])
+    client.sock.sendall(message[9:])
     await wait_until(lambda: harness.requests)
     harness.requests[0].complete(b"served")
     client.sock.shutdown(socket.SHUT_WR)
@@ -234,11 +238,13 @@
     """
     harness = ListenerHarness()
     client = await harness.client()
-    client.sock.sendall(ask(1, harness.now)[:3])
+    client.sock.sendall(look_request(1, harness.now)[:3])
     await wait_until(lambda: client.connection.partial_since_ns)
     harness.now += 1600 * NS_PER_MS
     harness.rpc_listener.last_sweep_ns = harness.now - 250 * NS_PER_MS
-    in_one_turn(lambda: client.sock.sendall(ask(1, harness.now)[3:9]), harness.rpc_listener.sweep)
+    in_one_turn(
+        lambda: client.sock.sendall(look_request(1, harness.now)[3:9]), harness.rpc_listener.sweep
+    )
     await run_loop_turns()
     assert client.connection.is_ended
     assert await client.read_to_end() == []
@@ -248,12 +254,12 @@
 async def test_rest_of_a_message_arrives_as_its_time_limit_ends() -> None:
     harness = ListenerHarness()
     client = await harness.client()
-    whole = ask(1, harness.now)
-    client.sock.sendall(whole[:9])
+    message = look_request(1, harness.now)
+    client.sock.sendall(message[:9])
     await wait_until(lambda: client.connection.partial_since_ns)
     harness.now += 1600 * NS_PER_MS
     harness.rpc_listener.last_sweep_ns = harness.now - 250 * NS_PER_MS
-    in_one_turn(lambda: client.sock.sendall(whole[9:]), harness.rpc_listener.sweep)
+    in_one_turn(lambda: client.sock.sendall(message[9:]), harness.rpc_listener.sweep)
     await run_loop_turns()
     await assert_served(harness, client)
 
@@ -279,13 +285,13 @@
 
     async def scenario() -> None:
         async with Rig(
-            tmp_path, main=LATE.replace("FOLDER", str(tmp_path)), drain_grace=0, stop_ms=900
+            tmp_path, main=HELD_PROGRAM.replace("FOLDER", str(tmp_path)), drain_grace=0, stop_ms=900
         ) as rig:
             balancer = await rig.balancer()
             await within_timeout(balancer.health())
             rig.process.send_signal(signal.SIGTERM)
             await within_timeout(balancer.shutdown.wait())
-            await wait_until(lambda: LATE_MARK in rig.log())
+            await wait_until(lambda: HELD_LOG_LINE in rig.log())
             answer = balancer.ask("look", fields())
             await balancer.writer.drain()
             (tmp_path / "go").touch()
@@ -297,28 +303,28 @@
     asyncio.run(scenario())
 
 
-LATE_MARK = "event=test-late"
+HELD_LOG_LINE = "event=test-late"
 # The server program, held between its last sweep of the connections and its end until the test
 # creates the file `go`.
-LATE = f'''-c "
+HELD_PROGRAM = f'''-c "
 import sys, time, os
 from burlloom.server import __main__, server
-class Late(server.Server):
+class HeldServer(server.Server):
     async def drain(self, now, stop):
         clock = self.clock
-        class Held:
+        class HeldClock:
             last_ns = property(lambda self: clock.last_ns)
             def __call__(self):
-                at = clock()
-                if at >= stop and not os.path.exists('FOLDER/go'):
-                    print('{LATE_MARK}', flush=True)
+                now_ns = clock()
+                if now_ns >= stop and not os.path.exists('FOLDER/go'):
+                    print('{HELD_LOG_LINE}', flush=True)
                     while not os.path.exists('FOLDER/go'):
                         time.sleep(0.002)
                     time.sleep(0.02)
-                return at
-        self.clock = Held()
+                return now_ns
+        self.clock = HeldClock()
         await super().drain(now, stop)
-__main__.Server = Late
+__main__.Server = HeldServer
 sys.exit(__main__.main())
 "'''
 
@@ -387,7 +393,7 @@
     for client in clients:
         client.connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        client.sock.sendall(ask(1, harness.now))
+        client.sock.sendall(look_request(1, harness.now))
     await wait_until(lambda: len(harness.requests) == 40)
     for attempt in harness.requests:
         attempt.complete(b"x" * 400_000)
@@ -397,7 +403,7 @@
         client.connection.close_with_detail(CloseReason.MALFORMED)
         max_unsent_bytes = max(
             max_unsent_bytes,
-            sum(parting.writer.unsent_bytes for parting in harness.rpc_listener.closing),
+            sum(connection.writer.unsent_bytes for connection in harness.rpc_listener.closing),
         )
     assert 4 << 20 < max_unsent_bytes <= 8 << 20
     assert not harness.rpc_listener.connections
@@ -489,7 +495,7 @@
 
 
 @on_loop
-async def test_time_for_connecting_is_not_sent_as_patience() -> None:
+async def test_connecting_time_is_deducted_from_the_x_patience_header() -> None:
     """The backlog is full, so the kernel repeats its connection attempt after a second."""
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
@@ -510,8 +516,8 @@
         while b"which" not in received:
             sock, _ = await within_timeout(loop.sock_accept(listener))
             received = await loop.sock_recv(sock, 4096)
-        patience = int(received.split(b"X-Patience: ")[1].split(b"\r\n")[0])
-        assert patience < 4300, received
+        patience_ms = int(received.split(b"X-Patience: ")[1].split(b"\r\n")[0])
+        assert patience_ms < 4300, received
         sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nthis")
         assert await within_timeout(call) == (CallStatus.OK, b"this")
 
@@ -608,11 +614,11 @@
     """
     first, second = await rig.balancer(), await rig.balancer()
     for count in range(10):
-        key, at = f"k{count}", str(time.time_ns() // NS_PER_MS)
-        answer = first.ask("pay", fields(once=key, at=at))
+        key, sent_at_ms = f"k{count}", str(time.time_ns() // NS_PER_MS)
+        answer = first.ask("pay", fields(once=key, at=sent_at_ms))
         id = await rig.command("EXEC", "pay")
         rig.process.send_signal(signal.SIGSTOP)
-        repeat = second.ask("pay", fields(once=key, at=at, retry="1"))
+        repeat = second.ask("pay", fields(once=key, at=sent_at_ms, retry="1"))
         rig.executor.exit(id, result=key.encode())
         await asyncio.sleep(0)
         await second.writer.drain()
@@ -629,11 +635,11 @@
     An attempt that was sent after the window may run again.
     """
     balancer, other = await rig.balancer(), await rig.balancer()
-    at = time.time_ns() // NS_PER_MS
-    answer = balancer.ask("pay", fields(once="k", at=str(at)))
+    sent_at_ms = time.time_ns() // NS_PER_MS
+    answer = balancer.ask("pay", fields(once="k", at=str(sent_at_ms)))
     id = await rig.command("EXEC", "pay")
     await asyncio.sleep(0.5)  # the window has ended, the run has not
-    within_window = other.ask("pay", fields(once="k", at=str(at + 299), retry="1"))
+    within_window = other.ask("pay", fields(once="k", at=str(sent_at_ms + 299), retry="1"))
     await within_timeout(other.health())
     assert rig.executor.commands.empty()
     assert not within_window.done()
@@ -641,7 +647,7 @@
     await expect_result(answer, b"paid")
     await expect_result(within_window, b"paid")
     await expect_result(
-        other.ask("pay", fields(once="k", at=str(at + 300), retry="1")), b"paid"
+        other.ask("pay", fields(once="k", at=str(sent_at_ms + 300), retry="1")), b"paid"
     )  # read after the run had ended
     after_window = other.ask("pay", fields(once="k"))
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid anew")
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -176,27 +176,30 @@
         return f"{effect} {values[0]}"
 
     def send(self, controller: AdmissionController, now: int, words: list[str]) -> None:
-        event, *rest = words
-        if rest and "," in rest[0]:
-            for name in rest[0].split(","):
-                self.send(controller, now, [event, name, *rest[1:]])
+        event, *arguments = words
+        if arguments and "," in arguments[0]:
+            for name in arguments[0].split(","):
+                self.send(controller, now, [event, name, *arguments[1:]])
         elif event == "request":
-            controller.request_arrived(now, self.request(rest[0], rest[1:]))
+            controller.request_arrived(now, self.request(arguments[0], arguments[1:]))
         elif event == "timer":
-            values = {name: float(value) for name, value in (word.split("=") for word in rest)}
+            values = {
+                name: float(value)
+                for name, value in (assignment.split("=") for assignment in arguments)
+            }
             gauges = replace(Gauges(cpu_utilization=1.0, connections=0.0), **values)
             controller.timer_fired(now, 0, gauges)
         elif event == "drain":
-            controller.drain(now, now, int(rest[0]) * NS_PER_MS)
+            controller.drain(now, now, int(arguments[0]) * NS_PER_MS)
         elif event == "run_ended":
-            controller.run_ended(now, self.ref(rest[0]), *outcome_and_duration(rest[1:]))
+            controller.run_ended(now, self.ref(arguments[0]), *outcome_and_duration(arguments[1:]))
         elif event == "call_ended":
-            controller.call_ended(now, self.ref(rest[0]), *outcome_and_duration(rest[1:]))
+            controller.call_ended(now, self.ref(arguments[0]), *outcome_and_duration(arguments[1:]))
         elif event == "call_requested":
-            controller.call_requested(now, self.ref(rest[0]))
+            controller.call_requested(now, self.ref(arguments[0]))
         else:
             assert event == "caller_gone", event
-            controller.caller_gone(now, self.ref(rest[0]))
+            controller.caller_gone(now, self.ref(arguments[0]))
 
     def ref(self, name: str) -> int:
         """Returns the reference of a request; one that was never assigned for an unknown name."""
