--- a/burlloom/admission/connection_limits.py
+++ b/burlloom/admission/connection_limits.py
@@ -13,7 +13,7 @@
 from .model import Effects, Gauges, ServerSettings
 from .timing import NS_PER_MS
 
-__all__ = ["ConnectionIdleTime"]
+__all__ = ["ConnectionIdleTimeout"]
 
 MAX_CONNECTIONS_PER_CORE_OR_REQUEST = 4
 MIN_IDLE_TIMEOUT_NS = 1000 * NS_PER_MS
@@ -23,10 +23,10 @@
 FLOOD_REJECTED_SHARE = 0.3
 
 
-class ConnectionIdleTime:
+class ConnectionIdleTimeout:
     """The idle timeout in force."""
 
-    __slots__ = ("_configured_ns", "_cores", "_effects", "_idle_ns")
+    __slots__ = ("_configured_ns", "_cores", "_effects", "_idle_timeout_ns")
 
     def __init__(self, settings: ServerSettings, effects: Effects) -> None:
         """Starts with the configured idle timeout.
@@ -38,7 +38,7 @@
         self._configured_ns = settings.idle_timeout_ns
         self._cores = settings.cores
         self._effects = effects
-        self._idle_ns = settings.idle_timeout_ns
+        self._idle_timeout_ns = settings.idle_timeout_ns
 
     def update(self, gauges: Gauges, live_requests: int, rejected_share: float) -> None:
         """Adjusts the idle timeout; called once each timer round.
@@ -54,10 +54,12 @@
         )
         max_connections = MAX_CONNECTIONS_PER_CORE_OR_REQUEST * (self._cores + live_requests)
         if gauges.connections > max_connections and not is_flooded:
-            idle_ns = max(MIN_IDLE_TIMEOUT_NS, int(self._idle_ns * IDLE_TIMEOUT_CUT_FACTOR))
+            idle_timeout_ns = max(
+                MIN_IDLE_TIMEOUT_NS, int(self._idle_timeout_ns * IDLE_TIMEOUT_CUT_FACTOR)
+            )
         else:
-            idle_ns = int(self._idle_ns / IDLE_TIMEOUT_CUT_FACTOR)
-        idle_ns = min(self._configured_ns, idle_ns)
-        if idle_ns != self._idle_ns:
-            self._idle_ns = idle_ns
-            self._effects.set_idle_timeout(idle_ns)
+            idle_timeout_ns = int(self._idle_timeout_ns / IDLE_TIMEOUT_CUT_FACTOR)
+        idle_timeout_ns = min(self._configured_ns, idle_timeout_ns)
+        if idle_timeout_ns != self._idle_timeout_ns:
+            self._idle_timeout_ns = idle_timeout_ns
+            self._effects.set_idle_timeout(idle_timeout_ns)
--- a/burlloom/admission/controller.py
+++ b/burlloom/admission/controller.py
@@ -83,7 +83,7 @@
         self._concurrency = rules.concurrency
         self._shedding = rules.shedding
         self._health = rules.health
-        self._idle_time = rules.idle_time
+        self._idle_timeout = rules.idle_timeout
         self._calls = rules.calls
         self._feedback = CallerFeedback(rules)
         self._machine = StateMachine(rules, self._feedback)
@@ -230,7 +230,7 @@
         self._calls.update(now)
         self._feedback.update(now)
         rejected_share = self._arrivals.rejected_share(now)
-        self._idle_time.update(gauges, len(self.live_requests), rejected_share)
+        self._idle_timeout.update(gauges, len(self.live_requests), rejected_share)
         self._machine.fill_free_slots(now)
 
     # State that the host may read.
--- a/burlloom/admission/rule_set.py
+++ b/burlloom/admission/rule_set.py
@@ -6,7 +6,7 @@
 from .arrival_statistics import ArrivalStatistics
 from .awake_clock import AwakeClock
 from .concurrency_limit import ConcurrencyLimit
-from .connection_limits import ConnectionIdleTime
+from .connection_limits import ConnectionIdleTimeout
 from .downstream_calls import DownstreamCalls
 from .drain import Drain
 from .health import HealthMonitor
@@ -42,7 +42,7 @@
         concurrency: The run limit.
         shedding: Pressure and the priority floor.
         health: Detects hung work and failing runs.
-        idle_time: The idle timeout of connections.
+        idle_timeout: The idle timeout of connections.
         calls: Calls to the downstream dependency.
     """
 
@@ -72,7 +72,7 @@
         self.concurrency = ConcurrencyLimit(settings, self.counts, slow_start)
         self.shedding = LoadShedding(settings, self.arrivals, slow_start.speed_share(now))
         self.health = HealthMonitor(settings, self.counts, self.arrivals, now)
-        self.idle_time = ConnectionIdleTime(settings, effects)
+        self.idle_timeout = ConnectionIdleTimeout(settings, effects)
         self.calls = DownstreamCalls(
             settings, self.counts, self.queue, self.service_levels, self.drain, now, self.random
         )
