--- a/burlloom/command/levels.py
+++ b/burlloom/command/levels.py
@@ -45,15 +45,16 @@
 
 
 def takes_away(plan: "LevelPlan", at: int) -> str:
-    from ..levels.plan import ALL_VALUES
+    from ..levels.plan import DROP_ALL_VALUES
 
     level = plan.levels[at]
     said = []
     if level.dropped_values:
         said.append(
-            {ALL_VALUES: "all newcomers", ALL_VALUES - 1: "all but the highest value"}.get(
-                level.dropped_values, f"the lowest {level.dropped_values} of the values"
-            )
+            {
+                DROP_ALL_VALUES: "all newcomers",
+                DROP_ALL_VALUES - 1: "all but the highest value",
+            }.get(level.dropped_values, f"the lowest {level.dropped_values} of the values")
         )
     said += [f"{name}" for name in level.dropped_classes]
     said += [f"{name} but for kept results" for name in level.cached_classes]
@@ -78,7 +79,7 @@
     """What each level takes away and when it is entered and left; and where the node stands, if it
     tells.
     """
-    from ..levels.plan import UNREACHABLE
+    from ..levels.plan import UNREACHABLE_ENTRY
 
     part = part_of(operator)
     plan = part.plan()
@@ -92,7 +93,7 @@
         here = "*" if state is not None and state["level"] == level.name else " "
         click.echo(f"{here} {at} {level.name:12} takes away {takes_away(plan, at)}")
         for signal, bound in level.bounds.items():
-            entered = "never alone" if bound.enter >= UNREACHABLE else f"from {bound.enter:g}"
+            entered = "never alone" if bound.enter >= UNREACHABLE_ENTRY else f"from {bound.enter:g}"
             click.echo(f"     {signal:8} entered {entered}, left at {bound.leave:g}")
     for signal, (enter, name) in plan.emergencies.items():
         click.echo(f"  ! {signal} from {enter:g}: at once to {name}")
@@ -280,7 +281,7 @@
     """Hold the node on LEVEL, until then. The server takes it up within a second; an emergency may
     still go lower.
     """
-    from ..levels.plan import ALL_VALUES
+    from ..levels.plan import DROP_ALL_VALUES
 
     part = part_of(operator)
     plan = part.plan()
@@ -289,7 +290,7 @@
     known = {one.name: one for one in plan.levels}
     if level not in known:
         raise click.BadParameter(f"{level!r} is none of {', '.join(known)}")
-    if known[level].dropped_values == ALL_VALUES and not force:
+    if known[level].dropped_values == DROP_ALL_VALUES and not force:
         raise click.UsageError(f"{level} forbids all service: say --force if that is what you want")
     until = time.time_ns() + int(span * SECOND)
     replace(Path(part.pin_file), json.dumps({"level": level, "until": until, "reason": reason}))
--- a/burlloom/lab/variants.py
+++ b/burlloom/lab/variants.py
@@ -48,13 +48,13 @@
 
 
 def base() -> HysteresisPolicy:
-    return HysteresisPolicy(DEFAULT_PLAN.automatic_levels)
+    return HysteresisPolicy(DEFAULT_PLAN.automatic_level_count)
 
 
 def threshold() -> HysteresisPolicy:
     """Moves each round that says so."""
     return HysteresisPolicy(
-        DEFAULT_PLAN.automatic_levels,
+        DEFAULT_PLAN.automatic_level_count,
         dwell_ns=0,
         min_stay_ns=0,
         max_stay_ns=0,
--- a/burlloom/levels/__init__.py
+++ b/burlloom/levels/__init__.py
@@ -1,8 +1,17 @@
-"""Service levels: which level a node is at, why, and what each level takes away. No I/O."""
+"""Service levels: which level a node is at, for which cause, and what each level restricts.
+
+Does no I/O.
+"""
 
 from .controller import DegradationController, LevelChange, LevelPin
-from .plan import DEFAULT_PLAN, InvalidPlanError, LevelDefinition, LevelPlan, degradations
-from .signals import SIGNAL_NAMES, SignalAggregator, SignalBounds, SignalReadings, TenantShares
+from .plan import DEFAULT_PLAN, InvalidPlanError, LevelDefinition, LevelPlan, build_degradations
+from .signals import (
+    SIGNAL_NAMES,
+    SignalAggregator,
+    SignalBounds,
+    SignalReadings,
+    TenantExcessDetector,
+)
 from .state_machine import (
     DegradationEvent,
     DegradationPhase,
@@ -30,8 +39,8 @@
     "SignalReadings",
     "SignalAggregator",
     "DegradationStatus",
-    "TenantShares",
+    "TenantExcessDetector",
     "HysteresisPolicy",
     "max_changes_per_minute",
-    "degradations",
+    "build_degradations",
 ]
--- a/burlloom/levels/controller.py
+++ b/burlloom/levels/controller.py
@@ -1,6 +1,6 @@
-"""Controls a node's service level: readings in, level and cause out. No I/O.
+"""Controls a node's service level: takes signal readings, returns level changes with their cause.
 
-Times are in ns on the host's clock.
+Does no I/O. Times are monotonic, in ns on the host's clock.
 """
 
 from collections.abc import Collection
@@ -8,7 +8,14 @@
 
 from ..admission.model import Degradation, ServiceLevel
 from .plan import LevelPlan
-from .signals import SIGNAL_NAMES, SignalAggregator, SignalBounds, SignalReadings, low, reached
+from .signals import (
+    SIGNAL_NAMES,
+    SignalAggregator,
+    SignalBounds,
+    SignalReadings,
+    are_all_clear,
+    find_reached_bound,
+)
 from .state_machine import (
     TRIAL_SHARES,
     DegradationEvent,
@@ -21,7 +28,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelPin:
-    """An operator's order to stay at a level until a time, ns on the host's clock."""
+    """An operator's order to stay at a level.
+
+    Attributes:
+        level: Name of the level.
+        until_ns: When the pin expires, ns on the host's clock.
+        reason: The operator's reason, for the log.
+    """
 
     level: str
     until_ns: int
@@ -37,9 +50,9 @@
         before: Name of the level before.
         after: Name of the level after.
         trial_share: Share of the callers served at the level above, from 0 to 1.
-        cause: The signal behind it, or `pin` or `calm`.
-        value: The signal's value.
-        bound: The bound that it reached.
+        cause: The signal that caused the transition, or `pin` or `calm`.
+        value: The signal's value; 0 for `pin` and `calm`.
+        bound: The bound that the value reached; 0 for `pin` and `calm`.
     """
 
     effect: str
@@ -55,28 +68,30 @@
     """Decides a node's level from signal readings and an operator's pin.
 
     Attributes:
-        status: Where the state machine stands.
-        values: The last values of the signals, by name; unknown ones are absent.
-        pin: The operator's pin, if there is one.
+        status: The state machine's status.
+        values: The signals' values as of the last round, by name; unknown ones are absent.
+        pin: The operator's pin, or None.
         transition_counts: Number of transitions by effect.
-        time_at_level_ns: Time spent at each level.
+        time_at_level_ns: Time spent at each level, ns, by the level's name.
 
     Args:
         plan: The levels.
-        degradations: The plan's levels as the decisions take them (`plan.degradations`).
-        now: The time, ns on the host's clock.
-        policy: Hysteresis; by default that of the plan's number of levels.
-        cold: Whether the node starts cold, at the plan's level for that.
-        previous_level: The level of the previous incarnation by the record; empty where unknown.
-        measured: The signals that this node has. Bounds on others are ignored: a signal that never
-            has a value would keep the node from leaving a level.
+        degradations: The plan's levels in the form that the admission decisions take
+            (`plan.build_degradations`).
+        now_ns: The time, ns on the host's clock.
+        policy: The hysteresis; None derives it from the plan's number of automatic levels.
+        cold: Whether the node starts cold, and thus at the plan's `cold_start_level`.
+        previous_level: Name of the level at which the previous incarnation ended, from the record;
+            empty where unknown.
+        measured: Names of the signals that this node measures. Bounds on other signals are ignored:
+            a signal that never has a value would keep the node from leaving a level.
     """
 
     def __init__(
         self,
         plan: LevelPlan,
         degradations: tuple[Degradation, ...],
-        now: int,
+        now_ns: int,
         policy: HysteresisPolicy | None = None,
         *,
         cold: bool = False,
@@ -91,11 +106,12 @@
         self.state_machine = DegradationStateMachine(
             policy
             or HysteresisPolicy(
-                plan.automatic_levels, max_changes_per_minute=max(4, plan.automatic_levels)
+                plan.automatic_level_count,
+                max_changes_per_minute=max(4, plan.automatic_level_count),
             )
         )
         names = [level.name for level in plan.levels]
-        self.status = self.state_machine.start(self._first_level(cold, previous_level), now)
+        self.status = self.state_machine.start(self._first_level(cold, previous_level), now_ns)
         self.signals = SignalAggregator()
         self.values: dict[str, float] = {}
         self.pin: LevelPin | None = None
@@ -103,13 +119,13 @@
             ("up", "down", "drop", "begin", "widen", "abort", "pin", "release"), 0
         )
         self.time_at_level_ns = dict.fromkeys(names, 0)
-        self.counted_until_ns = now
+        self.counted_until_ns = now_ns
 
     def _first_level(self, cold: bool, previous_level: str) -> int:
         """Returns the index of the level to start at.
 
-        A previous incarnation that ended at a level that only a pin reaches starts at the last
-        level that a node can leave by itself.
+        If the previous incarnation ended at a level that only a pin reaches, the node starts at the
+        last level that it can leave without an operator.
         """
         names = [level.name for level in self.plan.levels]
         candidates = [
@@ -121,12 +137,12 @@
 
     @property
     def level(self) -> str:
-        """Name of the level in force."""
+        """Returns the name of the level in force."""
         return self.plan.levels[self.status.level].name
 
     @property
     def trial_share(self) -> float:
-        """Share of the callers served at the level above, from 0 to 1; 0 outside a trial."""
+        """Returns the share of callers served at the level above, 0 to 1; 0 outside a trial."""
         return (
             TRIAL_SHARES[self.status.trial_step]
             if self.status.phase is DegradationPhase.TRIAL
@@ -135,93 +151,125 @@
 
     @property
     def allows_optional_work(self) -> bool:
-        """Whether the node's own optional work continues at this level."""
+        """Returns whether the node's own optional work continues at this level."""
         return self.plan.levels[self.status.level].allows_optional_work
 
     def service_level(self) -> ServiceLevel:
         """Returns this level, the one above and the trial's share for the admission decisions."""
-        at = self.status.level
+        index = self.status.level
         return ServiceLevel(
-            self.degradations[at], self.degradations[max(0, at - 1)], self.trial_share
+            self.degradations[index], self.degradations[max(0, index - 1)], self.trial_share
         )
 
-    def tick(self, now: int, readings: SignalReadings) -> LevelChange | None:
-        """Takes one round's readings.
+    def tick(self, now_ns: int, readings: SignalReadings) -> LevelChange | None:
+        """Adds one round's readings, removes an expired pin and applies the round's event.
+
+        Args:
+            now_ns: The time, ns on the host's clock.
+            readings: The round's signal readings.
 
         Returns:
-            The transition, or None where nothing changed.
+            The transition, or None if nothing changed.
         """
-        self.time_at_level_ns[self.level] += now - self.counted_until_ns
-        self.counted_until_ns = now
-        self.signals.take(now, readings)
-        self.values = self.signals.values(now)
-        if self.pin is not None and now >= self.pin.until_ns:
+        self.time_at_level_ns[self.level] += now_ns - self.counted_until_ns
+        self.counted_until_ns = now_ns
+        self.signals.add_readings(now_ns, readings)
+        self.values = self.signals.values(now_ns)
+        if self.pin is not None and now_ns >= self.pin.until_ns:
             self.pin = None
-        event, target, cause = self.classify()
-        return self.step(now, event, target, cause)
+        event, target, cause = self.classify_event()
+        return self.apply_event(now_ns, event, target, cause)
+
+    def set_pin(self, now_ns: int, pin: LevelPin | None) -> LevelChange | None:
+        """Sets the operator's pin, or removes it if `pin` is None.
 
-    def set_pin(self, now: int, pin: LevelPin | None) -> LevelChange | None:
-        """Pins a level, or removes the pin where `pin` is None.
+        Args:
+            now_ns: The time, ns on the host's clock.
+            pin: The pin.
 
         Returns:
-            The transition, or None where nothing changed.
+            The transition, or None if nothing changed.
         """
         self.pin = pin
-        return self.step(now, *self.by_pin())
+        return self.apply_event(now_ns, *self.pin_event())
+
+    def pin_event(self) -> tuple[DegradationEvent, int, tuple[str, float, float]]:
+        """Returns the event, the target level's index and the cause that the current pin leads to.
 
-    def by_pin(self) -> tuple[DegradationEvent, int, tuple[str, float, float]]:
-        """Returns the event, target level and cause of the pin as it is now."""
+        Without a pin the event is RELEASE.
+        """
         if self.pin is not None:
-            return DegradationEvent.PIN, self.plan.index_of(self.pin.level), ("pin", 0.0, 0.0)
+            return DegradationEvent.PIN, self.plan.level_index(self.pin.level), ("pin", 0.0, 0.0)
         return DegradationEvent.RELEASE, 0, ("pin", 0.0, 0.0)
 
-    def classify(self) -> tuple[DegradationEvent, int, tuple[str, float, float]]:
-        """Returns this round's event, the level that it names (0 for none), and its cause."""
-        at = self.status
+    def classify_event(self) -> tuple[DegradationEvent, int, tuple[str, float, float]]:
+        """Returns this round's event, the index of its target level (0 for none) and its cause.
+
+        An emergency comes before a pin, and a pin before the other signals.
+        """
+        status = self.status
         for signal, (enter, name) in self.plan.emergencies.items():
             value = self.values.get(signal)
-            if value is not None and value >= enter and self.plan.index_of(name) > at.level:
-                return DegradationEvent.EMERGENCY, self.plan.index_of(name), (signal, value, enter)
-        if at.phase is DegradationPhase.PINNED:
-            is_held = self.pin is not None and self.plan.index_of(self.pin.level) <= at.level
-            return (DegradationEvent.SAME, 0, ("", 0.0, 0.0)) if is_held else self.by_pin()
+            if value is not None and value >= enter and self.plan.level_index(name) > status.level:
+                return (
+                    DegradationEvent.EMERGENCY,
+                    self.plan.level_index(name),
+                    (signal, value, enter),
+                )
+        if status.phase is DegradationPhase.PINNED:
+            is_held = self.pin is not None and self.plan.level_index(self.pin.level) <= status.level
+            return (DegradationEvent.SAME, 0, ("", 0.0, 0.0)) if is_held else self.pin_event()
         if self.pin is not None:
-            return self.by_pin()
+            return self.pin_event()
         return self._classify_signals()
 
     def _classify_signals(self) -> tuple[DegradationEvent, int, tuple[str, float, float]]:
-        """Compares the signals with the bounds of the levels next to this one."""
-        at = self.status
-        last, bounds = self.state_machine.policy.level_count - 1, self.bounds
-        # In a trial the bounds that entered this level also count against leaving it.
-        own = reached(bounds[at.level], self.values) if at.phase is DegradationPhase.TRIAL else None
-        worse = own or (reached(bounds[at.level + 1], self.values) if at.level < last else None)
+        """Compares the signals with the bounds of this level and of the next one."""
+        status = self.status
+        last_level, bounds = self.state_machine.policy.level_count - 1, self.bounds
+        # During a trial, a signal that reaches an entry bound of this level fails the trial.
+        own_bound = (
+            find_reached_bound(bounds[status.level], self.values)
+            if status.phase is DegradationPhase.TRIAL
+            else None
+        )
+        worse = own_bound or (
+            find_reached_bound(bounds[status.level + 1], self.values)
+            if status.level < last_level
+            else None
+        )
         if worse is not None:
             return DegradationEvent.WORSE, 0, worse
-        if at.level and low(self.bounds_to_leave(), self.values):
+        if status.level and are_all_clear(self.exit_bounds(), self.values):
             return DegradationEvent.BETTER, 0, ("calm", 0.0, 0.0)
         return DegradationEvent.SAME, 0, ("", 0.0, 0.0)
 
-    def bounds_to_leave(self) -> dict[str, SignalBounds]:
-        """Returns the bounds that must be clear before this level is left.
+    def exit_bounds(self) -> dict[str, SignalBounds]:
+        """Returns the bounds whose signals must all be clear before this level is left.
 
-        They include those of all levels between it and the first, so that none of them enters it
-        again at once.
+        They include the bounds of all levels between the first and this one, so that no bound of
+        those levels is reached again at once.
         """
-        found: dict[str, SignalBounds] = {}
+        combined: dict[str, SignalBounds] = {}
         for bounds in self.bounds[1 : self.status.level + 1]:
-            found.update(bounds)
-        return found
+            combined.update(bounds)
+        return combined
 
-    def step(
-        self, now: int, event: DegradationEvent, target: int, cause: tuple[str, float, float]
+    def apply_event(
+        self, now_ns: int, event: DegradationEvent, target: int, cause: tuple[str, float, float]
     ) -> LevelChange | None:
-        """Passes an event to the state machine.
+        """Passes an event to the state machine and counts the transition.
+
+        Args:
+            now_ns: The time, ns on the host's clock.
+            event: The event.
+            target: Index of the level that an emergency or a pin names.
+            cause: The cause's name, value and bound, for the log.
 
         Returns:
-            The transition; None where nothing changed, or a pin was renewed at its level.
+            The transition; None if nothing changed or a pin was renewed at its level.
         """
-        change: Transition = self.state_machine.handle(self.status, event, now, target)
+        change: Transition = self.state_machine.handle(self.status, event, now_ns, target)
         before, self.status = self.status, change.after
         if not change.effect or (
             change.effect == "pin"
--- a/burlloom/levels/plan.py
+++ b/burlloom/levels/plan.py
@@ -1,7 +1,7 @@
-"""Definitions of the service levels, and the validation of a plan.
+"""Definitions of the service levels, and the validation of a plan. Does no I/O.
 
-Levels are defined by a request's value and by whether it is idempotent; an operator may name
-request classes.
+A level selects requests by their value and by whether they are idempotent, so that a plan holds for
+any set of request classes; an operator may also name request classes.
 """
 
 from collections.abc import Mapping, Sequence
@@ -11,24 +11,24 @@
 from ..errors import BurlloomError
 from .signals import SignalBounds
 
-DRAIN = "drain"
+DRAIN_LEVEL_NAME = "drain"
 
 
 @dataclass(frozen=True, slots=True)
 class LevelDefinition:
-    """One level and what it takes away.
+    """One service level and its restrictions.
 
     Attributes:
         name: The level's name.
-        bounds: Bounds by signal. A level without bounds is entered by an emergency or a pin alone.
-        dropped_values: How many of the request classes' distinct values are dropped, lowest first;
-            the highest stays unless this is ALL_VALUES.
-        dropped_classes: Names of further request classes that are dropped.
-        cached_classes: Names of request classes that are answered from cached results alone.
+        bounds: Bounds by signal. A level without bounds is entered only by an emergency or a pin.
+        dropped_values: How many of the request classes' distinct values are rejected, lowest first;
+            the highest value is still admitted unless this is DROP_ALL_VALUES.
+        dropped_classes: Names of further request classes that are rejected.
+        cached_classes: Names of request classes that are answered only from cached results.
         classes_without_calls: Names of request classes that are answered without downstream calls.
         rejects_retries: Whether marked retries and copies of idempotent requests are rejected.
         rejects_over_share: Whether requests over their tenant's share are rejected.
-        queue_share: The part of the queue that may be used, from 0 to 1.
+        queue_share: Share of the admission queue that may be used, from 0 to 1.
         allows_optional_work: Whether the node's own optional work continues.
     """
 
@@ -44,19 +44,21 @@
     allows_optional_work: bool = True
 
 
-ALL_VALUES = 1 << 30
-# An entry that no signal reaches: such a bound only says when a level may be left.
-UNREACHABLE = 1e9
+# Value of `dropped_values` that rejects all values; one less rejects all but the highest one.
+DROP_ALL_VALUES = 1 << 30
+# An entry bound that no signal reaches: it only limits when a level may be left.
+UNREACHABLE_ENTRY = 1e9
 
 
 @dataclass(frozen=True, slots=True)
 class LevelPlan:
-    """Ordered levels, the first of which takes nothing away.
+    """Service levels in order of severity; the first one restricts nothing.
 
     Attributes:
-        levels: The levels, in order of what they take away.
-        emergencies: By signal, the bound and the name of the level that it enters at once.
-        cold_start_level: Name of the level that a cold node starts at; empty for the first.
+        levels: The levels, least restrictive first.
+        emergencies: By signal, the bound and the name of the level that is entered at once when the
+            signal reaches the bound.
+        cold_start_level: Name of the level at which a cold node starts; empty for the first level.
     """
 
     levels: tuple[LevelDefinition, ...]
@@ -64,24 +66,31 @@
     cold_start_level: str = ""
 
     @property
-    def automatic_levels(self) -> int:
-        """How many levels are entered without a pin: up to the last with bounds or an emergency."""
-        named = {name for _, name in self.emergencies.values()}
+    def automatic_level_count(self) -> int:
+        """Returns how many levels are entered without a pin.
+
+        These are the levels up to the last one that has bounds or is an emergency's target.
+        """
+        emergency_levels = {name for _, name in self.emergencies.values()}
         return max(
-            (at + 1 for at, level in enumerate(self.levels) if level.bounds or level.name in named),
+            (
+                index + 1
+                for index, level in enumerate(self.levels)
+                if level.bounds or level.name in emergency_levels
+            ),
             default=1,
         )
 
-    def index_of(self, name: str) -> int:
-        """Returns the index of the level of that name, which must be in the plan."""
-        return next(at for at, level in enumerate(self.levels) if level.name == name)
+    def level_index(self, name: str) -> int:
+        """Returns the index of the level with that name, which must be in the plan."""
+        return next(index for index, level in enumerate(self.levels) if level.name == name)
 
 
 class InvalidPlanError(BurlloomError):
-    """The plan can't be used.
+    """A plan of service levels is invalid.
 
     Attributes:
-        lines: One line for each fault, with its place.
+        lines: One line for each fault, with the path of the operator's key.
     """
 
     def __init__(self, lines: list[str]) -> None:
@@ -94,40 +103,42 @@
     request_classes: Sequence[tuple[str, RequestClass]] = (),
     signals: Sequence[str] = (),
 ) -> list[str]:
-    """Returns what is invalid in a plan, each fault with its place.
+    """Returns all faults of a plan, each with the path of the operator's key.
 
     Args:
         plan: The plan.
-        request_classes: Names and classes to check the plan against; empty where not known.
-        signals: Names of the signals that there are; empty where not known.
+        request_classes: Names and classes to check the plan against; empty if not known.
+        signals: Names of the signals that exist; empty if not known.
     """
     if not plan.levels:
-        return ["levels: there is none"]
+        return ["levels: at least one level is required"]
     faults = _find_name_faults(plan)
     known_classes = dict(request_classes)
     for index, level in enumerate(plan.levels):
         place = f"levels.{index} ({level.name})"
         faults += _find_bound_faults(level, place, signals)
         if not 0 <= level.queue_share <= 1:
-            faults.append(f"{place}.hold: {level.queue_share:g} is no share from 0 to 1")
+            faults.append(f"{place}.hold: {level.queue_share:g} is not a share from 0 to 1")
         faults += _find_request_class_faults(level, place, known_classes)
         faults += _find_order_faults(plan, index, place)
     return faults + _find_reference_faults(plan, signals)
 
 
 def _find_name_faults(plan: LevelPlan) -> list[str]:
-    """Returns the faults of the levels' names, and of a first level that takes something away."""
+    """Returns the faults of the levels' names, and of a first level that restricts something."""
     faults: list[str] = []
     names = [level.name for level in plan.levels]
     if is_restrictive(plan.levels[0]):
-        faults.append(f"levels.0 ({names[0]}): the first level takes nothing away")
+        faults.append(
+            f"levels.0 ({names[0]}): the first level must be without bounds and restrictions"
+        )
     faults += [
-        f"levels.{index} ({name}): the name stands twice"
+        f"levels.{index} ({name}): another level has the same name"
         for index, name in enumerate(names)
         if name in names[:index]
     ]
     faults += [
-        f"levels.{index}: a level needs a name of plain letters"
+        f"levels.{index}: the name {name!r} may have only letters, digits, '-' and '_'"
         for index, name in enumerate(names)
         if not name.replace("-", "").replace("_", "").isalnum()
     ]
@@ -139,13 +150,10 @@
     faults: list[str] = []
     for signal, bound in level.bounds.items():
         if signals and signal not in signals:
-            faults.append(
-                f"{place}.{signal}: there is no such signal; known are {', '.join(signals)}"
-            )
+            faults.append(f"{place}.{signal}: unknown signal; the signals are {', '.join(signals)}")
         if bound.leave >= bound.enter:
             faults.append(
-                f"{place}.{signal}: it is left at {bound.leave:g}, which is not below its entry"
-                f" {bound.enter:g}"
+                f"{place}.{signal}: leave {bound.leave:g} must be below enter {bound.enter:g}"
             )
     return faults
 
@@ -153,7 +161,7 @@
 def _find_request_class_faults(
     level: LevelDefinition, place: str, known: Mapping[str, RequestClass]
 ) -> list[str]:
-    """Returns the faults of one level's lists of request classes, by the operators' keys."""
+    """Returns the faults of one level's lists of request classes, by the operator's keys."""
     faults: list[str] = []
     for key, names in (
         ("products", level.dropped_classes),
@@ -168,16 +176,16 @@
 
 
 def _find_request_class_fault(key: str, name: str, known: Mapping[str, RequestClass]) -> str:
-    """Returns why a request class can't stand under that key; empty where it can."""
+    """Returns why a request class is not allowed under that key; empty if it is allowed."""
     request_class = known.get(name)
     if request_class is None:
-        return f"there is no product {name!r}; known are {', '.join(known)}" if known else ""
+        return f"unknown product {name!r}; the products are {', '.join(known)}" if known else ""
     if key == "kept" and request_class.idempotency is not Idempotency.IDEMPOTENT:
-        return f"{name} has an effect: what is kept of it can't stand for another's"
+        return f"{name} is not idempotent: its cached result can't answer another request"
     if key == "kept" and not request_class.max_staleness_ns:
-        return f"{name} allows no kept result; say for how long in kept_ms"
+        return f"{name} has no maximum age of a cached result; set one in kept_ms"
     if key == "skips" and not request_class.value_share_without_call:
-        return f"an answer of {name} is worth nothing without its calls here"
+        return f"a result of {name} has no value without its downstream call"
     return ""
 
 
@@ -189,41 +197,41 @@
     level, previous = plan.levels[index], plan.levels[index - 1]
     if level.bounds and not previous.bounds:
         faults.append(
-            f"{place}: it has bounds and {previous.name} before it has none: it could never be"
-            " reached"
+            f"{place}: the level has bounds, but the level before it, {previous.name}, has none:"
+            " it could never be reached"
         )
     for signal in level.bounds.keys() & previous.bounds.keys():
         enter, previous_enter = level.bounds[signal].enter, previous.bounds[signal].enter
         if enter < previous_enter:
             faults.append(
-                f"{place}.{signal}: it is entered at {enter:g}, before"
-                f" {previous.name} at {previous_enter:g}: levels out of order"
+                f"{place}.{signal}: enter {enter:g} must be at least {previous_enter:g}, that of"
+                f" the level before it, {previous.name}"
             )
     return faults
 
 
 def _find_reference_faults(plan: LevelPlan, signals: Sequence[str]) -> list[str]:
-    """Returns the faults of emergencies and of the cold start's level."""
+    """Returns the faults of the emergencies and of the level of a cold start."""
     faults: list[str] = []
     names = [level.name for level in plan.levels]
     for signal, (_, name) in plan.emergencies.items():
         if signals and signal not in signals:
             faults.append(
-                f"emergencies.{signal}: there is no such signal; known are {', '.join(signals)}"
+                f"emergencies.{signal}: unknown signal; the signals are {', '.join(signals)}"
             )
         if name not in names:
             faults.append(
-                f"emergencies.{signal}: there is no level {name!r}; known are {', '.join(names)}"
+                f"emergencies.{signal}: unknown level {name!r}; the levels are {', '.join(names)}"
             )
     if plan.cold_start_level and plan.cold_start_level not in names:
         faults.append(
-            f"cold: there is no level {plan.cold_start_level!r}; known are {', '.join(names)}"
+            f"cold: unknown level {plan.cold_start_level!r}; the levels are {', '.join(names)}"
         )
     return faults
 
 
 def is_restrictive(level: LevelDefinition) -> bool:
-    """Returns whether a level takes anything away or has bounds."""
+    """Returns whether a level imposes any restriction or has bounds."""
     return bool(
         level.dropped_values
         or level.dropped_classes
@@ -236,7 +244,7 @@
     )
 
 
-def degradations(
+def build_degradations(
     plan: LevelPlan, request_classes: Sequence[tuple[str, RequestClass]]
 ) -> tuple[Degradation, ...]:
     """Returns each level in the form that the admission decisions take.
@@ -253,24 +261,24 @@
         raise InvalidPlanError(faults)
     return (
         Degradation(),
-        *(_degradation(level, request_classes) for level in plan.levels[1:]),
+        *(_build_degradation(level, request_classes) for level in plan.levels[1:]),
     )
 
 
-def _degradation(
+def _build_degradation(
     level: LevelDefinition, request_classes: Sequence[tuple[str, RequestClass]]
 ) -> Degradation:
     """Returns one level in the form that the admission decisions take."""
     values = sorted({request_class.value for _, request_class in request_classes})
-    droppable = values if level.dropped_values == ALL_VALUES else values[:-1]
+    droppable = values if level.dropped_values == DROP_ALL_VALUES else values[:-1]
     dropped_values = set(droppable[: level.dropped_values])
     dropped = tuple(
         request_class.value in dropped_values or name in level.dropped_classes
         for name, request_class in request_classes
     )
     cached = tuple(name in level.cached_classes for name, _ in request_classes)
-    # A marked retry of a request with an effect may be of one that ran elsewhere: only idempotent
-    # ones are rejected for being retries.
+    # The original attempt of a marked retry may have run on another server. If the request is not
+    # idempotent, its retry must be answered, so only idempotent requests are rejected as retries.
     rejects_retries = tuple(
         level.rejects_retries and request_class.idempotency is Idempotency.IDEMPOTENT
         for _, request_class in request_classes
@@ -299,7 +307,7 @@
     )
 
 
-# Bounds are shares of cores, SLA times and limits: they hold for any deployment.
+# All bounds are relative to cores, latency objectives and limits, so they hold for any deployment.
 DEFAULT_PLAN = LevelPlan(
     levels=(
         LevelDefinition("normal"),
@@ -307,7 +315,7 @@
             "lean",
             {
                 "press": SignalBounds(0.15, 0.05),
-                "use": SignalBounds(UNREACHABLE, 0.90),
+                "use": SignalBounds(UNREACHABLE_ENTRY, 0.90),
                 "age": SignalBounds(0.30, 0.10),
                 "lag": SignalBounds(0.25, 0.10),
                 "late": SignalBounds(0.05, 0.02),
@@ -323,7 +331,7 @@
             "essential",
             {
                 "press": SignalBounds(0.50, 0.05),
-                "use": SignalBounds(UNREACHABLE, 0.75),
+                "use": SignalBounds(UNREACHABLE_ENTRY, 0.75),
                 "age": SignalBounds(0.40, 0.10),
                 "lag": SignalBounds(0.40, 0.10),
                 "late": SignalBounds(0.10, 0.02),
@@ -339,21 +347,21 @@
             "highest",
             {
                 "press": SignalBounds(0.95, 0.05),
-                "use": SignalBounds(UNREACHABLE, 0.60),
+                "use": SignalBounds(UNREACHABLE_ENTRY, 0.60),
                 "lag": SignalBounds(1.00, 0.15),
                 "late": SignalBounds(0.35, 0.02),
                 "calls": SignalBounds(0.70, 0.05),
                 "memory": SignalBounds(0.95, 0.70),
             },
-            dropped_values=ALL_VALUES - 1,
+            dropped_values=DROP_ALL_VALUES - 1,
             rejects_retries=True,
             rejects_over_share=True,
             queue_share=0.5,
             allows_optional_work=False,
         ),
         LevelDefinition(
-            DRAIN,
-            dropped_values=ALL_VALUES,
+            DRAIN_LEVEL_NAME,
+            dropped_values=DROP_ALL_VALUES,
             rejects_retries=True,
             rejects_over_share=True,
             queue_share=0.0,
--- a/burlloom/levels/signals.py
+++ b/burlloom/levels/signals.py
@@ -1,7 +1,7 @@
-"""Load signals of a node, each aggregated over a ring of fixed buckets.
+"""Load signals of a node, each aggregated over a ring of fixed buckets. Does no I/O.
 
-A signal without a reading for its ring's span is stale: it is neither high nor low, so it never
-raises the service level.
+A signal without a reading for the span of its ring is stale. A stale signal counts neither as high
+nor as clear, so it never lets a node return to a less restrictive level.
 """
 
 from collections import OrderedDict
@@ -9,25 +9,27 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-SECOND = 1_000_000_000
-MS = 1_000_000
-MAX_TENANTS = 4096  # some hundred bytes each
+NS_PER_SECOND = 1_000_000_000
+NS_PER_MS = 1_000_000
+# Tenants measured at a time; each takes a few hundred bytes. Beyond it the one read longest ago is
+# dropped.
+MAX_TENANTS = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class SignalReadings:
-    """One round's readings; None where a reading is not known.
+    """One round's signal readings; None stands for an unknown reading.
 
     Attributes:
-        cpu_utilization: Of the cores, from 0 to 1.
+        cpu_utilization: Utilization of all cores, from 0 to 1.
         contention: Runnable tasks per core.
-        queue_age: Age of the oldest queued request, as a multiple of its SLA time.
-        read_lag: Delay of reading, as a multiple of the shortest SLA time.
-        pressure: The admission decisions' own pressure, from 0 to 1.
-        late_share: Of the settled requests, the share past their SLA time.
-        call_failure_share: Of the downstream calls, the share rejected, failed or abandoned.
-        store_load: The record's time for a claim, as a multiple of what it may take; 1 and more
-            where the store is unreachable.
+        queue_age: Age of the oldest queued request, as a multiple of its latency objective.
+        read_lag: Delay before requests are read, as a multiple of the shortest latency objective.
+        pressure: Pressure that the admission decisions compute, from 0 to 1.
+        late_share: Share of the completed requests that missed their latency objective.
+        call_failure_share: Share of the downstream calls that were rejected, failed or abandoned.
+        store_load: Time that the record takes for a claim, as a multiple of its limit; 1 or more if
+            the store is unreachable.
         memory_utilization: Share of the memory limit.
         socket_utilization: Share of the socket limit.
     """
@@ -45,10 +47,11 @@
 
     @classmethod
     def from_signals(cls, values: Mapping[str, float]) -> "SignalReadings":
-        """Returns readings by the operators' names of the signals; those left out are not known."""
+        """Returns the readings of values by the operator's signal names; the others are unknown."""
         return cls(**{SIGNAL_FIELDS[name]: value for name, value in values.items()})
 
 
+# The field of `SignalReadings` by the signal's name in the operator's file.
 SIGNAL_FIELDS = {
     "use": "cpu_utilization",
     "crowd": "contention",
@@ -60,16 +63,17 @@
     "store": "store_load",
     "memory": "memory_utilization",
     "sockets": "socket_utilization",
-}  # the operators' name of each signal, and its reading
+}
 SIGNAL_NAMES = tuple(SIGNAL_FIELDS)
-PEAKS = {"memory", "sockets", "store"}  # the highest of the ring counts; of the others, the mean
+# Signals whose value is the ring's maximum; that of all others is the ring's mean.
+PEAK_SIGNALS = {"memory", "sockets", "store"}
 
 
-class Ring:
-    """Sums, counts and peaks of the last buckets; single values are not stored.
+class BucketRing:
+    """Sums, counts and maxima of a ring of time buckets; single values are not stored.
 
     Args:
-        span_ns: What all buckets cover, ns.
+        span_ns: Time that all buckets cover, ns.
         buckets: Number of buckets.
     """
 
@@ -82,130 +86,144 @@
         self.peaks = [0.0] * buckets
         self.last, self.updated_at_ns = -1, -1
 
-    def turn(self, now: int) -> int:
-        """Clears the buckets that have expired by `now` (ns); returns the current one's index."""
-        bucket, size = now // self.width, len(self.sums)
+    def advance(self, now_ns: int) -> int:
+        """Clears the buckets that expired by `now_ns`; returns the index of the current bucket."""
+        bucket, size = now_ns // self.width, len(self.sums)
         if bucket > self.last:
-            for old in range(max(self.last + 1, bucket - size + 1), bucket + 1):
-                self.sums[old % size] = 0.0
-                self.counts[old % size] = 0
-                self.peaks[old % size] = 0.0
+            for expired in range(max(self.last + 1, bucket - size + 1), bucket + 1):
+                self.sums[expired % size] = 0.0
+                self.counts[expired % size] = 0
+                self.peaks[expired % size] = 0.0
             self.last = bucket
         return self.last % size
 
-    def add(self, now: int, value: float, weight: int = 1) -> None:
-        """Adds a value, which counts as `weight` samples, at `now` (ns)."""
-        at = self.turn(now)
-        self.sums[at] += value
-        self.counts[at] += weight
-        self.peaks[at] = max(self.peaks[at], value)
-        self.updated_at_ns = now
-
-    def mean(self, now: int, min_samples: int = 1) -> float | None:
-        """Returns the mean over the span; None with fewer than `min_samples` samples."""
-        self.turn(now)
+    def add(self, now_ns: int, value: float, weight: int = 1) -> None:
+        """Adds a value at `now_ns`; it counts as `weight` samples."""
+        index = self.advance(now_ns)
+        self.sums[index] += value
+        self.counts[index] += weight
+        self.peaks[index] = max(self.peaks[index], value)
+        self.updated_at_ns = now_ns
+
+    def mean(self, now_ns: int, min_samples: int = 1) -> float | None:
+        """Returns the mean over the span as of `now_ns`; None below `min_samples` samples."""
+        self.advance(now_ns)
         count = sum(self.counts)
         return sum(self.sums) / count if count >= min_samples else None
 
-    def peak(self, now: int) -> float | None:
-        """Returns the highest value of the span; None without samples."""
-        self.turn(now)
+    def peak(self, now_ns: int) -> float | None:
+        """Returns the highest value of the span as of `now_ns`; None without samples."""
+        self.advance(now_ns)
         return max(self.peaks) if any(self.counts) else None
 
 
 class SignalAggregator:
-    """Rings of all signals: 1.5 s, and 5 s for the shares of late requests and failed calls."""
+    """Aggregates all signals over 1.5 s; the shares of late requests and failed calls over 5 s.
+
+    Args:
+        buckets: Number of buckets of each ring.
+    """
 
     def __init__(self, buckets: int = 10) -> None:
-        spans = {"late": 5 * SECOND, "calls": 5 * SECOND}
-        self.rings = {name: Ring(spans.get(name, 1500 * MS), buckets) for name in SIGNAL_NAMES}
+        spans = {"late": 5 * NS_PER_SECOND, "calls": 5 * NS_PER_SECOND}
+        self.rings = {
+            name: BucketRing(spans.get(name, 1500 * NS_PER_MS), buckets) for name in SIGNAL_NAMES
+        }
 
-    def take(self, now: int, readings: SignalReadings) -> None:
-        """Adds one round's readings at `now` (ns)."""
+    def add_readings(self, now_ns: int, readings: SignalReadings) -> None:
+        """Adds one round's readings at `now_ns`."""
         for name, ring in self.rings.items():
             value = getattr(readings, SIGNAL_FIELDS[name])
             if value is not None:
-                ring.add(now, value)
+                ring.add(now_ns, value)
 
-    def values(self, now: int) -> dict[str, float]:
-        """Returns the known signals by the operators' names; stale ones are left out."""
-        found = {
-            name: ring.peak(now) if name in PEAKS else ring.mean(now)
+    def values(self, now_ns: int) -> dict[str, float]:
+        """Returns the signals' values as of `now_ns` by signal name; stale ones are left out."""
+        values = {
+            name: ring.peak(now_ns) if name in PEAK_SIGNALS else ring.mean(now_ns)
             for name, ring in self.rings.items()
         }
-        return {name: value for name, value in found.items() if value is not None}
+        return {name: value for name, value in values.items() if value is not None}
 
 
 class SignalBounds(NamedTuple):
-    """A level's bounds on a signal: entered from `enter` on, left at `leave` or below."""
+    """A level's bounds on a signal.
+
+    Attributes:
+        enter: The level is entered when the signal is at or above this value.
+        leave: The level may be left when the signal is at or below this value.
+    """
 
     enter: float
     leave: float
 
 
-def reached(
+def find_reached_bound(
     bounds: Mapping[str, SignalBounds], values: Mapping[str, float]
 ) -> tuple[str, float, float] | None:
-    """Finds the signal that is furthest past its entry.
+    """Returns the signal that exceeds its entry bound by the largest factor.
 
     Returns:
-        Its name, value and entry; None where no signal has reached its entry.
+        The signal's name, value and entry bound; None if no signal has reached its entry bound.
     """
-    found = [
+    candidates = [
         (value / bound.enter, name, value, bound.enter)
         for name, bound in bounds.items()
         if (value := values.get(name)) is not None and value >= bound.enter
     ]
-    return max(found)[1:] if found else None
+    return max(candidates)[1:] if candidates else None
 
 
-def low(bounds: Mapping[str, SignalBounds], values: Mapping[str, float]) -> bool:
-    """Returns whether all signals with bounds are known, and at or below their exit."""
+def are_all_clear(bounds: Mapping[str, SignalBounds], values: Mapping[str, float]) -> bool:
+    """Returns whether each signal that has bounds is known and at or below its exit bound."""
     return all(name in values and values[name] <= bound.leave for name, bound in bounds.items())
 
 
 class RecentShare:
-    """Share of recent events that count, such as late requests or failed calls.
+    """Share of recent events that meet a condition, such as late requests or failed calls.
 
     Args:
-        span_ns: Window, ns.
+        span_ns: Length of the window, ns.
         buckets: Number of buckets.
-        min_samples: Events needed to judge by.
+        min_samples: Events required for a share; with fewer it is reported as 0.
     """
 
-    def __init__(self, span_ns: int = 5 * SECOND, buckets: int = 10, min_samples: int = 20) -> None:
-        self.ring, self.min_samples = Ring(span_ns, buckets), min_samples
+    def __init__(
+        self, span_ns: int = 5 * NS_PER_SECOND, buckets: int = 10, min_samples: int = 20
+    ) -> None:
+        self.ring, self.min_samples = BucketRing(span_ns, buckets), min_samples
 
-    def add(self, now: int, counts: bool) -> None:
-        """Adds an event at `now` (ns); `counts` says whether it belongs to the share."""
-        self.ring.add(now, float(counts))
+    def add(self, now_ns: int, is_match: bool) -> None:
+        """Adds an event at `now_ns`; `is_match` tells whether it meets the condition."""
+        self.ring.add(now_ns, float(is_match))
 
-    def share(self, now: int) -> float | None:
-        """Returns the share; None without events, 0 with too few to judge by."""
-        if self.ring.mean(now) is None:
+    def share(self, now_ns: int) -> float | None:
+        """Returns the share as of `now_ns`; None without events, 0 below `min_samples` events."""
+        if self.ring.mean(now_ns) is None:
             return None
-        return self.ring.mean(now, self.min_samples) or 0.0
+        return self.ring.mean(now_ns, self.min_samples) or 0.0
 
 
-class TenantShares:
-    """Finds tenants over their share of recent requests, and which requests are the excess.
+class TenantExcessDetector:
+    """Detects tenants over their share of recent requests, and marks the requests in excess.
 
-    A tenant is over its share from `factor` times it on, if that is also `deviations` standard
-    deviations beyond what chance makes of so few requests, until it is back at the share. Only the
-    excess is marked, spread evenly. The MAX_TENANTS that were read last are measured.
+    A tenant is over its share once its part of the requests is at least `factor` times the share
+    and also exceeds the share by `deviations` standard deviations of a random sample of that size;
+    it stays over its share until it is back at the share. Only the requests in excess are marked,
+    spread evenly over the tenant's requests. The MAX_TENANTS tenants read last are measured.
 
     Args:
-        portions: Tenants' names and portions; not used where `share` is given.
-        span_ns: Window, ns.
-        factor: Multiple of the share from which a tenant is over it.
-        deviations: Standard deviations that the excess must exceed.
-        share: Returns a tenant's current share, from 0 to 1; None for an unknown one.
+        portions: Tenants' names and portions; not used if `share` is given.
+        span_ns: Length of the window, ns.
+        factor: Multiple of its share from which a tenant is over it.
+        deviations: Standard deviations by which the share must be exceeded.
+        share: Returns a tenant's current share, from 0 to 1; None for an unknown tenant.
     """
 
     def __init__(
         self,
         portions: Iterable[tuple[str, float]],
-        span_ns: int = 10 * SECOND,
+        span_ns: int = 10 * NS_PER_SECOND,
         factor: float = 1.25,
         deviations: float = 4.0,
         share: Callable[[str], float | None] | None = None,
@@ -216,40 +234,43 @@
             share or {name: portion / total for name, portion in portion_by_tenant.items()}.get
         )
         self.span_ns = span_ns
-        self.rings: OrderedDict[str, Ring] = OrderedDict()
-        self.all = Ring(span_ns, 10)
+        self.rings: OrderedDict[str, BucketRing] = OrderedDict()
+        self.all_requests = BucketRing(span_ns, 10)
         self.factor = factor
         self.deviations = deviations
-        self.past: dict[str, float] = {}  # fraction of a request still to be marked, by tenant
+        # By tenant over its share: the fraction of a request that is in excess and not yet marked.
+        self.unmarked_excess: dict[str, float] = {}
 
-    def is_over_share(self, now: int, tenant: str) -> bool:
-        """Counts a request read at `now` (ns); returns whether it is its tenant's excess.
+    def is_over_share(self, now_ns: int, tenant: str) -> bool:
+        """Counts a request read at `now_ns`; returns whether it is in excess of its tenant's share.
 
-        Unknown tenants have no share and are never over it.
+        An unknown tenant has no share and is never over it.
         """
         portion = self.share(tenant)
         if portion is None:
             return False
         ring = self.rings.get(tenant)
         if ring is None:
-            ring = self.rings[tenant] = Ring(self.span_ns, 10)
+            ring = self.rings[tenant] = BucketRing(self.span_ns, 10)
             if len(self.rings) > MAX_TENANTS:
-                self.past.pop(self.rings.popitem(last=False)[0], None)
+                self.unmarked_excess.pop(self.rings.popitem(last=False)[0], None)
         else:
             self.rings.move_to_end(tenant)
-        ring.add(now, 1.0)
-        self.all.add(now, 1.0)
-        total = sum(self.all.counts)
+        ring.add(now_ns, 1.0)
+        self.all_requests.add(now_ns, 1.0)
+        total = sum(self.all_requests.counts)
         share = sum(ring.counts) / total
-        by_chance = (portion * (1 - portion) / total) ** 0.5
+        standard_deviation = (portion * (1 - portion) / total) ** 0.5
         if share <= portion:
-            self.past.pop(tenant, None)
-        elif share >= max(portion * self.factor, portion + self.deviations * by_chance):
-            self.past.setdefault(tenant, 0.0)
-        if tenant not in self.past:
+            self.unmarked_excess.pop(tenant, None)
+        elif share >= max(portion * self.factor, portion + self.deviations * standard_deviation):
+            self.unmarked_excess.setdefault(tenant, 0.0)
+        if tenant not in self.unmarked_excess:
             return False
-        # Of the reads the tenant may have portion / (1 - portion) times what the others have.
-        allowed = portion / (1 - portion) * (total - sum(ring.counts)) if portion < 1 else total
-        owed = self.past[tenant] + 1 - min(1.0, allowed / sum(ring.counts))
-        self.past[tenant] = owed - (owed >= 1)
-        return owed >= 1
+        # The tenant may have portion / (1 - portion) times the requests of all other tenants.
+        allowed_requests = (
+            portion / (1 - portion) * (total - sum(ring.counts)) if portion < 1 else total
+        )
+        excess = self.unmarked_excess[tenant] + 1 - min(1.0, allowed_requests / sum(ring.counts))
+        self.unmarked_excess[tenant] = excess - (excess >= 1)
+        return excess >= 1
--- a/burlloom/levels/state_machine.py
+++ b/burlloom/levels/state_machine.py
@@ -1,18 +1,20 @@
 """State machine of the service levels, with hysteresis in value and in time.
 
-Level 0 takes nothing away; each further one takes more. Each round has one event: WORSE calls for
-the next level down, BETTER for a trial of the one above; an unknown state is neither. The whole
-state is one small tuple, `DegradationStatus`, so that tests/explore_levels.py can explore every
-history.
-
-A trial is no change of level: each caller is served at this level or at the one above, and a failed
-trial doubles the stay before the next. A trial lasts while the cap on changes allows no step up.
-
-Why it can't flap, whatever the signals do: a step up is taken only if the changes of the last
-minute, this one, and a fall from there to the last level together stay within
-`max_changes_per_minute`. Consider any minute. Without a step up it holds at most as many changes as
-there are levels below. Else consider its last step up: the condition bounds the sum of what came
-before it within the minute, itself, and all that can follow.
+Level 0 restricts nothing; each further level restricts more. Each round has one event: WORSE
+requests a step down to the next level, BETTER a trial of the level above; unknown signals lead to
+neither. The whole state is one small tuple, `DegradationStatus`, so that tests/explore_levels.py
+can explore every history. Does no I/O.
+
+A trial does not change the level: each caller is served at this level or at the one above. A failed
+trial doubles the stay before the next trial. A trial continues as long as the cap on changes allows
+no step up.
+
+The number of changes in any minute is bounded by `max_changes_per_minute`, whatever the signals do:
+a step up is taken only if the changes of the last minute, the step itself and a descent from there
+to the last level together stay within the cap. Proof for any minute: without a step up, the minute
+has at most as many changes as there are levels below. With one, consider the last step up of the
+minute: the condition bounds the sum of the changes before it, the step itself and all changes that
+can follow.
 """
 
 from collections.abc import Callable
@@ -20,70 +22,73 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-SECOND = 1_000_000_000
-MINUTE = 60 * SECOND
-# Shares of the callers that a trial serves at the level above, in turn.
+NS_PER_SECOND = 1_000_000_000
+NS_PER_MINUTE = 60 * NS_PER_SECOND
+# Shares of the callers that the successive steps of a trial serve at the level above.
 TRIAL_SHARES = (0.1, 0.3, 0.6, 0.9)
 
 
 class DegradationPhase(IntEnum):
-    """Whether the level is steady, being left by a trial, or pinned."""
+    """Whether a level is steady, on trial of the level above, or pinned."""
 
     STEADY = 0
-    TRIAL = 1  # part of the callers are served at the level above
-    PINNED = 2  # an operator has pinned the level
+    TRIAL = 1  # a share of the callers is served at the level above
+    PINNED = 2  # an operator's pin holds the level
 
 
 class DegradationEvent(IntEnum):
     """Inputs of the state machine."""
 
-    SAME = 0
-    WORSE = 1
-    BETTER = 2
+    SAME = 0  # no signal calls for a change
+    WORSE = 1  # a signal has reached an entry bound
+    BETTER = 2  # all signals are at or below their exit bounds
     EMERGENCY = 3  # a signal has reached its emergency bound
-    PIN = 4
-    RELEASE = 5
+    PIN = 4  # an operator pins a level
+    RELEASE = 5  # the pin has been removed or has expired
 
 
+# Columns: state, input, tests, next state, effect; "-" stands for no test. All tests must hold.
 TABLE = """
-STEADY EMERGENCY  higher               STEADY drop
-STEADY WORSE      dwelt more           STEADY down
-STEADY BETTER     stayed               TRIAL  begin
-STEADY PIN        -                    PINNED pin
-TRIAL  EMERGENCY  higher               STEADY drop
-TRIAL  EMERGENCY  -                    STEADY abort
-TRIAL  WORSE      -                    STEADY abort
-TRIAL  BETTER     tried widest within_cap STEADY up
-TRIAL  BETTER     tried narrow         TRIAL  widen
-TRIAL  PIN        -                    PINNED pin
-PINNED EMERGENCY  higher               PINNED drop
-PINNED PIN        -                    PINNED pin
-PINNED RELEASE    -                    STEADY release
+STEADY EMERGENCY  is_target_stricter                    STEADY drop
+STEADY WORSE      has_dwelt has_stricter_level          STEADY down
+STEADY BETTER     has_stayed                            TRIAL  begin
+STEADY PIN        -                                     PINNED pin
+TRIAL  EMERGENCY  is_target_stricter                    STEADY drop
+TRIAL  EMERGENCY  -                                     STEADY abort
+TRIAL  WORSE      -                                     STEADY abort
+TRIAL  BETTER     has_trial_step_elapsed is_last_trial_step is_within_cap STEADY up
+TRIAL  BETTER     has_trial_step_elapsed has_wider_trial_step TRIAL widen
+TRIAL  PIN        -                                     PINNED pin
+PINNED EMERGENCY  is_target_stricter                    PINNED drop
+PINNED PIN        -                                     PINNED pin
+PINNED RELEASE    -                                     STEADY release
 """
 
 
 class DegradationStatus(NamedTuple):
-    """Where a node stands. Times are ns on the host's clock.
+    """The state machine's whole state. Times are in ns on the host's clock.
 
     Attributes:
         level: Index of the level.
         phase: The phase.
         trial_step: Index in TRIAL_SHARES; -1 outside a trial.
-        since_ns: When the level was entered, or the last trial failed.
-        changed_at_ns: The last transition, steps of a trial included.
-        rose_at_ns: When the node came up to this level; 0 where it came down to it.
-        calm_since_ns: Since when it has been calm, where it came up.
-        stay_doublings: For each level, how many times its stay has doubled.
-        recent_changes: Changes of the last minute, oldest first, without an operator's.
+        since_ns: When the level was entered, or its last trial failed if that was later.
+        changed_at_ns: Time of the last transition, steps of a trial included.
+        rose_at_ns: When a step up entered this level; 0 if it was entered otherwise.
+        calm_since_ns: Start of the current period of calm at a level entered by a step up: the step
+            up, or the last time that calm took one doubling back.
+        stay_doublings: How many times the stay of each level has doubled.
+        recent_changes: Times of the changes of level in the last minute, oldest first; changes by
+            an operator's pin are not included.
     """
 
     level: int
     phase: DegradationPhase = DegradationPhase.STEADY
-    trial_step: int = -1  # index in TRIAL_SHARES, in a trial
-    since_ns: int = 0  # at this level; where a trial failed, from then on
-    changed_at_ns: int = 0  # the last step, also of a trial
-    rose_at_ns: int = 0  # when it last came up to this level; 0 where it came down to it
-    calm_since_ns: int = 0  # since when it has been calm on it, where it came up
+    trial_step: int = -1
+    since_ns: int = 0
+    changed_at_ns: int = 0
+    rose_at_ns: int = 0
+    calm_since_ns: int = 0
     stay_doublings: tuple[int, ...] = ()
     recent_changes: tuple[int, ...] = ()
 
@@ -94,26 +99,28 @@
 
     Attributes:
         level_count: Number of levels, without those that only a pin reaches.
-        dwell_ns: Between two steps down.
-        min_stay_ns: Least time at a level before a trial of the one above. It doubles each time
-            that a trial fails or a level is entered again within `relapse_ns`.
+        dwell_ns: Minimum time between two steps down.
+        min_stay_ns: Minimum time at a level before a trial of the level above. The time doubles
+            whenever a trial fails, or a node steps down to the level again within `relapse_ns` of
+            stepping up from it.
         max_stay_ns: Upper bound of the doubled stay.
-        relapse_ns: See `min_stay_ns`; each such time of calm takes one doubling back.
-        trial_step_ns: Between two steps of a trial.
-        max_changes_per_minute: Cap on the changes of level in any minute.
-        stay_doubles: Whether the stay doubles; off for comparison.
-        uses_trials: Whether a step up is tried on part of the callers first.
+        relapse_ns: Time after a step up within which a step down counts as a relapse, see
+            `min_stay_ns`; each such period of calm takes one doubling back.
+        trial_step_ns: Minimum time between two steps of a trial.
+        max_changes_per_minute: Cap on the changes of level in any minute, pins excluded.
+        stay_doubles: Whether the stay doubles; turned off only for comparison.
+        uses_trials: Whether a step up is first tried on a share of the callers.
 
     Raises:
         ValueError: The cap is lower than the number of levels.
     """
 
     level_count: int
-    dwell_ns: int = SECOND
-    min_stay_ns: int = 5 * SECOND
-    max_stay_ns: int = 160 * SECOND
-    relapse_ns: int = 20 * SECOND
-    trial_step_ns: int = 2 * SECOND
+    dwell_ns: int = NS_PER_SECOND
+    min_stay_ns: int = 5 * NS_PER_SECOND
+    max_stay_ns: int = 160 * NS_PER_SECOND
+    relapse_ns: int = 20 * NS_PER_SECOND
+    trial_step_ns: int = 2 * NS_PER_SECOND
     max_changes_per_minute: int = 4
     stay_doubles: bool = True
     uses_trials: bool = True
@@ -121,14 +128,20 @@
     def __post_init__(self) -> None:
         if self.max_changes_per_minute < self.level_count:
             raise ValueError(
-                f"changes_most {self.max_changes_per_minute} is under the"
-                f" {self.level_count} levels: from the last one a node"
-                " could never come back to the first"
+                f"{self.max_changes_per_minute} changes a minute are fewer than the"
+                f" {self.level_count} automatic levels: a node at the last level could never"
+                " return to the first"
             )
 
 
 class Transition(NamedTuple):
-    """Result of one round; `effect` is empty where nothing changed."""
+    """Result of one event.
+
+    Attributes:
+        before: The status before the event.
+        after: The status after the event.
+        effect: Name of the effect; empty if no transition applied.
+    """
 
     before: DegradationStatus
     after: DegradationStatus
@@ -136,94 +149,99 @@
 
     @property
     def has_changed_level(self) -> bool:
-        """Whether the level changed."""
+        """Returns whether the level changed."""
         return self.before.level != self.after.level
 
 
 def max_changes_per_minute(policy: HysteresisPolicy) -> int:
-    """Returns the most changes in any minute, without an operator's pins."""
+    """Returns the highest number of changes of level in any minute, pins excluded."""
     return policy.max_changes_per_minute
 
 
 class DegradationStateMachine:
-    """Applies the table under a policy; `handle` depends on its arguments alone."""
+    """Applies the transition table under a policy; stores no status, `handle` returns the next."""
 
     def __init__(self, policy: HysteresisPolicy) -> None:
         self.policy = policy
 
-    def start(self, level: int, now: int) -> DegradationStatus:
-        """Returns the status of a node that starts at that level at `now` (ns)."""
+    def start(self, level: int, now_ns: int) -> DegradationStatus:
+        """Returns the status of a node that starts at the level with that index at `now_ns`."""
         return DegradationStatus(
-            level, since_ns=now, changed_at_ns=now, stay_doublings=(0,) * self.policy.level_count
+            level,
+            since_ns=now_ns,
+            changed_at_ns=now_ns,
+            stay_doublings=(0,) * self.policy.level_count,
         )
 
     def handle(
-        self, at: DegradationStatus, event: DegradationEvent, now: int, target: int = 0
+        self, at: DegradationStatus, event: DegradationEvent, now_ns: int, target: int = 0
     ) -> Transition:
         """Applies the first transition whose tests all hold.
 
         Args:
-            at: The status before.
+            at: The status before the event.
             event: The event.
-            now: The time, ns on the host's clock.
-            target: The level that an emergency or a pin names.
+            now_ns: The time, ns on the host's clock.
+            target: Index of the level that an emergency or a pin names.
 
         Returns:
-            The transition.
+            The transition; its effect is empty if none applied.
         """
         status = at._replace(
-            recent_changes=tuple(change for change in at.recent_changes if change > now - MINUTE)
+            recent_changes=tuple(
+                change for change in at.recent_changes if change > now_ns - NS_PER_MINUTE
+            )
         )
         for tests, phase, effect in RULES.get((at.phase, event), ()):
-            if all(test(self, status, now, target) for test in tests):
-                after = EFFECTS[effect](self, status, now, target)
-                return Transition(at, after._replace(phase=phase, changed_at_ns=now), effect)
-        return Transition(at, self.calm(status, now), "")
+            if all(test(self, status, now_ns, target) for test in tests):
+                after = EFFECTS[effect](self, status, now_ns, target)
+                return Transition(at, after._replace(phase=phase, changed_at_ns=now_ns), effect)
+        return Transition(at, self.decay_stay_doublings(status, now_ns), "")
 
-    # Tests.
+    # Tests of the transition table.
 
-    def higher(self, at: DegradationStatus, now: int, target: int) -> bool:
-        """Test: the target takes more away than this level."""
+    def is_target_stricter(self, at: DegradationStatus, now_ns: int, target: int) -> bool:
+        """Test: the target level is more restrictive than this level."""
         return target > at.level
 
-    def more(self, at: DegradationStatus, now: int, target: int) -> bool:
-        """Test: a further level can be entered without a pin."""
+    def has_stricter_level(self, at: DegradationStatus, now_ns: int, target: int) -> bool:
+        """Test: there is a more restrictive level that can be entered without a pin."""
         return at.level < self.policy.level_count - 1
 
-    def dwelt(self, at: DegradationStatus, now: int, target: int) -> bool:
-        """Test: the time between two steps down has passed."""
-        return now - at.changed_at_ns >= self.policy.dwell_ns
+    def has_dwelt(self, at: DegradationStatus, now_ns: int, target: int) -> bool:
+        """Test: the minimum time between two steps down has passed."""
+        return now_ns - at.changed_at_ns >= self.policy.dwell_ns
 
-    def stayed(self, at: DegradationStatus, now: int, target: int) -> bool:
-        """Test: the least stay at this level has passed, and there is a level above."""
-        return at.level > 0 and now - at.since_ns >= self.min_stay_ns(at)
+    def has_stayed(self, at: DegradationStatus, now_ns: int, target: int) -> bool:
+        """Test: the minimum stay at this level has passed, and there is a level above."""
+        return at.level > 0 and now_ns - at.since_ns >= self.min_stay_ns(at)
 
-    def tried(self, at: DegradationStatus, now: int, target: int) -> bool:
-        """Test: the trial's step has lasted its time."""
-        return now - at.changed_at_ns >= self.policy.trial_step_ns
+    def has_trial_step_elapsed(self, at: DegradationStatus, now_ns: int, target: int) -> bool:
+        """Test: the minimum time of the trial's step has passed."""
+        return now_ns - at.changed_at_ns >= self.policy.trial_step_ns
 
-    def widest(self, at: DegradationStatus, now: int, target: int) -> bool:
+    def is_last_trial_step(self, at: DegradationStatus, now_ns: int, target: int) -> bool:
         """Test: the trial is at its last step, or trials are off."""
         return at.trial_step == len(TRIAL_SHARES) - 1 or not self.policy.uses_trials
 
-    def narrow(self, at: DegradationStatus, now: int, target: int) -> bool:
+    def has_wider_trial_step(self, at: DegradationStatus, now_ns: int, target: int) -> bool:
         """Test: the trial has a further step."""
         return at.trial_step < len(TRIAL_SHARES) - 1
 
-    def within_cap(self, at: DegradationStatus, now: int, target: int) -> bool:
-        """Test: a step up and a fall from there to the last level stay within the cap."""
-        falls = self.policy.level_count - 1 - max(0, at.level - 1)
-        return len(at.recent_changes) + 1 + max(0, falls) <= self.policy.max_changes_per_minute
+    def is_within_cap(self, at: DegradationStatus, now_ns: int, target: int) -> bool:
+        """Test: a step up and a descent from there to the last level stay within the cap."""
+        steps_down = self.policy.level_count - 1 - max(0, at.level - 1)
+        return len(at.recent_changes) + 1 + max(0, steps_down) <= self.policy.max_changes_per_minute
 
-    # Effects.
+    # Effects of the transition table, and what they share.
 
     def min_stay_ns(self, at: DegradationStatus) -> int:
-        """Returns the least stay at this level, doublings included, ns."""
-        doubled = at.stay_doublings[at.level] if at.level < len(at.stay_doublings) else 0
-        return min(self.policy.max_stay_ns, self.policy.min_stay_ns << doubled)
+        """Returns the minimum stay at this level, doublings included, in ns."""
+        doublings = at.stay_doublings[at.level] if at.level < len(at.stay_doublings) else 0
+        return min(self.policy.max_stay_ns, self.policy.min_stay_ns << doublings)
 
-    def doubled(self, at: DegradationStatus, level: int) -> tuple[int, ...]:
-        """Returns the doublings with one more for that level, up to the longest stay."""
+    def add_stay_doubling(self, at: DegradationStatus, level: int) -> tuple[int, ...]:
+        """Returns the doublings with one more for that level, up to `max_stay_ns`."""
         if (
             not self.policy.stay_doubles
             or level >= len(at.stay_doublings)
@@ -236,13 +254,17 @@
             *at.stay_doublings[level + 1 :],
         )
 
-    def calm(self, at: DegradationStatus, now: int) -> DegradationStatus:
-        """Takes back one doubling of the next level after each `relapse_ns` of calm."""
+    def decay_stay_doublings(self, at: DegradationStatus, now_ns: int) -> DegradationStatus:
+        """Returns the status with one doubling of the next level taken back if calm lasted.
+
+        Calm has lasted if the level was entered by a step up and is steady, and `relapse_ns` have
+        passed since `calm_since_ns`.
+        """
         next_level = at.level + 1
         if (
             at.phase is DegradationPhase.STEADY
             and at.rose_at_ns
-            and now - at.calm_since_ns >= self.policy.relapse_ns
+            and now_ns - at.calm_since_ns >= self.policy.relapse_ns
             and next_level < len(at.stay_doublings)
             and at.stay_doublings[next_level]
         ):
@@ -251,61 +273,63 @@
                 at.stay_doublings[next_level] - 1,
                 *at.stay_doublings[next_level + 1 :],
             )
-            return at._replace(stay_doublings=stays, calm_since_ns=now)
+            return at._replace(stay_doublings=stays, calm_since_ns=now_ns)
         return at
 
-    def fallen(self, at: DegradationStatus, now: int, level: int) -> DegradationStatus:
-        """Returns the status after a fall to that level; an early one doubles its stay."""
-        early = bool(at.rose_at_ns) and now - at.rose_at_ns < self.policy.relapse_ns
-        stays = self.doubled(at, level) if early else at.stay_doublings
+    def step_down_to(self, at: DegradationStatus, now_ns: int, level: int) -> DegradationStatus:
+        """Returns the status after a step down to a level; a relapse doubles its stay."""
+        is_relapse = bool(at.rose_at_ns) and now_ns - at.rose_at_ns < self.policy.relapse_ns
+        stays = self.add_stay_doubling(at, level) if is_relapse else at.stay_doublings
         return at._replace(
             level=level,
             trial_step=-1,
-            since_ns=now,
+            since_ns=now_ns,
             rose_at_ns=0,
             stay_doublings=stays,
-            recent_changes=(*at.recent_changes, now),
+            recent_changes=(*at.recent_changes, now_ns),
         )
 
-    def down(self, at: DegradationStatus, now: int, target: int) -> DegradationStatus:
-        """Effect: one level down."""
-        return self.fallen(at, now, at.level + 1)
+    def down(self, at: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
+        """Effect: steps down to the next level."""
+        return self.step_down_to(at, now_ns, at.level + 1)
 
-    def drop(self, at: DegradationStatus, now: int, target: int) -> DegradationStatus:
-        """Effect: down to the emergency's level."""
-        return self.fallen(at, now, target)
+    def drop(self, at: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
+        """Effect: steps down to the emergency's level."""
+        return self.step_down_to(at, now_ns, target)
 
-    def begin(self, at: DegradationStatus, now: int, target: int) -> DegradationStatus:
+    def begin(self, at: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
         """Effect: begins a trial of the level above."""
         return at._replace(trial_step=0)
 
-    def widen(self, at: DegradationStatus, now: int, target: int) -> DegradationStatus:
-        """Effect: the trial's next step."""
+    def widen(self, at: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
+        """Effect: advances the trial to its next step."""
         return at._replace(trial_step=at.trial_step + 1)
 
-    def abort(self, at: DegradationStatus, now: int, target: int) -> DegradationStatus:
-        """Effect: ends a failed trial and doubles the stay."""
-        return at._replace(trial_step=-1, since_ns=now, stay_doublings=self.doubled(at, at.level))
+    def abort(self, at: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
+        """Effect: ends a failed trial and doubles the level's stay."""
+        return at._replace(
+            trial_step=-1, since_ns=now_ns, stay_doublings=self.add_stay_doubling(at, at.level)
+        )
 
-    def up(self, at: DegradationStatus, now: int, target: int) -> DegradationStatus:
-        """Effect: one level up."""
+    def up(self, at: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
+        """Effect: steps up to the level above."""
         return at._replace(
             level=at.level - 1,
             trial_step=-1,
-            since_ns=now,
-            rose_at_ns=now,
-            calm_since_ns=now,
-            recent_changes=(*at.recent_changes, now),
+            since_ns=now_ns,
+            rose_at_ns=now_ns,
+            calm_since_ns=now_ns,
+            recent_changes=(*at.recent_changes, now_ns),
         )
 
-    def pin(self, at: DegradationStatus, now: int, target: int) -> DegradationStatus:
-        """Effect: to the pinned level."""
-        return at._replace(level=target, trial_step=-1, since_ns=now, rose_at_ns=0)
+    def pin(self, at: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
+        """Effect: enters the pinned level."""
+        return at._replace(level=target, trial_step=-1, since_ns=now_ns, rose_at_ns=0)
 
-    def release(self, at: DegradationStatus, now: int, target: int) -> DegradationStatus:
-        """Effect: leaves the pin, from a level that only a pin reaches to the last other one."""
+    def release(self, at: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
+        """Effect: ends the pin and leaves a level that only a pin reaches."""
         return at._replace(
-            level=min(at.level, self.policy.level_count - 1), since_ns=now, rose_at_ns=0
+            level=min(at.level, self.policy.level_count - 1), since_ns=now_ns, rose_at_ns=0
         )
 
 
@@ -316,26 +340,31 @@
 ]
 
 
-def rules(table: str) -> Rules:
-    """Parses a table: phase, event, tests, next phase, effect.
+def parse_rules(table: str) -> Rules:
+    """Parses a transition table with any number of tests in a row.
+
+    Args:
+        table: Rows of phase, event, tests, next phase and effect; empty lines are skipped.
 
     Returns:
-        By phase and event, the transitions in the table's order.
+        The transitions of each phase and event, in the order of the table.
 
     Raises:
         KeyError: A row names an unknown phase or event.
         AttributeError: A row names an unknown test.
     """
-    found: Rules = {}
+    rules: Rules = {}
     for phase, event, *tests, after, effect in filter(None, map(str.split, table.split("\n"))):
-        named = tuple(getattr(DegradationStateMachine, test) for test in tests if test != "-")
-        found.setdefault((DegradationPhase[phase], DegradationEvent[event]), []).append(
-            (named, DegradationPhase[after], effect)
+        test_methods = tuple(
+            getattr(DegradationStateMachine, test) for test in tests if test != "-"
+        )
+        rules.setdefault((DegradationPhase[phase], DegradationEvent[event]), []).append(
+            (test_methods, DegradationPhase[after], effect)
         )
-    return found
+    return rules
 
 
-RULES = rules(TABLE)
+RULES = parse_rules(TABLE)
 EFFECTS: dict[str, Effect] = {
     name: getattr(DegradationStateMachine, name)
     for name in ("down", "drop", "begin", "widen", "abort", "up", "pin", "release")
--- a/burlloom/operator/levels.py
+++ b/burlloom/operator/levels.py
@@ -13,7 +13,7 @@
     LevelPlan,
     SignalBounds,
 )
-from ..levels.plan import ALL_VALUES, find_plan_faults
+from ..levels.plan import DROP_ALL_VALUES, find_plan_faults
 from .part import Part
 
 MS = 1_000_000
@@ -48,7 +48,7 @@
 
     def level(self) -> LevelDefinition:
         """Return the level that this part describes."""
-        gone = {"all": ALL_VALUES, "all-but-highest": ALL_VALUES - 1}.get(
+        gone = {"all": DROP_ALL_VALUES, "all-but-highest": DROP_ALL_VALUES - 1}.get(
             str(self.gives_up), self.gives_up
         )
         assert isinstance(gone, int)
@@ -121,7 +121,7 @@
 
     def hysteresis_policy(self) -> HysteresisPolicy:
         """Raises `ValueError`, which `faults` has told by then."""
-        automatic = self.plan().automatic_levels
+        automatic = self.plan().automatic_level_count
         most = self.changes_a_minute if self.changes_a_minute is not None else max(4, automatic)
         return HysteresisPolicy(
             automatic,
--- a/burlloom/server/configured_service_levels.py
+++ b/burlloom/server/configured_service_levels.py
@@ -86,9 +86,9 @@
         self.steps: dict[str, int] = {}
         self._pin_file = PinFile(pin_file, plan) if pin_file is not None else None
         self._state_file = state_file
-        self._degradations = decisions.degradations(plan, request_classes)
+        self._degradations = decisions.build_degradations(plan, request_classes)
         self._signals = measured_signals(meters, store is not None)
-        self._tenants = decisions.TenantShares(tenant_portions.items(), share=share)
+        self._tenants = decisions.TenantExcessDetector(tenant_portions.items(), share=share)
         self._late = decisions.signals.RecentShare()
         self._failed_calls = decisions.signals.RecentShare()
         self.levels: DegradationController | None = None
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -30,12 +30,12 @@
     LevelPlan,
     SignalBounds,
     SignalReadings,
-    TenantShares,
-    degradations,
+    TenantExcessDetector,
+    build_degradations,
     max_changes_per_minute,
 )
 from burlloom.levels import state_machine as ladder
-from burlloom.levels.plan import ALL_VALUES, find_plan_faults
+from burlloom.levels.plan import DROP_ALL_VALUES, find_plan_faults
 from burlloom.levels.signals import SIGNAL_NAMES, SignalAggregator
 
 
@@ -80,18 +80,18 @@
     ("row", "broken"),
     [
         (
-            "TRIAL  BETTER     tried widest within_cap STEADY up",
-            "TRIAL  BETTER     tried widest         STEADY up",
+            "TRIAL  BETTER     has_trial_step_elapsed is_last_trial_step is_within_cap STEADY up",
+            "TRIAL  BETTER     has_trial_step_elapsed is_last_trial_step STEADY up",
         ),
         (
-            "TRIAL  WORSE      -                    STEADY abort",
-            "TRIAL  WORSE      -                    STEADY up",
+            "TRIAL  WORSE      -                                     STEADY abort",
+            "TRIAL  WORSE      -                                     STEADY up",
         ),
     ],
 )
 def test_a_broken_row_is_caught(row: str, broken: str, monkeypatch: pytest.MonkeyPatch) -> None:
     assert row in ladder.TABLE
-    monkeypatch.setattr(ladder, "RULES", ladder.rules(ladder.TABLE.replace(row, broken)))
+    monkeypatch.setattr(ladder, "RULES", ladder.parse_rules(ladder.TABLE.replace(row, broken)))
     explorer = Explorer(
         coarse(10 * SECOND, 3, max_changes_per_minute=3, uses_trials=False), 10 * SECOND
     )
@@ -150,7 +150,9 @@
 
 
 def of_plan(**more: Any) -> DegradationController:
-    return DegradationController(DEFAULT_PLAN, degradations(DEFAULT_PLAN, PRODUCTS), NOW, **more)
+    return DegradationController(
+        DEFAULT_PLAN, build_degradations(DEFAULT_PLAN, PRODUCTS), NOW, **more
+    )
 
 
 CALM = SignalReadings(
@@ -196,7 +198,7 @@
     assert levels.level == "essential"
     assert not levels.trial_share
     signals = SignalAggregator()
-    signals.take(NOW, CALM)
+    signals.add_readings(NOW, CALM)
     assert set(signals.values(NOW)) == set(SIGNAL_NAMES)
     assert signals.values(NOW + 20 * SECOND) == {}
 
@@ -226,7 +228,7 @@
 
 
 def test_what_the_shipped_levels_take_away() -> None:
-    normal, lean, essential, highest, drain = degradations(DEFAULT_PLAN, PRODUCTS)
+    normal, lean, essential, highest, drain = build_degradations(DEFAULT_PLAN, PRODUCTS)
     assert normal == Degradation()
     assert lean.rejected_classes == (False, False, False)
     assert lean.retry_rejecting_classes == (True, True, False)
@@ -261,29 +263,29 @@
     )
     told = find_plan_faults(plan, PRODUCTS, SIGNAL_NAMES)
     for expected in (
-        "levels.0 (normal): the first level takes nothing",
-        "levels.2 (a): the name stands twice",
-        "levels.1 (a).age: it is left at 0.3",
-        "levels.1 (a).heat: there is no such signal",
-        "levels.1 (a).products: there is no product 'buy'",
-        "levels.2 (a).kept: pay has an effect",
-        "levels.2 (a).kept: look allows no kept result",
-        "levels.2 (a).skips: an answer of set",
-        "levels.2 (a).hold: 2 is no share",
-        "levels.2 (a).age: it is entered at 0.1, before a at 0.2",
-        "emergencies.memory: there is no level 'b'",
-        "cold: there is no level 'c'",
+        "levels.0 (normal): the first level must be without bounds and restrictions",
+        "levels.2 (a): another level has the same name",
+        "levels.1 (a).age: leave 0.3 must be below enter 0.2",
+        "levels.1 (a).heat: unknown signal",
+        "levels.1 (a).products: unknown product 'buy'",
+        "levels.2 (a).kept: pay is not idempotent",
+        "levels.2 (a).kept: look has no maximum age of a cached result",
+        "levels.2 (a).skips: a result of set has no value",
+        "levels.2 (a).hold: 2 is not a share",
+        "levels.2 (a).age: enter 0.1 must be at least 0.2, that of the level before it, a",
+        "emergencies.memory: unknown level 'b'",
+        "cold: unknown level 'c'",
     ):
         assert any(line.startswith(expected) for line in told), (expected, told)
     assert len(told) == 12
     with pytest.raises(InvalidPlanError):
-        degradations(plan, PRODUCTS)
-    with pytest.raises(ValueError, match="could never come back"):
+        build_degradations(plan, PRODUCTS)
+    with pytest.raises(ValueError, match="could never return"):
         HysteresisPolicy(5, max_changes_per_minute=4)
 
 
 def test_tenants_past_their_share() -> None:
-    tenants = TenantShares([("a", 0.5), ("b", 0.5)])
+    tenants = TenantExcessDetector([("a", 0.5), ("b", 0.5)])
     chance, past = Random(1), {"a": 0, "b": 0}
     for n in range(4000):
         tenant = "a" if chance.random() < 0.8 else "b"
@@ -293,7 +295,7 @@
     assert 2200 < past["a"] < 2500
     assert not past["b"]
     assert not tenants.is_over_share(NOW, "unknown")
-    fair = TenantShares([("a", 0.6), ("b", 0.4)])
+    fair = TenantExcessDetector([("a", 0.6), ("b", 0.4)])
     assert not any(
         fair.is_over_share(NOW + n * SECOND // 10, "a" if chance.random() < 0.6 else "b")
         for n in range(5000)
@@ -337,7 +339,9 @@
     shut = LevelPlan(
         (
             LevelDefinition("normal"),
-            LevelDefinition("shut", {"use": SignalBounds(0.2, 0.01)}, dropped_values=ALL_VALUES),
+            LevelDefinition(
+                "shut", {"use": SignalBounds(0.2, 0.01)}, dropped_values=DROP_ALL_VALUES
+            ),
         )
     )
     told = play(
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -27,9 +27,9 @@
     "cold": "frozen",
 }
 FAULTS_OF_IMPOSSIBLE_LEVELS = (
-    ("levels.levels.1 (lean).age", "left at 0.2, which is not below"),
-    ("levels.levels.1 (lean).heat", "no such signal"),
-    ("levels.cold", "no level 'frozen'"),
+    ("levels.levels.1 (lean).age", "leave 0.2 must be below enter"),
+    ("levels.levels.1 (lean).heat", "unknown signal"),
+    ("levels.cold", "unknown level 'frozen'"),
     ("levels.stay_most_ms", "under stay_ms"),
 )
 
--- a/tests/test_tenant_portions.py
+++ b/tests/test_tenant_portions.py
@@ -10,7 +10,7 @@
 from burlloom.distribution.replica import Replica
 from burlloom.distribution.table import ConfigTable
 from burlloom.fakes.parts import fields
-from burlloom.levels.signals import MAX_TENANTS, TenantShares
+from burlloom.levels.signals import MAX_TENANTS, TenantExcessDetector
 from burlloom.rpc.incoming_request import MalformedRequestError, RequestRules
 from burlloom.rpc.wire import parse_request
 from burlloom.server.tenant_portions import COUNT_INTERVAL_NS, ServedTenants, TenantPortions
@@ -138,7 +138,7 @@
     replica, portions = portions_of_three()
     apply(replica, tenant_item("a", portion=8))
     count(portions, COUNT_INTERVAL_NS)
-    shares = TenantShares((), share=portions.share)
+    shares = TenantExcessDetector((), share=portions.share)
     random, over = Random(1), {"a": 0, "b": 0}
     for n in range(3000):
         name = "b" if random.random() < 0.6 else "a"
@@ -149,9 +149,9 @@
 
 
 def test_requests_are_counted_for_a_bounded_number_of_tenants() -> None:
-    shares = TenantShares((), share=lambda name: 1e-5)
+    shares = TenantExcessDetector((), share=lambda name: 1e-5)
     for n in range(MAX_TENANTS + 100):
         shares.is_over_share(n, f"t{n}")
     assert len(shares.rings) == MAX_TENANTS
-    assert len(shares.past) <= MAX_TENANTS
+    assert len(shares.unmarked_excess) <= MAX_TENANTS
     assert "t0" not in shares.rings
