--- a/burlloom/recovery/__init__.py
+++ b/burlloom/recovery/__init__.py
@@ -1,17 +1,17 @@
-"""Recovery after a restart or a loss of state: snapshot validation, slow start, retry budget.
+"""Recovery after a restart or a loss of state: snapshot validation, slow start and retry budget.
 
-The package does no I/O and can be imported alone; `server/configured_recovery.py` reads and writes
-the state file and has the clock.
+Does no I/O and can be imported alone; `server/configured_recovery.py` reads and writes the state
+file and provides the clock.
 """
 
 from .bootstrap import Bootstrap, BootstrapEvent, BootstrapState
+from .call_slow_start import CallSlowStart
 from .controller import RecoveryController, RecoveryPolicy
 from .retry_budget import RetryBudget
-from .slow_start import SlowStart
 from .snapshot import (
     RecoverySnapshot,
     SnapshotValidity,
-    limit_members,
+    limit_peer_addresses,
     parse_snapshot,
     serialize_snapshot,
     validate_snapshot,
@@ -20,7 +20,7 @@
 __all__ = [
     "BootstrapEvent",
     "RecoverySnapshot",
-    "SlowStart",
+    "CallSlowStart",
     "RecoveryController",
     "RetryBudget",
     "Bootstrap",
@@ -28,7 +28,7 @@
     "RecoveryPolicy",
     "SnapshotValidity",
     "validate_snapshot",
-    "limit_members",
+    "limit_peer_addresses",
     "parse_snapshot",
     "serialize_snapshot",
 ]
--- a/burlloom/recovery/snapshot.py
+++ b/burlloom/recovery/snapshot.py
@@ -1,8 +1,8 @@
-"""The snapshot that a server leaves to its next incarnation, and its validation. No I/O.
+"""The snapshot that a server writes for its next incarnation, and its validation. Does no I/O.
 
-One line of JSON with a BLAKE2b checksum, which the caller writes to a temporary file and renames,
-so that a crash leaves the old file or the new one. The checksum detects torn writes and edits; it
-does not authenticate the author.
+A snapshot is one line of JSON with a BLAKE2b checksum. The caller writes it to a temporary file and
+renames that, so that a crash leaves either the old file or the new one. The checksum detects torn
+writes and edits; it does not authenticate the author.
 """
 
 import hashlib
@@ -12,34 +12,36 @@
 from enum import IntEnum
 from typing import Any
 
-VERSION = 1
+SNAPSHOT_VERSION = 1
+# Characters of a state file that are read; a longer text is cut, and so fails the checksum.
 MAX_TEXT_CHARACTERS = 1 << 20
-MAX_MEMBERS = 64
+# Addresses that a snapshot holds; further ones are dropped.
+MAX_PEER_ADDRESSES = 64
 
 
 class SnapshotValidity(IntEnum):
-    """Result of the validation: the first of these that applies."""
+    """Result of the validation: the first value that applies."""
 
-    MISSING = 0
-    TORN = 1  # not what was written, or not by this version
-    FOREIGN = 2  # another node's
-    FUTURE = 3  # written after now: the clock was stepped back, so its age is unknown
+    MISSING = 0  # there is no state file
+    TORN = 1  # the text is damaged, or of another format version
+    FOREIGN = 2  # the snapshot is another node's
+    FUTURE = 3  # written after the present time: the clock was stepped back, so its age is unknown
     OLD = 4  # older than the highest age
-    GOOD = 5
+    GOOD = 5  # valid
 
 
 @dataclass(frozen=True, slots=True)
 class RecoverySnapshot:
-    """What an incarnation left behind.
+    """State that one incarnation of a node leaves to the next.
 
     Attributes:
         node: The node's name.
-        incarnation: Start of the incarnation that wrote it, Unix ms.
-        written_at_ms: When it was written, Unix ms.
-        record_incarnation: The incarnation's number in the store of record, -1 without one.
-        call_share: Concurrent calls that it was granted.
-        was_drained: Whether it drained, so that no request was in doubt when it ended.
-        peer_addresses: Addresses of other members.
+        incarnation: Start of the incarnation that wrote the snapshot, Unix ms.
+        written_at_ms: When the snapshot was written, Unix ms.
+        record_incarnation: The incarnation's number in the store of record; -1 without a store.
+        call_share: Concurrent calls that the incarnation was granted.
+        was_drained: Whether the incarnation drained, so that no request was in doubt at its end.
+        peer_addresses: Addresses of other members of the fleet.
     """
 
     node: str
@@ -51,6 +53,7 @@
     peer_addresses: tuple[str, ...]
 
 
+# The field of `RecoverySnapshot` by its name in the state file.
 STORED_NAMES = {
     "node": "node",
     "life": "incarnation",
@@ -65,7 +68,9 @@
 def serialize_snapshot(snapshot: RecoverySnapshot) -> str:
     """Returns the snapshot as one line of JSON with its checksum."""
     stored = {name: getattr(snapshot, field) for name, field in STORED_NAMES.items()}
-    body = json.dumps({"version": VERSION, **stored}, sort_keys=True, separators=(",", ":"))
+    body = json.dumps(
+        {"version": SNAPSHOT_VERSION, **stored}, sort_keys=True, separators=(",", ":")
+    )
     return json.dumps({"kept": body, "sum": checksum(body)}) + "\n"
 
 
@@ -75,20 +80,23 @@
 
 
 def parse_snapshot(text: str | None) -> RecoverySnapshot | SnapshotValidity:
-    """Parses a state file's text; None stands for a missing file.
+    """Parses the text of a state file.
+
+    Args:
+        text: The text; None for a missing file.
 
     Returns:
-        The snapshot, or MISSING, or TORN.
+        The snapshot, or MISSING or TORN.
     """
     if text is None:
         return SnapshotValidity.MISSING
     try:
-        got = json.loads(text[:MAX_TEXT_CHARACTERS])
-        body = got["kept"]
-        if got["sum"] != checksum(body):
+        envelope = json.loads(text[:MAX_TEXT_CHARACTERS])
+        body = envelope["kept"]
+        if envelope["sum"] != checksum(body):
             return SnapshotValidity.TORN
         fields = json.loads(body)
-        if fields.pop("version") != VERSION:
+        if fields.pop("version") != SNAPSHOT_VERSION:
             return SnapshotValidity.TORN
         return parse_fields(fields)
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError):
@@ -96,7 +104,10 @@
 
 
 def parse_fields(fields: dict[str, Any]) -> RecoverySnapshot | SnapshotValidity:
-    """Checks the types of the stored fields: a checksum can be right over invalid values.
+    """Checks the types of the stored fields, since a checksum may also match invalid values.
+
+    Args:
+        fields: The fields by their stored names.
 
     Returns:
         The snapshot, or TORN.
@@ -104,13 +115,13 @@
     if set(fields) != set(STORED_NAMES):
         return SnapshotValidity.TORN
     are_integers = all(type(fields[name]) is int for name in ("life", "told_at", "record_life"))
-    names = fields["members"]
+    addresses = fields["members"]
     if (
         not are_integers
         or type(fields["node"]) is not str
         or type(fields["clean"]) is not bool
-        or type(names) is not list
-        or not all(type(name) is str for name in names)
+        or type(addresses) is not list
+        or not all(type(address) is str for address in addresses)
         or type(fields["share"]) not in (int, float)
     ):
         return SnapshotValidity.TORN
@@ -121,19 +132,19 @@
         fields["record_life"],
         float(fields["share"]),
         fields["clean"],
-        tuple(names[:MAX_MEMBERS]),
+        tuple(addresses[:MAX_PEER_ADDRESSES]),
     )
 
 
 def validate_snapshot(
-    snapshot: RecoverySnapshot | SnapshotValidity, node: str, now: int, max_age_ms: int
+    snapshot: RecoverySnapshot | SnapshotValidity, node: str, now_unix_ms: int, max_age_ms: int
 ) -> SnapshotValidity:
     """Validates a parsed snapshot.
 
     Args:
         snapshot: The snapshot, or why there is none, which is then returned.
         node: This node's name.
-        now: The time, Unix ms.
+        now_unix_ms: The time, Unix ms.
         max_age_ms: The highest age, ms.
 
     Returns:
@@ -143,13 +154,15 @@
         return snapshot
     if snapshot.node != node:
         return SnapshotValidity.FOREIGN
-    if snapshot.written_at_ms > now or snapshot.incarnation > now:
+    if snapshot.written_at_ms > now_unix_ms or snapshot.incarnation > now_unix_ms:
         return SnapshotValidity.FUTURE
     return (
-        SnapshotValidity.OLD if now - snapshot.written_at_ms > max_age_ms else SnapshotValidity.GOOD
+        SnapshotValidity.OLD
+        if now_unix_ms - snapshot.written_at_ms > max_age_ms
+        else SnapshotValidity.GOOD
     )
 
 
-def limit_members(addresses: Sequence[str]) -> tuple[str, ...]:
-    """Returns the addresses that a snapshot holds: sorted, distinct, bounded in number."""
-    return tuple(sorted(set(addresses)))[:MAX_MEMBERS]
+def limit_peer_addresses(addresses: Sequence[str]) -> tuple[str, ...]:
+    """Returns the addresses to store: sorted, distinct, at most MAX_PEER_ADDRESSES."""
+    return tuple(sorted(set(addresses)))[:MAX_PEER_ADDRESSES]
--- a/burlloom/server/configured_recovery.py
+++ b/burlloom/server/configured_recovery.py
@@ -88,14 +88,14 @@
         self._dispatcher = dispatcher
         self._record_incarnation = record_incarnation
         if record_incarnation >= 0:
-            self.recovery.record_opened(record_incarnation, self.clock())
+            self.recovery.handle_record_opened(record_incarnation, self.clock())
         self._holds_back = True
         dispatcher.set_recovering(True)
         self.update()
 
     def previous_incarnation_seen(self, incarnation: int) -> None:
         """Notes which incarnation of this server the fleet knew before this one."""
-        self.recovery.peer_reported_incarnation(incarnation, self.clock())
+        self.recovery.handle_peer_report(incarnation, self.clock())
         self._log_effects()
 
     def call_cap(self) -> float:
@@ -104,7 +104,7 @@
 
     def holds_back_retry(self, is_retry: bool) -> bool:
         """Counts an attempt; returns whether it is a retry past what is taken for now."""
-        return self.recovery.should_hold_back_retry(self.clock(), is_retry)
+        return self.recovery.should_reject_retry(self.clock(), is_retry)
 
     def is_fenced(self) -> bool:
         """Returns whether unknown keyed retries must be neither run nor rejected."""
@@ -193,7 +193,7 @@
             self._record_incarnation,
             share,
             clean,
-            decisions.limit_members(self.membership().peer_addresses()),
+            decisions.limit_peer_addresses(self.membership().peer_addresses()),
         )
         temporary = self.state_file.with_name(self.state_file.name + ".part")
         try:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -26,18 +26,18 @@
     Bootstrap,
     BootstrapEvent,
     BootstrapState,
+    CallSlowStart,
     RecoveryController,
     RecoveryPolicy,
     RecoverySnapshot,
     RetryBudget,
-    SlowStart,
     SnapshotValidity,
     parse_snapshot,
     serialize_snapshot,
     validate_snapshot,
 )
 from burlloom.recovery.bootstrap import RULES
-from burlloom.recovery.slow_start import StepOutcome as Push
+from burlloom.recovery.call_slow_start import StepOutcome as Push
 
 MS = 1_000_000
 KEPT = RecoverySnapshot("n1", 1000, 5000, 3, 6.5, False, ("10.0.0.1:1", "10.0.0.2:1"))
@@ -110,14 +110,14 @@
     """
     highest = [0.0] * 12
     for told in product(Push, repeat=11):
-        ramp = SlowStart(2.0, 1.0, 100, 0)
+        ramp = CallSlowStart(2.0, 1.0, 100, 0)
         for at, what in enumerate(told, 1):
             before = ramp.cap
             ramp.tick(at * 100, what, 64.0)
             if not ramp.is_complete:
                 highest[at] = max(highest[at], ramp.cap)
                 assert 1.0 <= ramp.cap <= 2.0 * 2**at
-                assert ramp.cap <= before or what is Push.WELL
+                assert ramp.cap <= before or what is Push.SUCCEEDED
             else:
                 assert before >= 64.0 or before == float("inf")
     assert highest[5] == 64.0
@@ -149,10 +149,10 @@
         assert one.call_cap == 0
         assert one.tick(0, 10.0, 0.0)
         assert one.call_cap == 2.5
-    warm.record_opened(4, 0)
+    warm.handle_record_opened(4, 0)
     assert warm.tick(10 * MS, 10.0, 10.0)
     assert warm.call_cap == 3.25
-    cold.record_opened(1, 0)
+    cold.handle_record_opened(1, 0)
     assert not cold.is_fenced(1)
     assert warm.is_fenced(17_999 * MS)
     assert not warm.is_fenced(18_001 * MS)
@@ -164,17 +164,17 @@
         6000,
         False,
     )
-    kept.record_opened(4, 0)
+    kept.handle_record_opened(4, 0)
     assert not kept.is_fenced(1)
     assert kept.bootstrap.uses_snapshot
     for lost in (3, 1):  # the store counts us as a life that we had before
         again = begun(KEPT)
-        again.record_opened(lost, 0)
+        again.handle_record_opened(lost, 0)
         again.tick(0, 10.0, 0.0)
         again.tick(10 * MS, 10.0, 10.0)
         assert again.call_cap == 2.5
         assert again.bootstrap.state is BootstrapState.COLD
-    cold.peer_reported_incarnation(900, 5)
+    cold.handle_peer_report(900, 5)
     assert cold.is_fenced(18_000 * MS)
     assert not cold.is_fenced(18_006 * MS)
     silent = begun(KEPT)
@@ -190,7 +190,7 @@
         cold.tick(at * MS, 10.0, 10.0)
     assert at <= 3000
     assert cold.call_cap == float("inf")
-    assert not cold.should_hold_back_retry(at * MS, True)
+    assert not cold.should_reject_retry(at * MS, True)
 
 
 # On processes.
