--- a/benchmarks/hollow_releases.py
+++ b/benchmarks/hollow_releases.py
@@ -63,7 +63,7 @@
                 await store.execute("BEGIN IMMEDIATE")
                 for one in tellers:
                     if now >= one.down_until:
-                        await store.report(one.word())
+                        await store.write_report(one.word())
                 await store.execute("COMMIT")
             snapshot = await store.read(snapshot)
             while pipe.poll():
@@ -89,7 +89,7 @@
                 if now >= one.down_until and one.hand.process_state(snapshot.state) == "begin":
                     wanted = one.hand.begin_drain(snapshot.state)
                     if wanted is not None and await store.compare_and_swap(snapshot, wanted):
-                        one.version, one.down_until = wanted.next_version_of(one.name), now + DOWN
+                        one.version, one.down_until = wanted.find_next_version(one.name), now + DOWN
                         one.life, one.beat = one.life + 1, 0
                         one.hand = DrainAgent(one.name, one.life)
                     else:
--- a/benchmarks/rollout_core.py
+++ b/benchmarks/rollout_core.py
@@ -71,7 +71,7 @@
                             name,
                             member.incarnation + 1,
                             0,
-                            version=self.state.next_version_of(name),
+                            version=self.state.find_next_version(name),
                         )
                     continue
                 bad = sum(
--- a/benchmarks/rollout_waves.py
+++ b/benchmarks/rollout_waves.py
@@ -183,7 +183,7 @@
                     at,
                     agreed.order,
                     lambda state: (
-                        state.order(ReleaseInput.ROLLBACK, "")
+                        state.apply_order(ReleaseInput.ROLLBACK, "")
                         if state.release.phase is ReleasePhase.HALTED
                         else state
                     ),
--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -375,7 +375,7 @@
             assert await shelf.compare_and_swap(page, replace(book, step=at))
         swapped = time.process_time_ns()
         for member in members:
-            await shelf.report(member)
+            await shelf.write_report(member)
         told = time.process_time_ns()
         await shelf.close()
     return (swapped - began) / 10e6, (told - swapped) / 1e6 / len(members)
--- a/burlloom/command/rollout.py
+++ b/burlloom/command/rollout.py
@@ -119,7 +119,7 @@
     if release.phase is ReleasePhase.IDLE:
         stable = f"; good is {state.stable_version}" if state.stable_version else ""
         return f"{head}nothing under way{stable}"
-    done = sum(state.is_done(server) for server in servers.instances.values())
+    done = sum(state.is_up_to_date(server) for server in servers.instances.values())
     if release.is_rollback:
         way = f"back to {release.previous_version}"
     else:
@@ -223,7 +223,7 @@
     def run(operator: Path | None, reason: str) -> None:
         from ..rollout.release import ReleaseInput
 
-        run_order(operator, lambda state: state.order(ReleaseInput[name.upper()], reason))
+        run_order(operator, lambda state: state.apply_order(ReleaseInput[name.upper()], reason))
 
     return click.command(name, help=help_text)(run)
 
@@ -354,7 +354,7 @@
     from ..rollout import InstanceState, OrderRejectedError
 
     snapshot = begun
-    while not have_all_acknowledged(snapshot.state, await store.reports(), begun.state.step):
+    while not have_all_acknowledged(snapshot.state, await store.read_reports(), begun.state.step):
         snapshot = await store.read(snapshot)
         if snapshot.state.groups[service].instances[address].state is not InstanceState.OUT:
             raise OrderRejectedError(
@@ -440,7 +440,7 @@
         store = create_rollout_store(loaded)
         try:
             await store.open()
-            return (await store.read()).state.next_version_of(name)
+            return (await store.read()).state.find_next_version(name)
         finally:
             await store.close()
 
--- a/burlloom/lab/rolls.py
+++ b/burlloom/lab/rolls.py
@@ -96,7 +96,7 @@
 
         return bool(await self.run_remotely(step))
 
-    async def heartbeat(self, epoch: int) -> None:
+    async def raise_heartbeat(self, epoch: int) -> None:
         """Raises the leader's heartbeat."""
 
         def step() -> None:
@@ -105,7 +105,7 @@
 
         await self.run_remotely(step)
 
-    async def report(self, report: ServerReport) -> bool:
+    async def write_report(self, report: ServerReport) -> bool:
         """Stores a server's report, unless a later incarnation has reported."""
 
         def step() -> bool:
@@ -116,15 +116,15 @@
 
         return bool(await self.run_remotely(step))
 
-    async def last_report(self, name: str) -> ServerReport | None:
+    async def read_last_report(self, name: str) -> ServerReport | None:
         """Returns the newest report under this name."""
         return self.latest_reports.get(name)
 
-    async def reports(self) -> list[ServerReport]:
+    async def read_reports(self) -> list[ServerReport]:
         """Returns the newest report of each server."""
         return list(self.latest_reports.values())
 
-    async def forget_report(self, name: str) -> None:
+    async def delete_report(self, name: str) -> None:
         """Deletes the report under this name."""
         self.latest_reports.pop(name, None)
 
@@ -215,7 +215,7 @@
 
         def make(server: Server) -> ConfiguredRolloutParticipation:
             loop, book = self.emulator.loop, self.store.snapshot.state
-            self.begin_version(node, book.next_version_of(node.name) or self.first_version)
+            self.begin_version(node, book.find_next_version(node.name) or self.first_version)
             made = ConfiguredRolloutParticipation(
                 self.part,
                 self.store,
--- a/burlloom/rollout/__init__.py
+++ b/burlloom/rollout/__init__.py
@@ -1,8 +1,9 @@
-"""Drains and releases agreed across the fleet. No I/O; `stores/` keeps what is agreed.
+"""Coordinates drains and releases across the fleet.
 
-`state` is what is agreed, made of `group`, `instance` and `release`; `agent` is a server's part,
-`leader` with `supervision`, `progress` and `permits` the leader's; `liveness` and `canary` are what
-it judges by.
+`state` defines the shared rollout state, which consists of `group`, `instance` and `release`.
+`agent` decides when a server drains. `leader` runs the rounds of the leader, with `supervision`,
+`progress` and `permits` as their parts; `liveness` and `canary` supply the observations that these
+rounds decide on. These modules do no I/O; `stores` reads and writes the rollout state.
 """
 
 from .agent import DrainAgent
--- a/burlloom/rollout/agent.py
+++ b/burlloom/rollout/agent.py
@@ -1,6 +1,7 @@
-"""What a server does about the rollout state's word on itself: a table. No I/O.
+"""Decides when a server drains itself, as a state machine. No I/O.
 
-Nothing is drained on a permit alone, nor on a step of which nobody knows whether it was written.
+A server drains only once the store holds the step in which it leaves. A permit alone is not enough,
+nor is a write whose outcome is unknown.
 """
 
 from enum import IntEnum
@@ -14,23 +15,23 @@
 
 
 class AgentState(IntEnum):
-    """Where one incarnation of a server stands."""
+    """State of one incarnation of a server."""
 
     SERVING = 0
-    BEGINNING = 1  # its step to leave is on its way to the store
-    UNCERTAIN = 2  # nobody knows whether that step was written
-    DRAINING = 3  # it was
+    BEGINNING = 1  # the write of the step to leave is in progress
+    UNCERTAIN = 2  # the outcome of that write is unknown
+    DRAINING = 3  # the store holds the step to leave
 
 
 class AgentInput(IntEnum):
-    """What moves a server from state to state."""
+    """Input that moves a server to its next state."""
 
-    PERMITTED = 0  # the state, as it was read, allows us to leave
-    STATE_OUT = 1  # it says that this incarnation is leaving
-    STATE_OTHER = 2  # it says anything else
-    WRITE_ACCEPTED = 3  # our step was written
-    WRITE_CONFLICT = 4  # somebody wrote before us: it was not
-    WRITE_UNKNOWN = 5
+    PERMITTED = 0  # the rollout state read last has a permit for this server
+    STATE_OUT = 1  # the rollout state read last has this incarnation as leaving
+    STATE_OTHER = 2  # the rollout state read last has neither
+    WRITE_ACCEPTED = 3  # the step to leave was written
+    WRITE_CONFLICT = 4  # the step was not written, since another process wrote first
+    WRITE_UNKNOWN = 5  # the store failed during the write
 
 
 TABLE = """
@@ -47,24 +48,24 @@
 
 
 class DrainAgent:
-    """One incarnation of a server."""
+    """Decides for one incarnation of a server when it drains."""
 
     def __init__(self, name: str, incarnation: int) -> None:
-        """Begins serving.
+        """Starts in state SERVING.
 
         Args:
-            name: The server's.
-            incarnation: The server's.
+            name: Name of the server.
+            incarnation: Incarnation of the server.
         """
         self.name = name
         self.incarnation = incarnation
         self.state = AgentState.SERVING
 
     def apply_input(self, received: AgentInput) -> str:
-        """Moves by the table.
+        """Applies an input by the table.
 
         Returns:
-            The effect: `begin`, `drain`, `-`; empty where no row holds.
+            The effect: `begin`, `drain` or `-`; empty if no row applies.
         """
         for _, state, effect in RULES.get((self.state, received), ()):
             self.state = state
@@ -72,23 +73,23 @@
         return ""
 
     def process_state(self, state: RolloutState) -> str:
-        """Takes in a state that was read after all that we know of our own steps.
+        """Applies a rollout state that was read after the agent's last write ended.
 
         Returns:
-            The effect, as of `apply_input`.
+            The effect, as returned by `apply_input`.
         """
         server = state.servers.get(self.name)
         if server is None:
             return self.apply_input(AgentInput.STATE_OTHER)
         if server.left_incarnation == self.incarnation:
             return self.apply_input(AgentInput.STATE_OUT)
-        is_ours = server.incarnation <= self.incarnation
-        if server.state is InstanceState.GRANTED and is_ours:
+        is_for_this_incarnation = server.incarnation <= self.incarnation
+        if server.state is InstanceState.GRANTED and is_for_this_incarnation:
             return self.apply_input(AgentInput.PERMITTED)
         return self.apply_input(AgentInput.STATE_OTHER)
 
     def begin_drain(self, state: RolloutState) -> RolloutState | None:
-        """Returns the state in which we have begun to leave; None where that is not allowed."""
+        """Returns the state in which this server begins to leave; None if it may not."""
         ticket = state.servers[self.name].drain_ticket
         changed, effect = state.apply_input(
             SERVERS_GROUP,
--- a/burlloom/rollout/errors.py
+++ b/burlloom/rollout/errors.py
@@ -1,4 +1,4 @@
-"""Errors of rollouts; those of the stored text stand in `stores.codec`."""
+"""Errors of rollouts; errors of decoding stored text are in `stores.codec`."""
 
 from ..errors import BurlloomError
 
@@ -6,16 +6,16 @@
 
 
 class OrderRejectedError(BurlloomError):
-    """An operator's order that can't be carried out as things are.
+    """An operator's order that the current rollout state does not allow.
 
     Attributes:
-        reason: Why, in words for the operator.
-        group: Of the instances that the order names; empty where it names none.
-        name: The instance that the order names; empty where it names none.
+        reason: Why the order was rejected, as shown to the operator.
+        group: Group of the instance that the order names; empty if it names no group.
+        name: Name of the instance that the order names; empty if it names none.
     """
 
     def __init__(self, reason: str, group: str = "", name: str = "") -> None:
-        """Keeps all three, and shows the reason."""
+        """Stores the arguments as attributes and uses the reason as the message."""
         super().__init__(reason)
         self.reason = reason
         self.group = group
--- a/burlloom/rollout/group.py
+++ b/burlloom/rollout/group.py
@@ -6,26 +6,28 @@
 
 __all__ = ["SERVERS_GROUP", "DisruptionBudget", "InstanceGroup"]
 
-SERVERS_GROUP = "servers"  # our own servers; all other groups are downstream services
+# The group of the fleet's own servers. Each other group is a downstream service.
+SERVERS_GROUP = "servers"
 
-# A share such as 0.1 of 30 must not be rounded down to 2.
+# Added before rounding down, so that a floating-point error does not turn 0.1 of 30 into 2.
 _ROUNDING_ERROR = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
 class DisruptionBudget:
-    """How many of a group may be out of service at once; never all of them.
+    """Limits how many instances of a group may be out of service at once; never allows all.
 
     Attributes:
-        max_out: So many, where `max_out_share` is 0.
-        max_out_share: Such a part of all, rounded down, but one at least.
+        max_out: Number of instances that may be out; used if `max_out_share` is 0.
+        max_out_share: Share of the group that may be out, from 0 to less than 1. The number of
+            instances is rounded down, but is at least 1.
     """
 
     max_out: int = 1
     max_out_share: float = 0.0
 
-    def limit(self, size: int) -> int:
-        """Returns how many of a group of `size` may be out at once."""
+    def compute_limit(self, size: int) -> int:
+        """Returns how many of `size` instances may be out of service at once."""
         if self.max_out_share:
             allowed = max(1, int(self.max_out_share * size + _ROUNDING_ERROR))
         else:
@@ -38,8 +40,8 @@
     """The servers of the fleet, or the instances of one downstream service.
 
     Attributes:
-        budget: How many may be out at once.
-        instances: By name; a downstream instance's name is its address.
+        budget: Limits how many instances may be out of service at once.
+        instances: Instances by name; the name of a downstream instance is its address.
     """
 
     budget: DisruptionBudget = DisruptionBudget()
@@ -47,18 +49,19 @@
 
     @property
     def limit(self) -> int:
-        """How many may be out at once."""
-        return self.budget.limit(len(self.instances))
+        """How many instances may be out of service at once."""
+        return self.budget.compute_limit(len(self.instances))
 
     @property
     def out_count(self) -> int:
-        """How many count against the budget."""
+        """How many instances count against the budget."""
         return sum(instance.is_out for instance in self.instances.values())
 
-    def free_permits(self, unhealthy: int = 0) -> int:
-        """Returns how many permits may be granted; below 0 where crashes took more.
+    def count_free_permits(self, unhealthy_count: int = 0) -> int:
+        """Returns how many permits may be granted; negative if crashes exceed the budget.
 
         Args:
-            unhealthy: Instances that are in service and can't be seen to serve.
+            unhealthy_count: Instances in state IN that do not report to be healthy. They count
+                against the budget too.
         """
-        return self.limit - self.out_count - unhealthy
+        return self.limit - self.out_count - unhealthy_count
--- a/burlloom/rollout/instance.py
+++ b/burlloom/rollout/instance.py
@@ -1,13 +1,15 @@
-"""One server, or one instance of a downstream service, while it leaves service and returns. No I/O.
+"""One server, or one instance of a downstream service, as a state machine. No I/O.
 
-All states but IN count against the disruption budget, so the end of a permit or of an absence never
-frees what is not back: an absence ends by an incarnation later than the one that left, or by
-somebody's word that the instance is gone for good.
+All states but IN and GONE count against the disruption budget. The timeout of a permit or of an
+absence therefore never frees budget for an instance that has not returned: an absence ends only
+when a later incarnation than the one that left is seen, or when the instance is retired.
 
-Whoever holds a permit begins to leave by a step in the rollout state itself; where the permit was
-revoked before, there is none to begin on. A permit out of IN needs free budget. One out of BACK or
-MISSING, for an instance that is to return to an older version, needs that fewer were sent out than
-the budget allows: the instance may be serving, though it counts as out.
+An instance with a permit begins to leave by a write to the rollout state itself. If the permit was
+revoked before, that write does not apply.
+
+An instance in state IN is granted a permit only if the budget has room. A rollback also grants
+permits to instances in state BACK or MISSING. They count against the budget already, but may be
+serving, so they need a second limit: fewer instances must be sent out than the budget allows.
 """
 
 from collections.abc import Callable
@@ -16,42 +18,42 @@
 
 from ..transition_table import parse_transitions
 
-__all__ = ["Instance", "InstanceEvent", "InstanceInput", "InstanceState", "apply_input"]
+__all__ = ["Instance", "InputContext", "InstanceInput", "InstanceState", "apply_input"]
 
 
 class InstanceState(IntEnum):
-    """Where an instance stands; stored as a number, and named so on operators' pages."""
+    """State of an instance; stored as a number, and shown to operators by its label."""
 
-    IN = 0  # it serves, as far as is known
-    GRANTED = 1  # it may leave and has not begun
-    OUT = 2  # it has begun to leave, or was told to by its platform
-    BACK = 3  # it serves again, or kept on, and has not settled
-    MISSING = 4  # it went without a word, or is not back in time
-    GONE = 5  # not in the rollout state
+    IN = 0  # in service as far as is known; does not count against the budget
+    GRANTED = 1  # has a permit to leave and has not begun to leave
+    OUT = 2  # has begun to leave, by its permit or because its platform stops it
+    BACK = 3  # serves again, or did not leave, and has not settled yet
+    MISSING = 4  # silent without having reported that it leaves, or not back in time
+    GONE = 5  # not part of the rollout state
 
     @property
     def label(self) -> str:
-        """The word for this state in the stored history and on operators' pages."""
+        """Name of this state in the stored history and in the output for operators."""
         return self.name.lower()
 
 
 class InstanceInput(IntEnum):
-    """What moves an instance from state to state."""
-
-    SEEN = 0  # it serves, in the incarnation that goes along
-    LOST = 1  # no heartbeat for as long as one counts
-    LEAVING = 2  # it reports that it is leaving: its platform told it to
-    PERMIT = 3
-    BEGIN = 4  # by whom the permit is for
-    REVOKE = 5
-    EXPIRED = 6  # the time for what it was to do is over
-    DRAIN_ENDED = 7  # an operator says that it may be called again
-    SETTLED = 8  # it has served for long enough since it came back
-    RETIRE = 9  # an operator says that it will not come back, or nobody waits any longer
+    """Input that moves an instance to its next state."""
+
+    SEEN = 0  # the instance serves, in the incarnation of the input's context
+    LOST = 1  # no heartbeat for the heartbeat TTL, or most calls to a downstream instance fail
+    LEAVING = 2  # the instance reports that it leaves, because its platform stops it
+    PERMIT = 3  # the leader grants a permit to leave
+    BEGIN = 4  # the holder of the permit begins to leave
+    REVOKE = 5  # the permit is withdrawn before the instance begins to leave
+    EXPIRED = 6  # the timeout of the current state has passed
+    DRAIN_ENDED = 7  # an operator allows calls to the downstream instance again
+    SETTLED = 8  # the instance has been healthy for the settle time since its return
+    RETIRE = 9  # an operator removes the instance, or the write-off time has passed
 
     @property
     def label(self) -> str:
-        """The word for this input in the stored history."""
+        """Name of this input in the stored history."""
         return _INPUT_LABELS.get(self) or self.name.lower()
 
 
@@ -97,18 +99,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """What is agreed on one server or downstream instance.
+    """Shared state of one server or downstream instance.
 
     Attributes:
-        state: Where it stands.
-        incarnation: The one that served last.
-        left_incarnation: One that is known to leave; 0 where none is.
-        since_step: The rollout state's step that brought it to its state.
-        version: That it served with last.
-        next_version: That it is to start with next; empty: the stable one.
-        release_number: Of the release that sent it out last.
-        drain_ticket: Of an operator's order to take it out; 0: none.
-        drain_ms: How long it is to be out; 0: as long as any other.
+        state: Current state.
+        incarnation: Latest incarnation that was seen serving.
+        left_incarnation: Latest incarnation that is known to leave or to have left; 0 if none is.
+        since_step: Step of the rollout state at which the instance entered its state.
+        version: Version that the instance last served with; empty if unknown.
+        next_version: Version that the instance starts with next; empty for the stable version.
+        release_number: Number of the release that sent the instance out last; 0 if its last permit
+            was for a drain or was cancelled.
+        drain_ticket: Identifies an operator's pending order to drain the instance; 0 if there is
+            none.
+        drain_ms: How long the instance may be out for the drain; 0 for the usual return timeout.
     """
 
     state: InstanceState = InstanceState.GONE
@@ -123,12 +127,12 @@
 
     @property
     def is_out(self) -> bool:
-        """Whether it counts against the budget."""
+        """Whether the instance counts against the budget."""
         return self.state not in (InstanceState.IN, InstanceState.GONE)
 
     @property
-    def was_sent_out(self) -> bool:
-        """Whether it may have left with a permit, or may yet, and has not been seen since."""
+    def is_sent_out(self) -> bool:
+        """Whether the instance may use or have used a permit and no later incarnation was seen."""
         if self.state in (InstanceState.GRANTED, InstanceState.OUT):
             return True
         has_left = self.left_incarnation >= self.incarnation
@@ -136,105 +140,113 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InstanceEvent:
-    """What goes along with an input.
+class InputContext:
+    """Data that accompanies an input.
 
     Attributes:
-        step: The rollout state's, that the input is.
-        incarnation: Of whom it concerns.
-        ticket: Of the order on which it acts.
-        has_budget: Whether a permit is free.
-        has_sent_budget: Whether fewer were sent out than the budget allows, whoever else is out.
-        is_downstream: Whether it is a downstream instance, whose incarnations nobody counts.
+        step: Number of the rollout state's step that applies the input.
+        incarnation: Incarnation that the input is about.
+        ticket: Drain ticket of the order that the input acts on; 0 if there is none.
+        has_budget: Whether the budget has room for another instance out of service.
+        has_send_out_budget: Whether fewer instances are sent out than the budget allows, without
+            regard to instances that are out for other reasons.
+        is_downstream: Whether the instance is a downstream instance; these have no incarnations
+            of their own.
     """
 
     step: int
     incarnation: int = 0
     ticket: int = 0
     has_budget: bool = False
-    has_sent_budget: bool = False
+    has_send_out_budget: bool = False
     is_downstream: bool = False
 
 
 def apply_input(
-    instance: Instance, received: InstanceInput, event: InstanceEvent
+    instance: Instance, received: InstanceInput, context: InputContext
 ) -> tuple[Instance, str] | None:
-    """Moves an instance by the first row of the table whose test holds.
+    """Applies the first row of the table whose test holds.
 
     Returns:
-        The instance after it and the effect's name; None where no row holds.
+        The instance after the input and the name of the effect; None if no row applies.
     """
     for test, after, effect in RULES.get((instance.state, received), ()):
-        if test(instance, event):
-            changed = _EFFECTS[effect](instance, event)
-            return replace(changed, state=after, since_step=event.step), effect
+        if test(instance, context):
+            changed = _EFFECTS[effect](instance, context)
+            return replace(changed, state=after, since_step=context.step), effect
     return None
 
 
-# Tests of the table.
+# Tests named in the table.
 
 
-def _always(instance: Instance, event: InstanceEvent) -> bool:
+def _always(instance: Instance, context: InputContext) -> bool:
     return True
 
 
-def _is_newer(instance: Instance, event: InstanceEvent) -> bool:
-    return event.incarnation > instance.incarnation
+def _is_newer(instance: Instance, context: InputContext) -> bool:
+    return context.incarnation > instance.incarnation
+
 
+def _is_restarted(instance: Instance, context: InputContext) -> bool:
+    """Returns False for a late report of the incarnation that left."""
+    return context.incarnation > instance.left_incarnation
 
-def _is_restarted(instance: Instance, event: InstanceEvent) -> bool:
-    """A late report of the incarnation that left does not bring it back."""
-    return event.incarnation > instance.left_incarnation
 
+def _is_own_permit(instance: Instance, context: InputContext) -> bool:
+    """Returns False for another order on the instance and for an earlier incarnation."""
+    is_own_order = context.ticket == instance.drain_ticket
+    return is_own_order and context.incarnation >= instance.incarnation
 
-def _is_own_permit(instance: Instance, event: InstanceEvent) -> bool:
-    """Not another's order on the same instance, nor one of an incarnation before."""
-    is_own_order = event.ticket == instance.drain_ticket
-    return is_own_order and event.incarnation >= instance.incarnation
 
+def _has_budget(instance: Instance, context: InputContext) -> bool:
+    return context.has_budget
 
-def _has_budget(instance: Instance, event: InstanceEvent) -> bool:
-    return event.has_budget
 
+def _may_be_sent_again(instance: Instance, context: InputContext) -> bool:
+    """Returns whether an instance that counts as out already may be granted a permit.
 
-def _may_be_sent_again(instance: Instance, event: InstanceEvent) -> bool:
-    """It counts as out already, but may be serving: it waits for those that were sent out."""
-    return event.has_sent_budget and instance.left_incarnation < instance.incarnation
+    Such an instance may be serving, so its permit needs room among the instances sent out.
+    """
+    return context.has_send_out_budget and instance.left_incarnation < instance.incarnation
 
 
-def _is_downstream(instance: Instance, event: InstanceEvent) -> bool:
-    return event.is_downstream
+def _is_downstream(instance: Instance, context: InputContext) -> bool:
+    return context.is_downstream
 
 
-# Effects of the table.
+# Effects named in the table.
 
 
-def _keep(instance: Instance, event: InstanceEvent) -> Instance:
+def _keep(instance: Instance, context: InputContext) -> Instance:
     return instance
 
 
-def _record_incarnation(instance: Instance, event: InstanceEvent) -> Instance:
-    return replace(instance, incarnation=event.incarnation)
+def _record_incarnation(instance: Instance, context: InputContext) -> Instance:
+    return replace(instance, incarnation=context.incarnation)
 
 
-def _record_return(instance: Instance, event: InstanceEvent) -> Instance:
-    incarnation = max(event.incarnation, instance.incarnation)
+def _record_return(instance: Instance, context: InputContext) -> Instance:
+    incarnation = max(context.incarnation, instance.incarnation)
     return replace(instance, incarnation=incarnation, drain_ticket=0)
 
 
-def _record_leaving(instance: Instance, event: InstanceEvent) -> Instance:
-    left_incarnation = max(instance.left_incarnation, event.incarnation)
+def _record_leaving(instance: Instance, context: InputContext) -> Instance:
+    left_incarnation = max(instance.left_incarnation, context.incarnation)
     return replace(instance, left_incarnation=left_incarnation, drain_ticket=0)
 
 
-def _cancel_permit(instance: Instance, event: InstanceEvent) -> Instance:
-    """Whoever waited for a downstream instance is gone by now, or asks anew."""
-    drain_ticket = 0 if event.is_downstream else instance.drain_ticket
+def _cancel_permit(instance: Instance, context: InputContext) -> Instance:
+    """Clears the release's part, and for a downstream instance its drain ticket.
+
+    The command that requested a downstream drain has ended by then, or repeats its request.
+    """
+    drain_ticket = 0 if context.is_downstream else instance.drain_ticket
     return replace(instance, release_number=0, next_version="", drain_ticket=drain_ticket)
 
 
-_Test = Callable[[Instance, InstanceEvent], bool]
-_Effect = Callable[[Instance, InstanceEvent], Instance]
+_Test = Callable[[Instance, InputContext], bool]
+_Effect = Callable[[Instance, InputContext], Instance]
 
 _TESTS: dict[str, _Test] = {
     "-": _always,
--- a/burlloom/rollout/leader.py
+++ b/burlloom/rollout/leader.py
@@ -1,9 +1,10 @@
-"""What the leader makes of the rollout state, once a round. No I/O.
+"""Rounds of the leader, which decides on the rollout state. No I/O.
 
-Any server, or a process of its own, may lead; who does, writes its name into the state and raises a
-heartbeat beside it. Another takes over where it has not seen that rise for the leader timeout. That
-two believe to lead for a moment costs a write that fails, nothing else: each step is taken on the
-state as it was read, and written only if nobody wrote since.
+Any server, or a separate process, may lead. The leader writes its name into the rollout state and
+increases a heartbeat stored next to it. Another process takes over once it has not seen that
+heartbeat increase for the leader timeout. Two processes may briefly both act as the leader; the
+only effect is a failed write, since each step is written only if the state that it was computed
+from is still the stored one.
 """
 
 from collections.abc import Hashable, Iterable, Mapping, Sequence
@@ -19,15 +20,17 @@
 
 __all__ = ["RolloutLeader"]
 
-_LEADER_KEY = "lead"  # of the observer: since when the leader's heartbeat has not risen
+# The observer's key for the time since the leader's heartbeat increased last.
+_LEADER_KEY = "lead"
 
 
 class RolloutLeader:
     """One process that may lead.
 
     Attributes:
-        name: That nobody else has.
-        unknown_servers: Servers that have reported once, are not in the state, and are silent.
+        name: Name of the process, unique among all that may lead.
+        unknown_servers: Names of silent servers that have a stored report but are not in the
+            rollout state, as of the last round.
     """
 
     def __init__(
@@ -37,14 +40,14 @@
         budgets: Mapping[str, DisruptionBudget] | None = None,
         services: Mapping[str, Sequence[str]] | None = None,
     ) -> None:
-        """Begins knowing nothing.
+        """Starts without observations.
 
         Args:
-            name: That nobody else has.
+            name: Name of the process, unique among all that may lead.
             settings: Times and limits.
-            budgets: By group, for those that the state does not have yet; what stands there is
-                changed by an operator's order alone.
-            services: The addresses of each downstream service.
+            budgets: Initial budgets by group, for groups that the rollout state does not have yet.
+                A stored budget is changed only by an operator's order.
+            services: Addresses of the instances of each downstream service, by group.
         """
         self.name = name
         self.settings = settings
@@ -55,25 +58,28 @@
         self.unknown_servers: list[str] = []
 
     def is_leader(self, state: RolloutState) -> bool:
-        """Whether this process leads."""
+        """Returns whether this process leads according to the state."""
         return state.leader == self.name
 
     def acquire_leadership(
-        self, now: int, state: RolloutState, heartbeat: int
+        self, now_ns: int, state: RolloutState, heartbeat: int
     ) -> RolloutState | None:
-        """Returns the state with us as its leader; None where we are, or another one lives.
+        """Returns the state with this process as its leader.
 
         Args:
-            now: ns on a clock that nobody sets.
-            state: As it was read.
-            heartbeat: The leader's, as it was read.
+            now_ns: Time in ns on a monotonic clock.
+            state: The state that was read.
+            heartbeat: The leader's heartbeat that was read with the state.
+
+        Returns:
+            The state to write; None if this process leads already or another leader is alive.
         """
         if self.is_leader(state):
             return None
-        self.observer.begin_round(now)
+        self.observer.begin_round(now_ns)
         if state.leader:
-            seen = state.epoch, heartbeat
-            silent_ns = self.observer.unchanged_for_ns(now, _LEADER_KEY, seen)
+            epoch_and_heartbeat = state.epoch, heartbeat
+            silent_ns = self.observer.unchanged_for_ns(now_ns, _LEADER_KEY, epoch_and_heartbeat)
             if silent_ns < self.settings.leader_timeout_ns:
                 return None
         acquired = replace(state, leader=self.name, epoch=state.epoch + 1)
@@ -85,54 +91,54 @@
         return acquired.with_note(note)
 
     def resign(self, state: RolloutState) -> RolloutState | None:
-        """Returns the state without a leader; None where we don't lead."""
+        """Returns the state without a leader; None if this process does not lead."""
         if not self.is_leader(state):
             return None
         return replace(state, leader="").with_note(f"{self.name} leads no more")
 
     def run_round(
-        self, now: int, state: RolloutState, reports: Iterable[ServerReport]
+        self, now_ns: int, state: RolloutState, reports: Iterable[ServerReport]
     ) -> RolloutState:
-        """Decides.
+        """Makes the decisions of one round.
 
         Args:
-            now: ns on a clock that nobody sets.
-            state: As it was read, with us as its leader.
-            reports: The newest of each server.
+            now_ns: Time in ns on a monotonic clock.
+            state: The state that was read, with this process as its leader.
+            reports: The latest report of each server.
 
         Returns:
-            The state that is to be written; the same one where there is nothing to do.
+            The state to write; `state` itself if nothing changes.
         """
-        self.observer.begin_round(now)
-        by_name = {report.name: report for report in reports}
+        self.observer.begin_round(now_ns)
+        reports_by_name = {report.name: report for report in reports}
         serving = {
             name: report
-            for name, report in by_name.items()
-            if self.observer.is_serving(now, report)
+            for name, report in reports_by_name.items()
+            if self.observer.is_serving(now_ns, report)
         }
-        state, losses = self._process_servers(now, state, by_name, serving)
+        state, losses = self._process_servers(now_ns, state, reports_by_name, serving)
         for group in state.groups:
             if group != SERVERS_GROUP:
                 callers = [serving[name] for name in sorted(serving)]
-                state = self.supervisor.process_downstream(now, state, group, callers)
+                state = self.supervisor.process_downstream(now_ns, state, group, callers)
         self.unknown_servers = [
             name
-            for name, report in by_name.items()
-            if name not in state.servers and self.observer.is_silent(now, report)
+            for name, report in reports_by_name.items()
+            if name not in state.servers and self.observer.is_silent(now_ns, report)
         ]
-        self.driver.collect_samples(now, state, serving)
-        state = self.driver.process_release(now, state, losses)
+        self.driver.collect_samples(now_ns, state, serving)
+        state = self.driver.process_release(now_ns, state, losses)
         for group in state.groups:
             state = revoke_excess_permits(state, group)
         healthy = {name for name, report in serving.items() if report.is_healthy}
         is_overloaded = self.driver.is_fleet_overloaded()
         state = grant_permits(state, serving.keys(), healthy, is_overloaded)
-        self._forget_stale(state, by_name)
+        self._drop_stale_observations(state, reports_by_name)
         return state
 
     def _process_servers(
         self,
-        now: int,
+        now_ns: int,
         state: RolloutState,
         reports: Mapping[str, ServerReport],
         serving: Mapping[str, ServerReport],
@@ -140,13 +146,15 @@
         losses = []
         for name in sorted({*reports, *state.servers}):
             state, loss = self.supervisor.process_server(
-                now, state, name, reports.get(name), name in serving
+                now_ns, state, name, reports.get(name), name in serving
             )
             if loss:
                 losses.append(loss)
         return state, losses
 
-    def _forget_stale(self, state: RolloutState, reports: Mapping[str, ServerReport]) -> None:
+    def _drop_stale_observations(
+        self, state: RolloutState, reports: Mapping[str, ServerReport]
+    ) -> None:
         keys: set[Hashable] = {_LEADER_KEY, RELEASE_KEY}
         keys |= {LivenessObserver.heartbeat_key(name) for name in reports}
         self.observer.retain(keys | self.supervisor.observed_keys(state))
--- a/burlloom/rollout/liveness.py
+++ b/burlloom/rollout/liveness.py
@@ -1,9 +1,11 @@
-"""What one process that may lead has observed, and when, on its own clock. No I/O.
+"""Observations of one process that may lead, timed on its own clock. No I/O.
 
-Nobody's time is compared with another's. That a server lives is told by a heartbeat that it raises;
-that it stopped, by our own clock since we last saw it rise (as clients of a lock watch a record's
-version). Whoever begins to observe knows nothing: it sees nobody serve until a heartbeat has risen
-before its eyes, and takes nobody for silent before it has waited for as long as anyone else would.
+Clocks of different processes are never compared. A server shows that it is alive by increasing its
+heartbeat. It counts as silent if the observer has not seen the heartbeat increase for the heartbeat
+TTL on its own clock, as clients of a lock watch the version of its record.
+
+A new observer starts without knowledge: a server counts as serving only once the observer has seen
+its heartbeat increase, and as silent only after the full heartbeat TTL.
 """
 
 from collections.abc import Hashable, Mapping
@@ -12,7 +14,7 @@
 from typing import NamedTuple
 
 __all__ = [
-    "SECOND_NS",
+    "NS_PER_S",
     "LivenessObserver",
     "Observation",
     "RequestCounts",
@@ -20,11 +22,11 @@
     "ServerReport",
 ]
 
-SECOND_NS = 1_000_000_000
+NS_PER_S = 1_000_000_000
 
 
 class ServerPhase(IntEnum):
-    """Where a server is in its life; stored as a number."""
+    """Phase in the life cycle of a server; stored as a number."""
 
     STARTING = 0
     SERVING = 1
@@ -32,13 +34,13 @@
 
 
 class RequestCounts(NamedTuple):
-    """Of one incarnation, since it began; stored as an array in this order.
+    """Requests of one incarnation since its start, by outcome; stored as an array in this order.
 
     Attributes:
-        completed: Answered without error.
-        late: Of these, slower than the latency objective.
-        rejected: Answered with a rejection.
-        failed: Answered with any other error.
+        completed: Requests answered without error.
+        late: Completed requests that exceeded their latency objective.
+        rejected: Requests answered with a rejection.
+        failed: Requests answered with any other error.
     """
 
     completed: int = 0
@@ -47,36 +49,37 @@
     failed: int = 0
 
     def subtract(self, other: "RequestCounts") -> "RequestCounts":
-        """Returns the difference, never below 0."""
+        """Returns the difference of each count, at least 0."""
         pairs = zip(self, other, strict=True)
-        return RequestCounts(*(max(0, mine - theirs) for mine, theirs in pairs))
+        return RequestCounts(*(max(0, left - right) for left, right in pairs))
 
     def add(self, other: "RequestCounts") -> "RequestCounts":
-        """Returns the sum."""
-        return RequestCounts(*(mine + theirs for mine, theirs in zip(self, other, strict=True)))
+        """Returns the sum of each count."""
+        return RequestCounts(*(left + right for left, right in zip(self, other, strict=True)))
 
     @property
     def total(self) -> int:
-        """All requests that were answered."""
+        """Number of all answered requests."""
         return self.completed + self.rejected + self.failed
 
 
 @dataclass(frozen=True, slots=True)
 class ServerReport:
-    """What a server reports of itself.
+    """Report of a server about itself.
 
     Attributes:
-        name: Unique in the fleet.
-        incarnation: Grows from one start to the next.
-        heartbeat: Counts up in an incarnation.
-        phase: Where it is in its life.
-        is_healthy: Callers are sent to it, and it is past its recovery.
-        version: That it runs.
-        acknowledged_step: The rollout state's step that it has acted on.
-        counts: Its requests.
-        downstream: By address of a downstream instance, calls that succeeded and that failed, in
-            the last seconds.
-        previous_incarnation: The one before, if that reported that it leaves; else 0.
+        name: Name of the server, unique in the fleet.
+        incarnation: Incarnation of the server; larger at each start than at the one before.
+        heartbeat: Counter that increases with each report of the incarnation.
+        phase: Phase in the server's life cycle.
+        is_healthy: Whether callers are sent to the server and its recovery is complete.
+        version: Version that the server runs; empty if unknown.
+        acknowledged_step: Latest step of the rollout state that the server has acted on.
+        counts: Requests since the incarnation started.
+        downstream: Numbers of succeeded and failed calls in the last seconds, by address of the
+            downstream instance; None or empty if the server has made no such calls.
+        previous_incarnation: Incarnation before this one if its last report was that it leaves; 0
+            otherwise.
     """
 
     name: str
@@ -93,12 +96,12 @@
 
 @dataclass(slots=True)
 class Observation:
-    """A value and how long it has been so.
+    """An observed value and when it was first observed.
 
     Attributes:
-        value: As it was seen last.
-        changed_at_ns: When it was first seen so.
-        is_initial: Whether it has not changed before our eyes.
+        value: Value that was observed last.
+        changed_at_ns: When this value was first observed, in ns of the observer's clock.
+        is_initial: Whether the observer has not seen the value change.
     """
 
     value: Hashable
@@ -107,64 +110,65 @@
 
 
 class LivenessObserver:
-    """Observes values of any kind, by key; heartbeats among them."""
+    """Tracks for how long values, such as heartbeats, have not changed."""
 
     def __init__(self, heartbeat_ttl_ns: int) -> None:
-        """Begins knowing nothing.
+        """Starts without observations.
 
         Args:
-            heartbeat_ttl_ns: How long a heartbeat counts after it rose.
+            heartbeat_ttl_ns: Time after its last heartbeat at which a server counts as silent.
         """
         self.heartbeat_ttl_ns = heartbeat_ttl_ns
         self.observations: dict[Hashable, Observation] = {}
         self._observed_at_ns: int | None = None
 
-    def begin_round(self, now: int) -> None:
-        """Begins a look at all of it.
+    def begin_round(self, now_ns: int) -> None:
+        """Begins a round of observations.
 
-        Where we did not look for long (the store was unavailable, or we stood still), that time is
-        nobody's silence, and nobody was seen to serve in it.
+        If the last round is more than half the heartbeat TTL ago, because the store was unavailable
+        or this process did not run, the gap does not count as silence of any server. No server
+        counts as serving until its heartbeat increases again.
         """
         if self._observed_at_ns is not None:
-            gap_ns = now - self._observed_at_ns
+            gap_ns = now_ns - self._observed_at_ns
             if gap_ns > self.heartbeat_ttl_ns // 2:
                 for observation in self.observations.values():
                     observation.changed_at_ns += gap_ns
                     observation.is_initial = True
-        self._observed_at_ns = now
-
-    def observe(self, now: int, key: Hashable, value: Hashable) -> Observation:
-        """Takes in a value, and returns since when it has been so."""
-        known = self.observations.get(key)
-        if known is None:
-            known = self.observations[key] = Observation(value, now, True)
-        elif known.value != value:
-            known.value = value
-            known.changed_at_ns = now
-            known.is_initial = False
-        return known
-
-    def unchanged_for_ns(self, now: int, key: Hashable, value: Hashable) -> int:
-        """Takes in a value, and returns for how long we have seen it so."""
-        return now - self.observe(now, key, value).changed_at_ns
-
-    def is_serving(self, now: int, report: ServerReport) -> bool:
-        """Whether the server's heartbeat rose before our eyes lately."""
-        observation = self.observe(now, *_heartbeat_of(report))
-        age_ns = now - observation.changed_at_ns
+        self._observed_at_ns = now_ns
+
+    def observe(self, now_ns: int, key: Hashable, value: Hashable) -> Observation:
+        """Records the current value of a key and returns its observation."""
+        observation = self.observations.get(key)
+        if observation is None:
+            observation = self.observations[key] = Observation(value, now_ns, True)
+        elif observation.value != value:
+            observation.value = value
+            observation.changed_at_ns = now_ns
+            observation.is_initial = False
+        return observation
+
+    def unchanged_for_ns(self, now_ns: int, key: Hashable, value: Hashable) -> int:
+        """Records the current value of a key and returns for how long it is unchanged, in ns."""
+        return now_ns - self.observe(now_ns, key, value).changed_at_ns
+
+    def is_serving(self, now_ns: int, report: ServerReport) -> bool:
+        """Returns whether the observer saw the heartbeat increase within the heartbeat TTL."""
+        observation = self.observe(now_ns, *_heartbeat_of(report))
+        age_ns = now_ns - observation.changed_at_ns
         return not observation.is_initial and age_ns < self.heartbeat_ttl_ns
 
-    def is_silent(self, now: int, report: ServerReport) -> bool:
-        """Whether the server's heartbeat did not rise for as long as one counts."""
-        return self.unchanged_for_ns(now, *_heartbeat_of(report)) >= self.heartbeat_ttl_ns
+    def is_silent(self, now_ns: int, report: ServerReport) -> bool:
+        """Returns whether the heartbeat has not increased for the heartbeat TTL."""
+        return self.unchanged_for_ns(now_ns, *_heartbeat_of(report)) >= self.heartbeat_ttl_ns
 
     @staticmethod
     def heartbeat_key(name: str) -> Hashable:
-        """Returns the key of a server's heartbeat."""
+        """Returns the key under which a server's heartbeat is observed."""
         return "heartbeat", name
 
     def retain(self, keys: set[Hashable]) -> None:
-        """Forgets all other keys."""
+        """Drops the observations of all other keys."""
         for key in [key for key in self.observations if key not in keys]:
             del self.observations[key]
 
--- a/burlloom/rollout/progress.py
+++ b/burlloom/rollout/progress.py
@@ -1,4 +1,4 @@
-"""What the leader makes of the release: its waves, their evaluation, the halt. No I/O."""
+"""Progress of a release: the leader's decisions on waves, their evaluation and the halt. No I/O."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import replace
@@ -13,12 +13,12 @@
 
 __all__ = ["RELEASE_KEY", "ReleaseDriver"]
 
-RELEASE_KEY = "plan"  # of the observer: since when the release is in its phase
-_MAX_REASON_LENGTH = 200
+RELEASE_KEY = "plan"  # the observer's key for the time since the release entered its phase
+_MAX_REASON_LENGTH = 200  # in characters; a longer reason is cut
 
 
 class _WaveKey(NamedTuple):
-    """Which wave the window is of; a halt begins another."""
+    """Identifies the wave that the window covers; a halt starts a new window."""
 
     number: int
     wave_index: int
@@ -27,14 +27,14 @@
 
 
 class ReleaseDriver:
-    """Moves the release from wave to wave, once a round."""
+    """Applies inputs to the release, once per round."""
 
     def __init__(self, settings: RolloutSettings, observer: LivenessObserver) -> None:
-        """Begins with an empty window.
+        """Starts with an empty window.
 
         Args:
             settings: Times and limits.
-            observer: When what was seen, on our own clock.
+            observer: Observations of this process.
         """
         self.settings = settings
         self.observer = observer
@@ -44,14 +44,14 @@
         self._wave_key: _WaveKey | None = None
 
     def collect_samples(
-        self, now: int, state: RolloutState, reports: Mapping[str, ServerReport]
+        self, now_ns: int, state: RolloutState, reports: Mapping[str, ServerReport]
     ) -> None:
-        """Takes in a look at all servers in service.
+        """Adds a sample of each server in service to the window.
 
         Args:
-            now: ns on a clock that nobody sets.
-            state: As it stands.
-            reports: Of the servers whose heartbeat rose lately, by name.
+            now_ns: Time in ns on a monotonic clock.
+            state: Current rollout state.
+            reports: Reports of the serving servers, by name.
         """
         release = state.release
         is_halted = release.phase is ReleasePhase.HALTED
@@ -69,17 +69,25 @@
             report = reports.get(name)
             if report is not None and server.state is InstanceState.IN:
                 samples[name] = ServerSample(
-                    report.incarnation, report.counts, state.is_done(server), report.is_healthy
+                    report.incarnation,
+                    report.counts,
+                    state.is_up_to_date(server),
+                    report.is_healthy,
                 )
-        self.window.add(now, samples)
+        self.window.add(now_ns, samples)
 
-    def process_release(self, now: int, state: RolloutState, losses: Sequence[str]) -> RolloutState:
-        """Moves the release, if it is to move.
+    def process_release(
+        self, now_ns: int, state: RolloutState, losses: Sequence[str]
+    ) -> RolloutState:
+        """Moves the release to its next phase if losses, the evaluation or a timeout require it.
 
         Args:
-            now: ns on a clock that nobody sets.
-            state: As it stands.
-            losses: Why servers were lost by the release in this round.
+            now_ns: Time in ns on a monotonic clock.
+            state: Current rollout state.
+            losses: For each server that the release lost in this round, the reason.
+
+        Returns:
+            The state after the move; `state` itself if nothing changes.
         """
         release = state.release
         if release.phase in (ReleasePhase.IDLE, ReleasePhase.HALTED):
@@ -97,19 +105,21 @@
                 received = ReleaseInput.EVALUATED_UNHEALTHY
                 return state.apply_to_release(received, evaluation.reason)[0]
             if release.phase is ReleasePhase.EVALUATING:
-                return self._process_evaluation(now, state, evaluation.verdict)
+                return self._process_evaluation(now_ns, state, evaluation.verdict)
         return self._complete_wave(state)
 
     def is_fleet_overloaded(self) -> bool:
-        """Whether so much is rejected or failed that no server is to be sent out."""
+        """Returns whether so many requests are rejected or failed that the waves must wait."""
         counts = self.window.changed.add(self.window.unchanged).counts
-        refused = counts.rejected + counts.failed
-        is_enough = counts.total >= self.settings.canary.min_requests
-        return is_enough and refused > self.settings.pause_rate * counts.total
+        unsuccessful_count = counts.rejected + counts.failed
+        has_enough_requests = counts.total >= self.settings.canary.min_requests
+        return has_enough_requests and unsuccessful_count > self.settings.pause_rate * counts.total
 
-    def _process_evaluation(self, now: int, state: RolloutState, verdict: Verdict) -> RolloutState:
+    def _process_evaluation(
+        self, now_ns: int, state: RolloutState, verdict: Verdict
+    ) -> RolloutState:
         settings = self.settings
-        age_ns = self.observer.unchanged_for_ns(now, RELEASE_KEY, state.release.since_step)
+        age_ns = self.observer.unchanged_for_ns(now_ns, RELEASE_KEY, state.release.since_step)
         if verdict is Verdict.HEALTHY and age_ns >= settings.canary.window_ns:
             return state.apply_to_release(ReleaseInput.EVALUATED_HEALTHY, "")[0]
         if verdict is Verdict.INCONCLUSIVE and age_ns >= settings.low_traffic_timeout_ns:
@@ -136,6 +146,8 @@
         if state.is_in_flight(server) and server.state is not InstanceState.MISSING:
             return False
     if state.release.is_rollback:
-        return all(state.is_done(server) for server in servers)
-    changed = sum(state.is_done(server) and server.state is InstanceState.IN for server in servers)
-    return changed >= state.release.target_count(len(servers))
+        return all(state.is_up_to_date(server) for server in servers)
+    changed_count = sum(
+        state.is_up_to_date(server) and server.state is InstanceState.IN for server in servers
+    )
+    return changed_count >= state.release.compute_target_count(len(servers))
--- a/burlloom/rollout/release.py
+++ b/burlloom/rollout/release.py
@@ -1,4 +1,8 @@
-"""A release to the whole fleet: its waves, the halt, the rollback; a table. No I/O."""
+"""A release to the whole fleet as a state machine: its waves, halt and rollback. No I/O.
+
+A changed server is one that the release has brought to its goal. A server is sent out when the
+leader grants it a permit to leave service, so that it restarts with the goal's version.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -18,24 +22,24 @@
     "parse_wave",
 ]
 
-Wave = int | float  # so many servers, or such a part of all
+Wave = int | float  # a number of servers, or a share of the fleet from 0 to 1
 
-# A part such as 0.1 of 30 must not be rounded up to 4.
+# Subtracted before rounding up, so that a floating-point error does not turn 0.1 of 30 into 4.
 _ROUNDING_ERROR = 1e-9
 
 
 class ReleasePhase(IntEnum):
-    """Where a release stands; stored as a number."""
+    """Phase of a release; stored as a number."""
 
     IDLE = 0  # no release is under way
-    ROLLING = 1  # a wave is on its way
-    EVALUATING = 2  # all of a wave are back, and are compared with the others
-    HALTED = 3  # nobody is sent out
-    ROLLING_BACK = 4  # all return to the version before
+    ROLLING = 1  # the servers of a wave are sent out and return
+    EVALUATING = 2  # all servers of the wave have returned and are compared with the unchanged
+    HALTED = 3  # no server is sent out until an operator resumes or rolls back
+    ROLLING_BACK = 4  # all servers return to the previous version
 
     @property
     def label(self) -> str:
-        """The word for this phase in the stored history and on operators' pages."""
+        """Name of this phase in the stored history and in the output for operators."""
         return _PHASE_LABELS.get(self) or self.name.lower()
 
 
@@ -43,21 +47,21 @@
 
 
 class ReleaseInput(IntEnum):
-    """What moves a release from phase to phase."""
+    """Input that moves a release to its next phase."""
 
     START = 0
-    WAVE_COMPLETE = 1  # all of the wave, or of the rollback, are back and settled
+    WAVE_COMPLETE = 1  # all servers of the wave, or of the rollback, returned and settled
     EVALUATED_HEALTHY = 2
-    EVALUATED_UNHEALTHY = 3  # the changed servers do worse than the others
-    SERVER_LOST = 4  # a changed one is missing, crashed, or returned with another version
-    TRAFFIC_TOO_LOW = 5  # too few requests to the changed servers to tell
-    HALT = 6  # an operator's order, as the next two
+    EVALUATED_UNHEALTHY = 3  # the changed servers are worse than the unchanged
+    SERVER_LOST = 4  # a server of the release is missing, crashed, or has another version
+    TRAFFIC_TOO_LOW = 5  # too few requests to the changed servers to compare them
+    HALT = 6  # HALT, RESUME and ROLLBACK are orders of an operator
     RESUME = 7
     ROLLBACK = 8
 
     @property
     def label(self) -> str:
-        """The word for this input in the stored history and on operators' pages."""
+        """Name of this input in the stored history and in the output for operators."""
         return _INPUT_LABELS.get(self) or self.name.lower()
 
 
@@ -98,13 +102,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeRates:
-    """How requests came out.
+    """Shares of the outcomes of requests.
 
     Attributes:
-        rejected: Share of all requests.
-        failed: Share of all requests.
-        late: Share of the completed requests that took longer than the latency objective.
-        requests: How many there were.
+        rejected: Share of all requests that were rejected.
+        failed: Share of all requests that failed.
+        late: Share of the completed requests that exceeded their latency objective.
+        requests: Number of all requests.
     """
 
     rejected: float = 0.0
@@ -115,22 +119,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """A release, or a restart of the fleet; the last one while none is under way.
+    """A release, or a restart of the fleet; the latest one while no release is in progress.
 
     Attributes:
-        number: Counts up with each release.
-        phase: Where it stands.
-        target_version: That it brings in.
-        previous_version: That a rollback returns to.
-        is_restart: Whether all servers are started anew, whatever they run.
-        wave_index: From 0 on.
-        waves: Cumulative; the last one is the whole fleet.
-        is_rollback: Whether the rollback was begun.
-        auto_rollback: Whether it begins by itself when a wave is unhealthy.
-        since_step: The rollout state's step of the last move.
-        reason: Of the last move; empty where it needs none.
-        baseline: What the unchanged servers did last, for when none are left.
-        lost_count: Changed servers that were lost.
+        number: Increases by 1 with each release.
+        phase: Current phase.
+        target_version: Version that the release brings to the fleet.
+        previous_version: Version that a rollback returns to.
+        is_restart: Whether all servers are restarted, whatever version they run.
+        wave_index: Index of the current wave, from 0.
+        waves: Cumulative sizes of the waves; the last is the whole fleet.
+        is_rollback: Whether the rollback has begun.
+        auto_rollback: Whether a rollback begins without an order when a wave is unhealthy or a
+            server is lost.
+        since_step: Step of the rollout state at which the release entered its phase.
+        reason: Why the release entered its phase; empty if no reason was given.
+        baseline: Latest outcome rates of the unchanged servers, to compare with once too few of
+            them are left; None before the first are known.
+        lost_count: Number of servers that the release has lost since it began or was resumed.
     """
 
     number: int = 0
@@ -149,36 +155,36 @@
 
     @property
     def goal_version(self) -> str:
-        """The version that the servers are brought to now."""
+        """Version that the servers are brought to in the current direction."""
         return self.previous_version if self.is_rollback else self.target_version
 
     @property
-    def is_moving(self) -> bool:
-        """Whether servers are sent out."""
+    def is_sending_out_servers(self) -> bool:
+        """Whether the current phase sends servers out."""
         return self.phase in (ReleasePhase.ROLLING, ReleasePhase.ROLLING_BACK)
 
-    def target_count(self, servers: int) -> int:
-        """Returns how many of so many servers are to be changed at the end of this wave."""
+    def compute_target_count(self, server_count: int) -> int:
+        """Returns how many of `server_count` servers are changed at the end of this wave."""
         if self.is_rollback:
-            return servers
+            return server_count
         wave = self.waves[min(self.wave_index, len(self.waves) - 1)]
-        count = wave if isinstance(wave, int) else ceil(wave * servers - _ROUNDING_ERROR)
-        return min(servers, max(1, count))
+        count = wave if isinstance(wave, int) else ceil(wave * server_count - _ROUNDING_ERROR)
+        return min(server_count, max(1, count))
 
 
 def apply_input(
     release: Release, received: ReleaseInput, step: int, reason: str
 ) -> tuple[Release, str] | None:
-    """Moves a release by the first row of the table whose test holds.
+    """Applies the first row of the table whose test holds.
 
     Args:
-        release: As it stands.
-        received: What happened.
-        step: The rollout state's, that this is.
-        reason: Kept with the release.
+        release: The release before the input.
+        received: The input.
+        step: Number of the rollout state's step that applies the input.
+        reason: Why the input occurred; stored with the release.
 
     Returns:
-        The release after it and the effect's name; None where no row holds.
+        The release after the input and the name of the effect; None if no row applies.
     """
     for test, after, effect in RULES.get((release.phase, received), ()):
         if test(release):
@@ -188,10 +194,10 @@
 
 
 def parse_wave(text: int | str) -> Wave:
-    """Returns the wave that an operator wrote: a number of servers, or a part such as `10%`.
+    """Parses a wave as an operator writes it: a number of servers, or a share such as `10%`.
 
     Raises:
-        ValueError: It is neither.
+        ValueError: The text is neither.
     """
     stripped = str(text).strip()
     if stripped.endswith("%"):
@@ -200,24 +206,26 @@
 
 
 def find_wave_faults(waves: tuple[Wave, ...]) -> list[str]:
-    """Returns what is wrong with waves, in words for an operator."""
-    found = []
+    """Returns the faults of a list of waves, as messages for an operator."""
+    faults = []
     if not waves or waves[-1] != 1.0 or isinstance(waves[-1], int):
-        found.append("waves: the last one is 100%, the whole fleet")
+        faults.append("waves: the last wave must be 100%, the whole fleet")
     for wave in waves:
         if wave <= 0 or isinstance(wave, float) and wave > 1:
-            found.append(
-                f"waves: {wave!r} is neither a number of servers from 1 on nor a part of them up to"
-                " 100%"
+            faults.append(
+                f"waves: {wave!r} is neither a number of servers of at least 1 nor a share above 0%"
+                " and up to 100%"
             )
-    parts = [wave for wave in waves if isinstance(wave, float)]
+    shares = [wave for wave in waves if isinstance(wave, float)]
     counts = [wave for wave in waves if isinstance(wave, int)]
-    if list(waves) != [*sorted(set(counts)), *sorted(set(parts))]:
-        found.append("waves: numbers first, then parts, each larger than the one before")
-    return found
+    if list(waves) != [*sorted(set(counts)), *sorted(set(shares))]:
+        faults.append(
+            "waves: numbers of servers must come before shares, each larger than the one before"
+        )
+    return faults
 
 
-# Tests of the table.
+# Tests named in the table.
 
 
 def _always(release: Release) -> bool:
@@ -225,7 +233,7 @@
 
 
 def _auto_rollback(release: Release) -> bool:
-    """A restart brought in no other version: there is nothing to return to."""
+    """Returns False for a restart: it has no previous version to return to."""
     return release.auto_rollback and not release.is_restart
 
 
@@ -237,7 +245,7 @@
     return release.is_rollback
 
 
-# Effects of the table.
+# Effects named in the table.
 
 
 def _keep(release: Release) -> Release:
--- a/burlloom/rollout/settings.py
+++ b/burlloom/rollout/settings.py
@@ -1,26 +1,30 @@
-"""Settings of rollouts and of the health gate between two waves."""
+"""Settings of rollouts and of the canary evaluation between two waves."""
 
 from dataclasses import dataclass
 
-from .liveness import SECOND_NS
+from .liveness import NS_PER_S
 
 __all__ = ["CanarySettings", "RolloutSettings"]
 
 
 @dataclass(frozen=True, slots=True)
 class CanarySettings:
-    """When changed servers are worse than the others.
+    """Decides when the changed servers count as unhealthy.
 
     Attributes:
-        window_ns: How much time is compared, at least.
-        min_requests: To the changed servers, before they are healthy.
-        min_difference: Of two shares, for the larger to be worse.
-        min_sigmas: How far the difference is beyond chance, in standard deviations.
-        max_rate: A share of the changed servers' requests that is unhealthy, unless the others do
-            as badly.
+        window_ns: Shortest time over which the changed servers are compared with the unchanged.
+        min_requests: Number of requests that the changed servers must answer before they can
+            count as healthy.
+        min_difference: Smallest difference of two outcome shares at which the larger counts as
+            worse.
+        min_sigmas: Smallest difference of two outcome shares, in standard deviations, that is not
+            attributed to chance.
+        max_rate: Share of the changed servers' requests with one bad outcome from which on they
+            count as unhealthy, unless the unchanged servers reach this share too. Also the share of
+            unhealthy samples of the changed servers that counts as unhealthy.
     """
 
-    window_ns: int = 30 * SECOND_NS
+    window_ns: int = 30 * NS_PER_S
     min_requests: int = 100
     min_difference: float = 0.03
     min_sigmas: float = 4.0
@@ -32,40 +36,44 @@
     """Times and limits of rollouts.
 
     Attributes:
-        heartbeat_ttl_ns: How long a heartbeat counts.
-        leader_timeout_ns: A leader whose heartbeat does not rise for so long is gone.
-        permit_ttl_ns: A permit that nobody begins on is revoked after.
-        return_timeout_ns: Whoever is out is to be back in service after.
-        settle_ns: How long one serves before it counts as back.
-        write_off_ns: A missing one is gone for good after; 0: only by an operator's order.
-        low_traffic_timeout_ns: How long enough requests to the changed servers are waited for.
-        max_lost: Changed servers that may be lost before the release is halted.
-        pause_rate: Share of the fleet's requests rejected or failed, from which on no server is
-            sent out.
+        heartbeat_ttl_ns: Time after its last heartbeat at which a server counts as silent.
+        leader_timeout_ns: Time after its last heartbeat at which a leader may be replaced.
+        permit_ttl_ns: Time after which an unused permit is revoked.
+        return_timeout_ns: Time after which an instance that is out of service and has not returned
+            counts as missing.
+        settle_ns: How long an instance must be healthy after its return to count as in service.
+        write_off_ns: Time after which a missing instance is retired; 0 retires an instance only by
+            an operator's order.
+        low_traffic_timeout_ns: How long a wave waits for enough requests to the changed servers.
+        max_lost: Number of servers that the release may lose before it is halted or rolled back.
+        pause_rate: The release sends out no server while more than this share of the fleet's
+            requests is rejected or failed.
         low_traffic_passes: Whether a wave with too few requests counts as healthy.
-        canary: When changed servers are worse than the others.
+        canary: When the changed servers count as unhealthy.
     """
 
-    heartbeat_ttl_ns: int = 5 * SECOND_NS
-    leader_timeout_ns: int = 5 * SECOND_NS
-    permit_ttl_ns: int = 10 * SECOND_NS
-    return_timeout_ns: int = 120 * SECOND_NS
-    settle_ns: int = 5 * SECOND_NS
-    write_off_ns: int = 900 * SECOND_NS
-    low_traffic_timeout_ns: int = 600 * SECOND_NS
+    heartbeat_ttl_ns: int = 5 * NS_PER_S
+    leader_timeout_ns: int = 5 * NS_PER_S
+    permit_ttl_ns: int = 10 * NS_PER_S
+    return_timeout_ns: int = 120 * NS_PER_S
+    settle_ns: int = 5 * NS_PER_S
+    write_off_ns: int = 900 * NS_PER_S
+    low_traffic_timeout_ns: int = 600 * NS_PER_S
     max_lost: int = 0
     pause_rate: float = 0.5
     low_traffic_passes: bool = False
     canary: CanarySettings = CanarySettings()
 
     def find_faults(self) -> list[str]:
-        """Returns what makes the settings unusable, in the words of the operator's file."""
-        found = []
+        """Returns what makes the settings unusable, with the key names of the operator's file."""
+        faults = []
         if self.return_timeout_ns <= self.settle_ns:
-            found.append("back_ms has to be more than settle_ms")
+            faults.append("back_ms must be greater than settle_ms")
         min_write_off_ns = max(self.return_timeout_ns, self.heartbeat_ttl_ns)
         if self.write_off_ns and self.write_off_ns <= min_write_off_ns:
-            found.append("write_off_ms has to be more than back_ms and fresh_ms, or 0")
+            faults.append("write_off_ms must be 0, or greater than back_ms and fresh_ms")
         if self.low_traffic_timeout_ns < self.canary.window_ns:
-            found.append("quiet_ms is under judge_ms: no wave could be told in time")
-        return found
+            faults.append(
+                "quiet_ms must be at least judge_ms, so that a wave is evaluated before it halts"
+            )
+        return faults
--- a/burlloom/rollout/stores/__init__.py
+++ b/burlloom/rollout/stores/__init__.py
@@ -1,4 +1,4 @@
-"""Stores of the rollout state: one interface, and a module for each kind of store."""
+"""Stores of the rollout state: the interface `RolloutStore` and a module for each kind of store."""
 
 from .base import RolloutStore, StateSnapshot, StoreUnavailableError
 from .codec import StateDecodeError, decode_state, encode_state
--- a/burlloom/rollout/stores/base.py
+++ b/burlloom/rollout/stores/base.py
@@ -1,7 +1,7 @@
-"""What every store of the rollout state offers; each store is one module beside this one.
+"""Interface of the stores of the rollout state; each store is another module of this package.
 
-All methods but `close` raise `StoreUnavailableError`, and a write that raised it may have been
-taken or not. What can't be read raises `StateDecodeError`.
+All methods but `close` may raise `StoreUnavailableError`; after that, a write may or may not have
+taken effect. Stored text that cannot be decoded raises `StateDecodeError`.
 """
 
 from abc import ABC, abstractmethod
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StateSnapshot:
-    """The rollout state as it was read.
+    """The rollout state at one revision.
 
     Attributes:
-        revision: Grows with each write; a write names the revision that it was made from.
-        heartbeat: Raised by the leader each round while it lives.
-        state: What is agreed.
+        revision: Increases with each write; a write succeeds only on the revision it was based on.
+        heartbeat: Counter that the leader increases in each round.
+        state: The rollout state.
     """
 
     revision: int
@@ -30,52 +30,53 @@
 
 
 class RolloutStore(ABC):
-    """Keeps the rollout state, and each server's newest report."""
+    """Stores the rollout state and the latest report of each server."""
 
     @abstractmethod
     async def open(self) -> None:
-        """Takes missing schema steps, and writes an empty state where there is none."""
+        """Applies missing schema migrations, and writes an empty state if there is none."""
 
     @abstractmethod
     async def read(self, known: StateSnapshot | None = None) -> StateSnapshot:
         """Reads the state.
 
         Args:
-            known: A snapshot read before; its state is reused if nothing was written since.
+            known: An earlier snapshot; its state is returned if the revision has not changed.
         """
 
     @abstractmethod
     async def compare_and_swap(self, snapshot: StateSnapshot, state: RolloutState) -> bool:
-        """Writes `state` if nobody wrote since `snapshot` was read.
+        """Writes `state` if `snapshot` still has the stored revision.
 
         Returns:
-            Whether it was written; then it is on disk.
+            Whether the state was written; if so, it is durable.
         """
 
     @abstractmethod
-    async def heartbeat(self, epoch: int) -> None:
-        """Raises the leader's heartbeat; does nothing where the epoch is another by now."""
+    async def raise_heartbeat(self, epoch: int) -> None:
+        """Increases the leader's heartbeat if the stored epoch is `epoch`; else does nothing."""
 
     @abstractmethod
-    async def report(self, report: ServerReport) -> bool:
+    async def write_report(self, report: ServerReport) -> bool:
         """Stores a server's report in place of its last one.
 
         Returns:
-            False where a later incarnation has reported under this name; nothing is written then.
+            Whether the report was stored; False if a later incarnation has reported under this
+            name.
         """
 
     @abstractmethod
-    async def last_report(self, name: str) -> ServerReport | None:
-        """Returns the newest report under this name; None where there is none."""
+    async def read_last_report(self, name: str) -> ServerReport | None:
+        """Returns the latest report of the server of this name; None if there is none."""
 
     @abstractmethod
-    async def reports(self) -> list[ServerReport]:
-        """Returns the newest report of each server."""
+    async def read_reports(self) -> list[ServerReport]:
+        """Returns the latest report of each server."""
 
     @abstractmethod
-    async def forget_report(self, name: str) -> None:
-        """Deletes the report under this name, if there is one."""
+    async def delete_report(self, name: str) -> None:
+        """Deletes the report of the server of this name, if there is one."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Lets go of the store; never raises."""
+        """Releases the store's resources; never raises."""
--- a/burlloom/rollout/stores/codec.py
+++ b/burlloom/rollout/stores/codec.py
@@ -1,7 +1,7 @@
-"""JSON of what a store keeps: the rollout state and the servers' reports.
+"""JSON encoding of the stored rollout state and the stored reports of servers.
 
-The names that stand in the JSON objects are those of the first release that wrote them, so that old
-and new programs read each other's. They are mapped to the fields' names here and nowhere else.
+The keys of the JSON objects are those of the first release that wrote them, so that old and new
+programs can read each other's data. Only this module maps them to the names of the fields.
 """
 
 from collections.abc import Mapping
@@ -64,15 +64,15 @@
 
 
 class StateDecodeError(BurlloomError):
-    """Stored text that this program can't read.
+    """Stored text that this program cannot decode.
 
     Attributes:
-        field: Dotted name of the first stored field that is wrong; empty for the text as a whole.
-        reason: What is wrong with it.
+        field: Dotted name of the first invalid stored field; empty if the whole text is invalid.
+        reason: Why the field or the text is invalid.
     """
 
     def __init__(self, message: str, field: str = "", reason: str = "") -> None:
-        """Keeps the operator's `message` beside its parts."""
+        """Stores `field` and `reason` as attributes next to the full message."""
         super().__init__(message)
         self.field = field
         self.reason = reason
@@ -85,51 +85,55 @@
 for _type, _names in _STORED_NAMES.items():
     with_config(ConfigDict(alias_generator=partial(_stored_name, _names)))(_type)
 
-_STATE = TypeAdapter(RolloutState)
-_REPORT = TypeAdapter(ServerReport)
+_STATE_ADAPTER = TypeAdapter(RolloutState)
+_REPORT_ADAPTER = TypeAdapter(ServerReport)
 
 
 def encode_state(state: RolloutState) -> str:
-    """Returns one JSON object."""
-    return _STATE.dump_json(state, by_alias=True).decode()
+    """Returns the state as a JSON object."""
+    return _STATE_ADAPTER.dump_json(state, by_alias=True).decode()
 
 
 def encode_report(report: ServerReport) -> str:
-    """Returns one JSON object."""
-    return _REPORT.dump_json(report, by_alias=True).decode()
+    """Returns the report as a JSON object."""
+    return _REPORT_ADAPTER.dump_json(report, by_alias=True).decode()
 
 
 def decode_state(text: str) -> RolloutState:
-    """Reads what `encode_state` wrote, of this release or one before.
+    """Decodes text that `encode_state` of this or an earlier release wrote.
 
     Raises:
-        StateDecodeError: The text is no rollout state, or one of a newer format.
+        StateDecodeError: The text is not a rollout state, or has a newer format.
     """
     try:
-        state = _STATE.validate_json(text)
+        state = _STATE_ADAPTER.validate_json(text)
     except ValidationError as error:
         first = error.errors()[0]
         field, reason = ".".join(map(str, first["loc"])), first["msg"]
         raise StateDecodeError(
-            f"the book can't be read: {field or 'the whole'}: {reason}", field, reason
+            f"stored rollout state cannot be decoded: {field or 'the whole text'}: {reason}",
+            field,
+            reason,
         ) from error
     if state.format_version > FORMAT_VERSION:
         reason = (
-            f"the book has form {state.format_version}, written by a newer program;"
-            f" this one knows {FORMAT_VERSION}"
+            f"stored rollout state has format {state.format_version}, written by a newer program;"
+            f" this program reads formats up to {FORMAT_VERSION}"
         )
         raise StateDecodeError(reason, "form", reason)
     return state
 
 
 def decode_report(text: str) -> ServerReport:
-    """Reads what `encode_report` wrote, of this release or one before.
+    """Decodes text that `encode_report` of this or an earlier release wrote.
 
     Raises:
-        StateDecodeError: The text is no server's report.
+        StateDecodeError: The text is not a report.
     """
     try:
-        return _REPORT.validate_json(text)
+        return _REPORT_ADAPTER.validate_json(text)
     except ValidationError as error:
         reason = error.errors()[0]["msg"]
-        raise StateDecodeError(f"a server's word can't be read: {reason}", reason=reason) from error
+        raise StateDecodeError(
+            f"stored server report cannot be decoded: {reason}", reason=reason
+        ) from error
--- a/burlloom/rollout/stores/factory.py
+++ b/burlloom/rollout/stores/factory.py
@@ -1,4 +1,4 @@
-"""Makes the store of the rollout state that an operator's file names."""
+"""Creates the store of the rollout state that the operator's file configures."""
 
 import time
 from typing import TYPE_CHECKING
@@ -16,14 +16,14 @@
 def create_rollout_store(
     operator: "Operator", lock_timeout_s: float = LOCK_TIMEOUT_S
 ) -> RolloutStore:
-    """Returns the store, not opened yet.
+    """Creates the store without opening it.
 
     Args:
-        operator: The operator's file, with a `rollout` part.
-        lock_timeout_s: For a lock that another process holds, where the store is one file.
+        operator: The operator's file; must have a `rollout` part.
+        lock_timeout_s: How long an SQLite store waits for a lock that another process holds.
 
     Raises:
-        StoreRefusedError: The store can't be used as it is configured.
+        StoreRefusedError: The store cannot be used as it is configured.
     """
     place = operator.rollout_store()
     if place.sqlite is not None:
--- a/burlloom/rollout/stores/leader_round.py
+++ b/burlloom/rollout/stores/leader_round.py
@@ -1,6 +1,6 @@
-"""One round of a process that may lead: its decisions, and the store's reads and writes.
+"""One round of a process that may lead: its decisions and the store's reads and writes.
 
-Servers and `burlloom rollout drive` share it.
+Both servers and `burlloom rollout drive` run it.
 """
 
 from ..leader import RolloutLeader
@@ -12,20 +12,20 @@
 async def run_leader_round(
     leader: RolloutLeader, store: RolloutStore, snapshot: StateSnapshot, now_ns: int
 ) -> list[tuple[int, str]]:
-    """Acquires leadership where nobody has it; where it is ours, decides and writes.
+    """Acquires leadership if there is no leader; if this process leads, decides and writes.
 
     Args:
-        leader: The process's own part in leading.
-        store: Where the state is kept.
-        snapshot: The state as it was just read.
-        now_ns: On a clock that nobody sets.
+        leader: The leader object of this process.
+        store: Store of the rollout state.
+        snapshot: The state that was just read.
+        now_ns: Time in ns on a monotonic clock.
 
     Returns:
-        The steps that were taken, each with its number; none where another process wrote first,
-        and the next round reads anew.
+        Number and description of each step that was written. Empty if nothing changed or another
+        process wrote first; the next round reads the state again.
 
     Raises:
-        StoreUnavailableError: The store was lost on the way.
+        StoreUnavailableError: The store failed during the round.
     """
     acquired = leader.acquire_leadership(now_ns, snapshot.state, snapshot.heartbeat)
     if acquired is not None:
@@ -33,10 +33,10 @@
         return list(acquired.history[-1:]) if is_written else []
     if not leader.is_leader(snapshot.state):
         return []
-    await store.heartbeat(snapshot.state.epoch)
-    state = leader.run_round(now_ns, snapshot.state, await store.reports())
+    await store.raise_heartbeat(snapshot.state.epoch)
+    state = leader.run_round(now_ns, snapshot.state, await store.read_reports())
     for name in leader.unknown_servers:
-        await store.forget_report(name)
+        await store.delete_report(name)
     if state is snapshot.state or not await store.compare_and_swap(snapshot, state):
         return []
     return [entry for entry in state.history if entry[0] > snapshot.state.step]
--- a/burlloom/rollout/stores/postgres.py
+++ b/burlloom/rollout/stores/postgres.py
@@ -1,4 +1,4 @@
-"""The rollout state in the record's PostgreSQL database, for servers on many machines."""
+"""Rollout state in the record's PostgreSQL database, for servers on several machines."""
 
 from ...record.shared_postgres import SharedPostgresDatabase
 from .sql import SqlRolloutStore
@@ -7,4 +7,4 @@
 
 
 class PostgresRolloutStore(SharedPostgresDatabase, SqlRolloutStore):
-    """The tables beside the record's, over its connections."""
+    """Store with tables next to the record's, over the record's connections."""
--- a/burlloom/rollout/stores/sql.py
+++ b/burlloom/rollout/stores/sql.py
@@ -1,6 +1,6 @@
-"""The rollout state in two SQL tables, for any database that runs one statement at a time.
+"""Rollout state in two SQL tables, for any database that runs single statements.
 
-Each step is one statement that takes hold or does not: no transaction stays open between two.
+Each write is one atomic statement; no transaction stays open between two statements.
 """
 
 import logging
@@ -19,8 +19,8 @@
 
 _NS_PER_MS = 1_000_000
 
-# The first revision is the time in ms: a state that begins anew counts on from beyond all revisions
-# that there were, and no snapshot of the one before fits it.
+# The first revision is the current time in ms. If the state is created again, its revisions are
+# larger than all earlier ones, so no write that is based on the earlier state can succeed.
 _CREATE_STATE = (
     "INSERT INTO rollout_book (id, revision, epoch, beat, text)"
     " VALUES (1, $1::bigint, 0, 0, $2::text)"
@@ -48,63 +48,64 @@
 
 
 class SqlRolloutStore(RolloutStore):
-    """`RolloutStore` over `prepare` and `execute`, which the database's class gives."""
+    """`RolloutStore` on top of `prepare` and `execute`, which the database's class defines."""
 
     @abstractmethod
     async def prepare(self) -> None:
-        """Connects, and takes missing schema steps."""
+        """Connects and applies missing schema migrations."""
 
     @abstractmethod
     async def execute(self, sql: str, *values: Any) -> list[Any]:
-        """Runs one statement, and returns its rows."""
+        """Runs one statement and returns its rows."""
 
     async def open(self) -> None:
-        """Takes missing schema steps, and writes an empty state where there is none."""
+        """Applies missing schema migrations, and writes an empty state if there is none."""
         await self.prepare()
         first_revision = time.time_ns() // _NS_PER_MS
         await self.execute(_CREATE_STATE, first_revision, encode_state(RolloutState()))
 
     async def read(self, known: StateSnapshot | None = None) -> StateSnapshot:
-        """Reads the state, or only its revision where `known` is the newest."""
+        """Reads the state, or only its revision if `known` is still current."""
         if known is not None:
             ((revision, heartbeat),) = await self.execute(_SELECT_REVISION)
             if revision == known.revision:
                 return StateSnapshot(revision, heartbeat, known.state)
         rows = await self.execute(_SELECT_STATE)
         if not rows:
-            raise StateDecodeError("the book is gone: its table is empty")
+            raise StateDecodeError("stored rollout state is missing: table rollout_book is empty")
         ((revision, heartbeat, text),) = rows
         return StateSnapshot(revision, heartbeat, decode_state(text))
 
     async def compare_and_swap(self, snapshot: StateSnapshot, state: RolloutState) -> bool:
-        """Writes `state` if nobody wrote since `snapshot` was read."""
+        """Writes `state` if `snapshot` still has the stored revision."""
         values = state.epoch, encode_state(state), snapshot.revision
         return bool(await self.execute(_SWAP_STATE, *values))
 
-    async def heartbeat(self, epoch: int) -> None:
-        """Raises the leader's heartbeat."""
+    async def raise_heartbeat(self, epoch: int) -> None:
+        """Increases the leader's heartbeat if the stored epoch is `epoch`."""
         await self.execute(_RAISE_HEARTBEAT, epoch)
 
-    async def report(self, report: ServerReport) -> bool:
-        """Stores a server's report, unless a later incarnation has reported."""
+    async def write_report(self, report: ServerReport) -> bool:
+        """Stores a server's report unless a later incarnation has reported."""
         values = report.name, report.incarnation, report.heartbeat, encode_report(report)
         return bool(await self.execute(_UPSERT_REPORT, *values))
 
-    async def last_report(self, name: str) -> ServerReport | None:
-        """Returns the newest report under this name."""
+    async def read_last_report(self, name: str) -> ServerReport | None:
+        """Returns the latest report of the server of this name; None if there is none."""
         rows = await self.execute(_SELECT_REPORT, name)
         return decode_report(rows[0][0]) if rows else None
 
-    async def reports(self) -> list[ServerReport]:
-        """Returns the newest report of each server; one that can't be read is left out."""
-        found = []
+    async def read_reports(self) -> list[ServerReport]:
+        """Returns the latest report of each server; leaves out reports that cannot be decoded."""
+        reports = []
         for (text,) in await self.execute(_SELECT_REPORTS):
             try:
-                found.append(decode_report(text))
-            except StateDecodeError as error:  # of a newer program perhaps; it counts as silent
+                reports.append(decode_report(text))
+            except StateDecodeError as error:
+                # A newer program may have written the report. Its server counts as silent.
                 log.warning("event=rollout_report_unreadable detail=%r", str(error))
-        return found
+        return reports
 
-    async def forget_report(self, name: str) -> None:
-        """Deletes the report under this name."""
+    async def delete_report(self, name: str) -> None:
+        """Deletes the report of the server of this name, if there is one."""
         await self.execute(_DELETE_REPORT, name)
--- a/burlloom/rollout/stores/sqlite.py
+++ b/burlloom/rollout/stores/sqlite.py
@@ -1,4 +1,4 @@
-"""The rollout state in one SQLite file, which all servers of a machine share."""
+"""Rollout state in one SQLite file, which all servers of a machine share."""
 
 from pathlib import Path
 
@@ -10,14 +10,14 @@
 
 
 class SqliteRolloutStore(SharedSqliteFile, SqlRolloutStore):
-    """The tables in a file of their own, or in the record's."""
+    """Store with its tables in a separate file or in the record's file."""
 
     def __init__(self, path: Path, lock_timeout_s: float = LOCK_TIMEOUT_S) -> None:
-        """Does not open the file yet.
+        """Sets up the store without opening the file.
 
         Args:
-            path: The file; made where there is none.
-            lock_timeout_s: How long another process's lock is waited for, until the store counts
-                as unavailable.
+            path: Path of the file, which `open` creates if it does not exist.
+            lock_timeout_s: How long to wait for a lock that another process holds before the store
+                counts as unavailable.
         """
         super().__init__(path, "rollout", lock_timeout_s)
--- a/burlloom/rollout/supervision.py
+++ b/burlloom/rollout/supervision.py
@@ -1,4 +1,4 @@
-"""What befell each server and each downstream instance, by their reports and by time. No I/O."""
+"""Derives the inputs of servers and downstream instances from reports and timeouts. No I/O."""
 
 from collections.abc import Hashable, Iterable, Mapping, Sequence
 from dataclasses import replace
@@ -13,20 +13,22 @@
 
 __all__ = ["InstanceSupervisor"]
 
-# Share of the calls to a downstream instance, by those who call it: it does not serve.
+# If more than this share of all servers' calls to a downstream instance fail, it counts as lost.
 DOWNSTREAM_FAILURE_SHARE = 0.5
-# With fewer calls nothing is said of a downstream instance.
+# With fewer calls, succeeded and failed together, a downstream instance never counts as lost.
 DOWNSTREAM_MIN_CALLS = 5
 _NS_PER_MS = 1_000_000
 
 
-class _DueInput(NamedTuple):
+class _TimeoutInput(NamedTuple):
+    """The input that a timeout of the instance's state gives, and whether it is due."""
+
     received: InstanceInput
     is_due: bool
 
 
 class InstanceSupervisor:
-    """Moves instances from state to state, once a round."""
+    """Applies inputs to instances, once per round."""
 
     def __init__(
         self,
@@ -34,12 +36,12 @@
         observer: LivenessObserver,
         services: Mapping[str, Sequence[str]],
     ) -> None:
-        """Begins with no instance known.
+        """Sets up a supervisor.
 
         Args:
-            settings: Times of rollouts.
-            observer: When what was seen, on our own clock.
-            services: The addresses of each downstream service.
+            settings: Times and limits.
+            observer: Observations of this process.
+            services: Addresses of the instances of each downstream service, by group.
         """
         self.settings = settings
         self.observer = observer
@@ -47,26 +49,26 @@
 
     def process_server(
         self,
-        now: int,
+        now_ns: int,
         state: RolloutState,
         name: str,
         report: ServerReport | None,
         is_serving: bool,
     ) -> tuple[RolloutState, str]:
-        """Takes in a server's report, or that there is none.
+        """Applies a server's latest report, or the timeout of its state.
 
         Args:
-            now: ns on a clock that nobody sets.
-            state: As it stands.
-            name: The server's.
-            report: Its newest; None where there is none.
-            is_serving: Whether its heartbeat rose lately.
+            now_ns: Time in ns on a monotonic clock.
+            state: Current rollout state.
+            name: Name of the server.
+            report: Latest report of the server; None if there is none.
+            is_serving: Whether its heartbeat increased within the heartbeat TTL.
 
         Returns:
-            The state after it, and why the release has lost the server; empty where it has not.
+            The new state, and why the release has lost the server; empty if it has not.
         """
         before = state.servers.get(name)
-        is_silent = report is None or self.observer.is_silent(now, report)
+        is_silent = report is None or self.observer.is_silent(now_ns, report)
         received, incarnation = _interpret_report(report, is_serving, is_silent)
         effect = ""
         if received is InstanceInput.SEEN:
@@ -81,14 +83,24 @@
             state = _record_version(state, name, report)
         if not effect:
             is_healthy = report is not None and is_serving and report.is_healthy
-            state, effect = self._process_timeouts(now, state, SERVERS_GROUP, name, is_healthy)
+            state, effect = self._process_timeouts(now_ns, state, SERVERS_GROUP, name, is_healthy)
         server = state.servers.get(name, Instance())
         return state, _describe_loss(state.release, name, before, server, effect)
 
     def process_downstream(
-        self, now: int, state: RolloutState, group: str, callers: Iterable[ServerReport]
+        self, now_ns: int, state: RolloutState, group: str, callers: Iterable[ServerReport]
     ) -> RolloutState:
-        """Takes in what the servers that call a service report of its instances."""
+        """Applies the servers' call counts of a downstream service, and timeouts, to its instances.
+
+        Args:
+            now_ns: Time in ns on a monotonic clock.
+            state: Current rollout state.
+            group: Name of the downstream service.
+            callers: Reports of the servers that may call the service.
+
+        Returns:
+            The new state.
+        """
         instances = state.groups[group].instances
         callers = list(callers)
         for name in {**dict.fromkeys(self.services.get(group, ())), **instances}:
@@ -101,56 +113,58 @@
                     group, name, InstanceInput.SEEN, incarnation=incarnation
                 )
             elif is_failing and instance.state is not InstanceState.OUT:
-                # Who is out is not called: what is reported of it is from before.
+                # An instance in state OUT is not called, so reported failures are from before.
                 state, effect = state.apply_input(group, name, InstanceInput.LOST)
             if not effect and name in instances:
-                state, _ = self._process_timeouts(now, state, group, name, not is_failing)
+                state, _ = self._process_timeouts(now_ns, state, group, name, not is_failing)
         return state
 
     def observed_keys(self, state: RolloutState) -> set[Hashable]:
-        """Returns the observer's keys that are still of use."""
+        """Returns the observer's keys of all instances in the state."""
         keys: set[Hashable] = set()
         for group, name, _ in state.iter_instances():
             keys |= {_state_key(group, name), _health_key(group, name)}
         return keys
 
     def _process_timeouts(
-        self, now: int, state: RolloutState, group: str, name: str, is_healthy: bool
+        self, now_ns: int, state: RolloutState, group: str, name: str, is_healthy: bool
     ) -> tuple[RolloutState, str]:
-        """Does what is due because of how long an instance has been in its state."""
+        """Applies the input of a timeout that has passed since the instance entered its state."""
         instance = state.groups[group].instances[name]
-        due = self._find_due_input(now, group, name, instance, is_healthy)
-        if due is None or not due.is_due:
+        timeout = self._find_timeout_input(now_ns, group, name, instance, is_healthy)
+        if timeout is None or not timeout.is_due:
             return state, ""
-        return state.apply_input(group, name, due.received)
+        return state.apply_input(group, name, timeout.received)
 
-    def _find_due_input(
-        self, now: int, group: str, name: str, instance: Instance, is_healthy: bool
-    ) -> _DueInput | None:
+    def _find_timeout_input(
+        self, now_ns: int, group: str, name: str, instance: Instance, is_healthy: bool
+    ) -> _TimeoutInput | None:
         settings, step = self.settings, instance.since_step
-        age_ns = self.observer.unchanged_for_ns(now, _state_key(group, name), step)
-        healthy_ns = self._healthy_for_ns(now, group, name, step, is_healthy)
+        age_ns = self.observer.unchanged_for_ns(now_ns, _state_key(group, name), step)
+        healthy_ns = self._healthy_for_ns(now_ns, group, name, step, is_healthy)
         match instance.state:
             case InstanceState.GRANTED:
-                return _DueInput(InstanceInput.EXPIRED, age_ns >= settings.permit_ttl_ns)
+                return _TimeoutInput(InstanceInput.EXPIRED, age_ns >= settings.permit_ttl_ns)
             case InstanceState.OUT:
                 absence_ns = self._max_absence_ns(group, instance)
-                return _DueInput(InstanceInput.EXPIRED, age_ns >= absence_ns)
+                return _TimeoutInput(InstanceInput.EXPIRED, age_ns >= absence_ns)
             case InstanceState.BACK if is_healthy and healthy_ns >= settings.settle_ns:
-                return _DueInput(InstanceInput.SETTLED, True)
+                return _TimeoutInput(InstanceInput.SETTLED, True)
             case InstanceState.BACK:
-                return _DueInput(InstanceInput.EXPIRED, age_ns >= settings.return_timeout_ns)
+                return _TimeoutInput(InstanceInput.EXPIRED, age_ns >= settings.return_timeout_ns)
             case InstanceState.MISSING:
                 is_written_off = settings.write_off_ns > 0 and age_ns >= settings.write_off_ns
-                return _DueInput(InstanceInput.RETIRE, is_written_off)
+                return _TimeoutInput(InstanceInput.RETIRE, is_written_off)
         return None
 
-    def _healthy_for_ns(self, now: int, group: str, name: str, step: int, is_healthy: bool) -> int:
+    def _healthy_for_ns(
+        self, now_ns: int, group: str, name: str, step: int, is_healthy: bool
+    ) -> int:
         key = _health_key(group, name)
         if not is_healthy:
-            self.observer.observations.pop(key, None)  # it settles anew
+            self.observer.observations.pop(key, None)  # the settle time starts again
             return 0
-        return self.observer.unchanged_for_ns(now, key, step)
+        return self.observer.unchanged_for_ns(now_ns, key, step)
 
     def _max_absence_ns(self, group: str, instance: Instance) -> int:
         drain_ns = instance.drain_ms * _NS_PER_MS
@@ -170,7 +184,7 @@
 def _interpret_report(
     report: ServerReport | None, is_serving: bool, is_silent: bool
 ) -> tuple[InstanceInput | None, int]:
-    """Returns what a server's report comes to, and the incarnation that it is of."""
+    """Returns the input that a report stands for, if any, and the incarnation it is about."""
     if report is None or is_silent:
         return InstanceInput.LOST, 0
     if not is_serving or report.phase is ServerPhase.STARTING:
@@ -183,7 +197,10 @@
 def _record_missed_leaving(
     state: RolloutState, name: str, before: Instance | None, report: ServerReport | None
 ) -> RolloutState:
-    """Records that a server left in good order, where it was back before we looked."""
+    """Records an orderly leave that no round saw, since the server had already returned.
+
+    Without the record the new incarnation would count as a crash of the one before.
+    """
     if before is None or report is None or before.incarnation != report.previous_incarnation:
         return state
     state, _ = state.apply_input(
@@ -214,7 +231,7 @@
 def _describe_loss(
     release: Release, name: str, before: Instance | None, server: Instance, effect: str
 ) -> str:
-    """Returns why the release has lost a server; empty where it has not."""
+    """Returns why the release has lost a server; empty if it has not."""
     if before is None or before.release_number != release.number:
         return ""
     if release.phase not in (ReleasePhase.ROLLING, ReleasePhase.EVALUATING):
--- a/burlloom/server/configured_rollout.py
+++ b/burlloom/server/configured_rollout.py
@@ -139,9 +139,11 @@
             "wave": float(state.release.wave_index),
             "servers": float(len(servers.instances)),
             "out": float(servers.out_count),
-            "bound": float(servers.budget.limit(len(servers.instances))),
+            "bound": float(servers.budget.compute_limit(len(servers.instances))),
             "steps_read": float(state.step),
-            "done": float(sum(state.is_done(instance) for instance in servers.instances.values())),
+            "done": float(
+                sum(state.is_up_to_date(instance) for instance in servers.instances.values())
+            ),
         }
 
     async def close(self) -> None:
@@ -213,7 +215,7 @@
 
     async def _join(self) -> None:
         await self.store.open()
-        last = await self.store.last_report(self.name)
+        last = await self.store.read_last_report(self.name)
         if last is not None:
             self._previous_incarnation = (
                 last.incarnation if last.phase is ServerPhase.LEAVING else 0
@@ -261,7 +263,7 @@
             self.membership().recent_call_counts(),
             self._previous_incarnation,
         )
-        if not await self.store.report(report):
+        if not await self.store.write_report(report):
             self._is_superseded = True
             # Another process was started under the name after this one.
             log.error("event=rollout_superseded name=%s", self.name)
@@ -281,7 +283,7 @@
 
     def _eject_services(self, snapshot: StateSnapshot) -> None:
         """Has services that are out not called; reported once no call to them is in progress."""
-        ejected = frozenset(address for _, address in snapshot.state.ejected_instances())
+        ejected = frozenset(address for _, address in snapshot.state.list_ejected_instances())
         if self.membership().eject_services(ejected):
             self._steps_applied = snapshot.state.step
 
@@ -308,7 +310,7 @@
 
     def _begin_drain(self, snapshot: StateSnapshot) -> None:
         """Drains: the store has this server out, durably; no earlier."""
-        version = snapshot.state.next_version_of(self.name)
+        version = snapshot.state.find_next_version(self.name)
         log.info(
             "event=rollout_drain_started incarnation=%d next_version=%s",
             self._incarnation,
--- a/tests/explore_rollout.py
+++ b/tests/explore_rollout.py
@@ -127,7 +127,7 @@
         if what is InstanceInput.PERMIT:
             if self.broken == "room":
                 made, effect = state.apply_input(
-                    SERVERS_GROUP, name, what, has_budget=True, has_sent_budget=True
+                    SERVERS_GROUP, name, what, has_budget=True, has_send_out_budget=True
                 )
                 return made if effect else None
             made, held = state.grant_permit(SERVERS_GROUP, name, 0)
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -90,7 +90,7 @@
             while self.dead:
                 await asyncio.sleep(0.02)
             try:
-                self.version = (await self.rollout.state()).next_version_of(
+                self.version = (await self.rollout.state()).find_next_version(
                     self.name
                 ) or self.version
             except StoreUnavailableError:
--- a/tests/test_rollout_codec.py
+++ b/tests/test_rollout_codec.py
@@ -89,7 +89,7 @@
         snapshot = await store.read()
         assert encode_state(snapshot.state) == sample("rollout_state_0.7.1.json")
         assert snapshot.heartbeat == 1
-        (report,) = await store.reports()
+        (report,) = await store.read_reports()
         assert encode_report(report) == sample("rollout_report_0.7.1.json")
         assert report.phase is ServerPhase.LEAVING
         assert await store.compare_and_swap(snapshot, snapshot.state)
--- a/tests/test_rollout_instance.py
+++ b/tests/test_rollout_instance.py
@@ -4,8 +4,8 @@
 
 from burlloom.rollout.instance import (
     RULES,
+    InputContext,
     Instance,
-    InstanceEvent,
     InstanceInput,
     InstanceState,
     apply_input,
@@ -19,16 +19,16 @@
         for step, received in enumerate(inputs):
             incarnation += received is InstanceInput.SEEN
             for is_downstream in (False, True):
-                event = InstanceEvent(step, incarnation, 0, True, True, is_downstream)
+                context = InputContext(step, incarnation, 0, True, True, is_downstream)
                 for test, *_ in RULES.get((instance.state, received), ()):
-                    if test(instance, event):
+                    if test(instance, context):
                         met.add((instance.state, received))
                         break
             before = instance
-            moved = apply_input(instance, received, InstanceEvent(step, incarnation, 0, True, True))
+            moved = apply_input(instance, received, InputContext(step, incarnation, 0, True, True))
             if moved is not None:
                 instance = moved[0]
-            if before.was_sent_out and not instance.is_out:
+            if before.is_sent_out and not instance.is_out:
                 assert received is InstanceInput.RETIRE, inputs
             if before.state is InstanceState.OUT and instance.state is InstanceState.BACK:
                 is_restarted = instance.incarnation > before.left_incarnation
--- a/tests/test_rollout_leader.py
+++ b/tests/test_rollout_leader.py
@@ -34,7 +34,7 @@
         world.state = world.state.start_release("v2", (1, 0.1, 0.5, 1.0), False)
         world.until(ReleasePhase.IDLE)
         assert world.state.stable_version == "v2"
-        assert world.most_down == budget.limit(size)
+        assert world.most_down == budget.compute_limit(size)
         assert {member.version for member in world.members.values()} == {"v2"}
         world.failure_rates["v3"] = 0.3
         world.state = world.state.start_release("v3", (1, 0.1, 0.5, 1.0), False)
@@ -43,11 +43,11 @@
         assert ran <= 1 and "voided" in world.state.release.reason, world.state.release
         with pytest.raises(OrderRejectedError, match="halted"):
             world.state.start_release("v4", (1.0,), False)
-        world.state = world.state.order(ReleaseInput.ROLLBACK, "")
+        world.state = world.state.apply_order(ReleaseInput.ROLLBACK, "")
         world.until(ReleasePhase.IDLE)
         assert world.state.stable_version == "v2"
         assert {member.version for member in world.members.values()} == {"v2"}
-        assert world.most_down == budget.limit(size)
+        assert world.most_down == budget.compute_limit(size)
 
 
 def test_no_permit_is_freed_by_a_lost_leader() -> None:
@@ -66,7 +66,7 @@
     world.until(ReleasePhase.HALTED)
     assert world.state.servers[gone].state is InstanceState.MISSING
     assert "missing" in world.state.release.reason
-    world.state = world.state.retire(SERVERS_GROUP, gone).order(ReleaseInput.RESUME, "")
+    world.state = world.state.retire(SERVERS_GROUP, gone).apply_order(ReleaseInput.RESUME, "")
     del world.members[gone]
     del world.down[gone]
     world.until(ReleasePhase.IDLE)
@@ -166,7 +166,7 @@
     ] * 3
     for address in below[:2]:
         state = state.request_drain("db", address, 5000)
-    with pytest.raises(OrderRejectedError, match="asked for already"):
+    with pytest.raises(OrderRejectedError, match="already requested to drain"):
         state.request_drain("db", below[0], 1)
     state = run(state, 1)
     first, second = (state.groups["db"].instances[address] for address in below[:2])
@@ -181,11 +181,11 @@
         "db", below[0], InstanceInput.BEGIN, incarnation=1, ticket=first.drain_ticket
     )
     assert effect
-    assert state.ejected_instances() == [("db", below[0])]
+    assert state.list_ejected_instances() == [("db", below[0])]
     state = run(state, 4)
     assert state.groups["db"].instances[below[1]].state is InstanceState.IN  # no room yet
     state = run(state, 3)  # its five seconds are over: it is called again, and the next may leave
-    assert state.ejected_instances() == []
+    assert state.list_ejected_instances() == []
     assert state.groups["db"].instances[below[1]].state in (
         InstanceState.GRANTED,
         InstanceState.BACK,
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -30,7 +30,7 @@
     assert made.ends == 4
     assert sum("complete" in said for _, said in state.history) == 3
     made.nothing_lost()
-    assert "all servers run v2" in await made.says("start", "v2", status=2)
+    assert "all servers already run v2" in await made.says("start", "v2", status=2)
     assert "nothing to halt" in await made.says("halt", status=2)
     said = await made.says("show")
     assert "4 servers, 0 out of 1 allowed; nothing under way; good is v2" in said, said
@@ -251,7 +251,7 @@
     assert made.worst == 1
     assert not made.over
     assert (await made.says("version", "n2")).strip() in ("", "v1")
-    assert "servers has no 'n9'" in await made.says("drain", "n9", status=2)
+    assert "group 'servers' has no instance 'n9'" in await made.says("drain", "n9", status=2)
     await made.says("budget", "--share", "0.7")
     made.most = 2
     await made.says("start", "v1", "--restart", "--wave", "100%")
@@ -267,14 +267,14 @@
 @pytest.mark.parametrize(
     ("told", "said"),
     [
-        ({"waves": [1, "50%"]}, "waves: the last one is 100%"),
-        ({"waves": ["50%", 1, "100%"]}, "waves: numbers first"),
+        ({"waves": [1, "50%"]}, "waves: the last wave must be 100%"),
+        ({"waves": ["50%", 1, "100%"]}, "waves: numbers of servers must come before shares"),
         ({"waves": ["x"]}, "rollout.waves.0"),
         ({"out_most": 0}, "rollout.out_most"),
         ({"fresh_ms": 1000}, "fresh_ms 1000 is under three of beat_ms"),
-        ({"back_ms": 100}, "back_ms has to be more"),
-        ({"write_off_ms": 100}, "write_off_ms has to be more"),
-        ({"quiet_ms": 100}, "quiet_ms is under judge_ms"),
+        ({"back_ms": 100}, "back_ms must be greater"),
+        ({"write_off_ms": 100}, "write_off_ms must be 0, or greater"),
+        ({"quiet_ms": 100}, "quiet_ms must be at least judge_ms"),
         ({"store": {}}, "one store is wanted"),
         ({"stor": 1}, "rollout.stor: unknown key"),
         ({"below": {"db": {"addresses": ["10.0.0.1:1", "10.0.0.1:1"]}}}, "10.0.0.1:1 stands twice"),
--- a/tests/test_rollout_release.py
+++ b/tests/test_rollout_release.py
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize(("wave_index", "count"), [(0, 1), (1, 3), (2, 15), (3, 30)])
 def test_a_wave_is_a_number_of_servers_or_a_part_of_them(wave_index: int, count: int) -> None:
     release = Release(waves=(1, 0.1, 0.5, 1.0))
-    assert replace(release, wave_index=wave_index).target_count(30) == count
+    assert replace(release, wave_index=wave_index).compute_target_count(30) == count
 
 
 @pytest.mark.parametrize(("text", "wave"), [(3, 3), ("3", 3), ("10%", 0.1), ("100%", 1.0)])
--- a/tests/test_rollout_state.py
+++ b/tests/test_rollout_state.py
@@ -50,21 +50,35 @@
 @pytest.mark.parametrize(
     ("order", "reason"),
     [
-        (lambda: RolloutState().start_release("v2", (1.0,), False), "no server is in"),
+        (
+            lambda: RolloutState().start_release("v2", (1.0,), False),
+            "the rollout state has no servers yet",
+        ),
         (
             lambda: WITHOUT_VERSION.start_release("v2", (1.0,), False),
-            "no server tells its version",
+            "no server reports its version",
+        ),
+        (lambda: STATE.start_release("v1", (1.0,), False), "all servers already run v1"),
+        (
+            lambda: STATE.start_release("v2", (3, 2, 1.0), False),
+            "waves: numbers of servers must come before shares",
         ),
-        (lambda: STATE.start_release("v1", (1.0,), False), "all servers run v1"),
-        (lambda: STATE.start_release("v2", (3, 2, 1.0), False), "waves: numbers first"),
-        (lambda: STATE.order(ReleaseInput.HALT, ""), "nothing to halt: change 0 is idle"),
-        (lambda: STATE.request_drain(SERVERS_GROUP, "n2", 0), "servers has no 'n2'"),
-        (lambda: STATE.request_drain(SERVERS_GROUP, "n1", 0), "the only one"),
+        (lambda: STATE.apply_order(ReleaseInput.HALT, ""), "nothing to halt: change 0 is idle"),
+        (
+            lambda: STATE.request_drain(SERVERS_GROUP, "n2", 0),
+            "group 'servers' has no instance 'n2'",
+        ),
+        (lambda: STATE.request_drain(SERVERS_GROUP, "n1", 0), "the only instance of its group"),
         (lambda: STATE.request_drain("db", "n2", 0), "no group 'db'"),
         (lambda: STATE.end_drain(SERVERS_GROUP, "n1"), "when it is started"),
-        (lambda: STATE.set_budget(SERVERS_GROUP, DisruptionBudget(0)), "a budget is"),
         (
-            lambda: STATE.start_release("v1", (1.0,), False, True).order(ReleaseInput.ROLLBACK, ""),
+            lambda: STATE.set_budget(SERVERS_GROUP, DisruptionBudget(0)),
+            "a disruption budget must be",
+        ),
+        (
+            lambda: STATE.start_release("v1", (1.0,), False, True).apply_order(
+                ReleaseInput.ROLLBACK, ""
+            ),
             "no other version",
         ),
     ],
--- a/tests/test_rollout_stores.py
+++ b/tests/test_rollout_stores.py
@@ -31,23 +31,23 @@
     )
     snapshot = await first.read(old)
     assert (snapshot.state.leader, snapshot.revision) == ("a", old.revision + 1)
-    await second.heartbeat(2)  # of an epoch that is over
+    await second.raise_heartbeat(2)  # of an epoch that is over
     assert (await first.read(snapshot)).heartbeat == snapshot.heartbeat
-    await second.heartbeat(3)
+    await second.raise_heartbeat(3)
     again = await first.read(snapshot)
     assert again.heartbeat == snapshot.heartbeat + 1
     assert again.state is snapshot.state
     one = ServerReport("n1", 5, 1, ServerPhase.SERVING, downstream={"10.0.0.1:1": (3, 1)})
-    assert await first.report(one)
-    assert await second.report(replace(one, incarnation=6, phase=ServerPhase.LEAVING))
-    assert not await first.report(replace(one, heartbeat=2)), "a life that is over spoke last"
+    assert await first.write_report(one)
+    assert await second.write_report(replace(one, incarnation=6, phase=ServerPhase.LEAVING))
+    assert not await first.write_report(replace(one, heartbeat=2)), "a life that is over spoke last"
     assert (
-        await first.reports()
-        == [await second.last_report("n1")]
+        await first.read_reports()
+        == [await second.read_last_report("n1")]
         == [replace(one, incarnation=6, phase=ServerPhase.LEAVING)]
     )
-    await first.forget_report("n1")
-    assert await second.last_report("n1") is None
+    await first.delete_report("n1")
+    assert await second.read_last_report("n1") is None
     held = await asyncio.gather(
         *(
             store.compare_and_swap(again, RolloutState(str(at)))
