--- a/benchmarks/rollout_waves.py
+++ b/benchmarks/rollout_waves.py
@@ -275,7 +275,7 @@
     from explore_rollout import Explorer
 
     began = time.perf_counter()
-    worlds, worst = Explorer(servers, 1, lives, leads).walk(most)
+    worlds, worst = Explorer(servers, 1, lives, leads).explore(most)
     took = time.perf_counter() - began
     return f"{servers} servers, {leads} that lead, {lives} lives: {worlds} worlds, {worst} out at most; {took:.0f} s"
 
--- a/tests/test_rollout_canary.py
+++ b/tests/test_rollout_canary.py
@@ -1,4 +1,4 @@
-"""The changed servers against the others."""
+"""Comparison of the changed servers with the unchanged ones."""
 
 import pytest
 
@@ -12,27 +12,28 @@
 )
 
 WINDOW_NS, MIN_REQUESTS, MAX_WINDOW_NS = 10, 100, 50
-LOOKS = 11
+SAMPLE_COUNT = 11
 
 
 def fill_window(
     changed: RequestCounts,
-    others: RequestCounts,
+    unchanged: RequestCounts,
     is_healthy: bool = True,
     is_one_burst: bool = False,
 ) -> CanaryWindow:
-    """A window with these counts, a tenth of them in each look, or all in one."""
+    """Returns a window with these counts, a tenth in each round, or all in one round."""
     window = CanaryWindow(WINDOW_NS, MIN_REQUESTS, MAX_WINDOW_NS)
-    for at in range(LOOKS):
-        tenths = 10 * (at > 5) if is_one_burst else at
-        one, other = (
-            RequestCounts(*(count * tenths // 10 for count in side)) for side in (changed, others)
+    for time_ns in range(SAMPLE_COUNT):
+        tenths = 10 * (time_ns > 5) if is_one_burst else time_ns
+        changed_counts, unchanged_counts = (
+            RequestCounts(*(count * tenths // 10 for count in cohort))
+            for cohort in (changed, unchanged)
         )
         samples = {
-            "a": ServerSample(1, one, True, is_healthy),
-            "b": ServerSample(1, other, False),
+            "a": ServerSample(1, changed_counts, True, is_healthy),
+            "b": ServerSample(1, unchanged_counts, False),
         }
-        window.add(at, samples)
+        window.add(time_ns, samples)
     return window
 
 
@@ -43,33 +44,41 @@
 
 
 @pytest.mark.parametrize(
-    ("changed", "others", "verdict"),
+    ("changed", "unchanged", "verdict"),
     [
         pytest.param((99,), (1000,), Verdict.INCONCLUSIVE, id="too few requests"),
         pytest.param((20, 0, 0, 4), (10_000,), Verdict.INCONCLUSIVE, id="too few failures"),
-        pytest.param((20, 0, 0, 9), (10_000,), Verdict.UNHEALTHY, id="few, but never by chance"),
+        pytest.param(
+            (20, 0, 0, 9), (10_000,), Verdict.UNHEALTHY, id="few failures, but too many for chance"
+        ),
         pytest.param((1000,), (1000,), Verdict.HEALTHY, id="no failure"),
         pytest.param((900, 0, 0, 100), (10_000,), Verdict.UNHEALTHY, id="failures"),
-        pytest.param((900, 0, 100, 0), (9000, 0, 1000), Verdict.HEALTHY, id="a peak on both sides"),
-        pytest.param((980, 0, 0, 20), (10_000,), Verdict.HEALTHY, id="under the difference"),
+        pytest.param(
+            (900, 0, 100, 0), (9000, 0, 1000), Verdict.HEALTHY, id="a load peak on both cohorts"
+        ),
+        pytest.param(
+            (980, 0, 0, 20), (10_000,), Verdict.HEALTHY, id="below the minimum difference"
+        ),
         pytest.param((1000, 200), (10_000, 100), Verdict.UNHEALTHY, id="late"),
         pytest.param((900, 0, 0, 100), (), Verdict.HEALTHY, id="nothing to compare with"),
-        pytest.param((400, 0, 0, 600), (), Verdict.UNHEALTHY, id="over the maximum"),
-        pytest.param((400, 0, 600), (400, 0, 600), Verdict.HEALTHY, id="both over the maximum"),
+        pytest.param((400, 0, 0, 600), (), Verdict.UNHEALTHY, id="above the maximum rate"),
+        pytest.param(
+            (400, 0, 600), (400, 0, 600), Verdict.HEALTHY, id="both above the maximum rate"
+        ),
     ],
 )
-def test_the_changed_are_compared_with_the_others(
-    changed: tuple[int, ...], others: tuple[int, ...], verdict: Verdict
+def test_the_outcomes_of_changed_and_unchanged_servers_give_a_verdict(
+    changed: tuple[int, ...], unchanged: tuple[int, ...], verdict: Verdict
 ) -> None:
-    assert verdict_of(fill_window(RequestCounts(*changed), RequestCounts(*others))) is verdict
+    assert verdict_of(fill_window(RequestCounts(*changed), RequestCounts(*unchanged))) is verdict
 
 
-def test_servers_that_report_to_be_unhealthy_are_unhealthy_without_a_request() -> None:
+def test_unhealthy_reports_make_a_release_unhealthy_without_bad_requests() -> None:
     window = fill_window(RequestCounts(9), RequestCounts(1000), is_healthy=False)
     assert verdict_of(window) is Verdict.UNHEALTHY
 
 
-def test_one_burst_of_failures_is_no_sign_of_a_bad_release() -> None:
+def test_a_single_burst_of_failures_does_not_make_a_release_unhealthy() -> None:
     counts = RequestCounts(900, 0, 0, 100)
     window = fill_window(counts, RequestCounts(10_000), is_one_burst=True)
     assert verdict_of(window) is Verdict.HEALTHY
@@ -79,25 +88,27 @@
     ("changed", "verdict"),
     [((900, 0, 0, 100), Verdict.UNHEALTHY), ((950, 0, 0, 50), Verdict.HEALTHY)],
 )
-def test_a_baseline_of_another_hour_wants_a_larger_difference(
+def test_a_comparison_with_the_baseline_needs_a_larger_difference(
     changed: tuple[int, ...], verdict: Verdict
 ) -> None:
     window = fill_window(RequestCounts(*changed), RequestCounts())
     assert verdict_of(window, RequestCounts(1000)) is verdict
 
 
-def test_a_window_reaches_as_far_back_as_it_must() -> None:
+def test_the_window_grows_until_it_has_enough_requests() -> None:
     window = CanaryWindow(WINDOW_NS, MIN_REQUESTS, MAX_WINDOW_NS)
-    for at in range(100):
-        incarnation = 1 if at < 90 else 2
+    for time_ns in range(100):
+        incarnation = 1 if time_ns < 90 else 2
         samples = {
-            "a": ServerSample(incarnation, RequestCounts(3 * at), True),
-            "b": ServerSample(1, RequestCounts(at), False),
+            "a": ServerSample(incarnation, RequestCounts(3 * time_ns), True),
+            "b": ServerSample(1, RequestCounts(time_ns), False),
         }
-        window.add(at, samples)
-        assert window.changed.counts.total == sum(one.changed.counts.total for one in window.rounds)
+        window.add(time_ns, samples)
+        assert window.changed.counts.total == sum(
+            window_round.changed.counts.total for window_round in window.rounds
+        )
         assert window.unchanged.counts.total == sum(
-            one.unchanged.counts.total for one in window.rounds
+            window_round.unchanged.counts.total for window_round in window.rounds
         )
         assert len(window.rounds) <= MAX_WINDOW_NS
-        assert at < 40 or window.changed.counts.total >= 96, at
+        assert time_ns < 40 or window.changed.counts.total >= 96, time_ns
--- a/tests/test_rollout_codec.py
+++ b/tests/test_rollout_codec.py
@@ -1,4 +1,4 @@
-"""Rollout states and reports that release 0.7.1 wrote are read, and written with the same text."""
+"""Stored rollout states and reports, with samples that release 0.7.1 wrote."""
 
 import asyncio
 import shutil
@@ -25,22 +25,22 @@
 DATA = Path(__file__).parent / "data"
 
 
-def sample(name: str) -> str:
+def read_sample(name: str) -> str:
     return (DATA / name).read_text(encoding="utf-8").rstrip("\n")
 
 
 def test_a_stored_state_is_written_back_with_the_same_text() -> None:
-    text = sample("rollout_state_0.7.1.json")
+    text = read_sample("rollout_state_0.7.1.json")
     assert encode_state(decode_state(text)) == text
 
 
 def test_a_stored_report_is_written_back_with_the_same_text() -> None:
-    text = sample("rollout_report_0.7.1.json")
+    text = read_sample("rollout_report_0.7.1.json")
     assert encode_report(decode_report(text)) == text
 
 
-def test_a_stored_state_has_its_values_in_the_fields() -> None:
-    state = decode_state(sample("rollout_state_0.7.1.json"))
+def test_each_stored_value_is_decoded_into_its_field() -> None:
+    state = decode_state(read_sample("rollout_state_0.7.1.json"))
     assert (state.leader, state.epoch, state.step) == ("n1/1700000000001", 3, 41)
     assert state.stable_version == "v2"
     assert state.release.phase is ReleasePhase.EVALUATING
@@ -54,26 +54,26 @@
     assert state.groups["db"].instances["10.0.0.1:80"].drain_ticket == 37
 
 
-def test_a_wrong_field_is_named_as_it_is_stored() -> None:
-    text = sample("rollout_state_0.7.1.json").replace('"moved":7', '"moved":"x"', 1)
+def test_the_error_for_an_invalid_field_has_its_stored_name() -> None:
+    text = read_sample("rollout_state_0.7.1.json").replace('"moved":7', '"moved":"x"', 1)
     with pytest.raises(StateDecodeError) as raised:
         decode_state(text)
     assert raised.value.field == "groups.servers.units.n1.moved"
 
 
-def test_a_state_is_read_whole_or_not_at_all() -> None:
+def test_an_encoded_state_is_decoded_whole_and_a_truncated_one_is_refused() -> None:
     baseline = OutcomeRates(9 / 11, 1 / 11, 0.0, 11)
     release = Release(1, ReleasePhase.ROLLING, "v2", "v1", waves=(1, 1.0), baseline=baseline)
     servers = {"n1": Instance(InstanceState.OUT, 5, 5, version="v1")}
     groups = {SERVERS_GROUP: InstanceGroup(DisruptionBudget(2), servers)}
     state = RolloutState("n1/5", 3, 9, "v1", release, groups, ((1, "began"),))
     text = encode_state(state)
-    again = decode_state(text)
-    assert again == state
-    assert [type(wave) for wave in again.release.waves] == [int, float]
-    for at in range(0, len(text) - 1, 7):
+    decoded = decode_state(text)
+    assert decoded == state
+    assert [type(wave) for wave in decoded.release.waves] == [int, float]
+    for length in range(0, len(text) - 1, 7):
         with pytest.raises(StateDecodeError):
-            decode_state(text[:at])
+            decode_state(text[:length])
 
 
 def test_a_state_of_a_newer_format_is_refused() -> None:
@@ -81,21 +81,21 @@
         decode_state(encode_state(RolloutState(format_version=99)))
 
 
-async def open_stored_file(tmp_path: Path) -> None:
+async def read_and_write_stored_file(tmp_path: Path) -> None:
     shutil.copy(DATA / "rollout_0.7.1.sqlite", tmp_path / "store")
     store = SqliteRolloutStore(tmp_path / "store")
     await store.open()
     try:
         snapshot = await store.read()
-        assert encode_state(snapshot.state) == sample("rollout_state_0.7.1.json")
+        assert encode_state(snapshot.state) == read_sample("rollout_state_0.7.1.json")
         assert snapshot.heartbeat == 1
         (report,) = await store.read_reports()
-        assert encode_report(report) == sample("rollout_report_0.7.1.json")
+        assert encode_report(report) == read_sample("rollout_report_0.7.1.json")
         assert report.phase is ServerPhase.LEAVING
         assert await store.compare_and_swap(snapshot, snapshot.state)
     finally:
         await store.close()
 
 
-def test_a_stored_file_is_opened(tmp_path: Path) -> None:
-    asyncio.run(open_stored_file(tmp_path))
+def test_a_file_of_an_earlier_release_is_read_and_written(tmp_path: Path) -> None:
+    asyncio.run(read_and_write_stored_file(tmp_path))
--- a/tests/test_rollout_instance.py
+++ b/tests/test_rollout_instance.py
@@ -1,4 +1,4 @@
-"""The table of an instance, over all sequences of four inputs."""
+"""Transition table of an instance, over all sequences of four inputs."""
 
 from itertools import product
 
@@ -12,8 +12,9 @@
 )
 
 
-def test_every_row_is_met_and_what_left_counts_until_it_is_seen_or_retired() -> None:
-    met = set()
+def test_an_instance_that_left_counts_until_it_returns_or_is_retired() -> None:
+    """Also checks that the sequences reach each state and input of the table."""
+    reached = set()
     for inputs in product(InstanceInput, repeat=4):
         instance, incarnation = Instance(InstanceState.IN, incarnation=1), 1
         for step, received in enumerate(inputs):
@@ -22,7 +23,7 @@
                 context = InputContext(step, incarnation, 0, True, True, is_downstream)
                 for test, *_ in RULES.get((instance.state, received), ()):
                     if test(instance, context):
-                        met.add((instance.state, received))
+                        reached.add((instance.state, received))
                         break
             before = instance
             moved = apply_input(instance, received, InputContext(step, incarnation, 0, True, True))
@@ -33,4 +34,4 @@
             if before.state is InstanceState.OUT and instance.state is InstanceState.BACK:
                 is_restarted = instance.incarnation > before.left_incarnation
                 assert received is InstanceInput.DRAIN_ENDED or is_restarted
-    assert met == set(RULES)
+    assert reached == set(RULES)
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -1,6 +1,4 @@
-"""Releases and drains over several processes of the program, while processes and ways between them
-fail.
-"""
+"""Releases and drains of several server processes, while processes and connections fail."""
 
 import asyncio
 import json
@@ -10,7 +8,7 @@
 import pytest
 from fleet_rig import KEY
 from rig import wait_until
-from rollout_rig import Rollout, rolled
+from rollout_rig import RolloutFleet, with_rollout_fleet
 from test_command import burlloom
 
 from burlloom.fakes.pipe import Pipe
@@ -19,169 +17,179 @@
 from burlloom.rollout import InstanceState, ReleasePhase
 
 
-@rolled(4)
-async def test_a_release_in_waves(made: Rollout) -> None:
-    said = await made.says("start", "v2")
-    assert "change 1 to v2, wave 1 of 3: rolling" in said, said
-    state = await made.idle("v2")
-    assert made.worst == 1
-    assert not made.over
-    assert {node.version for node in made.nodes} == {"v2"}
-    assert made.ends == 4
-    assert sum("complete" in said for _, said in state.history) == 3
-    made.nothing_lost()
-    assert "all servers already run v2" in await made.says("start", "v2", status=2)
-    assert "nothing to halt" in await made.says("halt", status=2)
-    said = await made.says("show")
-    assert "4 servers, 0 out of 1 allowed; nothing under way; good is v2" in said, said
-    assert "judging to idle" in said, said
+@with_rollout_fleet(4)
+async def test_a_release_goes_through_its_waves_one_server_at_a_time(fleet: RolloutFleet) -> None:
+    output = await fleet.run_command("start", "v2")
+    assert "change 1 to v2, wave 1 of 3: rolling" in output, output
+    state = await fleet.wait_until_idle("v2")
+    assert fleet.max_out_seen == 1
+    assert not fleet.over_budget_count
+    assert {node.version for node in fleet.nodes} == {"v2"}
+    assert fleet.exit_count == 4
+    assert sum("complete" in text for _, text in state.history) == 3
+    fleet.assert_nothing_lost()
+    assert "all servers already run v2" in await fleet.run_command("start", "v2", status=2)
+    assert "nothing to halt" in await fleet.run_command("halt", status=2)
+    output = await fleet.run_command("show")
+    assert "4 servers, 0 out of 1 allowed; nothing under way; good is v2" in output, output
+    assert "judging to idle" in output, output
 
 
-@rolled(4)
-async def test_a_bad_release_halts_in_its_first_wave_and_is_rolled_back(made: Rollout) -> None:
-    """Half of what it runs fails. One server had it; a command brings that back."""
-    made.bad.add("v2")
-    await made.says("start", "v2")
-    state = await made.comes_to(lambda state: state.release.phase is ReleasePhase.HALTED)
-    # Voided, or declined since so much is voided, or so bad that nobody is sent there.
+@with_rollout_fleet(4)
+async def test_a_bad_release_halts_in_its_first_wave_and_is_rolled_back(
+    fleet: RolloutFleet,
+) -> None:
+    """Half of the requests fail on servers of the release. Only one server runs it when the release
+    halts, and `rollback` returns that server to the previous version.
+    """
+    fleet.failing_versions.add("v2")
+    await fleet.run_command("start", "v2")
+    state = await fleet.wait_for_state(lambda state: state.release.phase is ReleasePhase.HALTED)
+    # Failures, rejections that follow from them, or a server that is unhealthy and gets no requests.
     assert state.release.reason.split()[0] in ("voided", "declined", "not"), state.release.reason
     assert sum(instance.version == "v2" for instance in state.servers.values()) == 1
     await asyncio.sleep(0.5)
-    assert made.out == 0
-    assert "halted" in await made.says("show")
-    await made.says("rollback", "--reason", "bad")
-    await made.idle("v1")
-    assert made.worst == 1
-    assert made.ends == 2
-    assert {node.version for node in made.nodes} == {"v1"}
-    made.nothing_lost()
+    assert fleet.out_count == 0
+    assert "halted" in await fleet.run_command("show")
+    await fleet.run_command("rollback", "--reason", "bad")
+    await fleet.wait_until_idle("v1")
+    assert fleet.max_out_seen == 1
+    assert fleet.exit_count == 2
+    assert {node.version for node in fleet.nodes} == {"v1"}
+    fleet.assert_nothing_lost()
 
 
-@rolled(5, most=2, waves=["100%"], auto_back=True)
-async def test_halted_by_hand_in_the_middle_and_taken_back_by_itself(made: Rollout) -> None:
-    await made.says("start", "v2")
-    await wait_until(lambda: made.out == 2)
-    await made.says("halt")
-    await made.comes_to(
+@with_rollout_fleet(5, max_out=2, waves=["100%"], auto_back=True)
+async def test_a_release_halted_by_an_order_sends_no_server_out_and_is_rolled_back_if_it_fails(
+    fleet: RolloutFleet,
+) -> None:
+    await fleet.run_command("start", "v2")
+    await wait_until(lambda: fleet.out_count == 2)
+    await fleet.run_command("halt")
+    await fleet.wait_for_state(
         lambda state: (
             state.release.phase is ReleasePhase.HALTED and not state.groups["servers"].out_count
         )
     )
-    ends = made.ends
+    exit_count = fleet.exit_count
     await asyncio.sleep(0.5)
-    assert made.ends == ends == 2
-    assert made.out == 0
-    made.bad.add("v2")
-    await made.says("resume")
-    await made.comes_to(lambda state: state.release.is_rollback)
-    await made.idle("v1")
-    assert made.worst == 2
-    assert not made.over
-    assert {node.version for node in made.nodes} == {"v1"}
-    made.nothing_lost()
+    assert fleet.exit_count == exit_count == 2
+    assert fleet.out_count == 0
+    fleet.failing_versions.add("v2")
+    await fleet.run_command("resume")
+    await fleet.wait_for_state(lambda state: state.release.is_rollback)
+    await fleet.wait_until_idle("v1")
+    assert fleet.max_out_seen == 2
+    assert not fleet.over_budget_count
+    assert {node.version for node in fleet.nodes} == {"v1"}
+    fleet.assert_nothing_lost()
 
 
-@rolled(4, on={"leads": False})
-async def test_who_leads_is_killed_and_paused_in_a_wave(made: Rollout) -> None:
-    """Three that may lead: the first is killed while a server is out, the second stands still and
-    wakes while the third leads: what it wrote on is over.
+@with_rollout_fleet(4, server_part={"leads": False})
+async def test_a_release_finishes_though_its_leaders_are_killed_and_paused(
+    fleet: RolloutFleet,
+) -> None:
+    """The first of three drivers is killed while a server is out. The second is paused and continues
+    while the third leads, so that its next write is based on an outdated state.
     """
-    # The servers do not lead here, so that who leads can go without taking a server with it.
-    await made.says("start", "v2")
-    first = made.drivers[0]
-    await wait_until(lambda: made.out == 1)
+    # The servers do not lead here, so that a leader can be stopped without stopping a server.
+    await fleet.run_command("start", "v2")
+    first = fleet.drivers[0]
+    await wait_until(lambda: fleet.out_count == 1)
     first.kill()
-    second = await made.drive("second")
-    await made.comes_to(lambda state: state.leader == "second")
-    await wait_until(lambda: made.out == 1)
-    await made.drive("third")
+    second = await fleet.start_driver("second")
+    await fleet.wait_for_state(lambda state: state.leader == "second")
+    await wait_until(lambda: fleet.out_count == 1)
+    await fleet.start_driver("third")
     for _ in range(5):
         second.send_signal(signal.SIGSTOP)
         try:
-            await made.comes_to(lambda state: state.leader == "third", 5)
+            await fleet.wait_for_state(lambda state: state.leader == "third", 5)
             break
-        except (
-            AssertionError
-        ):  # stopped in the middle of a write, it holds SQLite's one lock: nobody decides
-            assert made.worst == 1
+        except AssertionError:
+            # Paused during a write, the driver holds SQLite's only lock, so no process can lead.
+            assert fleet.max_out_seen == 1
         finally:
             second.send_signal(signal.SIGCONT)
-    state = await made.idle("v2")
-    assert made.worst == 1
-    assert not made.over
+    state = await fleet.wait_until_idle("v2")
+    assert fleet.max_out_seen == 1
+    assert not fleet.over_budget_count
     assert state.epoch >= 3
-    made.nothing_lost()
+    fleet.assert_nothing_lost()
 
 
-@rolled(5, most=2, waves=["100%"], lost_most=5)
-async def test_servers_are_killed_while_they_drain_and_while_they_lead(made: Rollout) -> None:
-    made.run_s = 0.3  # a drain takes as long
-    await made.says("start", "v2")
-    await wait_until(lambda: any(node.out and node.ready and node.killed() for node in made.nodes))
-    await made.comes_to(
+@with_rollout_fleet(5, max_out=2, waves=["100%"], lost_most=5)
+async def test_servers_are_killed_while_they_drain_and_while_they_lead(fleet: RolloutFleet) -> None:
+    fleet.run_s = 0.3  # makes a drain take at least as long
+    await fleet.run_command("start", "v2")
+    await wait_until(
+        lambda: any(node.is_out and node.is_ready and node.try_kill() for node in fleet.nodes)
+    )
+    await fleet.wait_for_state(
         lambda state: sum(instance.version == "v2" for instance in state.servers.values()) >= 1
     )
-    made.worst = 0
-    await made.comes_to(
+    fleet.max_out_seen = 0
+    await fleet.wait_for_state(
         lambda state: any(
-            state.leader.startswith(node.name + "/") and node.killed() for node in made.nodes
+            state.leader.startswith(node.name + "/") and node.try_kill() for node in fleet.nodes
         )
     )
-    await made.idle("v2")
-    # One more than the budget only by the kill itself; who had a permit then may begin on it.
-    assert made.worst <= 3
-    assert made.over <= 1
-    made.nothing_lost(killed=True)
+    await fleet.wait_until_idle("v2")
+    # The kill takes one server beyond the budget, and a permit granted before may still be used.
+    assert fleet.max_out_seen <= 3
+    assert fleet.over_budget_count <= 1
+    fleet.assert_nothing_lost(killed=True)
 
 
-@rolled(3, waves=["100%"])
-async def test_one_never_comes_back(made: Rollout) -> None:
-    """Its place in the budget is not freed by time; the change halts, and goes on once somebody
-    says that it is gone.
+@with_rollout_fleet(3, waves=["100%"])
+async def test_a_server_that_never_returns_halts_the_release_until_it_is_retired(
+    fleet: RolloutFleet,
+) -> None:
+    """Time alone does not free the budget that the missing server uses. The release halts, and
+    after `resume` it continues only once the server is retired.
     """
-    for node in made.nodes:
-        node.dead = True
-    await made.says("start", "v2")
-    await wait_until(lambda: made.ends == 1)
-    gone = next(node for node in made.nodes if node.out)
-    state = await made.comes_to(lambda state: state.release.phase is ReleasePhase.HALTED)
-    assert made.out == 1
-    assert f"{gone.name} is missing" in state.release.reason
-    for node in made.nodes:
-        node.dead = node is gone
-    await made.says("resume")
+    for node in fleet.nodes:
+        node.is_kept_down = True
+    await fleet.run_command("start", "v2")
+    await wait_until(lambda: fleet.exit_count == 1)
+    missing = next(node for node in fleet.nodes if node.is_out)
+    state = await fleet.wait_for_state(lambda state: state.release.phase is ReleasePhase.HALTED)
+    assert fleet.out_count == 1
+    assert f"{missing.name} is missing" in state.release.reason
+    for node in fleet.nodes:
+        node.is_kept_down = node is missing
+    await fleet.run_command("resume")
     await asyncio.sleep(0.5)
-    assert made.out == 1 == made.worst
-    gone.retired = True
-    await made.says("retire", gone.name)
-    await made.comes_to(
+    assert fleet.out_count == 1 == fleet.max_out_seen
+    missing.is_retired = True
+    await fleet.run_command("retire", missing.name)
+    await fleet.wait_for_state(
         lambda state: len(state.servers) == 2 and state.release.phase is ReleasePhase.IDLE
     )
-    assert made.worst == 1
-    assert not made.over
-    gone.dead = False
-    await made.comes_to(lambda state: len(state.servers) == 3)
-    await made.idle("v2")
-    made.nothing_lost()
+    assert fleet.max_out_seen == 1
+    assert not fleet.over_budget_count
+    missing.is_kept_down = False
+    await fleet.wait_for_state(lambda state: len(state.servers) == 3)
+    await fleet.wait_until_idle("v2")
+    fleet.assert_nothing_lost()
 
 
-def test_one_is_cut_off_from_the_store(tmp_path: Path) -> None:
-    """All agree in the store of record that keeps their charges. One is cut off: it serves on and
-    is not sent out; the rest wait, since it may be gone. Then the store itself restarts, in the
-    middle of a drain.
+def test_a_server_cut_off_from_the_store_serves_on_and_stops_the_release(tmp_path: Path) -> None:
+    """The servers share the record's database. A server that loses its connection serves on and is
+    not drained. The others wait, since it counts as missing. Then the database restarts during a
+    drain.
     """
 
-    async def play() -> None:
+    async def run() -> None:
         database = await Postgres(tmp_path).start()
-        database.orders.idle = (
-            0.5  # one that is cut off in a transaction must not hold the others up
-        )
+        # Ends idle transactions, so that one of the cut-off server does not block the others.
+        database.orders.idle = 0.5
         pipes = [await Pipe(database.address).start() for _ in range(3)]
         key = tmp_path / "key"
         key.write_text(KEY)
         key.chmod(0o600)
 
-        def reached(address: str) -> dict[str, object]:
+        def store_at(address: str) -> dict[str, object]:
             return {
                 "postgres": {
                     "address": address,
@@ -191,81 +199,95 @@
                 }
             }
 
-        async with Rollout(tmp_path, store=reached(database.address), waves=["100%"]) as made:
-            # Each server has its own way to the store, and names it once, as its record.
-            made.more = lambda node: {
-                "rollout": {name: value for name, value in node.part().items() if name != "store"},
+        async with RolloutFleet(
+            tmp_path, store=store_at(database.address), waves=["100%"]
+        ) as fleet:
+            # Each server connects through its own pipe, and names the store only as its record.
+            fleet.make_other_parts = lambda node: {
+                "rollout": {
+                    name: value for name, value in node.rollout_part().items() if name != "store"
+                },
                 "record": {
                     "mode": "prefer",
                     "node": node.name,
-                    **reached(pipes[int(node.name[1:])].address),
+                    **store_at(pipes[int(node.name[1:])].address),
                 },
             }
-            await made.begin(3)
+            await fleet.begin(3)
             pipes[1].cut()
-            await made.comes_to(lambda state: state.servers["n1"].state is InstanceState.MISSING)
-            await made.says("start", "v2")
-            settled = made.nodes[1].settled
+            await fleet.wait_for_state(
+                lambda state: state.servers["n1"].state is InstanceState.MISSING
+            )
+            await fleet.run_command("start", "v2")
+            completed_before = fleet.nodes[1].completed_count
             await asyncio.sleep(1.0)
-            assert made.out == 0
-            assert made.nodes[1].settled > settled
+            assert fleet.out_count == 0
+            assert fleet.nodes[1].completed_count > completed_before
             pipes[1].heal()
-            await wait_until(lambda: made.out == 1)
+            await wait_until(lambda: fleet.out_count == 1)
             await database.restart()
-            await made.idle("v2")
-            assert made.worst == 1
-            assert not made.over
-            made.nothing_lost()
+            await fleet.wait_until_idle("v2")
+            assert fleet.max_out_seen == 1
+            assert not fleet.over_budget_count
+            fleet.assert_nothing_lost()
         for pipe in pipes:
             await pipe.stop()
         await database.stop()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-@rolled(2, services=3, fleet=True)
-async def test_an_instance_below_is_drained(made: Rollout) -> None:
-    """Once the command is back, no server calls it; a second one waits; given back, it is called
-    again.
+@with_rollout_fleet(2, services=3, has_membership=True)
+async def test_a_drained_downstream_instance_is_not_called_until_it_is_given_back(
+    fleet: RolloutFleet,
+) -> None:
+    """Once `take` returns, no server calls the instance. A second instance must wait for the budget.
+    After `give` the first is called again.
     """
-    first, second = made.services[0].address, made.services[1].address
-    await wait_until(lambda: all(service.calls for service in made.services))
-    said = await made.says("take", "db", first, "--for-s", "60")
-    assert "no server calls it" in said
-    assert not made.services[0].open
-    count = len(made.services[0].calls)
-    assert "no room in the budget of db" in await made.says(
+    first, second = fleet.services[0].address, fleet.services[1].address
+    await wait_until(lambda: all(service.calls for service in fleet.services))
+    output = await fleet.run_command("take", "db", first, "--for-s", "60")
+    assert "no server calls it" in output
+    assert not fleet.services[0].open
+    call_count = len(fleet.services[0].calls)
+    assert "no room in the budget of db" in await fleet.run_command(
         "take", "db", second, "--for-s", "60", "--wait-s", "1", status=1
     )
-    assert len(made.services[0].calls) == count
-    await made.says("give", "db", first)
-    await wait_until(lambda: len(made.services[0].calls) > count)
-    await made.comes_to(lambda state: not state.groups["db"].out_count)
-    made.nothing_lost()
+    assert len(fleet.services[0].calls) == call_count
+    await fleet.run_command("give", "db", first)
+    await wait_until(lambda: len(fleet.services[0].calls) > call_count)
+    await fleet.wait_for_state(lambda state: not state.groups["db"].out_count)
+    fleet.assert_nothing_lost()
 
 
-@rolled(3)
-async def test_a_drain_and_the_commands_around_it(made: Rollout) -> None:
-    await made.says("drain", "n0", "n1", "--for-s", "30")
-    await made.comes_to(lambda state: made.ends == 2 and not state.groups["servers"].out_count)
-    assert made.worst == 1
-    assert not made.over
-    assert (await made.says("version", "n2")).strip() in ("", "v1")
-    assert "group 'servers' has no instance 'n9'" in await made.says("drain", "n9", status=2)
-    await made.says("budget", "--share", "0.7")
-    made.most = 2
-    await made.says("start", "v1", "--restart", "--wave", "100%")
-    await made.comes_to(
+@with_rollout_fleet(3)
+async def test_servers_are_drained_and_restarted_within_a_changed_budget(
+    fleet: RolloutFleet,
+) -> None:
+    await fleet.run_command("drain", "n0", "n1", "--for-s", "30")
+    await fleet.wait_for_state(
+        lambda state: fleet.exit_count == 2 and not state.groups["servers"].out_count
+    )
+    assert fleet.max_out_seen == 1
+    assert not fleet.over_budget_count
+    assert (await fleet.run_command("version", "n2")).strip() in ("", "v1")
+    assert "group 'servers' has no instance 'n9'" in await fleet.run_command(
+        "drain", "n9", status=2
+    )
+    await fleet.run_command("budget", "--share", "0.7")
+    fleet.max_out = 2
+    await fleet.run_command("start", "v1", "--restart", "--wave", "100%")
+    await fleet.wait_for_state(
         lambda state: state.release.phase is ReleasePhase.IDLE and state.release.number == 1
     )
-    assert made.ends == 5
-    assert made.worst == 2
-    assert not made.over
-    made.nothing_lost()
+    assert fleet.exit_count == 5
+    assert fleet.max_out_seen == 2
+    assert not fleet.over_budget_count
+    fleet.assert_nothing_lost()
 
 
 @pytest.mark.parametrize(
-    ("told", "said"),
+    ("part", "message"),
     [
         ({"waves": [1, "50%"]}, "waves: the last wave must be 100%"),
         ({"waves": ["50%", 1, "100%"]}, "waves: numbers of servers must come before shares"),
@@ -286,16 +308,18 @@
         ({"store": None}, "rollout.store: is missing, and there is no record"),
     ],
 )
-def test_files_that_can_not_be(tmp_path: Path, told: dict[str, object], said: str) -> None:
+def test_an_invalid_operator_file_is_refused(
+    tmp_path: Path, part: dict[str, object], message: str
+) -> None:
     path = tmp_path / "operator.jsonnet"
     store = {"sqlite": {"path": str(tmp_path / "agreed.db")}}
-    path.write_text(json.dumps({"rollout": {"store": store, **told}}))
-    with pytest.raises(OperatorFileError) as refused:
+    path.write_text(json.dumps({"rollout": {"store": store, **part}}))
+    with pytest.raises(OperatorFileError) as raised:
         load(path)
-    assert any(said in line for line in refused.value.lines), refused.value.lines
+    assert any(message in line for line in raised.value.lines), raised.value.lines
 
 
-def test_no_part_no_command(tmp_path: Path) -> None:
+def test_a_command_without_a_rollout_part_or_a_usable_store_fails(tmp_path: Path) -> None:
     path = tmp_path / "operator.jsonnet"
     path.write_text("{}")
     assert "has no `rollout` part" in burlloom("rollout", "show", "-o", path, status=2)
@@ -303,6 +327,6 @@
         json.dumps({"rollout": {"store": {"sqlite": {"path": str(tmp_path / "agreed.db")}}}})
     )
     (tmp_path / "agreed.db").write_text(
-        "no database, but a text that is long enough to be looked at " * 20
+        "not a database, but long enough for SQLite to read its header " * 20
     )
     assert "agreed.db: file is not a database" in burlloom("rollout", "show", "-o", path, status=2)
--- a/tests/test_rollout_state.py
+++ b/tests/test_rollout_state.py
@@ -1,4 +1,4 @@
-"""Steps of the rollout state: every history of two servers, and orders that are rejected."""
+"""Rollout state: all histories of two servers, and orders that must be rejected."""
 
 from collections.abc import Callable
 
@@ -17,33 +17,37 @@
 )
 from burlloom.rollout.release import ReleaseInput
 
-ALL_HISTORIES = 28_512
+MODEL_COUNT = 28_512  # reachable models of two servers and one leader
+MAX_MODELS = 40_000
 
 
-def one_server(version: str) -> RolloutState:
+def state_of_one_server(version: str) -> RolloutState:
     servers = {"n1": Instance(InstanceState.IN, 1, version=version)}
     return RolloutState(groups={SERVERS_GROUP: InstanceGroup(DisruptionBudget(1), servers)})
 
 
-STATE = one_server("v1")
-WITHOUT_VERSION = one_server("")
+STATE = state_of_one_server("v1")
+STATE_WITHOUT_VERSION = state_of_one_server("")
 
 
-def test_no_history_has_more_out_than_the_budget() -> None:
-    """Whole: all histories of two servers, one leader and the state between them."""
-    worlds, most_out = Explorer(leads=1).walk(40_000)
-    assert most_out == 1
-    assert worlds == ALL_HISTORIES
+def test_no_history_exceeds_the_budget() -> None:
+    """All histories of two servers and one leader are explored completely."""
+    model_count, max_sent_out = Explorer(leader_count=1).explore(MAX_MODELS)
+    assert max_sent_out == 1
+    assert model_count == MODEL_COUNT
 
 
-@pytest.mark.parametrize("broken", ["swap", "room", "again", "expiry", "permit"])
-def test_a_rule_left_out_is_noticed(broken: str) -> None:
-    worlds, most_out = Explorer(leads=1, broken=broken).walk(40_000)
-    assert most_out == 2, worlds
+@pytest.mark.parametrize(
+    "disabled_rule", ["compare_and_swap", "budget", "incarnation", "expiry", "begin"]
+)
+def test_without_any_one_rule_the_budget_is_exceeded(disabled_rule: str) -> None:
+    explorer = Explorer(leader_count=1, disabled_rule=disabled_rule)
+    model_count, max_sent_out = explorer.explore(MAX_MODELS)
+    assert max_sent_out == 2, model_count
 
 
 def test_servers_without_a_version_are_restarted() -> None:
-    state = WITHOUT_VERSION.start_release("", (1.0,), False, True)
+    state = STATE_WITHOUT_VERSION.start_release("", (1.0,), False, True)
     assert state.release.phase is ReleasePhase.ROLLING
 
 
@@ -55,7 +59,7 @@
             "the rollout state has no servers yet",
         ),
         (
-            lambda: WITHOUT_VERSION.start_release("v2", (1.0,), False),
+            lambda: STATE_WITHOUT_VERSION.start_release("v2", (1.0,), False),
             "no server reports its version",
         ),
         (lambda: STATE.start_release("v1", (1.0,), False), "all servers already run v1"),
@@ -83,14 +87,14 @@
         ),
     ],
 )
-def test_an_order_that_can_not_be_carried_out_is_rejected(
+def test_an_order_that_the_state_does_not_allow_is_rejected_with_a_reason(
     order: Callable[[], RolloutState], reason: str
 ) -> None:
     with pytest.raises(OrderRejectedError, match=reason):
         order()
 
 
-def test_a_rejected_order_names_the_instance() -> None:
+def test_the_error_of_a_rejected_order_names_group_and_instance() -> None:
     with pytest.raises(OrderRejectedError) as raised:
         STATE.request_drain(SERVERS_GROUP, "n2", 0)
     assert (raised.value.group, raised.value.name) == (SERVERS_GROUP, "n2")
