--- a/burlloom/rollout/instance.py
+++ b/burlloom/rollout/instance.py
@@ -218,7 +218,7 @@
 # Effects named in the table.
 
 
-def _keep(instance: Instance, context: InputContext) -> Instance:
+def _leave_unchanged(instance: Instance, context: InputContext) -> Instance:
     return instance
 
 
@@ -258,8 +258,8 @@
     "is_downstream": _is_downstream,
 }
 _EFFECTS: dict[str, _Effect] = {
-    "-": _keep,
-    "mark_missing": _keep,
+    "-": _leave_unchanged,
+    "mark_missing": _leave_unchanged,
     "cancel_permit": _cancel_permit,
     "record_incarnation": _record_incarnation,
     "record_crash": _record_incarnation,
--- a/burlloom/rollout/release.py
+++ b/burlloom/rollout/release.py
@@ -22,7 +22,7 @@
     "parse_wave",
 ]
 
-Wave = int | float  # a number of servers, or a share of the fleet from 0 to 1
+Wave = int | float  # a number of servers, or a share of the fleet above 0 and up to 1
 
 # Subtracted before rounding up, so that a floating-point error does not turn 0.1 of 30 into 4.
 _ROUNDING_ERROR = 1e-9
@@ -31,7 +31,7 @@
 class ReleasePhase(IntEnum):
     """Phase of a release; stored as a number."""
 
-    IDLE = 0  # no release is under way
+    IDLE = 0  # no release is in progress
     ROLLING = 1  # the servers of a wave are sent out and return
     EVALUATING = 2  # all servers of the wave have returned and are compared with the unchanged
     HALTED = 3  # no server is sent out until an operator resumes or rolls back
@@ -248,11 +248,11 @@
 # Effects named in the table.
 
 
-def _keep(release: Release) -> Release:
+def _leave_unchanged(release: Release) -> Release:
     return release
 
 
-def _begin(release: Release) -> Release:
+def _begin_release(release: Release) -> Release:
     return replace(release, wave_index=0, is_rollback=False, baseline=None)
 
 
@@ -275,13 +275,13 @@
     "is_rollback": _is_rollback,
 }
 _EFFECTS: dict[str, Callable[[Release], Release]] = {
-    "-": _keep,
-    "begin": _begin,
+    "-": _leave_unchanged,
+    "begin": _begin_release,
     "next_wave": _next_wave,
     "begin_rollback": _begin_rollback,
-    "halt": _keep,
+    "halt": _leave_unchanged,
     "resume": _resume,
-    "finish_release": _keep,
-    "finish_rollback": _keep,
+    "finish_release": _leave_unchanged,
+    "finish_rollback": _leave_unchanged,
 }
 RULES = parse_transitions(TABLE, ReleasePhase, ReleaseInput, _TESTS.__getitem__, str)
