--- a/benchmarks/hollow_members.py
+++ b/benchmarks/hollow_members.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from burlloom.fleet import Fleet, MemberState, MemberUpdate
+from burlloom.fleet import FleetMember, MemberState, MemberUpdate
 from burlloom.fleet.messages import MessageKind, decode
 from burlloom.operator.fleet import FleetPart
 
@@ -46,7 +46,7 @@
         self.sock, self.world = sock, world
         word = MemberUpdate(*own, 0, MemberState.ALIVE)
         now = clock()
-        self.fleet = Fleet(
+        self.fleet = FleetMember(
             word,
             (),
             part.keys(),
--- a/benchmarks/scale_crowd.py
+++ b/benchmarks/scale_crowd.py
@@ -19,7 +19,7 @@
 
 from burlloom.fleet import (
     MILLICALLS_PER_CALL,
-    Fleet,
+    FleetMember,
     GossipSettings,
     MemberState,
     MemberUpdate,
@@ -72,9 +72,9 @@
 
 def filled(
     all_of: list[MemberUpdate], at: int, now: int = START, seeds: tuple[str, ...] = ()
-) -> Fleet:
+) -> FleetMember:
     """The member `at` with the whole view, which it took in without messages."""
-    fleet = Fleet(
+    fleet = FleetMember(
         all_of[at],
         seeds or tuple(word.address for word in all_of[:3]),
         (KEY,),
@@ -126,7 +126,12 @@
     """
 
     def __init__(
-        self, size: int, at: int, fleet: Fleet | None = None, churn: float = 0.0, seed: int = 1
+        self,
+        size: int,
+        at: int,
+        fleet: FleetMember | None = None,
+        churn: float = 0.0,
+        seed: int = 1,
     ) -> None:
         self.words, self.now, self.chance, self.churn = words(size), START, Random(seed), churn
         self.names = sorted(word.name for word in self.words)
--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -43,7 +43,7 @@
 from burlloom.discovery.health_reporter import REPORT_INTERVAL_NS, HealthReporter
 from burlloom.fleet import (
     MILLICALLS_PER_CALL,
-    Fleet,
+    FleetMember,
     GossipSettings,
     MemberState,
     MemberUpdate,
@@ -178,7 +178,7 @@
 def memory(size: int, state: str) -> Found:
     """Of views that came in by messages; the mean of three."""
 
-    def view() -> Fleet:
+    def view() -> FleetMember:
         all_of = [
             MemberUpdate(
                 *[
@@ -194,7 +194,7 @@
         fleet.prober.next_target()
         return fleet
 
-    def dealing(fleet: Fleet) -> None:
+    def dealing(fleet: FleetMember) -> None:
         fleet.allocator.run_round(START, fleet.quota.presences, True)
         for at, word in enumerate(words(size)):
             fleet.allocator.process_report(
@@ -232,7 +232,7 @@
     """
     all_of = words(size)
     at = size // 2
-    fresh = Fleet(
+    fresh = FleetMember(
         all_of[at],
         tuple(word.address for word in all_of[:3]),
         (KEY,),
--- a/benchmarks/scale_swarms.py
+++ b/benchmarks/scale_swarms.py
@@ -107,18 +107,18 @@
 def metered() -> Iterator[dict[str, int]]:
     """Processor time of each member by its name, ns."""
     spent: dict[str, int] = {}
-    tick, hear = whole.Fleet.tick, whole.Fleet.receive
+    tick, hear = whole.FleetMember.tick, whole.FleetMember.receive
 
     def timed(of: Callable[..., None]) -> Callable[..., None]:
-        def call(fleet: whole.Fleet, *told: Any) -> None:
+        def call(fleet: whole.FleetMember, *told: Any) -> None:
             began = thread_time_ns()
             of(fleet, *told)
             spent[fleet.own.name] = spent.get(fleet.own.name, 0) + thread_time_ns() - began
 
         return call
 
-    whole.Fleet.tick, whole.Fleet.receive = timed(tick), timed(hear)  # type: ignore[method-assign]
+    whole.FleetMember.tick, whole.FleetMember.receive = timed(tick), timed(hear)  # type: ignore[method-assign]
     try:
         yield spent
     finally:
-        whole.Fleet.tick, whole.Fleet.receive = tick, hear  # type: ignore[method-assign]
+        whole.FleetMember.tick, whole.FleetMember.receive = tick, hear  # type: ignore[method-assign]
--- a/burlloom/fleet/__init__.py
+++ b/burlloom/fleet/__init__.py
@@ -1,19 +1,20 @@
-"""What a fleet does as a whole. No I/O.
+"""Coordination of the servers of a fleet. Does no I/O.
 
-Who is in it (`member`, `membership`, `probing`, `gossip`, `synchronization`), how the downstream
-calls are shared out (`quota`, `allocator`, `lease_holder`), and which server calls which services
-(`subset`). `burlloom.server.membership` has the sockets, `burlloom.lab.fleets` a network in
-simulated time.
+The package has three parts: fleet membership (`member`, `membership`, `probing`, `gossip`,
+`synchronization`), division of the downstream calls among the members (`quota`, `allocator`,
+`lease_holder`), and the subset of downstream services that each server calls (`subset`).
+`burlloom.server.membership` connects it to sockets, `burlloom.lab.fleets` to a network in simulated
+time.
 """
 
-from .member import Fleet, summarize
+from .member import FleetMember, summarize
 from .membership import MemberState, MemberUpdate
 from .settings import MILLICALLS_PER_CALL, GossipSettings, QuotaSettings
 from .subset import SubsetAssignment, WeightedRoundRobin, assign_subsets
 
 __all__ = [
     "MILLICALLS_PER_CALL",
-    "Fleet",
+    "FleetMember",
     "GossipSettings",
     "MemberState",
     "MemberUpdate",
--- a/burlloom/fleet/accounts.py
+++ b/burlloom/fleet/accounts.py
@@ -1,4 +1,4 @@
-"""What the allocator is told of the members, and what it keeps of each."""
+"""Data that the allocator receives about the members, and its state per member."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -7,14 +7,15 @@
 
 
 class ShareReport(NamedTuple):
-    """What a member reports to the allocator, in millicalls; its order is that of the datagram.
+    """A member's report to the allocator. The field order is the order in the datagram.
 
     Attributes:
-        held: The share in force, or the calls in progress where these are more.
-        share: The share in force.
-        demand: What could be used.
-        weight: Of this member against the others.
-        roster_hash: Equal where two members count the same fleet.
+        held: The share in force or the calls in progress, whichever is larger, in millicalls.
+        share: The share in force, in millicalls.
+        demand: Millicalls that the member could use.
+        weight: Weight of this member relative to the others, in thousandths.
+        roster_hash: Hash of the member incarnations that the reporter counts. Two members with
+            equal hashes count the same fleet.
     """
 
     held: int
@@ -26,17 +27,18 @@
 
 @dataclass(slots=True)
 class Account:
-    """What the allocator knows of one incarnation of a member.
+    """The allocator's state for one incarnation of a member.
 
     Attributes:
-        incarnation: The one that reported.
-        report_number: Of its newest report.
-        reported_at_ns: When that came.
+        incarnation: The incarnation that reported.
+        report_number: Number of its newest report.
+        reported_at_ns: Monotonic time at which the newest report was received.
         report: Its newest report.
-        bound: The most millicalls that it may hold.
-        target: Millicalls that it was allocated last.
-        allocated_demand: Its demand at the last allocation.
-        rounding_carry: Millicalls owed to it by rounding; below 0, by it.
+        bound: Upper bound of the millicalls that the member may hold.
+        target: Millicalls assigned to the member by the last allocation.
+        allocated_demand: Demand of the member at the last allocation, in millicalls.
+        rounding_carry: Millicalls that rounding still owes to the member; negative if the member
+            received too much.
     """
 
     incarnation: int
@@ -48,22 +50,22 @@
     allocated_demand: int = 0
     rounding_carry: float = 0.0
 
-    def take(self, now: int, number: int, report: ShareReport) -> None:
-        """Takes in a newer report of the same incarnation."""
-        self.report_number = number
-        self.reported_at_ns = now
+    def record_report(self, now_ns: int, report_number: int, report: ShareReport) -> None:
+        """Stores a newer report of the same incarnation and resets the bound to its `held`."""
+        self.report_number = report_number
+        self.reported_at_ns = now_ns
         self.report = report
         self.bound = report.held
 
 
 @dataclass(frozen=True, slots=True)
 class MemberPresence:
-    """A member that has not left, as the membership view has it.
+    """A member of the membership view that has not left.
 
     Attributes:
-        incarnation: The newest that is known.
-        is_present: False where it is held to be dead.
-        since_ns: When it came to be so.
+        incarnation: The newest incarnation in the view.
+        is_present: False if the member is considered dead.
+        since_ns: Monotonic time of the last change of state.
     """
 
     incarnation: int
--- a/burlloom/fleet/fair_share.py
+++ b/burlloom/fleet/fair_share.py
@@ -1,4 +1,4 @@
-"""Max-min fair division of the calls that the downstream services bear, in whole calls."""
+"""Max-min fair division of the downstream call capacity, rounded to whole calls."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -7,19 +7,21 @@
 
 __all__ = ["MemberDemand", "max_min_fair", "round_down_to_calls", "round_to_calls"]
 
-# A member is allocated this much more than it uses, so that its next peak finds some free.
+# Factor on the demand of a member, so that its next peak finds free calls.
 _HEADROOM = 1.25
-# A share stays as it is until so much is owed to the member or by it.
+# A rounded share changes only once the exact share plus carry differs from it by this much.
 _ROUNDING_HYSTERESIS_MILLICALLS = 1500
+# A remainder up to this size ends the division; it is left over by floating-point rounding.
 _NEGLIGIBLE_MILLICALLS = 1e-6
 
 
 class MemberDemand(Protocol):
-    """What rounding keeps of a member from one allocation to the next.
+    """State of a member that rounding carries from one allocation to the next.
 
     Attributes:
-        target: Millicalls that it was allocated last.
-        rounding_carry: Millicalls that are owed to it; below 0, by it.
+        target: Millicalls assigned to the member by the last allocation.
+        rounding_carry: Millicalls that rounding still owes to the member; negative if the member
+            received too much.
     """
 
     target: int
@@ -27,97 +29,111 @@
 
 
 def round_down_to_calls(share: int) -> int:
-    """Returns the largest number of whole calls in `share`; under one call, `share` itself."""
+    """Returns `share`, in millicalls, rounded down to whole calls if it is at least one call."""
     return share if share < MILLICALLS_PER_CALL else share - share % MILLICALLS_PER_CALL
 
 
 def max_min_fair(total: int, demands: Sequence[int], weights: Sequence[int]) -> list[float]:
-    """Divides `total` max-min fair by weight.
+    """Divides `total` by weighted max-min fairness.
 
-    Nobody has less than it demands while another has more by weight. What nobody demands is spread
-    by weight on top.
+    No member gets less than its demand while another member gets more per weight. Capacity beyond
+    all demands is distributed by weight on top.
 
     Args:
         total: Millicalls to divide.
-        demands: Millicalls that each could use.
-        weights: Of each against the others, at least 0.
+        demands: Millicalls that each member could use.
+        weights: Relative weight of each member, at least 0.
 
     Returns:
-        The share of each; their sum is `total`.
+        The share of each member in millicalls. The shares sum to `total` unless all weights are 0.
     """
     shares = [0.0] * len(demands)
-    rest = float(total)
-    unfilled = [at for at, weight in enumerate(weights) if weight > 0]
+    remaining = float(total)
+    unfilled = [index for index, weight in enumerate(weights) if weight > 0]
     sum_of_weights = sum(weights)
-    while unfilled and rest > _NEGLIGIBLE_MILLICALLS:
-        per_weight = rest / sum(weights[at] for at in unfilled)
-        filled = [at for at in unfilled if _HEADROOM * demands[at] <= weights[at] * per_weight]
+    while unfilled and remaining > _NEGLIGIBLE_MILLICALLS:
+        per_weight = remaining / sum(weights[index] for index in unfilled)
+        filled = [
+            index for index in unfilled if _HEADROOM * demands[index] <= weights[index] * per_weight
+        ]
         if not filled:
-            for at in unfilled:
-                shares[at] = weights[at] * per_weight
+            for index in unfilled:
+                shares[index] = weights[index] * per_weight
             return shares
-        for at in filled:
-            shares[at] = _HEADROOM * demands[at]
-            rest -= shares[at]
+        for index in filled:
+            shares[index] = _HEADROOM * demands[index]
+            remaining -= shares[index]
         just_filled = set(filled)
-        unfilled = [at for at in unfilled if at not in just_filled]
+        unfilled = [index for index in unfilled if index not in just_filled]
     if not sum_of_weights:
         return shares
     return [
-        share + rest * weight / sum_of_weights
+        share + remaining * weight / sum_of_weights
         for share, weight in zip(shares, weights, strict=True)
     ]
 
 
 def round_to_calls(
-    total: int, ideal: Sequence[float], members: Sequence[MemberDemand]
+    total: int, exact_shares: Sequence[float], members: Sequence[MemberDemand]
 ) -> list[int]:
     """Rounds shares of one call or more to whole calls, by error diffusion.
 
-    Over some allocations each member has its exact share. A member keeps what it has until the
-    hysteresis is passed: each change costs the time in which one has given a call back and the
-    other has not yet taken it.
+    On average over several allocations each member gets its exact share. A member keeps its target
+    until the error exceeds the hysteresis, because each change leaves a call unused between the
+    moment at which one member returns it and the moment at which another member receives it.
 
     Args:
-        total: Millicalls; the most that the rounded shares sum to.
-        ideal: The exact share of each.
-        members: Their last targets; their carries are brought up to date.
+        total: Maximum sum of the rounded shares, in millicalls.
+        exact_shares: The exact share of each member, in millicalls.
+        members: Last targets and carries of the members; the carries are updated.
 
     Returns:
-        The share of each, in millicalls.
+        The rounded share of each member, in millicalls.
     """
     owed = [0.0] * len(members)
     rounded = [0] * len(members)
-    floors = [int(share // MILLICALLS_PER_CALL) * MILLICALLS_PER_CALL for share in ideal]
-    large = [at for at, floor in enumerate(floors) if floor]
-    for at, (share, member) in enumerate(zip(ideal, members, strict=True)):
-        if not floors[at]:
+    floor_shares = [
+        int(share // MILLICALLS_PER_CALL) * MILLICALLS_PER_CALL for share in exact_shares
+    ]
+    whole_call_indexes = [index for index, floor_share in enumerate(floor_shares) if floor_share]
+    for index, (share, member) in enumerate(zip(exact_shares, members, strict=True)):
+        if not floor_shares[index]:
             member.rounding_carry = 0.0
-            rounded[at] = int(share)
+            rounded[index] = int(share)
             continue
-        owed[at] = share + member.rounding_carry
-        stays = (
-            member.target in (floors[at], floors[at] + MILLICALLS_PER_CALL)
-            and abs(owed[at] - member.target) < _ROUNDING_HYSTERESIS_MILLICALLS
+        owed[index] = share + member.rounding_carry
+        keeps_target = (
+            member.target in (floor_shares[index], floor_shares[index] + MILLICALLS_PER_CALL)
+            and abs(owed[index] - member.target) < _ROUNDING_HYSTERESIS_MILLICALLS
+        )
+        rounded[index] = member.target if keeps_target else floor_shares[index]
+    _adjust_to_total(total, rounded, owed, floor_shares, whole_call_indexes)
+    max_carry = 2.0 * _ROUNDING_HYSTERESIS_MILLICALLS
+    for index in whole_call_indexes:
+        members[index].rounding_carry = max(
+            -max_carry, min(max_carry, owed[index] - rounded[index])
         )
-        rounded[at] = member.target if stays else floors[at]
-    _settle_sum(total, rounded, owed, floors, large)
-    most = 2.0 * _ROUNDING_HYSTERESIS_MILLICALLS
-    for at in large:
-        members[at].rounding_carry = max(-most, min(most, owed[at] - rounded[at]))
     return rounded
 
 
-def _settle_sum(
-    total: int, rounded: list[int], owed: list[float], floors: list[int], large: list[int]
+def _adjust_to_total(
+    total: int,
+    rounded: list[int],
+    owed: list[float],
+    floor_shares: list[int],
+    whole_call_indexes: list[int],
 ) -> None:
-    """Gives out or takes back whole calls until the sum fits; none is ever a call off its ideal."""
-    rest = total - sum(rounded)
-    for at in sorted(large, key=lambda at: rounded[at] - owed[at]):
-        if rest >= MILLICALLS_PER_CALL and rounded[at] == floors[at]:
-            rounded[at] += MILLICALLS_PER_CALL
-            rest -= MILLICALLS_PER_CALL
-    for at in sorted(large, key=lambda at: owed[at] - rounded[at]):
-        if rest < 0 and rounded[at] > floors[at]:
-            rounded[at] -= MILLICALLS_PER_CALL
-            rest += MILLICALLS_PER_CALL
+    """Adds or removes whole calls until the rounded shares fit `total`.
+
+    Each share in `whole_call_indexes` stays at its floor or one call above, so its distance from
+    the exact share stays below one call.
+    """
+    remaining = total - sum(rounded)
+    for index in sorted(whole_call_indexes, key=lambda index: rounded[index] - owed[index]):
+        if remaining >= MILLICALLS_PER_CALL and rounded[index] == floor_shares[index]:
+            rounded[index] += MILLICALLS_PER_CALL
+            remaining -= MILLICALLS_PER_CALL
+    for index in sorted(whole_call_indexes, key=lambda index: owed[index] - rounded[index]):
+        if remaining < 0 and rounded[index] > floor_shares[index]:
+            rounded[index] -= MILLICALLS_PER_CALL
+            remaining += MILLICALLS_PER_CALL
--- a/burlloom/fleet/gossip.py
+++ b/burlloom/fleet/gossip.py
@@ -1,4 +1,8 @@
-"""Sending: each message carries news of other members along, until all have it. No I/O."""
+"""Sends the messages of a member, with membership updates piggybacked on each. Does no I/O.
+
+Each update is passed on with several messages, so that it reaches all members with high
+probability.
+"""
 
 from collections import deque
 from collections.abc import Sequence
@@ -9,31 +13,34 @@
 
 __all__ = ["GossipSender", "MemberCounters"]
 
+# Maximum number of queued updates in one message.
 MAX_PIGGYBACKED_UPDATES = 6
+# Messages beyond this queue length are dropped and counted.
 MAX_OUTBOX_MESSAGES = 4096
-# An update is passed on so many times the logarithm of the fleet's size.
+# The number of sends of each update is this factor times the bit length of the fleet size.
 _DISSEMINATION_FACTOR = 3
-# A restarted member is told so often of its previous incarnation: messages are lost.
+# How often a restarted member is told its previous incarnation; repeated because messages get lost.
 _PREVIOUS_INCARNATION_SENDS = 4
 
 
 @dataclass(slots=True)
 class MemberCounters:
-    """Counts since the start of this member.
+    """Counters since the start of this member.
 
-    The fields' names are those of the metrics, of the state file and of the closing log line.
+    The field names are written out in the metrics, in the state file and in the log line at
+    shutdown.
 
     Attributes:
-        sent: Messages.
+        sent: Messages queued for sending.
         heard: Messages received and decoded.
-        unreadable: Datagrams refused.
-        dropped: Messages not sent, as the outbox was full.
-        suspected: Members that came to be suspected.
-        buried: Members that came to be held dead.
-        refuted: Suspicions of this member that it refuted.
+        unreadable: Received datagrams that were rejected.
+        dropped: Messages not sent because the outbox was full.
+        suspected: Transitions of members to SUSPECT.
+        buried: Transitions of members to DEAD.
+        refuted: Messages whose claims about this member it refuted.
         dealers: Changes of the allocator.
-        grants: Received.
-        lapses: Leases that ran out.
+        grants: Grants received.
+        lapses: Expired leases of this member.
     """
 
     sent: int = 0
@@ -49,21 +56,24 @@
 
 
 class GossipSender:
-    """Builds, seals and queues the messages of one member.
+    """Builds, authenticates and queues the messages of one member.
 
     Attributes:
-        keys: Of the fleet; the first seals.
-        outbox: Addresses and datagrams, for the host to send.
-        counters: Of the whole member.
-        pending_updates: Members to pass on, each with how often that was done.
+        view: Membership view of this member.
+        keys: Keys of the fleet; the first one authenticates sent messages.
+        outbox: Addresses and datagrams that the host must send.
+        counters: Counters of the whole member, not only of the sender.
+        pending_updates: Names of members whose updates are still passed on, with the number of
+            sends so far.
+        sequence: The last sequence number used.
     """
 
     def __init__(self, view: MembershipView, keys: tuple[bytes, ...]) -> None:
-        """Begins with an empty outbox.
+        """Initializes a sender with an empty outbox.
 
         Args:
-            view: What this member knows of the others.
-            keys: Of the fleet; the first seals.
+            view: Membership view of this member.
+            keys: Keys of the fleet; the first one authenticates sent messages.
         """
         self.view = view
         self.keys = keys
@@ -71,11 +81,11 @@
         self.counters = MemberCounters()
         self.pending_updates: dict[str, int] = {}
         self.sequence = 0
-        # Of members that were started again: the incarnation before, and how often to tell it.
+        # By name of a restarted member: its previous incarnation and the number of sends left.
         self._previous_incarnations: dict[str, tuple[int, int]] = {}
 
     def next_sequence(self) -> int:
-        """Returns a number that no message of this member has had."""
+        """Returns a sequence number that no message of this member has used."""
         self.sequence += 1
         return self.sequence
 
@@ -88,16 +98,17 @@
         name: str = "",
         recipient: str = "",
     ) -> None:
-        """Queues a message, with news of other members.
+        """Queues a message with piggybacked updates on other members.
 
         Args:
-            address: Where to.
-            kind: What it is for.
-            sequence: Its number, or that of the message that it answers.
-            values: By the kind.
-            name: By the kind.
-            recipient: The member there, if known. What is held against it goes first, so that it
-                may refute that.
+            address: Address of the recipient.
+            kind: Kind of the message.
+            sequence: Sequence number of the message, or of the message that it answers.
+            values: Integers, as defined by the kind.
+            name: Name of a member, as defined by the kind.
+            recipient: Name of the member at `address`; empty if unknown. If this view does not hold
+                the recipient as ALIVE, that update is sent first, so that the recipient can refute
+                it.
         """
         updates = self._updates_to_refute(recipient) + self.select_updates(recipient)
         self.enqueue(address, Message(kind, self.view.own, sequence, values, name, tuple(updates)))
@@ -105,7 +116,7 @@
             self._send_previous_incarnation(address, recipient)
 
     def enqueue(self, address: str, message: Message) -> None:
-        """Seals and queues a message as it is."""
+        """Authenticates and queues a message as it is; drops it if the outbox is full."""
         if len(self.outbox) >= MAX_OUTBOX_MESSAGES:
             self.counters.dropped += 1
             return
@@ -113,22 +124,22 @@
         self.outbox.append((address, encode(message, self.keys[0])))
 
     def select_updates(self, recipient: str) -> list[MemberUpdate]:
-        """Returns the updates that were passed on least often so far, and counts them."""
-        most = _DISSEMINATION_FACTOR * len(self.view.by_name).bit_length()
-        selected = []
+        """Returns the pending updates with the fewest sends so far, and counts this send."""
+        max_sends = _DISSEMINATION_FACTOR * len(self.view.by_name).bit_length()
+        updates = []
         for name in sorted(self.pending_updates, key=self.pending_updates.__getitem__)[
             :MAX_PIGGYBACKED_UPDATES
         ]:
             self.pending_updates[name] += 1
             member = self.view.by_name.get(name)
             if member is not None and name != recipient:
-                selected.append(member.update)
-            if self.pending_updates[name] >= most:
+                updates.append(member.update)
+            if self.pending_updates[name] >= max_sends:
                 del self.pending_updates[name]
-        return selected
+        return updates
 
-    def note_transitions(self, transitions: Sequence[Transition]) -> None:
-        """Queues what changed in the view to be passed on, and counts it."""
+    def queue_transitions(self, transitions: Sequence[Transition]) -> None:
+        """Queues the changes of the view to be passed on, and counts suspicions and deaths."""
         for before, after in transitions:
             if after is None:
                 if before is not None:
@@ -149,9 +160,9 @@
         return [member.update]
 
     def _send_previous_incarnation(self, address: str, recipient: str) -> None:
-        incarnation, times = self._previous_incarnations.pop(recipient)
-        if times > 1:
-            self._previous_incarnations[recipient] = incarnation, times - 1
+        incarnation, sends_left = self._previous_incarnations.pop(recipient)
+        if sends_left > 1:
+            self._previous_incarnations[recipient] = incarnation, sends_left - 1
         kind = MessageKind.PREVIOUS_INCARNATION
         self.enqueue(address, Message(kind, self.view.own, 0, (incarnation,)))
 
--- a/burlloom/fleet/lease_holder.py
+++ b/burlloom/fleet/lease_holder.py
@@ -1,7 +1,8 @@
-"""One member's share of the downstream calls, and what is left of it where no grant comes. No I/O.
+"""Lease of one member's share of the downstream calls, and its decay without grants. Does no I/O.
 
-No state raises the share but by a grant. What a member receives from others does not count: where
-messages pass one way only, one that receives all may be dead to all.
+Apart from the minimum of a member that was never granted a share, only a grant raises the share.
+Other received messages do not renew the lease: if the network passes messages in one direction
+only, a member that receives all messages may be considered dead by all others.
 """
 
 from collections.abc import Callable
@@ -14,16 +15,16 @@
 
 
 class LeaseState(IntEnum):
-    """What this member holds."""
+    """State of this member's lease."""
 
-    UNGRANTED = 0  # nothing was granted in this incarnation, so nothing is held
-    HOLDING = 1  # a grant's lease runs
-    EXPIRED = 2  # an equal share at most: nobody allocates it anew yet
-    ISOLATED = 3  # the minimum: no confirmed grant for long, the rest may be another's by now
+    UNGRANTED = 0  # no grant in this incarnation, so the member holds nothing
+    HOLDING = 1  # the lease of a grant is in force
+    EXPIRED = 2  # lease over; keeps at most an equal share, which is not allocated again yet
+    ISOLATED = 3  # no confirmed grant for long; the share above the minimum may be reallocated
 
     @property
     def label(self) -> str:
-        """The word for this state in the state file and in `burlloom fleet show`."""
+        """Label of this state in the state file and in `burlloom fleet show`."""
         return _STATE_LABELS[self]
 
 
@@ -36,13 +37,14 @@
 
 
 class LeaseInput(IntEnum):
-    """What moves a lease from state to state."""
+    """Inputs of the lease's state machine."""
 
-    GRANTED = 0
-    ROUND = 1
-    PAUSED = 2  # this process stood still for longer than the isolation timeout
+    GRANTED = 0  # a grant whose lease is not over was received
+    ROUND = 1  # a round is run
+    PAUSED = 2  # a round is run after this process was suspended beyond the isolation timeout
 
 
+# Columns: state, input, condition, next state, effect; "-" stands for no condition or no effect.
 TABLE = """
 UNGRANTED GRANTED -                   HOLDING   accept_grant
 UNGRANTED ROUND   is_unconfirmed      ISOLATED  decay_to_minimum
@@ -63,115 +65,125 @@
     """The lease of one member's share.
 
     Attributes:
+        settings: Equal on all members.
+        state: State of the lease.
         share: Millicalls that this member may have in progress.
+        granted_share: Millicalls of the last accepted grant; 0 if there was none.
+        expires_at_ns: Monotonic time at which the lease of the last grant ends.
+        confirmed_at_ns: Monotonic time of the report that the last confirmed grant answered.
+        is_grant_confirmed: Whether the last grant was confirmed.
+        member_count: Fleet size, as this member knows it.
     """
 
-    def __init__(self, settings: QuotaSettings, now: int) -> None:
-        """Begins without a share.
+    def __init__(self, settings: QuotaSettings, now_ns: int) -> None:
+        """Initializes a lease without a share.
 
         Args:
-            settings: The same on each member.
-            now: ns on a clock that nobody sets.
+            settings: Equal on all members.
+            now_ns: Monotonic time in ns.
         """
         self.settings = settings
         self.state = LeaseState.UNGRANTED
         self.share = 0
-        self.granted = 0
-        self.expires_at_ns = now
-        self.confirmed_at_ns = now  # when the last confirmed grant was asked for
-        self.grant_is_confirmed = False
+        self.granted_share = 0
+        self.expires_at_ns = now_ns
+        self.confirmed_at_ns = now_ns
+        self.is_grant_confirmed = False
         self.member_count = settings.min_members
 
-    def process_grant(self, now: int, share: int, asked_at: int, is_confirmed: bool) -> None:
-        """Takes in a grant, unless its lease is over already.
+    def process_grant(
+        self, now_ns: int, share: int, reported_at_ns: int, is_confirmed: bool
+    ) -> None:
+        """Processes a grant; ignores it if its lease is already over.
 
         Args:
-            now: ns on a clock that nobody sets.
-            share: Millicalls.
-            asked_at: When the report left that it answers; the lease counts from there.
-            is_confirmed: Whether half of the fleet reports to the allocator.
+            now_ns: Monotonic time in ns.
+            share: Granted share in millicalls.
+            reported_at_ns: Monotonic time at which the report was sent that the grant answers. The
+                lease starts at this time.
+            is_confirmed: Whether at least half of the fleet reports to the allocator.
         """
-        expires_at_ns = asked_at + self.settings.lease_ns
-        if expires_at_ns <= now:
+        expires_at_ns = reported_at_ns + self.settings.lease_ns
+        if expires_at_ns <= now_ns:
             return
-        self.granted = share
+        self.granted_share = share
         self.expires_at_ns = expires_at_ns
-        self.grant_is_confirmed = is_confirmed
+        self.is_grant_confirmed = is_confirmed
         if is_confirmed:
-            self.confirmed_at_ns = asked_at
-        self.apply_input(now, LeaseInput.GRANTED)
+            self.confirmed_at_ns = reported_at_ns
+        self.apply_input(now_ns, LeaseInput.GRANTED)
 
-    def run_round(self, now: int, member_count: int, was_paused: bool = False) -> None:
-        """Lowers the share where its time is over.
+    def run_round(self, now_ns: int, member_count: int, was_paused: bool = False) -> None:
+        """Runs a round: lowers the share if its lease or the isolation timeout is over.
 
         Args:
-            now: ns on a clock that nobody sets.
-            member_count: Of the fleet, as this member knows it.
-            was_paused: Whether this process stood still for longer than the isolation timeout.
+            now_ns: Monotonic time in ns.
+            member_count: Fleet size, as this member knows it.
+            was_paused: Whether this process was suspended for longer than the isolation timeout.
         """
         self.member_count = member_count
-        self.apply_input(now, LeaseInput.PAUSED if was_paused else LeaseInput.ROUND)
+        self.apply_input(now_ns, LeaseInput.PAUSED if was_paused else LeaseInput.ROUND)
 
-    def apply_input(self, now: int, received: LeaseInput) -> None:
-        """Moves by the first row of the table whose test holds; stays where there is none."""
-        for test, state, effect in RULES.get((self.state, received), ()):
-            if test(self, now):
+    def apply_input(self, now_ns: int, input_event: LeaseInput) -> None:
+        """Takes the first transition whose condition holds; keeps the state if there is none."""
+        for condition, state, effect in RULES.get((self.state, input_event), ()):
+            if condition(self, now_ns):
                 self.state = state
-                effect(self, now)
+                effect(self, now_ns)
                 return
 
-    # Tests of the table.
+    # Conditions named in TABLE.
 
-    def has_expired(self, now: int) -> bool:
-        """Whether the lease of the last grant is over."""
-        return now >= self.expires_at_ns
+    def has_expired(self, now_ns: int) -> bool:
+        """Returns whether the lease of the last grant is over."""
+        return now_ns >= self.expires_at_ns
 
-    def is_unconfirmed(self, now: int) -> bool:
-        """Whether no confirmed grant came for the isolation timeout."""
-        return now - self.confirmed_at_ns >= self.settings.isolation_timeout_ns
+    def is_unconfirmed(self, now_ns: int) -> bool:
+        """Returns whether the last confirmed grant is older than the isolation timeout."""
+        return now_ns - self.confirmed_at_ns >= self.settings.isolation_timeout_ns
 
-    def has_confirmed_grant(self, now: int) -> bool:
-        """Whether the grant that just came is confirmed."""
-        return self.grant_is_confirmed
+    def has_confirmed_grant(self, now_ns: int) -> bool:
+        """Returns whether the grant that is being processed is confirmed."""
+        return self.is_grant_confirmed
 
-    # Effects of the table.
+    # Effects named in TABLE.
 
-    def accept_grant(self, now: int) -> None:
-        """Holds what was granted."""
-        self.share = self.granted
+    def accept_grant(self, now_ns: int) -> None:
+        """Sets the share to the granted share."""
+        self.share = self.granted_share
 
-    def decay_to_equal_share(self, now: int) -> None:
-        """Keeps an equal share at most."""
+    def decay_to_equal_share(self, now_ns: int) -> None:
+        """Lowers the share to at most an equal share."""
         self.share = min(self.share, self.settings.equal_share(self.member_count))
 
-    def decay_to_minimum(self, now: int) -> None:
-        """Keeps the minimum at most.
+    def decay_to_minimum(self, now_ns: int) -> None:
+        """Lowers the share to at most the minimum.
 
-        One to whom nothing was granted holds nothing that could be allocated anew, but must not
-        stay without a call for good: it takes the minimum.
+        A member without any grant holds nothing that could be allocated to others. It takes the
+        minimum, because otherwise it would stay without a call indefinitely.
         """
         minimum = self.settings.minimum_share(self.member_count)
-        self.share = min(self.share, minimum) if self.granted else minimum
+        self.share = min(self.share, minimum) if self.granted_share else minimum
 
 
-_Test = Callable[[LeaseHolder, int], bool]
+_Condition = Callable[[LeaseHolder, int], bool]
 _Effect = Callable[[LeaseHolder, int], None]
 
 
-def _always(holder: LeaseHolder, now: int) -> bool:
+def _always(holder: LeaseHolder, now_ns: int) -> bool:
     return True
 
 
-def _do_nothing(holder: LeaseHolder, now: int) -> None:
+def _do_nothing(holder: LeaseHolder, now_ns: int) -> None:
     pass
 
 
-def _test(name: str) -> _Test:
+def _resolve_condition(name: str) -> _Condition:
     return _always if name == "-" else getattr(LeaseHolder, name)
 
 
-def _effect(name: str) -> _Effect:
+def _resolve_effect(name: str) -> _Effect:
     return _do_nothing if name == "-" else getattr(LeaseHolder, name)
 
 
-RULES = parse_transitions(TABLE, LeaseState, LeaseInput, _test, _effect)
+RULES = parse_transitions(TABLE, LeaseState, LeaseInput, _resolve_condition, _resolve_effect)
--- a/burlloom/fleet/probing.py
+++ b/burlloom/fleet/probing.py
@@ -1,4 +1,4 @@
-"""Probes of the other members: direct, through others, and join requests. No I/O."""
+"""Failure detector: direct probes, indirect probes and join requests. Does no I/O."""
 
 from dataclasses import dataclass
 from random import Random
@@ -11,18 +11,18 @@
 
 __all__ = ["IndirectProbe", "Probe", "Prober"]
 
-MAX_JOIN_REQUESTS = 4  # at once
+MAX_JOIN_REQUESTS = 4  # per probe interval
 
 
 @dataclass(slots=True)
 class Probe:
-    """The probe that is under way.
+    """A probe whose ACK is pending.
 
     Attributes:
-        target: The member's name.
-        sequence: Of its PING.
-        sent_at_ns: When that left.
-        is_indirect: Whether others were asked to probe too.
+        target: Name of the probed member.
+        sequence: Sequence number of the PING.
+        sent_at_ns: Monotonic time at which the PING was queued.
+        is_indirect: Whether other members were asked to probe the target too.
     """
 
     target: str
@@ -33,12 +33,12 @@
 
 @dataclass(slots=True)
 class IndirectProbe:
-    """A probe that another member asked for, and that it is owed an ACK for.
+    """A probe on behalf of another member, to which the ACK must be forwarded.
 
     Attributes:
-        requester_address: Where the ACK goes.
-        request_sequence: The number that it carries.
-        sent_at_ns: When our own PING left.
+        requester_address: Address to which the ACK is forwarded.
+        request_sequence: Sequence number of the forwarded ACK.
+        sent_at_ns: Monotonic time at which this member's own PING was queued.
     """
 
     requester_address: str
@@ -47,10 +47,16 @@
 
 
 class Prober:
-    """Finds out which members answer.
+    """Detects members that do not answer.
 
     Attributes:
-        probe: The probe under way; None between two.
+        view: Membership view of this member.
+        sender: Queues the messages of this member.
+        synchronizer: Compares the digests in PING and ACK messages.
+        settings: Settings of the membership protocol.
+        seeds: Addresses at which other members may be.
+        random: Determines the order of probes and the choice of helpers.
+        probe: The probe whose ACK is pending; None if there is none.
     """
 
     def __init__(
@@ -63,16 +69,16 @@
         random: Random,
         never_ns: int,
     ) -> None:
-        """Begins with a probe at the first call of `run`.
+        """Initializes a prober that sends its first probe at the first call of `run`.
 
         Args:
-            view: What this member knows of the others.
-            sender: Of this member's messages.
-            synchronizer: Its digests go with PING and ACK.
-            settings: Of the membership protocol.
-            seeds: Addresses where others may be.
-            random: For the order of probes and the choice of helpers.
-            never_ns: A time before any probe.
+            view: Membership view of this member.
+            sender: Queues the messages of this member.
+            synchronizer: Provides the digests for PING and ACK messages.
+            settings: Settings of the membership protocol.
+            seeds: Addresses at which other members may be.
+            random: Determines the order of probes and the choice of helpers.
+            never_ns: A monotonic time before any probe.
         """
         self.view = view
         self.sender = sender
@@ -82,34 +88,37 @@
         self.random = random
         self.probe: Probe | None = None
         self._probed_at_ns = never_ns
-        self._targets: list[str] = []  # still to be probed in this round of all
-        self._indirect_probes: dict[int, IndirectProbe] = {}  # by sequence number of our PING
+        self._targets: list[str] = []  # not yet probed in the current cycle
+        self._indirect_probes: dict[int, IndirectProbe] = {}  # by sequence number of the PING
 
-    def run(self, now: int) -> None:
-        """Sends what is due: indirect probes, join requests, the next probe."""
+    def run(self, now_ns: int) -> None:
+        """Sends the indirect probes, join requests and the next probe that are due."""
         probe = self.probe
-        if probe is not None and self._is_ack_overdue(probe, now):
+        if probe is not None and self._is_ack_overdue(probe, now_ns):
             self._request_indirect_probes(probe)
-        if now - self._probed_at_ns >= self.settings.probe_interval_ns:
-            self._begin_next_probe(now)
-        self._drop_old_indirect_probes(now)
+        if now_ns - self._probed_at_ns >= self.settings.probe_interval_ns:
+            self._begin_next_probe(now_ns)
+        self._drop_old_indirect_probes(now_ns)
 
     def reset(self) -> None:
-        """Drops all probes under way: this process stood still and may have missed the answers."""
+        """Drops all pending probes.
+
+        Called after this process was suspended, because it may have missed the answers.
+        """
         self.probe = None
         self._indirect_probes.clear()
 
-    def process_ping(self, now: int, message: Message) -> None:
-        """Answers a PING."""
+    def process_ping(self, now_ns: int, message: Message) -> None:
+        """Answers a PING and compares its digests."""
         sender = message.sender
         digests = self.synchronizer.digests()
         self.sender.send(
             sender.address, MessageKind.ACK, message.sequence, digests, recipient=sender.name
         )
-        self.synchronizer.compare(now, message)
+        self.synchronizer.compare(now_ns, message)
 
-    def process_ack(self, now: int, message: Message) -> None:
-        """Ends the probe that the ACK answers, our own or one that we were asked for."""
+    def process_ack(self, now_ns: int, message: Message) -> None:
+        """Ends the probe that the ACK answers, and forwards the ACK of a requested probe."""
         if self.probe is not None and message.sequence == self.probe.sequence:
             self.probe = None
         request = self._indirect_probes.pop(message.sequence, None)
@@ -118,24 +127,24 @@
             self.sender.send(
                 request.requester_address, MessageKind.ACK, request.request_sequence, digests
             )
-        self.synchronizer.compare(now, message)
+        self.synchronizer.compare(now_ns, message)
 
-    def process_ping_request(self, now: int, message: Message) -> None:
-        """Probes a member in another one's place."""
+    def process_ping_request(self, now_ns: int, message: Message) -> None:
+        """Probes a member on behalf of the sender of a PING_REQUEST."""
         member = self.view.by_name.get(message.name)
         if member is None or len(self._indirect_probes) >= self.view.MAX_MEMBERS:
             return
         sequence = self.sender.next_sequence()
         self._indirect_probes[sequence] = IndirectProbe(
-            message.sender.address, message.sequence, now
+            message.sender.address, message.sequence, now_ns
         )
         self._ping(member.update, sequence)
 
     def next_target(self) -> str | None:
-        """Returns the next member to probe, and None where nobody else is present.
+        """Returns the name of the next member to probe; None if no other member is present.
 
-        All present members come one after the other in an order that is drawn anew for each round
-        of them: none waits for long.
+        Each cycle visits all present members once, in a new random order. This bounds the time
+        between two probes of the same member.
         """
         for _ in range(2):
             while self._targets:
@@ -147,8 +156,8 @@
             self.random.shuffle(self._targets)
         return None
 
-    def _is_ack_overdue(self, probe: Probe, now: int) -> bool:
-        age_ns = now - probe.sent_at_ns
+    def _is_ack_overdue(self, probe: Probe, now_ns: int) -> bool:
+        age_ns = now_ns - probe.sent_at_ns
         return not probe.is_indirect and age_ns >= self.settings.ack_timeout_ns
 
     def _request_indirect_probes(self, probe: Probe) -> None:
@@ -164,34 +173,36 @@
                 other.address, MessageKind.PING_REQUEST, probe.sequence, name=probe.target
             )
 
-    def _begin_next_probe(self, now: int) -> None:
+    def _begin_next_probe(self, now_ns: int) -> None:
         if self.probe is not None:
-            self.view.apply_input(now, self.probe.target, MembershipInput.PROBE_FAILED)
+            self.view.apply_input(now_ns, self.probe.target, MembershipInput.PROBE_FAILED)
             self.probe = None
-        self._probed_at_ns = now
+        self._probed_at_ns = now_ns
         self._send_join_requests()
         name = self.next_target()
         if name is not None:
             sequence = self.sender.next_sequence()
-            self.probe = Probe(name, sequence, now)
+            self.probe = Probe(name, sequence, now_ns)
             self._ping(self.view.by_name[name].update, sequence)
 
     def _send_join_requests(self) -> None:
-        """Pings some dead members, and seeds where nobody is known.
+        """Pings some dead members, and some seeds at whose address no present member is known.
 
-        So a partition that heals is noticed, and members that were all started anew hear of those
-        that lived on before they allocate among themselves.
+        This detects the end of a network partition. It also makes sure that members that were all
+        restarted learn of the members that kept running before they allocate among themselves.
         """
-        dead = [
+        dead_addresses = [
             member.update.address
             for member in self.view.not_alive.values()
             if member.state is MemberState.DEAD
         ]
-        unknown = [
-            address for address in {*self.seeds, *dead} if address not in self.view.addresses
+        unconnected_addresses = [
+            address
+            for address in {*self.seeds, *dead_addresses}
+            if address not in self.view.addresses
         ]
-        count = min(MAX_JOIN_REQUESTS, len(unknown))
-        for address in self.random.sample(sorted(unknown), count):
+        count = min(MAX_JOIN_REQUESTS, len(unconnected_addresses))
+        for address in self.random.sample(sorted(unconnected_addresses), count):
             sequence = self.sender.next_sequence()
             self.sender.send(address, MessageKind.PING, sequence, self.synchronizer.digests())
 
@@ -199,9 +210,9 @@
         digests = self.synchronizer.digests()
         self.sender.send(target.address, MessageKind.PING, sequence, digests, recipient=target.name)
 
-    def _drop_old_indirect_probes(self, now: int) -> None:
+    def _drop_old_indirect_probes(self, now_ns: int) -> None:
         self._indirect_probes = {
             sequence: request
             for sequence, request in self._indirect_probes.items()
-            if now - request.sent_at_ns < self.settings.probe_interval_ns
+            if now_ns - request.sent_at_ns < self.settings.probe_interval_ns
         }
--- a/burlloom/fleet/settings.py
+++ b/burlloom/fleet/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the membership protocol and of the allocation of quotas, the same on each member."""
+"""Settings of the membership protocol and of the allocation of quotas; equal on all members."""
 
 from dataclasses import dataclass
 
@@ -7,21 +7,22 @@
 MILLICALLS_PER_CALL = 1000
 NS_PER_MS = 1_000_000
 
-# Two reports may be lost on the way before a lease ends.
+# Minimum lease in report intervals; a lease then survives the loss of two reports in a row.
 _MIN_REPORTS_PER_LEASE = 8
 
 
 @dataclass(frozen=True, slots=True)
 class GossipSettings:
-    """Times of the membership protocol.
+    """Settings of the membership protocol.
 
     Attributes:
-        probe_interval_ns: Between the probes of one member and the next.
-        ack_timeout_ns: How long an answer is waited for before other members probe in our place.
-        suspicion_timeout_ns: How long a suspected member may refute, in a small fleet.
-        forget_after_ns: How long a dead or departed member stays in the view. Nobody is forgotten
-            while fewer than half of the members are present.
-        indirect_probe_count: How many members are asked to probe in our place.
+        probe_interval_ns: Time between the probe of one member and the probe of the next.
+        ack_timeout_ns: Time without an ACK after which other members are asked to probe the target.
+        suspicion_timeout_ns: Time in which a suspected member can refute the suspicion, in a small
+            fleet; larger fleets add to it.
+        forget_after_ns: Time for which a dead or departed member stays in the view. No member is
+            forgotten unless more than half of the members are present.
+        indirect_probe_count: Number of members asked to probe a target that did not answer.
     """
 
     probe_interval_ns: int = 500 * NS_PER_MS
@@ -31,28 +32,31 @@
     indirect_probe_count: int = 3
 
     def find_faults(self) -> list[str]:
-        """Returns what makes the settings unusable, in the words of the operator's file."""
+        """Returns why the settings are unusable, in terms of the keys in the operator's file."""
         if self.ack_timeout_ns >= self.probe_interval_ns:
             ack_ms, probe_ms = self.ack_timeout_ns // NS_PER_MS, self.probe_interval_ns // NS_PER_MS
-            return [f"ack {ack_ms} ms is not under probe, {probe_ms} ms"]
+            return [f"ack_ms ({ack_ms}) must be less than probe_ms ({probe_ms})"]
         return []
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaSettings:
-    """What is shared out, and the times of its leases.
+    """Settings of the allocation: the total to divide and the times of the leases.
 
     Attributes:
-        total_millicalls: Calls in progress that the downstream services bear from all members.
-        min_members: The fleet is never taken to be smaller; more than half of its usual size.
-        report_interval_ns: Between a member's reports.
-        lease_ns: How long a grant holds, from the report that it answers.
-        allocation_interval_ns: Between two allocations.
-        isolation_timeout_ns: A member without a confirmed grant for so long falls to its minimum.
-        reclaim_timeout_ns: A member that is dead for so long has its share allocated anew.
-        floor_share: Part of an equal share that an isolated member keeps.
-        idle_share: Part of an equal share that a member without demand is allocated, for its first
-            call.
+        total_millicalls: Calls in progress, in thousandths, that the downstream services can
+            handle from all members together.
+        min_members: Smallest fleet size assumed for quorums and equal shares. It must be more than
+            half of the usual fleet size.
+        report_interval_ns: Time between two reports of a member.
+        lease_ns: Validity of a grant, counted from the report that it answers.
+        allocation_interval_ns: Time between two allocations.
+        isolation_timeout_ns: Time without a confirmed grant after which a member decays to its
+            minimum share.
+        reclaim_timeout_ns: Time after which the share of a dead member is allocated to others.
+        floor_share: Fraction of an equal share that an isolated member keeps.
+        idle_share: Fraction of an equal share that a member without demand is allocated, so that
+            its first call needs no wait.
     """
 
     total_millicalls: int
@@ -66,42 +70,42 @@
     idle_share: float = 0.125
 
     def find_faults(self) -> list[str]:
-        """Returns what makes the settings unsafe, in the words of the operator's file."""
-        found = []
+        """Returns why the settings are unsafe, in terms of the keys in the operator's file."""
+        faults = []
         if self.lease_ns < _MIN_REPORTS_PER_LEASE * self.report_interval_ns:
-            found.append(
-                f"lease {self.lease_ns // NS_PER_MS} ms is under eight rounds of"
-                f" {self.report_interval_ns // NS_PER_MS} ms: two lost letters would end it"
+            faults.append(
+                f"lease_ms ({self.lease_ns // NS_PER_MS}) must be at least eight times round_ms"
+                f" ({self.report_interval_ns // NS_PER_MS}): two lost reports would end the lease"
             )
         min_reclaim_ns = self.isolation_timeout_ns + 2 * self.lease_ns
         if self.reclaim_timeout_ns < min_reclaim_ns:
-            found.append(
-                f"redeal {self.reclaim_timeout_ns // NS_PER_MS} ms is under cut and two leases,"
-                f" {min_reclaim_ns // NS_PER_MS} ms: one that is cut off would still use what is"
-                " dealt anew"
+            faults.append(
+                f"redeal_ms ({self.reclaim_timeout_ns // NS_PER_MS}) must be at least cut_ms plus"
+                f" two times lease_ms ({min_reclaim_ns // NS_PER_MS}): an isolated server would"
+                " still use the share that is allocated to others"
             )
-        return found
+        return faults
 
     @property
     def report_ttl_ns(self) -> int:
-        """How long a member counts as reporting after its newest report."""
+        """Time for which a member counts as reporting after its newest report, in ns."""
         return _MIN_REPORTS_PER_LEASE * self.report_interval_ns
 
     @property
     def learning_ns(self) -> int:
-        """How long an unknown allocator could still raise shares, and what it granted holds."""
+        """Time after which all grants of an unknown previous allocator have expired, in ns."""
         return self.report_ttl_ns + 2 * self.lease_ns
 
-    def equal_share(self, members: int) -> int:
-        """Returns the millicalls of each of so many members if all had the same."""
-        return self.total_millicalls // max(members, self.min_members)
+    def equal_share(self, member_count: int) -> int:
+        """Returns the millicalls per member if the total is divided equally."""
+        return self.total_millicalls // max(member_count, self.min_members)
 
-    def minimum_share(self, members: int) -> int:
-        """Returns the millicalls that an isolated one of so many members keeps."""
-        return int(self.floor_share * self.equal_share(members))
+    def minimum_share(self, member_count: int) -> int:
+        """Returns the millicalls that an isolated member keeps in a fleet of this size."""
+        return int(self.floor_share * self.equal_share(member_count))
 
     def digest(self) -> int:
-        """Returns a number that differs where two members' files differ in what must be equal."""
+        """Returns a digest of the settings that must be equal on all members."""
         return (
             self.total_millicalls * 1009
             + self.lease_ns // NS_PER_MS * 31
--- a/burlloom/fleet/totals.py
+++ b/burlloom/fleet/totals.py
@@ -1,11 +1,12 @@
-"""Sums over all accounts of the allocator, kept up from report to report. No I/O.
+"""Sums over all accounts of the allocator, updated incrementally with each report. Does no I/O.
 
-A walk of the fleet for each report would cost the allocator the square of the fleet.
+Iterating over all members for each report would cost the allocator time quadratic in the fleet size
+per round.
 
-What changes with an account is kept up by whoever changes it (`remove` before, `add` after). What
-changes with time alone, a report that is no longer fresh and a member that is dead for long, lies
-in the order in which it will: each query takes from the front what is over by then. All else makes
-new sums: another view, another phase, a clock that stepped back.
+The caller that changes an account calls `remove` before the change and `add` after it. Changes by
+time alone, a report that expires or the reclaim timeout of a dead member, are kept in queues sorted
+by time, and each query removes the entries that are over. All other changes need new sums: another
+view, another phase, a clock that stepped back.
 """
 
 from collections import OrderedDict
@@ -16,31 +17,47 @@
 
 
 class SummedAccount(Protocol):
-    """What is summed of an account."""
+    """The part of an account that the sums use."""
 
     @property
     def reported_at_ns(self) -> int:
-        """When its newest report came."""
+        """Monotonic time at which the newest report was received."""
 
     @property
     def bound(self) -> int:
-        """The most millicalls that the member may hold."""
+        """Upper bound of the millicalls that the member may hold."""
 
 
 class SummedPresence(Protocol):
-    """What counts of a member of the view."""
+    """The part of a member's presence that the sums use."""
 
     @property
     def is_present(self) -> bool:
-        """False where it is held to be dead."""
+        """False if the member is considered dead."""
 
     @property
     def since_ns(self) -> int:
-        """When it came to be so."""
+        """Monotonic time of the last change of state."""
 
 
 class AllocationTotals:
-    """What is bound, how many report, and of how many nothing is known."""
+    """Sum of the bounds, and the numbers of reporting and of unknown members.
+
+    Attributes:
+        accounts: Accounts by name.
+        members: Members of the view, by name.
+        now_ns: Monotonic time of the sums.
+        phase_since_ns: Start of the phase. An account without a later report counts with at least
+            `equal_share`.
+        equal_share: Millicalls per member if the total is divided equally.
+        report_ttl_ns: Time for which a report counts.
+        reclaim_timeout_ns: Time after which a dead member no longer counts; None if never.
+        bound: Sum of the upper bounds of all accounts, in millicalls.
+        fresh_reporters: Names of accounts whose report counts, in the order of the reports.
+        unreported: Names of members without an account that may hold a share.
+        reclaim_queue: Reclaim time and name of each dead member without an account, the latest
+            time first.
+    """
 
     def __init__(
         self,
@@ -52,16 +69,17 @@
         report_ttl_ns: int,
         reclaim_timeout_ns: int | None,
     ) -> None:
-        """Sums up all accounts.
+        """Computes the sums over all accounts.
 
         Args:
-            accounts: By name.
-            members: Of the view, by name.
-            now_ns: The time of these sums.
-            phase_since_ns: Who has not reported from then on may hold `equal_share` at least.
-            equal_share: In millicalls.
-            report_ttl_ns: How long a report counts.
-            reclaim_timeout_ns: How long one is dead before it counts as gone; None: for ever.
+            accounts: Accounts by name.
+            members: Members of the view, by name.
+            now_ns: Monotonic time of the sums.
+            phase_since_ns: Start of the phase. An account without a later report counts with at
+                least `equal_share`.
+            equal_share: Millicalls per member if the total is divided equally.
+            report_ttl_ns: Time for which a report counts.
+            reclaim_timeout_ns: Time after which a dead member no longer counts; None if never.
         """
         self.accounts = accounts
         self.members = members
@@ -70,10 +88,12 @@
         self.equal_share = equal_share
         self.report_ttl_ns = report_ttl_ns
         self.reclaim_timeout_ns = reclaim_timeout_ns
-        self.bound = sum(map(self._most_held, accounts.values()))
-        recent = (name for name, one in accounts.items() if self._is_recent(one))
-        by_report_time = sorted(recent, key=lambda name: accounts[name].reported_at_ns)
-        self.recent = OrderedDict.fromkeys(by_report_time)
+        self.bound = sum(map(self._upper_bound, accounts.values()))
+        fresh_reporters = (
+            name for name, account in accounts.items() if self._is_report_fresh(account)
+        )
+        by_report_time = sorted(fresh_reporters, key=lambda name: accounts[name].reported_at_ns)
+        self.fresh_reporters = OrderedDict.fromkeys(by_report_time)
         self.unreported = {name for name in members if name not in accounts}
         self.reclaim_queue = self._queue_reclaims()
 
@@ -85,7 +105,10 @@
         phase_since_ns: int,
         reclaim_timeout_ns: int | None,
     ) -> bool:
-        """Whether these are still sums over that; the equal share changes with the view alone."""
+        """Returns whether the sums are valid for the given state.
+
+        The equal share is not compared, because it changes only with the view.
+        """
         return (
             self.accounts is accounts
             and self.members is members
@@ -95,43 +118,45 @@
         )
 
     def remove(self, name: str, account: SummedAccount) -> None:
-        """Takes an account out of the sums, before it changes."""
-        self.bound -= self._most_held(account)
-        self.recent.pop(name, None)
+        """Removes an account from the sums; called before the account changes."""
+        self.bound -= self._upper_bound(account)
+        self.fresh_reporters.pop(name, None)
 
     def add(self, name: str, account: SummedAccount) -> None:
-        """Puts in an account that is new or was removed; reports come in the order of time."""
-        self.bound += self._most_held(account)
+        """Adds a new or removed account; report times must not decrease between calls."""
+        self.bound += self._upper_bound(account)
         self.unreported.discard(name)
-        if self._is_recent(account):
-            self.recent[name] = None
+        if self._is_report_fresh(account):
+            self.fresh_reporters[name] = None
 
     def count_reporting(self, now_ns: int) -> int:
-        """Returns how many accounts have a fresh report."""
+        """Returns how many accounts have a report that has not expired."""
         self.now_ns = now_ns
-        while self.recent and not self._is_recent(self.accounts[next(iter(self.recent))]):
-            self.recent.popitem(last=False)
-        return len(self.recent)
+        while self.fresh_reporters and not self._is_report_fresh(
+            self.accounts[next(iter(self.fresh_reporters))]
+        ):
+            self.fresh_reporters.popitem(last=False)
+        return len(self.fresh_reporters)
 
     def count_unknown(self, now_ns: int) -> int:
-        """Returns how many members without an account may still hold something."""
+        """Returns how many members without an account may still hold a share."""
         self.now_ns = now_ns
         while self.reclaim_queue and self.reclaim_queue[-1][0] <= now_ns:
             _, name = self.reclaim_queue.pop()
             self.unreported.discard(name)
         return len(self.unreported)
 
-    def _most_held(self, account: SummedAccount) -> int:
+    def _upper_bound(self, account: SummedAccount) -> int:
         if account.reported_at_ns >= self.phase_since_ns:
             return account.bound
-        # Another allocator may have raised it since.
+        # Another allocator may have raised the share since the last report.
         return max(account.bound, self.equal_share)
 
-    def _is_recent(self, account: SummedAccount) -> bool:
+    def _is_report_fresh(self, account: SummedAccount) -> bool:
         return self.now_ns - account.reported_at_ns <= self.report_ttl_ns
 
     def _queue_reclaims(self) -> list[tuple[int, str]]:
-        """Returns when each dead member without an account counts as gone, the next one last."""
+        """Returns the reclaim times of dead members without an account, the earliest one last."""
         if self.reclaim_timeout_ns is None:
             return []
         due = [
--- a/burlloom/lab/fleets.py
+++ b/burlloom/lab/fleets.py
@@ -15,7 +15,7 @@
 from ..downstream.service_pools import ServicePools
 from ..fleet import (
     MILLICALLS_PER_CALL,
-    Fleet,
+    FleetMember,
     GossipSettings,
     MemberState,
     MemberUpdate,
@@ -125,7 +125,7 @@
 
     name: str
     address: str
-    fleet: Fleet | None = None
+    fleet: FleetMember | None = None
     demand: float = 0.0  # calls in hand, if it could
     paused_at: float = -1.0  # s; below 0: it is not
     queued: list[bytes] = field(default_factory=list)  # what came while it was paused
@@ -203,7 +203,7 @@
             (EPOCH + int(self.loop.now * SECOND)) // 1_000_000 + body.incarnations,
         )
         chance = Random(body.seed * 7 + body.incarnations)
-        body.fleet = Fleet(
+        body.fleet = FleetMember(
             MemberUpdate(body.name, body.address, life, 0, MemberState.ALIVE),
             self.seeds,
             (KEY,),
@@ -248,7 +248,7 @@
             body.fleet.receive(self.now(), data)
             self.flush(body)
 
-    def tick(self, body: SwarmMember, fleet: Fleet) -> None:
+    def tick(self, body: SwarmMember, fleet: FleetMember) -> None:
         """Runs a member's tick, and plans the next."""
         if body.fleet is not fleet:
             return
@@ -334,7 +334,7 @@
         own = MemberUpdate(
             node.name, self.address, loop.wall() // 1_000_000 + node.life, 0, MemberState.ALIVE
         )
-        self.fleet = Fleet(
+        self.fleet = FleetMember(
             own,
             simulated_fleet.seeds,
             (KEY,),
--- a/burlloom/lab/hollow.py
+++ b/burlloom/lab/hollow.py
@@ -31,7 +31,7 @@
 
 from ..fleet import (
     MILLICALLS_PER_CALL,
-    Fleet,
+    FleetMember,
     GossipSettings,
     MemberState,
     MemberUpdate,
@@ -80,7 +80,7 @@
         self, own: Place, address: str, life: int, told: dict[str, Any], chance: Random, now: int
     ) -> None:
         word = MemberUpdate(own.name, address, life, 0, MemberState.ALIVE)
-        self.fleet = Fleet(
+        self.fleet = FleetMember(
             word,
             tuple(told["seeds"]),
             (bytes.fromhex(told["key"]),),
--- a/burlloom/server/call_share.py
+++ b/burlloom/server/call_share.py
@@ -9,7 +9,7 @@
 from ..fleet import MILLICALLS_PER_CALL
 
 if TYPE_CHECKING:
-    from ..fleet import Fleet
+    from ..fleet import FleetMember
 
 # A share of none, as the decisions know it: 0 is no bound to them.
 MIN_CALL_SHARE = 0.001
@@ -30,7 +30,7 @@
         call_cap: Returns the calls that the recovery from a restart allows so far.
     """
 
-    def __init__(self, fleet: Fleet, call_cap: Callable[[], float]) -> None:
+    def __init__(self, fleet: FleetMember, call_cap: Callable[[], float]) -> None:
         self.fleet = fleet
         self.call_cap = call_cap
         self.dispatcher: Dispatcher | None = None
@@ -54,7 +54,7 @@
             self.dispatcher.set_call_quota(max(MIN_CALL_SHARE, share / MILLICALLS_PER_CALL))
 
 
-def call_shares(fleet: Fleet) -> tuple[float, float]:
+def call_shares(fleet: FleetMember) -> tuple[float, float]:
     """Returns an equal share of the calls and the one that the fleet gives this member."""
     equal = fleet.quota_settings.equal_share(max(1, fleet.view.count_not_left()))
     return equal / MILLICALLS_PER_CALL, fleet.share / MILLICALLS_PER_CALL
--- a/burlloom/server/configured_membership.py
+++ b/burlloom/server/configured_membership.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ..dispatcher import Dispatcher
-from ..fleet import MILLICALLS_PER_CALL, Fleet, MemberState, MemberUpdate, summarize
+from ..fleet import MILLICALLS_PER_CALL, FleetMember, MemberState, MemberUpdate, summarize
 from ..operator import FleetPart
 from ..operator.fleet import read_keys
 from ..sockets import NS_PER_MS, NS_PER_SECOND, TaskSupervisor, sleep_ns
@@ -74,7 +74,7 @@
             name, settings.advertise or self.address, incarnation, 0, MemberState.ALIVE
         )
         random = Random(seed ^ own.incarnation)
-        self.fleet = Fleet(
+        self.fleet = FleetMember(
             own,
             (*settings.seeds, *recovery.known_members),
             settings.keys(),
--- a/tests/explore_fleet.py
+++ b/tests/explore_fleet.py
@@ -1,8 +1,8 @@
-"""Walks every history of one allocator and its members: messages late, lost, doubled, out of order,
-members started again.
+"""Model checker for the sum of the shares that one allocator and its members hold.
 
-Allocator and lease holder are those of burlloom.fleet. What is counted is counted here: what all may have in
-hand below, at once.
+It explores histories in which messages are delayed, lost, duplicated and reordered and members are
+restarted. Allocator and lease holder are those of burlloom.fleet. The model itself counts the
+millicalls that all members may use downstream at the same time.
 """
 
 import copy
@@ -15,67 +15,91 @@
 from burlloom.fleet.lease_holder import LeaseHolder
 from burlloom.fleet.settings import MILLICALLS_PER_CALL, QuotaSettings
 
-NOW = 10**15
+NOW_NS = 10**15
 
 
-class Member:
-    def __init__(self, terms: QuotaSettings) -> None:
-        self.holder, self.life, self.number, self.in_hand, self.reported = (
-            LeaseHolder(terms, NOW),
+class ModelMember:
+    """A member with its lease, its calls and its messages in flight."""
+
+    def __init__(self, quota_settings: QuotaSettings) -> None:
+        (
+            self.lease_holder,
+            self.incarnation,
+            self.last_report_number,
+            self.calls_in_progress,
+            self.sent_report_count,
+        ) = (
+            LeaseHolder(quota_settings, NOW_NS),
             1,
             0,
             0,
             0,
         )
-        self.newest = -1  # the report whose grant counts
-        self.reports: list[
+        self.pending_report_number = -1  # report whose grant is accepted; negative if there is none
+        self.reports_in_flight: list[
             tuple[int, int, ShareReport]
-        ] = []  # incarnation, number and what it says
-        self.grants: list[tuple[int, int, int]] = []  # incarnation, number and the share
-
-    def copy(self, terms: QuotaSettings) -> "Member":
-        other = Member(terms)
-        other.holder.share, other.holder.state, other.holder.granted = (
-            self.holder.share,
-            self.holder.state,
-            self.holder.granted,
+        ] = []  # incarnation, report number, report
+        self.grants_in_flight: list[tuple[int, int, int]] = []  # incarnation, report number, share
+
+    def copy(self, quota_settings: QuotaSettings) -> "ModelMember":
+        other = ModelMember(quota_settings)
+        other.lease_holder.share, other.lease_holder.state, other.lease_holder.granted_share = (
+            self.lease_holder.share,
+            self.lease_holder.state,
+            self.lease_holder.granted_share,
         )
-        other.life, other.number, other.in_hand, other.newest = (
-            self.life,
-            self.number,
-            self.in_hand,
-            self.newest,
+        (
+            other.incarnation,
+            other.last_report_number,
+            other.calls_in_progress,
+            other.pending_report_number,
+        ) = (
+            self.incarnation,
+            self.last_report_number,
+            self.calls_in_progress,
+            self.pending_report_number,
+        )
+        other.sent_report_count = self.sent_report_count
+        other.reports_in_flight, other.grants_in_flight = (
+            self.reports_in_flight[:],
+            self.grants_in_flight[:],
         )
-        other.reported = self.reported
-        other.reports, other.grants = self.reports[:], self.grants[:]
         return other
 
     @property
     def held(self) -> int:
-        return max(self.holder.share, self.in_hand)
+        return max(self.lease_holder.share, self.calls_in_progress)
 
-    def key(self) -> Any:
+    def state_key(self) -> Any:
         return (
-            self.holder.share,
-            self.holder.state,
-            self.life,
-            self.reported,
-            self.newest - self.number,
-            self.in_hand,
-            tuple((life, number - self.number, told) for life, number, told in self.reports),
-            tuple((life, number - self.number, share) for life, number, share in self.grants),
+            self.lease_holder.share,
+            self.lease_holder.state,
+            self.incarnation,
+            self.sent_report_count,
+            self.pending_report_number - self.last_report_number,
+            self.calls_in_progress,
+            tuple(
+                (incarnation, report_number - self.last_report_number, report)
+                for incarnation, report_number, report in self.reports_in_flight
+            ),
+            tuple(
+                (incarnation, report_number - self.last_report_number, share)
+                for incarnation, report_number, share in self.grants_in_flight
+            ),
         )
 
 
-class World:
-    def __init__(self, terms: QuotaSettings, members: int) -> None:
-        self.allocator = Allocator(terms, NOW)
+class ModelState:
+    """State of the model: one allocator and its members."""
+
+    def __init__(self, quota_settings: QuotaSettings, members: int) -> None:
+        self.allocator = Allocator(quota_settings, NOW_NS)
         self.allocator.phase = AllocatorPhase.ALLOCATING
-        self.members = [Member(terms) for _ in range(members)]
-        self.seen()
+        self.members = [ModelMember(quota_settings) for _ in range(members)]
+        self.update_members()
 
-    def copy(self) -> "World":
-        other = World.__new__(World)
+    def copy(self) -> "ModelState":
+        other = ModelState.__new__(ModelState)
         other.allocator = copy.copy(self.allocator)
         other.allocator.accounts = {
             name: copy.copy(account) for name, account in self.allocator.accounts.items()
@@ -83,165 +107,202 @@
         other.members = [member.copy(self.allocator.settings) for member in self.members]
         return other
 
-    def seen(self) -> None:
+    def update_members(self) -> None:
         self.allocator.members = {
-            str(at): MemberPresence(one.life, True, NOW) for at, one in enumerate(self.members)
+            str(index): MemberPresence(member.incarnation, True, NOW_NS)
+            for index, member in enumerate(self.members)
         }
 
-    def key(self) -> Any:
+    def state_key(self) -> Any:
         accounts = tuple(
             (
                 name,
-                one.incarnation,
-                one.report_number - self.members[int(name)].number,
-                one.report,
-                one.bound,
-                one.target,
+                account.incarnation,
+                account.report_number - self.members[int(name)].last_report_number,
+                account.report,
+                account.bound,
+                account.target,
             )
-            for name, one in sorted(self.allocator.accounts.items())
+            for name, account in sorted(self.allocator.accounts.items())
         )
-        return accounts, tuple(member.key() for member in self.members)
+        return accounts, tuple(member.state_key() for member in self.members)
 
-    def in_hand(self) -> int:
+    def total_held(self) -> int:
+        """Returns the millicalls that all members may use at the same time."""
         return sum(member.held for member in self.members)
 
 
 class Explorer:
-    """Begins with all calls held by the first member, which has them in hand. `broken`: a rule left
-    out, to show that the walk would notice.
+    """Explores the histories that start with the first member using the whole total.
+
+    `omitted_rule` names a rule of the protocol to leave out, to show that the exploration detects
+    its absence.
     """
 
     def __init__(
         self,
-        calls: int = 2,
+        total_calls: int = 2,
         members: int = 2,
-        lives: int = 1,
-        numbers: int = 2,
-        in_flight: int = 2,
-        wants: tuple[int, ...] = (2 * MILLICALLS_PER_CALL,),
-        broken: str = "",
+        max_incarnation: int = 1,
+        max_reports: int = 2,
+        max_in_flight: int = 2,
+        demands: tuple[int, ...] = (2 * MILLICALLS_PER_CALL,),
+        omitted_rule: str = "",
     ) -> None:
-        self.terms, self.count, self.lives, self.numbers = (
-            QuotaSettings(calls * MILLICALLS_PER_CALL, idle_share=0.0),
+        self.quota_settings, self.member_count, self.max_incarnation, self.max_reports = (
+            QuotaSettings(total_calls * MILLICALLS_PER_CALL, idle_share=0.0),
             members,
-            lives,
-            numbers,
+            max_incarnation,
+            max_reports,
         )
-        self.broken, self.in_flight, self.wants = broken, in_flight, wants
-
-    def moves(self, world: World) -> list[Any]:
-        """All that may happen next: what, to whom, and how."""
-        found: list[Any] = [(self.turn, 0)]
-        for at, member in enumerate(world.members):
-            if member.reported < self.numbers and len(member.reports) < self.in_flight:
-                found += [(self.report, at, wants) for wants in self.wants]
-            # Each message may come once more, late.
-            found += [
-                (self.hear, at, which, keeps)
-                for which in range(len(member.reports))
-                for keeps in (False, True)
+        self.omitted_rule, self.max_in_flight, self.demands = omitted_rule, max_in_flight, demands
+
+    def possible_steps(self, state: ModelState) -> list[Any]:
+        """Returns the possible next steps: action, index of the member, further arguments."""
+        steps: list[Any] = [(self.run_allocation, 0)]
+        for index, member in enumerate(state.members):
+            if (
+                member.sent_report_count < self.max_reports
+                and len(member.reports_in_flight) < self.max_in_flight
+            ):
+                steps += [(self.send_report, index, demand) for demand in self.demands]
+            # Each report may be delivered again later.
+            steps += [
+                (self.deliver_report, index, message_index, is_duplicated)
+                for message_index in range(len(member.reports_in_flight))
+                for is_duplicated in (False, True)
             ]
-            found += [
-                (what, at, which)
-                for which in range(len(member.grants))
-                for what in (self.take, self.lose)
+            steps += [
+                (action, index, message_index)
+                for message_index in range(len(member.grants_in_flight))
+                for action in (self.deliver_grant, self.lose_grant)
             ]
-            if member.in_hand > member.holder.share:
-                found.append((self.empty, at))
-            if member.life < self.lives:
-                found.append((self.restart, at))
-        return found
-
-    def do(self, world: World, what: Any, at: int, *told: Any) -> World:
-        what(world, world.members[at], at, *told)
-        return world
-
-    def report(self, world: World, member: Member, at: int, wants: int) -> None:
-        member.number += 1
-        member.reported += 1
-        member.newest = member.number
-        held = member.holder.share if self.broken == "in-hand" else member.held
-        member.reports.append(
-            (member.life, member.number, ShareReport(held, member.holder.share, wants, 1))
+            if member.calls_in_progress > member.lease_holder.share:
+                steps.append((self.finish_excess_calls, index))
+            if member.incarnation < self.max_incarnation:
+                steps.append((self.restart, index))
+        return steps
+
+    def apply_step(self, state: ModelState, action: Any, index: int, *arguments: Any) -> ModelState:
+        action(state, state.members[index], index, *arguments)
+        return state
+
+    def send_report(self, state: ModelState, member: ModelMember, index: int, demand: int) -> None:
+        member.last_report_number += 1
+        member.sent_report_count += 1
+        member.pending_report_number = member.last_report_number
+        held = (
+            member.lease_holder.share
+            if self.omitted_rule == "report-calls-in-progress"
+            else member.held
+        )
+        member.reports_in_flight.append(
+            (
+                member.incarnation,
+                member.last_report_number,
+                ShareReport(held, member.lease_holder.share, demand, 1),
+            )
         )
 
-    def hear(self, world: World, member: Member, at: int, which: int, keeps: bool) -> None:
-        life, number, told = member.reports[which]
-        if not keeps:
-            del member.reports[which]
-        if self.broken == "old-report" and str(at) in world.allocator.accounts:
-            world.allocator.accounts[str(at)].report_number = number - 1
-        grant = world.allocator.process_report(NOW, str(at), life, number, told)
-        if grant is not None and len(member.grants) < self.in_flight:
-            member.grants.append((life, number, grant))
-
-    def take(self, world: World, member: Member, at: int, which: int) -> None:
-        life, number, share = member.grants.pop(which)
-        if life == member.life and (number == member.newest or self.broken == "old-grant"):
-            member.newest = -1
-            member.holder.process_grant(NOW, share, NOW, True)
-            member.in_hand = max(
-                member.in_hand, member.holder.share
-            )  # what it may have in hand, it has
-
-    def lose(self, world: World, member: Member, at: int, which: int) -> None:
-        del member.grants[which]
-
-    def empty(self, world: World, member: Member, at: int) -> None:
-        member.in_hand = member.holder.share
-
-    def restart(self, world: World, member: Member, at: int) -> None:
-        """Its calls went with it."""
-        member.life += 1
-        member.in_hand, member.newest = 0, -1
-        member.holder = LeaseHolder(self.terms, NOW)
-        world.seen()
-        world.allocator.run_round(NOW, world.allocator.members, True)
-
-    def turn(self, world: World, member: Member, at: int) -> None:
-        world.allocator.allocated_at_ns = NOW - self.terms.allocation_interval_ns
-        world.allocator.allocate(NOW)
-
-    def walk(self, most: int) -> tuple[int, int]:
-        """How many worlds were seen, at most so many; the most that was ever in hand,
-        thousandths.
+    def deliver_report(
+        self,
+        state: ModelState,
+        member: ModelMember,
+        index: int,
+        message_index: int,
+        is_duplicated: bool,
+    ) -> None:
+        incarnation, report_number, report = member.reports_in_flight[message_index]
+        if not is_duplicated:
+            del member.reports_in_flight[message_index]
+        if self.omitted_rule == "reject-old-reports" and str(index) in state.allocator.accounts:
+            state.allocator.accounts[str(index)].report_number = report_number - 1
+        grant = state.allocator.process_report(
+            NOW_NS, str(index), incarnation, report_number, report
+        )
+        if grant is not None and len(member.grants_in_flight) < self.max_in_flight:
+            member.grants_in_flight.append((incarnation, report_number, grant))
+
+    def deliver_grant(
+        self, state: ModelState, member: ModelMember, index: int, message_index: int
+    ) -> None:
+        incarnation, report_number, share = member.grants_in_flight.pop(message_index)
+        if incarnation == member.incarnation and (
+            report_number == member.pending_report_number
+            or self.omitted_rule == "reject-old-grants"
+        ):
+            member.pending_report_number = -1
+            member.lease_holder.process_grant(NOW_NS, share, NOW_NS, True)
+            member.calls_in_progress = max(
+                member.calls_in_progress, member.lease_holder.share
+            )  # the member uses its whole share
+
+    def lose_grant(
+        self, state: ModelState, member: ModelMember, index: int, message_index: int
+    ) -> None:
+        del member.grants_in_flight[message_index]
+
+    def finish_excess_calls(self, state: ModelState, member: ModelMember, index: int) -> None:
+        member.calls_in_progress = member.lease_holder.share
+
+    def restart(self, state: ModelState, member: ModelMember, index: int) -> None:
+        """Restarts a member; its calls in progress end with the old process."""
+        member.incarnation += 1
+        member.calls_in_progress, member.pending_report_number = 0, -1
+        member.lease_holder = LeaseHolder(self.quota_settings, NOW_NS)
+        state.update_members()
+        state.allocator.run_round(NOW_NS, state.allocator.members, True)
+
+    def run_allocation(self, state: ModelState, member: ModelMember, index: int) -> None:
+        state.allocator.allocated_at_ns = NOW_NS - self.quota_settings.allocation_interval_ns
+        state.allocator.allocate(NOW_NS)
+
+    def explore_exhaustively(self, max_states: int) -> tuple[int, int]:
+        """Explores all histories breadth first, up to `max_states` distinct states.
+
+        Returns:
+            The number of distinct states, and the largest total held in any of them in millicalls.
+        """
+        initial = self.initial_state()
+        known, queue, max_held = {initial.state_key()}, deque([initial]), 0
+        while queue and len(known) < max_states:
+            before = queue.popleft()
+            for step in self.possible_steps(before):
+                state = self.apply_step(before.copy(), *step)
+                state_key = state.state_key()
+                if state_key not in known:
+                    known.add(state_key)
+                    max_held = max(max_held, state.total_held())
+                    queue.append(state)
+        return len(known), max_held
+
+    def explore_randomly(self, histories: int, steps: int, seed: int) -> int:
+        """Runs random histories.
+
+        Returns:
+            The largest total held in any state, in millicalls.
         """
-        first = self.begun()
-        known, waiting, worst = {first.key()}, deque([first]), 0
-        while waiting and len(known) < most:
-            before = waiting.popleft()
-            for move in self.moves(before):
-                world = self.do(before.copy(), *move)
-                key = world.key()
-                if key not in known:
-                    known.add(key)
-                    worst = max(worst, world.in_hand())
-                    waiting.append(world)
-        return len(known), worst
-
-    def wander(self, histories: int, steps: int, seed: int) -> int:
-        """The most that was ever in hand in so many histories of chance, each so long."""
-        chance, worst = random.Random(seed), 0
+        random_generator, max_held = random.Random(seed), 0
         for _ in range(histories):
-            world = self.begun()
+            state = self.initial_state()
             for _ in range(steps):
-                self.do(world, *chance.choice(self.moves(world)))
-                worst = max(worst, world.in_hand())
-        return worst
-
-    def begun(self) -> World:
-        first = World(self.terms, self.count)
-        one = first.members[0]
-        for at, other in enumerate(first.members[1:], 1):
-            self.report(first, other, at, 0)
-            self.hear(first, other, at, 0, False)
-            self.take(first, other, at, 0)
-        for _ in range(2):  # the first comes, and has all
-            self.report(first, one, 0, self.terms.total_millicalls)
-            self.hear(first, one, 0, 0, False)
-            self.turn(first, one, 0)
-            self.take(first, one, 0, 0)
-        assert one.in_hand == self.terms.total_millicalls
-        for member in first.members:
-            member.reported = 0
-        return first
+                self.apply_step(state, *random_generator.choice(self.possible_steps(state)))
+                max_held = max(max_held, state.total_held())
+        return max_held
+
+    def initial_state(self) -> ModelState:
+        state = ModelState(self.quota_settings, self.member_count)
+        holder = state.members[0]
+        for index, other in enumerate(state.members[1:], 1):
+            self.send_report(state, other, index, 0)
+            self.deliver_report(state, other, index, 0, False)
+            self.deliver_grant(state, other, index, 0)
+        for _ in range(2):  # the first member joins and is granted the total
+            self.send_report(state, holder, 0, self.quota_settings.total_millicalls)
+            self.deliver_report(state, holder, 0, 0, False)
+            self.run_allocation(state, holder, 0)
+            self.deliver_grant(state, holder, 0, 0)
+        assert holder.calls_in_progress == self.quota_settings.total_millicalls
+        for member in state.members:
+            member.sent_report_count = 0
+        return state
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -1,6 +1,7 @@
-"""Several processes of the program with one relay between them, and services below that they share.
+"""Several server processes, connected by one relay, with shared downstream services.
 
-Each has an executor that makes one call for every txn, and a balancer that keeps so many txns open.
+Each server has an executor that makes one downstream call per request, and a balancer that keeps a
+number of requests open.
 """
 
 import asyncio
@@ -17,7 +18,7 @@
 from burlloom.fakes.parts import Catalogue, Reply, fields
 from burlloom.fakes.relay import Relay
 
-QUICK = {
+SHORT_INTERVALS = {
     "round_ms": 40,
     "lease_ms": 500,
     "turn_ms": 400,
@@ -31,25 +32,28 @@
 
 
 class Server(Rig):
-    """One of the fleet. `open_most`: txns that its balancer keeps open."""
+    """A server of the fleet.
+
+    `max_open_requests` is the number of requests that its balancer keeps open.
+    """
 
     def __init__(self, fleet: "Fleet", name: str, **changes: Any) -> None:
         folder = fleet.folder / name
         folder.mkdir(exist_ok=True)
-        self.fleet, self.open_most, self.answers, self.tasks = (
+        self.fleet, self.max_open_requests, self.answers, self.tasks = (
             fleet,
             0,
             0,
             list[asyncio.Task[None]](),
         )
-        self.settled = 0
+        self.settled_requests = 0
         super().__init__(
             folder,
             name=name,
             catalogue=fleet.services[0],
             n_cores=32,
             memory_kb=400000,
-            calls_out=fleet.alone,
+            calls_out=fleet.standalone_calls,
             aim=2000000,
             deadline=5000000,
             stop_ms=2000,
@@ -57,40 +61,44 @@
         )
 
     async def start(self) -> "Server":
-        if self.fleet.on:
-            door = self.fleet.doors.get(self.name) or await self.fleet.relay.door(self.name)
-            self.fleet.doors[self.name] = door
+        if self.fleet.is_enabled:
+            relay_address = self.fleet.relay_addresses.get(
+                self.name
+            ) or await self.fleet.relay.door(self.name)
+            self.fleet.relay_addresses[self.name] = relay_address
             self.operator = {
                 "fleet": {
                     "listen": "127.0.0.1:0",
-                    "advertise": door,
-                    "key_file": str(self.fleet.key),
-                    "least": self.fleet.least,
-                    "seeds": [one for name, one in self.fleet.doors.items() if name != self.name][
-                        :4
-                    ],
-                    "calls": self.fleet.calls,
+                    "advertise": relay_address,
+                    "key_file": str(self.fleet.key_path),
+                    "least": self.fleet.min_members,
+                    "seeds": [
+                        address
+                        for name, address in self.fleet.relay_addresses.items()
+                        if name != self.name
+                    ][:4],
+                    "calls": self.fleet.total_calls,
                     "state_file": str(self.folder / "state"),
-                    **QUICK,
-                    **self.fleet.part,
+                    **SHORT_INTERVALS,
+                    **self.fleet.config_overrides,
                 },
-                **self.fleet.more(self.folder),
+                **self.fleet.extra_config(self.folder),
             }
         await self.__aenter__()
-        self.tasks.append(asyncio.create_task(self.work()))
+        self.tasks.append(asyncio.create_task(self.serve_executor_commands()))
         return self
 
     async def begin(self) -> None:
-        lives = self.log().count("event=membership_opened") if self.log_path.exists() else 0
+        opened_count = self.log().count("event=membership_opened") if self.log_path.exists() else 0
         await super().begin()
-        if self.fleet.on:
-            await wait_until(lambda: self.log().count("event=membership_opened") > lives)
+        if self.fleet.is_enabled:
+            await wait_until(lambda: self.log().count("event=membership_opened") > opened_count)
             self.fleet.relay.sent_from(
                 self.name, re.findall(r"event=membership_opened .* address=(\S+)", self.log())[-1]
             )
-        self.tasks.append(asyncio.create_task(self.load()))
+        self.tasks.append(asyncio.create_task(self.generate_load()))
 
-    async def work(self) -> None:
+    async def serve_executor_commands(self) -> None:
         while True:
             name, id, *_ = await self.executor.commands.get()
             if name == "EXEC":
@@ -98,138 +106,160 @@
             else:
                 self.executor.exit(id, result=b"made")
 
-    async def load(self) -> None:
-        # One that connects and says nothing is closed after 1.5 s, which others may need to come
-        # up.
-        while not self.open_most:
+    async def generate_load(self) -> None:
+        # The server closes a connection without requests after 1.5 s, and other servers may need
+        # that long to start. So the balancer connects only when there are requests to send.
+        while not self.max_open_requests:
             await asyncio.sleep(0.005)
         balancer = await self.balancer()
-        opened = 0
+        open_requests = 0
 
-        async def one() -> None:
-            nonlocal opened
+        async def send_request() -> None:
+            nonlocal open_requests
             try:
-                told = fields()
-                self.fleet.askers[told["id"]] = self.name
-                error, _ = await balancer.ask("look", told)
-                self.settled += error is None
+                request_fields = fields()
+                self.fleet.server_by_request_id[request_fields["id"]] = self.name
+                error, _ = await balancer.ask("look", request_fields)
+                self.settled_requests += error is None
                 if error is not None:
                     await asyncio.sleep(0.02)
             except asyncio.CancelledError:
                 pass
             finally:
-                opened -= 1
+                open_requests -= 1
 
         while not balancer.ended.is_set():
-            while opened < self.open_most:
-                opened += 1
-                asyncio.create_task(one())
+            while open_requests < self.max_open_requests:
+                open_requests += 1
+                asyncio.create_task(send_request())
             await asyncio.sleep(0.005)
 
-    def signal(self, what: signal.Signals) -> None:
-        self.process.send_signal(what)
+    def send_signal(self, signal_number: signal.Signals) -> None:
+        self.process.send_signal(signal_number)
 
-    async def leaves(self) -> None:
-        """Drained, with status 0."""
+    async def drain_and_stop(self) -> None:
+        """Drains the server and checks that it exits with status 0."""
         await self.__aexit__(None)
         self.fleet.servers.remove(self)
 
-    def state(self) -> dict[str, Any]:
+    def read_state(self) -> dict[str, Any]:
         try:
-            got: dict[str, Any] = json.loads((self.folder / "state").read_text())
-            return got
+            state: dict[str, Any] = json.loads((self.folder / "state").read_text())
+            return state
         except (OSError, ValueError):
             return {}
 
 
 class Fleet:
-    """`calls`: what the services bear together; `alone`: what each server believes to be its share
-    without the others.
+    """Servers, relay and downstream services of one test.
+
+    `total_calls` is the number of calls that the services handle together, `standalone_calls` the
+    limit that each server uses without a fleet, `extra_config` returns further sections of the
+    operator's file for a server's folder.
     """
 
     def __init__(
         self,
         folder: Path,
-        calls: float,
-        alone: float,
-        least: int,
+        total_calls: float,
+        standalone_calls: float,
+        min_members: int,
         services: int = 1,
-        on: bool = True,
-        call_s: float = 0.1,
-        more: Callable[[Path], dict[str, Any]] = lambda folder: {},
-        **part: Any,
+        is_enabled: bool = True,
+        call_duration_s: float = 0.1,
+        extra_config: Callable[[Path], dict[str, Any]] = lambda folder: {},
+        **config_overrides: Any,
     ) -> None:
-        self.folder, self.calls, self.alone, self.least, self.on, self.part = (
+        (
+            self.folder,
+            self.total_calls,
+            self.standalone_calls,
+            self.min_members,
+            self.is_enabled,
+            self.config_overrides,
+        ) = (
             folder,
-            calls,
-            alone,
-            least,
-            on,
-            part,
+            total_calls,
+            standalone_calls,
+            min_members,
+            is_enabled,
+            config_overrides,
+        )
+        self.call_duration_s, self.extra_config = (
+            call_duration_s,
+            extra_config,
         )
-        self.call_s, self.more = (
-            call_s,
-            more,
-        )  # further parts of the operator's file, for a server's folder
         self.services = [Catalogue(self.reply) for _ in range(services)]
-        self.relay, self.doors, self.servers = Relay(), dict[str, str](), list[Server]()
-        self.key = folder / "key"
-        self.key.write_text(KEY + "\n")
-        self.worst, self.area, self.looks = 0, 0, 0
-        self.askers, self.calling = dict[str, str](), Counter[str]()
-        self.part_time: set[str] = set()  # servers whose share is known to be under one call
+        self.relay, self.relay_addresses, self.servers = Relay(), dict[str, str](), list[Server]()
+        self.key_path = folder / "key"
+        self.key_path.write_text(KEY + "\n")
+        self.max_open_calls, self.open_calls_sum, self.sample_count = 0, 0, 0
+        self.server_by_request_id, self.open_calls_by_server = dict[str, str](), Counter[str]()
+        self.fractional_share_servers: set[str] = set()  # share below one call
 
     async def reply(self, id: str) -> Reply:
-        name = self.askers.pop(id, "?")
-        self.calling[name] += 1
+        name = self.server_by_request_id.pop(id, "?")
+        self.open_calls_by_server[name] += 1
         try:
-            await asyncio.sleep(self.call_s)
+            await asyncio.sleep(self.call_duration_s)
         finally:
-            self.calling[name] -= 1
+            self.open_calls_by_server[name] -= 1
         return 200, False, b"fetched"
 
     async def __aenter__(self) -> "Fleet":
         for service in self.services:
             await service.start()
-        self.watching = asyncio.create_task(self.watch())
+        self.sampling_task = asyncio.create_task(self.sample_open_calls())
         return self
 
-    async def watch(self) -> None:
+    async def sample_open_calls(self) -> None:
         while True:
-            now = sum(service.open for service in self.services)
-            self.area, self.looks = self.area + now, self.looks + 1
-            single = sum(self.calling[name] == 1 for name in self.part_time)
-            self.worst = max(self.worst, now - single)
+            open_calls = sum(service.open for service in self.services)
+            self.open_calls_sum, self.sample_count = (
+                self.open_calls_sum + open_calls,
+                self.sample_count + 1,
+            )
+            single_call_servers = sum(
+                self.open_calls_by_server[name] == 1 for name in self.fractional_share_servers
+            )
+            self.max_open_calls = max(self.max_open_calls, open_calls - single_call_servers)
             await asyncio.sleep(0.005)
 
-    def again(self) -> None:
-        """Begins to look anew. What is bounded at any one moment is the calls of those who hold a
-        call or more: a share of under one call is a share of time, its one call is as whole as any
-        other's, and a sum of shares says nothing of the moment. So a single call of a `part_time`
-        one does not count to `worst`, but all to `mean`; a second one of it does.
+    def reset_samples(self) -> None:
+        """Starts a new series of samples of the open calls.
+
+        `max_open_calls` leaves out a single open call of a server in `fractional_share_servers`;
+        a second call of that server counts. A share below one call is a share of time: the server
+        has one whole call open for part of the time, so the sum of the shares does not limit the
+        calls at a single moment. `mean_open_calls` includes all calls.
         """
-        self.worst = self.area = self.looks = 0
+        self.max_open_calls = self.open_calls_sum = self.sample_count = 0
 
     @property
-    def mean(self) -> float:
-        return self.area / max(1, self.looks)
+    def mean_open_calls(self) -> float:
+        return self.open_calls_sum / max(1, self.sample_count)
 
-    async def add(self, count: int, open_most: int = 30) -> list[Server]:
-        made = [
-            Server(self, f"n{len(self.doors) + at}" if self.on else f"n{len(self.servers) + at}")
-            for at in range(count)
+    async def add_servers(self, count: int, max_open_requests: int = 30) -> list[Server]:
+        added_servers = [
+            Server(
+                self,
+                f"n{len(self.relay_addresses) + index}"
+                if self.is_enabled
+                else f"n{len(self.servers) + index}",
+            )
+            for index in range(count)
         ]
-        if self.on:
-            for server in made:
-                self.doors[server.name] = await self.relay.door(server.name)
-        await asyncio.gather(*(server.start() for server in made))
-        self.servers += made
-        for server in made:
-            server.open_most = open_most
-        return made
+        if self.is_enabled:
+            for server in added_servers:
+                self.relay_addresses[server.name] = await self.relay.door(server.name)
+        await asyncio.gather(*(server.start() for server in added_servers))
+        self.servers += added_servers
+        for server in added_servers:
+            server.max_open_requests = max_open_requests
+        return added_servers
 
     async def __aexit__(self, kind: Any, *rest: Any) -> None:
-        self.watching.cancel()
+        self.sampling_task.cancel()
         for server in list(self.servers):
             for task in server.tasks:
                 task.cancel()
@@ -238,23 +268,31 @@
         for service in self.services:
             await service.stop()
 
-    async def settles(self, test: Callable[[], bool]) -> None:
-        """Until it holds of what was seen over a while, however long that takes."""
+    async def wait_for(self, condition: Callable[[], bool]) -> None:
+        """Repeats series of samples of 0.5 s until `condition` holds for one.
+
+        Raises:
+            AssertionError: The condition did not hold within 40 series.
+        """
         for _ in range(40):
-            self.again()
+            self.reset_samples()
             await asyncio.sleep(0.5)
-            if test():
+            if condition():
                 return
         raise AssertionError(
             (
-                self.worst,
-                self.mean,
+                self.max_open_calls,
+                self.mean_open_calls,
                 [
-                    (one.name, one.state().get("share"), one.state().get("state"))
-                    for one in self.servers
+                    (
+                        server.name,
+                        server.read_state().get("share"),
+                        server.read_state().get("state"),
+                    )
+                    for server in self.servers
                 ],
             )
         )
 
     def shares(self) -> dict[str, float]:
-        return {server.name: server.state().get("share", -1.0) for server in self.servers}
+        return {server.name: server.read_state().get("share", -1.0) for server in self.servers}
--- a/tests/test_fleet_messages.py
+++ b/tests/test_fleet_messages.py
@@ -1,4 +1,4 @@
-"""The codec of datagrams; those of release 0.7.1 are read, and sent with the same bytes."""
+"""Tests of the datagram codec, including compatibility with the bytes of release 0.7.1."""
 
 import json
 from itertools import product
@@ -24,28 +24,30 @@
 
 
 @pytest.mark.parametrize("kind", list(MessageKind))
-def test_a_datagram_is_sent_with_the_same_bytes(kind: MessageKind) -> None:
+def test_a_datagram_of_release_0_7_1_is_decoded_and_encoded_to_the_same_bytes(
+    kind: MessageKind,
+) -> None:
     data = bytes.fromhex(SAMPLE["datagrams"][str(int(kind))])
     message = decode(data, (KEY,))
     assert message.kind is kind
     assert encode(message, KEY) == data
 
 
-def test_a_datagram_has_its_values_in_the_fields() -> None:
+def test_a_decoded_datagram_has_the_expected_field_values() -> None:
     message = decode(bytes.fromhex(SAMPLE["datagrams"][str(int(MessageKind.REPORT))]), (KEY,))
     assert (message.sender.incarnation, message.sender.refutation) == (1700000000001, 2)
     assert message.values == (4000, 3500, 9000, 1000, 77)
     assert [update.name for update in message.updates] == ["n2", "n3", "n4", "n5"]
 
 
-def test_a_datagram_of_another_key_is_refused() -> None:
+def test_a_datagram_with_another_key_is_rejected() -> None:
     data = bytes.fromhex(SAMPLE["datagrams"][str(int(MessageKind.PING))])
-    with pytest.raises(MessageDecodeError, match="not sealed with our key"):
+    with pytest.raises(MessageDecodeError, match="tag does not match any key of this fleet"):
         decode(data, (b"another key, long enough",))
 
 
-def test_a_spoilt_datagram_is_refused() -> None:
-    key, random = b"k" * 32, Random(1)
+def test_a_corrupted_or_truncated_datagram_is_rejected() -> None:
+    key, random_generator = b"k" * 32, Random(1)
     updates = tuple(UPDATES[:10])
     message = Message(MessageKind.PAGE, OWN, 7, (1, 2, 3, 4), "name", updates)
     data = encode(message, key)
@@ -60,16 +62,20 @@
         (MemberUpdate("n" * 64, "255.255.255.255:65535", 1 << 60, 1 << 60, MemberState.LEFT),) * 10,
     )
     assert decode(encode(longest, key), (key,)) == longest
-    for n in range(20_000):
-        spoilt = bytearray(data)
-        for _ in range(random.randrange(1, 4)):
-            spoilt[random.randrange(len(spoilt))] = random.randrange(256)
-        cut = bytes(spoilt[: random.randrange(len(spoilt) + 1)]) if n % 2 else bytes(spoilt)
+    for round_number in range(20_000):
+        corrupted = bytearray(data)
+        for _ in range(random_generator.randrange(1, 4)):
+            corrupted[random_generator.randrange(len(corrupted))] = random_generator.randrange(256)
+        received = (
+            bytes(corrupted[: random_generator.randrange(len(corrupted) + 1)])
+            if round_number % 2
+            else bytes(corrupted)
+        )
         try:
-            assert cut == data
-            assert decode(cut, (key,)) == message
+            assert received == data
+            assert decode(received, (key,)) == message
         except MessageDecodeError:
             pass
         except AssertionError:
             with pytest.raises(MessageDecodeError):
-                decode(cut, (key,))
+                decode(received, (key,))
--- a/tests/test_fleet_totals.py
+++ b/tests/test_fleet_totals.py
@@ -1,5 +1,7 @@
-"""Whoever deals keeps sums from report to report: they equal a plain walk in any history, and a
-report's work does not grow with the fleet.
+"""Tests of the allocator's incremental sums over its accounts.
+
+They must equal sums over all accounts in any history, and the work per report must not grow with
+the fleet.
 """
 
 import sys
@@ -13,38 +15,37 @@
 
 from burlloom.fleet.accounts import MemberPresence, ShareReport
 from burlloom.fleet.allocator import Allocator, AllocatorPhase
-from burlloom.fleet.settings import MILLICALLS_PER_CALL, QuotaSettings
-from burlloom.fleet.settings import NS_PER_MS as MS
+from burlloom.fleet.settings import MILLICALLS_PER_CALL, NS_PER_MS, QuotaSettings
 
 
-class Plain(Allocator):
-    """Walks all accounts each time."""
+class IteratingAllocator(Allocator):
+    """Reference implementation that iterates over all accounts at each query."""
 
-    def count_reporting(self, now: int) -> int:
+    def count_reporting(self, now_ns: int) -> int:
         return sum(
-            now - account.reported_at_ns <= self.settings.report_ttl_ns
+            now_ns - account.reported_at_ns <= self.settings.report_ttl_ns
             for account in self.accounts.values()
         )
 
-    def free_share(self, now: int) -> int:
-        equal = self.settings.equal_share(len(self.members))
+    def free_share(self, now_ns: int) -> int:
+        equal_share = self.settings.equal_share(len(self.members))
         bound = sum(
             account.bound
             if account.reported_at_ns >= self.phase_since_ns
-            else max(account.bound, equal)
+            else max(account.bound, equal_share)
             for account in self.accounts.values()
         )
-        return self.settings.total_millicalls - bound - self.unknown_share(now)
+        return self.settings.total_millicalls - bound - self.unknown_share(now_ns)
 
-    def unknown_share(self, now: int) -> int:
+    def unknown_share(self, now_ns: int) -> int:
         count = sum(
-            name not in self.accounts and not self.is_reclaimable(now, present)
-            for name, present in self.members.items()
+            name not in self.accounts and not self.is_reclaimable(now_ns, presence)
+            for name, presence in self.members.items()
         )
         return count * self.settings.equal_share(len(self.members))
 
 
-NAMES = [f"n{at}" for at in range(7)]
+NAMES = [f"n{index}" for index in range(7)]
 SHARES = st.sampled_from(
     [0, MILLICALLS_PER_CALL, 5 * MILLICALLS_PER_CALL, 40 * MILLICALLS_PER_CALL]
 )
@@ -72,7 +73,7 @@
             max_size=7,
         ),
     ),
-    st.tuples(st.just("disown"), st.sampled_from(NAMES), st.integers(0, 1), st.integers(0, 30)),
+    st.tuples(st.just("release"), st.sampled_from(NAMES), st.integers(0, 1), st.integers(0, 30)),
     st.tuples(
         st.just("wait"),
         st.sampled_from([-300, 0, 1, 50, 200, 1599, 1600, 1601, 2000, 5700, 14_000]),
@@ -80,143 +81,169 @@
 )
 
 
-def seen(allocator: Allocator, now: int) -> object:
+def observable_state(allocator: Allocator, now_ns: int) -> object:
     return (
         allocator.phase,
         allocator.phase_since_ns,
-        allocator.has_quorum(now),
-        allocator.is_confirmed(now),
-        allocator.count_reporting(now),
-        allocator.free_share(now),
-        allocator.unknown_share(now),
+        allocator.has_quorum(now_ns),
+        allocator.is_confirmed(now_ns),
+        allocator.count_reporting(now_ns),
+        allocator.free_share(now_ns),
+        allocator.unknown_share(now_ns),
         {
             name: (
-                one.incarnation,
-                one.report_number,
-                one.reported_at_ns,
-                one.report,
-                one.bound,
-                one.target,
+                account.incarnation,
+                account.report_number,
+                account.reported_at_ns,
+                account.report,
+                account.bound,
+                account.target,
             )
-            for name, one in allocator.accounts.items()
+            for name, account in allocator.accounts.items()
         },
     )
 
 
 @settings(max_examples=400, deadline=None)
 @given(st.lists(STEPS, max_size=60), st.integers(1, 5), st.booleans())
-def test_kept_sums_equal_a_plain_walk_in_any_history(
-    steps: list[tuple[Any, ...]], least: int, dealt: bool
+def test_incremental_sums_equal_full_sums_in_any_history(
+    steps: list[tuple[Any, ...]], min_members: int, is_allocating: bool
 ) -> None:
-    terms, now, number = QuotaSettings(30 * MILLICALLS_PER_CALL, least), 10**13, 0
-    pair = Allocator(terms, now), Plain(terms, now)
-    fleet = {name: MemberPresence(0, True, now) for name in NAMES[:4]}
-    for one in pair:
-        one.run_round(now, fleet, True)
-        if dealt:
-            one.phase = AllocatorPhase.ALLOCATING
-    for what, *told in steps:
-        if what == "wait":
-            now += told[0] * MS
-        elif what == "view":
-            fleet = {
-                name: MemberPresence(life, there, now - age * MS)
-                for name, life, there, age in told[0]
+    quota_settings, now_ns, report_number = (
+        QuotaSettings(30 * MILLICALLS_PER_CALL, min_members),
+        10**13,
+        0,
+    )
+    allocators = Allocator(quota_settings, now_ns), IteratingAllocator(quota_settings, now_ns)
+    members = {name: MemberPresence(0, True, now_ns) for name in NAMES[:4]}
+    for allocator in allocators:
+        allocator.run_round(now_ns, members, True)
+        if is_allocating:
+            allocator.phase = AllocatorPhase.ALLOCATING
+    for step, *arguments in steps:
+        if step == "wait":
+            now_ns += arguments[0] * NS_PER_MS
+        elif step == "view":
+            members = {
+                name: MemberPresence(incarnation, is_present, now_ns - age * NS_PER_MS)
+                for name, incarnation, is_present, age in arguments[0]
             }
-            for one in pair:
-                one.members = fleet
-        elif what == "round":
-            for one in pair:
-                one.run_round(now, fleet, told[0], told[1], told[2])
-        elif what == "disown":
-            for one in pair:
-                one.release_member(*told)
+            for allocator in allocators:
+                allocator.members = members
+        elif step == "round":
+            for allocator in allocators:
+                allocator.run_round(now_ns, members, arguments[0], arguments[1], arguments[2])
+        elif step == "release":
+            for allocator in allocators:
+                allocator.release_member(*arguments)
         else:
-            name, life, later, held, want = told
-            number += later
+            name, incarnation, number_increment, held, demand = arguments
+            report_number += number_increment
             grants = [
-                one.process_report(
-                    now,
+                allocator.process_report(
+                    now_ns,
                     name,
-                    life,
-                    number,
-                    ShareReport(held, min(held, MILLICALLS_PER_CALL), want, 1, 7),
+                    incarnation,
+                    report_number,
+                    ShareReport(held, min(held, MILLICALLS_PER_CALL), demand, 1, 7),
                 )
-                for one in pair
+                for allocator in allocators
             ]
             assert grants[0] == grants[1]
-        assert seen(pair[0], now) == seen(pair[1], now)
+        assert observable_state(allocators[0], now_ns) == observable_state(allocators[1], now_ns)
 
 
-def test_a_clock_that_stepped_back_has_the_sums_made_anew() -> None:
-    now, pair = (
+def test_sums_are_computed_again_after_the_clock_steps_back() -> None:
+    now_ns, allocators = (
         10**13,
-        [kind(QuotaSettings(30 * MILLICALLS_PER_CALL), 10**13) for kind in (Allocator, Plain)],
+        [
+            allocator_type(QuotaSettings(30 * MILLICALLS_PER_CALL), 10**13)
+            for allocator_type in (Allocator, IteratingAllocator)
+        ],
     )
-    for one in pair:
-        one.run_round(now, {name: MemberPresence(1, name != "n2", now) for name in NAMES[:3]}, True)
-        one.phase = AllocatorPhase.ALLOCATING
-        one.process_report(now, "n0", 1, 1, ShareReport(0, 0, 0, 1))
+    for allocator in allocators:
+        allocator.run_round(
+            now_ns, {name: MemberPresence(1, name != "n2", now_ns) for name in NAMES[:3]}, True
+        )
+        allocator.phase = AllocatorPhase.ALLOCATING
+        allocator.process_report(now_ns, "n0", 1, 1, ShareReport(0, 0, 0, 1))
     for ms in (0, 1601, 1600, 14_000, 13_999, 0):
-        assert seen(pair[0], now + ms * MS) == seen(pair[1], now + ms * MS)
-    assert pair[0].count_reporting(now) == 1
-    assert pair[0].unknown_share(now) == 20 * MILLICALLS_PER_CALL
+        assert observable_state(allocators[0], now_ns + ms * NS_PER_MS) == observable_state(
+            allocators[1], now_ns + ms * NS_PER_MS
+        )
+    assert allocators[0].count_reporting(now_ns) == 1
+    assert allocators[0].unknown_share(now_ns) == 20 * MILLICALLS_PER_CALL
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_kept_sums_equal_a_plain_walk_while_a_fleet_lives(seed: int) -> None:
-    """Long histories that mostly deal: members report, fall silent, die, are started again, come
-    and leave.
+def test_incremental_sums_equal_full_sums_in_long_histories(seed: int) -> None:
+    """Runs long histories in which the allocator is mostly allocating.
+
+    Members report, stop reporting, die, are restarted, join and leave.
     """
-    chance, now, number = Random(seed), 10**13, 0
-    terms = QuotaSettings(40 * MILLICALLS_PER_CALL, 2)
-    pair = Allocator(terms, now), Plain(terms, now)
-    lives = {f"m{at}": 1 for at in range(10)}
+    random_generator, now_ns, report_number = Random(seed), 10**13, 0
+    quota_settings = QuotaSettings(40 * MILLICALLS_PER_CALL, 2)
+    allocators = Allocator(quota_settings, now_ns), IteratingAllocator(quota_settings, now_ns)
+    incarnations = {f"m{index}": 1 for index in range(10)}
     silent: set[str] = set()
-    fleet = {name: MemberPresence(1, True, now) for name in lives}
+    members = {name: MemberPresence(1, True, now_ns) for name in incarnations}
     phases = set()
     for _ in range(3000):
-        now += chance.choice([0, 1, 20, 60]) * MS
-        name = chance.choice(list(lives))
-        happens = chance.random()
-        if happens < 0.01:
+        now_ns += random_generator.choice([0, 1, 20, 60]) * NS_PER_MS
+        name = random_generator.choice(list(incarnations))
+        event_draw = random_generator.random()
+        if event_draw < 0.01:
             silent ^= {name}
-            fleet = {**fleet, name: MemberPresence(lives[name], name not in silent, now)}
-        elif happens < 0.015:
-            lives[name] += 1
-            fleet = {**fleet, name: MemberPresence(lives[name], True, now)}
+            members = {
+                **members,
+                name: MemberPresence(incarnations[name], name not in silent, now_ns),
+            }
+        elif event_draw < 0.015:
+            incarnations[name] += 1
+            members = {**members, name: MemberPresence(incarnations[name], True, now_ns)}
             silent.discard(name)
-        elif happens < 0.02:
-            fleet = {other: present for other, present in fleet.items() if other != name}
-        elif happens < 0.025:
-            for one in pair:
-                one.release_member(name, lives[name], number)
-        elif happens < 0.03:
-            now += chance.choice([2000, 15_000]) * MS
-        elif happens < 0.2:
-            gap = chance.random() < 0.01
-            for one in pair:
-                one.run_round(now, fleet, True, gap, 7)
+        elif event_draw < 0.02:
+            members = {other: presence for other, presence in members.items() if other != name}
+        elif event_draw < 0.025:
+            for allocator in allocators:
+                allocator.release_member(name, incarnations[name], report_number)
+        elif event_draw < 0.03:
+            now_ns += random_generator.choice([2000, 15_000]) * NS_PER_MS
+        elif event_draw < 0.2:
+            was_paused = random_generator.random() < 0.01
+            for allocator in allocators:
+                allocator.run_round(now_ns, members, True, was_paused, 7)
         elif name not in silent:
-            fleet = (
-                fleet if name in fleet else {**fleet, name: MemberPresence(lives[name], True, now)}
+            members = (
+                members
+                if name in members
+                else {**members, name: MemberPresence(incarnations[name], True, now_ns)}
             )
-            number += 1
-            held = chance.choice([0, MILLICALLS_PER_CALL, 4 * MILLICALLS_PER_CALL])
-            told = ShareReport(
-                held, held, chance.choice([MILLICALLS_PER_CALL, 100 * MILLICALLS_PER_CALL]), 1, 7
+            report_number += 1
+            held = random_generator.choice([0, MILLICALLS_PER_CALL, 4 * MILLICALLS_PER_CALL])
+            share_report = ShareReport(
+                held,
+                held,
+                random_generator.choice([MILLICALLS_PER_CALL, 100 * MILLICALLS_PER_CALL]),
+                1,
+                7,
             )
-            for one in pair:
-                one.members = fleet
-            grants = [one.process_report(now, name, lives[name], number, told) for one in pair]
+            for allocator in allocators:
+                allocator.members = members
+            grants = [
+                allocator.process_report(
+                    now_ns, name, incarnations[name], report_number, share_report
+                )
+                for allocator in allocators
+            ]
             assert grants[0] == grants[1]
-        assert seen(pair[0], now) == seen(pair[1], now)
-        phases.add(pair[0].phase)
+        assert observable_state(allocators[0], now_ns) == observable_state(allocators[1], now_ns)
+        phases.add(allocators[0].phase)
     assert phases == set(AllocatorPhase)
 
 
-def steps_of(work: Any) -> int:
-    """Bytecode instructions that it takes, in all functions."""
+def count_bytecode_instructions(function: Any) -> int:
+    """Returns how many bytecode instructions a call of `function` executes, with all callees."""
     count = 0
 
     def trace(frame: FrameType, event: str, arg: object) -> Any:
@@ -228,42 +255,45 @@
     before = sys.gettrace()
     sys.settrace(trace)
     try:
-        work()
+        function()
     finally:
         sys.settrace(before)
     return count
 
 
-def second_of_reports(kind: type[Allocator], size: int) -> int:
-    """Instructions a report, over five rounds in which all report; the rounds themselves are not
-    counted.
+def instructions_per_report(allocator_type: type[Allocator], size: int) -> int:
+    """Returns the mean number of instructions per report, sampled over five rounds.
+
+    All members report in each round; the instructions of the rounds themselves are not counted.
     """
-    now = 10**13
-    allocator, told = (
-        kind(QuotaSettings(4 * size * MILLICALLS_PER_CALL), now),
+    now_ns = 10**13
+    allocator, share_report = (
+        allocator_type(QuotaSettings(4 * size * MILLICALLS_PER_CALL), now_ns),
         ShareReport(MILLICALLS_PER_CALL, MILLICALLS_PER_CALL, 100 * MILLICALLS_PER_CALL, 1, 7),
     )
-    fleet = {f"n{at}": MemberPresence(1, True, now) for at in range(size)}
+    members = {f"n{index}": MemberPresence(1, True, now_ns) for index in range(size)}
     steps = 0
-    for number in range(10):
-        allocator.run_round(now, fleet, True, False, 7)
-        for at in range(size):
-            now += 200 * MS // size
+    for report_number in range(10):
+        allocator.run_round(now_ns, members, True, False, 7)
+        for index in range(size):
+            now_ns += 200 * NS_PER_MS // size
 
-            def report(at: int = at, number: int = number) -> None:
-                allocator.process_report(now, f"n{at}", 1, number, told)
-                allocator.is_confirmed(now)
+            def report(index: int = index, report_number: int = report_number) -> None:
+                allocator.process_report(now_ns, f"n{index}", 1, report_number, share_report)
+                allocator.is_confirmed(now_ns)
 
-            if number >= 5 and at % (size // 20) == 0:
-                steps += steps_of(report)
+            if report_number >= 5 and index % (size // 20) == 0:
+                steps += count_bytecode_instructions(report)
             else:
                 report()
     assert allocator.phase is AllocatorPhase.ALLOCATING
     return steps // 100
 
 
-def test_the_work_of_a_report_does_not_grow_with_the_fleet() -> None:
-    small, large = second_of_reports(Allocator, 100), second_of_reports(Allocator, 1000)
+def test_the_work_per_report_does_not_grow_with_the_fleet() -> None:
+    small, large = instructions_per_report(Allocator, 100), instructions_per_report(Allocator, 1000)
     assert large <= 1.1 * small, (small, large)
-    # The same count tells a walk.
-    assert second_of_reports(Plain, 400) > 3 * second_of_reports(Plain, 100)
+    # The same measurement detects an implementation that iterates over all accounts.
+    assert instructions_per_report(IteratingAllocator, 400) > 3 * instructions_per_report(
+        IteratingAllocator, 100
+    )
--- a/tests/test_fleet_walks.py
+++ b/tests/test_fleet_walks.py
@@ -1,5 +1,7 @@
-"""What a member's view keeps beside its members equals a plain walk in any history, and neither a
-turn nor a page of the view costs more the larger the fleet.
+"""Tests of the derived attributes of a membership view.
+
+They must equal a full iteration over the members in any history, and the work of a tick, of a page
+and of a presence refresh must not grow with the fleet.
 """
 
 from collections import Counter
@@ -8,20 +10,30 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_fleet_totals import steps_of
+from test_fleet_totals import count_bytecode_instructions
 
-from burlloom.fleet import Fleet, GossipSettings, MemberState, MemberUpdate, QuotaSettings
+from burlloom.fleet import (
+    FleetMember,
+    GossipSettings,
+    MemberState,
+    MemberUpdate,
+    QuotaSettings,
+)
 from burlloom.fleet.accounts import MemberPresence
-from burlloom.fleet.membership import MembershipInput, MembershipView, find_due_inputs, hash_update
+from burlloom.fleet.membership import (
+    MembershipInput,
+    MembershipView,
+    find_due_inputs,
+    hash_update,
+)
 from burlloom.fleet.messages import Message, MessageKind, decode, encode
-from burlloom.fleet.settings import MILLICALLS_PER_CALL
-from burlloom.fleet.settings import NS_PER_MS as MS
+from burlloom.fleet.settings import MILLICALLS_PER_CALL, NS_PER_MS
 from burlloom.fleet.synchronization import PAGE_UPDATES
 
-KEY, NOW = b"the test's own key", 10**13
+KEY, NOW_NS = b"the test's own key", 10**13
 NAMES = ["a", "b", "c", "d", "own"]
 STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT)
-WORDS = st.builds(
+UPDATES = st.builds(
     MemberUpdate,
     st.sampled_from(NAMES),
     st.sampled_from(["10.0.0.1:1", "10.0.0.2:1"]),
@@ -30,8 +42,8 @@
     st.sampled_from(STATES),
 )
 STEPS = st.one_of(
-    st.tuples(st.just("said"), WORDS),
-    st.tuples(st.just("silent"), st.sampled_from(NAMES[:4])),
+    st.tuples(st.just("update"), UPDATES),
+    st.tuples(st.just("probe-failed"), st.sampled_from(NAMES[:4])),
     st.tuples(st.just("round"), st.integers(0, 4000)),
     st.tuples(st.just("leave"), st.none()),
 )
@@ -39,21 +51,29 @@
 
 @settings(max_examples=500, deadline=None)
 @given(st.lists(STEPS, max_size=50))
-def test_what_a_view_keeps_equals_a_plain_walk(steps: list[tuple[str, object]]) -> None:
-    view, now = MembershipView(MemberUpdate("own", "10.0.0.9:1", 2, 0, MemberState.ALIVE), NOW), NOW
-    for what, told in steps:
-        if what == "said" and isinstance(told, MemberUpdate):
-            view.process_update(now, told)
-        elif what == "silent":
-            view.apply_input(now, str(told), MembershipInput.PROBE_FAILED)
-        elif what == "round" and isinstance(told, int):
-            now += told * MS
-            found = find_due_inputs(view, now, 2000 * MS, 5000 * MS)
-            assert find_due_inputs(view.not_alive.values(), now, 2000 * MS, 5000 * MS) == found
-            for name, input in found:
-                view.apply_input(now, name, input)
+def test_derived_attributes_of_a_view_equal_a_full_iteration(
+    steps: list[tuple[str, object]],
+) -> None:
+    view, now_ns = (
+        MembershipView(MemberUpdate("own", "10.0.0.9:1", 2, 0, MemberState.ALIVE), NOW_NS),
+        NOW_NS,
+    )
+    for step, argument in steps:
+        if step == "update" and isinstance(argument, MemberUpdate):
+            view.process_update(now_ns, argument)
+        elif step == "probe-failed":
+            view.apply_input(now_ns, str(argument), MembershipInput.PROBE_FAILED)
+        elif step == "round" and isinstance(argument, int):
+            now_ns += argument * NS_PER_MS
+            due_inputs = find_due_inputs(view, now_ns, 2000 * NS_PER_MS, 5000 * NS_PER_MS)
+            assert (
+                find_due_inputs(view.not_alive.values(), now_ns, 2000 * NS_PER_MS, 5000 * NS_PER_MS)
+                == due_inputs
+            )
+            for name, membership_input in due_inputs:
+                view.apply_input(now_ns, name, membership_input)
         else:
-            view.leave(now)
+            view.leave(now_ns)
         assert list(view.not_alive.items()) == [
             (name, member)
             for name, member in view.by_name.items()
@@ -66,167 +86,185 @@
             assert list(view.names_after(after)) == sorted(
                 name for name in view.by_name if name > after
             )
-        assert view.roster_hash() == roster(view)
+        assert view.roster_hash() == expected_roster_hash(view)
 
 
-def roster(view: MembershipView) -> int:
-    total = 0
+def expected_roster_hash(view: MembershipView) -> int:
+    combined_hash = 0
     for member in view:
         if member.state is not MemberState.LEFT:
-            total ^= hash_update(member.update._replace(refutation=0, state=MemberState.ALIVE))
-    return total >> 1
+            combined_hash ^= hash_update(
+                member.update._replace(refutation=0, state=MemberState.ALIVE)
+            )
+    return combined_hash >> 1
 
 
 @settings(max_examples=500, deadline=None)
 @given(st.lists(st.tuples(STEPS, st.booleans()), max_size=50))
-def test_what_the_dealing_is_told_equals_a_plain_walk(
+def test_presences_for_the_allocation_equal_a_full_iteration(
     steps: list[tuple[tuple[str, object], bool]],
 ) -> None:
-    """It looks now and then, also after the process stood still; who deals is the one that has
-    lived longest.
+    """Refreshes the presences at random steps, also after a suspension of the process.
+
+    The oldest member must be the present member that was started first.
     """
-    fleet, now = (
-        Fleet(
+    fleet_member, now_ns = (
+        FleetMember(
             MemberUpdate("own", "10.0.0.9:1", 2, 0, MemberState.ALIVE),
             (),
             (KEY,),
             QuotaSettings(MILLICALLS_PER_CALL),
             GossipSettings(),
             Random(1),
-            NOW,
+            NOW_NS,
         ),
-        NOW,
+        NOW_NS,
     )
-    view = fleet.view
-    for (what, told), looks in steps:
-        if what == "said" and isinstance(told, MemberUpdate):
-            view.process_update(now, told)
-        elif what == "silent":
-            view.apply_input(now, str(told), MembershipInput.PROBE_FAILED)
-        elif what == "round" and isinstance(told, int):
-            now += told * MS
-            fleet.resume_after_pause(told * MS)
-            for name, input in find_due_inputs(view, now, 2000 * MS, 5000 * MS):
-                view.apply_input(now, name, input)
+    view = fleet_member.view
+    for (step, argument), refreshes in steps:
+        if step == "update" and isinstance(argument, MemberUpdate):
+            view.process_update(now_ns, argument)
+        elif step == "probe-failed":
+            view.apply_input(now_ns, str(argument), MembershipInput.PROBE_FAILED)
+        elif step == "round" and isinstance(argument, int):
+            now_ns += argument * NS_PER_MS
+            fleet_member.resume_after_pause(argument * NS_PER_MS)
+            for name, membership_input in find_due_inputs(
+                view, now_ns, 2000 * NS_PER_MS, 5000 * NS_PER_MS
+            ):
+                view.apply_input(now_ns, name, membership_input)
         else:
-            view.leave(now)
-        if looks:
-            before, version = fleet.quota.presences, fleet.quota.seen_version
-            fleet.quota.refresh_presences()
-            assert fleet.quota.seen_version == view.version
-            assert (fleet.quota.presences is before) == (version == view.version)
-        if fleet.quota.seen_version == view.version and not view.changed_names:
-            assert fleet.quota.presences == {
+            view.leave(now_ns)
+        if refreshes:
+            before, version = (
+                fleet_member.quota.presences,
+                fleet_member.quota.seen_version,
+            )
+            fleet_member.quota.refresh_presences()
+            assert fleet_member.quota.seen_version == view.version
+            assert (fleet_member.quota.presences is before) == (version == view.version)
+        if fleet_member.quota.seen_version == view.version and not view.changed_names:
+            assert fleet_member.quota.presences == {
                 member.update.name: MemberPresence(
                     member.update.incarnation, member.is_present, member.since_ns
                 )
                 for member in view
                 if member.state is not MemberState.LEFT
             }
-            assert fleet.quota.oldest == min(
+            assert fleet_member.quota.oldest == min(
                 (member.update for member in view if member.is_present),
-                key=lambda word: (word.incarnation, word.name),
+                key=lambda update: (update.incarnation, update.name),
                 default=view.own,
             )
-            assert fleet.quota.roster_hash == roster(view)
+            assert fleet_member.quota.roster_hash == expected_roster_hash(view)
 
 
-def fleet_of(size: int) -> Fleet:
-    all_of = [
+def member_of_fleet(size: int) -> FleetMember:
+    updates = [
         MemberUpdate(
-            f"n{at}", f"10.1.{at // 200}.{at % 200 + 1}:7946", 1 + at, 0, MemberState.ALIVE
+            f"n{index}",
+            f"10.1.{index // 200}.{index % 200 + 1}:7946",
+            1 + index,
+            0,
+            MemberState.ALIVE,
         )
-        for at in range(size)
+        for index in range(size)
     ]
-    fleet = Fleet(
-        all_of[size // 2],
-        (all_of[0].address, "10.9.9.9:7946"),
+    fleet_member = FleetMember(
+        updates[size // 2],
+        (updates[0].address, "10.9.9.9:7946"),
         (KEY,),
         QuotaSettings(4 * size * MILLICALLS_PER_CALL),
         GossipSettings(),
         Random(1),
-        NOW,
+        NOW_NS,
     )
-    for word in all_of:
-        fleet.view.process_update(NOW, word)
-    fleet.view.transitions = []
-    return fleet
+    for update in updates:
+        fleet_member.view.process_update(NOW_NS, update)
+    fleet_member.view.transitions = []
+    return fleet_member
 
 
-def asked(fleet: Fleet, now: int, after: str) -> Message:
-    fleet.receive(
-        now, encode(Message(MessageKind.SYNC, fleet.view.by_name["n0"].update, 1, (), after), KEY)
+def request_page(fleet_member: FleetMember, now_ns: int, after: str) -> Message:
+    fleet_member.receive(
+        now_ns,
+        encode(
+            Message(MessageKind.SYNC, fleet_member.view.by_name["n0"].update, 1, (), after),
+            KEY,
+        ),
     )
-    return decode(fleet.outbox.pop()[1], (KEY,))
+    return decode(fleet_member.outbox.pop()[1], (KEY,))
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_pages_are_those_of_a_plain_walk(seed: int) -> None:
-    """Some are over, for long or not; any name may be asked after."""
-    chance, fleet, now = Random(seed), fleet_of(60), NOW
-    for name in chance.sample(sorted(fleet.view.by_name), 30):
-        if name not in ("n0", fleet.own.name):
-            now += chance.choice([0, 60_000]) * MS
-            state = chance.choice(STATES[1:])
-            fleet.view.process_update(now, fleet.view.by_name[name].update._replace(state=state))
-    now += 1_200_000 * MS
-    seen = set()
-    for after in ["", *sorted(fleet.view.by_name), "zz"]:
+def test_pages_equal_a_full_iteration(seed: int) -> None:
+    """Requests pages from each name on, with members that died or left recently or long ago."""
+    random_generator, fleet_member, now_ns = Random(seed), member_of_fleet(60), NOW_NS
+    for name in random_generator.sample(sorted(fleet_member.view.by_name), 30):
+        if name not in ("n0", fleet_member.own.name):
+            now_ns += random_generator.choice([0, 60_000]) * NS_PER_MS
+            state = random_generator.choice(STATES[1:])
+            fleet_member.view.process_update(
+                now_ns, fleet_member.view.by_name[name].update._replace(state=state)
+            )
+    now_ns += 1_200_000 * NS_PER_MS
+    sent_names = set()
+    for after in ["", *sorted(fleet_member.view.by_name), "zz"]:
         names = sorted(
             member.update.name
-            for member in fleet.view
+            for member in fleet_member.view
             if member.update.name > after
             and (
                 member.is_present
-                or now - member.since_ns < fleet.gossip_settings.forget_after_ns // 2
+                or now_ns - member.since_ns < fleet_member.gossip_settings.forget_after_ns // 2
             )
         )
-        page = asked(fleet, now, after)
-        assert [word.name for word in page.updates] == names[:PAGE_UPDATES]
+        page = request_page(fleet_member, now_ns, after)
+        assert [update.name for update in page.updates] == names[:PAGE_UPDATES]
         assert page.name == (names[PAGE_UPDATES - 1] if len(names) > PAGE_UPDATES else "")
-        seen |= set(names)
-    assert 30 < len(seen) < 60
-
-
-def turns(size: int) -> int:
-    """Instructions of a second's ticks at rest, between two new orders of probes."""
-    fleet, now = fleet_of(size), NOW
-    for _ in range(40):  # so many that the orders of probes and the view of the dealing are made
-        now += 50 * MS
-        fleet.tick(now)
-        if fleet.prober.probe is not None:
-            fleet.prober.probe = None  # as if it had answered
-        fleet.outbox.clear()
+        sent_names |= set(names)
+    assert 30 < len(sent_names) < 60
+
+
+def instructions_of_idle_ticks(size: int) -> int:
+    """Returns the instructions of one second of ticks without changes, within one probe cycle."""
+    fleet_member, now_ns = member_of_fleet(size), NOW_NS
+    for _ in range(40):  # enough to build the probe order and the presences
+        now_ns += 50 * NS_PER_MS
+        fleet_member.tick(now_ns)
+        if fleet_member.prober.probe is not None:
+            fleet_member.prober.probe = None  # as if the ACK had arrived
+        fleet_member.outbox.clear()
     steps = 0
     for _ in range(20):
-        now += 50 * MS
-        steps += steps_of(lambda: fleet.tick(now))
-        fleet.prober.probe = None
-        fleet.outbox.clear()
+        now_ns += 50 * NS_PER_MS
+        steps += count_bytecode_instructions(lambda: fleet_member.tick(now_ns))
+        fleet_member.prober.probe = None
+        fleet_member.outbox.clear()
     return steps
 
 
-def test_a_turn_at_rest_does_not_grow_with_the_fleet() -> None:
-    small, large = turns(200), turns(1000)
+def test_the_work_of_an_idle_tick_does_not_grow_with_the_fleet() -> None:
+    small, large = instructions_of_idle_ticks(200), instructions_of_idle_ticks(1000)
     assert large <= 1.1 * small, (small, large)
 
 
-def test_a_page_does_not_grow_with_the_fleet() -> None:
-    def page(size: int) -> int:
-        fleet = fleet_of(size)
-        asked(fleet, NOW, "")
-        return steps_of(lambda: asked(fleet, NOW, "n1"))
+def test_the_work_of_a_page_does_not_grow_with_the_fleet() -> None:
+    def page_instructions(size: int) -> int:
+        fleet_member = member_of_fleet(size)
+        request_page(fleet_member, NOW_NS, "")
+        return count_bytecode_instructions(lambda: request_page(fleet_member, NOW_NS, "n1"))
 
-    assert page(900) <= 1.1 * page(100)
+    assert page_instructions(900) <= 1.1 * page_instructions(100)
 
 
-def test_a_change_of_the_view_is_one_change_of_what_the_dealing_is_told() -> None:
-    def change(size: int) -> int:
-        fleet = fleet_of(size)
-        fleet.quota.refresh_presences()
-        fleet.view.process_update(
-            NOW, fleet.view.by_name["n7"].update._replace(state=MemberState.DEAD)
+def test_the_work_of_a_presence_refresh_does_not_grow_with_the_fleet() -> None:
+    def refresh_instructions(size: int) -> int:
+        fleet_member = member_of_fleet(size)
+        fleet_member.quota.refresh_presences()
+        fleet_member.view.process_update(
+            NOW_NS, fleet_member.view.by_name["n7"].update._replace(state=MemberState.DEAD)
         )
-        return steps_of(fleet.quota.refresh_presences)
+        return count_bytecode_instructions(fleet_member.quota.refresh_presences)
 
-    assert change(1000) <= 1.1 * change(100)
+    assert refresh_instructions(1000) <= 1.1 * refresh_instructions(100)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -19,7 +19,7 @@
 from fleet_rig import Fleet, Server
 from rig import ROOT, Rig, expect_error, expect_result, wait_until, with_server
 from test_command import burlloom
-from test_fleet_processes import fleet, full
+from test_fleet_processes import fleet_test, uses_all_calls
 
 from burlloom.fakes.parts import fields
 from burlloom.recovery import (
@@ -207,20 +207,20 @@
     )
 
 
-@fleet(5, calls=30, more=coming_back)
+@fleet_test(5, total_calls=30, extra_config=coming_back)
 async def test_most_are_killed_at_once_with_their_state_lost(made: Fleet) -> None:
     """Four of five: one's file torn, one's gone, one's put back from an older life, one's as it
     was.
     """
-    await made.settles(full(made))
+    await made.wait_for(uses_all_calls(made))
     older = made.servers[3]
     shutil.copy(older.folder / "kept", older.folder / "older")
     await older.kill()
     await older.begin()
-    await made.settles(full(made))
+    await made.wait_for(uses_all_calls(made))
     await asyncio.sleep(1.1)  # each has written its file
     killed = made.servers[1:]
-    made.again()
+    made.reset_samples()
     await asyncio.gather(*(server.kill() for server in killed))
     torn, gone, older, whole = killed[0], killed[1], made.servers[3], made.servers[4]
     text = (torn.folder / "kept").read_text()
@@ -234,14 +234,14 @@
             for server in killed
         )
     )
-    assert made.worst <= 1.05 * made.calls
+    assert made.max_open_calls <= 1.05 * made.total_calls
     for _ in range(40):
         await asyncio.sleep(0.25)
-        if made.mean >= 0.95 * made.calls:
+        if made.mean_open_calls >= 0.95 * made.total_calls:
             break
-        assert made.worst <= 1.05 * made.calls
-        made.again()
-    await made.settles(full(made))
+        assert made.max_open_calls <= 1.05 * made.total_calls
+        made.reset_samples()
+    await made.wait_for(uses_all_calls(made))
     await wait_until(
         lambda: all(
             "event=recovery_completed" in server.log().rsplit("event=recovery_started ", 1)[-1]
@@ -259,15 +259,15 @@
     assert any("input=said_same effect=use state=warm" in said for said in life(whole)), life(whole)
 
 
-@fleet(3, calls=24, more=coming_back)
+@fleet_test(3, total_calls=24, extra_config=coming_back)
 async def test_retries_are_held_and_not_amplified(made: Fleet) -> None:
     """Callers that try again at once and without end, marked: what is read of them is bounded until
     service is back.
     """
-    await made.settles(full(made))
+    await made.wait_for(uses_all_calls(made))
     server = made.servers[1]
     await server.kill()
-    server.open_most = 0
+    server.max_open_requests = 0
     await server.begin()
     balancer, ran = await server.balancer(), len(server.executor.bodies)
     for _ in range(200):
@@ -278,11 +278,11 @@
     # A few a second and a fifth of the first tries: of 200 in a moment hardly any had to wait for a
     # run.
     assert len(server.executor.bodies) < ran + 40
-    server.open_most = 20
+    server.max_open_requests = 20
     await wait_until(
         lambda: "event=recovery_completed" in server.log().rsplit("event=recovery_started ", 1)[-1]
     )
-    await made.settles(full(made))
+    await made.wait_for(uses_all_calls(made))
     held = re.findall(r"event=recovery_completed .*held_back=(\d+)", server.log())[-1]
     assert int(held) >= 150
 
@@ -368,7 +368,7 @@
     return {**coming_back(folder), "record": {"sqlite": {"path": str(folder / "record.db")}}}
 
 
-@fleet(3, calls=24, more=recorded)
+@fleet_test(3, total_calls=24, extra_config=recorded)
 async def test_charges_through_a_mass_kill(made: Fleet) -> None:
     """Two of three are killed under charges, with one's kept file torn; their callers ask again,
     marked. No charge runs twice, none that ran to its end is declined or answered otherwise, each
@@ -377,7 +377,7 @@
     runs: dict[bytes, int] = {}
     ended: set[bytes] = set()
     for server in made.servers:
-        server.open_most = 5
+        server.max_open_requests = 5
         told = server.executor.callout
 
         def begins(
@@ -395,7 +395,7 @@
             type(executor).exit(executor, id, end, b"receipt " + key)
 
         server.executor.callout, server.executor.exit = begins, exits  # type: ignore[method-assign]
-    await made.settles(lambda: made.mean > 0)
+    await made.wait_for(lambda: made.mean_open_calls > 0)
     asked: list[tuple[Server, dict[str, str], bytes, Any]] = []
 
     async def charge(server: Server, count: int) -> None:
@@ -440,7 +440,7 @@
     assert all(count == 1 for key, count in runs.items() if key), {
         key: count for key, count in runs.items() if count > 1
     }
-    assert counts["settled"] > 20 and made.worst <= 1.05 * made.calls, counts
+    assert counts["settled"] > 20 and made.max_open_calls <= 1.05 * made.total_calls, counts
 
 
 def test_what_was_left_is_shown(tmp_path: Path) -> None:
