--- a/tests/test_fleet_fair_share.py
+++ b/tests/test_fleet_fair_share.py
@@ -1,4 +1,4 @@
-"""The max-min fair division."""
+"""Tests of the max-min fair division."""
 
 from random import Random
 
@@ -16,22 +16,27 @@
         weights = [random.choice([500, 1000, 2000]) for _ in range(count)]
         shares = max_min_fair(20_000, demands, weights)
         assert abs(sum(shares) - 20_000) < 1e-3
-        per = [share / weight for share, weight in zip(shares, weights, strict=True)]
-        for at, demand in enumerate(demands):
-            # Who has less than it demands has as much, by weight, as anyone.
-            assert shares[at] >= demand or per[at] >= max(per) - 1e-6, (demands, weights, shares)
+        shares_per_weight = [share / weight for share, weight in zip(shares, weights, strict=True)]
+        for index, demand in enumerate(demands):
+            # A member with less than its demand has the largest share per weight.
+            assert (
+                shares[index] >= demand or shares_per_weight[index] >= max(shares_per_weight) - 1e-6
+            ), (demands, weights, shares)
 
 
-def test_those_who_demand_little_are_looked_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """They were gathered anew for each of the others: the square of the fleet in each turn."""
-    gathered = 0
+def test_members_with_small_demands_are_collected_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against quadratic work per allocation.
 
-    def counted(of: list[int]) -> set[int]:
-        nonlocal gathered
-        gathered += len(of)
-        return set(of)
+    The set of members whose demand is met was once built again for each of the other members.
+    """
+    gathered_count = 0
 
-    monkeypatch.setattr(fair_share, "set", counted, raising=False)
-    shares = max_min_fair(4000 * 1000, [at % 2 * 10**6 for at in range(1000)], [1000] * 1000)
-    assert gathered == 500
+    def counting_set(items: list[int]) -> set[int]:
+        nonlocal gathered_count
+        gathered_count += len(items)
+        return set(items)
+
+    monkeypatch.setattr(fair_share, "set", counting_set, raising=False)
+    shares = max_min_fair(4000 * 1000, [index % 2 * 10**6 for index in range(1000)], [1000] * 1000)
+    assert gathered_count == 500
     assert sum(shares) == pytest.approx(4000 * 1000)
--- a/tests/test_fleet_member.py
+++ b/tests/test_fleet_member.py
@@ -1,4 +1,4 @@
-"""Swarms of members in simulated time, with failures and without."""
+"""Tests of fleets of members in simulated time, with and without failures."""
 
 from random import Random
 
@@ -10,10 +10,14 @@
 
 
 def run_chaos(seed: int, members: int = 7, calls: int = 60, seconds: float = 90) -> None:
-    """Kills, pauses, cuts both ways and one, losses to 20% and delays to 300 ms, then peace."""
+    """Runs a fleet with random failures, then heals the network and checks the shares.
+
+    Failures are kills, pauses, partitions in one or both directions, message losses of up to 20%
+    and delays of up to 300 ms. The total is checked throughout.
+    """
     random = Random(seed)
     with simulated() as loop:
-        net = SimulatedNetwork(
+        network = SimulatedNetwork(
             loop,
             seed,
             (0.0003, random.choice([0.001, 0.05, 0.3])),
@@ -21,19 +25,19 @@
             0.1,
         )
         swarm = Swarm(
-            loop, net, QuotaSettings(calls * MILLICALLS_PER_CALL, members // 2 + 1), seed=seed
+            loop, network, QuotaSettings(calls * MILLICALLS_PER_CALL, members // 2 + 1), seed=seed
         )
 
-        def look() -> None:
+        def check_total() -> None:
             assert swarm.total_calls() <= 1.05 * calls, (seed, loop.now, swarm.total_calls())
 
-        swarm.sample = look
+        swarm.sample = check_total
         swarm_members = swarm.add(members, 1000.0)
         swarm.run(5)
         while loop.now < seconds:
             disturb(swarm, random.choice(swarm_members), random)
             swarm.run(random.choice([0.3, 1, 3, 10, 25]))
-        net.heal()
+        network.heal()
         for member in swarm_members:
             member.demand = 1000.0
             if member.fleet is None:
@@ -47,6 +51,7 @@
 
 
 def disturb(swarm: Swarm, member: SwarmMember, random: Random) -> None:
+    """Applies one random failure, recovery or change of demand."""
     paused = member.paused_at >= 0
     match random.choice(
         [
@@ -54,14 +59,14 @@
             "start",
             "start",
             "pause",
-            "wake",
-            "wake",
-            "cut",
-            "one-way",
+            "resume",
+            "resume",
+            "two-way-cut",
+            "one-way-cut",
             "heal",
             "heal",
             "leave",
-            "want",
+            "change-demand",
         ]
     ):
         case "kill":
@@ -70,22 +75,24 @@
             swarm.start(member)
         case "pause" if member.fleet is not None and not paused:
             swarm.pause(member)
-        case "wake" if member.fleet is not None and paused:
+        case "resume" if member.fleet is not None and paused:
             swarm.resume(member)
-        case "cut" | "one-way" as what:
-            side = [one.address for one in swarm.members.values() if random.random() < 0.4]
-            rest = [one.address for one in swarm.members.values() if one.address not in side]
-            swarm.network.cut(side, rest, what == "cut")
+        case "two-way-cut" | "one-way-cut" as kind:
+            side = [other.address for other in swarm.members.values() if random.random() < 0.4]
+            other_side = [
+                other.address for other in swarm.members.values() if other.address not in side
+            ]
+            swarm.network.cut(side, other_side, kind == "two-way-cut")
         case "heal":
             swarm.network.heal()
         case "leave" if not paused:
             swarm.leave(member)
-        case "want":
+        case "change-demand":
             member.demand = random.choice([0.5, 3.0, 1000.0])
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_a_fleet_never_exceeds_the_total_whatever_fails(seed: int) -> None:
+def test_a_fleet_never_exceeds_the_total_under_random_failures(seed: int) -> None:
     run_chaos(seed)
 
 
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -1,4 +1,4 @@
-"""The membership view: updates in any order, and refutation."""
+"""Tests of the membership view: order of updates, transitions and refutation."""
 
 from itertools import product
 
@@ -13,21 +13,22 @@
 ]
 
 
-def test_updates_come_to_the_same_in_any_order() -> None:
-    """Each update moves a member to the larger of the two, from whatever stands; so three and more do
-    too.
+def test_the_order_of_updates_does_not_matter() -> None:
+    """Checks for each pair of updates that the larger one wins.
+
+    This implies the same for longer sequences. The test also runs every transition of the table.
     """
-    met = set()
-    for first, then in product(UPDATES, UPDATES):
+    tested_inputs = set()
+    for first, second in product(UPDATES, UPDATES):
         view = MembershipView(OWN, 0)
         view.process_update(0, first)
-        met.add((MemberState.GONE, MembershipInput(int(first.state))))
+        tested_inputs.add((MemberState.GONE, MembershipInput(int(first.state))))
         before = view.by_name["m"].update
-        assert view.process_update(0, then) == (then.precedence > before.precedence)
-        met.add((before.state, MembershipInput(int(then.state))))
-        assert view.by_name["m"].update.precedence == max(first.precedence, then.precedence)
-        assert view.digest == twin(view).digest
-    for what, state, after in (
+        assert view.process_update(0, second) == (second.precedence > before.precedence)
+        tested_inputs.add((before.state, MembershipInput(int(second.state))))
+        assert view.by_name["m"].update.precedence == max(first.precedence, second.precedence)
+        assert view.digest == view_with_same_updates(view).digest
+    for input_event, state, after in (
         (MembershipInput.PROBE_FAILED, MemberState.ALIVE, MemberState.SUSPECT),
         (MembershipInput.SUSPICION_EXPIRED, MemberState.SUSPECT, MemberState.DEAD),
         (MembershipInput.FORGET_DUE, (MemberState.DEAD, MemberState.LEFT), None),
@@ -35,16 +36,16 @@
         for other in (MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT):
             view = MembershipView(OWN, 0)
             view.process_update(0, UPDATES[0]._replace(state=other))
-            moved = view.apply_input(0, "m", what)
-            met.add((other, what))
-            assert moved == (other is state or isinstance(state, tuple) and other in state)
+            was_taken = view.apply_input(0, "m", input_event)
+            tested_inputs.add((other, input_event))
+            assert was_taken == (other is state or isinstance(state, tuple) and other in state)
             member = view.by_name.get("m")
-            assert (member.state if member else None) == (after if moved else other)
-    assert met >= set(RULES), set(RULES) - met
+            assert (member.state if member else None) == (after if was_taken else other)
+    assert tested_inputs >= set(RULES), set(RULES) - tested_inputs
 
 
-def twin(view: MembershipView) -> MembershipView:
-    """The same view, learned otherwise."""
+def view_with_same_updates(view: MembershipView) -> MembershipView:
+    """Returns a view that received the final updates of `view` in another order."""
     other = MembershipView(view.own, 0)
     for member in view:
         if member.update.name != "own":
@@ -52,27 +53,27 @@
     return other
 
 
-def test_what_is_said_of_this_member_is_refuted() -> None:
+def test_claims_about_this_member_are_refuted() -> None:
     for incarnation, refutation, state in product(
         (4, 5, 6),
         (0, 1, 7),
         (MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT),
     ):
         view = MembershipView(OWN, 0)
-        said = MemberUpdate("own", "10.9.9.9:1", incarnation, refutation, state)
-        view.process_update(0, said)
+        claim = MemberUpdate("own", "10.9.9.9:1", incarnation, refutation, state)
+        view.process_update(0, claim)
         assert (
-            view.own.precedence > said.precedence
-            or view.own.precedence == said.precedence == OWN.precedence
+            view.own.precedence > claim.precedence
+            or view.own.precedence == claim.precedence == OWN.precedence
         )
         assert view.own.state is MemberState.ALIVE
         assert view.own.address == OWN.address
-        if said.precedence != OWN.precedence:
+        if claim.precedence != OWN.precedence:
             other = MembershipView(OWN._replace(name="other"), 0)
-            other.process_update(0, said)
+            other.process_update(0, claim)
             other.process_update(0, view.own)
             assert (other.by_name["own"].update == view.own) == (
-                view.own.precedence > said.precedence
+                view.own.precedence > claim.precedence
             )
     view = MembershipView(OWN, 0)
     view.leave(0)
