--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -45,7 +45,7 @@
 
 
 def view_with_same_updates(view: MembershipView) -> MembershipView:
-    """Returns a view that received the final updates of `view` in another order."""
+    """Returns another view that received only the newest update of each member of `view`."""
     other = MembershipView(view.own, 0)
     for member in view:
         if member.update.name != "own":
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -56,7 +56,7 @@
 
 
 def uses_all_calls(fleet: Fleet) -> Callable[[], bool]:
-    """Returns a condition: the servers use at least 95% of the total and do not exceed it."""
+    """Returns a condition: the servers use at least 95% and at most 105% of the total."""
     return lambda: (
         0.95 * fleet.total_calls <= fleet.mean_open_calls
         and fleet.max_open_calls <= MAX_TOTAL_RATIO * fleet.total_calls
