--- a/burlloom/record/__init__.py
+++ b/burlloom/record/__init__.py
@@ -1,6 +1,7 @@
-"""The store of record: which requests that must not run twice have run, kept through crashes.
+"""The durable record of requests that must not run twice: which of them were claimed or have run.
 
-`request_lifecycle`, `circuit_breaker`, `rows` and `recovery_rules` decide and do no I/O. `sqlite`
-and `postgres` store; `coordinator` puts them together; `sqlite_admin` and `postgres_admin` are the
-operator's. The package is imported only where an operator's file asks for a record.
+`request_lifecycle`, `circuit_breaker`, `rows` and `recovery_rules` hold the decisions and do no
+I/O. `sqlite` and `postgres` are the stores, `coordinator` connects the decisions to a store, and
+`sqlite_admin` and `postgres_admin` implement the operator's commands. The package is imported only
+if the operator's file configures a record.
 """
--- a/burlloom/record/authentication.py
+++ b/burlloom/record/authentication.py
@@ -1,4 +1,4 @@
-"""The keyed MAC over each row: what was altered on disk is found and never served."""
+"""The keyed MAC over each row, by which rows altered on disk are detected and never served."""
 
 import hashlib
 import hmac
@@ -16,14 +16,14 @@
 
 
 class RowAuthenticator:
-    """Computes and checks the MAC of rows under one key."""
+    """Computes and checks the MACs of rows under one key."""
 
     def __init__(self, key: bytes) -> None:
-        """Takes the key, `KEY_BYTES` long."""
+        """Creates an authenticator with a key of `KEY_BYTES` bytes."""
         self.key = key
 
     def compute_mac(self, row: RecordRow) -> bytes:
-        """The MAC over all fields of a row but `mac` itself."""
+        """Returns the MAC over all fields of a row except `mac` itself."""
         head = (
             f"{row.state} {row.node} {row.incarnation} {row.claim_number} {row.request_id}"
             f" {row.started_at_ns} {row.expires_at_ns} {len(row.result)}\0"
@@ -36,7 +36,7 @@
         return digest.digest()
 
     def is_authentic(self, row: RecordRow) -> bool:
-        """Whether the row's MAC holds; False too for a row whose column types were altered."""
+        """Returns whether the row's MAC is valid; False also if the column types were altered."""
         try:
             return hmac.compare_digest(self.compute_mac(row), row.mac)
         except (TypeError, AttributeError):
@@ -44,15 +44,15 @@
 
 
 def load_key(path: Path, create: bool) -> bytes:
-    """Reads the key in a file, as hex, readable to its owner alone.
+    """Reads the key from a file that holds it in hex and that only its owner may access.
 
     Args:
-        path: The file.
-        create: Whether to make a new key where there is no file.
+        path: The key file.
+        create: Whether to create the file with a new key if it does not exist.
 
     Raises:
-        OSError: The file can't be read or made.
-        ValueError: It holds no key, or others than its owner may use it.
+        OSError: The file can't be read or created.
+        ValueError: The file holds no key, or its mode grants access to others than its owner.
     """
     try:
         handle = os.open(path, os.O_RDONLY)
@@ -62,21 +62,23 @@
         return create_key(path)
     with os.fdopen(handle) as file:
         if os.fstat(file.fileno()).st_mode & 0o077:
-            raise ValueError(f"{path}: others than its owner may use the key; chmod 600")
+            raise ValueError(
+                f"{path}: the key file is accessible to others than its owner; run chmod 600 on it"
+            )
         try:
             key = bytes.fromhex(file.read(MAX_KEY_FILE_BYTES).strip())
         except ValueError:
             key = b""
     if len(key) != KEY_BYTES:
-        raise ValueError(f"{path}: not a key of {KEY_BYTES} bytes in hex")
+        raise ValueError(f"{path}: not a key of {KEY_BYTES} bytes in hexadecimal")
     return key
 
 
 def create_key(path: Path) -> bytes:
-    """Makes a key file; it is on disk when this returns.
+    """Creates a key file with a random key, synced to disk before this returns.
 
     Raises:
-        OSError: The file exists already or can't be made.
+        OSError: The file already exists or can't be created.
     """
     handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
     key = os.urandom(KEY_BYTES)
--- a/burlloom/record/broken_transaction.py
+++ b/burlloom/record/broken_transaction.py
@@ -1,4 +1,4 @@
-"""What a PostgreSQL transaction that broke off means for what it wrote. No I/O."""
+"""Decides what a failed PostgreSQL transaction means for its writes. No I/O."""
 
 from enum import IntEnum
 
@@ -6,13 +6,13 @@
 
 __all__ = ["TransactionStage", "classify_broken_transaction"]
 
-# SQLSTATEs, by prefix, that leave the outcome of a commit open: the connection or the server went
-# down, or the server does not know itself.
+# SQLSTATE prefixes after which the outcome of a COMMIT is unknown: the connection or the server
+# failed, or the server itself does not know the outcome.
 UNCERTAIN_SQLSTATES = ("08", "57P0", "58", "XX")
 
 
 class TransactionStage(IntEnum):
-    """How far a transaction had come."""
+    """How far a transaction had progressed when it failed."""
 
     BEFORE_COMMIT = 0
     COMMITTING = 1
@@ -20,15 +20,16 @@
 
 
 def classify_broken_transaction(stage: TransactionStage, sqlstate: str | None) -> RequestEvent:
-    """What the writes of a broken transaction are told.
+    """Returns the event to report for the writes of a failed transaction.
 
-    Before COMMIT was sent, nothing took effect, whatever happened: a server rolls back what it was
-    not told to commit. After that, silence or a lost connection proves nothing; an error of the
-    server does, but for those of `UNCERTAIN_SQLSTATES`.
+    Before COMMIT was sent, no write took effect, whatever the error: the server rolls back a
+    transaction that it was not told to commit. After that, a timeout or a lost connection leaves
+    the outcome unknown; an error reported by the server means that the writes did not take effect,
+    except for the SQLSTATEs of `UNCERTAIN_SQLSTATES`.
 
     Args:
-        stage: How far it had come.
-        sqlstate: The server's SQLSTATE; None if it gave none.
+        stage: How far the transaction had progressed.
+        sqlstate: The SQLSTATE that the server reported; None if it reported none.
     """
     if stage is TransactionStage.BEFORE_COMMIT:
         return RequestEvent.WRITE_FAILED
--- a/burlloom/record/circuit_breaker.py
+++ b/burlloom/record/circuit_breaker.py
@@ -1,9 +1,10 @@
-"""A circuit breaker around the store: which writes may be sent now, and when the store is cut off.
+"""The circuit breaker around the store: decides whether writes may be sent. No I/O.
 
-No I/O. It has one mechanism for one symptom, a store that is slow or gone. A write that took longer
-than its timeout or surely failed counts as bad. `MAX_CONSECUTIVE_FAILURES` bad ones in a row, or
-one write that hangs, open the breaker. From then on only probes, commits of their own that no
-request waits for, test whether the store works again, after pauses that grow.
+The breaker reacts to a store that is slow or unreachable. A write counts as a failure if it took
+longer than its timeout or certainly did not take effect. `MAX_CONSECUTIVE_FAILURES` failures in a
+row, or one hanging write, open the breaker. While it is open, only probes test whether the store
+works again. A probe is a commit that no request waits for; the pauses between probes double up to
+`MAX_PAUSE_NS`.
 """
 
 from collections import OrderedDict
@@ -15,12 +16,16 @@
 MAX_CONSECUTIVE_FAILURES = 5
 MIN_PAUSE_NS = 250 * MS
 MAX_PAUSE_NS = 4000 * MS
-HANG_TIMEOUT_MULTIPLE = 4  # a write older than so many timeouts: none behind it will fare better
-PROBES_TO_CLOSE = 2  # in a row, each within its timeout
+# A write or probe older than this many timeouts counts as hanging. The store takes writes in order,
+# so the writes behind a hanging one would hang too.
+HANG_TIMEOUT_MULTIPLE = 4
+PROBES_TO_CLOSE = (
+    2  # consecutive successful probes, each within its timeout, that close the breaker
+)
 
 
 class BreakerState(IntEnum):
-    """The usual three states of a circuit breaker; CLOSED is the one in which writes pass."""
+    """The three states of a circuit breaker; writes are sent only in CLOSED."""
 
     CLOSED = 0
     OPEN = 1
@@ -28,7 +33,7 @@
 
 
 class BreakerEvent(IntEnum):
-    """What moves the breaker."""
+    """The inputs of the breaker's state machine."""
 
     WRITE_SUCCEEDED = 0
     WRITE_FAILED = 1
@@ -39,7 +44,7 @@
 
 
 class BreakerEffect(IntEnum):
-    """What follows a move."""
+    """The effect of a transition of the breaker."""
 
     NONE = 0
     RESET_FAILURES = 1
@@ -51,7 +56,8 @@
     CLOSE = 7
 
 
-# State, event, test (or "-"), next state, effect. The first row whose test holds applies.
+# Columns: state, event, guard method (or "-" for none), next state, effect. The first row whose
+# guard returns True applies; an event without a matching row is ignored.
 TABLE = """
 CLOSED    WRITE_SUCCEEDED -                 CLOSED    RESET_FAILURES
 CLOSED    WRITE_FAILED    has_few_failures  CLOSED    COUNT_FAILURE
@@ -66,19 +72,19 @@
 
 
 class CircuitBreaker:
-    """Decides whether a write may go to the store. All times are wall-clock nanoseconds.
+    """Decides whether a write may be sent to the store. All times are wall-clock nanoseconds.
 
     Attributes:
-        max_in_flight: The most writes without an answer at a time.
-        write_timeout_ns: How long a write or a probe may take before it counts as bad.
-        state: The present state.
-        in_flight: Start of each write without an answer, by its number, oldest first.
-        pause_ns: The pause before the next probe.
-        times_opened: How often the breaker opened since the start.
+        max_in_flight: The maximum number of unanswered writes.
+        write_timeout_ns: The time after which a write or probe counts as a failure.
+        state: The current state.
+        in_flight: Start time of each unanswered write by write number, oldest first.
+        pause_ns: The pause between opening and the next probe.
+        times_opened: The number of times the breaker has opened, failed probes included.
     """
 
     def __init__(self, max_in_flight: int, write_timeout_ns: int) -> None:
-        """Starts closed; takes the attributes of the same names."""
+        """Creates a closed breaker; the parameters are the attributes of the same names."""
         self.max_in_flight = max_in_flight
         self.write_timeout_ns = write_timeout_ns
         self.state = BreakerState.CLOSED
@@ -92,7 +98,7 @@
         self._probe_started_ns = 0
 
     def may_write(self, now_ns: int) -> bool:
-        """Whether one more claim or lookup may go to the store."""
+        """Returns whether another claim or lookup may be sent to the store."""
         return (
             self.state is BreakerState.CLOSED
             and len(self.in_flight) < self.max_in_flight
@@ -100,7 +106,7 @@
         )
 
     def load(self, now_ns: int) -> float:
-        """Age of the oldest write in flight over the timeout; at least 1 while not closed."""
+        """Returns the oldest unanswered write's age in timeouts, at least 1 while not closed."""
         oldest_ns = next(iter(self.in_flight.values()), now_ns)
         return max(
             (now_ns - oldest_ns) / self.write_timeout_ns,
@@ -108,13 +114,13 @@
         )
 
     def write_started(self, now_ns: int) -> int:
-        """Notes a write that was sent and returns its number for `write_finished`."""
+        """Records that a write was sent, and returns its number for `write_finished`."""
         self._last_write += 1
         self.in_flight[self._last_write] = now_ns
         return self._last_write
 
     def write_finished(self, number: int, now_ns: int, succeeded: bool) -> BreakerEffect:
-        """Notes the store's answer to a write; a late success counts as a failure."""
+        """Records the store's answer to a write; a late success counts as a failure."""
         started_ns = self.in_flight.pop(number, now_ns)
         in_time = succeeded and now_ns - started_ns <= self.write_timeout_ns
         return self._handle(
@@ -122,37 +128,40 @@
         )
 
     def tick(self, now_ns: int) -> BreakerEffect:
-        """Lets time pass. The caller sends a probe on PROBE, and on PROBE_AGAIN after a probe."""
+        """Handles the passing of time; the caller must send a probe if the effect is PROBE."""
         if self.state is BreakerState.CLOSED and self.is_write_hanging(now_ns):
             return self._handle(BreakerEvent.WRITE_HANGS, now_ns)
         return self._handle(BreakerEvent.TICK, now_ns)
 
     def probe_finished(self, now_ns: int, succeeded: bool) -> BreakerEffect:
-        """Notes the end of a probe; a late success counts as a failure."""
+        """Records the end of a probe; a late success counts as a failure.
+
+        The caller must send another probe if the effect is PROBE_AGAIN.
+        """
         in_time = succeeded and now_ns - self._probe_started_ns <= self.write_timeout_ns
         return self._handle(
             BreakerEvent.PROBE_SUCCEEDED if in_time else BreakerEvent.PROBE_FAILED, now_ns
         )
 
     def is_write_hanging(self, now_ns: int) -> bool:
-        """Whether the oldest write in flight is far older than its timeout."""
+        """Returns whether the oldest unanswered write exceeds `HANG_TIMEOUT_MULTIPLE` timeouts."""
         oldest_ns = next(iter(self.in_flight.values()), now_ns)
         return now_ns - oldest_ns > HANG_TIMEOUT_MULTIPLE * self.write_timeout_ns
 
     def has_few_failures(self, now_ns: int) -> bool:
-        """Whether one more failure is still below the limit."""
+        """Returns whether one more failure stays below `MAX_CONSECUTIVE_FAILURES`."""
         return self._failures_in_row + 1 < MAX_CONSECUTIVE_FAILURES
 
     def has_paused(self, now_ns: int) -> bool:
-        """Whether the pause before the next probe is over."""
+        """Returns whether the pause before the next probe is over."""
         return now_ns >= self._paused_until_ns
 
     def needs_more_probes(self, now_ns: int) -> bool:
-        """Whether one more success is not yet enough to close."""
+        """Returns whether one more success is not enough to close the breaker."""
         return self._probes_in_row + 1 < PROBES_TO_CLOSE
 
     def is_probe_hanging(self, now_ns: int) -> bool:
-        """Whether the probe is far older than its timeout."""
+        """Returns whether the current probe exceeds `HANG_TIMEOUT_MULTIPLE` timeouts."""
         return now_ns - self._probe_started_ns > HANG_TIMEOUT_MULTIPLE * self.write_timeout_ns
 
     def _handle(self, event: BreakerEvent, now_ns: int) -> BreakerEffect:
@@ -198,10 +207,10 @@
 
 
 def parse_rules(table: str) -> Rules:
-    """Reads a table in the form of `TABLE`.
+    """Parses a table in the format of `TABLE`.
 
     Raises:
-        KeyError: A state, an event or an effect is unknown.
+        KeyError: A state, event or effect is unknown.
     """
     parsed: Rules = {}
     for line in filter(None, table.split("\n")):
--- a/burlloom/record/clock_shift.py
+++ b/burlloom/record/clock_shift.py
@@ -1,20 +1,21 @@
-"""By how much the wall clock was stepped while a store was closed. No I/O."""
+"""Computes by how much the wall clock was stepped while a store was closed. No I/O."""
 
 from dataclasses import dataclass
 
 __all__ = ["MIN_CLOCK_STEP_NS", "ClockReading", "clock_shift"]
 
-MIN_CLOCK_STEP_NS = 500_000_000  # a smaller difference between the two clocks is their drift
+# A smaller difference between the two clocks is attributed to drift.
+MIN_CLOCK_STEP_NS = 500_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """Both clocks at one moment.
+    """The monotonic and the wall clock at one moment.
 
     Attributes:
-        boot_id: The run of the kernel, within which the monotonic clock never steps; may be empty.
-        monotonic_ns: The monotonic clock.
-        wall_ns: The wall clock.
+        boot_id: The kernel's boot ID, empty if unknown; the monotonic clock never steps in a boot.
+        monotonic_ns: The monotonic clock, nanoseconds.
+        wall_ns: The wall clock, nanoseconds since the epoch.
     """
 
     boot_id: str
@@ -23,15 +24,20 @@
 
 
 def clock_shift(before: ClockReading | None, now: ClockReading) -> int:
-    """By how many nanoseconds the wall clock was stepped between two readings.
+    """Computes by how many nanoseconds the wall clock was stepped between two readings.
 
-    Idempotency windows are kept by the wall clock. Stepped ahead, it would end them too early, and
-    a repeat would run again; stepped back, they would last too long. Within one run of the kernel
-    the monotonic clock tells the difference. Over a restart of the machine only a step back is
-    seen: a clock that is before the last one that was written went back by at least that much.
+    Idempotency windows end at wall-clock times. If the clock was stepped ahead, they would end too
+    early and a repeated request would run again; if it was stepped back, they would last too long.
+    Within one boot, the monotonic clock measures the step. Across a reboot only a step back can be
+    detected: if the wall clock is before the last saved reading, it went back by at least the
+    difference.
+
+    Args:
+        before: The last saved reading; None if there is none.
+        now: The current reading.
 
     Returns:
-        The step, 0 where there was none or it can't be told.
+        The step in nanoseconds, positive if ahead; 0 if there was none or it can't be determined.
     """
     if before is None:
         return 0
--- a/burlloom/record/coordinator.py
+++ b/burlloom/record/coordinator.py
@@ -1,6 +1,6 @@
-"""Puts the record together: passes events to the state machine and carries out its effects.
+"""Coordinates the record: passes events to the state machine and executes its effects.
 
-All that is decided stands in `request_lifecycle`, `circuit_breaker`, `rows` and `recovery_rules`.
+The decisions are made in `request_lifecycle`, `circuit_breaker`, `rows` and `recovery_rules`.
 """
 
 import asyncio
@@ -39,22 +39,22 @@
     Outcome.OK: RequestEvent.RUN_SUCCEEDED,
     Outcome.NO_LONGER_NEEDED: RequestEvent.NEVER_RAN,
 }
-"""Of all other outcomes the run failed: one that was stopped may have had its effect."""
+"""All other outcomes count as RUN_FAILED: a run that was stopped may have had its effect."""
 
 
 class RecordCoordinator:
-    """One node's record. All methods run on the event loop; all times are wall-clock nanoseconds.
+    """The record of one node. All methods run on the event loop; times are wall-clock nanoseconds.
 
     Attributes:
         store: The store.
-        policy: What the operator set.
-        observer: Whoever observes times and counts; may be replaced part by part.
-        counters: The observer's counts.
+        policy: The operator's settings.
+        observer: Observes durations and counts; its fields may be replaced one by one.
+        counters: The observer's counters.
         breaker: The circuit breaker around the store.
-        registry: The requests in hand.
+        registry: The requests whose outcome is not yet durable or in doubt.
         incarnation: This node's incarnation; 0 until the record is open.
-        previous_notice: The notice of this node's last incarnation.
-        started_rows: Rows without an end that were read back, until the executor is there.
+        previous_notice: The notice that this node's previous incarnation saved; may be empty.
+        started_rows: Recovered rows of unfinished runs, held until the executor has connected.
     """
 
     def __init__(
@@ -66,16 +66,16 @@
         clock: Callable[[], int],
         listener: RecordListener,
     ) -> None:
-        """Makes a record that is not open.
+        """Creates a record that is not open.
 
         Args:
             store: The store.
             authenticator: Computes and checks the rows' MACs.
-            policy: What the operator set.
-            max_latency_objective_ns: The longest latency objective of all request classes; a write
-                may take the claim's share of it.
-            clock: The wall clock.
-            listener: The server.
+            policy: The operator's settings.
+            max_latency_objective_ns: The longest latency objective of all request classes; the
+                timeout of a write is `policy.claim_share` of it.
+            clock: Returns the wall-clock time in nanoseconds.
+            listener: The server, which is notified of outcomes.
         """
         self.store = store
         self.policy = policy
@@ -101,13 +101,13 @@
         self._fetcher = ResultFetcher(store, self.observer, clock)
         self._effects = RequestEffects(self._writer, self.registry, listener, self.counters)
 
-    # At the start and at the end.
+    # Startup and shutdown.
 
     async def open(self) -> StoreSession:
         """Opens the store.
 
         Raises:
-            StoreRefusedError: It can't be used.
+            StoreRefusedError: The store can't be used.
         """
         session = await self.store.open()
         self.previous_notice = session.previous_notice
@@ -121,9 +121,9 @@
         return session
 
     def read_recorded_keys(self) -> Iterator[list[tuple[bytes, int]]]:
-        """Key digests and ends of windows of earlier incarnations, by batches.
+        """Yields batches of key digests and window ends that earlier incarnations recorded.
 
-        Those without an end are told once more by `resume_after_restart`.
+        Keys of unfinished runs are reported again by `resume_after_restart`.
         """
         now_ns = self._clock()
         for batch in self.store.read_recorded_keys(now_ns):
@@ -132,16 +132,20 @@
         self.started_rows = list(self.store.read_started_rows(now_ns))
 
     async def start(self) -> None:
-        """Starts the store and the timer."""
+        """Starts the store and the periodic timer."""
         await self.store.start()
         self.store.on_verdict = self.apply_verdict
         self._tick()
 
     def resume_after_restart(self, executor_started_ns: int) -> list[tuple[bytes, int, bool]]:
-        """Takes up what earlier incarnations had begun, now that the executor is there.
+        """Resumes unfinished requests of earlier incarnations once the executor has connected.
+
+        Args:
+            executor_started_ns: When the executor started.
 
         Returns:
-            Key digest, end of window, and whether the executor may still report the end.
+            For each request its key digest, the end of its window, and whether the executor may
+            still report the end of its run.
         """
         resumed: list[tuple[bytes, int, bool]] = []
         rows, self.started_rows = self.started_rows, []
@@ -191,7 +195,7 @@
                 self._handle(request, RequestEvent.EXECUTOR_SILENT)
 
     def stop(self) -> None:
-        """Stops all timers; nothing is sent to the store any more but what was submitted."""
+        """Stops all timers; only writes already submitted still reach the store."""
         self._is_closed = True
         self._writer.is_stopped = True
         self._fetcher.is_stopped = True
@@ -200,14 +204,14 @@
         self.registry.cancel_all_timers()
 
     async def close(self) -> None:
-        """Stops, and closes the store."""
+        """Stops all timers and closes the store."""
         self.stop()
         await self.store.close()
 
-    # What the server tells.
+    # Calls from the server.
 
     def may_claim(self) -> bool:
-        """Whether the admission controller may start a request that needs a claim."""
+        """Returns whether the admission controller may start a request that needs a claim."""
         now_ns = self._clock()
         if now_ns < self._closed_until_ns:
             return False
@@ -224,7 +228,11 @@
         expires_at_ns: int,
         latency_objective_ns: int,
     ) -> None:
-        """Claims a key for a request; the listener's `start_run` or another call follows."""
+        """Claims a key for a request.
+
+        The listener's `start_run`, `reject`, `report_never_ran` or `report_claimed_elsewhere`
+        follows.
+        """
         now_ns = self._clock()
         self._claim_number += 1
         request = DurableRequest(
@@ -247,9 +255,9 @@
     async def look_up(
         self, key_digest: bytes, request_id: str, expires_at_ns: int, latency_objective_ns: int
     ) -> None:
-        """Asks the store about a marked retry that is not known here.
+        """Looks up the key of a marked retry that this node does not know.
 
-        What the store knows of the key is told to the listener, if it answers in time.
+        The listener is told what the store holds for the key, if the store answers in time.
         """
         now_ns = self._clock()
         is_known = request_id in self.registry.by_id
@@ -266,16 +274,16 @@
         )
         self.registry.by_id[request_id] = request
         self._handle(request, RequestEvent.RETRY_RECEIVED)
-        await self.registry.add_waiter(request_id)  # the claim timer ends it at the latest
+        await self.registry.add_waiter(request_id)  # woken by the claim timer at the latest
 
     def abandon(self, request_id: str) -> None:
-        """The admission controller gave the request up; what runs runs on."""
+        """Handles a request that the admission controller gave up; a started run continues."""
         request = self.registry.by_id.get(request_id)
         if request is not None:
             self._handle(request, RequestEvent.ABANDONED)
 
     def finish_run(self, request_id: str, outcome: Outcome, result: bytes) -> None:
-        """The executor reports the end of a run, of an earlier incarnation too."""
+        """Handles the executor's report that a run ended, also one of an earlier incarnation."""
         request = self.registry.by_id.get(request_id)
         if request is None:
             return
@@ -287,7 +295,7 @@
     async def wait_until_durable(self, key_digest: bytes, deadline_ns: int) -> None:
         """Waits until the end of the key's run is durable, but not past the deadline.
 
-        An answer may leave before that: the run's beginning is durable, so no repeat runs.
+        The answer may be sent before the end is durable: the claim is, so no repeat can run.
         """
         request = self.registry.by_key_digest.get(key_digest)
         if request is None or request.state not in ENDED_STATES:
@@ -307,14 +315,14 @@
         )
 
     async def fetch_result(self, key_digest: bytes, deadline_ns: int) -> bytes | None:
-        """The stored result for a key; None where there is none, or it can't be had in time."""
+        """Returns the stored result for a key; None if there is none or time runs out."""
         row = lookup_row(key_digest, self._node, self.incarnation)
         return await self._fetcher.fetch(row, deadline_ns)
 
     def apply_verdict(
         self, key_digest: bytes, incarnation: int, claim_number: int, ran: bool
     ) -> None:
-        """Resolves a doubt by an operator's verdict; on that claim alone, not on a later one."""
+        """Applies an operator's verdict to the named claim, never to a later claim of the key."""
         request = self.registry.by_key_digest.get(key_digest)
         if request is None or request.state not in UNRESOLVED_STATES:
             return
@@ -327,12 +335,14 @@
             RequestEvent.RESOLVED_AS_RAN if ran else RequestEvent.RESOLVED_AS_NEVER_RAN,
         )
 
-    # Within.
+    # Event handling.
 
     def _tick(self) -> None:
         self._tick_timer = asyncio.get_running_loop().call_later(TICK_INTERVAL_S, self._tick)
         now_ns = self._clock()
-        expired = [one for one in self.registry.by_id.values() if one.expires_at_ns <= now_ns]
+        expired = [
+            request for request in self.registry.by_id.values() if request.expires_at_ns <= now_ns
+        ]
         for request in expired:
             self._handle(request, RequestEvent.WINDOW_EXPIRED)
         self._health.tick(now_ns)
--- a/burlloom/record/factory.py
+++ b/burlloom/record/factory.py
@@ -1,4 +1,4 @@
-"""Makes the store that an operator's file names."""
+"""Creates the store that the operator's file configures."""
 
 import time
 from collections.abc import Callable
@@ -19,21 +19,21 @@
 
 
 def load_authenticator(record: "Place", create: bool) -> RowAuthenticator:
-    """Reads the record's key.
+    """Reads the record's key and returns the authenticator that uses it.
 
     Args:
-        record: The operator's file on the record.
-        create: Whether to make the key of a new SQLite record.
+        record: The record section of the operator's file.
+        create: Whether to create the key of a new SQLite record.
 
     Raises:
-        StoreRefusedError: There is no key, or it can't be used.
+        StoreRefusedError: The key does not exist or can't be used.
     """
     if record.sqlite is not None:
         key_path = record.sqlite.key_place()
         if create and record.sqlite.place().exists() and not key_path.exists():
             raise StoreRefusedError(
-                f"the key of {record.sqlite.path} is missing: without it nothing there can be"
-                " proven. Put it back, or move the file away to begin with an empty one",
+                f"the key of {record.sqlite.path} is missing, so its rows can't be verified. Put"
+                " the key back, or move the record away to start with an empty one",
                 place=key_path,
             )
     else:
@@ -49,7 +49,7 @@
 
 
 def read_password(path: str | None) -> str:
-    """Reads the database's password, empty where no file is named.
+    """Reads the database password from a file; returns an empty password if `path` is None.
 
     Raises:
         StoreRefusedError: The file can't be read.
@@ -65,13 +65,13 @@
 def create_store(
     record: "Place", node: str, retention_ns: int, clock: Callable[[], int] = time.time_ns
 ) -> tuple[RecordStore, RowAuthenticator]:
-    """Makes the store, not opened, and what checks its rows.
+    """Creates the store, not yet opened, and the authenticator of its rows.
 
     Args:
-        record: The operator's file on the record.
+        record: The record section of the operator's file.
         node: The name of this node.
-        retention_ns: How long a row stays past the end of its window.
-        clock: The wall clock, nanoseconds.
+        retention_ns: How long a row is kept after the end of its window, nanoseconds.
+        clock: Returns the wall-clock time in nanoseconds.
 
     Raises:
         StoreRefusedError: The key or the password can't be used.
--- a/burlloom/record/failpoints.py
+++ b/burlloom/record/failpoints.py
@@ -1,6 +1,6 @@
-"""Named moments in the handling of a keyed request, at which tests stop or kill the program.
+"""Named points in the handling of a keyed request at which tests pause or kill the process.
 
-Nothing in the program sets `hook`; the kill-and-restart rig does, in a process of its own.
+The server never sets `hook`; only the kill-and-restart benchmark does, in its server process.
 """
 
 import asyncio
@@ -25,20 +25,20 @@
 
 
 def hit(name: str) -> None:
-    """Calls the hook, if there is one, with the failpoint's name."""
+    """Calls the hook, if one is set, with the failpoint's name."""
     if hook is not None:
         hook(name)
 
 
 def hit_after_send(name: str) -> None:
-    """Calls the hook once what was submitted in this iteration of the loop has left."""
+    """Calls the hook after the data submitted in this iteration of the event loop was sent."""
     if hook is not None:
         loop = asyncio.get_running_loop()
         loop.call_soon(loop.call_soon, loop.call_soon, hit, name)
 
 
 def hit_for_batch(kinds: set[str], moment: str) -> None:
-    """Calls the hook for a batch with writes of these kinds; others are skipped."""
+    """Calls the hook once for each kind in the batch that is one of `BATCH_KINDS`."""
     if hook is not None:
         for kind in BATCH_KINDS:
             if kind in kinds:
--- a/burlloom/record/lock_retry.py
+++ b/burlloom/record/lock_retry.py
@@ -1,10 +1,11 @@
-"""Waiting for the one lock of an SQLite file.
+"""Retries SQLite statements until the file's single write lock is free.
 
-SQLite's own wait looks at the lock ever less often, in the end ten times a second and at the same
-moments for all who wait: some twenty times in two seconds. Where others write all the time, on a
-machine on which the lock's holder has to wait for a core, one may find it taken each time and
-starve. Here attempts are frequent, and spread at random. What was refused for the lock did not take
-effect: a statement or a whole transaction may be sent again.
+SQLite's own busy handler polls the lock less and less often, in the end ten times a second and at
+the same moments for all waiting connections: about twenty attempts in two seconds. If other
+processes write continuously, on a machine on which the lock owner waits for a core, a connection
+may find the lock taken at each attempt and starve. This module retries often and at random
+intervals. A statement or transaction that was refused for the lock did not take effect, so sending
+it again is safe.
 """
 
 import sqlite3
@@ -15,7 +16,8 @@
 
 __all__ = ["LOCK_TIMEOUT_S", "LockRetry", "is_lock_error"]
 
-LOCK_TIMEOUT_S = 2.0  # a request that waits for its store is served without it, or rejected
+# A request whose write times out runs without a record or is rejected, depending on the policy.
+LOCK_TIMEOUT_S = 2.0
 MIN_PAUSE_S = 0.001
 MAX_PAUSE_S = 0.015
 PRIMARY_ERROR_MASK = 0xFF
@@ -24,17 +26,17 @@
 
 
 def is_lock_error(error: BaseException) -> bool:
-    """Whether the error says that another holds the lock."""
+    """Returns whether the error means that another connection holds the lock."""
     return isinstance(error, sqlite3.OperationalError) and (
         getattr(error, "sqlite_errorcode", 0) & PRIMARY_ERROR_MASK == sqlite3.SQLITE_BUSY
     )
 
 
 class LockRetry:
-    """Runs work until the lock is free, it is cancelled, or its time is over.
+    """Retries work until the lock is free, the work is cancelled, or the timeout has passed.
 
     Attributes:
-        timeout_s: Seconds until the work is given up.
+        timeout_s: The timeout of one `run` call, seconds.
     """
 
     def __init__(
@@ -45,13 +47,13 @@
         sleep: Callable[[float], None] = time.sleep,
         is_cancelled: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Makes a rule; it may be used by one thread at a time.
+        """Creates a retry rule, to be used by one thread at a time.
 
         Args:
-            timeout_s: Seconds until the work is given up.
-            clock: The time, in seconds.
-            sleep: Waits for so many seconds.
-            is_cancelled: Whether to give up now.
+            timeout_s: The timeout of one `run` call, seconds.
+            clock: Returns a monotonic time in seconds.
+            sleep: Blocks for the given number of seconds.
+            is_cancelled: Returns whether to give up now.
         """
         self.timeout_s = timeout_s
         self._clock = clock
@@ -60,10 +62,10 @@
         self._random = Random()
 
     def run(self, work: Callable[[], Result]) -> Result:
-        """Runs work that leaves no transaction open where it raises.
+        """Runs work, which must leave no transaction open when it raises.
 
         Raises:
-            sqlite3.OperationalError: The lock was not free in time, or another error of the work.
+            sqlite3.OperationalError: The lock was not free in time, or the work failed otherwise.
         """
         give_up_at = self._clock() + self.timeout_s
         while True:
--- a/burlloom/record/policy.py
+++ b/burlloom/record/policy.py
@@ -1,4 +1,4 @@
-"""What an operator sets of the record, what it counts, and whom it notifies."""
+"""The record's settings, counters and callbacks."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -9,14 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordPolicy:
-    """What the operator set.
+    """The operator's settings of the record.
 
     Attributes:
-        may_run_unrecorded: Whether requests run although the store does not take their claims.
-        claim_share: The share of the latency objective that the store may use for a claim.
-        answer_delay_share: The share of it that an answer may wait until its result is durable.
-        max_writes_in_flight: The most writes without an answer at a time.
-        executor_wait_ns: How long the executor may still report ends after a restart.
+        may_run_unrecorded: Whether requests run even if the store does not accept their claims.
+        claim_share: The share of the latency objective that a claim may take in the store.
+        answer_delay_share: The share of the latency objective for which an answer may be delayed
+            until its result is durable.
+        max_writes_in_flight: The maximum number of unanswered writes.
+        executor_wait_ns: How long after a restart the executor may still report ends of runs,
+            nanoseconds.
     """
 
     may_run_unrecorded: bool
@@ -28,23 +30,23 @@
 
 @dataclass(slots=True)
 class RecordCounters:
-    """Counts since the start.
+    """Counts since the server started.
 
     Attributes:
         claims: Claims sent to the store.
-        rejected: Requests rejected for want of a claim.
+        rejected: Requests rejected because they got no claim.
         store_timeouts: Claims and lookups that the store did not answer in time.
-        unrecorded_runs: Runs begun on what is in memory alone.
-        claimed_elsewhere: Requests whose key another claim holds.
-        results_fetched: Results read from the store for repeats.
-        results_not_fetched: Results that were not there, or not in time.
-        altered_rows: Rows read back whose MAC does not hold.
-        conflicts: Rows of others found where ours should stand.
-        retried_writes: Writes sent again.
-        answered_before_durable: Answers that left before their results were durable.
-        doubts: Requests of which nobody could tell whether they ran.
-        resolved: Doubts that were resolved.
-        recovered_keys: Keys read back at the start.
+        unrecorded_runs: Runs started without a durable claim.
+        claimed_elsewhere: Requests whose key is held by another claim.
+        results_fetched: Results read from the store for repeated requests.
+        results_not_fetched: Results that did not exist or were not read in time.
+        altered_rows: Rows with an invalid MAC found at startup.
+        conflicts: Rows of other claims found in place of this node's row.
+        retried_writes: Writes that were sent again.
+        answered_before_durable: Answers sent before their results were durable.
+        doubts: Requests of which it is unknown whether they ran.
+        resolved: Requests in doubt that were resolved.
+        recovered_keys: Keys read from the store at startup.
     """
 
     claims: int = 0
@@ -63,7 +65,7 @@
     recovered_keys: int = 0
 
     def as_metrics(self) -> dict[str, int]:
-        """The counts under the names that they have as metrics."""
+        """Returns the counts by metric name."""
         return {metric: getattr(self, name) for metric, name in METRIC_FIELDS.items()}
 
 
@@ -87,12 +89,12 @@
 
 @dataclass(slots=True)
 class RecordObserver:
-    """Whoever observes times, in nanoseconds; none by default.
+    """Observers of durations in nanoseconds, unset by default, and the counters.
 
     Attributes:
-        observe_claim: Called with the time from a claim's submission to its answer.
-        observe_finish: Called with the time from an end's submission to its answer.
-        counters: The counts.
+        observe_claim: Called with the time from the submission of a claim to its answer.
+        observe_finish: Called with the time from the submission of a run's end to its answer.
+        counters: The counters.
     """
 
     observe_claim: Callable[[int], None] | None = None
@@ -101,31 +103,31 @@
 
 
 class RecordListener(Protocol):
-    """What the record tells the server, on the event loop.
+    """The record's callbacks to the server, called on the event loop.
 
-    A request id names one attempt, a key digest all attempts that share a key.
+    A request ID identifies one attempt; a key digest identifies all attempts that share a key.
     """
 
     def start_run(self, request_id: str) -> None:
-        """The claim is durable: the run may begin."""
+        """Starts the run of an attempt whose claim is durable or not required."""
 
     def reject(self, request_id: str) -> None:
-        """There is no claim, and the run must not begin."""
+        """Rejects an attempt that has no claim; its run must not start."""
 
     def report_never_ran(self, request_id: str) -> None:
-        """The request was abandoned before its run began."""
+        """Reports that the attempt was abandoned before its run started."""
 
     def report_claimed_elsewhere(self, request_id: str) -> None:
-        """Another claim holds the key; `complete` or `release` follows."""
+        """Reports that another claim holds the key; `complete` or `release` follows."""
 
     def complete(self, key_digest: bytes, result: bytes | None) -> None:
-        """The key's outcome: a result, or None for an end without one."""
+        """Completes the key with a result, or with None if the run ended without one."""
 
     def release(self, key_digest: bytes) -> None:
-        """The key's claim was withdrawn: a further attempt may run."""
+        """Releases a key whose claim was withdrawn; another attempt may run."""
 
     def register(self, key_digest: bytes, expires_at_ns: int) -> None:
-        """The key is claimed elsewhere; it was not known here."""
+        """Registers a key that is claimed elsewhere and was unknown to this node."""
 
     def forget(self, key_digest: bytes) -> None:
-        """The attempt that waited for another's claim is gone."""
+        """Handles the end of an attempt that was waiting for another claim of the key."""
--- a/burlloom/record/postgres.py
+++ b/burlloom/record/postgres.py
@@ -1,9 +1,9 @@
-"""A store in PostgreSQL, shared by several nodes; through asyncpg.
+"""A store in PostgreSQL that several nodes share, through asyncpg.
 
-One connection writes: what is submitted while a transaction is on its way goes into the next one
-together. Each transaction first locks its node's row for sharing, so that a fence or a newer
-incarnation either comes before it, and it writes nothing, or waits for it. What a lost connection
-means is told by how far the transaction had come.
+One connection writes. Writes submitted during a transaction are batched into the next one. Each
+transaction first takes a share lock on its node's row. A fence or a newer incarnation is therefore
+either committed before the transaction, which then writes nothing, or waits for its end. If the
+connection is lost, the outcome of the writes follows from how far the transaction had progressed.
 """
 
 import asyncio
@@ -40,11 +40,11 @@
 MAX_BATCH = 128
 MIN_RECONNECT_PAUSE_S = 0.05
 MAX_RECONNECT_PAUSE_S = 2.0
-MAINTENANCE_INTERVAL_S = 1.0  # between looks for verdicts and for rows to be deleted
+MAINTENANCE_INTERVAL_S = 1.0  # between reads of verdicts and deletions of expired rows
 CLOSE_TIMEOUT_S = 2.0
 TIME_BYTES = 8
 KEY_ENTRY_BYTES = KEY_DIGEST_BYTES + TIME_BYTES
-KEYS_PER_PAGE = 10_000  # some 100 bytes each until they are packed
+KEYS_PER_PAGE = 10_000  # keys per SELECT at startup; about 100 bytes each until packed
 LOCK_ORDER = {
     WriteKind.CLAIM: 0,
     WriteKind.INSERT: 1,
@@ -56,7 +56,15 @@
 
 
 class PostgresStore(RecordStore):
-    """One node's connection to a record that several nodes share."""
+    """One node's connection to a record that several nodes share.
+
+    Attributes:
+        database: The database that holds the record.
+        clock: Returns the wall-clock time in nanoseconds.
+        connection: The connection; None while disconnected.
+        connection_count: The number of connections made since the start.
+        keys_per_page: The maximum number of keys in one page that `open` reads.
+    """
 
     def __init__(
         self,
@@ -68,15 +76,15 @@
         max_batch: int = MAX_BATCH,
         retention_ns: int = 0,
     ) -> None:
-        """Does not connect yet.
+        """Creates a store that is not yet connected.
 
         Args:
-            database: Where the record is.
+            database: The database that holds the record.
             authenticator: Computes and checks the rows' MACs.
             node: The name of this node.
-            clock: The wall clock, nanoseconds.
-            max_batch: The most writes in one transaction.
-            retention_ns: How long a row stays past the end of its window.
+            clock: Returns the wall-clock time in nanoseconds.
+            max_batch: The maximum number of writes in one transaction.
+            retention_ns: How long a row is kept after the end of its window, nanoseconds.
         """
         super().__init__(node, authenticator, max_batch, retention_ns)
         self.database = database
@@ -93,13 +101,13 @@
         self._next_maintenance_s = 0.0
         self._unsaved_notice: str | None = None
 
-    # Opening.
+    # Opening the store.
 
     async def open(self) -> StoreSession:
-        """Connects, takes missing steps of the schema, and begins an incarnation.
+        """Connects, applies pending schema steps, and starts an incarnation.
 
         Raises:
-            StoreRefusedError: The database can't be used, or this node was fenced off.
+            StoreRefusedError: The database can't be used, or this node is fenced.
         """
         place = self.database.place
         try:
@@ -120,7 +128,7 @@
         self.connection_count += 1
 
     async def _begin_incarnation(self, place: str) -> str:
-        """Begins an incarnation, reads what earlier ones left, and returns the last notice."""
+        """Starts an incarnation, reads the rows of earlier ones, and returns the last notice."""
         rows = await self.connection.fetch(sql.BEGIN_INCARNATION, self.node)
         ((incarnation, is_fenced, notice),) = rows
         if is_fenced:
@@ -137,7 +145,7 @@
         return str(notice)
 
     async def _read_keys(self, since_ns: int) -> None:
-        """Reads by pages in the keys' order, each packed before the next: 24 bytes a key."""
+        """Reads keys page by page in key order, packing each page to 24 bytes a key."""
         last = b""
         self._packed_keys.clear()
         while page := await self.connection.fetch(
@@ -152,7 +160,7 @@
                 break
 
     def read_recorded_keys(self, now_ns: int) -> Iterator[list[tuple[bytes, int]]]:
-        """Key digest and end of window of this node's rows, by batches, as `open` read them."""
+        """Yields batches of key digest and window end of this node's rows, as read by `open`."""
         packed = bytes(self._packed_keys)
         self._packed_keys.clear()
         page_bytes = KEY_ENTRY_BYTES * self.keys_per_page
@@ -160,31 +168,31 @@
             yield unpack_keys(packed[start : start + page_bytes])
 
     def read_started_rows(self, now_ns: int) -> Iterator[RecordRow]:
-        """This node's rows without an end, of any incarnation, as `open` read them."""
+        """Yields this node's rows of unfinished runs, of any incarnation, as read by `open`."""
         yield from self._started_rows
         self._started_rows = []
 
     async def start(self) -> None:
-        """Starts the task that writes."""
+        """Starts the writer task."""
         self._writer = asyncio.get_running_loop().create_task(self._run(), name="record")
 
     def submit(self, write: RecordWrite, callback: WriteCallback) -> None:
-        """Sends a write; the callback gets its result."""
+        """Queues a write; the callback receives its result."""
         self._queue.append((write, callback))
         self._wake.set()
 
     def probe(self, callback: ProbeCallback) -> None:
-        """Makes a commit of its own; the callback hears whether the store works."""
+        """Queues a probe commit; the callback receives whether it succeeded."""
         self._queue.append(callback)
         self._wake.set()
 
     def save_notice(self, text: str) -> None:
-        """Leaves a notice to this node's next incarnation, once it can be written."""
+        """Saves a notice for this node's next incarnation as soon as the store accepts it."""
         self._unsaved_notice = text
         self._wake.set()
 
     async def close(self) -> None:
-        """Writes what was submitted and lets go; a store that hangs is left after two seconds."""
+        """Writes what was submitted and disconnects; a hanging store is abandoned after 2 s."""
         self._is_stopping = True
         self._wake.set()
         if self._writer is not None:
@@ -193,12 +201,12 @@
         await self.disconnect()
 
     async def disconnect(self) -> None:
-        """Ends the connection at once."""
+        """Terminates the connection immediately."""
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.terminate()
 
-    # The task that writes.
+    # The writer task.
 
     async def _run(self) -> None:
         pause_s = MIN_RECONNECT_PAUSE_S
@@ -246,7 +254,7 @@
         await self._maintain()
 
     def _fail_pending(self) -> None:
-        """What was not sent to anyone surely did not take effect."""
+        """Fails the queued writes, which were never sent and so certainly did not take effect."""
         pending, self._queue = self._queue, deque()
         for item in pending:
             if isinstance(item, tuple):
@@ -265,7 +273,7 @@
 
     @asynccontextmanager
     async def _transaction(self, stages: list[TransactionStage]) -> AsyncIterator[Any]:
-        """A transaction that appends to `stages` how far it came."""
+        """Runs a transaction and appends each stage that it reaches to `stages`."""
         stages.append(TransactionStage.BEFORE_COMMIT)
         connection = self.connection
         await connection.execute("BEGIN")
@@ -311,10 +319,10 @@
         )
 
     async def _apply(self, connection: Any, writes: list[RecordWrite]) -> list[WriteResult]:
-        """Applies a batch; the results are in the order of the writes."""
+        """Applies a batch and returns the results in the order of the writes."""
         if not await self._may_write(connection):
             return [WriteResult(RequestEvent.FENCED)] * len(writes)
-        # All nodes touch rows in one order: two that want the same ones do not wait for each other.
+        # All nodes lock rows in the same order, so transactions on the same rows can't deadlock.
         order = sorted(
             range(len(writes)),
             key=lambda at: (LOCK_ORDER[writes[at].kind], writes[at].row.key_digest),
@@ -323,7 +331,7 @@
         for kind, (statement, values) in sql.STATEMENTS.items():
             positions = [at for at in order if writes[at].kind is kind]
             if positions:
-                # Each is a statement of its own, in one round trip.
+                # Each row is a statement of its own, all sent in one round trip.
                 flags = await apply_many(
                     connection, statement, [values(writes[at].row) for at in positions]
                 )
@@ -342,7 +350,7 @@
         return results
 
     async def _may_write(self, connection: Any) -> bool:
-        """Whether this incarnation is the present one and not fenced; locks the node's row."""
+        """Returns whether this incarnation is current and not fenced; locks the node's row."""
         rows = await connection.fetch(sql.SELECT_OWN_INCARNATION, self.node)
         if rows and (rows[0][0], rows[0][1]) == (self.incarnation, 0):
             return True
@@ -350,7 +358,7 @@
         return False
 
     async def _maintain(self) -> None:
-        """Now and then: takes up operators' verdicts, and deletes rows long over."""
+        """Once per interval, applies operators' verdicts and deletes expired rows."""
         now_s = asyncio.get_running_loop().time()
         if now_s < self._next_maintenance_s:
             return
@@ -364,7 +372,7 @@
 
 
 def unpack_keys(packed: bytes) -> list[tuple[bytes, int]]:
-    """Key digests and ends of windows, as `PostgresStore` packs them."""
+    """Unpacks key digests and window ends from the format that `PostgresStore` packs."""
     return [
         (
             packed[at : at + KEY_DIGEST_BYTES],
@@ -375,22 +383,22 @@
 
 
 def sqlstate_of(error: BaseException) -> str | None:
-    """The server's SQLSTATE; None where the error is not the server's."""
+    """Returns the SQLSTATE of a server error; None for any other error."""
     return getattr(error, "sqlstate", None) if isinstance(error, asyncpg.PostgresError) else None
 
 
 async def read_incarnations(connection: Any) -> dict[str, NodeIncarnation]:
-    """Each node's present incarnation."""
+    """Returns each node's current incarnation by node name."""
     rows = await connection.fetch(sql.SELECT_INCARNATIONS)
-    return {name: NodeIncarnation(life, bool(fenced)) for name, life, fenced in rows}
+    return {name: NodeIncarnation(incarnation, bool(fenced)) for name, incarnation, fenced in rows}
 
 
 async def apply_many(connection: Any, statement: str, values: list[tuple[Any, ...]]) -> list[bool]:
-    """Runs a statement for each set of values, and says which of them applied.
+    """Runs a statement for each tuple of values, and returns which of them changed a row.
 
-    That is told by the key digests that come back. Two writes of one kind on one key in a batch are
-    claims of ours: whichever of them applied, the other's row is gone or ours, which says the same
-    to both.
+    The returned key digests tell which statements changed a row. Two writes of one kind on the same
+    key in a batch are always claims of this node. Whichever of them applied, the other finds no row
+    or a row of this node, which gives both the same answer.
     """
     returned = Counter(row[0] for row in await connection.fetchmany(statement, values))
     flags = []
--- a/burlloom/record/postgres_admin.py
+++ b/burlloom/record/postgres_admin.py
@@ -1,4 +1,4 @@
-"""What an operator does to a record that several nodes share in PostgreSQL."""
+"""The operator's commands on a record that several nodes share in PostgreSQL."""
 
 import time
 from collections.abc import AsyncIterator
@@ -45,10 +45,10 @@
 
 @asynccontextmanager
 async def open_connection(record: "Record") -> AsyncIterator[Any]:
-    """A connection that begins no incarnation.
+    """Opens a connection without starting an incarnation, and closes it at the end.
 
     Raises:
-        StoreRefusedError: The database failed in any way.
+        StoreRefusedError: The connection or a statement failed.
     """
     store, _ = create_store(record, NO_NODE, retention_ns=0)
     assert isinstance(store, PostgresStore)
@@ -63,10 +63,10 @@
 
 
 async def stats(record: "Record", now_ns: int) -> dict[str, Any]:
-    """Counts of rows by state, rows in doubt, and the nodes, by the names that are printed.
+    """Returns counts of rows by state, of rows in doubt, and the nodes, by printed name.
 
     Raises:
-        StoreRefusedError: The database failed in any way.
+        StoreRefusedError: The connection or a statement failed.
     """
     async with open_connection(record) as connection:
         incarnations = await read_incarnations(connection)
@@ -84,10 +84,12 @@
 
 
 async def list_in_doubt(record: "Record", now_ns: int) -> list[tuple[RecordRow, str]]:
-    """Rows of which nobody knows whether they ran, with the verdict that waits, or "".
+    """Returns the rows in doubt, each with its pending verdict, or "" if there is none.
+
+    A row is in doubt if it is unknown whether its run took effect.
 
     Raises:
-        StoreRefusedError: The database failed in any way.
+        StoreRefusedError: The connection or a statement failed.
     """
     async with open_connection(record) as connection:
         incarnations = await read_incarnations(connection)
@@ -99,7 +101,8 @@
             f"SELECT {COLUMNS} FROM fate WHERE state = {ROW_STARTED} AND until > $1::bigint", now_ns
         )
     started = [RecordRow(*row) for row in rows]
-    # To a node that is none of them, a claim has no result where nobody may end it any more.
+    # Classified for a name that no node has: the answer is FOUND_NO_RESULT if no current, unfenced
+    # incarnation can still finish the claim.
     return [
         (row, verdicts.get(row.key_digest, ""))
         for row in started
@@ -108,10 +111,10 @@
 
 
 async def resolve(record: "Record", key_digest: bytes, ran: bool, reason: str, now_ns: int) -> str:
-    """Writes an operator's verdict on a row in doubt, and returns what was done with it.
+    """Writes an operator's verdict on a row in doubt, and returns a message for the operator.
 
     Raises:
-        StoreRefusedError: It is not in doubt, or the database failed in any way.
+        StoreRefusedError: The row is not in doubt, or the connection or a statement failed.
     """
     in_doubt = await list_in_doubt(record, now_ns)
     doubt = next((row for row, _ in in_doubt if row.key_digest == key_digest), None)
@@ -124,7 +127,7 @@
     claim = (key_digest, doubt.incarnation, doubt.claim_number)
     async with open_connection(record) as connection, connection.transaction():
         await connection.fetch(UPSERT_VERDICT, *claim, int(ran), now_ns, reason)
-        # The row itself too: its node may be gone for good.
+        # Also update the row itself, as its node may never start again.
         if ran:
             completed = doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)
             mac = authenticator.compute_mac(completed)
@@ -135,10 +138,10 @@
 
 
 async def fence(record: "Record", node: str, is_fenced: bool) -> None:
-    """Fences a node off, or lets it back in.
+    """Fences a node, or removes its fence.
 
     Raises:
-        StoreRefusedError: The node is not known, or the database failed in any way.
+        StoreRefusedError: The node is unknown, or the connection or a statement failed.
     """
     async with open_connection(record) as connection:
         rows = await connection.fetch(
--- a/burlloom/record/postgres_database.py
+++ b/burlloom/record/postgres_database.py
@@ -1,4 +1,4 @@
-"""The record's PostgreSQL database through asyncpg: its address, connections and schema."""
+"""The record's PostgreSQL database, through asyncpg: address, connections and schema."""
 
 import asyncio
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 __all__ = ["CONNECTION_ERRORS", "PostgresDatabase", "describe_error", "migrate"]
 
-SCHEMA_LOCK = 0x6275726C6F6F  # "burloo": the advisory lock under which the tables are changed
+SCHEMA_LOCK = 0x6275726C6F6F  # "burloo": the advisory lock held while the schema is migrated
 CONNECTION_ERRORS = (
     OSError,
     asyncpg.InterfaceError,
@@ -24,16 +24,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PostgresDatabase:
-    """Where the database is, and how long it is waited for.
+    """The address, credentials and timeouts of a PostgreSQL database.
 
     Attributes:
-        host: Its host.
-        port: Its port.
-        name: The database's name.
-        user: The user.
-        password: Its password, empty for none.
-        connect_timeout_s: Until a connection is given up that is not made.
-        statement_timeout_s: Until a connection is given up that does not answer a statement.
+        host: The server's host.
+        port: The server's port.
+        name: The name of the database.
+        user: The user to connect as.
+        password: The user's password, empty for none.
+        connect_timeout_s: The timeout for making a connection, seconds.
+        statement_timeout_s: The timeout for one statement, seconds.
     """
 
     host: str
@@ -46,15 +46,15 @@
 
     @property
     def place(self) -> str:
-        """Where it is, for messages."""
+        """The database's address for messages, as host:port/name."""
         return f"{self.host}:{self.port}/{self.name}"
 
     async def connect(self) -> Any:
-        """Makes a connection.
+        """Connects to the database.
 
         Raises:
-            asyncpg.PostgresError: The server refuses it.
-            OSError: The server can't be reached; or another of `CONNECTION_ERRORS`.
+            asyncpg.PostgresError: The server refused the connection.
+            OSError: The server can't be reached; other `CONNECTION_ERRORS` may be raised too.
         """
         return await asyncpg.connect(
             host=self.host,
@@ -69,15 +69,15 @@
 
 
 def describe_error(error: BaseException) -> str:
-    """The error's text, or its kind where it has none."""
+    """Returns the error's text, or its class name if the text is empty."""
     return str(error) or type(error).__name__
 
 
 async def migrate(connection: Any, place: str) -> tuple[int, ...]:
-    """Takes the schema's missing steps in one transaction, and returns their numbers.
+    """Applies the pending schema steps in one transaction, and returns their numbers.
 
     Raises:
-        StoreRefusedError: The schema is newer than this program's.
+        StoreRefusedError: The schema is newer than this program supports.
     """
     async with connection.transaction():
         await connection.fetch(sql.LOCK_SCHEMA, SCHEMA_LOCK)
--- a/burlloom/record/postgres_statements.py
+++ b/burlloom/record/postgres_statements.py
@@ -1,4 +1,4 @@
-"""The SQL of the PostgreSQL store, and the values that each write's statement takes."""
+"""The SQL of the PostgreSQL store, and the parameter values of each write's statement."""
 
 from collections.abc import Callable
 from typing import Any
@@ -66,4 +66,7 @@
     WriteKind.FINISH: (FINISH, finish_values),
     WriteKind.WITHDRAW: (WITHDRAW, withdraw_values),
 }
-"""The changing writes, in the order in which a batch makes them; LOOK and FIND only read."""
+"""The writes that change rows, in the order in which a batch applies them.
+
+LOOK and FIND only read, and so have no statement here.
+"""
--- a/burlloom/record/recovery_rules.py
+++ b/burlloom/record/recovery_rules.py
@@ -1,4 +1,4 @@
-"""What a new incarnation makes of the rows that earlier ones left. No I/O."""
+"""Decides how a new incarnation treats the rows of earlier ones. No I/O."""
 
 from .request_lifecycle import RequestEvent
 from .rows import ROW_COMPLETED, ROW_COMPLETED_WITHOUT_RESULT, ROW_STARTED, RecordRow
@@ -9,15 +9,15 @@
 def classify_recovered_row(
     row: RecordRow, is_authentic: bool, executor_started_ns: int
 ) -> RequestEvent | None:
-    """What a row that was read back means; None where it has ended and its end is in the store.
+    """Returns the event for a recovered row; None if its end is already durable.
 
-    A run that began before the present executor started went down with the executor before it, and
-    nobody can tell how far it had come.
+    A run that started before the current executor did was lost with the previous executor, and it
+    is unknown how far it had progressed.
 
     Args:
-        row: The row.
-        is_authentic: Whether its MAC holds.
-        executor_started_ns: When the present executor started, wall-clock nanoseconds.
+        row: The row read from the store.
+        is_authentic: Whether the row's MAC is valid.
+        executor_started_ns: When the current executor started, wall-clock nanoseconds.
     """
     if row.state in (ROW_COMPLETED, ROW_COMPLETED_WITHOUT_RESULT):
         return None
--- a/burlloom/record/request_lifecycle.py
+++ b/burlloom/record/request_lifecycle.py
@@ -1,10 +1,10 @@
-"""The state machine of one keyed request: what one node knows of a request that must not run twice.
+"""The state machine of a keyed request, which must not run twice. No I/O.
 
-No I/O. A `DurableRequest` stands for one attempt's claim on a key digest, from the moment that the
-admission controller starts it until its outcome is durable. A claim that an earlier incarnation of
-this node left behind is read back into one too. The owner passes each event to `handle`, which
-moves the request by `TABLE` and names the effects that are to follow.
-tests/test_request_lifecycle.py walks the same table exhaustively, with a crash at every step.
+A `DurableRequest` is one attempt's claim on a key digest, from the moment the admission controller
+starts the attempt until its outcome is durable. It also represents a claim that an earlier
+incarnation of this node left in the store. The owner passes each event to `handle`, which
+moves the request by `TABLE` and returns the effects to execute.
+tests/test_request_lifecycle.py explores the same table exhaustively, with crashes at every step.
 """
 
 from collections.abc import Callable
@@ -14,83 +14,83 @@
 
 
 class RequestState(IntEnum):
-    """Where a request stands; RUNNING and the two RECORDED states are stored as numbers."""
+    """The state of a request; RUNNING and the two RECORDED states are stored by number."""
 
     NEW = 0
-    """Nothing is known of it here."""
+    """This node knows nothing about the key yet."""
     CLAIMING = 1
-    """The claim is on its way to the store; the run has not begun."""
+    """The claim was sent to the store; the run has not started."""
     RUNNING = 2
-    """The run may have begun."""
+    """The run may have started."""
     SUCCEEDED = 3
-    """It ended with a result that is on its way to the store."""
+    """The run ended with a result, which is not yet durable."""
     FAILED = 4
-    """It ended without a result to give, and that is on its way to the store."""
+    """The run ended without a result, which is not yet durable."""
     SUCCESS_RECORDED = 5
     """The result is durable."""
     FAILURE_RECORDED = 6
-    """The end without a result is durable."""
+    """The end of the run without a result is durable."""
     WITHDRAWING = 7
-    """It never ran, and its claim is being deleted."""
+    """The request never ran, and its claim is being deleted."""
     CLAIMED_ELSEWHERE = 8
-    """Another incarnation of some node holds the claim."""
+    """Another incarnation or another node holds the claim."""
     AWAITING_EXECUTOR = 9
-    """An earlier incarnation began it, and its executor lived on and may still report the end."""
+    """An earlier incarnation started the run; its executor still runs and may report the end."""
     IN_DOUBT = 10
-    """Nobody can tell whether it ran."""
+    """It is unknown whether the request ran."""
     CLOSED = 11
-    """Nothing is left to do."""
+    """The request needs no further action."""
 
 
 class RequestEvent(IntEnum):
-    """What can happen to a request; the store's answers to a write are among these."""
+    """The events of a request, including the store's answers to its writes."""
 
     STARTED = 0
-    """The admission controller starts it."""
+    """The admission controller started the request."""
     WRITE_APPLIED = auto()
     """The last write is durable."""
     WRITE_FAILED = auto()
-    """The last write surely did not take effect."""
+    """The last write certainly did not take effect."""
     WRITE_UNCERTAIN = auto()
-    """Nobody knows whether the last write took effect."""
+    """It is unknown whether the last write took effect."""
     FENCED = auto()
-    """This incarnation may write no more."""
+    """This incarnation may no longer write."""
     FOUND_CLAIMED = auto()
-    """The store holds another claim whose run has not ended."""
+    """The store holds another claim, whose run has not ended."""
     FOUND_RESULT = auto()
     """The store holds another claim's result."""
     FOUND_NO_RESULT = auto()
-    """The store holds another claim's end, without a result to give."""
+    """The store holds another claim that has ended, or can no longer end, without a result."""
     NOT_FOUND = auto()
     """The store holds no row for this key digest."""
     STORE_TIMED_OUT = auto()
-    """The store has used up its share of the request's time."""
+    """The store did not answer within its share of the latency objective."""
     ABANDONED = auto()
-    """The admission controller gave the request up before its run began."""
+    """The admission controller gave the request up before its run started."""
     RUN_SUCCEEDED = auto()
-    """The executor reports that it ran, with a result."""
+    """The executor reports a run that ended with a result."""
     RUN_FAILED = auto()
-    """The executor reports that it ran, without a result."""
+    """The executor reports a run that ended without a result."""
     NEVER_RAN = auto()
-    """The executor reports that it never ran."""
+    """The executor reports that the request never ran."""
     RETRY_RECEIVED = auto()
-    """A marked retry that is not known here; the store's answer for its key digest follows."""
+    """A marked retry arrived whose key this node does not know; a lookup follows."""
     RECOVERED_RUNNING = auto()
-    """Read back after a start: begun, and the executor may still report its end."""
+    """Recovered at startup: the run had started, and the executor may still report its end."""
     RECOVERED_IN_DOUBT = auto()
-    """Read back after a start: begun, and the executor is gone too."""
+    """Recovered at startup: the run had started, and its executor has ended too."""
     EXECUTOR_SILENT = auto()
-    """The executor will not report any more."""
+    """The executor did not report the end of the run in time."""
     RESOLVED_AS_RAN = auto()
-    """An operator decided that it ran."""
+    """An operator decided that the request ran."""
     RESOLVED_AS_NEVER_RAN = auto()
-    """An operator decided that it never ran."""
+    """An operator decided that the request never ran."""
     WINDOW_EXPIRED = auto()
-    """Its idempotency window is over."""
+    """The idempotency window has ended."""
 
 
-# State, event, guards that must all hold, next state, effects in order. The first row that fits
-# applies; an event without a row is ignored.
+# Columns: state, event, guards that must all hold, next state, effects in order. The first matching
+# row applies; an event without a matching row is ignored.
 TABLE = """
 NEW               STARTED                            CLAIMING          claim
 NEW               RETRY_RECEIVED                     NEW               look_up
@@ -168,14 +168,14 @@
 AWAITING_EXECUTOR RUN_FAILED                         FAILED            resolve_as_failed
 AWAITING_EXECUTOR NEVER_RAN                          WITHDRAWING       resolve_as_never_ran
 AWAITING_EXECUTOR RESOLVED_AS_RAN                    FAILED            resolve_as_failed
-AWAITING_EXECUTOR RESOLVED_AS_NEVER_RAN                 WITHDRAWING       resolve_as_never_ran
+AWAITING_EXECUTOR RESOLVED_AS_NEVER_RAN              WITHDRAWING       resolve_as_never_ran
 AWAITING_EXECUTOR EXECUTOR_SILENT                    IN_DOUBT          mark_in_doubt
 AWAITING_EXECUTOR WINDOW_EXPIRED                     CLOSED            fail
 IN_DOUBT          RUN_SUCCEEDED                      SUCCEEDED         resolve_as_succeeded
 IN_DOUBT          RUN_FAILED                         FAILED            resolve_as_failed
 IN_DOUBT          NEVER_RAN                          WITHDRAWING       resolve_as_never_ran
 IN_DOUBT          RESOLVED_AS_RAN                    FAILED            resolve_as_failed
-IN_DOUBT          RESOLVED_AS_NEVER_RAN                 WITHDRAWING       resolve_as_never_ran
+IN_DOUBT          RESOLVED_AS_NEVER_RAN              WITHDRAWING       resolve_as_never_ran
 IN_DOUBT          WINDOW_EXPIRED                     CLOSED            -
 """
 
@@ -184,18 +184,18 @@
     """One attempt's claim on a key digest. All times are wall-clock nanoseconds.
 
     Attributes:
-        key_digest: Digest over request class, idempotency key and body.
+        key_digest: The digest of request class, idempotency key and body.
         request_id: The attempt's identifier.
         incarnation: The incarnation of the node that made the claim.
-        claim_number: The claim's number within that incarnation.
+        claim_number: The number of the claim within that incarnation.
         started_at_ns: When the claim was made.
         expires_at_ns: When the idempotency window ends.
-        claim_deadline_ns: Until when the store may answer the claim.
-        may_run_unrecorded: Whether it may run although the store did not take its claim.
-        state: The present state; changed by `handle` alone.
-        is_abandoned: Whether the admission controller has given it up.
+        claim_deadline_ns: When the store's time for answering the claim ends.
+        may_run_unrecorded: Whether the request may run without a durable claim.
+        state: The current state; changed only by `handle`.
+        is_abandoned: Whether the admission controller has given the request up.
         result: The result to store or to deliver.
-        write_count: The number of writes sent for it; only the answer to the last one counts.
+        write_count: The number of writes sent; only the answer to the last one is handled.
     """
 
     __slots__ = (
@@ -225,7 +225,7 @@
         claim_deadline_ns: int = 0,
         may_run_unrecorded: bool = False,
     ) -> None:
-        """Takes the attributes of the same names."""
+        """Creates a request in state NEW; the parameters are the attributes of the same names."""
         self.key_digest = key_digest
         self.request_id = request_id
         self.incarnation = incarnation
@@ -240,7 +240,7 @@
         self.write_count = 0
 
     def handle(self, event: RequestEvent, now_ns: int) -> tuple[str, ...]:
-        """Applies the first matching row of the table and returns its effects, in order."""
+        """Applies the first matching row of `TABLE` and returns its effects in order."""
         if event is RequestEvent.ABANDONED:
             self.is_abandoned = True
         for guards, next_state, effects in RULES.get((self.state, event), ()):
@@ -251,7 +251,7 @@
 
     @property
     def row_state(self) -> RequestState:
-        """The state that a write of this request stores."""
+        """The state that the next write of this request stores."""
         return ROW_STATES.get(self.state, RequestState.RUNNING)
 
 
@@ -266,17 +266,17 @@
 
 
 def is_abandoned(request: DurableRequest, now_ns: int) -> bool:
-    """Whether the admission controller has given the request up."""
+    """Returns whether the admission controller has given the request up."""
     return request.is_abandoned
 
 
 def may_run_unrecorded(request: DurableRequest, now_ns: int) -> bool:
-    """Whether the request may run although the store did not take its claim."""
+    """Returns whether the request may run without a durable claim."""
     return request.may_run_unrecorded
 
 
 def is_claim_late(request: DurableRequest, now_ns: int) -> bool:
-    """Whether the store's time for the claim is over."""
+    """Returns whether the claim deadline has passed."""
     return now_ns >= request.claim_deadline_ns
 
 
@@ -289,10 +289,10 @@
 
 
 def parse_rules(table: str) -> Rules:
-    """Reads a table in the form of `TABLE`.
+    """Parses a table in the format of `TABLE`.
 
     Raises:
-        KeyError: A state, an event or a guard is unknown.
+        KeyError: A state, event or guard is unknown.
     """
     parsed: Rules = {}
     for line in filter(None, table.split("\n")):
--- a/burlloom/record/request_registry.py
+++ b/burlloom/record/request_registry.py
@@ -1,4 +1,4 @@
-"""The keyed requests in hand: claims, ends on their way to the store, and doubts."""
+"""The registry of keyed requests whose outcome is pending, not yet durable, or in doubt."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,22 +12,22 @@
 
 
 class RequestRegistry:
-    """Requests by id and by key digest, each with its claim timer and those that wait for it.
+    """Holds requests by ID and key digest, with their claim timers and waiters.
 
     Attributes:
-        by_id: The requests by the ids of their attempts.
-        by_key_digest: The same by key digest; of several the last to hold the key.
-        claim_timers: Timers that end the store's time, by request id.
+        by_id: The requests by the IDs of their attempts.
+        by_key_digest: The latest request that held each key, by key digest.
+        claim_timers: The timers that fire at the claim deadlines, by request ID.
     """
 
     def __init__(
         self, clock: Callable[[], int], on_claim_timeout: Callable[[DurableRequest], None]
     ) -> None:
-        """Starts empty.
+        """Creates an empty registry.
 
         Args:
-            clock: The wall clock, nanoseconds.
-            on_claim_timeout: Called when the store's time for a request is over.
+            clock: Returns the wall-clock time in nanoseconds.
+            on_claim_timeout: Called with a request when its claim deadline has passed.
         """
         self._clock = clock
         self._on_claim_timeout = on_claim_timeout
@@ -37,15 +37,15 @@
         self._waiters: dict[str, list[asyncio.Future[None]]] = {}
 
     def __len__(self) -> int:
-        """The number of requests in hand."""
+        """Returns the number of requests in the registry."""
         return len(self.by_id)
 
     def is_full(self) -> bool:
-        """Whether no further request may be added."""
+        """Returns whether the registry holds `MAX_REQUESTS` or more."""
         return len(self.by_id) >= MAX_REQUESTS
 
     def remove(self, request: DurableRequest) -> None:
-        """Removes a request that is done, and wakes those that wait for it."""
+        """Removes a completed request and wakes its waiters."""
         if self.by_id.get(request.request_id) is request:
             del self.by_id[request.request_id]
         if self.by_key_digest.get(request.key_digest) is request:
@@ -54,19 +54,19 @@
         self.wake(request)
 
     def add_waiter(self, request_id: str) -> asyncio.Future[None]:
-        """A future that is done once the request is done or known to be claimed elsewhere."""
+        """Returns a future that completes once the request is removed or claimed elsewhere."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters.setdefault(request_id, []).append(future)
         return future
 
     def wake(self, request: DurableRequest) -> None:
-        """Ends the waiting for a request."""
+        """Completes the futures of a request's waiters."""
         for future in self._waiters.pop(request.request_id, ()):
             if not future.done():
                 future.set_result(None)
 
     def start_claim_timer(self, request: DurableRequest) -> None:
-        """Starts the timer that ends at the request's claim deadline."""
+        """Starts the timer that fires at the request's claim deadline."""
         delay_s = max(0, request.claim_deadline_ns - self._clock()) / NS_PER_S
         self.claim_timers[request.request_id] = asyncio.get_running_loop().call_later(
             delay_s, self._time_out, request
@@ -77,7 +77,7 @@
         self._on_claim_timeout(request)
 
     def cancel_claim_timer(self, request: DurableRequest) -> None:
-        """Cancels the request's claim timer, if it has one."""
+        """Cancels the request's claim timer, if one is running."""
         timer = self.claim_timers.pop(request.request_id, None)
         if timer is not None:
             timer.cancel()
--- a/burlloom/record/request_writer.py
+++ b/burlloom/record/request_writer.py
@@ -1,4 +1,4 @@
-"""Writes the rows of keyed requests, sends them again, and reads results for repeats."""
+"""Writes the rows of keyed requests, with retries, and reads results for repeated requests."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,11 +25,11 @@
 
 
 class RequestWriter:
-    """Sends the writes of requests to the store.
+    """Sends the writes of requests to the store and retries them.
 
     Attributes:
         node: The name of this node; empty until the store is open.
-        is_stopped: Whether no write is sent again any more.
+        is_stopped: Whether retries are disabled.
     """
 
     def __init__(
@@ -41,15 +41,15 @@
         clock: Callable[[], int],
         handle: EventHandler,
     ) -> None:
-        """Makes a writer.
+        """Creates a writer.
 
         Args:
             store: The store.
             authenticator: Computes the rows' MACs.
-            health: Notes how writes went.
-            observer: Observes how long they took, and counts.
-            clock: The wall clock, nanoseconds.
-            handle: Takes the store's answers as events of their requests.
+            health: Feeds the outcomes of writes to the circuit breaker.
+            observer: Observes how long writes take, and holds the counters.
+            clock: Returns the wall-clock time in nanoseconds.
+            handle: Called with each request and the event that the store's answer means.
         """
         self.node = ""
         self.is_stopped = False
@@ -61,7 +61,7 @@
         self._handle = handle
 
     def write(self, request: DurableRequest, kind: WriteKind) -> None:
-        """Sends a write; only the answer to a request's last one counts."""
+        """Sends a write; only the answer to a request's last write is handled."""
         request.write_count += 1
         count, started_ns = request.write_count, self._clock()
         number = self._health.breaker.write_started(started_ns)
@@ -79,7 +79,10 @@
         self._store.submit(RecordWrite(kind, self._row_of(request)), finished)
 
     def write_later(self, request: DurableRequest, kind: WriteKind) -> None:
-        """Sends a write after a pause that grows, unless something else happened meanwhile."""
+        """Sends a write after an exponential backoff.
+
+        The write is dropped if the request changed its state or sent another write meanwhile.
+        """
         doublings = min(request.write_count, MAX_BACKOFF_DOUBLINGS)
         pause_ns = min(MAX_RETRY_PAUSE_NS, MIN_RETRY_PAUSE_NS << doublings)
         asyncio.get_running_loop().call_later(
@@ -120,16 +123,22 @@
 
 
 class ResultFetcher:
-    """Reads stored results for repeats.
+    """Reads stored results for repeated requests.
 
     Attributes:
-        is_stopped: Whether no result is read any more.
+        is_stopped: Whether fetches are refused.
     """
 
     def __init__(
         self, store: RecordStore, observer: RecordObserver, clock: Callable[[], int]
     ) -> None:
-        """Takes the store, whoever counts, and the wall clock in nanoseconds."""
+        """Creates a fetcher.
+
+        Args:
+            store: The store.
+            observer: Holds the counters.
+            clock: Returns the wall-clock time in nanoseconds.
+        """
         self._store = store
         self.is_stopped = False
         self._counters = observer.counters
@@ -137,7 +146,10 @@
         self._pending = 0
 
     async def fetch(self, row: RecordRow, deadline_ns: int) -> bytes | None:
-        """The result stored for a row's key; None where there is none, or not in time."""
+        """Returns the result stored for a row's key; None if there is none or time runs out.
+
+        None is also returned without a read if `MAX_PENDING_FETCHES` fetches are pending.
+        """
         if self._pending >= MAX_PENDING_FETCHES or self.is_stopped:
             self._counters.results_not_fetched += 1
             return None
@@ -153,7 +165,7 @@
         return None
 
     async def _find(self, row: RecordRow, deadline_ns: int) -> WriteResult:
-        """Asks again, ever more slowly, while the store can't be reached and there is time."""
+        """Reads the row; retries with exponential backoff while the store can't answer."""
         pause_ns = MIN_RETRY_PAUSE_NS
         result = WriteResult(RequestEvent.WRITE_FAILED)
         while result.outcome in UNANSWERED and (left_ns := deadline_ns - self._clock()) > 0:
@@ -173,11 +185,11 @@
 
 
 def lookup_row(key_digest: bytes, node: str, incarnation: int) -> RecordRow:
-    """A row that only says which key is asked for, and by whom."""
+    """Returns a row that carries only the key to read and the node that reads it."""
     return RecordRow(key_digest, ROW_COMPLETED, node, incarnation, 0, "", 0, 0)
 
 
 def set_result_if_pending(future: asyncio.Future[WriteResult], result: WriteResult) -> None:
-    """Sets a future's result, unless its waiter is gone."""
+    """Sets a future's result unless the future is already done or cancelled."""
     if not future.done():
         future.set_result(result)
--- a/burlloom/record/rows.py
+++ b/burlloom/record/rows.py
@@ -1,4 +1,4 @@
-"""The rows of keyed requests, the writes to them, and what the answers mean. No I/O."""
+"""The rows of keyed requests, the writes to them, and the meaning of the results. No I/O."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -36,23 +36,23 @@
     ROW_COMPLETED: "ran",
     ROW_COMPLETED_WITHOUT_RESULT: "ran-without-result",
 }
-"""The states as an operator reads them."""
+"""The names of the states in the output of the operator's commands."""
 
 
 class RecordRow(NamedTuple):
-    """One keyed request in the store; the order of the fields is that of the table's columns.
+    """One keyed request in the store; the fields are in the order of the table's columns.
 
     Attributes:
-        key_digest: Digest over request class, idempotency key and body.
-        state: One of the `ROW_` states.
-        node: The node that claimed it.
+        key_digest: The digest of request class, idempotency key and body.
+        state: `ROW_STARTED`, `ROW_COMPLETED` or `ROW_COMPLETED_WITHOUT_RESULT`.
+        node: The node that claimed the key.
         incarnation: The incarnation of that node.
-        claim_number: The claim's number within that incarnation.
+        claim_number: The number of the claim within that incarnation.
         request_id: The identifier of the attempt.
-        started_at_ns: When it was claimed, wall-clock nanoseconds.
-        expires_at_ns: When its idempotency window ends, wall-clock nanoseconds.
-        result: The stored result, empty where there is none.
-        mac: The keyed MAC over all of the above.
+        started_at_ns: When the key was claimed, wall-clock nanoseconds.
+        expires_at_ns: When the idempotency window ends, wall-clock nanoseconds.
+        result: The stored result, empty if there is none.
+        mac: The keyed MAC over all other fields.
     """
 
     key_digest: bytes
@@ -68,31 +68,31 @@
 
 
 class NodeIncarnation(NamedTuple):
-    """A node's present incarnation in the store, and whether an operator fenced it off."""
+    """A node's current incarnation in the store, and whether an operator has fenced the node."""
 
     incarnation: int
     is_fenced: bool
 
 
 class WriteKind(IntEnum):
-    """What is asked of the store for one row."""
+    """The operations on one row."""
 
     CLAIM = 0
-    """Inserts a row where there is none, or replaces an earlier claim of the same incarnation."""
+    """Inserts a row if there is none, or replaces an earlier claim of the same incarnation."""
     FINISH = 1
-    """Stores the end of the claim of this incarnation and number."""
+    """Stores the end of the run of the claim with this incarnation and number."""
     WITHDRAW = 2
-    """Deletes the claim of this incarnation and number."""
+    """Deletes the claim with this incarnation and number."""
     INSERT = 3
-    """Inserts a complete row where there is none."""
+    """Inserts a complete row if there is none."""
     LOOK = 4
-    """Reads whose row stands there."""
+    """Reads which claim holds the key."""
     FIND = 5
-    """Reads any row, for a result that is fetched."""
+    """Reads the row, whoever wrote it, to fetch its result."""
 
 
 def finish_values(row: RecordRow) -> tuple[object, ...]:
-    """The values of a FINISH, in the order of both stores' statements."""
+    """Returns the parameters of a FINISH statement, in the order that both stores use."""
     return (
         row.state,
         row.result,
@@ -105,17 +105,17 @@
 
 
 def withdraw_values(row: RecordRow) -> tuple[object, ...]:
-    """The values of a WITHDRAW, in the order of both stores' statements."""
+    """Returns the parameters of a WITHDRAW statement, in the order that both stores use."""
     return row.key_digest, row.node, row.incarnation, row.claim_number
 
 
 @dataclass(frozen=True, slots=True)
 class RecordWrite:
-    """One thing asked of a store.
+    """One operation on a store.
 
     Attributes:
-        kind: What is asked.
-        row: The row that is to stand; of LOOK and FIND only its key digest counts.
+        kind: The operation.
+        row: The row to write; LOOK and FIND use only its key digest.
     """
 
     kind: WriteKind
@@ -124,11 +124,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteResult:
-    """The store's answer to one write.
+    """The store's answer to one operation.
 
     Attributes:
-        outcome: What it means to the request.
-        row: The row that stands there, where it holds another's result.
+        outcome: The event that the answer means to the request.
+        row: The stored row if the outcome is FOUND_RESULT, else None.
     """
 
     outcome: RequestEvent
@@ -143,19 +143,19 @@
     incarnations: dict[str, NodeIncarnation],
     is_authentic: bool = True,
 ) -> RequestEvent:
-    """What a stored row means to the one that claimed as (node, incarnation, claim_number).
+    """Returns what a stored row means to the claim (node, incarnation, claim_number).
 
-    A claim of an incarnation that is over has nobody to end it: whether it ran is in doubt, which
-    to a repeat is the same as an end without a result. So is a row whose MAC does not hold: it may
-    say that it ran, and what it says can't be served.
+    No node can finish a claim of a past or fenced incarnation. Whether such a claim ran is in
+    doubt, which for a repeated request is the same as an end without a result. A row with an
+    invalid MAC is treated alike: the request may have run, but the stored result can't be served.
 
     Args:
-        row: The row that stands there, or None.
+        row: The stored row, or None.
         node: The claiming node.
-        incarnation: Its incarnation.
+        incarnation: The claiming node's incarnation.
         claim_number: The number of the claim.
-        incarnations: Each node's present incarnation.
-        is_authentic: Whether the row's MAC holds.
+        incarnations: Each node's current incarnation.
+        is_authentic: Whether the row's MAC is valid.
     """
     if row is None:
         return RequestEvent.NOT_FOUND
@@ -177,10 +177,10 @@
     incarnations: dict[str, NodeIncarnation],
     is_authentic: bool = True,
 ) -> WriteResult:
-    """The answer to a write that changed nothing, by the row that stands there.
+    """Returns the answer to a write that changed no row, given the stored row.
 
-    A FINISH that finds its own end was sent again after an answer that was lost; it counts as
-    applied.
+    A FINISH that finds its own end in the store is a retry whose first answer was lost, and counts
+    as applied.
     """
     row = write.row
     outcome = classify_row(
@@ -201,13 +201,15 @@
 def apply_write(
     row: RecordRow | None, write: RecordWrite, present_incarnation: int
 ) -> tuple[RecordRow | None, bool]:
-    """The reference for each store's SQL: the row after a write, and whether the write applied.
+    """Returns the row after a write, and whether the write applied.
+
+    This is the reference implementation that each store's SQL must match.
 
     Args:
-        row: The row that stands there, or None.
+        row: The stored row, or None.
         write: The write.
-        present_incarnation: The writing node's incarnation in the store; an earlier one may claim
-            nothing any more.
+        present_incarnation: The writing node's incarnation in the store; earlier incarnations
+            may no longer claim.
     """
     new = write.row
     if write.kind in (WriteKind.LOOK, WriteKind.FIND):
@@ -227,5 +229,5 @@
 
 
 def is_open_claim_of(row: RecordRow, new: RecordRow) -> bool:
-    """Whether the row is a claim without an end, by the node and incarnation of the new one."""
+    """Returns whether the row is an unfinished claim of the new row's node and incarnation."""
     return (row.node, row.incarnation, row.state) == (new.node, new.incarnation, ROW_STARTED)
--- a/burlloom/record/schema.py
+++ b/burlloom/record/schema.py
@@ -1,7 +1,7 @@
-"""The tables of both stores, by numbered steps.
+"""The tables of both stores, as numbered migration steps.
 
-A step is never changed once it was released; a new one is added behind it. SQLite keeps the number
-of the last step in `user_version`, PostgreSQL in the table `burlloom_schema`.
+A released step is never changed; changes are added as new steps. SQLite stores the number of the
+last applied step in `user_version`, PostgreSQL in the table `burlloom_schema`.
 """
 
 __all__ = [
@@ -24,28 +24,28 @@
         " INTEGER NOT NULL, result BLOB NOT NULL, seal BLOB NOT NULL)",
         "CREATE UNIQUE INDEX fate_mark ON fate (mark)",
         "CREATE INDEX fate_until ON fate (until, mark)",
-        # all that a start reads of what ended
+        # A start reads only the rows of unfinished runs, through this index.
         "CREATE INDEX fate_begun ON fate (until) WHERE state = 2",
     ),
     2: (
-        # An operator's verdict on a claim in doubt, for the node that serves to take up.
+        # An operator's verdict on a claim in doubt, which the serving node reads and applies.
         "CREATE TABLE verdict (mark BLOB PRIMARY KEY, life INTEGER NOT NULL, turn INTEGER NOT"
         " NULL, ran INTEGER NOT NULL, said_at INTEGER NOT NULL, reason TEXT NOT NULL) WITHOUT"
         " ROWID",
     ),
     3: (
-        # What an incarnation leaves to the next one.
+        # The notice that an incarnation saves for the next one.
         "ALTER TABLE node ADD COLUMN note TEXT NOT NULL DEFAULT ''",
     ),
     4: (
-        # What the servers agree on in a rollout, and what each says of itself.
+        # The shared state of a rollout, and each server's own state.
         "CREATE TABLE rollout_book (id INTEGER PRIMARY KEY, revision INTEGER NOT NULL, epoch"
         " INTEGER NOT NULL, beat INTEGER NOT NULL, text TEXT NOT NULL)",
         "CREATE TABLE rollout_member (name TEXT PRIMARY KEY, life INTEGER NOT NULL, beat INTEGER"
         " NOT NULL, text TEXT NOT NULL) WITHOUT ROWID",
     ),
     5: (
-        # The distributed configuration: its last change, its changes, and what is in force.
+        # The distributed configuration: its last change, the change log, and the entries in force.
         "CREATE TABLE distribution_head (id INTEGER PRIMARY KEY, epoch INTEGER NOT NULL,"
         " revision INTEGER NOT NULL, tag BLOB NOT NULL, time_ms INTEGER NOT NULL)",
         "CREATE TABLE distribution_change (revision INTEGER PRIMARY KEY, epoch INTEGER NOT NULL,"
@@ -91,5 +91,5 @@
 
 
 def pending_steps(version: int, steps: dict[int, tuple[str, ...]]) -> list[int]:
-    """The numbers of the steps that are still to be taken from a version on, in order."""
+    """Returns the numbers of the steps to apply after a version, in order."""
     return [number for number in sorted(steps) if number > version]
--- a/burlloom/record/shared_postgres.py
+++ b/burlloom/record/shared_postgres.py
@@ -1,4 +1,4 @@
-"""The record's PostgreSQL database as several machines agree through it; through asyncpg."""
+"""The record's PostgreSQL database as shared state of several machines, through asyncpg."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -13,25 +13,29 @@
 
 
 class SharedPostgresDatabase:
-    """One connection, made anew after any error.
+    """One connection, replaced by a new one after any error.
 
-    Of a statement whose answer was lost nobody knows whether it took effect.
+    If the answer to a statement is lost, it is unknown whether the statement took effect.
+
+    Attributes:
+        database: The database.
+        connection: The connection; None while disconnected.
     """
 
     def __init__(self, record: PostgresStore) -> None:
-        """Does not connect yet.
+        """Creates an object that is not yet connected.
 
         Args:
-            record: A store of record that is not opened; it says where the database is.
+            record: A store that is not opened, from which the database's address is taken.
         """
         self.database = record.database
         self.connection: Any = None
 
     async def run_guarded(self, work: Callable[[Any], Awaitable[Any]]) -> Any:
-        """Runs work with the connection.
+        """Runs work with the connection, and disconnects if it fails or is cancelled.
 
         Raises:
-            StoreUnavailableError: The database failed in any way.
+            StoreUnavailableError: The connection or a statement failed.
         """
         try:
             if self.connection is None or self.connection.is_closed():
@@ -41,15 +45,15 @@
             self.disconnect()
             raise StoreUnavailableError(describe_error(error), place=self.database.place) from error
         except BaseException:
-            # Cancelled on the way: the connection is in the middle of something.
+            # Cancelled: a statement may still be in progress on the connection.
             self.disconnect()
             raise
 
     async def prepare(self) -> None:
-        """Takes the schema's missing steps.
+        """Applies the pending schema steps.
 
         Raises:
-            StoreUnavailableError: The database failed in any way.
+            StoreUnavailableError: The connection or a statement failed.
         """
         await self.run_guarded(lambda connection: migrate(connection, self.database.place))
 
@@ -57,17 +61,17 @@
         """Runs one statement and returns its rows.
 
         Raises:
-            StoreUnavailableError: The database failed in any way.
+            StoreUnavailableError: The connection or the statement failed.
         """
         rows: list[Any] = await self.run_guarded(lambda connection: connection.fetch(sql, *values))
         return [tuple(row) for row in rows]
 
     def disconnect(self) -> None:
-        """Ends the connection at once."""
+        """Terminates the connection immediately."""
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.terminate()
 
     async def close(self) -> None:
-        """Ends the connection."""
+        """Terminates the connection."""
         self.disconnect()
--- a/burlloom/record/shared_sqlite.py
+++ b/burlloom/record/shared_sqlite.py
@@ -1,4 +1,4 @@
-"""One SQLite file that several processes of a machine agree through, in a thread of its own."""
+"""An SQLite file as shared state of several processes of a machine, accessed from a thread."""
 
 import asyncio
 import contextlib
@@ -17,23 +17,28 @@
 __all__ = ["SharedSqliteFile", "execute"]
 
 POSTGRES_PARAMETER = re.compile(r"\$(\d+)::\w+")
-CLOSE_TIMEOUT_S = 1.0  # a disk that hangs is not waited for longer
+CLOSE_TIMEOUT_S = 1.0  # after that the file is left open, as the disk may hang
 Result = TypeVar("Result")
 
 
 class SharedSqliteFile:
-    """A disk that is slow, or a lock that another holds, never blocks the event loop."""
+    """Accesses the file in its own thread, so a slow disk or a held lock never blocks the loop.
+
+    Attributes:
+        path: The file.
+        lock_retry: The rule by which statements wait for the file's lock.
+    """
 
     def __init__(
         self, path: Path, thread_name: str, lock_timeout_s: float = LOCK_TIMEOUT_S
     ) -> None:
-        """Does not open the file yet.
+        """Creates an object that has not yet opened the file.
 
         Args:
             path: The file.
-            thread_name: The name of its thread.
-            lock_timeout_s: Seconds for a lock that another holds, until the store counts as
-                unavailable.
+            thread_name: The name of the thread that accesses the file.
+            lock_timeout_s: How long to wait for a lock that another connection holds before the
+                store counts as unavailable, seconds.
         """
         self.path = path
         self.lock_retry = LockRetry(lock_timeout_s, is_cancelled=lambda: self._is_closing)
@@ -46,7 +51,7 @@
         """Runs work in the file's thread.
 
         Raises:
-            StoreUnavailableError: The file failed in any way.
+            StoreUnavailableError: The file can't be accessed or used.
         """
         try:
             return await asyncio.get_running_loop().run_in_executor(self._thread, work)
@@ -56,18 +61,18 @@
             raise StoreUnavailableError(error.problem, place=error.place) from error
 
     async def prepare(self) -> None:
-        """Opens the file, made if there is none, and takes the schema's missing steps.
+        """Opens the file, creating it if it does not exist, and applies the pending schema steps.
 
         Raises:
-            StoreUnavailableError: The file failed in any way.
+            StoreUnavailableError: The file can't be accessed or used.
         """
         await self.run_in_thread(self._open)
 
     async def run_transaction(self, work: Callable[[sqlite3.Connection], Result]) -> Result:
-        """Runs a statement or a whole transaction; sent again while another holds the lock.
+        """Runs a statement or a whole transaction, with retries while another holds the lock.
 
         Raises:
-            StoreUnavailableError: The file failed in any way.
+            StoreUnavailableError: The file can't be accessed or used.
         """
         return await self.run_in_thread(
             lambda: self.lock_retry.run(lambda: work(self._open_connection()))
@@ -77,19 +82,19 @@
         """Runs one statement and returns its rows.
 
         Raises:
-            StoreUnavailableError: The file failed in any way.
+            StoreUnavailableError: The file can't be accessed or used.
         """
         return await self.run_transaction(lambda db: execute(db, sql, values))
 
     async def close(self) -> None:
-        """Closes the file, unless it hangs."""
+        """Closes the file, or leaves it open if the thread does not respond in time."""
         self._is_closing = True
         with contextlib.suppress(StoreUnavailableError, TimeoutError):
             async with asyncio.timeout(CLOSE_TIMEOUT_S):
                 await self.run_in_thread(self._disconnect)
         self._thread.shutdown(wait=False, cancel_futures=True)
 
-    # In the thread.
+    # The methods below run in the file's thread.
 
     def _open(self) -> None:
         self._disconnect()
@@ -104,11 +109,11 @@
 
     def _open_connection(self) -> sqlite3.Connection:
         if self._db is None:
-            raise sqlite3.OperationalError("not open")
+            raise sqlite3.OperationalError("the file is not open")
         if self.path.stat().st_ino != self._inode:
-            # A restore put another file in its place: this one is nobody's now.
+            # A restore replaced the file, and no other process uses the old one any more.
             self._disconnect()
-            raise sqlite3.OperationalError("another file has taken its place")
+            raise sqlite3.OperationalError("the file was replaced by another one")
         return self._db
 
     def _disconnect(self) -> None:
@@ -118,5 +123,5 @@
 
 
 def execute(db: sqlite3.Connection, sql: str, values: tuple[Any, ...]) -> list[Any]:
-    """Runs a statement that is written with PostgreSQL's parameters, and returns its rows."""
+    """Runs a statement with PostgreSQL-style parameters such as `$1::text`; returns its rows."""
     return db.execute(POSTGRES_PARAMETER.sub(r"?\1", sql), values).fetchall()
--- a/burlloom/record/sqlite.py
+++ b/burlloom/record/sqlite.py
@@ -1,7 +1,7 @@
-"""A store in one SQLite file: a write-ahead log synced at each commit, one writer thread.
+"""A store in one SQLite file, with a write-ahead log synced at each commit and one writer thread.
 
-What is submitted while a commit is on its way waits and goes into the next one together: the busier
-the store is, the more requests share one sync of the disk.
+Writes submitted during a commit are batched into the next one, so under load more requests share
+one sync of the disk.
 """
 
 import asyncio
@@ -37,22 +37,33 @@
 
 log = logging.getLogger(__name__)
 
-MIN_BULK_WRITES = 8  # from which on a batch is written kind by kind
-MAX_BATCH = 256  # a commit that takes long keeps the writes behind it waiting
+MIN_BULK_WRITES = 8  # the smallest batch that is applied with one bulk statement per kind
+MAX_BATCH = 256  # writes per commit; a longer commit would delay the writes behind it
 ROWS_PER_READ = 4096
 PRUNE_INTERVAL_NS = 1_000_000_000
 MAX_PRUNED_ROWS = 2_000
-VERDICT_INTERVAL_S = 1.0  # between looks for an operator's verdict, where nothing is written
-VACUUM_PAGES = 200  # free pages that go back to the disk after a prune
+VERDICT_INTERVAL_S = 1.0  # between polls for operators' verdicts; also while nothing is written
+VACUUM_PAGES = 200  # maximum number of free pages returned to the file system after a prune
 CLOSE_TIMEOUT_S = 2.0
-# Errors of a COMMIT that roll back completely: nothing took effect.
+# Messages of COMMIT errors after which SQLite rolls back completely, so no write took effect.
 CERTAIN_ERRORS = ("database or disk is full", "database is locked")
 
 Task = Callable[[], None]
 
 
 class SqliteStore(RecordStore):
-    """One record in one file, for one server."""
+    """One server's record in one file.
+
+    Attributes:
+        path: The file.
+        max_pages: The maximum number of pages of the file, 0 for no limit.
+        read_clocks: Reads both clocks.
+        clock_shift_ns: By how much the wall clock was stepped while the store was closed.
+        file_lock: The lock that keeps other servers off the file.
+        db: The connection; None while the store is closed.
+        lock_retry: The rule by which statements wait for the file's lock.
+        prune_at_ns: When the next commit deletes expired rows, wall-clock nanoseconds.
+    """
 
     def __init__(
         self,
@@ -65,16 +76,16 @@
         retention_ns: int = 0,
         read_clocks: Callable[[], ClockReading] = read_clocks,
     ) -> None:
-        """Does not open the file yet.
+        """Creates a store that has not yet opened the file.
 
         Args:
             path: The file.
             authenticator: Computes and checks the rows' MACs.
             node: The name of this node.
-            max_pages: The most pages that the file may have, 0 for no bound.
-            max_batch: The most writes in one commit.
-            retention_ns: How long a row stays past the end of its window.
-            read_clocks: Gives both clocks.
+            max_pages: The maximum number of pages of the file, 0 for no limit.
+            max_batch: The maximum number of writes in one commit.
+            retention_ns: How long a row is kept after the end of its window, nanoseconds.
+            read_clocks: Reads both clocks.
         """
         super().__init__(node, authenticator, max_batch, retention_ns)
         self.path = path
@@ -94,18 +105,18 @@
         self._has_free_pages = False
         self._next_verdict_look_s = 0.0
 
-    # Opening.
+    # Opening the store.
 
     async def open(self) -> StoreSession:
-        """Opens the store, takes missing steps of the schema, and begins an incarnation.
+        """Opens the store, applies pending schema steps, and starts an incarnation.
 
         Raises:
-            StoreRefusedError: The file is in use, damaged, or no record.
+            StoreRefusedError: The file is in use, is damaged or is not a record.
         """
         return self.open_now()
 
     def open_now(self) -> StoreSession:
-        """As `open`, outside of an event loop."""
+        """Does the same as `open` without an event loop."""
         self.file_lock.acquire()
         try:
             self.db = connect(self.path, self.max_pages, self.lock_retry)
@@ -122,15 +133,15 @@
         if is_lock_error(error):
             return (
                 f"another process has held its lock for {self.lock_retry.timeout_s:g} s; start"
-                " again once that has ended"
+                " again once that process has ended"
             )
         return (
-            f"{error}; the file is damaged or is no record. Nothing was changed: look at it with"
+            f"{error}; the file is damaged or is not a record. Nothing was changed: check it with"
             " `burlloom record verify`, or restore a snapshot"
         )
 
     def release(self) -> None:
-        """Closes the file and lets its lock go."""
+        """Closes the file and releases its lock."""
         if self.db is not None:
             self.db.close()
             self.db = None
@@ -166,7 +177,7 @@
     def _shift_windows(self, db: sqlite3.Connection, since_ns: int) -> None:
         """Moves the ends of windows along with a wall clock that was stepped ahead.
 
-        The rows themselves are changed: a further incarnation would end them too early otherwise.
+        The stored rows are updated, as otherwise a later incarnation would end the windows early.
         """
         rows = [RecordRow(*row) for row in db.execute(sql.SELECT_UNEXPIRED, (since_ns,))]
         moved = [
@@ -183,19 +194,19 @@
         )
 
     def read_recorded_keys(self, now_ns: int) -> Iterator[list[tuple[bytes, int]]]:
-        """Key digest and end of window of all rows, by batches."""
+        """Yields batches of key digest and window end of all rows."""
         assert self.db is not None
         cursor = self.db.execute(sql.SELECT_KEYS, (now_ns - self.retention_ns,))
         while rows := cursor.fetchmany(ROWS_PER_READ):
             yield rows
 
     def read_started_rows(self, now_ns: int) -> Iterator[RecordRow]:
-        """The rows without an end, of any incarnation."""
+        """Yields the rows of unfinished runs, of any incarnation."""
         assert self.db is not None
         for row in self.db.execute(sql.SELECT_STARTED, (now_ns - self.retention_ns,)):
             yield RecordRow(*row)
 
-    # On the event loop.
+    # The methods below run on the event loop.
 
     async def start(self) -> None:
         """Starts the writer thread."""
@@ -205,15 +216,15 @@
             self._thread.start()
 
     def submit(self, write: RecordWrite, callback: WriteCallback) -> None:
-        """Sends a write; the callback gets its result."""
+        """Queues a write; the callback receives its result."""
         self._enqueue((write, callback))
 
     def probe(self, callback: ProbeCallback) -> None:
-        """Makes a commit of its own; the callback hears whether the store works."""
+        """Queues a probe commit; the callback receives whether it succeeded."""
         self._enqueue(partial(self._probe, callback))
 
     def save_notice(self, text: str) -> None:
-        """Leaves a notice to this node's next incarnation, if it can be written now."""
+        """Saves a notice for this node's next incarnation; a failure is only logged."""
         self._enqueue(partial(self._save_notice, text))
 
     def _enqueue(self, item: PendingWrite | Task) -> None:
@@ -221,7 +232,7 @@
         self._wake.set()
 
     async def close(self) -> None:
-        """Writes what was submitted and lets go; a store that hangs is left after two seconds."""
+        """Writes what was submitted and closes; a hanging store is abandoned after 2 s."""
         self._is_stopping = True
         self._wake.set()
         if self._thread is not None:
@@ -231,7 +242,7 @@
                 return
         self.release()
 
-    # In the writer thread.
+    # The methods below run in the writer thread.
 
     def _run(self) -> None:
         while True:
@@ -252,7 +263,7 @@
         try:
             self._loop.call_soon_threadsafe(callback)
         except RuntimeError:
-            # The loop is closed, and whoever waited is gone with it.
+            # The event loop is closed, and the waiting requests ended with it.
             return
 
     def _commit(self, batch: list[PendingWrite]) -> None:
@@ -265,7 +276,7 @@
             self._vacuum()
 
     def _write(self, batch: list[PendingWrite]) -> list[WriteResult]:
-        """Writes a batch in one transaction; never raises, as the thread must live on."""
+        """Writes a batch in one transaction; never raises, as that would end the writer thread."""
         db = self.db
         assert db is not None
         is_committing = False
@@ -278,8 +289,8 @@
                 db.execute("COMMIT")
             return results
         except sqlite3.Error as error:
-            # Of a COMMIT that failed the log may hold the pages, and a restart would find them,
-            # unless it is known to roll back completely.
+            # After a failed COMMIT the write-ahead log may still hold the pages, and a restart
+            # would apply them, unless the error is known to roll back completely.
             is_certain = not is_committing or any(known in str(error) for known in CERTAIN_ERRORS)
             log.warning(
                 "event=record_write_failed writes=%d is_certain=%s error=%r",
@@ -288,16 +299,16 @@
                 str(error),
             )
         except Exception:
-            # An error of ours would end the thread, and every later write would wait for nobody.
+            # An uncaught exception would end the thread, and later writes would never be answered.
             is_certain = not is_committing
             log.exception("event=internal_error side=record")
         outcome = RequestEvent.WRITE_FAILED if is_certain else RequestEvent.WRITE_UNCERTAIN
         return [WriteResult(outcome)] * len(batch)
 
     def _apply_all(self, db: sqlite3.Connection, writes: list[RecordWrite]) -> list[WriteResult]:
-        """Applies a batch, kind by kind where no key is written twice.
+        """Applies a batch, with one bulk statement per kind if no key is written twice.
 
-        Mostly all writes of a kind apply, which one count tells.
+        Usually all writes of a kind apply, which the row count of one bulk statement confirms.
         """
         keys = {write.row.key_digest for write in writes}
         if len(writes) < MIN_BULK_WRITES or len(keys) < len(writes):
@@ -312,7 +323,7 @@
         return [results[at] for at in range(len(writes))]
 
     def _apply_bulk(self, db: sqlite3.Connection, kind: WriteKind, rows: list[RecordRow]) -> bool:
-        """Whether all writes of a kind applied; if not, none did."""
+        """Applies all writes of a kind or none, and returns whether they were applied."""
         if kind not in sql.STATEMENTS or not rows:
             return False
         statement, values = sql.STATEMENTS[kind]
@@ -343,7 +354,7 @@
             save_clocks(db, self.read_clocks())
 
     def _prune(self, db: sqlite3.Connection, now_ns: int) -> None:
-        """Deletes rows whose windows are long over, some at a time."""
+        """Deletes up to `MAX_PRUNED_ROWS` rows whose retention has ended."""
         count = db.execute(sql.PRUNE, (now_ns - self.retention_ns, MAX_PRUNED_ROWS)).rowcount
         if count > 0:
             self.pruned_rows += count
@@ -351,12 +362,12 @@
             self._has_free_pages = True
 
     def _vacuum(self) -> None:
-        """Gives some free pages back to the disk."""
+        """Returns up to `VACUUM_PAGES` free pages to the file system."""
         db = self.db
         assert db is not None
         self._has_free_pages = False
         try:
-            # `execute` would take one step of it, a page.
+            # `execute` would step the statement once, which frees only one page.
             self.lock_retry.run(
                 lambda: db.executescript(f"PRAGMA incremental_vacuum({VACUUM_PAGES})")
             )
@@ -387,7 +398,7 @@
             log.warning("event=record_notice_not_saved error=%r", str(error))
 
     def _look_for_verdicts(self) -> None:
-        """Takes up the verdicts of operators, at most once a second, if another process wrote."""
+        """Reads operators' verdicts, at most once a second and only if another process wrote."""
         db = self.db
         assert db is not None
         if time.monotonic() < self._next_verdict_look_s:
@@ -408,7 +419,7 @@
 
 
 def save_clocks(db: sqlite3.Connection, now: ClockReading) -> None:
-    """Writes both clocks, by which the next start knows whether the wall clock was stepped."""
+    """Saves both clocks, from which the next start computes whether the wall clock was stepped."""
     db.executemany(
         sql.UPSERT_META,
         [("boot", now.boot_id), ("steady", str(now.monotonic_ns)), ("wall", str(now.wall_ns))],
--- a/burlloom/record/sqlite_admin.py
+++ b/burlloom/record/sqlite_admin.py
@@ -1,7 +1,7 @@
-"""What an operator does to a SQLite record: look, resolve, verify, export, migrate, compact.
+"""The operator's commands on an SQLite record: stats, resolve, verify, export, migrate, compact.
 
-While a server has the file, only what leaves its rows alone is allowed: looks, and verdicts on rows
-in doubt, which the server takes up within a second.
+While a server uses the file, only commands that do not change its rows are allowed: reads, and
+verdicts on rows in doubt, which the server applies within a second.
 """
 
 import fcntl
@@ -38,21 +38,21 @@
 
 @dataclass(slots=True)
 class RecordStats:
-    """What a record holds; the names of the fields are those of the command's JSON.
+    """The statistics of a record; the field names are the keys of the command's JSON output.
 
     Attributes:
-        schema: The number of the schema's last step.
+        schema: The number of the last applied schema step.
         nodes: Each node's incarnation.
-        rows: Counts by state, under the names that operators read.
-        doubts: Rows of which nobody knows whether they ran.
-        over: Rows whose windows are over.
+        rows: Counts of rows by the state names of `ROW_STATE_NAMES`.
+        doubts: The number of rows of which it is unknown whether they ran.
+        over: The number of rows whose windows have ended.
         first_end: The earliest end of a window, wall-clock nanoseconds; 0 for none.
         last_end: The latest end of a window, wall-clock nanoseconds; 0 for none.
-        result_bytes: The size of all results.
+        result_bytes: The total size of all results.
         file_bytes: The size of the file.
-        free_bytes: What of it is free.
-        served: Whether a server has the file.
-        closed_until: Until when nothing may be claimed, wall-clock nanoseconds; 0 for no bound.
+        free_bytes: The size of the free pages in the file.
+        served: Whether a server uses the file.
+        closed_until: When claims are allowed again, wall-clock nanoseconds; 0 if they are now.
     """
 
     schema: int
@@ -71,11 +71,11 @@
 
 @dataclass(slots=True)
 class VerificationReport:
-    """What a verification found.
+    """The result of a verification.
 
     Attributes:
-        row_count: Rows looked at.
-        faults: A line for each fault; empty where all is well.
+        row_count: The number of rows checked.
+        faults: One line for each fault found.
     """
 
     row_count: int = 0
@@ -83,21 +83,25 @@
 
 
 class SqliteRecordAdmin:
-    """One SQLite record, as an operator looks after it.
+    """The operator's commands on one SQLite record.
 
-    Every method raises `StoreRefusedError` with what is wrong and what to do.
+    Every method raises `StoreRefusedError`, which says what is wrong and what to do.
+
+    Attributes:
+        path: The file.
+        authenticator: Computes and checks the rows' MACs.
     """
 
     def __init__(self, path: Path, authenticator: RowAuthenticator) -> None:
-        """Takes the file, and what checks its rows."""
+        """Takes the attributes of the same names; the file is not opened."""
         self.path = path
         self.authenticator = authenticator
 
     @contextmanager
     def open_for_reading(self) -> Iterator[sqlite3.Connection]:
-        """A connection that can't write."""
+        """Opens a read-only connection, and closes it at the end."""
         if not self.path.is_file():
-            raise self._refusal("no such file; `burlloom record init` makes one")
+            raise self._refusal("no such file; `burlloom record init` creates one")
         uri = f"file:{self.path}?mode=ro"
         try:
             with closing(sqlite3.connect(uri, uri=True, timeout=BUSY_TIMEOUT_S)) as db:
@@ -108,7 +112,7 @@
 
     @contextmanager
     def open_for_writing(self) -> Iterator[sqlite3.Connection]:
-        """A connection that writes, also while a server has the file."""
+        """Opens a connection for writing, also while a server uses the file."""
         with self.open_for_reading():
             pass
         try:
@@ -133,14 +137,14 @@
         if version < schema.LATEST_VERSION:
             raise self._refusal(
                 f"schema {version} is older than {schema.LATEST_VERSION}; `burlloom record migrate`"
-                " takes the steps between, and so does a server when it starts"
+                " applies the missing steps, and so does a server when it starts"
             )
 
     def _refusal(self, problem: str) -> StoreRefusedError:
         return StoreRefusedError(problem, place=self.path)
 
     def is_served(self) -> bool:
-        """Whether a server has the file."""
+        """Returns whether a server uses the file."""
         try:
             handle = os.open(f"{self.path}.lock", os.O_RDWR)
         except FileNotFoundError:
@@ -155,7 +159,11 @@
 
     @contextmanager
     def exclusive(self, purpose: str) -> Iterator[None]:
-        """Keeps servers out; `purpose` ends the sentence "stop it before you ..."."""
+        """Holds the lock that keeps servers off the file.
+
+        Args:
+            purpose: Completes the error message "stop it before you ...".
+        """
         lock = FileLock(self.path)
         try:
             lock.acquire()
@@ -168,7 +176,7 @@
             lock.release()
 
     def stats(self, now_ns: int) -> RecordStats:
-        """Counts and sizes."""
+        """Returns counts and sizes."""
         with self.open_for_reading() as db:
             nodes = dict(db.execute("SELECT name, life FROM node").fetchall())
             counts = dict(db.execute("SELECT state, count(*) FROM fate GROUP BY state").fetchall())
@@ -199,7 +207,12 @@
         )
 
     def read_rows(self, where: str = "1", values: tuple[Any, ...] = ()) -> Iterator[RecordRow]:
-        """Rows by the ends of their windows; `where` is this program's SQL, not an operator's."""
+        """Yields rows ordered by the ends of their windows.
+
+        Args:
+            where: The SQL condition; must not contain input from outside the program.
+            values: The condition's parameters.
+        """
         with self.open_for_reading() as db:
             for row in db.execute(
                 f"SELECT {sql.COLUMNS} FROM fate WHERE {where} ORDER BY until", values
@@ -207,10 +220,10 @@
                 yield RecordRow(*row)
 
     def list_in_doubt(self, now_ns: int) -> Iterator[tuple[RecordRow, str]]:
-        """Rows of which nobody knows whether they ran, with the verdict that waits, or "".
+        """Yields the rows in doubt, each with its pending verdict, or "" if there is none.
 
-        These were begun by an incarnation that is over, have no end, and their windows are not
-        over. Where no server has the file, the incarnation that is written there is over too.
+        A row is in doubt if its window has not ended and its run was started by a past incarnation
+        but has no recorded end. If no server uses the file, the incarnation stored in it is past.
         """
         with self.open_for_reading() as db:
             incarnations = dict(db.execute("SELECT name, life FROM node").fetchall())
@@ -224,7 +237,7 @@
                 yield row, verdicts.get(row.key_digest, "")
 
     def verify(self) -> VerificationReport:
-        """Checks the file's own structure, and the MAC of each row."""
+        """Checks the structure of the SQLite file, and the MAC of each row."""
         report = VerificationReport()
         with self.open_for_reading() as db:
             for (line,) in db.execute(f"PRAGMA integrity_check({MAX_STRUCTURE_FAULTS})"):
@@ -241,7 +254,7 @@
         return report
 
     def export(self) -> Iterator[dict[str, Any]]:
-        """Each row under the names of the export's JSON."""
+        """Yields each row as the JSON object of the export."""
         for row in self.read_rows():
             yield {
                 "mark": row.key_digest.hex(),
@@ -257,7 +270,7 @@
             }
 
     def resolve(self, key_digest: bytes, ran: bool, reason: str, now_ns: int) -> str:
-        """Writes an operator's verdict on a row in doubt, and returns what was done with it."""
+        """Writes an operator's verdict on a row in doubt; returns a message for the operator."""
         in_doubt = (row for row, _ in self.list_in_doubt(now_ns) if row.key_digest == key_digest)
         doubt = next(in_doubt, None)
         if doubt is None:
@@ -285,13 +298,13 @@
             db.execute(DELETE_CLAIM, claim)
 
     def init(self) -> None:
-        """Makes an empty record."""
+        """Creates an empty record."""
         if self.path.exists():
             raise self._refusal("exists already")
         self.migrate()
 
     def migrate(self) -> tuple[int, ...]:
-        """Takes the schema's missing steps, and returns them; makes a missing file."""
+        """Applies the pending schema steps, and returns their numbers; creates a missing file."""
         lock = FileLock(self.path)
         lock.acquire()
         try:
@@ -303,7 +316,7 @@
             lock.release()
 
     def compact(self) -> tuple[int, int]:
-        """Gives all free space back to the disk; returns the file's bytes before and after."""
+        """Returns all free pages to the file system; returns the sizes before and after, bytes."""
         with self.exclusive("compact it"), self.open_for_writing() as db:
             before = self.path.stat().st_size
             db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
@@ -313,7 +326,7 @@
 
 
 def format_time(time_ns: int) -> str:
-    """A wall-clock time in UTC, to the second; "-" for none."""
+    """Formats a wall-clock time in UTC, to the second; 0 is formatted as "-"."""
     if not time_ns:
         return NO_TIME
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(time_ns // NS_PER_S))
--- a/burlloom/record/sqlite_file.py
+++ b/burlloom/record/sqlite_file.py
@@ -1,4 +1,4 @@
-"""A record's SQLite file: opened, migrated, and locked against a second server."""
+"""Opens and migrates a record's SQLite file, and locks it against a second server."""
 
 import fcntl
 import logging
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-WAL_PAGES = 4_000  # of the write-ahead log before it is carried over: 16 MiB
+WAL_PAGES = 4_000  # size of the write-ahead log that triggers a checkpoint, 16 MiB
 CACHED_STATEMENTS = 64
 MS_PER_S = 1000
 FILE_MODE = 0o600
@@ -26,7 +26,7 @@
 
 
 def read_clocks() -> ClockReading:
-    """Both clocks now; the boot id is empty where the kernel does not give it."""
+    """Reads both clocks; the boot ID is empty if the kernel does not provide one."""
     try:
         boot_id = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     except OSError:
@@ -35,21 +35,25 @@
 
 
 class FileLock:
-    """The lock file beside a record: one server to a file.
+    """The lock file beside a record, which allows only one server per file.
 
-    Two servers on one file would each take the other's claims for an earlier incarnation's.
+    Each of two servers on one file would treat the other's claims as those of a past incarnation.
     """
 
     def __init__(self, path: Path) -> None:
-        """Takes the path of the record, not of the lock file."""
+        """Creates an unlocked lock.
+
+        Args:
+            path: The path of the record; the lock file is beside it.
+        """
         self.path = path
         self._handle = -1
 
     def acquire(self) -> None:
-        """Takes the lock at once, or not at all.
+        """Acquires the lock without waiting.
 
         Raises:
-            StoreRefusedError: Another process has it, or the lock file can't be used.
+            StoreRefusedError: Another process holds the lock, or the lock file can't be used.
         """
         try:
             self._handle = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT, FILE_MODE)
@@ -59,7 +63,8 @@
             self.release()
             suffix = f" ({holder.strip()})" if holder.strip() else ""
             raise StoreRefusedError(
-                f"in use by another process{suffix}; one server to a file", place=self.path
+                f"in use by another process{suffix}; only one server may use a file",
+                place=self.path,
             ) from error
         except OSError as error:
             raise StoreRefusedError(str(error.strerror), place=self.path) from error
@@ -67,7 +72,7 @@
         os.pwrite(self._handle, f"pid {os.getpid()}".encode(), 0)
 
     def release(self) -> None:
-        """Lets the lock go, if it is held."""
+        """Releases the lock, if it is held."""
         if self._handle >= 0:
             os.close(self._handle)
             self._handle = -1
@@ -76,16 +81,16 @@
 def connect(
     path: Path, max_pages: int = 0, lock_retry: LockRetry | None = None
 ) -> sqlite3.Connection:
-    """Opens a record's file, and makes it if there is none.
+    """Opens a record's file, creating it if it does not exist.
 
     Args:
         path: The file.
-        max_pages: The most pages that it may have, 0 for no bound.
-        lock_retry: The rule by which the caller waits for the file's lock at each statement;
-            without one, SQLite waits for it.
+        max_pages: The maximum number of pages of the file, 0 for no limit.
+        lock_retry: The rule by which the caller will wait for the file's lock at each statement;
+            if None, SQLite's busy handler waits instead.
 
     Raises:
-        StoreRefusedError: The file can't be opened, or is another program's.
+        StoreRefusedError: The file can't be opened, or belongs to another program.
         sqlite3.Error: The file is damaged or locked.
     """
     db = (lock_retry or LockRetry()).run(lambda: connect_once(path, max_pages))
@@ -95,7 +100,7 @@
 
 
 def connect_once(path: Path, max_pages: int) -> sqlite3.Connection:
-    """As `connect`, without waiting for the lock."""
+    """Does the same as `connect` without waiting for the lock."""
     is_new = not path.exists() or not path.stat().st_size
     try:
         db = sqlite3.connect(
@@ -121,7 +126,7 @@
 
 
 def set_application_id(db: sqlite3.Connection) -> None:
-    """Marks the file as a record."""
+    """Writes the application ID that identifies the file as a record."""
     db.execute(f"PRAGMA application_id = {schema.SQLITE_APPLICATION_ID}")
 
 
@@ -129,12 +134,12 @@
     """Checks that the file is a record.
 
     Raises:
-        StoreRefusedError: It is another program's.
+        StoreRefusedError: The file belongs to another program.
     """
     (application_id,) = db.execute("PRAGMA application_id").fetchone()
     if not application_id and db.execute("SELECT 1 FROM sqlite_schema").fetchone() is None:
-        # Nothing is in it: another process that is making it has written its first page, and has
-        # not marked it yet.
+        # The file has no tables: another process that is creating it has written the first page,
+        # but not yet the application ID.
         set_application_id(db)
         (application_id,) = db.execute("PRAGMA application_id").fetchone()
     if application_id != schema.SQLITE_APPLICATION_ID:
@@ -142,7 +147,7 @@
 
 
 def configure(db: sqlite3.Connection, max_pages: int) -> None:
-    """Sets how the connection writes: a write-ahead log, synced at each commit."""
+    """Configures the connection: a write-ahead log, synced at each commit."""
     db.execute("PRAGMA journal_mode = WAL")
     db.execute("PRAGMA synchronous = FULL")
     db.execute(f"PRAGMA wal_autocheckpoint = {WAL_PAGES}")
@@ -154,7 +159,10 @@
 
 @contextmanager
 def transaction(db: sqlite3.Connection, lock_retry: LockRetry) -> Iterator[None]:
-    """A transaction that has the lock from its start; rolled back unless the caller commits it."""
+    """Runs a transaction that takes the write lock at its start.
+
+    The transaction is rolled back unless the caller commits it.
+    """
     lock_retry.run(lambda: db.execute("BEGIN IMMEDIATE"))
     try:
         yield
@@ -164,7 +172,7 @@
 
 
 def roll_back(db: sqlite3.Connection) -> None:
-    """Rolls back; a failure is only logged, as the error that led here says more."""
+    """Rolls back; a failure is only logged, as the error that caused the rollback matters more."""
     try:
         db.execute("ROLLBACK")
     except sqlite3.Error as error:
@@ -174,13 +182,14 @@
 def migrate(
     db: sqlite3.Connection, path: Path, lock_retry: LockRetry | None = None
 ) -> tuple[int, ...]:
-    """Takes the schema's missing steps, each in a transaction, and returns their numbers.
+    """Applies the pending schema steps, each in a transaction, and returns their numbers.
 
-    The version is read anew under the lock for each: several processes may open a file at once.
+    The version is read again under the lock before each step, as several processes may open a file
+    at the same time.
 
     Raises:
-        StoreRefusedError: The schema is newer than this program's.
-        sqlite3.Error: A step can't be taken.
+        StoreRefusedError: The schema is newer than this program supports.
+        sqlite3.Error: A step can't be applied.
     """
     retry = lock_retry or LockRetry()
     taken: list[int] = []
--- a/burlloom/record/sqlite_snapshot.py
+++ b/burlloom/record/sqlite_snapshot.py
@@ -1,4 +1,4 @@
-"""Copies of a SQLite record: taken, merged into a record, and put in its place."""
+"""Snapshots of an SQLite record: taking, merging and restoring them."""
 
 import os
 import sqlite3
@@ -11,17 +11,19 @@
 
 __all__ = ["merge_snapshot", "restore_snapshot", "take_snapshot"]
 
-ROWS_PER_COMMIT = 500  # the commits of a server that has the file wait for no more than these
+ROWS_PER_COMMIT = 500  # limits how long a merge delays the commits of a server on the same file
 INCARNATIONS_SKIPPED = 1000
 FILE_MODE = 0o600
 RECORD_SUFFIXES = ("", "-wal", "-shm")
 
 
 def take_snapshot(admin: SqliteRecordAdmin, target: Path) -> VerificationReport:
-    """Copies a record as of one moment, also while it is served; verified before it gets its name.
+    """Copies a record as of one moment, also while a server uses it.
+
+    The copy is verified before it is renamed to the target.
 
     Raises:
-        StoreRefusedError: The target exists, or the copy failed or does not verify.
+        StoreRefusedError: The target exists, the copy failed, or the copy does not verify.
     """
     if target.exists():
         raise StoreRefusedError("exists already", place=target)
@@ -49,10 +51,10 @@
 
 
 def open_verified(admin: SqliteRecordAdmin, source: Path) -> SqliteRecordAdmin:
-    """A snapshot that verifies under the record's key.
+    """Opens a snapshot and verifies it with the record's key.
 
     Raises:
-        StoreRefusedError: It does not verify.
+        StoreRefusedError: The snapshot does not verify.
     """
     snapshot = SqliteRecordAdmin(source, admin.authenticator)
     faults = snapshot.verify().faults
@@ -64,14 +66,15 @@
 
 
 def merge_snapshot(admin: SqliteRecordAdmin, source: Path, now_ns: int) -> tuple[int, int]:
-    """Adds what a snapshot has and the record has not, also while it is served.
+    """Adds the rows of a snapshot that the record lacks, also while a server uses the record.
 
-    Nothing that stands is changed, and what is over is left out. A server learns of the rows by its
-    claims: a repeat of what had ended gets its first answer, and one of what an earlier incarnation
-    had begun fails, as it does after a start.
+    Existing rows are not changed, and rows whose windows have ended are skipped. A server finds the
+    added rows when it claims their keys: a repeat of a completed request gets the first answer, and
+    a repeat of a run that an earlier incarnation started and did not finish fails, as after a
+    restart.
 
     Returns:
-        How many rows were added, and looked at.
+        The number of rows added, and the number of rows considered.
 
     Raises:
         StoreRefusedError: The snapshot does not verify, or the record can't be written.
@@ -92,23 +95,23 @@
 def restore_snapshot(
     admin: SqliteRecordAdmin, source: Path, window_ns: int, nothing_lost: bool, now_ns: int
 ) -> int:
-    """Puts a snapshot in a record's place; what was there is kept beside it under another name.
+    """Replaces a record by a snapshot; the replaced files are kept under other names.
 
-    What ran between the snapshot and now is not in it, and a repeat of that would run again: so the
-    record stays closed for keyed requests for one whole window.
+    Requests that ran after the snapshot was taken are not in it, and repeats of them would run
+    again. The record therefore rejects keyed requests for one idempotency window.
 
     Args:
         admin: The record.
         source: The snapshot.
-        window_ns: The longest idempotency window.
-        nothing_lost: Whether the operator knows that nothing ran since.
-        now_ns: The time now.
+        window_ns: The longest idempotency window, nanoseconds.
+        nothing_lost: Whether the operator asserts that no request ran after the snapshot.
+        now_ns: The current wall-clock time, nanoseconds.
 
     Returns:
-        Until when the record stays closed, 0 where it does not.
+        When the record accepts claims again, wall-clock nanoseconds; 0 if at once.
 
     Raises:
-        StoreRefusedError: The snapshot does not verify, or a server has the record.
+        StoreRefusedError: The snapshot does not verify, or a server uses the record.
     """
     snapshot = open_verified(admin, source)
     closed_until_ns = 0 if nothing_lost else now_ns + window_ns
@@ -135,27 +138,28 @@
 
 
 def prepare_restored(db: sqlite3.Connection, closed_until_ns: int) -> None:
-    """Makes a copy fit to go on from: nothing written after the snapshot may pass for its own."""
-    # Beyond all incarnations that there were: no claim made after the snapshot may pass for one of
-    # an incarnation to come.
+    """Prepares a copy for use, so that nothing written after the snapshot is taken for its own."""
+    # Skip all incarnations that may have existed, so that a claim made after the snapshot can't be
+    # taken for a claim of a future incarnation.
     db.execute(f"UPDATE node SET life = life + {INCARNATIONS_SKIPPED}")
     db.execute(sql.UPSERT_META, ("closed_until", str(closed_until_ns)))
     db.execute("DELETE FROM meta WHERE name IN ('boot', 'steady', 'wall')")
-    # What servers agreed on since is not in it: who was out then says nothing of who is out now.
+    # The copy lacks later rollout decisions; which servers were out of service at the snapshot says
+    # nothing about the present.
     for (table,) in db.execute(
         "SELECT name FROM sqlite_master WHERE name LIKE 'rollout\\_%' ESCAPE"
         " '\\' AND type = 'table'"
     ).fetchall():
         db.execute(f"DELETE FROM {table}")
-    # Configuration stays in force as it is there. Revisions after it were given before, to others:
-    # with no head, whoever opens it next begins a new epoch.
+    # The configuration of the snapshot stays in force. Later revisions were already used for other
+    # changes, so the head is deleted, and the next process to open the record starts a new epoch.
     if db.execute("SELECT name FROM sqlite_master WHERE name = 'distribution_head'").fetchone():
         db.execute("DELETE FROM distribution_head")
         db.execute("DELETE FROM distribution_change")
 
 
 def sync_to_disk(path: Path) -> None:
-    """Waits until a file or a folder is on disk."""
+    """Syncs a file or directory to disk."""
     handle = os.open(path, os.O_RDONLY)
     try:
         os.fsync(handle)
--- a/burlloom/record/sqlite_statements.py
+++ b/burlloom/record/sqlite_statements.py
@@ -1,4 +1,4 @@
-"""The SQL of the SQLite store, and the values that each write's statement takes."""
+"""The SQL of the SQLite store, and the parameter values of each write's statement."""
 
 from collections.abc import Callable
 from typing import Any
@@ -23,7 +23,7 @@
 )
 SELECT_ROW = f"SELECT {COLUMNS} FROM fate WHERE mark = ?"
 SELECT_UNEXPIRED = f"SELECT {COLUMNS} FROM fate WHERE until > ?"
-# Off the index alone: the rows are far larger.
+# Reads only the index, as the rows are far larger.
 SELECT_KEYS = (
     "SELECT mark, until FROM fate INDEXED BY fate_until WHERE until > ? AND typeof(mark) = 'blob'"
     " AND length(mark) = 16 AND typeof(until) = 'integer'"
@@ -50,4 +50,4 @@
     WriteKind.FINISH: (FINISH, finish_values),
     WriteKind.WITHDRAW: (WITHDRAW, withdraw_values),
 }
-"""The changing writes; LOOK and FIND only read."""
+"""The writes that change rows; LOOK and FIND only read, and so have no statement here."""
--- a/burlloom/record/store.py
+++ b/burlloom/record/store.py
@@ -1,4 +1,4 @@
-"""What every store of record offers, what the stores share, and how they refuse."""
+"""The interface of all record stores, their shared code, and their errors."""
 
 import logging
 from abc import ABC, abstractmethod
@@ -31,45 +31,45 @@
 WriteCallback = Callable[[WriteResult], None]
 ProbeCallback = Callable[[bool], None]
 VerdictCallback = Callable[[bytes, int, int, bool], None]
-"""Key digest, incarnation and number of the claim, and whether it ran."""
+"""Receives a claim's key digest, incarnation and number, and whether the request ran."""
 PendingWrite = tuple[RecordWrite, WriteCallback]
 Command = TypeVar("Command")
 
 
 class StoreError(BurlloomError):
-    """Base of the errors of stores.
+    """Base class of the errors of stores.
 
     Attributes:
-        problem: What is wrong, and where it helps what to do.
-        place: The file, the database or the setting; may be empty.
+        problem: What is wrong, and what to do if known.
+        place: The file, database or setting that has the problem; may be empty.
     """
 
     def __init__(self, problem: str, *, place: object = "") -> None:
-        """Takes the attributes of the same names."""
+        """Creates an error; the parameters are the attributes of the same names."""
         self.problem = problem
         self.place = str(place)
         super().__init__(f"{self.place}: {problem}" if self.place else problem)
 
 
 class StoreRefusedError(StoreError):
-    """The store can't be used as it is."""
+    """The store can't be used in its current state."""
 
 
 class StoreUnavailableError(StoreError):
-    """The store can't be reached, or nobody knows whether a write applied: read before acting."""
+    """The store can't be reached, or it is unknown if a write applied: read before acting."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreSession:
-    """Who this node is in the store from now on.
+    """The result of opening a store.
 
     Attributes:
         node: The node's name.
-        incarnation: Its incarnation, from 1.
-        clock_shift_ns: By how much the clock was stepped since the store was last used.
-        migrated: The schema's steps that were taken.
-        closed_until_ns: Until when nothing may be claimed, 0 for no bound: the store was restored
-            from a snapshot, and what ran since then is not in it.
+        incarnation: The node's incarnation, from 1.
+        clock_shift_ns: By how much the wall clock was stepped since the store was last used.
+        migrated: The numbers of the schema steps that were applied.
+        closed_until_ns: When claims are allowed again, wall-clock nanoseconds; 0 if they are now.
+            Set after a restore from a snapshot, which lacks the requests that ran later.
         previous_notice: The last notice that this node saved.
     """
 
@@ -82,28 +82,29 @@
 
 
 class RecordStore(ABC):
-    """A store of record: `open`, the two reads and `start`; after that `submit` and `close`.
+    """The interface of a record store.
 
-    Writes take effect in the order in which they were submitted. Each callback is called once, on
-    the event loop, unless the store hangs: whoever submits keeps a timer of its own.
+    The caller uses `open`, the two read methods and `start`, in this order, then `submit`, and at
+    last `close`. Writes take effect in the order of submission. Each callback is called once, on
+    the event loop, unless the store hangs; callers therefore need their own timeouts.
 
     Attributes:
         node: The name of this node.
-        authenticator: Checks the rows that are read.
-        max_batch: The most writes in one commit.
-        retention_ns: How long a row stays past the end of its window, nanoseconds.
+        authenticator: Computes and checks the rows' MACs.
+        max_batch: The maximum number of writes in one commit.
+        retention_ns: How long a row is kept after the end of its window, nanoseconds.
         incarnation: This node's incarnation; 0 until the store is open.
-        commit_count: Commits since the start.
-        write_count: Writes in them.
-        largest_batch: The most writes in one of them.
-        pruned_rows: Rows deleted since the start, their windows over.
-        on_verdict: Called for each doubt that an operator resolved, more than once.
+        commit_count: The number of commits since the start.
+        write_count: The number of writes in these commits.
+        largest_batch: The largest number of writes in one commit.
+        pruned_rows: The number of expired rows deleted since the start.
+        on_verdict: Called for each operator's verdict, possibly several times for the same one.
     """
 
     def __init__(
         self, node: str, authenticator: RowAuthenticator, max_batch: int, retention_ns: int
     ) -> None:
-        """Takes the attributes of the same names."""
+        """Creates a store that is not open; the parameters are the attributes of the same names."""
         self.node = node
         self.authenticator = authenticator
         self.max_batch = max_batch
@@ -117,39 +118,39 @@
 
     @abstractmethod
     async def open(self) -> StoreSession:
-        """Opens the store, takes missing steps of the schema, and begins an incarnation.
+        """Opens the store, applies pending schema steps, and starts an incarnation.
 
         Raises:
-            StoreRefusedError: It can't be used.
+            StoreRefusedError: The store can't be used.
         """
 
     @abstractmethod
     def read_recorded_keys(self, now_ns: int) -> Iterator[list[tuple[bytes, int]]]:
-        """Key digest and end of window of this node's rows, by batches."""
+        """Yields batches of key digest and window end of this node's rows."""
 
     @abstractmethod
     def read_started_rows(self, now_ns: int) -> Iterator[RecordRow]:
-        """This node's rows without an end, of any incarnation."""
+        """Yields this node's rows of unfinished runs, of any incarnation."""
 
     @abstractmethod
     async def start(self) -> None:
-        """Starts writing."""
+        """Starts the task or thread that writes."""
 
     @abstractmethod
     def submit(self, write: RecordWrite, callback: WriteCallback) -> None:
-        """Sends a write; the callback gets its result."""
+        """Queues a write; the callback receives its result."""
 
     @abstractmethod
     def probe(self, callback: ProbeCallback) -> None:
-        """Makes a commit of its own; the callback hears whether the store works."""
+        """Queues a probe commit; the callback receives whether it succeeded."""
 
     @abstractmethod
     def save_notice(self, text: str) -> None:
-        """Leaves a notice to this node's next incarnation, if it can be written now."""
+        """Saves a notice for this node's next incarnation, if the store accepts it."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Writes what was submitted and lets go; a store that hangs is left after two seconds."""
+        """Writes what was submitted and closes; a hanging store is abandoned after 2 s."""
 
     def result_of(
         self,
@@ -157,27 +158,33 @@
         stored: RecordRow | None,
         incarnations: dict[str, NodeIncarnation],
     ) -> WriteResult:
-        """The result of a write that changed nothing; a row whose MAC does not hold is logged."""
+        """Returns the result of a write that changed no row; logs a row with an invalid MAC."""
         is_authentic = stored is None or self.authenticator.is_authentic(stored)
         if not is_authentic:
             log.error("event=record_row_altered key_digest=%s", write.row.key_digest.hex())
         return result_of_unapplied_write(write, stored, incarnations, is_authentic)
 
     def count_commit(self, batch: list[PendingWrite]) -> None:
-        """Counts one commit."""
+        """Updates the counters for one commit."""
         self.commit_count += 1
         self.write_count += len(batch)
         self.largest_batch = max(self.largest_batch, len(batch))
 
     def hit_failpoint(self, batch: list[PendingWrite], moment: str) -> None:
-        """Marks a moment of a batch for tests."""
+        """Passes the failpoint of a batch at a moment such as "commit" or "durable"."""
         failpoints.hit_for_batch({write.kind.name.lower() for write, _ in batch}, moment)
 
 
 def take_batch(
     first: PendingWrite, queue: "deque[PendingWrite | Command]", max_batch: int
 ) -> list[PendingWrite]:
-    """The first write and those directly behind it, up to `max_batch`; takes them off the queue."""
+    """Removes the writes directly behind the first one from the queue, and returns all of them.
+
+    Args:
+        first: The first write, already removed from the queue.
+        queue: The queue; the batch ends at the first item that is not a write.
+        max_batch: The maximum number of writes to return.
+    """
     batch = [first]
     while queue and len(batch) < max_batch and isinstance(queue[0], tuple):
         batch.append(queue.popleft())  # type: ignore[arg-type]
@@ -185,7 +192,7 @@
 
 
 def deliver_results(batch: list[PendingWrite], results: list[WriteResult]) -> None:
-    """Calls each write's callback; an error in one must not keep the result from the rest."""
+    """Calls each write's callback; an error in one does not affect the others."""
     for (_, callback), result in zip(batch, results, strict=True):
         try:
             callback(result)
--- a/burlloom/record/store_health.py
+++ b/burlloom/record/store_health.py
@@ -1,4 +1,4 @@
-"""Watches over the store with the circuit breaker: probes it while it is cut off."""
+"""Runs the circuit breaker's probes of the store, and logs when the breaker opens or closes."""
 
 import logging
 from collections.abc import Callable
@@ -14,27 +14,33 @@
 
 
 class StoreHealth:
-    """Does what the circuit breaker says: log lines and probes.
+    """Executes the effects of the circuit breaker.
 
     Attributes:
-        breaker: The circuit breaker.
+        breaker: The circuit breaker around the store.
     """
 
     def __init__(
         self, store: RecordStore, breaker: CircuitBreaker, clock: Callable[[], int]
     ) -> None:
-        """Takes the store, its breaker, and the wall clock in nanoseconds."""
+        """Creates the object.
+
+        Args:
+            store: The store to probe.
+            breaker: The circuit breaker around the store.
+            clock: Returns the wall-clock time in nanoseconds.
+        """
         self.breaker = breaker
         self._store = store
         self._clock = clock
         self._is_probing = False
 
     def tick(self, now_ns: int) -> None:
-        """Lets time pass."""
+        """Handles the passing of time; call it periodically."""
         self._apply(self.breaker.tick(now_ns))
 
     def write_finished(self, number: int, now_ns: int, succeeded: bool) -> None:
-        """Notes the store's answer to a write."""
+        """Records the store's answer to a write."""
         self._apply(self.breaker.write_finished(number, now_ns, succeeded))
 
     def _probe_finished(self, succeeded: bool) -> None:
