--- a/benchmarks/record_rates.py
+++ b/benchmarks/record_rates.py
@@ -261,7 +261,7 @@
             folder = Path(name)
             sealer = RowAuthenticator(load_key(folder / "record.db.key", True))
             store = SqliteStore(folder / "record.db", sealer, "n1")
-            store.open_now()
+            store.open_without_event_loop()
             assert store.db is not None
             until = time.time_ns() + 600 * 10**9
             rows = (
--- a/burlloom/command/record.py
+++ b/burlloom/command/record.py
@@ -50,7 +50,7 @@
     """Make an empty record and its key."""
     with told_plainly():
         admin = admin_of(operator, make=True)
-        admin.init()
+        admin.create()
         click.echo(
             f"{admin.path}: made; keep its key with your secrets, a record without it proves nothing"
         )
@@ -70,14 +70,14 @@
         if told.sqlite is None:
             from ..record import postgres_admin
 
-            got = asyncio.run(postgres_admin.stats(told, time.time_ns()))
+            got = asyncio.run(postgres_admin.collect_stats(told, time.time_ns()))
             click.echo(
                 json.dumps(got)
                 if as_json
                 else "\n".join(f"{name:14} {value}" for name, value in got.items())
             )
             return
-        found = admin_of(operator).stats(time.time_ns())
+        found = admin_of(operator).collect_stats(time.time_ns())
     if as_json:
         click.echo(json.dumps(asdict(found)))
         return
@@ -270,7 +270,7 @@
     with told_plainly():
         admin = admin_of(operator)
         with click.open_file(str(to) if to is not None else "-", "w") as out:
-            for one in admin.export():
+            for one in admin.export_rows():
                 out.write(json.dumps(one) + "\n")
 
 
@@ -327,5 +327,5 @@
             raise click.UsageError(FLEET_ONLY)
         from ..record import postgres_admin
 
-        asyncio.run(postgres_admin.fence(told, node, out))
+        asyncio.run(postgres_admin.set_fence(told, node, out))
         click.echo(f"{node}: {'fenced off' if out else 'may start again'}")
--- a/burlloom/record/authentication.py
+++ b/burlloom/record/authentication.py
@@ -24,12 +24,12 @@
 
     def compute_mac(self, row: RecordRow) -> bytes:
         """Returns the MAC over all fields of a row except `mac` itself."""
-        head = (
+        header = (
             f"{row.state} {row.node} {row.incarnation} {row.claim_number} {row.request_id}"
             f" {row.started_at_ns} {row.expires_at_ns} {len(row.result)}\0"
         )
         digest = hashlib.blake2b(
-            head.encode(), key=self.key, digest_size=MAC_BYTES, person=MAC_PERSONALIZATION
+            header.encode(), key=self.key, digest_size=MAC_BYTES, person=MAC_PERSONALIZATION
         )
         digest.update(row.key_digest)
         digest.update(row.result)
--- a/burlloom/record/circuit_breaker.py
+++ b/burlloom/record/circuit_breaker.py
@@ -12,10 +12,10 @@
 
 __all__ = ["BreakerEffect", "BreakerEvent", "BreakerState", "CircuitBreaker"]
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 MAX_CONSECUTIVE_FAILURES = 5
-MIN_PAUSE_NS = 250 * MS
-MAX_PAUSE_NS = 4000 * MS
+MIN_PAUSE_NS = 250 * NS_PER_MS
+MAX_PAUSE_NS = 4000 * NS_PER_MS
 # A write or probe older than this many timeouts counts as hanging. The store takes writes in order,
 # so the writes behind a hanging one would hang too.
 HANG_TIMEOUT_MULTIPLE = 4
@@ -58,12 +58,12 @@
 
 # Columns: state, event, guard method (or "-" for none), next state, effect. The first row whose
 # guard returns True applies; an event without a matching row is ignored.
-TABLE = """
+TRANSITION_TABLE = """
 CLOSED    WRITE_SUCCEEDED -                 CLOSED    RESET_FAILURES
 CLOSED    WRITE_FAILED    has_few_failures  CLOSED    COUNT_FAILURE
 CLOSED    WRITE_FAILED    -                 OPEN      OPEN
 CLOSED    WRITE_HANGS     -                 OPEN      OPEN
-OPEN      TICK            has_paused        HALF_OPEN PROBE
+OPEN      TICK            is_pause_over     HALF_OPEN PROBE
 HALF_OPEN PROBE_SUCCEEDED needs_more_probes HALF_OPEN PROBE_AGAIN
 HALF_OPEN PROBE_SUCCEEDED -                 CLOSED    CLOSE
 HALF_OPEN PROBE_FAILED    -                 OPEN      OPEN_LONGER
@@ -91,7 +91,7 @@
         self.in_flight: OrderedDict[int, int] = OrderedDict()
         self.pause_ns = MIN_PAUSE_NS
         self.times_opened = 0
-        self._last_write = 0
+        self._last_write_number = 0
         self._failures_in_row = 0
         self._probes_in_row = 0
         self._paused_until_ns = 0
@@ -105,7 +105,7 @@
             and not self.is_write_hanging(now_ns)
         )
 
-    def load(self, now_ns: int) -> float:
+    def compute_load(self, now_ns: int) -> float:
         """Returns the oldest unanswered write's age in timeouts, at least 1 while not closed."""
         oldest_ns = next(iter(self.in_flight.values()), now_ns)
         return max(
@@ -115,13 +115,13 @@
 
     def write_started(self, now_ns: int) -> int:
         """Records that a write was sent, and returns its number for `write_finished`."""
-        self._last_write += 1
-        self.in_flight[self._last_write] = now_ns
-        return self._last_write
+        self._last_write_number += 1
+        self.in_flight[self._last_write_number] = now_ns
+        return self._last_write_number
 
-    def write_finished(self, number: int, now_ns: int, succeeded: bool) -> BreakerEffect:
+    def write_finished(self, write_number: int, now_ns: int, succeeded: bool) -> BreakerEffect:
         """Records the store's answer to a write; a late success counts as a failure."""
-        started_ns = self.in_flight.pop(number, now_ns)
+        started_ns = self.in_flight.pop(write_number, now_ns)
         in_time = succeeded and now_ns - started_ns <= self.write_timeout_ns
         return self._handle(
             BreakerEvent.WRITE_SUCCEEDED if in_time else BreakerEvent.WRITE_FAILED, now_ns
@@ -152,7 +152,7 @@
         """Returns whether one more failure stays below `MAX_CONSECUTIVE_FAILURES`."""
         return self._failures_in_row + 1 < MAX_CONSECUTIVE_FAILURES
 
-    def has_paused(self, now_ns: int) -> bool:
+    def is_pause_over(self, now_ns: int) -> bool:
         """Returns whether the pause before the next probe is over."""
         return now_ns >= self._paused_until_ns
 
@@ -165,8 +165,8 @@
         return now_ns - self._probe_started_ns > HANG_TIMEOUT_MULTIPLE * self.write_timeout_ns
 
     def _handle(self, event: BreakerEvent, now_ns: int) -> BreakerEffect:
-        for test, next_state, effect in RULES.get((self.state, event), ()):
-            if test == NO_TEST or getattr(self, test)(now_ns):
+        for guard, next_state, effect in TRANSITION_RULES.get((self.state, event), ()):
+            if guard == NO_GUARD or getattr(self, guard)(now_ns):
                 self.state = next_state
                 self._apply(effect, now_ns)
                 return effect
@@ -202,23 +202,23 @@
         self._paused_until_ns = now_ns + self.pause_ns
 
 
-NO_TEST = "-"
+NO_GUARD = "-"
 Rules = dict[tuple[BreakerState, BreakerEvent], list[tuple[str, BreakerState, BreakerEffect]]]
 
 
 def parse_rules(table: str) -> Rules:
-    """Parses a table in the format of `TABLE`.
+    """Parses a table in the format of `TRANSITION_TABLE`.
 
     Raises:
         KeyError: A state, event or effect is unknown.
     """
     parsed: Rules = {}
     for line in filter(None, table.split("\n")):
-        state, event, test, next_state, effect = line.split()
+        state, event, guard, next_state, effect = line.split()
         parsed.setdefault((BreakerState[state], BreakerEvent[event]), []).append(
-            (test, BreakerState[next_state], BreakerEffect[effect])
+            (guard, BreakerState[next_state], BreakerEffect[effect])
         )
     return parsed
 
 
-RULES = parse_rules(TABLE)
+TRANSITION_RULES = parse_rules(TRANSITION_TABLE)
--- a/burlloom/record/clock_shift.py
+++ b/burlloom/record/clock_shift.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["MIN_CLOCK_STEP_NS", "ClockReading", "clock_shift"]
+__all__ = ["MIN_CLOCK_STEP_NS", "ClockReading", "compute_clock_shift"]
 
 # A smaller difference between the two clocks is attributed to drift.
 MIN_CLOCK_STEP_NS = 500_000_000
@@ -23,7 +23,7 @@
     wall_ns: int
 
 
-def clock_shift(before: ClockReading | None, now: ClockReading) -> int:
+def compute_clock_shift(before: ClockReading | None, now: ClockReading) -> int:
     """Computes by how many nanoseconds the wall clock was stepped between two readings.
 
     Idempotency windows end at wall-clock times. If the clock was stepped ahead, they would end too
--- a/burlloom/record/coordinator.py
+++ b/burlloom/record/coordinator.py
@@ -16,7 +16,7 @@
 from .request_effects import RequestEffects
 from .request_lifecycle import DurableRequest, RequestEvent, RequestState
 from .request_registry import RequestRegistry
-from .request_writer import RequestWriter, ResultFetcher, lookup_row
+from .request_writer import RequestWriter, ResultFetcher, build_lookup_row
 from .rows import RecordRow
 from .store import RecordStore, StoreSession
 from .store_health import StoreHealth
@@ -25,16 +25,16 @@
 
 log = logging.getLogger(__name__)
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
 TICK_INTERVAL_S = 0.05
-DONE_STATES = (
+FINAL_STATES = (
     RequestState.CLOSED,
     RequestState.SUCCESS_RECORDED,
     RequestState.FAILURE_RECORDED,
 )
 UNRESOLVED_STATES = (RequestState.IN_DOUBT, RequestState.AWAITING_EXECUTOR)
-ENDED_STATES = (RequestState.SUCCEEDED, RequestState.FAILED)
+RUN_ENDED_STATES = (RequestState.SUCCEEDED, RequestState.FAILED)
 EVENT_OF_OUTCOME = {
     Outcome.OK: RequestEvent.RUN_SUCCEEDED,
     Outcome.NO_LONGER_NEEDED: RequestEvent.NEVER_RAN,
@@ -116,7 +116,8 @@
         self._closed_until_ns = session.closed_until_ns
         if self._closed_until_ns > self._clock():
             log.warning(
-                "event=record_closed until_ms=%d reason=restored", self._closed_until_ns // MS
+                "event=record_closed until_ms=%d reason=restored",
+                self._closed_until_ns // NS_PER_MS,
             )
         return session
 
@@ -156,13 +157,13 @@
                 is_awaited = request.state is RequestState.AWAITING_EXECUTOR
                 resumed.append((row.key_digest, row.expires_at_ns, is_awaited))
         if resumed:
-            awaited = sum(is_awaited for _, _, is_awaited in resumed)
+            awaited_count = sum(is_awaited for _, _, is_awaited in resumed)
             log.warning(
                 "event=record_doubts in_doubt=%d awaiting_executor=%d",
-                len(resumed) - awaited,
-                awaited,
+                len(resumed) - awaited_count,
+                awaited_count,
             )
-            if awaited:
+            if awaited_count:
                 asyncio.get_running_loop().call_later(
                     self.policy.executor_wait_ns / NS_PER_S, self._executor_timed_out
                 )
@@ -298,12 +299,12 @@
         The answer may be sent before the end is durable: the claim is, so no repeat can run.
         """
         request = self.registry.by_key_digest.get(key_digest)
-        if request is None or request.state not in ENDED_STATES:
+        if request is None or request.state not in RUN_ENDED_STATES:
             return
-        left_ns = deadline_ns - self._clock()
-        if left_ns > 0:
+        remaining_ns = deadline_ns - self._clock()
+        if remaining_ns > 0:
             future = self.registry.add_waiter(request.request_id)
-            await asyncio.wait({future}, timeout=left_ns / NS_PER_S)
+            await asyncio.wait({future}, timeout=remaining_ns / NS_PER_S)
             if future.done():
                 return
             future.cancel()
@@ -316,7 +317,7 @@
 
     async def fetch_result(self, key_digest: bytes, deadline_ns: int) -> bytes | None:
         """Returns the stored result for a key; None if there is none or time runs out."""
-        row = lookup_row(key_digest, self._node, self.incarnation)
+        row = build_lookup_row(key_digest, self._node, self.incarnation)
         return await self._fetcher.fetch(row, deadline_ns)
 
     def apply_verdict(
@@ -356,5 +357,5 @@
             getattr(self._effects, effect)(request)
         if request.state is RequestState.CLAIMED_ELSEWHERE:
             self.registry.wake(request)
-        if request.state in DONE_STATES:
+        if request.state in FINAL_STATES:
             self.registry.remove(request)
--- a/burlloom/record/lock_retry.py
+++ b/burlloom/record/lock_retry.py
@@ -20,7 +20,7 @@
 LOCK_TIMEOUT_S = 2.0
 MIN_PAUSE_S = 0.001
 MAX_PAUSE_S = 0.015
-PRIMARY_ERROR_MASK = 0xFF
+PRIMARY_RESULT_CODE_MASK = 0xFF
 
 Result = TypeVar("Result")
 
@@ -28,7 +28,7 @@
 def is_lock_error(error: BaseException) -> bool:
     """Returns whether the error means that another connection holds the lock."""
     return isinstance(error, sqlite3.OperationalError) and (
-        getattr(error, "sqlite_errorcode", 0) & PRIMARY_ERROR_MASK == sqlite3.SQLITE_BUSY
+        getattr(error, "sqlite_errorcode", 0) & PRIMARY_RESULT_CODE_MASK == sqlite3.SQLITE_BUSY
     )
 
 
@@ -67,12 +67,12 @@
         Raises:
             sqlite3.OperationalError: The lock was not free in time, or the work failed otherwise.
         """
-        give_up_at = self._clock() + self.timeout_s
+        give_up_at_s = self._clock() + self.timeout_s
         while True:
             try:
                 return work()
             except sqlite3.OperationalError as error:
-                is_over = self._is_cancelled() or self._clock() >= give_up_at
-                if not is_lock_error(error) or is_over:
+                must_give_up = self._is_cancelled() or self._clock() >= give_up_at_s
+                if not is_lock_error(error) or must_give_up:
                     raise
             self._sleep(self._random.uniform(MIN_PAUSE_S, MAX_PAUSE_S))
--- a/burlloom/record/postgres.py
+++ b/burlloom/record/postgres.py
@@ -42,8 +42,8 @@
 MAX_RECONNECT_PAUSE_S = 2.0
 MAINTENANCE_INTERVAL_S = 1.0  # between reads of verdicts and deletions of expired rows
 CLOSE_TIMEOUT_S = 2.0
-TIME_BYTES = 8
-KEY_ENTRY_BYTES = KEY_DIGEST_BYTES + TIME_BYTES
+PACKED_TIME_BYTES = 8
+PACKED_KEY_BYTES = KEY_DIGEST_BYTES + PACKED_TIME_BYTES
 KEYS_PER_PAGE = 10_000  # keys per SELECT at startup; about 100 bytes each until packed
 LOCK_ORDER = {
     WriteKind.CLAIM: 0,
@@ -146,16 +146,16 @@
 
     async def _read_keys(self, since_ns: int) -> None:
         """Reads keys page by page in key order, packing each page to 24 bytes a key."""
-        last = b""
+        last_key_digest = b""
         self._packed_keys.clear()
         while page := await self.connection.fetch(
-            sql.SELECT_KEYS, self.node, since_ns, last, self.keys_per_page
+            sql.SELECT_KEYS, self.node, since_ns, last_key_digest, self.keys_per_page
         ):
             self._packed_keys += b"".join(
-                key_digest + expires_at_ns.to_bytes(TIME_BYTES, "big")
+                key_digest + expires_at_ns.to_bytes(PACKED_TIME_BYTES, "big")
                 for key_digest, expires_at_ns in page
             )
-            last = page[-1][0]
+            last_key_digest = page[-1][0]
             if len(page) < self.keys_per_page:
                 break
 
@@ -163,7 +163,7 @@
         """Yields batches of key digest and window end of this node's rows, as read by `open`."""
         packed = bytes(self._packed_keys)
         self._packed_keys.clear()
-        page_bytes = KEY_ENTRY_BYTES * self.keys_per_page
+        page_bytes = PACKED_KEY_BYTES * self.keys_per_page
         for start in range(0, len(packed), page_bytes):
             yield unpack_keys(packed[start : start + page_bytes])
 
@@ -217,7 +217,7 @@
                     await self._connect()
                     log.info("event=record_connected address=%s", self._address)
                 pause_s = MIN_RECONNECT_PAUSE_S
-                await self._work()
+                await self._process_queue()
             except (*CONNECTION_ERRORS, asyncpg.PostgresError) as error:
                 await self.disconnect()
                 self._fail_pending()
@@ -241,7 +241,7 @@
                 await self._wake.wait()
         self._wake.clear()
 
-    async def _work(self) -> None:
+    async def _process_queue(self) -> None:
         while self._queue:
             item = self._queue.popleft()
             if isinstance(item, tuple):
@@ -289,15 +289,15 @@
 
     async def _commit(self, batch: list[PendingWrite]) -> None:
         stages: list[TransactionStage] = []
-        broken: BaseException | None = None
+        failure: BaseException | None = None
         try:
             async with self._transaction(stages) as connection:
                 results = await self._apply(connection, [write for write, _ in batch])
                 self.hit_failpoint(batch, "commit")
         except (*CONNECTION_ERRORS, asyncpg.PostgresError, asyncio.CancelledError) as error:
-            broken = error
+            failure = error
             stage = stages[-1] if stages else TransactionStage.BEFORE_COMMIT
-            outcome = classify_broken_transaction(stage, sqlstate_of(error))
+            outcome = classify_broken_transaction(stage, get_sqlstate(error))
             results = [WriteResult(outcome)] * len(batch)
             log.warning(
                 "event=record_write_failed writes=%d outcome=%s error=%r",
@@ -308,8 +308,8 @@
         self.hit_failpoint(batch, "durable")
         self.count_commit(batch)
         deliver_results(batch, results)
-        if broken is not None and not self._is_connection_usable_after(broken):
-            raise broken
+        if failure is not None and not self._is_connection_usable_after(failure):
+            raise failure
 
     def _is_connection_usable_after(self, error: BaseException) -> bool:
         return (
@@ -325,28 +325,28 @@
         # All nodes lock rows in the same order, so transactions on the same rows can't deadlock.
         order = sorted(
             range(len(writes)),
-            key=lambda at: (LOCK_ORDER[writes[at].kind], writes[at].row.key_digest),
+            key=lambda index: (LOCK_ORDER[writes[index].kind], writes[index].row.key_digest),
         )
         applied: set[int] = set()
         for kind, (statement, values) in sql.STATEMENTS.items():
-            positions = [at for at in order if writes[at].kind is kind]
+            positions = [index for index in order if writes[index].kind is kind]
             if positions:
                 # Each row is a statement of its own, all sent in one round trip.
                 flags = await apply_many(
-                    connection, statement, [values(writes[at].row) for at in positions]
+                    connection, statement, [values(writes[index].row) for index in positions]
                 )
-                applied.update(at for at, flag in zip(positions, flags, strict=True) if flag)
+                applied.update(index for index, flag in zip(positions, flags, strict=True) if flag)
         results = [WriteResult(RequestEvent.WRITE_APPLIED)] * len(writes)
         unapplied = sorted(
-            (at for at in order if at not in applied),
-            key=lambda at: writes[at].kind in (WriteKind.LOOK, WriteKind.FIND),
+            (index for index in order if index not in applied),
+            key=lambda index: writes[index].kind in (WriteKind.LOOK, WriteKind.FIND),
         )
         if unapplied:
             incarnations = await read_incarnations(connection)
-            for at in unapplied:
-                rows = await connection.fetch(sql.SELECT_ROW, writes[at].row.key_digest)
+            for index in unapplied:
+                rows = await connection.fetch(sql.SELECT_ROW, writes[index].row.key_digest)
                 stored = RecordRow(*rows[0]) if rows else None
-                results[at] = self.result_of(writes[at], stored, incarnations)
+                results[index] = self.interpret_stored_row(writes[index], stored, incarnations)
         return results
 
     async def _may_write(self, connection: Any) -> bool:
@@ -375,14 +375,14 @@
     """Unpacks key digests and window ends from the format that `PostgresStore` packs."""
     return [
         (
-            packed[at : at + KEY_DIGEST_BYTES],
-            int.from_bytes(packed[at + KEY_DIGEST_BYTES : at + KEY_ENTRY_BYTES], "big"),
+            packed[index : index + KEY_DIGEST_BYTES],
+            int.from_bytes(packed[index + KEY_DIGEST_BYTES : index + PACKED_KEY_BYTES], "big"),
         )
-        for at in range(0, len(packed), KEY_ENTRY_BYTES)
+        for index in range(0, len(packed), PACKED_KEY_BYTES)
     ]
 
 
-def sqlstate_of(error: BaseException) -> str | None:
+def get_sqlstate(error: BaseException) -> str | None:
     """Returns the SQLSTATE of a server error; None for any other error."""
     return getattr(error, "sqlstate", None) if isinstance(error, asyncpg.PostgresError) else None
 
--- a/burlloom/record/postgres_admin.py
+++ b/burlloom/record/postgres_admin.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from ..operator import Record
 
-__all__ = ["fence", "list_in_doubt", "resolve", "stats"]
+__all__ = ["collect_stats", "list_in_doubt", "resolve", "set_fence"]
 
 NO_NODE = "-"
 UPSERT_VERDICT = (
@@ -33,7 +33,7 @@
     " life = excluded.life, turn = excluded.turn, ran = excluded.ran, said_at = excluded.said_at,"
     " reason = excluded.reason RETURNING mark"
 )
-MARK_AS_RAN = (
+COMPLETE_WITHOUT_RESULT = (
     "UPDATE fate SET state = $1::bigint, seal = $2::bytea WHERE mark = $3::bytea AND"
     f" life = $4::bigint AND turn = $5::bigint AND state = {ROW_STARTED} RETURNING mark"
 )
@@ -62,7 +62,7 @@
         raise StoreRefusedError(describe_error(error), place=store.database.place) from error
 
 
-async def stats(record: "Record", now_ns: int) -> dict[str, Any]:
+async def collect_stats(record: "Record", now_ns: int) -> dict[str, Any]:
     """Returns counts of rows by state, of rows in doubt, and the nodes, by printed name.
 
     Raises:
@@ -131,13 +131,13 @@
         if ran:
             completed = doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)
             mac = authenticator.compute_mac(completed)
-            await connection.fetch(MARK_AS_RAN, completed.state, mac, *claim)
+            await connection.fetch(COMPLETE_WITHOUT_RESULT, completed.state, mac, *claim)
         else:
             await connection.fetch(DELETE_CLAIM, *claim)
     return "done; its node takes it up within a second"
 
 
-async def fence(record: "Record", node: str, is_fenced: bool) -> None:
+async def set_fence(record: "Record", node: str, is_fenced: bool) -> None:
     """Fences a node, or removes its fence.
 
     Raises:
--- a/burlloom/record/postgres_database.py
+++ b/burlloom/record/postgres_database.py
@@ -90,9 +90,9 @@
                 " knows; start the newer program",
                 place=place,
             )
-        pending = schema.pending_steps(version, schema.POSTGRES_STEPS)
-        for number in pending:
+        pending_steps = schema.list_pending_steps(version, schema.POSTGRES_STEPS)
+        for number in pending_steps:
             for statement in schema.POSTGRES_STEPS[number]:
                 await connection.execute(statement)
             await connection.fetch(sql.INSERT_SCHEMA_VERSION, number)
-    return tuple(pending)
+    return tuple(pending_steps)
--- a/burlloom/record/request_effects.py
+++ b/burlloom/record/request_effects.py
@@ -4,7 +4,7 @@
 
 from . import failpoints
 from .policy import RecordCounters, RecordListener
-from .request_lifecycle import RULES, DurableRequest
+from .request_lifecycle import TRANSITION_RULES, DurableRequest
 from .request_registry import RequestRegistry
 from .request_writer import RequestWriter
 from .rows import WriteKind
@@ -173,7 +173,7 @@
 # Fails at import, rather than at the first affected request, if the table names an unknown effect.
 assert all(
     hasattr(RequestEffects, effect)
-    for rules in RULES.values()
+    for rules in TRANSITION_RULES.values()
     for _, _, effects in rules
     for effect in effects
 )
--- a/burlloom/record/request_lifecycle.py
+++ b/burlloom/record/request_lifecycle.py
@@ -3,14 +3,21 @@
 A `DurableRequest` is one attempt's claim on a key digest, from the moment the admission controller
 starts the attempt until its outcome is durable. It also represents a claim that an earlier
 incarnation of this node left in the store. The owner passes each event to `handle`, which
-moves the request by `TABLE` and returns the effects to execute.
+moves the request by `TRANSITION_TABLE` and returns the effects to execute.
 tests/test_request_lifecycle.py explores the same table exhaustively, with crashes at every step.
 """
 
 from collections.abc import Callable
 from enum import IntEnum, auto
 
-__all__ = ["RULES", "TABLE", "DurableRequest", "RequestEvent", "RequestState", "parse_rules"]
+__all__ = [
+    "TRANSITION_RULES",
+    "TRANSITION_TABLE",
+    "DurableRequest",
+    "RequestEvent",
+    "RequestState",
+    "parse_rules",
+]
 
 
 class RequestState(IntEnum):
@@ -91,7 +98,7 @@
 
 # Columns: state, event, guards that must all hold, next state, effects in order. The first matching
 # row applies; an event without a matching row is ignored.
-TABLE = """
+TRANSITION_TABLE = """
 NEW               STARTED                            CLAIMING          claim
 NEW               RETRY_RECEIVED                     NEW               look_up
 NEW               FOUND_CLAIMED                      CLAIMED_ELSEWHERE register+poll
@@ -240,10 +247,10 @@
         self.write_count = 0
 
     def handle(self, event: RequestEvent, now_ns: int) -> tuple[str, ...]:
-        """Applies the first matching row of `TABLE` and returns its effects in order."""
+        """Applies the first matching row of `TRANSITION_TABLE` and returns its effects in order."""
         if event is RequestEvent.ABANDONED:
             self.is_abandoned = True
-        for guards, next_state, effects in RULES.get((self.state, event), ()):
+        for guards, next_state, effects in TRANSITION_RULES.get((self.state, event), ()):
             if all(guard(self, now_ns) for guard in guards):
                 self.state = next_state
                 return effects
@@ -289,7 +296,7 @@
 
 
 def parse_rules(table: str) -> Rules:
-    """Parses a table in the format of `TABLE`.
+    """Parses a table in the format of `TRANSITION_TABLE`.
 
     Raises:
         KeyError: A state, event or guard is unknown.
@@ -306,4 +313,4 @@
     return parsed
 
 
-RULES = parse_rules(TABLE)
+TRANSITION_RULES = parse_rules(TRANSITION_TABLE)
--- a/burlloom/record/request_writer.py
+++ b/burlloom/record/request_writer.py
@@ -13,13 +13,13 @@
 
 __all__ = ["ResultFetcher", "RequestWriter"]
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
-MIN_RETRY_PAUSE_NS = 20 * MS
-MAX_RETRY_PAUSE_NS = 1000 * MS
+MIN_RETRY_PAUSE_NS = 20 * NS_PER_MS
+MAX_RETRY_PAUSE_NS = 1000 * NS_PER_MS
 MAX_BACKOFF_DOUBLINGS = 8
 MAX_PENDING_FETCHES = 256
-UNANSWERED = (RequestEvent.WRITE_FAILED, RequestEvent.WRITE_UNCERTAIN)
+UNANSWERED_OUTCOMES = (RequestEvent.WRITE_FAILED, RequestEvent.WRITE_UNCERTAIN)
 
 EventHandler = Callable[[DurableRequest, RequestEvent], None]
 
@@ -39,7 +39,7 @@
         health: StoreHealth,
         observer: RecordObserver,
         clock: Callable[[], int],
-        handle: EventHandler,
+        handle_event: EventHandler,
     ) -> None:
         """Creates a writer.
 
@@ -49,7 +49,7 @@
             health: Feeds the outcomes of writes to the circuit breaker.
             observer: Observes how long writes take, and holds the counters.
             clock: Returns the wall-clock time in nanoseconds.
-            handle: Called with each request and the event that the store's answer means.
+            handle_event: Called with each request and the event that the store's answer means.
         """
         self.node = ""
         self.is_stopped = False
@@ -58,25 +58,25 @@
         self._health = health
         self._observer = observer
         self._clock = clock
-        self._handle = handle
+        self._handle_event = handle_event
 
     def write(self, request: DurableRequest, kind: WriteKind) -> None:
         """Sends a write; only the answer to a request's last write is handled."""
         request.write_count += 1
-        count, started_ns = request.write_count, self._clock()
-        number = self._health.breaker.write_started(started_ns)
+        write_count, started_ns = request.write_count, self._clock()
+        write_number = self._health.breaker.write_started(started_ns)
 
-        def finished(result: WriteResult) -> None:
+        def handle_result(result: WriteResult) -> None:
             now_ns = self._clock()
-            succeeded = result.outcome not in (*UNANSWERED, RequestEvent.FENCED)
-            self._health.write_finished(number, now_ns, succeeded)
+            succeeded = result.outcome not in (*UNANSWERED_OUTCOMES, RequestEvent.FENCED)
+            self._health.write_finished(write_number, now_ns, succeeded)
             self._observe(kind, now_ns - started_ns)
-            if count == request.write_count:
+            if write_count == request.write_count:
                 if result.row is not None and result.outcome is RequestEvent.FOUND_RESULT:
                     request.result = result.row.result
-                self._handle(request, result.outcome)
+                self._handle_event(request, result.outcome)
 
-        self._store.submit(RecordWrite(kind, self._row_of(request)), finished)
+        self._store.submit(RecordWrite(kind, self._build_row(request)), handle_result)
 
     def write_later(self, request: DurableRequest, kind: WriteKind) -> None:
         """Sends a write after an exponential backoff.
@@ -106,7 +106,7 @@
         if observe is not None:
             observe(duration_ns)
 
-    def _row_of(self, request: DurableRequest) -> RecordRow:
+    def _build_row(self, request: DurableRequest) -> RecordRow:
         state = request.row_state
         row = RecordRow(
             request.key_digest,
@@ -168,23 +168,26 @@
         """Reads the row; retries with exponential backoff while the store can't answer."""
         pause_ns = MIN_RETRY_PAUSE_NS
         result = WriteResult(RequestEvent.WRITE_FAILED)
-        while result.outcome in UNANSWERED and (left_ns := deadline_ns - self._clock()) > 0:
+        while (
+            result.outcome in UNANSWERED_OUTCOMES
+            and (remaining_ns := deadline_ns - self._clock()) > 0
+        ):
             future: asyncio.Future[WriteResult] = asyncio.get_running_loop().create_future()
             self._store.submit(
                 RecordWrite(WriteKind.FIND, row), partial(set_result_if_pending, future)
             )
-            await asyncio.wait({future}, timeout=left_ns / NS_PER_S)
+            await asyncio.wait({future}, timeout=remaining_ns / NS_PER_S)
             if not future.done():
                 future.cancel()
                 return WriteResult(RequestEvent.STORE_TIMED_OUT)
             result = future.result()
-            if result.outcome in UNANSWERED:
+            if result.outcome in UNANSWERED_OUTCOMES:
                 await asyncio.sleep(pause_ns / NS_PER_S)
                 pause_ns = min(MAX_RETRY_PAUSE_NS, 2 * pause_ns)
         return result
 
 
-def lookup_row(key_digest: bytes, node: str, incarnation: int) -> RecordRow:
+def build_lookup_row(key_digest: bytes, node: str, incarnation: int) -> RecordRow:
     """Returns a row that carries only the key to read and the node that reads it."""
     return RecordRow(key_digest, ROW_COMPLETED, node, incarnation, 0, "", 0, 0)
 
--- a/burlloom/record/rows.py
+++ b/burlloom/record/rows.py
@@ -20,7 +20,7 @@
     "apply_write",
     "classify_row",
     "finish_values",
-    "result_of_unapplied_write",
+    "interpret_unapplied_write",
     "withdraw_values",
 ]
 
@@ -165,13 +165,13 @@
         return RequestEvent.FOUND_RESULT
     if (row.node, row.incarnation, row.claim_number) == (node, incarnation, claim_number):
         return RequestEvent.WRITE_APPLIED
-    present, is_fenced = incarnations.get(row.node, (row.incarnation, False))
-    if is_fenced or row.incarnation != present:
+    current_incarnation, is_fenced = incarnations.get(row.node, (row.incarnation, False))
+    if is_fenced or row.incarnation != current_incarnation:
         return RequestEvent.FOUND_NO_RESULT
     return RequestEvent.FOUND_CLAIMED
 
 
-def result_of_unapplied_write(
+def interpret_unapplied_write(
     write: RecordWrite,
     stored: RecordRow | None,
     incarnations: dict[str, NodeIncarnation],
@@ -199,7 +199,7 @@
 
 
 def apply_write(
-    row: RecordRow | None, write: RecordWrite, present_incarnation: int
+    row: RecordRow | None, write: RecordWrite, current_incarnation: int
 ) -> tuple[RecordRow | None, bool]:
     """Returns the row after a write, and whether the write applied.
 
@@ -208,26 +208,38 @@
     Args:
         row: The stored row, or None.
         write: The write.
-        present_incarnation: The writing node's incarnation in the store; earlier incarnations
+        current_incarnation: The writing node's incarnation in the store; earlier incarnations
             may no longer claim.
     """
-    new = write.row
+    new_row = write.row
     if write.kind in (WriteKind.LOOK, WriteKind.FIND):
         return row, False
     if write.kind in (WriteKind.CLAIM, WriteKind.INSERT):
-        if new.incarnation != present_incarnation:
+        if new_row.incarnation != current_incarnation:
             return row, False
         if row is None:
-            return new, True
-        replaces = write.kind is WriteKind.CLAIM and is_open_claim_of(row, new)
-        return (new, True) if replaces and row.claim_number <= new.claim_number else (row, False)
-    if row is None or not is_open_claim_of(row, new) or row.claim_number != new.claim_number:
+            return new_row, True
+        replaces = write.kind is WriteKind.CLAIM and is_open_claim_of(row, new_row)
+        return (
+            (new_row, True)
+            if replaces and row.claim_number <= new_row.claim_number
+            else (row, False)
+        )
+    if (
+        row is None
+        or not is_open_claim_of(row, new_row)
+        or row.claim_number != new_row.claim_number
+    ):
         return row, False
     if write.kind is WriteKind.WITHDRAW:
         return None, True
-    return row._replace(state=new.state, result=new.result, mac=new.mac), True
+    return row._replace(state=new_row.state, result=new_row.result, mac=new_row.mac), True
 
 
-def is_open_claim_of(row: RecordRow, new: RecordRow) -> bool:
+def is_open_claim_of(row: RecordRow, new_row: RecordRow) -> bool:
     """Returns whether the row is an unfinished claim of the new row's node and incarnation."""
-    return (row.node, row.incarnation, row.state) == (new.node, new.incarnation, ROW_STARTED)
+    return (row.node, row.incarnation, row.state) == (
+        new_row.node,
+        new_row.incarnation,
+        ROW_STARTED,
+    )
--- a/burlloom/record/schema.py
+++ b/burlloom/record/schema.py
@@ -9,7 +9,7 @@
     "POSTGRES_STEPS",
     "SQLITE_APPLICATION_ID",
     "SQLITE_STEPS",
-    "pending_steps",
+    "list_pending_steps",
 ]
 
 SQLITE_APPLICATION_ID = 0x6275726C  # "burl", in the header of an SQLite file
@@ -90,6 +90,6 @@
 assert max(POSTGRES_STEPS) == LATEST_VERSION
 
 
-def pending_steps(version: int, steps: dict[int, tuple[str, ...]]) -> list[int]:
+def list_pending_steps(version: int, steps: dict[int, tuple[str, ...]]) -> list[int]:
     """Returns the numbers of the steps to apply after a version, in order."""
     return [number for number in sorted(steps) if number > version]
--- a/burlloom/record/sqlite.py
+++ b/burlloom/record/sqlite.py
@@ -17,7 +17,7 @@
 from ..signals import signals_blocked
 from . import sqlite_statements as sql
 from .authentication import RowAuthenticator
-from .clock_shift import ClockReading, clock_shift
+from .clock_shift import ClockReading, compute_clock_shift
 from .lock_retry import LockRetry, is_lock_error
 from .request_lifecycle import RequestEvent
 from .rows import NodeIncarnation, RecordRow, RecordWrite, WriteKind, WriteResult
@@ -43,7 +43,7 @@
 PRUNE_INTERVAL_NS = 1_000_000_000
 MAX_PRUNED_ROWS = 2_000
 VERDICT_INTERVAL_S = 1.0  # between polls for operators' verdicts; also while nothing is written
-VACUUM_PAGES = 200  # maximum number of free pages returned to the file system after a prune
+MAX_VACUUM_PAGES = 200  # maximum number of free pages returned to the file system after a prune
 CLOSE_TIMEOUT_S = 2.0
 # Messages of COMMIT errors after which SQLite rolls back completely, so no write took effect.
 CERTAIN_ERRORS = ("database or disk is full", "database is locked")
@@ -103,7 +103,7 @@
         self._loop: asyncio.AbstractEventLoop | None = None
         self._data_version = 0
         self._has_free_pages = False
-        self._next_verdict_look_s = 0.0
+        self._next_verdict_poll_s = 0.0
 
     # Opening the store.
 
@@ -113,9 +113,9 @@
         Raises:
             StoreRefusedError: The file is in use, is damaged or is not a record.
         """
-        return self.open_now()
+        return self.open_without_event_loop()
 
-    def open_now(self) -> StoreSession:
+    def open_without_event_loop(self) -> StoreSession:
         """Does the same as `open` without an event loop."""
         self.file_lock.acquire()
         try:
@@ -124,12 +124,12 @@
             return self._begin_incarnation(self.db, migrated)
         except sqlite3.DatabaseError as error:
             self.release()
-            raise StoreRefusedError(self._open_problem(error), place=self.path) from error
+            raise StoreRefusedError(self._describe_open_error(error), place=self.path) from error
         except StoreRefusedError:
             self.release()
             raise
 
-    def _open_problem(self, error: sqlite3.DatabaseError) -> str:
+    def _describe_open_error(self, error: sqlite3.DatabaseError) -> str:
         if is_lock_error(error):
             return (
                 f"another process has held its lock for {self.lock_retry.timeout_s:g} s; start"
@@ -150,13 +150,13 @@
     def _begin_incarnation(self, db: sqlite3.Connection, migrated: tuple[int, ...]) -> StoreSession:
         now = self.read_clocks()
         meta = dict(self.lock_retry.run(lambda: db.execute(sql.SELECT_META).fetchall()))
-        before = None
+        saved_clocks = None
         if "wall" in meta:
-            before = ClockReading(meta["boot"], int(meta["steady"]), int(meta["wall"]))
-        self.clock_shift_ns = clock_shift(before, now)
+            saved_clocks = ClockReading(meta["boot"], int(meta["steady"]), int(meta["wall"]))
+        self.clock_shift_ns = compute_clock_shift(saved_clocks, now)
         with transaction(db, self.lock_retry):
-            if self.clock_shift_ns > 0 and before is not None:
-                self._shift_windows(db, before.wall_ns)
+            if self.clock_shift_ns > 0 and saved_clocks is not None:
+                self._shift_windows(db, saved_clocks.wall_ns)
             db.execute(
                 "INSERT INTO node (name, life) VALUES (?, 1) ON CONFLICT (name) DO UPDATE SET"
                 " life = life + 1, fenced = 0",
@@ -180,7 +180,7 @@
         The stored rows are updated, as otherwise a later incarnation would end the windows early.
         """
         rows = [RecordRow(*row) for row in db.execute(sql.SELECT_UNEXPIRED, (since_ns,))]
-        moved = [
+        shifted_rows = [
             row._replace(expires_at_ns=row.expires_at_ns + self.clock_shift_ns)
             for row in rows
             if self.authenticator.is_authentic(row)
@@ -189,7 +189,7 @@
             sql.UPDATE_EXPIRY,
             [
                 (row.expires_at_ns, self.authenticator.compute_mac(row), row.key_digest)
-                for row in moved
+                for row in shifted_rows
             ],
         )
 
@@ -247,7 +247,7 @@
     def _run(self) -> None:
         while True:
             if not self._wake.wait(VERDICT_INTERVAL_S):
-                self._look_for_verdicts()
+                self._poll_verdicts()
             self._wake.clear()
             while self._queue:
                 item = self._queue.popleft()
@@ -271,7 +271,7 @@
         self.hit_failpoint(batch, "durable")
         self.count_commit(batch)
         self._call_on_loop(partial(deliver_results, batch, results))
-        self._look_for_verdicts()
+        self._poll_verdicts()
         if self._has_free_pages:
             self._vacuum()
 
@@ -283,7 +283,7 @@
         try:
             with transaction(db, self.lock_retry):
                 results = self._apply_all(db, [write for write, _ in batch])
-                self._prune_now_and_then(db)
+                self._prune_if_due(db)
                 self.hit_failpoint(batch, "commit")
                 is_committing = True
                 db.execute("COMMIT")
@@ -291,7 +291,9 @@
         except sqlite3.Error as error:
             # After a failed COMMIT the write-ahead log may still hold the pages, and a restart
             # would apply them, unless the error is known to roll back completely.
-            is_certain = not is_committing or any(known in str(error) for known in CERTAIN_ERRORS)
+            is_certain = not is_committing or any(
+                message in str(error) for message in CERTAIN_ERRORS
+            )
             log.warning(
                 "event=record_write_failed writes=%d is_certain=%s error=%r",
                 len(batch),
@@ -315,12 +317,12 @@
             return [self._apply(db, write) for write in writes]
         results: dict[int, WriteResult] = {}
         for kind in WriteKind:
-            positions = [at for at, write in enumerate(writes) if write.kind is kind]
-            if self._apply_bulk(db, kind, [writes[at].row for at in positions]):
+            positions = [index for index, write in enumerate(writes) if write.kind is kind]
+            if self._apply_bulk(db, kind, [writes[index].row for index in positions]):
                 results.update(dict.fromkeys(positions, WriteResult(RequestEvent.WRITE_APPLIED)))
             else:
-                results.update((at, self._apply(db, writes[at])) for at in positions)
-        return [results[at] for at in range(len(writes))]
+                results.update((index, self._apply(db, writes[index])) for index in positions)
+        return [results[index] for index in range(len(writes))]
 
     def _apply_bulk(self, db: sqlite3.Connection, kind: WriteKind, rows: list[RecordRow]) -> bool:
         """Applies all writes of a kind or none, and returns whether they were applied."""
@@ -340,13 +342,13 @@
             if db.execute(statement, values(write.row)).rowcount > 0:
                 return WriteResult(RequestEvent.WRITE_APPLIED)
         stored = db.execute(sql.SELECT_ROW, (write.row.key_digest,)).fetchone()
-        return self.result_of(
+        return self.interpret_stored_row(
             write,
             RecordRow(*stored) if stored is not None else None,
             {self.node: NodeIncarnation(self.incarnation, False)},
         )
 
-    def _prune_now_and_then(self, db: sqlite3.Connection) -> None:
+    def _prune_if_due(self, db: sqlite3.Connection) -> None:
         now_ns = time.time_ns()
         if now_ns >= self.prune_at_ns:
             self.prune_at_ns = now_ns + PRUNE_INTERVAL_NS
@@ -362,14 +364,14 @@
             self._has_free_pages = True
 
     def _vacuum(self) -> None:
-        """Returns up to `VACUUM_PAGES` free pages to the file system."""
+        """Returns up to `MAX_VACUUM_PAGES` free pages to the file system."""
         db = self.db
         assert db is not None
         self._has_free_pages = False
         try:
             # `execute` would step the statement once, which frees only one page.
             self.lock_retry.run(
-                lambda: db.executescript(f"PRAGMA incremental_vacuum({VACUUM_PAGES})")
+                lambda: db.executescript(f"PRAGMA incremental_vacuum({MAX_VACUUM_PAGES})")
             )
         except sqlite3.Error as error:
             log.warning("event=record_vacuum_failed error=%r", str(error))
@@ -397,13 +399,13 @@
         except sqlite3.Error as error:
             log.warning("event=record_notice_not_saved error=%r", str(error))
 
-    def _look_for_verdicts(self) -> None:
+    def _poll_verdicts(self) -> None:
         """Reads operators' verdicts, at most once a second and only if another process wrote."""
         db = self.db
         assert db is not None
-        if time.monotonic() < self._next_verdict_look_s:
+        if time.monotonic() < self._next_verdict_poll_s:
             return
-        self._next_verdict_look_s = time.monotonic() + VERDICT_INTERVAL_S
+        self._next_verdict_poll_s = time.monotonic() + VERDICT_INTERVAL_S
         try:
             (version,) = self.lock_retry.run(lambda: db.execute("PRAGMA data_version").fetchone())
             if version == self._data_version or self.on_verdict is None:
--- a/burlloom/record/sqlite_admin.py
+++ b/burlloom/record/sqlite_admin.py
@@ -26,13 +26,15 @@
 NS_PER_S = 1_000_000_000
 BUSY_TIMEOUT_S = 5.0
 MAX_STRUCTURE_FAULTS = 20
-NO_TIME = "-"
+NO_TIME_TEXT = "-"
 UPSERT_VERDICT = (
     "INSERT INTO verdict (mark, life, turn, ran, said_at, reason) VALUES (?,?,?,?,?,?)"
     " ON CONFLICT (mark) DO UPDATE SET life = excluded.life, turn = excluded.turn,"
     " ran = excluded.ran, said_at = excluded.said_at, reason = excluded.reason"
 )
-MARK_AS_RAN = "UPDATE fate SET state = ?, seal = ? WHERE mark = ? AND life = ? AND turn = ?"
+COMPLETE_WITHOUT_RESULT = (
+    "UPDATE fate SET state = ?, seal = ? WHERE mark = ? AND life = ? AND turn = ?"
+)
 DELETE_CLAIM = "DELETE FROM fate WHERE mark = ? AND life = ? AND turn = ?"
 
 
@@ -158,7 +160,7 @@
             os.close(handle)
 
     @contextmanager
-    def exclusive(self, purpose: str) -> Iterator[None]:
+    def hold_exclusive_lock(self, purpose: str) -> Iterator[None]:
         """Holds the lock that keeps servers off the file.
 
         Args:
@@ -175,7 +177,7 @@
         finally:
             lock.release()
 
-    def stats(self, now_ns: int) -> RecordStats:
+    def collect_stats(self, now_ns: int) -> RecordStats:
         """Returns counts and sizes."""
         with self.open_for_reading() as db:
             nodes = dict(db.execute("SELECT name, life FROM node").fetchall())
@@ -253,7 +255,7 @@
                 )
         return report
 
-    def export(self) -> Iterator[dict[str, Any]]:
+    def export_rows(self) -> Iterator[dict[str, Any]]:
         """Yields each row as the JSON object of the export."""
         for row in self.read_rows():
             yield {
@@ -293,11 +295,11 @@
         if ran:
             completed = doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)
             mac = self.authenticator.compute_mac(completed)
-            db.execute(MARK_AS_RAN, (completed.state, mac, *claim))
+            db.execute(COMPLETE_WITHOUT_RESULT, (completed.state, mac, *claim))
         else:
             db.execute(DELETE_CLAIM, claim)
 
-    def init(self) -> None:
+    def create(self) -> None:
         """Creates an empty record."""
         if self.path.exists():
             raise self._refusal("exists already")
@@ -317,7 +319,7 @@
 
     def compact(self) -> tuple[int, int]:
         """Returns all free pages to the file system; returns the sizes before and after, bytes."""
-        with self.exclusive("compact it"), self.open_for_writing() as db:
+        with self.hold_exclusive_lock("compact it"), self.open_for_writing() as db:
             before = self.path.stat().st_size
             db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
             db.execute("VACUUM")
@@ -328,5 +330,5 @@
 def format_time(time_ns: int) -> str:
     """Formats a wall-clock time in UTC, to the second; 0 is formatted as "-"."""
     if not time_ns:
-        return NO_TIME
+        return NO_TIME_TEXT
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(time_ns // NS_PER_S))
--- a/burlloom/record/sqlite_file.py
+++ b/burlloom/record/sqlite_file.py
@@ -18,8 +18,8 @@
 
 log = logging.getLogger(__name__)
 
-WAL_PAGES = 4_000  # size of the write-ahead log that triggers a checkpoint, 16 MiB
-CACHED_STATEMENTS = 64
+WAL_CHECKPOINT_PAGES = 4_000  # size of the write-ahead log that triggers a checkpoint, 16 MiB
+MAX_CACHED_STATEMENTS = 64
 MS_PER_S = 1000
 FILE_MODE = 0o600
 MAX_LOCK_TEXT_BYTES = 32
@@ -59,9 +59,9 @@
             self._handle = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT, FILE_MODE)
             fcntl.flock(self._handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as error:
-            holder = os.pread(self._handle, MAX_LOCK_TEXT_BYTES, 0).decode("ascii", "replace")
+            owner = os.pread(self._handle, MAX_LOCK_TEXT_BYTES, 0).decode("ascii", "replace")
             self.release()
-            suffix = f" ({holder.strip()})" if holder.strip() else ""
+            suffix = f" ({owner.strip()})" if owner.strip() else ""
             raise StoreRefusedError(
                 f"in use by another process{suffix}; only one server may use a file",
                 place=self.path,
@@ -93,13 +93,13 @@
         StoreRefusedError: The file can't be opened, or belongs to another program.
         sqlite3.Error: The file is damaged or locked.
     """
-    db = (lock_retry or LockRetry()).run(lambda: connect_once(path, max_pages))
+    db = (lock_retry or LockRetry()).run(lambda: connect_without_retry(path, max_pages))
     if lock_retry is None:
         db.execute(f"PRAGMA busy_timeout = {LOCK_TIMEOUT_S * MS_PER_S:.0f}")
     return db
 
 
-def connect_once(path: Path, max_pages: int) -> sqlite3.Connection:
+def connect_without_retry(path: Path, max_pages: int) -> sqlite3.Connection:
     """Does the same as `connect` without waiting for the lock."""
     is_new = not path.exists() or not path.stat().st_size
     try:
@@ -108,7 +108,7 @@
             isolation_level=None,
             check_same_thread=False,
             timeout=0.0,
-            cached_statements=CACHED_STATEMENTS,
+            cached_statements=MAX_CACHED_STATEMENTS,
         )
     except sqlite3.OperationalError as error:
         raise StoreRefusedError(str(error), place=path) from error
@@ -150,7 +150,7 @@
     """Configures the connection: a write-ahead log, synced at each commit."""
     db.execute("PRAGMA journal_mode = WAL")
     db.execute("PRAGMA synchronous = FULL")
-    db.execute(f"PRAGMA wal_autocheckpoint = {WAL_PAGES}")
+    db.execute(f"PRAGMA wal_autocheckpoint = {WAL_CHECKPOINT_PAGES}")
     db.execute("PRAGMA trusted_schema = OFF")
     db.execute("PRAGMA cell_size_check = ON")
     if max_pages:
@@ -192,7 +192,7 @@
         sqlite3.Error: A step can't be applied.
     """
     retry = lock_retry or LockRetry()
-    taken: list[int] = []
+    applied_steps: list[int] = []
     while True:
         with transaction(db, retry):
             (version,) = db.execute("PRAGMA user_version").fetchone()
@@ -203,11 +203,11 @@
                     " older one",
                     place=path,
                 )
-            pending = schema.pending_steps(version, schema.SQLITE_STEPS)
-            if not pending:
-                return tuple(taken)
-            for statement in schema.SQLITE_STEPS[pending[0]]:
+            pending_steps = schema.list_pending_steps(version, schema.SQLITE_STEPS)
+            if not pending_steps:
+                return tuple(applied_steps)
+            for statement in schema.SQLITE_STEPS[pending_steps[0]]:
                 db.execute(statement)
-            db.execute(f"PRAGMA user_version = {pending[0]}")
+            db.execute(f"PRAGMA user_version = {pending_steps[0]}")
             db.execute("COMMIT")
-            taken.append(pending[0])
+            applied_steps.append(pending_steps[0])
--- a/burlloom/record/sqlite_snapshot.py
+++ b/burlloom/record/sqlite_snapshot.py
@@ -27,25 +27,25 @@
     """
     if target.exists():
         raise StoreRefusedError("exists already", place=target)
-    part = target.with_name(target.name + ".part")
-    part.unlink(missing_ok=True)
+    partial_path = target.with_name(target.name + ".part")
+    partial_path.unlink(missing_ok=True)
     try:
-        with admin.open_for_reading() as db, closing(sqlite3.connect(part)) as copy:
+        with admin.open_for_reading() as db, closing(sqlite3.connect(partial_path)) as copy:
             db.backup(copy)
             copy.execute("PRAGMA journal_mode = DELETE")
     except (sqlite3.Error, OSError) as error:
-        part.unlink(missing_ok=True)
+        partial_path.unlink(missing_ok=True)
         raise StoreRefusedError(str(error), place=target) from error
-    report = SqliteRecordAdmin(part, admin.authenticator).verify()
+    report = SqliteRecordAdmin(partial_path, admin.authenticator).verify()
     if report.faults:
-        part.unlink()
+        partial_path.unlink()
         raise StoreRefusedError(
             f"the copy does not verify: {report.faults[0]} ({len(report.faults)} in all)",
             place=target,
         )
-    sync_to_disk(part)
-    part.chmod(FILE_MODE)
-    part.rename(target)
+    sync_to_disk(partial_path)
+    partial_path.chmod(FILE_MODE)
+    partial_path.rename(target)
     sync_to_disk(target.parent)
     return report
 
@@ -85,10 +85,10 @@
     with admin.open_for_writing() as db:
         for start in range(0, len(rows), ROWS_PER_COMMIT):
             db.execute("BEGIN IMMEDIATE")
-            before = db.total_changes
+            changes_before = db.total_changes
             db.executemany(sql.INSERT, rows[start : start + ROWS_PER_COMMIT])
             db.execute("COMMIT")
-            added += db.total_changes - before
+            added += db.total_changes - changes_before
     return added, len(rows)
 
 
@@ -115,24 +115,24 @@
     """
     snapshot = open_verified(admin, source)
     closed_until_ns = 0 if nothing_lost else now_ns + window_ns
-    with admin.exclusive("restore it"):
-        part = admin.path.with_name(admin.path.name + ".part")
-        part.unlink(missing_ok=True)
+    with admin.hold_exclusive_lock("restore it"):
+        partial_path = admin.path.with_name(admin.path.name + ".part")
+        partial_path.unlink(missing_ok=True)
         with (
             snapshot.open_for_reading() as db,
-            closing(sqlite3.connect(part, isolation_level=None)) as copy,
+            closing(sqlite3.connect(partial_path, isolation_level=None)) as copy,
         ):
             db.backup(copy)
             prepare_restored(copy, closed_until_ns)
-        sync_to_disk(part)
-        part.chmod(FILE_MODE)
+        sync_to_disk(partial_path)
+        partial_path.chmod(FILE_MODE)
         for suffix in RECORD_SUFFIXES:
-            old = admin.path.with_name(admin.path.name + suffix)
-            if old.exists():
-                old.rename(
+            old_path = admin.path.with_name(admin.path.name + suffix)
+            if old_path.exists():
+                old_path.rename(
                     admin.path.with_name(f"{admin.path.name}.before-{now_ns // NS_PER_S}{suffix}")
                 )
-        part.rename(admin.path)
+        partial_path.rename(admin.path)
         sync_to_disk(admin.path.parent)
     return closed_until_ns
 
--- a/burlloom/record/store.py
+++ b/burlloom/record/store.py
@@ -10,7 +10,7 @@
 from ..errors import BurlloomError
 from . import failpoints
 from .authentication import RowAuthenticator
-from .rows import NodeIncarnation, RecordRow, RecordWrite, WriteResult, result_of_unapplied_write
+from .rows import NodeIncarnation, RecordRow, RecordWrite, WriteResult, interpret_unapplied_write
 
 __all__ = [
     "PendingWrite",
@@ -152,7 +152,7 @@
     async def close(self) -> None:
         """Writes what was submitted and closes; a hanging store is abandoned after 2 s."""
 
-    def result_of(
+    def interpret_stored_row(
         self,
         write: RecordWrite,
         stored: RecordRow | None,
@@ -162,7 +162,7 @@
         is_authentic = stored is None or self.authenticator.is_authentic(stored)
         if not is_authentic:
             log.error("event=record_row_altered key_digest=%s", write.row.key_digest.hex())
-        return result_of_unapplied_write(write, stored, incarnations, is_authentic)
+        return interpret_unapplied_write(write, stored, incarnations, is_authentic)
 
     def count_commit(self, batch: list[PendingWrite]) -> None:
         """Updates the counters for one commit."""
--- a/burlloom/record/store_health.py
+++ b/burlloom/record/store_health.py
@@ -10,7 +10,7 @@
 
 log = logging.getLogger(__name__)
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 
 
 class StoreHealth:
@@ -52,7 +52,7 @@
             log.warning(
                 "event=record_breaker_opened writes_in_flight=%d pause_ms=%d",
                 len(self.breaker.in_flight),
-                self.breaker.pause_ns // MS,
+                self.breaker.pause_ns // NS_PER_MS,
             )
         elif effect is BreakerEffect.CLOSE:
             log.info("event=record_breaker_closed times_opened=%d", self.breaker.times_opened)
--- a/burlloom/server/operator_subsystems.py
+++ b/burlloom/server/operator_subsystems.py
@@ -155,7 +155,7 @@
 
 def record_strain(coordinator: RecordCoordinator, clock: Callable[[], int]) -> float:
     """Returns how near the record's writes are to their limits, from 0 to 1."""
-    return coordinator.breaker.load(clock())
+    return coordinator.breaker.compute_load(clock())
 
 
 class OperatorSubsystemFactory(SubsystemFactory):
--- a/tests/explore.py
+++ b/tests/explore.py
@@ -20,7 +20,7 @@
     WriteKind,
     apply_write,
     classify_row,
-    result_of_unapplied_write,
+    interpret_unapplied_write,
 )
 
 MARK = b"m" * 16
@@ -232,7 +232,7 @@
             if done
             else RequestEvent.FENCED
             if write.kind in (WriteKind.CLAIM, WriteKind.INSERT) and write.life != world.lives[n]
-            else result_of_unapplied_write(asked, world.row, lives).outcome
+            else interpret_unapplied_write(asked, world.row, lives).outcome
         )
         name = f"{write.kind.name} of try {write.tried} at {n}"
         yield (
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -26,7 +26,7 @@
     WriteKind,
     WriteResult,
     apply_write,
-    result_of_unapplied_write,
+    interpret_unapplied_write,
 )
 from burlloom.record.store import StoreSession, WriteCallback
 from burlloom.rpc import IncomingRequest
@@ -36,7 +36,7 @@
 from burlloom.server.subsystems import SubsystemFactory
 from burlloom.settings import parse_server_settings
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 NOWHERE = ("", 0)  # no socket is opened
 SEALER = RowAuthenticator(b"s" * 32)
 SETTINGS = {
@@ -76,7 +76,7 @@
             return WriteResult(RequestEvent.WRITE_APPLIED)
         if write.kind in (WriteKind.CLAIM, WriteKind.INSERT) and row.incarnation != life:
             return WriteResult(RequestEvent.FENCED)
-        return result_of_unapplied_write(write, there, self.lives)
+        return interpret_unapplied_write(write, there, self.lives)
 
 
 class FakeStore:
@@ -190,12 +190,12 @@
             (id, end, b"receipt of " + id.encode() if end is RunStatus.PASSED else b"")
         )
         if self.server is not None:
-            self.server.requests.run_ended(id, end, 12 * MS, self.told[-1][2])
+            self.server.requests.run_ended(id, end, 12 * NS_PER_MS, self.told[-1][2])
 
     def replay(self, server: Server) -> None:
         self.server = server
         for id, end, result in list(self.told):
-            server.requests.run_ended(id, end, 12 * MS, result)
+            server.requests.run_ended(id, end, 12 * NS_PER_MS, result)
 
     def crash(self, now: float) -> None:
         for timers in self.runs.values():
@@ -245,7 +245,7 @@
                     world.nodes_count > 1,
                 )
                 record.coordinator = RecordCoordinator(
-                    store, SEALER, terms, 1500 * MS, loop.wall, record
+                    store, SEALER, terms, 1500 * NS_PER_MS, loop.wall, record
                 )
                 return record
 
@@ -367,7 +367,7 @@
                 id,
                 now,
                 "1",
-                10 * MS,
+                10 * NS_PER_MS,
                 10.0,
                 0.9,
                 mark.hex(),
--- a/tests/test_circuit_breaker.py
+++ b/tests/test_circuit_breaker.py
@@ -8,16 +8,16 @@
     HANG_TIMEOUT_MULTIPLE,
     MAX_CONSECUTIVE_FAILURES,
     MAX_PAUSE_NS,
-    MS,
+    NS_PER_MS,
     BreakerEffect,
     BreakerState,
     CircuitBreaker,
 )
-from burlloom.record.clock_shift import MIN_CLOCK_STEP_NS, ClockReading, clock_shift
+from burlloom.record.clock_shift import MIN_CLOCK_STEP_NS, ClockReading, compute_clock_shift
 from burlloom.record.request_lifecycle import DurableRequest, RequestEvent
 from burlloom.record.request_lifecycle import RequestState as Stand
 
-PATIENCE = 100 * MS
+PATIENCE = 100 * NS_PER_MS
 
 
 def test_failures_in_a_row_cut_the_store_off_and_good_beats_bring_it_back() -> None:
@@ -32,9 +32,9 @@
     now += budget.pause_ns
     assert budget.tick(now) is BreakerEffect.PROBE
     assert not budget.may_write(now)
-    assert budget.probe_finished(now + MS, True) is BreakerEffect.PROBE_AGAIN
+    assert budget.probe_finished(now + NS_PER_MS, True) is BreakerEffect.PROBE_AGAIN
     assert not budget.may_write(now)
-    assert budget.probe_finished(now + 2 * MS, True) is BreakerEffect.CLOSE
+    assert budget.probe_finished(now + 2 * NS_PER_MS, True) is BreakerEffect.CLOSE
     assert budget.may_write(now)
 
 
@@ -64,7 +64,7 @@
 def test_only_two_good_beats_end_a_cut(story: list[tuple[str, int]]) -> None:
     budget, now, numbers, good_beats = CircuitBreaker(8, PATIENCE), 0, [], 0
     for what, passed in story:
-        now += passed * MS
+        now += passed * NS_PER_MS
         before = budget.state
         if what == "post" and budget.may_write(now):
             numbers.append(budget.write_started(now))
@@ -122,9 +122,11 @@
     wall: int, passed: int, step: int
 ) -> None:
     then, now = ClockReading("a", 5, wall), ClockReading("a", 5 + passed, wall + passed + step)
-    assert clock_shift(then, now) == (step if abs(step) >= MIN_CLOCK_STEP_NS else 0)
-    assert clock_shift(then, ClockReading("b", 0, wall + passed + step)) == min(0, passed + step)
-    assert clock_shift(None, now) == 0
+    assert compute_clock_shift(then, now) == (step if abs(step) >= MIN_CLOCK_STEP_NS else 0)
+    assert compute_clock_shift(then, ClockReading("b", 0, wall + passed + step)) == min(
+        0, passed + step
+    )
+    assert compute_clock_shift(None, now) == 0
 
 
 def test_what_a_broken_transaction_means() -> None:
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -44,7 +44,7 @@
     burlloom("record", "init", "-o", path)
     sealer = RowAuthenticator(load_key(folder / "record.db.key", False))
     store = SqliteStore(folder / "record.db", sealer, "n1")
-    store.open_now()
+    store.open_without_event_loop()
     for n, state in enumerate((ROW_COMPLETED, ROW_STARTED)):
         row = RecordRow(
             bytes([n]) * 16,
--- a/tests/test_record_samples.py
+++ b/tests/test_record_samples.py
@@ -77,7 +77,7 @@
     record: Path, authenticator: RowAuthenticator
 ) -> None:
     store = SqliteStore(record, authenticator, "n1")
-    session = store.open_now()
+    session = store.open_without_event_loop()
     assert (session.incarnation, session.previous_notice, session.migrated) == (2, "lean", ())
     keys = [key for batch in store.read_recorded_keys(0) for key, _ in batch]
     assert keys == [key_digest(n) for n in range(4)]
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -61,8 +61,10 @@
 @pytest.mark.parametrize("name", BROKEN)
 def test_a_broken_row_is_caught(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     row, instead = BROKEN[name]
-    assert row in fate.TABLE
-    monkeypatch.setattr(fate, "RULES", fate.parse_rules(fate.TABLE.replace(row, instead)))
+    assert row in fate.TRANSITION_TABLE
+    monkeypatch.setattr(
+        fate, "TRANSITION_RULES", fate.parse_rules(fate.TRANSITION_TABLE.replace(row, instead))
+    )
     with pytest.raises(Broken):
         for world in WORLDS.values():
             Explorer(*world).walk()
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -44,9 +44,9 @@
 def test_the_checker_sees_a_broken_transition(monkeypatch: pytest.MonkeyPatch) -> None:
     good = "CLAIMING          STORE_TIMED_OUT                    WITHDRAWING       reject+withdraw"
     bad = "CLAIMING          STORE_TIMED_OUT                    RUNNING           start_run"
-    assert good in request_lifecycle.TABLE
-    broken = request_lifecycle.parse_rules(request_lifecycle.TABLE.replace(good, bad))
-    monkeypatch.setattr(request_lifecycle, "RULES", broken)
+    assert good in request_lifecycle.TRANSITION_TABLE
+    broken = request_lifecycle.parse_rules(request_lifecycle.TRANSITION_TABLE.replace(good, bad))
+    monkeypatch.setattr(request_lifecycle, "TRANSITION_RULES", broken)
     assert any(
         "ran twice" in fault
         for seed in range(SEEDS_THAT_FIND_A_FAULT)
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -27,7 +27,7 @@
     WriteKind,
     WriteResult,
     apply_write,
-    result_of_unapplied_write,
+    interpret_unapplied_write,
 )
 from burlloom.record.sqlite import SqliteStore
 from burlloom.record.sqlite_admin import SqliteRecordAdmin
@@ -157,7 +157,7 @@
             assert word == (
                 WriteResult(RequestEvent.WRITE_APPLIED)
                 if held
-                else result_of_unapplied_write(write, stood, {"n1": (1, False)})
+                else interpret_unapplied_write(write, stood, {"n1": (1, False)})
             )
         for mark, stood in there.items():
             (word,) = await store.ask(RecordWrite(WriteKind.FIND, row(mark, turn=99)))
@@ -229,7 +229,7 @@
             assert word.outcome is (
                 RequestEvent.WRITE_APPLIED
                 if held
-                else result_of_unapplied_write(write, stood, {"n1": (1, False)}).outcome
+                else interpret_unapplied_write(write, stood, {"n1": (1, False)}).outcome
             )
 
     with_store(kind, story)
@@ -438,7 +438,7 @@
 
 def opened(path: Path, **more: Any) -> SqliteStore:
     store = SqliteStore(path, SEALER, "n1", **more)
-    store.open_now()
+    store.open_without_event_loop()
     return store
 
 
