--- a/tests/locked_database.py
+++ b/tests/locked_database.py
@@ -1,4 +1,4 @@
-"""An SQLite file that another connection keeps locked, by a clock of its own."""
+"""An SQLite file whose lock another connection holds for a time on a simulated clock."""
 
 import sqlite3
 from pathlib import Path
@@ -6,16 +6,16 @@
 
 from burlloom.record.lock_retry import LOCK_TIMEOUT_S, LockRetry
 
-MAX_PAUSE_S = 0.015  # none waits for long while the lock may be free
+MAX_PAUSE_S = 0.015  # the longest permitted pause between two attempts to take the lock
 
 
 class LockedDatabase:
-    """Keeps the file's lock until its clock says so; the clock goes on only while one waits.
+    """Holds the file's lock until a time on a clock that advances only while a waiter sleeps.
 
     Attributes:
-        released_at_s: When the lock is released.
-        now_s: The clock.
-        attempts: Pauses of those who wait.
+        released_at_s: When the lock is released, seconds on the simulated clock.
+        now_s: The simulated clock, seconds.
+        attempts: The number of pauses between attempts to take the lock.
     """
 
     def __init__(self, path: Path, released_at_s: float) -> None:
@@ -28,13 +28,13 @@
     def clock(self) -> float:
         return self.now_s
 
-    def sleep(self, span_s: float) -> None:
-        assert 0 < span_s <= MAX_PAUSE_S
-        self.now_s += span_s
+    def sleep(self, duration_s: float) -> None:
+        assert 0 < duration_s <= MAX_PAUSE_S
+        self.now_s += duration_s
         self.attempts += 1
         if self.now_s >= self.released_at_s and self.db.in_transaction:
             self.db.execute("ROLLBACK")
 
     def lock_retry(self, timeout_s: float = LOCK_TIMEOUT_S, **options: Any) -> LockRetry:
-        """Returns what waits for the lock by this clock."""
+        """Returns a retry rule that waits on the simulated clock."""
         return LockRetry(timeout_s, clock=self.clock, sleep=self.sleep, **options)
--- a/tests/test_record_samples.py
+++ b/tests/test_record_samples.py
@@ -1,4 +1,4 @@
-"""A SQLite record that version 0.7.1 wrote: it opens, and means what it meant."""
+"""Compatibility with an SQLite record that version 0.7.1 wrote."""
 
 import asyncio
 import shutil
@@ -27,13 +27,13 @@
 
 
 def key_digest(number: int) -> bytes:
-    """The key digest of the sample's request of this number."""
+    """Returns the key digest of the sample's request with this number."""
     return bytes([number]) * 16
 
 
 @pytest.fixture
 def record(tmp_path: Path) -> Path:
-    """A copy of the sample."""
+    """Returns the path of a copy of the sample."""
     path = tmp_path / "record.db"
     shutil.copy(DATA / "record_0_7_1.db", path)
     return path
@@ -41,16 +41,14 @@
 
 @pytest.fixture
 def authenticator(tmp_path: Path) -> RowAuthenticator:
-    """What checks the sample's rows."""
+    """Returns the authenticator with the sample's key."""
     path = tmp_path / "record.key"
     shutil.copy(DATA / "record_0_7_1.key", path)
     path.chmod(0o600)
     return RowAuthenticator(load_key(path, create=False))
 
 
-def test_rows_and_macs_are_those_that_were_written(
-    record: Path, authenticator: RowAuthenticator
-) -> None:
+def test_rows_and_macs_are_read_as_written(record: Path, authenticator: RowAuthenticator) -> None:
     admin = SqliteRecordAdmin(record, authenticator)
     rows = [row._replace(mac=b"") for row in admin.read_rows()]
     assert rows == [
@@ -63,17 +61,17 @@
     assert (report.row_count, report.faults) == (4, [])
 
 
-def test_rows_in_doubt_and_the_verdict_on_one_are_listed(
+def test_rows_in_doubt_are_listed_with_their_verdicts(
     record: Path, authenticator: RowAuthenticator
 ) -> None:
-    found = SqliteRecordAdmin(record, authenticator).list_in_doubt(0)
-    assert [(row.key_digest, verdict) for row, verdict in found] == [
+    in_doubt = SqliteRecordAdmin(record, authenticator).list_in_doubt(0)
+    assert [(row.key_digest, verdict) for row, verdict in in_doubt] == [
         (key_digest(0), ""),
         (key_digest(3), "ran"),
     ]
 
 
-def test_the_next_incarnation_takes_up_what_the_last_one_left(
+def test_the_next_incarnation_reads_the_notice_and_rows_of_the_last_one(
     record: Path, authenticator: RowAuthenticator
 ) -> None:
     store = SqliteStore(record, authenticator, "n1")
@@ -85,30 +83,30 @@
     store.release()
 
 
-def test_a_repeat_gets_the_result_that_was_stored(
+def test_a_repeated_request_gets_the_stored_result(
     record: Path, authenticator: RowAuthenticator
 ) -> None:
     async def scenario() -> list[WriteResult]:
         store = SqliteStore(record, authenticator, "n1")
         await store.open()
         await store.start()
-        answers = []
+        results = []
         for n in range(4):
-            answer: asyncio.Future[WriteResult] = asyncio.get_running_loop().create_future()
+            result: asyncio.Future[WriteResult] = asyncio.get_running_loop().create_future()
             row = RecordRow(key_digest(n), ROW_STARTED, "n1", 2, 1, "id", 0, EXPIRY_NS)
             row = row._replace(mac=authenticator.compute_mac(row))
-            store.submit(RecordWrite(WriteKind.CLAIM, row), answer.set_result)
-            answers.append(await asyncio.wait_for(answer, 20))
+            store.submit(RecordWrite(WriteKind.CLAIM, row), result.set_result)
+            results.append(await asyncio.wait_for(result, 20))
         await store.close()
-        return answers
+        return results
 
-    answers = asyncio.run(scenario())
-    assert [answer.outcome for answer in answers] == [
+    results = asyncio.run(scenario())
+    assert [result.outcome for result in results] == [
         RequestEvent.FOUND_NO_RESULT,
         RequestEvent.FOUND_RESULT,
         RequestEvent.FOUND_NO_RESULT,
         RequestEvent.FOUND_NO_RESULT,
     ]
-    stored = answers[1].row
+    stored = results[1].row
     assert stored is not None
     assert stored.result == b"receipt 1"
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -1,70 +1,75 @@
-"""The fate of a mark: every history of small worlds, and rows that are broken on purpose."""
+"""Exhaustive exploration of the request state machine, and of deliberately broken tables."""
 
 import pytest
-from explore import Broken, Explorer
+from explore_request_lifecycle import InvariantViolation, LifecycleExplorer
 
-from burlloom.record import request_lifecycle as fate
+from burlloom.record import request_lifecycle
 
-# Small enough for CI; larger ones are in docs/results.md.
-WORLDS = {
+# Nodes, attempts, crashes and faults. Small enough for CI; docs/results.md has larger models.
+MODEL_SIZES = {
     "one node": (1, 2, 2, 2),
     "two nodes": (2, 2, 1, 1),
-    "two nodes, no fault, two crashes": (2, 2, 2, 0),
+    "two nodes, no faults, two crashes": (2, 2, 2, 0),
 }
 
 
-@pytest.mark.parametrize("world", WORLDS.values(), ids=list(WORLDS))
-def test_no_history_runs_it_twice(world: tuple[int, int, int, int]) -> None:
-    assert Explorer(*world).walk() > 1000
+@pytest.mark.parametrize("model_size", MODEL_SIZES.values(), ids=list(MODEL_SIZES))
+def test_no_sequence_of_steps_runs_a_request_twice(model_size: tuple[int, int, int, int]) -> None:
+    assert LifecycleExplorer(*model_size).explore() > 1000
 
 
-BROKEN = {
-    "runs though its claim was lost": (
+# Each case replaces one row of the transition table by a wrong one.
+BROKEN_ROWS = {
+    "runs although its claim failed": (
         "CLAIMING          WRITE_FAILED                       CLOSED            reject",
         "CLAIMING          WRITE_FAILED                       RUNNING           start_run",
     ),
-    "runs though nobody knows of its claim": (
+    "runs although its claim is uncertain": (
         "CLAIMING          WRITE_UNCERTAIN                    CLAIMING          retry_claim",
         "CLAIMING          WRITE_UNCERTAIN                    RUNNING           start_run",
     ),
-    "runs though another has it": (
+    "runs although another claim holds the key": (
         "CLAIMING          FOUND_CLAIMED                      CLAIMED_ELSEWHERE follow+poll",
         "CLAIMING          FOUND_CLAIMED                      RUNNING           start_run",
     ),
-    "runs though it ran": (
+    "runs although it has run": (
         "CLAIMING          FOUND_RESULT                       CLOSED            follow+deliver_result",
         "CLAIMING          FOUND_RESULT                       RUNNING           start_run",
     ),
-    "runs what is in doubt": (
+    "runs a request in doubt": (
         "CLAIMING          FOUND_NO_RESULT                    CLOSED            follow+fail",
         "CLAIMING          FOUND_NO_RESULT                    RUNNING           start_run",
     ),
-    "takes a claim back that ran": (
+    "withdraws the claim of a request that ran": (
         "RUNNING           RUN_FAILED                         FAILED            finish",
         "RUNNING           RUN_FAILED                         WITHDRAWING       withdraw",
     ),
-    "takes doubt for nothing": (
+    "treats a request in doubt as never run": (
         "AWAITING_EXECUTOR EXECUTOR_SILENT                    IN_DOUBT          mark_in_doubt",
         "AWAITING_EXECUTOR EXECUTOR_SILENT                    WITHDRAWING       resolve_as_never_ran",
     ),
-    "runs without a claim in time": (
+    "runs although its claim timed out": (
         "CLAIMING          STORE_TIMED_OUT                    WITHDRAWING       reject+withdraw",
         "CLAIMING          STORE_TIMED_OUT                    RUNNING           start_run",
     ),
-    "forgets to take its claim back": (
+    "runs an abandoned request": (
         "CLAIMING          WRITE_APPLIED      abandoned       WITHDRAWING       report_never_ran+withdraw",
         "CLAIMING          WRITE_APPLIED      abandoned       RUNNING           start_run+report_never_ran",
     ),
 }
 
 
-@pytest.mark.parametrize("name", BROKEN)
-def test_a_broken_row_is_caught(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    row, instead = BROKEN[name]
-    assert row in fate.TRANSITION_TABLE
+@pytest.mark.parametrize("name", BROKEN_ROWS)
+def test_a_broken_transition_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    correct_row, broken_row = BROKEN_ROWS[name]
+    assert correct_row in request_lifecycle.TRANSITION_TABLE
     monkeypatch.setattr(
-        fate, "TRANSITION_RULES", fate.parse_rules(fate.TRANSITION_TABLE.replace(row, instead))
+        request_lifecycle,
+        "TRANSITION_RULES",
+        request_lifecycle.parse_rules(
+            request_lifecycle.TRANSITION_TABLE.replace(correct_row, broken_row)
+        ),
     )
-    with pytest.raises(Broken):
-        for world in WORLDS.values():
-            Explorer(*world).walk()
+    with pytest.raises(InvariantViolation):
+        for model_size in MODEL_SIZES.values():
+            LifecycleExplorer(*model_size).explore()
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -1,6 +1,6 @@
 """Seeded runs of tests/simulate.py: whole servers in simulated time.
 
-Servers crash and come back, and the store of record misbehaves.
+Servers crash and restart, and the record's store delays, fails or loses writes.
 """
 
 import logging
@@ -13,7 +13,7 @@
 from burlloom.record import request_lifecycle
 
 SEEDS_PER_CASE = 8
-SEEDS_THAT_FIND_A_FAULT = 12
+MAX_SEEDS_TO_FIND_FAULT = 12
 
 
 @pytest.fixture(autouse=True)
@@ -41,14 +41,18 @@
     assert simulate(5, 2, 0.2, 3).count == simulate(5, 2, 0.2, 3).count
 
 
-def test_the_checker_sees_a_broken_transition(monkeypatch: pytest.MonkeyPatch) -> None:
-    good = "CLAIMING          STORE_TIMED_OUT                    WITHDRAWING       reject+withdraw"
-    bad = "CLAIMING          STORE_TIMED_OUT                    RUNNING           start_run"
-    assert good in request_lifecycle.TRANSITION_TABLE
-    broken = request_lifecycle.parse_rules(request_lifecycle.TRANSITION_TABLE.replace(good, bad))
-    monkeypatch.setattr(request_lifecycle, "TRANSITION_RULES", broken)
+def test_the_checker_detects_a_broken_transition(monkeypatch: pytest.MonkeyPatch) -> None:
+    correct_row = (
+        "CLAIMING          STORE_TIMED_OUT                    WITHDRAWING       reject+withdraw"
+    )
+    broken_row = "CLAIMING          STORE_TIMED_OUT                    RUNNING           start_run"
+    assert correct_row in request_lifecycle.TRANSITION_TABLE
+    broken_rules = request_lifecycle.parse_rules(
+        request_lifecycle.TRANSITION_TABLE.replace(correct_row, broken_row)
+    )
+    monkeypatch.setattr(request_lifecycle, "TRANSITION_RULES", broken_rules)
     assert any(
         "ran twice" in fault
-        for seed in range(SEEDS_THAT_FIND_A_FAULT)
+        for seed in range(MAX_SEEDS_TO_FIND_FAULT)
         for fault in simulate(seed, 2, 0.3, 3).faults
     )
