--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -1,10 +1,9 @@
-"""Whole nodes in simulated time: the real server, desk, decisions, keeper and fates over a store
-that misbehaves.
+"""Simulates whole servers in simulated time, with a record store that misbehaves.
 
-Nothing waits and nothing is random but by seed: the loop's clock jumps to the next timer. Sockets,
-executor and store are stand-ins of a few lines; the store's rows change by `rows.applied` alone.
-Nodes crash and come back, writes take long, hang, are lost, unsure, or take hold late. A checker
-counts runs and answers.
+The servers, their admission, records and request lifecycles are the real ones. Sockets, executors and
+the store are small fakes; the stored rows change only by `rows.apply_write`. The event loop's clock
+jumps to the next timer, and all randomness is seeded. Servers crash and restart; writes take long,
+fail, have uncertain outcomes, or apply late. A checker counts runs and answers.
 """
 
 import asyncio
@@ -37,8 +36,8 @@
 from burlloom.settings import parse_server_settings
 
 NS_PER_MS = 1_000_000
-NOWHERE = ("", 0)  # no socket is opened
-SEALER = RowAuthenticator(b"s" * 32)
+UNUSED_ADDRESS = ("", 0)  # no socket is opened
+AUTHENTICATOR = RowAuthenticator(b"s" * 32)
 SETTINGS = {
     "categories": [
         {
@@ -56,50 +55,52 @@
 }
 
 
-class Base:
-    """The rows, and each node's present life."""
+class SharedRows:
+    """The stored rows, and each node's current incarnation; shared by all fake stores."""
 
     def __init__(self) -> None:
         self.rows: dict[bytes, RecordRow] = {}
-        self.lives: dict[str, tuple[int, bool]] = {}
+        self.incarnations: dict[str, tuple[int, bool]] = {}
 
     def write(self, write: RecordWrite) -> WriteResult:
         row = write.row
-        life = self.lives[row.node][0]
-        there = self.rows.get(row.key_digest)
-        after, held = apply_write(there, write, life)
-        if held:
-            if after is None:
+        incarnation = self.incarnations[row.node][0]
+        stored_row = self.rows.get(row.key_digest)
+        row_after, is_applied = apply_write(stored_row, write, incarnation)
+        if is_applied:
+            if row_after is None:
                 self.rows.pop(row.key_digest)
             else:
-                self.rows[row.key_digest] = after
+                self.rows[row.key_digest] = row_after
             return WriteResult(RequestEvent.WRITE_APPLIED)
-        if write.kind in (WriteKind.CLAIM, WriteKind.INSERT) and row.incarnation != life:
+        if write.kind in (WriteKind.CLAIM, WriteKind.INSERT) and row.incarnation != incarnation:
             return WriteResult(RequestEvent.FENCED)
-        return interpret_unapplied_write(write, there, self.lives)
+        return interpret_unapplied_write(write, stored_row, self.incarnations)
 
 
 class FakeStore:
-    """One node's way to the base, in order, with troubles drawn by chance."""
+    """One node's store: applies writes in order, with random latencies and faults."""
 
     commit_count = write_count = largest_batch = pruned_rows = 0
 
-    def __init__(self, base: Base, node: str, chance: random.Random, trouble: float) -> None:
-        self.base, self.node, self.chance, self.trouble = base, node, chance, trouble
+    def __init__(
+        self, shared_rows: SharedRows, node: str, rng: random.Random, fault_rate: float
+    ) -> None:
+        self.shared_rows, self.node, self.rng, self.fault_rate = shared_rows, node, rng, fault_rate
         self.on_verdict = None
         self.queue: list[RecordWrite] = []
-        self.free_at = 0.0
-        self.dead = False
+        self.free_at_s = 0.0
+        self.is_crashed = False
 
     async def open(self) -> StoreSession:
-        life = self.base.lives.get(self.node, (0, False))[0] + 1
-        self.base.lives[self.node] = life, False
-        return StoreSession(self.node, life, 0)
+        incarnation = self.shared_rows.incarnations.get(self.node, (0, False))[0] + 1
+        self.shared_rows.incarnations[self.node] = incarnation, False
+        return StoreSession(self.node, incarnation, 0)
 
     def read_recorded_keys(self, now: int) -> Iterator[list[tuple[bytes, int]]]:
         yield [
             (row.key_digest, row.expires_at_ns)
-            for row in self.base.rows.values()
+            for row in self.shared_rows.rows.values()
             if row.node == self.node
         ]
 
@@ -107,7 +108,7 @@
         return iter(
             [
                 row
-                for row in self.base.rows.values()
+                for row in self.shared_rows.rows.values()
                 if row.node == self.node and row.state == ROW_STARTED
             ]
         )
@@ -116,136 +117,144 @@
 
     def save_notice(self, text: str) -> None: ...
 
-    def submit(self, write: RecordWrite, done: WriteCallback) -> None:
+    def submit(self, write: RecordWrite, callback: WriteCallback) -> None:
         loop = asyncio.get_running_loop()
-        latency = self.chance.expovariate(1 / 0.004)
-        if self.chance.random() < self.trouble:
-            latency += self.chance.choice([0.1, 0.6, 3.0])
-        self.free_at = max(self.free_at, loop.time()) + latency
+        latency_s = self.rng.expovariate(1 / 0.004)
+        if self.rng.random() < self.fault_rate:
+            latency_s += self.rng.choice([0.1, 0.6, 3.0])
+        self.free_at_s = max(self.free_at_s, loop.time()) + latency_s
         self.queue.append(write)
-        loop.call_at(self.free_at, self.serve, write, done)
+        loop.call_at(self.free_at_s, self.finish_write, write, callback)
 
-    def serve(self, write: RecordWrite, done: WriteCallback) -> None:
-        if self.dead:
+    def finish_write(self, write: RecordWrite, callback: WriteCallback) -> None:
+        if self.is_crashed:
             return
         self.queue.remove(write)
-        trouble = self.chance.random()
-        if trouble > self.trouble:
-            done(self.base.write(write))
-        elif trouble < self.trouble * 0.4:
-            done(WriteResult(RequestEvent.WRITE_FAILED))
-        elif trouble < self.trouble * 0.7:
-            self.base.write(write)
-            done(WriteResult(RequestEvent.WRITE_UNCERTAIN))
+        draw = self.rng.random()
+        if draw > self.fault_rate:
+            callback(self.shared_rows.write(write))
+        elif draw < self.fault_rate * 0.4:
+            callback(WriteResult(RequestEvent.WRITE_FAILED))
+        elif draw < self.fault_rate * 0.7:
+            self.shared_rows.write(write)
+            callback(WriteResult(RequestEvent.WRITE_UNCERTAIN))
         else:
-            # As from a server's session that outlives its connection: it may take hold long after.
-            asyncio.get_running_loop().call_later(self.chance.random() * 8, self.base.write, write)
-            done(WriteResult(RequestEvent.WRITE_UNCERTAIN))
+            # Like a database session that outlives its connection: the write may apply much later.
+            asyncio.get_running_loop().call_later(
+                self.rng.random() * 8, self.shared_rows.write, write
+            )
+            callback(WriteResult(RequestEvent.WRITE_UNCERTAIN))
 
-    def probe(self, done: Callable[[bool], None]) -> None:
-        good = self.chance.random() > self.trouble
-        asyncio.get_running_loop().call_later(0.002, lambda: None if self.dead else done(good))
+    def probe(self, callback: Callable[[bool], None]) -> None:
+        succeeded = self.rng.random() > self.fault_rate
+        asyncio.get_running_loop().call_later(
+            0.002, lambda: None if self.is_crashed else callback(succeeded)
+        )
 
     def crash(self) -> None:
-        """Some of what lay in the queue had left."""
-        self.dead = True
-        for write in self.queue[: self.chance.randint(0, len(self.queue))]:
-            self.base.write(write)
+        """Stops answering; a random number of the queued writes still applies."""
+        self.is_crashed = True
+        for write in self.queue[: self.rng.randint(0, len(self.queue))]:
+            self.shared_rows.write(write)
 
     async def close(self) -> None:
-        self.dead = True
+        self.is_crashed = True
 
 
-class FakeLink:
-    """The executor: it outlives the server or goes down with it."""
+class FakeExecutor:
+    """An executor, which survives a crash of its server or ends with it."""
 
-    def __init__(self, world: "World", chance: random.Random) -> None:
-        self.world, self.chance = world, chance
+    def __init__(self, simulation: "Simulation", rng: random.Random) -> None:
+        self.simulation, self.rng = simulation, rng
         self.server: Server | None = None
-        self.born = -90.0
-        self.told: list[tuple[str, RunStatus, bytes]] = []
-        self.runs: dict[str, list[asyncio.TimerHandle]] = {}
+        self.started_at_s = -90.0
+        self.reported_runs: list[tuple[str, RunStatus, bytes]] = []
+        self.timers_by_run_id: dict[str, list[asyncio.TimerHandle]] = {}
 
     def start_run(self, id: str, product: str, body: bytes) -> None:
-        if id in self.runs:
+        if id in self.timers_by_run_id:
             return
         loop = asyncio.get_running_loop()
-        begins, ends = self.chance.random() * 0.02, 0.02 + self.chance.expovariate(1 / 0.05)
-        draw = self.chance.random()
-        end = (
+        start_delay_s, end_delay_s = self.rng.random() * 0.02, 0.02 + self.rng.expovariate(1 / 0.05)
+        draw = self.rng.random()
+        status = (
             RunStatus.NO_LONGER_NEEDED
             if draw < 0.03
             else RunStatus.FAILED
             if draw < 0.06
             else RunStatus.PASSED
         )
-        timers = self.runs[id] = []
-        if end is not RunStatus.NO_LONGER_NEEDED:
-            timers.append(loop.call_later(begins, self.world.ran, body, id))
-        timers.append(loop.call_later(ends, self.end, id, end, body))
-
-    def end(self, id: str, end: RunStatus, body: bytes) -> None:
-        del self.runs[id]
-        self.told.append(
-            (id, end, b"receipt of " + id.encode() if end is RunStatus.PASSED else b"")
+        timers = self.timers_by_run_id[id] = []
+        if status is not RunStatus.NO_LONGER_NEEDED:
+            timers.append(loop.call_later(start_delay_s, self.simulation.record_run, body, id))
+        timers.append(loop.call_later(end_delay_s, self.finish_run, id, status, body))
+
+    def finish_run(self, id: str, status: RunStatus, body: bytes) -> None:
+        del self.timers_by_run_id[id]
+        self.reported_runs.append(
+            (id, status, b"receipt of " + id.encode() if status is RunStatus.PASSED else b"")
         )
         if self.server is not None:
-            self.server.requests.run_ended(id, end, 12 * NS_PER_MS, self.told[-1][2])
+            self.server.requests.run_ended(id, status, 12 * NS_PER_MS, self.reported_runs[-1][2])
 
     def replay(self, server: Server) -> None:
         self.server = server
-        for id, end, result in list(self.told):
-            server.requests.run_ended(id, end, 12 * NS_PER_MS, result)
+        for id, status, result in list(self.reported_runs):
+            server.requests.run_ended(id, status, 12 * NS_PER_MS, result)
 
     def crash(self, now: float) -> None:
-        for timers in self.runs.values():
+        for timers in self.timers_by_run_id.values():
             for timer in timers:
                 timer.cancel()
-        self.runs.clear()
-        self.told.clear()
-        self.born = now
+        self.timers_by_run_id.clear()
+        self.reported_runs.clear()
+        self.started_at_s = now
+
 
+class SimulatedNode:
+    """A server with its fake store and executor, which can crash and restart."""
 
-class Node:
-    def __init__(self, world: "World", name: str) -> None:
-        self.world, self.name = world, name
-        self.link = FakeLink(world, world.chance)
+    def __init__(self, simulation: "Simulation", name: str) -> None:
+        self.simulation, self.name = simulation, name
+        self.executor = FakeExecutor(simulation, simulation.rng)
         self.server: Server | None = None
         self.store: FakeStore | None = None
 
     async def start(self) -> None:
-        world, loop = self.world, world_loop()
-        known, meters = parse_server_settings(SETTINGS)
+        simulation, loop = self.simulation, get_simulated_loop()
+        server_settings, gauge_names = parse_server_settings(SETTINGS)
         config = ServerConfig(
             name=self.name,
-            listen_address=NOWHERE,
-            executor_address=NOWHERE,
-            discovery_address=NOWHERE,
-            downstream_address=NOWHERE,
+            listen_address=UNUSED_ADDRESS,
+            executor_address=UNUSED_ADDRESS,
+            discovery_address=UNUSED_ADDRESS,
+            downstream_address=UNUSED_ADDRESS,
             seed=7,
             stop_ns=3 * SECOND,
-            settings=known,
+            settings=server_settings,
             max_sockets=100,
             memory_bytes=64 << 20,
             class_names=("pay",),
             tenant_portions={},
-            gauge_names=meters,
+            gauge_names=gauge_names,
         )
-        store = self.store = FakeStore(world.base, self.name, world.chance, world.trouble)
-        terms = RecordPolicy(world.prefer, 0.25, 0.1, 64, 3 * SECOND)
+        store = self.store = FakeStore(
+            simulation.shared_rows, self.name, simulation.rng, simulation.fault_rate
+        )
+        policy = RecordPolicy(simulation.may_run_unrecorded, 0.25, 0.1, 64, 3 * SECOND)
 
         class RecordOnly(SubsystemFactory):
             def create_record(self, server: Server) -> ConfiguredRequestRecord:
                 server.clock = server.requests.clock = loop.wall  # type: ignore[assignment]
                 record = ConfiguredRequestRecord(
-                    known.request_classes,
+                    server_settings.request_classes,
                     0.1,
                     loop.wall,
                     server.requests.start_run,
-                    world.nodes_count > 1,
+                    simulation.node_count > 1,
                 )
                 record.coordinator = RecordCoordinator(
-                    store, SEALER, terms, 1500 * NS_PER_MS, loop.wall, record
+                    store, AUTHENTICATOR, policy, 1500 * NS_PER_MS, loop.wall, record
                 )
                 return record
 
@@ -253,12 +262,12 @@
             server = Server(config, listener, RecordOnly())
         server.listener.clock = loop.wall
         server.health_reporter.report_health = lambda serving: None  # type: ignore[method-assign]
-        server.connect(self.link, server.downstream)  # type: ignore[arg-type]
-        self.link.query_gauges = no_gauges  # type: ignore[attr-defined]
+        server.connect(self.executor, server.downstream)  # type: ignore[arg-type]
+        self.executor.query_gauges = query_no_gauges  # type: ignore[attr-defined]
         await server.subsystems.record.open()
-        server.executor_connected(False, int((loop.time() - self.link.born) * 1000))
+        server.executor_connected(False, int((loop.time() - self.executor.started_at_s) * 1000))
         self.server = server
-        self.link.replay(server)
+        self.executor.replay(server)
 
     def crash(self) -> None:
         assert self.server is not None
@@ -271,98 +280,117 @@
             task.cancel()
         recorded.dispatcher = None
         self.server.health_reporter.socket.close()
-        self.server = self.link.server = None
-        if self.world.chance.random() < 0.5:
-            self.link.crash(world_loop().time())
+        self.server = self.executor.server = None
+        if self.simulation.rng.random() < 0.5:
+            self.executor.crash(get_simulated_loop().time())
 
 
-async def no_gauges(patience: int) -> None:
+async def query_no_gauges(timeout_ns: int) -> None:
     await asyncio.sleep(0.001)
 
 
-def world_loop() -> SimulatedLoop:
+def get_simulated_loop() -> SimulatedLoop:
     loop = asyncio.get_running_loop()
     assert isinstance(loop, SimulatedLoop)
     return loop
 
 
-class Way:
-    """Where the answers of one try come out."""
+class Attempt:
+    """One attempt of a caller; receives the server's answers and checks them."""
 
-    def __init__(self, world: "World", mark: bytes, node: Node, sent: int) -> None:
-        self.world, self.mark, self.node, self.sent = world, mark, node, sent
+    def __init__(
+        self, simulation: "Simulation", key: bytes, node: SimulatedNode, sent_at_ns: int
+    ) -> None:
+        self.simulation, self.key, self.node, self.sent_at_ns = simulation, key, node, sent_at_ns
         self.server = node.server
         self.answer = ""
-        self.ran_before = mark in world.runs
-        self.settled_before = mark in world.settled
+        self.was_run_before = key in simulation.results_by_key
+        self.was_completed_before = key in simulation.completed_keys
 
-    def said(self, answer: str) -> None:
-        world = self.world
+    def receive_answer(self, answer: str) -> None:
+        simulation = self.simulation
         if self.node.server is not self.server:
-            return  # its connection went with its server
+            return  # the connection ended when the server crashed
         if self.answer:
-            world.fault(f"answered twice: {self.answer}, {answer}")
+            simulation.add_fault(f"attempt answered twice: {self.answer}, {answer}")
         self.answer = answer
-        world.count[answer] += 1
-        if world_loop().wall() > self.sent + 6 * SECOND:
-            world.fault(f"{answer} past its due time")
+        simulation.counts[answer] += 1
+        if get_simulated_loop().wall() > self.sent_at_ns + 6 * SECOND:
+            simulation.add_fault(f"{answer} after the deadline")
 
-    def complete(self, number: int, result: bytes) -> None:
-        self.said("settled")
-        if result != self.world.runs.get(self.mark, b""):
-            self.world.fault("settled with what its run did not make")
-        self.world.settled.add(self.mark)
+    def complete(self, message_id: int, result: bytes) -> None:
+        self.receive_answer("completed")
+        if result != self.simulation.results_by_key.get(self.key, b""):
+            self.simulation.add_fault("completed with a result that its run did not produce")
+        self.simulation.completed_keys.add(self.key)
 
-    def reject(self, number: int, stay_away: int, final: bool) -> None:
-        self.said("declined")
-        if self.settled_before and not self.world.prefer and self.world.trouble == 0:
-            self.world.fault("declined though it had been settled")
+    def reject(self, message_id: int, retry_after_ns: int, is_final: bool) -> None:
+        self.receive_answer("rejected")
+        if (
+            self.was_completed_before
+            and not self.simulation.may_run_unrecorded
+            and self.simulation.fault_rate == 0
+        ):
+            self.simulation.add_fault("rejected although it was completed before")
 
-    def fail(self, number: int) -> None:
-        self.said("voided")
+    def fail(self, message_id: int) -> None:
+        self.receive_answer("failed")
 
-    def report_fault(self, what: str) -> None: ...
+    def report_fault(self, fault: str) -> None: ...
 
 
-class World:
+class Simulation:
+    """Servers with one shared store, the callers' attempts, and the faults found."""
+
     def __init__(
-        self, seed: int, nodes: int, trouble: float, crashes: float, prefer: bool = False
+        self,
+        seed: int,
+        nodes: int,
+        fault_rate: float,
+        crash_count: float,
+        may_run_unrecorded: bool = False,
     ) -> None:
-        self.chance = random.Random(seed)
-        self.base, self.nodes_count, self.trouble, self.prefer, self.crashes = (
-            Base(),
+        self.rng = random.Random(seed)
+        (
+            self.shared_rows,
+            self.node_count,
+            self.fault_rate,
+            self.may_run_unrecorded,
+            self.crash_count,
+        ) = (
+            SharedRows(),
             nodes,
-            trouble,
-            prefer,
-            crashes,
+            fault_rate,
+            may_run_unrecorded,
+            crash_count,
         )
-        self.runs: dict[bytes, bytes] = {}
-        self.settled: set[bytes] = set()
-        self.count: Counter[str] = Counter()
+        self.results_by_key: dict[bytes, bytes] = {}
+        self.completed_keys: set[bytes] = set()
+        self.counts: Counter[str] = Counter()
         self.faults: list[str] = []
-        self.nodes = [Node(self, f"n{n}") for n in range(nodes)]
-        self.ways: list[Way] = []
+        self.nodes = [SimulatedNode(self, f"n{n}") for n in range(nodes)]
+        self.attempts: list[Attempt] = []
 
-    def fault(self, what: str) -> None:
-        self.faults.append(f"{asyncio.get_running_loop().time():.3f}: {what}")
+    def add_fault(self, fault: str) -> None:
+        self.faults.append(f"{asyncio.get_running_loop().time():.3f}: {fault}")
 
-    def ran(self, body: bytes, id: str) -> None:
-        self.count["runs"] += 1
-        if body in self.runs:
-            self.fault(f"{body!r} ran twice")
-        self.runs[body] = b"receipt of " + id.encode()
+    def record_run(self, body: bytes, id: str) -> None:
+        self.counts["runs"] += 1
+        if body in self.results_by_key:
+            self.add_fault(f"{body!r} ran twice")
+        self.results_by_key[body] = b"receipt of " + id.encode()
 
-    def send(self, node: Node, mark: bytes, retry: bool) -> None:
+    def send_attempt(self, node: SimulatedNode, key: bytes, is_retry: bool) -> None:
         assert node.server is not None
-        now = world_loop().wall()
-        way = Way(self, mark, node, now)
-        self.ways.append(way)
-        self.count["tries"] += 1
-        id = f"{self.chance.getrandbits(64):016x}"
+        now = get_simulated_loop().wall()
+        attempt = Attempt(self, key, node, now)
+        self.attempts.append(attempt)
+        self.counts["attempts"] += 1
+        id = f"{self.rng.getrandbits(64):016x}"
         node.server.requests.receive(
             IncomingRequest(
-                way,
-                len(self.ways),
+                attempt,
+                len(self.attempts),
                 "pay",
                 id,
                 now,
@@ -370,58 +398,63 @@
                 10 * NS_PER_MS,
                 10.0,
                 0.9,
-                mark.hex(),
+                key.hex(),
                 "",
-                mark,
-                retry,
+                key,
+                is_retry,
             )
         )
 
-    async def play(self, charges: int = 24, seconds: float = 8.0) -> None:
+    async def run(self, key_count: int = 24, duration_s: float = 8.0) -> None:
         for node in self.nodes:
             await node.start()
-        plan = []
-        for n in range(charges):
-            mark, first = f"charge {n}".encode(), self.chance.random() * seconds
-            plan.append((first, mark, False))
-            for _ in range(self.chance.randint(0, 3)):
-                plan.append(
+        events = []
+        for n in range(key_count):
+            key, first_at_s = f"charge {n}".encode(), self.rng.random() * duration_s
+            events.append((first_at_s, key, False))
+            for _ in range(self.rng.randint(0, 3)):
+                events.append(
                     (
-                        first + self.chance.choice([0.001, 0.01, 0.1, 1, 3]) * self.chance.random(),
-                        mark,
+                        first_at_s + self.rng.choice([0.001, 0.01, 0.1, 1, 3]) * self.rng.random(),
+                        key,
                         True,
                     )
                 )
-        plan += [(self.chance.random() * seconds, b"", False) for _ in range(int(self.crashes))]
-        loop, down = world_loop(), []
-        for at, mark, retry in sorted(plan):
-            await asyncio.sleep(max(0.0, at - loop.time()))
-            node = self.chance.choice(self.nodes)
-            if not mark and node.server is not None:
+        events += [
+            (self.rng.random() * duration_s, b"", False) for _ in range(int(self.crash_count))
+        ]
+        loop, restarts = get_simulated_loop(), []
+        for time_s, key, is_retry in sorted(events):
+            await asyncio.sleep(max(0.0, time_s - loop.time()))
+            node = self.rng.choice(self.nodes)
+            if not key and node.server is not None:
                 node.crash()
-                self.count["crashes"] += 1
-                down.append(asyncio.create_task(self.return_later(node)))
-            elif mark and node.server is not None:
-                self.send(node, mark, retry)
+                self.counts["crashes"] += 1
+                restarts.append(asyncio.create_task(self.restart_later(node)))
+            elif key and node.server is not None:
+                self.send_attempt(node, key, is_retry)
         await asyncio.sleep(7)
-        await asyncio.gather(*down)
+        await asyncio.gather(*restarts)
         await asyncio.sleep(7)
-        for way in self.ways:
-            if not way.answer and way.node.server is way.server:
-                self.fault(
-                    f"{way.mark!r} sent {(way.sent - EPOCH) / SECOND:.3f} was never answered"
+        for attempt in self.attempts:
+            if not attempt.answer and attempt.node.server is attempt.server:
+                self.add_fault(
+                    f"{attempt.key!r} sent {(attempt.sent_at_ns - EPOCH) / SECOND:.3f} was never answered"
                 )
         for node in self.nodes:
             if node.server is not None:
                 node.crash()
 
-    async def return_later(self, node: Node) -> None:
-        await asyncio.sleep(self.chance.random() * 2)
+    async def restart_later(self, node: SimulatedNode) -> None:
+        await asyncio.sleep(self.rng.random() * 2)
         await node.start()
 
 
-def simulate(seed: int, nodes: int, trouble: float, crashes: float, prefer: bool = False) -> World:
+def simulate(
+    seed: int, nodes: int, fault_rate: float, crash_count: float, may_run_unrecorded: bool = False
+) -> Simulation:
+    """Runs one seeded simulation and returns it with its counts and faults."""
     with simulated() as loop:
-        world = World(seed, nodes, trouble, crashes, prefer)
-        loop.run_until_complete(world.play())
-        return world
+        simulation = Simulation(seed, nodes, fault_rate, crash_count, may_run_unrecorded)
+        loop.run_until_complete(simulation.run())
+        return simulation
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -1,6 +1,4 @@
-"""The store of record in the program: killed with SIGKILL at chosen moments, started again, asked
-again.
-"""
+"""The record in a server process, which is killed with SIGKILL, restarted, and sent repeats."""
 
 import asyncio
 import re
@@ -10,23 +8,23 @@
 from typing import Any
 
 import pytest
-from rig import Rig, expect_error, expect_result, wait_until, within_timeout
-from rig import with_server as rig_played
+from rig import Rig, expect_error, expect_result, wait_until, with_server, within_timeout
 
 from burlloom.fakes.parts import Executor, fields
 from burlloom.fakes.postgres import Postgres
 
 
-def recorded(folder: Path, **more: Any) -> dict[str, Any]:
-    return {"record": {"sqlite": {"path": str(folder / "record.db")}, **more}}
+def sqlite_record(folder: Path, **options: Any) -> dict[str, Any]:
+    return {"record": {"sqlite": {"path": str(folder / "record.db")}, **options}}
 
 
-def played(**changes: Any) -> Callable[[Any], Callable[..., None]]:
-    return rig_played(operator=recorded, **changes)
+def with_recording_server(**changes: Any) -> Callable[[Any], Callable[..., None]]:
+    """Runs a test with a server that keeps an SQLite record."""
+    return with_server(operator=sqlite_record, **changes)
 
 
-@played()
-async def test_a_charge_is_known_after_a_crash(rig: Rig) -> None:
+@with_recording_server()
+async def test_a_result_is_returned_after_a_crash(rig: Rig) -> None:
     first = (await rig.balancer()).ask("pay", fields(once="k"), b"b")
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid")
     await expect_result(first, b"paid")
@@ -41,17 +39,17 @@
     assert rig.executor.commands.empty()
 
 
-def test_metrics_in_a_file_and_on_a_listener(tmp_path: Path) -> None:
-    async def play() -> None:
-        told = {
-            **recorded(tmp_path),
+def test_metrics_are_written_to_a_file_and_served(tmp_path: Path) -> None:
+    async def run() -> None:
+        operator = {
+            **sqlite_record(tmp_path),
             "metrics": {
                 "file": str(tmp_path / "metrics.prom"),
                 "every_ms": 100,
                 "listen": "127.0.0.1:0",
             },
         }
-        async with Rig(tmp_path, operator=told) as rig:
+        async with Rig(tmp_path, operator=operator) as rig:
             answer = (await rig.balancer()).ask("pay", fields(once="k"))
             rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid")
             await expect_result(answer, b"paid")
@@ -67,16 +65,16 @@
             writer.close()
         assert "event=record_stopped claims=1" in rig.log()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 def read(path: Path) -> str:
     return path.read_text() if path.exists() else ""
 
 
-@played()
-async def test_what_was_begun_and_not_ended_is_in_doubt(rig: Rig) -> None:
-    """Neither run again nor declined: nobody can tell whether it ran."""
+@with_recording_server()
+async def test_a_run_without_a_recorded_end_is_in_doubt_after_a_crash(rig: Rig) -> None:
+    """A repeat is neither run nor rejected but fails, as it is unknown whether the request ran."""
     (await rig.balancer()).ask("pay", fields(once="k"))
     await rig.command("EXEC", "pay")
     await rig.kill()
@@ -87,35 +85,35 @@
     assert "event=record_doubts in_doubt=1" in rig.log()
 
 
-def test_an_executor_that_lived_on_tells_the_end(tmp_path: Path) -> None:
-    """What it says in its replay, and what ends only after the start."""
+def test_an_executor_that_survived_reports_the_ends_of_runs(tmp_path: Path) -> None:
+    """Some runs ended while the server was down, and one ends after the restart."""
 
-    async def play() -> None:
-        rig = Rig(tmp_path, operator=recorded(tmp_path), n_cores=4)
+    async def run() -> None:
+        rig = Rig(tmp_path, operator=sqlite_record(tmp_path), n_cores=4)
         async with rig:
             balancer = await rig.balancer()
-            for once in ("ended", "runs", "never"):
-                balancer.ask("pay", fields(once=once))
-            ended, runs, never = [await rig.command("EXEC", "pay") for _ in range(3)]
+            for key in ("ended", "running", "unstarted"):
+                balancer.ask("pay", fields(once=key))
+            ended, running, never_ran = [await rig.command("EXEC", "pay") for _ in range(3)]
             await rig.kill()
             rig.executor.exit(ended, result=b"paid")
-            rig.executor.exit(never, "NOOP")
+            rig.executor.exit(never_ran, "NOOP")
             await rig.begin()
             balancer = await rig.balancer()
             await expect_result(balancer.ask("pay", fields(once="ended", retry="1")), b"paid")
-            waits = balancer.ask("pay", fields(once="runs", retry="1"))
-            anew = balancer.ask("pay", fields(once="never", retry="1"))
+            waiting_repeat = balancer.ask("pay", fields(once="running", retry="1"))
+            second_run = balancer.ask("pay", fields(once="unstarted", retry="1"))
             id = await rig.command("EXEC", "pay")
-            rig.executor.exit(id, result=b"anew")
-            await expect_result(anew, b"anew")
-            rig.executor.exit(runs, result=b"late")
-            await expect_result(waits, b"late")
+            rig.executor.exit(id, result=b"second")
+            await expect_result(second_run, b"second")
+            rig.executor.exit(running, result=b"late")
+            await expect_result(waiting_repeat, b"late")
             assert rig.executor.commands.empty()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-@played()
+@with_recording_server()
 async def test_a_second_process_on_the_same_file_is_refused(rig: Rig) -> None:
     other = Rig(rig.folder / "other", operator=rig.operator)
     other.folder.mkdir()
@@ -132,16 +130,17 @@
     await wait_until(lambda: not rig.executor.commands.qsize())
 
 
-# Several nodes, one store.
+# Several nodes with one PostgreSQL database.
 
 
-def looks(standin: Postgres) -> int:
-    """How often the store was asked for a mark, and knew what to say."""
+def count_row_reads(standin: Postgres) -> int:
+    """Returns how often a node has read a single row from the database."""
     return sum(count for sql, count in standin.executed.items() if "FROM fate WHERE mark =" in sql)
 
 
-# Where no store hangs by order, none counts as hanging: it is as late as the machine is.
-PATIENT: dict[str, Any] = {
+# Timeouts of seconds to minutes, for tests without a hanging store: a slow machine must not be taken
+# for one.
+LONG_TIMEOUTS: dict[str, Any] = {
     "hang_ms": 60_000,
     "aim": 40_000_000,
     "deadline": 60_000_000,
@@ -149,14 +148,14 @@
 }
 
 
-def fleet(
-    nodes: int, terms: dict[str, Any] | None = None, hang_ms: int = 400, **changes: Any
+def with_shared_record(
+    nodes: int, record_options: dict[str, Any] | None = None, hang_ms: int = 400, **changes: Any
 ) -> Callable[[Any], Callable[[Path], None]]:
-    """Makes a test of a story told with several rigs and the database stand-in that they share."""
+    """Runs a test with several servers that share one stand-in PostgreSQL server."""
 
-    def wrap(story: Callable[..., Awaitable[None]]) -> Callable[[Path], None]:
+    def wrap(scenario: Callable[..., Awaitable[None]]) -> Callable[[Path], None]:
         def test(tmp_path: Path) -> None:
-            async def play() -> None:
+            async def run() -> None:
                 (tmp_path / "key").write_text("5a" * 32)
                 (tmp_path / "key").chmod(0o600)
                 standin = await Postgres(tmp_path).start()
@@ -173,7 +172,11 @@
                         Rig(
                             folder,
                             operator={
-                                "record": {"node": f"n{n}", "postgres": store, **(terms or {})}
+                                "record": {
+                                    "node": f"n{n}",
+                                    "postgres": store,
+                                    **(record_options or {}),
+                                }
                             },
                             **changes,
                         )
@@ -181,106 +184,116 @@
                 try:
                     for rig in rigs:
                         await rig.__aenter__()
-                    await story(standin, *rigs)
+                    await scenario(standin, *rigs)
                     standin.orders.hang = False
                     for rig in rigs:
                         await rig.__aexit__(None)
                 finally:
                     await standin.stop()
 
-            asyncio.run(play())
+            asyncio.run(run())
 
-        test.__name__, test.__doc__ = story.__name__, story.__doc__
+        test.__name__, test.__doc__ = scenario.__name__, scenario.__doc__
         return test
 
     return wrap
 
 
-@fleet(2, n_cores=4, **PATIENT)
-async def test_a_retry_that_reaches_another_node(standin: Postgres, one: Rig, two: Rig) -> None:
-    """Ended there: it gets the first answer. Running there: it waits for it. Both run once."""
-    here, there = await one.balancer(), await two.balancer()
-    first = here.ask("pay", fields(once="k"))
-    ran = await one.command("EXEC", "pay")
-    before = looks(standin)
-    waits = there.ask("pay", fields(once="k", retry="1"))
-    await wait_until(lambda: looks(standin) > before)
-    one.executor.exit(ran, result=b"paid")
+@with_shared_record(2, n_cores=4, **LONG_TIMEOUTS)
+async def test_a_retry_at_another_node_gets_the_first_result(
+    standin: Postgres, first_node: Rig, second_node: Rig
+) -> None:
+    """A retry during the run waits for its end; a retry after the end is answered at once."""
+    first_caller, second_caller = await first_node.balancer(), await second_node.balancer()
+    first = first_caller.ask("pay", fields(once="k"))
+    run_id = await first_node.command("EXEC", "pay")
+    reads_before = count_row_reads(standin)
+    waiting_retry = second_caller.ask("pay", fields(once="k", retry="1"))
+    await wait_until(lambda: count_row_reads(standin) > reads_before)
+    first_node.executor.exit(run_id, result=b"paid")
     await expect_result(first, b"paid")
-    await expect_result(waits, b"paid")
-    await expect_result(there.ask("pay", fields(once="k", retry="1")), b"paid")
-    assert two.executor.commands.empty()
+    await expect_result(waiting_retry, b"paid")
+    await expect_result(second_caller.ask("pay", fields(once="k", retry="1")), b"paid")
+    assert second_node.executor.commands.empty()
 
 
-@fleet(2, n_cores=1, memory_kb=1000)
-async def test_a_retry_is_looked_up_before_it_could_be_declined(
-    standin: Postgres, one: Rig, two: Rig
+@with_shared_record(2, n_cores=1, memory_kb=1000)
+async def test_a_retry_is_looked_up_before_admission(
+    standin: Postgres, first_node: Rig, second_node: Rig
 ) -> None:
-    """There is no room for it there, but it ran: it is settled all the same. One that did not run
-    is declined.
+    """A node without capacity still answers a retry whose request ran elsewhere. A marked retry of a
+    request that did not run is rejected.
     """
-    first = (await one.balancer()).ask("pay", fields(once="k"))
-    one.executor.exit(await one.command("EXEC", "pay"), result=b"paid")
+    first = (await first_node.balancer()).ask("pay", fields(once="k"))
+    first_node.executor.exit(await first_node.command("EXEC", "pay"), result=b"paid")
     await expect_result(first, b"paid")
-    there = await two.balancer()
-    await expect_error(there.ask("pay", fields(once="other", retry="1", kb="900")), "Backoff")
-    await expect_result(there.ask("pay", fields(once="k", retry="1")), b"paid")
-    blocking = there.ask("look", fields())
-    running = await two.command("EXEC", "look")
-    await expect_result(there.ask("pay", fields(once="k", retry="1")), b"paid")
-    two.executor.exit(running, result=b"done")
+    second_caller = await second_node.balancer()
+    await expect_error(
+        second_caller.ask("pay", fields(once="other", retry="1", kb="900")), "Backoff"
+    )
+    await expect_result(second_caller.ask("pay", fields(once="k", retry="1")), b"paid")
+    blocking = second_caller.ask("look", fields())
+    running = await second_node.command("EXEC", "look")
+    await expect_result(second_caller.ask("pay", fields(once="k", retry="1")), b"paid")
+    second_node.executor.exit(running, result=b"done")
     await expect_result(blocking, b"done")
-    assert two.executor.commands.empty()
+    assert second_node.executor.commands.empty()
 
 
-@fleet(2, n_cores=4, **PATIENT)
-async def test_a_node_that_never_ends_it_leaves_its_repeats_voided(
-    standin: Postgres, one: Rig, two: Rig
+@with_shared_record(2, n_cores=4, **LONG_TIMEOUTS)
+async def test_retries_of_a_run_that_never_ends_at_another_node_fail(
+    standin: Postgres, first_node: Rig, second_node: Rig
 ) -> None:
-    """While it is there, until their time is over; once it has come back, at once."""
-    (await one.balancer()).ask("pay", fields(once="k"))
-    await one.command("EXEC", "pay")
-    there = await two.balancer()
-    before = looks(standin)
-    waits = there.ask(
+    """They fail at their deadlines while that node is up, and at once after it has restarted."""
+    (await first_node.balancer()).ask("pay", fields(once="k"))
+    await first_node.command("EXEC", "pay")
+    second_caller = await second_node.balancer()
+    reads_before = count_row_reads(standin)
+    waiting_retry = second_caller.ask(
         "pay", fields(once="k", retry="1", at=str(time.time_ns() // 1_000_000 - 56_000))
     )
-    await wait_until(lambda: looks(standin) > before + 1)
-    assert not waits.done()  # it asks again and again
-    await expect_error(waits, "Voided")
-    await one.kill()
-    one.executor.restart()
-    await one.begin()
-    await expect_error(there.ask("pay", fields(once="k", retry="1")), "Voided")
-    await expect_error((await one.balancer()).ask("pay", fields(once="k", retry="1")), "Voided")
-    assert two.executor.commands.empty()
-    assert one.executor.commands.empty()
-
-
-@fleet(2)
-async def test_a_fenced_node_runs_no_charge(standin: Postgres, one: Rig, two: Rig) -> None:
+    await wait_until(lambda: count_row_reads(standin) > reads_before + 1)
+    assert not waiting_retry.done()  # the node polls the store until the deadline
+    await expect_error(waiting_retry, "Voided")
+    await first_node.kill()
+    first_node.executor.restart()
+    await first_node.begin()
+    await expect_error(second_caller.ask("pay", fields(once="k", retry="1")), "Voided")
+    await expect_error(
+        (await first_node.balancer()).ask("pay", fields(once="k", retry="1")), "Voided"
+    )
+    assert second_node.executor.commands.empty()
+    assert first_node.executor.commands.empty()
+
+
+@with_shared_record(2)
+async def test_a_fenced_node_rejects_keyed_requests(
+    standin: Postgres, first_node: Rig, second_node: Rig
+) -> None:
     standin.db.execute("UPDATE node SET fenced = 1 WHERE name = 'n0'")
-    await expect_error((await one.balancer()).ask("pay", fields(once="k")), "Backoff")
-    assert one.executor.commands.empty()
-    one.errors = one.log().count("level=error")
-    answer = (await two.balancer()).ask("pay", fields(once="k"))
-    two.executor.exit(await two.command("EXEC", "pay"), result=b"paid")
+    await expect_error((await first_node.balancer()).ask("pay", fields(once="k")), "Backoff")
+    assert first_node.executor.commands.empty()
+    first_node.errors = first_node.log().count("level=error")
+    answer = (await second_node.balancer()).ask("pay", fields(once="k"))
+    second_node.executor.exit(await second_node.command("EXEC", "pay"), result=b"paid")
     await expect_result(answer, b"paid")
 
 
-@fleet(1, {"mode": "require", "claim_share": 0.1}, n_cores=4)
-async def test_a_store_that_hangs_declines_charges_at_once(standin: Postgres, rig: Rig) -> None:
-    """With a time to come back; inquiry-like txns never wait for it; and charges are taken again
-    once it is back.
+@with_shared_record(1, {"mode": "require", "claim_share": 0.1}, n_cores=4)
+async def test_keyed_requests_are_rejected_at_once_while_the_store_hangs(
+    standin: Postgres, rig: Rig
+) -> None:
+    """The rejections carry a retry time, requests without a key are served, and keyed requests are
+    served again after the store has recovered.
     """
     standin.orders.hang = True
     balancer = await rig.balancer()
     for n in range(8):
         await expect_error(balancer.ask("pay", fields(once=f"k{n}")), "Backoff")
     await wait_until(lambda: "event=record_breaker_opened" in rig.log())
-    asked = asyncio.get_running_loop().time()
+    asked_at_s = asyncio.get_running_loop().time()
     await expect_error(balancer.ask("pay", fields(once="later")), "Backoff")
-    assert asyncio.get_running_loop().time() - asked < 0.1
+    assert asyncio.get_running_loop().time() - asked_at_s < 0.1
     answer = balancer.ask("look", fields())
     rig.executor.exit(await rig.command("EXEC", "look"), result=b"seen")
     await expect_result(answer, b"seen")
@@ -292,8 +305,8 @@
     assert rig.executor.commands.empty()
 
 
-@fleet(1, {"mode": "prefer", "claim_share": 0.1}, n_cores=4)
-async def test_a_store_that_hangs_is_done_without_where_it_is_only_preferred(
+@with_shared_record(1, {"mode": "prefer", "claim_share": 0.1}, n_cores=4)
+async def test_keyed_requests_run_unrecorded_in_mode_prefer_while_the_store_hangs(
     standin: Postgres, rig: Rig
 ) -> None:
     standin.orders.hang = True
@@ -307,14 +320,14 @@
 
 
 @pytest.mark.parametrize(
-    "moment", ["claim-posted", "claim-durable", "executed", "finish-posted", "answering"]
+    "failpoint", ["claim-posted", "claim-durable", "executed", "finish-posted", "answering"]
 )
 @pytest.mark.parametrize("kind", ["sqlite", "postgres"])
-def test_killed_at_a_moment_of_a_charge(kind: str, moment: str) -> None:
-    """A small seeded part of benchmarks/kill_restart.py; the whole is a measurement."""
+def test_no_request_runs_twice_after_a_kill_at_a_failpoint(kind: str, failpoint: str) -> None:
+    """Runs a short seeded session of benchmarks/kill_restart.py, whose full run is a measurement."""
     from kill_restart import Session
 
     session = Session(kind, 11)
-    asyncio.run(session.play(2, (moment, "random")))
+    asyncio.run(session.play(2, (failpoint, "random")))
     assert not session.book.faults
     assert session.book.count["settled"]
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -28,17 +28,17 @@
 def test_no_request_runs_twice_and_no_attempt_is_left_unanswered(
     servers: int, fault_rate: float
 ) -> None:
-    count: Counter[str] = Counter()
+    counts: Counter[str] = Counter()
     for seed in range(SEEDS_PER_CASE):
-        simulation = simulate(seed, servers, fault_rate, crashes=seed % 5)
+        simulation = simulate(seed, servers, fault_rate, crash_count=seed % 5)
         assert not simulation.faults, (seed, simulation.faults)
-        count += simulation.count
-    assert count["settled"] > 20
-    assert count["crashes"] > 8
+        counts += simulation.counts
+    assert counts["completed"] > 20
+    assert counts["crashes"] > 8
 
 
 def test_the_same_seed_gives_the_same_run() -> None:
-    assert simulate(5, 2, 0.2, 3).count == simulate(5, 2, 0.2, 3).count
+    assert simulate(5, 2, 0.2, 3).counts == simulate(5, 2, 0.2, 3).counts
 
 
 def test_the_checker_detects_a_broken_transition(monkeypatch: pytest.MonkeyPatch) -> None:
