--- a/burlloom/record/authentication.py
+++ b/burlloom/record/authentication.py
@@ -55,12 +55,12 @@
         ValueError: The file holds no key, or its mode grants access to others than its owner.
     """
     try:
-        handle = os.open(path, os.O_RDONLY)
+        file_descriptor = os.open(path, os.O_RDONLY)
     except FileNotFoundError:
         if not create:
             raise
         return create_key(path)
-    with os.fdopen(handle) as file:
+    with os.fdopen(file_descriptor) as file:
         if os.fstat(file.fileno()).st_mode & 0o077:
             raise ValueError(
                 f"{path}: the key file is accessible to others than its owner; run chmod 600 on it"
@@ -80,9 +80,9 @@
     Raises:
         OSError: The file already exists or can't be created.
     """
-    handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
+    file_descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
     key = os.urandom(KEY_BYTES)
-    with os.fdopen(handle, "w") as file:
+    with os.fdopen(file_descriptor, "w") as file:
         file.write(key.hex() + "\n")
         file.flush()
         os.fsync(file.fileno())
--- a/burlloom/record/circuit_breaker.py
+++ b/burlloom/record/circuit_breaker.py
@@ -4,7 +4,7 @@
 longer than its timeout or certainly did not take effect. `MAX_CONSECUTIVE_FAILURES` failures in a
 row, or one hanging write, open the breaker. While it is open, only probes test whether the store
 works again. A probe is a commit that no request waits for; the pauses between probes double up to
-`MAX_PAUSE_NS`.
+`MAX_PROBE_PAUSE_NS`.
 """
 
 from collections import OrderedDict
@@ -14,14 +14,12 @@
 
 NS_PER_MS = 1_000_000
 MAX_CONSECUTIVE_FAILURES = 5
-MIN_PAUSE_NS = 250 * NS_PER_MS
-MAX_PAUSE_NS = 4000 * NS_PER_MS
+MIN_PROBE_PAUSE_NS = 250 * NS_PER_MS
+MAX_PROBE_PAUSE_NS = 4000 * NS_PER_MS
 # A write or probe older than this many timeouts counts as hanging. The store takes writes in order,
 # so the writes behind a hanging one would hang too.
 HANG_TIMEOUT_MULTIPLE = 4
-PROBES_TO_CLOSE = (
-    2  # consecutive successful probes, each within its timeout, that close the breaker
-)
+PROBES_TO_CLOSE = 2  # consecutive probes that must succeed, each within its timeout
 
 
 class BreakerState(IntEnum):
@@ -89,7 +87,7 @@
         self.write_timeout_ns = write_timeout_ns
         self.state = BreakerState.CLOSED
         self.in_flight: OrderedDict[int, int] = OrderedDict()
-        self.pause_ns = MIN_PAUSE_NS
+        self.pause_ns = MIN_PROBE_PAUSE_NS
         self.times_opened = 0
         self._last_write_number = 0
         self._failures_in_row = 0
@@ -181,7 +179,7 @@
             case BreakerEffect.OPEN:
                 self._open(now_ns)
             case BreakerEffect.OPEN_LONGER:
-                self.pause_ns = min(MAX_PAUSE_NS, 2 * self.pause_ns)
+                self.pause_ns = min(MAX_PROBE_PAUSE_NS, 2 * self.pause_ns)
                 self._open(now_ns)
             case BreakerEffect.PROBE:
                 self._probes_in_row = 0
@@ -193,7 +191,7 @@
                 self._failures_in_row = 0
                 self._probes_in_row = 0
                 self._probe_started_ns = 0
-                self.pause_ns = MIN_PAUSE_NS
+                self.pause_ns = MIN_PROBE_PAUSE_NS
 
     def _open(self, now_ns: int) -> None:
         self.times_opened += 1
--- a/burlloom/record/coordinator.py
+++ b/burlloom/record/coordinator.py
@@ -35,7 +35,7 @@
 )
 UNRESOLVED_STATES = (RequestState.IN_DOUBT, RequestState.AWAITING_EXECUTOR)
 RUN_ENDED_STATES = (RequestState.SUCCEEDED, RequestState.FAILED)
-EVENT_OF_OUTCOME = {
+EVENT_BY_OUTCOME = {
     Outcome.OK: RequestEvent.RUN_SUCCEEDED,
     Outcome.NO_LONGER_NEEDED: RequestEvent.NEVER_RAN,
 }
@@ -51,7 +51,7 @@
         observer: Observes durations and counts; its fields may be replaced one by one.
         counters: The observer's counters.
         breaker: The circuit breaker around the store.
-        registry: The requests whose outcome is not yet durable or in doubt.
+        registry: The requests whose outcome is pending, not yet durable, or in doubt.
         incarnation: This node's incarnation; 0 until the record is open.
         previous_notice: The notice that this node's previous incarnation saved; may be empty.
         started_rows: Recovered rows of unfinished runs, held until the executor has connected.
@@ -289,7 +289,7 @@
         if request is None:
             return
         failpoints.hit("ended")
-        event = EVENT_OF_OUTCOME.get(outcome, RequestEvent.RUN_FAILED)
+        event = EVENT_BY_OUTCOME.get(outcome, RequestEvent.RUN_FAILED)
         request.result = result if event is RequestEvent.RUN_SUCCEEDED else b""
         self._handle(request, event)
 
--- a/burlloom/record/lock_retry.py
+++ b/burlloom/record/lock_retry.py
@@ -18,8 +18,8 @@
 
 # A request whose write times out runs without a record or is rejected, depending on the policy.
 LOCK_TIMEOUT_S = 2.0
-MIN_PAUSE_S = 0.001
-MAX_PAUSE_S = 0.015
+MIN_RETRY_PAUSE_S = 0.001
+MAX_RETRY_PAUSE_S = 0.015
 PRIMARY_RESULT_CODE_MASK = 0xFF
 
 Result = TypeVar("Result")
@@ -75,4 +75,4 @@
                 must_give_up = self._is_cancelled() or self._clock() >= give_up_at_s
                 if not is_lock_error(error) or must_give_up:
                     raise
-            self._sleep(self._random.uniform(MIN_PAUSE_S, MAX_PAUSE_S))
+            self._sleep(self._random.uniform(MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S))
--- a/burlloom/record/postgres.py
+++ b/burlloom/record/postgres.py
@@ -37,7 +37,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BATCH = 128
+MAX_BATCH_WRITES = 128  # writes in one transaction
 MIN_RECONNECT_PAUSE_S = 0.05
 MAX_RECONNECT_PAUSE_S = 2.0
 MAINTENANCE_INTERVAL_S = 1.0  # between reads of verdicts and deletions of expired rows
@@ -73,7 +73,7 @@
         node: str,
         *,
         clock: Callable[[], int],
-        max_batch: int = MAX_BATCH,
+        max_batch: int = MAX_BATCH_WRITES,
         retention_ns: int = 0,
     ) -> None:
         """Creates a store that is not yet connected.
@@ -332,10 +332,14 @@
             positions = [index for index in order if writes[index].kind is kind]
             if positions:
                 # Each row is a statement of its own, all sent in one round trip.
-                flags = await apply_many(
+                applied_flags = await apply_many(
                     connection, statement, [values(writes[index].row) for index in positions]
                 )
-                applied.update(index for index, flag in zip(positions, flags, strict=True) if flag)
+                applied.update(
+                    index
+                    for index, is_applied in zip(positions, applied_flags, strict=True)
+                    if is_applied
+                )
         results = [WriteResult(RequestEvent.WRITE_APPLIED)] * len(writes)
         unapplied = sorted(
             (index for index in order if index not in applied),
@@ -401,11 +405,11 @@
     or a row of this node, which gives both the same answer.
     """
     returned = Counter(row[0] for row in await connection.fetchmany(statement, values))
-    flags = []
+    applied_flags = []
     for row in values:
         key_digest = next(
             value for value in row if isinstance(value, bytes) and len(value) == KEY_DIGEST_BYTES
         )
-        flags.append(returned[key_digest] > 0)
+        applied_flags.append(returned[key_digest] > 0)
         returned[key_digest] -= 1
-    return flags
+    return applied_flags
--- a/burlloom/record/postgres_admin.py
+++ b/burlloom/record/postgres_admin.py
@@ -117,19 +117,19 @@
         StoreRefusedError: The row is not in doubt, or the connection or a statement failed.
     """
     in_doubt = await list_in_doubt(record, now_ns)
-    doubt = next((row for row, _ in in_doubt if row.key_digest == key_digest), None)
-    if doubt is None:
+    row_in_doubt = next((row for row, _ in in_doubt if row.key_digest == key_digest), None)
+    if row_in_doubt is None:
         raise StoreRefusedError(
             f"mark {key_digest.hex()} is not in doubt; `burlloom record doubts` lists those that"
             " are"
         )
     _, authenticator = create_store(record, NO_NODE, retention_ns=0, clock=time.time_ns)
-    claim = (key_digest, doubt.incarnation, doubt.claim_number)
+    claim = (key_digest, row_in_doubt.incarnation, row_in_doubt.claim_number)
     async with open_connection(record) as connection, connection.transaction():
         await connection.fetch(UPSERT_VERDICT, *claim, int(ran), now_ns, reason)
         # Also update the row itself, as its node may never start again.
         if ran:
-            completed = doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)
+            completed = row_in_doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)
             mac = authenticator.compute_mac(completed)
             await connection.fetch(COMPLETE_WITHOUT_RESULT, completed.state, mac, *claim)
         else:
--- a/burlloom/record/request_lifecycle.py
+++ b/burlloom/record/request_lifecycle.py
@@ -259,10 +259,10 @@
     @property
     def row_state(self) -> RequestState:
         """The state that the next write of this request stores."""
-        return ROW_STATES.get(self.state, RequestState.RUNNING)
+        return ROW_STATE_BY_REQUEST_STATE.get(self.state, RequestState.RUNNING)
 
 
-ROW_STATES = {
+ROW_STATE_BY_REQUEST_STATE = {
     RequestState.SUCCEEDED: RequestState.SUCCESS_RECORDED,
     RequestState.FAILED: RequestState.FAILURE_RECORDED,
 }
--- a/burlloom/record/sqlite.py
+++ b/burlloom/record/sqlite.py
@@ -38,7 +38,7 @@
 log = logging.getLogger(__name__)
 
 MIN_BULK_WRITES = 8  # the smallest batch that is applied with one bulk statement per kind
-MAX_BATCH = 256  # writes per commit; a longer commit would delay the writes behind it
+MAX_BATCH_WRITES = 256  # writes per commit; a longer commit would delay the writes behind it
 ROWS_PER_READ = 4096
 PRUNE_INTERVAL_NS = 1_000_000_000
 MAX_PRUNED_ROWS = 2_000
@@ -72,7 +72,7 @@
         node: str,
         *,
         max_pages: int = 0,
-        max_batch: int = MAX_BATCH,
+        max_batch: int = MAX_BATCH_WRITES,
         retention_ns: int = 0,
         read_clocks: Callable[[], ClockReading] = read_clocks,
     ) -> None:
--- a/burlloom/record/sqlite_admin.py
+++ b/burlloom/record/sqlite_admin.py
@@ -54,7 +54,7 @@
         file_bytes: The size of the file.
         free_bytes: The size of the free pages in the file.
         served: Whether a server uses the file.
-        closed_until: When claims are allowed again, wall-clock nanoseconds; 0 if they are now.
+        closed_until: When claims are allowed again, wall-clock nanoseconds; 0 for no restriction.
     """
 
     schema: int
@@ -103,14 +103,14 @@
     def open_for_reading(self) -> Iterator[sqlite3.Connection]:
         """Opens a read-only connection, and closes it at the end."""
         if not self.path.is_file():
-            raise self._refusal("no such file; `burlloom record init` creates one")
+            raise self._create_refusal("no such file; `burlloom record init` creates one")
         uri = f"file:{self.path}?mode=ro"
         try:
             with closing(sqlite3.connect(uri, uri=True, timeout=BUSY_TIMEOUT_S)) as db:
                 self._check_header(db)
                 yield db
         except sqlite3.DatabaseError as error:
-            raise self._refusal(str(error)) from error
+            raise self._create_refusal(str(error)) from error
 
     @contextmanager
     def open_for_writing(self) -> Iterator[sqlite3.Connection]:
@@ -124,40 +124,40 @@
                 db.execute("PRAGMA synchronous = FULL")
                 yield db
         except sqlite3.DatabaseError as error:
-            raise self._refusal(str(error)) from error
+            raise self._create_refusal(str(error)) from error
 
     def _check_header(self, db: sqlite3.Connection) -> None:
         (application_id,) = db.execute("PRAGMA application_id").fetchone()
         (version,) = db.execute("PRAGMA user_version").fetchone()
         if application_id != schema.SQLITE_APPLICATION_ID:
-            raise self._refusal("not a burlloom record but another program's database")
+            raise self._create_refusal("not a burlloom record but another program's database")
         if version > schema.LATEST_VERSION:
-            raise self._refusal(
+            raise self._create_refusal(
                 f"schema {version} is newer than {schema.LATEST_VERSION}, the newest this program"
                 " knows"
             )
         if version < schema.LATEST_VERSION:
-            raise self._refusal(
+            raise self._create_refusal(
                 f"schema {version} is older than {schema.LATEST_VERSION}; `burlloom record migrate`"
                 " applies the missing steps, and so does a server when it starts"
             )
 
-    def _refusal(self, problem: str) -> StoreRefusedError:
+    def _create_refusal(self, problem: str) -> StoreRefusedError:
         return StoreRefusedError(problem, place=self.path)
 
     def is_served(self) -> bool:
         """Returns whether a server uses the file."""
         try:
-            handle = os.open(f"{self.path}.lock", os.O_RDWR)
+            file_descriptor = os.open(f"{self.path}.lock", os.O_RDWR)
         except FileNotFoundError:
             return False
         try:
-            fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(file_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
             return False
         except BlockingIOError:
             return True
         finally:
-            os.close(handle)
+            os.close(file_descriptor)
 
     @contextmanager
     def hold_exclusive_lock(self, purpose: str) -> Iterator[None]:
@@ -274,26 +274,26 @@
     def resolve(self, key_digest: bytes, ran: bool, reason: str, now_ns: int) -> str:
         """Writes an operator's verdict on a row in doubt; returns a message for the operator."""
         in_doubt = (row for row, _ in self.list_in_doubt(now_ns) if row.key_digest == key_digest)
-        doubt = next(in_doubt, None)
-        if doubt is None:
+        row_in_doubt = next(in_doubt, None)
+        if row_in_doubt is None:
             raise StoreRefusedError(
                 f"mark {key_digest.hex()} is not in doubt; `burlloom record doubts` lists those"
                 " that are"
             )
         is_served = self.is_served()
-        claim = (key_digest, doubt.incarnation, doubt.claim_number)
+        claim = (key_digest, row_in_doubt.incarnation, row_in_doubt.claim_number)
         with self.open_for_writing() as db:
             db.execute("BEGIN IMMEDIATE")
             db.execute(UPSERT_VERDICT, (*claim, int(ran), now_ns, reason))
             if not is_served:
-                self._apply_verdict(db, doubt, ran)
+                self._apply_verdict(db, row_in_doubt, ran)
             db.execute("COMMIT")
         return "the server takes it up within a second" if is_served else "done"
 
-    def _apply_verdict(self, db: sqlite3.Connection, doubt: RecordRow, ran: bool) -> None:
-        claim = (doubt.key_digest, doubt.incarnation, doubt.claim_number)
+    def _apply_verdict(self, db: sqlite3.Connection, row_in_doubt: RecordRow, ran: bool) -> None:
+        claim = (row_in_doubt.key_digest, row_in_doubt.incarnation, row_in_doubt.claim_number)
         if ran:
-            completed = doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)
+            completed = row_in_doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)
             mac = self.authenticator.compute_mac(completed)
             db.execute(COMPLETE_WITHOUT_RESULT, (completed.state, mac, *claim))
         else:
@@ -302,7 +302,7 @@
     def create(self) -> None:
         """Creates an empty record."""
         if self.path.exists():
-            raise self._refusal("exists already")
+            raise self._create_refusal("exists already")
         self.migrate()
 
     def migrate(self) -> tuple[int, ...]:
@@ -313,7 +313,7 @@
             with closing(connect(self.path)) as db:
                 return migrate(db, self.path)
         except sqlite3.DatabaseError as error:
-            raise self._refusal(str(error)) from error
+            raise self._create_refusal(str(error)) from error
         finally:
             lock.release()
 
--- a/burlloom/record/sqlite_file.py
+++ b/burlloom/record/sqlite_file.py
@@ -47,7 +47,7 @@
             path: The path of the record; the lock file is beside it.
         """
         self.path = path
-        self._handle = -1
+        self._file_descriptor = -1
 
     def acquire(self) -> None:
         """Acquires the lock without waiting.
@@ -56,10 +56,12 @@
             StoreRefusedError: Another process holds the lock, or the lock file can't be used.
         """
         try:
-            self._handle = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT, FILE_MODE)
-            fcntl.flock(self._handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            self._file_descriptor = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT, FILE_MODE)
+            fcntl.flock(self._file_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as error:
-            owner = os.pread(self._handle, MAX_LOCK_TEXT_BYTES, 0).decode("ascii", "replace")
+            owner = os.pread(self._file_descriptor, MAX_LOCK_TEXT_BYTES, 0).decode(
+                "ascii", "replace"
+            )
             self.release()
             suffix = f" ({owner.strip()})" if owner.strip() else ""
             raise StoreRefusedError(
@@ -68,14 +70,14 @@
             ) from error
         except OSError as error:
             raise StoreRefusedError(str(error.strerror), place=self.path) from error
-        os.ftruncate(self._handle, 0)
-        os.pwrite(self._handle, f"pid {os.getpid()}".encode(), 0)
+        os.ftruncate(self._file_descriptor, 0)
+        os.pwrite(self._file_descriptor, f"pid {os.getpid()}".encode(), 0)
 
     def release(self) -> None:
         """Releases the lock, if it is held."""
-        if self._handle >= 0:
-            os.close(self._handle)
-            self._handle = -1
+        if self._file_descriptor >= 0:
+            os.close(self._file_descriptor)
+            self._file_descriptor = -1
 
 
 def connect(
--- a/burlloom/record/sqlite_snapshot.py
+++ b/burlloom/record/sqlite_snapshot.py
@@ -108,7 +108,7 @@
         now_ns: The current wall-clock time, nanoseconds.
 
     Returns:
-        When the record accepts claims again, wall-clock nanoseconds; 0 if at once.
+        When the record accepts claims again, wall-clock nanoseconds; 0 for no restriction.
 
     Raises:
         StoreRefusedError: The snapshot does not verify, or a server uses the record.
@@ -160,8 +160,8 @@
 
 def sync_to_disk(path: Path) -> None:
     """Syncs a file or directory to disk."""
-    handle = os.open(path, os.O_RDONLY)
+    file_descriptor = os.open(path, os.O_RDONLY)
     try:
-        os.fsync(handle)
+        os.fsync(file_descriptor)
     finally:
-        os.close(handle)
+        os.close(file_descriptor)
--- a/tests/test_circuit_breaker.py
+++ b/tests/test_circuit_breaker.py
@@ -7,7 +7,7 @@
 from burlloom.record.circuit_breaker import (
     HANG_TIMEOUT_MULTIPLE,
     MAX_CONSECUTIVE_FAILURES,
-    MAX_PAUSE_NS,
+    MAX_PROBE_PAUSE_NS,
     NS_PER_MS,
     BreakerEffect,
     BreakerState,
@@ -86,7 +86,7 @@
                 in (BreakerEffect.PROBE_AGAIN, BreakerEffect.CLOSE)
                 else 0
             )
-        assert breaker.pause_ns <= MAX_PAUSE_NS
+        assert breaker.pause_ns <= MAX_PROBE_PAUSE_NS
         assert len(breaker.in_flight) <= 8
         if state_before is not BreakerState.CLOSED:
             assert breaker.state is not BreakerState.CLOSED or successful_probes == 2
