--- a/burlloom/record/store.py
+++ b/burlloom/record/store.py
@@ -69,7 +69,7 @@
         clock_shift_ns: By how much the wall clock was stepped since the store was last used.
         migrated: The numbers of the schema steps that were applied.
         closed_until_ns: When claims are allowed again, wall-clock nanoseconds; 0 for no
-            restriction. Set after a restore from a snapshot, which lacks the requests that ran later.
+            restriction. Set by a restore from a snapshot, which lacks the requests that ran later.
         previous_notice: The last notice that this node saved.
     """
 
--- a/tests/explore_request_lifecycle.py
+++ b/tests/explore_request_lifecycle.py
@@ -1,10 +1,10 @@
 """Explores all states that small models of the record can reach.
 
-A model has one or two nodes with one store, up to a few attempts with one idempotency key, and bounded
-numbers of node crashes and store faults. Requests change by the transition table of
-`burlloom.record.request_lifecycle`, the stored row by `rows.apply_write`. A violated invariant ends the
-exploration with a shortest sequence of steps that leads to it. Time is not modelled: every event that
-can occur at some time may occur in any order.
+A model has a few nodes with one store, and bounded numbers of attempts with one idempotency key, of
+node crashes and of store faults. Requests change by the transition table of
+`burlloom.record.request_lifecycle`, the stored row by `rows.apply_write`. A violated invariant ends
+the exploration with a shortest sequence of steps that leads to it. Time is not modelled: whatever
+can happen at some time may happen now.
 """
 
 from collections import deque
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -351,19 +351,11 @@
         may_run_unrecorded: bool = False,
     ) -> None:
         self.rng = random.Random(seed)
-        (
-            self.shared_rows,
-            self.node_count,
-            self.fault_rate,
-            self.may_run_unrecorded,
-            self.crash_count,
-        ) = (
-            SharedRows(),
-            nodes,
-            fault_rate,
-            may_run_unrecorded,
-            crash_count,
-        )
+        self.shared_rows = SharedRows()
+        self.node_count = nodes
+        self.fault_rate = fault_rate
+        self.may_run_unrecorded = may_run_unrecorded
+        self.crash_count = crash_count
         self.results_by_key: dict[bytes, bytes] = {}
         self.completed_keys: set[bytes] = set()
         self.counts: Counter[str] = Counter()
