--- a/burlloom/record/postgres_admin.py
+++ b/burlloom/record/postgres_admin.py
@@ -1,4 +1,4 @@
-"""What an operator does to a record that several nodes share in PostgreSQL."""
+"""The operator's commands on a record that several nodes share in PostgreSQL."""
 
 import time
 from collections.abc import AsyncIterator
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from ..operator import Record
 
-__all__ = ["fence", "list_in_doubt", "resolve", "stats"]
+__all__ = ["collect_stats", "list_in_doubt", "resolve", "set_fence"]
 
 NO_NODE = "-"
 UPSERT_VERDICT = (
@@ -33,7 +33,7 @@
     " life = excluded.life, turn = excluded.turn, ran = excluded.ran, said_at = excluded.said_at,"
     " reason = excluded.reason RETURNING mark"
 )
-MARK_AS_RAN = (
+COMPLETE_WITHOUT_RESULT = (
     "UPDATE fate SET state = $1::bigint, seal = $2::bytea WHERE mark = $3::bytea AND"
     f" life = $4::bigint AND turn = $5::bigint AND state = {ROW_STARTED} RETURNING mark"
 )
@@ -45,10 +45,10 @@
 
 @asynccontextmanager
 async def open_connection(record: "Record") -> AsyncIterator[Any]:
-    """A connection that begins no incarnation.
+    """Opens a connection without starting an incarnation, and closes it at the end.
 
     Raises:
-        StoreRefusedError: The database failed in any way.
+        StoreRefusedError: The connection or a statement failed.
     """
     store, _ = create_store(record, NO_NODE, retention_ns=0)
     assert isinstance(store, PostgresStore)
@@ -62,11 +62,11 @@
         raise StoreRefusedError(describe_error(error), place=store.database.place) from error
 
 
-async def stats(record: "Record", now_ns: int) -> dict[str, Any]:
-    """Counts of rows by state, rows in doubt, and the nodes, by the names that are printed.
+async def collect_stats(record: "Record", now_ns: int) -> dict[str, Any]:
+    """Returns counts of rows by state, of rows in doubt, and the nodes, by printed name.
 
     Raises:
-        StoreRefusedError: The database failed in any way.
+        StoreRefusedError: The connection or a statement failed.
     """
     async with open_connection(record) as connection:
         incarnations = await read_incarnations(connection)
@@ -84,10 +84,12 @@
 
 
 async def list_in_doubt(record: "Record", now_ns: int) -> list[tuple[RecordRow, str]]:
-    """Rows of which nobody knows whether they ran, with the verdict that waits, or "".
+    """Returns the rows in doubt, each with its pending verdict, or "" if there is none.
+
+    A row is in doubt if it is unknown whether its run took effect.
 
     Raises:
-        StoreRefusedError: The database failed in any way.
+        StoreRefusedError: The connection or a statement failed.
     """
     async with open_connection(record) as connection:
         incarnations = await read_incarnations(connection)
@@ -99,7 +101,8 @@
             f"SELECT {COLUMNS} FROM fate WHERE state = {ROW_STARTED} AND until > $1::bigint", now_ns
         )
     started = [RecordRow(*row) for row in rows]
-    # To a node that is none of them, a claim has no result where nobody may end it any more.
+    # Classified for a name that no node has: the answer is FOUND_NO_RESULT if no current, unfenced
+    # incarnation can still finish the claim.
     return [
         (row, verdicts.get(row.key_digest, ""))
         for row in started
@@ -108,37 +111,37 @@
 
 
 async def resolve(record: "Record", key_digest: bytes, ran: bool, reason: str, now_ns: int) -> str:
-    """Writes an operator's verdict on a row in doubt, and returns what was done with it.
+    """Writes an operator's verdict on a row in doubt, and returns a message for the operator.
 
     Raises:
-        StoreRefusedError: It is not in doubt, or the database failed in any way.
+        StoreRefusedError: The row is not in doubt, or the connection or a statement failed.
     """
     in_doubt = await list_in_doubt(record, now_ns)
-    doubt = next((row for row, _ in in_doubt if row.key_digest == key_digest), None)
-    if doubt is None:
+    row_in_doubt = next((row for row, _ in in_doubt if row.key_digest == key_digest), None)
+    if row_in_doubt is None:
         raise StoreRefusedError(
             f"mark {key_digest.hex()} is not in doubt; `burlloom record doubts` lists those that"
             " are"
         )
     _, authenticator = create_store(record, NO_NODE, retention_ns=0, clock=time.time_ns)
-    claim = (key_digest, doubt.incarnation, doubt.claim_number)
+    claim = (key_digest, row_in_doubt.incarnation, row_in_doubt.claim_number)
     async with open_connection(record) as connection, connection.transaction():
         await connection.fetch(UPSERT_VERDICT, *claim, int(ran), now_ns, reason)
-        # The row itself too: its node may be gone for good.
+        # Also update the row itself, as its node may never start again.
         if ran:
-            completed = doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)
+            completed = row_in_doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)
             mac = authenticator.compute_mac(completed)
-            await connection.fetch(MARK_AS_RAN, completed.state, mac, *claim)
+            await connection.fetch(COMPLETE_WITHOUT_RESULT, completed.state, mac, *claim)
         else:
             await connection.fetch(DELETE_CLAIM, *claim)
     return "done; its node takes it up within a second"
 
 
-async def fence(record: "Record", node: str, is_fenced: bool) -> None:
-    """Fences a node off, or lets it back in.
+async def set_fence(record: "Record", node: str, is_fenced: bool) -> None:
+    """Fences a node, or removes its fence.
 
     Raises:
-        StoreRefusedError: The node is not known, or the database failed in any way.
+        StoreRefusedError: The node is unknown, or the connection or a statement failed.
     """
     async with open_connection(record) as connection:
         rows = await connection.fetch(
--- a/burlloom/record/sqlite_admin.py
+++ b/burlloom/record/sqlite_admin.py
@@ -1,7 +1,7 @@
-"""What an operator does to a SQLite record: look, resolve, verify, export, migrate, compact.
+"""The operator's commands on an SQLite record: stats, resolve, verify, export, migrate, compact.
 
-While a server has the file, only what leaves its rows alone is allowed: looks, and verdicts on rows
-in doubt, which the server takes up within a second.
+While a server uses the file, only commands that do not change its rows are allowed: reads, and
+verdicts on rows in doubt, which the server applies within a second.
 """
 
 import fcntl
@@ -26,33 +26,35 @@
 NS_PER_S = 1_000_000_000
 BUSY_TIMEOUT_S = 5.0
 MAX_STRUCTURE_FAULTS = 20
-NO_TIME = "-"
+NO_TIME_TEXT = "-"
 UPSERT_VERDICT = (
     "INSERT INTO verdict (mark, life, turn, ran, said_at, reason) VALUES (?,?,?,?,?,?)"
     " ON CONFLICT (mark) DO UPDATE SET life = excluded.life, turn = excluded.turn,"
     " ran = excluded.ran, said_at = excluded.said_at, reason = excluded.reason"
 )
-MARK_AS_RAN = "UPDATE fate SET state = ?, seal = ? WHERE mark = ? AND life = ? AND turn = ?"
+COMPLETE_WITHOUT_RESULT = (
+    "UPDATE fate SET state = ?, seal = ? WHERE mark = ? AND life = ? AND turn = ?"
+)
 DELETE_CLAIM = "DELETE FROM fate WHERE mark = ? AND life = ? AND turn = ?"
 
 
 @dataclass(slots=True)
 class RecordStats:
-    """What a record holds; the names of the fields are those of the command's JSON.
+    """The statistics of a record; the field names are the keys of the command's JSON output.
 
     Attributes:
-        schema: The number of the schema's last step.
+        schema: The number of the last applied schema step.
         nodes: Each node's incarnation.
-        rows: Counts by state, under the names that operators read.
-        doubts: Rows of which nobody knows whether they ran.
-        over: Rows whose windows are over.
+        rows: Counts of rows by the state names of `ROW_STATE_NAMES`.
+        doubts: The number of rows of which it is unknown whether they ran.
+        over: The number of rows whose windows have ended.
         first_end: The earliest end of a window, wall-clock nanoseconds; 0 for none.
         last_end: The latest end of a window, wall-clock nanoseconds; 0 for none.
-        result_bytes: The size of all results.
+        result_bytes: The total size of all results.
         file_bytes: The size of the file.
-        free_bytes: What of it is free.
-        served: Whether a server has the file.
-        closed_until: Until when nothing may be claimed, wall-clock nanoseconds; 0 for no bound.
+        free_bytes: The size of the free pages in the file.
+        served: Whether a server uses the file.
+        closed_until: When claims are allowed again, wall-clock nanoseconds; 0 for no restriction.
     """
 
     schema: int
@@ -71,11 +73,11 @@
 
 @dataclass(slots=True)
 class VerificationReport:
-    """What a verification found.
+    """The result of a verification.
 
     Attributes:
-        row_count: Rows looked at.
-        faults: A line for each fault; empty where all is well.
+        row_count: The number of rows checked.
+        faults: One line for each fault found.
     """
 
     row_count: int = 0
@@ -83,32 +85,36 @@
 
 
 class SqliteRecordAdmin:
-    """One SQLite record, as an operator looks after it.
+    """The operator's commands on one SQLite record.
+
+    Every method raises `StoreRefusedError`, which says what is wrong and what to do.
 
-    Every method raises `StoreRefusedError` with what is wrong and what to do.
+    Attributes:
+        path: The file.
+        authenticator: Computes and checks the rows' MACs.
     """
 
     def __init__(self, path: Path, authenticator: RowAuthenticator) -> None:
-        """Takes the file, and what checks its rows."""
+        """Takes the attributes of the same names; the file is not opened."""
         self.path = path
         self.authenticator = authenticator
 
     @contextmanager
     def open_for_reading(self) -> Iterator[sqlite3.Connection]:
-        """A connection that can't write."""
+        """Opens a read-only connection, and closes it at the end."""
         if not self.path.is_file():
-            raise self._refusal("no such file; `burlloom record init` makes one")
+            raise self._create_refusal("no such file; `burlloom record init` creates one")
         uri = f"file:{self.path}?mode=ro"
         try:
             with closing(sqlite3.connect(uri, uri=True, timeout=BUSY_TIMEOUT_S)) as db:
                 self._check_header(db)
                 yield db
         except sqlite3.DatabaseError as error:
-            raise self._refusal(str(error)) from error
+            raise self._create_refusal(str(error)) from error
 
     @contextmanager
     def open_for_writing(self) -> Iterator[sqlite3.Connection]:
-        """A connection that writes, also while a server has the file."""
+        """Opens a connection for writing, also while a server uses the file."""
         with self.open_for_reading():
             pass
         try:
@@ -118,44 +124,48 @@
                 db.execute("PRAGMA synchronous = FULL")
                 yield db
         except sqlite3.DatabaseError as error:
-            raise self._refusal(str(error)) from error
+            raise self._create_refusal(str(error)) from error
 
     def _check_header(self, db: sqlite3.Connection) -> None:
         (application_id,) = db.execute("PRAGMA application_id").fetchone()
         (version,) = db.execute("PRAGMA user_version").fetchone()
         if application_id != schema.SQLITE_APPLICATION_ID:
-            raise self._refusal("not a burlloom record but another program's database")
+            raise self._create_refusal("not a burlloom record but another program's database")
         if version > schema.LATEST_VERSION:
-            raise self._refusal(
+            raise self._create_refusal(
                 f"schema {version} is newer than {schema.LATEST_VERSION}, the newest this program"
                 " knows"
             )
         if version < schema.LATEST_VERSION:
-            raise self._refusal(
+            raise self._create_refusal(
                 f"schema {version} is older than {schema.LATEST_VERSION}; `burlloom record migrate`"
-                " takes the steps between, and so does a server when it starts"
+                " applies the missing steps, and so does a server when it starts"
             )
 
-    def _refusal(self, problem: str) -> StoreRefusedError:
+    def _create_refusal(self, problem: str) -> StoreRefusedError:
         return StoreRefusedError(problem, place=self.path)
 
     def is_served(self) -> bool:
-        """Whether a server has the file."""
+        """Returns whether a server uses the file."""
         try:
-            handle = os.open(f"{self.path}.lock", os.O_RDWR)
+            file_descriptor = os.open(f"{self.path}.lock", os.O_RDWR)
         except FileNotFoundError:
             return False
         try:
-            fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(file_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
             return False
         except BlockingIOError:
             return True
         finally:
-            os.close(handle)
+            os.close(file_descriptor)
 
     @contextmanager
-    def exclusive(self, purpose: str) -> Iterator[None]:
-        """Keeps servers out; `purpose` ends the sentence "stop it before you ..."."""
+    def hold_exclusive_lock(self, purpose: str) -> Iterator[None]:
+        """Holds the lock that keeps servers off the file.
+
+        Args:
+            purpose: Completes the error message "stop it before you ...".
+        """
         lock = FileLock(self.path)
         try:
             lock.acquire()
@@ -167,8 +177,8 @@
         finally:
             lock.release()
 
-    def stats(self, now_ns: int) -> RecordStats:
-        """Counts and sizes."""
+    def collect_stats(self, now_ns: int) -> RecordStats:
+        """Returns counts and sizes."""
         with self.open_for_reading() as db:
             nodes = dict(db.execute("SELECT name, life FROM node").fetchall())
             counts = dict(db.execute("SELECT state, count(*) FROM fate GROUP BY state").fetchall())
@@ -199,7 +209,12 @@
         )
 
     def read_rows(self, where: str = "1", values: tuple[Any, ...] = ()) -> Iterator[RecordRow]:
-        """Rows by the ends of their windows; `where` is this program's SQL, not an operator's."""
+        """Yields rows ordered by the ends of their windows.
+
+        Args:
+            where: The SQL condition; must not contain input from outside the program.
+            values: The condition's parameters.
+        """
         with self.open_for_reading() as db:
             for row in db.execute(
                 f"SELECT {sql.COLUMNS} FROM fate WHERE {where} ORDER BY until", values
@@ -207,10 +222,10 @@
                 yield RecordRow(*row)
 
     def list_in_doubt(self, now_ns: int) -> Iterator[tuple[RecordRow, str]]:
-        """Rows of which nobody knows whether they ran, with the verdict that waits, or "".
+        """Yields the rows in doubt, each with its pending verdict, or "" if there is none.
 
-        These were begun by an incarnation that is over, have no end, and their windows are not
-        over. Where no server has the file, the incarnation that is written there is over too.
+        A row is in doubt if its window has not ended and its run was started by a past incarnation
+        but has no recorded end. If no server uses the file, the incarnation stored in it is past.
         """
         with self.open_for_reading() as db:
             incarnations = dict(db.execute("SELECT name, life FROM node").fetchall())
@@ -224,7 +239,7 @@
                 yield row, verdicts.get(row.key_digest, "")
 
     def verify(self) -> VerificationReport:
-        """Checks the file's own structure, and the MAC of each row."""
+        """Checks the structure of the SQLite file, and the MAC of each row."""
         report = VerificationReport()
         with self.open_for_reading() as db:
             for (line,) in db.execute(f"PRAGMA integrity_check({MAX_STRUCTURE_FAULTS})"):
@@ -240,8 +255,8 @@
                 )
         return report
 
-    def export(self) -> Iterator[dict[str, Any]]:
-        """Each row under the names of the export's JSON."""
+    def export_rows(self) -> Iterator[dict[str, Any]]:
+        """Yields each row as the JSON object of the export."""
         for row in self.read_rows():
             yield {
                 "mark": row.key_digest.hex(),
@@ -257,54 +272,54 @@
             }
 
     def resolve(self, key_digest: bytes, ran: bool, reason: str, now_ns: int) -> str:
-        """Writes an operator's verdict on a row in doubt, and returns what was done with it."""
+        """Writes an operator's verdict on a row in doubt; returns a message for the operator."""
         in_doubt = (row for row, _ in self.list_in_doubt(now_ns) if row.key_digest == key_digest)
-        doubt = next(in_doubt, None)
-        if doubt is None:
+        row_in_doubt = next(in_doubt, None)
+        if row_in_doubt is None:
             raise StoreRefusedError(
                 f"mark {key_digest.hex()} is not in doubt; `burlloom record doubts` lists those"
                 " that are"
             )
         is_served = self.is_served()
-        claim = (key_digest, doubt.incarnation, doubt.claim_number)
+        claim = (key_digest, row_in_doubt.incarnation, row_in_doubt.claim_number)
         with self.open_for_writing() as db:
             db.execute("BEGIN IMMEDIATE")
             db.execute(UPSERT_VERDICT, (*claim, int(ran), now_ns, reason))
             if not is_served:
-                self._apply_verdict(db, doubt, ran)
+                self._apply_verdict(db, row_in_doubt, ran)
             db.execute("COMMIT")
         return "the server takes it up within a second" if is_served else "done"
 
-    def _apply_verdict(self, db: sqlite3.Connection, doubt: RecordRow, ran: bool) -> None:
-        claim = (doubt.key_digest, doubt.incarnation, doubt.claim_number)
+    def _apply_verdict(self, db: sqlite3.Connection, row_in_doubt: RecordRow, ran: bool) -> None:
+        claim = (row_in_doubt.key_digest, row_in_doubt.incarnation, row_in_doubt.claim_number)
         if ran:
-            completed = doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)
+            completed = row_in_doubt._replace(state=ROW_COMPLETED_WITHOUT_RESULT)
             mac = self.authenticator.compute_mac(completed)
-            db.execute(MARK_AS_RAN, (completed.state, mac, *claim))
+            db.execute(COMPLETE_WITHOUT_RESULT, (completed.state, mac, *claim))
         else:
             db.execute(DELETE_CLAIM, claim)
 
-    def init(self) -> None:
-        """Makes an empty record."""
+    def create(self) -> None:
+        """Creates an empty record."""
         if self.path.exists():
-            raise self._refusal("exists already")
+            raise self._create_refusal("exists already")
         self.migrate()
 
     def migrate(self) -> tuple[int, ...]:
-        """Takes the schema's missing steps, and returns them; makes a missing file."""
+        """Applies the pending schema steps, and returns their numbers; creates a missing file."""
         lock = FileLock(self.path)
         lock.acquire()
         try:
             with closing(connect(self.path)) as db:
                 return migrate(db, self.path)
         except sqlite3.DatabaseError as error:
-            raise self._refusal(str(error)) from error
+            raise self._create_refusal(str(error)) from error
         finally:
             lock.release()
 
     def compact(self) -> tuple[int, int]:
-        """Gives all free space back to the disk; returns the file's bytes before and after."""
-        with self.exclusive("compact it"), self.open_for_writing() as db:
+        """Returns all free pages to the file system; returns the sizes before and after, bytes."""
+        with self.hold_exclusive_lock("compact it"), self.open_for_writing() as db:
             before = self.path.stat().st_size
             db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
             db.execute("VACUUM")
@@ -313,7 +328,7 @@
 
 
 def format_time(time_ns: int) -> str:
-    """A wall-clock time in UTC, to the second; "-" for none."""
+    """Formats a wall-clock time in UTC, to the second; 0 is formatted as "-"."""
     if not time_ns:
-        return NO_TIME
+        return NO_TIME_TEXT
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(time_ns // NS_PER_S))
