--- a/benchmarks/hollow_members.py
+++ b/benchmarks/hollow_members.py
@@ -49,7 +49,7 @@
         self.fleet = FleetMember(
             word,
             (),
-            part.keys(),
+            part.load_keys(),
             part.quota_settings(),
             part.gossip_settings(),
             Random(own[0]),
--- a/burlloom/command/distribution.py
+++ b/burlloom/command/distribution.py
@@ -96,8 +96,8 @@
             name or socket.gethostname(),
             part.region,
             sock,
-            KeyFile(Path(part.key_file), part.keys, "seals"),
-            KeyFile(Path(part.signing_key_file), part.signing_keys, "signing"),
+            KeyFile(Path(part.key_file), part.load_keys, "seals"),
+            KeyFile(Path(part.signing_key_file), part.load_signing_keys, "signing"),
             part.replication_settings(),
             part.allowed_upstreams(),
             store,
@@ -225,7 +225,9 @@
             click.echo(f"{file}: and {len(faults) - FAULTS_MOST} more", err=True)
         click.echo(f"{file}: nothing was taken", err=True)
         sys.exit(2)
-    taken, last, away = asyncio.run(append_all(store_of(told), changes, part.signing_keys()[0]))
+    taken, last, away = asyncio.run(
+        append_all(store_of(told), changes, part.load_signing_keys()[0])
+    )
     if taken < len(changes):
         click.echo(
             f"burlloom: {away}; {taken} of {len(changes)} changes were taken, up to line"
@@ -355,7 +357,7 @@
         from ..distribution.config_query import query
 
         found, where = asyncio.run(
-            query(part.allowed_upstreams(), part.region, part.keys()[0], kind, key)
+            query(part.allowed_upstreams(), part.region, part.load_keys()[0], kind, key)
         )
     if found is None:
         click.echo(f"burlloom: {where}", err=True)
--- a/burlloom/command/fleet.py
+++ b/burlloom/command/fleet.py
@@ -170,7 +170,9 @@
             click.echo(f"burlloom: {fault}", err=True)
         sys.exit(2)
     own_address = members[state["name"]]["address"]
-    send_updates(own_address, part.keys()[0], [make_left_update(members[name]) for name in names])
+    send_updates(
+        own_address, part.load_keys()[0], [make_left_update(members[name]) for name in names]
+    )
     for _ in range(int(FORGET_TIMEOUT_S / POLL_INTERVAL_S)):
         time.sleep(POLL_INTERVAL_S)
         states = {member["name"]: member["state"] for member in read_state(part)["members"]}
--- a/burlloom/command/levels.py
+++ b/burlloom/command/levels.py
@@ -82,7 +82,7 @@
     from ..levels.plan import UNREACHABLE_ENTRY
 
     part = part_of(operator)
-    plan = part.plan()
+    plan = part.build_plan()
     state = (
         state_of(part) if part.state_file is not None and Path(part.state_file).exists() else None
     )
@@ -123,7 +123,7 @@
     hold it there.
     """
     part = part_of(operator)
-    plan, state = part.plan(), state_of(part)
+    plan, state = part.build_plan(), state_of(part)
     click.echo(told(state))
     last = state["last"]
     if last is not None:
@@ -186,7 +186,7 @@
     from ..levels import SIGNAL_NAMES, DegradationController, SignalReadings
 
     part = part_of(operator)
-    plan = part.plan()
+    plan = part.build_plan()
     rows = read_series(series, SIGNAL_NAMES)
     walker = DegradationController(
         plan,
@@ -284,7 +284,7 @@
     from ..levels.plan import DROP_ALL_VALUES
 
     part = part_of(operator)
-    plan = part.plan()
+    plan = part.build_plan()
     if part.pin_file is None:
         raise click.UsageError("levels.pin_file is not set: the server looks for pins nowhere")
     known = {one.name: one for one in plan.levels}
--- a/burlloom/command/record.py
+++ b/burlloom/command/record.py
@@ -41,7 +41,7 @@
     told = section(operator)
     if told.sqlite is None:
         raise click.UsageError(FILE_ONLY)
-    return SqliteRecordAdmin(told.sqlite.place(), load_authenticator(told, make))
+    return SqliteRecordAdmin(told.sqlite.file_path(), load_authenticator(told, make))
 
 
 @record.command()
--- a/burlloom/distribution/stores/factory.py
+++ b/burlloom/distribution/stores/factory.py
@@ -7,15 +7,15 @@
 from .change_store import ChangeStore
 
 if TYPE_CHECKING:
-    from ...operator import Place
+    from ...operator import StorePart
 
 
-def create_change_store(place: "Place") -> ChangeStore:
+def create_change_store(place: "StorePart") -> ChangeStore:
     """Raises `record.store.Refused`."""
     if place.sqlite is not None:
         from .sqlite import SqliteChangeStore
 
-        return SqliteChangeStore(place.sqlite.place())
+        return SqliteChangeStore(place.sqlite.file_path())
     from ...record.postgres import PostgresStore as Record
     from .postgres import PostgresChangeStore
 
--- a/burlloom/operator/__init__.py
+++ b/burlloom/operator/__init__.py
@@ -1,4 +1,7 @@
-"""The operator's file: a Jsonnet template, its schema, and every fault in it."""
+"""The operator's file: evaluation of its Jsonnet template, its schema and its validation.
+
+The attributes of each part are the keys of the file.
+"""
 
 from .distribution import DistributionPart
 from .fleet import FleetPart
@@ -7,7 +10,7 @@
 from .part import Part
 from .recovery import RecoveryPart
 from .rollout import RolloutPart
-from .schema import Distribution, Metrics, Operator, Place, Postgres, Record, Rollout, Sqlite
+from .schema import Distribution, Metrics, Operator, Postgres, Record, Rollout, Sqlite, StorePart
 
 __all__ = [
     "Distribution",
@@ -18,7 +21,7 @@
     "Metrics",
     "Operator",
     "Part",
-    "Place",
+    "StorePart",
     "Postgres",
     "Record",
     "RecoveryPart",
--- a/burlloom/operator/distribution.py
+++ b/burlloom/operator/distribution.py
@@ -1,4 +1,4 @@
-"""The operator's part on the distribution of configuration."""
+"""The part of the operator's file on the distribution of configuration."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -6,45 +6,57 @@
 
 from pydantic import Field
 
-from .fleet import Host, read_keys
+from .fleet import SocketAddress, read_keys
 from .part import Part
 
 if TYPE_CHECKING:
     from ..distribution.settings import ReplicationSettings
-    from ..distribution.upstreams import Upstream as Follows
+    from ..distribution.upstreams import Upstream as FollowedUpstream
 
-MS = 1_000_000
-SIGNING_LEAST, KEYS_MOST = 16, 8  # bytes; lines of a file
+NS_PER_MS = 1_000_000
+MIN_SIGNING_KEY_BYTES, MAX_KEYS_PER_FILE = 16, 8
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9._-]{1,64}$")]
 Region = Annotated[str, Field(pattern=r"^[A-Za-z0-9._-]{1,32}$")]
 
 
-class Upstream(Part):
-    """One that may be followed: a control machine, or a relay."""
+class UpstreamPart(Part):
+    """A control machine or a relay that may be followed.
+
+    Attributes:
+        name: The node's name.
+        region: The node's region.
+        address: The node's UDP address.
+    """
 
     name: Name
     region: Region
-    address: Host
+    address: SocketAddress
 
 
 class DistributionPart(Part):
-    """Whom a server, relay or control machine follows, and with which keys.
-
-    `listen` is the UDP address; `advertise` is where others reach it, if elsewhere. `upstreams` are
-    whom it may follow, its own region's first; at a control machine its peers, for when the store
-    is unavailable.
-
-    `key_file` has one key in hex a line: the first seals datagrams, all open them.
-    `signing_key_file` likewise: the first chains changes, any verifies them. `followers_most` and
-    `page_rate` (bytes/s, for whole tables) bound a control machine. `wait_ms` is how long a server
-    waits for its first sync before it listens; then it serves with its configuration's tenants.
-    `state_file` is written each second.
+    """The upstreams that a server, relay or control machine follows, and the keys.
+
+    Attributes:
+        listen: UDP address to listen on; port 0 takes any free port.
+        advertise: Address under which others reach this node; by default `listen`.
+        region: This node's region.
+        upstreams: Nodes that may be followed; those of the own region are preferred. At a control
+            machine these are its peers, which it follows while the store is unavailable.
+        key_file: Path of the keys, one in hex a line: the first seals datagrams, all open them.
+        signing_key_file: Path of the signing keys, one in hex a line: the first chains changes, any
+            of them verifies changes.
+        beat_ms: Time between two reports of a follower, ms; other times follow in proportion.
+        followers_most: Followers that a control machine accepts.
+        page_rate: Bytes a second that a control machine sends for transfers of whole tables.
+        wait_ms: How long a server waits for its first sync before it listens, ms; it then serves
+            with the tenants of its own configuration.
+        state_file: Path of the node's state, which is written each second.
     """
 
-    listen: Host
-    advertise: Host | None = None
+    listen: SocketAddress
+    advertise: SocketAddress | None = None
     region: Region
-    upstreams: Annotated[list[Upstream], Field(max_length=64)] = []
+    upstreams: Annotated[list[UpstreamPart], Field(max_length=64)] = []
     key_file: str
     signing_key_file: str
     beat_ms: Annotated[int, Field(ge=20, le=60_000)] = 1000
@@ -53,105 +65,115 @@
     wait_ms: Annotated[int, Field(ge=0, le=3_600_000)] = 10_000
     state_file: str | None = None
 
-    def faults(self) -> list[str]:
-        """Return what no single value can tell, each with its place."""
-        wrong = self._address_faults() + self._key_faults()
+    def find_faults(self) -> list[str]:
+        """Returns the faults that pydantic does not find, each with the path of the key."""
+        faults = self._address_faults() + self._key_faults()
         if self.state_file is not None and not Path(self.state_file).parent.is_dir():
-            wrong.append(f"state_file: the folder {Path(self.state_file).parent} does not exist")
-        return wrong
+            faults.append(f"state_file: the folder {Path(self.state_file).parent} does not exist")
+        return faults
 
     def _address_faults(self) -> list[str]:
         from ..fleet.messages import parse_address
 
-        wrong = []
+        faults = []
         if parse_address(self.listen) is None and not (
             self.listen.endswith(":0") and parse_address(self.listen + "1")
         ):
-            wrong.append(
-                f"listen: {self.listen!r} is no IPv4 address with a port"
-            )  # 0: one that the system gives
+            # Port 0, for which the system chooses a port, is allowed here.
+            faults.append(f"listen: {self.listen!r} is not an IPv4 address with a port")
         if self.advertise is not None and parse_address(self.advertise) is None:
-            wrong.append(f"advertise: {self.advertise!r} is no IPv4 address with a port")
+            faults.append(f"advertise: {self.advertise!r} is not an IPv4 address with a port")
         names: dict[str, int] = {}
         addresses: dict[str, int] = {}
-        for at, one in enumerate(self.upstreams):
-            place = f"upstreams[{at}]"
-            if parse_address(one.address) is None:
-                wrong.append(f"{place}.address: {one.address!r} is no IPv4 address with a port")
-            for what, value, seen in (
-                ("name", one.name, names),
-                ("address", one.address, addresses),
+        for index, upstream in enumerate(self.upstreams):
+            place = f"upstreams[{index}]"
+            if parse_address(upstream.address) is None:
+                faults.append(
+                    f"{place}.address: {upstream.address!r} is not an IPv4 address with a port"
+                )
+            for key, value, seen in (
+                ("name", upstream.name, names),
+                ("address", upstream.address, addresses),
             ):
                 if value in seen:
-                    wrong.append(
-                        f"{place}.{what}: {value} stands twice, also in upstreams[{seen[value]}]"
-                    )
-                seen.setdefault(value, at)
-        return wrong
+                    faults.append(f"{place}.{key}: {value} is also in upstreams[{seen[value]}]")
+                seen.setdefault(value, index)
+        return faults
 
     def _key_faults(self) -> list[str]:
         from ..fleet.messages import MIN_KEY_BYTES
 
-        wrong = []
-        for what, file, least in (
+        faults = []
+        for name, file, min_bytes in (
             ("key_file", self.key_file, MIN_KEY_BYTES),
-            ("signing_key_file", self.signing_key_file, SIGNING_LEAST),
+            ("signing_key_file", self.signing_key_file, MIN_SIGNING_KEY_BYTES),
         ):
             try:
                 keys = read_keys(Path(file))
                 if (
                     not keys
-                    or len(keys) > KEYS_MOST
-                    or any(not least <= len(key) <= 64 for key in keys)
+                    or len(keys) > MAX_KEYS_PER_FILE
+                    or any(not min_bytes <= len(key) <= 64 for key in keys)
                 ):
-                    wrong.append(
-                        f"{what}: {file}: each line wants a key of {least} to 64 bytes, in hex,"
-                        f" and there are at most {KEYS_MOST}; `burlloom distribution key` makes one"
+                    faults.append(
+                        f"{name}: {file}: each line must be a key of {min_bytes} to 64 bytes"
+                        f" in hex, with at most {MAX_KEYS_PER_FILE} keys; `burlloom distribution key` makes"
+                        " one"
                     )
             except OSError as error:
-                wrong.append(
-                    f"{what}: {file}: {error.strerror}; `burlloom distribution key` makes one"
+                faults.append(
+                    f"{name}: {file}: {error.strerror}; `burlloom distribution key` makes one"
                 )
             except ValueError as error:
-                wrong.append(f"{what}: {file}: {error}")
-        return wrong
+                faults.append(f"{name}: {file}: {error}")
+        return faults
 
-    def keys(self) -> tuple[bytes, ...]:
-        """Raises `OSError` or `ValueError`."""
+    def load_keys(self) -> tuple[bytes, ...]:
+        """Returns the keys that seal datagrams.
+
+        Raises:
+            OSError: The file can't be read.
+            ValueError: A line is not a key in hex.
+        """
         return read_keys(Path(self.key_file))
 
-    def signing_keys(self) -> tuple[bytes, ...]:
-        """Raises `OSError` or `ValueError`."""
+    def load_signing_keys(self) -> tuple[bytes, ...]:
+        """Returns the keys that sign changes.
+
+        Raises:
+            OSError: The file can't be read.
+            ValueError: A line is not a key in hex.
+        """
         return read_keys(Path(self.signing_key_file))
 
     def replication_settings(self) -> "ReplicationSettings":
-        """What is not told follows the beat."""
+        """Returns the replication settings; times without a key scale with `beat_ms`."""
         from ..distribution.settings import ReplicationSettings
 
-        plain, heartbeat_ns = ReplicationSettings(), self.beat_ms * MS
-        factor = heartbeat_ns / plain.heartbeat_ns
+        default, heartbeat_ns = ReplicationSettings(), self.beat_ms * NS_PER_MS
+        factor = heartbeat_ns / default.heartbeat_ns
         return replace(
-            plain,
+            default,
             heartbeat_ns=heartbeat_ns,
-            upstream_timeout_ns=int(plain.upstream_timeout_ns * factor),
-            first_answer_timeout_ns=int(plain.first_answer_timeout_ns * factor),
-            request_retry_ns=int(plain.request_retry_ns * factor),
-            preferred_retry_ns=int(plain.preferred_retry_ns * factor),
-            stale_after_ns=int(plain.stale_after_ns * factor),
-            sync_stall_timeout_ns=int(plain.sync_stall_timeout_ns * factor),
-            lease_ns=int(plain.lease_ns * factor),
+            upstream_timeout_ns=int(default.upstream_timeout_ns * factor),
+            first_answer_timeout_ns=int(default.first_answer_timeout_ns * factor),
+            request_retry_ns=int(default.request_retry_ns * factor),
+            preferred_retry_ns=int(default.preferred_retry_ns * factor),
+            stale_after_ns=int(default.stale_after_ns * factor),
+            sync_stall_timeout_ns=int(default.sync_stall_timeout_ns * factor),
+            lease_ns=int(default.lease_ns * factor),
             max_followers=self.followers_most,
             page_bytes_per_s=self.page_rate,
             page_burst_bytes=max(1, self.page_rate // 10),
         )
 
-    def allowed_upstreams(self) -> "list[Follows]":
-        """Whom this one may follow."""
-        from ..distribution.upstreams import Upstream as Follows
+    def allowed_upstreams(self) -> "list[FollowedUpstream]":
+        """Returns the upstreams that this node may follow."""
+        from ..distribution.upstreams import Upstream as FollowedUpstream
         from ..fleet.messages import parse_address
 
         return [
-            Follows(one.name, one.region, address)
-            for one in self.upstreams
-            if (address := parse_address(one.address)) is not None
+            FollowedUpstream(upstream.name, upstream.region, address)
+            for upstream in self.upstreams
+            if (address := parse_address(upstream.address)) is not None
         ]
--- a/burlloom/operator/levels.py
+++ b/burlloom/operator/levels.py
@@ -1,4 +1,4 @@
-"""The operator's part on service levels."""
+"""The part of the operator's file on service levels."""
 
 from pathlib import Path
 from typing import Annotated, Literal, Self
@@ -16,27 +16,43 @@
 from ..levels.plan import DROP_ALL_VALUES, find_plan_faults
 from .part import Part
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 Share = Annotated[float, Field(ge=0, le=1)]
-Span = Annotated[int, Field(ge=0, le=3_600_000)]
+DurationMs = Annotated[int, Field(ge=0, le=3_600_000)]
 
 
-class Bound(Part):
-    """A signal's entry and exit; `enter` left out: it only says when the level may be left."""
+class SignalBoundPart(Part):
+    """Bounds on a signal.
+
+    Attributes:
+        enter: The level is entered when the signal is at or above this value. By default no signal
+            reaches it, and the bound only limits when the level may be left.
+        leave: The level may be left when the signal is at or below this value.
+    """
 
     enter: Annotated[float, Field(gt=0)] = 1e9
     leave: Annotated[float, Field(ge=0)]
 
 
-class OneLevel(Part):
+class LevelDefinitionPart(Part):
     """One service level.
 
-    `gives_up` is how many of the lowest values of request classes are rejected, "all-but-highest"
-    or "all".
+    Attributes:
+        name: The level's name.
+        when: Bounds by signal. A level without bounds is entered only by an emergency or a pin.
+        gives_up: How many of the request classes' distinct values are rejected, lowest first;
+            "all-but-highest" or "all".
+        products: Names of further request classes that are rejected.
+        kept: Names of request classes that are answered only from cached results.
+        skips: Names of request classes that are answered without downstream calls.
+        repeats: Whether marked retries and copies of idempotent requests are rejected.
+        over_share: Whether requests over their tenant's share are rejected.
+        hold: Share of the admission queue that may be used, from 0 to 1.
+        optional: Whether the node's own optional work continues.
     """
 
     name: str = Field(min_length=1, max_length=32)
-    when: dict[str, Bound] = {}
+    when: dict[str, SignalBoundPart] = {}
     gives_up: Annotated[int, Field(ge=0, le=64)] | Literal["all-but-highest", "all"] = 0
     products: list[str] = []
     kept: list[str] = []
@@ -46,16 +62,16 @@
     hold: float = 1.0
     optional: bool = True
 
-    def level(self) -> LevelDefinition:
-        """Return the level that this part describes."""
-        gone = {"all": DROP_ALL_VALUES, "all-but-highest": DROP_ALL_VALUES - 1}.get(
+    def build_definition(self) -> LevelDefinition:
+        """Returns the level that this part describes."""
+        dropped_values = {"all": DROP_ALL_VALUES, "all-but-highest": DROP_ALL_VALUES - 1}.get(
             str(self.gives_up), self.gives_up
         )
-        assert isinstance(gone, int)
+        assert isinstance(dropped_values, int)
         return LevelDefinition(
             self.name,
             {name: SignalBounds(bound.enter, bound.leave) for name, bound in self.when.items()},
-            gone,
+            dropped_values,
             tuple(self.products),
             tuple(self.kept),
             tuple(self.skips),
@@ -66,29 +82,50 @@
         )
 
 
-class Emergency(Part):
-    """A signal's value from which a level is entered at once."""
+class EmergencyPart(Part):
+    """A bound on a signal that enters a level at once.
+
+    Attributes:
+        enter: The level is entered when the signal is at or above this value.
+        level: Name of the level.
+    """
 
     enter: Annotated[float, Field(gt=0)]
     level: str
 
 
 class LevelsPart(Part):
-    """Levels of reduced service. `levels` left out: the shipped ones, which work without tuning.
-
-    `kept_ms`: by product, for how long a kept result may stand in where a level says so. `pin_file`
-    is read each second, `state_file` written at each step and each 5 s; `burlloom levels` reads and
-    writes them.
+    """Levels of reduced service. Times are in ms.
+
+    Attributes:
+        levels: The levels, least restrictive first; by default the shipped ones, which work without
+            tuning.
+        emergencies: By signal, the level that is entered at once; by default the shipped ones if
+            `levels` is absent, else none.
+        cold: Name of the level at which a cold node starts; by default the shipped one if `levels`
+            is absent, else the first level.
+        dwell_ms: Minimum time between two steps down.
+        stay_ms: Minimum time at a level before a trial of the level above; it doubles with each
+            relapse or failed trial.
+        stay_most_ms: Upper bound of the doubled stay.
+        relapse_ms: Time after a step up within which a step down counts as a relapse.
+        trial_ms: Minimum time between two steps of a trial.
+        changes_a_minute: Cap on the changes of level in any minute; by default the number of
+            automatic levels, at least 4.
+        kept_ms: By product, the highest age of a cached result with which a level may answer.
+        pin_file: Path of the pin, which is read each second; `burlloom levels` writes it.
+        state_file: Path of the node's state, which is written at each change and each 5 s;
+            `burlloom levels` reads it.
     """
 
-    levels: list[OneLevel] | None = None
-    emergencies: dict[str, Emergency] | None = None
+    levels: list[LevelDefinitionPart] | None = None
+    emergencies: dict[str, EmergencyPart] | None = None
     cold: str | None = None
-    dwell_ms: Span = 1000
-    stay_ms: Span = 5000
-    stay_most_ms: Span = 160_000
-    relapse_ms: Span = 20_000
-    trial_ms: Span = 2000
+    dwell_ms: DurationMs = 1000
+    stay_ms: DurationMs = 5000
+    stay_most_ms: DurationMs = 160_000
+    relapse_ms: DurationMs = 20_000
+    trial_ms: DurationMs = 2000
     changes_a_minute: Annotated[int, Field(ge=1, le=60)] | None = None
     kept_ms: dict[str, Annotated[int, Field(gt=0, le=86_400_000)]] = {}
     pin_file: str | None = None
@@ -96,14 +133,14 @@
 
     @model_validator(mode="after")
     def validate_folders(self) -> Self:
-        """Refuse files whose folder does not exist."""
-        for what, place in (("pin_file", self.pin_file), ("state_file", self.state_file)):
-            if place is not None and not Path(place).parent.is_dir():
-                raise ValueError(f"{what}: the folder {Path(place).parent} does not exist")
+        """Rejects a pin file or state file whose folder does not exist."""
+        for key, path in (("pin_file", self.pin_file), ("state_file", self.state_file)):
+            if path is not None and not Path(path).parent.is_dir():
+                raise ValueError(f"{key}: the folder {Path(path).parent} does not exist")
         return self
 
-    def plan(self) -> LevelPlan:
-        """Return the plan of levels: the file's, or the default one."""
+    def build_plan(self) -> LevelPlan:
+        """Returns the plan of the levels: the file's, or the default one."""
         if self.levels is None:
             levels, emergencies, cold = (
                 DEFAULT_PLAN.levels,
@@ -111,7 +148,11 @@
                 DEFAULT_PLAN.cold_start_level,
             )
         else:
-            levels, emergencies, cold = tuple(one.level() for one in self.levels), {}, ""
+            levels, emergencies, cold = (
+                tuple(level.build_definition() for level in self.levels),
+                {},
+                "",
+            )
         if self.emergencies is not None:
             emergencies = {
                 signal: (emergency.enter, emergency.level)
@@ -120,30 +161,39 @@
         return LevelPlan(levels, emergencies, self.cold if self.cold is not None else cold)
 
     def hysteresis_policy(self) -> HysteresisPolicy:
-        """Raises `ValueError`, which `faults` has told by then."""
-        automatic = self.plan().automatic_level_count
-        most = self.changes_a_minute if self.changes_a_minute is not None else max(4, automatic)
+        """Returns the parameters of the state machine.
+
+        Raises:
+            ValueError: `changes_a_minute` is too low; `find_faults` reports that at the load.
+        """
+        level_count = self.build_plan().automatic_level_count
+        max_changes = (
+            self.changes_a_minute if self.changes_a_minute is not None else max(4, level_count)
+        )
         return HysteresisPolicy(
-            automatic,
-            self.dwell_ms * MS,
-            self.stay_ms * MS,
-            self.stay_most_ms * MS,
-            self.relapse_ms * MS,
-            self.trial_ms * MS,
-            most,
+            level_count,
+            self.dwell_ms * NS_PER_MS,
+            self.stay_ms * NS_PER_MS,
+            self.stay_most_ms * NS_PER_MS,
+            self.relapse_ms * NS_PER_MS,
+            self.trial_ms * NS_PER_MS,
+            max_changes,
         )
 
-    def faults(self) -> list[str]:
-        """Return what the file alone can tell.
+    def find_faults(self) -> list[str]:
+        """Returns the faults that the operator's file alone shows, each with the path of the key.
 
-        Classes are checked against the platform's configuration by `burlloom check` and at a start.
+        `burlloom check` and the start of a server check the names of request classes against the
+        platform's configuration.
         """
-        found = find_plan_faults(self.plan(), (), SIGNAL_NAMES)
-        if not found:
+        faults = find_plan_faults(self.build_plan(), (), SIGNAL_NAMES)
+        if not faults:
             try:
                 self.hysteresis_policy()
             except ValueError as error:
-                found.append(f"changes_a_minute: {error}")
+                faults.append(f"changes_a_minute: {error}")
         if self.stay_most_ms < self.stay_ms:
-            found.append(f"stay_most_ms: {self.stay_most_ms} is under stay_ms, {self.stay_ms}")
-        return found
+            faults.append(
+                f"stay_most_ms: {self.stay_most_ms} must be at least stay_ms ({self.stay_ms})"
+            )
+        return faults
--- a/burlloom/operator/load.py
+++ b/burlloom/operator/load.py
@@ -1,4 +1,7 @@
-"""Evaluates a template and checks it, all faults at once, each with its place."""
+"""Evaluates an operator's template and validates it.
+
+All faults are reported at once, each with the path of the key.
+"""
 
 import json
 from pathlib import Path
@@ -10,15 +13,16 @@
 from ..errors import BurlloomError
 from .schema import Operator
 
+# Size of a template; a larger file is rejected.
 MAX_FILE_BYTES = 1 << 20
 Model = TypeVar("Model", bound=BaseModel)
 
 
 class OperatorFileError(BurlloomError):
-    """An operator's file that can't be used.
+    """An operator's file is invalid.
 
     Attributes:
-        lines: a line for each fault, with its place.
+        lines: One line for each fault, with the path of the file and that of the key.
     """
 
     def __init__(self, lines: list[str]) -> None:
@@ -27,27 +31,35 @@
 
 
 def load(path: Path) -> Operator:
-    """Read a template and return the operator's settings.
+    """Reads a template and returns the operator's settings.
 
-    Imports in the template are looked up beside it.
+    Imports in the template are looked up in its folder.
 
     Raises:
-        OperatorFileError: with a line for each fault.
+        OperatorFileError: The file is invalid; the error has a line for each fault.
     """
-    found = validate(Operator, evaluate_template(path), path)
-    lines = [f"levels.{line}" for line in found.levels.faults()] if found.levels is not None else []
-    if found.distribution is not None:
-        lines += [f"distribution.{line}" for line in found.distribution.faults()]
+    operator = validate(Operator, evaluate_template(path), path)
+    lines = (
+        [f"levels.{line}" for line in operator.levels.find_faults()]
+        if operator.levels is not None
+        else []
+    )
+    if operator.distribution is not None:
+        lines += [f"distribution.{line}" for line in operator.distribution.find_faults()]
     if lines:
         raise OperatorFileError([f"{path}: {line}" for line in lines])
-    return found
+    return operator
 
 
 def evaluate_template(path: Path) -> Any:
-    """Return what the template evaluates to. Raises `OperatorFileError`."""
+    """Returns the JSON value that the template evaluates to.
+
+    Raises:
+        OperatorFileError: The file can't be read, is too large or is not valid Jsonnet.
+    """
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
-            raise OperatorFileError([f"{path}: over {MAX_FILE_BYTES} bytes"])
+            raise OperatorFileError([f"{path}: the file is larger than {MAX_FILE_BYTES} bytes"])
         text = path.read_text(encoding="utf-8")
     except OSError as error:
         raise OperatorFileError([f"{path}: {error.strerror}"]) from error
@@ -59,10 +71,19 @@
         raise OperatorFileError([" ".join(str(error).split())]) from error
 
 
-def validate(model: type[Model], got: Any, path: Path) -> Model:
-    """Return a value checked against a model. Raises `OperatorFileError`."""
+def validate(model: type[Model], value: Any, path: Path) -> Model:
+    """Validates a JSON value against a model.
+
+    Args:
+        model: The model.
+        value: The value.
+        path: The file that the value comes from, for the messages.
+
+    Raises:
+        OperatorFileError: The value does not fit; the error has a line for each fault.
+    """
     try:
-        return model.model_validate(got)
+        return model.model_validate(value)
     except ValidationError as error:
         raise OperatorFileError(
             [
@@ -75,7 +96,7 @@
 
 
 def fault_text(message: str) -> str:
-    """Return pydantic's message in the words of the operator's page."""
+    """Returns a message of pydantic in the terms of the operators' documentation."""
     return {"Extra inputs are not permitted": "unknown key", "Field required": "is missing"}.get(
         message, message.removeprefix("Value error, ")
     )
--- a/burlloom/operator/part.py
+++ b/burlloom/operator/part.py
@@ -1,9 +1,9 @@
-"""What all parts of the operator's file share: nothing unknown, nothing changed once read."""
+"""The base of all parts of the operator's file."""
 
 from pydantic import BaseModel, ConfigDict
 
 
 class Part(BaseModel):
-    """A part of the operator's file: unknown keys are refused, and it is read-only."""
+    """A part of the operator's file: rejects unknown keys, converts no types and is read-only."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
--- a/burlloom/operator/schema.py
+++ b/burlloom/operator/schema.py
@@ -18,32 +18,50 @@
 
 
 class Sqlite(Part):
-    """One SQLite file on a disk that lasts; `max_mb` bounds it, 0 leaves that to the disk."""
+    """A store of record in one SQLite file.
+
+    Attributes:
+        path: Path of the file, which must be on a persistent disk.
+        key_file: Path of the key that authenticates rows; by default `path` with ".key" added.
+        max_mb: Highest size of the file, MiB; 0 for no limit but the disk's.
+        batch_most: Writes in one transaction.
+    """
 
     path: str
     key_file: str | None = None
     max_mb: int = Field(default=0, ge=0, le=1 << 20)
     batch_most: int = Field(default=256, ge=1, le=4096)
 
-    def place(self) -> Path:
-        """Return the file's path."""
+    def file_path(self) -> Path:
+        """Returns the file's path."""
         return Path(self.path)
 
-    def key_place(self) -> Path:
-        """Return the key file's path."""
+    def key_file_path(self) -> Path:
+        """Returns the key file's path."""
         return Path(self.key_file or self.path + ".key")
 
     @model_validator(mode="after")
     def validate_folders(self) -> Self:
-        """Refuse files whose folder does not exist."""
-        for what, place in (("path", self.place()), ("key_file", self.key_place())):
-            if not place.parent.is_dir():
-                raise ValueError(f"{what}: the folder {place.parent} does not exist")
+        """Rejects a database or key file whose folder does not exist."""
+        for key, path in (("path", self.file_path()), ("key_file", self.key_file_path())):
+            if not path.parent.is_dir():
+                raise ValueError(f"{key}: the folder {path.parent} does not exist")
         return self
 
 
 class Postgres(Part):
-    """One PostgreSQL database for several nodes; the password stands in a file of its own."""
+    """A store of record in one PostgreSQL database that several nodes share.
+
+    Attributes:
+        address: Host and port of the database server.
+        database: Name of the database.
+        user: Name of the database user.
+        password_file: Path of the password; by default there is none.
+        key_file: Path of the key that authenticates rows; all nodes share it.
+        connect_ms: Timeout of a connection attempt, ms.
+        hang_ms: Timeout of a statement, ms.
+        batch_most: Writes in one transaction.
+    """
 
     address: Address
     database: str = Field(default="burlloom", min_length=1, max_length=63)
@@ -54,43 +72,55 @@
     hang_ms: int = Field(default=5000, ge=10, le=600_000)
     batch_most: int = Field(default=128, ge=1, le=4096)
 
-    def key_place(self) -> Path:
-        """Return the key file's path."""
+    def key_file_path(self) -> Path:
+        """Returns the key file's path."""
         return Path(self.key_file)
 
     @model_validator(mode="after")
     def validate_files(self) -> Self:
-        """Refuse key or password files that do not exist."""
+        """Rejects key or password files that do not exist."""
         if self.password_file is not None and not Path(self.password_file).is_file():
             raise ValueError(f"password_file: {self.password_file} does not exist")
         if not Path(self.key_file).is_file():
             raise ValueError(
-                f"key_file: {self.key_file} does not exist; all nodes share one, made once by"
-                " `burlloom record key`"
+                f"key_file: {self.key_file} does not exist; `burlloom record key` makes the key,"
+                " which all nodes share"
             )
         return self
 
 
-class Place(Part):
-    """A store of record: its file, or its database."""
+class StorePart(Part):
+    """A store: either a file or a database.
+
+    Attributes:
+        sqlite: The SQLite file.
+        postgres: The PostgreSQL database.
+    """
 
     sqlite: Sqlite | None = None
     postgres: Postgres | None = None
 
     @model_validator(mode="after")
     def validate_one_store(self) -> Self:
-        """Refuse none and both of the stores."""
+        """Rejects a part with no store or with both."""
         if (self.sqlite is None) == (self.postgres is None):
-            raise ValueError("one store is wanted: either sqlite or postgres")
+            raise ValueError("exactly one store is required: either sqlite or postgres")
         return self
 
 
-class Record(Place):
+class Record(StorePart):
     """The store of record.
 
-    `mode`: where the store is slow or gone, "require" declines charges before they run, "prefer"
-    runs them on memory's marks alone. `claim_share` of the SLA time may pass before a run begins,
-    `hold_share` of it before an answer leaves without its result being durable.
+    Attributes:
+        node: This node's name in the store; by default the server's name.
+        mode: What happens while the store is slow or unavailable: "require" rejects requests with a
+            key before they run, "prefer" runs them with idempotency marks in memory only.
+        claim_share: Share of the latency objective that a claim may take before the run begins.
+        hold_share: Share of the latency objective that an answer may wait for its result to become
+            durable; it is then sent without that.
+        open_most: Unanswered writes to the store at once.
+        doubt_wait_ms: How long after a restart the executor may still report the ends of runs
+            before their requests count as in doubt, ms.
     """
 
     node: NodeName | None = None
@@ -102,17 +132,23 @@
 
     @model_validator(mode="after")
     def validate_time_shares(self) -> Self:
-        """Refuse shares that leave no time for the run."""
+        """Rejects shares whose sum exceeds the latency objective."""
         if self.claim_share + self.hold_share > 1:
             raise ValueError(
-                f"claim_share and hold_share together are {self.claim_share + self.hold_share:g}"
-                " of the SLA time: nothing is left for the run"
+                f"claim_share plus hold_share is {self.claim_share + self.hold_share:g} of the"
+                " latency objective and must be at most 1: nothing is left for the run"
             )
         return self
 
 
 class Metrics(Part):
-    """Counters and histograms in the Prometheus text format: a file, or a listener."""
+    """Metrics in the Prometheus text format.
+
+    Attributes:
+        file: Path of the file to which the metrics are written.
+        every_ms: Time between two writes of the file, ms.
+        listen: Host and port at which the metrics are served over HTTP.
+    """
 
     file: str | None = None
     every_ms: int = Field(default=5000, ge=100, le=3_600_000)
@@ -120,35 +156,38 @@
 
     @model_validator(mode="after")
     def validate_reader(self) -> Self:
-        """Refuse metrics that nobody reads."""
+        """Rejects metrics that are neither written nor served, and a missing folder of `file`."""
         if self.file is None and self.listen is None:
-            raise ValueError("nobody reads them: name a file, or an address to listen on")
+            raise ValueError("at least one of file and listen is required")
         if self.file is not None and not Path(self.file).parent.is_dir():
             raise ValueError(f"file: the folder {Path(self.file).parent} does not exist")
         return self
 
 
 class Rollout(RolloutPart):
-    """Releases and drains.
+    """Releases and drains, with their store.
 
-    `store` is where the fleet agrees, the same for all; without it, where the record is.
+    Attributes:
+        store: The store through which the fleet coordinates, the same for all servers; by default
+            the store of record.
     """
 
-    store: Place | None = None
+    store: StorePart | None = None
 
 
 class Distribution(DistributionPart):
-    """The distribution of configuration.
+    """The distribution of configuration, with its store.
 
-    `store` is where control machines keep the changes, the same for all; without it, where the
-    record is.
+    Attributes:
+        store: The store of the changes, the same for all control machines; by default the store of
+            record.
     """
 
-    store: Place | None = None
+    store: StorePart | None = None
 
 
 class Operator(Part):
-    """The whole file; a part that is left out is off."""
+    """The whole operator's file; a part that is left out is off."""
 
     record: Record | None = None
     metrics: Metrics | None = None
@@ -158,42 +197,45 @@
     rollout: Rollout | None = None
     distribution: Distribution | None = None
 
-    def distribution_store(self) -> Place | None:
-        """Return the store of changes; None at servers and relays, which follow others alone."""
+    def distribution_store(self) -> StorePart | None:
+        """Returns the store of changes; None for servers and relays, which only follow others."""
         store = self.distribution.store if self.distribution is not None else None
         return store if store is not None else self.record
 
-    def rollout_store(self) -> Place:
-        """Return the store of a checked file."""
-        place = (
+    def rollout_store(self) -> StorePart:
+        """Returns the store of the rollouts; the file must be valid and have a rollout part."""
+        store = (
             self.rollout.store
             if self.rollout is not None and self.rollout.store is not None
             else self.record
         )
-        assert place is not None
-        return place
+        assert store is not None
+        return store
 
     @model_validator(mode="after")
     def validate_rollout(self) -> Self:
-        """Refuse a rollout without a store, or with services that are not called."""
+        """Rejects a rollout without a store, or with services that this server does not call."""
         if self.rollout is None:
             return self
         if self.rollout.store is None and self.record is None:
             raise ValueError(
-                "rollout.store: is missing, and there is no record: name the store that all share"
+                "rollout.store: is missing, and there is no record: set the store that all servers"
+                " share"
             )
-        called = set(self.fleet.services) if self.fleet is not None else set()
+        called_addresses = set(self.fleet.services) if self.fleet is not None else set()
         for name, service in self.rollout.below.items():
-            if strange := [address for address in service.addresses if address not in called]:
+            if unknown_addresses := [
+                address for address in service.addresses if address not in called_addresses
+            ]:
                 raise ValueError(
-                    f"rollout.below.{name}: {', '.join(strange)} not in fleet.services: this"
-                    " server does not call it, and could not leave it out"
+                    f"rollout.below.{name}: {', '.join(unknown_addresses)} not in fleet.services:"
+                    " this server does not call these addresses, so it could not drain them"
                 )
         return self
 
     @model_validator(mode="after")
     def validate_metrics(self) -> Self:
-        """Refuse metrics where nothing would be exposed."""
+        """Rejects metrics if no part of the file exposes any."""
         if (
             self.metrics is not None
             and self.record is None
--- a/burlloom/record/factory.py
+++ b/burlloom/record/factory.py
@@ -9,7 +9,7 @@
 from .store import RecordStore, StoreRefusedError
 
 if TYPE_CHECKING:
-    from ..operator import Place
+    from ..operator import StorePart
 
 __all__ = ["create_store", "load_authenticator", "read_password"]
 
@@ -18,7 +18,7 @@
 MS_PER_S = 1000
 
 
-def load_authenticator(record: "Place", create: bool) -> RowAuthenticator:
+def load_authenticator(record: "StorePart", create: bool) -> RowAuthenticator:
     """Reads the record's key and returns the authenticator that uses it.
 
     Args:
@@ -29,8 +29,8 @@
         StoreRefusedError: The key does not exist or can't be used.
     """
     if record.sqlite is not None:
-        key_path = record.sqlite.key_place()
-        if create and record.sqlite.place().exists() and not key_path.exists():
+        key_path = record.sqlite.key_file_path()
+        if create and record.sqlite.file_path().exists() and not key_path.exists():
             raise StoreRefusedError(
                 f"the key of {record.sqlite.path} is missing, so its rows can't be verified. Put"
                 " the key back, or move the record away to start with an empty one",
@@ -38,7 +38,7 @@
             )
     else:
         assert record.postgres is not None
-        key_path = record.postgres.key_place()
+        key_path = record.postgres.key_file_path()
         create = False
     try:
         return RowAuthenticator(load_key(key_path, create))
@@ -63,7 +63,7 @@
 
 
 def create_store(
-    record: "Place", node: str, retention_ns: int, clock: Callable[[], int] = time.time_ns
+    record: "StorePart", node: str, retention_ns: int, clock: Callable[[], int] = time.time_ns
 ) -> tuple[RecordStore, RowAuthenticator]:
     """Creates the store, not yet opened, and the authenticator of its rows.
 
@@ -81,7 +81,7 @@
         from .sqlite import SqliteStore
 
         sqlite_store = SqliteStore(
-            record.sqlite.place(),
+            record.sqlite.file_path(),
             authenticator,
             node,
             max_pages=record.sqlite.max_mb * BYTES_PER_MB // PAGE_BYTES,
--- a/burlloom/rollout/stores/factory.py
+++ b/burlloom/rollout/stores/factory.py
@@ -29,7 +29,7 @@
     if place.sqlite is not None:
         from .sqlite import SqliteRolloutStore
 
-        return SqliteRolloutStore(place.sqlite.place(), lock_timeout_s)
+        return SqliteRolloutStore(place.sqlite.file_path(), lock_timeout_s)
     from ...record.postgres import PostgresStore
     from .postgres import PostgresRolloutStore
 
--- a/burlloom/server/configured_membership.py
+++ b/burlloom/server/configured_membership.py
@@ -77,7 +77,7 @@
         self.fleet = FleetMember(
             own,
             (*settings.seeds, *recovery.known_members),
-            settings.keys(),
+            settings.load_keys(),
             settings.quota_settings(),
             settings.gossip_settings(),
             random,
--- a/burlloom/server/followed_configuration.py
+++ b/burlloom/server/followed_configuration.py
@@ -60,9 +60,9 @@
         self.is_shutting_down = is_shutting_down
         self.clock = boot_time_ns
         incarnation = time.time_ns() // NS_PER_MS
-        self._seal_keys = KeyFile(Path(settings.key_file), settings.keys, "seals")
+        self._seal_keys = KeyFile(Path(settings.key_file), settings.load_keys, "seals")
         self._signing_keys = KeyFile(
-            Path(settings.signing_key_file), settings.signing_keys, "signing"
+            Path(settings.signing_key_file), settings.load_signing_keys, "signing"
         )
         self.replica = Replica(ConfigTable(("", settings.region)), self._signing_keys.keys)
         self.follower = Follower(
--- a/burlloom/server/operator_subsystems.py
+++ b/burlloom/server/operator_subsystems.py
@@ -100,7 +100,7 @@
     """
     if operator.levels is None:
         return None
-    plan = operator.levels.plan()
+    plan = operator.levels.build_plan()
     classes = tuple(zip(config.class_names, config.settings.request_classes, strict=True))
     if lines := find_plan_faults(plan, classes, SIGNAL_NAMES):
         raise OperatorFileError([f"levels.{line}" for line in lines])
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -159,7 +159,7 @@
         ("record.open_most", "integer"),
         ("record.colour", "unknown key"),
         ("record.sqlite", "the folder /nowhere/at/all does not exist"),
-        ("metrics", "nobody reads them"),
+        ("metrics", "at least one of file and listen is required"),
         ("levles", "unknown key"),
     ):
         assert any(line.startswith(f"{path}: {place}: ") and fault in line for line in said), (
@@ -187,7 +187,7 @@
             " hold_share: 0.2 } }",
             "nothing is left for the run",
         ),
-        ("{ record: {} }", "one store is wanted"),
+        ("{ record: {} }", "exactly one store is required"),
         ("\xff", "not UTF-8"),
     ],
 )
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -574,9 +574,9 @@
                 ],
             },
             [
-                "distribution.listen: '127.0.0.1:70000' is no IPv4",
+                "distribution.listen: '127.0.0.1:70000' is not an IPv4",
                 "distribution.advertise: '1.1.1.1:0'",
-                "distribution.upstreams[1].name: a stands twice, also in upstreams[0]",
+                "distribution.upstreams[1].name: a is also in upstreams[0]",
                 "distribution.upstreams[1].address: 10.0.0.1:1",
                 "distribution.upstreams[2].address: '10.0.0.300:1'",
                 "distribution.key_file: none: No such file",
@@ -584,7 +584,7 @@
                 "distribution.state_file: the folder /none does not exist",
             ],
         ),
-        ({"store": {}}, ["distribution.store: one store is wanted"]),
+        ({"store": {}}, ["distribution.store: exactly one store is required"]),
     ],
 )
 def test_files_that_can_not_be(tmp_path: Path, told: dict[str, Any], said: list[str]) -> None:
--- a/tests/test_distribution_stores.py
+++ b/tests/test_distribution_stores.py
@@ -26,8 +26,8 @@
 from burlloom.distribution.stores.postgres import PostgresChangeStore
 from burlloom.distribution.stores.sqlite import SqliteChangeStore
 from burlloom.fakes import postgres
-from burlloom.operator import Place
 from burlloom.operator import Postgres as Database
+from burlloom.operator import StorePart
 from burlloom.record.factory import create_store
 
 SIGNING = b"s" * 32
@@ -267,7 +267,7 @@
         key = tmp_path / "key"
         key.write_text(KEY)
         key.chmod(0o600)
-        told = Place(
+        told = StorePart(
             postgres=Database(
                 address=server.address, key_file=str(key), hang_ms=300, connect_ms=500
             )
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -332,8 +332,14 @@
             "fleet: redeal_ms (9000) must be at least cut_ms plus two times lease_ms (13000)",
         ),
         ({"lease_ms": 1000}, "fleet: lease_ms (1000) must be at least eight times round_ms (200)"),
-        ({"seeds": ["10.0.0.1:0"]}, "fleet: seeds: '10.0.0.1:0' is no IPv4 address with a port"),
-        ({"services": ["10.0.0.1:80", "10.0.0.1:80"]}, "fleet: services: an address stands twice"),
+        (
+            {"seeds": ["10.0.0.1:0"]},
+            "fleet: seeds: '10.0.0.1:0' is not an IPv4 address with a port",
+        ),
+        (
+            {"services": ["10.0.0.1:80", "10.0.0.1:80"]},
+            "fleet: services: the addresses must be distinct",
+        ),
         (
             {"key_file": "none"},
             "fleet: key_file: none: No such file or directory; `burlloom fleet key` makes one",
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -459,7 +459,7 @@
     assert "torn: a cold start, and the fence" in burlloom_says("recovery", "show", "-o", path)
     for told, fault in (
         ({"state_file": "/none/kept"}, "recovery: state_file: the folder /none does not exist"),
-        ({"begin": 0.6}, "recovery: begin_warm 0.5 is under begin, 0.6"),
+        ({"begin": 0.6}, "recovery: begin_warm (0.5) must be at least begin (0.6)"),
         ({"fence": "no"}, "recovery.fence: "),
         ({"retries": -1}, "recovery.retries: "),
     ):
--- a/tests/test_rollout_stores.py
+++ b/tests/test_rollout_stores.py
@@ -12,8 +12,8 @@
 
 from burlloom.command.rollout import rollout
 from burlloom.fakes import postgres
-from burlloom.operator import Place
 from burlloom.operator import Postgres as Database
+from burlloom.operator import StorePart
 from burlloom.record import shared_sqlite
 from burlloom.record.factory import create_store
 from burlloom.rollout import RolloutState, ServerPhase, ServerReport
@@ -139,7 +139,7 @@
         key = tmp_path / "key"
         key.write_text(KEY)
         key.chmod(0o600)
-        place = Place(
+        place = StorePart(
             postgres=Database(
                 address=server.address, key_file=str(key), hang_ms=300, connect_ms=500
             )
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -30,7 +30,7 @@
     ("levels.levels.1 (lean).age", "leave 0.2 must be below enter"),
     ("levels.levels.1 (lean).heat", "unknown signal"),
     ("levels.cold", "unknown level 'frozen'"),
-    ("levels.stay_most_ms", "under stay_ms"),
+    ("levels.stay_most_ms", "must be at least stay_ms"),
 )
 
 
