--- a/burlloom/command/distribution.py
+++ b/burlloom/command/distribution.py
@@ -78,10 +78,10 @@
         sock = bind_datagram_socket(part.listen)
         exposed = None
         if told.metrics is not None:
-            from ..metrics import Exposed
+            from ..metrics import MetricsExporter
 
             listen = told.metrics.listen.rsplit(":", 1) if told.metrics.listen is not None else None
-            exposed = Exposed(
+            exposed = MetricsExporter(
                 Path(told.metrics.file) if told.metrics.file is not None else None,
                 told.metrics.every_ms / 1000,
                 (listen[0], int(listen[1])) if listen else None,
@@ -104,7 +104,7 @@
             part.state_file,
         )
         if exposed is not None:
-            exposed.numbers("burlloom_distribution", control.metrics, control.gauges)
+            exposed.add_numbers("burlloom_distribution", control.metrics, control.gauges)
         signal.signal(signal.SIGHUP, signal.SIG_IGN)  # files are looked at each second anyway
         for number in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(number, control.stop)
--- a/burlloom/metrics/__init__.py
+++ b/burlloom/metrics/__init__.py
@@ -1,5 +1,5 @@
-"""Metrics in the Prometheus text format."""
+"""Exports metrics in the Prometheus text format."""
 
-from .exposed import Exposed
+from .exporter import MetricsExporter
 
-__all__ = ["Exposed"]
+__all__ = ["MetricsExporter"]
--- a/burlloom/operator/distribution.py
+++ b/burlloom/operator/distribution.py
@@ -117,8 +117,8 @@
                 ):
                     faults.append(
                         f"{name}: {file}: each line must be a key of {min_bytes} to 64 bytes"
-                        f" in hex, with at most {MAX_KEYS_PER_FILE} keys; `burlloom distribution key` makes"
-                        " one"
+                        f" in hex, with at most {MAX_KEYS_PER_FILE} keys;"
+                        " `burlloom distribution key` makes one"
                     )
             except OSError as error:
                 faults.append(
--- a/burlloom/server/metrics_exposition.py
+++ b/burlloom/server/metrics_exposition.py
@@ -9,7 +9,7 @@
 from ..record.store import StoreRefusedError
 
 if TYPE_CHECKING:
-    from ..metrics import Exposed
+    from ..metrics import MetricsExporter
     from ..operator import Metrics
     from ..record.coordinator import RecordCoordinator
 
@@ -27,7 +27,7 @@
 
     def __init__(self, settings: Metrics) -> None:
         self.settings = settings
-        self._exposed: Exposed | None = None
+        self._exposed: MetricsExporter | None = None
 
     def register(self, prefix: str, counts: Any, gauges: Callable[[], dict[str, float]]) -> None:
         """Exposes numbers that a part keeps.
@@ -37,43 +37,43 @@
             counts: Numbers that only grow: a dataclass, a dictionary, or what returns one.
             gauges: Returns the numbers that stand now.
         """
-        self._open().numbers(prefix, counts, gauges)
+        self._open().add_numbers(prefix, counts, gauges)
 
     def register_record(self, coordinator: RecordCoordinator) -> None:
         """Exposes the counts of the record and how long its writes take."""
         exposed = self._open()
-        coordinator.observer.observe_claim = exposed.histogram(
+        coordinator.observer.observe_claim = exposed.add_histogram(
             "burlloom_record_claim_seconds", "from a claim's posting to its word"
         )
-        coordinator.observer.observe_finish = exposed.histogram(
+        coordinator.observer.observe_finish = exposed.add_histogram(
             "burlloom_record_finish_seconds", "from an end's posting to its word"
         )
-        exposed.numbers(
+        exposed.add_numbers(
             "burlloom_record", coordinator.counters.as_metrics, lambda: record_gauges(coordinator)
         )
 
     def write_only_while(self, is_wanted: Callable[[], bool]) -> None:
         """Has the metrics' file written seldom while this returns False."""
-        self._open().is_wanted = is_wanted
+        self._open().allows_optional_writes = is_wanted
 
     def close(self) -> None:
         """Writes the file a last time and stops listening."""
         if self._exposed is not None:
             self._exposed.close()
 
-    def _open(self) -> Exposed:
+    def _open(self) -> MetricsExporter:
         if self._exposed is None:
             self._exposed = open_exposition(self.settings)
         return self._exposed
 
 
-def open_exposition(settings: Metrics) -> Exposed:
+def open_exposition(settings: Metrics) -> MetricsExporter:
     """Starts writing and serving metrics as the operator's file says.
 
     Raises:
         StoreRefusedError: The address to listen at can't be used.
     """
-    from ..metrics import Exposed
+    from ..metrics import MetricsExporter
 
     address = None
     if settings.listen is not None:
@@ -81,7 +81,7 @@
         address = host, int(port)
     path = Path(settings.file) if settings.file is not None else None
     try:
-        return Exposed(path, settings.every_ms / MS_PER_SECOND, address)
+        return MetricsExporter(path, settings.every_ms / MS_PER_SECOND, address)
     except OSError as error:
         raise StoreRefusedError(f"metrics.listen: {settings.listen}: {error.strerror}") from error
 
--- a/burlloom/settings/__init__.py
+++ b/burlloom/settings/__init__.py
@@ -1,4 +1,4 @@
-"""What a server is told of itself, decoded once for whichever host runs the decisions."""
+"""Parses the settings of a server for all hosts that run the admission decisions."""
 
 from .parser import (
     IDEMPOTENCY_KINDS,
--- a/burlloom/settings/parser.py
+++ b/burlloom/settings/parser.py
@@ -1,7 +1,7 @@
-"""Maps the keys of a settings document to `ServerSettings` and gauges.
+"""Maps the keys of a settings document to `ServerSettings`, and named values to gauges.
 
-The keys are those of the simulator's wire and of the server's configuration file; all times in it
-are microseconds. No other module of the decisions knows them.
+The simulator's wire and the server's configuration file share the keys; all times in a document are
+in microseconds. No other module of the decisions uses the keys.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -31,7 +31,7 @@
     "dedup": Idempotency.KEYED,
     "fragile": Idempotency.NON_IDEMPOTENT,
 }
-"""By the word of a category's `idempotency`."""
+"""The kind of idempotency by the value of a category's key `idempotency`."""
 
 LOAD_REPORT_KINDS = {
     "off": LoadReportKind.NONE,
@@ -39,7 +39,7 @@
     "allowance": LoadReportKind.CONCURRENCY_ALLOWANCE,
     "weight": LoadReportKind.ROUTING_WEIGHT,
 }
-"""By the word of `extra.say`."""
+"""The kind of load report by the value of the key `extra.say`."""
 
 GAUGE_FIELDS = {
     "core_use": "cpu_utilization",
@@ -47,18 +47,18 @@
     "heap_share": "memory_utilization",
     "links": "connections",
 }
-"""The field of `Gauges` by the name of a meter."""
+"""The field of `Gauges` by the name of its meter."""
 
 SHARED_DEPENDENCY = "one_for_all"
-"""The word of `extra.depends_on` where the whole fleet calls one dependency."""
+"""The value of `extra.depends_on` if all servers of the fleet call the same dependency."""
 
 
 class SettingsDocument(NamedTuple):
-    """What a settings document says.
+    """A parsed settings document.
 
     Attributes:
-        server: the settings that the decisions read.
-        meters: the names of the gauges, in the order in which their values come.
+        server: The settings that the decisions read.
+        meters: Names of the meters, in the order in which their values are sent.
     """
 
     server: ServerSettings
@@ -66,29 +66,30 @@
 
 
 def parse_gauges(meters: Iterable[str], values: Sequence[float]) -> Gauges:
-    """Puts measured values into gauges; meters that the decisions do not read are passed over.
+    """Returns measured values as gauges; meters that the decisions do not read are ignored.
 
     Args:
-        meters: the names of the values.
-        values: one for each name.
+        meters: Names of the meters.
+        values: One value for each meter.
 
     Raises:
-        ValueError: there are more names than values, or fewer.
+        ValueError: The number of values is not that of the meters.
     """
     measured = zip(meters, values, strict=True)
     return Gauges(**{GAUGE_FIELDS[name]: value for name, value in measured if name in GAUGE_FIELDS})
 
 
 def parse_server_settings(document: Mapping[str, Any]) -> SettingsDocument:
-    """Reads a settings document.
+    """Parses a settings document.
 
     Args:
-        document: the JSON object, with the parts `categories`, `rules`, `extra` and maybe `limits`.
+        document: The JSON object, with the keys `categories`, `rules`, `extra` and optionally
+            `limits`.
 
     Raises:
-        KeyError: a key that is needed is not there, or a word is unknown.
-        TypeError: a value has the wrong type.
-        ValueError: a value is out of its range.
+        KeyError: A required key is missing, or a value that names a kind is unknown.
+        TypeError: A value has the wrong type.
+        ValueError: A value is not a number where one is required.
     """
     extra, rules = document["extra"], document["rules"]
     is_shared = extra.get("depends_on") == SHARED_DEPENDENCY
@@ -117,7 +118,7 @@
 def _request_classes(
     categories: Sequence[Mapping[str, Any]], extra: Mapping[str, Any]
 ) -> tuple[RequestClass, ...]:
-    shares = extra.get("class_skip_worth") or []
+    value_shares = extra.get("class_skip_worth") or []
     return tuple(
         RequestClass(
             latency_objective_ns=int(category["aim"]) * NS_PER_US,
@@ -126,23 +127,25 @@
             idempotency=IDEMPOTENCY_KINDS[category["idempotency"]],
             idempotency_window_ns=_duration_ns(category, "window"),
             late_value_share=_number(category, "late_share"),
-            value_share_without_call=float(shares[at]) if at < len(shares) else 0.0,
+            value_share_without_call=float(value_shares[index])
+            if index < len(value_shares)
+            else 0.0,
             value=float(category["worth"]),
         )
-        for at, category in enumerate(categories)
+        for index, category in enumerate(categories)
     )
 
 
 def _max_retry_after_ns(limits: Mapping[str, Any]) -> int:
-    """The longest retry-after that callers honour; 0 where they honour none."""
+    """Returns the longest retry-after that callers honour, in ns; 0 if they honour none."""
     return _duration_ns(limits, "max_retry_after") if limits.get("retry_after", True) else 0
 
 
 def _number(part: Mapping[str, Any], key: str) -> float:
-    """A number; an absent or empty one is 0."""
+    """Returns a number; 0 if the key is absent or its value is empty."""
     return float(part.get(key) or 0.0)
 
 
 def _duration_ns(part: Mapping[str, Any], key: str) -> int:
-    """A duration; an absent or empty one is 0."""
+    """Returns a duration in ns; 0 if the key is absent or its value is empty."""
     return int(part.get(key) or 0) * NS_PER_US
