--- a/burlloom/bench_adapter/__init__.py
+++ b/burlloom/bench_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the simulator's wire and the decisions."""
+"""The adapter between the simulator's wire protocol and the admission decisions."""
--- a/burlloom/bench_adapter/__main__.py
+++ b/burlloom/bench_adapter/__main__.py
@@ -1,6 +1,6 @@
-"""Reads batches on standard input and answers each on standard output.
+"""Reads batches of events on standard input and answers each on standard output.
 
-Exit status 2 means that the input could not be read; standard error says why.
+Exit status 2 means that the input was invalid; standard error has the reason.
 """
 
 import sys
@@ -10,38 +10,39 @@
 from .errors import FramingError, WireError
 from .host import Host
 
-EXIT_UNREADABLE_INPUT = 2
+EXIT_INVALID_INPUT = 2
 
 
-def serve(source: BinaryIO, sink: BinaryIO) -> None:
+def serve(input_stream: BinaryIO, output: BinaryIO) -> None:
     """Answers batches until the input ends.
 
     Args:
-        source: batches, each from its first line to its end line.
-        sink: one reply for each batch, flushed at once since the other side waits for it.
+        input_stream: The batches, each from its start line to its end line.
+        output: Receives one reply for each batch, flushed at once because the simulator waits for
+            it.
 
     Raises:
-        WireError: something can't be read.
-        UnicodeDecodeError: a line is not UTF-8.
+        WireError: The input is not a sequence of valid batches.
+        UnicodeDecodeError: A line is not UTF-8.
     """
     host = Host()
-    now: int | None = None
+    now_ns: int | None = None
     lines: list[str] = []
-    for raw in source:
-        line = raw.decode("utf-8").rstrip("\r\n")
-        if now is None:
+    for raw_line in input_stream:
+        line = raw_line.decode("utf-8").rstrip("\r\n")
+        if now_ns is None:
             if line:
-                now = decode_batch_start(line)
+                now_ns = decode_batch_start(line)
         elif line == BATCH_END:
-            actions = host.run_batch(now, lines)
+            actions = host.run_batch(now_ns, lines)
             actions.append(REPLY_END)
-            sink.write("\n".join(actions).encode("utf-8"))
-            sink.flush()
-            now = None
+            output.write("\n".join(actions).encode("utf-8"))
+            output.flush()
+            now_ns = None
             lines.clear()
         else:
             lines.append(line)
-    if now is not None:
+    if now_ns is not None:
         raise FramingError("input ended inside a batch")
 
 
@@ -55,7 +56,7 @@
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, UnicodeDecodeError) as error:
         print(f"burlloom.bench_adapter: {error}", file=sys.stderr)
-        return EXIT_UNREADABLE_INPUT
+        return EXIT_INVALID_INPUT
     return 0
 
 
--- a/burlloom/bench_adapter/codec.py
+++ b/burlloom/bench_adapter/codec.py
@@ -1,7 +1,7 @@
-"""The simulator's wire as text: lines to typed events, actions to lines.
+"""Codec of the simulator's text protocol: decodes lines to events and encodes actions to lines.
 
-All words of the wire stand here and nowhere else. Times are microseconds on the wire and
-nanoseconds in events; an absent value is `-`. Nothing here decides anything.
+All names of the protocol are defined here and nowhere else. Times are in microseconds on the wire
+and in nanoseconds in events; `-` stands for an absent value.
 """
 
 import json
@@ -13,10 +13,9 @@
 from ..admission.model import Outcome
 from ..settings import NS_PER_US, SettingsDocument, parse_server_settings
 from .errors import (
-    SHOWN_NAME_CHARACTERS,
     FramingError,
+    InvalidValueError,
     UnknownMessageError,
-    UnreadableValueError,
     ValueCountError,
 )
 
@@ -44,7 +43,10 @@
 REPLY_END = "EOR\n"
 ABSENT = "-"
 NO_ORIGINAL_NAMES = (ABSENT, "0")
+"""Names of the original attempt of a request that is not a repeat."""
+
 COST_IS_VALID_FLAG = 1
+"""Bit of a request's flags: its cost is valid."""
 
 OUTCOMES = {
     "Ok": Outcome.OK,
@@ -59,15 +61,15 @@
 
 
 class Action(Enum):
-    """What an instance may do, by its word on the wire."""
+    """The actions of an instance, with their names on the wire."""
 
     START_RUN = "ADMIT"
     REJECT = "REFUSE"
     FAIL = "END_FAILED"
     START_CALL = "DIAL"
     SKIP_CALL = "GO_ON"
-    REMEMBER = "STORE_KEY"
-    FORGET = "UNPIN"
+    KEEP_KEY = "STORE_KEY"
+    FORGET_KEY = "UNPIN"
     REUSE_RESULT = "ANSWER_FROM"
     SET_HEALTH = "SET_HEALTH"
     REPORT_LOAD = "STAMP"
@@ -82,12 +84,12 @@
     """An incarnation of a server begins.
 
     Attributes:
-        instance: the instance.
-        seed: of its random draws.
-        document: its settings.
+        instance: Name of the instance.
+        seed: Seed of the instance's random numbers.
+        document: Settings of the instance.
     """
 
-    NAME: ClassVar[str] = "BOOT"
+    WIRE_NAME: ClassVar[str] = "BOOT"
     instance: str
     seed: int
     document: SettingsDocument
@@ -95,13 +97,13 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceKilled:
-    """An incarnation of a server is over.
+    """An incarnation of a server has ended.
 
     Attributes:
-        instance: the instance.
+        instance: Name of the instance.
     """
 
-    NAME: ClassVar[str] = "KILLED"
+    WIRE_NAME: ClassVar[str] = "KILLED"
     instance: str
 
 
@@ -110,19 +112,19 @@
     """A request was read.
 
     Attributes:
-        instance: the instance.
-        name: the request.
-        caller: its caller's name.
-        request_class: the index of its class.
-        cost_ns: what its caller thinks that a run takes; 0 for none.
-        unread_ns: how long it lay unread.
-        deadline_at_ns: when its caller gives it up; 0 for none.
-        memory_kb: its size.
-        priority: 0 to 1.
-        original: the attempt that it repeats; "" for none.
+        instance: Name of the instance.
+        name: Name of the request.
+        caller: Name of the caller.
+        request_class: Index of the request's class.
+        cost_ns: The caller's estimate of the time of a run, ns; 0 for none.
+        unread_ns: How long the request waited to be read, ns.
+        deadline_at_ns: When the caller abandons the request, ns; 0 for never.
+        memory_kb: Size of the request, KB.
+        priority: Priority of the request, from 0 to 1.
+        original: Name of the attempt that the request repeats; empty for none.
     """
 
-    NAME: ClassVar[str] = "ASK"
+    WIRE_NAME: ClassVar[str] = "ASK"
     instance: str
     name: str
     caller: str
@@ -140,13 +142,13 @@
     """A run ended.
 
     Attributes:
-        instance: the instance.
-        name: the request.
-        outcome: how it ended.
-        duration_ns: the time that it took.
+        instance: Name of the instance.
+        name: Name of the request.
+        outcome: Outcome of the run.
+        duration_ns: Duration of the run, ns.
     """
 
-    NAME: ClassVar[str] = "COMPLETED"
+    WIRE_NAME: ClassVar[str] = "COMPLETED"
     instance: str
     name: str
     outcome: Outcome
@@ -155,14 +157,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRequested:
-    """A run wants to call.
+    """A run needs its downstream call.
 
     Attributes:
-        instance: the instance.
-        name: the request.
+        instance: Name of the instance.
+        name: Name of the request.
     """
 
-    NAME: ClassVar[str] = "NEEDS"
+    WIRE_NAME: ClassVar[str] = "NEEDS"
     instance: str
     name: str
 
@@ -172,13 +174,13 @@
     """A call ended.
 
     Attributes:
-        instance: the instance.
-        name: the request.
-        outcome: how it ended.
-        duration_ns: the time that it took.
+        instance: Name of the instance.
+        name: Name of the request.
+        outcome: Outcome of the call.
+        duration_ns: Duration of the call, ns.
     """
 
-    NAME: ClassVar[str] = "CALL_DONE"
+    WIRE_NAME: ClassVar[str] = "CALL_DONE"
     instance: str
     name: str
     outcome: Outcome
@@ -187,43 +189,43 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerGone:
-    """Nobody waits for the answer any more.
+    """The caller no longer waits for the answer.
 
     Attributes:
-        instance: the instance.
-        name: the request.
+        instance: Name of the instance.
+        name: Name of the request.
     """
 
-    NAME: ClassVar[str] = "LEFT"
+    WIRE_NAME: ClassVar[str] = "LEFT"
     instance: str
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class DrainNoticed:
-    """The instance is asked to stop.
+    """The instance has been told that it will be stopped.
 
     Attributes:
-        instance: the instance.
-        stop_at_ns: when it stops.
+        instance: Name of the instance.
+        stop_at_ns: When the instance is stopped, ns.
     """
 
-    NAME: ClassVar[str] = "WIND_DOWN"
+    WIRE_NAME: ClassVar[str] = "WIND_DOWN"
     instance: str
     stop_at_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the instance asked for.
+    """A timer of the instance has fired.
 
     Attributes:
-        instance: the instance.
-        handle: as it was given.
-        measured: the values of the instance's meters; `None` where there are none.
+        instance: Name of the instance.
+        handle: The timer's handle, as the instance scheduled it.
+        measured: Values of the instance's meters; None if the message has none.
     """
 
-    NAME: ClassVar[str] = "WAKE"
+    WIRE_NAME: ClassVar[str] = "WAKE"
     instance: str
     handle: int
     measured: tuple[float, ...] | None
@@ -243,45 +245,45 @@
 
 
 def decode_batch_start(line: str) -> int:
-    """The host's clock (ns) that a batch begins with.
+    """Decodes the start line of a batch; returns the time of the host's clock, ns.
 
     Raises:
-        FramingError: the line does not begin a batch.
-        UnreadableValueError: the clock can't be read.
+        FramingError: The line does not begin a batch.
+        InvalidValueError: The time is invalid.
     """
     name, _, clock = line.partition(" ")
     if name != BATCH_START:
-        raise FramingError(f"expected {BATCH_START}, got {name[:SHOWN_NAME_CHARACTERS]!r}")
+        raise FramingError(f"expected {BATCH_START}, got {name[:MAX_SHOWN_NAME_CHARACTERS]!r}")
     try:
         return int(clock) * NS_PER_US
     except ValueError as error:
-        raise UnreadableValueError(BATCH_START, error) from error
+        raise InvalidValueError(BATCH_START, error) from error
 
 
 def decode_event(line: str) -> Event:
-    """Reads the line of one event.
+    """Decodes the line of one event.
 
     Raises:
-        UnknownMessageError: the wire has no such event.
-        ValueCountError: it has more values than it takes, or fewer.
-        UnreadableValueError: a value can't be used.
+        UnknownMessageError: There is no event of that name.
+        ValueCountError: The event has the wrong number of values.
+        InvalidValueError: A value is invalid.
     """
     name = line.split(" ", 1)[0]
     if name not in DECODERS:
         raise UnknownMessageError(name)
-    wanted, decode = DECODERS[name]
-    # The last value of a start is text to the end of the line.
-    values = line.split(" ", wanted) if decode is _instance_started else line.split(" ")
-    if len(values) != wanted + 1:
-        raise ValueCountError(name, wanted, len(values) - 1)
+    expected_count, decode = DECODERS[name]
+    # The last value of an instance's start is a JSON text up to the end of the line.
+    values = line.split(" ", expected_count) if decode is _instance_started else line.split(" ")
+    if len(values) != expected_count + 1:
+        raise ValueCountError(name, expected_count, len(values) - 1)
     try:
         return decode(values[1:])
     except (ValueError, KeyError, TypeError) as error:
-        raise UnreadableValueError(name, error) from error
+        raise InvalidValueError(name, error) from error
 
 
 def encode_action(action: Action, instance: str, *values: object) -> str:
-    """The line of an action, without its end."""
+    """Returns the line of an action, without the line end."""
     return " ".join((action.value, instance, *map(str, values)))
 
 
@@ -369,14 +371,14 @@
 
 
 DECODERS: dict[str, tuple[int, Callable[[list[str]], Event]]] = {
-    InstanceStarted.NAME: (3, _instance_started),
-    InstanceKilled.NAME: (1, _instance_killed),
-    RequestRead.NAME: (13, _request_read),
-    RunEnded.NAME: (4, _run_ended),
-    CallRequested.NAME: (2, _call_requested),
-    CallEnded.NAME: (4, _call_ended),
-    CallerGone.NAME: (2, _caller_gone),
-    DrainNoticed.NAME: (2, _drain_noticed),
-    TimerFired.NAME: (3, _timer_fired),
+    InstanceStarted.WIRE_NAME: (3, _instance_started),
+    InstanceKilled.WIRE_NAME: (1, _instance_killed),
+    RequestRead.WIRE_NAME: (13, _request_read),
+    RunEnded.WIRE_NAME: (4, _run_ended),
+    CallRequested.WIRE_NAME: (2, _call_requested),
+    CallEnded.WIRE_NAME: (4, _call_ended),
+    CallerGone.WIRE_NAME: (2, _caller_gone),
+    DrainNoticed.WIRE_NAME: (2, _drain_noticed),
+    TimerFired.WIRE_NAME: (3, _timer_fired),
 }
-"""For each event, how many values it takes, and what reads them."""
+"""The number of values and the decoder of each event, by its name on the wire."""
--- a/burlloom/bench_adapter/errors.py
+++ b/burlloom/bench_adapter/errors.py
@@ -1,94 +1,95 @@
-"""Errors of the simulator's wire: what the other side sent that the wire does not have."""
+"""Errors in messages of the simulator."""
 
 from ..errors import BurlloomError
 
 __all__ = [
     "FramingError",
     "UnknownMessageError",
-    "UnreadableValueError",
+    "InvalidValueError",
     "ValueCountError",
     "WireError",
 ]
 
-SHOWN_NAME_CHARACTERS = 40
+MAX_SHOWN_NAME_CHARACTERS = 40
+"""Characters of an unknown name that a message shows."""
 
 
 class WireError(BurlloomError):
-    """Base of the errors of this wire. None can be recovered from: the adapter ends."""
+    """Base of the errors in messages of the simulator. The adapter ends at each of them."""
 
 
 class FramingError(WireError):
     """The input is not a sequence of batches.
 
     Attributes:
-        problem: what was met instead.
+        problem: What was found instead.
     """
 
     def __init__(self, problem: str) -> None:
-        """Makes the error.
+        """Creates the error.
 
         Args:
-            problem: what was met instead.
+            problem: What was found instead.
         """
         super().__init__(problem)
         self.problem = problem
 
 
 class UnknownMessageError(WireError):
-    """A line begins with a name that the wire does not have.
+    """A line begins with an unknown message name.
 
     Attributes:
-        name: the name.
+        name: The name.
     """
 
     def __init__(self, name: str) -> None:
-        """Makes the error.
+        """Creates the error.
 
         Args:
-            name: the name.
+            name: The name.
         """
-        super().__init__(f"unknown message {name[:SHOWN_NAME_CHARACTERS]!r}")
+        super().__init__(f"unknown message {name[:MAX_SHOWN_NAME_CHARACTERS]!r}")
         self.name = name
 
 
 class ValueCountError(WireError):
-    """A message has more values than it takes, or fewer.
+    """A message has the wrong number of values.
 
     Attributes:
-        name: the message.
-        wanted: how many it takes.
-        got: how many it has.
+        name: The message's name.
+        expected_count: Number of values that the message must have.
+        actual_count: Number of values that the message has.
     """
 
-    def __init__(self, name: str, wanted: int, got: int) -> None:
-        """Makes the error.
+    def __init__(self, name: str, expected_count: int, actual_count: int) -> None:
+        """Creates the error.
 
         Args:
-            name: the message.
-            wanted: how many values it takes.
-            got: how many it has.
+            name: The message's name.
+            expected_count: Number of values that the message must have.
+            actual_count: Number of values that the message has.
         """
-        super().__init__(f"{name} takes {wanted} values, got {got}")
+        super().__init__(f"{name} takes {expected_count} values, got {actual_count}")
         self.name = name
-        self.wanted = wanted
-        self.got = got
+        self.expected_count = expected_count
+        self.actual_count = actual_count
 
 
-class UnreadableValueError(WireError):
-    """A value of a message can't be used.
+class InvalidValueError(WireError):
+    """A value of a message is invalid.
 
     Attributes:
-        name: the message.
-        reason: what is wrong with the value.
+        name: The message's name.
+        reason: The error of the value's parser.
     """
 
     def __init__(self, name: str, reason: Exception) -> None:
-        """Makes the error.
+        """Creates the error.
 
         Args:
-            name: the message.
-            reason: what is wrong with the value.
+            name: The message's name.
+            reason: The error of the value's parser.
         """
-        super().__init__(f"{name}: unreadable value ({reason})")
+        super().__init__(f"{name}: invalid value ({reason})")
         self.name = name
         self.reason = reason
--- a/burlloom/bench_adapter/host.py
+++ b/burlloom/bench_adapter/host.py
@@ -1,7 +1,7 @@
-"""Carries events of the wire to one controller for each instance, and its effects back as actions.
+"""Passes events of the wire to the controller of their instance, and its effects back as actions.
 
-A request has a name on the wire and a number (reference) in the decisions; each `Instance` maps
-one to the other.
+A request has a name on the wire and a reference, which is a number, in the decisions; each
+`Instance` maps one to the other.
 """
 
 from ..admission.controller import AdmissionController
@@ -22,36 +22,37 @@
     decode_event,
     encode_action,
 )
-from .errors import UnreadableValueError, WireError
+from .errors import InvalidValueError, WireError
 
 __all__ = ["Host", "Instance"]
 
 UNKNOWN_REF = -1
-"""Of a request that the instance does not know; the decisions pass it over."""
+"""Reference of a request that the instance does not know; the decisions ignore it."""
 
 FORMER_INCARNATION_REF = -2
-"""Of an original attempt that this incarnation was never given."""
+"""Reference of an original attempt that this incarnation has not received."""
 
-ANSWERED_FROM_STORE = 1
+IS_STORED_ANSWER_FLAG = 1
+"""Second value of a health action: health checks get the stored answer without a decision."""
 
 
 class Instance:
     """One incarnation of a simulated server; implements `admission.model.Effects`.
 
     Attributes:
-        name: the instance on the wire.
-        actions: the lines of what was decided and not yet taken out.
-        controller: the decisions.
+        name: Name of the instance on the wire.
+        actions: Lines of the actions that the host has not fetched.
+        controller: The admission decisions.
     """
 
-    def __init__(self, name: str, seed: int, document: SettingsDocument, now: int) -> None:
-        """Makes an instance that has not been started yet.
+    def __init__(self, name: str, seed: int, document: SettingsDocument, now_ns: int) -> None:
+        """Creates an instance; its controller has yet to be started.
 
         Args:
-            name: the instance on the wire.
-            seed: of its random draws.
-            document: its settings.
-            now: the host's clock in ns.
+            name: Name of the instance on the wire.
+            seed: Seed of the instance's random numbers.
+            document: Settings of the instance.
+            now_ns: The time, ns on the host's clock.
         """
         self.name = name
         self.actions: list[str] = []
@@ -61,16 +62,14 @@
         self._callers: dict[str, int] = {}
         self._released: list[int] = []
         self._next_ref = 0
-        self.controller = AdmissionController(document.server, seed, self, now)
+        self.controller = AdmissionController(document.server, seed, self, now_ns)
 
-    # Names and numbers.
-
-    def ref(self, request_name: str) -> int:
-        """The number of a request, or `UNKNOWN_REF`."""
+    def find_ref(self, request_name: str) -> int:
+        """Returns the reference of a request, or `UNKNOWN_REF`."""
         return self._refs.get(request_name, UNKNOWN_REF)
 
-    def request(self, event: RequestRead) -> Request:
-        """Gives a request its number."""
+    def register_request(self, event: RequestRead) -> Request:
+        """Assigns a reference to a request that was read, and returns the request."""
         original_ref = NO_ORIGINAL
         if event.original:
             original_ref = self._refs.get(event.original, FORMER_INCARNATION_REF)
@@ -90,139 +89,142 @@
             original_ref=original_ref,
         )
 
-    def gauges(self, event: TimerFired) -> Gauges:
-        """The gauges of a timer round.
+    def decode_gauges(self, event: TimerFired) -> Gauges:
+        """Returns the gauges of a timer event.
 
         Raises:
-            UnreadableValueError: there are more values than meters, or fewer.
+            InvalidValueError: The number of values is not that of the instance's meters.
         """
         if event.measured is None:
             return Gauges()
         try:
             return parse_gauges(self._meters, event.measured)
         except ValueError as error:
-            raise UnreadableValueError(event.NAME, error) from error
+            raise InvalidValueError(event.WIRE_NAME, error) from error
 
-    def apply(self, now: int, event: Event) -> None:
-        """Hands an event to the decisions.
+    def apply(self, now_ns: int, event: Event) -> None:
+        """Passes an event to the controller.
 
         Args:
-            now: the host's clock in ns.
-            event: any but the start and the end of an instance.
+            now_ns: The time, ns on the host's clock.
+            event: Any event but the start and the end of an instance.
 
         Raises:
-            UnreadableValueError: the gauges do not fit the instance's meters.
+            InvalidValueError: The number of values is not that of the instance's meters.
         """
         controller = self.controller
         match event:
             case RequestRead():
-                controller.request_arrived(now, self.request(event))
+                controller.request_arrived(now_ns, self.register_request(event))
             case RunEnded(name=name, outcome=outcome, duration_ns=duration_ns):
-                controller.run_ended(now, self.ref(name), outcome, duration_ns)
+                controller.run_ended(now_ns, self.find_ref(name), outcome, duration_ns)
             case CallRequested(name=name):
-                controller.call_requested(now, self.ref(name))
+                controller.call_requested(now_ns, self.find_ref(name))
             case CallEnded(name=name, outcome=outcome, duration_ns=duration_ns):
-                controller.call_ended(now, self.ref(name), outcome, duration_ns)
+                controller.call_ended(now_ns, self.find_ref(name), outcome, duration_ns)
             case CallerGone(name=name):
-                controller.caller_gone(now, self.ref(name))
+                controller.caller_gone(now_ns, self.find_ref(name))
             case DrainNoticed(stop_at_ns=stop_at_ns):
-                controller.drain(now, now, stop_at_ns)
+                controller.drain(now_ns, now_ns, stop_at_ns)
             case TimerFired(handle=handle):
-                controller.timer_fired(now, handle, self.gauges(event))
+                controller.timer_fired(now_ns, handle, self.decode_gauges(event))
 
     def forget_released(self) -> None:
-        """Forgets released requests; after a batch only, as a later event of it may name them."""
+        """Forgets released requests.
+
+        Called only after a batch, since a later event of the same batch may still name them.
+        """
         for ref in self._released:
             self._refs.pop(self._request_names.pop(ref), None)
         self._released.clear()
 
-    # Effects, called by the decisions.
+    # Implementation of `admission.model.Effects`.
 
     def start_run(self, ref: int) -> None:
-        """Admits the request."""
-        self._act(Action.START_RUN, self._request_names[ref])
+        """Runs the request."""
+        self._append_action(Action.START_RUN, self._request_names[ref])
 
     def reject(self, ref: int, retry_after_ns: int, is_final: bool) -> None:
-        """Refuses the request."""
+        """Rejects the request."""
         retry_after_us = retry_after_ns // NS_PER_US
-        self._act(Action.REJECT, self._request_names[ref], retry_after_us, int(is_final))
+        self._append_action(Action.REJECT, self._request_names[ref], retry_after_us, int(is_final))
 
     def fail(self, ref: int) -> None:
-        """Ends the request with an error."""
-        self._act(Action.FAIL, self._request_names[ref])
+        """Answers the request with an error."""
+        self._append_action(Action.FAIL, self._request_names[ref])
 
     def start_call(self, ref: int, stop_at_ns: int) -> None:
-        """Makes the run's call."""
-        self._act(Action.START_CALL, self._request_names[ref], stop_at_ns // NS_PER_US)
+        """Makes the run's downstream call, which is abandoned at `stop_at_ns`."""
+        self._append_action(Action.START_CALL, self._request_names[ref], stop_at_ns // NS_PER_US)
 
     def skip_call(self, ref: int) -> None:
-        """Lets the run go on without its call."""
-        self._act(Action.SKIP_CALL, self._request_names[ref])
+        """Lets the run continue without its call."""
+        self._append_action(Action.SKIP_CALL, self._request_names[ref])
 
     def keep_key(self, ref: int, lifetime_ns: int) -> None:
-        """Stores the request's key."""
-        self._act(Action.REMEMBER, self._request_names[ref], lifetime_ns // NS_PER_US)
+        """Keeps the request's key for `lifetime_ns`."""
+        self._append_action(Action.KEEP_KEY, self._request_names[ref], lifetime_ns // NS_PER_US)
 
     def forget_key(self, ref: int) -> None:
         """Forgets the request's key."""
-        self._act(Action.FORGET, self._request_names[ref])
+        self._append_action(Action.FORGET_KEY, self._request_names[ref])
 
     def reuse_result(self, ref: int) -> None:
-        """Answers from the original attempt."""
-        self._act(Action.REUSE_RESULT, self._request_names[ref])
+        """Answers with the result of the original attempt."""
+        self._append_action(Action.REUSE_RESULT, self._request_names[ref])
 
     def set_health(self, is_healthy: bool) -> None:
-        """Sets the answer to health checks, which is given from store."""
-        self._act(Action.SET_HEALTH, int(is_healthy), ANSWERED_FROM_STORE)
+        """Sets the stored answer to health checks."""
+        self._append_action(Action.SET_HEALTH, int(is_healthy), IS_STORED_ANSWER_FLAG)
 
     def report_load(self, value: float) -> None:
         """Sets the load report."""
-        self._act(Action.REPORT_LOAD, f"{value:.4f}")
+        self._append_action(Action.REPORT_LOAD, f"{value:.4f}")
 
     def report_trial_load(self, value: float) -> None:
-        """Never called: no service levels are set on this wire."""
-        raise NotImplementedError("no levels of service are set on this wire")
+        """Never called, since the wire sets no service levels."""
+        raise NotImplementedError("the simulator's wire sets no service levels")
 
     def set_idle_timeout(self, idle_timeout_ns: int) -> None:
-        """Sets how long a connection may idle."""
-        self._act(Action.SET_IDLE_TIMEOUT, idle_timeout_ns // NS_PER_US)
+        """Sets for how long a connection may idle."""
+        self._append_action(Action.SET_IDLE_TIMEOUT, idle_timeout_ns // NS_PER_US)
 
     def schedule_timer(self, delay_ns: int, handle: int) -> None:
-        """Asks for a timer."""
-        self._act(Action.SCHEDULE_TIMER, delay_ns // NS_PER_US, handle)
+        """Schedules a timer."""
+        self._append_action(Action.SCHEDULE_TIMER, delay_ns // NS_PER_US, handle)
 
     def log(self, text: str) -> None:
-        """Writes to the simulator's log."""
-        self._act(Action.LOG, text)
+        """Writes a line to the simulator's log."""
+        self._append_action(Action.LOG, text)
 
     def release(self, ref: int) -> None:
-        """Marks the request as released."""
+        """Marks the request as released; `forget_released` forgets it."""
         self._released.append(ref)
 
-    def _act(self, action: Action, *values: object) -> None:
+    def _append_action(self, action: Action, *values: object) -> None:
         self.actions.append(encode_action(action, self.name, *values))
 
 
 class Host:
-    """All instances that the simulator has started and not killed."""
+    """The instances that the simulator has started and not killed."""
 
     def __init__(self) -> None:
-        """Hosts no instance yet."""
+        """Creates a host without instances."""
         self._instances: dict[str, Instance] = {}
 
-    def run_batch(self, now: int, lines: list[str]) -> list[str]:
-        """Hands the events of one batch to their instances.
+    def run_batch(self, now_ns: int, lines: list[str]) -> list[str]:
+        """Passes the events of one batch to their instances.
 
         Args:
-            now: the host's clock in ns.
-            lines: the events.
+            now_ns: The time, ns on the host's clock.
+            lines: The lines of the events.
 
         Returns:
-            The lines of the actions, in the order in which they were taken. After a defect of the
-            decisions its report is the last, and the rest of the batch is not handed on.
+            The lines of the actions, in the order of the decisions. If the decisions raise an
+            error, its report is the last line, and the remaining events are dropped.
 
         Raises:
-            WireError: a line can't be read.
+            WireError: A line is invalid.
         """
         actions: list[str] = []
         touched: dict[str, Instance] = {}
@@ -232,14 +234,15 @@
                 self._instances.pop(event.instance, None)
                 continue
             if not isinstance(event, InstanceStarted):
-                self._check_started(event)
+                self._require_started(event)
             try:
-                instance = self._apply(now, event)
+                instance = self._apply(now_ns, event)
             except WireError:
                 raise
             except Exception as error:
-                # A defect of the decisions: the simulator wants it by the name of the instance.
-                report = describe_defect(error)
+                # Any other error is a defect of the decisions, reported to the simulator under the
+                # name of the instance.
+                report = format_defect(error)
                 actions.append(encode_action(Action.REPORT_DEFECT, event.instance, report))
                 return actions
             touched[event.instance] = instance
@@ -249,29 +252,29 @@
             instance.forget_released()
         return actions
 
-    def _check_started(self, event: Event) -> None:
+    def _require_started(self, event: Event) -> None:
         name = event.instance
         if name not in self._instances:
             try:
                 int(name)
             except ValueError as error:
-                raise UnreadableValueError(event.NAME, error) from error
+                raise InvalidValueError(event.WIRE_NAME, error) from error
             problem = ValueError(f"instance {name} has not been started")
-            raise UnreadableValueError(event.NAME, problem)
+            raise InvalidValueError(event.WIRE_NAME, problem)
 
-    def _apply(self, now: int, event: Event) -> Instance:
+    def _apply(self, now_ns: int, event: Event) -> Instance:
         if isinstance(event, InstanceStarted):
-            instance = Instance(event.instance, event.seed, event.document, now)
+            instance = Instance(event.instance, event.seed, event.document, now_ns)
             self._instances[event.instance] = instance
-            instance.controller.start(now)
+            instance.controller.start(now_ns)
         else:
             instance = self._instances[event.instance]
-            instance.apply(now, event)
+            instance.apply(now_ns, event)
         return instance
 
 
-def describe_defect(error: Exception) -> str:
-    """The type, text and place of an error, on one line."""
+def format_defect(error: Exception) -> str:
+    """Returns the type, the text and the source line of an error, on one line."""
     traceback = error.__traceback__
     while traceback is not None and traceback.tb_next is not None:
         traceback = traceback.tb_next
--- a/tests/test_bench_adapter.py
+++ b/tests/test_bench_adapter.py
@@ -8,8 +8,8 @@
 from burlloom.bench_adapter.__main__ import serve
 from burlloom.bench_adapter.errors import (
     FramingError,
+    InvalidValueError,
     UnknownMessageError,
-    UnreadableValueError,
     ValueCountError,
     WireError,
 )
@@ -35,22 +35,22 @@
         ("TURN 4", FramingError, "input ended inside a batch"),
         (
             "TURN x",
-            UnreadableValueError,
-            "TURN: unreadable value (invalid literal for int() with base 10: 'x')",
+            InvalidValueError,
+            "TURN: invalid value (invalid literal for int() with base 10: 'x')",
         ),
         ("TURN 1\nHUH 4\nFLUSH", UnknownMessageError, "unknown message 'HUH'"),
         ("TURN 1\nASK 1 2\nFLUSH", ValueCountError, "ASK takes 13 values, got 2"),
         (
             "TURN 1\nNEEDS 4 c:1\nFLUSH",
-            UnreadableValueError,
-            "NEEDS: unreadable value (instance 4 has not been started)",
+            InvalidValueError,
+            "NEEDS: invalid value (instance 4 has not been started)",
         ),
         (
             "TURN 1\nBOOT -1 2 {}\nFLUSH",
-            UnreadableValueError,
-            "BOOT: unreadable value (instance -1)",
+            InvalidValueError,
+            "BOOT: invalid value (instance -1)",
         ),
-        ("TURN 1\nBOOT 1 2 {}\nFLUSH", UnreadableValueError, "BOOT: unreadable value ('extra')"),
+        ("TURN 1\nBOOT 1 2 {}\nFLUSH", InvalidValueError, "BOOT: invalid value ('extra')"),
     ],
 )
 def test_unreadable_input_names_what_is_wrong(
