--- a/burlloom/bench_adapter/codec.py
+++ b/burlloom/bench_adapter/codec.py
@@ -13,6 +13,7 @@
 from ..admission.model import Outcome
 from ..settings import NS_PER_US, SettingsDocument, parse_server_settings
 from .errors import (
+    MAX_SHOWN_NAME_CHARACTERS,
     FramingError,
     InvalidValueError,
     UnknownMessageError,
