--- a/burlloom/bench_adapter/codec.py
+++ b/burlloom/bench_adapter/codec.py
@@ -254,7 +254,9 @@
     """
     name, _, clock = line.partition(" ")
     if name != BATCH_START:
-        raise FramingError(f"expected {BATCH_START}, got {name[:MAX_SHOWN_NAME_CHARACTERS]!r}")
+        raise FramingError(
+            f"a batch must begin with {BATCH_START}, got {name[:MAX_SHOWN_NAME_CHARACTERS]!r}"
+        )
     try:
         return int(clock) * NS_PER_US
     except ValueError as error:
@@ -303,7 +305,7 @@
 def _instance_started(values: list[str]) -> Event:
     instance, seed, document = values
     if int(instance) < 0:
-        raise ValueError(f"instance {instance}")
+        raise ValueError(f"the instance must not be negative, got {instance}")
     return InstanceStarted(instance, int(seed), parse_server_settings(json.loads(document)))
 
 
--- a/burlloom/levels/controller.py
+++ b/burlloom/levels/controller.py
@@ -69,7 +69,7 @@
 
     Attributes:
         status: The state machine's status.
-        values: The signals' values as of the last round, by name; unknown ones are absent.
+        signal_values: The signals' values as of the last round, by name; unknown ones are absent.
         pin: The operator's pin, or None.
         transition_counts: Number of transitions by effect.
         time_at_level_ns: Time spent at each level, ns, by the level's name.
@@ -113,7 +113,7 @@
         names = [level.name for level in plan.levels]
         self.status = self.state_machine.start(self._first_level(cold, previous_level), now_ns)
         self.signals = SignalAggregator()
-        self.values: dict[str, float] = {}
+        self.signal_values: dict[str, float] = {}
         self.pin: LevelPin | None = None
         self.transition_counts = dict.fromkeys(
             ("up", "down", "drop", "begin", "widen", "abort", "pin", "release"), 0
@@ -136,7 +136,7 @@
         return min(max(candidates, default=0), self.state_machine.policy.level_count - 1)
 
     @property
-    def level(self) -> str:
+    def level_name(self) -> str:
         """Returns the name of the level in force."""
         return self.plan.levels[self.status.level].name
 
@@ -171,10 +171,10 @@
         Returns:
             The transition, or None if nothing changed.
         """
-        self.time_at_level_ns[self.level] += now_ns - self.counted_until_ns
+        self.time_at_level_ns[self.level_name] += now_ns - self.counted_until_ns
         self.counted_until_ns = now_ns
         self.signals.add_readings(now_ns, readings)
-        self.values = self.signals.values(now_ns)
+        self.signal_values = self.signals.values(now_ns)
         if self.pin is not None and now_ns >= self.pin.until_ns:
             self.pin = None
         event, target, cause = self.classify_event()
@@ -209,7 +209,7 @@
         """
         status = self.status
         for signal, (enter, name) in self.plan.emergencies.items():
-            value = self.values.get(signal)
+            value = self.signal_values.get(signal)
             if value is not None and value >= enter and self.plan.level_index(name) > status.level:
                 return (
                     DegradationEvent.EMERGENCY,
@@ -229,18 +229,18 @@
         last_level, bounds = self.state_machine.policy.level_count - 1, self.bounds
         # During a trial, a signal that reaches an entry bound of this level fails the trial.
         own_bound = (
-            find_reached_bound(bounds[status.level], self.values)
+            find_reached_bound(bounds[status.level], self.signal_values)
             if status.phase is DegradationPhase.TRIAL
             else None
         )
         worse = own_bound or (
-            find_reached_bound(bounds[status.level + 1], self.values)
+            find_reached_bound(bounds[status.level + 1], self.signal_values)
             if status.level < last_level
             else None
         )
         if worse is not None:
             return DegradationEvent.WORSE, 0, worse
-        if status.level and are_all_clear(self.exit_bounds(), self.values):
+        if status.level and are_all_clear(self.exit_bounds(), self.signal_values):
             return DegradationEvent.BETTER, 0, ("calm", 0.0, 0.0)
         return DegradationEvent.SAME, 0, ("", 0.0, 0.0)
 
@@ -279,5 +279,9 @@
             return None
         self.transition_counts[change.effect] += 1
         return LevelChange(
-            change.effect, self.plan.levels[before.level].name, self.level, self.trial_share, *cause
+            change.effect,
+            self.plan.levels[before.level].name,
+            self.level_name,
+            self.trial_share,
+            *cause,
         )
--- a/burlloom/levels/state_machine.py
+++ b/burlloom/levels/state_machine.py
@@ -174,12 +174,12 @@
         )
 
     def handle(
-        self, at: DegradationStatus, event: DegradationEvent, now_ns: int, target: int = 0
+        self, before: DegradationStatus, event: DegradationEvent, now_ns: int, target: int = 0
     ) -> Transition:
         """Applies the first transition whose tests all hold.
 
         Args:
-            at: The status before the event.
+            before: The status before the event.
             event: The event.
             now_ns: The time, ns on the host's clock.
             target: Index of the level that an emergency or a pin names.
@@ -187,149 +187,156 @@
         Returns:
             The transition; its effect is empty if none applied.
         """
-        status = at._replace(
+        status = before._replace(
             recent_changes=tuple(
-                change for change in at.recent_changes if change > now_ns - NS_PER_MINUTE
+                change for change in before.recent_changes if change > now_ns - NS_PER_MINUTE
             )
         )
-        for tests, phase, effect in RULES.get((at.phase, event), ()):
+        for tests, phase, effect in RULES.get((before.phase, event), ()):
             if all(test(self, status, now_ns, target) for test in tests):
                 after = EFFECTS[effect](self, status, now_ns, target)
-                return Transition(at, after._replace(phase=phase, changed_at_ns=now_ns), effect)
-        return Transition(at, self.decay_stay_doublings(status, now_ns), "")
+                return Transition(before, after._replace(phase=phase, changed_at_ns=now_ns), effect)
+        return Transition(before, self.decay_stay_doublings(status, now_ns), "")
 
     # Tests of the transition table.
 
-    def is_target_stricter(self, at: DegradationStatus, now_ns: int, target: int) -> bool:
+    def is_target_stricter(self, status: DegradationStatus, now_ns: int, target: int) -> bool:
         """Test: the target level is more restrictive than this level."""
-        return target > at.level
+        return target > status.level
 
-    def has_stricter_level(self, at: DegradationStatus, now_ns: int, target: int) -> bool:
+    def has_stricter_level(self, status: DegradationStatus, now_ns: int, target: int) -> bool:
         """Test: there is a more restrictive level that can be entered without a pin."""
-        return at.level < self.policy.level_count - 1
+        return status.level < self.policy.level_count - 1
 
-    def has_dwelt(self, at: DegradationStatus, now_ns: int, target: int) -> bool:
+    def has_dwelt(self, status: DegradationStatus, now_ns: int, target: int) -> bool:
         """Test: the minimum time between two steps down has passed."""
-        return now_ns - at.changed_at_ns >= self.policy.dwell_ns
+        return now_ns - status.changed_at_ns >= self.policy.dwell_ns
 
-    def has_stayed(self, at: DegradationStatus, now_ns: int, target: int) -> bool:
+    def has_stayed(self, status: DegradationStatus, now_ns: int, target: int) -> bool:
         """Test: the minimum stay at this level has passed, and there is a level above."""
-        return at.level > 0 and now_ns - at.since_ns >= self.min_stay_ns(at)
+        return status.level > 0 and now_ns - status.since_ns >= self.min_stay_ns(status)
 
-    def has_trial_step_elapsed(self, at: DegradationStatus, now_ns: int, target: int) -> bool:
+    def has_trial_step_elapsed(self, status: DegradationStatus, now_ns: int, target: int) -> bool:
         """Test: the minimum time of the trial's step has passed."""
-        return now_ns - at.changed_at_ns >= self.policy.trial_step_ns
+        return now_ns - status.changed_at_ns >= self.policy.trial_step_ns
 
-    def is_last_trial_step(self, at: DegradationStatus, now_ns: int, target: int) -> bool:
+    def is_last_trial_step(self, status: DegradationStatus, now_ns: int, target: int) -> bool:
         """Test: the trial is at its last step, or trials are off."""
-        return at.trial_step == len(TRIAL_SHARES) - 1 or not self.policy.uses_trials
+        return status.trial_step == len(TRIAL_SHARES) - 1 or not self.policy.uses_trials
 
-    def has_wider_trial_step(self, at: DegradationStatus, now_ns: int, target: int) -> bool:
+    def has_wider_trial_step(self, status: DegradationStatus, now_ns: int, target: int) -> bool:
         """Test: the trial has a further step."""
-        return at.trial_step < len(TRIAL_SHARES) - 1
+        return status.trial_step < len(TRIAL_SHARES) - 1
 
-    def is_within_cap(self, at: DegradationStatus, now_ns: int, target: int) -> bool:
+    def is_within_cap(self, status: DegradationStatus, now_ns: int, target: int) -> bool:
         """Test: a step up and a descent from there to the last level stay within the cap."""
-        steps_down = self.policy.level_count - 1 - max(0, at.level - 1)
-        return len(at.recent_changes) + 1 + max(0, steps_down) <= self.policy.max_changes_per_minute
+        steps_down = self.policy.level_count - 1 - max(0, status.level - 1)
+        return (
+            len(status.recent_changes) + 1 + max(0, steps_down)
+            <= self.policy.max_changes_per_minute
+        )
 
     # Effects of the transition table, and what they share.
 
-    def min_stay_ns(self, at: DegradationStatus) -> int:
+    def min_stay_ns(self, status: DegradationStatus) -> int:
         """Returns the minimum stay at this level, doublings included, in ns."""
-        doublings = at.stay_doublings[at.level] if at.level < len(at.stay_doublings) else 0
+        doublings = (
+            status.stay_doublings[status.level] if status.level < len(status.stay_doublings) else 0
+        )
         return min(self.policy.max_stay_ns, self.policy.min_stay_ns << doublings)
 
-    def add_stay_doubling(self, at: DegradationStatus, level: int) -> tuple[int, ...]:
+    def add_stay_doubling(self, status: DegradationStatus, level: int) -> tuple[int, ...]:
         """Returns the doublings with one more for that level, up to `max_stay_ns`."""
         if (
             not self.policy.stay_doubles
-            or level >= len(at.stay_doublings)
-            or self.policy.min_stay_ns << at.stay_doublings[level] >= self.policy.max_stay_ns
+            or level >= len(status.stay_doublings)
+            or self.policy.min_stay_ns << status.stay_doublings[level] >= self.policy.max_stay_ns
         ):
-            return at.stay_doublings
+            return status.stay_doublings
         return (
-            *at.stay_doublings[:level],
-            at.stay_doublings[level] + 1,
-            *at.stay_doublings[level + 1 :],
+            *status.stay_doublings[:level],
+            status.stay_doublings[level] + 1,
+            *status.stay_doublings[level + 1 :],
         )
 
-    def decay_stay_doublings(self, at: DegradationStatus, now_ns: int) -> DegradationStatus:
+    def decay_stay_doublings(self, status: DegradationStatus, now_ns: int) -> DegradationStatus:
         """Returns the status with one doubling of the next level taken back if calm lasted.
 
         Calm has lasted if the level was entered by a step up and is steady, and `relapse_ns` have
         passed since `calm_since_ns`.
         """
-        next_level = at.level + 1
+        next_level = status.level + 1
         if (
-            at.phase is DegradationPhase.STEADY
-            and at.rose_at_ns
-            and now_ns - at.calm_since_ns >= self.policy.relapse_ns
-            and next_level < len(at.stay_doublings)
-            and at.stay_doublings[next_level]
+            status.phase is DegradationPhase.STEADY
+            and status.rose_at_ns
+            and now_ns - status.calm_since_ns >= self.policy.relapse_ns
+            and next_level < len(status.stay_doublings)
+            and status.stay_doublings[next_level]
         ):
             stays = (
-                *at.stay_doublings[:next_level],
-                at.stay_doublings[next_level] - 1,
-                *at.stay_doublings[next_level + 1 :],
+                *status.stay_doublings[:next_level],
+                status.stay_doublings[next_level] - 1,
+                *status.stay_doublings[next_level + 1 :],
             )
-            return at._replace(stay_doublings=stays, calm_since_ns=now_ns)
-        return at
+            return status._replace(stay_doublings=stays, calm_since_ns=now_ns)
+        return status
 
-    def step_down_to(self, at: DegradationStatus, now_ns: int, level: int) -> DegradationStatus:
+    def step_down_to(self, status: DegradationStatus, now_ns: int, level: int) -> DegradationStatus:
         """Returns the status after a step down to a level; a relapse doubles its stay."""
-        is_relapse = bool(at.rose_at_ns) and now_ns - at.rose_at_ns < self.policy.relapse_ns
-        stays = self.add_stay_doubling(at, level) if is_relapse else at.stay_doublings
-        return at._replace(
+        is_relapse = bool(status.rose_at_ns) and now_ns - status.rose_at_ns < self.policy.relapse_ns
+        stays = self.add_stay_doubling(status, level) if is_relapse else status.stay_doublings
+        return status._replace(
             level=level,
             trial_step=-1,
             since_ns=now_ns,
             rose_at_ns=0,
             stay_doublings=stays,
-            recent_changes=(*at.recent_changes, now_ns),
+            recent_changes=(*status.recent_changes, now_ns),
         )
 
-    def down(self, at: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
+    def down(self, status: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
         """Effect: steps down to the next level."""
-        return self.step_down_to(at, now_ns, at.level + 1)
+        return self.step_down_to(status, now_ns, status.level + 1)
 
-    def drop(self, at: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
+    def drop(self, status: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
         """Effect: steps down to the emergency's level."""
-        return self.step_down_to(at, now_ns, target)
+        return self.step_down_to(status, now_ns, target)
 
-    def begin(self, at: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
+    def begin(self, status: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
         """Effect: begins a trial of the level above."""
-        return at._replace(trial_step=0)
+        return status._replace(trial_step=0)
 
-    def widen(self, at: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
+    def widen(self, status: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
         """Effect: advances the trial to its next step."""
-        return at._replace(trial_step=at.trial_step + 1)
+        return status._replace(trial_step=status.trial_step + 1)
 
-    def abort(self, at: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
+    def abort(self, status: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
         """Effect: ends a failed trial and doubles the level's stay."""
-        return at._replace(
-            trial_step=-1, since_ns=now_ns, stay_doublings=self.add_stay_doubling(at, at.level)
+        return status._replace(
+            trial_step=-1,
+            since_ns=now_ns,
+            stay_doublings=self.add_stay_doubling(status, status.level),
         )
 
-    def up(self, at: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
+    def up(self, status: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
         """Effect: steps up to the level above."""
-        return at._replace(
-            level=at.level - 1,
+        return status._replace(
+            level=status.level - 1,
             trial_step=-1,
             since_ns=now_ns,
             rose_at_ns=now_ns,
             calm_since_ns=now_ns,
-            recent_changes=(*at.recent_changes, now_ns),
+            recent_changes=(*status.recent_changes, now_ns),
         )
 
-    def pin(self, at: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
+    def pin(self, status: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
         """Effect: enters the pinned level."""
-        return at._replace(level=target, trial_step=-1, since_ns=now_ns, rose_at_ns=0)
+        return status._replace(level=target, trial_step=-1, since_ns=now_ns, rose_at_ns=0)
 
-    def release(self, at: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
+    def release(self, status: DegradationStatus, now_ns: int, target: int) -> DegradationStatus:
         """Effect: ends the pin and leaves a level that only a pin reaches."""
-        return at._replace(
-            level=min(at.level, self.policy.level_count - 1), since_ns=now_ns, rose_at_ns=0
+        return status._replace(
+            level=min(status.level, self.policy.level_count - 1), since_ns=now_ns, rose_at_ns=0
         )
 
 
--- a/burlloom/metrics/exporter.py
+++ b/burlloom/metrics/exporter.py
@@ -96,7 +96,7 @@
         self.registry.register(NumberCollector(prefix, counts, gauges))
 
     def write_periodically(self) -> None:
-        """Writes the file at each interval until closed; runs in a thread of its own."""
+        """Writes the file at each interval until closed; runs in the metrics thread."""
         skipped = 0
         while not self.stopping.wait(self.write_interval_s):
             skipped = (
--- a/burlloom/recovery/controller.py
+++ b/burlloom/recovery/controller.py
@@ -233,7 +233,7 @@
         return not self.is_complete and self.retry_budget.is_over_budget(now_ns, is_retry)
 
     def is_fenced(self, now_ns: int) -> bool:
-        """Returns whether the fence is up.
+        """Returns whether the fence is raised.
 
         An unknown marked retry may then have run in an incarnation whose marks are lost.
         """
--- a/burlloom/recovery/snapshot.py
+++ b/burlloom/recovery/snapshot.py
@@ -27,7 +27,7 @@
     FOREIGN = 2  # the snapshot is another node's
     FUTURE = 3  # written after the present time: the clock was stepped back, so its age is unknown
     OLD = 4  # older than the highest age
-    GOOD = 5  # valid
+    GOOD = 5  # the snapshot can be used
 
 
 @dataclass(frozen=True, slots=True)
--- a/burlloom/server/configured_service_levels.py
+++ b/burlloom/server/configured_service_levels.py
@@ -121,7 +121,7 @@
         )
         log.info(
             "event=service_levels_started level=%s cold=%s previous_level=%s max_changes=%d",
-            levels.level,
+            levels.level_name,
             is_cold,
             previous_level or "-",
             levels.state_machine.policy.max_changes_per_minute,
@@ -180,7 +180,7 @@
                 f"seconds_{name.replace('-', '_')}": spent / NS_PER_SECOND
                 for name, spent in levels.time_at_level_ns.items()
             },
-            **{f"signal_{name}": value for name, value in levels.values.items()},
+            **{f"signal_{name}": value for name, value in levels.signal_values.items()},
         }
 
     def close(self) -> None:
@@ -189,7 +189,7 @@
             self._write_state(self.clock())
             log.info(
                 "event=service_levels_closed level=%s %s",
-                self.levels.level,
+                self.levels.level_name,
                 " ".join(
                     f"{name}={count}" for name, count in self.levels.transition_counts.items()
                 ),
@@ -265,7 +265,7 @@
         levels, status = self.levels, self.levels.status
         return {
             "told_at": now,
-            "level": levels.level,
+            "level": levels.level_name,
             "phase": status.phase.name.lower(),
             "part": levels.trial_share,
             "since": status.since_ns,
@@ -275,7 +275,7 @@
             "pin": pin_state(levels.pin),
             "changes_last_minute": len(status.recent_changes),
             "changes_most": levels.state_machine.policy.max_changes_per_minute,
-            "values": levels.values,
+            "values": levels.signal_values,
             "measured": sorted(self._signals),
             "steps": levels.transition_counts,
             "seconds": {
--- a/tests/test_bench_adapter.py
+++ b/tests/test_bench_adapter.py
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize(
     ("batches", "error", "text"),
     [
-        ("NOPE 1", FramingError, "expected TURN, got 'NOPE'"),
+        ("NOPE 1", FramingError, "a batch must begin with TURN, got 'NOPE'"),
         ("TURN 4", FramingError, "input ended inside a batch"),
         (
             "TURN x",
@@ -48,7 +48,7 @@
         (
             "TURN 1\nBOOT -1 2 {}\nFLUSH",
             InvalidValueError,
-            "BOOT: invalid value (instance -1)",
+            "BOOT: invalid value (the instance must not be negative, got -1)",
         ),
         ("TURN 1\nBOOT 1 2 {}\nFLUSH", InvalidValueError, "BOOT: invalid value ('extra')"),
     ],
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -179,14 +179,16 @@
 def test_it_steps_down_and_works_its_way_back() -> None:
     levels = of_plan()
     now = after(levels, replace(CALM, pressure=0.6, cpu_utilization=1.0), 6, NOW)
-    assert levels.level == "essential"
+    assert levels.level_name == "essential"
     assert levels.status.phase is DegradationPhase.STEADY
     now = after(levels, CALM, 20, now)
     assert (
-        levels.level in ("essential", "lean") and levels.trial_share > 0 or levels.level == "lean"
+        levels.level_name in ("essential", "lean")
+        and levels.trial_share > 0
+        or levels.level_name == "lean"
     )
     now = after(levels, CALM, 150, now)
-    assert levels.level == "normal"
+    assert levels.level_name == "normal"
     assert levels.transition_counts["up"] == 2
     assert sum(levels.time_at_level_ns.values()) == now - NOW
 
@@ -195,7 +197,7 @@
     levels = of_plan()
     now = after(levels, replace(CALM, pressure=0.6, cpu_utilization=1.0), 6, NOW)
     after(levels, SignalReadings(), 300, now)
-    assert levels.level == "essential"
+    assert levels.level_name == "essential"
     assert not levels.trial_share
     signals = SignalAggregator()
     signals.add_readings(NOW, CALM)
@@ -204,25 +206,27 @@
 
 
 def test_cold_nodes_and_those_that_died_low_start_low() -> None:
-    assert of_plan(cold=True).level == "lean"
-    assert of_plan(previous_level="highest").level == "highest"
-    assert of_plan(previous_level="drain").level == "highest"  # from there it comes up by itself
-    assert of_plan(previous_level="no-longer-there").level == "normal"
+    assert of_plan(cold=True).level_name == "lean"
+    assert of_plan(previous_level="highest").level_name == "highest"
+    assert (
+        of_plan(previous_level="drain").level_name == "highest"
+    )  # from there it comes up by itself
+    assert of_plan(previous_level="no-longer-there").level_name == "normal"
 
 
 def test_an_emergency_goes_at_once_and_a_pin_holds() -> None:
     levels = of_plan()
     after(levels, replace(CALM, memory_utilization=0.99), 0.1, NOW)
-    assert levels.level == "highest"
+    assert levels.level_name == "highest"
     assert levels.transition_counts["drop"] == 1
     now = after(levels, CALM, 2, NOW)
     levels.set_pin(now, LevelPin("normal", NOW + 9 * SECOND))
-    assert levels.level == "normal"
+    assert levels.level_name == "normal"
     after(levels, replace(CALM, pressure=1.0, cpu_utilization=1.0), 3, now)
-    assert levels.level == "normal"
+    assert levels.level_name == "normal"
     assert levels.status.phase is DegradationPhase.PINNED
     after(levels, replace(CALM, memory_utilization=0.99), 1, NOW + 6 * SECOND)
-    assert levels.level == "highest"  # not even a pin stands against it
+    assert levels.level_name == "highest"  # not even a pin stands against it
     after(levels, CALM, 5, NOW + 7 * SECOND)
     assert levels.status.phase is not DegradationPhase.PINNED  # its time was over
 
