--- a/tests/explore_levels.py
+++ b/tests/explore_levels.py
@@ -1,8 +1,7 @@
-"""Walks every history of the ladder of levels: each round any input at all, time in whole ticks.
+"""Explores every history of the service levels' state machine: any input each round, time in ticks.
 
-The ladder moves by the very table of burlloom.levels.state_machine. What is counted is counted here: how
-often the level changed within any minute. Ages past all that the terms ask about are the same
-state.
+The explorer applies the transition table of burlloom.levels.state_machine. It counts the changes of
+level within any minute itself. Ages beyond every time of the policy lead to the same state.
 """
 
 from collections import deque
@@ -15,68 +14,88 @@
     HysteresisPolicy,
 )
 
-SECOND = 1_000_000_000
-NOW = 1000 * SECOND
+NS_PER_SECOND = 1_000_000_000
+NOW_NS = 1000 * NS_PER_SECOND
 
 
-class World(NamedTuple):
-    at: DegradationStatus
-    seen: tuple[int, ...]  # ages in ticks of the changes of the last minute, counted here
+class ExploredState(NamedTuple):
+    """A state of the exploration.
+
+    Attributes:
+        status: The state machine's status, with its times relative to NOW_NS.
+        change_ages: Ages in ticks of the changes of the last minute, as the explorer counts them.
+    """
+
+    status: DegradationStatus
+    change_ages: tuple[int, ...]
 
 
 class Explorer:
-    def __init__(self, terms: HysteresisPolicy, tick: int) -> None:
-        self.ladder, self.tick = DegradationStateMachine(terms), tick
-        self.window = 60 * SECOND // tick
-        self.oldest = max(terms.max_stay_ns, terms.relapse_ns, terms.dwell_ns, terms.trial_step_ns)
-        self.levels = terms.level_count
-        self.most = 0
-
-    def aged(self, at: DegradationStatus) -> DegradationStatus:
-        """One tick later, with `NOW` where it was."""
-
-        def older(then: int) -> int:
-            return max(then - self.tick, NOW - self.oldest)
-
-        return at._replace(
-            since_ns=older(at.since_ns),
-            changed_at_ns=older(at.changed_at_ns),
-            rose_at_ns=older(at.rose_at_ns) if at.rose_at_ns else 0,
-            calm_since_ns=older(at.calm_since_ns) if at.rose_at_ns else 0,
+    """Explores all states that are reachable under a policy.
+
+    Attributes:
+        max_changes: Highest number of changes in any minute so far.
+    """
+
+    def __init__(self, policy: HysteresisPolicy, tick_ns: int) -> None:
+        self.machine, self.tick_ns = DegradationStateMachine(policy), tick_ns
+        self.ticks_per_minute = 60 * NS_PER_SECOND // tick_ns
+        self.max_age_ns = max(
+            policy.max_stay_ns, policy.relapse_ns, policy.dwell_ns, policy.trial_step_ns
+        )
+        self.level_count = policy.level_count
+        self.max_changes = 0
+
+    def age_status(self, status: DegradationStatus) -> DegradationStatus:
+        """Returns the status one tick later, with its times moved so that NOW_NS stays the time."""
+
+        def age_time(time_ns: int) -> int:
+            return max(time_ns - self.tick_ns, NOW_NS - self.max_age_ns)
+
+        return status._replace(
+            since_ns=age_time(status.since_ns),
+            changed_at_ns=age_time(status.changed_at_ns),
+            rose_at_ns=age_time(status.rose_at_ns) if status.rose_at_ns else 0,
+            calm_since_ns=age_time(status.calm_since_ns) if status.rose_at_ns else 0,
             recent_changes=tuple(
-                change - self.tick
-                for change in at.recent_changes
-                if change - self.tick > NOW - 60 * SECOND
+                change - self.tick_ns
+                for change in status.recent_changes
+                if change - self.tick_ns > NOW_NS - 60 * NS_PER_SECOND
             ),
         )
 
-    def walk(self, starts: range) -> int:
-        """The number of states; `most` is then the most changes that any minute held."""
-        first = [World(self.aged(self.ladder.start(level, NOW)), ()) for level in starts]
+    def explore(self, start_levels: range) -> int:
+        """Visits all states that are reachable from these levels; returns their number."""
+        first = [
+            ExploredState(self.age_status(self.machine.start(level, NOW_NS)), ())
+            for level in start_levels
+        ]
         known, waiting = set(first), deque(first)
         while waiting:
-            world = waiting.popleft()
-            for what in (
+            state = waiting.popleft()
+            for event in (
                 DegradationEvent.SAME,
                 DegradationEvent.WORSE,
                 DegradationEvent.BETTER,
                 DegradationEvent.EMERGENCY,
             ):
-                for target in range(1, self.levels) if what is DegradationEvent.EMERGENCY else (0,):
-                    change = self.ladder.handle(world.at, what, NOW, target)
-                    assert 0 <= change.after.level < self.levels
-                    assert change.after.level >= world.at.level - 1, (
-                        "it skipped a level on the way up"
-                    )
+                for target in (
+                    range(1, self.level_count) if event is DegradationEvent.EMERGENCY else (0,)
+                ):
+                    change = self.machine.handle(state.status, event, NOW_NS, target)
+                    assert 0 <= change.after.level < self.level_count
+                    assert change.after.level >= state.status.level - 1, "a step up skipped a level"
                     assert (
-                        what not in (DegradationEvent.SAME, DegradationEvent.EMERGENCY)
-                        or change.after.level >= world.at.level
+                        event not in (DegradationEvent.SAME, DegradationEvent.EMERGENCY)
+                        or change.after.level >= state.status.level
+                    )
+                    change_ages = (
+                        (*state.change_ages, 0) if change.has_changed_level else state.change_ages
                     )
-                    seen = (*world.seen, 0) if change.has_changed_level else world.seen
-                    self.most = max(self.most, len(seen))
-                    after = World(
-                        self.aged(change.after),
-                        tuple(age + 1 for age in seen if age + 1 < self.window),
+                    self.max_changes = max(self.max_changes, len(change_ages))
+                    after = ExploredState(
+                        self.age_status(change.after),
+                        tuple(age + 1 for age in change_ages if age + 1 < self.ticks_per_minute),
                     )
                     if after not in known:
                         known.add(after)
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -1,6 +1,4 @@
-"""The ladder walked whole, plans with faults, signals, and what a level does to txns at the
-decisions and in a fleet.
-"""
+"""Tests of the service levels: state machine, plans, signals, and their effect in a fleet."""
 
 import json
 from dataclasses import replace
@@ -8,7 +6,7 @@
 from typing import Any
 
 import pytest
-from explore_levels import NOW, SECOND, Explorer
+from explore_levels import NOW_NS, NS_PER_SECOND, Explorer
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_fleet import fleet
@@ -33,47 +31,66 @@
     TenantExcessDetector,
     build_degradations,
     max_changes_per_minute,
+    state_machine,
 )
-from burlloom.levels import state_machine as ladder
 from burlloom.levels.plan import DROP_ALL_VALUES, find_plan_faults
 from burlloom.levels.signals import SIGNAL_NAMES, SignalAggregator
 
 
-def product(
-    value: float, kind: Idempotency = Idempotency.IDEMPOTENT, stale: int = 0
+def make_request_class(
+    value: float, kind: Idempotency = Idempotency.IDEMPOTENT, max_staleness_ns: int = 0
 ) -> RequestClass:
-    return RequestClass(2 * SECOND, 0.0, 6 * SECOND, kind, 18 * SECOND, 0.0, 0.0, value, stale)
+    return RequestClass(
+        2 * NS_PER_SECOND,
+        0.0,
+        6 * NS_PER_SECOND,
+        kind,
+        18 * NS_PER_SECOND,
+        0.0,
+        0.0,
+        value,
+        max_staleness_ns,
+    )
 
 
-PRODUCTS = (("look", product(1)), ("set", product(2)), ("pay", product(5, Idempotency.KEYED)))
+REQUEST_CLASSES = (
+    ("look", make_request_class(1)),
+    ("set", make_request_class(2)),
+    ("pay", make_request_class(5, Idempotency.KEYED)),
+)
 
 
-def coarse(tick: int, levels: int, **more: Any) -> HysteresisPolicy:
+def coarse_policy(tick_ns: int, level_count: int, **overrides: Any) -> HysteresisPolicy:
     return HysteresisPolicy(
         **{
-            "level_count": levels,
-            "dwell_ns": tick,
-            "min_stay_ns": tick,
-            "max_stay_ns": 4 * tick,
-            "relapse_ns": 2 * tick,
-            "trial_step_ns": tick,
-            **more,
+            "level_count": level_count,
+            "dwell_ns": tick_ns,
+            "min_stay_ns": tick_ns,
+            "max_stay_ns": 4 * tick_ns,
+            "relapse_ns": 2 * tick_ns,
+            "trial_step_ns": tick_ns,
+            **overrides,
         }
     )
 
 
 @pytest.mark.parametrize(
-    ("levels", "most", "tick", "states"),
+    ("level_count", "max_changes", "tick_s", "min_states"),
     [(2, 2, 10, 60), (3, 3, 10, 400), (4, 4, 10, 2000), (4, 6, 15, 400)],
 )
-@pytest.mark.parametrize("trials", [True, False])
-def test_no_history_has_more_changes_a_minute_than_stated(
-    levels: int, most: int, tick: int, states: int, trials: bool
+@pytest.mark.parametrize("uses_trials", [True, False])
+def test_no_history_exceeds_the_cap_on_changes_per_minute(
+    level_count: int, max_changes: int, tick_s: int, min_states: int, uses_trials: bool
 ) -> None:
-    terms = coarse(tick * SECOND, levels, max_changes_per_minute=most, uses_trials=trials)
-    explorer = Explorer(terms, tick * SECOND)
-    assert explorer.walk(range(levels)) > (states if trials else states // 8)
-    assert explorer.most <= max_changes_per_minute(terms) == most
+    policy = coarse_policy(
+        tick_s * NS_PER_SECOND,
+        level_count,
+        max_changes_per_minute=max_changes,
+        uses_trials=uses_trials,
+    )
+    explorer = Explorer(policy, tick_s * NS_PER_SECOND)
+    assert explorer.explore(range(level_count)) > (min_states if uses_trials else min_states // 8)
+    assert explorer.max_changes <= max_changes_per_minute(policy) == max_changes
 
 
 @pytest.mark.parametrize(
@@ -89,15 +106,20 @@
         ),
     ],
 )
-def test_a_broken_row_is_caught(row: str, broken: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    assert row in ladder.TABLE
-    monkeypatch.setattr(ladder, "RULES", ladder.parse_rules(ladder.TABLE.replace(row, broken)))
+def test_exploration_finds_a_broken_transition(
+    row: str, broken: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    assert row in state_machine.TABLE
+    monkeypatch.setattr(
+        state_machine, "RULES", state_machine.parse_rules(state_machine.TABLE.replace(row, broken))
+    )
     explorer = Explorer(
-        coarse(10 * SECOND, 3, max_changes_per_minute=3, uses_trials=False), 10 * SECOND
+        coarse_policy(10 * NS_PER_SECOND, 3, max_changes_per_minute=3, uses_trials=False),
+        10 * NS_PER_SECOND,
     )
     with pytest.raises(AssertionError):
-        explorer.walk(range(3))
-        assert explorer.most <= 3
+        explorer.explore(range(3))
+        assert explorer.max_changes <= 3
 
 
 @settings(max_examples=60, deadline=None)
@@ -118,44 +140,47 @@
     ),
     st.integers(0, 3),
 )
-def test_long_histories_at_full_resolution(
+def test_long_histories_with_rounds_of_100_ms_keep_the_cap(
     history: list[tuple[DegradationEvent, int]], start: int
 ) -> None:
-    terms = HysteresisPolicy(4)
-    walker, now, moves = DegradationStateMachine(terms), NOW, []
-    at = walker.start(start, now)
-    for what, rounds in history:
-        now += rounds * SECOND // 10
-        change = walker.handle(at, what, now, 3)
-        at = change.after
+    policy = HysteresisPolicy(4)
+    machine, now_ns, change_times = DegradationStateMachine(policy), NOW_NS, []
+    status = machine.start(start, now_ns)
+    for event, rounds in history:
+        now_ns += rounds * NS_PER_SECOND // 10
+        change = machine.handle(status, event, now_ns, 3)
+        status = change.after
         if change.has_changed_level:
-            moves.append(now)
-            assert len([move for move in moves if move > now - 60 * SECOND]) <= 4
-        assert walker.min_stay_ns(at) <= terms.max_stay_ns
+            change_times.append(now_ns)
+            assert len([time for time in change_times if time > now_ns - 60 * NS_PER_SECOND]) <= 4
+        assert machine.min_stay_ns(status) <= policy.max_stay_ns
 
 
-def test_a_level_left_too_early_is_kept_longer_each_time() -> None:
-    walker, now = DegradationStateMachine(HysteresisPolicy(2, max_changes_per_minute=100)), NOW
-    at = walker.start(1, now)
-    waits = []
+def test_the_minimum_stay_grows_with_each_relapse() -> None:
+    machine, now_ns = (
+        DegradationStateMachine(HysteresisPolicy(2, max_changes_per_minute=100)),
+        NOW_NS,
+    )
+    status = machine.start(1, now_ns)
+    stays_s = []
     for _ in range(4):
-        began = now
-        while at.level:
-            now += SECOND // 10
-            at = walker.handle(at, DegradationEvent.BETTER, now).after
-        waits.append((now - began) // SECOND)
-        now += 2 * SECOND
-        at = walker.handle(at, DegradationEvent.WORSE, now).after
-    assert waits == sorted(waits) and waits[-1] >= 2 * waits[0], waits
+        entered_at_ns = now_ns
+        while status.level:
+            now_ns += NS_PER_SECOND // 10
+            status = machine.handle(status, DegradationEvent.BETTER, now_ns).after
+        stays_s.append((now_ns - entered_at_ns) // NS_PER_SECOND)
+        now_ns += 2 * NS_PER_SECOND
+        status = machine.handle(status, DegradationEvent.WORSE, now_ns).after
+    assert stays_s == sorted(stays_s) and stays_s[-1] >= 2 * stays_s[0], stays_s
 
 
-def of_plan(**more: Any) -> DegradationController:
+def make_controller(**options: Any) -> DegradationController:
     return DegradationController(
-        DEFAULT_PLAN, build_degradations(DEFAULT_PLAN, PRODUCTS), NOW, **more
+        DEFAULT_PLAN, build_degradations(DEFAULT_PLAN, REQUEST_CLASSES), NOW_NS, **options
     )
 
 
-CALM = SignalReadings(
+CLEAR_READINGS = SignalReadings(
     cpu_utilization=0.3,
     contention=0.3,
     queue_age=0.0,
@@ -169,70 +194,77 @@
 )
 
 
-def after(levels: DegradationController, readings: SignalReadings, seconds: float, now: int) -> int:
+def run_rounds(
+    controller: DegradationController, readings: SignalReadings, seconds: float, now_ns: int
+) -> int:
     for _ in range(int(seconds * 10)):
-        now += SECOND // 10
-        levels.tick(now, readings)
-    return now
+        now_ns += NS_PER_SECOND // 10
+        controller.tick(now_ns, readings)
+    return now_ns
 
 
-def test_it_steps_down_and_works_its_way_back() -> None:
-    levels = of_plan()
-    now = after(levels, replace(CALM, pressure=0.6, cpu_utilization=1.0), 6, NOW)
-    assert levels.level_name == "essential"
-    assert levels.status.phase is DegradationPhase.STEADY
-    now = after(levels, CALM, 20, now)
+def test_a_node_steps_down_under_load_and_returns_to_the_first_level() -> None:
+    controller = make_controller()
+    now_ns = run_rounds(
+        controller, replace(CLEAR_READINGS, pressure=0.6, cpu_utilization=1.0), 6, NOW_NS
+    )
+    assert controller.level_name == "essential"
+    assert controller.status.phase is DegradationPhase.STEADY
+    now_ns = run_rounds(controller, CLEAR_READINGS, 20, now_ns)
     assert (
-        levels.level_name in ("essential", "lean")
-        and levels.trial_share > 0
-        or levels.level_name == "lean"
+        controller.level_name in ("essential", "lean")
+        and controller.trial_share > 0
+        or controller.level_name == "lean"
     )
-    now = after(levels, CALM, 150, now)
-    assert levels.level_name == "normal"
-    assert levels.transition_counts["up"] == 2
-    assert sum(levels.time_at_level_ns.values()) == now - NOW
-
-
-def test_signals_that_are_missing_or_stale_never_raise_service() -> None:
-    levels = of_plan()
-    now = after(levels, replace(CALM, pressure=0.6, cpu_utilization=1.0), 6, NOW)
-    after(levels, SignalReadings(), 300, now)
-    assert levels.level_name == "essential"
-    assert not levels.trial_share
+    now_ns = run_rounds(controller, CLEAR_READINGS, 150, now_ns)
+    assert controller.level_name == "normal"
+    assert controller.transition_counts["up"] == 2
+    assert sum(controller.time_at_level_ns.values()) == now_ns - NOW_NS
+
+
+def test_missing_or_stale_signals_never_lead_to_a_step_up() -> None:
+    controller = make_controller()
+    now_ns = run_rounds(
+        controller, replace(CLEAR_READINGS, pressure=0.6, cpu_utilization=1.0), 6, NOW_NS
+    )
+    run_rounds(controller, SignalReadings(), 300, now_ns)
+    assert controller.level_name == "essential"
+    assert not controller.trial_share
     signals = SignalAggregator()
-    signals.add_readings(NOW, CALM)
-    assert set(signals.values(NOW)) == set(SIGNAL_NAMES)
-    assert signals.values(NOW + 20 * SECOND) == {}
+    signals.add_readings(NOW_NS, CLEAR_READINGS)
+    assert set(signals.values(NOW_NS)) == set(SIGNAL_NAMES)
+    assert signals.values(NOW_NS + 20 * NS_PER_SECOND) == {}
+
+
+def test_a_node_starts_at_the_cold_start_level_or_at_that_of_its_last_incarnation() -> None:
+    assert make_controller(cold=True).level_name == "lean"
+    assert make_controller(previous_level="highest").level_name == "highest"
+    # Only an operator ends a drain, so the node starts at the last automatic level.
+    assert make_controller(previous_level="drain").level_name == "highest"
+    assert make_controller(previous_level="no-longer-there").level_name == "normal"
+
+
+def test_an_emergency_is_immediate_and_only_an_emergency_overrides_a_pin() -> None:
+    controller = make_controller()
+    run_rounds(controller, replace(CLEAR_READINGS, memory_utilization=0.99), 0.1, NOW_NS)
+    assert controller.level_name == "highest"
+    assert controller.transition_counts["drop"] == 1
+    now_ns = run_rounds(controller, CLEAR_READINGS, 2, NOW_NS)
+    controller.set_pin(now_ns, LevelPin("normal", NOW_NS + 9 * NS_PER_SECOND))
+    assert controller.level_name == "normal"
+    run_rounds(controller, replace(CLEAR_READINGS, pressure=1.0, cpu_utilization=1.0), 3, now_ns)
+    assert controller.level_name == "normal"
+    assert controller.status.phase is DegradationPhase.PINNED
+    run_rounds(
+        controller, replace(CLEAR_READINGS, memory_utilization=0.99), 1, NOW_NS + 6 * NS_PER_SECOND
+    )
+    assert controller.level_name == "highest"  # an emergency overrides the pin
+    run_rounds(controller, CLEAR_READINGS, 5, NOW_NS + 7 * NS_PER_SECOND)
+    assert controller.status.phase is not DegradationPhase.PINNED  # the pin has expired
 
 
-def test_cold_nodes_and_those_that_died_low_start_low() -> None:
-    assert of_plan(cold=True).level_name == "lean"
-    assert of_plan(previous_level="highest").level_name == "highest"
-    assert (
-        of_plan(previous_level="drain").level_name == "highest"
-    )  # from there it comes up by itself
-    assert of_plan(previous_level="no-longer-there").level_name == "normal"
-
-
-def test_an_emergency_goes_at_once_and_a_pin_holds() -> None:
-    levels = of_plan()
-    after(levels, replace(CALM, memory_utilization=0.99), 0.1, NOW)
-    assert levels.level_name == "highest"
-    assert levels.transition_counts["drop"] == 1
-    now = after(levels, CALM, 2, NOW)
-    levels.set_pin(now, LevelPin("normal", NOW + 9 * SECOND))
-    assert levels.level_name == "normal"
-    after(levels, replace(CALM, pressure=1.0, cpu_utilization=1.0), 3, now)
-    assert levels.level_name == "normal"
-    assert levels.status.phase is DegradationPhase.PINNED
-    after(levels, replace(CALM, memory_utilization=0.99), 1, NOW + 6 * SECOND)
-    assert levels.level_name == "highest"  # not even a pin stands against it
-    after(levels, CALM, 5, NOW + 7 * SECOND)
-    assert levels.status.phase is not DegradationPhase.PINNED  # its time was over
-
-
-def test_what_the_shipped_levels_take_away() -> None:
-    normal, lean, essential, highest, drain = build_degradations(DEFAULT_PLAN, PRODUCTS)
+def test_restrictions_of_the_default_plan() -> None:
+    normal, lean, essential, highest, drain = build_degradations(DEFAULT_PLAN, REQUEST_CLASSES)
     assert normal == Degradation()
     assert lean.rejected_classes == (False, False, False)
     assert lean.retry_rejecting_classes == (True, True, False)
@@ -245,7 +277,7 @@
     assert drain.priority_floor == 1
 
 
-def test_all_faults_of_a_plan_at_once() -> None:
+def test_all_faults_of_a_plan_are_found_at_once() -> None:
     plan = LevelPlan(
         (
             LevelDefinition("normal", queue_share=0.5),
@@ -265,7 +297,7 @@
         {"memory": (0.9, "b")},
         cold_start_level="c",
     )
-    told = find_plan_faults(plan, PRODUCTS, SIGNAL_NAMES)
+    faults = find_plan_faults(plan, REQUEST_CLASSES, SIGNAL_NAMES)
     for expected in (
         "levels.0 (normal): the first level must be without bounds and restrictions",
         "levels.2 (a): another level has the same name",
@@ -280,28 +312,28 @@
         "emergencies.memory: unknown level 'b'",
         "cold: unknown level 'c'",
     ):
-        assert any(line.startswith(expected) for line in told), (expected, told)
-    assert len(told) == 12
+        assert any(line.startswith(expected) for line in faults), (expected, faults)
+    assert len(faults) == 12
     with pytest.raises(InvalidPlanError):
-        build_degradations(plan, PRODUCTS)
+        build_degradations(plan, REQUEST_CLASSES)
     with pytest.raises(ValueError, match="could never return"):
         HysteresisPolicy(5, max_changes_per_minute=4)
 
 
-def test_tenants_past_their_share() -> None:
+def test_only_the_excess_of_a_tenant_over_its_share_is_marked() -> None:
     tenants = TenantExcessDetector([("a", 0.5), ("b", 0.5)])
-    chance, past = Random(1), {"a": 0, "b": 0}
+    random, marked = Random(1), {"a": 0, "b": 0}
     for n in range(4000):
-        tenant = "a" if chance.random() < 0.8 else "b"
-        past[tenant] += tenants.is_over_share(NOW + n * SECOND // 100, tenant)
-    # Of four in five it may have as much as the other: three in four of its txns are past its
-    # share.
-    assert 2200 < past["a"] < 2500
-    assert not past["b"]
-    assert not tenants.is_over_share(NOW, "unknown")
+        tenant = "a" if random.random() < 0.8 else "b"
+        marked[tenant] += tenants.is_over_share(NOW_NS + n * NS_PER_SECOND // 100, tenant)
+    # Tenant a sends four of five requests and may have as many as tenant b, one of five: three of
+    # four of its requests are in excess.
+    assert 2200 < marked["a"] < 2500
+    assert not marked["b"]
+    assert not tenants.is_over_share(NOW_NS, "unknown")
     fair = TenantExcessDetector([("a", 0.6), ("b", 0.4)])
     assert not any(
-        fair.is_over_share(NOW + n * SECOND // 10, "a" if chance.random() < 0.6 else "b")
+        fair.is_over_share(NOW_NS + n * NS_PER_SECOND // 10, "a" if random.random() < 0.6 else "b")
         for n in range(5000)
     )
 
@@ -310,37 +342,35 @@
     ("low", "high", "period"),
     [(0.6, 1.5, 2), (0.6, 1.5, 5), (0.6, 1.5, 10), (0.6, 1.5, 30), (0.2, 0.4, 5)],
 )
-def test_a_sawtooth_changes_levels_a_few_times_a_minute(
+def test_a_sawtooth_load_changes_levels_at_most_four_times_a_minute(
     low: float, high: float, period: float
 ) -> None:
-    moves: dict[str, list[float]] = {}
-
-    def row(play: Any) -> dict[str, float]:
-        for node in play.nodes:
-            at = node.server.subsystems.levels.levels.status
-            moves.setdefault(node.name, []).extend(
-                at.recent_changes[-1:]
-                if at.recent_changes[-1:] != tuple(moves.get(node.name, [])[-1:])
+    changes_by_node: dict[str, list[float]] = {}
+
+    def collect_changes(emulator: Any) -> dict[str, float]:
+        for node in emulator.nodes:
+            status = node.server.subsystems.levels.levels.status
+            changes_by_node.setdefault(node.name, []).extend(
+                status.recent_changes[-1:]
+                if status.recent_changes[-1:] != tuple(changes_by_node.get(node.name, [])[-1:])
                 else ()
             )
         return {}
 
     world = fleet(2, 60, 4, low=low, high=high, period_s=period, shape="sawtooth", noise=0.1)
-    told = play(world, leveling=VARIANTS["levels"](), watch=Watch(row))
-    assert not told.faults
+    outcome = play(world, leveling=VARIANTS["levels"](), watch=Watch(collect_changes))
+    assert not outcome.faults
     assert all(
-        len([one for one in changes if at - 60 * SECOND < one <= at]) <= 4
-        for changes in moves.values()
-        for at in changes
+        len([change for change in changes if end - 60 * NS_PER_SECOND < change <= end]) <= 4
+        for changes in changes_by_node.values()
+        for end in changes
     )
-    assert any(moves.values()) == (high > 1)
+    assert any(changes_by_node.values()) == (high > 1)
 
 
-def test_charges_that_ran_are_settled_at_every_level() -> None:
-    """A level that gives everything up from the start on: nothing new is taken, and no rule is
-    broken.
-    """
-    shut = LevelPlan(
+def test_requests_that_ran_are_answered_at_a_level_that_rejects_all_new_ones() -> None:
+    """The level is entered at once; requests that ran before still get their results."""
+    plan = LevelPlan(
         (
             LevelDefinition("normal"),
             LevelDefinition(
@@ -348,7 +378,7 @@
             ),
         )
     )
-    told = play(
+    outcome = play(
         fleet(
             3,
             12,
@@ -357,21 +387,21 @@
             low=0.9,
             high=0.9,
         ),
-        leveling=leveler(shut, HysteresisPolicy(2)),
+        leveling=leveler(plan, HysteresisPolicy(2)),
     )
-    assert not told.faults
-    assert told.count["declined"] > 200
-    assert told.count["settled"] > 5
+    assert not outcome.faults
+    assert outcome.count["declined"] > 200
+    assert outcome.count["settled"] > 5
 
 
-def test_without_an_operators_file_nothing_changes() -> None:
+def test_levels_that_are_never_entered_change_no_outcome() -> None:
     world = fleet(3, 8, 6, low=1.2, high=1.2)
-    idle = LevelPlan(
+    unentered_plan = LevelPlan(
         (
             LevelDefinition("normal"),
             LevelDefinition("never", {"use": SignalBounds(1e9, 1)}, dropped_values=1),
         )
     )
     assert json.dumps(play(world).count) == json.dumps(
-        play(world, leveling=leveler(idle, HysteresisPolicy(2))).count
+        play(world, leveling=leveler(unentered_plan, HysteresisPolicy(2))).count
     )
