--- a/tests/test_bench_adapter.py
+++ b/tests/test_bench_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: batches in, replies out, and what ends the adapter."""
+"""Tests of the simulator's adapter: replies to batches, and the errors that end the adapter."""
 
 import io
 from pathlib import Path
@@ -17,19 +17,19 @@
 DATA = Path(__file__).parent / "data" / "bench_adapter"
 
 
-def reply(batches: bytes) -> bytes:
-    sink = io.BytesIO()
-    serve(io.BytesIO(batches), sink)
-    return sink.getvalue()
+def serve_batches(batches: bytes) -> bytes:
+    output = io.BytesIO()
+    serve(io.BytesIO(batches), output)
+    return output.getvalue()
 
 
-def test_replies_are_those_that_version_0_7_1_gave() -> None:
+def test_replies_equal_those_of_version_0_7_1() -> None:
     batches = (DATA / "batches.txt").read_bytes()
-    assert reply(batches) == (DATA / "replies.txt").read_bytes()
+    assert serve_batches(batches) == (DATA / "replies.txt").read_bytes()
 
 
 @pytest.mark.parametrize(
-    ("batches", "error", "text"),
+    ("batches", "error", "message"),
     [
         ("NOPE 1", FramingError, "a batch must begin with TURN, got 'NOPE'"),
         ("TURN 4", FramingError, "input ended inside a batch"),
@@ -53,9 +53,9 @@
         ("TURN 1\nBOOT 1 2 {}\nFLUSH", InvalidValueError, "BOOT: invalid value ('extra')"),
     ],
 )
-def test_unreadable_input_names_what_is_wrong(
-    batches: str, error: type[WireError], text: str
+def test_the_error_of_invalid_input_names_the_message_and_the_fault(
+    batches: str, error: type[WireError], message: str
 ) -> None:
     with pytest.raises(error) as raised:
-        reply(f"{batches}\n".encode())
-    assert str(raised.value) == text
+        serve_batches(f"{batches}\n".encode())
+    assert str(raised.value) == message
--- a/tests/test_recovery_samples.py
+++ b/tests/test_recovery_samples.py
@@ -1,4 +1,4 @@
-"""A recovery snapshot that version 0.7.1 wrote: it is read, and written the same."""
+"""Tests that a snapshot written by version 0.7.1 is still read, and written byte for byte."""
 
 from pathlib import Path
 
@@ -16,9 +16,9 @@
 )
 
 
-def test_the_sample_is_read() -> None:
+def test_a_snapshot_of_version_0_7_1_is_read() -> None:
     assert parse_snapshot(SAMPLE.read_text()) == SNAPSHOT
 
 
-def test_a_snapshot_is_written_as_the_sample_is() -> None:
+def test_a_snapshot_is_written_as_version_0_7_1_wrote_it() -> None:
     assert serialize_snapshot(SNAPSHOT) == SAMPLE.read_text()
