--- a/burlloom/bench_adapter/codec.py
+++ b/burlloom/bench_adapter/codec.py
@@ -204,7 +204,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainNoticed:
-    """The instance has been told that it will be stopped.
+    """The instance has been notified that it will be stopped.
 
     Attributes:
         instance: Name of the instance.
--- a/burlloom/command/levels.py
+++ b/burlloom/command/levels.py
@@ -79,7 +79,7 @@
     """What each level takes away and when it is entered and left; and where the node stands, if it
     tells.
     """
-    from ..levels.plan import UNREACHABLE_ENTRY
+    from ..levels.plan import UNREACHABLE_BOUND
 
     part = part_of(operator)
     plan = part.build_plan()
@@ -93,7 +93,7 @@
         here = "*" if state is not None and state["level"] == level.name else " "
         click.echo(f"{here} {at} {level.name:12} takes away {takes_away(plan, at)}")
         for signal, bound in level.bounds.items():
-            entered = "never alone" if bound.enter >= UNREACHABLE_ENTRY else f"from {bound.enter:g}"
+            entered = "never alone" if bound.enter >= UNREACHABLE_BOUND else f"from {bound.enter:g}"
             click.echo(f"     {signal:8} entered {entered}, left at {bound.leave:g}")
     for signal, (enter, name) in plan.emergencies.items():
         click.echo(f"  ! {signal} from {enter:g}: at once to {name}")
--- a/burlloom/levels/plan.py
+++ b/burlloom/levels/plan.py
@@ -47,7 +47,7 @@
 # Value of `dropped_values` that rejects all values; one less rejects all but the highest one.
 DROP_ALL_VALUES = 1 << 30
 # An entry bound that no signal reaches: it only limits when a level may be left.
-UNREACHABLE_ENTRY = 1e9
+UNREACHABLE_BOUND = 1e9
 
 
 @dataclass(frozen=True, slots=True)
@@ -315,7 +315,7 @@
             "lean",
             {
                 "press": SignalBounds(0.15, 0.05),
-                "use": SignalBounds(UNREACHABLE_ENTRY, 0.90),
+                "use": SignalBounds(UNREACHABLE_BOUND, 0.90),
                 "age": SignalBounds(0.30, 0.10),
                 "lag": SignalBounds(0.25, 0.10),
                 "late": SignalBounds(0.05, 0.02),
@@ -331,7 +331,7 @@
             "essential",
             {
                 "press": SignalBounds(0.50, 0.05),
-                "use": SignalBounds(UNREACHABLE_ENTRY, 0.75),
+                "use": SignalBounds(UNREACHABLE_BOUND, 0.75),
                 "age": SignalBounds(0.40, 0.10),
                 "lag": SignalBounds(0.40, 0.10),
                 "late": SignalBounds(0.10, 0.02),
@@ -347,7 +347,7 @@
             "highest",
             {
                 "press": SignalBounds(0.95, 0.05),
-                "use": SignalBounds(UNREACHABLE_ENTRY, 0.60),
+                "use": SignalBounds(UNREACHABLE_BOUND, 0.60),
                 "lag": SignalBounds(1.00, 0.15),
                 "late": SignalBounds(0.35, 0.02),
                 "calls": SignalBounds(0.70, 0.05),
--- a/burlloom/levels/state_machine.py
+++ b/burlloom/levels/state_machine.py
@@ -99,7 +99,7 @@
 
     Attributes:
         level_count: Number of levels, without those that only a pin reaches.
-        dwell_ns: Minimum time between two steps down.
+        dwell_ns: Minimum time between the last transition and a step down.
         min_stay_ns: Minimum time at a level before a trial of the level above. The time doubles
             whenever a trial fails, or a node steps down to the level again within `relapse_ns` of
             stepping up from it.
@@ -209,7 +209,7 @@
         return status.level < self.policy.level_count - 1
 
     def has_dwelt(self, status: DegradationStatus, now_ns: int, target: int) -> bool:
-        """Test: the minimum time between two steps down has passed."""
+        """Test: the minimum time between the last transition and a step down has passed."""
         return now_ns - status.changed_at_ns >= self.policy.dwell_ns
 
     def has_stayed(self, status: DegradationStatus, now_ns: int, target: int) -> bool:
--- a/burlloom/metrics/exporter.py
+++ b/burlloom/metrics/exporter.py
@@ -14,7 +14,8 @@
 
 HISTOGRAM_BUCKETS_S = (0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
 SECONDS_PER_NS = 1e-9
-# Writes of the file skipped in a row while optional writes are not allowed; the next one is made.
+# Writes of the file skipped in a row while the service level suspends optional work; the one after
+# them is made.
 MAX_SKIPPED_WRITES = 5
 
 
@@ -23,7 +24,8 @@
 
     Args:
         prefix: Prefix of the metrics' names.
-        counts: Counters: a dataclass, a dictionary or a function that returns one of these.
+        counts: Counters, which only grow: a dataclass, a dictionary or a function that returns one
+            of these.
         gauges: Returns the present values of the gauges by name.
     """
 
--- a/burlloom/operator/levels.py
+++ b/burlloom/operator/levels.py
@@ -104,7 +104,7 @@
             `levels` is absent, else none.
         cold: Name of the level at which a cold node starts; by default the shipped one if `levels`
             is absent, else the first level.
-        dwell_ms: Minimum time between two steps down.
+        dwell_ms: Minimum time between the last transition and a step down.
         stay_ms: Minimum time at a level before a trial of the level above; it doubles with each
             relapse or failed trial.
         stay_most_ms: Upper bound of the doubled stay.
--- a/burlloom/operator/schema.py
+++ b/burlloom/operator/schema.py
@@ -114,7 +114,7 @@
     Attributes:
         node: This node's name in the store; by default the server's name.
         mode: What happens while the store is slow or unavailable: "require" rejects requests with a
-            key before they run, "prefer" runs them with idempotency marks in memory only.
+            key before they run, "prefer" runs them with idempotency keys in memory only.
         claim_share: Share of the latency objective that a claim may take before the run begins.
         hold_share: Share of the latency objective that an answer may wait for its result to become
             durable; it is then sent without that.
--- a/burlloom/recovery/bootstrap.py
+++ b/burlloom/recovery/bootstrap.py
@@ -3,7 +3,7 @@
 It takes two independent decisions. The snapshot's hint (the initial cap of the slow start) is
 dropped on any doubt, because a cold start costs only seconds. The fence is raised on any doubt:
 while it is up, a marked retry that this node does not know is voided, because it may have run in an
-incarnation whose idempotency marks are lost. Peer addresses need no decision: the peers are
+incarnation whose idempotency keys are lost. Peer addresses need no decision: the peers are
 contacted in any case, and all messages are sealed.
 """
 
@@ -76,7 +76,7 @@
     Args:
         has_no_verifiers: Whether there are neither peers nor a store that could be asked.
         was_drained: Whether the incarnation that wrote the snapshot had drained.
-        idempotency_window_ns: How long idempotency marks are valid, ns.
+        idempotency_window_ns: How long idempotency keys are valid, ns.
     """
 
     def __init__(
@@ -123,7 +123,7 @@
     def fence(self, now_ns: int) -> None:
         """Effect: drops the hint and raises the fence for one idempotency window.
 
-        An unknown incarnation ended before `now_ns`, so by the fence's end the idempotency marks of
+        An unknown incarnation ended before `now_ns`, so by the fence's end the idempotency keys of
         all requests that it ran would have expired.
         """
         self.uses_snapshot = False
--- a/burlloom/recovery/controller.py
+++ b/burlloom/recovery/controller.py
@@ -19,7 +19,7 @@
     """Parameters of the recovery. Times are in ns.
 
     Attributes:
-        idempotency_window_ns: How long idempotency marks are valid; the fence lasts as long.
+        idempotency_window_ns: How long idempotency keys are valid; the fence lasts as long.
         step_ns: Length of a step of the slow start.
         initial_share: Initial cap of a cold start, as a part of an equal share of the calls.
         warm_initial_share: Initial cap with a valid snapshot, as a part of the snapshot's call
@@ -31,8 +31,8 @@
         retry_ratio: Retries allowed for each first attempt.
         min_retries_per_second: Retries a second allowed whatever the first attempts are.
         retry_window_ns: Window over which attempts are counted.
-        fence: `retries`, or `off` if lost idempotency marks do not matter.
-        requires_record: Whether a run begins only after its idempotency mark is in the store of
+        fence: `retries`, or `off` if lost idempotency keys do not matter.
+        requires_record: Whether a run begins only after its idempotency key is in the store of
             record.
     """
 
@@ -79,16 +79,16 @@
         self.validity = validate_snapshot(
             snapshot, node, now_unix_ms, policy.max_snapshot_age_ns // NS_PER_MS
         )
-        # After a crash the store of record still has the idempotency marks;
+        # After a crash the store of record still has the idempotency keys;
         # `handle_record_opened` verifies that the store is the same one.
-        has_stored_marks = (
+        has_stored_keys = (
             self.snapshot is not None
             and policy.requires_record
             and self.snapshot.record_incarnation >= 0
         )
         self.bootstrap = Bootstrap(
             has_no_verifiers,
-            self.snapshot is not None and (self.snapshot.was_drained or has_stored_marks),
+            self.snapshot is not None and (self.snapshot.was_drained or has_stored_keys),
             policy.idempotency_window_ns,
         )
         self.retry_budget = RetryBudget(
@@ -138,7 +138,7 @@
             now_ns: The time, ns on the host's clock.
         """
         if self.snapshot is None:
-            return  # the store's marks are valid, and no earlier store is known to compare it with
+            return  # the store's keys are valid, and no earlier store is known to compare it with
         if self.snapshot.record_incarnation < 0:
             return
         expected = self.snapshot.record_incarnation + 1
@@ -235,6 +235,6 @@
     def is_fenced(self, now_ns: int) -> bool:
         """Returns whether the fence is raised.
 
-        An unknown marked retry may then have run in an incarnation whose marks are lost.
+        An unknown marked retry may then have run in an incarnation whose keys are lost.
         """
         return self.policy.fence != "off" and now_ns < self.bootstrap.fenced_until_ns
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -65,7 +65,7 @@
 
 def test_all_sequences_of_four_bootstrap_inputs() -> None:
     """The snapshot is used only if no input contradicts it, and the fence is raised whenever an
-    incarnation is known whose idempotency marks may be lost.
+    incarnation is known whose idempotency keys may be lost.
     """
     visited = set()
     for has_no_verifiers, was_drained in product((False, True), repeat=2):
