--- a/benchmarks/distribution_core.py
+++ b/benchmarks/distribution_core.py
@@ -70,12 +70,12 @@
         while busy:
             busy = False
             for at, one in enumerate(self.followers):
-                while one.out:
-                    data, begun, busy = one.out.popleft()[1], process_time(), True
+                while one.outbox:
+                    data, begun, busy = one.outbox.popleft()[1], process_time(), True
                     self.source.receive(now, data, (str(at), 1))
                     self.above += process_time() - begun
-            while self.source.out:
-                (name, _), data = self.source.out.popleft()
+            while self.source.outbox:
+                (name, _), data = self.source.outbox.popleft()
                 begun, busy = process_time(), True
                 self.followers[int(name)].receive(now, data, HERE)
                 spent = process_time() - begun
--- a/burlloom/distribution/__init__.py
+++ b/burlloom/distribution/__init__.py
@@ -1,9 +1,9 @@
 """Distribution of configuration to a fleet.
 
-Changes form a hash chain, are pushed down a tree of relays, and are repaired by comparing digests.
-`Follower` is a server's side, `Source` the side that is followed, both on a `Replica` and without
-I/O; a relay has both. docs/distribution.md gives the protocol and why no change is lost or
-reordered.
+Changes form a hash chain and are pushed down a tree of relays; differences between replicas are
+found by comparing digests and repaired. `Follower` is the receiving side of the protocol, `Source`
+the serving side. Both work on a `Replica` and do no I/O; a relay has both on one replica.
+docs/distribution.md specifies the protocol and shows why no change is lost or reordered.
 """
 
 from .changes import Change, ConfigItem, Head, InvalidChangeError, initial_head
--- a/burlloom/distribution/change_log.py
+++ b/burlloom/distribution/change_log.py
@@ -1,7 +1,8 @@
-"""The last changes of a replica, in order, with each one's effect on the digest of its scope.
+"""Bounded log of a replica's latest changes, each with its effect on the digest of its scope.
 
-The digest of a table is an XOR over its items, so a change alters it by an XOR too: the digest at
-an earlier revision is today's with the changes since then XORed out. No I/O.
+The digest of a table is an XOR over its items, so each change alters it by an XOR as well. The
+digest at an earlier revision is the current digest XORed with the deltas of all later changes. No
+I/O.
 """
 
 from collections import deque
@@ -9,46 +10,64 @@
 
 from .changes import Change
 
-MAX_LOGGED_CHANGES = 4096  # changes; 1.1 KB each at most: 4.6 MB
+MAX_LOGGED_CHANGES = 4096  # at most 1.1 KB each, 4.6 MB in total
 
 
 class ChangeLog:
-    """A bounded log of changes; `base_revision` is the revision before the oldest one kept."""
+    """A log of the latest changes that drops the oldest ones beyond `max_changes`.
 
-    def __init__(self, base: int = 0, most: int = MAX_LOGGED_CHANGES) -> None:
-        self.base_revision, self.max_changes = base, most
+    Attributes:
+        base_revision: Revision directly before the oldest logged change.
+        max_changes: Upper bound on the logged changes.
+        changes: The changes in order, each with its digest delta.
+    """
+
+    def __init__(self, base_revision: int = 0, max_changes: int = MAX_LOGGED_CHANGES) -> None:
+        self.base_revision, self.max_changes = base_revision, max_changes
         self.changes: deque[tuple[Change, int]] = deque()
 
     def __len__(self) -> int:
         return len(self.changes)
 
-    def append(self, change: Change, moved: int) -> None:
-        """Append a change, with the XOR of its scope's digests before and after (0 if not held)."""
-        self.changes.append((change, moved))
+    def append(self, change: Change, digest_delta: int) -> None:
+        """Appends a change.
+
+        Args:
+            change: The change after the last logged one.
+            digest_delta: XOR of the scope's digests before and after the change; 0 if the replica
+                does not hold the scope.
+        """
+        self.changes.append((change, digest_delta))
         if len(self.changes) > self.max_changes:
             self.changes.popleft()
             self.base_revision += 1
 
-    def restart(self, base: int) -> None:
-        """Forget all changes; the next one is that after revision `base`."""
+    def restart(self, base_revision: int) -> None:
+        """Drops all changes; the next change appended follows revision `base_revision`."""
         self.changes.clear()
-        self.base_revision = base
+        self.base_revision = base_revision
 
-    def changes_since(self, revision: int, most: int) -> list[Change] | None:
-        """Return at most `most` changes after a revision; None if they are no longer logged."""
-        at = revision - self.base_revision
-        if at < 0:
+    def changes_since(self, revision: int, max_changes: int) -> list[Change] | None:
+        """Returns at most `max_changes` changes after a revision; None if they were dropped."""
+        offset = revision - self.base_revision
+        if offset < 0:
             return None
-        return [self.changes[place][0] for place in range(at, min(at + most, len(self.changes)))]
+        return [
+            self.changes[index][0]
+            for index in range(offset, min(offset + max_changes, len(self.changes)))
+        ]
 
     def digest_delta_since(self, revision: int, scopes: Container[str] | None) -> int | None:
-        """Return the XOR of the scopes' digest deltas since a revision; None if not logged."""
-        at = revision - self.base_revision
-        if not 0 <= at <= len(self.changes):
+        """Returns the XOR of the scopes' digest deltas since a revision.
+
+        `scopes` None stands for all scopes. The result is None if the revision is not in the log.
+        """
+        offset = revision - self.base_revision
+        if not 0 <= offset <= len(self.changes):
             return None
-        found = 0
-        for place in range(at, len(self.changes)):
-            change, moved = self.changes[place]
+        total_delta = 0
+        for index in range(offset, len(self.changes)):
+            change, digest_delta = self.changes[index]
             if scopes is None or change.scope in scopes:
-                found ^= moved
-        return found
+                total_delta ^= digest_delta
+        return total_delta
--- a/burlloom/distribution/changes.py
+++ b/burlloom/distribution/changes.py
@@ -1,14 +1,17 @@
-"""Changes of configuration: items, the hash chain that seals their order, and validation.
+"""Changes of the configuration: items, the hash chain over the changes, and validation. No I/O.
 
-A change sets some items of one scope, all or none. Each item has an absolute value, so applying a
-change again after later ones is harmless once those are applied again as well. Revisions are dense
-within an epoch. The tag of a change is a keyed BLAKE2b (RFC 7693) over the tag before it and the
-change's fields: whoever has the key detects one that is missing, moved or altered. The chain covers
-the hash of the body in place of the body, so that a follower that does not hold the scope can
-verify it without the body. No I/O.
+A change sets or deletes items of one scope atomically. Each item has an absolute value, so applying
+an old change again is harmless if the later changes are applied again as well. Revisions are
+consecutive within an epoch.
 
-Source: hash chains of logs, Schneier and Kelsey, "Secure Audit Logs" (1999); here one key is shared
-by all, which keeps out strangers but not a holder of the key.
+The tag of a change is a keyed BLAKE2b (RFC 7693) over the previous change's tag and the change's
+own fields, so a holder of the key detects a missing, reordered or altered change. The tag covers
+the digest of the body in place of the body: a follower that does not hold the scope verifies the
+chain without the body.
+
+Source: hash chains of logs, Schneier and Kelsey, "Secure Audit Logs" (1999). All processes share
+one signing key here, so the chain protects against anyone without the key, but not against a holder
+of it.
 """
 
 import hashlib
@@ -20,24 +23,24 @@
 
 from ..errors import BurlloomError
 
-KINDS = ("tenant", "route", "setting")
-MAX_KEY_BYTES = 128  # bytes of UTF-8
-MAX_SCOPE_BYTES = 64  # bytes of UTF-8: a region's name
-MAX_VALUE_BYTES = 512  # bytes of MessagePack, a map
-MAX_BODY_BYTES = 1000  # a change fits a datagram with its seal
+ITEM_KINDS = ("tenant", "route", "setting")
+MAX_KEY_BYTES = 128  # an item's key in UTF-8
+MAX_SCOPE_BYTES = 64  # a region's name in UTF-8
+MAX_VALUE_BYTES = 512  # an item's value, a map in MessagePack
+MAX_BODY_BYTES = 1000  # a sealed datagram holds a change with a body of this size
 MAX_CHANGE_ITEMS = 64
-TAG_BYTES = 16  # bytes of a tag and of a body's digest
-MAX_NUMBER = (1 << 63) - 1
-MAX_FAULTS = 100  # that are told of one change
+TAG_BYTES = 16  # a tag, and also the digest of a body
+MAX_NUMBER = (1 << 63) - 1  # largest signed 64-bit integer
+MAX_FAULTS = 100  # faults reported of one change; further ones are left out
 
 
 class ConfigItem(NamedTuple):
     """One configuration item.
 
     Attributes:
-        scope: "" holds everywhere, else a region's name.
-        kind: one of `KINDS`.
-        key: the item's name within its kind.
+        scope: "" for all regions, or a region's name.
+        kind: One of `ITEM_KINDS`.
+        key: The item's name within its kind.
         value: MessagePack of a map; None deletes the item.
     """
 
@@ -51,13 +54,13 @@
     """One change of a scope's items.
 
     Attributes:
-        epoch: number of the log; it grows when the store was restored.
-        revision: dense number within the epoch.
-        time_ms: Unix ms at the origin, never less than that of the change before.
-        scope: scope of all items.
-        body: MessagePack of a list of [kind, key, value or nil]; None if left out for a follower
-            that does not hold the scope.
-        tag: hash that chains it to the change before.
+        epoch: Number of the log; a new, larger one begins after the store was restored.
+        revision: Number of the change within the epoch, counted from 1 without gaps.
+        time_ms: Unix ms at which the change was proposed, not less than the previous change's.
+        scope: Scope of all items of the change.
+        body: MessagePack of a list of [kind, key, value or nil]; None if it was left out for a
+            follower that does not hold the scope.
+        tag: Keyed hash that chains the change to the previous one.
         body_digest: BLAKE2b-128 of the body.
     """
 
@@ -70,12 +73,15 @@
     body_digest: bytes
 
     def without_body(self) -> "Change":
-        """Return the change as it goes to a follower that does not hold its scope."""
+        """Returns the change without its body, for a follower that does not hold its scope."""
         return self._replace(body=None)
 
 
 class Head(NamedTuple):
-    """The last change of an epoch; revision 0 if there is none yet. `time_ms` is Unix ms."""
+    """Identifies the last change of an epoch; revision 0 if the epoch has no change yet.
+
+    `time_ms` is in Unix ms.
+    """
 
     epoch: int
     revision: int
@@ -84,10 +90,10 @@
 
 
 class InvalidChangeError(BurlloomError):
-    """A change that can't be made.
+    """Raised for an invalid change.
 
     Attributes:
-        faults: all that is wrong, each with its place.
+        faults: All faults of the change, each with its place.
     """
 
     def __init__(self, faults: Sequence[str]) -> None:
@@ -96,9 +102,9 @@
 
 
 def initial_head(epoch: int, time_ms: int) -> Head:
-    """Return the head of an epoch before its first change.
+    """Returns the head of an epoch before its first change.
 
-    The table then holds whatever the store had.
+    The table at that head holds the items that the store had when the epoch began.
     """
     return Head(
         epoch, 0, hashlib.blake2b(b"epoch %d" % epoch, digest_size=TAG_BYTES).digest(), time_ms
@@ -106,137 +112,155 @@
 
 
 def hash_body(body: bytes) -> bytes:
-    """Return the BLAKE2b-128 of a change's body."""
+    """Returns the BLAKE2b-128 of a change's body."""
     return hashlib.blake2b(body, digest_size=TAG_BYTES).digest()
 
 
 def chain_tag(
     key: bytes,
-    before: bytes,
+    previous_tag: bytes,
     epoch: int,
     revision: int,
     time_ms: int,
     scope: str,
     body_digest: bytes,
 ) -> bytes:
-    """Return the tag of a change that follows one with the tag `before` (16 bytes)."""
-    text = b"%b%d %d %d " % (before, epoch, revision, time_ms) + body_digest + scope.encode()
+    """Returns the tag of a change that follows the change with the tag `previous_tag`."""
+    text = b"%b%d %d %d " % (previous_tag, epoch, revision, time_ms) + body_digest + scope.encode()
     return hashlib.blake2b(text, key=key, digest_size=TAG_BYTES).digest()
 
 
 def encode_items(items: Iterable[ConfigItem]) -> bytes:
-    """Return the body of a change: MessagePack of a list of [kind, key, value or nil]."""
+    """Returns the body of a change: MessagePack of a list of [kind, key, value or nil]."""
     body: bytes = msgpack.packb([[item.kind, item.key, item.value] for item in items])
     return body
 
 
 def decode_items(scope: str, body: bytes) -> list[ConfigItem]:
-    """Return the items of a body. Raises `InvalidChangeError` with all faults."""
+    """Returns the items of a change's body.
+
+    Raises:
+        InvalidChangeError: The body is invalid; the error lists all faults.
+    """
     if len(body) > MAX_BODY_BYTES:
-        raise InvalidChangeError([f"body: {len(body)} bytes, {MAX_BODY_BYTES} at most"])
+        raise InvalidChangeError([f"body: {len(body)} bytes, at most {MAX_BODY_BYTES} allowed"])
     try:
-        got = msgpack.unpackb(body, max_array_len=MAX_CHANGE_ITEMS, max_map_len=0, max_ext_len=0)
+        unpacked = msgpack.unpackb(
+            body, max_array_len=MAX_CHANGE_ITEMS, max_map_len=0, max_ext_len=0
+        )
     except (ValueError, msgpack.UnpackException, RecursionError) as error:
-        raise InvalidChangeError([f"body: no MessagePack that may be here: {error}"]) from error
-    if type(got) is not list:
-        raise InvalidChangeError(["body: no list"])
-    found = [
-        f"entries[{at}]: not of kind, key and value"
-        for at, part in enumerate(got)
-        if type(part) is not list or len(part) != 3
+        raise InvalidChangeError([f"body: not valid MessagePack: {error}"]) from error
+    if type(unpacked) is not list:
+        raise InvalidChangeError(["body: not a list"])
+    faults = [
+        f"entries[{index}]: not of kind, key and value"
+        for index, fields in enumerate(unpacked)
+        if type(fields) is not list or len(fields) != 3
     ]
-    if found:
-        raise InvalidChangeError(found)
-    items = [ConfigItem(scope, *part) for part in got]
-    found = change_faults(scope, items)
-    if found:
-        raise InvalidChangeError(found)
+    if faults:
+        raise InvalidChangeError(faults)
+    items = [ConfigItem(scope, *fields) for fields in unpacked]
+    faults = change_faults(scope, items)
+    if faults:
+        raise InvalidChangeError(faults)
     return items
 
 
 def change_faults(scope: Any, items: Sequence[ConfigItem]) -> list[str]:
-    """Return all that is wrong with the items of a change, each with its place."""
-    found = (
+    """Returns all faults of the items of a change, each with its place."""
+    faults = (
         []
         if is_text(scope, 0, MAX_SCOPE_BYTES)
         else [f"scope: not text of {MAX_SCOPE_BYTES} bytes at most"]
     )
     if not 0 < len(items) <= MAX_CHANGE_ITEMS:
-        found.append(f"entries: {len(items)}, of 1 to {MAX_CHANGE_ITEMS}")
-    known: dict[Any, int] = {}
-    for at, item in enumerate(items[:MAX_CHANGE_ITEMS]):
-        place = f"entries[{at}]"
+        faults.append(f"entries: {len(items)}, 1 to {MAX_CHANGE_ITEMS} allowed")
+    first_index_by_key: dict[Any, int] = {}
+    for index, item in enumerate(items[:MAX_CHANGE_ITEMS]):
+        place = f"entries[{index}]"
         if item.scope != scope:
-            found.append(f"{place}.scope: {item.scope!r:.80}, and the change's is {scope!r:.80}")
-        kind = type(item.kind) is str and item.kind in KINDS
-        if not kind:
-            found.append(f"{place}.kind: {item.kind!r:.80}, of {', '.join(KINDS)}")
-        key = is_text(item.key, 1, MAX_KEY_BYTES)
-        if not key:
-            found.append(f"{place}.key: not text of 1 to {MAX_KEY_BYTES} bytes")
-        if kind and key and known.setdefault((item.kind, item.key), at) != at:
-            found.append(f"{place}.key: set by entries[{known[item.kind, item.key]}] already")
+            faults.append(
+                f"{place}.scope: {item.scope!r:.80}, but the scope of the change is {scope!r:.80}"
+            )
+        is_kind_valid = type(item.kind) is str and item.kind in ITEM_KINDS
+        if not is_kind_valid:
+            faults.append(f"{place}.kind: {item.kind!r:.80}, not one of {', '.join(ITEM_KINDS)}")
+        is_key_valid = is_text(item.key, 1, MAX_KEY_BYTES)
+        if not is_key_valid:
+            faults.append(f"{place}.key: not text of 1 to {MAX_KEY_BYTES} bytes")
+        if (
+            is_kind_valid
+            and is_key_valid
+            and first_index_by_key.setdefault((item.kind, item.key), index) != index
+        ):
+            faults.append(
+                f"{place}.key: set by entries[{first_index_by_key[item.kind, item.key]}] already"
+            )
         fault = value_fault(item.value)
         if fault:
-            found.append(f"{place}.value: {fault}")
-    return found[:MAX_FAULTS]
+            faults.append(f"{place}.value: {fault}")
+    return faults[:MAX_FAULTS]
 
 
 def value_fault(value: Any) -> str:
-    """Return why a value can't be an item's; "" if it can."""
+    """Returns the fault of an item's value; "" if the value is valid."""
     if value is None:
         return ""
     if type(value) is not bytes:
         return "not bytes"
     if len(value) > MAX_VALUE_BYTES:
-        return f"{len(value)} bytes, {MAX_VALUE_BYTES} at most"
+        return f"{len(value)} bytes, at most {MAX_VALUE_BYTES} allowed"
     try:
-        got = msgpack.unpackb(value, max_ext_len=0)
+        unpacked = msgpack.unpackb(value, max_ext_len=0)
     except (ValueError, TypeError, msgpack.UnpackException, RecursionError) as error:
-        return f"no MessagePack: {error!s:.80}"
-    return "" if type(got) is dict else "no map"
+        return f"not valid MessagePack: {error!s:.80}"
+    return "" if type(unpacked) is dict else "not a map"
 
 
-def is_text(got: Any, least: int, most: int) -> bool:
-    """Whether a value is text of `least` to `most` bytes of UTF-8."""
-    if type(got) is not str or len(got) > most:
+def is_text(value: Any, min_bytes: int, max_bytes: int) -> bool:
+    """Returns whether a value is a string of `min_bytes` to `max_bytes` bytes of UTF-8."""
+    if type(value) is not str or len(value) > max_bytes:
         return False
     try:
-        return least <= len(got.encode()) <= most
+        return min_bytes <= len(value.encode()) <= max_bytes
     except UnicodeEncodeError:
         return False
 
 
-def next_change(before: Head, scope: str, body: bytes, time_ms: int, key: bytes) -> Change:
-    """Return the sealed change that follows `before`. Time never goes back."""
+def next_change(previous: Head, scope: str, body: bytes, time_ms: int, key: bytes) -> Change:
+    """Returns the signed change that follows `previous`; its time is never before `previous`'s."""
     revision, time_ms, digest = (
-        before.revision + 1,
-        max(before.time_ms, time_ms),
+        previous.revision + 1,
+        max(previous.time_ms, time_ms),
         hash_body(body),
     )
-    tag = chain_tag(key, before.tag, before.epoch, revision, time_ms, scope, digest)
-    return Change(before.epoch, revision, time_ms, scope, body, tag, digest)
+    tag = chain_tag(key, previous.tag, previous.epoch, revision, time_ms, scope, digest)
+    return Change(previous.epoch, revision, time_ms, scope, body, tag, digest)
 
 
-def chain_break(before: Head, change: Change, keys: Sequence[bytes]) -> str:
-    """Return why a change does not directly follow `before`; "" if it does.
+def chain_break(previous: Head, change: Change, keys: Sequence[bytes]) -> str:
+    """Returns why a change does not directly follow the head `previous`; "" if it does.
 
-    Any of the keys may have signed it, so that keys can be rotated while the fleet runs.
+    Any of the keys may have signed the change, so that keys can be rotated while the fleet runs.
     """
-    if change.epoch != before.epoch:
-        return "another epoch"
-    if change.revision != before.revision + 1:
-        return "an older revision" if change.revision <= before.revision else "a gap before it"
-    if change.time_ms < before.time_ms:
-        return "its time steps back"
+    if change.epoch != previous.epoch:
+        return "epoch differs from that of the head"
+    if change.revision != previous.revision + 1:
+        return (
+            "revision not after the head"
+            if change.revision <= previous.revision
+            else "gap between the head and the revision"
+        )
+    if change.time_ms < previous.time_ms:
+        return "time before that of the head"
     if change.body is not None and hash_body(change.body) != change.body_digest:
-        return "its body was altered"
+        return "body does not match its digest"
     if not any(
         hmac.compare_digest(
             change.tag,
             chain_tag(
                 key,
-                before.tag,
+                previous.tag,
                 change.epoch,
                 change.revision,
                 change.time_ms,
@@ -246,15 +270,14 @@
         )
         for key in keys
     ):
-        return "its tag does not follow"
+        return "tag does not continue the chain"
     return ""
 
 
 def head_after(change: Change) -> Head:
-    """Return the head of a log whose last change this is."""
+    """Returns the head of a log whose last change is `change`."""
     return Head(change.epoch, change.revision, change.tag, change.time_ms)
 
 
-ItemCheck = Callable[
-    [ConfigItem], list[str]
-]  # faults of one entry by its meaning, with places within the value
+# Returns the semantic faults of an item, each with its place within the value.
+ItemCheck = Callable[[ConfigItem], list[str]]
--- a/burlloom/distribution/codec.py
+++ b/burlloom/distribution/codec.py
@@ -1,8 +1,8 @@
-"""Encodes and decodes the datagrams of replication: the wire's words are mapped here alone. No I/O.
+"""Encodes and decodes the datagrams of replication. No I/O.
 
-A datagram is 16 bytes of a keyed BLAKE2b (RFC 7693) over the rest, then MessagePack: version, kind,
-the sender's name, its incarnation, a number, and the kind's own fields. Anything else is refused
-with a reason.
+A datagram starts with a seal, 16 bytes of a keyed BLAKE2b (RFC 7693) over the rest. The rest is a
+MessagePack list: protocol version, message kind, the sender's name, its incarnation, the message
+number, and the fields of that kind. Any other datagram is rejected with a reason.
 """
 
 import hashlib
@@ -14,8 +14,8 @@
 import msgpack
 
 from ..errors import BurlloomError
-from .changes import KINDS as ENTRY_KINDS
 from .changes import (
+    ITEM_KINDS,
     MAX_BODY_BYTES,
     MAX_KEY_BYTES,
     MAX_NUMBER,
@@ -50,19 +50,19 @@
 )
 from .table import BUCKET_COUNT, ItemPosition, Page
 
-VERSION = 1
+PROTOCOL_VERSION = 1
 
 
 SEAL_BYTES = 16
 
 
-MAX_MESSAGE_BYTES = 1400  # bytes; fits a frame of Ethernet
+MAX_MESSAGE_BYTES = 1400  # a whole datagram; it fits into one Ethernet frame
 
 
-MAX_PAGE_ITEMS = 256  # of one page: more don't fit
+MAX_PAGE_ITEMS = 256  # more items do not fit into a page
 
 
-REQUESTS = frozenset(
+REQUEST_KINDS = frozenset(
     {
         MessageKind.REPORT,
         MessageKind.PULL,
@@ -74,74 +74,81 @@
 
 
 class MessageDecodeError(BurlloomError):
-    """A datagram that no peer with our key and version would send; the text says why."""
+    """Raised for a datagram that no peer with one of the shared keys and this protocol version sends."""
 
 
 def compute_seal(key: bytes, text: bytes) -> bytes:
-    """Return the keyed BLAKE2b that precedes a message, `SEAL_BYTES` long."""
+    """Returns the seal of a message: its keyed BLAKE2b, `SEAL_BYTES` long."""
     return hashlib.blake2b(text, key=key, digest_size=SEAL_BYTES).digest()
 
 
 def seal(sender: Sender, body: Body, key: bytes) -> bytes:
-    """Return the datagram of a message, sealed with `key`."""
+    """Returns the datagram of a message, sealed with `key`."""
     kind = KIND_OF_BODY[type(body)]
-    text: bytes = msgpack.packb((VERSION, kind, *sender, *ENCODERS[kind](body)))
+    text: bytes = msgpack.packb((PROTOCOL_VERSION, kind, *sender, *ENCODERS[kind](body)))
     return compute_seal(key, text) + text
 
 
 def unseal(data: bytes, keys: Sequence[bytes]) -> Message:
-    """Return the message of a datagram. Raises `MessageDecodeError`.
+    """Returns the message of a datagram.
 
-    Any of the keys may have sealed it, so that keys can be rotated while the fleet runs.
+    Any of the keys may have sealed the datagram, so that keys can be rotated while the fleet runs.
+
+    Raises:
+        MessageDecodeError: The datagram is not sealed with one of the keys, or is invalid.
     """
     if not SEAL_BYTES < len(data) <= MAX_MESSAGE_BYTES:
-        raise MessageDecodeError("too short" if len(data) <= SEAL_BYTES else "too long")
+        raise MessageDecodeError(
+            "datagram too short" if len(data) <= SEAL_BYTES else "datagram too long"
+        )
     received_seal, text = data[:SEAL_BYTES], data[SEAL_BYTES:]
     if not any(hmac.compare_digest(received_seal, compute_seal(key, text)) for key in keys):
         raise MessageDecodeError("not sealed with our key")
     try:
-        got = msgpack.unpackb(text, max_array_len=MAX_PAGE_ITEMS, max_map_len=0, max_ext_len=0)
+        fields = msgpack.unpackb(text, max_array_len=MAX_PAGE_ITEMS, max_map_len=0, max_ext_len=0)
     except (ValueError, msgpack.UnpackException, RecursionError) as error:
-        raise MessageDecodeError("no MessagePack that may be here") from error
-    return message_of(got)
+        raise MessageDecodeError("payload is not valid MessagePack") from error
+    return message_of(fields)
 
 
 def is_for_source(data: bytes) -> bool:
-    """Whether a datagram is for a source, judged by its kind alone and without its seal."""
-    return len(data) > SEAL_BYTES + 2 and data[SEAL_BYTES + 2] in REQUESTS
-
-
-def message_of(got: Any) -> Message:
-    """Return the message of unpacked MessagePack. Raises `MessageDecodeError`."""
-    if type(got) is not list or len(got) < 5:
-        raise MessageDecodeError("no message")
-    version, kind, name, incarnation, number = got[:5]
-    if type(version) is not int or version != VERSION:
-        older = type(version) is int and version < VERSION
-        raise MessageDecodeError("an older version" if older else "another version")
+    """Returns whether a datagram's kind is one that sources handle; the seal is not checked."""
+    return len(data) > SEAL_BYTES + 2 and data[SEAL_BYTES + 2] in REQUEST_KINDS
+
+
+def message_of(fields: Any) -> Message:
+    """Returns the message of an unpacked MessagePack list. Raises `MessageDecodeError`."""
+    if type(fields) is not list or len(fields) < 5:
+        raise MessageDecodeError("payload is not a message")
+    version, kind, name, incarnation, number = fields[:5]
+    if type(version) is not int or version != PROTOCOL_VERSION:
+        is_older = type(version) is int and version < PROTOCOL_VERSION
+        raise MessageDecodeError(
+            "older protocol version" if is_older else "unknown protocol version"
+        )
     if type(kind) is not int or not 0 <= kind < len(MessageKind):
-        raise MessageDecodeError("of no kind")
+        raise MessageDecodeError("unknown message kind")
     if not is_text(name, 1, MAX_NAME_BYTES) or not is_number(incarnation) or not is_number(number):
-        raise MessageDecodeError("a sender that is none")
-    length, read = DECODERS[kind]
-    if len(got) != 5 + length:
-        raise MessageDecodeError(f"no {MessageKind(kind).name}")
-    return Message(Sender(name, incarnation, number), read(*got[5:]))
+        raise MessageDecodeError("invalid sender")
+    field_count, decode = DECODERS[kind]
+    if len(fields) != 5 + field_count:
+        raise MessageDecodeError(f"{MessageKind(kind).name}: wrong number of fields")
+    return Message(Sender(name, incarnation, number), decode(*fields[5:]))
 
 
-def is_number(got: Any) -> bool:
-    """Whether a value is an integer from 0 to `MAX_NUMBER`."""
-    return type(got) is int and 0 <= got <= MAX_NUMBER
+def is_number(value: Any) -> bool:
+    """Returns whether a value is an integer from 0 to `MAX_NUMBER`."""
+    return type(value) is int and 0 <= value <= MAX_NUMBER
 
 
-def require(so: bool, what: str) -> None:
-    """Raise `MessageDecodeError` unless a condition holds."""
-    if not so:
-        raise MessageDecodeError(f"no {what}")
+def require(condition: bool, part: str) -> None:
+    """Raises `MessageDecodeError` about an invalid part unless a condition holds."""
+    if not condition:
+        raise MessageDecodeError(f"invalid {part}")
 
 
 def head_from(epoch: Any, revision: Any, tag: Any, time_ms: Any) -> Head:
-    """Return a head of decoded fields. Raises `MessageDecodeError`."""
+    """Returns the head with the decoded fields. Raises `MessageDecodeError`."""
     require(
         is_number(epoch)
         and epoch > 0
@@ -155,7 +162,7 @@
 
 
 def read_report(scopes: Any, epoch: Any, revision: Any, digest: Any) -> Body:
-    """Decode REPORT. Raises `MessageDecodeError`."""
+    """Decodes REPORT. Raises `MessageDecodeError`."""
     require(
         scopes is None
         or type(scopes) is list
@@ -171,17 +178,28 @@
 
 
 def read_head(
-    epoch: Any, revision: Any, tag: Any, time_ms: Any, age: Any, differs: Any, oldest: Any
+    epoch: Any,
+    revision: Any,
+    tag: Any,
+    time_ms: Any,
+    age_ms: Any,
+    differs: Any,
+    oldest_revision: Any,
 ) -> Body:
-    """Decode HEAD. Raises `MessageDecodeError`."""
-    require((age is None or is_number(age)) and type(differs) is bool and is_number(oldest), "HEAD")
-    return HeadStatus(head_from(epoch, revision, tag, time_ms), age, differs, oldest)
+    """Decodes HEAD. Raises `MessageDecodeError`."""
+    require(
+        (age_ms is None or is_number(age_ms))
+        and type(differs) is bool
+        and is_number(oldest_revision),
+        "HEAD",
+    )
+    return HeadStatus(head_from(epoch, revision, tag, time_ms), age_ms, differs, oldest_revision)
 
 
 def read_change(
     epoch: Any, revision: Any, time_ms: Any, scope: Any, body: Any, tag: Any, digest: Any
 ) -> Body:
-    """Decode CHANGE. Raises `MessageDecodeError`."""
+    """Decodes CHANGE. Raises `MessageDecodeError`."""
     require(
         is_number(epoch)
         and epoch > 0
@@ -199,19 +217,22 @@
     return PushedChange(Change(epoch, revision, time_ms, scope, body, tag, digest))
 
 
-def read_pull(epoch: Any, after: Any, most: Any) -> Body:
-    """Decode PULL. Raises `MessageDecodeError`."""
+def read_pull(epoch: Any, after_revision: Any, max_changes: Any) -> Body:
+    """Decodes PULL. Raises `MessageDecodeError`."""
     require(
-        is_number(epoch) and is_number(after) and is_number(most) and 0 < most <= MAX_PULL_CHANGES,
+        is_number(epoch)
+        and is_number(after_revision)
+        and is_number(max_changes)
+        and 0 < max_changes <= MAX_PULL_CHANGES,
         "PULL",
     )
-    return PullRequest(epoch, after, most)
+    return PullRequest(epoch, after_revision, max_changes)
 
 
 def read_digests(
     epoch: Any, revision: Any, tag: Any, time_ms: Any, half: Any, digests: Any
 ) -> Body:
-    """Decode DIGESTS. Raises `MessageDecodeError`."""
+    """Decodes DIGESTS. Raises `MessageDecodeError`."""
     require(
         type(half) is int
         and half in (0, 1)
@@ -219,84 +240,87 @@
         and len(digests) == 8 * HALF_BUCKETS,
         "DIGESTS",
     )
-    found = tuple(
-        int.from_bytes(digests[at : at + 8], "big") for at in range(0, 8 * HALF_BUCKETS, 8)
+    values = tuple(
+        int.from_bytes(digests[offset : offset + 8], "big")
+        for offset in range(0, 8 * HALF_BUCKETS, 8)
     )
-    return DigestsResponse(head_from(epoch, revision, tag, time_ms), half, found)
+    return DigestsResponse(head_from(epoch, revision, tag, time_ms), half, values)
 
 
-def read_pages_request(bucket: Any, after: Any, pages: Any) -> Body:
-    """Decode PAGES_ASK. Raises `MessageDecodeError`."""
+def read_pages_request(bucket: Any, after: Any, page_count: Any) -> Body:
+    """Decodes PAGES_ASK. Raises `MessageDecodeError`."""
     require(
         is_number(bucket)
         and bucket < BUCKET_COUNT
-        and is_number(pages)
-        and 0 < pages <= MAX_PAGES_PER_REQUEST,
+        and is_number(page_count)
+        and 0 < page_count <= MAX_PAGES_PER_REQUEST,
         "PAGES_ASK",
     )
-    return PagesRequest(bucket, position_from(after), pages)
+    return PagesRequest(bucket, position_from(after), page_count)
 
 
 def read_page(
-    epoch: Any, revision: Any, bucket: Any, place: Any, after: Any, items: Any, done: Any
+    epoch: Any, revision: Any, bucket: Any, page_index: Any, after: Any, items: Any, is_last: Any
 ) -> Body:
-    """Decode PAGE. Raises `MessageDecodeError`."""
+    """Decodes PAGE. Raises `MessageDecodeError`."""
     require(
         is_number(epoch)
         and epoch > 0
         and is_number(revision)
         and is_number(bucket)
         and bucket < BUCKET_COUNT
-        and is_number(place)
-        and place < MAX_PAGES_PER_REQUEST
+        and is_number(page_index)
+        and page_index < MAX_PAGES_PER_REQUEST
         and type(items) is list
-        and type(done) is bool,
+        and type(is_last) is bool,
         "PAGE",
     )
-    found = tuple(map(item_from, items))
-    last = found[-1][:3] if found else None
-    begin = position_from(after)
-    require(done or bool(found), "PAGE")
-    places = [item[:3] for item in found]
+    decoded_items = tuple(map(item_from, items))
+    last_position = decoded_items[-1][:3] if decoded_items else None
+    start = position_from(after)
+    require(is_last or bool(decoded_items), "PAGE")
+    positions = [item[:3] for item in decoded_items]
     require(
-        all(one < other for one, other in pairwise(places))
-        and (begin is None or not places or begin < places[0]),
-        "order in a PAGE",
+        all(previous < following for previous, following in pairwise(positions))
+        and (start is None or not positions or start < positions[0]),
+        "order of entries in PAGE",
+    )
+    return PageResponse(
+        epoch, revision, bucket, page_index, start, Page(decoded_items, last_position, is_last)
     )
-    return PageResponse(epoch, revision, bucket, place, begin, Page(found, last, done))
 
 
-def position_from(got: Any) -> ItemPosition | None:
-    """Return a position of decoded fields; None for nil. Raises `MessageDecodeError`."""
-    if got is None:
+def position_from(fields: Any) -> ItemPosition | None:
+    """Returns the position with the decoded fields; None for nil. Raises `MessageDecodeError`."""
+    if fields is None:
         return None
     require(
-        type(got) is list
-        and len(got) == 3
-        and is_text(got[0], 0, MAX_SCOPE_BYTES)
-        and got[1] in ENTRY_KINDS
-        and is_text(got[2], 1, MAX_KEY_BYTES),
+        type(fields) is list
+        and len(fields) == 3
+        and is_text(fields[0], 0, MAX_SCOPE_BYTES)
+        and fields[1] in ITEM_KINDS
+        and is_text(fields[2], 1, MAX_KEY_BYTES),
         "place",
     )
-    return got[0], got[1], got[2]
+    return fields[0], fields[1], fields[2]
 
 
-def item_from(got: Any) -> ConfigItem:
-    """Return an item of decoded fields. Raises `MessageDecodeError`."""
+def item_from(fields: Any) -> ConfigItem:
+    """Returns the item with the decoded fields. Raises `MessageDecodeError`."""
     require(
-        type(got) is list
-        and len(got) == 4
-        and type(got[3]) is bytes
-        and len(got[3]) <= MAX_VALUE_BYTES,
+        type(fields) is list
+        and len(fields) == 4
+        and type(fields[3]) is bytes
+        and len(fields[3]) <= MAX_VALUE_BYTES,
         "entry",
     )
-    place = position_from(got[:3])
-    assert place is not None
-    return ConfigItem(*place, got[3])
+    position = position_from(fields[:3])
+    assert position is not None
+    return ConfigItem(*position, fields[3])
 
 
 def read_redirect(reason: Any) -> Body:
-    """Decode REDIRECT. Raises `MessageDecodeError`."""
+    """Decodes REDIRECT. Raises `MessageDecodeError`."""
     require(is_text(reason, 0, MAX_NAME_BYTES), "REDIRECT")
     return Redirect(reason)
 
@@ -315,13 +339,18 @@
 }
 
 
+# By message kind: returns the fields of a body, in the order of the wire.
 ENCODERS: list[Callable[[Any], Sequence[Any]]] = [
     lambda body: body,
     lambda body: (*body.head, body.age_ms, body.differs, body.oldest_revision),
     lambda body: body.change,
     lambda body: body,
     lambda body: body,
-    lambda body: (*body.head, body.half, b"".join(one.to_bytes(8, "big") for one in body.digests)),
+    lambda body: (
+        *body.head,
+        body.half,
+        b"".join(digest.to_bytes(8, "big") for digest in body.digests),
+    ),
     lambda body: body,
     lambda body: (
         body.epoch,
@@ -337,6 +366,7 @@
 ]
 
 
+# By message kind: number of fields, and the function that makes the body of them.
 DECODERS: list[tuple[int, Callable[..., Body]]] = [
     (4, read_report),
     (7, read_head),
--- a/burlloom/distribution/config_query.py
+++ b/burlloom/distribution/config_query.py
@@ -1,4 +1,4 @@
-"""Queries a source for the items under one key, for an operator; keeps no table."""
+"""Queries a source for the items with one key, for an operator; keeps no table."""
 
 import asyncio
 import secrets
@@ -21,13 +21,14 @@
 from .table import ItemPosition, bucket_of
 from .upstreams import Upstream
 
-ANSWER_TIMEOUT_S, MAX_ATTEMPTS = 0.5, 3  # s for an answer; how often each is asked
-MAX_PAGES = 10_000  # of one bucket
+ANSWER_TIMEOUT_S = 0.5
+MAX_ATTEMPTS = 3  # attempts of each request
+MAX_PAGES = 10_000  # pages read of one bucket; beyond that the query is given up
 Result = TypeVar("Result")
 
 
 class QueryClient(asyncio.DatagramProtocol):
-    """Sends one request at a time and waits for its answer; holds no table."""
+    """Sends one request at a time and waits for its answer; `key` seals the messages."""
 
     def __init__(self, key: bytes) -> None:
         self.key, self.received = key, asyncio.Queue[Message](256)
@@ -38,27 +39,32 @@
         )
 
     def connection_made(self, transport: Any) -> None:
-        """Keep the transport that asyncio gives."""
+        """Stores the transport, which `query` sends through."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        """Queue a message that can be decoded; drop anything else."""
+        """Queues a valid message; drops other datagrams, and messages beyond the queue's size."""
         with suppress(MessageDecodeError, asyncio.QueueFull):
             self.received.put_nowait(unseal(data, (self.key,)))
 
     async def query(
-        self, one: Upstream, body: Body, answer: Callable[[Message], Result | None]
+        self, upstream: Upstream, body: Body, accept: Callable[[Message], Result | None]
     ) -> Result | None:
-        """Send a request until `answer` accepts a reply.
+        """Sends a request until a reply to it is accepted.
+
+        Args:
+            upstream: Server to ask.
+            body: The request.
+            accept: Returns the result of a reply, or None for a reply that is not the wanted one.
 
         Returns:
-            What `answer` made of the reply; None after `MAX_ATTEMPTS` timeouts of
-            `ANSWER_TIMEOUT_S`.
+            The result of `accept`; None after `MAX_ATTEMPTS` timeouts of `ANSWER_TIMEOUT_S`.
         """
         for _ in range(MAX_ATTEMPTS):
             self.number += 1
             self.transport.sendto(
-                seal(Sender(self.name, self.incarnation, self.number), body, self.key), one.address
+                seal(Sender(self.name, self.incarnation, self.number), body, self.key),
+                upstream.address,
             )
             try:
                 async with asyncio.timeout(ANSWER_TIMEOUT_S):
@@ -66,43 +72,44 @@
                         message = await self.received.get()
                         if (
                             message.sender.number == self.number
-                            and (found := answer(message)) is not None
+                            and (accepted := accept(message)) is not None
                         ):
-                            return found
+                            return accepted
             except TimeoutError:
                 pass
         return None
 
 
-def answered(message: Message) -> HeadStatus | Redirect | None:
-    """Return the reply to a report, if it is one."""
+def reply_to_report(message: Message) -> HeadStatus | Redirect | None:
+    """Returns the body of a reply to a report; None for any other message."""
     return message.body if isinstance(message.body, HeadStatus | Redirect) else None
 
 
 async def query(
     upstreams: Iterable[Upstream], region: str, key: bytes, kind: str, name: str
 ) -> tuple[list[tuple[str, bytes, str]] | None, str]:
-    """Ask the upstreams in turn for what is in force under a key.
+    """Asks the upstreams in turn for the items with a key in a region.
 
     Returns:
-        Scope, value and "" of each item, the one in force first, or None if nobody answered; and a
-        sentence that says who answered, or why nobody did.
+        A list with scope, value and "" of each item, the item in force first, or None if no
+        upstream answered; and a sentence for the operator that names the upstream and its revision,
+        or says why there is no answer.
     """
     client = QueryClient(key)
     transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
         lambda: client, local_addr=("0.0.0.0", 0)
     )
-    said = "no upstream answers"
+    explanation = "no upstream answers"
     try:
-        for one in upstreams:
+        for upstream in upstreams:
             status: HeadStatus | Redirect | None = await client.query(
-                one, Report(("", region), 0, 0, 0), answered
+                upstream, Report(("", region), 0, 0, 0), reply_to_report
             )
             if isinstance(status, Redirect):
-                said = f"{one.name} sends on: {status.reason}"
+                explanation = f"{upstream.name} redirects to another upstream: {status.reason}"
             elif (
                 status is not None
-                and (found := await query_item(client, one, region, kind, name)) is not None
+                and (items := await query_item(client, upstream, region, kind, name)) is not None
             ):
                 age = (
                     "never surely the newest"
@@ -110,27 +117,28 @@
                     else f"surely the newest {status.age_ms / 1000:.1f} s ago"
                 )
                 return (
-                    found,
-                    f"{one.name}: epoch {status.head.epoch} revision {status.head.revision}, {age}",
+                    items,
+                    f"{upstream.name}: epoch {status.head.epoch} revision {status.head.revision},"
+                    f" {age}",
                 )
-        return None, said
+        return None, explanation
     finally:
         transport.close()
 
 
 async def query_item(
-    client: QueryClient, one: Upstream, region: str, kind: str, name: str
+    client: QueryClient, upstream: Upstream, region: str, kind: str, name: str
 ) -> list[tuple[str, bytes, str]] | None:
-    """Return scope and value of each item under a key, the one in force first.
+    """Returns scope, value and "" of each item with a key, the item in force first.
 
-    None if nobody answered.
+    The result is None if the upstream stops answering or the bucket has over `MAX_PAGES` pages.
     """
     bucket = bucket_of(kind, name)
     after: ItemPosition | None = None
-    found: dict[str, bytes] = {}
+    items: dict[str, bytes] = {}
     for _ in range(MAX_PAGES):
         paged = await client.query(
-            one,
+            upstream,
             PagesRequest(bucket, after, 1),
             lambda message: message.body if isinstance(message.body, PageResponse) else None,
         )
@@ -138,8 +146,8 @@
             return None
         for item in paged.page.items:
             if item[1:3] == (kind, name) and item.value is not None:
-                found[item.scope] = item.value
+                items[item.scope] = item.value
         if paged.page.is_last:
-            return [(scope, found[scope], "") for scope in (region, "") if scope in found]
+            return [(scope, items[scope], "") for scope in (region, "") if scope in items]
         after = paged.page.last_position
     return None
--- a/burlloom/distribution/control_node.py
+++ b/burlloom/distribution/control_node.py
@@ -1,4 +1,4 @@
-"""A control machine or a relay: follows the store, or its peers, and is followed."""
+"""A control machine or a relay as a process: follows the store or its peers, and is followed."""
 
 import asyncio
 import logging
@@ -25,23 +25,31 @@
 
 log = logging.getLogger(__name__)
 
-MS, SECOND = 1_000_000, 1_000_000_000
-TICK_S = 0.05  # s
-POLL_INTERVAL_S = 0.2  # s between two looks at the store
-STORE_TIMEOUT_NS = 1500 * MS  # of no look that worked: from then on peers are followed
-MAX_RETRY_DELAY_S = 2.0  # s between two looks at a store that is away
-INCONSISTENCY_LOG_INTERVAL_NS = 30 * SECOND  # between lines about a store that can't be believed
-LEAVE_DELAY_S = 0.05  # s between our last word and the end of the socket
+NS_PER_MS, NS_PER_SECOND = 1_000_000, 1_000_000_000
+TICK_S = 0.05
+POLL_INTERVAL_S = 0.2  # between two polls of the store
+STORE_TIMEOUT_NS = 1500 * NS_PER_MS  # without a successful poll, after which peers are followed
+MAX_RETRY_DELAY_S = 2.0  # between two polls of an unavailable store
+INCONSISTENCY_LOG_INTERVAL_NS = 30 * NS_PER_SECOND  # between log lines about an inconsistent store
+LEAVE_DELAY_S = 0.05  # between the last datagrams and the closing of the socket
 
 
-def since_start() -> int:
-    """Return ns of the boot clock, which is never set and includes the machine's sleep."""
+def boot_clock_ns() -> int:
+    """Returns the boot clock in ns, which is never adjusted and includes suspended time."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
 @dataclass(slots=True)
-class Counts:
-    """Counters for metrics."""
+class StoreCounters:
+    """Counters about the store, for metrics and the state file.
+
+    Attributes:
+        reads: Successful polls.
+        away: Polls that failed because the store was unavailable.
+        broken: Polls that failed because the store was inconsistent.
+        loads: Loads of the whole table.
+        renewals: Epochs begun because the store had been restored.
+    """
 
     reads: int = 0
     away: int = 0
@@ -51,9 +59,22 @@
 
 
 class ControlNode:
-    """A control machine (`store` given) or a relay (`store` None).
-
-    A relay follows `upstreams`; a control machine does so only while its store is unavailable.
+    """A control machine or a relay.
+
+    A control machine has a store and follows `upstreams` only while the store is unavailable. A
+    relay has none and always follows `upstreams`.
+
+    Args:
+        name: The process's name; an upstream with the same name is left out.
+        region: The process's region.
+        sock: Bound, non-blocking UDP socket.
+        seal_keys: Keys that seal messages.
+        signing_keys: Keys that sign changes.
+        settings: Intervals, timeouts and limits.
+        upstreams: Peers that may be followed.
+        store: The store of changes; None for a relay.
+        state_file: Path of the state file; None for none.
+        seed: Seed of all random draws; None for a random one.
     """
 
     def __init__(
@@ -61,8 +82,8 @@
         name: str,
         region: str,
         sock: socket.socket,
-        seals: KeyFile,
-        signing: KeyFile,
+        seal_keys: KeyFile,
+        signing_keys: KeyFile,
         settings: ReplicationSettings,
         upstreams: Iterable[Upstream],
         store: ChangeStore | None,
@@ -72,18 +93,25 @@
         self.name, self.region, self.seal_keys, self.signing_keys, self.settings = (
             name,
             region,
-            seals,
-            signing,
+            seal_keys,
+            signing_keys,
             settings,
         )
-        self.upstreams = [one for one in upstreams if one.name != name]
+        self.upstreams = [upstream for upstream in upstreams if upstream.name != name]
         self.store, self.state_file = store, state_file
         self.random = Random(seed)
-        self.counts = Counts()
-        self.incarnation, now = time.time_ns() // MS, since_start()
-        self.replica = Replica(ConfigTable(None), signing.keys)
+        self.counts = StoreCounters()
+        self.incarnation, now = time.time_ns() // NS_PER_MS, boot_clock_ns()
+        self.replica = Replica(ConfigTable(None), signing_keys.keys)
         self.source = Source(
-            self.replica, name, self.incarnation, seals.keys, settings, self.random, now, self.age
+            self.replica,
+            name,
+            self.incarnation,
+            seal_keys.keys,
+            settings,
+            self.random,
+            now,
+            self.table_age_ms,
         )
         self.follower: Follower | None = None
         self.store_follower = (
@@ -93,21 +121,25 @@
         )
         self.endpoint = Endpoint(sock, self.receive)
         self.head_logger = HeadLogger(self.replica)
-        self.began_at = now
-        self.store_read_at: int | None = None  # when the last look that worked began
+        self.started_at = now
+        self.store_read_at: int | None = None  # start of the last successful poll, in ns
         self.store_error = ""
         self.inconsistency_logged_at = -INCONSISTENCY_LOG_INTERVAL_NS
         self.status_reported_at = 0
         self.stopping = asyncio.Event()
 
-    def age(self, now: int) -> int | None:
-        """Return how long ago the table was confirmed to be the newest, in ms; None if never."""
-        ages = [] if self.store_read_at is None else [max(0, now - self.store_read_at) // MS]
-        own_age = self.follower.age(now) if self.follower is not None else None
-        return min([*ages, *([] if own_age is None else [own_age])], default=None)
+    def table_age_ms(self, now: int) -> int | None:
+        """Returns the ms since the table was last confirmed as the newest; None if it never was."""
+        ages_ms = (
+            [] if self.store_read_at is None else [max(0, now - self.store_read_at) // NS_PER_MS]
+        )
+        followed_age_ms = self.follower.table_age_ms(now) if self.follower is not None else None
+        return min(
+            [*ages_ms, *([] if followed_age_ms is None else [followed_age_ms])], default=None
+        )
 
     async def run(self) -> None:
-        """Serve until `stop` is called, then send all followers elsewhere and close."""
+        """Serves until `stop` is called, then redirects all followers and closes."""
         await self.endpoint.open()
         log.info(
             "event=control_node_started name=%s region=%s address=%s store=%s peers=%d",
@@ -129,70 +161,74 @@
             self.follower.leave()
         self.flush()
         await asyncio.sleep(LEAVE_DELAY_S)
-        self.report_status(since_start())
+        self.report_status(boot_clock_ns())
         self.endpoint.close()
         if self.store is not None:
             await self.store.close()
         log.info("event=control_node_stopped name=%s", self.name)
 
     def stop(self) -> None:
-        """Have `run` end; safe to call from a signal handler of the loop."""
+        """Makes `run` end; may be called from a signal handler of the event loop."""
         self.stopping.set()
 
-    # The store.
+    # Following the store.
 
-    async def follow_store(self, reading: StoreFollower) -> None:
-        """Poll the store until cancelled; failures are retried with backoff."""
-        wait = POLL_INTERVAL_S
+    async def follow_store(self, store_follower: StoreFollower) -> None:
+        """Polls the store until cancelled; failures are retried with backoff."""
+        retry_delay_s = POLL_INTERVAL_S
         while True:
-            began = since_start()
+            poll_started_at = boot_clock_ns()
             try:
-                await reading.poll()
-                self.store_read_at, wait = began, POLL_INTERVAL_S
+                await store_follower.poll()
+                self.store_read_at, retry_delay_s = poll_started_at, POLL_INTERVAL_S
                 self.counts.reads += 1
                 if self.store_error:
                     log.warning("event=config_store_available")
                     self.store_error = ""
-                self.source.push_changes(since_start())
+                self.source.push_changes(boot_clock_ns())
                 self.flush()
             except StoreUnavailableError as error:
                 self.counts.away += 1
                 if not self.store_error:
                     log.warning("event=config_store_unavailable detail=%r", str(error))
                 self.store_error = str(error) or "away"
-                # Opened anew: its file may be another's by now, its tables gone.
-                reading.is_open, wait = False, min(MAX_RETRY_DELAY_S, 2 * wait)
+                # The store is opened again, since its file may have been replaced and may lack the
+                # tables.
+                store_follower.is_open, retry_delay_s = (
+                    False,
+                    min(MAX_RETRY_DELAY_S, 2 * retry_delay_s),
+                )
             except StoreInconsistentError as error:
                 self.counts.broken += 1
-                if began - self.inconsistency_logged_at >= INCONSISTENCY_LOG_INTERVAL_NS:
-                    self.inconsistency_logged_at = began
+                if poll_started_at - self.inconsistency_logged_at >= INCONSISTENCY_LOG_INTERVAL_NS:
+                    self.inconsistency_logged_at = poll_started_at
                     log.error("event=config_store_inconsistent detail=%r", str(error))
-                wait = MAX_RETRY_DELAY_S
+                retry_delay_s = MAX_RETRY_DELAY_S
             except Exception:
                 log.exception("event=internal_error side=config_store")
-                wait = MAX_RETRY_DELAY_S
-            await asyncio.sleep(wait)
+                retry_delay_s = MAX_RETRY_DELAY_S
+            await asyncio.sleep(retry_delay_s)
 
     def on_table_loaded(self, head: Head) -> None:
-        """Count and log a load of the whole table from the store."""
+        """Counts and logs a load of the whole table from the store."""
         self.counts.loads += 1
         log.info("event=config_table_loaded epoch=%d revision=%d", head.epoch, head.revision)
 
     def on_epoch_begun(self, seen: Head, own: Head) -> None:
-        """Count and log that the store had been restored and a new epoch was begun."""
+        """Counts and logs that a new epoch was begun because the store had been restored."""
         self.counts.renewals += 1
         log.warning(
             "event=config_epoch_begun was=%d store_had=%d we_had=%d"
-            " detail='the store was put back'",
+            " detail='the store was restored to an earlier state'",
             seen.epoch,
             seen.revision,
             own.revision,
         )
 
-    # Datagrams.
+    # Timers and datagrams.
 
     async def tick_forever(self) -> None:
-        """Call `tick` each `TICK` seconds until cancelled."""
+        """Calls `tick` every `TICK_S` seconds until cancelled."""
         while True:
             try:
                 self.tick()
@@ -201,25 +237,27 @@
             await asyncio.sleep(TICK_S)
 
     def tick(self) -> None:
-        """Do what is due: choose whom to follow, send what waits, report once a second."""
-        now = since_start()
+        """Chooses between store and peers, runs all timers, and reports once a second."""
+        now = boot_clock_ns()
         self.choose_upstream(now)
         if self.follower is not None:
             self.follower.tick(now)
         self.source.tick(now)
         self.flush()
         self.head_logger.log_moves()
-        if now - self.status_reported_at >= SECOND:
+        if now - self.status_reported_at >= NS_PER_SECOND:
             self.status_reported_at = now
             self.report_status(now)
 
     def choose_upstream(self, now: int) -> None:
-        """Follow peers while the store does not answer, else the store alone."""
-        lately = self.store_read_at if self.store_read_at is not None else self.began_at
-        wanted = bool(self.upstreams) and (self.store is None or now - lately > STORE_TIMEOUT_NS)
-        if wanted and self.follower is None:
-            # A life of its own: its numbers begin anew.
-            self.incarnation = max(self.incarnation + 1, time.time_ns() // MS)
+        """Starts following peers when the store does not answer, and stops when it does."""
+        last_read_at = self.store_read_at if self.store_read_at is not None else self.started_at
+        should_follow_peers = bool(self.upstreams) and (
+            self.store is None or now - last_read_at > STORE_TIMEOUT_NS
+        )
+        if should_follow_peers and self.follower is None:
+            # Each follower gets an incarnation of its own, since its message numbers start again.
+            self.incarnation = max(self.incarnation + 1, time.time_ns() // NS_PER_MS)
             self.follower = Follower(
                 self.replica,
                 self.name,
@@ -232,15 +270,15 @@
                 now,
             )
             log.info("event=control_node_follows_peers peers=%d", len(self.upstreams))
-        elif not wanted and self.follower is not None:
+        elif not should_follow_peers and self.follower is not None:
             self.follower.leave()
-            self.endpoint.flush(self.follower.out)
+            self.endpoint.flush(self.follower.outbox)
             self.follower = None
             log.info("event=control_node_follows_store")
 
     def receive(self, data: bytes, source: tuple[str, int]) -> None:
-        """Hand a datagram to the source or the follower, by its kind."""
-        now = since_start()
+        """Passes a datagram to the source or the follower, by its kind."""
+        now = boot_clock_ns()
         if is_for_source(data):
             self.source.receive(now, data, source)
         elif self.follower is not None:
@@ -249,31 +287,32 @@
         self.flush()
 
     def flush(self) -> None:
-        """Send all datagrams that wait in the source's and the follower's queues."""
-        self.endpoint.flush(self.source.out)
+        """Sends all datagrams in the outboxes of the source and the follower."""
+        self.endpoint.flush(self.source.outbox)
         if self.follower is not None:
-            self.endpoint.flush(self.follower.out)
+            self.endpoint.flush(self.follower.outbox)
 
-    # Once a second.
+    # Reports, once a second.
 
     def report_status(self, now: int) -> None:
-        """Reload the key files if they changed, log refusals, write the state file."""
+        """Reloads changed key files, logs refused messages and writes the state file."""
         if self.seal_keys.reload_if_changed():
             self.source.keys = self.seal_keys.keys
             if self.follower is not None:
                 self.follower.keys = self.seal_keys.keys
         if self.signing_keys.reload_if_changed():
             self.replica.keys = self.signing_keys.keys
-        self.endpoint.log_refusals(now // SECOND, self.source.refusals)
+        self.endpoint.log_refusals(now // NS_PER_SECOND, self.source.refusals)
         if self.follower is not None:
-            self.endpoint.log_refusals(now // SECOND, self.follower.refusals)
+            self.endpoint.log_refusals(now // NS_PER_SECOND, self.follower.refusals)
         if self.state_file is not None:
             write_state(self.state_file, self.summary(now))
 
     def lowest_follower(self) -> tuple[int | None, int]:
-        """Return the followers' lowest revision, and for how many ms they have lacked the next.
+        """Returns the followers' lowest revision, and the ms since the next change was proposed.
 
-        A follower of another epoch counts as revision 0; without followers the result is None, 0.
+        A follower at another epoch counts as revision 0. The time is 0 if all followers have the
+        latest revision. Without followers the result is (None, 0).
         """
         head = self.replica.head
         if head is None or not self.source.followers:
@@ -282,15 +321,15 @@
             lease.revision if lease.epoch == head.epoch else 0
             for lease in self.source.followers.values()
         )
-        lacked = self.replica.log.changes_since(lowest, 1)
+        missing_changes = self.replica.log.changes_since(lowest, 1)
         if lowest >= head.revision:
             return lowest, 0
-        since = lacked[0].time_ms if lacked else head.time_ms
-        return lowest, max(0, time.time_ns() // MS - since)
+        missing_since_ms = missing_changes[0].time_ms if missing_changes else head.time_ms
+        return lowest, max(0, time.time_ns() // NS_PER_MS - missing_since_ms)
 
     def summary(self, now: int) -> dict[str, object]:
-        """Return the state file's content: plain values for an operator."""
-        lowest, lacking = self.lowest_follower()
+        """Returns the content of the state file, as plain values."""
+        lowest, lacking_ms = self.lowest_follower()
         return {
             "told_at": time.time_ns(),
             "role": "control" if self.store is not None else "relay",
@@ -299,34 +338,38 @@
             **source_summary(self.source, now),
             **replica_summary(self.replica),
             "lowest_revision": lowest,
-            "lacking_ms": lacking,
+            "lacking_ms": lacking_ms,
             "store_away": self.store_error,
-            "store": {name: getattr(self.counts, name) for name in Counts.__slots__},
+            "store": {name: getattr(self.counts, name) for name in StoreCounters.__slots__},
             "follows": follower_summary(self.follower, now) if self.follower is not None else None,
         }
 
     def metrics(self) -> dict[str, int]:
-        """Return the counters that are exposed, by name."""
+        """Returns the counters for metrics, by name."""
         counts = self.source.counts
         return {
             **counts.exported(),
             "refused": sum(counts.refused.values()),
             "unsent": self.endpoint.dropped,
-            **{f"store_{name}": getattr(self.counts, name) for name in Counts.__slots__},
+            **{f"store_{name}": getattr(self.counts, name) for name in StoreCounters.__slots__},
         }
 
     def gauges(self) -> dict[str, float]:
-        """The age is NaN where nothing is in force."""
-        head, age = self.replica.head, self.age(since_start())
-        lowest, lacking = self.lowest_follower()
+        """Returns the gauges for metrics, by name.
+
+        The age is NaN if the table was never confirmed as the newest, the lowest revision is NaN
+        without followers.
+        """
+        head, age_ms = self.replica.head, self.table_age_ms(boot_clock_ns())
+        lowest, lacking_ms = self.lowest_follower()
         return {
             "epoch": float(head.epoch) if head else 0.0,
             "revision": float(head.revision) if head else 0.0,
-            "age_seconds": age / 1000 if age is not None else float("nan"),
+            "age_seconds": age_ms / 1000 if age_ms is not None else float("nan"),
             "followers": float(len(self.source.followers)),
             "store_away_now": float(bool(self.store_error)),
             "follows_peers": float(self.follower is not None),
-            "lacking_seconds": lacking / 1000,
+            "lacking_seconds": lacking_ms / 1000,
             "lowest_revision": float(lowest) if lowest is not None else float("nan"),
             "tenants": float(self.replica.table.count("tenant")),
             "routes": float(self.replica.table.count("route")),
--- a/burlloom/distribution/counters.py
+++ b/burlloom/distribution/counters.py
@@ -1,8 +1,8 @@
-"""The names that state files and metrics have for the counters of replication. No I/O."""
+"""Maps replication counters to their names in state files and metrics. No I/O."""
 
 from typing import Any
 
-# Counters whose name outside differs from that of the field.
+# Fields whose name in state files and metrics differs from the field's own name.
 EXPORTED_NAMES = {
     "received": "heard",
     "received_bytes": "heard_bytes",
@@ -12,5 +12,5 @@
 
 
 def export_counters(counters: Any) -> dict[str, Any]:
-    """Return all fields of a slotted dataclass by their names outside."""
+    """Returns all fields of a slotted dataclass under their exported names."""
     return {EXPORTED_NAMES.get(name, name): getattr(counters, name) for name in counters.__slots__}
--- a/burlloom/distribution/endpoint.py
+++ b/burlloom/distribution/endpoint.py
@@ -1,4 +1,4 @@
-"""A UDP endpoint for a follower, a control machine or a relay."""
+"""UDP endpoint of a follower, a control machine or a relay."""
 
 import asyncio
 import logging
@@ -12,13 +12,13 @@
 Address = tuple[str, int]
 MAX_UNSENT_BYTES = (
     1 << 20
-)  # bytes that the system did not take yet; what is more is as good as lost on the way
-RECEIVE_BUFFER_BYTES = 1 << 21  # bytes that wait to be read, as far as the system allows it
-MAX_REFUSAL_LINES_PER_S = 10  # lines a second about what is refused; the rest is counted
+)  # bytes that the kernel has not accepted yet; beyond that datagrams are dropped, as by a network
+RECEIVE_BUFFER_BYTES = 1 << 21  # requested SO_RCVBUF; the kernel may grant less
+MAX_REFUSAL_LINES_PER_S = 10  # log lines about refused messages; further refusals are only counted
 
 
 def bind_datagram_socket(listen: str) -> socket.socket:
-    """Return a non-blocking UDP socket bound to "host:port". Raises `OSError`."""
+    """Returns a non-blocking UDP socket bound to "host:port". Raises `OSError`."""
     host, port = listen.rsplit(":", 1)
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
@@ -34,8 +34,14 @@
 class Endpoint(asyncio.DatagramProtocol):
     """Sends and receives datagrams.
 
-    `on_datagram` is called with each datagram and its source; an error it raises is logged and
-    dropped.
+    Args:
+        sock: Bound, non-blocking UDP socket.
+        on_datagram: Called with each datagram and its source address. An exception that it raises
+            is logged and not passed on.
+
+    Attributes:
+        address: Bound address, "host:port".
+        dropped: Datagrams dropped because the socket is closed or too many bytes are unsent.
     """
 
     def __init__(self, sock: socket.socket, on_datagram: Callable[[bytes, Address], None]) -> None:
@@ -43,19 +49,19 @@
         host, port = sock.getsockname()
         self.address = f"{host}:{port}"
         self.transport: Any = (
-            None  # typeshed's datagram transport lacks the size of what was not taken
+            None  # Any: typeshed's DatagramTransport lacks get_write_buffer_size()
         )
-        self.dropped = 0  # datagrams that were dropped here
+        self.dropped = 0
         self.logged_second, self.logged_count = 0, 0
 
     async def open(self) -> None:
-        """Attach the socket to the running loop. Raises `OSError`."""
+        """Attaches the socket to the running loop. Raises `OSError`."""
         self.transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, sock=self.sock
         )
 
     def flush(self, out: deque[tuple[Address, bytes]]) -> None:
-        """Send all datagrams of `out`; past `MAX_UNSENT_BYTES` unsent bytes they are dropped."""
+        """Sends all datagrams of `out`; past `MAX_UNSENT_BYTES` unsent bytes they are dropped."""
         while out:
             address, data = out.popleft()
             if self.transport is None or self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
@@ -64,7 +70,12 @@
                 self.transport.sendto(data, address)
 
     def log_refusals(self, now_s: int, refusals: deque[tuple[str, Address]]) -> None:
-        """Log refused messages, at most `MAX_REFUSAL_LINES_PER_S` lines a second."""
+        """Logs refused messages, at most `MAX_REFUSAL_LINES_PER_S` lines a second.
+
+        Args:
+            now_s: Current second of a monotonic clock.
+            refusals: Reason and source address of each refused message; emptied.
+        """
         if now_s != self.logged_second:
             self.logged_second, self.logged_count = now_s, 0
         while refusals:
@@ -74,20 +85,20 @@
                 log.info("event=config_message_rejected peer=%s:%d reason=%r", host, port, reason)
 
     def close(self) -> None:
-        """Close the socket; calling it again does nothing."""
+        """Closes the socket; calling it again does nothing."""
         if self.transport is not None:
             self.transport.close()
             self.transport = None
 
-    # Of asyncio.
+    # Callbacks of asyncio.DatagramProtocol.
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Pass a datagram on; an error of the handler is logged and ends there."""
+        """Passes a datagram to `on_datagram`; an exception that it raises is logged."""
         try:
             self.on_datagram(data, (addr[0], addr[1]))
         except Exception:
             log.exception("event=internal_error side=distribution")
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore errors of the system: a lost peer is found by its silence."""
-        pass  # whoever is not there will be found silent
+        """Ignores socket errors: a peer that is gone is detected by timeouts."""
+        pass
--- a/burlloom/distribution/follower.py
+++ b/burlloom/distribution/follower.py
@@ -1,14 +1,16 @@
-"""A server's side of replication: it follows one of several upstreams. No I/O.
+"""The receiving side of replication: follows one of several upstreams. No I/O.
 
-A host calls `tick` at `next_due` or several times a second, passes datagrams to `receive`, and
-sends what lies in `out`. Times are ns of a clock that never goes back.
+The host calls `tick` at `next_due` or several times a second, passes datagrams to `receive`, and
+sends the datagrams in `outbox`. All times are ns of a monotonic clock.
 
-The applied revisions of an epoch are dense whatever the network does: only the change directly
-after the head whose tag continues the head's is applied (`Replica.apply_change`); others wait for
-their turn or are requested again. A sync makes the table equal to the upstream's by pages: it
-records the head from before the first page (the base), folds the changes after the base, and ends
-at a revision not before that of any page. Within an epoch nothing goes back; the head of a later
-epoch is taken by a sync.
+The applied revisions of an epoch have no gaps, whatever the network loses or reorders: a change is
+applied only if it directly follows the head and its tag continues the head's tag
+(`Replica.apply_change`). Later changes wait for the missing ones, which are requested again.
+
+A sync makes the table equal to the upstream's page by page. It records the upstream's head before
+the first page (the base), collects the changes after the base, and ends at a revision that is not
+before the revision of any page. Within an epoch neither the head nor any key goes back to an older
+state. A later epoch is entered by a sync.
 """
 
 from collections import deque
@@ -25,7 +27,7 @@
     head_after,
 )
 from .codec import MessageDecodeError, seal, unseal
-from .follower_state import Counts, Fetch, Input, State, Sync
+from .follower_state import Fetch, FollowerCounters, Input, State, Sync
 from .messages import (
     MAX_PAGES_PER_REQUEST,
     MAX_PULL_CHANGES,
@@ -45,26 +47,26 @@
 )
 from .refusals import MAX_PENDING_REFUSALS, count_refusal
 from .replica import Replica
-from .settings import MS, ReplicationSettings
+from .settings import NS_PER_MS, ReplicationSettings
 from .table import BUCKET_COUNT
 from .upstreams import Address, Upstream, by_preference
 
-MAX_EARLY_CHANGES = 256  # changes that wait for those before them, the earliest; 280 KB at most
-MAX_FOLDED_ITEMS = (
-    65_536  # keys that change while a sync runs: at four changes a second that is hours
-)
-ITEMS_PER_PUT = 64  # entries at once, of what was folded
-MAX_BACKOFF_DOUBLINGS = 4  # after which a try waits no longer than the one before
-MAX_FETCHES = 16  # buckets that are fetched at once, of MAX_PAGES_PER_REQUEST pages each
-MAX_OPEN_REPORTS = 4  # that may still be answered
-MAX_PENDING_AGES = 8  # of an upstream's age, for revisions that are still to come
-MAX_REFUSED_IN_A_ROW = 3  # changes in a row that don't follow: then another upstream is asked
+MAX_EARLY_CHANGES = 256  # changes kept until the missing ones before them arrive; at most 280 KB
+# Keys changed while a sync runs; beyond that the sync is given up. Four changes a second reach it
+# after hours.
+MAX_FOLDED_ITEMS = 65_536
+ITEMS_PER_PUT = 64  # folded items put into the table at once
+MAX_BACKOFF_DOUBLINGS = 4  # doublings of the timeout of a page request; later timeouts are equal
+MAX_FETCHES = 16  # buckets fetched at once, each with at most MAX_PAGES_PER_REQUEST pages requested
+MAX_OPEN_REPORTS = 4  # unanswered reports whose answer is still accepted
+MAX_PENDING_AGES = 8  # ages told by an upstream for revisions that are not applied yet
+MAX_CONSECUTIVE_REFUSALS = 3  # refused changes in a row after which the upstream is given up
 MAX_UPSTREAMS = 64
-MAX_OUT_DATAGRAMS = 256  # datagrams that wait for the host
-JITTER_SHARE = 0.1
+MAX_OUTBOX_DATAGRAMS = 256  # datagrams queued for the host; further ones are dropped
+JITTER_SHARE = 0.1  # share of an interval by which it is varied in both directions
 
 
-TABLE = """
+TRANSITIONS = """
 EMPTY      HEAD     -                   SYNCING    start_sync
 EMPTY      LOST     -                   ALONE      follow_next_upstream
 SYNCING    HEAD     has_lost_sync_base  SYNCING    start_sync
@@ -99,18 +101,23 @@
     """Follows one upstream of several and keeps a replica of its table.
 
     Args:
-        replica: the table that is kept.
-        name: this server's name.
+        replica: The replica to keep up to date.
+        name: This server's name.
         incarnation: Unix ms of the process's start.
-        region: upstreams of this region are preferred.
-        upstreams: whom it may follow.
-        keys: the first seals messages, any opens them.
-        settings: intervals and limits.
-        random: source of jitter.
-        now: current time in ns.
+        region: This server's region, whose upstreams are preferred.
+        upstreams: Upstreams that the server may follow.
+        keys: Keys of the messages' seals; the first seals messages, any may have sealed a received
+            one.
+        settings: Intervals, timeouts and limits.
+        random: Source of jitter.
+        now: Current time in ns.
+
+    Attributes:
+        outbox: Address and content of the datagrams to send; the host empties it.
+        refusals: Reason and source of refused messages, for the host's log; the host empties it.
 
     Raises:
-        ValueError: for settings or upstreams that can't be used.
+        ValueError: The settings are invalid, or there are no or too many upstreams.
     """
 
     def __init__(
@@ -131,104 +138,117 @@
         if not 0 < len(self.upstreams) <= MAX_UPSTREAMS or settings.faults():
             raise ValueError(
                 "; ".join(settings.faults())
-                or f"{len(self.upstreams)} upstreams, of 1 to {MAX_UPSTREAMS}"
+                or f"{len(self.upstreams)} upstreams, 1 to {MAX_UPSTREAMS} allowed"
             )
         self.state = State.EMPTY if replica.head is None else State.ALONE
-        self.out: deque[tuple[Address, bytes]] = deque()
-        self.counts = Counts()
-        # Kept until the host takes them for its log.
+        self.outbox: deque[tuple[Address, bytes]] = deque()
+        self.counts = FollowerCounters()
         self.refusals: deque[tuple[str, Address]] = deque(maxlen=MAX_PENDING_REFUSALS)
-        # Numbers of two incarnations never coincide: an answer to an earlier one means nothing.
+        # Message numbers of two incarnations never coincide, so that an answer to an earlier
+        # incarnation is not taken for an answer to this one.
         self.number = incarnation << 20 & MAX_NUMBER
         self.last_tick_at = now
         self._init_upstream(now)
         self._init_changes(now)
 
     def _init_upstream(self, now: int) -> None:
-        """Begin with the first upstream, unanswered."""
+        """Initializes the attributes about the upstream; the most preferred one is followed."""
         self.upstream_index = 0
         self.has_answered = False
-        # Since one of them answered.
+        # Upstreams followed since one last answered.
         self.upstreams_tried = 0
         self.upstream_incarnation = 0
         self.upstream_head: HeadStatus | None = None
-        # Number of the report that `upstream_head` answered.
+        # Number of the message that `upstream_head` answered.
         self.upstream_head_number = 0
-        # Revision that the upstream is known to have.
-        self.latest = 0
-        # The upstream's last answer, or when it was chosen.
+        # Latest revision that the upstream is known to have.
+        self.latest_revision = 0
+        # Time of the upstream's last answer, or of choosing it if it has not answered.
         self.last_answer_at = now
-        # Unanswered reports: number to the time of sending.
+        # Time of sending of each unanswered report, by message number.
         self.reports: dict[int, int] = {}
         self.next_report_at = now
-        # The probe of a preferred upstream: its index, our report's number, the time of sending.
+        # The running probe of a preferred upstream: the upstream's index, the number of the report
+        # sent to it, and the time of sending; -1 if no probe is running.
         self.probe = (-1, -1, now)
         self.last_probe_index = -1
         self.next_probe_at = now + self.jittered(self.settings.preferred_retry_ns)
 
     def _init_changes(self, now: int) -> None:
-        """Begin without changes on their way."""
+        """Initializes the attributes about changes and syncs; none is pending."""
+        # Changes received before the changes that precede them, by revision.
         self.early_changes: dict[int, Change] = {}
-        self.pull_number, self.pull_sent_at, self.pull_up_to, self.pull_retry_at = -1, -1, 0, now
-        self.refused_in_a_row = 0
+        self.pull_number, self.pull_sent_at, self.pull_up_to_revision, self.pull_retry_at = (
+            -1,
+            -1,
+            0,
+            now,
+        )
+        self.consecutive_refusals = 0
         self.sync: Sync | None = None
-        # Epoch and revision of the latest page in the table, while no sync has ended since.
-        self.pages_up_to = (0, 0)
-        # Reports before this number say nothing of the table any more.
-        self.first_judged_number = self.number
+        # Epoch and revision of the latest page put into the table since the last sync ended.
+        self.newest_page_revision = (0, 0)
+        # Reports before this number carried a digest from before the last sync, so that "differs"
+        # in an answer to them is ignored.
+        self.first_comparable_report_number = self.number
         self.confirmed_newest_at: int | None = None
-        # Ages for revisions that are still to come: epoch, revision, when that was the newest.
+        # Ages told for revisions that are not applied yet: epoch, revision, and the time at which
+        # that revision was the newest.
         self.pending_ages: deque[tuple[int, int, int]] = deque(maxlen=MAX_PENDING_AGES)
 
-    # What others ask.
+    # State for the host and its reports.
 
     @property
     def upstream(self) -> Upstream:
-        """The one that is followed now."""
+        """The upstream that is followed at present."""
         return self.upstreams[self.upstream_index]
 
-    def age(self, now: int) -> int | None:
-        """Return how long ago the table was confirmed to be the newest, in ms; None if never."""
+    def table_age_ms(self, now: int) -> int | None:
+        """Returns the ms since the table was last confirmed as the newest; None if it never was."""
         return (
             None
             if self.confirmed_newest_at is None
-            else max(0, now - self.confirmed_newest_at) // MS
+            else max(0, now - self.confirmed_newest_at) // NS_PER_MS
         )
 
     @property
     def next_due(self) -> int:
-        """When `tick` next has something to do, in ns."""
-        found = min(
+        """Time at which `tick` next has something to do, in ns."""
+        due_at = min(
             self.next_report_at, self.next_probe_at, self.last_answer_at + self.answer_timeout_ns()
         )
         if self.pull_sent_at >= 0:
-            found = min(found, self.pull_retry_at)
+            due_at = min(due_at, self.pull_retry_at)
         if self.sync is not None:
-            found = min(
-                found,
+            due_at = min(
+                due_at,
                 self.sync.last_progress_at + self.settings.sync_stall_timeout_ns,
                 *[fetch.retry_at for fetch in self.sync.fetching.values()],
             )
             if self.sync.base is None:
-                found = min(found, self.sync.retry_at)
-        return found
+                due_at = min(due_at, self.sync.retry_at)
+        return due_at
 
     def answer_timeout_ns(self) -> int:
-        """Return how long the upstream may be silent, in ns."""
+        """Returns the silence after which the upstream is given up, in ns."""
         return (
             self.settings.upstream_timeout_ns
             if self.has_answered
             else self.settings.first_answer_timeout_ns
         )
 
-    def jittered(self, span: int) -> int:
-        """Return a span of time, in ns, spread by `JITTER_SHARE` to both sides."""
-        return int(span * (1 + JITTER_SHARE * (2 * self.random.random() - 1)))
+    def jittered(self, span_ns: int) -> int:
+        """Returns a time span in ns, varied at random by `JITTER_SHARE` in both directions."""
+        return int(span_ns * (1 + JITTER_SHARE * (2 * self.random.random() - 1)))
 
-    # Once in a while.
+    # Timers.
 
     def tick(self, now: int) -> None:
-        """Do what is due: give up a silent upstream, report, probe, repeat unanswered requests."""
+        """Does all work that is due at `now`.
+
+        Gives up a silent upstream, reports, probes preferred upstreams and repeats unanswered
+        requests.
+        """
         if now - self.last_tick_at > self.settings.upstream_timeout_ns:
             self.resume_after_pause(now)
         self.last_tick_at = now
@@ -250,13 +270,16 @@
             self.repeat_requests(now, self.sync)
 
     def resume_after_pause(self, now: int) -> None:
-        """Restart timeouts after a pause of this process: it says nothing of the upstream."""
+        """Restarts the timeouts after a pause of this process.
+
+        The upstream's silence during such a pause is no sign that the upstream has failed.
+        """
         self.last_answer_at = self.next_report_at = now
         if self.sync is not None:
             self.sync.last_progress_at = now
 
     def send_report(self, now: int) -> None:
-        """Report to the upstream; twice a heartbeat until one answers."""
+        """Reports to the upstream; until it answers, twice per heartbeat interval."""
         self.next_report_at = now + self.jittered(
             self.settings.heartbeat_ns if self.has_answered else self.settings.heartbeat_ns // 2
         )
@@ -265,23 +288,29 @@
             del self.reports[next(iter(self.reports))]
 
     def own_report(self) -> Report:
-        """Return the report of what is in force here."""
+        """Returns the report of the revision in force here."""
         head, table = self.replica.head, self.replica.table
         if head is None or self.replica.is_partial:
             return Report(table.scopes, 0, 0, 0)
         return Report(table.scopes, head.epoch, head.revision, table.digest())
 
     def probe_preferred_upstream(self, now: int) -> None:
-        """Report to a preferred upstream, each in turn; to any while the own one is stale."""
-        most = len(self.upstreams) if self.upstream_is_stale() else self.upstream_index
+        """Probes the next upstream that is preferred to the present one, by a report to it.
+
+        While the present upstream is stale, all others are probed in turn.
+        """
+        candidate_count = len(self.upstreams) if self.upstream_is_stale() else self.upstream_index
         self.next_probe_at = now + self.jittered(
             self.settings.heartbeat_ns
             if self.upstream_is_stale()
-            else max(self.settings.heartbeat_ns, self.settings.preferred_retry_ns // max(1, most))
+            else max(
+                self.settings.heartbeat_ns,
+                self.settings.preferred_retry_ns // max(1, candidate_count),
+            )
         )
-        if not most or not self.has_answered or self.sync is not None:
+        if not candidate_count or not self.has_answered or self.sync is not None:
             return
-        self.last_probe_index = (self.last_probe_index + 1) % most
+        self.last_probe_index = (self.last_probe_index + 1) % candidate_count
         if self.last_probe_index != self.upstream_index:
             self.probe = (
                 self.last_probe_index,
@@ -290,16 +319,16 @@
             )
 
     def upstream_is_stale(self) -> bool:
-        """Whether the upstream's own table is old, or never was the newest."""
+        """Returns whether the upstream's table is stale, or was never confirmed as the newest."""
         return self.upstream_head is not None and (
             self.upstream_head.age_ms is None
-            or self.upstream_head.age_ms * MS > self.settings.stale_after_ns
+            or self.upstream_head.age_ms * NS_PER_MS > self.settings.stale_after_ns
         )
 
-    # What comes.
+    # Received messages.
 
     def receive(self, now: int, data: bytes, source: Address) -> None:
-        """Handle one datagram; what is refused is counted by its reason."""
+        """Handles one received datagram; a refused one is counted by its reason."""
         self.counts.received += 1
         self.counts.received_bytes += len(data)
         try:
@@ -307,37 +336,39 @@
         except MessageDecodeError as error:
             self.count_refusal(str(error), source)
             return
-        does = HANDLERS.get(type(message.body))
-        reason = does(self, now, message) if does else "nothing for a follower"
+        handler = HANDLERS.get(type(message.body))
+        reason = (
+            handler(self, now, message) if handler else "message kind not handled by a follower"
+        )
         if reason:
             self.count_refusal(reason, source)
 
     def count_refusal(self, reason: str, source: Address) -> None:
-        """Count a refused message and keep it for the host's log."""
+        """Counts a refused message and keeps it for the host's log."""
         self.refusals.append((count_refusal(self.counts.refused, reason), source))
 
     def on_head(self, now: int, message: Message) -> str:
-        """Take the upstream's head, or a probed upstream's; returns why it is refused, else ""."""
+        """Handles the HEAD of the upstream or of a probed one; returns why it is refused, or ""."""
         assert isinstance(message.body, HeadStatus)
         sender, status = message.sender, message.body
-        which, number, sent_at = self.probe
-        if number == sender.number and self.upstreams[which].name == sender.name:
+        probed_index, number, sent_at = self.probe
+        if number == sender.number and self.upstreams[probed_index].name == sender.name:
             self.probe = -1, -1, now
-            if not self.is_preferable(status, which):
-                self.send(self.upstreams[which], Leave())
+            if not self.is_preferable(status, probed_index):
+                self.send(self.upstreams[probed_index], Leave())
                 return ""
-            self.follow_upstream(now, which)
+            self.follow_upstream(now, probed_index)
             self.reports[number] = sent_at
         elif sender.name != self.upstream.name:
-            return "a HEAD of another"
+            return "HEAD from another server than the upstream"
         elif sender.number == self.pull_number:
             self.pull_sent_at = -1
         elif sender.number not in self.reports:
-            return "a HEAD that was not asked for"
+            return "HEAD that was not requested"
         return self._take_head(now, sender, status)
 
     def _take_head(self, now: int, sender: Sender, status: HeadStatus) -> str:
-        """Take the head of the upstream; returns why it can't be followed any more, else ""."""
+        """Handles the upstream's HEAD; returns why the upstream can't be followed, or ""."""
         self.last_answer_at, self.has_answered = now, True
         self.upstream_incarnation = sender.incarnation
         report_sent_at = self.reports.pop(sender.number, None)
@@ -345,68 +376,79 @@
         if reason:
             self.lose_upstream(now)
             return reason
-        is_stale = status.age_ms is None or status.age_ms * MS > self.settings.stale_after_ns
+        is_stale = status.age_ms is None or status.age_ms * NS_PER_MS > self.settings.stale_after_ns
         if self.upstream_is_stale() != is_stale:
-            soon = now + self.jittered(self.settings.heartbeat_ns)
-            self.next_probe_at = min(self.next_probe_at, soon)
+            next_heartbeat_at = now + self.jittered(self.settings.heartbeat_ns)
+            self.next_probe_at = min(self.next_probe_at, next_heartbeat_at)
         self._keep_head(sender.number, status)
         if report_sent_at is not None and status.age_ms is not None:
-            newest_at = report_sent_at - status.age_ms * MS
+            newest_at = report_sent_at - status.age_ms * NS_PER_MS
             self.pending_ages.append((status.head.epoch, status.head.revision, newest_at))
             self.update_confirmed_age()
         self.handle(now, Input.HEAD)
         return ""
 
     def _keep_head(self, number: int, status: HeadStatus) -> None:
-        """Remember the upstream's head, and the latest revision that it is known to have."""
-        before = self.upstream_head
+        """Remembers the upstream's head, and the latest revision that it is known to have."""
+        previous = self.upstream_head
         went_back = (
-            before is not None
-            and status.head[:2] < before.head[:2]
+            previous is not None
+            and status.head[:2] < previous.head[:2]
             and number > self.upstream_head_number
         )
         is_same_log = (
-            before is not None and before.head.epoch == status.head.epoch and not went_back
+            previous is not None and previous.head.epoch == status.head.epoch and not went_back
         )
-        self.latest = max(self.latest if is_same_log else 0, status.head.revision)
+        self.latest_revision = max(self.latest_revision if is_same_log else 0, status.head.revision)
         self.upstream_head, self.upstream_head_number = status, number
         self.upstreams_tried = 0
 
     def reason_not_to_follow(self, head: Head) -> str:
-        """Return why an upstream with that head can't be followed; "" if it can."""
+        """Returns why an upstream with a head can't be followed; "" if it can."""
         own = self.replica.head
         if own is None:
             return ""
         if head.epoch < own.epoch:
-            return "an older epoch"
+            return "older epoch than the one in force"
         if head.epoch == own.epoch and head.revision == own.revision and head.tag != own.tag:
-            return "another history of this epoch"
+            return "different history of the same epoch"
         return ""
 
-    def is_preferable(self, status: HeadStatus, which: int) -> bool:
-        """Whether that upstream should be followed in place of the present one."""
+    def is_preferable(self, status: HeadStatus, index: int) -> bool:
+        """Returns whether to follow the upstream with that index in place of the present one.
+
+        A more preferred upstream is chosen if its table is fresh, any other one if the present
+        upstream is stale and its table is less than half as old.
+        """
         if self.reason_not_to_follow(status.head) or status.age_ms is None:
             return False
-        own = self.upstream_head.age_ms if self.upstream_head is not None else None
-        if which < self.upstream_index and status.age_ms * MS <= self.settings.stale_after_ns:
+        current_age_ms = self.upstream_head.age_ms if self.upstream_head is not None else None
+        if (
+            index < self.upstream_index
+            and status.age_ms * NS_PER_MS <= self.settings.stale_after_ns
+        ):
             return True
-        return self.upstream_is_stale() and (own is None or 2 * status.age_ms < own)
+        return self.upstream_is_stale() and (
+            current_age_ms is None or 2 * status.age_ms < current_age_ms
+        )
 
     def update_confirmed_age(self) -> None:
-        """Apply the upstream's ages for revisions that are in force here now."""
+        """Applies pending ages of revisions that are in force here by now."""
         head = self.replica.head
         while head is not None and self.pending_ages:
-            epoch, revision, at = self.pending_ages[0]
+            epoch, revision, newest_at = self.pending_ages[0]
             if epoch == head.epoch and revision > head.revision or epoch > head.epoch:
                 return
             self.pending_ages.popleft()
             if epoch == head.epoch:
                 self.confirmed_newest_at = (
-                    at if self.confirmed_newest_at is None else max(self.confirmed_newest_at, at)
+                    newest_at
+                    if self.confirmed_newest_at is None
+                    else max(self.confirmed_newest_at, newest_at)
                 )
 
     def on_change(self, now: int, message: Message) -> str:
-        """Take a pushed or pulled change; returns why it is refused, else ""."""
+        """Handles a pushed or pulled change; returns why it is refused, or ""."""
         assert isinstance(message.body, PushedChange)
         change = message.body.change
         tip = self.tip()
@@ -414,14 +456,14 @@
             return (
                 ""
                 if self.sync is not None or self.replica.head is None
-                else "a change before a sync"
+                else "change while the table is partly synced"
             )
         if change.epoch != tip.epoch:
-            return "a change of another epoch"
+            return "change of another epoch"
         if change.revision <= tip.revision:
-            return ""  # doubled, late or played again
+            return ""  # duplicated, late or replayed
         if message.sender.name == self.upstream.name:
-            self.latest = max(self.latest, change.revision)
+            self.latest_revision = max(self.latest_revision, change.revision)
         if (
             change.revision in self.early_changes
             or len(self.early_changes) < MAX_EARLY_CHANGES
@@ -433,13 +475,13 @@
         return reason
 
     def tip(self) -> Head | None:
-        """Return the head that the next change must follow: the table's, or the sync's tip."""
+        """Returns the head that the next change must follow: the table's, or the sync's tip."""
         if self.sync is not None:
             return self.sync.tip
         return None if self.replica.is_partial else self.replica.head
 
     def apply_early_changes(self, now: int) -> str:
-        """Apply waiting changes as far as they follow; returns why one was refused, else ""."""
+        """Applies waiting changes that directly follow; returns why one was refused, or ""."""
         while True:
             tip = self.tip()
             change = self.early_changes.pop(tip.revision + 1, None) if tip is not None else None
@@ -451,19 +493,22 @@
                 else self.fold_change(self.sync, change)
             )
             if reason:
-                self.refused_in_a_row += 1
-                if self.refused_in_a_row >= MAX_REFUSED_IN_A_ROW:
-                    self.refused_in_a_row = 0
+                self.consecutive_refusals += 1
+                if self.consecutive_refusals >= MAX_CONSECUTIVE_REFUSALS:
+                    self.consecutive_refusals = 0
                     self.lose_upstream(now)
                 return reason
-            self.refused_in_a_row = 0
+            self.consecutive_refusals = 0
             self.counts.applied += 1
             if self.sync is not None:
                 self.sync.last_progress_at = now
             self.update_confirmed_age()
 
     def fold_change(self, sync: Sync, change: Change) -> str:
-        """Keep the items of the next change after the base for the end of the sync."""
+        """Collects the items of the next change after the base for the end of the sync.
+
+        Returns why the change is refused, or "".
+        """
         assert sync.tip is not None
         reason = chain_break(sync.tip, change, self.replica.keys)
         if not reason and self.replica.holds_scope(change.scope):
@@ -478,7 +523,7 @@
         return reason
 
     def on_redirect(self, now: int, message: Message) -> str:
-        """Leave an upstream that sends us elsewhere; returns why it is refused, else ""."""
+        """Handles a REDIRECT by giving up its sender; returns why it is refused, or ""."""
         sender, body = message.sender, message.body
         assert isinstance(body, Redirect)
         if sender.number == self.probe[1]:
@@ -492,32 +537,34 @@
                 and self.has_answered
             )
         ):
-            return "a REDIRECT that was not asked for"
+            return "REDIRECT that was not requested"
         self.lose_upstream(now)
         return ""
 
-    # Whom we follow.
+    # Choice of the upstream.
 
     def lose_upstream(self, now: int) -> None:
-        """Give up the upstream: it is silent, full, leaving, or of no use."""
+        """Gives up the upstream, which is silent, full, draining, or can't be followed."""
         self.handle(now, Input.LOST)
 
     def follow_next_upstream(self, now: int) -> None:
-        """Follow the next upstream in the order of preference."""
+        """Follows the next upstream in the order of preference."""
         self.follow_upstream(now, (self.upstream_index + 1) % len(self.upstreams))
 
-    def follow_upstream(self, now: int, which: int) -> None:
-        """Follow that upstream.
+    def follow_upstream(self, now: int, index: int) -> None:
+        """Follows the upstream with an index.
 
-        Pages that were fetched stay in the table; the next sync finds them by their digests.
+        Pages that were already fetched stay in the table; the next sync skips the buckets whose
+        digests agree.
         """
-        if self.has_answered and which != self.upstream_index:
+        if self.has_answered and index != self.upstream_index:
             self.send(self.upstream, Leave())
-        self.upstream_index, self.has_answered, self.upstream_incarnation = which, False, 0
-        self.upstream_head, self.latest, self.refused_in_a_row = None, 0, 0
+        self.upstream_index, self.has_answered, self.upstream_incarnation = index, False, 0
+        self.upstream_head, self.latest_revision, self.consecutive_refusals = None, 0, 0
         self.upstreams_tried += 1
         self.counts.moves += 1
-        # Where none is of use they are not asked round and round as fast as they refuse.
+        # If all upstreams refuse, the follower waits before each attempt instead of trying them in
+        # turn as fast as they answer.
         self.last_answer_at = self.next_report_at = (
             now
             if self.upstreams_tried < len(self.upstreams)
@@ -528,23 +575,23 @@
         self.pull_sent_at = self.pull_number = -1
         self.sync = None
 
-    # The table of states.
+    # State machine.
 
-    def handle(self, now: int, what: Input) -> None:
-        """Move by the first row of the table whose test holds, and have its effect."""
-        for test, state, effect in RULES.get((self.state, what), ()):
-            if test(self):
+    def handle(self, now: int, received: Input) -> None:
+        """Takes the first transition whose guard holds, and runs its effect."""
+        for guard, state, effect in RULES.get((self.state, received), ()):
+            if guard(self):
                 self.state = state
                 effect(self, now)
                 return
 
-    # Tests.
+    # Guards of the transitions.
 
     def needs_sync(self) -> bool:
-        """Whether only a sync helps.
+        """Returns whether pulling changes is not enough to get the upstream's table.
 
-        That is so if nothing is complete here, the upstream's epoch is later, the changes can't be
-        pulled any more, or digests differ at the same revision.
+        That is so if there is no complete table here, the upstream's epoch is later, the upstream
+        no longer has the next change, or the digests differ at the same revision.
         """
         status, head = self.upstream_head, self.replica.head
         if status is None:
@@ -555,11 +602,11 @@
             status.head.revision > head.revision
             and status.oldest_revision > head.revision
             or status.differs
-            and self.upstream_head_number >= self.first_judged_number
+            and self.upstream_head_number >= self.first_comparable_report_number
         )
 
     def has_lost_sync_base(self) -> bool:
-        """Whether the upstream no longer has the changes after the sync's tip."""
+        """Returns whether the upstream no longer has the changes after the sync's tip."""
         sync, status = self.sync, self.upstream_head
         if sync is None:
             return True
@@ -570,12 +617,12 @@
         )
 
     def is_behind(self) -> bool:
-        """Whether the upstream is known to have a later revision."""
+        """Returns whether the upstream is known to have a later revision."""
         head = self.replica.head
-        return head is not None and self.latest > head.revision
+        return head is not None and self.latest_revision > head.revision
 
     def is_sync_unfinished(self) -> bool:
-        """Whether buckets are missing, or changes up to the latest page's revision."""
+        """Returns whether buckets, or changes up to the latest page's revision, are missing."""
         sync = self.sync
         return (
             sync is None
@@ -584,37 +631,43 @@
             or sync.tip.revision < sync.target_revision
         )
 
-    # Effects.
+    # Effects of the transitions.
 
     def pull_changes(self, now: int) -> None:
-        """Request the next changes, unless they were requested just now."""
+        """Requests the next changes, unless they were requested just now."""
         tip = self.tip()
         if tip is None or tip.revision >= self.wanted_revision():
             self.pull_sent_at = -1
             return
-        if self.pull_sent_at >= 0 and tip.revision < self.pull_up_to and now < self.pull_retry_at:
+        if (
+            self.pull_sent_at >= 0
+            and tip.revision < self.pull_up_to_revision
+            and now < self.pull_retry_at
+        ):
             return
-        # Changes that are here already need not come again.
-        most = next(
+        # Only the changes before the first waiting one are requested.
+        change_count = next(
             (
-                ahead
-                for ahead in range(MAX_PULL_CHANGES)
-                if tip.revision + 1 + ahead in self.early_changes
+                offset
+                for offset in range(MAX_PULL_CHANGES)
+                if tip.revision + 1 + offset in self.early_changes
             ),
             MAX_PULL_CHANGES,
         )
-        most = max(1, min(most, self.wanted_revision() - tip.revision))
+        change_count = max(1, min(change_count, self.wanted_revision() - tip.revision))
         self.counts.pulls += 1
-        self.pull_sent_at, self.pull_up_to = now, tip.revision + most
+        self.pull_sent_at, self.pull_up_to_revision = now, tip.revision + change_count
         self.pull_retry_at = now + self.jittered(self.settings.request_retry_ns)
-        self.pull_number = self.send(self.upstream, PullRequest(tip.epoch, tip.revision, most))
+        self.pull_number = self.send(
+            self.upstream, PullRequest(tip.epoch, tip.revision, change_count)
+        )
 
     def wanted_revision(self) -> int:
-        """Return the latest revision that is known."""
-        return max(self.latest, self.sync.target_revision if self.sync is not None else 0)
+        """Returns the latest revision known to exist."""
+        return max(self.latest_revision, self.sync.target_revision if self.sync is not None else 0)
 
     def start_sync(self, now: int) -> None:
-        """Request the digests of all buckets."""
+        """Starts a sync by requesting the digests of all buckets."""
         self.counts.syncs += 1
         self.pull_sent_at = self.pull_number = -1
         self.sync = Sync(
@@ -624,23 +677,27 @@
         )
 
     def finish_sync(self, now: int) -> None:
-        """End a sync: put the folded items over the pages."""
+        """Ends a sync by putting the items of the collected changes over the pages."""
         sync = self.sync
         assert sync is not None
         assert sync.tip is not None
         items = list(sync.folded_items.values())
         try:
-            for at in range(0, len(items), ITEMS_PER_PUT):
-                self.replica.table.put(items[at : at + ITEMS_PER_PUT])
-        except ValueError as error:  # a table's own bounds
-            self.count_refusal(f"the table refuses: {error!s:.100}", self.upstream.address)
+            for start in range(0, len(items), ITEMS_PER_PUT):
+                self.replica.table.put(items[start : start + ITEMS_PER_PUT])
+        except ValueError as error:  # the items exceed the table's bounds
+            self.count_refusal(f"rejected by the table: {error!s:.100}", self.upstream.address)
             self.lose_upstream(now)
             return
         if (
             self.replica.is_partial or self.replica.head != sync.tip
-        ):  # else nothing was to be done: the log stays
+        ):  # else the table was that revision already, and the log of changes stays valid
             self.replica.complete_at(sync.tip)
-        self.sync, self.first_judged_number, self.pages_up_to = None, self.number + 1, (0, 0)
+        self.sync, self.first_comparable_report_number, self.newest_page_revision = (
+            None,
+            self.number + 1,
+            (0, 0),
+        )
         self.early_changes = {
             revision: change
             for revision, change in self.early_changes.items()
@@ -653,10 +710,13 @@
             self.state = State.BEHIND
             self.pull_changes(now)
 
-    # A sync on its way.
+    # Messages of a running sync.
 
     def on_digests(self, now: int, message: Message) -> str:
-        """Begin a sync from both halves of the digests; returns why they are refused, else ""."""
+        """Handles DIGESTS and fetches the differing buckets once both halves were received.
+
+        Returns why the message is refused, or "".
+        """
         body, sync = message.body, self.sync
         assert isinstance(body, DigestsResponse)
         number = message.sender.number
@@ -664,34 +724,41 @@
             return (
                 ""
                 if sync is not None and number >= sync.first_number
-                else "DIGESTS that were not asked for"
+                else "DIGESTS that were not requested"
             )
         sync.digest_halves[number, body.half] = body
-        low, high = sync.digest_halves.get((number, 0)), sync.digest_halves.get((number, 1))
-        if low is None or high is None:
+        lower_half, upper_half = (
+            sync.digest_halves.get((number, 0)),
+            sync.digest_halves.get((number, 1)),
+        )
+        if lower_half is None or upper_half is None:
             return ""
-        head, own = low.head, self.replica.head
-        if head != high.head:
+        head, own_head = lower_half.head, self.replica.head
+        if head != upper_half.head:
             del sync.digest_halves[number, 0], sync.digest_halves[number, 1]
-            return "DIGESTS of two moments"
-        # Where something is in force no key may go back, also not behind pages of a sync that did
-        # not end.
-        if own is not None and head[:2] < max(own[:2], self.pages_up_to):
+            return "DIGESTS halves of different heads"
+        # Once a revision is in force, no key may go back to an older value. That includes the
+        # values in pages of an earlier sync that did not end.
+        if own_head is not None and head[:2] < max(own_head[:2], self.newest_page_revision):
             self.lose_upstream(now)
-            return "a base that is older than what is in force"
-        theirs = low.digests + high.digests
-        ours = self.replica.table.digests()
+            return "sync base older than the revision in force"
+        upstream_digests = lower_half.digests + upper_half.digests
+        own_digests = self.replica.table.digests()
         sync.base = sync.tip = head
         sync.last_progress_at, sync.digest_halves = now, {}
         sync.buckets_left = [
-            bucket for bucket in range(BUCKET_COUNT) if theirs[bucket] != ours[bucket]
+            bucket
+            for bucket in range(BUCKET_COUNT)
+            if upstream_digests[bucket] != own_digests[bucket]
         ]
-        self.random.shuffle(sync.buckets_left)  # many newcomers at once ask for other parts each
+        self.random.shuffle(
+            sync.buckets_left
+        )  # so that many new followers at once request different buckets
         self.fetch_buckets(now, sync)
         return ""
 
     def fetch_buckets(self, now: int, sync: Sync) -> None:
-        """Request the next buckets, or go on if none is left."""
+        """Requests the next buckets; if none is left, tells the state machine so."""
         while sync.buckets_left and len(sync.fetching) < MAX_FETCHES:
             bucket = sync.buckets_left.pop()
             sync.fetching[bucket] = Fetch(None, now)
@@ -700,9 +767,9 @@
             self.handle(now, Input.FETCHED)
 
     def on_page(self, now: int, message: Message) -> str:
-        """Put a page, and those that waited for it, into the table.
+        """Handles a PAGE: puts it, and the pages that waited for it, into the table.
 
-        Returns why it is refused, else "".
+        Returns why the page is refused, or "".
         """
         body, sync = message.body, self.sync
         assert isinstance(body, PageResponse)
@@ -712,9 +779,9 @@
             or body.bucket not in sync.fetching
             or message.sender.number < sync.first_number
         ):
-            return ""  # doubled or late
+            return ""  # duplicated or late
         if body.epoch != sync.base.epoch or body.revision < sync.base.revision:
-            return "a PAGE from before the base"
+            return "PAGE older than the sync base"
         fetch = sync.fetching[body.bucket]
         if body.after != fetch.after:
             if (
@@ -727,19 +794,19 @@
         return self._put_pages(now, sync, fetch, body)
 
     def _put_pages(self, now: int, sync: Sync, fetch: Fetch, first: PageResponse) -> str:
-        """Put a page and the early ones behind it into the table.
+        """Puts a page, and the waiting pages that directly follow it, into the table.
 
-        Returns why the table refuses one, else "".
+        Returns why the table refuses a page, or "".
         """
         page: PageResponse | None = first
         while page is not None:
             sync.target_revision = max(sync.target_revision, page.revision)
-            self.pages_up_to = max(self.pages_up_to, (page.epoch, page.revision))
+            self.newest_page_revision = max(self.newest_page_revision, (page.epoch, page.revision))
             self.replica.is_partial = self.replica.head is not None
             try:
                 self.counts.mended += self.replica.table.replace(page.bucket, page.after, page.page)
             except ValueError as error:
-                return f"a PAGE that the table refuses: {error!s:.100}"
+                return f"PAGE rejected by the table: {error!s:.100}"
             self.counts.pages += 1
             sync.last_progress_at = now
             if page.page.is_last:
@@ -755,7 +822,7 @@
         return ""
 
     def request_pages(self, now: int, bucket: int, fetch: Fetch) -> None:
-        """Ask for the next pages of a bucket; each attempt waits twice as long for them."""
+        """Requests the next pages of a bucket; the timeout doubles with each attempt."""
         fetch.retry_at = now + self.jittered(
             self.settings.request_retry_ns << min(fetch.tries, MAX_BACKOFF_DOUBLINGS)
         )
@@ -763,7 +830,7 @@
         self.send(self.upstream, PagesRequest(bucket, fetch.after, MAX_PAGES_PER_REQUEST))
 
     def repeat_requests(self, now: int, sync: Sync) -> None:
-        """Repeat the sync's requests that were not answered in time."""
+        """Repeats the sync's requests that were not answered in time."""
         if sync.base is None and now >= sync.retry_at:
             sync.retry_at = now + self.jittered(self.settings.request_retry_ns)
             self.send(self.upstream, DigestsRequest())
@@ -774,27 +841,27 @@
         if len(sync.folded_items) > MAX_FOLDED_ITEMS:
             self.lose_upstream(now)
 
-    # What leaves.
+    # Sent messages.
 
     def leave(self) -> None:
-        """Tell the upstream that this follower goes."""
+        """Tells the upstream that this follower stops."""
         self.send(self.upstream, Leave())
 
     def send(self, to: Upstream, body: Body) -> int:
-        """Queue a message to an upstream and return its number."""
+        """Queues a message to an upstream and returns its number."""
         self.number += 1
-        if len(self.out) >= MAX_OUT_DATAGRAMS:
+        if len(self.outbox) >= MAX_OUTBOX_DATAGRAMS:
             self.counts.dropped += 1
             return self.number
         data = seal(Sender(self.name, self.incarnation, self.number), body, self.keys[0])
         self.counts.sent += 1
         self.counts.sent_bytes += len(data)
-        self.out.append((to.address, data))
+        self.outbox.append((to.address, data))
         return self.number
 
 
 def summary(follower: Follower, now: int) -> Mapping[str, object]:
-    """Return plain values for an operator, as the state file has them."""
+    """Returns the follower's part of the state file, as plain values."""
     head, sync, counts = follower.replica.head, follower.sync, follower.counts
     return {
         "name": follower.name,
@@ -802,19 +869,19 @@
         "upstream": follower.upstream.name,
         "epoch": head.epoch if head else None,
         "revision": head.revision if head else None,
-        "latest": follower.latest,
-        "age_ms": follower.age(now),
+        "latest": follower.latest_revision,
+        "age_ms": follower.table_age_ms(now),
         "mixed": follower.replica.is_partial,
         "buckets_left": len(sync.buckets_left) + len(sync.fetching) if sync else 0,
         "counts": counts.exported(),
     }
 
 
-Test = Callable[[Follower], bool]
+Guard = Callable[[Follower], bool]
 Effect = Callable[[Follower, int], None]
 
 
-def _test(name: str) -> Test:
+def _guard(name: str) -> Guard:
     return (lambda follower: True) if name == "-" else getattr(Follower, name)
 
 
@@ -822,7 +889,7 @@
     return (lambda follower, now: None) if name == "-" else getattr(Follower, name)
 
 
-RULES = parse_transitions(TABLE, State, Input, _test, _effect)
+RULES = parse_transitions(TRANSITIONS, State, Input, _guard, _effect)
 HANDLERS: dict[type[Body], Callable[[Follower, int, Message], str]] = {
     HeadStatus: Follower.on_head,
     PushedChange: Follower.on_change,
--- a/burlloom/distribution/follower_state.py
+++ b/burlloom/distribution/follower_state.py
@@ -1,4 +1,4 @@
-"""States, inputs and the running work of a follower. No I/O."""
+"""States, inputs, counters and the running sync of a follower. No I/O."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -11,28 +11,44 @@
 
 
 class State(IntEnum):
-    """How far the table follows the upstream."""
+    """State of a follower: how its table relates to its upstream's table."""
 
-    EMPTY = 0  # nothing is in force
-    SYNCING = 1  # buckets that differ are fetched
-    REPLAYING = 2  # changes since the sync's base, up to the latest page's revision
-    CURRENT = 3
-    BEHIND = 4  # changes are pulled
-    ALONE = 5  # no upstream answers; what is in force stays
+    EMPTY = 0  # no revision is in force and no upstream has answered yet
+    SYNCING = 1  # the buckets that differ are being fetched
+    REPLAYING = 2  # buckets are complete; changes up to the latest page's revision are missing
+    CURRENT = 3  # the table has the latest revision that the upstream is known to have
+    BEHIND = 4  # later changes are being pulled
+    ALONE = 5  # no upstream answers; the revision in force stays in force
 
 
 class Input(IntEnum):
-    """What the state machine is told."""
+    """Input of the state machine."""
 
     HEAD = 0  # the upstream sent its head
-    CHANGE = 1  # changes came and were applied as far as they follow
-    FETCHED = 2  # a bucket, or none differed
-    LOST = 3  # the upstream is silent, full, leaves, or is of no use
+    CHANGE = 1  # a change was received, and all changes that directly follow were applied
+    FETCHED = 2  # no bucket is being fetched any more, or none differed
+    LOST = 3  # the upstream is silent, full, draining, or can't be followed
 
 
 @dataclass(slots=True)
-class Counts:
-    """Counters since the start; `exported` gives them for metrics and the state file."""
+class FollowerCounters:
+    """Counters of a follower since its start.
+
+    Attributes:
+        sent: Datagrams sent.
+        sent_bytes: Bytes sent.
+        received: Datagrams received.
+        received_bytes: Bytes received.
+        applied: Changes applied.
+        pulls: PULL requests.
+        syncs: Syncs started.
+        finished_syncs: Syncs completed.
+        pages: Pages put into the table.
+        mended: Items of pages that differed from the table's.
+        moves: Switches to another upstream.
+        dropped: Datagrams dropped because the outbox was full.
+        refused: Refused messages by reason.
+    """
 
     sent: int = 0
     sent_bytes: int = 0
@@ -43,13 +59,13 @@
     syncs: int = 0
     finished_syncs: int = 0
     pages: int = 0
-    mended: int = 0  # items that a page found differing
-    moves: int = 0  # to another upstream
+    mended: int = 0
+    moves: int = 0
     dropped: int = 0
-    refused: dict[str, int] = field(default_factory=dict)  # by reason
+    refused: dict[str, int] = field(default_factory=dict)
 
     def exported(self) -> dict[str, Any]:
-        """Return the counters by the names that state files and metrics have for them."""
+        """Returns the counters under their names in metrics and state files."""
         return export_counters(self)
 
 
@@ -58,11 +74,11 @@
     """A bucket whose pages are being fetched.
 
     Attributes:
-        after: the position that pages have come up to.
-        retry_at: when to ask again, in ns.
-        tries: requests since the last page; each waits twice as long as the one before, since a
-            source over its byte rate answers nothing.
-        early_pages: pages that wait for those before them.
+        after: Position of the last item received; None if no page was received.
+        retry_at: Time at which the request is repeated, in ns.
+        tries: Requests since the last page. The timeout doubles with each of them, since a source
+            that has exceeded its byte rate does not answer.
+        early_pages: Pages received before the pages that precede them, by their `after`.
     """
 
     after: ItemPosition | None
@@ -76,21 +92,22 @@
     """A running sync.
 
     Attributes:
-        first_number: number of the first request for digests.
-        retry_at: when to ask for digests again, in ns.
-        last_progress_at: when anything last came of it, in ns.
-        digest_halves: digests received, by number and half.
-        base: the head from before the first page.
-        tip: how far the changes after the base are folded.
-        target: the latest revision that a page was of.
-        buckets_left: buckets that are still to be fetched.
-        fetching: buckets on their way.
-        folded_items: last values of the changes after the base.
+        first_number: Message number of the first DIGESTS_ASK.
+        retry_at: Time at which the request for digests is repeated, in ns.
+        last_progress_at: Time of the last message that advanced the sync, in ns.
+        digest_halves: Digests received, by message number and half.
+        base: The upstream's head at the time of the digests, before the first page; None until both
+            halves of the digests were received.
+        tip: Head of the last change after the base that is in `folded_items`.
+        target_revision: The latest revision of any page received.
+        buckets_left: Buckets still to be requested.
+        fetching: Buckets requested and not complete.
+        folded_items: Items of the changes after the base, the latest value of each.
     """
 
-    first_number: int  # number of the first DIGESTS_ASK
+    first_number: int
     retry_at: int
-    last_progress_at: int  # when anything last came of it
+    last_progress_at: int
     digest_halves: dict[tuple[int, int], DigestsResponse] = field(default_factory=dict)
     base: Head | None = None
     tip: Head | None = None
--- a/burlloom/distribution/leaves.py
+++ b/burlloom/distribution/leaves.py
@@ -1,12 +1,14 @@
-"""A bucket of items as a B+ tree of two levels (Bayer and McCreight): one index, and leaves.
+"""A bucket of items as a B+ tree of two levels (Bayer and McCreight): one index over leaves.
 
-A leaf is one `bytes` object of at most 64 items, so that the interpreter holds one object for some
-40 items instead of two for each:
+A leaf is one `bytes` object with at most 64 items, about 40 on average, so that the interpreter
+holds one object per leaf instead of two per item. Its layout:
 
-    count (2 bytes), length of the keys' part (2), length of each value (2 each), keys, values
+    item count (2 bytes), length of the key section (2), length of each value (2 each),
+    key section, values
 
-Keys stand between bytes 0xFF, which UTF-8 never contains, so one search of the keys' part finds a
-key or shows that it is absent. A change rewrites only the leaves that it touches.
+In the key section each key stands between two bytes 0xFF, which UTF-8 never contains, so one search
+of the section finds a key or shows that it is absent. A change rewrites only the leaves that hold
+its keys.
 """
 
 from array import array
@@ -15,12 +17,11 @@
 from itertools import pairwise
 from struct import Struct
 
-MAX_LEAF_ITEMS = (
-    64  # entries: more make a change dearer, fewer make each entry's part of a leaf's object larger
-)
+# More items make a change more expensive; fewer increase each item's share of the leaf's object.
+MAX_LEAF_ITEMS = 64
 
 
-MIN_LEAF_ITEMS = 16  # a leaf that has fewer is joined with its neighbour
+MIN_LEAF_ITEMS = 16  # a leaf with fewer items is merged with a neighbour
 
 
 KEY_SEPARATOR = b"\xff"
@@ -33,21 +34,21 @@
 
 
 def pack_leaf(keys: Sequence[bytes], values: Sequence[bytes]) -> bytes:
-    """Return the leaf of items that are in order."""
-    middle = KEY_SEPARATOR + b"".join([key + KEY_SEPARATOR for key in keys])
+    """Returns the leaf with the items, which must be in order of their keys."""
+    key_section = KEY_SEPARATOR + b"".join([key + KEY_SEPARATOR for key in keys])
     lengths = array("H", map(len, values)).tobytes()
-    return b"".join((LEAF_HEADER.pack(len(keys), len(middle)), lengths, middle, *values))
+    return b"".join((LEAF_HEADER.pack(len(keys), len(key_section)), lengths, key_section, *values))
 
 
 def unpack_leaf(leaf: bytes) -> tuple[list[bytes], list[bytes]]:
-    """Return a leaf's keys and values, in order."""
-    count, middle = LEAF_HEADER.unpack_from(leaf)
-    start = LEAF_HEADER.size + 2 * count
-    begin = start + middle
-    keys, values = leaf[start + 1 : begin].split(KEY_SEPARATOR)[:-1], []
-    for length in array("H", leaf[LEAF_HEADER.size : start]):
-        values.append(leaf[begin : begin + length])
-        begin += length
+    """Returns a leaf's keys and values, in order."""
+    count, keys_length = LEAF_HEADER.unpack_from(leaf)
+    keys_start = LEAF_HEADER.size + 2 * count
+    value_start = keys_start + keys_length
+    keys, values = leaf[keys_start + 1 : value_start].split(KEY_SEPARATOR)[:-1], []
+    for value_length in array("H", leaf[LEAF_HEADER.size : keys_start]):
+        values.append(leaf[value_start : value_start + value_length])
+        value_start += value_length
     return keys, values
 
 
@@ -55,10 +56,10 @@
 
 
 class Bucket:
-    """The items of one scope and bucket, by kind code and key.
+    """The items of one bucket of a scope; a key here is a kind's code and the item's key.
 
-    `first_keys[i]` is the least key that leaf i may hold; the first is empty, so every key has a
-    leaf.
+    `first_keys[i]` is the smallest key that leaf i may hold. The first of them is empty, so that
+    every key belongs to a leaf.
     """
 
     __slots__ = ("first_keys", "leaves")
@@ -68,107 +69,120 @@
         self.leaves: list[bytes] = [EMPTY_LEAF]
 
     def has(self, key: bytes) -> bool:
-        """Whether there is an item under that key."""
+        """Returns whether the bucket has an item with a key."""
         leaf = self.leaves[bisect_right(self.first_keys, key) - 1]
-        count, middle = LEAF_HEADER.unpack_from(leaf)
-        start = LEAF_HEADER.size + 2 * count
-        return leaf.find(b"\xff%b\xff" % key, start, start + middle) >= 0
+        count, keys_length = LEAF_HEADER.unpack_from(leaf)
+        keys_start = LEAF_HEADER.size + 2 * count
+        return leaf.find(b"\xff%b\xff" % key, keys_start, keys_start + keys_length) >= 0
 
     def get(self, key: bytes) -> bytes | None:
-        """Return the value under that key."""
+        """Returns the value of a key; None if there is no such item."""
         leaf = self.leaves[bisect_right(self.first_keys, key) - 1]
-        count, middle = LEAF_HEADER.unpack_from(leaf)
-        start = LEAF_HEADER.size + 2 * count
-        at = leaf.find(b"\xff%b\xff" % key, start, start + middle)
-        if at < 0:
+        count, keys_length = LEAF_HEADER.unpack_from(leaf)
+        keys_start = LEAF_HEADER.size + 2 * count
+        key_offset = leaf.find(b"\xff%b\xff" % key, keys_start, keys_start + keys_length)
+        if key_offset < 0:
             return None
-        length = LEAF_HEADER.size + 2 * leaf.count(
-            KEY_SEPARATOR, start, at
-        )  # where its length stands
-        begin = start + middle + sum(array("H", leaf[LEAF_HEADER.size : length]))
-        return leaf[begin : begin + VALUE_LENGTH.unpack_from(leaf, length)[0]]
-
-    def set(self, key: bytes, new: bytes | None) -> bytes | None:
-        """Set or delete an item and return its former value."""
-        number = bisect_right(self.first_keys, key) - 1
-        leaf = self.leaves[number]
-        count, middle = LEAF_HEADER.unpack_from(leaf)
-        start = LEAF_HEADER.size + 2 * count
-        at = leaf.find(b"\xff%b\xff" % key, start, start + middle)
-        if at < 0 and new is None:
+        length_offset = LEAF_HEADER.size + 2 * leaf.count(
+            KEY_SEPARATOR, keys_start, key_offset
+        )  # offset of the value's length
+        value_start = (
+            keys_start + keys_length + sum(array("H", leaf[LEAF_HEADER.size : length_offset]))
+        )
+        return leaf[value_start : value_start + VALUE_LENGTH.unpack_from(leaf, length_offset)[0]]
+
+    def set(self, key: bytes, new_value: bytes | None) -> bytes | None:
+        """Sets an item, or deletes it if `new_value` is None; returns its previous value."""
+        leaf_index = bisect_right(self.first_keys, key) - 1
+        leaf = self.leaves[leaf_index]
+        count, keys_length = LEAF_HEADER.unpack_from(leaf)
+        keys_start = LEAF_HEADER.size + 2 * count
+        key_offset = leaf.find(b"\xff%b\xff" % key, keys_start, keys_start + keys_length)
+        if key_offset < 0 and new_value is None:
             return None
-        if there := at >= 0:
-            before = leaf.count(KEY_SEPARATOR, start, at)
+        if is_present := key_offset >= 0:
+            index = leaf.count(KEY_SEPARATOR, keys_start, key_offset)
         else:
-            keys = leaf[start + 1 : start + middle].split(KEY_SEPARATOR)[:-1]
-            before = bisect_left(keys, key)
-            at = start + before + sum(map(len, keys[:before]))
-        length = LEAF_HEADER.size + 2 * before
-        begin = start + middle + sum(array("H", leaf[LEAF_HEADER.size : length]))
-        made: tuple[bytes, ...]
-        if not there:
-            assert new is not None
+            keys = leaf[keys_start + 1 : keys_start + keys_length].split(KEY_SEPARATOR)[:-1]
+            index = bisect_left(keys, key)
+            key_offset = keys_start + index + sum(map(len, keys[:index]))
+        length_offset = LEAF_HEADER.size + 2 * index
+        value_start = (
+            keys_start + keys_length + sum(array("H", leaf[LEAF_HEADER.size : length_offset]))
+        )
+        new_leaf: tuple[bytes, ...]
+        if not is_present:
+            assert new_value is not None
             count += 1
-            made = (
-                LEAF_HEADER.pack(count, middle + len(key) + 1),
-                leaf[LEAF_HEADER.size : length],
-                VALUE_LENGTH.pack(len(new)),
-                leaf[length : at + 1],
+            new_leaf = (
+                LEAF_HEADER.pack(count, keys_length + len(key) + 1),
+                leaf[LEAF_HEADER.size : length_offset],
+                VALUE_LENGTH.pack(len(new_value)),
+                leaf[length_offset : key_offset + 1],
                 key,
-                leaf[at:begin],
-                new,
-                leaf[begin:],
+                leaf[key_offset:value_start],
+                new_value,
+                leaf[value_start:],
             )
-            old = None
+            old_value = None
         else:
-            end = begin + VALUE_LENGTH.unpack_from(leaf, length)[0]
-            old = leaf[begin:end]
-            if old == new:
-                return old
-            if new is not None:
-                made = (
-                    leaf[:length],
-                    VALUE_LENGTH.pack(len(new)),
-                    leaf[length + 2 : begin],
-                    new,
-                    leaf[end:],
+            value_end = value_start + VALUE_LENGTH.unpack_from(leaf, length_offset)[0]
+            old_value = leaf[value_start:value_end]
+            if old_value == new_value:
+                return old_value
+            if new_value is not None:
+                new_leaf = (
+                    leaf[:length_offset],
+                    VALUE_LENGTH.pack(len(new_value)),
+                    leaf[length_offset + 2 : value_start],
+                    new_value,
+                    leaf[value_end:],
                 )
             else:
                 count -= 1
-                made = (
-                    LEAF_HEADER.pack(count, middle - len(key) - 1),
-                    leaf[LEAF_HEADER.size : length],
-                    leaf[length + 2 : at],
-                    leaf[at + 1 + len(key) : begin],
-                    leaf[end:],
+                new_leaf = (
+                    LEAF_HEADER.pack(count, keys_length - len(key) - 1),
+                    leaf[LEAF_HEADER.size : length_offset],
+                    leaf[length_offset + 2 : key_offset],
+                    leaf[key_offset + 1 + len(key) : value_start],
+                    leaf[value_end:],
                 )
-        self.leaves[number] = b"".join(made)
+        self.leaves[leaf_index] = b"".join(new_leaf)
         if count > MAX_LEAF_ITEMS or count < MIN_LEAF_ITEMS and len(self.leaves) > 1:
-            self.rebalance(number)
-        return old
+            self.rebalance(leaf_index)
+        return old_value
 
     def items_after(self, key: bytes) -> Iterator[tuple[bytes, bytes]]:
-        """Yield the items behind a key in order; the bucket may change meanwhile."""
-        place = bisect_right
+        """Yields the items after a key, in order; the bucket may change during the iteration."""
+        bisect = bisect_right
         while True:
-            leaf = bisect_right(self.first_keys, key) - 1
-            upto = self.first_keys[leaf + 1] if leaf + 1 < len(self.first_keys) else None
-            keys, values = unpack_leaf(self.leaves[leaf])
-            for one in range(place(keys, key), len(keys)):
-                yield keys[one], values[one]
-            if upto is None:
+            leaf_index = bisect_right(self.first_keys, key) - 1
+            next_first_key = (
+                self.first_keys[leaf_index + 1] if leaf_index + 1 < len(self.first_keys) else None
+            )
+            keys, values = unpack_leaf(self.leaves[leaf_index])
+            for index in range(bisect(keys, key), len(keys)):
+                yield keys[index], values[index]
+            if next_first_key is None:
                 return
-            key, place = upto, bisect_left
+            key, bisect = next_first_key, bisect_left
 
-    def rebalance(self, leaf: int) -> None:
-        """Split a leaf that is too large, or join one that is too small with a neighbour."""
-        keys, values = unpack_leaf(self.leaves[leaf])
-        first, upto = leaf, leaf + 1
+    def rebalance(self, leaf_index: int) -> None:
+        """Splits a leaf that is too large, or merges one that is too small with a neighbour."""
+        keys, values = unpack_leaf(self.leaves[leaf_index])
+        first, end = leaf_index, leaf_index + 1
         if len(keys) < MIN_LEAF_ITEMS:
-            first, upto = (leaf, leaf + 2) if upto < len(self.leaves) else (leaf - 1, upto)
-            joined = [unpack_leaf(one) for one in self.leaves[first:upto]]
+            first, end = (
+                (leaf_index, leaf_index + 2) if end < len(self.leaves) else (leaf_index - 1, end)
+            )
+            joined = [unpack_leaf(joined_leaf) for joined_leaf in self.leaves[first:end]]
             keys, values = joined[0][0] + joined[1][0], joined[0][1] + joined[1][1]
-        parts = max(1, -(-len(keys) // MAX_LEAF_ITEMS))
-        cuts = [len(keys) * part // parts for part in range(parts + 1)]
-        self.leaves[first:upto] = [pack_leaf(keys[a:b], values[a:b]) for a, b in pairwise(cuts)]
-        self.first_keys[first:upto] = [self.first_keys[first], *(keys[cut] for cut in cuts[1:-1])]
+        leaf_count = max(1, -(-len(keys) // MAX_LEAF_ITEMS))
+        boundaries = [len(keys) * index // leaf_count for index in range(leaf_count + 1)]
+        self.leaves[first:end] = [
+            pack_leaf(keys[start:stop], values[start:stop]) for start, stop in pairwise(boundaries)
+        ]
+        self.first_keys[first:end] = [
+            self.first_keys[first],
+            *(keys[boundary] for boundary in boundaries[1:-1]),
+        ]
--- a/burlloom/distribution/messages.py
+++ b/burlloom/distribution/messages.py
@@ -1,8 +1,8 @@
 """Messages between followers and sources. No I/O.
 
-A replayed message has no effect: requests are numbered and each number counts once
-(`ReplayWindow`), answers carry the number of the request, and changes are chained. codec.py has
-their form on the wire.
+A replayed message has no effect: each request has a number that a source accepts once
+(`ReplayWindow`), an answer carries the number of its request, and changes are chained. codec.py
+defines the encoding.
 """
 
 from enum import IntEnum
@@ -14,37 +14,37 @@
 )
 from .table import BUCKET_COUNT, ItemPosition, Page
 
-MAX_NAME_BYTES = 64  # bytes of UTF-8
-MIN_KEY_BYTES = 16  # bytes of a key
-MAX_FOLLOWER_SCOPES = 16  # that one follower holds by name
-MAX_PULL_CHANGES = 32  # changes that one PULL asks for
-MAX_PAGES_PER_REQUEST = 4  # pages that one PAGES_ASK asks for
-MAX_PAGE_BYTES = 1050  # of a page's entries: with the longest names and places it still fits
-HALF_BUCKETS = BUCKET_COUNT // 2  # bucket digests a message
+MAX_NAME_BYTES = 64  # a process's name in UTF-8
+MIN_KEY_BYTES = 16  # shortest key allowed
+MAX_FOLLOWER_SCOPES = 16  # scopes that a follower may list in a REPORT
+MAX_PULL_CHANGES = 32  # changes that one PULL may request
+MAX_PAGES_PER_REQUEST = 4  # pages that one PAGES_ASK may request
+MAX_PAGE_BYTES = 1050  # items of a page; with the longest names and positions a datagram holds it
+HALF_BUCKETS = BUCKET_COUNT // 2  # bucket digests in one DIGESTS message
 
 
 class MessageKind(IntEnum):
-    """The number of each kind of message on the wire."""
+    """Number of each kind of message on the wire."""
 
-    REPORT = 0  # each beat, to whom we follow: what we have; renews the lease
-    HEAD = 1  # to the REPORT of that number, or to a PULL that can't be answered: what there is
-    CHANGE = 2  # pushed, or asked for
-    PULL = 3  # changes after that revision
-    DIGESTS_REQUEST = 4
-    DIGESTS = 5  # half of the buckets' digests, and the head of that moment
-    PAGES_REQUEST = 6  # pages of a bucket, from there on
-    PAGE = 7
-    REDIRECT = 8  # go to your next: we are full, leave, or don't hold what you want
-    BYE = 9  # to whom we followed: we go, or follow another
+    REPORT = 0  # follower, each heartbeat: its head and digest; renews the lease
+    HEAD = 1  # source: its head, in answer to a REPORT or to a PULL that it can't serve
+    CHANGE = 2  # source: one change, pushed or pulled
+    PULL = 3  # follower: requests the changes after a revision
+    DIGESTS_REQUEST = 4  # follower: requests the digests of all buckets
+    DIGESTS = 5  # source: the digests of one half of the buckets, and its head at that time
+    PAGES_REQUEST = 6  # follower: requests pages of a bucket behind a position
+    PAGE = 7  # source: one page of a bucket
+    REDIRECT = 8  # source: it can't serve the follower, which is to try its next upstream
+    BYE = 9  # follower: it stops, or follows another upstream
 
 
 class Sender(NamedTuple):
-    """Who sent a message.
+    """The sender of a message, and the message's number.
 
     Attributes:
-        name: the sender's name.
+        name: The sender's name.
         incarnation: Unix ms of the sender's start.
-        number: the sender's own count; in an answer, that of the request.
+        number: Sequence number of a follower's message; in an answer, the number of the request.
     """
 
     name: str
@@ -53,13 +53,13 @@
 
 
 class Report(NamedTuple):
-    """REPORT. What a follower has.
+    """Body of REPORT: the revision that a follower has in force.
 
     Attributes:
-        scopes: scopes that are held; None: all.
-        epoch: 0 if no table is complete.
-        revision: revision of the table.
-        digest: digest of these scopes at that revision.
+        scopes: Scopes that the follower holds; None for all.
+        epoch: Epoch of the table; 0 if the follower has no complete table.
+        revision: Revision of the table.
+        digest: Digest of the scopes at that revision.
     """
 
     scopes: tuple[str, ...] | None
@@ -69,13 +69,14 @@
 
 
 class HeadStatus(NamedTuple):
-    """HEAD. What a source has.
+    """Body of HEAD: the revision that a source has in force.
 
     Attributes:
-        head: the source's head.
-        age_ms: how long ago its table was confirmed to be the newest; None: never.
-        differs: whether the digests differ at the revision of the REPORT.
-        oldest_revision: changes after this revision can be pulled.
+        head: The source's head.
+        age_ms: Time since the source's table was last confirmed to be the newest; None if it never
+            was.
+        differs: Whether the digests of follower and source differ at the revision of the REPORT.
+        oldest_revision: Changes after this revision can be pulled.
     """
 
     head: Head
@@ -85,13 +86,13 @@
 
 
 class PushedChange(NamedTuple):
-    """CHANGE. One change, pushed or asked for."""
+    """Body of CHANGE: one change, pushed or pulled."""
 
     change: Change
 
 
 class PullRequest(NamedTuple):
-    """PULL. At most `max_changes` changes after a revision of that epoch."""
+    """Body of PULL: requests at most `max_changes` changes after a revision of an epoch."""
 
     epoch: int
     after_revision: int
@@ -99,13 +100,13 @@
 
 
 class DigestsRequest(NamedTuple):
-    """DIGESTS_ASK. The digests of all buckets."""
+    """Body of DIGESTS_ASK: requests the digests of all buckets."""
 
     pass
 
 
 class DigestsResponse(NamedTuple):
-    """DIGESTS. Digests of buckets 0 to 127 (`half` 0) or 128 to 255 (`half` 1)."""
+    """Body of DIGESTS: the digests of buckets 0 to 127 (`half` 0) or 128 to 255 (`half` 1)."""
 
     head: Head
     half: int
@@ -113,7 +114,7 @@
 
 
 class PagesRequest(NamedTuple):
-    """PAGES_ASK. At most `page_count` pages of a bucket, behind the position `after`."""
+    """Body of PAGES_ASK: requests at most `page_count` pages of a bucket behind `after`."""
 
     bucket: int
     after: ItemPosition | None
@@ -121,15 +122,15 @@
 
 
 class PageResponse(NamedTuple):
-    """PAGE. One page of a bucket.
+    """Body of PAGE: one page of a bucket.
 
     Attributes:
-        epoch: epoch of the table that it was read from.
-        revision: revision of that table.
-        bucket: the bucket.
-        page_index: which page of its PAGES_ASK this is.
-        after: the position that it begins behind.
-        page: the items.
+        epoch: Epoch of the table that the page was read from.
+        revision: Revision of that table.
+        bucket: Number of the bucket.
+        page_index: Index of the page among those of its PAGES_ASK, from 0.
+        after: Position behind which the page begins; None for the bucket's start.
+        page: The items.
     """
 
     epoch: int
@@ -141,13 +142,13 @@
 
 
 class Redirect(NamedTuple):
-    """REDIRECT. The follower is to follow its next upstream; the reason is for the log."""
+    """Body of REDIRECT: tells a follower to follow its next upstream; the reason is for logs."""
 
     reason: str
 
 
 class Leave(NamedTuple):
-    """BYE. The follower goes, or follows another upstream."""
+    """Body of BYE: the follower stops, or follows another upstream."""
 
     pass
 
--- a/burlloom/distribution/proposal.py
+++ b/burlloom/distribution/proposal.py
@@ -23,30 +23,33 @@
     key: bytes,
     check: ItemCheck | None = None,
 ) -> Change:
-    """Return the change that follows `head`, signed with `key`.
+    """Returns the change that follows `head`, signed with `key`.
 
-    It may be appended only while `head` is still the last; otherwise it has to be proposed again.
+    The change may be appended only while `head` is still the store's head; otherwise it has to be
+    proposed again.
 
     Args:
-        head: the head that it follows.
-        scope: "" or a region.
-        entries: the items to set or delete.
-        time_ms: Unix ms.
-        key: the signing key.
-        check: returns faults of an item's meaning.
+        head: The head that the change follows.
+        scope: "" for all regions, or a region.
+        entries: The items to set or delete.
+        time_ms: Current time in Unix ms.
+        key: The signing key.
+        check: Returns semantic faults of an item, which the format checks can't find.
 
     Raises:
-        InvalidChangeError: with all faults and their places.
+        InvalidChangeError: The change is invalid; the error lists all faults with their places.
     """
-    found = change_faults(scope, entries)
-    if not found and check is not None:
-        found = [
-            f"entries[{at}].{fault}" for at, item in enumerate(entries) for fault in check(item)
+    faults = change_faults(scope, entries)
+    if not faults and check is not None:
+        faults = [
+            f"entries[{index}].{fault}"
+            for index, item in enumerate(entries)
+            for fault in check(item)
         ]
-    if not found:
+    if not faults:
         body = encode_items(entries)
         if len(body) > MAX_BODY_BYTES:
-            found = [f"body: {len(body)} bytes, {MAX_BODY_BYTES} at most"]
-    if found:
-        raise InvalidChangeError(found)
+            faults = [f"body: {len(body)} bytes, at most {MAX_BODY_BYTES} allowed"]
+    if faults:
+        raise InvalidChangeError(faults)
     return next_change(head, scope, body, time_ms, key)
--- a/burlloom/distribution/refusals.py
+++ b/burlloom/distribution/refusals.py
@@ -1,12 +1,13 @@
 """Counts refused messages by reason, with a bound on the reasons. No I/O."""
 
-MAX_REASONS, MAX_PENDING_REFUSALS = 64, 32  # that are counted apart; that wait for the host's log
+MAX_REASONS = 64  # distinct reasons with a counter of their own; more share "other reasons"
+MAX_PENDING_REFUSALS = 32  # refusals kept until the host logs them; older ones are dropped
 
 
 def count_refusal(refused: dict[str, int], reason: str) -> str:
-    """Count a refusal and return the reason that it was counted under.
+    """Counts a refusal and returns the reason under which it was counted.
 
-    Past `MAX_REASONS` that is "other reasons".
+    Once `MAX_REASONS` reasons have a counter, a new reason is counted as "other reasons".
     """
     if reason not in refused and len(refused) >= MAX_REASONS:
         reason = "other reasons"
--- a/burlloom/distribution/replay_window.py
+++ b/burlloom/distribution/replay_window.py
@@ -1,10 +1,13 @@
-"""Rejects requests whose number was seen before. No I/O."""
+"""Rejects replayed requests by their sequence numbers. No I/O."""
 
-WINDOW_NUMBERS = 64  # numbers that requests may be out of order by
+WINDOW_NUMBERS = 64  # a number this far below the highest one is rejected as too old
 
 
 class ReplayWindow:
-    """Each request counts once, though some overtake others: RFC 4303's window of numbers seen."""
+    """Accepts each sequence number once, also out of order (anti-replay window of RFC 4303).
+
+    `seen` is a bitmap of the last `WINDOW_NUMBERS` numbers; bit 0 stands for `highest`.
+    """
 
     __slots__ = ("highest", "seen")
 
@@ -12,7 +15,7 @@
         self.highest, self.seen = -1, 0
 
     def accept(self, number: int) -> bool:
-        """Whether a request's number was not seen before; it is remembered."""
+        """Records a request's number and returns whether it is new."""
         if number > self.highest:
             self.seen = (self.seen << min(number - self.highest, WINDOW_NUMBERS) | 1) & (
                 (1 << WINDOW_NUMBERS) - 1
--- a/burlloom/distribution/source.py
+++ b/burlloom/distribution/source.py
@@ -1,9 +1,9 @@
-"""The side of replication that is followed: a control machine, or a relay. No I/O.
+"""The serving side of replication, in a control machine or a relay. No I/O.
 
-A relay has a `Follower` beside it on the same `Replica`. A host calls `tick` about once a
-heartbeat, passes datagrams to `receive`, calls `push_changes` after anything that may have moved
-the replica, and sends what lies in `out`. A change is sealed once for all followers, since nothing
-in it depends on one of them. Times are ns of a clock that never goes back.
+A relay also has a `Follower` on the same `Replica`. The host calls `tick` about once per heartbeat
+interval, passes datagrams to `receive`, calls `push_changes` after anything that may have changed
+the replica's head, and sends the datagrams in `outbox`. The datagram of a change depends on no
+follower, so a change is sealed once for all of them. All times are ns of a monotonic clock.
 """
 
 from collections import deque
@@ -35,19 +35,19 @@
 from .refusals import MAX_PENDING_REFUSALS, count_refusal
 from .replay_window import ReplayWindow
 from .replica import Replica
-from .settings import MS, ReplicationSettings
+from .settings import NS_PER_MS, ReplicationSettings
 
-MAX_PUSH_CHANGES = 64  # changes that are pushed at once; who misses more pulls
-MAX_SEALED_CHANGES = 512  # changes kept sealed, with and without bodies: 1.2 MB at most
-MAX_COMPARED_REVISIONS = 64  # revisions back that a report's digest is still compared
-MAX_OUT_DATAGRAMS = 32_768  # datagrams that wait for the host
+MAX_PUSH_CHANGES = 64  # new changes pushed at once; if there are more, followers pull them
+MAX_SEALED_CHANGES = 512  # cached datagrams of changes, with and without bodies; at most 1.2 MB
+MAX_COMPARED_REVISIONS = 64  # a follower further behind than this is not checked for differences
+MAX_OUTBOX_DATAGRAMS = 32_768  # datagrams queued for the host; further ones are dropped
 
 Address = tuple[str, int]
 
 
 @dataclass(slots=True)
 class Lease:
-    """A follower's lease; `expires_at` is in ns."""
+    """A follower's lease, with the revision that it reported last; `expires_at` is in ns."""
 
     incarnation: int
     address: Address
@@ -59,24 +59,39 @@
 
 
 @dataclass(slots=True)
-class Counts:
-    """Counters since the start; `exported` gives them for metrics and the state file."""
+class SourceCounters:
+    """Counters of a source since its start.
+
+    Attributes:
+        sent: Datagrams sent.
+        sent_bytes: Bytes sent.
+        received: Datagrams received.
+        received_bytes: Bytes received.
+        pushed: Changes pushed, counted once per follower.
+        pulled: Changes sent in answer to PULL.
+        pages: Pages sent.
+        held_back: Page requests cut short because the byte rate was exceeded.
+        redirects: Reports answered with REDIRECT.
+        differing: Reports whose digest differed at the same revision.
+        dropped: Datagrams dropped because the outbox was full.
+        refused: Refused messages by reason.
+    """
 
     sent: int = 0
     sent_bytes: int = 0
     received: int = 0
     received_bytes: int = 0
-    pushed: int = 0  # changes to followers, each to each
+    pushed: int = 0
     pulled: int = 0
     pages: int = 0
-    held_back: int = 0  # pages that were over the rate
+    held_back: int = 0
     redirects: int = 0
     differing: int = 0
     dropped: int = 0
-    refused: dict[str, int] = field(default_factory=dict)  # by reason
+    refused: dict[str, int] = field(default_factory=dict)
 
     def exported(self) -> dict[str, Any]:
-        """Return the counters by the names that state files and metrics have for them."""
+        """Returns the counters under their names in metrics and state files."""
         return export_counters(self)
 
 
@@ -84,15 +99,22 @@
     """Serves followers from a replica.
 
     Args:
-        replica: the table that is served.
-        name: this server's name.
+        replica: The replica to serve.
+        name: This process's name.
         incarnation: Unix ms of the process's start.
-        keys: the first seals messages, any opens them.
-        settings: intervals and limits.
-        random: source of jitter.
-        now: current time in ns.
-        age_ms: given a time, returns how many ms ago the replica was confirmed to be the newest;
-            None: never.
+        keys: Keys of the messages' seals; the first seals messages, any may have sealed a received
+            one.
+        settings: Intervals, timeouts and limits.
+        random: Source of randomness; not used at present.
+        now: Current time in ns.
+        table_age_ms: Returns, for a time in ns, the ms since the replica was last confirmed as the
+            newest; None if it never was.
+
+    Attributes:
+        outbox: Address and content of the datagrams to send; the host empties it.
+        refusals: Reason and source of refused messages, for the host's log; the host empties it.
+        followers: Leases by the followers' names.
+        last_pushed: Epoch and revision up to which changes were pushed.
     """
 
     def __init__(
@@ -104,72 +126,74 @@
         settings: ReplicationSettings,
         random: Random,
         now: int,
-        age: Callable[[int], int | None],
+        table_age_ms: Callable[[int], int | None],
     ) -> None:
         self.replica, self.name, self.incarnation, self.keys = replica, name, incarnation, keys
         self.settings, self.random = settings, random
-        self.age_ms = age
-        self.out: deque[tuple[Address, bytes]] = deque()
-        self.counts = Counts()
-        self.refusals: deque[tuple[str, Address]] = deque(
-            maxlen=MAX_PENDING_REFUSALS
-        )  # until the host takes them
+        self.table_age_ms = table_age_ms
+        self.outbox: deque[tuple[Address, bytes]] = deque()
+        self.counts = SourceCounters()
+        self.refusals: deque[tuple[str, Address]] = deque(maxlen=MAX_PENDING_REFUSALS)
         self.followers: dict[str, Lease] = {}
-        self.pushed_up_to = (
+        self.last_pushed = (
             (replica.head.epoch, replica.head.revision) if replica.head is not None else (0, 0)
         )
         self.sealed_changes: dict[tuple[int, int, bool], bytes] = {}
-        self.tokens, self.tokens_filled_at = float(settings.page_burst_bytes), now
+        self.page_tokens, self.page_tokens_refilled_at = float(settings.page_burst_bytes), now
         self.is_draining = False
 
-    # Once in a while.
+    # Timers and pushes.
 
     def tick(self, now: int) -> None:
-        """Forget followers whose lease is over, and push what is new."""
+        """Drops followers whose lease has expired, and pushes new changes."""
         for name in [name for name, lease in self.followers.items() if lease.expires_at <= now]:
             del self.followers[name]
         self.push_changes(now)
 
     def push_changes(self, now: int) -> None:
-        """Push new changes to all followers; after a sync or too many changes they pull instead."""
+        """Pushes new changes to all followers.
+
+        After a sync, or if there are more than `MAX_PUSH_CHANGES`, nothing is pushed and the
+        followers pull.
+        """
         head = self.replica.head
-        if head is None or not self.replica.is_complete or self.pushed_up_to == head[:2]:
+        if head is None or not self.replica.is_complete or self.last_pushed == head[:2]:
             return
-        epoch, revision = self.pushed_up_to
+        epoch, revision = self.last_pushed
         changes = None
         if epoch == head.epoch and head.revision - revision <= MAX_PUSH_CHANGES:
             changes = self.replica.log.changes_since(revision, MAX_PUSH_CHANGES)
-        self.pushed_up_to = head.epoch, head.revision
+        self.last_pushed = head.epoch, head.revision
         for change in changes or ():
-            full, bare = self.sealed_change(change, True), b""
+            with_body, without_body = self.sealed_change(change, True), b""
             for lease in self.followers.values():
                 if lease.expires_at <= now:
                     continue
                 if lease.scopes is None or change.scope in lease.scopes:
-                    self.post(lease.address, full)
+                    self.post(lease.address, with_body)
                 else:
-                    bare = bare or self.sealed_change(change, False)
-                    self.post(lease.address, bare)
+                    without_body = without_body or self.sealed_change(change, False)
+                    self.post(lease.address, without_body)
                 self.counts.pushed += 1
 
-    def sealed_change(self, change: Change, full: bool) -> bytes:
-        """Return the datagram of a change, sealed once for all followers; `full`: with its body."""
-        key = change.epoch, change.revision, full
+    def sealed_change(self, change: Change, with_body: bool) -> bytes:
+        """Returns the sealed datagram of a change, with or without its body, from a cache."""
+        key = change.epoch, change.revision, with_body
         data = self.sealed_changes.get(key)
         if data is None:
             if len(self.sealed_changes) >= MAX_SEALED_CHANGES:
                 del self.sealed_changes[next(iter(self.sealed_changes))]
             data = self.sealed_changes[key] = seal(
                 Sender(self.name, self.incarnation, 0),
-                PushedChange(change if full else change.without_body()),
+                PushedChange(change if with_body else change.without_body()),
                 self.keys[0],
             )
         return data
 
-    # What comes.
+    # Received messages.
 
     def receive(self, now: int, data: bytes, source: Address) -> None:
-        """Handle one datagram; what is refused is counted by its reason."""
+        """Handles one received datagram; a refused one is counted by its reason."""
         self.counts.received += 1
         self.counts.received_bytes += len(data)
         try:
@@ -177,17 +201,21 @@
         except MessageDecodeError as error:
             self.count_refusal(str(error), source)
             return
-        does = HANDLERS.get(type(message.body))
-        reason = does(self, now, message, source) if does else "nothing for who is followed"
+        handler = HANDLERS.get(type(message.body))
+        reason = (
+            handler(self, now, message, source)
+            if handler
+            else "message kind not handled by a source"
+        )
         if reason:
             self.count_refusal(reason, source)
 
     def count_refusal(self, reason: str, source: Address) -> None:
-        """Count a refused message and keep it for the host's log."""
+        """Counts a refused message and keeps it for the host's log."""
         self.refusals.append((count_refusal(self.counts.refused, reason), source))
 
     def on_report(self, now: int, message: Message, source: Address) -> str:
-        """Grant or renew a lease, or redirect; returns why the report is refused, else ""."""
+        """Handles REPORT by a lease or a REDIRECT; returns why the report is refused, or ""."""
         sender, body, head = message.sender, message.body, self.replica.head
         assert isinstance(body, Report)
         lease = self.followers.get(sender.name)
@@ -198,20 +226,20 @@
         ):
             lease = None
         if lease is not None and sender.incarnation < lease.incarnation:
-            return "an older life"
+            return "older incarnation of the follower"
         if (
             lease is not None
             and sender.incarnation == lease.incarnation
             and not lease.replay_window.accept(sender.number)
         ):
-            return "a number that was there"
-        no = self.reason_not_to_serve(body) or (
+            return "message number seen before"
+        redirect_reason = self.reason_not_to_serve(body) or (
             "full" if lease is None and self.is_full(now) else ""
         )
-        if head is None or no:
+        if head is None or redirect_reason:
             self.counts.redirects += 1
             self.followers.pop(sender.name, None)
-            self.send(source, sender.number, Redirect(no))
+            self.send(source, sender.number, Redirect(redirect_reason))
             return ""
         if lease is None or sender.incarnation > lease.incarnation:
             lease = self.followers[sender.name] = Lease(
@@ -228,7 +256,7 @@
         return ""
 
     def reason_not_to_serve(self, body: Report) -> str:
-        """Return why that follower can't be served here; "" if it can."""
+        """Returns the reason for redirecting a follower with that report; "" if it is served."""
         held = self.replica.table.scopes
         if self.is_draining:
             return "leaving"
@@ -239,14 +267,14 @@
         return ""
 
     def is_full(self, now: int) -> bool:
-        """Whether no further follower is taken; leases that are over are dropped first."""
+        """Returns whether no further follower is accepted; drops expired leases first."""
         if len(self.followers) >= self.settings.max_followers:
             for name in [name for name, lease in self.followers.items() if lease.expires_at <= now]:
                 del self.followers[name]
         return len(self.followers) >= self.settings.max_followers
 
     def differs(self, body: Report) -> bool:
-        """Whether a follower's digest differs from ours at the same revision; counted."""
+        """Returns whether a follower's digest differs from ours at its revision; counts it."""
         head = self.replica.head
         if (
             head is None
@@ -255,25 +283,25 @@
         ):
             return False
         digest = self.replica.digest_at(body.revision, body.scopes)
-        found = digest is not None and digest != body.digest
-        self.counts.differing += found
-        return found
+        is_different = digest is not None and digest != body.digest
+        self.counts.differing += is_different
+        return is_different
 
     def send_head(self, now: int, number: int, to: Address, differs: bool) -> None:
-        """Send our head, in answer to the message of that number."""
+        """Sends the replica's head in answer to the message with that number."""
         assert self.replica.head is not None
-        # A copy on its way to a later revision is nothing to pull from or sync with, and says no
-        # other head.
+        # While a sync of a relay's own replica runs, the replica still reports its old head; it
+        # serves neither digests nor pages of the later revision.
         self.send(
             to,
             number,
             HeadStatus(
-                self.replica.head, self.age_ms(now), differs, self.replica.log.base_revision
+                self.replica.head, self.table_age_ms(now), differs, self.replica.log.base_revision
             ),
         )
 
     def lease_of(self, now: int, message: Message) -> Lease | None:
-        """Return the sender's lease; None if it has none, or its number was seen before."""
+        """Returns the sender's lease; None if it has none, or if the message is a replay."""
         sender = message.sender
         lease = self.followers.get(sender.name)
         if (
@@ -286,11 +314,11 @@
         return lease
 
     def on_pull(self, now: int, message: Message, source: Address) -> str:
-        """Send the changes that a follower asks for; returns why it is refused, else ""."""
+        """Handles PULL by sending the changes; returns why the request is refused, or ""."""
         lease, body, head = self.lease_of(now, message), message.body, self.replica.head
         assert isinstance(body, PullRequest)
         if lease is None or head is None:
-            return "a PULL of none that follows, or played again"
+            return "PULL replayed or without a lease"
         changes = (
             self.replica.log.changes_since(body.after_revision, body.max_changes)
             if body.epoch == head.epoch
@@ -300,17 +328,17 @@
             self.send_head(now, message.sender.number, lease.address, False)
         for change in changes or ():
             self.counts.pulled += 1
-            full = lease.scopes is None or change.scope in lease.scopes
-            self.post(lease.address, self.sealed_change(change, full))
+            with_body = lease.scopes is None or change.scope in lease.scopes
+            self.post(lease.address, self.sealed_change(change, with_body))
         return ""
 
     def on_digests_request(self, now: int, message: Message, source: Address) -> str:
-        """Send both halves of the digests; returns why the request is refused, else ""."""
+        """Handles DIGESTS_ASK by sending both halves; returns why it is refused, or ""."""
         lease, head = self.lease_of(now, message), self.replica.head
         if lease is None:
-            return "a DIGESTS_ASK of none that follows, or played again"
+            return "DIGESTS_ASK replayed or without a lease"
         if head is None or not self.replica.is_complete:
-            return "a DIGESTS_ASK while there is no whole revision here"
+            return "DIGESTS_ASK while no complete revision is held"
         digests = self.replica.digests_of(lease.scopes)
         for half in (0, 1):
             self.send(
@@ -323,29 +351,35 @@
         return ""
 
     def on_pages_request(self, now: int, message: Message, source: Address) -> str:
-        """Send pages within the byte rate; returns why the request is refused, else ""."""
+        """Handles PAGES_ASK by sending pages within the byte rate.
+
+        Returns why the request is refused, or "". If the byte rate is exceeded, the remaining pages
+        are not sent; the follower repeats its request.
+        """
         lease, body, head = self.lease_of(now, message), message.body, self.replica.head
         assert isinstance(body, PagesRequest)
         if lease is None:
-            return "a PAGES_ASK of none that follows, or played again"
+            return "PAGES_ASK replayed or without a lease"
         if head is None or not self.replica.is_complete:
-            return "a PAGES_ASK while there is no whole revision here"
-        self.tokens = min(
+            return "PAGES_ASK while no complete revision is held"
+        self.page_tokens = min(
             float(self.settings.page_burst_bytes),
-            self.tokens
-            + (now - self.tokens_filled_at) * self.settings.page_bytes_per_s / (1000 * MS),
+            self.page_tokens
+            + (now - self.page_tokens_refilled_at)
+            * self.settings.page_bytes_per_s
+            / (1000 * NS_PER_MS),
         )
-        self.tokens_filled_at = now
+        self.page_tokens_refilled_at = now
         after = body.after
-        for place in range(body.page_count):
-            if self.tokens <= 0:
+        for page_index in range(body.page_count):
+            if self.page_tokens <= 0:
                 self.counts.held_back += 1
                 return ""
             page = self.replica.table.page(body.bucket, after, lease.scopes, MAX_PAGE_BYTES)
-            self.tokens -= self.send(
+            self.page_tokens -= self.send(
                 lease.address,
                 message.sender.number,
-                PageResponse(head.epoch, head.revision, body.bucket, place, after, page),
+                PageResponse(head.epoch, head.revision, body.bucket, page_index, after, page),
             )
             self.counts.pages += 1
             after = page.last_position
@@ -354,44 +388,44 @@
         return ""
 
     def on_leave(self, now: int, message: Message, source: Address) -> str:
-        """End a follower's lease; always accepted."""
+        """Handles BYE by ending the sender's lease; never refused."""
         if self.lease_of(now, message) is not None:
             del self.followers[message.sender.name]
         return ""
 
-    # What leaves.
+    # Sent messages.
 
     def drain(self) -> None:
-        """Redirect all followers, and from now on whoever reports."""
+        """Redirects all followers, and from now on every follower that reports."""
         self.is_draining = True
         for lease in self.followers.values():
             self.send(lease.address, 0, Redirect("leaving"))
         self.followers.clear()
 
     def send(self, to: Address, number: int, body: Body) -> int:
-        """Send a message and return its size in bytes."""
+        """Sends a message and returns its size in bytes."""
         data = seal(Sender(self.name, self.incarnation, number), body, self.keys[0])
         self.post(to, data)
         return len(data)
 
     def post(self, to: Address, data: bytes) -> None:
-        """Queue a datagram for the host; over `MAX_OUT_DATAGRAMS` it is dropped and counted."""
-        if len(self.out) >= MAX_OUT_DATAGRAMS:
+        """Queues a datagram; beyond `MAX_OUTBOX_DATAGRAMS` it is dropped and counted."""
+        if len(self.outbox) >= MAX_OUTBOX_DATAGRAMS:
             self.counts.dropped += 1
             return
         self.counts.sent += 1
         self.counts.sent_bytes += len(data)
-        self.out.append((to, data))
+        self.outbox.append((to, data))
 
 
 def summary(source: Source, now: int) -> Mapping[str, object]:
-    """Return plain values for an operator, as the state file has them."""
+    """Returns the source's part of the state file, as plain values."""
     head, counts = source.replica.head, source.counts
     return {
         "name": source.name,
         "epoch": head.epoch if head else None,
         "revision": head.revision if head else None,
-        "age_ms": source.age_ms(now),
+        "age_ms": source.table_age_ms(now),
         "whole": source.replica.is_complete,
         "log": len(source.replica.log),
         "followers": len(source.followers),
--- a/burlloom/distribution/status_report.py
+++ b/burlloom/distribution/status_report.py
@@ -1,4 +1,4 @@
-"""What a process reports of its replica: log lines, key files, the state file."""
+"""Status of a process's replica for operators: log lines, key reloads and the state file."""
 
 import json
 import logging
@@ -13,32 +13,37 @@
 
 
 class HeadLogger:
-    """Logs a line whenever the head moved.
+    """Logs a line whenever the replica's head has moved.
 
-    `from` is the revision after the last line's `to`: the line covers all that was applied in
-    between, in the chain's order, and `tag` is the chain's end. A sync has a line of its own.
+    In a line about applied changes `from` is the revision after the previous line's `to`, so the
+    line covers all changes applied in between, in the chain's order. `tag` is the tag of the last
+    of them. A sync is logged by a line of its own.
     """
 
     def __init__(self, replica: Replica) -> None:
         self.replica, self.head = replica, replica.head
 
     def log_moves(self) -> None:
-        """Log what was applied since the last call."""
-        head, before = self.replica.head, self.head
-        if head == before or head is None:
+        """Logs the syncs and changes since the last call."""
+        head, previous = self.replica.head, self.head
+        if head == previous or head is None:
             return
-        self.head, log_ = head, self.replica.log
-        if before is None or before.epoch != head.epoch or log_.base_revision > before.revision:
-            # Of a sync that ended, and of what was applied after it: one line each.
-            at = log_.base_revision
-            log.info("event=config_synced epoch=%d revision=%d", head.epoch, at)
-            if at == head.revision:
+        self.head, changes = head, self.replica.log
+        if (
+            previous is None
+            or previous.epoch != head.epoch
+            or changes.base_revision > previous.revision
+        ):
+            # One line for the sync that ended, and one for the changes applied after it.
+            synced_revision = changes.base_revision
+            log.info("event=config_synced epoch=%d revision=%d", head.epoch, synced_revision)
+            if synced_revision == head.revision:
                 return
-            before = Head(head.epoch, at, b"", 0)
+            previous = Head(head.epoch, synced_revision, b"", 0)
         log.info(
             "event=config_changes_applied epoch=%d from=%d to=%d tag=%s time_ms=%d",
             head.epoch,
-            before.revision + 1,
+            previous.revision + 1,
             head.revision,
             head.tag.hex(),
             head.time_ms,
@@ -46,53 +51,62 @@
 
 
 class KeyFile:
-    """The keys of a file, polled once a second; an unusable file leaves the keys as they are."""
+    """Keys read from a file, which is read again when its modification time changes.
 
-    def __init__(self, path: Path, read: Callable[[], tuple[bytes, ...]], what: str) -> None:
-        self.path, self.read, self.what = path, read, what
+    The host polls `reload_if_changed` once a second. A file that can't be read leaves the keys as
+    they are.
+
+    Args:
+        path: The file.
+        read: Returns the file's keys; raises `OSError` or `ValueError`.
+        purpose: "seals" or "signing", for log lines.
+    """
+
+    def __init__(self, path: Path, read: Callable[[], tuple[bytes, ...]], purpose: str) -> None:
+        self.path, self.read, self.purpose = path, read, purpose
         self.keys = read()
-        self.seen_mtime = self.modified()
+        self.seen_modified_at_s = self.modification_time_s()
 
-    def modified(self) -> float:
-        """Return the file's time of change, in s; 0 where there is none."""
+    def modification_time_s(self) -> float:
+        """Returns the file's modification time in Unix seconds; 0 if there is no file."""
         try:
             return self.path.stat().st_mtime
         except OSError:
             return 0.0
 
     def reload_if_changed(self) -> bool:
-        """Read the file if it was changed; returns whether other keys are in force now."""
-        seen = self.modified()
-        if seen == self.seen_mtime:
+        """Reads the file if it was modified; returns whether the keys have changed."""
+        modified_at_s = self.modification_time_s()
+        if modified_at_s == self.seen_modified_at_s:
             return False
-        self.seen_mtime = seen
+        self.seen_modified_at_s = modified_at_s
         try:
             keys = self.read()
             if not keys:
-                raise ValueError("no key")
+                raise ValueError("the file contains no key")
         except (OSError, ValueError) as error:
-            log.warning("event=config_keys_rejected what=%s detail=%r", self.what, str(error))
+            log.warning("event=config_keys_rejected what=%s detail=%r", self.purpose, str(error))
             return False
         if keys == self.keys:
             return False
         self.keys = keys
-        log.info("event=config_keys_reloaded what=%s count=%d", self.what, len(keys))
+        log.info("event=config_keys_reloaded what=%s count=%d", self.purpose, len(keys))
         return True
 
 
 def write_state(path: str, state: Mapping[str, object]) -> None:
-    """Replace the state file at once; a failure is logged."""
-    part = path + ".part"
+    """Replaces the state file atomically; a failure is logged."""
+    temporary_path = path + ".part"
     try:
-        with open(part, "w", encoding="utf-8") as file:
+        with open(temporary_path, "w", encoding="utf-8") as file:
             file.write(json.dumps(state) + "\n")
-        os.replace(part, path)
+        os.replace(temporary_path, path)
     except OSError as error:
         log.warning("event=state_file_not_written detail=%r", str(error))
 
 
 def replica_summary(replica: Replica) -> dict[str, object]:
-    """Return a replica's digest and counts, for the state file."""
+    """Returns a replica's digest and its number of items of each kind, for the state file."""
     table = replica.table
     return {
         "digest": f"{table.digest():016x}",
--- a/burlloom/distribution/stores/change_store.py
+++ b/burlloom/distribution/stores/change_store.py
@@ -1,15 +1,15 @@
-"""The interface of a store of configuration changes."""
+"""The interface of a store of configuration changes and of the items in force."""
 
 from typing import NamedTuple, Protocol
 
 from ...record.store import StoreUnavailableError as StoreUnavailableError
 from ..changes import Change, ConfigItem, Head
 
-Place = tuple[str, str, str]  # scope, kind, key: the order in which entries are read
+StoredPosition = tuple[str, str, str]  # scope, kind, key; items are read in this order
 
 
 class StoredItem(NamedTuple):
-    """An item in force, with the epoch and revision that wrote it last."""
+    """An item in force, with the epoch and revision of the change that set it."""
 
     item: ConfigItem
     epoch: int
@@ -17,42 +17,52 @@
 
 
 class ChangeStore(Protocol):
-    """A store of changes; all methods but `close` raise `StoreUnavailableError`."""
+    """A store of changes and items.
+
+    All methods except `close` raise `StoreUnavailableError` if the store can't be reached or used.
+    """
 
     async def open(self) -> None:
-        """Take missing schema steps, and begin an epoch if there is none."""
+        """Applies missing schema migrations, and begins an epoch if there is none."""
 
     async def head(self) -> Head:
-        """Return the last change's head."""
+        """Returns the head of the current epoch."""
 
-    async def changes_since(self, revision: int, most: int) -> list[Change]:
-        """Return logged changes after a revision, in order.
+    async def changes_since(self, revision: int, max_count: int) -> list[Change]:
+        """Returns at most `max_count` logged changes after a revision, in order.
 
-        The first is a later one if the log was pruned.
+        The first one returned does not directly follow `revision` if the log was pruned.
         """
 
     async def change_at(self, revision: int) -> Change | None:
-        """Return the change of that revision, if it is still logged."""
+        """Returns the change with a revision; None if it is not in the log."""
 
     async def append(self, change: Change) -> bool:
-        """Write a change if nobody wrote its revision before; durable when it returns True."""
+        """Writes a change unless its revision was written before.
+
+        Returns:
+            Whether the change was written; if so, it is durable.
+        """
 
-    async def items(self, after: Place | None, most: int) -> list[StoredItem]:
-        """Return a page of the items in force behind `after`, in order.
+    async def items(self, after: StoredPosition | None, max_count: int) -> list[StoredItem]:
+        """Returns a page of at most `max_count` items in force behind a position, in order.
 
-        The table may move between two pages. The items read, followed by all changes after the head
-        that was read before them, are what is in force at the last of those changes.
+        The table may change between two pages. Reading the head, then all pages, and then applying
+        all changes after that head gives the items in force at the last of those changes.
         """
 
     async def item(self, scope: str, kind: str, key: str) -> StoredItem | None:
-        """Return the item in force under a key of that scope."""
+        """Returns the item of a scope with a key; None if there is none."""
+
+    async def begin_epoch(self, seen: Head, later_than: int) -> bool:
+        """Begins an epoch after `later_than` if `seen` is still the head.
 
-    async def begin_epoch(self, seen: Head, beyond: int) -> bool:
-        """Begin an epoch later than `beyond`, if `seen` is still the head.
+        This is needed after a restore of the store, which would otherwise assign revisions a second
+        time. The items stay; the log is dropped.
 
-        Used after the store was restored, since it would give revisions again that were given
-        before. The items stay; the log is dropped.
+        Returns:
+            Whether the epoch was begun.
         """
 
     async def close(self) -> None:
-        """Release the store's connections."""
+        """Closes the store's connections."""
--- a/burlloom/distribution/stores/factory.py
+++ b/burlloom/distribution/stores/factory.py
@@ -1,4 +1,4 @@
-"""Makes the change store that an operator's file names."""
+"""Creates the change store that the operator's file configures."""
 
 import time
 from typing import TYPE_CHECKING
@@ -10,15 +10,19 @@
     from ...operator import Place
 
 
-def create_change_store(place: "Place") -> ChangeStore:
-    """Raises `record.store.Refused`."""
-    if place.sqlite is not None:
+def create_change_store(location: "Place") -> ChangeStore:
+    """Returns the change store at a location of the operator's file; it is not opened yet.
+
+    Raises:
+        StoreRefusedError: The record's settings for PostgreSQL can't be used.
+    """
+    if location.sqlite is not None:
         from .sqlite import SqliteChangeStore
 
-        return SqliteChangeStore(place.sqlite.place())
-    from ...record.postgres import PostgresStore as Record
+        return SqliteChangeStore(location.sqlite.place())
+    from ...record.postgres import PostgresStore as RecordStore
     from .postgres import PostgresChangeStore
 
-    record, _ = create_store(place, "-", retention_ns=0, clock=time.time_ns)
-    assert isinstance(record, Record)
+    record, _ = create_store(location, "-", retention_ns=0, clock=time.time_ns)
+    assert isinstance(record, RecordStore)
     return PostgresChangeStore(record)
--- a/burlloom/distribution/stores/postgres.py
+++ b/burlloom/distribution/stores/postgres.py
@@ -10,18 +10,18 @@
     """The change store in the record's PostgreSQL database."""
 
     async def transaction(self, guard: Statement, statements: list[Statement]) -> bool:
-        """Run all statements in one transaction if the guard gives a row."""
+        """Runs all statements in one transaction if the guard returns a row."""
 
-        async def run_transaction(link: Any) -> bool:
-            """Run guard and statements; returns whether the guard gave a row."""
-            async with link.transaction():
-                # The head's row is locked by the first: a second writer waits for our end, and then
-                # finds its revision written.
-                if not await link.fetch(guard[0], *guard[1]):
+        async def run_transaction(connection: Any) -> bool:
+            """Runs guard and statements; returns whether the guard returned a row."""
+            async with connection.transaction():
+                # The guard locks the head's row: a second writer waits for the end of this
+                # transaction and then finds that its revision was written.
+                if not await connection.fetch(guard[0], *guard[1]):
                     return False
                 for sql, values in statements:
-                    await link.fetch(sql, *values)
+                    await connection.fetch(sql, *values)
             return True
 
-        held: bool = await self.run_guarded(run_transaction)
-        return held
+        is_current: bool = await self.run_guarded(run_transaction)
+        return is_current
--- a/burlloom/distribution/stores/sql.py
+++ b/burlloom/distribution/stores/sql.py
@@ -1,7 +1,7 @@
-"""The three tables of changes, in SQL that SQLite and PostgreSQL share.
+"""The change store's three tables, in SQL that SQLite and PostgreSQL share.
 
-Each write is one transaction, guarded by a first statement that gives a row only if nobody wrote
-before.
+Each write is one transaction. Its first statement, the guard, returns a row only if the head is
+still the one that the write is based on.
 """
 
 import time
@@ -9,11 +9,12 @@
 
 from ..change_log import MAX_LOGGED_CHANGES
 from ..changes import Change, ConfigItem, Head, decode_items, hash_body, initial_head
-from .change_store import Place, StoredItem, StoreUnavailableError
+from .change_store import StoredItem, StoredPosition, StoreUnavailableError
 
 Statement = tuple[str, tuple[Any, ...]]
 
-# An epoch that begins is beyond all that there were: it is told by the clock.
+# The number of a new epoch is taken from the clock, so that it is larger than that of any earlier
+# epoch.
 INSERT_HEAD = (
     "INSERT INTO distribution_head (id, epoch, revision, tag, time_ms)"
     " VALUES (1, $1::bigint, 0, $2::bytea, $3::bigint) ON CONFLICT (id) DO NOTHING"
@@ -72,7 +73,7 @@
 
 
 def change_of(row: Any) -> Change:
-    """Return the change of a row of `distribution_change`."""
+    """Returns the change stored in a row of `distribution_change`."""
     epoch, revision, time_ms, scope, body, tag = row
     return Change(
         epoch,
@@ -85,8 +86,8 @@
     )
 
 
-def stored_of(row: Any) -> StoredItem:
-    """Return the item of a row of `distribution_entry`."""
+def stored_item_of(row: Any) -> StoredItem:
+    """Returns the item stored in a row of `distribution_entry`."""
     scope, kind, key, value, epoch, revision = row
     return StoredItem(
         ConfigItem(bytes(scope).decode(), bytes(kind).decode(), bytes(key).decode(), bytes(value)),
@@ -95,54 +96,54 @@
     )
 
 
-def place_of(*names: str) -> tuple[bytes, ...]:
-    """Return a position as the tables hold it: bytes, whose order no locale changes."""
+def encode_position(*names: str) -> tuple[bytes, ...]:
+    """Returns the columns of a position as bytes, whose order does not depend on a locale."""
     return tuple(name.encode() for name in names)
 
 
 class SqlChangeStore:
-    """`ChangeStore` over `execute` and `transaction`, which a store implements.
+    """Implements `ChangeStore` over `execute`, `transaction` and `prepare` of a subclass.
 
-    Both raise `StoreUnavailableError`.
+    These three raise `StoreUnavailableError`.
     """
 
     async def execute(self, sql: str, *values: Any) -> list[Any]:
-        """Run one statement and return its rows. Raises `StoreUnavailableError`."""
+        """Runs one statement and return its rows. Raises `StoreUnavailableError`."""
         raise NotImplementedError
 
     async def transaction(self, guard: Statement, statements: list[Statement]) -> bool:
-        """Run all statements if the guard gives a row, else none; returns whether it did."""
+        """Runs the guard, and all statements if it returns a row; returns whether it did."""
         raise NotImplementedError
 
     async def prepare(self) -> None:
-        """Connect, and take missing schema steps. Raises `StoreUnavailableError`."""
+        """Connects and applies missing schema migrations. Raises `StoreUnavailableError`."""
         raise NotImplementedError
 
     async def open(self) -> None:
-        """Prepare the schema, and begin an epoch where there is none."""
+        """Prepares the schema, and begins an epoch if there is none."""
         await self.prepare()
         head = initial_head(time.time_ns() // 1_000_000, time.time_ns() // 1_000_000)
         await self.execute(INSERT_HEAD, head.epoch, head.tag, head.time_ms)
 
     async def head(self) -> Head:
-        """Return the last change's head."""
-        found = await self.execute(SELECT_HEAD)
-        if not found:
-            raise StoreUnavailableError("the head is gone: its table is empty")
-        ((epoch, revision, tag, time_ms),) = found
+        """Returns the head of the current epoch."""
+        rows = await self.execute(SELECT_HEAD)
+        if not rows:
+            raise StoreUnavailableError("the table distribution_head is empty")
+        ((epoch, revision, tag, time_ms),) = rows
         return Head(epoch, revision, bytes(tag), time_ms)
 
-    async def changes_since(self, revision: int, most: int) -> list[Change]:
-        """Return at most `most` logged changes after a revision, in order."""
-        return [change_of(row) for row in await self.execute(SELECT_CHANGES, revision, most)]
+    async def changes_since(self, revision: int, max_count: int) -> list[Change]:
+        """Returns at most `max_count` logged changes after a revision, in order."""
+        return [change_of(row) for row in await self.execute(SELECT_CHANGES, revision, max_count)]
 
     async def change_at(self, revision: int) -> Change | None:
-        """Return the change of that revision, if it is still in the log."""
-        found = await self.changes_since(revision - 1, 1)
-        return found[0] if found and found[0].revision == revision else None
+        """Returns the change with a revision; None if it is not in the log."""
+        changes = await self.changes_since(revision - 1, 1)
+        return changes[0] if changes and changes[0].revision == revision else None
 
     async def append(self, change: Change) -> bool:
-        """Write a change if nobody wrote its revision before; returns whether it was written."""
+        """Writes a change unless its revision was written before; returns whether it wrote it."""
         assert change.body is not None
         scope, revision = change.scope.encode(), change.revision
         statements: list[Statement] = [
@@ -152,43 +153,40 @@
             )
         ]
         for item in decode_items(change.scope, change.body):
-            place = place_of(item.scope, item.kind, item.key)
+            position = encode_position(item.scope, item.kind, item.key)
             statements.append(
-                (DELETE_ITEM, place)
+                (DELETE_ITEM, position)
                 if item.value is None
-                else (UPSERT_ITEM, (*place, item.value, change.epoch, revision))
+                else (UPSERT_ITEM, (*position, item.value, change.epoch, revision))
             )
         statements.append((DELETE_OLD_CHANGES, (revision - MAX_LOGGED_CHANGES,)))
         return await self.transaction(
             (ADVANCE_HEAD, (revision, change.tag, change.time_ms, change.epoch)), statements
         )
 
-    async def items(self, after: Place | None, most: int) -> list[StoredItem]:
-        """Return a page of the items in force behind `after`, in order."""
+    async def items(self, after: StoredPosition | None, max_count: int) -> list[StoredItem]:
+        """Returns a page of at most `max_count` items in force behind a position, in order."""
         rows = await (
-            self.execute(SELECT_PAGE, most)
+            self.execute(SELECT_PAGE, max_count)
             if after is None
-            else self.execute(SELECT_PAGE_AFTER, most, *place_of(*after))
+            else self.execute(SELECT_PAGE_AFTER, max_count, *encode_position(*after))
         )
-        return [stored_of(row) for row in rows]
+        return [stored_item_of(row) for row in rows]
 
     async def item(self, scope: str, kind: str, key: str) -> StoredItem | None:
-        """Return the item in force under a key of that scope."""
+        """Returns the item of a scope with a key; None if there is none."""
         return next(
             (
-                stored_of(row)
-                for row in await self.execute(SELECT_ITEM, *place_of(scope, kind, key))
+                stored_item_of(row)
+                for row in await self.execute(SELECT_ITEM, *encode_position(scope, kind, key))
             ),
             None,
         )
 
-    async def begin_epoch(self, seen: Head, beyond: int) -> bool:
-        """Begin an epoch later than `beyond` if `seen` is still the head.
-
-        Returns whether it was.
-        """
+    async def begin_epoch(self, seen: Head, later_than: int) -> bool:
+        """Begins an epoch after `later_than` if `seen` is still the head; returns whether so."""
         now = time.time_ns() // 1_000_000
-        head = initial_head(max(seen.epoch + 1, beyond + 1, now), max(seen.time_ms, now))
+        head = initial_head(max(seen.epoch + 1, later_than + 1, now), max(seen.time_ms, now))
         return await self.transaction(
             (
                 BEGIN_EPOCH,
--- a/burlloom/distribution/stores/sqlite.py
+++ b/burlloom/distribution/stores/sqlite.py
@@ -1,4 +1,4 @@
-"""The change store in one SQLite file, shared by all control machines of one machine."""
+"""The change store in a SQLite file, shared by all control-machine processes of one host."""
 
 import sqlite3
 from pathlib import Path
@@ -11,25 +11,31 @@
 class SqliteChangeStore(SharedSqliteFile, SqlChangeStore):
     """The change store in a SQLite file."""
 
-    def __init__(self, path: Path, wait: float = LOCK_TIMEOUT_S) -> None:
-        """`wait`: s for the lock that another holds, until the store counts as away."""
-        super().__init__(path, "distribution", wait)
+    def __init__(self, path: Path, lock_timeout_s: float = LOCK_TIMEOUT_S) -> None:
+        """Makes a store on a file.
+
+        Args:
+            path: Path of the SQLite file.
+            lock_timeout_s: Time to wait for a lock that another process holds; after it the store
+                counts as unavailable.
+        """
+        super().__init__(path, "distribution", lock_timeout_s)
 
     async def transaction(self, guard: Statement, statements: list[Statement]) -> bool:
-        """Run all statements in one transaction if the guard gives a row."""
+        """Runs all statements in one transaction if the guard returns a row."""
 
-        def run_transaction(db: sqlite3.Connection) -> bool:
-            """Run guard and statements; returns whether the guard gave a row."""
-            db.execute("BEGIN IMMEDIATE")
+        def run_transaction(connection: sqlite3.Connection) -> bool:
+            """Runs guard and statements; returns whether the guard returned a row."""
+            connection.execute("BEGIN IMMEDIATE")
             try:
-                held = bool(execute(db, *guard))
-                for sql, values in statements if held else ():
-                    execute(db, sql, values)
-                db.execute("COMMIT" if held else "ROLLBACK")
-                return held
+                is_current = bool(execute(connection, *guard))
+                for sql, values in statements if is_current else ():
+                    execute(connection, sql, values)
+                connection.execute("COMMIT" if is_current else "ROLLBACK")
+                return is_current
             except BaseException:
-                if db.in_transaction:
-                    db.execute("ROLLBACK")
+                if connection.in_transaction:
+                    connection.execute("ROLLBACK")
                 raise
 
         return await self.run_transaction(run_transaction)
