--- a/burlloom/distribution/stores/store_follower.py
+++ b/burlloom/distribution/stores/store_follower.py
@@ -1,4 +1,4 @@
-"""Makes a control machine's replica follow the store."""
+"""Keeps a control machine's replica up to date with the store."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -7,51 +7,68 @@
 from ..changes import Head, chain_break, head_after
 from ..replica import Replica
 from ..table import ConfigTable
-from .change_store import ChangeStore, Place
+from .change_store import ChangeStore, StoredPosition
 
-PAGE_ITEMS = 256  # entries that are read, and put, at a time: some ms
-CHANGES_PER_READ = 64  # changes that are read at a time
-MAX_REPLAYS = 1000  # pages of changes after a whole read, before it is given up: writers outrun us
+PAGE_ITEMS = 256  # items read and put at a time, which takes some ms
+CHANGES_PER_READ = 64  # changes read at a time
+# Reads of changes after a load of the whole table. If that is not enough, changes are written
+# faster than they are read, and the load is given up.
+MAX_CATCH_UP_READS = 1000
 
 
 class StoreInconsistentError(BurlloomError):
-    """The store's content does not follow from what it had, and it was not restored.
+    """The store's changes do not continue the chain, although the store was not restored.
 
-    Either it was signed with another key, or its tables were written by somebody else.
+    Either they were signed with another key, or another program has written to the tables.
     """
 
 
 class StoreEvents(Protocol):
-    """Told of moves that are not change after change."""
+    """Receives events of a `StoreFollower` other than single changes."""
 
     def on_table_loaded(self, head: Head) -> None:
-        """The whole table was loaded; `head` is its revision."""
+        """Called after the whole table was loaded; `head` is the table's head."""
 
     def on_epoch_begun(self, seen: Head, own: Head) -> None:
-        """The store had gone back from `own` to `seen`, and a new epoch was begun."""
+        """Called after a new epoch was begun, as the store had gone back from `own` to `seen`."""
 
 
 class StoreFollower:
-    """Polls a store; `new_table` makes an empty table of all scopes."""
+    """Polls a store and brings a replica to the store's head.
+
+    Args:
+        store: The store.
+        replica: The replica.
+        new_table: Makes an empty table for all scopes.
+        events: Receives loads and new epochs.
+
+    Attributes:
+        is_open: Whether the store was opened; the host resets it after an error.
+    """
 
     def __init__(
         self,
         store: ChangeStore,
         replica: Replica,
-        table: Callable[[], ConfigTable],
+        new_table: Callable[[], ConfigTable],
         events: StoreEvents,
     ) -> None:
-        self.store, self.replica, self.new_table, self.events = store, replica, table, events
+        self.store, self.replica, self.new_table, self.events = store, replica, new_table, events
         self.is_open = False
 
     async def poll(self) -> None:
-        """Apply what is new. Raises `StoreUnavailableError` or `StoreInconsistentError`."""
+        """Brings the replica to the store's head.
+
+        Raises:
+            StoreUnavailableError: The store can't be reached or used.
+            StoreInconsistentError: The store's changes do not continue the chain.
+        """
         if not self.is_open:
             await self.store.open()
             self.is_open = True
-        own = (
-            self.replica.head
-        )  # before the store is asked: what a peer tells us meanwhile is not behind its answer
+        # Read before the store's head: otherwise a change that a peer sends in the meantime would
+        # make the store look as if it had gone back.
+        own = self.replica.head
         head = await self.store.head()
         if own is None:
             await self.load_table()
@@ -65,15 +82,15 @@
             await self.apply_changes(head)
 
     async def apply_changes(self, head: Head) -> None:
-        """Apply changes up to the store's head. Raises `StoreInconsistentError`."""
+        """Applies changes up to the store's head. Raises `StoreInconsistentError`."""
         while (own := self.replica.head) is not None and own.revision < head.revision:
-            found = await self.store.changes_since(own.revision, CHANGES_PER_READ)
-            if self.replica.head != own:  # a peer was faster
+            changes = await self.store.changes_since(own.revision, CHANGES_PER_READ)
+            if self.replica.head != own:  # changes of a peer were applied in the meantime
                 continue
-            if not found or found[0].revision != own.revision + 1:
-                await self.load_table()  # we were away for longer than the log reaches
+            if not changes or changes[0].revision != own.revision + 1:
+                await self.load_table()  # the log no longer contains the next change
                 return
-            for change in found:
+            for change in changes:
                 own = self.replica.head
                 reason = self.replica.apply_change(change)
                 if reason is not None:
@@ -82,33 +99,33 @@
                         or not self.replica.is_complete
                         or change.revision <= own.revision
                     ):
-                        return  # a peer brought us further meanwhile, or a sync with it began
+                        return  # changes or a sync of a peer have moved the replica in the meantime
                     last = await self.store.change_at(own.revision)
                     if own.revision == 0 or last is None or last.tag == own.tag:
                         raise StoreInconsistentError(f"revision {change.revision}: {reason}")
-                    # A store that was put back, and was written to before we looked.
+                    # The store was restored and written to since the last poll.
                     await self.begin_epoch(await self.store.head(), own)
                     return
 
     async def begin_epoch(self, seen: Head, own: Head) -> None:
-        """Begin an epoch, since the store was restored.
+        """Begins an epoch because the store was restored.
 
-        Of several control machines one succeeds.
+        If several control machines try, one succeeds.
         """
         if await self.store.begin_epoch(seen, max(seen.epoch, own.epoch)):
             self.events.on_epoch_begun(seen, own)
 
     async def load_table(self) -> None:
-        """Load the whole table beside the one in force, then the changes made meanwhile."""
+        """Replaces the replica's table by a load of the whole store and the changes meanwhile."""
         table, base = self.new_table(), await self.store.head()
-        after: Place | None = None
+        after: StoredPosition | None = None
         while page := await self.store.items(after, PAGE_ITEMS):
-            table.put([one.item for one in page])
+            table.put([stored.item for stored in page])
             after = page[-1].item[:3]
-        for _ in range(MAX_REPLAYS):
+        for _ in range(MAX_CATCH_UP_READS):
             head = await self.store.head()
             if head.epoch != base.epoch:
-                return  # the next round begins anew
+                return  # a new epoch has begun; the next poll loads the table again
             if base.revision == head.revision:
                 break
             for change in await self.store.changes_since(base.revision, CHANGES_PER_READ):
@@ -124,7 +141,7 @@
             and self.replica.is_complete
             and (own.epoch, own.revision) > (base.epoch, base.revision)
         ):
-            return  # a peer brought us further meanwhile
+            return  # changes of a peer have moved the replica further in the meantime
         self.replica.table = table
         self.replica.complete_at(base)
         self.events.on_table_loaded(base)
--- a/burlloom/distribution/tenant_shares.py
+++ b/burlloom/distribution/tenant_shares.py
@@ -1,4 +1,4 @@
-"""The tenants in force, as a view of the configuration table."""
+"""Mapping view of the tenants in the configuration table."""
 
 from collections.abc import Iterator, Mapping
 
@@ -10,7 +10,8 @@
 class TenantShares(Mapping[str, float]):
     """A live view of the tenants in force, each with its portion of the service.
 
-    A lookup raises `ValueError` for a value that is no map, or whose portion is no number.
+    A tenant without a portion has 1.0. A lookup raises `ValueError` if the stored value is not
+    MessagePack or its portion is not a number.
     """
 
     def __init__(self, table: ConfigTable) -> None:
@@ -29,8 +30,8 @@
         value = self.table.get("tenant", name)
         if value is None:
             raise KeyError(name)
-        got = msgpack.unpackb(value)
-        portion = got.get("portion") if type(got) is dict else None
+        fields = msgpack.unpackb(value)
+        portion = fields.get("portion") if type(fields) is dict else None
         if portion is not None and type(portion) not in (int, float):
-            raise ValueError(f"portion of {name!r:.40}: {portion!r:.40} is no number")
+            raise ValueError(f"portion of {name!r:.40}: {portion!r:.40} is not a number")
         return float(portion or 1.0)
--- a/burlloom/distribution/upstreams.py
+++ b/burlloom/distribution/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams of a follower, and the order in which it prefers them. No I/O."""
+"""Upstreams of a follower and its order of preference among them. No I/O."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class Upstream(NamedTuple):
-    """A control machine or relay that may be followed, and its UDP address."""
+    """A control machine or relay that a follower may follow; `address` is its UDP address."""
 
     name: str
     region: str
@@ -17,14 +17,20 @@
 
 
 def by_preference(name: str, region: str, upstreams: Iterable[Upstream]) -> list[Upstream]:
-    """Sort upstreams: the own region's first, each part in rendezvous order.
+    """Returns the upstreams in a follower's order of preference, without the follower itself.
 
-    Each follower has its own order, so the followers of a lost upstream spread over all others.
-    Source: Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates" (1998).
+    Upstreams of the follower's region come first. Within the region and outside of it the order is
+    by rendezvous hash of the follower's name: it differs between followers, so the followers of a
+    lost upstream spread over all others. Source: Thaler and Ravishankar, "Using Name-Based Mappings
+    to Increase Hit Rates" (1998).
     """
 
-    def weight(one: Upstream) -> tuple[bool, int]:
-        """Return the sort key: own region first, then the rendezvous hash."""
-        return one.region == region, int(xxhash.xxh3_64_intdigest(f"{name}\n{one.name}".encode()))
+    def sort_key(upstream: Upstream) -> tuple[bool, int]:
+        """Returns the sort key: own region first, then the rendezvous hash."""
+        return upstream.region == region, int(
+            xxhash.xxh3_64_intdigest(f"{name}\n{upstream.name}".encode())
+        )
 
-    return sorted((one for one in upstreams if one.name != name), key=weight, reverse=True)
+    return sorted(
+        (upstream for upstream in upstreams if upstream.name != name), key=sort_key, reverse=True
+    )
--- a/burlloom/lab/hollow_configuration.py
+++ b/burlloom/lab/hollow_configuration.py
@@ -122,7 +122,7 @@
             chance,
             now,
         )
-        self.out: deque[Any] = self.follower.out
+        self.out: deque[Any] = self.follower.outbox
         self.group = region
 
     def tick(self, now: int) -> None:
@@ -146,7 +146,7 @@
 
     def facts(self, now: int) -> dict[str, Any]:
         follower = self.follower
-        age = follower.age(now)
+        age = follower.table_age_ms(now)
         bin_of_age = (
             "none"
             if age is None
@@ -281,7 +281,7 @@
     def facts(self, now: int) -> dict[str, Any]:
         control, counts = self.control, self.control.source.counts
         return {
-            **copy_facts(control.replica, control.age(now)),
+            **copy_facts(control.replica, control.table_age_ms(now)),
             "followers": len(control.source.followers),
             "pushed": counts.pushed,
             "pulled": counts.pulled,
--- a/burlloom/server/followed_configuration.py
+++ b/burlloom/server/followed_configuration.py
@@ -143,7 +143,7 @@
 
         The age is NaN where nothing is in force.
         """
-        head, age_ms = self.replica.head, self.follower.age(self.clock())
+        head, age_ms = self.replica.head, self.follower.table_age_ms(self.clock())
         table = self.replica.table
         return {
             "state": float(self.follower.state),
@@ -161,7 +161,7 @@
         if self._task is not None:
             self._task.cancel()
         self.follower.leave()
-        self.endpoint.flush(self.follower.out)
+        self.endpoint.flush(self.follower.outbox)
         self._head_logger.log_moves()
         if self.settings.state_file is not None and self._task is not None:
             self._refresh(self.clock())
@@ -183,7 +183,7 @@
     def _tick(self) -> None:
         now = self.clock()
         self.follower.tick(now)
-        self.endpoint.flush(self.follower.out)
+        self.endpoint.flush(self.follower.outbox)
         self._head_logger.log_moves()
         if self.follower.state != self._state:
             self._log_state_change(now)
@@ -194,7 +194,7 @@
             self._refresh(now)
 
     def _log_state_change(self, now: int) -> None:
-        age_ms = self.follower.age(now)
+        age_ms = self.follower.table_age_ms(now)
         log.info(
             "event=distribution_state_changed from=%s to=%s upstream=%s age_ms=%s",
             self._state.name.lower(),
@@ -207,7 +207,7 @@
     def _receive(self, data: bytes, source: tuple[str, int]) -> None:
         """Takes one datagram between two requests: a change, or a page, and no more."""
         self.follower.receive(self.clock(), data, source)
-        self.endpoint.flush(self.follower.out)
+        self.endpoint.flush(self.follower.outbox)
 
     def _refresh(self, now: int) -> None:
         if self._seal_keys.reload_if_changed():
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -190,7 +190,7 @@
                     world.terms,
                     chance,
                     world.now,
-                    self.follower.age,
+                    self.follower.table_age_ms,
                 )
 
     def store_age(self, now: int) -> int | None:
@@ -273,8 +273,8 @@
         if self.source is not None:
             self.source.push_changes(self.world.now)
         for part in (self.follower, self.source):
-            while part is not None and part.out:
-                to, data = part.out.popleft()
+            while part is not None and part.outbox:
+                to, data = part.outbox.popleft()
                 self.spent[0] += 1
                 self.spent[1] += len(data)
                 self.world.send(self, to, data)
@@ -389,14 +389,18 @@
                 "another table",
                 where,
             )
-        if not replica.is_partial or follower is not None and follower.pages_up_to[0] == key[0]:
+        if (
+            not replica.is_partial
+            or follower is not None
+            and follower.newest_page_revision[0] == key[0]
+        ):
             for name in self.watch:
                 held = replica.table.get("tenant", name)
                 number = msgpack.unpackb(held)["n"] if held is not None else 0
                 assert number >= node.keys.get(name, 0), ("a key went back", name, where)
                 node.keys[name] = number
         if follower is not None:
-            age = follower.age(self.now)
+            age = follower.table_age_ms(self.now)
             newest = truth.newest_at(key)
             if newest is not None and age is not None and not replica.is_partial:
                 assert age >= (self.now - newest) // MS - 1, ("younger than it is", age, where)
--- a/tests/explore_distribution.py
+++ b/tests/explore_distribution.py
@@ -89,7 +89,7 @@
     def digests_of(self, scopes: Any) -> tuple[int, ...]:
         return self.digests()
 
-    def page(self, bucket: int, after: ItemPosition | None, scopes: Any, most_bytes: int) -> Page:
+    def page(self, bucket: int, after: ItemPosition | None, scopes: Any, max_bytes: int) -> Page:
         found = tuple(
             ConfigItem(*place, self.held[place])
             for place in sorted(self.held)
@@ -222,7 +222,7 @@
             side.replica.table.held = dict(side.replica.table.held)  # type: ignore[attr-defined]
             side.replica.log = twin(side.replica.log)
             side.replica.log.changes = deque(side.replica.log.changes)
-            side.out, side.counts, side.refusals = deque(side.out), twin(side.counts), deque()
+            side.outbox, side.counts, side.refusals = deque(side.outbox), twin(side.counts), deque()
             side.counts.refused = {}
         one, two = other.source, other.follower
         one.sealed_changes = dict(one.sealed_changes)
@@ -261,8 +261,8 @@
             one.replica.head,
             one.replica.log.base_revision,
             len(one.replica.log),
-            one.pushed_up_to,
-            int(one.tokens),
+            one.last_pushed,
+            int(one.page_tokens),
             tuple(
                 (
                     lease.incarnation,
@@ -281,18 +281,18 @@
             two.upstreams_tried,
             two.upstream_head,
             two.upstream_head_number,
-            two.latest,
+            two.latest_revision,
             two.last_answer_at,
             two.next_report_at,
             tuple(two.reports.items()),
             tuple(sorted(two.early_changes)),
             two.pull_number,
             two.pull_sent_at,
-            two.pull_up_to,
+            two.pull_up_to_revision,
             two.pull_retry_at,
-            two.refused_in_a_row,
-            two.pages_up_to,
-            two.first_judged_number,
+            two.consecutive_refusals,
+            two.newest_page_revision,
+            two.first_comparable_report_number,
             two.confirmed_newest_at,
             tuple(two.pending_ages),
             None
@@ -320,8 +320,8 @@
         """What both sides want to send flies; over the bound the oldest is lost."""
         self.source.push_changes(self.now)
         for side in (self.source, self.follower):
-            while side.out:
-                self.flying.append(side.out.popleft()[1])
+            while side.outbox:
+                self.flying.append(side.outbox.popleft()[1])
         del self.flying[:-most]
 
     def hear(self, data: bytes) -> None:
@@ -346,14 +346,14 @@
         held = replica.table.held  # type: ignore[attr-defined]
         if replica.is_complete and held != self.tables[key]:
             return "a table that is another"
-        if not replica.is_partial or self.follower.pages_up_to[0] == key[0]:
+        if not replica.is_partial or self.follower.newest_page_revision[0] == key[0]:
             for place in {*held, *self.low}:
                 number = msgpack.unpackb(held[place])["n"] if place in held else 0
                 if number < self.low.get(place, 0):
                     return "a key that went back"
                 self.low[place] = number
         age, newest = (
-            self.follower.age(self.now),
+            self.follower.table_age_ms(self.now),
             self.born.get((key[0], key[1] + 1), self.ended.get(key[0])),
         )
         if (
@@ -467,7 +467,7 @@
             assert (
                 replica.apply_change(world.changes[world.epoch, replica.head.revision + 1]) is None
             )
-        world.source.age_ms = age_of(0)
+        world.source.table_age_ms = age_of(0)
 
     def walk(self, most: int, calm_each: int = 50) -> tuple[int, str, bool]:
         """Worlds seen, at most so many; the rule that did not hold; whether all were seen."""
@@ -556,7 +556,7 @@
 
     def unchained(before: Head, change: Change, keys: Any) -> str:
         reason = chain_break(before, change, keys)
-        return "" if reason == "its tag does not follow" else reason
+        return "" if reason == "tag does not continue the chain" else reason
 
     def gap_drain(self: Follower, now: int) -> str:
         tip = self.tip()
@@ -577,7 +577,7 @@
 
     def any_epoch(self: Follower, head: Head) -> str:
         reason = FAULT_OF(self, head)
-        return "" if reason == "an older epoch" else reason
+        return "" if reason == "older epoch than the one in force" else reason
 
     def other_epoch(self: Follower) -> bool:
         own = self.replica.head
@@ -597,7 +597,7 @@
                 self.replica.head = own
 
     def older_base(self: Follower, now: int, message: Any) -> str:
-        self.pages_up_to = 0, 0
+        self.newest_page_revision = 0, 0
         return DIGESTS_CAME(self, now, message)
 
     def any_head(self: Follower, now: int, message: Any) -> str:
--- a/tests/planted_host.py
+++ b/tests/planted_host.py
@@ -33,7 +33,7 @@
         return ""
 
     replicating.chain_break = lambda before, change, keys: (
-        "" if change.revision > before.revision else "an older revision"
+        "" if change.revision > before.revision else "revision not after the head"
     )
     sound, follower.Follower.on_change = follower.Follower.on_change, loses_some  # type: ignore[method-assign]
     follower.Follower.apply_early_changes = takes_any  # type: ignore[method-assign]
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -137,7 +137,7 @@
 
         # Chained with another key: not believed, and no epoch begun for it.
         await put(tenant("evil"), key=b"e" * 32)
-        with pytest.raises(StoreInconsistentError, match="its tag does not follow"):
+        with pytest.raises(StoreInconsistentError, match="tag does not continue the chain"):
             await reading.poll()
         assert told.renewals == 2
         assert not held.table.has("tenant", "evil")
--- a/tests/test_distribution_core.py
+++ b/tests/test_distribution_core.py
@@ -96,17 +96,17 @@
 @pytest.mark.parametrize(
     ("what", "reason"),
     [
-        ({"epoch": 2}, "another epoch"),
-        ({"revision": 3}, "a gap before it"),
-        ({"revision": 1}, "an older revision"),
-        ({"time_ms": 0}, "its time steps back"),
-        ({"time_ms": 3}, "its tag does not follow"),
-        ({"scope": "a"}, "its tag does not follow"),
-        ({"tag": bytes(16)}, "its tag does not follow"),
-        ({"body_digest": bytes(16)}, "its body was altered"),
-        ({"body": b"\x91\x93"}, "its body was altered"),
-        ({"body": None}, "body: left out, and the scope is held here"),
-        ({"body": None, "body_digest": bytes(16)}, "its tag does not follow"),
+        ({"epoch": 2}, "epoch differs from that of the head"),
+        ({"revision": 3}, "gap between the head and the revision"),
+        ({"revision": 1}, "revision not after the head"),
+        ({"time_ms": 0}, "time before that of the head"),
+        ({"time_ms": 3}, "tag does not continue the chain"),
+        ({"scope": "a"}, "tag does not continue the chain"),
+        ({"tag": bytes(16)}, "tag does not continue the chain"),
+        ({"body_digest": bytes(16)}, "body does not match its digest"),
+        ({"body": b"\x91\x93"}, "body does not match its digest"),
+        ({"body": None}, "body: missing although the scope is held"),
+        ({"body": None, "body_digest": bytes(16)}, "tag does not continue the chain"),
     ],
 )
 def test_an_altered_change_is_refused_whole(what: dict[str, Any], reason: str) -> None:
@@ -136,7 +136,7 @@
     foreign = propose(
         initial_head(1, 0), "", [ConfigItem("", "tenant", "t", value(1))], 1, b"another key" * 2
     )
-    assert empty().apply_change(foreign) == "its tag does not follow"
+    assert empty().apply_change(foreign) == "tag does not continue the chain"
     replica = Replica(ConfigTable(None), [SIGN, b"another key" * 2])
     replica.load(initial_head(1, 0))
     assert replica.apply_change(foreign) is None
@@ -184,18 +184,18 @@
             ConfigItem("", "setting", "s", msgpack.packb([1])),
         ]
     ) == [
-        "entries[1].scope: 'a', and the change's is ''",
-        "entries[1].kind: 'tennant', of tenant, route, setting",
+        "entries[1].scope: 'a', but the scope of the change is ''",
+        "entries[1].kind: 'tennant', not one of tenant, route, setting",
         "entries[1].key: not text of 1 to 128 bytes",
-        "entries[1].value: no MessagePack: ",
+        "entries[1].value: not valid MessagePack: ",
         "entries[2].key: not text of 1 to 128 bytes",
-        "entries[2].value: 513 bytes, 512 at most",
+        "entries[2].value: 513 bytes, at most 512 allowed",
         "entries[3].key: set by entries[0] already",
-        "entries[4].value: no map",
+        "entries[4].value: not a map",
     ]
-    assert bad([]) == ["entries: 0, of 1 to 64"]
+    assert bad([]) == ["entries: 0, 1 to 64 allowed"]
     assert bad([ConfigItem("", "tenant", f"{at}", None) for at in range(65)]) == [
-        "entries: 65, of 1 to 64"
+        "entries: 65, 1 to 64 allowed"
     ]
     assert bad([ConfigItem("r" * 65, "tenant", "t", None)], "r" * 65) == [
         "scope: not text of 64 bytes at most"
@@ -205,7 +205,7 @@
     ]
     assert bad(
         [ConfigItem("", "tenant", f"{at}", msgpack.packb({"x": "y" * 400})) for at in range(3)]
-    ) == ["body: 1258 bytes, 1000 at most"]
+    ) == ["body: 1258 bytes, at most 1000 allowed"]
 
     def check(entry: ConfigItem) -> list[str]:
         return ["value.n: not under 2"] if entry.value == value(2) else []
@@ -220,17 +220,17 @@
 @pytest.mark.parametrize(
     ("body", "fault"),
     [
-        (b"", "body: no MessagePack"),
-        (b"\xc1", "body: no MessagePack"),
-        (msgpack.packb(1), "body: no list"),
+        (b"", "body: not valid MessagePack"),
+        (b"\xc1", "body: not valid MessagePack"),
+        (msgpack.packb(1), "body: not a list"),
         (msgpack.packb([]), "entries: 0"),
         (msgpack.packb([[1, 2]]), "entries[0]: not of kind, key and value"),
         (msgpack.packb([["tenant", "t", value(1)], ["x", "t", value(1)]]), "entries[1].kind: 'x'"),
         (msgpack.packb([["tenant", 7, value(1)]]), "entries[0].key"),
         (msgpack.packb([["tenant", "t", "x"]]), "entries[0].value"),
-        (b"\xdc\xff\xff", "body: no MessagePack"),
-        (b"\x91" * 900, "body: no MessagePack"),
-        (msgpack.packb([["tenant", "t", value(1)]]) + b"\x00", "body: no MessagePack"),
+        (b"\xdc\xff\xff", "body: not valid MessagePack"),
+        (b"\x91" * 900, "body: not valid MessagePack"),
+        (msgpack.packb([["tenant", "t", value(1)]]) + b"\x00", "body: not valid MessagePack"),
         (b"x" * 1001, "body: 1001 bytes"),
     ],
 )
@@ -252,7 +252,7 @@
 
     replica, (one,) = empty(), history(1)
     monkeypatch.setattr(replica.table, "put", refuses)
-    assert replica.apply_change(one) == "the table refuses: full"
+    assert replica.apply_change(one) == "rejected by the table: full"
     assert replica.head == initial_head(1, 0)
     assert len(replica.log) == 0
 
@@ -427,32 +427,32 @@
 @pytest.mark.parametrize(
     ("got", "reason"),
     [
-        ([0, 9, "n", 1, 1], "an older version"),
-        ([2, 9, "n", 1, 1], "another version"),
-        ([1, 10, "n", 1, 1], "of no kind"),
-        ([1, True, "n", 1, 1], "of no kind"),
-        ([1, 9, "", 1, 1], "a sender that is none"),
-        ([1, 9, "n", -1, 1], "a sender that is none"),
-        ([1, 9, "n", 1, 1 << 63], "a sender that is none"),
-        ([1, 9, "n", 1, 1, 1], "no BYE"),
-        ([1, 9, "n", 1], "no message"),
-        (7, "no message"),
-        ([1, 0, "n", 1, 1, ["x"] * 17, 1, 1, 1], "no scopes"),
-        ([1, 0, "n", 1, 1, None, 1, 1, -1], "no report"),
-        ([1, 1, "n", 1, 1, 0, 1, b"t" * 16, 1, 1, False, 0], "no head"),
-        ([1, 1, "n", 1, 1, 1, 1, b"t" * 15, 1, 1, False, 0], "no head"),
-        ([1, 1, "n", 1, 1, 1, 1, b"t" * 16, 1, -1, False, 0], "no HEAD"),
-        ([1, 2, "n", 1, 1, 1, 0, 1, "", b"", b"t" * 16, b"t" * 16], "no change"),
-        ([1, 2, "n", 1, 1, 1, 1, 1, "", b"x" * 1001, b"t" * 16, b"t" * 16], "no change"),
-        ([1, 3, "n", 1, 1, 1, 1, 33], "no PULL"),
-        ([1, 3, "n", 1, 1, 1, 1, 0], "no PULL"),
-        ([1, 5, "n", 1, 1, 1, 1, b"t" * 16, 1, 2, b"x" * 1024], "no DIGESTS"),
-        ([1, 5, "n", 1, 1, 1, 1, b"t" * 16, 1, 1, b"x" * 1023], "no DIGESTS"),
-        ([1, 6, "n", 1, 1, 256, None, 1], "no PAGES_ASK"),
-        ([1, 6, "n", 1, 1, 1, ["", "x", "y"], 1], "no place"),
-        ([1, 6, "n", 1, 1, 1, None, 5], "no PAGES_ASK"),
-        ([1, 7, "n", 1, 1, 1, 1, 1, 0, None, [], False], "no PAGE"),
-        ([1, 7, "n", 1, 1, 1, 1, 1, 0, None, [["", "tenant", "t", None]], True], "no entry"),
+        ([0, 9, "n", 1, 1], "older protocol version"),
+        ([2, 9, "n", 1, 1], "unknown protocol version"),
+        ([1, 10, "n", 1, 1], "unknown message kind"),
+        ([1, True, "n", 1, 1], "unknown message kind"),
+        ([1, 9, "", 1, 1], "invalid sender"),
+        ([1, 9, "n", -1, 1], "invalid sender"),
+        ([1, 9, "n", 1, 1 << 63], "invalid sender"),
+        ([1, 9, "n", 1, 1, 1], "BYE: wrong number of fields"),
+        ([1, 9, "n", 1], "payload is not a message"),
+        (7, "payload is not a message"),
+        ([1, 0, "n", 1, 1, ["x"] * 17, 1, 1, 1], "invalid scopes"),
+        ([1, 0, "n", 1, 1, None, 1, 1, -1], "invalid report"),
+        ([1, 1, "n", 1, 1, 0, 1, b"t" * 16, 1, 1, False, 0], "invalid head"),
+        ([1, 1, "n", 1, 1, 1, 1, b"t" * 15, 1, 1, False, 0], "invalid head"),
+        ([1, 1, "n", 1, 1, 1, 1, b"t" * 16, 1, -1, False, 0], "invalid HEAD"),
+        ([1, 2, "n", 1, 1, 1, 0, 1, "", b"", b"t" * 16, b"t" * 16], "invalid change"),
+        ([1, 2, "n", 1, 1, 1, 1, 1, "", b"x" * 1001, b"t" * 16, b"t" * 16], "invalid change"),
+        ([1, 3, "n", 1, 1, 1, 1, 33], "invalid PULL"),
+        ([1, 3, "n", 1, 1, 1, 1, 0], "invalid PULL"),
+        ([1, 5, "n", 1, 1, 1, 1, b"t" * 16, 1, 2, b"x" * 1024], "invalid DIGESTS"),
+        ([1, 5, "n", 1, 1, 1, 1, b"t" * 16, 1, 1, b"x" * 1023], "invalid DIGESTS"),
+        ([1, 6, "n", 1, 1, 256, None, 1], "invalid PAGES_ASK"),
+        ([1, 6, "n", 1, 1, 1, ["", "x", "y"], 1], "invalid place"),
+        ([1, 6, "n", 1, 1, 1, None, 5], "invalid PAGES_ASK"),
+        ([1, 7, "n", 1, 1, 1, 1, 1, 0, None, [], False], "invalid PAGE"),
+        ([1, 7, "n", 1, 1, 1, 1, 1, 0, None, [["", "tenant", "t", None]], True], "invalid entry"),
         (
             [
                 1,
@@ -468,15 +468,15 @@
                 [["", "tenant", "t", b""], ["", "tenant", "t", b""]],
                 True,
             ],
-            "no order",
+            "invalid order",
         ),
         (
             [1, 7, "n", 1, 1, 1, 1, 1, 0, ["", "tenant", "t"], [["", "tenant", "s", b""]], True],
-            "no order",
+            "invalid order",
         ),
-        ([1, 8, "n", 1, 1, 7], "no REDIRECT"),
-        ([1, 9, "n", {}, 1], "no MessagePack|a sender"),
-        ([1, 9, ["n"] * 300, 1, 1], "no MessagePack"),
+        ([1, 8, "n", 1, 1, 7], "invalid REDIRECT"),
+        ([1, 9, "n", {}, 1], "payload is not valid MessagePack|invalid sender"),
+        ([1, 9, ["n"] * 300, 1, 1], "payload is not valid MessagePack"),
     ],
 )
 def test_what_nobody_of_ours_would_send_is_refused_with_a_reason(got: Any, reason: str) -> None:
@@ -493,7 +493,7 @@
         except MessageDecodeError:
             pass
     for data in (b"", b"x" * 16, b"x" * 1401):
-        with pytest.raises(MessageDecodeError, match="too short|too long"):
+        with pytest.raises(MessageDecodeError, match="datagram too short|datagram too long"):
             unseal(data, (SEAL,))
 
 
@@ -843,7 +843,7 @@
     world.cut = {("control-a0", f"server-{at}") for at in (0, 1)}
     world.run(30)
     refused = [node.follower.counts.refused for node in world.nodes.values() if node.follower]
-    assert all(one["an older epoch"] for one in refused)
+    assert all(one["older epoch than the one in force"] for one in refused)
     assert not world.agreed(["server-0", "server-1"])
 
 
@@ -866,9 +866,9 @@
     world.run(30)
     assert node.follower is not None
     assert node.follower.state is State.ALONE
-    assert node.follower.counts.refused["another history of this epoch"] > 5
+    assert node.follower.counts.refused["different history of the same epoch"] > 5
     assert node.replica.table.digest() == held
-    assert (node.follower.age(world.now) or 0) > 25_000
+    assert (node.follower.table_age_ms(world.now) or 0) > 25_000
 
 
 # Whom to follow.
@@ -980,7 +980,7 @@
     world.run(5)
     node = world.nodes["server-0"]
     assert node.follower is not None
-    assert (node.follower.age(world.now) or 0) < 1500
+    assert (node.follower.table_age_ms(world.now) or 0) < 1500
     held, before = node.replica.table.digest(), node.replica.head
     world.cut = {(name, "server-0") for name in world.nodes}
     for _ in range(30):
@@ -991,15 +991,15 @@
     assert node.replica.head == before
     told = summary(node.follower, world.now)
     assert told["state"] == "alone"
-    assert 29_000 < (node.follower.age(world.now) or 0) < 32_000
-    assert told["age_ms"] == node.follower.age(world.now)
+    assert 29_000 < (node.follower.table_age_ms(world.now) or 0) < 32_000
+    assert told["age_ms"] == node.follower.table_age_ms(world.now)
     world.cut.clear()
     taken = node.follower.counts.applied
     world.run(4)
     assert not world.agreed()
     assert node.follower.counts.applied - taken == 30
     assert node.follower.counts.syncs == 1
-    assert (node.follower.age(world.now) or 0) < 1500
+    assert (node.follower.table_age_ms(world.now) or 0) < 1500
 
 
 def test_the_age_of_a_source_that_lost_its_store_reaches_its_followers_who_find_a_fresher_one() -> (
@@ -1019,7 +1019,9 @@
     for node in world.nodes.values():
         node.store = False
     world.run(60)
-    ages = [node.follower.age(world.now) or 0 for node in world.nodes.values() if node.follower]
+    ages = [
+        node.follower.table_age_ms(world.now) or 0 for node in world.nodes.values() if node.follower
+    ]
     assert min(ages) > 59_000
     assert max(ages) < 63_000
 
@@ -1034,12 +1036,12 @@
         change(world)
         world.run(1)
     assert node.follower is not None
-    assert (node.follower.age(world.now) or 0) >= 179_000
+    assert (node.follower.table_age_ms(world.now) or 0) >= 179_000
     node.wake()
-    assert (node.follower.age(world.now) or 0) >= 170_000  # until new words come
+    assert (node.follower.table_age_ms(world.now) or 0) >= 170_000  # until new words come
     world.run(5)
     assert not world.agreed()
-    assert (node.follower.age(world.now) or 0) < 1500
+    assert (node.follower.table_age_ms(world.now) or 0) < 1500
 
 
 def test_a_source_started_again_behind_its_followers_never_takes_them_back() -> None:
@@ -1059,13 +1061,13 @@
     world.run(20)
     assert node.replica.head == before
     assert node.follower is not None
-    assert (node.follower.age(world.now) or 0) > 18_000
+    assert (node.follower.table_age_ms(world.now) or 0) > 18_000
     assert node.follower.counts.syncs == 1
     control.store = True
     change(world)
     world.run(3)
     assert not world.agreed()
-    assert (node.follower.age(world.now) or 0) < 1500
+    assert (node.follower.table_age_ms(world.now) or 0) < 1500
 
 
 def test_a_relay_of_three_levels() -> None:
@@ -1081,7 +1083,7 @@
     world.run(8)
     assert not world.agreed()
     ages = [
-        world.nodes[name].follower.age(world.now)
+        world.nodes[name].follower.table_age_ms(world.now)
         for name in ("relay-0", "relay-1", "relay-2", "server-0")
     ]  # type: ignore[union-attr]
     assert max(age or 10**6 for age in ages) < 6000
@@ -1089,10 +1091,10 @@
     world.run(60)
     follower = world.nodes["server-0"].follower
     assert follower is not None
-    assert 59_000 < (follower.age(world.now) or 0) < 66_000
+    assert 59_000 < (follower.table_age_ms(world.now) or 0) < 66_000
     told = summary_of_source(world.nodes["relay-2"].source, world.now)  # type: ignore[arg-type]
     assert told["followers"] == 3
-    assert told["age_ms"] == world.nodes["relay-2"].follower.age(world.now)
+    assert told["age_ms"] == world.nodes["relay-2"].follower.table_age_ms(world.now)
 
 
 def test_a_relay_refuses_scopes_that_it_does_not_hold() -> None:
@@ -1131,12 +1133,12 @@
     """All that is said until it is quiet."""
     said = []
     follower.tick(now)
-    while follower.out or source.out:
-        while follower.out:
-            said.append(follower.out.popleft()[1])
+    while follower.outbox or source.outbox:
+        while follower.outbox:
+            said.append(follower.outbox.popleft()[1])
             source.receive(now, said[-1], HERE)
-        while source.out:
-            said.append(source.out.popleft()[1])
+        while source.outbox:
+            said.append(source.outbox.popleft()[1])
             follower.receive(now, said[-1], HERE)
     return said
 
@@ -1153,26 +1155,29 @@
             seal(Sender("source", LIFE, 0), m.PushedChange(history(1)[0]), b"another key" * 2),
             "not sealed with our key",
         ),
-        (codec.compute_seal(SEAL, text) + text, "an older version"),
-        (good + b"x" * 1400, "too long"),
+        (codec.compute_seal(SEAL, text) + text, "older protocol version"),
+        (good + b"x" * 1400, "datagram too long"),
         (good[:-1], "not sealed with our key"),
-        (b"", "too short"),
-        (seal(Sender("source", LIFE, 0), m.PullRequest(1, 1, 1), SEAL), "nothing for a follower"),
+        (b"", "datagram too short"),
+        (
+            seal(Sender("source", LIFE, 0), m.PullRequest(1, 1, 1), SEAL),
+            "message kind not handled by a follower",
+        ),
         (
             seal(Sender("source", LIFE, 5), m.HeadStatus(initial_head(9, 0), 0, False, 0), SEAL),
-            "a HEAD that was not asked for",
+            "HEAD that was not requested",
         ),
         (
             seal(Sender("other", LIFE, 5), m.HeadStatus(initial_head(9, 0), 0, False, 0), SEAL),
-            "a HEAD of another",
+            "HEAD from another server than the upstream",
         ),
         (
             seal(Sender("source", LIFE, 5), m.Redirect("full"), SEAL),
-            "a REDIRECT that was not asked for",
+            "REDIRECT that was not requested",
         ),
         (
             seal(Sender("source", LIFE - 1, 0), m.Redirect("leaving"), SEAL),
-            "a REDIRECT that was not asked for",
+            "REDIRECT that was not requested",
         ),
         (
             seal(
@@ -1180,11 +1185,11 @@
                 m.DigestsResponse(initial_head(9, 0), 0, (0,) * 128),
                 SEAL,
             ),
-            "DIGESTS that were not asked for",
+            "DIGESTS that were not requested",
         ),
         (
             seal(Sender("source", LIFE, 0), m.PushedChange(history(1, epoch=2)[0]), SEAL),
-            "a change of another epoch",
+            "change of another epoch",
         ),
     ]:
         was = follower.counts.refused.get(reason, 0)
@@ -1204,7 +1209,7 @@
     said = [data for data in exchange(source, follower, NOW) if is_for_source(data)]
     for data in said:
         source.receive(NOW, data, ("10.9.9.9", 9))
-    assert not source.out
+    assert not source.outbox
     assert sum(source.counts.refused.values()) == len(said)
     assert source.followers["server"].address == HERE
     stranger = Sender("nobody", LIFE, 1)
@@ -1216,8 +1221,8 @@
     ):
         source.receive(NOW, seal(stranger, body, SEAL), HERE)
     source.receive(NOW, seal(Sender("server", LIFE - 1, 1), m.Report(None, 1, 1, 1), SEAL), HERE)
-    assert not source.out
-    assert source.counts.refused["an older life"] == 1
+    assert not source.outbox
+    assert source.counts.refused["older incarnation of the follower"] == 1
     assert "server" in source.followers
 
 
@@ -1239,7 +1244,7 @@
     for data in answers:
         later.receive(NOW, data, HERE)
     assert later.state is State.EMPTY
-    assert later.age(NOW) is None
+    assert later.table_age_ms(NOW) is None
 
 
 def test_what_waits_and_what_is_counted_is_bounded() -> None:
@@ -1263,7 +1268,7 @@
         follower.pull_changes(NOW)
         for _ in range(20):
             follower.send_report(NOW)
-    assert len(follower.out) <= 256
+    assert len(follower.outbox) <= 256
     assert len(follower.reports) <= 4
     assert follower.counts.dropped
 
@@ -1271,7 +1276,7 @@
 def test_pages_keep_to_their_rate() -> None:
     source, _ = pair()
     source.settings = ReplicationSettings(page_bytes_per_s=10_000, page_burst_bytes=5000)
-    source.tokens = 5000.0
+    source.page_tokens = 5000.0
     source.replica.table.put(
         [ConfigItem("", "tenant", f"t{at}", msgpack.packb({"x": "y" * 400})) for at in range(250)]
     )
@@ -1284,8 +1289,8 @@
             seal(Sender("s", LIFE, 2 + number), m.PagesRequest(number % 256, None, 4), SEAL),
             HERE,
         )
-        while source.out:
-            heard += len(source.out.popleft()[1])
+        while source.outbox:
+            heard += len(source.outbox.popleft()[1])
     assert heard < 5000 + 10_000 * 3 + 1400
     assert source.counts.held_back
 
@@ -1313,17 +1318,17 @@
     source.replica.log.max_changes = 4096
     source.push_changes(NOW)
     follower.tick(NOW)
-    while follower.out or source.out:
-        while follower.out:
-            data = follower.out.popleft()[1]
+    while follower.outbox or source.outbox:
+        while follower.outbox:
+            data = follower.outbox.popleft()[1]
             if type(
                 unseal(data, (SEAL,)).body
             ) is m.PagesRequest and source.replica.head == head_after(listed[0]):
                 assert source.replica.apply_change(listed[1]) is None
                 assert source.replica.apply_change(listed[2]) is None
             source.receive(NOW, data, HERE)
-        while source.out:
-            data = source.out.popleft()[1]
+        while source.outbox:
+            data = source.outbox.popleft()[1]
             if type(unseal(data, (SEAL,)).body) is not m.PushedChange:
                 follower.receive(NOW, data, HERE)
     assert follower.state is State.REPLAYING
@@ -1355,9 +1360,9 @@
     """
     source, follower = replaying(in_force)
     source.drain()
-    follower.receive(NOW, source.out.popleft()[1], HERE)
+    follower.receive(NOW, source.outbox.popleft()[1], HERE)
     assert follower.state is State.ALONE
-    assert follower.pages_up_to == (1, 3)
+    assert follower.newest_page_revision == (1, 3)
     held = follower.replica.table.digest()
     behind = Replica(ConfigTable(None), [SIGN])
     behind.load(initial_head(1, 0))
@@ -1369,7 +1374,7 @@
     if in_force:
         assert follower.state is State.ALONE
         assert follower.replica.table.digest() == held
-        assert follower.counts.refused == {"a base that is older than what is in force": 1}
+        assert follower.counts.refused == {"sync base older than the revision in force": 1}
     else:
         assert follower.state is State.CURRENT
         assert follower.replica.head == behind.head
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -168,7 +168,7 @@
         "line 3: entries[0].key:",
         "line 4: more: unknown key",
         "line 5: entries[0].value: ",
-        "line 6: entries: 0, of 1",
+        "line 6: entries: 0, 1 to",
         "nothing was taken",
     ):
         assert part in said, (part, said)
@@ -490,7 +490,9 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
             sender.sendto(letter, made.relay.doors[node.name].target or ("", 0))
         await patiently(
-            lambda: node.state()["counts"]["refused"].get("its tag does not follow", 0) == 1,
+            lambda: (
+                node.state()["counts"]["refused"].get("tag does not continue the chain", 0) == 1
+            ),
             lambda: node.state(),
         )
     assert not await node.serves("evil")
--- a/tests/test_distribution_table.py
+++ b/tests/test_distribution_table.py
@@ -9,7 +9,7 @@
 
 from burlloom.distribution import leaves
 from burlloom.distribution.changes import (
-    KINDS,
+    ITEM_KINDS,
     MAX_KEY_BYTES,
     MAX_SCOPE_BYTES,
     MAX_VALUE_BYTES,
@@ -19,7 +19,7 @@
     BUCKET_COUNT,
     MAX_ITEM_BYTES,
     MAX_PUT_ITEMS,
-    MAX_SCOPES,
+    MAX_TABLE_SCOPES,
     ConfigTable,
     Page,
     bucket_of,
@@ -101,7 +101,7 @@
 
 def same(table: ConfigTable, model: Model) -> None:
     assert table.item_count() == len(model.rows)
-    for kind in KINDS:
+    for kind in ITEM_KINDS:
         seen = {place[2] for place in model.rows if place[1] == kind}
         assert table.count(kind) == len(seen)
         assert sorted(table.keys(kind)) == sorted(seen)
@@ -121,7 +121,7 @@
 value = st.one_of(
     st.none(), st.binary(max_size=40), st.just(b"\xfft1\xff"), st.just(b"x" * MAX_VALUE_BYTES)
 )
-entry = st.builds(ConfigItem, st.sampled_from(SCOPES), st.sampled_from(KINDS), key, value)
+entry = st.builds(ConfigItem, st.sampled_from(SCOPES), st.sampled_from(ITEM_KINDS), key, value)
 crowd = st.builds(
     lambda scope, start, count, value: [
         ConfigItem(scope, "tenant", one, value) for one in CROWDED[start : start + count]
@@ -247,7 +247,7 @@
     assert (table.get("route", "a"), table.count("route")) == (b"1", 1)
     assert (table.item_count(), len(table.items_of_key("route", "a"))) == (7, 7)
     with pytest.raises(ValueError, match="scopes: over"):
-        table.put([ConfigItem(f"x{n}", "route", "a", b"2") for n in range(MAX_SCOPES)])
+        table.put([ConfigItem(f"x{n}", "route", "a", b"2") for n in range(MAX_TABLE_SCOPES)])
     assert table.item_count() == 7
 
 
@@ -371,7 +371,7 @@
             table.replace(0, after, Page((), None, True))
     with pytest.raises(ValueError):
         table.replace(BUCKET_COUNT, None, Page((), None, True))
-    for scopes in ((), tuple(str(n) for n in range(MAX_SCOPES + 1))):
+    for scopes in ((), tuple(str(n) for n in range(MAX_TABLE_SCOPES + 1))):
         with pytest.raises(ValueError):
             ConfigTable(scopes)
 
@@ -382,7 +382,7 @@
     table = ConfigTable(None)
     for start in range(0, 3_000, 50):
         table.put([ConfigItem("", "tenant", one, b"v") for one in keys[start : start + 50]])
-    bucket = table.parts[""].buckets[9]
+    bucket = table.scope_tables_by_name[""].buckets[9]
     sizes = [len(leaves.unpack_leaf(leaf)[0]) for leaf in bucket.leaves]
     assert max(sizes) <= leaves.MAX_LEAF_ITEMS
     assert min(sizes) >= leaves.MIN_LEAF_ITEMS
