--- a/burlloom/distribution/codec.py
+++ b/burlloom/distribution/codec.py
@@ -74,7 +74,7 @@
 
 
 class MessageDecodeError(BurlloomError):
-    """Raised for a datagram that no peer with one of the shared keys and this protocol version sends."""
+    """Raised for a datagram that no peer with a shared key and this protocol version sends."""
 
 
 def compute_seal(key: bytes, text: bytes) -> bytes:
