--- a/burlloom/distribution/source.py
+++ b/burlloom/distribution/source.py
@@ -274,7 +274,7 @@
         return len(self.followers) >= self.settings.max_followers
 
     def differs(self, body: Report) -> bool:
-        """Returns whether a follower's digest differs from ours at its revision; counts it."""
+        """Returns whether a follower's digest differs from the replica's; counts it if so."""
         head = self.replica.head
         if (
             head is None
--- a/burlloom/distribution/stores/sql.py
+++ b/burlloom/distribution/stores/sql.py
@@ -108,7 +108,7 @@
     """
 
     async def execute(self, sql: str, *values: Any) -> list[Any]:
-        """Runs one statement and return its rows. Raises `StoreUnavailableError`."""
+        """Runs one statement and returns its rows. Raises `StoreUnavailableError`."""
         raise NotImplementedError
 
     async def transaction(self, guard: Statement, statements: list[Statement]) -> bool:
--- a/burlloom/distribution/table.py
+++ b/burlloom/distribution/table.py
@@ -17,7 +17,7 @@
 
 BUCKET_COUNT = 256
 MAX_TABLE_SCOPES = 64  # scopes of one table; a scope is a region, and a fleet has few of them
-MAX_PUT_ITEMS = 256  # items in one `put`; a change has at most 64, a page fewer than 256
+MAX_PUT_ITEMS = 256  # items in one `put`; a change has at most 64, and no page has more than 256
 MAX_ITEM_BYTES = (
     1 + 2 + MAX_SCOPE_BYTES + 1 + 7 + 2 + MAX_KEY_BYTES + 3 + MAX_VALUE_BYTES
 )  # largest item of a page in MessagePack
@@ -124,9 +124,8 @@
             if self.scopes is None
             else sorted(self.scopes, key=lambda scope: (scope == "", scope))
         )
-        self.lookup_order = [
-            self.scope_tables_by_name[scope] for scope in scopes_by_precedence
-        ]  # own region's table before that of ""
+        # The table of the own region comes before that of "".
+        self.lookup_order = [self.scope_tables_by_name[scope] for scope in scopes_by_precedence]
         # Number of items hidden by an item with the same key in an earlier table of `lookup_order`.
         self.shadowed = dict.fromkeys(ITEM_KINDS, 0)
 
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -1,8 +1,8 @@
-"""Control machines and servers as processes, with one relay between them, and a checker that reads
-what the store's tables say and what each server's log told.
+"""Control machines and servers as processes, with a UDP relay between them, and a checker.
 
-The checker shares no code with the program: what is to be in force is its own model of what was
-put, digests are its own, the chain's tags are read from the store's file by sqlite3.
+The checker compares the store's tables with the servers' logs and state files. It shares no code
+with the program: it keeps its own model of the items put, computes its own digests, and reads the
+tags of the chain from the store's file with sqlite3.
 """
 
 import asyncio
@@ -25,46 +25,52 @@
 from burlloom.fakes.postgres import Postgres
 from burlloom.fakes.relay import Relay
 
-KEY, SIGNING = "6b" * 32, "73" * 32
-BEAT = 300  # ms
-PATIENCE = 40.0
-LINE = re.compile(r"event=(distribution_opened|config_synced|config_changes_applied)\b(.*)")
+SEALING_KEY, SIGNING_KEY = "6b" * 32, "73" * 32
+HEARTBEAT_MS = 300
+WAIT_TIMEOUT_S = 40.0
+HEAD_LOG_LINE = re.compile(
+    r"event=(distribution_opened|config_synced|config_changes_applied)\b(.*)"
+)
 
 
-async def patiently(test: Callable[[], bool], what: Callable[[], Any] = lambda: None) -> None:
-    """Waits for a state, however long that takes."""
+async def wait_for(
+    condition: Callable[[], bool], describe: Callable[[], Any] = lambda: None
+) -> None:
+    """Waits until a condition holds; fails with a description after `WAIT_TIMEOUT_S`."""
     try:
-        async with asyncio.timeout(PATIENCE):
-            while not test():
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
+            while not condition():
                 await asyncio.sleep(0.02)
     except TimeoutError:
-        raise AssertionError(what()) from None
+        raise AssertionError(describe()) from None
 
 
-def told(path: Path) -> dict[str, Any]:
+def read_json(path: Path) -> dict[str, Any]:
     try:
-        got: dict[str, Any] = json.loads(path.read_text())
-        return got
+        content: dict[str, Any] = json.loads(path.read_text())
+        return content
     except (OSError, ValueError):
         return {}
 
 
-class Machine:
-    """A control machine; a relay of the program's where the world has no store for it."""
+class ControlMachine:
+    """A control machine as a process; with `has_store` False the program runs as a relay."""
 
-    def __init__(self, world: "World", name: str, region: str, store: bool = True) -> None:
-        self.world, self.name, self.region, self.has_store = world, name, region, store
-        self.folder = world.folder / name
+    def __init__(self, cluster: "Cluster", name: str, region: str, has_store: bool = True) -> None:
+        self.cluster, self.name, self.region, self.has_store = cluster, name, region, has_store
+        self.folder = cluster.folder / name
         self.folder.mkdir()
         self.log_path = self.folder / "log"
         self.process: asyncio.subprocess.Process
 
-    async def start(self) -> "Machine":
-        part = self.world.part(self.name, self.region, self.folder)
+    async def start(self) -> "ControlMachine":
+        settings = self.cluster.distribution_settings(self.name, self.region, self.folder)
         if self.has_store:
-            part["store"] = self.world.store_told
-        (self.folder / "operator.jsonnet").write_text(json.dumps({"distribution": part}))
-        lives = self.log().count("event=control_node_started") if self.log_path.exists() else 0
+            settings["store"] = self.cluster.store_settings
+        (self.folder / "operator.jsonnet").write_text(json.dumps({"distribution": settings}))
+        earlier_starts = (
+            self.log().count("event=control_node_started") if self.log_path.exists() else 0
+        )
         with open(self.log_path, "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -80,23 +86,23 @@
                 stdout=log,
                 stderr=log,
             )
-        await patiently(
+        await wait_for(
             lambda: (
-                self.log().count("event=control_node_started") > lives
+                self.log().count("event=control_node_started") > earlier_starts
                 or self.process.returncode is not None
             ),
             self.log,
         )
         assert self.process.returncode is None, self.log()
         address = re.findall(r"event=control_node_started .* address=(\S+)", self.log())[-1]
-        self.world.relay.sent_from(self.name, address)
+        self.cluster.relay.sent_from(self.name, address)
         return self
 
     def log(self) -> str:
         return self.log_path.read_text()
 
     def state(self) -> dict[str, Any]:
-        return told(self.folder / "distribution")
+        return read_json(self.folder / "distribution")
 
     def signal(self, what: signal.Signals) -> None:
         self.process.send_signal(what)
@@ -116,27 +122,35 @@
             if self.process.returncode is None:
                 self.process.send_signal(
                     signal.SIGKILL
-                )  # whatever the story comes to, nothing is left running
+                )  # no process is left running, whatever the outcome
         if kind is None:
             assert status == 0 and "level=error" not in self.log(), (status, self.log())
 
 
-class Node(Rig):
-    """A real server."""
+class Server(Rig):
+    """A server as a process."""
 
-    def __init__(self, world: "World", name: str, region: str, **more: Any) -> None:
-        folder = world.folder / name
+    def __init__(self, cluster: "Cluster", name: str, region: str, **settings: Any) -> None:
+        folder = cluster.folder / name
         folder.mkdir()
-        self.world, self.region, self.more = world, region, more
-        self.working: list[asyncio.Task[None]] = []
+        self.cluster, self.region, self.settings = cluster, region, settings
+        self.tasks: list[asyncio.Task[None]] = []
         super().__init__(
-            folder, name=name, catalogue=world.catalogue, n_cores=32, memory_kb=400000, stop_ms=2000
+            folder,
+            name=name,
+            catalogue=cluster.catalogue,
+            n_cores=32,
+            memory_kb=400000,
+            stop_ms=2000,
         )
 
-    async def start(self) -> "Node":
+    async def start(self) -> "Server":
         self.operator = {
-            "distribution": {**self.world.part(self.name, self.region, self.folder), **self.more},
-            **self.world.parts,
+            "distribution": {
+                **self.cluster.distribution_settings(self.name, self.region, self.folder),
+                **self.settings,
+            },
+            **self.cluster.operator_parts,
         }
         if "metrics" in self.operator:
             self.operator["metrics"] = {
@@ -144,37 +158,40 @@
                 "file": str(self.folder / "metrics"),
             }
         await self.__aenter__()
-        self.working.append(asyncio.create_task(self.work()))
+        self.tasks.append(asyncio.create_task(self.run_commands()))
         return self
 
     async def begin(self) -> None:
-        lives = self.log().count("event=distribution_opened") if self.log_path.exists() else 0
+        earlier_starts = (
+            self.log().count("event=distribution_opened") if self.log_path.exists() else 0
+        )
 
-        async def reached() -> None:
+        async def wait_until_opened() -> None:
             await wait_until(
                 lambda: (
-                    self.log_path.exists() and self.log().count("event=distribution_opened") > lives
+                    self.log_path.exists()
+                    and self.log().count("event=distribution_opened") > earlier_starts
                 )
             )
             address = re.findall(r"event=distribution_opened .* address=(\S+)", self.log())[-1]
-            self.world.relay.sent_from(self.name, address)
+            self.cluster.relay.sent_from(self.name, address)
 
-        await asyncio.gather(reached(), super().begin())
+        await asyncio.gather(wait_until_opened(), super().begin())
 
-    async def work(self) -> None:
+    async def run_commands(self) -> None:
         while True:
-            name, id, *_ = await self.executor.commands.get()
-            if name == "EXEC":
-                self.executor.exit(id, result=b"made")
+            command, command_id, *_ = await self.executor.commands.get()
+            if command == "EXEC":
+                self.executor.exit(command_id, result=b"made")
 
     def state(self) -> dict[str, Any]:
-        return told(self.folder / "distribution")
+        return read_json(self.folder / "distribution")
 
     def signal(self, what: signal.Signals) -> None:
         self.process.send_signal(what)
 
     async def serves(self, tenant: str) -> bool:
-        """Asked anew on a connection of its own: whether that tenant's txn is run."""
+        """Returns whether the server runs a request of a tenant, sent on a new connection."""
         balancer = await self.balancer()
         error, result = await within_timeout(balancer.ask("look", fields(tenant=tenant)))
         balancer.close()
@@ -182,128 +199,145 @@
         return error is None
 
 
-class World:
-    """`postgres`: the store is the stand-in for PostgreSQL; else one SQLite file. `parts`: further
-    ones of the servers' operator file.
+class Cluster:
+    """Control machines and servers on one store, with a relay between all of them.
+
+    Args:
+        folder: Folder of all files.
+        postgres: Whether the store is the stand-in for PostgreSQL; otherwise it is a SQLite file.
+        operator_parts: Further parts of the servers' operator files.
     """
 
     def __init__(
-        self, folder: Path, postgres: bool = False, parts: dict[str, Any] | None = None
+        self, folder: Path, postgres: bool = False, operator_parts: dict[str, Any] | None = None
     ) -> None:
-        self.parts = parts or {}
+        self.operator_parts = operator_parts or {}
         self.folder, self.relay, self.doors = folder, Relay(), dict[str, str]()
         self.postgres = Postgres(folder) if postgres else None
         self.catalogue = Catalogue(self.reply)
-        self.machines: list[Machine] = []
-        self.nodes: list[Node] = []
-        self.key, self.signing = folder / "key", folder / "signing"
-        for path, key in ((self.key, KEY), (self.signing, SIGNING)):
+        self.control_machines: list[ControlMachine] = []
+        self.servers: list[Server] = []
+        self.sealing_key_path, self.signing_key_path = folder / "key", folder / "signing"
+        for path, key in (
+            (self.sealing_key_path, SEALING_KEY),
+            (self.signing_key_path, SIGNING_KEY),
+        ):
             path.write_text(key + "\n")
             path.chmod(0o600)
-        self.model: dict[tuple[str, str, str], Any] = {}
+        self.expected_items: dict[tuple[str, str, str], Any] = {}
         self.puts = 0
 
     async def reply(self, id: str) -> Reply:
         return 200, False, b"fetched"
 
     @property
-    def store_told(self) -> dict[str, Any]:
+    def store_settings(self) -> dict[str, Any]:
         if self.postgres is None:
             return {"sqlite": {"path": str(self.folder / "changes.db")}}
         return {
             "postgres": {
                 "address": self.postgres.address,
-                "key_file": str(self.key),
+                "key_file": str(self.sealing_key_path),
                 "connect_ms": 500,
                 "hang_ms": 500,
             }
         }
 
-    def part(self, name: str, region: str, folder: Path) -> dict[str, Any]:
+    def distribution_settings(self, name: str, region: str, folder: Path) -> dict[str, Any]:
         return {
             "listen": "127.0.0.1:0",
             "region": region,
-            "key_file": str(self.key),
+            "key_file": str(self.sealing_key_path),
             "advertise": self.doors[name],
-            "signing_key_file": str(self.signing),
-            "beat_ms": BEAT,
+            "signing_key_file": str(self.signing_key_path),
+            "beat_ms": HEARTBEAT_MS,
             "state_file": str(folder / "distribution"),
             "upstreams": [
-                {"name": one.name, "region": one.region, "address": self.doors[one.name]}
-                for one in self.machines
+                {
+                    "name": machine.name,
+                    "region": machine.region,
+                    "address": self.doors[machine.name],
+                }
+                for machine in self.control_machines
             ],
         }
 
-    async def __aenter__(self) -> "World":
+    async def __aenter__(self) -> "Cluster":
         await self.catalogue.start()
         if self.postgres is not None:
             await self.postgres.start()
         return self
 
-    async def control(
-        self, count: int, regions: tuple[str, ...] = ("north",), store: bool = True
-    ) -> list[Machine]:
-        made = [
-            Machine(self, f"c{len(self.machines) + at}", regions[at % len(regions)], store)
+    async def add_control_machines(
+        self, count: int, regions: tuple[str, ...] = ("north",), has_store: bool = True
+    ) -> list[ControlMachine]:
+        machines = [
+            ControlMachine(
+                self, f"c{len(self.control_machines) + at}", regions[at % len(regions)], has_store
+            )
             for at in range(count)
         ]
-        for one in made:
-            self.doors[one.name] = await self.relay.door(one.name)
-        self.machines += made
-        await asyncio.gather(*(one.start() for one in made))
-        return made
-
-    async def add(
-        self, count: int, regions: tuple[str, ...] = ("north",), **more: Any
-    ) -> list[Node]:
-        made = [
-            Node(self, f"n{len(self.nodes) + at}", regions[at % len(regions)], **more)
+        for machine in machines:
+            self.doors[machine.name] = await self.relay.door(machine.name)
+        self.control_machines += machines
+        await asyncio.gather(*(machine.start() for machine in machines))
+        return machines
+
+    async def add_servers(
+        self, count: int, regions: tuple[str, ...] = ("north",), **settings: Any
+    ) -> list[Server]:
+        servers = [
+            Server(self, f"n{len(self.servers) + at}", regions[at % len(regions)], **settings)
             for at in range(count)
         ]
-        for one in made:
-            self.doors[one.name] = await self.relay.door(one.name)
-        self.nodes += made
-        await asyncio.gather(*(one.start() for one in made))
-        return made
+        for server in servers:
+            self.doors[server.name] = await self.relay.door(server.name)
+        self.servers += servers
+        await asyncio.gather(*(server.start() for server in servers))
+        return servers
 
     async def __aexit__(self, kind: Any, *rest: Any) -> None:
-        for node in self.nodes:
-            for task in node.working:
+        for server in self.servers:
+            for task in server.tasks:
                 task.cancel()
-        await asyncio.gather(*(node.__aexit__(kind) for node in self.nodes))
-        await asyncio.gather(*(one.stop(kind) for one in self.machines))
+        await asyncio.gather(*(server.__aexit__(kind) for server in self.servers))
+        await asyncio.gather(*(machine.stop(kind) for machine in self.control_machines))
         self.relay.close()
         await self.catalogue.stop()
         if self.postgres is not None:
             await self.postgres.stop()
 
-    async def command(self, machine: Machine | Node, *words: Any, status: int = 0) -> str:
+    async def command(
+        self, process: ControlMachine | Server, *arguments: Any, status: int = 0
+    ) -> str:
         return await asyncio.to_thread(
             burlloom,
             "distribution",
-            *words,
+            *arguments,
             "-o",
-            machine.folder / "operator.jsonnet",
+            process.folder / "operator.jsonnet",
             status=status,
         )
 
-    async def put(self, *changes: dict[str, Any], by: int = 0, status: int = 0) -> str:
-        """By the command, as an operator does; the model takes them too."""
+    async def put(self, *changes: dict[str, Any], machine_index: int = 0, status: int = 0) -> str:
+        """Puts changes with the command, as an operator does, and into the expected items."""
         self.puts += 1
         path = self.folder / f"put{self.puts}.jsonl"
-        path.write_text("".join(json.dumps(one) + "\n" for one in changes))
-        said = await self.command(self.machines[by], "put", path, status=status)
+        path.write_text("".join(json.dumps(change) + "\n" for change in changes))
+        output = await self.command(
+            self.control_machines[machine_index], "put", path, status=status
+        )
         if not status:
-            for one in changes:
-                for entry in one["entries"]:
-                    place = one.get("scope", ""), entry["kind"], entry["key"]
+            for change in changes:
+                for entry in change["entries"]:
+                    position = change.get("scope", ""), entry["kind"], entry["key"]
                     if entry["value"] is None:
-                        self.model.pop(place, None)
+                        self.expected_items.pop(position, None)
                     else:
-                        self.model[place] = entry["value"]
-        return said
+                        self.expected_items[position] = entry["value"]
+        return output
 
-    # The checker.
+    # Checker.
 
     def store_file(self) -> Path:
         return self.folder / ("standin.db" if self.postgres is not None else "changes.db")
@@ -317,37 +351,45 @@
         return epoch, revision
 
     def digest(self, region: str) -> str:
-        whole = 0
-        for (scope, kind, key), value in self.model.items():
+        digest = 0
+        for (scope, kind, key), value in self.expected_items.items():
             if scope in ("", region):
-                whole ^= xxhash.xxh3_64_intdigest(
+                digest ^= xxhash.xxh3_64_intdigest(
                     msgpack.packb([scope, kind, key, msgpack.packb(value)])
                 )
-        return f"{whole:016x}"
+        return f"{digest:016x}"
 
-    def has_all(self, node: Node) -> bool:
-        """Whether what it says to be in force is what was put, all of it."""
-        state = node.state()
+    def is_up_to_date(self, server: Server) -> bool:
+        """Returns whether a server's state file shows exactly the items that were put."""
+        state = server.state()
         return (state.get("epoch"), state.get("revision")) == self.head() and state[
             "digest"
-        ] == self.digest(node.region)
+        ] == self.digest(server.region)
 
-    async def reaches(self, *nodes: Node) -> None:
-        """What was put is in force on these, or on all."""
-        which = nodes or tuple(self.nodes)
-        await patiently(
-            lambda: all(self.has_all(node) for node in which),
+    async def wait_until_in_force(self, *servers: Server) -> None:
+        """Waits until all items put are in force on the given servers, by default on all."""
+        expected_servers = servers or tuple(self.servers)
+        await wait_for(
+            lambda: all(self.is_up_to_date(server) for server in expected_servers),
             lambda: (
                 self.head(),
-                [(node.name, self.digest(node.region), node.state()) for node in which],
-                [machine.state() for machine in self.machines],
-                [node.log()[-3000:] for node in which if not self.has_all(node)],
+                [
+                    (server.name, self.digest(server.region), server.state())
+                    for server in expected_servers
+                ],
+                [machine.state() for machine in self.control_machines],
+                [
+                    server.log()[-3000:]
+                    for server in expected_servers
+                    if not self.is_up_to_date(server)
+                ],
             ),
         )
 
-    def in_order(self) -> None:
-        """Each server applied revisions one after the other, each with the store's own tag, from a
-        sync on; and went back in none.
+    def assert_applied_in_order(self) -> None:
+        """Asserts that each server has logged consecutive revisions since its last sync.
+
+        Each logged tag must be the store's tag of that revision, and no sync may go back.
         """
         tags = {
             (epoch, revision): bytes(tag).hex()
@@ -355,29 +397,46 @@
                 "SELECT epoch, revision, tag FROM distribution_change"
             )
         }
-        epoch_now, head = self.head()
-        for node in self.nodes:
-            at: tuple[int, int] | None = None
-            for what, rest in LINE.findall(node.log()):
-                said = dict(re.findall(r"(\w+)=(\S+)", rest))
-                if what == "distribution_opened":
-                    at = None  # another life, which holds nothing
-                elif what == "config_synced":
-                    to = int(said["epoch"]), int(said["revision"])
-                    assert at is None or to >= at, (node.name, at, to)
-                    at = to
+        current_epoch, current_revision = self.head()
+        for server in self.servers:
+            applied: tuple[int, int] | None = None
+            for event, rest in HEAD_LOG_LINE.findall(server.log()):
+                values = dict(re.findall(r"(\w+)=(\S+)", rest))
+                if event == "distribution_opened":
+                    applied = None  # the server was restarted and holds nothing
+                elif event == "config_synced":
+                    synced = int(values["epoch"]), int(values["revision"])
+                    assert applied is None or synced >= applied, (server.name, applied, synced)
+                    applied = synced
                 else:
-                    epoch, first, last = int(said["epoch"]), int(said["from"]), int(said["to"])
-                    assert at == (epoch, first - 1) and last >= first, (node.name, at, said)
-                    at = epoch, last
-                    if epoch == epoch_now:
-                        assert last <= head and tags[at] == said["tag"], (node.name, at, said)
-            assert at == (epoch_now, head), (node.name, at, epoch_now, head)
+                    epoch, first, last = (
+                        int(values["epoch"]),
+                        int(values["from"]),
+                        int(values["to"]),
+                    )
+                    assert applied == (epoch, first - 1) and last >= first, (
+                        server.name,
+                        applied,
+                        values,
+                    )
+                    applied = epoch, last
+                    if epoch == current_epoch:
+                        assert last <= current_revision and tags[applied] == values["tag"], (
+                            server.name,
+                            applied,
+                            values,
+                        )
+            assert applied == (current_epoch, current_revision), (
+                server.name,
+                applied,
+                current_epoch,
+                current_revision,
+            )
 
 
-def tenant(name: str, scope: str = "", **value: Any) -> dict[str, Any]:
+def tenant_change(name: str, scope: str = "", **value: Any) -> dict[str, Any]:
     return {"scope": scope, "entries": [{"kind": "tenant", "key": name, "value": value}]}
 
 
-def without(name: str, scope: str = "") -> dict[str, Any]:
+def tenant_deletion(name: str, scope: str = "") -> dict[str, Any]:
     return {"scope": scope, "entries": [{"kind": "tenant", "key": name, "value": None}]}
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -1,8 +1,8 @@
-"""Changes of configuration go from control machines to real servers, while processes, the network
-and the store fail.
+"""Configuration changes from control machines to servers as processes, with failures of processes,
+the network and the store.
 
-What is asserted at the end of each story: every server has in force exactly what was put, and
-applied it in the store's order (`World.in_order`, a checker outside of the program).
+After each scenario every server must have exactly the items put in force, and must have applied
+them in the store's order (`Cluster.assert_applied_in_order`, a checker outside of the program).
 """
 
 import asyncio
@@ -18,137 +18,149 @@
 from typing import Any
 
 import pytest
-from distribution_rig import KEY, SIGNING, World, patiently, tenant, without
+from distribution_rig import (
+    SEALING_KEY,
+    SIGNING_KEY,
+    Cluster,
+    tenant_change,
+    tenant_deletion,
+    wait_for,
+)
 from rig import ROOT, within_timeout
 from test_command import burlloom
 
 from burlloom.operator import OperatorFileError, load
 
 BASE = [
-    tenant("acme"),
-    tenant("blue", portion=2.5),
+    tenant_change("acme"),
+    tenant_change("blue", portion=2.5),
     {
         "entries": [
             {"kind": "route", "key": "a/b", "value": {"to": "x"}},
             {"kind": "setting", "key": "s", "value": {"n": 1}},
         ]
     },
-    tenant("only-north", scope="north"),
-    tenant("only-south", scope="south"),
+    tenant_change("only-north", scope="north"),
+    tenant_change("only-south", scope="south"),
 ]
 
 
-def world(
-    control: int,
+def with_cluster(
+    control_machines: int,
     servers: int,
     regions: tuple[str, ...] = ("north",),
     postgres: bool = False,
-    parts: dict[str, Any] | None = None,
-    **more: Any,
-) -> Callable[[Callable[[World], Awaitable[None]]], Callable[[Path], None]]:
-    """Makes a test of a story told with so many, all of which have what was put first."""
+    operator_parts: dict[str, Any] | None = None,
+    **settings: Any,
+) -> Callable[[Callable[[Cluster], Awaitable[None]]], Callable[[Path], None]]:
+    """Makes a test of a scenario, which starts once `BASE` is in force on all servers."""
 
-    def wrap(story: Callable[[World], Awaitable[None]]) -> Callable[[Path], None]:
+    def wrap(scenario: Callable[[Cluster], Awaitable[None]]) -> Callable[[Path], None]:
         def test(tmp_path: Path) -> None:
-            async def play() -> None:
-                async with World(tmp_path, postgres, parts) as made:
-                    await made.control(control, regions)
-                    await made.put(*BASE)
-                    await made.add(servers, regions, **more)
-                    await made.reaches()
-                    await story(made)
-                    await made.reaches()
-                    made.in_order()
-
-            asyncio.run(play())
-
-        test.__name__, test.__doc__ = story.__name__, story.__doc__
+            async def run() -> None:
+                async with Cluster(tmp_path, postgres, operator_parts) as cluster:
+                    await cluster.add_control_machines(control_machines, regions)
+                    await cluster.put(*BASE)
+                    await cluster.add_servers(servers, regions, **settings)
+                    await cluster.wait_until_in_force()
+                    await scenario(cluster)
+                    await cluster.wait_until_in_force()
+                    cluster.assert_applied_in_order()
+
+            asyncio.run(run())
+
+        test.__name__, test.__doc__ = scenario.__name__, scenario.__doc__
         return test
 
     return wrap
 
 
-def follows(made: World) -> dict[str, str]:
-    return {node.name: node.state().get("upstream", "") for node in made.nodes}
+def upstream_names(cluster: Cluster) -> dict[str, str]:
+    return {server.name: server.state().get("upstream", "") for server in cluster.servers}
 
 
-@world(2, 4, regions=("north", "south"))
-async def test_a_change_reaches_all(made: World) -> None:
-    """A tenant that is added is served without a restart, one that is removed is refused; a
-    region's own only there.
+@with_cluster(2, 4, regions=("north", "south"))
+async def test_a_change_reaches_all_servers_of_its_scope(cluster: Cluster) -> None:
+    """An added tenant is served without a restart, a removed one is refused, and a tenant of a
+    region is served only there.
     """
-    north, south = made.nodes[0], made.nodes[1]
+    north, south = cluster.servers[0], cluster.servers[1]
     assert await north.serves("acme")
     assert not await north.serves("new")
     assert await north.serves("only-north")
     assert not await south.serves("only-north")
     assert await south.serves("only-south")
-    assert "1 changes taken" in await made.put(tenant("new", portion=1))
-    await made.reaches()
-    assert all([await node.serves("new") for node in made.nodes])
-    await made.put(without("acme"), tenant("blue", scope="north", portion=9))
-    await made.reaches()
-    assert not any([await node.serves("acme") for node in made.nodes])
-    # Control machines of the own region are followed.
-    await patiently(
-        lambda: follows(made) == {"n0": "c0", "n1": "c1", "n2": "c0", "n3": "c1"},
-        lambda: follows(made),
+    assert "1 changes taken" in await cluster.put(tenant_change("new", portion=1))
+    await cluster.wait_until_in_force()
+    assert all([await server.serves("new") for server in cluster.servers])
+    await cluster.put(tenant_deletion("acme"), tenant_change("blue", scope="north", portion=9))
+    await cluster.wait_until_in_force()
+    assert not any([await server.serves("acme") for server in cluster.servers])
+    # Each server follows the control machine of its region.
+    await wait_for(
+        lambda: upstream_names(cluster) == {"n0": "c0", "n1": "c1", "n2": "c0", "n3": "c1"},
+        lambda: upstream_names(cluster),
     )
 
-    said = await made.command(north, "show")
-    assert "n0 (server, north): epoch" in said
-    assert "current, surely the newest" in said
-    assert "follows c0" in said
-    await patiently(lambda: made.machines[0].state()["behind"] == 0)
-    said = await made.command(made.machines[0], "show")
+    output = await cluster.command(north, "show")
+    assert "n0 (server, north): epoch" in output
+    assert "current, surely the newest" in output
+    assert "follows c0" in output
+    await wait_for(lambda: cluster.control_machines[0].state()["behind"] == 0)
+    output = await cluster.command(cluster.control_machines[0], "show")
     assert (
-        "c0 (control, north): epoch" in said and "2 of at most 400 follow, 0 of them behind" in said
-    ), said
+        "c0 (control, north): epoch" in output
+        and "2 of at most 400 follow, 0 of them behind" in output
+    ), output
     assert (
-        json.loads(await made.command(made.machines[0], "show", "--json"))["lowest_revision"]
-        == made.head()[1]
+        json.loads(await cluster.command(cluster.control_machines[0], "show", "--json"))[
+            "lowest_revision"
+        ]
+        == cluster.head()[1]
     )
-    # A server asks whom it follows, a control machine its store. Who asks has no door in the relay.
+    # `explain` asks the upstreams of a server, and the store of a control machine. The command has
+    # no address in the relay, so it is given the control machine's own address.
     path = north.folder / "operator.jsonnet"
     path.write_text(
         path.read_text().replace(
-            made.doors["c0"], "%s:%d" % (made.relay.doors["c0"].target or ("", 0))
+            cluster.doors["c0"], "%s:%d" % (cluster.relay.doors["c0"].target or ("", 0))
         )
     )
-    for asked in (north, made.machines[0]):
-        said = await made.command(asked, "explain", "tenant", "blue")
+    for process in (north, cluster.control_machines[0]):
+        output = await cluster.command(process, "explain", "tenant", "blue")
         assert (
-            'tenant blue: {"portion": 9}, of north' in said and "in force" in said.splitlines()[1]
-        ), said
-        assert 'tenant blue: {"portion": 2.5}, of everywhere' in said
-        assert "hidden by the region's own" in said
-        assert "tenant acme: not in force in north" in await made.command(
-            asked, "explain", "tenant", "acme"
+            'tenant blue: {"portion": 9}, of north' in output
+            and "in force" in output.splitlines()[1]
+        ), output
+        assert 'tenant blue: {"portion": 2.5}, of everywhere' in output
+        assert "hidden by the region's own" in output
+        assert "tenant acme: not in force in north" in await cluster.command(
+            process, "explain", "tenant", "acme"
         )
 
 
-@world(control=1, servers=0)
-async def test_a_control_machine_ends_though_its_parent_blocks_the_signals(made: World) -> None:
-    """A mask is handed on to whoever is started; `World` asserts at its end that each ended by
-    itself.
+@with_cluster(control_machines=1, servers=0)
+async def test_a_control_machine_ends_on_signals_that_its_parent_blocks(cluster: Cluster) -> None:
+    """A process inherits its parent's signal mask; if SIGTERM and SIGINT stayed blocked, a control
+    machine could not be stopped. `Cluster` asserts at its end that each one ended by itself.
     """
-    heard = {signal.SIGTERM, signal.SIGINT}
-    before = signal.pthread_sigmask(signal.SIG_BLOCK, heard)
+    blocked = {signal.SIGTERM, signal.SIGINT}
+    before = signal.pthread_sigmask(signal.SIG_BLOCK, blocked)
     try:
-        await made.control(2, ("north",))
+        await cluster.add_control_machines(2, ("north",))
     finally:
         signal.pthread_sigmask(signal.SIG_SETMASK, before)
-    first, second = made.machines[1:]
+    first, second = cluster.control_machines[1:]
     first.signal(signal.SIGTERM)
     second.signal(signal.SIGINT)
-    assert [await within_timeout(one.process.wait()) for one in (first, second)] == [0, 0]
+    assert [await within_timeout(machine.process.wait()) for machine in (first, second)] == [0, 0]
 
 
-@world(1, 1)
-async def test_a_bad_file_is_refused_whole(made: World) -> None:
-    before = made.head()
-    said = await made.put(
-        tenant("good"),
+@with_cluster(1, 1)
+async def test_a_file_with_any_fault_is_refused_completely(cluster: Cluster) -> None:
+    before = cluster.head()
+    output = await cluster.put(
+        tenant_change("good"),
         {"scope": 3, "entries": [{"kind": "tenant", "key": "x", "value": [1]}]},
         {
             "entries": [
@@ -171,195 +183,234 @@
         "line 6: entries: 0, 1 to",
         "nothing was taken",
     ):
-        assert part in said, (part, said)
-    said = await made.put(
+        assert part in output, (part, output)
+    output = await cluster.put(
         {"entries": [{"kind": "tenant", "key": "p", "value": {"portion": -1}}]}, status=2
     )
-    assert "line 1: entries[0].value.portion: -1 is no number over 0" in said
-    assert made.head() == before
-    assert not await made.nodes[0].serves("good")
-
-
-@world(1, 0)
-async def test_a_server_waits_for_its_first_sync_and_then_says_so(made: World) -> None:
-    """Cut off from the start, it serves its configuration's tenants; healed, those of the table."""
-    made.relay.cut({"n0"}, {"c0"})
-    (node,) = await made.add(1, wait_ms=300)
-    assert "event=distribution_not_in_force" in node.log()
-    assert "tenants=1" in node.log()
-    assert await node.serves("acme")
-    assert not await node.serves("blue")
-    await patiently(lambda: node.state().get("state") == "alone")
-    assert node.state()["age_ms"] is None
-    assert node.state()["revision"] is None
-    made.relay.heal()
-    await made.reaches()
-    assert await node.serves("blue")
-
-
-@world(1, 0)
-async def test_a_server_that_waits_for_its_first_sync_can_leave(made: World) -> None:
-    made.relay.cut({"n0"}, {"c0"})
-    with pytest.raises(AssertionError):  # it leaves before it is ready
-        starting = asyncio.create_task(made.add(1, wait_ms=60_000))
-        log = made.folder / "n0" / "log"
-        await patiently(lambda: log.exists() and "event=distribution_opened" in log.read_text())
-        made.nodes[0].signal(signal.SIGTERM)
-        await starting
-    node = made.nodes.pop()
-    assert await within_timeout(node.process.wait()) == 0, node.log()
-    assert "event=stopped" in node.log()
-    assert "level=error" not in node.log()
+    assert "line 1: entries[0].value.portion: -1 is no number over 0" in output
+    assert cluster.head() == before
+    assert not await cluster.servers[0].serves("good")
 
 
-@world(3, 4)
-async def test_a_control_machine_is_killed_and_another_stands_still(made: World) -> None:
-    """Their followers go to another; changes go on meanwhile. What was asleep wakes, and misses
-    nothing.
+@with_cluster(1, 0)
+async def test_a_server_without_a_first_sync_starts_with_its_own_configuration(
+    cluster: Cluster,
+) -> None:
+    """A server cut off from the start serves the tenants of its configuration file; once the cut is
+    healed it serves those of the table.
     """
-    gone = next(one for one in made.machines if one.name == follows(made)["n0"])
-    rest = [at for at, one in enumerate(made.machines) if one is not gone]
-    await gone.kill()
+    cluster.relay.cut({"n0"}, {"c0"})
+    (server,) = await cluster.add_servers(1, wait_ms=300)
+    assert "event=distribution_not_in_force" in server.log()
+    assert "tenants=1" in server.log()
+    assert await server.serves("acme")
+    assert not await server.serves("blue")
+    await wait_for(lambda: server.state().get("state") == "alone")
+    assert server.state()["age_ms"] is None
+    assert server.state()["revision"] is None
+    cluster.relay.heal()
+    await cluster.wait_until_in_force()
+    assert await server.serves("blue")
+
+
+@with_cluster(1, 0)
+async def test_a_server_that_waits_for_its_first_sync_can_be_stopped(cluster: Cluster) -> None:
+    cluster.relay.cut({"n0"}, {"c0"})
+    with pytest.raises(AssertionError):  # the server ends before it is ready
+        starting = asyncio.create_task(cluster.add_servers(1, wait_ms=60_000))
+        log = cluster.folder / "n0" / "log"
+        await wait_for(lambda: log.exists() and "event=distribution_opened" in log.read_text())
+        cluster.servers[0].signal(signal.SIGTERM)
+        await starting
+    server = cluster.servers.pop()
+    assert await within_timeout(server.process.wait()) == 0, server.log()
+    assert "event=stopped" in server.log()
+    assert "level=error" not in server.log()
+
+
+@with_cluster(3, 4)
+async def test_followers_of_killed_and_paused_control_machines_miss_no_change(
+    cluster: Cluster,
+) -> None:
+    """The followers switch to another control machine while changes go on. The paused and the
+    restarted control machine then catch up.
+    """
+    killed = next(
+        machine
+        for machine in cluster.control_machines
+        if machine.name == upstream_names(cluster)["n0"]
+    )
+    remaining = [
+        index for index, machine in enumerate(cluster.control_machines) if machine is not killed
+    ]
+    await killed.kill()
     for n in range(3):
-        await made.put(tenant(f"k{n}"), by=rest[n % 2])
-    await made.reaches()
-    assert all(whom != gone.name for whom in follows(made).values())
-    sleeper = made.machines[rest[0]]
-    sleeper.signal(signal.SIGSTOP)
-    await made.put(tenant("asleep"), without("k0"), by=rest[1])
-    await made.reaches()
-    sleeper.signal(signal.SIGCONT)
-    await gone.start()
-    await made.put(tenant("awake"), by=rest[0])
-    await made.reaches()
-    await patiently(
-        lambda: all(one.state().get("revision") == made.head()[1] for one in made.machines)
+        await cluster.put(tenant_change(f"k{n}"), machine_index=remaining[n % 2])
+    await cluster.wait_until_in_force()
+    assert all(upstream != killed.name for upstream in upstream_names(cluster).values())
+    paused = cluster.control_machines[remaining[0]]
+    paused.signal(signal.SIGSTOP)
+    await cluster.put(tenant_change("asleep"), tenant_deletion("k0"), machine_index=remaining[1])
+    await cluster.wait_until_in_force()
+    paused.signal(signal.SIGCONT)
+    await killed.start()
+    await cluster.put(tenant_change("awake"), machine_index=remaining[0])
+    await cluster.wait_until_in_force()
+    await wait_for(
+        lambda: all(
+            machine.state().get("revision") == cluster.head()[1]
+            for machine in cluster.control_machines
+        )
     )
 
 
-@world(2, 4)
-async def test_servers_are_killed_paused_and_woken(made: World) -> None:
-    killed, paused = made.nodes[0], made.nodes[1]
+@with_cluster(2, 4)
+async def test_killed_and_paused_servers_catch_up(cluster: Cluster) -> None:
+    killed, paused = cluster.servers[0], cluster.servers[1]
     await killed.kill()
     paused.signal(signal.SIGSTOP)
-    await made.put(tenant("while-away"), without("acme"))
-    await made.reaches(*made.nodes[2:])
+    await cluster.put(tenant_change("while-away"), tenant_deletion("acme"))
+    await cluster.wait_until_in_force(*cluster.servers[2:])
     await killed.begin()
-    await made.reaches(killed)
+    await cluster.wait_until_in_force(killed)
     assert await killed.serves("while-away")
     paused.signal(signal.SIGCONT)
-    await made.reaches(paused)
+    await cluster.wait_until_in_force(paused)
     assert await paused.serves("while-away")
     assert not await paused.serves("acme")
-    assert paused.log().count("event=config_synced") == 1, "it was to catch up by changes"
+    assert paused.log().count("event=config_synced") == 1, (
+        "the paused server caught up by a sync instead of by changes"
+    )
 
 
-@world(2, 4, regions=("north", "south"))
-async def test_a_region_is_cut_off_and_catches_up_in_order(made: World) -> None:
-    """It serves on with what it has, and knows how old that is; first a full cut, then one way
-    only.
+@with_cluster(2, 4, regions=("north", "south"))
+async def test_a_region_that_was_cut_off_catches_up_in_order(cluster: Cluster) -> None:
+    """The region keeps its table in force and reports its age; first with a cut in both directions,
+    then in one direction only.
     """
-    north = {one.name for one in (*made.nodes, *made.machines) if one.region == "north"}
-    south = {one.name for one in (*made.nodes, *made.machines)} - north
-    cut = [node for node in made.nodes if node.region == "south"]
-    for both in (True, False):
-        made.relay.cut(south, {"c0"})
-        # Its own control machine is cut from it as well, so that nobody tells it anything.
-        made.relay.cut({"c1"}, {node.name for node in cut}, both)
-        before = cut[0].state()["revision"]
-        await made.put(tenant(f"cut-{both}"), tenant("south-too", scope="south", at=both))
-        await made.put(tenant("more", both=both))
-        await made.reaches(*(node for node in made.nodes if node not in cut))
-        await patiently(
+    north = {
+        process.name
+        for process in (*cluster.servers, *cluster.control_machines)
+        if process.region == "north"
+    }
+    south = {process.name for process in (*cluster.servers, *cluster.control_machines)} - north
+    isolated = [server for server in cluster.servers if server.region == "south"]
+    for is_both_ways in (True, False):
+        cluster.relay.cut(south, {"c0"})
+        # The region's own control machine is cut off from its servers as well, so that no change
+        # reaches them.
+        cluster.relay.cut({"c1"}, {server.name for server in isolated}, is_both_ways)
+        before = isolated[0].state()["revision"]
+        await cluster.put(
+            tenant_change(f"cut-{is_both_ways}"),
+            tenant_change("south-too", scope="south", at=is_both_ways),
+        )
+        await cluster.put(tenant_change("more", both=is_both_ways))
+        await cluster.wait_until_in_force(
+            *(server for server in cluster.servers if server not in isolated)
+        )
+        await wait_for(
             lambda: all(
-                node.state()["state"] == "alone" and node.state()["age_ms"] > 2000 for node in cut
+                server.state()["state"] == "alone" and server.state()["age_ms"] > 2000
+                for server in isolated
             ),
-            lambda: [node.state() for node in cut],
+            lambda: [server.state() for server in isolated],
         )
-        assert all(node.state()["revision"] == before for node in cut)
-        assert await cut[0].serves("acme")
-        assert not await cut[0].serves(f"cut-{both}")
-        made.relay.heal()
-        await made.reaches()
-        await patiently(
+        assert all(server.state()["revision"] == before for server in isolated)
+        assert await isolated[0].serves("acme")
+        assert not await isolated[0].serves(f"cut-{is_both_ways}")
+        cluster.relay.heal()
+        await cluster.wait_until_in_force()
+        await wait_for(
             lambda: all(
-                node.state()["state"] == "current" and node.state()["age_ms"] < 2000 for node in cut
+                server.state()["state"] == "current" and server.state()["age_ms"] < 2000
+                for server in isolated
             ),
-            lambda: [node.state() for node in cut],
+            lambda: [server.state() for server in isolated],
         )
-        assert await cut[0].serves(f"cut-{both}")
-        assert await cut[0].serves("south-too")
-    assert all(node.log().count("event=config_synced") == 1 for node in cut)
+        assert await isolated[0].serves(f"cut-{is_both_ways}")
+        assert await isolated[0].serves("south-too")
+    assert all(server.log().count("event=config_synced") == 1 for server in isolated)
 
 
-@world(2, 3, postgres=True)
-async def test_the_store_is_away_for_a_while(made: World) -> None:
-    """What is in force stays, and its age grows; nothing is put, and that is said. Then it goes
-    on.
+@with_cluster(2, 3, postgres=True)
+async def test_an_unavailable_store_delays_changes_and_loses_none(cluster: Cluster) -> None:
+    """While the store is unavailable the table stays in force and its age grows; a put waits until
+    the store is back. A put whose commit is not acknowledged is written once.
     """
-    assert made.postgres is not None
-    address = made.postgres.address
-    await made.postgres.stop()
-    await patiently(lambda: all(one.state()["store_away"] for one in made.machines))
-    await patiently(lambda: all(one.state()["follows"] is not None for one in made.machines))
-    await patiently(
-        lambda: all(node.state()["age_ms"] > 3000 for node in made.nodes),
-        lambda: [node.state() for node in made.nodes],
+    assert cluster.postgres is not None
+    address = cluster.postgres.address
+    await cluster.postgres.stop()
+    await wait_for(
+        lambda: all(machine.state()["store_away"] for machine in cluster.control_machines)
+    )
+    await wait_for(
+        lambda: all(machine.state()["follows"] is not None for machine in cluster.control_machines)
+    )
+    await wait_for(
+        lambda: all(server.state()["age_ms"] > 3000 for server in cluster.servers),
+        lambda: [server.state() for server in cluster.servers],
     )
-    assert all([await node.serves("acme") for node in made.nodes])
-    putting = asyncio.create_task(made.put(tenant("late")))  # tries for a while
+    assert all([await server.serves("acme") for server in cluster.servers])
+    pending_put = asyncio.create_task(
+        cluster.put(tenant_change("late"))
+    )  # it retries while the store is unavailable
     await asyncio.sleep(0.5)
-    assert not putting.done()
-    await made.postgres.start(address)
-    assert "1 changes taken" in await putting
-    await made.reaches()
-    await patiently(
+    assert not pending_put.done()
+    await cluster.postgres.start(address)
+    assert "1 changes taken" in await pending_put
+    await cluster.wait_until_in_force()
+    await wait_for(
         lambda: all(
-            one.state()["follows"] is None and not one.state()["store_away"]
-            for one in made.machines
+            machine.state()["follows"] is None and not machine.state()["store_away"]
+            for machine in cluster.control_machines
         )
     )
-    await patiently(lambda: all(node.state()["age_ms"] < 2000 for node in made.nodes))
-    made.postgres.orders.reset_after_commit = 1  # taken, and nobody is told
-    revision = made.head()[1]
-    await made.put(tenant("once"))
-    assert made.head()[1] == revision + 1
-    made.postgres.orders.hang = True
-    await patiently(lambda: all(one.state()["store_away"] for one in made.machines))
-    made.postgres.orders.hang = False
-
-
-@world(3, 3)
-async def test_one_control_machine_has_no_way_to_the_store(made: World) -> None:
-    """It follows its peers; who follows it gets every change, and an age that is told."""
-    lost = made.machines[0]
-    await lost.stop()
-    lost.has_store = False
-    await lost.start()
-    made.relay.cut({node.name for node in made.nodes}, {"c1", "c2"})
-    await patiently(lambda: set(follows(made).values()) == {"c0"}, lambda: follows(made))
-    await made.put(tenant("by-peers"), by=1)
-    await made.reaches()
-    assert lost.state()["role"] == "relay"
-    assert all(node.state()["age_ms"] < 5000 for node in made.nodes)
-    await patiently(lambda: lost.state()["followers"] == 3)
-    made.relay.heal()
-
-
-@world(2, 2)
-async def test_two_put_at_once_and_one_is_killed(made: World) -> None:
-    """Each revision is written once, whoever writes; of a file whose put is killed a beginning was
-    taken.
+    await wait_for(lambda: all(server.state()["age_ms"] < 2000 for server in cluster.servers))
+    cluster.postgres.orders.reset_after_commit = 1  # committed, but the reply is lost
+    revision = cluster.head()[1]
+    await cluster.put(tenant_change("once"))
+    assert cluster.head()[1] == revision + 1
+    cluster.postgres.orders.hang = True
+    await wait_for(
+        lambda: all(machine.state()["store_away"] for machine in cluster.control_machines)
+    )
+    cluster.postgres.orders.hang = False
+
+
+@with_cluster(3, 3)
+async def test_a_control_machine_without_a_store_follows_its_peers(cluster: Cluster) -> None:
+    """Its followers get every change by way of its peers, and an age that is still low."""
+    machine = cluster.control_machines[0]
+    await machine.stop()
+    machine.has_store = False
+    await machine.start()
+    cluster.relay.cut({server.name for server in cluster.servers}, {"c1", "c2"})
+    await wait_for(
+        lambda: set(upstream_names(cluster).values()) == {"c0"}, lambda: upstream_names(cluster)
+    )
+    await cluster.put(tenant_change("by-peers"), machine_index=1)
+    await cluster.wait_until_in_force()
+    assert machine.state()["role"] == "relay"
+    assert all(server.state()["age_ms"] < 5000 for server in cluster.servers)
+    await wait_for(lambda: machine.state()["followers"] == 3)
+    cluster.relay.heal()
+
+
+@with_cluster(2, 2)
+async def test_concurrent_and_killed_puts_write_each_revision_once(cluster: Cluster) -> None:
+    """Two concurrent puts write each revision once; of the file of a killed put the first changes
+    were written.
     """
     files = []
     for name, count in (("one", 300), ("two", 300), ("three", 1500)):
-        files.append(made.folder / f"{name}.jsonl")
+        files.append(cluster.folder / f"{name}.jsonl")
         files[-1].write_text(
-            "".join(json.dumps(tenant(f"{name}-{n}")) + "\n" for n in range(count))
+            "".join(json.dumps(tenant_change(f"{name}-{n}")) + "\n" for n in range(count))
         )
-    before = made.head()[1]
+    before = cluster.head()[1]
 
-    async def put(file: Path, by: int) -> asyncio.subprocess.Process:
+    async def put(file: Path, machine_index: int) -> asyncio.subprocess.Process:
         return await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -368,7 +419,7 @@
             "put",
             str(file),
             "-o",
-            str(made.machines[by].folder / "operator.jsonnet"),
+            str(cluster.control_machines[machine_index].folder / "operator.jsonnet"),
             cwd=ROOT,
             stdout=asyncio.subprocess.DEVNULL,
         )
@@ -377,178 +428,191 @@
         put(files[0], 0), put(files[1], 1), put(files[2], 0)
     )
 
-    def taken(name: str) -> int:
-        ((count,),) = made.rows(
+    def item_count(name: str) -> int:
+        ((count,),) = cluster.rows(
             f"SELECT count(*) FROM distribution_entry WHERE CAST(key AS TEXT) GLOB '{name}-*'"
         )
         return int(count)
 
-    await patiently(lambda: taken("three") > 10)
+    await wait_for(lambda: item_count("three") > 10)
     killed.kill()
     await killed.wait()
     assert await within_timeout(first.wait()) == 0 == await within_timeout(second.wait())
-    assert taken("one") == taken("two") == 300
-    part = taken("three")
-    assert 10 < part < 1500
-    assert made.head()[1] == before + 600 + part
+    assert item_count("one") == item_count("two") == 300
+    written = item_count("three")
+    assert 10 < written < 1500
+    assert cluster.head()[1] == before + 600 + written
     revisions = [
-        one for (one,) in made.rows("SELECT revision FROM distribution_change ORDER BY revision")
+        revision
+        for (revision,) in cluster.rows(
+            "SELECT revision FROM distribution_change ORDER BY revision"
+        )
     ]
-    assert revisions == list(range(1, made.head()[1] + 1))
-    for name, count in (("one", 300), ("two", 300), ("three", part)):
-        made.model.update({("", "tenant", f"{name}-{n}"): {} for n in range(count)})
+    assert revisions == list(range(1, cluster.head()[1] + 1))
+    for name, count in (("one", 300), ("two", 300), ("three", written)):
+        cluster.expected_items.update({("", "tenant", f"{name}-{n}"): {} for n in range(count)})
 
 
-@world(1, 1, parts={"levels": {}, "metrics": {"every_ms": 200}})
-async def test_levels_and_metrics_know_of_it(made: World) -> None:
-    """Reads are held against the shares of the table; what is in force stands in the metrics."""
-    node = made.nodes[0]
+@with_cluster(1, 1, operator_parts={"levels": {}, "metrics": {"every_ms": 200}})
+async def test_service_levels_and_metrics_use_the_table(cluster: Cluster) -> None:
+    """Service levels run with the table's tenant shares, and metrics report the table."""
+    server = cluster.servers[0]
     for _ in range(20):
-        assert await node.serves("blue")
-        assert not await node.serves("nobody")
-    await made.put(without("blue"))
-    await made.reaches()
-    assert not await node.serves("blue")
-    assert await node.serves("acme")
-    revision, text = made.head()[1], node.folder / "metrics"
-    await patiently(
-        lambda: f"burlloom_distribution_revision {float(revision)}\n" in text.read_text(),
-        text.read_text,
+        assert await server.serves("blue")
+        assert not await server.serves("nobody")
+    await cluster.put(tenant_deletion("blue"))
+    await cluster.wait_until_in_force()
+    assert not await server.serves("blue")
+    assert await server.serves("acme")
+    revision, metrics_file = cluster.head()[1], server.folder / "metrics"
+    await wait_for(
+        lambda: f"burlloom_distribution_revision {float(revision)}\n" in metrics_file.read_text(),
+        metrics_file.read_text,
     )
-    said = text.read_text()
-    assert "burlloom_distribution_in_force 1.0" in said
-    assert "burlloom_distribution_tenants 2.0" in said
-    assert "burlloom_levels_level" in said
-    assert "burlloom_distribution_taken_total 1.0" in said
-    (age,) = re.findall(r"^burlloom_distribution_age_seconds (\S+)$", said, re.MULTILINE)
-    assert 0 <= float(age) < 5
-
-
-@world(2, 3)
-async def test_letters_lost_late_doubled_and_played_again(made: World) -> None:
-    made.relay.loss, made.relay.doubles, made.relay.delay = 0.05, 0.2, (0.0, 0.03)
+    output = metrics_file.read_text()
+    assert "burlloom_distribution_in_force 1.0" in output
+    assert "burlloom_distribution_tenants 2.0" in output
+    assert "burlloom_levels_level" in output
+    assert "burlloom_distribution_taken_total 1.0" in output
+    (age_seconds,) = re.findall(r"^burlloom_distribution_age_seconds (\S+)$", output, re.MULTILINE)
+    assert 0 <= float(age_seconds) < 5
+
+
+@with_cluster(2, 3)
+async def test_letters_lost_late_doubled_and_played_again(cluster: Cluster) -> None:
+    cluster.relay.loss, cluster.relay.doubles, cluster.relay.delay = 0.05, 0.2, (0.0, 0.03)
     for n in range(4):
-        await made.put(
-            *(tenant(f"t{n}-{at}", n=n) for at in range(20)),
-            *(without(f"t{n - 1}-{at}") for at in range(10) if n),
+        await cluster.put(
+            *(tenant_change(f"t{n}-{at}", n=n) for at in range(20)),
+            *(tenant_deletion(f"t{n - 1}-{at}") for at in range(10) if n),
         )
-    await made.reaches()
-    made.relay.loss = made.relay.doubles = 0.0
-    made.relay.again()
+    await cluster.wait_until_in_force()
+    cluster.relay.loss = cluster.relay.doubles = 0.0
+    cluster.relay.again()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         for size in (0, 1, 16, 17, 100, 1400, 1500, 9000):
-            for door in made.relay.doors.values():
+            for door in cluster.relay.doors.values():
                 stranger.sendto(secrets.token_bytes(size), door.target or ("", 0))
-    await made.put(tenant("after"))
-    await made.reaches()
-    for one in (*made.nodes, *made.machines):
-        await patiently(lambda: sum(one.state()["counts"]["refused"].values()) > 5)
-
-
-@world(1, 2, wait_ms=500)
-async def test_foreign_keys_are_refused_and_counted(made: World) -> None:
-    """A server with another key is not told anything; a change that is chained with another is not
-    believed.
+    await cluster.put(tenant_change("after"))
+    await cluster.wait_until_in_force()
+    for one in (*cluster.servers, *cluster.control_machines):
+        await wait_for(lambda: sum(one.state()["counts"]["refused"].values()) > 5)
+
+
+@with_cluster(1, 2, wait_ms=500)
+async def test_messages_and_changes_with_foreign_keys_are_refused_and_counted(
+    cluster: Cluster,
+) -> None:
+    """A server with another sealing key gets no answer, and a change signed with another key is
+    refused.
     """
-    right = made.key
-    made.key = made.folder / "other"
-    made.key.write_text("aa" * 32 + "\n")
-    (stranger,) = await made.add(1, wait_ms=500)
-    made.key = right
+    sealing_key_path = cluster.sealing_key_path
+    cluster.sealing_key_path = cluster.folder / "other"
+    cluster.sealing_key_path.write_text("aa" * 32 + "\n")
+    (stranger,) = await cluster.add_servers(1, wait_ms=500)
+    cluster.sealing_key_path = sealing_key_path
     reason = "not sealed with our key"
-    await patiently(lambda: made.machines[0].state()["counts"]["refused"].get(reason, 0) > 2)
+    await wait_for(
+        lambda: cluster.control_machines[0].state()["counts"]["refused"].get(reason, 0) > 2
+    )
     assert "event=distribution_not_in_force" in stranger.log()
-    assert f"reason='{reason}'" in made.machines[0].log()
-    assert "n2" not in made.machines[0].log()
+    assert f"reason='{reason}'" in cluster.control_machines[0].log()
+    assert "n2" not in cluster.control_machines[0].log()
     assert stranger.state()["revision"] is None
-    await patiently(lambda: stranger.state()["state"] == "alone", stranger.state)
-    assert f": {reason}" in await made.command(made.machines[0], "show")
-    made.nodes.remove(stranger)
-    for task in stranger.working:
+    await wait_for(lambda: stranger.state()["state"] == "alone", stranger.state)
+    assert f": {reason}" in await cluster.command(cluster.control_machines[0], "show")
+    cluster.servers.remove(stranger)
+    for task in stranger.tasks:
         task.cancel()
     await stranger.__aexit__(None)
 
-    # Sealed with the right key, but chained with another: by the protocol's letter, without the
+    # A change sealed with the right key but signed with another one, encoded here without the
     # program's code.
     import msgpack
 
-    node = made.nodes[0]
-    epoch, revision = made.head()
+    server = cluster.servers[0]
+    epoch, revision = cluster.head()
     body = msgpack.packb([["tenant", "evil", msgpack.packb({})]])
-    ((before,),) = made.rows(f"SELECT tag FROM distribution_change WHERE revision = {revision}")
+    ((before,),) = cluster.rows(f"SELECT tag FROM distribution_change WHERE revision = {revision}")
     digest = hashlib.blake2b(body, digest_size=16).digest()
     time_ms = 4_000_000_000_000
-    chained = bytes(before) + b"%d %d %d " % (epoch, revision + 1, time_ms) + digest
-    for key, refused in ((b"\xaa" * 32, True), (bytes.fromhex(SIGNING), False)):
-        tag = hashlib.blake2b(chained, key=key, digest_size=16).digest()
+    tag_input = bytes(before) + b"%d %d %d " % (epoch, revision + 1, time_ms) + digest
+    for key, is_foreign in ((b"\xaa" * 32, True), (bytes.fromhex(SIGNING_KEY), False)):
+        tag = hashlib.blake2b(tag_input, key=key, digest_size=16).digest()
         text = msgpack.packb(
             [1, 2, "c0", 1, 0, epoch, revision + 1, time_ms, "", body, tag, digest]
         )
-        letter = hashlib.blake2b(text, key=bytes.fromhex(KEY), digest_size=16).digest() + text
-        if not refused:
-            break  # whoever has both keys is one of us: it is not sent
+        datagram = (
+            hashlib.blake2b(text, key=bytes.fromhex(SEALING_KEY), digest_size=16).digest() + text
+        )
+        if not is_foreign:
+            break  # a holder of both keys may write changes, so this one is not sent
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
-            sender.sendto(letter, made.relay.doors[node.name].target or ("", 0))
-        await patiently(
+            sender.sendto(datagram, cluster.relay.doors[server.name].target or ("", 0))
+        await wait_for(
             lambda: (
-                node.state()["counts"]["refused"].get("tag does not continue the chain", 0) == 1
+                server.state()["counts"]["refused"].get("tag does not continue the chain", 0) == 1
             ),
-            lambda: node.state(),
+            lambda: server.state(),
         )
-    assert not await node.serves("evil")
-    assert node.state()["revision"] == revision
+    assert not await server.serves("evil")
+    assert server.state()["revision"] == revision
 
 
-@world(1, 2)
-async def test_keys_change_while_all_runs(made: World) -> None:
-    new = "bb" * 32
-    for keys in ((KEY, new), (new, KEY), (new,)):
-        made.key.write_text("\n".join(keys) + "\n")
-        await patiently(
+@with_cluster(1, 2)
+async def test_keys_are_rotated_without_a_restart(cluster: Cluster) -> None:
+    new_key = "bb" * 32
+    for keys in ((SEALING_KEY, new_key), (new_key, SEALING_KEY), (new_key,)):
+        cluster.sealing_key_path.write_text("\n".join(keys) + "\n")
+        await wait_for(
             lambda: all(
-                f"event=config_keys_reloaded what=seals count={len(keys)}" in one.log()
+                f"event=config_keys_reloaded what=seals count={len(keys)}" in process.log()
                 or len(keys) == 2
-                and keys[0] == new
-                for one in (*made.nodes, *made.machines)
+                and keys[0] == new_key
+                for process in (*cluster.servers, *cluster.control_machines)
             )
         )
-        if keys[0] == new and len(keys) == 2:
-            await asyncio.sleep(1.2)  # read each second, and the order alone is not told
-        await made.put(tenant(f"{len(keys)}-{keys[0][:2]}"))
-        await made.reaches()
-
-
-@world(2, 2)
-async def test_a_store_that_is_put_back_begins_an_epoch(made: World) -> None:
-    """Revisions that were given before are not believed a second time: all sync anew, and what was
-    lost is gone.
+        if keys[0] == new_key and len(keys) == 2:
+            await asyncio.sleep(
+                1.2
+            )  # key files are read each second, and a change of the keys' order alone shows in no log line
+        await cluster.put(tenant_change(f"{len(keys)}-{keys[0][:2]}"))
+        await cluster.wait_until_in_force()
+
+
+@with_cluster(2, 2)
+async def test_a_restored_store_begins_a_new_epoch(cluster: Cluster) -> None:
+    """A restored store would assign revisions a second time. A new epoch makes all servers sync, and
+    the changes lost by the restore are gone everywhere.
     """
-    await made.put(tenant("kept"))
-    await made.reaches()
-    model = dict(made.model)
-    copy = made.folder / "copy.db"
-    made.rows("PRAGMA wal_checkpoint(TRUNCATE)")
-    made.rows(f"VACUUM INTO '{copy}'")
-    await made.put(tenant("lost"), tenant("lost-too"))
-    await made.reaches()
-    epoch, _ = made.head()
-    for one in made.machines:  # nobody looks while the files are moved
-        one.signal(signal.SIGSTOP)
-    for tail in ("-wal", "-shm"):
-        Path(str(made.store_file()) + tail).unlink(missing_ok=True)
-    made.store_file().unlink()
-    copy.rename(made.store_file())
-    made.model = model
-    for one in made.machines:
-        one.signal(signal.SIGCONT)
-    await patiently(lambda: made.head()[0] > epoch)
-    await made.reaches()
-    assert not await made.nodes[0].serves("lost")
-    assert await made.nodes[0].serves("kept")
-    await made.put(tenant("new"))
-
-
-def test_keys_are_made(tmp_path: Path) -> None:
+    await cluster.put(tenant_change("kept"))
+    await cluster.wait_until_in_force()
+    expected_items = dict(cluster.expected_items)
+    copy = cluster.folder / "copy.db"
+    cluster.rows("PRAGMA wal_checkpoint(TRUNCATE)")
+    cluster.rows(f"VACUUM INTO '{copy}'")
+    await cluster.put(tenant_change("lost"), tenant_change("lost-too"))
+    await cluster.wait_until_in_force()
+    epoch, _ = cluster.head()
+    for (
+        machine
+    ) in cluster.control_machines:  # no process polls the store while the files are replaced
+        machine.signal(signal.SIGSTOP)
+    for suffix in ("-wal", "-shm"):
+        Path(str(cluster.store_file()) + suffix).unlink(missing_ok=True)
+    cluster.store_file().unlink()
+    copy.rename(cluster.store_file())
+    cluster.expected_items = expected_items
+    for machine in cluster.control_machines:
+        machine.signal(signal.SIGCONT)
+    await wait_for(lambda: cluster.head()[0] > epoch)
+    await cluster.wait_until_in_force()
+    assert not await cluster.servers[0].serves("lost")
+    assert await cluster.servers[0].serves("kept")
+    await cluster.put(tenant_change("new"))
+
+
+def test_the_key_command_appends_keys_to_a_private_file(tmp_path: Path) -> None:
     path = tmp_path / "key"
     assert "1 keys" in burlloom("distribution", "key", path)
     assert "2 keys" in burlloom("distribution", "key", path)
@@ -556,7 +620,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "said"),
+    ("settings", "expected"),
     [
         ({"listen": "here:1"}, ["distribution.listen: "]),
         ({"region": "a b"}, ["distribution.region: "]),
@@ -589,16 +653,18 @@
         ({"store": {}}, ["distribution.store: one store is wanted"]),
     ],
 )
-def test_files_that_can_not_be(tmp_path: Path, told: dict[str, Any], said: list[str]) -> None:
-    """All faults at once, each with its place."""
-    for name, key in (("key", KEY), ("signing", SIGNING), ("short", "aa")):
+def test_an_invalid_operator_file_is_refused_with_all_faults(
+    tmp_path: Path, settings: dict[str, Any], expected: list[str]
+) -> None:
+    """All faults are reported at once, each with its place."""
+    for name, key in (("key", SEALING_KEY), ("signing", SIGNING_KEY), ("short", "aa")):
         (tmp_path / name).write_text(key)
     path = tmp_path / "operator.jsonnet"
-    told = {
-        **told,
+    settings = {
+        **settings,
         **(
             {"signing_key_file": str(tmp_path / "short")}
-            if told.get("signing_key_file") == "short"
+            if settings.get("signing_key_file") == "short"
             else {}
         ),
     }
@@ -610,13 +676,13 @@
                     "region": "north",
                     "key_file": str(tmp_path / "key"),
                     "signing_key_file": str(tmp_path / "signing"),
-                    **told,
+                    **settings,
                 }
             }
         )
     )
-    with pytest.raises(OperatorFileError) as refused:
+    with pytest.raises(OperatorFileError) as caught:
         load(path)
-    for part in said:
-        assert any(part in line for line in refused.value.lines), (part, refused.value.lines)
-    assert len(refused.value.lines) >= len(said)
+    for part in expected:
+        assert any(part in line for line in caught.value.lines), (part, caught.value.lines)
+    assert len(caught.value.lines) >= len(expected)
