--- a/burlloom/distribution/control_node.py
+++ b/burlloom/distribution/control_node.py
@@ -214,15 +214,15 @@
         self.counts.loads += 1
         log.info("event=config_table_loaded epoch=%d revision=%d", head.epoch, head.revision)
 
-    def on_epoch_begun(self, seen: Head, own: Head) -> None:
+    def on_epoch_begun(self, store_head: Head, own_head: Head) -> None:
         """Counts and logs that a new epoch was begun because the store had been restored."""
         self.counts.renewals += 1
         log.warning(
             "event=config_epoch_begun was=%d store_had=%d we_had=%d"
             " detail='the store was restored to an earlier state'",
-            seen.epoch,
-            seen.revision,
-            own.revision,
+            store_head.epoch,
+            store_head.revision,
+            own_head.revision,
         )
 
     # Timers and datagrams.
--- a/burlloom/distribution/follower.py
+++ b/burlloom/distribution/follower.py
@@ -365,9 +365,9 @@
             self.pull_sent_at = -1
         elif sender.number not in self.reports:
             return "HEAD that was not requested"
-        return self._take_head(now, sender, status)
+        return self._handle_upstream_head(now, sender, status)
 
-    def _take_head(self, now: int, sender: Sender, status: HeadStatus) -> str:
+    def _handle_upstream_head(self, now: int, sender: Sender, status: HeadStatus) -> str:
         """Handles the upstream's HEAD; returns why the upstream can't be followed, or ""."""
         self.last_answer_at, self.has_answered = now, True
         self.upstream_incarnation = sender.incarnation
@@ -380,7 +380,7 @@
         if self.upstream_is_stale() != is_stale:
             next_heartbeat_at = now + self.jittered(self.settings.heartbeat_ns)
             self.next_probe_at = min(self.next_probe_at, next_heartbeat_at)
-        self._keep_head(sender.number, status)
+        self._store_upstream_head(sender.number, status)
         if report_sent_at is not None and status.age_ms is not None:
             newest_at = report_sent_at - status.age_ms * NS_PER_MS
             self.pending_ages.append((status.head.epoch, status.head.revision, newest_at))
@@ -388,7 +388,7 @@
         self.handle(now, Input.HEAD)
         return ""
 
-    def _keep_head(self, number: int, status: HeadStatus) -> None:
+    def _store_upstream_head(self, number: int, status: HeadStatus) -> None:
         """Remembers the upstream's head, and the latest revision that it is known to have."""
         previous = self.upstream_head
         went_back = (
@@ -636,7 +636,7 @@
     def pull_changes(self, now: int) -> None:
         """Requests the next changes, unless they were requested just now."""
         tip = self.tip()
-        if tip is None or tip.revision >= self.wanted_revision():
+        if tip is None or tip.revision >= self.latest_known_revision():
             self.pull_sent_at = -1
             return
         if (
@@ -654,7 +654,7 @@
             ),
             MAX_PULL_CHANGES,
         )
-        change_count = max(1, min(change_count, self.wanted_revision() - tip.revision))
+        change_count = max(1, min(change_count, self.latest_known_revision() - tip.revision))
         self.counts.pulls += 1
         self.pull_sent_at, self.pull_up_to_revision = now, tip.revision + change_count
         self.pull_retry_at = now + self.jittered(self.settings.request_retry_ns)
@@ -662,7 +662,7 @@
             self.upstream, PullRequest(tip.epoch, tip.revision, change_count)
         )
 
-    def wanted_revision(self) -> int:
+    def latest_known_revision(self) -> int:
         """Returns the latest revision known to exist."""
         return max(self.latest_revision, self.sync.target_revision if self.sync is not None else 0)
 
--- a/burlloom/distribution/settings.py
+++ b/burlloom/distribution/settings.py
@@ -44,13 +44,13 @@
 
     def faults(self) -> list[str]:
         """Returns all invalid values, each with its field; empty if the settings are valid."""
-        found = [
-            f"{name}: {getattr(self, name)}, 1 at least"
+        faults = [
+            f"{name}: {getattr(self, name)}, must be at least 1"
             for name in self.__slots__
             if getattr(self, name) < 1
         ]
         if self.request_retry_ns >= self.upstream_timeout_ns:
-            found.append("request_retry_ns: not under upstream_timeout_ns")
+            faults.append("request_retry_ns: must be less than upstream_timeout_ns")
         if self.heartbeat_ns >= min(self.upstream_timeout_ns, self.lease_ns):
-            found.append("heartbeat_ns: not under upstream_timeout_ns and lease_ns")
-        return found
+            faults.append("heartbeat_ns: must be less than upstream_timeout_ns and lease_ns")
+        return faults
--- a/burlloom/distribution/source.py
+++ b/burlloom/distribution/source.py
@@ -170,10 +170,10 @@
                 if lease.expires_at <= now:
                     continue
                 if lease.scopes is None or change.scope in lease.scopes:
-                    self.post(lease.address, with_body)
+                    self.enqueue(lease.address, with_body)
                 else:
                     without_body = without_body or self.sealed_change(change, False)
-                    self.post(lease.address, without_body)
+                    self.enqueue(lease.address, without_body)
                 self.counts.pushed += 1
 
     def sealed_change(self, change: Change, with_body: bool) -> bytes:
@@ -257,12 +257,14 @@
 
     def reason_not_to_serve(self, body: Report) -> str:
         """Returns the reason for redirecting a follower with that report; "" if it is served."""
-        held = self.replica.table.scopes
+        held_scopes = self.replica.table.scopes
         if self.is_draining:
             return "leaving"
         if self.replica.head is None:
             return "nothing here yet"
-        if held is not None and (body.scopes is None or not set(body.scopes) <= set(held)):
+        if held_scopes is not None and (
+            body.scopes is None or not set(body.scopes) <= set(held_scopes)
+        ):
             return "scopes that are not held here"
         return ""
 
@@ -329,7 +331,7 @@
         for change in changes or ():
             self.counts.pulled += 1
             with_body = lease.scopes is None or change.scope in lease.scopes
-            self.post(lease.address, self.sealed_change(change, with_body))
+            self.enqueue(lease.address, self.sealed_change(change, with_body))
         return ""
 
     def on_digests_request(self, now: int, message: Message, source: Address) -> str:
@@ -405,10 +407,10 @@
     def send(self, to: Address, number: int, body: Body) -> int:
         """Sends a message and returns its size in bytes."""
         data = seal(Sender(self.name, self.incarnation, number), body, self.keys[0])
-        self.post(to, data)
+        self.enqueue(to, data)
         return len(data)
 
-    def post(self, to: Address, data: bytes) -> None:
+    def enqueue(self, to: Address, data: bytes) -> None:
         """Queues a datagram; beyond `MAX_OUTBOX_DATAGRAMS` it is dropped and counted."""
         if len(self.outbox) >= MAX_OUTBOX_DATAGRAMS:
             self.counts.dropped += 1
--- a/burlloom/distribution/stores/change_store.py
+++ b/burlloom/distribution/stores/change_store.py
@@ -54,8 +54,8 @@
     async def item(self, scope: str, kind: str, key: str) -> StoredItem | None:
         """Returns the item of a scope with a key; None if there is none."""
 
-    async def begin_epoch(self, seen: Head, later_than: int) -> bool:
-        """Begins an epoch after `later_than` if `seen` is still the head.
+    async def begin_epoch(self, store_head: Head, later_than: int) -> bool:
+        """Begins an epoch after `later_than` if `store_head` is still the head.
 
         This is needed after a restore of the store, which would otherwise assign revisions a second
         time. The items stay; the log is dropped.
--- a/burlloom/distribution/stores/sql.py
+++ b/burlloom/distribution/stores/sql.py
@@ -183,14 +183,23 @@
             None,
         )
 
-    async def begin_epoch(self, seen: Head, later_than: int) -> bool:
-        """Begins an epoch after `later_than` if `seen` is still the head; returns whether so."""
+    async def begin_epoch(self, store_head: Head, later_than: int) -> bool:
+        """Begins an epoch after `later_than` if `store_head` is the head; returns whether so."""
         now = time.time_ns() // 1_000_000
-        head = initial_head(max(seen.epoch + 1, later_than + 1, now), max(seen.time_ms, now))
+        head = initial_head(
+            max(store_head.epoch + 1, later_than + 1, now), max(store_head.time_ms, now)
+        )
         return await self.transaction(
             (
                 BEGIN_EPOCH,
-                (head.epoch, head.tag, head.time_ms, seen.epoch, seen.revision, seen.tag),
+                (
+                    head.epoch,
+                    head.tag,
+                    head.time_ms,
+                    store_head.epoch,
+                    store_head.revision,
+                    store_head.tag,
+                ),
             ),
             [(DELETE_CHANGES, ())],
         )
--- a/burlloom/distribution/stores/store_follower.py
+++ b/burlloom/distribution/stores/store_follower.py
@@ -29,8 +29,8 @@
     def on_table_loaded(self, head: Head) -> None:
         """Called after the whole table was loaded; `head` is the table's head."""
 
-    def on_epoch_begun(self, seen: Head, own: Head) -> None:
-        """Called after a new epoch was begun, as the store had gone back from `own` to `seen`."""
+    def on_epoch_begun(self, store_head: Head, own_head: Head) -> None:
+        """Called after the store had gone back to `store_head` and a new epoch was begun."""
 
 
 class StoreFollower:
@@ -68,52 +68,53 @@
             self.is_open = True
         # Read before the store's head: otherwise a change that a peer sends in the meantime would
         # make the store look as if it had gone back.
-        own = self.replica.head
+        own_head = self.replica.head
         head = await self.store.head()
-        if own is None:
+        if own_head is None:
             await self.load_table()
-        elif (head.epoch, head.revision) < (own.epoch, own.revision) or (
-            (head.epoch, head.revision) == (own.epoch, own.revision) and head.tag != own.tag
+        elif (head.epoch, head.revision) < (own_head.epoch, own_head.revision) or (
+            (head.epoch, head.revision) == (own_head.epoch, own_head.revision)
+            and head.tag != own_head.tag
         ):
-            await self.begin_epoch(head, own)
-        elif not self.replica.is_complete or head.epoch > own.epoch:
+            await self.begin_epoch(head, own_head)
+        elif not self.replica.is_complete or head.epoch > own_head.epoch:
             await self.load_table()
         else:
             await self.apply_changes(head)
 
     async def apply_changes(self, head: Head) -> None:
         """Applies changes up to the store's head. Raises `StoreInconsistentError`."""
-        while (own := self.replica.head) is not None and own.revision < head.revision:
-            changes = await self.store.changes_since(own.revision, CHANGES_PER_READ)
-            if self.replica.head != own:  # changes of a peer were applied in the meantime
+        while (own_head := self.replica.head) is not None and own_head.revision < head.revision:
+            changes = await self.store.changes_since(own_head.revision, CHANGES_PER_READ)
+            if self.replica.head != own_head:  # changes of a peer were applied in the meantime
                 continue
-            if not changes or changes[0].revision != own.revision + 1:
+            if not changes or changes[0].revision != own_head.revision + 1:
                 await self.load_table()  # the log no longer contains the next change
                 return
             for change in changes:
-                own = self.replica.head
+                own_head = self.replica.head
                 reason = self.replica.apply_change(change)
                 if reason is not None:
                     if (
-                        own is None
+                        own_head is None
                         or not self.replica.is_complete
-                        or change.revision <= own.revision
+                        or change.revision <= own_head.revision
                     ):
                         return  # changes or a sync of a peer have moved the replica in the meantime
-                    last = await self.store.change_at(own.revision)
-                    if own.revision == 0 or last is None or last.tag == own.tag:
+                    last = await self.store.change_at(own_head.revision)
+                    if own_head.revision == 0 or last is None or last.tag == own_head.tag:
                         raise StoreInconsistentError(f"revision {change.revision}: {reason}")
                     # The store was restored and written to since the last poll.
-                    await self.begin_epoch(await self.store.head(), own)
+                    await self.begin_epoch(await self.store.head(), own_head)
                     return
 
-    async def begin_epoch(self, seen: Head, own: Head) -> None:
+    async def begin_epoch(self, store_head: Head, own_head: Head) -> None:
         """Begins an epoch because the store was restored.
 
         If several control machines try, one succeeds.
         """
-        if await self.store.begin_epoch(seen, max(seen.epoch, own.epoch)):
-            self.events.on_epoch_begun(seen, own)
+        if await self.store.begin_epoch(store_head, max(store_head.epoch, own_head.epoch)):
+            self.events.on_epoch_begun(store_head, own_head)
 
     async def load_table(self) -> None:
         """Replaces the replica's table by a load of the whole store and the changes meanwhile."""
@@ -135,11 +136,11 @@
                 base = head_after(change)
         else:
             return
-        own = self.replica.head
+        own_head = self.replica.head
         if (
-            own is not None
+            own_head is not None
             and self.replica.is_complete
-            and (own.epoch, own.revision) > (base.epoch, base.revision)
+            and (own_head.epoch, own_head.revision) > (base.epoch, base.revision)
         ):
             return  # changes of a peer have moved the replica further in the meantime
         self.replica.table = table
--- a/burlloom/distribution/table.py
+++ b/burlloom/distribution/table.py
@@ -77,14 +77,7 @@
 
 
 class ScopeTable:
-    """The items of one scope.
-
-    Attributes:
-        buckets: The buckets.
-        digests: Digest of each bucket.
-        digest: Digest of all items of the scope.
-        counts: Number of items of each kind.
-    """
+    """One scope's buckets, each bucket's digest, the scope's digest, and item counts by kind."""
 
     __slots__ = ("buckets", "digests", "digest", "counts")
 
@@ -214,20 +207,20 @@
 
     def digests_of(self, scopes: Iterable[str] | None) -> tuple[int, ...]:
         """Returns each bucket's digest over those of `scopes` that are held; None means all."""
-        held = [scope_table.digests for scope_table in self.scope_tables(scopes)]
-        if len(held) == 1:
-            return tuple(held[0])
+        digests_by_scope = [scope_table.digests for scope_table in self.scope_tables(scopes)]
+        if len(digests_by_scope) == 1:
+            return tuple(digests_by_scope[0])
         combined = [0] * BUCKET_COUNT
-        for digests in held:
+        for digests in digests_by_scope:
             combined = [a ^ b for a, b in zip(combined, digests, strict=True)]
         return tuple(combined)
 
     def scope_tables(self, scopes: Iterable[str] | None) -> list[ScopeTable]:
         """Returns the tables of those of `scopes` that are held; None means all."""
-        held = self.scope_tables_by_name.keys()
+        held_scopes = self.scope_tables_by_name.keys()
         return [
             self.scope_tables_by_name[scope]
-            for scope in (held if scopes is None else held & set(scopes))
+            for scope in (held_scopes if scopes is None else held_scopes & set(scopes))
         ]
 
     def page(
@@ -247,7 +240,8 @@
         check_position(after)
         if not 0 <= bucket < BUCKET_COUNT or max_bytes < MAX_ITEM_BYTES:
             raise ValueError(
-                f"bucket {bucket} of {BUCKET_COUNT}; {max_bytes} bytes, {MAX_ITEM_BYTES} at least"
+                f"bucket: {bucket}, 0 to {BUCKET_COUNT - 1} allowed; max_bytes: {max_bytes},"
+                f" at least {MAX_ITEM_BYTES} allowed"
             )
         items: list[ConfigItem] = []
         bytes_left = max_bytes
@@ -320,7 +314,9 @@
         if not checked_items and not page.is_last:
             faults.append("done: a page of nothing that is not the last")
         if faults or not 0 <= bucket < BUCKET_COUNT:
-            raise ValueError("; ".join(faults) or f"bucket {bucket} of {BUCKET_COUNT}")
+            raise ValueError(
+                "; ".join(faults) or f"bucket: {bucket}, 0 to {BUCKET_COUNT - 1} allowed"
+            )
         return checked_items
 
     def locate(self, kind: str, key: str) -> tuple[int, bytes] | None:
@@ -335,7 +331,7 @@
         checked_items: list[ConfigItem] = []
         for item in items:
             if len(checked_items) == MAX_PUT_ITEMS:
-                raise ValueError(f"over {MAX_PUT_ITEMS} entries at once")
+                raise ValueError(f"more than {MAX_PUT_ITEMS} entries in one put")
             checked_items.append(item)
         faults = [
             f"entries[{number}].{fault}"
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -49,7 +49,7 @@
     def on_table_loaded(self, head: Head) -> None:
         self.loads += 1
 
-    def on_epoch_begun(self, seen: Head, own: Head) -> None:
+    def on_epoch_begun(self, store_head: Head, own_head: Head) -> None:
         self.renewals += 1
 
 
--- a/tests/test_distribution_core.py
+++ b/tests/test_distribution_core.py
@@ -38,9 +38,9 @@
     codec,
     initial_head,
     is_for_source,
+    messages,
     propose,
 )
-from burlloom.distribution import messages as m
 from burlloom.distribution.change_log import ChangeLog
 from burlloom.distribution.changes import (
     MAX_BODY_BYTES,
@@ -393,15 +393,15 @@
 LONGEST_NAME = "n" * 64
 LARGEST_ITEM = ConfigItem("r" * 64, "setting", "k" * MAX_KEY_BYTES, b"x" * MAX_VALUE_BYTES)
 LARGEST_HEAD = Head(MAX_NUMBER, MAX_NUMBER, b"t" * 16, MAX_NUMBER)
-BODIES: list[m.Body] = [
-    m.Report(("", "a"), 1, 7, (1 << 64) - 1),
-    m.Report(None, 0, 0, 0),
-    m.Report(tuple(f"{at:064}" for at in range(16)), 1, 1, 1),
-    m.HeadStatus(LARGEST_HEAD, None, True, 0),
-    m.HeadStatus(LARGEST_HEAD, 12, False, MAX_NUMBER),
-    m.PushedChange(make_chain(1)[0]),
-    m.PushedChange(make_chain(1)[0].without_body()),
-    m.PushedChange(
+BODIES: list[messages.Body] = [
+    messages.Report(("", "a"), 1, 7, (1 << 64) - 1),
+    messages.Report(None, 0, 0, 0),
+    messages.Report(tuple(f"{at:064}" for at in range(16)), 1, 1, 1),
+    messages.HeadStatus(LARGEST_HEAD, None, True, 0),
+    messages.HeadStatus(LARGEST_HEAD, 12, False, MAX_NUMBER),
+    messages.PushedChange(make_chain(1)[0]),
+    messages.PushedChange(make_chain(1)[0].without_body()),
+    messages.PushedChange(
         Change(
             MAX_NUMBER,
             MAX_NUMBER,
@@ -412,12 +412,12 @@
             b"d" * 16,
         )
     ),
-    m.PullRequest(1, 2, 32),
-    m.DigestsRequest(),
-    m.DigestsResponse(LARGEST_HEAD, 1, tuple((1 << 64) - 1 - at for at in range(128))),
-    m.PagesRequest(255, LARGEST_ITEM[:3], 4),
-    m.PagesRequest(0, None, 1),
-    m.PageResponse(
+    messages.PullRequest(1, 2, 32),
+    messages.DigestsRequest(),
+    messages.DigestsResponse(LARGEST_HEAD, 1, tuple((1 << 64) - 1 - at for at in range(128))),
+    messages.PagesRequest(255, LARGEST_ITEM[:3], 4),
+    messages.PagesRequest(0, None, 1),
+    messages.PageResponse(
         MAX_NUMBER,
         MAX_NUMBER,
         255,
@@ -425,20 +425,29 @@
         LARGEST_ITEM._replace(kind="route")[:3],
         Page((LARGEST_ITEM,), LARGEST_ITEM[:3], False),
     ),
-    m.PageResponse(1, 1, 0, 0, None, Page((), None, True)),
-    m.Redirect("full"),
-    m.Leave(),
+    messages.PageResponse(1, 1, 0, 0, None, Page((), None, True)),
+    messages.Redirect("full"),
+    messages.Leave(),
 ]
 
 
 @pytest.mark.parametrize("body", BODIES, ids=lambda body: type(body).__name__)
-def test_messages_decode_as_they_were_sealed_and_altered_ones_are_refused(body: m.Body) -> None:
+def test_messages_decode_as_they_were_sealed_and_altered_ones_are_refused(
+    body: messages.Body,
+) -> None:
     sender = Sender(LONGEST_NAME, MAX_NUMBER, MAX_NUMBER)
     data = seal(sender, body, SEALING_KEY)
     assert len(data) <= codec.MAX_MESSAGE_BYTES
-    assert unseal(data, (b"another key" * 2, SEALING_KEY)) == m.Message(sender, body)
+    assert unseal(data, (b"another key" * 2, SEALING_KEY)) == messages.Message(sender, body)
     assert is_for_source(data) == (
-        type(body) in (m.Report, m.PullRequest, m.DigestsRequest, m.PagesRequest, m.Leave)
+        type(body)
+        in (
+            messages.Report,
+            messages.PullRequest,
+            messages.DigestsRequest,
+            messages.PagesRequest,
+            messages.Leave,
+        )
     )
     with pytest.raises(MessageDecodeError, match="not sealed with our key"):
         unseal(data, (b"another key" * 2,))
@@ -468,10 +477,10 @@
     for bucket in range(256):
         after: Any = ("r" * 64, "route", "k" * 128)
         while True:
-            page = table.page(bucket, after, None, m.MAX_PAGE_BYTES)
+            page = table.page(bucket, after, None, messages.MAX_PAGE_BYTES)
             data = seal(
                 Sender(LONGEST_NAME, MAX_NUMBER, MAX_NUMBER),
-                m.PageResponse(MAX_NUMBER, MAX_NUMBER, bucket, 3, after, page),
+                messages.PageResponse(MAX_NUMBER, MAX_NUMBER, bucket, 3, after, page),
                 SEALING_KEY,
             )
             assert len(data) <= codec.MAX_MESSAGE_BYTES
@@ -1257,14 +1266,14 @@
     assert follower.state is State.CURRENT
     before = follower.replica.head, follower.replica.table.digest(), follower.state
     valid_datagram = seal(
-        Sender("source", INCARNATION, 0), m.PushedChange(make_chain(1)[0]), SEALING_KEY
+        Sender("source", INCARNATION, 0), messages.PushedChange(make_chain(1)[0]), SEALING_KEY
     )
     text = msgpack.packb([0, 9, "n", 1, 1])
     for data, reason in [
         (
             seal(
                 Sender("source", INCARNATION, 0),
-                m.PushedChange(make_chain(1)[0]),
+                messages.PushedChange(make_chain(1)[0]),
                 b"another key" * 2,
             ),
             "not sealed with our key",
@@ -1274,13 +1283,13 @@
         (valid_datagram[:-1], "not sealed with our key"),
         (b"", "datagram too short"),
         (
-            seal(Sender("source", INCARNATION, 0), m.PullRequest(1, 1, 1), SEALING_KEY),
+            seal(Sender("source", INCARNATION, 0), messages.PullRequest(1, 1, 1), SEALING_KEY),
             "message kind not handled by a follower",
         ),
         (
             seal(
                 Sender("source", INCARNATION, 5),
-                m.HeadStatus(initial_head(9, 0), 0, False, 0),
+                messages.HeadStatus(initial_head(9, 0), 0, False, 0),
                 SEALING_KEY,
             ),
             "HEAD that was not requested",
@@ -1288,23 +1297,23 @@
         (
             seal(
                 Sender("other", INCARNATION, 5),
-                m.HeadStatus(initial_head(9, 0), 0, False, 0),
+                messages.HeadStatus(initial_head(9, 0), 0, False, 0),
                 SEALING_KEY,
             ),
             "HEAD from another server than the upstream",
         ),
         (
-            seal(Sender("source", INCARNATION, 5), m.Redirect("full"), SEALING_KEY),
+            seal(Sender("source", INCARNATION, 5), messages.Redirect("full"), SEALING_KEY),
             "REDIRECT that was not requested",
         ),
         (
-            seal(Sender("source", INCARNATION - 1, 0), m.Redirect("leaving"), SEALING_KEY),
+            seal(Sender("source", INCARNATION - 1, 0), messages.Redirect("leaving"), SEALING_KEY),
             "REDIRECT that was not requested",
         ),
         (
             seal(
                 Sender("source", INCARNATION, 5),
-                m.DigestsResponse(initial_head(9, 0), 0, (0,) * 128),
+                messages.DigestsResponse(initial_head(9, 0), 0, (0,) * 128),
                 SEALING_KEY,
             ),
             "DIGESTS that were not requested",
@@ -1312,7 +1321,7 @@
         (
             seal(
                 Sender("source", INCARNATION, 0),
-                m.PushedChange(make_chain(1, epoch=2)[0]),
+                messages.PushedChange(make_chain(1, epoch=2)[0]),
                 SEALING_KEY,
             ),
             "change of another epoch",
@@ -1340,15 +1349,15 @@
     assert source.followers["server"].address == ADDRESS
     stranger = Sender("nobody", INCARNATION, 1)
     for body in (
-        m.PullRequest(1, 0, 32),
-        m.DigestsRequest(),
-        m.PagesRequest(0, None, 4),
-        m.Leave(),
+        messages.PullRequest(1, 0, 32),
+        messages.DigestsRequest(),
+        messages.PagesRequest(0, None, 4),
+        messages.Leave(),
     ):
         source.receive(NOW_NS, seal(stranger, body, SEALING_KEY), ADDRESS)
     source.receive(
         NOW_NS,
-        seal(Sender("server", INCARNATION - 1, 1), m.Report(None, 1, 1, 1), SEALING_KEY),
+        seal(Sender("server", INCARNATION - 1, 1), messages.Report(None, 1, 1, 1), SEALING_KEY),
         ADDRESS,
     )
     assert not source.outbox
@@ -1383,7 +1392,7 @@
     for change in make_chain(1000)[1:]:
         follower.receive(
             NOW_NS,
-            seal(Sender("source", INCARNATION, 0), m.PushedChange(change), SEALING_KEY),
+            seal(Sender("source", INCARNATION, 0), messages.PushedChange(change), SEALING_KEY),
             ADDRESS,
         )
     assert len(follower.early_changes) == 256
@@ -1397,7 +1406,7 @@
     for number in range(1000):
         source.receive(
             NOW_NS,
-            seal(Sender(f"s{number}", INCARNATION, 1), m.Report(None, 1, 1, 1), SEALING_KEY),
+            seal(Sender(f"s{number}", INCARNATION, 1), messages.Report(None, 1, 1, 1), SEALING_KEY),
             ADDRESS,
         )
     assert len(source.followers) == 400
@@ -1422,7 +1431,9 @@
         ]
     )
     source.receive(
-        NOW_NS, seal(Sender("s", INCARNATION, 1), m.Report(None, 0, 0, 0), SEALING_KEY), ADDRESS
+        NOW_NS,
+        seal(Sender("s", INCARNATION, 1), messages.Report(None, 0, 0, 0), SEALING_KEY),
+        ADDRESS,
     )
     received_bytes = 0
     for number in range(300):
@@ -1431,7 +1442,7 @@
             NOW_NS + number * 10 * NS_PER_MS,
             seal(
                 Sender("s", INCARNATION, 2 + number),
-                m.PagesRequest(number % 256, None, 4),
+                messages.PagesRequest(number % 256, None, 4),
                 SEALING_KEY,
             ),
             ADDRESS,
@@ -1445,8 +1456,8 @@
 def test_invalid_settings_and_missing_upstreams_are_refused() -> None:
     assert ReplicationSettings().faults() == []
     assert ReplicationSettings(request_retry_ns=3000 * NS_PER_MS, heartbeat_ns=0).faults() == [
-        "heartbeat_ns: 0, 1 at least",
-        "request_retry_ns: not under upstream_timeout_ns",
+        "heartbeat_ns: 0, must be at least 1",
+        "request_retry_ns: must be less than upstream_timeout_ns",
     ]
     with pytest.raises(ValueError, match="0 upstreams"):
         Follower(
@@ -1482,13 +1493,13 @@
             data = follower.outbox.popleft()[1]
             if type(
                 unseal(data, (SEALING_KEY,)).body
-            ) is m.PagesRequest and source.replica.head == head_after(changes[0]):
+            ) is messages.PagesRequest and source.replica.head == head_after(changes[0]):
                 assert source.replica.apply_change(changes[1]) is None
                 assert source.replica.apply_change(changes[2]) is None
             source.receive(NOW_NS, data, ADDRESS)
         while source.outbox:
             data = source.outbox.popleft()[1]
-            if type(unseal(data, (SEALING_KEY,)).body) is not m.PushedChange:
+            if type(unseal(data, (SEALING_KEY,)).body) is not messages.PushedChange:
                 follower.receive(NOW_NS, data, ADDRESS)
     assert follower.state is State.REPLAYING
     assert follower.sync is not None
@@ -1505,14 +1516,14 @@
     second_change, third_change = make_chain(3)[1:]
     follower.receive(
         NOW_NS,
-        seal(Sender("source", INCARNATION, 0), m.PushedChange(second_change), SEALING_KEY),
+        seal(Sender("source", INCARNATION, 0), messages.PushedChange(second_change), SEALING_KEY),
         ADDRESS,
     )
     assert follower.state is State.REPLAYING
     assert follower.replica.head == before
     follower.receive(
         NOW_NS,
-        seal(Sender("source", INCARNATION, 0), m.PushedChange(third_change), SEALING_KEY),
+        seal(Sender("source", INCARNATION, 0), messages.PushedChange(third_change), SEALING_KEY),
         ADDRESS,
     )
     assert follower.state is State.CURRENT
--- a/tests/test_distribution_table.py
+++ b/tests/test_distribution_table.py
@@ -313,7 +313,7 @@
 
 def test_a_put_of_too_many_items_is_refused() -> None:
     table = ConfigTable(None)
-    with pytest.raises(ValueError, match=f"over {MAX_PUT_ITEMS} entries"):
+    with pytest.raises(ValueError, match=f"more than {MAX_PUT_ITEMS} entries"):
         table.put(ConfigItem("", "tenant", f"k{n}", b"") for n in range(10**9))
     assert table.item_count() == 0
 
@@ -349,8 +349,8 @@
         (
             Page(
                 tuple(
-                    ConfigItem("", "tenant", one, b"")
-                    for one in sorted(BUCKET_7_KEYS[:3], reverse=True)
+                    ConfigItem("", "tenant", key, b"")
+                    for key in sorted(BUCKET_7_KEYS[:3], reverse=True)
                 ),
                 ("", "tenant", min(BUCKET_7_KEYS[:3])),
                 True,
