--- a/benchmarks/fleet_shares.py
+++ b/benchmarks/fleet_shares.py
@@ -25,9 +25,9 @@
 from burlloom.fleet import MILLICALLS_PER_CALL, QuotaSettings, assign_subsets
 from burlloom.fleet.settings import NS_PER_MS
 from burlloom.fleet.subset import rank_services, rendezvous_rank
-from burlloom.lab import World, play
-from burlloom.lab.clock import simulated
-from burlloom.lab.emulator import Emulator, Watch
+from burlloom.lab import Scenario, run_scenario
+from burlloom.lab.clock import simulated_loop
+from burlloom.lab.emulator import Emulator, Observer
 from burlloom.lab.fleets import SimulatedFleet, SimulatedNetwork, Swarm
 
 SIZES = (3, 30, 300)
@@ -59,12 +59,12 @@
         """s until all shares lie within a tenth, or one call, of the fair one, and all of it is
         dealt.
         """
-        began = self.swarm.loop.now
-        while self.swarm.loop.now - began < most:
+        began = self.swarm.loop.now_s
+        while self.swarm.loop.now_s - began < most:
             shares = self.swarm.shares()
             near = sum(abs(share - fair) <= max(0.1 * fair, 1.0) for share in shares)
             if near == len(shares) and sum(shares) >= 0.95 * self.calls:
-                return self.swarm.loop.now - began
+                return self.swarm.loop.now_s - began
             self.swarm.run(0.1)
         return math.inf
 
@@ -72,7 +72,7 @@
 def members(size: int) -> list[str]:
     calls, began = 4 * size, time.perf_counter()
     small = max(3, size // 10)
-    with simulated() as loop:
+    with simulated_loop() as loop:
         net = SimulatedNetwork(loop, 1)
         swarm = Swarm(loop, net, terms(size, calls))
         seen = Seen(swarm, calls)
@@ -81,14 +81,14 @@
         if size > small:
             more = swarm.add(size - small, 1e6)
             rows.append(("grow tenfold", size, seen.settles(calls / size)))
-            before, sent, octets = loop.now, net.sent, net.bytes_sent
+            before, sent, octets = loop.now_s, net.sent, net.bytes_sent
             fair: dict[str, float] = {}
             for _ in range(60):
                 swarm.run(0.5)
                 for body in swarm.running_members():
                     fair[body.name] = fair.get(body.name, 0.0) + body.calls_in_progress / 60
             off = max(abs(share / (calls / size) - 1) for share in fair.values())
-            each = (loop.now - before) * size
+            each = (loop.now_s - before) * size
             rows.append(
                 (
                     f"30 s at rest: {(net.sent - sent) / each:.1f} letters and {(net.bytes_sent - octets) / each:.0f} bytes"
@@ -105,15 +105,15 @@
             rows.append(("grow again", size, seen.settles(calls / size)))
         first = swarm.running_members()[0]
         swarm.kill(first)
-        noticed = loop.now
+        noticed = loop.now_s
         while not swarm.has_agreed_view():
             swarm.run(0.1)
-        rows.append(("who deals is killed: noticed by all", size - 1, loop.now - noticed))
+        rows.append(("who deals is killed: noticed by all", size - 1, loop.now_s - noticed))
         rows.append(
             (
                 "and its share dealt anew",
                 size - 1,
-                loop.now - noticed + seen.settles(calls / (size - 1)),
+                loop.now_s - noticed + seen.settles(calls / (size - 1)),
             )
         )
         swarm.start(first)
@@ -123,12 +123,12 @@
         net.cut(third, [body.address for body in up if body.address not in third])
         swarm.run(30)
         net.heal()
-        healed = loop.now
+        healed = loop.now_s
         while not swarm.has_agreed_view():
             swarm.run(0.1)
-        rows.append(("a third cut off for 30 s, healed: all agree", size, loop.now - healed))
-        rows.append(("and shares are fair", size, loop.now - healed + seen.settles(calls / size)))
-        cost = (time.perf_counter() - began) / loop.now / size * 1000
+        rows.append(("a third cut off for 30 s, healed: all agree", size, loop.now_s - healed))
+        rows.append(("and shares are fair", size, loop.now_s - healed + seen.settles(calls / size)))
+        cost = (time.perf_counter() - began) / loop.now_s / size * 1000
     return [
         f"| {size} | {what} | {up} | {'-' if not took else f'{took:.1f}'} |"
         for what, up, took in rows
@@ -138,12 +138,12 @@
     ]
 
 
-def world(size: int) -> World:
+def world(size: int) -> Scenario:
     """Calls that the runs want are twice what the catalogue bears; a tenth of the servers at
     first.
     """
     first, slots = max(3, size // 10) if size > 3 else 0, size
-    return World.model_validate(
+    return Scenario.model_validate(
         {
             "name": f"{size}",
             "seconds": 40,
@@ -193,18 +193,27 @@
         return made[0]
 
     def look(emulator: Emulator) -> dict[str, float]:
-        below = emulator.below
+        below = emulator.downstream
         held = sum(made[0].shares().values()) if made else 0.0
-        rows.append((emulator.loop.now, float(below.most), held, below.in_hand))
-        below.most = below.in_hand
+        rows.append(
+            (
+                emulator.loop.now_s,
+                float(below.peak_calls_in_progress),
+                held,
+                below.calls_in_progress,
+            )
+        )
+        below.peak_calls_in_progress = below.calls_in_progress
         return {}
 
-    outcome = play(told, watch=Watch(look), fleets=joined if variant == "fleet" else None)
+    outcome = run_scenario(
+        told, observer=Observer(look), make_fleet=joined if variant == "fleet" else None
+    )
     full = [row for row in rows if 14 <= row[0] < 28]
     return (
         f"| {size} | {variant} | {max(row[1] for row in rows) / calls:.2f} | {sum(row[3] for row in full) / len(full) / calls:.2f} |"
-        f" {sum(row[2] for row in full) / len(full) / calls:.3f} | {outcome.share:.3f} | {outcome.share_of('pay'):.3f} |"
-        f" {len(outcome.faults)} |"
+        f" {sum(row[2] for row in full) / len(full) / calls:.3f} | {outcome.value_share:.3f} | {outcome.value_share_of('pay'):.3f} |"
+        f" {len(outcome.violations)} |"
     )
 
 
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -21,9 +21,9 @@
 
 from fleet_shares import terms
 
-from burlloom.lab import World, play
+from burlloom.lab import Scenario, run_scenario
 from burlloom.lab.charts import recovery_chart
-from burlloom.lab.emulator import Emulator, Watch
+from burlloom.lab.emulator import Emulator, Observer
 from burlloom.lab.fleets import SimulatedFleet
 from burlloom.recovery import RecoveryPolicy
 from burlloom.server.configured_recovery import ConfiguredRestartRecovery
@@ -34,13 +34,13 @@
 VARIANTS = ("plain", "grown", "fleet", "recovery")
 
 
-def world(size: int, seed: int, grown: bool) -> World:
+def world(size: int, seed: int, grown: bool) -> Scenario:
     """Runs want about as many calls as the catalogue bears well; callers retry without limit, half
     heed nothing. `grown`: two thirds of the servers come at the beginning, and were not thought of
     when shares were told.
     """
     joins = [{"kind": "join", "at_s": 0.5, "for_s": 0.5, "size": size - size // 3}] if grown else []
-    return World.model_validate(
+    return Scenario.model_validate(
         {
             "name": f"{size}",
             "seconds": SECONDS,
@@ -113,17 +113,20 @@
         return SimulatedFleet(emulator, terms(size, calls))
 
     def look(emulator: Emulator) -> dict[str, float]:
-        most, emulator.below.most = emulator.below.most, emulator.below.in_hand
+        most, emulator.downstream.peak_calls_in_progress = (
+            emulator.downstream.peak_calls_in_progress,
+            emulator.downstream.calls_in_progress,
+        )
         return {"most": most / calls}
 
     recovers: Callable[[Server], RestartRecovery] | None = (
         recovering if variant == "recovery" else None
     )
-    outcome = play(
+    outcome = run_scenario(
         told,
-        watch=Watch(look),
-        fleets=None if variant in ("plain", "grown") else joined,
-        recovering=recovers,
+        observer=Observer(look),
+        make_fleet=None if variant in ("plain", "grown") else joined,
+        make_recovery=recovers,
     )
     rate = [sum(second.settled) for second in outcome.seconds]
     before = statistics.mean(rate[5 : KILLED_AT - 1])
@@ -153,10 +156,10 @@
         * (KILLED_AT - 4)
         / 20,
         "most": [row["most"] for row in outcome.series],
-        "faults": len(outcome.faults),
-        "first": outcome.faults[:1],
-        "value": outcome.share,
-        "pay": outcome.share_of("pay"),
+        "faults": len(outcome.violations),
+        "first": outcome.violations[:1],
+        "value": outcome.value_share,
+        "pay": outcome.value_share_of("pay"),
     }
 
 
--- a/benchmarks/rollout_waves.py
+++ b/benchmarks/rollout_waves.py
@@ -26,9 +26,9 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
-from burlloom.lab import World, play
-from burlloom.lab.emulator import Emulator, Watch
-from burlloom.lab.rolls import CoordinatedReleases, ScriptedReleases, SimulatedReleases
+from burlloom.lab import Scenario, run_scenario
+from burlloom.lab.emulator import Emulator, Observer
+from burlloom.lab.releases import CoordinatedReleases, ScriptedReleases, SimulatedReleases
 from burlloom.operator import RolloutPart
 from burlloom.rollout import SERVERS_GROUP, CanarySettings, ReleasePhase, RequestCounts
 from burlloom.rollout.canary import CanaryWindow, ServerSample, Verdict, evaluate_canary
@@ -40,13 +40,13 @@
 FRESH = 3.5  # s: a sign of life counts for 3, and a round
 
 
-def world(size: int, seed: int, seconds: int, kills: bool) -> World:
+def world(size: int, seed: int, seconds: int, kills: bool) -> Scenario:
     faults = (
         [{"kind": "kill", "at_s": KILLED, "for_s": DOWN_FOR, "part": 0.1 if size > 3 else 0.34}]
         if kills
         else []
     )
-    return World.model_validate(
+    return Scenario.model_validate(
         {
             "name": f"{size}",
             "seconds": seconds,
@@ -123,9 +123,9 @@
     def look(self) -> None:
         releases = self.releases
         new = {
-            (node.name, node.life)
+            (node.name, node.incarnation)
             for node in releases.emulator.nodes
-            if node.up and node.server is not None and node.server.is_shutting_down
+            if node.is_up and node.server is not None and node.server.is_shutting_down
         } - self.draining
         self.draining |= new
         self.drains += len(new)
@@ -133,10 +133,10 @@
         over = max(0, min(len(new), releases.out_count - self.bound))
         self.over += over
         # Whoever was killed a moment ago counts from when its silence is seen.
-        self.unseen += over if KILLED <= releases.emulator.loop.now <= KILLED + FRESH else 0
-        now = releases.emulator.loop.now
+        self.unseen += over if KILLED <= releases.emulator.loop.now_s <= KILLED + FRESH else 0
+        now = releases.emulator.loop.now_s
         if self.done_at < 0 and all(
-            node.up and node.version == "v2" for node in releases.emulator.nodes
+            node.is_up and node.version == "v2" for node in releases.emulator.nodes
         ):
             self.done_at = now - BEGIN
         if (
@@ -148,7 +148,7 @@
         if (
             self.halted_at >= 0
             and self.bad_done_at < 0
-            and all(node.up and node.version == "v1" for node in releases.emulator.nodes)
+            and all(node.is_up and node.version == "v1" for node in releases.emulator.nodes)
         ):
             self.bad_done_at = now - BEGIN - self.halted_at
         releases.emulator.loop.call_later(0.05, self.look)
@@ -166,14 +166,14 @@
             agreed = CoordinatedReleases(emulator, "v1", voids, RESTART_S, part(), 0.02)
             loop.call_later(
                 BEGIN,
-                agreed.order,
+                agreed.apply_order,
                 lambda state: state.start_release("v2", (1, 0.1, 0.5, 1.0), False),
             )
             if not bad:
                 for node in second:
                     loop.call_later(
                         SECOND_OPERATOR,
-                        agreed.order,
+                        agreed.apply_order,
                         lambda state, name=node.name: state.request_drain(SERVERS_GROUP, name, 0),
                     )
             for at in range(
@@ -181,7 +181,7 @@
             ):  # who is on call says so within two seconds of the halt
                 loop.call_later(
                     at,
-                    agreed.order,
+                    agreed.apply_order,
                     lambda state: (
                         state.apply_order(ReleaseInput.ROLLBACK, "")
                         if state.release.phase is ReleasePhase.HALTED
@@ -192,16 +192,18 @@
             return agreed
         scripted = ScriptedReleases(emulator, "v1", voids, RESTART_S)
         pause = 6.0 if variant == "clock" else 0.0
-        loop.call_later(BEGIN, scripted.script, nodes, "v2", bound, 20.0, pause)
+        loop.call_later(BEGIN, scripted.begin_script, nodes, "v2", bound, 20.0, pause)
         if not bad:
             loop.call_later(
-                SECOND_OPERATOR, lambda: scripted.script(second, "", bound, 20.0, pause)
+                SECOND_OPERATOR, lambda: scripted.begin_script(second, "", bound, 20.0, pause)
             )
         made.append(Seen(scripted, bound))
         return scripted
 
     seconds = 150 if size < 30 else 110 if bad else 240
-    outcome = play(world(size, seed, seconds, not bad), watch=Watch(), rolls=releases)
+    outcome = run_scenario(
+        world(size, seed, seconds, not bad), observer=Observer(), make_releases=releases
+    )
     seen = made[0]
     return {
         "size": size,
@@ -216,11 +218,11 @@
         "halted": seen.halted_at,
         "back": seen.bad_done_at,
         "ever": len(seen.releases.nodes_with_bad_version),
-        "value": outcome.share,
-        "pay": outcome.share_of("pay"),
-        "faults": len(outcome.faults),
-        "first": outcome.faults[:1],
-        "took": outcome.took,
+        "value": outcome.value_share,
+        "pay": outcome.value_share_of("pay"),
+        "faults": len(outcome.violations),
+        "first": outcome.violations[:1],
+        "took": outcome.elapsed_s,
     }
 
 
--- a/benchmarks/scale_real.py
+++ b/benchmarks/scale_real.py
@@ -23,7 +23,7 @@
 from rig import Rig, wait_until  # noqa: E402
 
 from burlloom.fakes.parts import Catalogue, Reply, fields  # noqa: E402
-from burlloom.lab.rules import Rules  # noqa: E402
+from burlloom.lab.rules import RuleChecker  # noqa: E402
 
 CALL_S = 0.02  # that a call below takes
 CALLING = 4  # one request in so many makes a call below
@@ -72,7 +72,7 @@
         folder: Path,
         name: str,
         below: Below,
-        rules: Rules,
+        rules: RuleChecker,
         rate: float,
         chance: Random,
         operator: Any,
@@ -162,13 +162,13 @@
             what, id, *_ = await self.executor.commands.get()
             now = time.monotonic()
             if what == "EXEC":
-                self.rules.runs(self.now(), id)
+                self.rules.record_run(self.now(), id)
                 self.ran[id] = now
                 if id in self.calls:
                     self.executor.callout(id)
                     continue
             result = id.encode()
-            self.rules.makes(id, result)
+            self.rules.record_result(id, result)
             self.executor.exit(id, result=result)
             self.took[id] = time.monotonic() - self.ran.pop(id, now)
 
@@ -189,13 +189,13 @@
         id = told["id"]
         if self.chance.randrange(CALLING) == 0:
             self.calls.add(id)
-        self.rules.read(self.now(), self.name, life, id, self.due)
+        self.rules.record_read(self.now(), self.name, life, id, self.due)
         self.asked += 1
         answer = balancer.ask("look", told)
         try:
             error, result = await answer
         except asyncio.CancelledError:
-            self.rules.gone(id)
+            self.rules.record_disconnect(id)
             return
         finally:
             calling = id in self.calls
@@ -203,18 +203,18 @@
         span = time.monotonic() - due
         if error is None:
             self.settled += 1
-            self.rules.answers(self.now(), id, "settled", bytes(result[0]))
+            self.rules.record_answer(self.now(), id, "settled", bytes(result[0]))
             (self.added_calling if calling else self.added).record_value(
                 max(1, int(1e6 * (span - self.took.pop(id, 0.0))))
             )
         else:
-            self.rules.answers(self.now(), id, ANSWERS.get(error[0], "voided"))
+            self.rules.record_answer(self.now(), id, ANSWERS.get(error[0], "voided"))
             self.took.pop(id, None)
 
     async def kill(self) -> None:
         self.note("ended")
         await super().kill()
-        self.rules.stopped(self.now(), self.name, self.life, killed=True)
+        self.rules.record_stop(self.now(), self.name, self.life, killed=True)
         self.executor.restart()
 
     async def again(self) -> None:
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -37,7 +37,7 @@
 from burlloom.distribution import ConfigItem, ReplicationSettings, propose  # noqa: E402
 from burlloom.distribution.stores.sqlite import SqliteChangeStore  # noqa: E402
 from burlloom.lab.distances import ZONES, laid_out, place  # noqa: E402
-from burlloom.lab.rules import Rules  # noqa: E402
+from burlloom.lab.rules import RuleChecker  # noqa: E402
 
 SIGNING = "7c" * 32
 # ms, of 99 in 100 seconds of hosts: a sixth of what a change may take. Later loops were starved,
@@ -99,7 +99,7 @@
         self.phases: list[Phase] = []
         self.entries: dict[tuple[str, str, str], bytes] = {}
         self.reals: list[Real] = []
-        self.rules = Rules(grace=2.5, tip_multiple=5, calls_most=1e9)
+        self.rules = RuleChecker(grace_s=2.5, tip_multiple=5, max_downstream_calls=1e9)
         self.due = (
             setting.within
         )  # of answers: as long as the configuration has it, or longer where time is not judged
@@ -867,7 +867,7 @@
         f"lag of who asks them, 99 in 100: {asker:.2f} ms, {ASKER_LAG_MOST:g} allowed"
         f"{'' if asker <= ASKER_LAG_MOST else ': TOO BUSY, what they add counts for nothing'}"
     )
-    print(f"four rules: {dict(story.rules.count)} {story.rules.faults[:3]}")
+    print(f"four rules: {dict(story.rules.counts)} {story.rules.violations[:3]}")
     print(f"hosts' faults: {story.faults[:3]}")
     other = sum(story.other) / max(1, len(story.other))
     print(
--- a/benchmarks/scale_swarms.py
+++ b/benchmarks/scale_swarms.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import burlloom.fleet.member as whole
-from burlloom.lab.clock import simulated
+from burlloom.lab.clock import simulated_loop
 from burlloom.lab.fleets import SimulatedNetwork, Swarm, SwarmMember
 
 MOST = 180.0  # s of simulated time, in which all agree or never
@@ -28,7 +28,7 @@
         return all(self.names_of(body) == names for body in up)
 
     def names_of(self, body: SwarmMember) -> frozenset[str]:
-        fleet = body.fleet
+        fleet = body.member
         assert fleet is not None
         known = self.shown.get(body.name)
         if known is None or known[0] is not fleet or known[1] != fleet.view.version:
@@ -38,27 +38,27 @@
 
     def until(self, test: Callable[[], bool]) -> float:
         """Seconds until it holds."""
-        began = self.loop.now
+        began = self.loop.now_s
         while not test():
-            if self.loop.now - began > MOST:
+            if self.loop.now_s - began > MOST:
                 raise AssertionError(f"{len(self.members)} servers: not within {MOST} s")
             self.run(0.1)
-        return self.loop.now - began
+        return self.loop.now_s - began
 
 
 @contextmanager
 def swarm_of(size: int, terms: Any, cold: bool = False) -> Iterator[Agreeing]:
     """All started; unless `cold`, each has the whole view already, taken in without messages."""
-    with simulated() as loop:
+    with simulated_loop() as loop:
         swarm = Agreeing(loop, SimulatedNetwork(loop, 1), terms)
         swarm.add(size, 4.0)
         if not cold:
-            words = [body.fleet.own for body in swarm.running_members() if body.fleet is not None]
+            words = [body.member.own for body in swarm.running_members() if body.member is not None]
             for body in swarm.running_members():
-                assert body.fleet is not None
+                assert body.member is not None
                 for word in words:
-                    body.fleet.view.process_update(swarm.now(), word)
-                body.fleet.view.transitions = []
+                    body.member.view.process_update(swarm.now_ns(), word)
+                body.member.view.transitions = []
             swarm.run(6)
         yield swarm
 
@@ -94,11 +94,11 @@
     swarm.network.cut(
         [body.address for body in part], [body.address for body in up if body.name not in inside]
     )
-    began = swarm.loop.now
+    began = swarm.loop.now_s
     took = swarm.until(
         lambda: all(swarm.names_of(body) == sides[body.name not in inside] for body in up)
     )
-    swarm.run(max(0.0, seconds - (swarm.loop.now - began)))
+    swarm.run(max(0.0, seconds - (swarm.loop.now_s - began)))
     swarm.network.heal()
     return took, swarm.until(swarm.has_agreed_view)
 
--- a/burlloom/command/lab.py
+++ b/burlloom/command/lab.py
@@ -59,14 +59,14 @@
     from rich.console import Console
     from rich.progress import Progress
 
-    from ..lab.experiment import Table, plays, text_of_program
+    from ..lab.experiment import ResultsTable, program_version, run_experiment
 
-    told, table, text = experiment_of(file), Table(results), text_of_program(ROOT)
+    told, table, text = experiment_of(file), ResultsTable(results), program_version(ROOT)
     broken = 0
     total = len(told.worlds) * len(told.variants) * len(told.seeds)
     with Progress(console=Console(stderr=True), transient=True) as progress:
         bar = progress.add_task(told.name, total=total)
-        for result in plays(told, workers):
+        for result in run_experiment(told, workers):
             table.add(told.name, text, result)
             progress.advance(bar)
             figures = result["figures"]
@@ -97,10 +97,10 @@
     """Each variant of the experiment NAME against its base: means, spread, paired differences with
     their 95%.
     """
-    from ..lab.charts import table
+    from ..lab.charts import markdown_table
 
     for world, what, pairs, _ in compared(name, results, text, base):
-        click.echo(f"\n{world}: {what}\n\n{table(pairs)}")
+        click.echo(f"\n{world}: {what}\n\n{markdown_table(pairs)}")
 
 
 @lab.command()
@@ -127,7 +127,7 @@
     """A page with tables, and charts of load, answers by product and levels, of the experiment
     NAME.
     """
-    from ..lab.charts import page, play_chart
+    from ..lab.charts import run_chart, write_page
 
     to.mkdir(parents=True, exist_ok=True)
     parts = []
@@ -138,9 +138,9 @@
             if one.figure.startswith("in time ")
         ]
         chart = to / f"{slug(world)}-{slug(what.split(' against ')[0])}.{ending}"
-        play_chart(chart, f"{world}, seed {rows[0]['seed']}", products, rows)
+        run_chart(chart, f"{world}, seed {rows[0]['seed']}", products, rows)
         parts.append((world, what, pairs, chart))
-    page(to / "index.html", name, parts)
+    write_page(to / "index.html", name, parts)
     click.echo(f"{to / 'index.html'}: {len(parts)} comparisons")
 
 
@@ -148,9 +148,9 @@
     name: str, results: Path, text: str | None, base: str | None
 ) -> list[tuple[str, str, list, list]]:  # type: ignore[type-arg]
     """World, what is compared, the pairs, and the two plays of the first seed."""
-    from ..lab.experiment import Table, paired
+    from ..lab.experiment import ResultsTable, paired_differences
 
-    table = Table(results)
+    table = ResultsTable(results)
     rows = table.rows(name, text)
     if not rows:
         known = (
@@ -165,7 +165,7 @@
     found = []
     for world in dict.fromkeys(row["world"] for row in rows):
         for other in variants:
-            if other != base and (pairs := paired(rows, world, base, other)):
+            if other != base and (pairs := paired_differences(rows, world, base, other)):
                 seed = min(row["seed"] for row in rows)
                 shown = [
                     row
--- a/burlloom/lab/__init__.py
+++ b/burlloom/lab/__init__.py
@@ -1,11 +1,10 @@
-"""The lab: whole fleets in simulated time, driven by an open load, watched by a checker of the four
-rules.
+"""Simulates fleets of servers in simulated time, under an open load, and checks four safety rules.
 
-Nothing here decides for the program: each node is the real server with its desk and decisions,
-between emulated parts.
+Each simulated node runs the real server with its dispatcher and decisions; machines, callers, the
+network and the downstream service are emulated. `rules` states what is checked.
 """
 
-from .emulator import Emulator, Outcome, play
-from .world import World
+from .emulator import Emulator, Outcome, run_scenario
+from .scenario import Scenario
 
-__all__ = ["Emulator", "Outcome", "World", "play"]
+__all__ = ["Emulator", "Outcome", "Scenario", "run_scenario"]
--- a/burlloom/lab/clock.py
+++ b/burlloom/lab/clock.py
@@ -1,4 +1,4 @@
-"""Simulated time for asyncio: where nothing is ready, the clock jumps to the next timer."""
+"""Simulated time for asyncio: when no callback is ready, the clock jumps to the next timer."""
 
 import asyncio
 import heapq
@@ -9,31 +9,39 @@
 from itertools import count
 from typing import Any
 
-SECOND = 1_000_000_000
-EPOCH = 1_700_000_000 * SECOND  # the wall clock, as simulated time begins
+NS_PER_SECOND = 1_000_000_000
+EPOCH_NS = 1_700_000_000 * NS_PER_SECOND  # Unix time at which simulated time begins
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """An event loop on which waiting costs nothing. Sockets may be made on it, but nobody hears
-    from them.
+    """An event loop on which waiting takes no real time.
 
-    Timers are ordered by time, then by when they were set: asyncio's own heap leaves the order of
-    equal times to chance. One that is cancelled stays until its time.
+    Sockets can be created on the loop, but it never polls them, so they receive nothing.
+
+    Timers are ordered by time, then by the order in which they were set: asyncio's own heap leaves
+    the order of equal times undefined, which would make runs differ. A cancelled timer stays in the
+    heap until its time.
+
+    Attributes:
+        now_s: Seconds since simulated time began.
+        timers: Heap of time in s, sequence number and handle.
+        sequence_numbers: Order timers of the same time.
     """
 
     def __init__(self) -> None:
+        """Creates a loop at simulated time 0."""
         super().__init__()
-        self.now = 0.0
-        self.queue: list[tuple[float, int, TimerHandle]] = []
-        self.numbers = count()
+        self.now_s = 0.0
+        self.timers: list[tuple[float, int, TimerHandle]] = []
+        self.sequence_numbers = count()
 
     def time(self) -> float:
-        """s since simulated time began."""
-        return self.now
+        """Returns the seconds since simulated time began."""
+        return self.now_s
 
-    def wall(self) -> int:
-        """Unix time in ns."""
-        return EPOCH + int(self.now * SECOND)
+    def unix_time_ns(self) -> int:
+        """Returns the simulated Unix time in ns."""
+        return EPOCH_NS + int(self.now_s * NS_PER_SECOND)
 
     def call_at(  # type: ignore[override]
         self,
@@ -42,22 +50,23 @@
         *args: Any,
         context: Context | None = None,
     ) -> TimerHandle:
+        """Schedules a callback at a simulated time in s."""
         handle = TimerHandle(when, callback, args, self, context)
-        heapq.heappush(self.queue, (when, next(self.numbers), handle))
+        heapq.heappush(self.timers, (when, next(self.sequence_numbers), handle))
         return handle
 
     def _timer_handle_cancelled(self, handle: TimerHandle) -> None: ...
 
     def _run_once(self) -> None:
-        ready, queue = self._ready, self.queue  # type: ignore[attr-defined]
-        while queue and not ready:
-            self.now = max(self.now, queue[0][0])
-            while queue and queue[0][0] <= self.now:
-                handle = heapq.heappop(queue)[2]
+        ready, timers = self._ready, self.timers  # type: ignore[attr-defined]
+        while timers and not ready:
+            self.now_s = max(self.now_s, timers[0][0])
+            while timers and timers[0][0] <= self.now_s:
+                handle = heapq.heappop(timers)[2]
                 if not handle.cancelled():
                     ready.append(handle)
         if not ready:
-            raise RuntimeError("nothing is left to happen")
+            raise RuntimeError("simulated event loop has no ready callback and no pending timer")
         for _ in range(len(ready)):
             handle = ready.popleft()
             if not handle.cancelled():
@@ -65,8 +74,8 @@
 
 
 @contextmanager
-def simulated() -> Iterator[SimulatedLoop]:
-    """A loop for as long as the block lasts; what still runs on it then is cancelled."""
+def simulated_loop() -> Iterator[SimulatedLoop]:
+    """Yields the current event loop of a block; cancels the tasks that still run at its end."""
     loop = SimulatedLoop()
     asyncio.set_event_loop(loop)
     try:
--- a/burlloom/lab/experiment.py
+++ b/burlloom/lab/experiment.py
@@ -1,5 +1,6 @@
-"""Experiments: worlds, seeds and variants played side by side over the cores; results kept in a
-table that only grows.
+"""Experiments: runs scenarios with several seeds and variants in parallel, and stores the results.
+
+The results are kept in an SQLite table to which rows are only added.
 """
 
 import json
@@ -15,9 +16,9 @@
 import numpy as np
 from pydantic import Field, model_validator
 
-from .emulator import Emulator, Outcome, Watch, play
+from .emulator import Emulator, Observer, Outcome, run_scenario
+from .scenario import Scenario, ScenarioModel
 from .variants import VARIANTS
-from .world import Part, World
 
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS plays (
@@ -26,138 +27,175 @@
 CREATE TRIGGER IF NOT EXISTS plays_stay BEFORE UPDATE ON plays BEGIN SELECT RAISE(ABORT, 'results only grow'); END;
 CREATE TRIGGER IF NOT EXISTS plays_remain BEFORE DELETE ON plays BEGIN SELECT RAISE(ABORT, 'results only grow'); END;
 """
-RESAMPLES = 4000
+BOOTSTRAP_RESAMPLES = 4000
+
 
+class Experiment(ScenarioModel):
+    """Scenarios, seeds and variants that are compared; the field names are keys of experiment files.
 
-class Experiment(Part):
-    """What is compared. Each world is played with each seed and each variant; the first variant is
-    the one compared with.
+    Each scenario is run with each seed and each variant.
+
+    Attributes:
+        name: Name under which the results are stored.
+        worlds: The scenarios; their names differ.
+        seeds: Seeds that replace the scenarios' own.
+        variants: Names of variants in `VARIANTS`; the first is the base of comparisons.
     """
 
     name: str
-    worlds: Annotated[tuple[World, ...], Field(min_length=1)]
+    worlds: Annotated[tuple[Scenario, ...], Field(min_length=1)]
     seeds: Annotated[tuple[int, ...], Field(min_length=1)] = (1, 2, 3)
     variants: Annotated[tuple[str, ...], Field(min_length=1)] = ("none", "levels")
 
     @model_validator(mode="after")
-    def known(self) -> Self:
-        wrong = [
-            f"variants.{at}: {name!r} is none of {', '.join(VARIANTS)}"
-            for at, name in enumerate(self.variants)
+    def check_names(self) -> Self:
+        """Rejects unknown variants and duplicate scenario names, all in one error."""
+        errors = [
+            f"variants.{index}: {name!r} is not one of {', '.join(VARIANTS)}"
+            for index, name in enumerate(self.variants)
             if name not in VARIANTS
         ]
-        names = [world.name for world in self.worlds]
-        wrong += [
-            f"worlds.{at}.name: {name!r} stands twice"
-            for at, name in enumerate(names)
-            if name in names[:at]
+        names = [scenario.name for scenario in self.worlds]
+        errors += [
+            f"worlds.{index}.name: {name!r} occurs more than once"
+            for index, name in enumerate(names)
+            if name in names[:index]
         ]
-        if wrong:
-            raise ValueError("; ".join(wrong))
+        if errors:
+            raise ValueError("; ".join(errors))
         return self
 
 
 @dataclass
-class LevelWatch(Watch):
-    """Looks at all nodes' levels once a second, and counts each node's changes over its lives."""
+class LevelObserver(Observer):
+    """Samples all nodes' levels once a second, and counts each node's level changes.
 
-    changes: dict[str, list[int]] = field(default_factory=dict)  # by node, how many in each second
+    Attributes:
+        changes: By node name, the number of changes in each second.
+        totals: By node name and incarnation, the number of changes so far.
+    """
+
+    changes: dict[str, list[int]] = field(default_factory=dict)
     totals: dict[tuple[str, int], int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.row = self.look
+        """Has the simulation call `sample_levels`."""
+        self.sample = self.sample_levels
 
-    def look(self, fleet: Emulator) -> dict[str, float]:
-        levels, press = [], []
-        for node in fleet.nodes:
+    def sample_levels(self, emulator: Emulator) -> dict[str, float]:
+        """Returns mean pressure ("press"), and mean ("level") and highest level ("level_most")."""
+        levels, pressures = [], []
+        for node in emulator.nodes:
             if node.server is None or node.server.requests.dispatcher is None:
                 continue
-            press.append(node.server.requests.dispatcher.controller.pressure)
-            of = getattr(node.server.subsystems.levels, "levels", None)
-            if of is None:
+            pressures.append(node.server.requests.dispatcher.controller.pressure)
+            controller = getattr(node.server.subsystems.levels, "levels", None)
+            if controller is None:
                 continue
-            levels.append(of.status.level - of.trial_share)
+            levels.append(controller.status.level - controller.trial_share)
             total = (
-                of.transition_counts["up"]
-                + of.transition_counts["down"]
-                + of.transition_counts["drop"]
+                controller.transition_counts["up"]
+                + controller.transition_counts["down"]
+                + controller.transition_counts["drop"]
             )
-            before = self.totals.get((node.name, node.life), 0)
-            self.totals[node.name, node.life] = total
-            self.changes.setdefault(node.name, []).append(total - before)
-        told = {"press": sum(press) / max(1, len(press))}
+            previous_total = self.totals.get((node.name, node.incarnation), 0)
+            self.totals[node.name, node.incarnation] = total
+            self.changes.setdefault(node.name, []).append(total - previous_total)
+        columns = {"press": sum(pressures) / max(1, len(pressures))}
         if levels:
-            told |= {"level": sum(levels) / len(levels), "level_most": max(levels)}
-        return told
+            columns |= {"level": sum(levels) / len(levels), "level_most": max(levels)}
+        return columns
 
-    def most_a_minute(self) -> int:
-        """Of any node, in any minute of whole seconds."""
+    def max_changes_per_minute(self) -> int:
+        """Returns the most changes of any node in any 60 consecutive samples."""
         return max(
-            (sum(each[at : at + 60]) for each in self.changes.values() for at in range(len(each))),
+            (
+                sum(changes[start : start + 60])
+                for changes in self.changes.values()
+                for start in range(len(changes))
+            ),
             default=0,
         )
 
-    def mean_a_minute(self) -> float:
+    def mean_changes_per_minute(self) -> float:
+        """Returns the mean number of changes per node and minute."""
         seconds = sum(map(len, self.changes.values()))
         return 60 * sum(map(sum, self.changes.values())) / seconds if seconds else 0.0
 
 
-def one(world: World, variant: str, seed: int) -> tuple[Outcome, dict[str, float]]:
-    """Plays it; its figures, for the table."""
-    watch = LevelWatch()
-    told = play(world.model_copy(update={"seed": seed}), leveling=VARIANTS[variant](), watch=watch)
+def run_variant(scenario: Scenario, variant: str, seed: int) -> tuple[Outcome, dict[str, float]]:
+    """Runs a scenario with a variant and a seed; returns the outcome and the table's figures."""
+    observer = LevelObserver()
+    outcome = run_scenario(
+        scenario.model_copy(update={"seed": seed}),
+        make_levels=VARIANTS[variant](),
+        observer=observer,
+    )
     figures = {
-        "value": told.share,
-        **{f"in time {name}": told.share_of(name) for name in told.asked},
-        **{f"p99 ms {name}": p99 for name, (_, p99) in told.latency_ms.items()},
-        "changes a minute, most": float(watch.most_a_minute()),
-        "changes a minute, mean": watch.mean_a_minute(),
-        "tries a txn": told.count["tries"] / max(1, told.count["first tries"]),
-        "faults": float(len(told.faults)),
-        "first tries": float(told.count["first tries"]),
+        "value": outcome.value_share,
+        **{f"in time {name}": outcome.value_share_of(name) for name in outcome.asked_value},
+        **{f"p99 ms {name}": p99 for name, (_, p99) in outcome.latency_ms.items()},
+        "changes a minute, most": float(observer.max_changes_per_minute()),
+        "changes a minute, mean": observer.mean_changes_per_minute(),
+        "tries a txn": outcome.counts["tries"] / max(1, outcome.counts["first tries"]),
+        "faults": float(len(outcome.violations)),
+        "first tries": float(outcome.counts["first tries"]),
     }
-    return told, figures
+    return outcome, figures
 
 
-def task(world: World, variant: str, seed: int) -> dict[str, Any]:
-    told, figures = one(world, variant, seed)
+def run_for_table(scenario: Scenario, variant: str, seed: int) -> dict[str, Any]:
+    """Runs a scenario with a variant and a seed; returns the row of the table, with "took" in s."""
+    outcome, figures = run_variant(scenario, variant, seed)
     return {
-        "world": world.name,
+        "world": scenario.name,
         "variant": variant,
         "seed": seed,
         "figures": figures,
-        "faults": told.faults,
-        "series": {"rows": told.series, "seconds": [asdict(second) for second in told.seconds]},
-        "took": told.took,
+        "faults": outcome.violations,
+        "series": {
+            "rows": outcome.series,
+            "seconds": [asdict(second) for second in outcome.seconds],
+        },
+        "took": outcome.elapsed_s,
     }
 
 
-def plays(experiment: Experiment, workers: int) -> Iterator[dict[str, Any]]:
-    """Each play's result as it is done, in no order; the seeds and so the figures do not depend on
-    the workers.
+def run_experiment(experiment: Experiment, workers: int) -> Iterator[dict[str, Any]]:
+    """Yields each run's row as it ends.
+
+    The order varies; the figures do not depend on the number of worker processes.
     """
     with ProcessPoolExecutor(workers) as pool:
-        waiting = [
-            pool.submit(task, world, variant, seed)
-            for world in experiment.worlds
+        futures = [
+            pool.submit(run_for_table, scenario, variant, seed)
+            for scenario in experiment.worlds
             for variant in experiment.variants
             for seed in experiment.seeds
         ]
-        for done in as_completed(waiting):
-            yield done.result()
+        for future in as_completed(futures):
+            yield future.result()
 
 
-class Table:
-    """The results, in one SQLite file. Rows are added and never changed."""
+class ResultsTable:
+    """The results, in one SQLite file; rows are added and never changed."""
 
     def __init__(self, path: Path) -> None:
+        """Creates the file and its table where they do not exist."""
         self.path = path
-        with closing(sqlite3.connect(path)) as db:
-            db.executescript(SCHEMA)
+        with closing(sqlite3.connect(path)) as connection:
+            connection.executescript(SCHEMA)
 
     def add(self, experiment: str, text: str, result: dict[str, Any]) -> None:
-        with closing(sqlite3.connect(self.path)) as db, db:
-            db.execute(
+        """Adds a run's row.
+
+        Args:
+            experiment: Name of the experiment.
+            text: Version of the program, from `program_version`.
+            result: The row, from `run_for_table`.
+        """
+        with closing(sqlite3.connect(self.path)) as connection, connection:
+            connection.execute(
                 "INSERT INTO plays (experiment, text, world, variant, seed, figures, series, faults)"
                 " VALUES (?,?,?,?,?,?,?,?)",
                 (
@@ -173,24 +211,27 @@
             )
 
     def rows(self, experiment: str, text: str | None = None) -> list[dict[str, Any]]:
-        """The newest play of each world, variant and seed; of one text of the program, or of the
-        newest there is.
+        """Returns the newest run of each scenario, variant and seed of an experiment.
+
+        Args:
+            experiment: Name of the experiment.
+            text: Version of the program; None: the one of the newest run.
         """
-        with closing(sqlite3.connect(self.path)) as db:
+        with closing(sqlite3.connect(self.path)) as connection:
             if text is None:
-                found = db.execute(
+                newest_text = connection.execute(
                     "SELECT text FROM plays WHERE experiment = ? ORDER BY number DESC LIMIT 1",
                     (experiment,),
                 ).fetchone()
-                text = found[0] if found else ""
-            told = db.execute(
+                text = newest_text[0] if newest_text else ""
+            stored = connection.execute(
                 "SELECT world, variant, seed, figures, series, faults FROM plays WHERE experiment = ?"
                 " AND text = ? ORDER BY number",
                 (experiment, text),
             ).fetchall()
         newest = {
             (world, variant, seed): (figures, series, faults)
-            for world, variant, seed, figures, series, faults in told
+            for world, variant, seed, figures, series, faults in stored
         }
         return [
             {
@@ -205,71 +246,95 @@
         ]
 
     def experiments(self) -> list[tuple[str, str, int]]:
-        """Name, text and number of plays of each."""
-        with closing(sqlite3.connect(self.path)) as db:
-            return db.execute(
+        """Returns the name, the program version and the number of runs of each experiment."""
+        with closing(sqlite3.connect(self.path)) as connection:
+            return connection.execute(
                 "SELECT experiment, text, count(*) FROM plays GROUP BY 1, 2 ORDER BY max(number)"
             ).fetchall()
 
 
 @dataclass(frozen=True, slots=True)
-class Paired:
-    """A figure of one variant against another's on the same worlds and seeds: means, and the
-    difference with its 95%.
+class PairedDifference:
+    """A figure of one variant compared with another's on the same scenario and seeds.
+
+    Attributes:
+        figure: Name of the figure.
+        base: Mean of the base variant.
+        other: Mean of the other variant.
+        spread: Standard deviation of the other variant over the seeds.
+        difference: Mean difference, other minus base.
+        low: Lower bound of the difference's 95% confidence interval.
+        high: Upper bound of the difference's 95% confidence interval.
+        pairs: Number of seeds.
     """
 
     figure: str
     base: float
     other: float
-    spread: float  # of the other, a standard deviation over seeds
+    spread: float
     difference: float
     low: float
     high: float
     pairs: int
 
     @property
-    def told_apart(self) -> bool:
+    def is_significant(self) -> bool:
+        """Whether the confidence interval excludes 0."""
         return self.low > 0 or self.high < 0
 
 
-def paired(rows: list[dict[str, Any]], world: str, base: str, other: str) -> list[Paired]:
-    """Differences of pairs, resampled (percentile bootstrap, seeded): no shape of theirs is
-    assumed.
+def paired_differences(
+    rows: list[dict[str, Any]], scenario: str, base: str, other: str
+) -> list[PairedDifference]:
+    """Returns the differences between two variants, one for each figure.
+
+    The confidence interval is a percentile bootstrap over the seeds with a fixed seed of its own,
+    which assumes no shape of the distribution.
+
+    Args:
+        rows: Rows of the table.
+        scenario: Name of the scenario.
+        base: Name of the base variant.
+        other: Name of the other variant.
     """
-    by = {(row["variant"], row["seed"]): row["figures"] for row in rows if row["world"] == world}
+    figures_by_run = {
+        (row["variant"], row["seed"]): row["figures"] for row in rows if row["world"] == scenario
+    }
     seeds = sorted(
-        {seed for variant, seed in by if variant == base}
-        & {seed for variant, seed in by if variant == other}
+        {seed for variant, seed in figures_by_run if variant == base}
+        & {seed for variant, seed in figures_by_run if variant == other}
     )
-    found = []
-    for name in by[base, seeds[0]] if seeds else ():
-        before = np.array([by[base, seed][name] for seed in seeds])
-        after = np.array([by[other, seed].get(name, np.nan) for seed in seeds])
-        apart = after - before
-        chance = np.random.default_rng(1)
-        means = apart[chance.integers(len(seeds), size=(RESAMPLES, len(seeds)))].mean(axis=1)
+    differences = []
+    for name in figures_by_run[base, seeds[0]] if seeds else ():
+        base_values = np.array([figures_by_run[base, seed][name] for seed in seeds])
+        other_values = np.array([figures_by_run[other, seed].get(name, np.nan) for seed in seeds])
+        difference = other_values - base_values
+        random = np.random.default_rng(1)
+        means = difference[
+            random.integers(len(seeds), size=(BOOTSTRAP_RESAMPLES, len(seeds)))
+        ].mean(axis=1)
         low, high = np.percentile(means, [2.5, 97.5])
-        found.append(
-            Paired(
+        differences.append(
+            PairedDifference(
                 name,
-                float(before.mean()),
-                float(after.mean()),
-                float(after.std(ddof=min(1, len(seeds) - 1))),
-                float(apart.mean()),
+                float(base_values.mean()),
+                float(other_values.mean()),
+                float(other_values.std(ddof=min(1, len(seeds) - 1))),
+                float(difference.mean()),
                 float(low),
                 float(high),
                 len(seeds),
             )
         )
-    return found
+    return differences
 
 
-def text_of_program(root: Path) -> str:
-    """The commit that is played; with a mark where the tree differs from it."""
+def program_version(root: Path) -> str:
+    """Returns the short hash of the commit at `root`, with "+" if `burlloom` differs from it."""
 
-    def git(*words: str) -> str:
+    def git(*arguments: str) -> str:
         return subprocess.run(
-            ["git", *words], cwd=root, capture_output=True, text=True, check=False
+            ["git", *arguments], cwd=root, capture_output=True, text=True, check=False
         ).stdout.strip()
 
     return (git("rev-parse", "--short", "HEAD") or "unknown") + (
--- a/burlloom/lab/fleets.py
+++ b/burlloom/lab/fleets.py
@@ -1,6 +1,7 @@
-"""Fleets in simulated time: servers that join one, and swarms of members without servers.
+"""Fleets in simulated time: servers that join a fleet, and swarms of members without servers.
 
-The network delays, loses, doubles and cuts; a member can be killed, paused and started again.
+The simulated network delays, loses and duplicates datagrams, and can be partitioned. A member can
+be killed, paused and started again.
 """
 
 import asyncio
@@ -25,24 +26,24 @@
 from ..server.membership import FleetMembership
 from ..server.recovery import RestartRecovery
 from ..server.server import Server
-from .clock import EPOCH, SECOND, SimulatedLoop
+from .clock import EPOCH_NS, NS_PER_SECOND, SimulatedLoop
 from .emulator import Emulator
 from .node import Node
 
-TICK_S = 0.1  # s, as the server's beat
-PAUSED_CALLS_S = 6.0  # s, for which the calls of one that was paused stay in hand below
-KEY = b"the lab's own key"
+TICK_S = 0.1  # between two ticks of a member; as in the server
+PAUSED_CALLS_S = 6.0  # for which the calls of a paused member stay in progress downstream
+FLEET_KEY = b"the lab's own key"
 
 
 class SimulatedNetwork:
-    """Datagrams between addresses, delayed, lost, doubled and cut.
+    """Delivers datagrams between addresses; may delay, lose, duplicate or block them.
 
     Attributes:
-        receivers: By address, what takes a datagram.
-        cuts: Pairs of sets of addresses that do not hear each other; where the last is False, only
-            the first does not reach the second.
-        sent: Datagrams.
-        bytes_sent: Their sizes.
+        receivers: By address, the function that takes a datagram.
+        cuts: Pairs of sets of addresses between which no datagram passes; where the third item is
+            False, only datagrams from the first set to the second are blocked.
+        sent: Number of datagrams that were sent.
+        bytes_sent: Total size of their payloads in bytes.
     """
 
     def __init__(
@@ -53,14 +54,14 @@
         loss_rate: float = 0.0,
         duplicate_rate: float = 0.0,
     ) -> None:
-        """Begins with nobody on it.
+        """Creates a network without receivers.
 
         Args:
-            loop: Its time.
-            seed: For delays and losses.
-            delay_s: The least and the most.
-            loss_rate: Of datagrams.
-            duplicate_rate: Of datagrams.
+            loop: Gives the time.
+            seed: Seed of the delays, losses and duplicates.
+            delay_s: Range of the one-way delay in s.
+            loss_rate: Share of datagrams that are lost.
+            duplicate_rate: Share of datagrams that are sent twice.
         """
         self.loop, self.random = loop, default_rng(seed)
         self.delay_s, self.loss_rate, self.duplicate_rate = delay_s, loss_rate, duplicate_rate
@@ -68,23 +69,27 @@
         self.cuts: list[tuple[frozenset[str], frozenset[str], bool]] = []
         self.sent = self.bytes_sent = 0
 
-    def cut(self, one: Sequence[str], other: Sequence[str], both_ways: bool = True) -> None:
-        """Parts two sets of addresses, in both directions or from the first to the second."""
-        self.cuts.append((frozenset(one), frozenset(other), both_ways))
+    def cut(self, sources: Sequence[str], targets: Sequence[str], both_ways: bool = True) -> None:
+        """Blocks datagrams from one set of addresses to another, or in both directions."""
+        self.cuts.append((frozenset(sources), frozenset(targets), both_ways))
 
     def heal(self) -> None:
         """Ends all cuts."""
         self.cuts.clear()
 
     def is_partitioned(self, source: str, target: str) -> bool:
-        """Whether a datagram can't get from `source` to `target`."""
+        """Whether datagrams from `source` to `target` are blocked."""
         return any(
-            source in one and target in other or both and source in other and target in one
-            for one, other, both in self.cuts
+            source in sources
+            and target in targets
+            or both_ways
+            and source in targets
+            and target in sources
+            for sources, targets, both_ways in self.cuts
         )
 
     def send(self, source: str, target: str, data: bytes) -> None:
-        """Sends a datagram."""
+        """Sends a datagram; it may be lost, or arrive twice."""
         self.sent += 1
         self.bytes_sent += len(data)
         for _ in range(
@@ -102,48 +107,54 @@
             )
 
     def deliver(self, target: str, data: bytes) -> None:
-        """Hands a datagram to whoever is at `target`, if anybody is."""
-        place = self.receivers.get(target)
-        if place is not None:
-            place(data)
+        """Hands a datagram to the receiver at `target`, if there is one."""
+        receiver = self.receivers.get(target)
+        if receiver is not None:
+            receiver(data)
 
 
 @dataclass
 class SwarmMember:
-    """A process of the swarm: its member, if it is up, and what it would like to call.
+    """A process of the swarm with its fleet member.
 
     Attributes:
-        name: Of the member.
-        address: Of the member.
-        fleet: The member itself; None while the process is down.
-        demand: Calls in progress, if it could.
-        paused_at: Since when it stands still, s; below 0: it does not.
-        queued: Datagrams that came while it stood still.
-        seed: For its random draws.
+        name: Name of the member.
+        address: Address of the member.
+        member: The fleet member; None while the process is down.
+        demand: Downstream calls that it would have in progress without a limit.
+        paused_at_s: Simulated time in s at which it was paused; below 0: it is not.
+        queued: Datagrams that arrived while it was paused.
+        seed: Seed of its random draws.
         incarnations: How often it was started.
     """
 
     name: str
     address: str
-    fleet: FleetMember | None = None
-    demand: float = 0.0  # calls in hand, if it could
-    paused_at: float = -1.0  # s; below 0: it is not
-    queued: list[bytes] = field(default_factory=list)  # what came while it was paused
+    member: FleetMember | None = None
+    demand: float = 0.0
+    paused_at_s: float = -1.0
+    queued: list[bytes] = field(default_factory=list)
     seed: int = 0
     incarnations: int = 0
 
     @property
     def calls_in_progress(self) -> float:
-        """As many as it may have, or would."""
+        """Calls in progress: its demand, up to its share."""
         return (
-            min(self.demand, self.fleet.share / MILLICALLS_PER_CALL)
-            if self.fleet is not None
+            min(self.demand, self.member.share / MILLICALLS_PER_CALL)
+            if self.member is not None
             else 0.0
         )
 
 
 class Swarm:
-    """Members by name, without servers; `sample` is called once a tick of theirs."""
+    """Members without servers on one network.
+
+    Attributes:
+        members: The processes by name of the member.
+        seeds: Addresses at which a new member joins.
+        sample: Called after each tick of a `run`.
+    """
 
     def __init__(
         self,
@@ -153,14 +164,14 @@
         gossip_settings: GossipSettings | None = None,
         seed: int = 1,
     ) -> None:
-        """Begins without members.
+        """Creates a swarm without members.
 
         Args:
-            loop: Its time.
-            network: Between the members.
-            quota_settings: Of all members.
-            gossip_settings: Of all members.
-            seed: For their random draws.
+            loop: Gives the time.
+            network: Connects the members.
+            quota_settings: Settings of the quota of all members.
+            gossip_settings: Settings of the gossip of all members; None: the defaults.
+            seed: Seed of the members' random draws.
         """
         self.loop, self.network, self.quota_settings, self.gossip_settings, self.seed = (
             loop,
@@ -173,145 +184,159 @@
         self.seeds: tuple[str, ...] = ()
         self.sample: Callable[[], None] = lambda: None
 
-    def now(self) -> int:
-        """Returns ns since the simulation's epoch."""
-        return self.loop.wall()
+    def now_ns(self) -> int:
+        """Returns the simulated Unix time in ns."""
+        return self.loop.unix_time_ns()
 
     def add(self, count: int, demand: float) -> list[SwarmMember]:
-        """Adds and starts members; the first three of all are the seeds."""
-        made = []
+        """Adds and starts members; the first three of the swarm are the seeds.
+
+        Args:
+            count: Number of members.
+            demand: Downstream calls that each would have in progress without a limit.
+        """
+        added = []
         for _ in range(count):
-            at = len(self.members)
-            body = SwarmMember(
-                f"n{at}",
-                f"10.1.{at // 200}.{at % 200 + 1}:7946",
+            index = len(self.members)
+            process = SwarmMember(
+                f"n{index}",
+                f"10.1.{index // 200}.{index % 200 + 1}:7946",
                 demand=demand,
-                seed=self.seed * 1009 + at,
+                seed=self.seed * 1009 + index,
             )
-            self.members[body.name] = body
-            made.append(body)
-        self.seeds = self.seeds or tuple(body.address for body in made[:3])
-        for body in made:
-            self.start(body)
-        return made
-
-    def start(self, body: SwarmMember) -> None:
+            self.members[process.name] = process
+            added.append(process)
+        self.seeds = self.seeds or tuple(process.address for process in added[:3])
+        for process in added:
+            self.start(process)
+        return added
+
+    def start(self, process: SwarmMember) -> None:
         """Starts a member's process, again or for the first time."""
-        body.incarnations += 1
-        now, life = (
-            self.now(),
-            (EPOCH + int(self.loop.now * SECOND)) // 1_000_000 + body.incarnations,
+        process.incarnations += 1
+        now_ns, incarnation = (
+            self.now_ns(),
+            (EPOCH_NS + int(self.loop.now_s * NS_PER_SECOND)) // 1_000_000 + process.incarnations,
         )
-        chance = Random(body.seed * 7 + body.incarnations)
-        body.fleet = FleetMember(
-            MemberUpdate(body.name, body.address, life, 0, MemberState.ALIVE),
+        random = Random(process.seed * 7 + process.incarnations)
+        process.member = FleetMember(
+            MemberUpdate(process.name, process.address, incarnation, 0, MemberState.ALIVE),
             self.seeds,
-            (KEY,),
+            (FLEET_KEY,),
             self.quota_settings,
             self.gossip_settings,
-            chance,
-            now,
+            random,
+            now_ns,
         )
-        body.paused_at, body.queued = -1.0, []
-        self.network.receivers[body.address] = lambda data: self.receive(body, data)
-        self.loop.call_later(TICK_S * chance.random(), self.tick, body, body.fleet)
+        process.paused_at_s, process.queued = -1.0, []
+        self.network.receivers[process.address] = lambda data: self.receive(process, data)
+        self.loop.call_later(TICK_S * random.random(), self.tick, process, process.member)
 
-    def kill(self, body: SwarmMember) -> None:
+    def kill(self, process: SwarmMember) -> None:
         """Ends a member's process without a message."""
-        body.fleet = None
-        self.network.receivers.pop(body.address, None)
-
-    def leave(self, body: SwarmMember) -> None:
-        """Ends a member's process in good order."""
-        if body.fleet is not None:
-            body.fleet.leave(self.now())
-            self.flush(body)
-            self.kill(body)
-
-    def pause(self, body: SwarmMember) -> None:
-        """Has a member's process stand still."""
-        body.paused_at = self.loop.now
-
-    def resume(self, body: SwarmMember) -> None:
-        """Wakes a member's process; what came meanwhile it receives at once."""
-        body.paused_at = -1.0
-        for data in body.queued:
-            self.receive(body, data)
-        body.queued = []
-
-    def receive(self, body: SwarmMember, data: bytes) -> None:
-        """Hands a datagram to a member, or to its queue while it stands still."""
-        if body.paused_at >= 0:
-            if len(body.queued) < 200:
-                body.queued.append(data)
-        elif body.fleet is not None:
-            body.fleet.receive(self.now(), data)
-            self.flush(body)
-
-    def tick(self, body: SwarmMember, fleet: FleetMember) -> None:
-        """Runs a member's tick, and plans the next."""
-        if body.fleet is not fleet:
+        process.member = None
+        self.network.receivers.pop(process.address, None)
+
+    def leave(self, process: SwarmMember) -> None:
+        """Has a member leave the fleet, and ends its process."""
+        if process.member is not None:
+            process.member.leave(self.now_ns())
+            self.flush(process)
+            self.kill(process)
+
+    def pause(self, process: SwarmMember) -> None:
+        """Pauses a member's process: it neither ticks nor receives."""
+        process.paused_at_s = self.loop.now_s
+
+    def resume(self, process: SwarmMember) -> None:
+        """Resumes a member's process, which receives the queued datagrams at once."""
+        process.paused_at_s = -1.0
+        for data in process.queued:
+            self.receive(process, data)
+        process.queued = []
+
+    def receive(self, process: SwarmMember, data: bytes) -> None:
+        """Hands a datagram to a member; queues up to 200 datagrams while it is paused."""
+        if process.paused_at_s >= 0:
+            if len(process.queued) < 200:
+                process.queued.append(data)
+        elif process.member is not None:
+            process.member.receive(self.now_ns(), data)
+            self.flush(process)
+
+    def tick(self, process: SwarmMember, member: FleetMember) -> None:
+        """Runs a member's tick and schedules the next, until the process has ended."""
+        if process.member is not member:
             return
-        if body.paused_at < 0:
-            # One that may not call enough has the rest waiting.
-            fleet.set_usage(
-                int(body.demand * MILLICALLS_PER_CALL),
-                int(body.calls_in_progress * MILLICALLS_PER_CALL),
+        if process.paused_at_s < 0:
+            # Demand above the share waits.
+            member.set_usage(
+                int(process.demand * MILLICALLS_PER_CALL),
+                int(process.calls_in_progress * MILLICALLS_PER_CALL),
             )
-            fleet.tick(self.now())
-            self.flush(body)
-        self.loop.call_later(TICK_S, self.tick, body, fleet)
+            member.tick(self.now_ns())
+            self.flush(process)
+        self.loop.call_later(TICK_S, self.tick, process, member)
 
-    def flush(self, body: SwarmMember) -> None:
-        """Sends what a member has in its outbox."""
-        while body.fleet is not None and body.fleet.outbox:
-            self.network.send(body.address, *body.fleet.outbox.popleft())
-
-    # What is seen from outside.
+    def flush(self, process: SwarmMember) -> None:
+        """Sends the datagrams in a member's outbox."""
+        while process.member is not None and process.member.outbox:
+            self.network.send(process.address, *process.member.outbox.popleft())
 
     def running_members(self) -> list[SwarmMember]:
-        """Returns those whose process is up, standing still or not."""
-        return [body for body in self.members.values() if body.fleet is not None]
+        """Returns the members whose process is up, also if it is paused."""
+        return [process for process in self.members.values() if process.member is not None]
 
     def total_calls(self) -> float:
-        """Returns the calls in progress downstream, of all."""
+        """Returns the downstream calls in progress of all members.
+
+        The calls of a paused member count for `PAUSED_CALLS_S`.
+        """
         return sum(
-            body.calls_in_progress
-            for body in self.running_members()
-            if self.loop.now - body.paused_at < PAUSED_CALLS_S or body.paused_at < 0
+            process.calls_in_progress
+            for process in self.running_members()
+            if self.loop.now_s - process.paused_at_s < PAUSED_CALLS_S or process.paused_at_s < 0
         )
 
     def shares(self) -> list[float]:
-        """Returns the shares of those that are up, in calls."""
+        """Returns the shares of the members that are up, in calls."""
         return [
-            body.fleet.share / MILLICALLS_PER_CALL
-            for body in self.running_members()
-            if body.fleet is not None
+            process.member.share / MILLICALLS_PER_CALL
+            for process in self.running_members()
+            if process.member is not None
         ]
 
     def has_agreed_view(self) -> bool:
-        """Whether all that are up see exactly those as present."""
-        names = {body.name for body in self.running_members()}
+        """Whether each member that is up sees exactly the members that are up as present."""
+        names = {process.name for process in self.running_members()}
         return all(
-            {member.update.name for member in body.fleet.view.present_members()} == names
-            for body in self.running_members()
-            if body.fleet is not None
+            {member.update.name for member in process.member.view.present_members()} == names
+            for process in self.running_members()
+            if process.member is not None
         )
 
     def run(self, seconds: float) -> None:
-        """Runs on, sampling each tick."""
+        """Runs for some simulated seconds, and calls `sample` after each tick."""
 
-        async def play() -> None:
-            until = self.loop.now + seconds
-            while self.loop.now < until - 1e-9:
+        async def run_ticks() -> None:
+            end_s = self.loop.now_s + seconds
+            while self.loop.now_s < end_s - 1e-9:
                 await asyncio.sleep(TICK_S)
                 self.sample()
 
-        self.loop.run_until_complete(play())
+        self.loop.run_until_complete(run_ticks())
 
 
 class SimulatedMembership:
-    """A node's server in the fleet: as the server's own, over the network of a world."""
+    """Replaces a server's fleet membership by one over the simulated network.
+
+    Attributes:
+        address: Address of the member.
+        fleet: The fleet member.
+        share: Applies the member's share of the downstream calls.
+        previous_incarnation: The member's incarnation before this one, as the fleet reported it; 0:
+            unknown.
+    """
 
     def __init__(
         self,
@@ -323,25 +348,29 @@
         """Joins the fleet.
 
         Args:
-            simulated_fleet: All that is joined.
-            node: The server's.
-            server: That is joined.
-            recovery: Of the server; it bounds the share at a start.
+            simulated_fleet: The fleet.
+            node: The server's node.
+            server: The server that joins.
+            recovery: The server's recovery, which bounds the share after a start.
         """
         self.simulated_fleet, self.node, self.server = simulated_fleet, node, server
-        loop, world = simulated_fleet.loop, simulated_fleet.emulator.world
+        loop, scenario = simulated_fleet.loop, simulated_fleet.emulator.scenario
         self.address = address_of_node(node.index)
         own = MemberUpdate(
-            node.name, self.address, loop.wall() // 1_000_000 + node.life, 0, MemberState.ALIVE
+            node.name,
+            self.address,
+            loop.unix_time_ns() // 1_000_000 + node.incarnation,
+            0,
+            MemberState.ALIVE,
         )
         self.fleet = FleetMember(
             own,
             simulated_fleet.seeds,
-            (KEY,),
+            (FLEET_KEY,),
             simulated_fleet.quota_settings,
             simulated_fleet.gossip_settings,
-            Random(world.seed * 1_000_003 + node.index * 1009 + node.life),
-            loop.wall(),
+            Random(scenario.seed * 1_000_003 + node.index * 1009 + node.incarnation),
+            loop.unix_time_ns(),
         )
         self.share, self.recovery, self.previous_incarnation = (
             CallShare(self.fleet, recovery.call_cap),
@@ -352,53 +381,53 @@
         loop.call_soon(lambda: server.tasks.start(self.run(), "fleet"))
 
     async def open(self) -> None:
-        """Does nothing: it is on the network from the beginning."""
+        """Does nothing: the member is on the network from its creation."""
 
-    def attach_dispatcher(self, desk: Dispatcher) -> None:
-        """Takes whom the share is for."""
-        self.share.dispatcher = desk
+    def attach_dispatcher(self, dispatcher: Dispatcher) -> None:
+        """Applies the share to a dispatcher."""
+        self.share.dispatcher = dispatcher
         self.share.apply()
 
     def may_call(self) -> bool:
-        """Whether the share may still be acted on."""
-        return self.fleet.is_current(self.simulated_fleet.loop.wall())
+        """Whether the share is still valid."""
+        return self.fleet.is_current(self.simulated_fleet.loop.unix_time_ns())
 
-    def select_pool(self, one: ConnectionPool) -> ConnectionPool | ServicePools:
-        """Returns the one pool: there are no subsets here."""
-        return one
+    def select_pool(self, pool: ConnectionPool) -> ConnectionPool | ServicePools:
+        """Returns the given pool: there are no subsets."""
+        return pool
 
     async def run(self) -> None:
-        """Ticks for as long as the server lives."""
+        """Runs the member's ticks until the server's process ends."""
         while True:
             self.share.report_demand()
-            self.fleet.tick(self.simulated_fleet.loop.wall())
+            self.fleet.tick(self.simulated_fleet.loop.unix_time_ns())
             self.process_results()
             await asyncio.sleep(TICK_S)
 
     def receive(self, data: bytes) -> None:
-        """Takes in a datagram, unless the server was killed."""
-        if self.node.server is self.server:  # else it was killed
-            self.fleet.receive(self.simulated_fleet.loop.wall(), data)
+        """Receives a datagram, unless the server was killed."""
+        if self.node.server is self.server:
+            self.fleet.receive(self.simulated_fleet.loop.unix_time_ns(), data)
             self.process_results()
 
     def call_shares(self) -> tuple[float, float] | None:
-        """Returns an equal share and our own, in calls."""
+        """Returns an equal share and the own share, in calls."""
         return call_shares(self.fleet)
 
     def peer_addresses(self) -> tuple[str, ...]:
-        """Returns none: a node always finds the seeds."""
+        """Returns no address: a node can always reach the seeds."""
         return ()
 
     def eject_services(self, addresses: frozenset[str]) -> bool:
-        """Whether no call is there any more: there are no subsets here."""
+        """Returns True, for no call left to an ejected service: there are no subsets."""
         return True
 
     def recent_call_counts(self) -> dict[str, tuple[int, int]]:
-        """Returns none: there are no subsets here."""
+        """Returns no counts: there are no subsets."""
         return {}
 
     def process_results(self) -> None:
-        """Does what a tick or a datagram has led to."""
+        """Applies what a tick or a datagram changed, and sends the outbox."""
         if self.fleet.previous_incarnation != self.previous_incarnation:
             self.previous_incarnation = self.fleet.previous_incarnation
             self.recovery.previous_incarnation_seen(self.previous_incarnation)
@@ -409,7 +438,7 @@
 
     def close(self) -> None:
         """Leaves the fleet."""
-        self.fleet.leave(self.simulated_fleet.loop.wall())
+        self.fleet.leave(self.simulated_fleet.loop.unix_time_ns())
         self.process_results()
 
 
@@ -419,7 +448,12 @@
 
 
 class SimulatedFleet:
-    """Joins the nodes of a world; zones that are cut there are cut for datagrams too."""
+    """Joins the nodes of a simulation; a cut zone is cut for datagrams too.
+
+    Attributes:
+        network: Connects the members.
+        seeds: Addresses of the first three nodes, at which members join.
+    """
 
     def __init__(
         self,
@@ -428,13 +462,13 @@
         gossip_settings: GossipSettings | None = None,
         loss_rate: float = 0.0,
     ) -> None:
-        """Begins with nobody joined.
+        """Creates a fleet without members.
 
         Args:
-            emulator: Of the nodes.
-            quota_settings: Of all members.
-            gossip_settings: Of all members.
-            loss_rate: Of datagrams.
+            emulator: The simulation.
+            quota_settings: Settings of the quota of all members.
+            gossip_settings: Settings of the gossip of all members; None: the defaults.
+            loss_rate: Share of datagrams that are lost.
         """
         self.emulator, self.loop, self.quota_settings, self.gossip_settings = (
             emulator,
@@ -442,29 +476,31 @@
             quota_settings,
             gossip_settings or GossipSettings(),
         )
-        low, high = emulator.world.callers.net_ms
+        low, high = emulator.scenario.callers.net_ms
         self.network = SimulatedNetwork(
-            self.loop, emulator.world.seed, (low / 1000, high / 1000), loss_rate
+            self.loop, emulator.scenario.seed, (low / 1000, high / 1000), loss_rate
         )
         self.network.is_partitioned = self.is_partitioned  # type: ignore[method-assign]
         self.seeds = tuple(address_of_node(index) for index in range(3))
 
-    def zone(self, place: str) -> int:
+    def zone(self, address: str) -> int:
         """Returns the zone of the node at an address."""
-        _, _, high, low = place.split(":")[0].split(".")
-        return (int(high) * 200 + int(low) - 1) % self.emulator.world.machines.zones
+        _, _, high, low = address.split(":")[0].split(".")
+        return (int(high) * 200 + int(low) - 1) % self.emulator.scenario.machines.zones
 
     def is_partitioned(self, source: str, target: str) -> bool:
         """Whether a cut zone lies between two addresses."""
-        cuts = self.emulator.cuts
+        cut_zones = self.emulator.cut_zones
         return (
-            bool(cuts)
+            bool(cut_zones)
             and self.zone(source) != self.zone(target)
-            and bool(cuts & {self.zone(source), self.zone(target)})
+            and bool(cut_zones & {self.zone(source), self.zone(target)})
         )
 
-    def membership(self, node: Node, server: Server, recovery: RestartRecovery) -> FleetMembership:
-        """Returns the fleet's part of a node's server."""
+    def create_membership(
+        self, node: Node, server: Server, recovery: RestartRecovery
+    ) -> FleetMembership:
+        """Returns the fleet membership of a node's server."""
         return SimulatedMembership(self, node, server, recovery)
 
     def shares(self) -> dict[str, float]:
@@ -472,7 +508,7 @@
         return {
             node.name: node.server.subsystems.membership.fleet.share / MILLICALLS_PER_CALL
             for node in self.emulator.nodes
-            if node.up
+            if node.is_up
             and node.server is not None
             and isinstance(node.server.subsystems.membership, SimulatedMembership)
         }
--- a/burlloom/lab/rules.py
+++ b/burlloom/lab/rules.py
@@ -1,191 +1,319 @@
-"""A checker of the four rules, which knows nothing of the program: it is told what came, ran and
-was answered.
+"""Checks four safety rules from outside: the checker shares no code with the server.
 
-Whoever plays a world (in simulated time or on sockets) hands it each thing as it happens, in order.
-Times are s.
+The rules: a request that must not run twice does not; each request that was read is answered by its
+deadline; an answer is true to what ran; and a node stays within its CPU and memory, and the fleet
+within the downstream service's capacity. The driver of a simulation, or of a run over sockets,
+reports each event in the order of time. Times are in s.
 """
 
 from collections import Counter
 from dataclasses import dataclass, field
 
-SLACK = 0.05  # by which each time limit is longer
-CROWD_FOR = 3.0  # s over which the cores' crowd is averaged
+TOLERANCE_S = 0.05  # added to each time limit
+LOAD_AVERAGE_S = 3.0  # time constant of the average of runnable jobs per core
 
 
 @dataclass(slots=True)
-class Try:
+class AttemptState:
+    """State of an attempt that a node has read.
+
+    Attributes:
+        node: Name of the node.
+        incarnation: Incarnation of the node.
+        idempotency_key: Key of the request; empty for one without.
+        received_at_s: Time in s at which the node received it.
+        due_at_s: Time in s by which it must be answered.
+        window_s: Time in s after `received_at_s` within which the key must not run again.
+        runs_once: Whether the request must not run again although it has no key.
+        answer: "settled", "declined" or "voided"; empty before an answer.
+        has_run: Whether it was started.
+    """
+
     node: str
-    life: int
-    mark: str  # empty where it may run again
-    at: float
-    due: float
-    window: float = 0.0
-    once: bool = False
+    incarnation: int
+    idempotency_key: str
+    received_at_s: float
+    due_at_s: float
+    window_s: float = 0.0
+    runs_once: bool = False
     answer: str = ""
-    ran: bool = False
+    has_run: bool = False
 
 
 @dataclass(slots=True)
-class Life:
-    drained_at: float = -1.0
-    ended: bool = False
-    open: set[str] = field(default_factory=set)
-    crowd: float = 0.0  # mean of what wants a core, each
+class IncarnationState:
+    """State of one incarnation of a node.
+
+    Attributes:
+        drained_at_s: Time in s at which its drain began; below 0: it has not.
+        has_ended: Whether its process has ended.
+        unanswered: Ids of attempts that were read and are not answered.
+        load: Runnable jobs per core, averaged over `LOAD_AVERAGE_S`.
+    """
+
+    drained_at_s: float = -1.0
+    has_ended: bool = False
+    unanswered: set[str] = field(default_factory=set)
+    load: float = 0.0
 
 
-class Rules:
-    """`remembers`: the nodes keep a record, so that a mark counts over their lives."""
+class RuleChecker:
+    """Records events and collects violations of the rules.
+
+    Attributes:
+        attempts: Attempts that were read, by id.
+        incarnations: Incarnations by node name and number.
+        last_runs: By node and key, when the last attempt that ran was received, in s, and its id.
+        results: Results of runs, by attempt id.
+        violations: Messages of the first 100 violations; later ones are only counted.
+        counts: Number of runs, of answers by kind, and of violations ("faults").
+    """
 
     def __init__(
-        self, grace: float, tip_multiple: float, calls_most: float, remembers: bool = False
+        self,
+        grace_s: float,
+        tip_multiple: float,
+        max_downstream_calls: float,
+        has_records: bool = False,
     ) -> None:
-        self.grace, self.tip_multiple, self.calls_most, self.remembers = (
-            grace,
+        """Creates a checker without events.
+
+        Args:
+            grace_s: Time in s after the start of a drain in which received attempts may run.
+            tip_multiple: Most runnable jobs per core, averaged over `LOAD_AVERAGE_S`.
+            max_downstream_calls: Most calls in progress that the downstream service survives.
+            has_records: Whether the nodes keep a durable record, so that a key must not run again
+                in a later incarnation either.
+        """
+        self.grace_s, self.tip_multiple, self.max_downstream_calls, self.has_records = (
+            grace_s,
             tip_multiple,
-            calls_most,
-            remembers,
+            max_downstream_calls,
+            has_records,
         )
-        self.tries: dict[str, Try] = {}
-        self.lives: dict[tuple[str, int], Life] = {}
-        self.marks: dict[
-            tuple[str, int, str], tuple[float, str]
-        ] = {}  # when the try that ran came, and its id
+        self.attempts: dict[str, AttemptState] = {}
+        self.incarnations: dict[tuple[str, int], IncarnationState] = {}
+        self.last_runs: dict[tuple[str, int, str], tuple[float, str]] = {}
         self.results: dict[str, bytes] = {}
-        self.faults: list[str] = []
-        self.count: Counter[str] = Counter()
+        self.violations: list[str] = []
+        self.counts: Counter[str] = Counter()
 
-    def fault(self, at: float, what: str) -> None:
-        self.count["faults"] += 1
-        if len(self.faults) < 100:
-            self.faults.append(f"{at:.3f}: {what}")
+    def add_violation(self, time_s: float, message: str) -> None:
+        """Counts a violation and keeps its message."""
+        self.counts["faults"] += 1
+        if len(self.violations) < 100:
+            self.violations.append(f"{time_s:.3f}: {message}")
 
-    def life(self, node: str, life: int) -> Life:
-        return self.lives.setdefault((node, life), Life())
+    def incarnation(self, node: str, incarnation: int) -> IncarnationState:
+        """Returns the state of a node's incarnation; creates it at the first use."""
+        return self.incarnations.setdefault((node, incarnation), IncarnationState())
 
-    def read(
+    def record_read(
         self,
-        at: float,
+        received_at_s: float,
         node: str,
-        life: int,
-        id: str,
-        expiry: float,
-        mark: str = "",
-        window: float = 0.0,
-        once: bool = False,
+        incarnation: int,
+        attempt_id: str,
+        deadline_s: float,
+        idempotency_key: str = "",
+        window_s: float = 0.0,
+        runs_once: bool = False,
     ) -> None:
-        """A node has a try; its answer is due `expiry` after it came."""
-        if id in self.tries:
-            self.fault(at, f"{id} was sent twice")  # a fault of the rig's
-        self.tries[id] = Try(node, life, mark, at, at + expiry + SLACK, window, once)
-        self.life(node, life).open.add(id)
-        self.count["read"] += 1
-
-    def key(self, one: Try) -> tuple[str, int, str]:
-        return one.node, 0 if self.remembers else one.life, one.mark
-
-    def runs(self, at: float, id: str) -> None:
-        one = self.tries.get(id)
-        if one is None:
-            self.fault(at, f"{id} runs and never came")
+        """Records that a node has read an attempt.
+
+        Args:
+            received_at_s: Time in s at which its last byte came.
+            node: Name of the node.
+            incarnation: Incarnation of the node.
+            attempt_id: The attempt.
+            deadline_s: Time in s after `received_at_s` by which it must be answered.
+            idempotency_key: Key of the request; empty for one without.
+            window_s: Time in s after `received_at_s` within which the key must not run again.
+            runs_once: Whether the request must not run again although it has no key.
+        """
+        if attempt_id in self.attempts:
+            # An error of the test rig: ids are unique.
+            self.add_violation(received_at_s, f"{attempt_id} was sent twice")
+        self.attempts[attempt_id] = AttemptState(
+            node,
+            incarnation,
+            idempotency_key,
+            received_at_s,
+            received_at_s + deadline_s + TOLERANCE_S,
+            window_s,
+            runs_once,
+        )
+        self.incarnation(node, incarnation).unanswered.add(attempt_id)
+        self.counts["read"] += 1
+
+    def key_scope(self, attempt: AttemptState) -> tuple[str, int, str]:
+        """Returns the key of an attempt with the node and, without records, the incarnation."""
+        return (
+            attempt.node,
+            0 if self.has_records else attempt.incarnation,
+            attempt.idempotency_key,
+        )
+
+    def record_run(self, time_s: float, attempt_id: str) -> None:
+        """Records that an attempt was started, and checks that it may run."""
+        attempt = self.attempts.get(attempt_id)
+        if attempt is None:
+            self.add_violation(time_s, f"{attempt_id} was started but never read")
             return
-        self.count["runs"] += 1
-        life = self.life(one.node, one.life)
-        if one.ran:
-            self.fault(at, f"{id} runs twice")
-        if life.ended:
-            self.fault(at, f"{id} runs on {one.node}, which is over")
-        if 0 <= life.drained_at < one.at - self.grace - SLACK:
-            self.fault(
-                at,
-                f"{id} came {one.at - life.drained_at:.3f} s into a drain of {one.node} and runs",
+        self.counts["runs"] += 1
+        state = self.incarnation(attempt.node, attempt.incarnation)
+        if attempt.has_run:
+            self.add_violation(time_s, f"{attempt_id} was started twice")
+        if state.has_ended:
+            self.add_violation(
+                time_s, f"{attempt_id} was started on {attempt.node}, whose process has ended"
             )
-        one.ran = True
-        if one.mark:
-            before, first = self.marks.get(self.key(one), (-1e9, ""))
-            if one.at <= before + one.window and first != id:
-                self.fault(at, f"{one.mark[-8:]} runs twice on {one.node}: as {first} and as {id}")
-            self.marks[self.key(one)] = one.at, id
-
-    def makes(self, id: str, result: bytes) -> None:
-        self.results[id] = result
-
-    def answers(self, at: float, id: str, answer: str, result: bytes = b"") -> None:
-        """`answer`: settled, declined or voided."""
-        one = self.tries.get(id)
-        if one is None:
-            self.fault(at, f"{id} is {answer} and never came")
+        if 0 <= state.drained_at_s < attempt.received_at_s - self.grace_s - TOLERANCE_S:
+            self.add_violation(
+                time_s,
+                f"{attempt_id} was started on {attempt.node} although it was received"
+                f" {attempt.received_at_s - state.drained_at_s:.3f} s after the drain began",
+            )
+        attempt.has_run = True
+        if attempt.idempotency_key:
+            last_received_at_s, last_id = self.last_runs.get(self.key_scope(attempt), (-1e9, ""))
+            if (
+                attempt.received_at_s <= last_received_at_s + attempt.window_s
+                and last_id != attempt_id
+            ):
+                self.add_violation(
+                    time_s,
+                    f"key {attempt.idempotency_key[-8:]} was started twice on {attempt.node}:"
+                    f" as {last_id} and as {attempt_id}",
+                )
+            self.last_runs[self.key_scope(attempt)] = attempt.received_at_s, attempt_id
+
+    def record_result(self, attempt_id: str, result: bytes) -> None:
+        """Records the result that the run of an attempt produced."""
+        self.results[attempt_id] = result
+
+    def record_answer(
+        self, time_s: float, attempt_id: str, answer: str, result: bytes = b""
+    ) -> None:
+        """Records an answer, and checks that it is the first, in time and true.
+
+        Args:
+            time_s: Time of the answer in s.
+            attempt_id: The attempt that is answered.
+            answer: "settled", "declined" or "voided".
+            result: Result of a settled attempt.
+        """
+        attempt = self.attempts.get(attempt_id)
+        if attempt is None:
+            self.add_violation(time_s, f"{attempt_id} was {answer} but never read")
             return
-        self.count[answer] += 1
-        if one.answer:
-            self.fault(at, f"{id} is {answer} and was {one.answer}")
-        one.answer = answer
-        self.life(one.node, one.life).open.discard(id)
-        if at > one.due:
-            self.fault(at, f"{id} is {answer} {at - one.due:.3f} s past its due time")
-        ran_at, ran = self.marks.get(self.key(one), (-1e9, "")) if one.mark else (-1e9, "")
+        self.counts[answer] += 1
+        if attempt.answer:
+            self.add_violation(
+                time_s, f"{attempt_id} was answered twice: {attempt.answer}, then {answer}"
+            )
+        attempt.answer = answer
+        self.incarnation(attempt.node, attempt.incarnation).unanswered.discard(attempt_id)
+        if time_s > attempt.due_at_s:
+            self.add_violation(
+                time_s,
+                f"{attempt_id} was {answer} {time_s - attempt.due_at_s:.3f} s past its due time",
+            )
+        last_received_at_s, last_id = (
+            self.last_runs.get(self.key_scope(attempt), (-1e9, ""))
+            if attempt.idempotency_key
+            else (-1e9, "")
+        )
         if answer == "settled":
-            made = self.results.get(id, self.results.get(ran) if one.mark else None)
-            if made != result:
-                self.fault(at, f"{id} is settled with what no run made for it")
+            produced = self.results.get(
+                attempt_id, self.results.get(last_id) if attempt.idempotency_key else None
+            )
+            if produced != result:
+                self.add_violation(
+                    time_s, f"{attempt_id} was settled with a result that no run produced for it"
+                )
         if answer == "declined":
-            if one.ran and (one.mark or one.once):
-                self.fault(at, f"{id} ran and is declined")
-            elif ran and one.at <= ran_at + one.window:
-                self.fault(at, f"{id} is declined, and {one.mark[-8:]} ran as {ran}")
-
-    def drained(self, at: float, node: str, life: int) -> None:
-        self.life(node, life).drained_at = at
-
-    def stopped(self, at: float, node: str, life: int, killed: bool) -> None:
-        """Its process is over: of its own, or `killed` without a word."""
-        known = self.life(node, life)
-        known.ended = True
-        if not killed and known.open:
-            self.fault(
-                at,
-                f"{node} stops and leaves {len(known.open)} unanswered, {min(known.open)} among them",
+            if attempt.has_run and (attempt.idempotency_key or attempt.runs_once):
+                self.add_violation(time_s, f"{attempt_id} was declined after it had run")
+            elif last_id and attempt.received_at_s <= last_received_at_s + attempt.window_s:
+                self.add_violation(
+                    time_s,
+                    f"{attempt_id} was declined although its key"
+                    f" {attempt.idempotency_key[-8:]} ran as {last_id}",
+                )
+
+    def record_drain(self, time_s: float, node: str, incarnation: int) -> None:
+        """Records that the drain of a node began."""
+        self.incarnation(node, incarnation).drained_at_s = time_s
+
+    def record_stop(self, time_s: float, node: str, incarnation: int, killed: bool) -> None:
+        """Records the end of a process; one that was not killed must have answered all attempts."""
+        state = self.incarnation(node, incarnation)
+        state.has_ended = True
+        if not killed and state.unanswered:
+            self.add_violation(
+                time_s,
+                f"{node} stopped with {len(state.unanswered)} unanswered, among them"
+                f" {min(state.unanswered)}",
             )
-        known.open.clear()
+        state.unanswered.clear()
 
-    def gone(self, id: str) -> None:
-        """Its connection went at the caller's side, or before it was read: nobody waits for it."""
-        one = self.tries.get(id)
-        if one is not None:
-            self.life(one.node, one.life).open.discard(id)
+    def record_disconnect(self, attempt_id: str) -> None:
+        """Records that the caller's connection is lost, so that no answer is expected any more."""
+        attempt = self.attempts.get(attempt_id)
+        if attempt is not None:
+            self.incarnation(attempt.node, attempt.incarnation).unanswered.discard(attempt_id)
 
-    def sees(
+    def check_node(
         self,
-        at: float,
-        span: float,
+        time_s: float,
+        interval_s: float,
         node: str,
-        life: int,
-        wanting: float,
+        incarnation: int,
+        runnable_jobs: float,
         cores: int,
         memory_share: float,
     ) -> None:
-        """A look at a node, `span` s after the one before it."""
-        known = self.life(node, life)
-        known.crowd += (wanting / cores - known.crowd) * min(1.0, span / CROWD_FOR)
-        if known.crowd > self.tip_multiple:
-            self.fault(at, f"{node} has {known.crowd:.1f} wanting each core")
-        if memory_share > 1:
-            self.fault(at, f"{node} needs {memory_share:.2f} of its memory")
-        for id in [id for id in known.open if at > self.tries[id].due]:
-            known.open.discard(id)
-            self.fault(at, f"{id} at {node} was never answered")
-
-    def sees_calls(self, at: float, mean: float) -> None:
-        if mean > self.calls_most:
-            self.fault(at, f"{mean:.0f} calls in hand below, which survives {self.calls_most:.0f}")
-
-    def forget(self, before: float) -> None:
-        """Drops what can't matter any more, so that long plays take no more memory than short
-        ones.
+        """Checks a node's CPU and memory, and that no answer is overdue.
+
+        Args:
+            time_s: Time of the check in s.
+            interval_s: Time in s since the check before.
+            node: Name of the node.
+            incarnation: Incarnation of the node.
+            runnable_jobs: Jobs that run or wait for a core.
+            cores: Cores of the node.
+            memory_share: Memory in use, as a share of the node's memory.
         """
-        for id, one in list(self.tries.items()):
-            if max(one.due, one.at + one.window) + 10 < before:
-                del self.tries[id]
-                self.results.pop(id, None)
-        for key, (at, id) in list(self.marks.items()):
-            if id not in self.tries:
-                del self.marks[key]
+        state = self.incarnation(node, incarnation)
+        state.load += (runnable_jobs / cores - state.load) * min(1.0, interval_s / LOAD_AVERAGE_S)
+        if state.load > self.tip_multiple:
+            self.add_violation(time_s, f"{node} has {state.load:.1f} runnable jobs per core")
+        if memory_share > 1:
+            self.add_violation(time_s, f"{node} needs {memory_share:.2f} times its memory")
+        for attempt_id in [
+            attempt_id
+            for attempt_id in state.unanswered
+            if time_s > self.attempts[attempt_id].due_at_s
+        ]:
+            state.unanswered.discard(attempt_id)
+            self.add_violation(time_s, f"{attempt_id} at {node} was never answered")
+
+    def check_downstream_calls(self, time_s: float, mean_calls: float) -> None:
+        """Checks the mean number of downstream calls in progress of an interval."""
+        if mean_calls > self.max_downstream_calls:
+            self.add_violation(
+                time_s,
+                f"{mean_calls:.0f} downstream calls in progress; the service survives"
+                f" {self.max_downstream_calls:.0f}",
+            )
+
+    def discard_before(self, time_s: float) -> None:
+        """Drops attempts that matter no more at a time in s, so that long runs take no more memory."""
+        for attempt_id, attempt in list(self.attempts.items()):
+            if max(attempt.due_at_s, attempt.received_at_s + attempt.window_s) + 10 < time_s:
+                del self.attempts[attempt_id]
+                self.results.pop(attempt_id, None)
+        for key_scope, (_, attempt_id) in list(self.last_runs.items()):
+            if attempt_id not in self.attempts:
+                del self.last_runs[key_scope]
--- a/burlloom/lab/variants.py
+++ b/burlloom/lab/variants.py
@@ -1,5 +1,7 @@
-"""The ways that a world is played, side by side: without levels, with them, plain baselines, and
-levels with a part left out.
+"""Variants of service levels that experiments compare.
+
+Without levels, with the default levels, plain threshold baselines, and the default levels with one
+part of the hysteresis left out.
 """
 
 from collections.abc import Callable
@@ -10,30 +12,37 @@
 from ..server.server import Server
 from ..server.service_levels import ServiceLevels
 
-Leveler = Callable[[Server], ServiceLevels] | None
-SECOND = 1_000_000_000
-UNBOUND = 1 << 30
+LevelsFactory = Callable[[Server], ServiceLevels] | None
+NS_PER_SECOND = 1_000_000_000
+UNLIMITED_CHANGES = 1 << 30  # level changes per minute
+
+
+def levels_factory(plan: LevelPlan, policy: HysteresisPolicy | None = None) -> LevelsFactory:
+    """Returns a function that creates a server's levels.
 
+    Args:
+        plan: The levels and their signal bounds.
+        policy: When levels change; None: the policy of the plan.
+    """
 
-def leveler(plan: LevelPlan, terms: HysteresisPolicy | None = None) -> Leveler:
     def make(server: Server) -> ServiceLevels:
-        facts, orders = server.config.settings, server.config
+        settings, config = server.config.settings, server.config
         return ConfiguredServiceLevels(
             plan,
-            tuple(zip(orders.class_names, facts.request_classes, strict=True)),
-            orders.tenant_portions,
-            facts.cores,
+            tuple(zip(config.class_names, settings.request_classes, strict=True)),
+            config.tenant_portions,
+            settings.cores,
             lambda: server.clock(),
             lambda: len(server.listener.connections) / server.listener.max_connections,
-            terms=terms,
-            meters=frozenset(orders.gauge_names),
+            terms=policy,
+            meters=frozenset(config.gauge_names),
         )
 
     return make
 
 
 def without_hysteresis(plan: LevelPlan) -> LevelPlan:
-    """Each level is left where it was entered."""
+    """Returns a plan whose levels are left at about the bounds at which they are entered."""
     levels = tuple(
         replace(
             level,
@@ -47,12 +56,13 @@
     return replace(plan, levels=levels)
 
 
-def base() -> HysteresisPolicy:
+def default_policy() -> HysteresisPolicy:
+    """Returns the default policy."""
     return HysteresisPolicy(DEFAULT_PLAN.automatic_levels)
 
 
-def threshold() -> HysteresisPolicy:
-    """Moves each round that says so."""
+def threshold_policy() -> HysteresisPolicy:
+    """Returns a policy that changes the level in each round in which a signal calls for it."""
     return HysteresisPolicy(
         DEFAULT_PLAN.automatic_levels,
         dwell_ns=0,
@@ -60,22 +70,29 @@
         max_stay_ns=0,
         relapse_ns=0,
         trial_step_ns=0,
-        max_changes_per_minute=UNBOUND,
+        max_changes_per_minute=UNLIMITED_CHANGES,
         stay_doubles=False,
         uses_trials=False,
     )
 
 
-VARIANTS: dict[str, Callable[[], Leveler]] = {
+# By name, a function that returns the factory of the levels; None in place of a factory: no levels.
+VARIANTS: dict[str, Callable[[], LevelsFactory]] = {
     "none": lambda: None,
-    "levels": lambda: leveler(DEFAULT_PLAN),
-    "threshold": lambda: leveler(without_hysteresis(DEFAULT_PLAN), threshold()),
-    "threshold-hold": lambda: leveler(
+    "levels": lambda: levels_factory(DEFAULT_PLAN),
+    "threshold": lambda: levels_factory(without_hysteresis(DEFAULT_PLAN), threshold_policy()),
+    "threshold-hold": lambda: levels_factory(
         without_hysteresis(DEFAULT_PLAN),
-        replace(threshold(), dwell_ns=SECOND, min_stay_ns=3 * SECOND),
+        replace(threshold_policy(), dwell_ns=NS_PER_SECOND, min_stay_ns=3 * NS_PER_SECOND),
+    ),
+    "no-stay": lambda: levels_factory(
+        DEFAULT_PLAN, replace(default_policy(), min_stay_ns=0, stay_doubles=False)
+    ),
+    "no-growth": lambda: levels_factory(
+        DEFAULT_PLAN, replace(default_policy(), stay_doubles=False)
+    ),
+    "no-trial": lambda: levels_factory(DEFAULT_PLAN, replace(default_policy(), uses_trials=False)),
+    "no-cap": lambda: levels_factory(
+        DEFAULT_PLAN, replace(default_policy(), max_changes_per_minute=UNLIMITED_CHANGES)
     ),
-    "no-stay": lambda: leveler(DEFAULT_PLAN, replace(base(), min_stay_ns=0, stay_doubles=False)),
-    "no-growth": lambda: leveler(DEFAULT_PLAN, replace(base(), stay_doubles=False)),
-    "no-trial": lambda: leveler(DEFAULT_PLAN, replace(base(), uses_trials=False)),
-    "no-cap": lambda: leveler(DEFAULT_PLAN, replace(base(), max_changes_per_minute=UNBOUND)),
 }
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterator
 
 from burlloom.executor import RunStatus
-from burlloom.lab.clock import EPOCH, SECOND, SimulatedLoop, simulated
+from burlloom.lab.clock import EPOCH_NS, NS_PER_SECOND, SimulatedLoop, simulated_loop
 from burlloom.record.authentication import RowAuthenticator
 from burlloom.record.coordinator import RecordCoordinator
 from burlloom.record.policy import RecordPolicy
@@ -230,7 +230,7 @@
             discovery_address=UNUSED_ADDRESS,
             downstream_address=UNUSED_ADDRESS,
             seed=7,
-            stop_ns=3 * SECOND,
+            stop_ns=3 * NS_PER_SECOND,
             settings=server_settings,
             max_sockets=100,
             memory_bytes=64 << 20,
@@ -241,26 +241,26 @@
         store = self.store = FakeStore(
             simulation.shared_rows, self.name, simulation.rng, simulation.fault_rate
         )
-        policy = RecordPolicy(simulation.may_run_unrecorded, 0.25, 0.1, 64, 3 * SECOND)
+        policy = RecordPolicy(simulation.may_run_unrecorded, 0.25, 0.1, 64, 3 * NS_PER_SECOND)
 
         class RecordOnly(SubsystemFactory):
             def create_record(self, server: Server) -> ConfiguredRequestRecord:
-                server.clock = server.requests.clock = loop.wall  # type: ignore[assignment]
+                server.clock = server.requests.clock = loop.unix_time_ns  # type: ignore[assignment]
                 record = ConfiguredRequestRecord(
                     server_settings.request_classes,
                     0.1,
-                    loop.wall,
+                    loop.unix_time_ns,
                     server.requests.start_run,
                     simulation.node_count > 1,
                 )
                 record.coordinator = RecordCoordinator(
-                    store, AUTHENTICATOR, policy, 1500 * NS_PER_MS, loop.wall, record
+                    store, AUTHENTICATOR, policy, 1500 * NS_PER_MS, loop.unix_time_ns, record
                 )
                 return record
 
         with socket.socket() as listener:
             server = Server(config, listener, RecordOnly())
-        server.listener.clock = loop.wall
+        server.listener.clock = loop.unix_time_ns
         server.health_reporter.report_health = lambda serving: None  # type: ignore[method-assign]
         server.connect(self.executor, server.downstream)  # type: ignore[arg-type]
         self.executor.query_gauges = query_no_gauges  # type: ignore[attr-defined]
@@ -315,7 +315,7 @@
             simulation.add_fault(f"attempt answered twice: {self.answer}, {answer}")
         self.answer = answer
         simulation.counts[answer] += 1
-        if get_simulated_loop().wall() > self.sent_at_ns + 6 * SECOND:
+        if get_simulated_loop().unix_time_ns() > self.sent_at_ns + 6 * NS_PER_SECOND:
             simulation.add_fault(f"{answer} after the deadline")
 
     def complete(self, message_id: int, result: bytes) -> None:
@@ -374,7 +374,7 @@
 
     def send_attempt(self, node: SimulatedNode, key: bytes, is_retry: bool) -> None:
         assert node.server is not None
-        now = get_simulated_loop().wall()
+        now = get_simulated_loop().unix_time_ns()
         attempt = Attempt(self, key, node, now)
         self.attempts.append(attempt)
         self.counts["attempts"] += 1
@@ -431,7 +431,7 @@
         for attempt in self.attempts:
             if not attempt.answer and attempt.node.server is attempt.server:
                 self.add_fault(
-                    f"{attempt.key!r} sent {(attempt.sent_at_ns - EPOCH) / SECOND:.3f} was never answered"
+                    f"{attempt.key!r} sent {(attempt.sent_at_ns - EPOCH_NS) / NS_PER_SECOND:.3f} was never answered"
                 )
         for node in self.nodes:
             if node.server is not None:
@@ -446,7 +446,7 @@
     seed: int, nodes: int, fault_rate: float, crash_count: float, may_run_unrecorded: bool = False
 ) -> Simulation:
     """Runs one seeded simulation and returns it with its counts and faults."""
-    with simulated() as loop:
+    with simulated_loop() as loop:
         simulation = Simulation(seed, nodes, fault_rate, crash_count, may_run_unrecorded)
         loop.run_until_complete(simulation.run())
         return simulation
--- a/tests/test_fleet_member.py
+++ b/tests/test_fleet_member.py
@@ -5,7 +5,7 @@
 import pytest
 
 from burlloom.fleet import MILLICALLS_PER_CALL, QuotaSettings
-from burlloom.lab.clock import simulated
+from burlloom.lab.clock import simulated_loop
 from burlloom.lab.fleets import SimulatedNetwork, Swarm, SwarmMember
 
 
@@ -16,7 +16,7 @@
     and delays of up to 300 ms. The total is checked throughout.
     """
     random = Random(seed)
-    with simulated() as loop:
+    with simulated_loop() as loop:
         network = SimulatedNetwork(
             loop,
             seed,
@@ -29,20 +29,20 @@
         )
 
         def check_total() -> None:
-            assert swarm.total_calls() <= 1.05 * calls, (seed, loop.now, swarm.total_calls())
+            assert swarm.total_calls() <= 1.05 * calls, (seed, loop.now_s, swarm.total_calls())
 
         swarm.sample = check_total
         swarm_members = swarm.add(members, 1000.0)
         swarm.run(5)
-        while loop.now < seconds:
+        while loop.now_s < seconds:
             disturb(swarm, random.choice(swarm_members), random)
             swarm.run(random.choice([0.3, 1, 3, 10, 25]))
         network.heal()
         for member in swarm_members:
             member.demand = 1000.0
-            if member.fleet is None:
+            if member.member is None:
                 swarm.start(member)
-            elif member.paused_at >= 0:
+            elif member.paused_at_s >= 0:
                 swarm.resume(member)
         swarm.run(30)
         assert swarm.has_agreed_view(), seed
@@ -52,7 +52,7 @@
 
 def disturb(swarm: Swarm, member: SwarmMember, random: Random) -> None:
     """Applies one random failure, recovery or change of demand."""
-    paused = member.paused_at >= 0
+    paused = member.paused_at_s >= 0
     match random.choice(
         [
             "kill",
@@ -71,11 +71,11 @@
     ):
         case "kill":
             swarm.kill(member)
-        case "start" if member.fleet is None:
+        case "start" if member.member is None:
             swarm.start(member)
-        case "pause" if member.fleet is not None and not paused:
+        case "pause" if member.member is not None and not paused:
             swarm.pause(member)
-        case "resume" if member.fleet is not None and paused:
+        case "resume" if member.member is not None and paused:
             swarm.resume(member)
         case "two-way-cut" | "one-way-cut" as kind:
             side = [other.address for other in swarm.members.values() if random.random() < 0.4]
@@ -97,7 +97,7 @@
 
 
 def test_a_fleet_that_grows_and_shrinks_shares_evenly() -> None:
-    with simulated() as loop:
+    with simulated_loop() as loop:
         swarm = Swarm(loop, SimulatedNetwork(loop, 1), QuotaSettings(160 * MILLICALLS_PER_CALL, 3))
         swarm_members = swarm.add(3, 1000.0)
         swarm.sample = lambda: (
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -14,9 +14,9 @@
 from test_fleet import fleet
 
 from burlloom.admission.model import Degradation, Idempotency, RequestClass
-from burlloom.lab import play
-from burlloom.lab.emulator import Watch
-from burlloom.lab.variants import VARIANTS, leveler
+from burlloom.lab import run_scenario
+from burlloom.lab.emulator import Observer
+from burlloom.lab.variants import VARIANTS, levels_factory
 from burlloom.levels import (
     DEFAULT_PLAN,
     DegradationController,
@@ -309,8 +309,8 @@
 ) -> None:
     moves: dict[str, list[float]] = {}
 
-    def row(play: Any) -> dict[str, float]:
-        for node in play.nodes:
+    def sample(emulator: Any) -> dict[str, float]:
+        for node in emulator.nodes:
             at = node.server.subsystems.levels.levels.status
             moves.setdefault(node.name, []).extend(
                 at.recent_changes[-1:]
@@ -320,8 +320,8 @@
         return {}
 
     world = fleet(2, 60, 4, low=low, high=high, period_s=period, shape="sawtooth", noise=0.1)
-    told = play(world, leveling=VARIANTS["levels"](), watch=Watch(row))
-    assert not told.faults
+    told = run_scenario(world, make_levels=VARIANTS["levels"](), observer=Observer(sample))
+    assert not told.violations
     assert all(
         len([one for one in changes if at - 60 * SECOND < one <= at]) <= 4
         for changes in moves.values()
@@ -340,7 +340,7 @@
             LevelDefinition("shut", {"use": SignalBounds(0.2, 0.01)}, dropped_values=ALL_VALUES),
         )
     )
-    told = play(
+    told = run_scenario(
         fleet(
             3,
             12,
@@ -349,11 +349,11 @@
             low=0.9,
             high=0.9,
         ),
-        leveling=leveler(shut, HysteresisPolicy(2)),
+        make_levels=levels_factory(shut, HysteresisPolicy(2)),
     )
-    assert not told.faults
-    assert told.count["declined"] > 200
-    assert told.count["settled"] > 5
+    assert not told.violations
+    assert told.counts["declined"] > 200
+    assert told.counts["settled"] > 5
 
 
 def test_without_an_operators_file_nothing_changes() -> None:
@@ -364,6 +364,6 @@
             LevelDefinition("never", {"use": SignalBounds(1e9, 1)}, dropped_values=1),
         )
     )
-    assert json.dumps(play(world).count) == json.dumps(
-        play(world, leveling=leveler(idle, HysteresisPolicy(2))).count
+    assert json.dumps(run_scenario(world).counts) == json.dumps(
+        run_scenario(world, make_levels=levels_factory(idle, HysteresisPolicy(2))).counts
     )
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -277,7 +277,7 @@
     run, found = played(SMALL, print)
     assert found.faults.told == []
     assert run.faults == []
-    assert run.rules.faults == []
+    assert run.rules.violations == []
     assert found.contents.looked_at == 60
     assert found.order.applied > 100
     assert found.order.caught
