--- a/benchmarks/scale_swarms.py
+++ b/benchmarks/scale_swarms.py
@@ -28,7 +28,7 @@
         return all(self.names_of(body) == names for body in up)
 
     def names_of(self, body: SwarmMember) -> frozenset[str]:
-        fleet = body.member
+        fleet = body.fleet_member
         assert fleet is not None
         known = self.shown.get(body.name)
         if known is None or known[0] is not fleet or known[1] != fleet.view.version:
@@ -53,12 +53,16 @@
         swarm = Agreeing(loop, SimulatedNetwork(loop, 1), terms)
         swarm.add(size, 4.0)
         if not cold:
-            words = [body.member.own for body in swarm.running_members() if body.member is not None]
+            words = [
+                body.fleet_member.own
+                for body in swarm.running_members()
+                if body.fleet_member is not None
+            ]
             for body in swarm.running_members():
-                assert body.member is not None
+                assert body.fleet_member is not None
                 for word in words:
-                    body.member.view.process_update(swarm.now_ns(), word)
-                body.member.view.transitions = []
+                    body.fleet_member.view.process_update(swarm.now_ns(), word)
+                body.fleet_member.view.transitions = []
             swarm.run(6)
         yield swarm
 
--- a/burlloom/lab/callers.py
+++ b/burlloom/lab/callers.py
@@ -311,7 +311,7 @@
             emulator.record_missed(request, "broken")
         elif answer == "declined" and is_final and self.heeds_reports:
             emulator.record_missed(request, "final")
-        elif now_s - request.arrived_at_s > emulator.deadline_s(request):
+        elif now_s - request.arrived_at_s > emulator.get_deadline_s(request):
             emulator.record_missed(request, "expired")
         else:
             self.start_attempt(request, answer != "unreached" or attempt.is_retry)
--- a/burlloom/lab/emulator.py
+++ b/burlloom/lab/emulator.py
@@ -69,7 +69,7 @@
         max_sizes: Greatest number of entries in each collection of any server, at any check.
         final_sizes: The same at the end.
         series: A row for each second with what was sampled.
-        elapsed_s: Real time in s that the simulation elapsed_s.
+        elapsed_s: Real time in s that the simulation took.
     """
 
     scenario: str
@@ -140,7 +140,7 @@
         server_settings: The `settings` section of each server's configuration.
         downstream: The downstream service.
         rules: Checks the safety rules.
-        counts: Number of requests, attempts, and end_fault of requests by name.
+        counts: Number of requests, attempts and results of requests by name.
         nodes: All nodes.
         capacity_ms_per_s: Work in core ms at speed 1 that all cores do in a second.
         balancers: All load balancers.
@@ -235,7 +235,7 @@
         self.series: list[dict[str, float]] = []
         self.releases = make_releases(self) if make_releases is not None else None
 
-    def server_seed(self, node: Node) -> int:
+    def derive_server_seed(self, node: Node) -> int:
         """Returns the seed of a node's server; it differs between nodes and incarnations."""
         return self.scenario.seed * 1_000_003 + node.index * 1009 + node.incarnation
 
@@ -249,7 +249,7 @@
         self.attempt_count += 1
         return f"{self.attempt_count:016x}"
 
-    def deadline_s(self, request: ClientRequest) -> float:
+    def get_deadline_s(self, request: ClientRequest) -> float:
         """Returns the time in s after which an answer to a request has no value."""
         return self.scenario.products[request.product].expiry_ms / 1000
 
@@ -294,8 +294,9 @@
 
     def record_completed(self, request: ClientRequest) -> None:
         """Counts a request's first result, unless it came after the deadline."""
-        if request.completed_at_s >= 0 or self.loop.now_s - request.arrived_at_s > self.deadline_s(
-            request
+        if (
+            request.completed_at_s >= 0
+            or self.loop.now_s - request.arrived_at_s > self.get_deadline_s(request)
         ):
             return
         request.completed_at_s, request.is_finished = self.loop.now_s, True
@@ -355,7 +356,7 @@
             request.product
         ] += product.value * request.work_ms
         # The client stops waiting at the deadline, without a message from its balancer.
-        self.loop.call_later(self.deadline_s(request), self.record_missed, request, "expired")
+        self.loop.call_later(self.get_deadline_s(request), self.record_missed, request, "expired")
         balancer = self.balancers[int(self.network_random.integers(len(self.balancers)))]
         balancer.start_attempt(request)
         for flood in self.floods:
--- a/burlloom/lab/fleets.py
+++ b/burlloom/lab/fleets.py
@@ -120,7 +120,7 @@
     Attributes:
         name: Name of the member.
         address: Address of the member.
-        member: The fleet member; None while the process is down.
+        fleet_member: The fleet member; None while the process is down.
         demand: Downstream calls that it would have in progress without a limit.
         paused_at_s: Simulated time in s at which it was paused; below 0: it is not.
         queued: Datagrams that arrived while it was paused.
@@ -130,7 +130,7 @@
 
     name: str
     address: str
-    member: FleetMember | None = None
+    fleet_member: FleetMember | None = None
     demand: float = 0.0
     paused_at_s: float = -1.0
     queued: list[bytes] = field(default_factory=list)
@@ -141,8 +141,8 @@
     def calls_in_progress(self) -> float:
         """Calls in progress: its demand, up to its share."""
         return (
-            min(self.demand, self.member.share / MILLICALLS_PER_CALL)
-            if self.member is not None
+            min(self.demand, self.fleet_member.share / MILLICALLS_PER_CALL)
+            if self.fleet_member is not None
             else 0.0
         )
 
@@ -219,7 +219,7 @@
             (EPOCH_NS + int(self.loop.now_s * NS_PER_SECOND)) // 1_000_000 + process.incarnations,
         )
         random = Random(process.seed * 7 + process.incarnations)
-        process.member = FleetMember(
+        process.fleet_member = FleetMember(
             MemberUpdate(process.name, process.address, incarnation, 0, MemberState.ALIVE),
             self.seeds,
             (FLEET_KEY,),
@@ -230,17 +230,17 @@
         )
         process.paused_at_s, process.queued = -1.0, []
         self.network.receivers[process.address] = lambda data: self.receive(process, data)
-        self.loop.call_later(TICK_S * random.random(), self.tick, process, process.member)
+        self.loop.call_later(TICK_S * random.random(), self.tick, process, process.fleet_member)
 
     def kill(self, process: SwarmMember) -> None:
         """Ends a member's process without a message."""
-        process.member = None
+        process.fleet_member = None
         self.network.receivers.pop(process.address, None)
 
     def leave(self, process: SwarmMember) -> None:
         """Has a member leave the fleet, and ends its process."""
-        if process.member is not None:
-            process.member.leave(self.now_ns())
+        if process.fleet_member is not None:
+            process.fleet_member.leave(self.now_ns())
             self.flush(process)
             self.kill(process)
 
@@ -260,13 +260,13 @@
         if process.paused_at_s >= 0:
             if len(process.queued) < 200:
                 process.queued.append(data)
-        elif process.member is not None:
-            process.member.receive(self.now_ns(), data)
+        elif process.fleet_member is not None:
+            process.fleet_member.receive(self.now_ns(), data)
             self.flush(process)
 
     def tick(self, process: SwarmMember, member: FleetMember) -> None:
         """Runs a member's tick and schedules the next, until the process has ended."""
-        if process.member is not member:
+        if process.fleet_member is not member:
             return
         if process.paused_at_s < 0:
             # Demand above the share waits.
@@ -280,12 +280,12 @@
 
     def flush(self, process: SwarmMember) -> None:
         """Sends the datagrams in a member's outbox."""
-        while process.member is not None and process.member.outbox:
-            self.network.send(process.address, *process.member.outbox.popleft())
+        while process.fleet_member is not None and process.fleet_member.outbox:
+            self.network.send(process.address, *process.fleet_member.outbox.popleft())
 
     def running_members(self) -> list[SwarmMember]:
         """Returns the members whose process is up, also if it is paused."""
-        return [process for process in self.members.values() if process.member is not None]
+        return [process for process in self.members.values() if process.fleet_member is not None]
 
     def total_calls(self) -> float:
         """Returns the downstream calls in progress of all members.
@@ -301,18 +301,18 @@
     def shares(self) -> list[float]:
         """Returns the shares of the members that are up, in calls."""
         return [
-            process.member.share / MILLICALLS_PER_CALL
+            process.fleet_member.share / MILLICALLS_PER_CALL
             for process in self.running_members()
-            if process.member is not None
+            if process.fleet_member is not None
         ]
 
     def has_agreed_view(self) -> bool:
         """Whether each member that is up sees exactly the members that are up as present."""
         names = {process.name for process in self.running_members()}
         return all(
-            {member.update.name for member in process.member.view.present_members()} == names
+            {member.update.name for member in process.fleet_member.view.present_members()} == names
             for process in self.running_members()
-            if process.member is not None
+            if process.fleet_member is not None
         )
 
     def run(self, seconds: float) -> None:
--- a/burlloom/lab/node.py
+++ b/burlloom/lab/node.py
@@ -153,7 +153,7 @@
             executor_address=NO_ADDRESS,
             discovery_address=NO_ADDRESS,
             downstream_address=NO_ADDRESS,
-            seed=emulator.server_seed(self),
+            seed=emulator.derive_server_seed(self),
             stop_ns=int(settings.stop_ms * NS_PER_MS),
             settings=server_settings,
             max_sockets=512,
--- a/burlloom/lab/rules.py
+++ b/burlloom/lab/rules.py
@@ -104,7 +104,7 @@
         if len(self.violations) < 100:
             self.violations.append(f"{time_s:.3f}: {message}")
 
-    def incarnation(self, node: str, incarnation: int) -> IncarnationState:
+    def get_incarnation(self, node: str, incarnation: int) -> IncarnationState:
         """Returns the state of a node's incarnation; creates it at the first use."""
         return self.incarnations.setdefault((node, incarnation), IncarnationState())
 
@@ -143,10 +143,10 @@
             window_s,
             runs_once,
         )
-        self.incarnation(node, incarnation).unanswered.add(attempt_id)
+        self.get_incarnation(node, incarnation).unanswered.add(attempt_id)
         self.counts["read"] += 1
 
-    def key_scope(self, attempt: AttemptState) -> tuple[str, int, str]:
+    def get_key_scope(self, attempt: AttemptState) -> tuple[str, int, str]:
         """Returns the key of an attempt with the node and, without records, the incarnation."""
         return (
             attempt.node,
@@ -161,7 +161,7 @@
             self.add_violation(time_s, f"{attempt_id} was started but never read")
             return
         self.counts["runs"] += 1
-        state = self.incarnation(attempt.node, attempt.incarnation)
+        state = self.get_incarnation(attempt.node, attempt.incarnation)
         if attempt.has_run:
             self.add_violation(time_s, f"{attempt_id} was started twice")
         if state.has_ended:
@@ -176,7 +176,9 @@
             )
         attempt.has_run = True
         if attempt.idempotency_key:
-            last_received_at_s, last_id = self.last_runs.get(self.key_scope(attempt), (-1e9, ""))
+            last_received_at_s, last_id = self.last_runs.get(
+                self.get_key_scope(attempt), (-1e9, "")
+            )
             if (
                 attempt.received_at_s <= last_received_at_s + attempt.window_s
                 and last_id != attempt_id
@@ -186,7 +188,7 @@
                     f"key {attempt.idempotency_key[-8:]} was started twice on {attempt.node}:"
                     f" as {last_id} and as {attempt_id}",
                 )
-            self.last_runs[self.key_scope(attempt)] = attempt.received_at_s, attempt_id
+            self.last_runs[self.get_key_scope(attempt)] = attempt.received_at_s, attempt_id
 
     def record_result(self, attempt_id: str, result: bytes) -> None:
         """Records the result that the run of an attempt produced."""
@@ -213,14 +215,14 @@
                 time_s, f"{attempt_id} was answered twice: {attempt.answer}, then {answer}"
             )
         attempt.answer = answer
-        self.incarnation(attempt.node, attempt.incarnation).unanswered.discard(attempt_id)
+        self.get_incarnation(attempt.node, attempt.incarnation).unanswered.discard(attempt_id)
         if time_s > attempt.due_at_s:
             self.add_violation(
                 time_s,
                 f"{attempt_id} was {answer} {time_s - attempt.due_at_s:.3f} s past its due time",
             )
         last_received_at_s, last_id = (
-            self.last_runs.get(self.key_scope(attempt), (-1e9, ""))
+            self.last_runs.get(self.get_key_scope(attempt), (-1e9, ""))
             if attempt.idempotency_key
             else (-1e9, "")
         )
@@ -244,11 +246,11 @@
 
     def record_drain(self, time_s: float, node: str, incarnation: int) -> None:
         """Records that the drain of a node began."""
-        self.incarnation(node, incarnation).drained_at_s = time_s
+        self.get_incarnation(node, incarnation).drained_at_s = time_s
 
     def record_stop(self, time_s: float, node: str, incarnation: int, killed: bool) -> None:
         """Records the end of a process; one that was not killed must have answered all attempts."""
-        state = self.incarnation(node, incarnation)
+        state = self.get_incarnation(node, incarnation)
         state.has_ended = True
         if not killed and state.unanswered:
             self.add_violation(
@@ -262,7 +264,7 @@
         """Records that the caller's connection is lost, so that no answer is expected any more."""
         attempt = self.attempts.get(attempt_id)
         if attempt is not None:
-            self.incarnation(attempt.node, attempt.incarnation).unanswered.discard(attempt_id)
+            self.get_incarnation(attempt.node, attempt.incarnation).unanswered.discard(attempt_id)
 
     def check_node(
         self,
@@ -285,7 +287,7 @@
             cores: Cores of the node.
             memory_share: Memory in use, as a share of the node's memory.
         """
-        state = self.incarnation(node, incarnation)
+        state = self.get_incarnation(node, incarnation)
         state.load += (runnable_jobs / cores - state.load) * min(1.0, interval_s / LOAD_AVERAGE_S)
         if state.load > self.tip_multiple:
             self.add_violation(time_s, f"{node} has {state.load:.1f} runnable jobs per core")
--- a/tests/test_fleet_member.py
+++ b/tests/test_fleet_member.py
@@ -40,7 +40,7 @@
         network.heal()
         for member in swarm_members:
             member.demand = 1000.0
-            if member.member is None:
+            if member.fleet_member is None:
                 swarm.start(member)
             elif member.paused_at_s >= 0:
                 swarm.resume(member)
@@ -71,11 +71,11 @@
     ):
         case "kill":
             swarm.kill(member)
-        case "start" if member.member is None:
+        case "start" if member.fleet_member is None:
             swarm.start(member)
-        case "pause" if member.member is not None and not paused:
+        case "pause" if member.fleet_member is not None and not paused:
             swarm.pause(member)
-        case "resume" if member.member is not None and paused:
+        case "resume" if member.fleet_member is not None and paused:
             swarm.resume(member)
         case "two-way-cut" | "one-way-cut" as kind:
             side = [other.address for other in swarm.members.values() if random.random() < 0.4]
