--- a/benchmarks/rollout_waves.py
+++ b/benchmarks/rollout_waves.py
@@ -1,17 +1,19 @@
-"""Do drains and releases keep their budget, whatever fails? Simulated, 3, 30 and 300 servers,
-against plain scripts.
+"""Measures whether drains and releases keep their disruption budget despite failures.
 
     python benchmarks/rollout_waves.py [--sizes 3 30] [--seeds 1 2 3] [--judge] [--walk]
 
-A release begins; while it goes on, a tenth of the servers is killed for some seconds, a second
-operator drains a tenth for work on their machines, and one step in fifty at the store is lost. Then
-a release that voids a share of what it runs. Processes take 0.5 to 8 s to be there again.
+Runs 3, 30 and 300 servers in simulated time, and compares the rollout with plain scripts. During a
+release a tenth of the servers is killed for some seconds, a second operator drains a tenth for
+maintenance, and one access in fifty to the store is lost. Then a release follows that fails a share
+of its requests. A process takes 0.5 to 8 s to start again.
 
 clock:   a script that restarts a tenth at a time, every 6 s.
-waiting: one that waits until each of a batch is up, for 20 s at the most. Both operators use the same script.
-agreed:  burlloom.rollout, with the budget a tenth.
---judge: how often a wave is taken for bad by chance, and a bad one found, by share of failures and txns.
---walk:  the exhaustive walk of larger worlds than in the tests.
+waiting: a script that waits until each batch is up, for at most 20 s. Both operators use the same
+         script.
+agreed:  burlloom.rollout with a budget of a tenth.
+--judge: how often a wave is judged unhealthy by chance, and how often a bad one is detected, by
+         share of failures and number of requests.
+--walk:  exhaustive exploration of larger models than in the tests.
 """
 
 import argparse
@@ -35,15 +37,29 @@
 from burlloom.rollout.release import ReleaseInput
 
 VARIANTS = ("clock", "waiting", "agreed")
-BEGIN, KILLED, DOWN_FOR, SECOND_OPERATOR, RESTART_S = 10.0, 22.0, 12.0, 24.0, (0.5, 8.0)
-BAD = 0.3
-FRESH = 3.5  # s: a sign of life counts for 3, and a round
+RELEASE_AT_S, KILLED_AT_S, DOWN_FOR_S, SECOND_OPERATOR_AT_S, RESTART_S = (
+    10.0,
+    22.0,
+    12.0,
+    24.0,
+    (0.5, 8.0),
+)
+BAD_FAILURE_RATE = 0.3  # share of runs that the bad version fails
+SILENCE_DETECTED_S = 3.5  # a report is valid for 3 s; the rest is a round of the leader
 
 
-def world(size: int, seed: int, seconds: int, kills: bool) -> Scenario:
+def make_scenario(size: int, seed: int, seconds: int, has_kills: bool) -> Scenario:
+    """Returns the scenario; `has_kills`: whether a tenth of the servers is killed."""
     faults = (
-        [{"kind": "kill", "at_s": KILLED, "for_s": DOWN_FOR, "part": 0.1 if size > 3 else 0.34}]
-        if kills
+        [
+            {
+                "kind": "kill",
+                "at_s": KILLED_AT_S,
+                "for_s": DOWN_FOR_S,
+                "part": 0.1 if size > 3 else 0.34,
+            }
+        ]
+        if has_kills
         else []
     )
     return Scenario.model_validate(
@@ -89,8 +105,9 @@
     )
 
 
-def part() -> RolloutPart:
-    # Store and process are the emulator's: spans are of seconds, as processes are quick here.
+def rollout_part() -> RolloutPart:
+    """Returns the `rollout` part of the operator's file."""
+    # Times are a few seconds, because emulated processes start quickly.
     return RolloutPart(
         out_most=1,
         out_share=0.1,
@@ -107,117 +124,140 @@
     )
 
 
-class Seen:
-    """Looked at each 50 ms: `most` out at once by anyone's doing; `over`: drains begun while as
-    many as allowed, or more, were out; `unseen`: of these, those within a sign of life's time of a
-    kill.
+class ReleaseObserver:
+    """Observes a release every 50 ms of simulated time.
+
+    Attributes:
+        releases: The releases.
+        budget: Most servers that may be out of service at once.
+        max_out: Most servers that were out of service at once, for any reason.
+        excess_drains: Drains that began although the budget was used up.
+        undetected: Those of them that began before a kill could be detected.
+        drains: Drains that began.
+        draining: Names and incarnations of servers whose drain began.
+        finished_after_s: Time in s from the start until all servers ran v2; below 0: they have not.
+        halted_after_s: Time in s from the start until the release was halted; below 0: it was not.
+        rolled_back_after_s: Time in s from the halt until all servers ran v1 again; below 0: they
+            have not.
     """
 
-    def __init__(self, releases: SimulatedReleases, bound: int) -> None:
-        self.releases, self.bound = releases, bound
-        self.most = self.over = self.unseen = self.drains = 0
+    def __init__(self, releases: SimulatedReleases, budget: int) -> None:
+        """Begins to observe releases with a budget of `budget` servers."""
+        self.releases, self.budget = releases, budget
+        self.max_out = self.excess_drains = self.undetected = self.drains = 0
         self.draining: set[tuple[str, int]] = set()
-        self.done_at = self.bad_done_at = self.halted_at = -1.0
-        releases.emulator.loop.call_later(0.05, self.look)
+        self.finished_after_s = self.rolled_back_after_s = self.halted_after_s = -1.0
+        releases.emulator.loop.call_later(0.05, self.observe)
 
-    def look(self) -> None:
+    def observe(self) -> None:
+        """Updates the counts, and schedules the next observation."""
         releases = self.releases
-        new = {
+        begun = {
             (node.name, node.incarnation)
             for node in releases.emulator.nodes
             if node.is_up and node.server is not None and node.server.is_shutting_down
         } - self.draining
-        self.draining |= new
-        self.drains += len(new)
-        self.most = max(self.most, releases.out_count)
-        over = max(0, min(len(new), releases.out_count - self.bound))
-        self.over += over
-        # Whoever was killed a moment ago counts from when its silence is seen.
-        self.unseen += over if KILLED <= releases.emulator.loop.now_s <= KILLED + FRESH else 0
-        now = releases.emulator.loop.now_s
-        if self.done_at < 0 and all(
+        self.draining |= begun
+        self.drains += len(begun)
+        self.max_out = max(self.max_out, releases.out_count)
+        excess = max(0, min(len(begun), releases.out_count - self.budget))
+        self.excess_drains += excess
+        # A killed server counts against the budget only once its silence is detected.
+        self.undetected += (
+            excess
+            if KILLED_AT_S <= releases.emulator.loop.now_s <= KILLED_AT_S + SILENCE_DETECTED_S
+            else 0
+        )
+        now_s = releases.emulator.loop.now_s
+        if self.finished_after_s < 0 and all(
             node.is_up and node.version == "v2" for node in releases.emulator.nodes
         ):
-            self.done_at = now - BEGIN
+            self.finished_after_s = now_s - RELEASE_AT_S
         if (
             isinstance(releases, CoordinatedReleases)
-            and self.halted_at < 0
+            and self.halted_after_s < 0
             and releases.store.snapshot.state.release.phase is ReleasePhase.HALTED
         ):
-            self.halted_at = now - BEGIN
+            self.halted_after_s = now_s - RELEASE_AT_S
         if (
-            self.halted_at >= 0
-            and self.bad_done_at < 0
+            self.halted_after_s >= 0
+            and self.rolled_back_after_s < 0
             and all(node.is_up and node.version == "v1" for node in releases.emulator.nodes)
         ):
-            self.bad_done_at = now - BEGIN - self.halted_at
-        releases.emulator.loop.call_later(0.05, self.look)
+            self.rolled_back_after_s = now_s - RELEASE_AT_S - self.halted_after_s
+        releases.emulator.loop.call_later(0.05, self.observe)
 
 
-def one(size: int, variant: str, seed: int, bad: bool) -> dict[str, Any]:
-    bound = max(1, size // 10)
-    made: list[Seen] = []
-    voids = {"v2": BAD} if bad else {}
+def measure(size: int, variant: str, seed: int, bad: bool) -> dict[str, Any]:
+    """Runs a variant once and returns its figures; `bad`: the release fails a share of its runs."""
+    budget = max(1, size // 10)
+    observers: list[ReleaseObserver] = []
+    failure_rates = {"v2": BAD_FAILURE_RATE} if bad else {}
 
-    def releases(emulator: Emulator) -> SimulatedReleases:
+    def make_releases(emulator: Emulator) -> SimulatedReleases:
         loop, nodes = emulator.loop, emulator.nodes
-        second = nodes[-bound:]
+        drained_nodes = nodes[-budget:]
         if variant == "agreed":
-            agreed = CoordinatedReleases(emulator, "v1", voids, RESTART_S, part(), 0.02)
+            coordinated = CoordinatedReleases(
+                emulator, "v1", failure_rates, RESTART_S, rollout_part(), 0.02
+            )
             loop.call_later(
-                BEGIN,
-                agreed.apply_order,
+                RELEASE_AT_S,
+                coordinated.apply_order,
                 lambda state: state.start_release("v2", (1, 0.1, 0.5, 1.0), False),
             )
             if not bad:
-                for node in second:
+                for node in drained_nodes:
                     loop.call_later(
-                        SECOND_OPERATOR,
-                        agreed.apply_order,
+                        SECOND_OPERATOR_AT_S,
+                        coordinated.apply_order,
                         lambda state, name=node.name: state.request_drain(SERVERS_GROUP, name, 0),
                     )
-            for at in range(
-                int(BEGIN), 200, 2
-            ):  # who is on call says so within two seconds of the halt
+            for time_s in range(
+                int(RELEASE_AT_S), 200, 2
+            ):  # an operator orders the rollback within two seconds of the halt
                 loop.call_later(
-                    at,
-                    agreed.apply_order,
+                    time_s,
+                    coordinated.apply_order,
                     lambda state: (
                         state.apply_order(ReleaseInput.ROLLBACK, "")
                         if state.release.phase is ReleasePhase.HALTED
                         else state
                     ),
                 )
-            made.append(Seen(agreed, bound))
-            return agreed
-        scripted = ScriptedReleases(emulator, "v1", voids, RESTART_S)
-        pause = 6.0 if variant == "clock" else 0.0
-        loop.call_later(BEGIN, scripted.begin_script, nodes, "v2", bound, 20.0, pause)
+            observers.append(ReleaseObserver(coordinated, budget))
+            return coordinated
+        scripted = ScriptedReleases(emulator, "v1", failure_rates, RESTART_S)
+        pause_s = 6.0 if variant == "clock" else 0.0
+        loop.call_later(RELEASE_AT_S, scripted.begin_script, nodes, "v2", budget, 20.0, pause_s)
         if not bad:
             loop.call_later(
-                SECOND_OPERATOR, lambda: scripted.begin_script(second, "", bound, 20.0, pause)
+                SECOND_OPERATOR_AT_S,
+                lambda: scripted.begin_script(drained_nodes, "", budget, 20.0, pause_s),
             )
-        made.append(Seen(scripted, bound))
+        observers.append(ReleaseObserver(scripted, budget))
         return scripted
 
     seconds = 150 if size < 30 else 110 if bad else 240
     outcome = run_scenario(
-        world(size, seed, seconds, not bad), observer=Observer(), make_releases=releases
+        make_scenario(size, seed, seconds, not bad),
+        observer=Observer(),
+        make_releases=make_releases,
     )
-    seen = made[0]
+    observer = observers[0]
     return {
         "size": size,
         "variant": variant,
         "bad": bad,
-        "most": seen.most,
-        "over": seen.over,
-        "unseen": seen.unseen,
-        "drains": seen.drains,
-        "bound": bound,
-        "done": seen.done_at,
-        "halted": seen.halted_at,
-        "back": seen.bad_done_at,
-        "ever": len(seen.releases.nodes_with_bad_version),
+        "most": observer.max_out,
+        "over": observer.excess_drains,
+        "unseen": observer.undetected,
+        "drains": observer.drains,
+        "bound": budget,
+        "done": observer.finished_after_s,
+        "halted": observer.halted_after_s,
+        "back": observer.rolled_back_after_s,
+        "ever": len(observer.releases.nodes_with_bad_version),
         "value": outcome.value_share,
         "pay": outcome.value_share_of("pay"),
         "faults": len(outcome.violations),
@@ -226,121 +266,141 @@
     }
 
 
-def told(seconds: list[float]) -> str:
-    return ", ".join("-" if one < 0 else f"{one:.0f}" for one in seconds)
+def format_times(times_s: list[float]) -> str:
+    """Returns times in s for the table; "-" for what did not happen."""
+    return ", ".join("-" if time_s < 0 else f"{time_s:.0f}" for time_s in times_s)
 
 
-def judged(
-    share: float, spread: float, changed: int, others: int, plays: int = 400
+def judge_waves(
+    extra_rate: float, spread: float, changed: int, unchanged: int, waves: int = 400
 ) -> tuple[float, float]:
-    """Share of waves found bad by ours, and by a plain bound at twice the others' share plus one
-    point. Judged each half second over a minute; `spread`: by which servers differ by themselves.
+    """Returns the share of waves judged unhealthy by the canary evaluation and by a plain bound.
+
+    The plain bound is twice the other servers' failure rate plus one percentage point. Each wave is
+    judged every half second for a minute.
+
+    Args:
+        extra_rate: Failure rate that the new version adds to the usual one.
+        spread: Standard deviation of the changed servers' failure rate that has other causes.
+        changed: Requests of the changed servers in half a second.
+        unchanged: Requests of the other servers in half a second.
+        waves: Number of simulated waves.
     """
-    chance, found, plain = Random(hash((share, spread, changed))), 0, 0
-    measure = CanarySettings(window_ns=30_000_000_000, min_requests=100)
-    usual = 0.02
-    for _ in range(plays):
-        mine = max(0.0, usual + share + chance.gauss(0, spread))
-        evidence = CanaryWindow(measure.window_ns, measure.min_requests, measure.window_ns)
+    random, unhealthy_count, bound_count = Random(hash((extra_rate, spread, changed))), 0, 0
+    settings = CanarySettings(window_ns=30_000_000_000, min_requests=100)
+    usual_rate = 0.02
+    for _ in range(waves):
+        changed_rate = max(0.0, usual_rate + extra_rate + random.gauss(0, spread))
+        window = CanaryWindow(settings.window_ns, settings.min_requests, settings.window_ns)
         totals = {"a": RequestCounts(), "b": RequestCounts()}
-        bad = over = False
-        for at in range(120):
-            for name, rate, asked in (("a", mine, changed), ("b", usual, others)):
+        is_unhealthy = exceeds_bound = False
+        for index in range(120):
+            for name, rate, requests in (
+                ("a", changed_rate, changed),
+                ("b", usual_rate, unchanged),
+            ):
                 failed = (
-                    sum(chance.random() < rate for _ in range(asked))
-                    if asked < 60
+                    sum(random.random() < rate for _ in range(requests))
+                    if requests < 60
                     else max(
                         0,
                         min(
-                            asked,
-                            round(chance.gauss(asked * rate, (asked * rate * (1 - rate)) ** 0.5)),
+                            requests,
+                            round(
+                                random.gauss(requests * rate, (requests * rate * (1 - rate)) ** 0.5)
+                            ),
                         ),
                     )
                 )
-                totals[name] = totals[name].add(RequestCounts(asked - failed, 0, 0, failed))
-            evidence.add(
-                at * 500_000_000,
+                totals[name] = totals[name].add(RequestCounts(requests - failed, 0, 0, failed))
+            window.add(
+                index * 500_000_000,
                 {"a": ServerSample(1, totals["a"], True), "b": ServerSample(1, totals["b"], False)},
             )
-            one, other = evidence.changed.counts, evidence.unchanged.counts
-            bad = bad or evaluate_canary(measure, evidence, None).verdict is Verdict.UNHEALTHY
-            over = (
-                over
-                or one.total >= measure.min_requests
-                and one.failed / one.total > 2 * other.failed / max(1, other.total) + 0.01
+            changed_counts, unchanged_counts = window.changed.counts, window.unchanged.counts
+            is_unhealthy = (
+                is_unhealthy or evaluate_canary(settings, window, None).verdict is Verdict.UNHEALTHY
+            )
+            exceeds_bound = (
+                exceeds_bound
+                or changed_counts.total >= settings.min_requests
+                and changed_counts.failed / changed_counts.total
+                > 2 * unchanged_counts.failed / max(1, unchanged_counts.total) + 0.01
             )
-        found, plain = found + bad, plain + over
-    return found / plays, plain / plays
+        unhealthy_count, bound_count = unhealthy_count + is_unhealthy, bound_count + exceeds_bound
+    return unhealthy_count / waves, bound_count / waves
 
 
-def walk(servers: int, leads: int, lives: int, most: int) -> str:
+def explore(servers: int, leaders: int, incarnations: int, max_states: int) -> str:
+    """Explores all states of a model, up to `max_states`; returns a line with the result."""
     from explore_rollout import Explorer
 
-    began = time.perf_counter()
-    worlds, worst = Explorer(servers, 1, lives, leads).explore(most)
-    took = time.perf_counter() - began
-    return f"{servers} servers, {leads} that lead, {lives} lives: {worlds} worlds, {worst} out at most; {took:.0f} s"
+    started = time.perf_counter()
+    states, max_out = Explorer(servers, 1, incarnations, leaders).explore(max_states)
+    seconds = time.perf_counter() - started
+    return f"{servers} servers, {leaders} that lead, {incarnations} lives: {states} worlds, {max_out} out at most; {seconds:.0f} s"
 
 
 def main() -> None:
-    asked = argparse.ArgumentParser(
+    """Runs what the flags select in parallel and prints the rows."""
+    parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    asked.add_argument("--sizes", type=int, nargs="*", default=[3, 30, 300])
-    asked.add_argument("--seeds", type=int, nargs="+", default=[1, 2, 3])
-    asked.add_argument("--workers", type=int, default=4)
-    asked.add_argument("--judge", action="store_true")
-    asked.add_argument("--walk", action="store_true")
-    told_us = asked.parse_args()
-    with ProcessPoolExecutor(told_us.workers) as pool:
-        walks = [
-            pool.submit(walk, *world)
-            for world in ((2, 2, 2, 400_000), (3, 1, 2, 400_000), (2, 1, 3, 400_000))
-            if told_us.walk
+    parser.add_argument("--sizes", type=int, nargs="*", default=[3, 30, 300])
+    parser.add_argument("--seeds", type=int, nargs="+", default=[1, 2, 3])
+    parser.add_argument("--workers", type=int, default=4)
+    parser.add_argument("--judge", action="store_true")
+    parser.add_argument("--walk", action="store_true")
+    arguments = parser.parse_args()
+    with ProcessPoolExecutor(arguments.workers) as pool:
+        explorations = [
+            pool.submit(explore, *bounds)
+            for bounds in ((2, 2, 2, 400_000), (3, 1, 2, 400_000), (2, 1, 3, 400_000))
+            if arguments.walk
         ]
         jobs = {
             (size, bad, variant): [
-                pool.submit(one, size, variant, seed, bad)
-                for seed in (told_us.seeds if size < 300 else told_us.seeds[:1])
+                pool.submit(measure, size, variant, seed, bad)
+                for seed in (arguments.seeds if size < 300 else arguments.seeds[:1])
             ]
-            for size in told_us.sizes
+            for size in arguments.sizes
             for bad in (False, True)
             for variant in VARIANTS
         }
-        judging = {
-            key: pool.submit(judged, *key)
+        judgements = {
+            key: pool.submit(judge_waves, *key)
             for key in [
-                (share, spread, changed, 10 * changed)
-                for share in (0.0, 0.02, 0.05, 0.1, 0.3)
+                (extra_rate, spread, changed, 10 * changed)
+                for extra_rate in (0.0, 0.02, 0.05, 0.1, 0.3)
                 for spread in (0.0, 0.01)
                 for changed in (5, 50)
             ]
-            if told_us.judge
+            if arguments.judge
         }
-        for (size, bad, variant), found in jobs.items():
-            rows = [job.result() for job in found]
-            mean = {name: statistics.mean(row[name] for row in rows) for name in ("value", "pay")}
+        for (size, bad, variant), runs in jobs.items():
+            rows = [job.result() for job in runs]
+            means = {name: statistics.mean(row[name] for row in rows) for name in ("value", "pay")}
             print(
                 f"| {size} | {'bad' if bad else 'good'} | {variant} | {max(row['most'] for row in rows)}"
                 f" of {rows[0]['bound']} |"
                 f" {sum(row['over'] for row in rows)} ({sum(row['unseen'] for row in rows)}) of"
                 f" {sum(row['drains'] for row in rows)} |"
-                f" {told([row['done'] for row in rows])} | {told([row['halted'] for row in rows])} |"
-                f" {', '.join(str(row['ever']) for row in rows)} | {told([row['back'] for row in rows])} |"
-                f" {mean['value']:.3f} | {mean['pay']:.3f} | {sum(row['faults'] for row in rows)} |",
+                f" {format_times([row['done'] for row in rows])} | {format_times([row['halted'] for row in rows])} |"
+                f" {', '.join(str(row['ever']) for row in rows)} | {format_times([row['back'] for row in rows])} |"
+                f" {means['value']:.3f} | {means['pay']:.3f} | {sum(row['faults'] for row in rows)} |",
                 flush=True,
             )
             for row in rows:
                 if row["first"]:
                     print("    ", row["first"])
-        for (share, spread, changed, _), job in judging.items():
-            ours, plain = job.result()
+        for (extra_rate, spread, changed, _), job in judgements.items():
+            unhealthy_share, bound_share = job.result()
             print(
-                f"| {share:.0%} | {spread:.0%} | {2 * changed} | {ours:.3f} | {plain:.3f} |",
+                f"| {extra_rate:.0%} | {spread:.0%} | {2 * changed} | {unhealthy_share:.3f} | {bound_share:.3f} |",
                 flush=True,
             )
-        for walked in walks:
-            print(walked.result(), flush=True)
+        for exploration in explorations:
+            print(exploration.result(), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -24,7 +24,7 @@
 import msgpack
 from rich.console import Console
 from rich.progress import Progress
-from rollout_core import World
+from rollout_core import RolloutSimulation
 from scale_crowd import (
     DEATHS,
     KEY,
@@ -281,7 +281,7 @@
 @part("release", states=("rest",))
 def release(size: int, state: str) -> Found:
     """A release under way, judged and sent out by waves: 25 s of it."""
-    world = World(size, DisruptionBudget(max_out_share=0.1)).settled()
+    world = RolloutSimulation(size, DisruptionBudget(max_out_share=0.1)).run_until_all_serve()
     idle: list[int] = []
     rounds: list[int] = []
     steps, spans, of, step = 0, idle, world.leader.run_round, hand.DrainAgent.begin_drain
@@ -301,7 +301,7 @@
 
     world.leader.run_round = timed  # type: ignore[method-assign,assignment]
     for _ in range(5):
-        world.second()
+        world.run_second()
     world.state, spans, steps = (
         world.state.start_release("v2", (1, 0.1, 0.5, 1.0), False),
         rounds,
@@ -310,7 +310,7 @@
     hand.DrainAgent.begin_drain = stepped  # type: ignore[method-assign]
     try:
         for _ in range(25):
-            world.second()
+            world.run_second()
     finally:
         hand.DrainAgent.begin_drain = step  # type: ignore[method-assign]
     text, spent = encode_state(world.state), [0, 0]
--- a/tests/test_rollout_leader.py
+++ b/tests/test_rollout_leader.py
@@ -4,8 +4,8 @@
 
 import pytest
 import rig  # noqa: F401  (finds benchmarks/)
-from rollout_core import TERMS, S, World
-from rollout_waves import one
+from rollout_core import NS_PER_SECOND, SETTINGS, RolloutSimulation
+from rollout_waves import measure
 
 from burlloom.rollout import (
     SERVERS_GROUP,
@@ -23,7 +23,7 @@
 
 def test_a_bad_release_on_simulated_servers_is_halted_and_rolled_back() -> None:
     """One in fifty operations of the store fails, and the lab's checker verifies the rules."""
-    result = one(10, "agreed", 1, True)
+    result = measure(10, "agreed", 1, True)
     assert not result["faults"] and result["most"] == 1 and not result["over"], result
     assert result["ever"] == 1, result
     assert 0 < result["halted"] < 60 and 0 < result["back"] < 30, result
@@ -31,78 +31,86 @@
 
 def test_a_release_is_finished_and_a_bad_one_rolled_back_within_the_budget() -> None:
     for size, budget in ((3, DisruptionBudget(1)), (30, DisruptionBudget(max_out_share=0.1))):
-        world = World(size, budget).settled()
-        world.state = world.state.start_release("v2", (1, 0.1, 0.5, 1.0), False)
-        world.until(ReleasePhase.IDLE)
-        assert world.state.stable_version == "v2"
-        assert world.most_down == budget.compute_limit(size)
-        assert {member.version for member in world.members.values()} == {"v2"}
-        world.failure_rates["v3"] = 0.3
-        world.state = world.state.start_release("v3", (1, 0.1, 0.5, 1.0), False)
-        world.until(ReleasePhase.HALTED)
-        changed_count = sum(member.version == "v3" for member in world.members.values())
-        assert changed_count <= 1 and "voided" in world.state.release.reason, world.state.release
+        simulation = RolloutSimulation(size, budget).run_until_all_serve()
+        simulation.state = simulation.state.start_release("v2", (1, 0.1, 0.5, 1.0), False)
+        simulation.run_until(ReleasePhase.IDLE)
+        assert simulation.state.stable_version == "v2"
+        assert simulation.most_down == budget.compute_limit(size)
+        assert {member.version for member in simulation.members.values()} == {"v2"}
+        simulation.failure_rates["v3"] = 0.3
+        simulation.state = simulation.state.start_release("v3", (1, 0.1, 0.5, 1.0), False)
+        simulation.run_until(ReleasePhase.HALTED)
+        changed_count = sum(member.version == "v3" for member in simulation.members.values())
+        assert changed_count <= 1 and "voided" in simulation.state.release.reason, (
+            simulation.state.release
+        )
         with pytest.raises(OrderRejectedError, match="halted"):
-            world.state.start_release("v4", (1.0,), False)
-        world.state = world.state.apply_order(ReleaseInput.ROLLBACK, "")
-        world.until(ReleasePhase.IDLE)
-        assert world.state.stable_version == "v2"
-        assert {member.version for member in world.members.values()} == {"v2"}
-        assert world.most_down == budget.compute_limit(size)
+            simulation.state.start_release("v4", (1.0,), False)
+        simulation.state = simulation.state.apply_order(ReleaseInput.ROLLBACK, "")
+        simulation.run_until(ReleasePhase.IDLE)
+        assert simulation.state.stable_version == "v2"
+        assert {member.version for member in simulation.members.values()} == {"v2"}
+        assert simulation.most_down == budget.compute_limit(size)
 
 
 def test_a_change_of_the_leader_frees_no_budget() -> None:
-    world = World(5, DisruptionBudget(1)).settled()
-    world.state = world.state.start_release("v2", (1.0,), False)
-    while not world.down:
-        world.second()
-    (missing,) = world.down
-    world.down[missing] = 10**18  # the server does not return by itself
-    world.leader = world.new_leader("b")
+    simulation = RolloutSimulation(5, DisruptionBudget(1)).run_until_all_serve()
+    simulation.state = simulation.state.start_release("v2", (1.0,), False)
+    while not simulation.down:
+        simulation.run_second()
+    (missing,) = simulation.down
+    simulation.down[missing] = 10**18  # the server does not return by itself
+    simulation.leader = simulation.new_leader("b")
     for _ in range(60):
-        world.second()
-    assert world.leader.is_leader(world.state)
-    assert world.most_down == 1
-    assert world.state.servers[missing].state is InstanceState.OUT
-    world.until(ReleasePhase.HALTED)
-    assert world.state.servers[missing].state is InstanceState.MISSING
-    assert "missing" in world.state.release.reason
-    world.state = world.state.retire(SERVERS_GROUP, missing).apply_order(ReleaseInput.RESUME, "")
-    del world.members[missing]
-    del world.down[missing]
-    world.until(ReleasePhase.IDLE)
-    assert world.most_down == 1
-    assert world.state.stable_version == "v2"
+        simulation.run_second()
+    assert simulation.leader.is_leader(simulation.state)
+    assert simulation.most_down == 1
+    assert simulation.state.servers[missing].state is InstanceState.OUT
+    simulation.run_until(ReleasePhase.HALTED)
+    assert simulation.state.servers[missing].state is InstanceState.MISSING
+    assert "missing" in simulation.state.release.reason
+    simulation.state = simulation.state.retire(SERVERS_GROUP, missing).apply_order(
+        ReleaseInput.RESUME, ""
+    )
+    del simulation.members[missing]
+    del simulation.down[missing]
+    simulation.run_until(ReleasePhase.IDLE)
+    assert simulation.most_down == 1
+    assert simulation.state.stable_version == "v2"
 
 
 def test_a_silent_server_counts_against_the_budget_until_it_is_seen() -> None:
-    world = World(4, DisruptionBudget(1)).settled()
-    world.silent.add("n2")
-    world.state = world.state.start_release("v2", (1.0,), False)
+    simulation = RolloutSimulation(4, DisruptionBudget(1)).run_until_all_serve()
+    simulation.silent.add("n2")
+    simulation.state = simulation.state.start_release("v2", (1.0,), False)
     for _ in range(30):
-        world.second()
-    assert world.state.servers["n2"].state is InstanceState.MISSING
-    assert world.most_down <= 1
+        simulation.run_second()
+    assert simulation.state.servers["n2"].state is InstanceState.MISSING
+    assert simulation.most_down <= 1
     # At most one server was sent out before n2 counted as silent.
-    assert sum(instance.version == "v2" for instance in world.state.servers.values()) <= 2
-    world.silent.clear()
-    world.until(ReleasePhase.IDLE)
-    assert world.most_down == 1
-    assert world.state.stable_version == "v2"
+    assert sum(instance.version == "v2" for instance in simulation.state.servers.values()) <= 2
+    simulation.silent.clear()
+    simulation.run_until(ReleasePhase.IDLE)
+    assert simulation.most_down == 1
+    assert simulation.state.stable_version == "v2"
 
 
 def test_an_unused_permit_is_revoked_if_a_crash_exceeds_the_budget() -> None:
-    world = World(6, DisruptionBudget(2)).settled()
-    state = world.leader.run_round(
-        world.now, world.state.start_release("v2", (1.0,), False), list(world.members.values())
+    simulation = RolloutSimulation(6, DisruptionBudget(2)).run_until_all_serve()
+    state = simulation.leader.run_round(
+        simulation.now_ns,
+        simulation.state.start_release("v2", (1.0,), False),
+        list(simulation.members.values()),
     )
     permitted = [
         name for name, instance in state.servers.items() if instance.state is InstanceState.GRANTED
     ]
     crashed = next(name for name in state.servers if name not in permitted)
     state = state.apply_input(SERVERS_GROUP, crashed, InstanceInput.LOST)[0]
-    state = world.leader.run_round(
-        world.now, state, [report for name, report in world.members.items() if name != crashed]
+    state = simulation.leader.run_round(
+        simulation.now_ns,
+        state,
+        [report for name, report in simulation.members.items() if name != crashed],
     )
     assert len(permitted) == 2
     assert [state.servers[name].state for name in permitted].count(InstanceState.GRANTED) == 1
@@ -112,46 +120,52 @@
     """The store is unavailable for a minute. After it no server counts as missing, and none is sent
     out because of earlier observations.
     """
-    world = World(4, DisruptionBudget(1)).settled()
-    world.state = world.state.start_release("v2", (1.0,), False)
-    world.until(ReleasePhase.EVALUATING)
-    world.now += 60 * S
-    state = world.leader.run_round(world.now, world.state, list(world.members.values()))
+    simulation = RolloutSimulation(4, DisruptionBudget(1)).run_until_all_serve()
+    simulation.state = simulation.state.start_release("v2", (1.0,), False)
+    simulation.run_until(ReleasePhase.EVALUATING)
+    simulation.now_ns += 60 * NS_PER_SECOND
+    state = simulation.leader.run_round(
+        simulation.now_ns, simulation.state, list(simulation.members.values())
+    )
     assert not state.groups[SERVERS_GROUP].out_count
     assert state.release.phase is not ReleasePhase.HALTED
-    other = world.new_leader("b")
-    assert other.acquire_leadership(world.now, state, 1) is None
-    assert other.acquire_leadership(world.now + 70 * S, state, 1) is None
+    other = simulation.new_leader("b")
+    assert other.acquire_leadership(simulation.now_ns, state, 1) is None
+    assert other.acquire_leadership(simulation.now_ns + 70 * NS_PER_SECOND, state, 1) is None
 
 
 def test_a_restart_is_a_loss_unless_the_last_incarnation_reported_that_it_leaves() -> None:
     for previous_incarnation, is_lost in ((1, False), (0, True)):
-        world = World(3, DisruptionBudget(1)).settled()
-        world.state = replace(
-            world.state.start_release("v2", (1.0,), False), groups=world.state.groups
+        simulation = RolloutSimulation(3, DisruptionBudget(1)).run_until_all_serve()
+        simulation.state = replace(
+            simulation.state.start_release("v2", (1.0,), False), groups=simulation.state.groups
         )
         instance = replace(
-            world.state.servers["n1"], release_number=1, version="v2", next_version="v2"
+            simulation.state.servers["n1"], release_number=1, version="v2", next_version="v2"
         )
-        world.state = world.state.with_instance(SERVERS_GROUP, "n1", instance)
-        world.members["n1"] = ServerReport(
+        simulation.state = simulation.state.with_instance(SERVERS_GROUP, "n1", instance)
+        simulation.members["n1"] = ServerReport(
             "n1", 2, 0, version="v2", previous_incarnation=previous_incarnation
         )
         for round_index in range(2):
-            world.now += S
+            simulation.now_ns += NS_PER_SECOND
             reports = [
                 replace(report, heartbeat=report.heartbeat + 1 + round_index)
-                for report in world.members.values()
+                for report in simulation.members.values()
             ]
-            world.state = world.leader.run_round(world.now, world.state, reports)
-        assert (world.state.release.phase is ReleasePhase.HALTED) is is_lost, world.state.history
+            simulation.state = simulation.leader.run_round(
+                simulation.now_ns, simulation.state, reports
+            )
+        assert (simulation.state.release.phase is ReleasePhase.HALTED) is is_lost, (
+            simulation.state.history
+        )
 
 
 def test_downstream_instances_are_drained_within_their_budget() -> None:
     addresses = ("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1")
     leader = RolloutLeader(
         "a",
-        TERMS,
+        SETTINGS,
         {SERVERS_GROUP: DisruptionBudget(), "db": DisruptionBudget(1)},
         {"db": addresses},
     )
@@ -159,7 +173,7 @@
 
     def run(state: RolloutState, seconds: int, now_ns: list[int] = [0]) -> RolloutState:
         for _ in range(4 * seconds):
-            now_ns[0] += S // 4
+            now_ns[0] += NS_PER_SECOND // 4
             for name, report in reports.items():
                 reports[name] = replace(report, heartbeat=report.heartbeat + 1)
             state = leader.acquire_leadership(now_ns[0], state, 0) or leader.run_round(
