--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -23,7 +23,7 @@
 from fleet_shares import quota_settings
 
 from burlloom.lab import Scenario, run_scenario
-from burlloom.lab.charts import recovery_chart
+from burlloom.lab.charts import draw_recovery_chart
 from burlloom.lab.emulator import Emulator, Observer
 from burlloom.lab.fleets import SimulatedFleet
 from burlloom.recovery import RecoveryPolicy
@@ -187,7 +187,7 @@
         return [statistics.mean(values) for values in zip(*series, strict=False)]
 
     title = f"s; {size} servers, nine in ten killed at {KILLED_AT_S}, back at {KILLED_AT_S + DOWN_FOR_S}; mean over seeds"
-    recovery_chart(
+    draw_recovery_chart(
         folder / f"recovery-{size}.svg",
         title,
         {variant: (mean(variant, "rate"), mean(variant, "most")) for variant in VARIANTS},
--- a/burlloom/command/lab.py
+++ b/burlloom/command/lab.py
@@ -127,7 +127,7 @@
     """A page with tables, and charts of load, answers by product and levels, of the experiment
     NAME.
     """
-    from ..lab.charts import run_chart, write_page
+    from ..lab.charts import draw_run_chart, write_page
 
     to.mkdir(parents=True, exist_ok=True)
     parts = []
@@ -138,7 +138,7 @@
             if one.figure.startswith("in time ")
         ]
         chart = to / f"{slug(world)}-{slug(what.split(' against ')[0])}.{ending}"
-        run_chart(chart, f"{world}, seed {rows[0]['seed']}", products, rows)
+        draw_run_chart(chart, f"{world}, seed {rows[0]['seed']}", products, rows)
         parts.append((world, what, pairs, chart))
     write_page(to / "index.html", name, parts)
     click.echo(f"{to / 'index.html'}: {len(parts)} comparisons")
--- a/burlloom/command/levels.py
+++ b/burlloom/command/levels.py
@@ -217,9 +217,9 @@
         )
     )
     if chart is not None:
-        from ..lab.charts import level_chart
+        from ..lab.charts import draw_level_chart
 
-        level_chart(chart, [level.name for level in plan.levels], points, rows)
+        draw_level_chart(chart, [level.name for level in plan.levels], points, rows)
         click.echo(f"{chart}: drawn")
 
 
--- a/burlloom/lab/charts.py
+++ b/burlloom/lab/charts.py
@@ -24,7 +24,7 @@
     pyplot.close(figure)
 
 
-def level_chart(
+def draw_level_chart(
     path: Path,
     names: Sequence[str],
     points: Sequence[tuple[float, float]],
@@ -60,7 +60,7 @@
     save_figure(figure, path)
 
 
-def run_chart(
+def draw_run_chart(
     path: Path, title: str, products: Sequence[str], rows: Sequence[dict[str, Any]]
 ) -> None:
     """Draws runs of one scenario with one seed, a column for each variant.
@@ -175,7 +175,7 @@
     path.write_text("\n".join(lines) + "\n", encoding="utf-8")
 
 
-def recovery_chart(
+def draw_recovery_chart(
     path: Path, title: str, variants: dict[str, tuple[Sequence[float], Sequence[float]]], end_s: int
 ) -> None:
     """Draws the recovery of several variants after a mass restart.
