--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -12,9 +12,9 @@
 from test_fleet import fleet
 
 from burlloom.admission.model import Degradation, Idempotency, RequestClass
-from burlloom.lab import play
-from burlloom.lab.emulator import Watch
-from burlloom.lab.variants import VARIANTS, leveler
+from burlloom.lab import run_scenario
+from burlloom.lab.emulator import Observer
+from burlloom.lab.variants import VARIANTS, levels_factory
 from burlloom.levels import (
     DEFAULT_PLAN,
     DegradationController,
@@ -358,8 +358,10 @@
         return {}
 
     world = fleet(2, 60, 4, low=low, high=high, period_s=period, shape="sawtooth", noise=0.1)
-    outcome = play(world, leveling=VARIANTS["levels"](), watch=Watch(collect_changes))
-    assert not outcome.faults
+    outcome = run_scenario(
+        world, make_levels=VARIANTS["levels"](), observer=Observer(collect_changes)
+    )
+    assert not outcome.violations
     assert all(
         len([change for change in changes if end - 60 * NS_PER_SECOND < change <= end]) <= 4
         for changes in changes_by_node.values()
@@ -378,7 +380,7 @@
             ),
         )
     )
-    outcome = play(
+    outcome = run_scenario(
         fleet(
             3,
             12,
@@ -387,11 +389,11 @@
             low=0.9,
             high=0.9,
         ),
-        leveling=leveler(plan, HysteresisPolicy(2)),
+        make_levels=levels_factory(plan, HysteresisPolicy(2)),
     )
-    assert not outcome.faults
-    assert outcome.count["declined"] > 200
-    assert outcome.count["settled"] > 5
+    assert not outcome.violations
+    assert outcome.counts["declined"] > 200
+    assert outcome.counts["settled"] > 5
 
 
 def test_levels_that_are_never_entered_change_no_outcome() -> None:
@@ -402,6 +404,6 @@
             LevelDefinition("never", {"use": SignalBounds(1e9, 1)}, dropped_values=1),
         )
     )
-    assert json.dumps(play(world).count) == json.dumps(
-        play(world, leveling=leveler(unentered_plan, HysteresisPolicy(2))).count
+    assert json.dumps(run_scenario(world).counts) == json.dumps(
+        run_scenario(world, make_levels=levels_factory(unentered_plan, HysteresisPolicy(2))).counts
     )
