--- a/burlloom/distribution/stores/factory.py
+++ b/burlloom/distribution/stores/factory.py
@@ -7,10 +7,10 @@
 from .change_store import ChangeStore
 
 if TYPE_CHECKING:
-    from ...operator import Place
+    from ...operator import StorePart
 
 
-def create_change_store(location: "Place") -> ChangeStore:
+def create_change_store(location: "StorePart") -> ChangeStore:
     """Returns the change store at a location of the operator's file; it is not opened yet.
 
     Raises:
@@ -19,7 +19,7 @@
     if location.sqlite is not None:
         from .sqlite import SqliteChangeStore
 
-        return SqliteChangeStore(location.sqlite.place())
+        return SqliteChangeStore(location.sqlite.file_path())
     from ...record.postgres import PostgresStore as RecordStore
     from .postgres import PostgresChangeStore
 
--- a/burlloom/lab/variants.py
+++ b/burlloom/lab/variants.py
@@ -58,13 +58,13 @@
 
 def default_policy() -> HysteresisPolicy:
     """Returns the default policy."""
-    return HysteresisPolicy(DEFAULT_PLAN.automatic_levels)
+    return HysteresisPolicy(DEFAULT_PLAN.automatic_level_count)
 
 
 def threshold_policy() -> HysteresisPolicy:
     """Returns a policy that changes the level in each round in which a signal calls for it."""
     return HysteresisPolicy(
-        DEFAULT_PLAN.automatic_levels,
+        DEFAULT_PLAN.automatic_level_count,
         dwell_ns=0,
         min_stay_ns=0,
         max_stay_ns=0,
--- a/tests/test_distribution_stores.py
+++ b/tests/test_distribution_stores.py
@@ -26,8 +26,8 @@
 from burlloom.distribution.stores.postgres import PostgresChangeStore
 from burlloom.distribution.stores.sqlite import SqliteChangeStore
 from burlloom.fakes import postgres
-from burlloom.operator import Place
 from burlloom.operator import Postgres as Database
+from burlloom.operator import StorePart
 from burlloom.record.factory import create_store
 
 SIGNING_KEY = b"s" * 32
@@ -279,7 +279,7 @@
         key_path = tmp_path / "key"
         key_path.write_text(KEY)
         key_path.chmod(0o600)
-        location = Place(
+        location = StorePart(
             postgres=Database(
                 address=server.address, key_file=str(key_path), hang_ms=300, connect_ms=500
             )
