--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -88,7 +88,7 @@
                 Rig(
                     Path(folder) / str(at),
                     name=f"n{at}",
-                    catalogue=catalogue,
+                    downstream=catalogue,
                     calls_out=total / processes,
                     n_cores=4,
                     memory_kb=200000,
@@ -147,11 +147,11 @@
 
 async def start(rig: Rig) -> float:
     """Seconds from the process's start until it is listed and says that it is well."""
-    while not rig.naming.reports.empty():
-        rig.naming.reports.get_nowait()
+    while not rig.name_service.reports.empty():
+        rig.name_service.reports.get_nowait()
     began = time.monotonic()
     await rig.begin()
-    while not (await within_timeout(rig.naming.reports.get())).endswith(" yes"):
+    while not (await within_timeout(rig.name_service.reports.get())).endswith(" yes"):
         pass
     balancer = await rig.balancer()
     error, result = await within_timeout(balancer.health())
--- a/benchmarks/kill_restart.py
+++ b/benchmarks/kill_restart.py
@@ -220,7 +220,7 @@
             rig = Rig(
                 folder,
                 operator=operator,
-                main=str(ROOT / "benchmarks" / "killed.py"),
+                program=str(ROOT / "benchmarks" / "killed.py"),
                 n_cores=96,
                 memory_kb=2000000,
             )
@@ -231,7 +231,7 @@
                     await rig.kill()
                     for turn in range(restarts):
                         await self.life(store, executing, moments[turn % len(moments)])
-                    rig.before = ""
+                    rig.shell_prefix = ""
                     await store.calm()
                     await rig.begin()
                     await self.ask_again()
@@ -242,7 +242,7 @@
     async def life(self, store: Store, executing: Executing, moment: str) -> None:
         rig, chance = self.rig, self.chance
         await store.calm()
-        rig.before = f"KILL_AT={moment}:{chance.randint(1, 9)}" if moment != "random" else ""
+        rig.shell_prefix = f"KILL_AT={moment}:{chance.randint(1, 9)}" if moment != "random" else ""
         begun = asyncio.create_task(rig.begin())
         await asyncio.wait({begun})
         if begun.exception() is not None:  # killed as it told its ends, or it found no store
--- a/benchmarks/scale_configuration.py
+++ b/benchmarks/scale_configuration.py
@@ -141,7 +141,7 @@
     for turn in range(rounds):
         with tempfile.TemporaryDirectory() as name:
             rig = Started(Path(name))
-            rig.told["settings"]["tenants"] = tenants(count)
+            rig.configuration["settings"]["tenants"] = tenants(count)
             async with rig:
                 pid = rig.process.pid
                 found.file = (rig.folder / "configuration.json").stat().st_size / MB
@@ -166,7 +166,7 @@
         return (main_thread_ns(pid) - before) / (time.perf_counter() - began)
 
     for turn in range(1, 2 * rounds + 1):
-        rig.told["settings"]["tenants"] = tenants(count, turn)
+        rig.configuration["settings"]["tenants"] = tenants(count, turn)
         await asyncio.sleep(0.05)
         if turn <= rounds:
             rest = await idle(0.5)
--- a/benchmarks/scale_real.py
+++ b/benchmarks/scale_real.py
@@ -82,7 +82,7 @@
         super().__init__(
             folder,
             name=name,
-            catalogue=below,
+            downstream=below,
             operator=operator,
             n_cores=32,
             memory_kb=400000,
@@ -120,7 +120,7 @@
 
     def note(self, what: str) -> None:
         now = time.clock_gettime_ns(time.CLOCK_BOOTTIME)
-        self.catalogue.events += [
+        self.downstream.events += [
             [now, self.name, what, kind, self.life] for kind in ("fleet", "follower")
         ]  # type: ignore[attr-defined]
 
--- a/benchmarks/scale_request.py
+++ b/benchmarks/scale_request.py
@@ -105,7 +105,7 @@
             calls_out=500.0,
             drain_grace=0,
             stop_ms=1500,
-            catalogue=catalogue,
+            downstream=catalogue,
         )
         runs = Runs(rig.executor, load)
         rig.executor.commands = runs  # type: ignore[assignment]
@@ -339,7 +339,7 @@
         pass
 
     def prepare(self, rig: Rig) -> None:
-        rig.told["settings"]["tenants"] = tenants(self.count)
+        rig.configuration["settings"]["tenants"] = tenants(self.count)
 
     async def ready(self, rig: Rig) -> None:
         pass
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -130,7 +130,12 @@
         self.world, self.region, self.more = world, region, more
         self.working: list[asyncio.Task[None]] = []
         super().__init__(
-            folder, name=name, catalogue=world.catalogue, n_cores=32, memory_kb=400000, stop_ms=2000
+            folder,
+            name=name,
+            downstream=world.catalogue,
+            n_cores=32,
+            memory_kb=400000,
+            stop_ms=2000,
         )
 
     async def start(self) -> "Node":
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -46,7 +46,7 @@
         super().__init__(
             folder,
             name=name,
-            catalogue=fleet.services[0],
+            downstream=fleet.services[0],
             n_cores=32,
             memory_kb=400000,
             calls_out=fleet.alone,
--- a/tests/rollout_rig.py
+++ b/tests/rollout_rig.py
@@ -51,7 +51,7 @@
         super().__init__(
             folder,
             name=name,
-            catalogue=rollout.services[0],
+            downstream=rollout.services[0],
             n_cores=32,
             memory_kb=400000,
             calls_out=64,
@@ -71,7 +71,7 @@
         }
 
     async def begin(self) -> None:
-        self.before = f"BURLLOOM_RELEASE={self.version};export BURLLOOM_RELEASE;"
+        self.shell_prefix = f"BURLLOOM_RELEASE={self.version};export BURLLOOM_RELEASE;"
         self.ready = False
         try:
             await super().begin()
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from rig import GIVEN
+from rig import EXAMPLE_CONFIGURATION
 
 from burlloom.admission.model import Gauges
 from burlloom.dispatcher import (
@@ -25,7 +25,7 @@
     got an error in place of the rejection.
     """
     now = [1000 * NS_PER_SECOND]
-    settings, _ = parse_server_settings(GIVEN["settings"])
+    settings, _ = parse_server_settings(EXAMPLE_CONFIGURATION["settings"])
 
     def attempt(request_id: str) -> RequestAttempt:
         return RequestAttempt(request_id, now[0], "caller", 0, 0, 1.0, 0.5, "", "", b"")
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -10,7 +10,7 @@
 import time
 from pathlib import Path
 
-from rig import GIVEN, wait_until, within_timeout
+from rig import EXAMPLE_CONFIGURATION, wait_until, within_timeout
 
 from burlloom.downstream import ConnectionPool
 from burlloom.fakes.parts import Balancer, Catalogue, Executor, NameService, Reply, fields
@@ -81,7 +81,7 @@
         executor, name_service, downstream = Executor(), NameService(), Catalogue(reply)
         for peer in (executor, name_service, downstream):
             await peer.start()
-        given = copy.deepcopy(GIVEN)
+        given = copy.deepcopy(EXAMPLE_CONFIGURATION)
         settings = given["settings"]
         settings["extra"].update(n_cores=64, memory_kb=200000, idle=100000, calls_out=128)
         for category in settings["categories"]:
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -285,7 +285,10 @@
 
     async def scenario() -> None:
         async with Rig(
-            tmp_path, main=HELD_PROGRAM.replace("FOLDER", str(tmp_path)), drain_grace=0, stop_ms=900
+            tmp_path,
+            program=HELD_PROGRAM.replace("FOLDER", str(tmp_path)),
+            drain_grace=0,
+            stop_ms=900,
         ) as rig:
             balancer = await rig.balancer()
             await within_timeout(balancer.health())
@@ -378,7 +381,7 @@
 
     async def scenario() -> None:
         main = program_with(STATEMENTS_BY_MOMENT[moment].replace("NUMBER", number))
-        async with Rig(tmp_path, main=main) as rig:
+        async with Rig(tmp_path, program=main) as rig:
             rig.process.send_signal(signal.SIGTERM)
             assert await within_timeout(rig.process.wait()) == 0
 
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -120,8 +120,8 @@
     other = Rig(rig.folder / "other", operator=rig.operator)
     other.folder.mkdir()
     other.executor = await Executor().start()
-    other.told["executor"] = other.executor.address
-    other.write_orders()
+    other.configuration["executor"] = other.executor.address
+    other.write_configuration()
     other.log_path = other.folder / "log"
     try:
         await other.begin()
@@ -262,7 +262,7 @@
     standin.db.execute("UPDATE node SET fenced = 1 WHERE name = 'n0'")
     await expect_error((await one.balancer()).ask("pay", fields(once="k")), "Backoff")
     assert one.executor.commands.empty()
-    one.errors = one.log().count("level=error")
+    one.expected_error_count = one.log().count("level=error")
     answer = (await two.balancer()).ask("pay", fields(once="k"))
     two.executor.exit(await two.command("EXEC", "pay"), result=b"paid")
     await expect_result(answer, b"paid")
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The program as a process, spoken to over sockets; stand-ins take the place of all it talks to."""
+"""Tests of the server process over sockets, between fakes of all its peers."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,7 @@
 import msgpack
 import pytest
 from rig import (
-    GIVEN,
+    EXAMPLE_CONFIGURATION,
     ROOT,
     Rig,
     expect_error,
@@ -31,7 +31,9 @@
 from burlloom.fakes.parts import Catalogue, Executor, NameService, fields
 from burlloom.sockets import NS_PER_MS, NS_PER_SECOND
 
-TRAP = re.search(r'run = "(.*;) exec ', (ROOT / "deploy" / "balancer.toml").read_text())[1]  # type: ignore[index]
+# The shell command by which the deployed server ignores SIGHUP until it has installed its handler.
+DEPLOYMENT = (ROOT / "deploy" / "balancer.toml").read_text()
+IGNORE_HANGUP = re.search(r'run = "(.*;) exec ', DEPLOYMENT)[1]  # type: ignore[index]
 
 
 @with_server(memory_kb=200000, n_cores=32)
@@ -40,81 +42,82 @@
     body = bytes(range(256)) * 8
     result = body[::-1] * 2
     frame = balancer.frame("look", fields(), body)
-    for at in range(len(frame)):
-        balancer.writer.write(frame[at : at + 1])
-        if at % 97 == 0:
+    for index in range(len(frame)):
+        balancer.writer.write(frame[index : index + 1])
+        if index % 97 == 0:
             await balancer.writer.drain()
             await asyncio.sleep(0)
     id = await rig.command("EXEC", "look")
     assert rig.executor.bodies[id] == body
-    waiting = [balancer.waiting[1]]
+    answers = [balancer.waiting[1]]
     rig.executor.exit(id, result=result)
-    await expect_result(waiting[0], result)
-    waiting = [balancer.ask("look", fields())]
+    await expect_result(answers[0], result)
+    answers = [balancer.ask("look", fields())]
     rig.executor.exit(await rig.command("EXEC", "look"), result=b"z" * 70000)
-    await expect_result(waiting[0], b"z" * 70000)
-    told = [fields() for _ in range(32)]
-    frames = [balancer.frame("look", one, one["id"].encode()) for one in told]
-    waiting = [balancer.waiting[number] for number in sorted(balancer.waiting)]
+    await expect_result(answers[0], b"z" * 70000)
+    requests = [fields() for _ in range(32)]
+    frames = [balancer.frame("look", request, request["id"].encode()) for request in requests]
+    answers = [balancer.waiting[number] for number in sorted(balancer.waiting)]
     balancer.writer.write(b"".join(frames))
-    ids = [await rig.command("EXEC", "look") for _ in told]
-    assert sorted(ids) == sorted(one["id"] for one in told)
+    ids = [await rig.command("EXEC", "look") for _ in requests]
+    assert sorted(ids) == sorted(request["id"] for request in requests)
     for id in reversed(ids):
         rig.executor.exit(id, result=b"of " + id.encode())
-    for one, answer in zip(told, waiting):
-        await expect_result(answer, b"of " + one["id"].encode())
+    for request, answer in zip(requests, answers):
+        await expect_result(answer, b"of " + request["id"].encode())
     assert balancer.answers == 34
 
 
 @with_server(n_cores=1, memory_kb=1000, idle=2000000)
 async def test_rejections_and_health_carry_the_load_report(rig: Rig) -> None:
     balancer = await rig.balancer()
-    said: dict[str, str] = {}
-    while not said:
-        error, (good, said) = await within_timeout(balancer.health())
+    load_report: dict[str, str] = {}
+    while not load_report:
+        error, (is_healthy, load_report) = await within_timeout(balancer.health())
         assert error is None
-        assert good is True
-    for _ in range(20):  # how long to stay away is drawn
-        told = await expect_error(balancer.ask("look", fields(kb="990")), "Backoff")
-        assert {"say"} <= set(told) <= {"say", "after", "last"}
-        assert float(told["say"]) >= 0
-        assert 1 <= int(told.get("after", 1)) <= 1000
-    assert rig.naming.reports.get_nowait() == "renew n1 yes"
+        assert is_healthy is True
+    for _ in range(20):  # the time until a retry is drawn at random
+        rejection = await expect_error(balancer.ask("look", fields(kb="990")), "Backoff")
+        assert {"say"} <= set(rejection) <= {"say", "after", "last"}
+        assert float(rejection["say"]) >= 0
+        assert 1 <= int(rejection.get("after", 1)) <= 1000
+    assert rig.name_service.reports.get_nowait() == "renew n1 yes"
     assert rig.executor.commands.empty()
 
 
 def test_the_executor_may_start_long_after_the_server(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         rig = Rig(tmp_path)
         rig.executor.up.clear()
         async with rig:
             balancer = await rig.balancer()
             assert (await within_timeout(balancer.health()))[1][0] is False
-            assert rig.naming.reports.empty()
+            assert rig.name_service.reports.empty()
             rig.executor.up.set()
-            assert await within_timeout(rig.naming.reports.get()) == "renew n1 yes"
+            assert await within_timeout(rig.name_service.reports.get()) == "renew n1 yes"
             assert (await within_timeout(balancer.health()))[1][0] is True
             answer = balancer.ask("look", fields())
             rig.executor.exit(await rig.command("EXEC", "look"), result=b"late")
             await expect_result(answer, b"late")
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @with_server(idle=300000)
 async def test_idle_connections_are_asked_to_close(rig: Rig) -> None:
     idle, health = await rig.balancer(), await rig.balancer()
     await within_timeout(health.health())
-    await gets_one(rig, idle)
+    await serve_one_request(rig, idle)
     await within_timeout(idle.shutdown.wait())
-    # Until the other side closes, what it had sent meanwhile is served.
-    await gets_one(rig, idle)
+    # Requests that the peer sends before it closes are still served.
+    await serve_one_request(rig, idle)
     idle.close()
     await wait_until(lambda: "reason=idle_timeout" in rig.log())
     assert not health.shutdown.is_set()
 
 
-async def gets_one(rig: Rig, balancer: Any) -> None:
+async def serve_one_request(rig: Rig, balancer: Any) -> None:
+    """Checks that a request on this connection is run and answered."""
     answer = balancer.ask("look", fields())
     rig.executor.exit(await rig.command("EXEC", "look"), result=b"one")
     await expect_result(answer, b"one")
@@ -122,69 +125,69 @@
 
 @with_server(n_cores=4)
 async def test_the_executor_connection_is_lost_during_a_run(rig: Rig) -> None:
-    """Ends told while there is no link are learnt; only a command lost on the way is said again."""
+    """Ends of runs while disconnected are received later; only a lost command is sent again."""
     balancer, executor = await rig.balancer(), rig.executor
     first, second = balancer.ask("look", fields()), balancer.ask("pay", fields(once="k1"))
-    ran, called = await rig.command("EXEC", "look"), await rig.command("EXEC", "pay")
-    executor.callout(called)
-    assert await rig.command("RETURN") == called
-    assert executor.bodies[called] == b"fetched"
-    await rig.proven()
+    running, calling = await rig.command("EXEC", "look"), await rig.command("EXEC", "pay")
+    executor.callout(calling)
+    assert await rig.command("RETURN") == calling
+    assert executor.bodies[calling] == b"fetched"
+    await rig.wait_until_commands_confirmed()
     executor.deaf = True
     third = balancer.ask("look", fields(), b"lost")
     await wait_until(lambda: executor.lost)
     executor.drop()
-    executor.exit(ran, result=b"unheard")
+    executor.exit(running, result=b"unheard")
     executor.deaf = False
     await expect_result(first, b"unheard")
-    again = await rig.command("EXEC", "look")
-    assert executor.bodies[again] == b"lost"
-    executor.exit(again, result=b"found")
+    repeated = await rig.command("EXEC", "look")
+    assert executor.bodies[repeated] == b"lost"
+    executor.exit(repeated, result=b"found")
     await expect_result(third, b"found")
-    executor.exit(called, result=b"paid")
+    executor.exit(calling, result=b"paid")
     await expect_result(second, b"paid")
     assert executor.commands.empty()
     assert executor.joins == [0, 1]
 
 
 @with_server()
-async def test_end_notices_broken_off_and_repeated(rig: Rig) -> None:
-    """Half a notice goes with its link and comes whole on the next; one of an old number is told in
-    vain.
-    """
+async def test_end_notices_that_are_cut_off_or_repeated(rig: Rig) -> None:
+    """A notice that is cut off with its connection is read on the next one; repeats are ignored."""
     balancer, executor = await rig.balancer(), rig.executor
     first = balancer.ask("look", fields())
     id = await rig.command("EXEC", "look")
     executor.notify("LOG so far")
-    await rig.proven()
-    whole = f"EXIT 2 {id} PASS 12 4\r\ndone\r\n".encode()
-    executor.say(whole[:-5])
+    await rig.wait_until_commands_confirmed()
+    notice = f"EXIT 2 {id} PASS 12 4\r\ndone\r\n".encode()
+    executor.say(notice[:-5])
     executor.link.close()
-    executor.notices.append(whole)
+    executor.notices.append(notice)
     await expect_result(first, b"done")
-    for again in executor.notices:
-        executor.say(again)
-    await gets_one(rig, balancer)
+    for repeated in executor.notices:
+        executor.say(repeated)
+    await serve_one_request(rig, balancer)
     assert executor.joins == [0, 1]
 
 
-async def gets_health(balancer: Any) -> None:
+async def exchange_health_checks(balancer: Any) -> None:
+    """Waits until the server has read all that was sent before on this connection."""
     for _ in range(3):
         await within_timeout(balancer.health())
 
 
 @with_server()
-async def test_an_earlier_meter_does_not_prove_a_later_reply(rig: Rig) -> None:
-    """One asked after the run's first reply and answered after its second: a lost second is said
-    again.
+async def test_an_earlier_meter_does_not_confirm_a_later_reply(rig: Rig) -> None:
+    """A METER that was sent before a reply and is answered after it does not confirm the reply.
+
+    The second reply of the run is lost here, so the server must send it again.
     """
     balancer, executor = await rig.balancer(), rig.executor
     answer = balancer.ask("look", fields())
     id = await rig.command("EXEC", "look")
     executor.callout(id, b"first")
     await rig.command("RETURN")
-    executor.deaf, asked = True, executor.asked
-    await wait_until(lambda: executor.asked > asked)
+    executor.deaf, past_meters = True, executor.asked
+    await wait_until(lambda: executor.asked > past_meters)
     tag = executor.tag
     executor.callout(id, b"second")
     await wait_until(lambda: executor.lost)
@@ -198,21 +201,22 @@
 
 @with_server()
 async def test_an_executor_connection_that_is_open_but_silent(rig: Rig) -> None:
-    """Joined or not: the answer that would join it may be lost too."""
+    """Silence is detected also before the handshake is complete, since its answer may be lost."""
     rig.executor.deaf = True
     await wait_until(lambda: rig.log().count("event=executor_unresponsive") == 2)
     rig.executor.deaf = False
     await wait_until(lambda: len(rig.executor.joins) > 2)
-    await gets_one(rig, await rig.balancer())
+    await serve_one_request(rig, await rig.balancer())
 
 
 @with_server(deadline=2200000)
 async def test_end_notices_that_the_executor_no_longer_keeps(rig: Rig) -> None:
-    """A command in doubt whose end may be among them is not said again: it is voided, never run
-    twice.
+    """A command whose end may be among the lost notices is not sent again, so it never runs twice.
+
+    Its request fails.
     """
     balancer, executor = await rig.balancer(), rig.executor
-    rig.errors = 1
+    rig.expected_error_count = 1
     executor.deaf = True
     answer = balancer.ask("look", fields(cost="1"))
     await wait_until(lambda: executor.lost)
@@ -222,12 +226,12 @@
     executor.deaf = False
     await expect_error(answer, "Voided")
     assert "event=notices_lost first=1 last=2" in rig.log()
-    await gets_one(rig, balancer)
+    await serve_one_request(rig, balancer)
 
 
 @pytest.mark.parametrize("end", ["NOOP", "KILLED", "FAIL", "BAD"])
 def test_runs_that_fail(end: str, tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with Rig(tmp_path) as rig:
             balancer = await rig.balancer()
             answer = balancer.ask("look", fields())
@@ -238,46 +242,48 @@
             else:
                 rig.executor.exit(id, end)
             await expect_error(answer, "Voided")
-            await gets_one(rig, balancer)
+            await serve_one_request(rig, balancer)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @with_server(n_cores=4)
 async def test_retries_of_a_keyed_request(rig: Rig) -> None:
-    """Running, at a call, or long answered, and on another connection: it runs once, each try is
-    answered.
+    """A keyed request runs once, and each of its attempts is answered, on any connection.
+
+    Retries arrive while the request runs, while it calls the downstream, and after its answer.
     """
-    one, other = await rig.balancer(), await rig.balancer()
+    balancer, other = await rig.balancer(), await rig.balancer()
     rig.replies = ["silence"]
-    first = one.ask("pay", fields(once="k"), b"b")
+    first = balancer.ask("pay", fields(once="k"), b"b")
     id = await rig.command("EXEC", "pay")
     running = other.ask("pay", fields(once="k", retry="1"), b"b")
     rig.executor.callout(id)
-    await wait_until(lambda: rig.catalogue.calls)
-    at_call = one.ask("pay", fields(once="k", retry="1"), b"b")
-    await gets_health(one)
+    await wait_until(lambda: rig.downstream.calls)
+    at_call = balancer.ask("pay", fields(once="k", retry="1"), b"b")
+    await exchange_health_checks(balancer)
     rig.executor.exit(id, result=b"paid")
     for answer in (first, running, at_call):
         await expect_result(answer, b"paid")
     await expect_result(other.ask("pay", fields(once="k", retry="1"), b"b"), b"paid")
-    assert await within_timeout(rig.catalogue.given_up.get()) == id
-    # The window counts from when the try that ran came: one that comes after it runs anew.
-    late = str(int(fields()["at"]) + 18500)
-    fresh = other.ask("pay", fields(once="k", at=late), b"b")
+    assert await within_timeout(rig.downstream.given_up.get()) == id
+    # The window starts at the attempt that ran. An attempt sent after the window runs again.
+    after_window = str(int(fields()["at"]) + 18500)
+    later = other.ask("pay", fields(once="k", at=after_window), b"b")
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid anew")
-    await expect_result(fresh, b"paid anew")
+    await expect_result(later, b"paid anew")
     assert rig.executor.commands.empty()
 
 
 @with_server(memory_kb=2000)
 async def test_key_digests_take_none_of_the_memory_of_runs(rig: Rig) -> None:
-    """They are ours to keep: at 50 KB each as on the simulator, forty would leave no room for a
-    run.
+    """Key digests must not count as memory of the executor.
+
+    At the 50 KB that the simulator counts for each, 40 of them would leave no memory for a run.
     """
     balancer = await rig.balancer()
-    for turn in range(60):
-        answer = balancer.ask("pay", fields(once=f"k{turn}", kb="1.0"))
+    for number in range(60):
+        answer = balancer.ask("pay", fields(once=f"k{number}", kb="1.0"))
         rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid")
         await expect_result(answer, b"paid")
 
@@ -287,10 +293,10 @@
     balancer, other = await rig.balancer(), await rig.balancer()
     blocking = balancer.ask("look", fields())
     running = await rig.command("EXEC", "look")
-    held = balancer.ask("pay", fields(once="h"))
-    await gets_health(balancer)
+    queued = balancer.ask("pay", fields(once="h"))
+    await exchange_health_checks(balancer)
     repeat = other.ask("pay", fields(once="h", retry="1"))
-    await expect_error(held, "Backoff")
+    await expect_error(queued, "Backoff")
     rig.executor.exit(running, result=b"done")
     await expect_result(blocking, b"done")
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid")
@@ -299,34 +305,36 @@
 
 @with_server()
 async def test_a_reset_loses_only_the_answer(rig: Rig) -> None:
-    """The run goes on, and its result is there for a repeat on another connection."""
+    """The run continues, and a retry on another connection gets its result."""
     gone, other = await rig.balancer(), await rig.balancer()
     gone.ask("pay", fields(once="k"))
     id = await rig.command("EXEC", "pay")
     gone.reset()
     await wait_until(lambda: "reason=peer_reset" in rig.log())
     repeat = other.ask("pay", fields(once="k", retry="1"))
-    await gets_health(other)
+    await exchange_health_checks(other)
     rig.executor.exit(id, result=b"paid")
     await expect_result(repeat, b"paid")
 
 
-PROVEN = [(503, True, b""), (409, True, b"")]
-SPOILT = [
+# Replies of the downstream that prove that the call did not run.
+NOT_RUN_REPLIES = [(503, True, b""), (409, True, b"")]
+MALFORMED_REPLIES = [
     b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
     b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20000,
     b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nbody",
     b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
 ]
-WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwell"
-GOOD = [
-    b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\n" + WHOLE,
-    WHOLE * 2,
-    WHOLE + b"\x00\xff",
-    WHOLE + b"\r\n\r\nnoise",
+VALID_REPLY = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwell"
+VALID_REPLIES_WITH_SURPLUS = [
+    b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\n" + VALID_REPLY,
+    VALID_REPLY * 2,
+    VALID_REPLY + b"\x00\xff",
+    VALID_REPLY + b"\r\n\r\nnoise",
 ]
-UNPROVEN = [
-    *SPOILT,
+# Failures after which the call may have run.
+UNCERTAIN_REPLIES = [
+    *MALFORMED_REPLIES,
     (500, False, b""),
     (504, False, b""),
     (503, False, b""),
@@ -338,36 +346,38 @@
 ]
 
 
-@pytest.mark.parametrize("product", ["look", "pay"])
-@pytest.mark.parametrize("reply", PROVEN + UNPROVEN, ids=str)
-def test_calls_that_fail(reply: Any, product: str, tmp_path: Path) -> None:
-    """A referenced txn's call is made again only where the last proves that it never ran."""
+@pytest.mark.parametrize("request_class", ["look", "pay"])
+@pytest.mark.parametrize("reply", NOT_RUN_REPLIES + UNCERTAIN_REPLIES, ids=str)
+def test_calls_that_fail(reply: Any, request_class: str, tmp_path: Path) -> None:
+    """A keyed request repeats its call only after a reply that proves that the call did not run."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with Rig(tmp_path) as rig:
             balancer = await rig.balancer()
             rig.replies = [reply]
-            answer = balancer.ask(product, fields(**({"once": "k"} if product == "pay" else {})))
-            id = await rig.command("EXEC", product)
+            answer = balancer.ask(
+                request_class, fields(**({"once": "k"} if request_class == "pay" else {}))
+            )
+            id = await rig.command("EXEC", request_class)
             rig.executor.callout(id, b"what")
-            if product == "look" or reply in PROVEN:
+            if request_class == "look" or reply in NOT_RUN_REPLIES:
                 assert await rig.command("RETURN") == id
-                assert rig.catalogue.calls == [(id, b"what")] * 2
+                assert rig.downstream.calls == [(id, b"what")] * 2
                 rig.executor.exit(id, result=b"well")
                 await expect_result(answer, b"well")
             else:
                 await expect_error(answer, "Voided")
-                assert rig.catalogue.calls == [(id, b"what")]
+                assert rig.downstream.calls == [(id, b"what")]
                 rig.executor.exit(id, "KILLED")
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @with_server()
 async def test_valid_replies_with_surplus_bytes(rig: Rig) -> None:
-    """They are good, and a connection with something behind its reply is not used again."""
+    """Such replies are valid; a connection with bytes after its reply is not reused."""
     balancer = await rig.balancer()
-    for count, reply in enumerate([*GOOD, GOOD[0]]):
+    for count, reply in enumerate([*VALID_REPLIES_WITH_SURPLUS, VALID_REPLIES_WITH_SURPLUS[0]]):
         rig.replies = [reply]
         answer = balancer.ask("look", fields())
         id = await rig.command("EXEC", "look")
@@ -376,12 +386,12 @@
         assert rig.executor.bodies[id] == b"well"
         rig.executor.exit(id, result=b"done")
         await expect_result(answer, b"done")
-    assert rig.catalogue.links == len(GOOD)
+    assert rig.downstream.links == len(VALID_REPLIES_WITH_SURPLUS)
 
 
 @with_server()
 async def test_a_call_that_no_run_waits_for(rig: Rig) -> None:
-    """The run's end, which follows, comes before another call is made."""
+    """The call is not repeated before the end of its run, which follows the reply, arrives."""
     balancer = await rig.balancer()
     rig.replies = [(409, True, b"")] * 9
     answer = balancer.ask("look", fields())
@@ -390,29 +400,28 @@
     await wait_until(lambda: "outcome=no_longer_needed" in rig.log())
     rig.executor.exit(id, "KILLED")
     await expect_error(answer, "Voided")
-    assert len(rig.catalogue.calls) == 1
+    assert len(rig.downstream.calls) == 1
 
 
 @with_server(n_cores=4)
 async def test_the_downstream_is_down_and_its_idle_connections_close(rig: Rig) -> None:
     balancer = await rig.balancer()
-    # A call that may not be repeated has a connection of its own: a kept one may be forgotten at
-    # its other end.
-    for product, links in (("look", 1), ("look", 1), ("pay", 2), ("pay", 3)):
-        answer = balancer.ask(product, fields(once=f"k{links}"))
-        id = await rig.command("EXEC", product)
+    # A call that must not be repeated gets a new connection: the peer may have closed an idle one.
+    for request_class, links in (("look", 1), ("look", 1), ("pay", 2), ("pay", 3)):
+        answer = balancer.ask(request_class, fields(once=f"k{links}"))
+        id = await rig.command("EXEC", request_class)
         rig.executor.callout(id)
         assert await rig.command("RETURN") == id
         rig.executor.exit(id, result=b"paid")
         await expect_result(answer, b"paid")
-        assert rig.catalogue.links == links
-    address = rig.catalogue.address
-    await rig.catalogue.stop()
+        assert rig.downstream.links == links
+    address = rig.downstream.address
+    await rig.downstream.stop()
     answer = balancer.ask("pay", fields(once="k9"))
     id = await rig.command("EXEC", "pay")
     rig.executor.callout(id)
     await wait_until(lambda: "side=downstream reason=connection_refused" in rig.log())
-    rig.catalogue = await Catalogue(rig.reply).start(address)
+    rig.downstream = await Catalogue(rig.reply).start(address)
     assert await rig.command("RETURN") == id
     rig.executor.exit(id, result=b"paid")
     await expect_result(answer, b"paid")
@@ -429,7 +438,7 @@
         rig.executor.exit(await rig.command("RETURN"), result=b"well")
     for answer in answers:
         await expect_result(answer, b"well")
-    assert rig.catalogue.most == 1
+    assert rig.downstream.most == 1
 
 
 @with_server(deadline=1000000, aim=900000)
@@ -440,69 +449,73 @@
     id = await rig.command("EXEC", "pay")
     rig.executor.callout(id)
     await expect_error(answer, "Voided")
-    assert await within_timeout(rig.catalogue.given_up.get()) == id
+    assert await within_timeout(rig.downstream.given_up.get()) == id
     rig.executor.exit(id, "KILLED")
 
 
 @with_server()
 async def test_health_is_reported_to_the_name_service(rig: Rig) -> None:
-    asked = rig.executor.asked
-    reports = [await within_timeout(rig.naming.reports.get()) for _ in range(32)]
-    # Four a second at least, by the rounds of the decisions, each of which asks for the gauges: one
-    # in four is lost. Over so many that a moment in which we stand still ourselves, and do not
-    # count what comes, weighs little.
+    past_meters = rig.executor.asked
+    reports = [await within_timeout(rig.name_service.reports.get()) for _ in range(32)]
+    # At least four reports a second, since one datagram in four may be lost. The time is measured
+    # in rounds of the main loop, about ten a second, each of which sends a METER. With 32 reports,
+    # a pause of the test process, in which it does not count what arrives, weighs little.
     assert set(reports) == {"renew n1 yes"}
-    assert rig.executor.asked - asked < 80
-    await gets_one(rig, await rig.balancer())
+    assert rig.executor.asked - past_meters < 80
+    await serve_one_request(rig, await rig.balancer())
     rig.process.send_signal(signal.SIGTERM)
     while reports[-1] == "renew n1 yes":
-        reports.append(await within_timeout(rig.naming.reports.get()))
+        reports.append(await within_timeout(rig.name_service.reports.get()))
     assert reports[-1] == "renew n1 no"
 
 
 def test_health_reports_keep_their_pace_in_a_late_process(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each rest takes 0.09 s more than it should; once the process stands still for ten seconds."""
-    now, at = 0, list[int]()
-
-    async def late(span: int) -> None:
-        nonlocal now
-        now += max(0, span) + 90 * NS_PER_MS + (10 * NS_PER_SECOND if len(at) == 50 else 0)
-        if len(at) == 100:
+    """Each sleep takes 0.09 s too long; after the 50th report the process is paused for 10 s."""
+    now_ns, sent_at_ns = 0, list[int]()
+
+    async def sleep_too_long(duration_ns: int) -> None:
+        nonlocal now_ns
+        pause_ns = 10 * NS_PER_SECOND if len(sent_at_ns) == 50 else 0
+        now_ns += max(0, duration_ns) + 90 * NS_PER_MS + pause_ns
+        if len(sent_at_ns) == 100:
             raise asyncio.CancelledError
 
-    monkeypatch.setattr("burlloom.discovery.health_reporter.sleep_ns", late)
+    monkeypatch.setattr("burlloom.discovery.health_reporter.sleep_ns", sleep_too_long)
 
-    async def play() -> None:
-        reports = HealthReporter(("127.0.0.1", 9), "n1", lambda: now)
-        reports.last_reported = True
-        monkeypatch.setattr(reports, "send", lambda: at.append(now))
+    async def scenario() -> None:
+        reporter = HealthReporter(("127.0.0.1", 9), "n1", lambda: now_ns)
+        reporter.last_reported = True
+        monkeypatch.setattr(reporter, "send", lambda: sent_at_ns.append(now_ns))
         with contextlib.suppress(asyncio.CancelledError):
-            await reports.run()
+            await reporter.run()
 
-    asyncio.run(play())
-    assert at[49] - at[0] <= 49 * NS_PER_SECOND // 5 + 90 * NS_PER_MS  # five a second, one late
-    spans = [after - before for before, after in zip(at, at[1:], strict=False)]
-    assert max(spans) > 10 * NS_PER_SECOND
-    assert min(spans) >= 90 * NS_PER_MS
-    assert at[99] - at[50] <= 49 * NS_PER_SECOND // 5 + 90 * NS_PER_MS
+    asyncio.run(scenario())
+    # Five reports a second, the last one late.
+    assert sent_at_ns[49] - sent_at_ns[0] <= 49 * NS_PER_SECOND // 5 + 90 * NS_PER_MS
+    intervals_ns = [
+        after - before for before, after in zip(sent_at_ns, sent_at_ns[1:], strict=False)
+    ]
+    assert max(intervals_ns) > 10 * NS_PER_SECOND
+    assert min(intervals_ns) >= 90 * NS_PER_MS
+    assert sent_at_ns[99] - sent_at_ns[50] <= 49 * NS_PER_SECOND // 5 + 90 * NS_PER_MS
 
 
 @with_server()
 async def test_a_silent_name_service_changes_nothing(rig: Rig) -> None:
     balancer = await rig.balancer()
-    await within_timeout(rig.naming.reports.get())
-    rig.naming.transport.close()
-    await gets_health(balancer)
-    await gets_one(rig, balancer)
+    await within_timeout(rig.name_service.reports.get())
+    rig.name_service.transport.close()
+    await exchange_health_checks(balancer)
+    await serve_one_request(rig, balancer)
 
 
 @with_server(n_cores=1)
 async def test_a_drain_answers_all_requests(rig: Rig) -> None:
-    """What runs, what is held, and what waits on a connection the program has not yet accepted."""
+    """Also a queued request, and one on a connection that the server has not accepted yet."""
     balancer = await rig.balancer()
     answers = [balancer.ask("look", fields()) for _ in range(2)]
     id = await rig.command("EXEC", "look")
-    await gets_health(balancer)
+    await exchange_health_checks(balancer)
     rig.process.send_signal(signal.SIGSTOP)
     backlog = await rig.balancer()
     last = backlog.ask("look", fields())
@@ -533,23 +546,23 @@
 
 
 @with_server(n_cores=32, memory_kb=200000)
-async def test_a_slow_reader_delays_nobody_else(rig: Rig) -> None:
+async def test_a_slow_reader_delays_no_other_connection(rig: Rig) -> None:
     slow, other = await rig.balancer(), await rig.balancer()
     slow.writer.transport.pause_reading()  # type: ignore[attr-defined]
     for _ in range(32):
         slow.ask("look", fields(), b"x" * 2048)
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"y" * 4096)
-    await gets_one(rig, other)
+    await serve_one_request(rig, other)
     slow.writer.transport.resume_reading()  # type: ignore[attr-defined]
     await wait_until(lambda: slow.answers == 32)
 
 
 @with_server(n_cores=32, memory_kb=200000)
 async def test_a_peer_that_never_reads_is_disconnected(rig: Rig) -> None:
-    greedy = await rig.balancer(buffer=8192)
-    greedy.writer.transport.pause_reading()  # type: ignore[attr-defined]
+    reader = await rig.balancer(buffer=8192)
+    reader.writer.transport.pause_reading()  # type: ignore[attr-defined]
     for _ in range(4000):
-        greedy.ask("look", fields())
+        reader.ask("look", fields())
         await wait_until(
             lambda: "reason=slow_consumer" in rig.log() or not rig.executor.commands.empty()
         )
@@ -557,9 +570,9 @@
             break
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"y" * 4096)
     assert rig.log().count("reason=slow_consumer") == 1
-    other = fields()
-    answer = (await rig.balancer()).ask("look", other)
-    while (id := await rig.command("EXEC", "look")) != other["id"]:
+    request = fields()
+    answer = (await rig.balancer()).ask("look", request)
+    while (id := await rig.command("EXEC", "look")) != request["id"]:
         rig.executor.exit(id)
     rig.executor.exit(id, result=b"one")
     await expect_result(answer, b"one")
@@ -575,48 +588,47 @@
     await asyncio.sleep(0.5)
     rig.process.send_signal(signal.SIGCONT)
     await expect_result(answer, b"done")
-    await gets_one(rig, balancer)
+    await serve_one_request(rig, balancer)
 
 
-@with_server(before="ulimit -n 24;")
+@with_server(shell_prefix="ulimit -n 24;")
 async def test_out_of_descriptors(rig: Rig) -> None:
-    """Those that never said anything go for whoever comes: the newest is served though nobody went
-    by itself.
+    """Silent connections are closed in favour of new ones, so that the newest is served.
+
+    A connection that has sent requests stays open.
     """
     first = await rig.balancer()
-    await gets_one(rig, first)
+    await serve_one_request(rig, first)
     others = [await rig.balancer() for _ in range(24)]
     assert (await within_timeout(others[-1].health()))[1][0] is True
     assert "reason=connection_limit" in rig.log()
     assert not first.ended.is_set()
-    await gets_one(rig, first)
+    await serve_one_request(rig, first)
 
 
-def held(rig: Rig) -> int:
+def count_descriptors(rig: Rig) -> int:
     return len(os.listdir(f"/proc/{rig.process.pid}/fd"))
 
 
-def allow(rig: Rig, more: int) -> None:
-    """The process may hold this many descriptors more than it does now."""
-    most = held(rig) + more
-    resource.prlimit(rig.process.pid, resource.RLIMIT_NOFILE, (most, most))
+def limit_descriptors(rig: Rig, spare: int) -> None:
+    """Limits the process to this many descriptors more than it holds now."""
+    limit = count_descriptors(rig) + spare
+    resource.prlimit(rig.process.pid, resource.RLIMIT_NOFILE, (limit, limit))
 
 
 @with_server(n_cores=64, memory_kb=200000)
 async def test_out_of_descriptors_with_all_in_use(rig: Rig) -> None:
-    """Nobody is cut off who waits for an answer; newcomers wait in the kernel, and accepting does
-    not spin.
-    """
-    allow(rig, 4)
+    """Connections with open requests stay; new ones wait in the backlog, without a busy loop."""
+    limit_descriptors(rig, 4)
     balancers = [await rig.balancer() for _ in range(4)]
     answers = [balancer.ask("look", fields()) for balancer in balancers]
     ids = [await rig.command("EXEC", "look") for _ in answers]
     newcomer = await rig.balancer()
     checked = newcomer.health()
     await wait_until(lambda: "event=accept_failed" in rig.log())
-    before, began = used(rig), time.monotonic()
+    before_s, started_s = processor_time_s(rig), time.monotonic()
     await asyncio.sleep(0.5)
-    assert used(rig) - before < 0.5 * (time.monotonic() - began)
+    assert processor_time_s(rig) - before_s < 0.5 * (time.monotonic() - started_s)
     assert not checked.done()
     for id in ids:
         rig.executor.exit(id, result=b"done")
@@ -625,56 +637,58 @@
     assert (await within_timeout(checked))[1][0] is True
 
 
-def used(rig: Rig) -> float:
-    """Seconds of processor time so far."""
-    words = Path(f"/proc/{rig.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
+def processor_time_s(rig: Rig) -> float:
+    """Returns the processor time of the server process in seconds."""
+    columns = Path(f"/proc/{rig.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
+    return (int(columns[11]) + int(columns[12])) / os.sysconf("SC_CLK_TCK")
 
 
-@pytest.mark.parametrize("asked", [True, False], ids=["idle-since-a-check", "silent"])
+@pytest.mark.parametrize("with_check", [True, False], ids=["idle-since-a-check", "silent"])
 def test_idle_clients_hold_every_descriptor_while_discovery_is_down(
-    asked: bool, tmp_path: Path
+    with_check: bool, tmp_path: Path
 ) -> None:
-    """Requests that are open are answered; link, calls, a newcomer and a reload find
+    """Idle connections are closed when descriptors are needed.
+
+    Open requests are answered; the executor's connection, a call, a new connection and a reload get
     descriptors.
     """
 
     @with_server(n_cores=4)
-    async def story(rig: Rig) -> None:
-        await within_timeout(rig.naming.reports.get())
-        rig.naming.transport.close()
+    async def scenario(rig: Rig) -> None:
+        await within_timeout(rig.name_service.reports.get())
+        rig.name_service.transport.close()
         balancer = await rig.balancer()
-        open_there, called = balancer.ask("look", fields()), balancer.ask("pay", fields(once="k"))
+        open_answer, called = balancer.ask("look", fields()), balancer.ask("pay", fields(once="k"))
         id, calling = await rig.command("EXEC", "look"), await rig.command("EXEC", "pay")
-        await rig.proven()
-        allow(rig, 6)
+        await rig.wait_until_commands_confirmed()
+        limit_descriptors(rig, 6)
 
-        async def fill() -> None:
+        async def connect_idle_clients() -> None:
             for _ in range(12):
                 client = await rig.balancer()
-                if asked:
+                if with_check:
                     await within_timeout(client.health())
 
-        await fill()
+        await connect_idle_clients()
         rig.executor.drop()
         rig.executor.exit(id, result=b"done")
-        await expect_result(open_there, b"done")
+        await expect_result(open_answer, b"done")
         assert len(rig.executor.joins) == 2
-        await fill()
+        await connect_idle_clients()
         rig.executor.callout(calling)
         assert await rig.command("RETURN") == calling
-        await fill()
-        rig.naming = await NameService().start()
-        rig.told["naming"] = rig.naming.address
+        await connect_idle_clients()
+        rig.name_service = await NameService().start()
+        rig.configuration["naming"] = rig.name_service.address
         rig.reload()
-        assert await within_timeout(rig.naming.reports.get()) == "renew n1 yes"
-        await fill()
-        await gets_one(rig, await rig.balancer())
+        assert await within_timeout(rig.name_service.reports.get()) == "renew n1 yes"
+        await connect_idle_clients()
+        await serve_one_request(rig, await rig.balancer())
         rig.executor.exit(calling, result=b"paid")
         await expect_result(called, b"paid")
         assert "event=accept_failed" not in rig.log()
 
-    story(tmp_path)
+    scenario(tmp_path)
 
 
 @with_server()
@@ -682,7 +696,7 @@
     clients = [await rig.balancer() for _ in range(6)]
     for client in clients:
         await within_timeout(client.health())
-    allow(rig, 0)
+    limit_descriptors(rig, 0)
     rig.process.send_signal(signal.SIGSTOP)
     answers = [client.health() for client in clients[:5]]
     for client in clients[:5]:
@@ -695,11 +709,12 @@
     await within_timeout(clients[5].ended.wait())
 
 
-def request(number: Any, method: Any, params: Any) -> bytes:
+def encode_request(number: Any, method: Any, params: Any) -> bytes:
     return bytes(msgpack.packb([0, number, method, params]))
 
 
-BAD = {
+# Inputs that end their connection, by the logged reason.
+INPUTS_BY_REASON = {
     "malformed": [
         b"\xc1",
         b"\xa1x",
@@ -708,22 +723,22 @@
         b"\x94\x00\x01\xa1\xff\x90",
     ],
     "wrong_type": [
-        request("1", "look", [{}, b""]),
-        request(1, "look", {}),
-        request(1, "look", [{1: ""}, b""]),
+        encode_request("1", "look", [{}, b""]),
+        encode_request(1, "look", {}),
+        encode_request(1, "look", [{1: ""}, b""]),
     ],
     "too_large": [b"\x94\x00\x01\xa4look\x92\x80\xc6\xff\xff\xff\xff", b"\xdd\x7f\xff\xff\xff"],
     "too_many_bad_requests": [
-        request(1, "look", [{}, "text"])
-        + request(2, "look", [{}])
-        + request(3, "look", [{}, b"", b""])
-        + request(4, "look", [fields(), b"x" * 2049])
+        encode_request(1, "look", [{}, "text"])
+        + encode_request(2, "look", [{}])
+        + encode_request(3, "look", [{}, b"", b""])
+        + encode_request(4, "look", [fields(), b"x" * 2049])
     ],
     "first_message_timeout": [b""],
     "message_timeout": [b"\x94"],
     "repeated_message_id": [
-        request(1, "health", [{}]) * 2,
-        request(1, "health", [{}]) + request(0, "health", [{}]),
+        encode_request(1, "health", [{}]) * 2,
+        encode_request(1, "health", [{}]) + encode_request(0, "health", [{}]),
     ],
 }
 
@@ -733,7 +748,7 @@
     good = await rig.balancer()
     pending = good.ask("look", fields())
     id = await rig.command("EXEC", "look")
-    for reason, inputs in BAD.items():
+    for reason, inputs in INPUTS_BY_REASON.items():
         for data in inputs:
             bad = await rig.balancer()
             bad.waiting = {
@@ -741,8 +756,8 @@
             }
             bad.writer.write(data)
             await within_timeout(bad.ended.wait())
-            ended = f"peer={peer(bad)} reason={reason} requests"
-            await wait_until(lambda: rig.log().count(ended) == 1)
+            log_text = f"peer={peer_address(bad)} reason={reason} requests"
+            await wait_until(lambda: rig.log().count(log_text) == 1)
     await expect_error(good.ask("look", fields(id=id)), "BadRequest")
     rig.executor.exit(id, result=b"fine")
     await expect_result(pending, b"fine")
@@ -750,45 +765,45 @@
 
 @with_server()
 async def test_a_peer_that_begins_late_is_unfinished_not_silent(rig: Rig) -> None:
-    """Its first bytes come well after it connected, so that a look at it falls between the two
-    bounds.
+    """A peer with an unfinished message is closed for that, not for sending no message at all.
+
+    Its first bytes arrive so late that a sweep falls between the time limits for both.
     """
     late = await rig.balancer()
     await asyncio.sleep(0.6)
     late.writer.write(b"\x94")
     await within_timeout(late.ended.wait())
-    await wait_until(lambda: f"peer={peer(late)} reason=message_timeout requests" in rig.log())
+    log_text = f"peer={peer_address(late)} reason=message_timeout requests"
+    await wait_until(lambda: log_text in rig.log())
 
 
-def peer(balancer: Any) -> str:
+def peer_address(balancer: Any) -> str:
     return "%s:%d" % balancer.writer.get_extra_info("sockname")
 
 
 @with_server(n_cores=1)
 async def test_bad_input_ends_the_open_requests_of_its_connection_at_once(rig: Rig) -> None:
-    """No result goes to whoever sends it; what was held leaves, and a referenced run is kept for
-    its repeat.
-    """
+    """The sender gets no result; a queued request is dropped, a keyed run is kept for a retry."""
     bad, other = await rig.balancer(), await rig.balancer()
-    ran, held = bad.ask("pay", fields(once="k")), bad.ask("look", fields())
+    running, queued = bad.ask("pay", fields(once="k")), bad.ask("look", fields())
     id = await rig.command("EXEC", "pay")
     bad.writer.write(b"\xc1")
-    await expect_error(ran, "Voided")
-    await expect_error(held, "Voided")
+    await expect_error(running, "Voided")
+    await expect_error(queued, "Voided")
     await within_timeout(bad.ended.wait())
     rig.executor.exit(id, result=b"paid")
     await expect_result(other.ask("pay", fields(once="k", retry="1")), b"paid")
-    await gets_health(other)
+    await exchange_health_checks(other)
     assert rig.executor.commands.empty()
 
 
 @with_server()
-async def test_malformed_requests_are_answered(rig: Rig) -> None:
-    short, old = fields(), str(int(fields()["at"]) - 13000)
-    del short["kb"]
-    for product, told in [
+async def test_malformed_requests_are_rejected_and_the_connection_stays_open(rig: Rig) -> None:
+    incomplete, expired = fields(), str(int(fields()["at"]) - 13000)
+    del incomplete["kb"]
+    for request_class, request in [
         ("nothing", fields()),
-        ("look", short),
+        ("look", incomplete),
         ("look", fields(at="soon")),
         ("look", {}),
         ("look", fields(kb="0")),
@@ -797,7 +812,7 @@
         ("look", fields(cost="1e9")),
         ("look", fields(id="a b")),
         ("pay", fields()),
-        ("look", fields(at=old)),
+        ("look", fields(at=expired)),
         ("look", fields(at="9" * 15)),
         ("look", fields(rank="-0.5")),
         ("look", fields(kb="2000")),
@@ -807,12 +822,12 @@
         ("look", fields(cost=" 1")),
     ]:
         balancer = await rig.balancer()
-        await expect_error(balancer.ask(product, told), "BadRequest")
-        await gets_one(rig, balancer)
+        await expect_error(balancer.ask(request_class, request), "BadRequest")
+        await serve_one_request(rig, balancer)
 
 
 @with_server(n_cores=64, memory_kb=200000)
-async def test_more_connections_than_allowed(rig: Rig) -> None:
+async def test_more_open_requests_than_a_connection_may_have(rig: Rig) -> None:
     balancer = await rig.balancer()
     answers = [balancer.ask("look", fields()) for _ in range(34)]
     for answer in answers[32:]:
@@ -824,10 +839,8 @@
 
 
 @with_server(sockets=72)
-async def test_silent_connections_make_room_for_those_that_ask(rig: Rig) -> None:
-    """The table holds 36: one with a txn open stays, those that never asked go for whoever
-    comes.
-    """
+async def test_silent_connections_are_closed_for_new_ones(rig: Rig) -> None:
+    """There may be 36 connections: one with an open request stays, silent ones are closed."""
     first = await rig.balancer()
     answer = first.ask("look", fields())
     id = await rig.command("EXEC", "look")
@@ -836,16 +849,16 @@
     await wait_until(
         lambda: (
             "event=log_lines_dropped" in rig.log()
-            or rig.log().count("reason=connection_limit") == 45
+            or rig.log().count("reason=connection_limit") == 45  # 81 connections, 36 may stay
         )
-    )  # of 81
-    await gets_one(rig, await rig.balancer())
+    )
+    await serve_one_request(rig, await rig.balancer())
     rig.executor.exit(id, result=b"done")
     await expect_result(answer, b"done")
 
 
 @with_server()
-async def test_a_flood_of_connections_leaves_few_lines(rig: Rig) -> None:
+async def test_a_flood_of_connections_logs_few_lines(rig: Rig) -> None:
     while "event=log_lines_dropped" not in rig.log():
         (await rig.balancer()).close()
     count = int(re.search(r"log_lines_dropped count=(\d+)", rig.log())[1])  # type: ignore[index]
@@ -855,20 +868,20 @@
 
 @with_server(idle=200000)
 async def test_a_peer_that_ignores_shutdown_is_closed(rig: Rig) -> None:
-    deaf = await rig.balancer()
-    await gets_one(rig, deaf)
-    await within_timeout(deaf.shutdown.wait())
-    await within_timeout(deaf.ended.wait())
+    balancer = await rig.balancer()
+    await serve_one_request(rig, balancer)
+    await within_timeout(balancer.shutdown.wait())
+    await within_timeout(balancer.ended.wait())
 
 
 @with_server()
 async def test_a_half_closed_peer_gets_its_answers(rig: Rig) -> None:
-    half = await rig.balancer()
-    answer = half.ask("look", fields())
-    half.writer.write_eof()
+    balancer = await rig.balancer()
+    answer = balancer.ask("look", fields())
+    balancer.writer.write_eof()
     rig.executor.exit(await rig.command("EXEC", "look"), result=b"heard")
     await expect_result(answer, b"heard")
-    await within_timeout(half.ended.wait())
+    await within_timeout(balancer.ended.wait())
 
 
 @with_server(n_cores=1)
@@ -877,18 +890,19 @@
     gone.ask("look", fields())
     id = await rig.command("EXEC", "look")
     gone.ask("look", fields())
-    await gets_health(gone)
+    await exchange_health_checks(gone)
     gone.reset()
     await wait_until(lambda: "reason=peer_reset" in rig.log())
     rig.executor.exit(id, result=b"unheard")
-    await gets_one(rig, other)
+    await serve_one_request(rig, other)
     assert rig.executor.commands.empty()
 
 
 @with_server(n_cores=2)
 async def test_a_key_with_another_body_is_another_request(rig: Rig) -> None:
-    """Unknown to the executor, it is voided; neither it nor an unknown id stops a true try, or its
-    repeat.
+    """A forged body that the executor does not know fails; the genuine request and its retry run.
+
+    A retry that waits for a run whose id the executor does not know is told to try again.
     """
     bad, good = await rig.balancer(), await rig.balancer()
     forged = bad.ask("pay", fields(once="k"), b"forged")
@@ -902,18 +916,18 @@
     guessed = bad.ask("pay", fields(once="q"), b"true")
     unknown = await rig.command("EXEC", "pay")
     waiting = good.ask("pay", fields(once="q"), b"true")
-    await gets_health(good)
+    await exchange_health_checks(good)
     rig.executor.say(f"BAD EXEC {unknown}\r\n".encode())
     await expect_error(guessed, "Voided")
     await expect_error(waiting, "Backoff")
-    again = good.ask("pay", fields(once="q"), b"true")
+    retry = good.ask("pay", fields(once="q"), b"true")
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid")
-    await expect_result(again, b"paid")
+    await expect_result(retry, b"paid")
     assert (await within_timeout(good.health()))[1][0] is True
 
 
 @with_server()
-async def test_garbage_from_the_executor(rig: Rig) -> None:
+async def test_malformed_lines_from_the_executor(rig: Rig) -> None:
     balancer = await rig.balancer()
     answer = balancer.ask("look", fields())
     id = await rig.command("EXEC", "look")
@@ -938,41 +952,45 @@
     assert rig.log().count("side=executor reason=malformed") == 8
 
 
-def broken(**changes: Any) -> str:
-    return json.dumps({**GIVEN, **changes})
+def configuration_text(**changes: Any) -> str:
+    """Returns the example configuration with other values of top-level fields."""
+    return json.dumps({**EXAMPLE_CONFIGURATION, **changes})
 
 
-BROKEN = [
+# Contents of a configuration file that end the start; None stands for a missing file.
+UNUSABLE_CONFIGURATIONS = [
     None,
     "",
     "[]",
     "{}",
-    broken(listen="here"),
-    broken(listen="127.0.0.1:TAKEN"),
-    broken(settings={}),
-    broken(settings={**GIVEN["settings"], "categories": []}),
-    broken(seed="xyz"),
-    broken(seed=7),
-    broken(stop_ms="soon"),
-    broken(catalog=None),
-    json.dumps({key: GIVEN[key] for key in GIVEN if key != "catalog"}),
+    configuration_text(listen="here"),
+    configuration_text(listen="127.0.0.1:TAKEN"),
+    configuration_text(settings={}),
+    configuration_text(settings={**EXAMPLE_CONFIGURATION["settings"], "categories": []}),
+    configuration_text(seed="xyz"),
+    configuration_text(seed=7),
+    configuration_text(stop_ms="soon"),
+    configuration_text(catalog=None),
+    json.dumps(
+        {key: EXAMPLE_CONFIGURATION[key] for key in EXAMPLE_CONFIGURATION if key != "catalog"}
+    ),
 ]
 
 
-def changed(path: str, value: Any) -> str:
-    """The example with one value changed, or left out where it is `None`."""
-    told = json.loads(json.dumps(GIVEN))
-    place, *names = told, *path.split(".")
+def configuration_with(path: str, value: Any) -> str:
+    """Returns the example configuration with one value replaced, or removed if it is None."""
+    configuration = json.loads(json.dumps(EXAMPLE_CONFIGURATION))
+    container, *names = configuration, *path.split(".")
     for name in names[:-1]:
-        place = place[int(name) if name.isdigit() else name]
-    place[names[-1]] = value
+        container = container[int(name) if name.isdigit() else name]
+    container[names[-1]] = value
     if value is None:
-        del place[names[-1]]
-    return json.dumps(told)
+        del container[names[-1]]
+    return json.dumps(configuration)
 
 
-# What is wrong, and the place that the line has to name.
-ABSURD = [
+# Path of a setting, which the error must name, and an invalid value; None removes the setting.
+INVALID_SETTINGS = [
     ("settings.rules.warm_up", None),
     ("settings.rules.warm_up", -1),
     ("settings.rules.warm_up", 1e300),
@@ -996,26 +1014,26 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "value"), ABSURD, ids=[f"{path}={value}" for path, value in ABSURD]
+    ("path", "value"),
+    INVALID_SETTINGS,
+    ids=[f"{path}={value}" for path, value in INVALID_SETTINGS],
 )
 def test_invalid_settings_end_the_start_with_their_place(
     path: str, value: Any, tmp_path: Path
 ) -> None:
-    known = path.replace(".0.", "[0].").replace(".1.", "[1].")
+    place = path.replace(".0.", "[0].").replace(".1.", "[1].")
     if path == "settings.categories.0.name":
-        known = "settings.categories"
-    assert f"{known}: " in refused(changed(path, value), tmp_path)
+        place = "settings.categories"
+    assert f"{place}: " in expect_refused_start(configuration_with(path, value), tmp_path)
 
 
 def test_all_faults_of_a_configuration_are_named_at_once(tmp_path: Path) -> None:
-    told = json.loads(json.dumps(GIVEN))
-    told["seed"], told["limits"]["sockets"], told["settings"]["tenants"] = (
-        "q",
-        3,
-        [{"portion": "all"}, 7],
-    )
-    del told["settings"]["rules"]
-    line = refused(json.dumps(told), tmp_path)
+    configuration = json.loads(json.dumps(EXAMPLE_CONFIGURATION))
+    configuration["seed"] = "q"
+    configuration["limits"]["sockets"] = 3
+    configuration["settings"]["tenants"] = [{"portion": "all"}, 7]
+    del configuration["settings"]["rules"]
+    line = expect_refused_start(json.dumps(configuration), tmp_path)
     for place in (
         "seed",
         "limits.sockets",
@@ -1028,8 +1046,8 @@
     assert line.count(";") == 5
 
 
-def refused(text: str, tmp_path: Path) -> str:
-    """Ends the start at once, with one line and status 2, before anything listens."""
+def expect_refused_start(text: str, tmp_path: Path) -> str:
+    """Asserts that this configuration ends the start with status 2; returns the error line."""
     path = tmp_path / "configuration.json"
     path.write_text(text)
     done = subprocess.run(
@@ -1046,25 +1064,25 @@
 
 @with_server()
 async def test_an_unusable_configuration_at_a_reload_changes_nothing(rig: Rig) -> None:
-    for count, (path, value) in enumerate(ABSURD, 1):
-        (rig.folder / "configuration.json").write_text(changed(path, value))
+    for count, (path, value) in enumerate(INVALID_SETTINGS, 1):
+        (rig.folder / "configuration.json").write_text(configuration_with(path, value))
         rig.process.send_signal(signal.SIGHUP)
         await wait_until(lambda: rig.log().count("event=reload_failed") == count)
-    await gets_one(rig, await rig.balancer())
+    await serve_one_request(rig, await rig.balancer())
 
 
 @with_server(warm_up=0, cold_from=0.2)
-async def test_a_warm_up_of_no_time_is_over_at_once(rig: Rig) -> None:
-    """Nothing divides by it, and a server that starts cold so serves."""
+async def test_a_warm_up_of_zero_length_is_over_at_once(rig: Rig) -> None:
+    """The server does not divide by the zero length, and serves after a cold start."""
     rig.executor.restart()
     await rig.kill()
     await rig.begin()
-    await gets_one(rig, await rig.balancer())
+    await serve_one_request(rig, await rig.balancer())
     assert "event=executor_connected cold=True" in rig.log()
 
 
-@pytest.mark.parametrize("text", BROKEN, ids=range(len(BROKEN)))
-def test_broken_configuration(text: str | None, tmp_path: Path) -> None:
+@pytest.mark.parametrize("text", UNUSABLE_CONFIGURATIONS, ids=range(len(UNUSABLE_CONFIGURATIONS)))
+def test_unusable_configurations_end_the_start(text: str | None, tmp_path: Path) -> None:
     path = tmp_path / "configuration.json"
     with socket.create_server(("127.0.0.1", 0)) as taken:
         if text is not None:
@@ -1080,16 +1098,17 @@
 
 
 def test_a_server_without_a_downstream(tmp_path: Path) -> None:
-    """Those of a last tier: without `catalog`, they start, serve and reload. A run that calls all
-    the same is ended.
+    """Without `catalog` in its configuration a server starts, serves and reloads.
+
+    A call of a run fails as unreachable.
     """
 
-    async def play() -> None:
+    async def scenario() -> None:
         rig = Rig(tmp_path, depends_on="off")
-        del rig.told["catalog"]
+        del rig.configuration["catalog"]
         async with rig:
             balancer = await rig.balancer()
-            await gets_one(rig, balancer)
+            await serve_one_request(rig, balancer)
             answer = balancer.ask("pay", fields(once="k"))
             id = await rig.command("EXEC", "pay")
             rig.reload()
@@ -1099,56 +1118,57 @@
             await wait_until(lambda: f"event=call_failed id={id} outcome=unreachable" in rig.log())
             rig.executor.exit(id, "KILLED")
             await expect_error(answer, "Voided")
-            assert not rig.catalogue.calls
+            assert not rig.downstream.calls
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @with_server(n_cores=4)
 async def test_reloads_move_to_new_addresses(rig: Rig) -> None:
-    """Runs, notice numbers and a call in flight carry on; what the old link lost is said on the new
-    one.
+    """Runs, notice numbers and a call in flight carry over to the new connections.
+
+    A command that the old connection lost is sent again on the new one.
     """
-    balancer, old, below = await rig.balancer(), rig.executor, rig.catalogue
+    balancer, old, old_downstream = await rig.balancer(), rig.executor, rig.downstream
     first, called = balancer.ask("look", fields()), balancer.ask("pay", fields(once="k"))
-    ran, calling = await rig.command("EXEC", "look"), await rig.command("EXEC", "pay")
+    running, calling = await rig.command("EXEC", "look"), await rig.command("EXEC", "pay")
     rig.replies = ["silence"]
     old.callout(calling)
-    await wait_until(lambda: below.calls)
-    await rig.proven()
+    await wait_until(lambda: old_downstream.calls)
+    await rig.wait_until_commands_confirmed()
     old.deaf = True
     third = balancer.ask("look", fields(), b"lost")
     await wait_until(lambda: old.lost)
-    rig.executor, rig.naming = Executor(), NameService()
+    rig.executor, rig.name_service = Executor(), NameService()
     rig.executor.notices = old.notices
-    rig.catalogue = Catalogue(rig.reply)
-    for name, part in (
+    rig.downstream = Catalogue(rig.reply)
+    for field, fake in (
         ("executor", rig.executor),
-        ("naming", rig.naming),
-        ("catalog", rig.catalogue),
+        ("naming", rig.name_service),
+        ("catalog", rig.downstream),
     ):
-        rig.told[name] = (await part.start()).address
+        rig.configuration[field] = (await fake.start()).address
     rig.reload()
-    again = await rig.command("EXEC", "look")
-    assert rig.executor.bodies[again] == b"lost"
+    repeated = await rig.command("EXEC", "look")
+    assert rig.executor.bodies[repeated] == b"lost"
     assert rig.executor.joins == [1]
-    assert await within_timeout(rig.naming.reports.get()) == "renew n1 yes"
-    rig.executor.callout(again)
-    assert await rig.command("RETURN") == again
-    assert len(rig.catalogue.calls) == 1
-    for id, answer in ((again, third), (ran, first)):
+    assert await within_timeout(rig.name_service.reports.get()) == "renew n1 yes"
+    rig.executor.callout(repeated)
+    assert await rig.command("RETURN") == repeated
+    assert len(rig.downstream.calls) == 1
+    for id, answer in ((repeated, third), (running, first)):
         rig.executor.exit(id, result=id.encode())
         await expect_result(answer, id.encode())
     assert not called.done()
-    assert len(below.calls) == 1
+    assert len(old_downstream.calls) == 1
     rig.executor.exit(calling, result=b"paid")
     await expect_result(called, b"paid")
-    rig.told["catalog"] = "nowhere"
+    rig.configuration["catalog"] = "nowhere"
     rig.reload()
     await wait_until(lambda: "event=reload_failed" in rig.log())
     rig.executor.drop()
-    await gets_one(rig, balancer)
-    await below.stop()
+    await serve_one_request(rig, balancer)
+    await old_downstream.stop()
 
 
 @with_server(n_cores=1)
@@ -1158,16 +1178,18 @@
     id = await rig.command("EXEC", "look")
     rig.process.send_signal(signal.SIGTERM)
     await wait_until(lambda: "event=shutdown_started" in rig.log())
-    rig.naming = await NameService().start()
-    rig.told["naming"] = rig.naming.address
+    rig.name_service = await NameService().start()
+    rig.configuration["naming"] = rig.name_service.address
     rig.reload()
-    assert await within_timeout(rig.naming.reports.get()) == "renew n1 no"
+    assert await within_timeout(rig.name_service.reports.get()) == "renew n1 no"
     rig.executor.exit(id, result=b"done")
     await expect_result(answer, b"done")
 
 
-@with_server(before=f"{TRAP} kill -HUP $$; (while kill -HUP $$; do sleep 0.01; done) &")
+@with_server(
+    shell_prefix=f"{IGNORE_HANGUP} kill -HUP $$; (while kill -HUP $$; do sleep 0.01; done) &"
+)
 async def test_reloads_from_the_first_moment_on(rig: Rig) -> None:
-    """SIGHUP before the program is there, while it starts and as it serves: it never ends it."""
+    """SIGHUP never ends the process: neither before Python runs, nor while it starts or serves."""
     await wait_until(lambda: rig.log().count("event=reloaded") > 20)
-    await gets_one(rig, await rig.balancer())
+    await serve_one_request(rig, await rig.balancer())
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -1,4 +1,4 @@
-"""Service levels of the program over sockets, and an operator's commands for them and for the lab."""
+"""Tests of a server's service levels, and of the operator's commands `levels` and `lab`."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 
 from burlloom.fakes.parts import fields
 
-IMPOSSIBLE_LEVELS = {
+INVALID_LEVELS = {
     "stay_ms": 9000,
     "stay_most_ms": 10,
     "levels": [
@@ -26,7 +26,8 @@
     ],
     "cold": "frozen",
 }
-FAULTS_OF_IMPOSSIBLE_LEVELS = (
+# Place and text of each fault that the check must report.
+FAULTS_OF_INVALID_LEVELS = (
     ("levels.levels.1 (lean).age", "left at 0.2, which is not below"),
     ("levels.levels.1 (lean).heat", "no such signal"),
     ("levels.cold", "no level 'frozen'"),
@@ -35,20 +36,22 @@
 
 
 def with_level_files(folder: Path) -> dict[str, Any]:
+    """Returns an operator's file that enables pins and the state file of the levels."""
     return {"levels": {"pin_file": str(folder / "pin"), "state_file": str(folder / "state")}}
 
 
-async def levels_command(rig: Rig, *words: Any, status: int = 0) -> str:
+async def levels_command(rig: Rig, *arguments: Any, status: int = 0) -> str:
+    """Returns the output of `burlloom levels` for this server."""
     return await asyncio.to_thread(
-        burlloom, "levels", *words, "-o", rig.folder / "operator.jsonnet", status=status
+        burlloom, "levels", *arguments, "-o", rig.folder / "operator.jsonnet", status=status
     )
 
 
 @with_server(operator=with_level_files, n_cores=4, memory_kb=200000)
 async def test_a_server_pinned_to_drain_serves_only_completed_requests(rig: Rig) -> None:
     balancer = await rig.balancer()
-    told = fields(once="k1")
-    first = balancer.ask("pay", told, b"charge")
+    request = fields(once="k1")
+    first = balancer.ask("pay", request, b"charge")
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"receipt")
     await expect_result(first, b"receipt")
     assert "say --force" in await levels_command(rig, "pin", "drain", "--for-s", "60", status=2)
@@ -61,15 +64,14 @@
     await wait_until(
         lambda: "event=service_level_changed effect=pin from=normal to=drain" in rig.log()
     )
-    for product in ("look", "pay"):
-        said = await expect_error(
-            balancer.ask(product, fields(once="k2") if product == "pay" else fields()), "Backoff"
-        )
-        assert said["say"] == "1.0000"
-        assert said["last"] == "1"
-        assert int(said["after"]) >= 1
+    for request_class in ("look", "pay"):
+        key = {"once": "k2"} if request_class == "pay" else {}
+        rejection = await expect_error(balancer.ask(request_class, fields(**key)), "Backoff")
+        assert rejection["say"] == "1.0000"
+        assert rejection["last"] == "1"
+        assert int(rejection["after"]) >= 1
     await expect_result(
-        balancer.ask("pay", {**told, "id": fields()["id"], "retry": "1"}, b"charge"), b"receipt"
+        balancer.ask("pay", {**request, "id": fields()["id"], "retry": "1"}, b"charge"), b"receipt"
     )
     state = await levels_command(rig, "show")
     assert "* 4 drain" in state
@@ -80,9 +82,9 @@
     await wait_until(
         lambda: "event=service_level_changed effect=release from=drain to=highest" in rig.log()
     )
-    again = balancer.ask("pay", fields(once="k3"))
+    second = balancer.ask("pay", fields(once="k3"))
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"second")
-    await expect_result(again, b"second")
+    await expect_result(second, b"second")
     assert rig.executor.commands.empty()
 
 
@@ -102,10 +104,10 @@
 )
 async def test_cached_results_are_served_only_at_a_level_that_allows_them(rig: Rig) -> None:
     balancer = await rig.balancer()
-    for n in range(2):  # in normal service each is read anew
+    for number in range(2):  # at the normal level each request runs
         answer = balancer.ask("look", fields(key="page1"))
-        rig.executor.exit(await rig.command("EXEC", "look"), result=b"read %d" % n)
-        await expect_result(answer, b"read %d" % n)
+        rig.executor.exit(await rig.command("EXEC", "look"), result=b"read %d" % number)
+        await expect_result(answer, b"read %d" % number)
     await levels_command(rig, "pin", "kept", "--for-s", "60")
     await wait_until(
         lambda: "event=service_level_changed effect=pin from=normal to=kept" in rig.log()
@@ -129,11 +131,11 @@
     await levels_command(rig, "pin", "essential", "--for-s", "60")
     await wait_until(lambda: "to=essential" in rig.log())
 
-    def noted() -> bool:  # the record's thread writes it meanwhile
+    def is_note_written() -> bool:  # the record writes the note in a thread of its own
         with closing(sqlite3.connect(rig.folder / "record.db")) as db:
             return bool(db.execute("SELECT 1 FROM node WHERE note = 'essential'").fetchall())
 
-    await wait_until(noted)
+    await wait_until(is_note_written)
     (rig.folder / "pin").unlink()
     await rig.kill()
     await rig.begin()
@@ -145,15 +147,15 @@
     )
 
 
-def test_check_names_all_faults_of_the_levels(tmp_path: Path) -> None:
+def test_check_reports_all_faults_of_the_levels(tmp_path: Path) -> None:
     path = tmp_path / "operator.jsonnet"
-    path.write_text(json.dumps({"levels": IMPOSSIBLE_LEVELS}))
+    path.write_text(json.dumps({"levels": INVALID_LEVELS}))
     lines = burlloom("check", "-o", path, status=2).splitlines()
-    for place, fault in FAULTS_OF_IMPOSSIBLE_LEVELS:
+    for place, fault in FAULTS_OF_INVALID_LEVELS:
         assert any(f"{path}: {place}: " in line and fault in line for line in lines), (place, lines)
 
 
-def test_check_names_classes_that_the_platform_does_not_have(tmp_path: Path) -> None:
+def test_check_reports_request_classes_that_are_not_configured(tmp_path: Path) -> None:
     path = tmp_path / "operator.jsonnet"
     path.write_text(json.dumps({"levels": {"kept_ms": {"buy": 5}}}))
     configuration = ROOT / "examples" / "configuration.json"
@@ -164,41 +166,41 @@
 def test_try_runs_a_plan_on_a_recorded_series(tmp_path: Path) -> None:
     series, chart = tmp_path / "night.csv", tmp_path / "night.svg"
     rows = [
-        f"{at},{0.9 if 20 <= at < 60 else 0.01},{1.0 if 20 <= at < 60 else 0.3}"
-        for at in range(300)
+        f"{at_s},{0.9 if 20 <= at_s < 60 else 0.01},{1.0 if 20 <= at_s < 60 else 0.3}"
+        for at_s in range(300)
     ]
     series.write_text("\n".join(["at_s,press,use", *rows]))
-    said = burlloom("levels", "try", series, "--chart", chart)
-    assert "normal -> lean  by press" in said
-    assert "essential -> lean  by calm" in said
-    assert "4 changes, at most 4 in a minute" in said or "changes, at most" in said
+    output = burlloom("levels", "try", series, "--chart", chart)
+    assert "normal -> lean  by press" in output
+    assert "essential -> lean  by calm" in output
+    assert "4 changes, at most 4 in a minute" in output or "changes, at most" in output
     assert chart.read_text().startswith("<?xml")
     series.write_text("at_s,press\n1,0.5\n1,x\n")
-    said = burlloom("levels", "try", series, status=2)
-    assert "line 3, press: 'x' is no number" in said
-    assert "line 3, at_s: 1 is not after 1" in said
+    output = burlloom("levels", "try", series, status=2)
+    assert "line 3, press: 'x' is no number" in output
+    assert "line 3, at_s: 1 is not after 1" in output
 
 
 def test_an_experiment_is_run_compared_and_reported(tmp_path: Path) -> None:
-    world = f"(import '{ROOT}/examples/lab/world.libsonnet') + {{ name: 'w', seconds: 4, load: {{ low: 1.2, high: 1.2 }} }}"
-    path, table = tmp_path / "tiny.jsonnet", tmp_path / "lab.db"
-    path.write_text(f"{{ name: 'tiny', seeds: [1, 2], worlds: [{world}] }}")
-    assert "4 plays" in burlloom("lab", "run", path, "--results", table, "--workers", "2")
-    said = burlloom("lab", "compare", "tiny", "--results", table)
-    assert "w: levels against none, 2 seeds" in said
-    assert "| value |" in said
-    burlloom("lab", "report", "tiny", "--results", table, "--to", tmp_path / "report")
+    definition = f"(import '{ROOT}/examples/lab/world.libsonnet') + {{ name: 'w', seconds: 4, load: {{ low: 1.2, high: 1.2 }} }}"
+    path, results = tmp_path / "tiny.jsonnet", tmp_path / "lab.db"
+    path.write_text(f"{{ name: 'tiny', seeds: [1, 2], worlds: [{definition}] }}")
+    assert "4 plays" in burlloom("lab", "run", path, "--results", results, "--workers", "2")
+    output = burlloom("lab", "compare", "tiny", "--results", results)
+    assert "w: levels against none, 2 seeds" in output
+    assert "| value |" in output
+    burlloom("lab", "report", "tiny", "--results", results, "--to", tmp_path / "report")
     assert "<h2>w: levels against none" in (tmp_path / "report" / "index.html").read_text()
     assert (tmp_path / "report" / "w-levels.svg").exists()
     assert "no plays of 'other'" in burlloom(
-        "lab", "compare", "other", "--results", table, status=2
+        "lab", "compare", "other", "--results", results, status=2
     )
     path.write_text(
         "{ name: 'bad', seeds: [], variants: ['best'], worlds: [{ machines: { count: 0 }, colour: 1, products: [] }] }"
     )
-    said = burlloom("lab", "run", path, "--results", table, status=2)
+    output = burlloom("lab", "run", path, "--results", results, status=2)
     for place in ("seeds", "worlds.0.machines.count", "worlds.0.colour", "worlds.0.products"):
-        assert f"{path}: {place}: " in said, (place, said)
+        assert f"{path}: {place}: " in output, (place, output)
 
 
 @pytest.mark.parametrize("name", ["sawtooth", "bad-days", "ablations"])
--- a/tests/test_subsystems.py
+++ b/tests/test_subsystems.py
@@ -1,4 +1,4 @@
-"""The parts beside the decisions: one exposition of metrics, outcomes, and files of 0.7.1."""
+"""Tests of the shared metrics exposition, of outcomes, and of files in the format of 0.7.1."""
 
 import json
 from pathlib import Path
@@ -24,7 +24,7 @@
 
 
 class IdleDispatcher:
-    """Serves at any level and has nothing to measure."""
+    """Accepts any service level and reports no load."""
 
     def set_service_level(self, level: Any) -> None: ...
 
@@ -33,6 +33,8 @@
 
 
 class EmptyNotes:
+    """A store without a note of a previous incarnation."""
+
     previous_note = ""
 
     def write_note(self, text: str) -> None: ...
@@ -50,7 +52,7 @@
     assert len(set(CALL_OUTCOMES.values())) == len(CallStatus)
 
 
-def test_metrics_are_exposed_once_for_all_that_register(tmp_path: Path) -> None:
+def test_all_subsystems_that_register_share_one_metrics_file(tmp_path: Path) -> None:
     path = tmp_path / "metrics.prom"
     metrics = MetricsExposition(Metrics(file=str(path)))
     metrics.register("burlloom_first", {"seen": 1}, lambda: {"level": 2.0})
@@ -62,50 +64,50 @@
     assert "burlloom_second_seen_total 3.0" in lines
 
 
-def test_metrics_that_nobody_registers_are_not_exposed(tmp_path: Path) -> None:
+def test_without_a_registration_no_metrics_file_is_written(tmp_path: Path) -> None:
     path = tmp_path / "metrics.prom"
     MetricsExposition(Metrics(file=str(path))).close()
     assert not path.exists()
 
 
-def test_metrics_that_can_not_listen_are_refused_by_the_first_to_register() -> None:
+def test_the_first_registration_refuses_an_address_that_can_not_be_bound() -> None:
     metrics = MetricsExposition(Metrics(listen="192.0.2.1:1"))
     with pytest.raises(StoreRefusedError, match=r"metrics\.listen: 192\.0\.2\.1:1: "):
         metrics.register("burlloom_first", {"seen": 1}, dict)
 
 
 def test_a_configuration_error_has_its_place_and_all_faults() -> None:
-    faults = [ConfigurationFault("seed", "is missing"), ConfigurationFault("", "is no object")]
+    faults = [ConfigurationFault("seed", "is missing"), ConfigurationFault("", "is not an object")]
     error = ConfigurationError(place="/etc/server.json", faults=faults)
-    assert str(error) == "/etc/server.json: seed: is missing; is no object"
+    assert str(error) == "/etc/server.json: seed: is missing; is not an object"
     assert error.place == "/etc/server.json"
     assert error.faults == tuple(faults)
 
 
-def test_a_pin_of_0_7_1_is_read() -> None:
+def test_a_pin_file_of_0_7_1_is_read() -> None:
     text = (DATA / "level_pin_0.7.1.json").read_text()
     pin = parse_pin(text, DEFAULT_PLAN)
     assert (pin.level, pin.until_ns, pin.reason) == ("essential", 1796294029652910103, "drill")
 
 
-def test_a_pin_is_handed_on_once_for_each_text(tmp_path: Path) -> None:
+def test_a_pin_is_applied_once_for_each_content_of_its_file(tmp_path: Path) -> None:
     path, pins = tmp_path / "pin", []
     pin_file = PinFile(path, DEFAULT_PLAN)
     pin_file.read_change(NOW, pins.append)
-    assert pins == [], "without a file there never was a pin"
+    assert pins == [], "a missing file is no change: there was no pin before"
     path.write_bytes((DATA / "level_pin_0.7.1.json").read_bytes())
     for _ in range(2):
         pin_file.read_change(NOW, pins.append)
     assert [pin.level for pin in pins] == ["essential"]
     path.write_text("{")
     pin_file.read_change(NOW, pins.append)
-    assert len(pins) == 1, "one that can't be read leaves the pin as it is"
+    assert len(pins) == 1, "a file that can't be parsed leaves the pin in place"
     path.unlink()
     pin_file.read_change(NOW, pins.append)
     assert pins[1:] == [None]
 
 
-def test_the_levels_state_is_written_as_0_7_1_wrote_it(tmp_path: Path) -> None:
+def test_the_levels_state_file_has_the_format_of_0_7_1(tmp_path: Path) -> None:
     path = tmp_path / "state"
     levels = ConfiguredServiceLevels(
         DEFAULT_PLAN, (), {}, 4, lambda: NOW, lambda: 0.1, state_file=path
--- a/tests/test_tenant_portions.py
+++ b/tests/test_tenant_portions.py
@@ -1,4 +1,4 @@
-"""Tenants in force and their shares of the service, over a table in memory."""
+"""Tests of the served tenants and their shares of the service, with a table in memory."""
 
 from random import Random
 from typing import Any
@@ -17,7 +17,8 @@
 from burlloom.sockets import NS_PER_MS, NS_PER_SECOND
 
 SIGNING_KEY = b"s" * 32
-STEPS_OF_A_COUNT = 256  # at most, of a table of a few tenants
+# Upper bound on the steps that a count of a table with a few tenants takes.
+MAX_COUNT_STEPS = 256
 
 
 def tenant_item(name: str, **value: Any) -> ConfigItem:
@@ -41,12 +42,12 @@
 
 
 def rules_over(replica: Replica) -> RequestRules:
-    """Those of a server whose own file has the tenant `acme`."""
+    """Returns the rules of a server whose configuration file has the tenant `acme` alone."""
     return RequestRules({"look": False}, ServedTenants(replica, {"acme": 1.0}), 6 * NS_PER_SECOND)
 
 
 def is_served(rules: RequestRules, tenant: Any) -> bool:
-    """Whether a request of this tenant is read."""
+    """Returns whether a request of this tenant is accepted."""
     request_fields = fields()
     now = int(request_fields["at"]) * NS_PER_MS
     arguments = [{**request_fields, "tenant": tenant}, b""]
@@ -58,7 +59,8 @@
 
 
 def count(portions: TenantPortions, begin_ns: int) -> None:
-    for step in range(STEPS_OF_A_COUNT):
+    """Runs the steps of one count of all portions."""
+    for step in range(MAX_COUNT_STEPS):
         portions.advance(begin_ns + step)
 
 
@@ -75,7 +77,9 @@
 @pytest.mark.parametrize(
     ("tenant", "served"), [("acme", True), ("blue", False), (7, False), (["acme"], False)]
 )
-def test_before_a_table_is_in_force_the_files_tenants_are_served(tenant: Any, served: bool) -> None:
+def test_without_a_table_in_force_the_tenants_of_the_file_are_served(
+    tenant: Any, served: bool
+) -> None:
     assert is_served(rules_over(empty_replica()), tenant) == served
 
 
@@ -83,11 +87,11 @@
     ("tenant", "served"),
     [("blue", True), ("acme", False), (7, False), (["blue"], False), ("\ud800", False)],
 )
-def test_in_force_the_tables_tenants_are_served_and_no_others(tenant: Any, served: bool) -> None:
+def test_with_a_table_in_force_only_its_tenants_are_served(tenant: Any, served: bool) -> None:
     assert is_served(rules_over(replica_in_force(tenant_item("blue"))), tenant) == served
 
 
-def test_rules_made_before_a_table_is_in_force_follow_it() -> None:
+def test_rules_created_before_a_table_is_in_force_follow_the_table() -> None:
     replica = empty_replica()
     rules = rules_over(replica)
     assert is_served(rules, "acme")
@@ -109,7 +113,7 @@
     assert not ServedTenants(Replica(ConfigTable(("",)), ()), {})
 
 
-def test_until_they_are_counted_each_portion_is_taken_for_one() -> None:
+def test_before_the_first_count_each_portion_counts_as_one() -> None:
     _, portions = portions_of_three()
     assert portions.share("a") == 1.0
     assert portions.share("b") == pytest.approx(1 / 3)
@@ -123,7 +127,7 @@
     assert portions.share("none") is None
 
 
-def test_after_a_change_portions_are_counted_again_some_minutes_later() -> None:
+def test_portions_are_counted_again_some_minutes_after_a_change() -> None:
     replica, portions = portions_of_three()
     count(portions, 0)
     apply(replica, tenant_item("a", portion=8))
@@ -134,24 +138,24 @@
     assert portions.share("a") == pytest.approx(0.8)
 
 
-def test_a_tenant_over_its_share_of_the_table_is_found() -> None:
+def test_a_tenant_over_its_share_by_the_table_is_detected() -> None:
     replica, portions = portions_of_three()
     apply(replica, tenant_item("a", portion=8))
     count(portions, COUNT_INTERVAL_NS)
     shares = TenantShares((), share=portions.share)
-    random, over = Random(1), {"a": 0, "b": 0}
-    for n in range(3000):
+    random, over_share_counts = Random(1), {"a": 0, "b": 0}
+    for number in range(3000):
         name = "b" if random.random() < 0.6 else "a"
-        over[name] += shares.is_over_share(n * NS_PER_SECOND // 100, name)
-    assert over["b"] > 1000
-    assert not over["a"]
+        over_share_counts[name] += shares.is_over_share(number * NS_PER_SECOND // 100, name)
+    assert over_share_counts["b"] > 1000
+    assert not over_share_counts["a"]
     assert not shares.is_over_share(0, "none")
 
 
-def test_requests_are_counted_for_a_bounded_number_of_tenants() -> None:
+def test_requests_are_counted_for_a_limited_number_of_tenants() -> None:
     shares = TenantShares((), share=lambda name: 1e-5)
-    for n in range(MAX_TENANTS + 100):
-        shares.is_over_share(n, f"t{n}")
+    for number in range(MAX_TENANTS + 100):
+        shares.is_over_share(number, f"t{number}")
     assert len(shares.rings) == MAX_TENANTS
     assert len(shares.past) <= MAX_TENANTS
     assert "t0" not in shares.rings
