--- a/burlloom/server/configuration_schema.py
+++ b/burlloom/server/configuration_schema.py
@@ -224,8 +224,8 @@
     if not isinstance(configuration, Mapping):
         return [ConfigurationFault("", "is not an object")]
     messages: dict[str, str] = {}
-    own = tuple(field for field in OVERRIDABLE_FIELDS if field.place not in overridden)
-    for field in own + FIELDS:
+    identity_fields = tuple(field for field in OVERRIDABLE_FIELDS if field.place not in overridden)
+    for field in identity_fields + FIELDS:
         for place, value in find_values(configuration, field.place.split(".")):
             if message := find_field_fault(field, place, value, messages):
                 messages.setdefault(place, message)
--- a/burlloom/server/followed_configuration.py
+++ b/burlloom/server/followed_configuration.py
@@ -138,7 +138,7 @@
         if self.replica.head is None:
             log.warning(
                 "event=distribution_not_in_force waited_ms=%d tenants=%d"
-                " detail='the configuration file holds until a first sync'",
+                " detail='the configuration file applies until the first sync'",
                 (self.clock() - started_ns) // NS_PER_MS,
                 len(self._configured_tenants),
             )
--- a/burlloom/server/request_handler.py
+++ b/burlloom/server/request_handler.py
@@ -32,8 +32,8 @@
 
 log = logging.getLogger(__name__)
 
-# Delay before the end of a call is reported whose run no longer waits for it; see
-# `_call_downstream`.
+# Delay before the end of a call that its run no longer waits for is reported to the dispatcher; the
+# reason is in `_call_downstream`.
 UNWANTED_CALL_DELAY_NS = 250 * NS_PER_MS
 
 
@@ -115,7 +115,7 @@
         if dispatcher is None:
             request.reject(0, False)
             return
-        attempt = self._attempt(request)
+        attempt = self._create_attempt(request)
         if (
             request.is_retry
             and self.record.is_shared
@@ -126,7 +126,7 @@
         else:
             self._dispatch(dispatcher, request, attempt)
 
-    def _attempt(self, request: IncomingRequest) -> RequestAttempt:
+    def _create_attempt(self, request: IncomingRequest) -> RequestAttempt:
         # Positional, because keyword arguments would cost a microsecond per request.
         return RequestAttempt(
             request.id,
@@ -186,7 +186,7 @@
     async def _serve(
         self, dispatcher: Dispatcher, request: IncomingRequest, slot: RequestSlot
     ) -> None:
-        side_task: asyncio.Task[None] | None = None
+        pending_task: asyncio.Task[None] | None = None
         is_answered = False
         class_index = self.class_indexes[request.request_class]
         try:
@@ -198,11 +198,11 @@
                             directive.key_digest, request.id, request.sent_at_ns, class_index
                         )
                     case DirectiveKind.CALL:
-                        call = self._call_downstream(dispatcher, request.id, directive)
-                        side_task = self.tasks.start(call, "call")
+                        coroutine = self._call_downstream(dispatcher, request.id, directive)
+                        pending_task = self.tasks.start(coroutine, "call")
                     case DirectiveKind.RECALL_RESULT:
-                        read = self._read_result(dispatcher, request, directive.key_digest)
-                        side_task = self.tasks.start(read, "read_result")
+                        coroutine = self._read_result(dispatcher, request, directive.key_digest)
+                        pending_task = self.tasks.start(coroutine, "read_result")
                     case _:
                         if directive.kind in (
                             DirectiveKind.COMPLETE,
@@ -221,8 +221,8 @@
         finally:
             if not is_answered:
                 request.fail()
-            if side_task is not None:
-                side_task.cancel()
+            if pending_task is not None:
+                pending_task.cancel()
             self.open_requests.pop(request.id, None)
 
     async def _read_result(
@@ -271,8 +271,8 @@
     def start_run(self, request_id: str) -> None:
         """Has the executor run a request that may run now.
 
-        If the request is no longer open, its run is reported as ended, since the record counts it
-        as begun.
+        The request runs even if its connection was lost in the meantime, because the record counts
+        it as begun. If it is no longer open, its run is reported as no longer needed.
         """
         request = self.open_requests.get(request_id)
         if request is not None:
