--- a/burlloom/server/__main__.py
+++ b/burlloom/server/__main__.py
@@ -45,10 +45,7 @@
     loop = asyncio.get_running_loop()
 
     def handle_signal(signal_number: int, _: FrameType | None) -> None:
-        """Schedules a reload or the shutdown on the loop.
-
-        Does nothing else: Python runs a handler between any two bytecodes of the main thread.
-        """
+        """Schedules a reload or the shutdown; does no more, as it interrupts the main thread."""
         if signal_number == signal.SIGHUP:
             loop.call_soon_threadsafe(server.reload)
         else:
--- a/burlloom/server/request_handler.py
+++ b/burlloom/server/request_handler.py
@@ -188,14 +188,14 @@
     ) -> None:
         pending_task: asyncio.Task[None] | None = None
         is_answered = False
-        class_index = self.class_indexes[request.request_class]
+        index = self.class_indexes[request.request_class]
         try:
             while not is_answered:
                 directive = await dispatcher.next_directive(slot)
                 match directive.kind:
                     case DirectiveKind.RUN:
                         self.record.begin_run(
-                            directive.key_digest, request.id, request.sent_at_ns, class_index
+                            directive.key_digest, request.id, request.sent_at_ns, index
                         )
                     case DirectiveKind.CALL:
                         coroutine = self._call_downstream(dispatcher, request.id, directive)
@@ -209,14 +209,12 @@
                             DirectiveKind.COMPLETE_AS_ORIGINAL,
                         ):
                             await self.record.wait_until_durable(
-                                directive.key_digest, request.sent_at_ns, class_index
+                                directive.key_digest, request.sent_at_ns, index
                             )
-                            self.levels.request_completed(class_index, request.sent_at_ns)
+                            self.levels.request_completed(index, request.sent_at_ns)
                         is_answered = True
                         send_answer(request, directive)
-                        self.rollout.request_answered(
-                            directive.kind, class_index, request.sent_at_ns
-                        )
+                        self.rollout.request_answered(directive.kind, index, request.sent_at_ns)
                         self.record.request_answered(request.id)
         finally:
             if not is_answered:
