--- a/burlloom/lab/experiment.py
+++ b/burlloom/lab/experiment.py
@@ -89,7 +89,7 @@
             if node.server is None or node.server.requests.dispatcher is None:
                 continue
             pressures.append(node.server.requests.dispatcher.controller.pressure)
-            controller = getattr(node.server.subsystems.levels, "levels", None)
+            controller = getattr(node.server.subsystems.levels, "controller", None)
             if controller is None:
                 continue
             levels.append(controller.status.level - controller.trial_share)
--- a/burlloom/lab/variants.py
+++ b/burlloom/lab/variants.py
@@ -34,8 +34,8 @@
             settings.cores,
             lambda: server.clock(),
             lambda: len(server.listener.connections) / server.listener.max_connections,
-            terms=policy,
-            meters=frozenset(config.gauge_names),
+            policy=policy,
+            gauge_names=frozenset(config.gauge_names),
         )
 
     return make
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -138,7 +138,7 @@
         super().__init__(
             folder,
             name=name,
-            catalogue=cluster.catalogue,
+            downstream=cluster.catalogue,
             n_cores=32,
             memory_kb=400000,
             stop_ms=2000,
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -349,7 +349,7 @@
 
     def collect_changes(emulator: Any) -> dict[str, float]:
         for node in emulator.nodes:
-            status = node.server.subsystems.levels.levels.status
+            status = node.server.subsystems.levels.controller.status
             changes_by_node.setdefault(node.name, []).extend(
                 status.recent_changes[-1:]
                 if status.recent_changes[-1:] != tuple(changes_by_node.get(node.name, [])[-1:])
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -118,8 +118,8 @@
     other = Rig(rig.folder / "other", operator=rig.operator)
     other.folder.mkdir()
     other.executor = await Executor().start()
-    other.told["executor"] = other.executor.address
-    other.write_orders()
+    other.configuration["executor"] = other.executor.address
+    other.write_configuration()
     other.log_path = other.folder / "log"
     try:
         await other.begin()
@@ -273,7 +273,7 @@
     standin.db.execute("UPDATE node SET fenced = 1 WHERE name = 'n0'")
     await expect_error((await first_node.balancer()).ask("pay", fields(once="k")), "Backoff")
     assert first_node.executor.commands.empty()
-    first_node.errors = first_node.log().count("level=error")
+    first_node.expected_error_count = first_node.log().count("level=error")
     answer = (await second_node.balancer()).ask("pay", fields(once="k"))
     second_node.executor.exit(await second_node.command("EXEC", "pay"), result=b"paid")
     await expect_result(answer, b"paid")
