--- a/burlloom/rpc/__init__.py
+++ b/burlloom/rpc/__init__.py
@@ -1,4 +1,4 @@
-"""Requests over MessagePack-RPC: the listener, its connections, and their wire format."""
+"""Serves requests over MessagePack-RPC: listener, connections and wire format."""
 
 from .incoming_request import IncomingRequest, RequestRules
 from .listener import RpcListener
--- a/burlloom/rpc/connection.py
+++ b/burlloom/rpc/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a caller: its requests in, its answers out."""
+"""One connection of a caller: receives its requests and sends its answers."""
 
 import asyncio
 import contextlib
@@ -24,14 +24,16 @@
 
 READ_BUFFER_BYTES = 4 << 10
 MAX_READ_BUFFER_BYTES = 2 * frames.MAX_FRAME_BYTES
-MAX_OPEN_REQUESTS = 32
-MAX_FINAL_READS = 16
-MAX_UNSENT_BYTES = 512 << 10  # a caller that reads cannot be owed as much: 32 answers are less
-MAX_BAD_REQUESTS = 4
-
-# Nobody is there to be answered.
+MAX_OPEN_REQUESTS = 32  # of one connection; a request beyond this is rejected as malformed
+MAX_FINAL_READS = 16  # reads before a close
+# Unsent answers of one connection beyond which it is closed. The answers to `MAX_OPEN_REQUESTS`
+# requests are less, so a caller that reads its answers never reaches this.
+MAX_UNSENT_BYTES = 512 << 10
+MAX_BAD_REQUESTS = 4  # the bad request with this number closes the connection
+
+# The peer is gone, so open requests are not answered before the close.
 PEER_GONE_REASONS = (CloseReason.PEER_CLOSED, CloseReason.PEER_RESET)
-# An orderly close has no use, or there is no time for it.
+# The socket is closed at once: an orderly close is useless, or there is no time for one.
 IMMEDIATE_CLOSE_REASONS = (
     CloseReason.PEER_RESET,
     CloseReason.SLOW_CONSUMER,
@@ -40,17 +42,17 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection asks of its listener.
+    """What a connection needs from its listener.
 
     Attributes:
-        rules: What requests are checked against.
+        rules: Rules that each request is checked against.
         supervisor: Owner of the connection's tasks.
-        clock: Returns Unix ns.
-        on_request: Called with each request.
-        on_request_lost: Called with each request that was open as its connection closed.
+        clock: Returns the current time, Unix ns.
+        on_request: Called with each valid request.
+        on_request_lost: Called with each request that was open when its connection closed.
         is_serving: Returns whether an attempt with this id is open.
         is_healthy: Returns the answer to health checks.
-        is_draining: Whether the server is about to stop.
+        is_draining: Whether the listener drains before the server stops.
     """
 
     rules: RequestRules
@@ -66,30 +68,32 @@
         """Returns the fields that an answer to this caller carries."""
 
     def connection_ended(self, connection: "Connection") -> None:
-        """Forgets a connection."""
+        """Removes a closed connection from the listener's tables."""
 
     def start_close(self, close: ConnectionClose) -> None:
-        """Takes an orderly close over."""
+        """Runs an orderly close in a task of its own."""
 
     async def poll_pause(self) -> None:
-        """Waits a moment before a condition is looked at again."""
+        """Waits one polling interval."""
 
 
 class Connection:
-    """Reads requests, hands them to the listener, and sends their answers (a `Responder`).
+    """Reads requests, hands them to the listener, and sends their answers as their `Responder`.
 
     Attributes:
         open_requests: Requests without an answer, by message id.
-        last_used_ns: When a message came or an answer left last.
-        shutdown_sent_ns: When the caller was asked to close, if it was.
-        partial_since_ns: When the message began that is not complete yet; 0 for none.
-        has_received: Whether a message ever came.
-        is_shutdown_sent: Whether the caller was asked to close.
-        is_health_only: Whether nothing but health checks came.
-        is_half_closed: Whether the caller has closed its half.
+        last_used_ns: When the last message was received or the last answer sent, Unix ns.
+        shutdown_sent_ns: When the caller was asked to close the connection, Unix ns; meaningless
+            unless `is_shutdown_sent`.
+        partial_since_ns: When the first bytes of the incomplete message at the end of the buffer
+            were received, Unix ns; 0 while no message is incomplete.
+        has_received: Whether a complete message was ever received.
+        is_shutdown_sent: Whether the caller was asked to close the connection.
+        is_health_only: Whether only health checks were received.
+        is_half_closed: Whether the caller has closed its sending half.
         is_ended: Whether the connection is closed or being closed.
-        caller: The name of the caller, of its last request.
-        detail: What was wrong last, for the log.
+        caller: The caller's name, from its last request.
+        detail: The last fault of the caller, for the log.
     """
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket, peer: str) -> None:
@@ -109,11 +113,11 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is open and no answer waits to leave."""
+        """Whether no request is open and no answer is unsent."""
         return not self.open_requests and not self.writer.has_unsent
 
     async def run(self) -> None:
-        """Reads until the connection ends; `close` ends it from outside."""
+        """Reads requests until the connection ends; `close` ends it from outside."""
         with self.close_on_error():
             await self.read()
             reason = CloseReason.PEER_CLOSED
@@ -125,7 +129,7 @@
 
     @contextlib.contextmanager
     def close_on_error(self) -> Iterator[None]:
-        """Closes the connection on any error within."""
+        """Closes the connection on any error in the body of the `with` statement."""
         try:
             yield
         except ConnectionEndedError as error:
@@ -133,18 +137,18 @@
         except OSError as error:
             self.close_with_detail(CloseReason.PEER_RESET, error.strerror or "")
         except asyncio.CancelledError:
-            # Where `close` is what cancelled it, nothing is left to do.
+            # Does nothing where `close` itself cancelled the task.
             self.close(CloseReason.INTERNAL_ERROR)
         except Exception:
-            # A fault of ours ends one connection, not the server.
+            # An error in our own code closes one connection; the server goes on.
             log.exception("event=internal_error side=balancer peer=%s", self.peer)
             self.close(CloseReason.INTERNAL_ERROR)
 
     async def read(self) -> None:
-        """Reads until the caller closes its half and all its answers have left.
+        """Reads until the caller closes its half and all its answers are sent.
 
         Raises:
-            ConnectionEndedError: What came is no request.
+            ConnectionEndedError: The received bytes are not a valid request message.
             OSError: The connection was lost.
         """
         while not self.is_ended:
@@ -156,21 +160,22 @@
             self.consume(size)
 
     def consume(self, size: int) -> None:
-        """Handles the messages that are complete with `size` more bytes in the buffer."""
-        buffer, now = self.buffer, self.owner.clock()
+        """Handles the messages that `size` newly received bytes in the buffer complete."""
+        buffer, now_ns = self.buffer, self.owner.clock()
         buffer.end += size
         try:
             while buffer.start < buffer.end and not self.is_ended:
                 buffer.start, message = frames.read_request(buffer.view, buffer.start, buffer.end)
-                self.last_used_ns, self.has_received, self.partial_since_ns = now, True, 0
-                self.handle_message(now, message)
+                self.last_used_ns, self.has_received, self.partial_since_ns = now_ns, True, 0
+                self.handle_message(now_ns, message)
         except frames.IncompleteFrameError:
-            self.partial_since_ns = self.partial_since_ns or now
+            self.partial_since_ns = self.partial_since_ns or now_ns
 
     def read_remaining(self) -> None:
-        """Handles what came unread before the connection is closed, so that it is answered.
+        """Handles the bytes that are still unread before a close, so that they are answered.
 
-        At most so many times: a caller that never stops sending must not hold up all others.
+        Reads at most `MAX_FINAL_READS` times: a caller that never stops sending must not delay all
+        others.
         """
         with self.close_on_error():
             for _ in range(MAX_FINAL_READS):
@@ -178,17 +183,17 @@
                     self.consume(self.socket.recv_into(self.buffer.free_space()))
 
     def close(self, reason: CloseReason) -> None:
-        """Closes the connection; every way to its end leads through here, and acts once.
+        """Closes the connection, whatever the reason; further calls do nothing.
 
-        Open requests are answered with an error: a caller that sent what no caller sends is owed no
-        result.
+        Open requests are answered with an error unless the peer is gone. A caller that violated the
+        protocol is not owed a result.
         """
         if self.is_ended:
             return
-        self.is_ended, lost = True, list(self.open_requests.values())
+        self.is_ended, lost_requests = True, list(self.open_requests.values())
         self.owner.connection_ended(self)
         if reason not in PEER_GONE_REASONS:
-            for request in lost:
+            for request in lost_requests:
                 request.fail()
             self.writer.flush()
         self.socket_reader.stop()
@@ -201,12 +206,12 @@
         else:
             self.owner.start_close(ConnectionClose(self.socket, self.writer))
         self.open_requests.clear()
-        for request in lost:
+        for request in lost_requests:
             self.owner.on_request_lost(request)
-        self.log_close(reason, len(lost))
+        self.log_close(reason, len(lost_requests))
 
-    def log_close(self, reason: CloseReason, unanswered: int) -> None:
-        """Logs why the connection was closed, and what it had carried."""
+    def log_close(self, reason: CloseReason, unanswered_count: int) -> None:
+        """Logs why the connection was closed and how many messages it carried."""
         log.info(
             "event=connection_closed side=balancer peer=%s reason=%s requests=%d responses=%d "
             "bad_requests=%d unanswered=%d detail=%r",
@@ -215,29 +220,32 @@
             self.request_count,
             self.response_count,
             self.bad_request_count,
-            unanswered,
+            unanswered_count,
             self.detail,
         )
 
     def close_with_detail(self, reason: CloseReason, detail: str = "") -> None:
-        """Closes the connection, with a detail for the log."""
+        """Closes the connection and logs `detail` with the reason."""
         if not self.is_ended:
             self.detail = detail
             self.close(reason)
 
     def on_write_error(self) -> None:
-        """Closes the connection: its writer has lost it."""
+        """Closes the connection after a failed write."""
         self.close_with_detail(CloseReason.PEER_RESET)
 
-    def handle_message(self, now: int, message: frames.RequestMessage) -> None:
-        """Answers a health check; hands a request to the listener, or rejects it as malformed.
+    def handle_message(self, now_ns: int, message: frames.RequestMessage) -> None:
+        """Answers a health check; hands any other request to the listener or rejects it.
 
         Raises:
-            ConnectionEndedError: The message ids do not count up.
+            ConnectionEndedError: The message id is not greater than the one before.
         """
         message_id, method, parameters = message
         if message_id <= self.last_message_id:
-            raise ConnectionEndedError(CloseReason.REPEATED_MESSAGE_ID, f"message {message_id}")
+            raise ConnectionEndedError(
+                CloseReason.REPEATED_MESSAGE_ID,
+                f"message id {message_id} after {self.last_message_id}",
+            )
         self.last_message_id = message_id
         if method == wire.HEALTH_METHOD:
             self.answer_health_check(message_id)
@@ -245,12 +253,12 @@
         self.is_health_only = False
         try:
             if len(self.open_requests) >= MAX_OPEN_REQUESTS:
-                raise MalformedRequestError(f"more than {MAX_OPEN_REQUESTS} open")
+                raise MalformedRequestError(f"more than {MAX_OPEN_REQUESTS} requests are open")
             request = wire.parse_request(
-                self, message_id, method, parameters, self.owner.rules, now
+                self, message_id, method, parameters, self.owner.rules, now_ns
             )
             if self.owner.is_serving(request.id):
-                raise MalformedRequestError(f"request {request.id} again")
+                raise MalformedRequestError(f"request id {request.id} is already open")
         except MalformedRequestError as error:
             self.reject_malformed(message_id, str(error))
             return
@@ -260,22 +268,22 @@
         self.owner.on_request(request)
 
     def answer_health_check(self, message_id: int) -> None:
-        """Answers a health check."""
+        """Answers a health check with the server's health."""
         self.is_health_only = not self.request_count
         is_healthy, fields = self.owner.is_healthy(), self.owner.response_fields(self.caller)
         self.writer.send(frames.encode_health(message_id, is_healthy, fields))
         self.close_if_slow()
 
     def reject_malformed(self, message_id: int, fault: str) -> None:
-        """Answers a request that cannot be taken."""
+        """Answers a malformed request with an error, and counts it."""
         fields = self.owner.response_fields(self.caller)
         self.writer.send(wire.encode_malformed(message_id, fields))
         self.report_fault(fault)
 
     def report_fault(self, fault: str) -> None:
-        """Counts a fault of the caller's, and closes the connection after a few.
+        """Counts a fault of the caller, and closes the connection at `MAX_BAD_REQUESTS` of them.
 
-        No caller is at fault for long; one that sends the same bad request again and again is.
+        A sound caller has few faults; one that keeps sending the same bad request has many.
         """
         self.bad_request_count += 1
         self.detail = fault
@@ -283,24 +291,24 @@
             self.close_with_detail(CloseReason.TOO_MANY_BAD_REQUESTS, fault)
 
     def complete(self, message_id: int, result: bytes) -> None:
-        """Answers with a result."""
+        """Answers an open request with its result."""
         fields = self.owner.response_fields(self.caller)
         self.respond(message_id, *frames.encode_result(message_id, result, fields))
 
     def reject(self, message_id: int, retry_after_ns: int, is_final: bool) -> None:
-        """Answers that a request is not served."""
+        """Answers an open request with a rejection."""
         fields = self.owner.response_fields(self.caller)
         self.respond(
             message_id, wire.encode_rejection(message_id, retry_after_ns, is_final, fields)
         )
 
     def fail(self, message_id: int) -> None:
-        """Answers with an error."""
+        """Answers an open request with an error."""
         fields = self.owner.response_fields(self.caller)
         self.respond(message_id, wire.encode_failure(message_id, fields))
 
     def respond(self, message_id: int, *pieces: bytes) -> None:
-        """Sends an answer; none where the request was answered as the connection closed."""
+        """Sends the answer to an open request; does nothing if a close has answered it."""
         if self.open_requests.pop(message_id, None) is None:
             return
         self.response_count += 1
@@ -309,18 +317,18 @@
         self.close_if_slow()
 
     def close_if_slow(self) -> None:
-        """Closes the connection of a caller that sends and never reads.
+        """Closes the connection of a caller that sends requests but does not read its answers.
 
-        Its answers would fill the memory that all share.
+        Its unsent answers would fill the memory that all connections share.
         """
         if self.writer.unsent_bytes > MAX_UNSENT_BYTES:
             self.close_with_detail(CloseReason.SLOW_CONSUMER)
 
-    def request_shutdown(self, now: int) -> None:
-        """Asks the caller to close first.
+    def request_shutdown(self, now_ns: int) -> None:
+        """Asks the caller, once, to close the connection.
 
-        A close from here could cross a request that was just sent.
+        If the server closed it first, a request that was just sent could cross the close.
         """
         if not self.is_shutdown_sent:
-            self.is_shutdown_sent, self.shutdown_sent_ns = True, now
+            self.is_shutdown_sent, self.shutdown_sent_ns = True, now_ns
             self.writer.send(wire.SHUTDOWN_NOTIFICATION)
--- a/burlloom/rpc/frames.py
+++ b/burlloom/rpc/frames.py
@@ -1,7 +1,8 @@
-"""MessagePack-RPC messages: requests in, answers and notifications out.
+"""Decodes MessagePack-RPC requests, and encodes answers and notifications.
 
-msgpack reads a message that is all there. What it cannot read is read here value by value, which
-tells an unfinished message from a bad one, and what is wrong with that.
+The msgpack library decodes complete, valid messages. A message that it cannot decode is decoded
+here value by value, which distinguishes an incomplete message from a malformed one and finds the
+fault.
 """
 
 import struct
@@ -12,9 +13,9 @@
 from ..errors import BurlloomError
 from ..sockets import CloseReason, ConnectionEndedError
 
-MAX_FRAME_BYTES = 16 << 10  # a body is at most 2 KiB and its fields a few hundred bytes
-MAX_DEPTH = 4
-MAX_ITEMS = 64
+MAX_FRAME_BYTES = 16 << 10  # a body has at most 2 KiB and its fields have a few hundred bytes
+MAX_DEPTH = 4  # of nested arrays and maps
+MAX_ITEMS = 64  # of one array or map
 UNPACK_LIMITS = {
     "max_str_len": 256,
     "max_bin_len": 4 << 10,
@@ -26,9 +27,9 @@
 REQUEST_TYPE = 0
 RESPONSE_TYPE = 1
 NOTIFICATION_TYPE = 2
-REQUEST_PARTS = [int, int, str, list]
+REQUEST_PARTS = [int, int, str, list]  # message type, message id, method, parameters
 
-# By a value's first byte. A fixed-width number: its struct format.
+# The struct format of each fixed-width number, by the value's first byte.
 NUMBER_FORMATS = {
     0xCA: ">f",
     0xCB: ">d",
@@ -41,7 +42,7 @@
     0xD2: ">i",
     0xD3: ">q",
 }
-# A value with a length: the struct format of the length, and what follows.
+# The struct format of the length, and the kind, of each value that has a length, by its first byte.
 SIZED_FORMATS = {
     0xC4: (">B", "bin"),
     0xC5: (">H", "bin"),
@@ -55,7 +56,7 @@
     0xDF: (">I", "map"),
 }
 CONSTANTS = {0xC0: None, 0xC2: False, 0xC3: True}
-# Ranges of first bytes that hold the value or the length themselves.
+# Bounds of the ranges of first bytes that contain the value or the length itself.
 END_OF_SMALL_INTEGERS = 0x80
 END_OF_SMALL_MAPS = 0x90
 START_OF_SMALL_STRINGS = 0xA0
@@ -64,22 +65,22 @@
 
 
 class IncompleteFrameError(BurlloomError):
-    """A message goes on past what was received.
+    """A message is not completely received.
 
     Attributes:
-        end: Offset past the last byte that was received.
+        end: Offset past the last received byte.
     """
 
     def __init__(self, end: int) -> None:
-        super().__init__(f"goes on past {end}")
+        super().__init__(f"message continues past byte {end}, the end of the received data")
         self.end = end
 
 
 class RequestMessage(NamedTuple):
-    """One request.
+    """A decoded request message.
 
     Attributes:
-        message_id: The id that its answer repeats.
+        message_id: The id that the answer repeats.
         method: The method's name.
         parameters: The method's parameters.
     """
@@ -90,50 +91,53 @@
 
 
 class FrameReader:
-    """Reads values off a view.
+    """Decodes MessagePack values one after the other.
 
     Attributes:
-        position: Where the next value begins.
+        view: The buffer to read from.
+        position: Offset of the next value.
+        end: Offset past the last received byte.
     """
 
     def __init__(self, view: memoryview, position: int, end: int) -> None:
         self.view, self.position, self.end = view, position, end
 
     def read_bytes(self, size: int) -> memoryview:
-        """Reads so many bytes.
+        """Reads `size` bytes.
 
         Raises:
-            ConnectionEndedError: There are more than a message may have.
-            IncompleteFrameError: They are not all there yet.
+            ConnectionEndedError: `size` is over `MAX_FRAME_BYTES`.
+            IncompleteFrameError: Some of the bytes are not received yet.
         """
         if size > MAX_FRAME_BYTES:
-            raise ConnectionEndedError(CloseReason.TOO_LARGE, f"{size} bytes")
+            raise ConnectionEndedError(CloseReason.TOO_LARGE, f"value of {size} bytes")
         start, self.position = self.position, self.position + size
         if self.position > self.end:
             raise IncompleteFrameError(self.end)
         return self.view[start : self.position]
 
-    def read_number(self, form: str) -> Any:
-        """Reads a number of a struct format."""
-        return struct.unpack(form, self.read_bytes(struct.calcsize(form)))[0]
+    def read_number(self, struct_format: str) -> Any:
+        """Reads a number in a format of the struct module."""
+        return struct.unpack(struct_format, self.read_bytes(struct.calcsize(struct_format)))[0]
 
     def read_text(self, size: int) -> str:
-        """Reads a string of so many bytes.
+        """Reads a string of `size` bytes.
 
         Raises:
-            ConnectionEndedError: It is not UTF-8.
+            ConnectionEndedError: The string is not UTF-8 or too large.
+            IncompleteFrameError: Some of its bytes are not received yet.
         """
         try:
             return str(self.read_bytes(size), "utf-8")
         except UnicodeDecodeError as error:
-            raise ConnectionEndedError(CloseReason.MALFORMED, "not utf-8") from error
+            raise ConnectionEndedError(CloseReason.MALFORMED, "string is not UTF-8") from error
 
     def read_value(self, depth: int = 0) -> Any:
         """Reads one value.
 
         Raises:
-            ConnectionEndedError: It is none, or is too large or nested too deep.
-            IncompleteFrameError: It is not all there yet.
+            ConnectionEndedError: The value is malformed, too large or nested too deep.
+            IncompleteFrameError: Some of its bytes are not received yet.
         """
         if self.position >= self.end:
             raise IncompleteFrameError(self.end)
@@ -149,16 +153,16 @@
             kind = "map" if first < END_OF_SMALL_MAPS else "array"
             return self.read_container(kind, first & 0x0F, depth)
         if first in SIZED_FORMATS:
-            form, kind = SIZED_FORMATS[first]
-            return self.read_sized(kind, self.read_number(form), depth)
+            length_format, kind = SIZED_FORMATS[first]
+            return self.read_sized(kind, self.read_number(length_format), depth)
         if first in NUMBER_FORMATS:
             return self.read_number(NUMBER_FORMATS[first])
         if first in CONSTANTS:
             return CONSTANTS[first]
-        raise ConnectionEndedError(CloseReason.MALFORMED, f"byte {first:#x}")
+        raise ConnectionEndedError(CloseReason.MALFORMED, f"value with first byte {first:#x}")
 
     def read_sized(self, kind: str, size: int, depth: int) -> Any:
-        """Reads a value of a kind that has a length."""
+        """Reads the content of a binary, string, array or map of length `size`."""
         if kind == "bin":
             return self.read_bytes(size)
         if kind == "str":
@@ -166,53 +170,59 @@
         return self.read_container(kind, size, depth)
 
     def read_container(self, kind: str, size: int, depth: int) -> Any:
-        """Reads an array or a map of so many items.
+        """Reads the `size` items of an array or a map.
 
         Raises:
-            ConnectionEndedError: It is too large, nested too deep, or a key is no string.
+            ConnectionEndedError: It has too many items, is nested too deep, or a key of the map is
+                not a string.
+            IncompleteFrameError: Some of its bytes are not received yet.
         """
         if size > MAX_ITEMS or depth >= MAX_DEPTH:
-            raise ConnectionEndedError(CloseReason.TOO_LARGE, f"{kind} of {size} at depth {depth}")
+            raise ConnectionEndedError(
+                CloseReason.TOO_LARGE, f"{kind} of {size} items at depth {depth}"
+            )
         if kind == "array":
             return [self.read_value(depth + 1) for _ in range(size)]
         pairs = [(self.read_value(depth + 1), self.read_value(depth + 1)) for _ in range(size)]
         for key, _ in pairs:
             if type(key) is not str:
-                raise ConnectionEndedError(CloseReason.WRONG_TYPE, "a key that is no string")
+                raise ConnectionEndedError(CloseReason.WRONG_TYPE, "map key is not a string")
         return dict(pairs)
 
 
 def read_request(view: memoryview, start: int, end: int) -> tuple[int, RequestMessage]:
-    """Reads the request that begins at `start`.
+    """Reads the request message that begins at `start`.
 
     Returns:
-        Where the next one begins, and the request.
+        The offset of the next message, and the request.
 
     Raises:
-        ConnectionEndedError: What is there is no request.
-        IncompleteFrameError: It is not all there yet.
+        ConnectionEndedError: The bytes are not a request message.
+        IncompleteFrameError: The message is not completely received.
     """
     try:
         frame, next_start = msgpack.unpackb(view[start:end], **UNPACK_LIMITS), end
-    except msgpack.ExtraData as more:
-        frame, next_start = more.unpacked, end - len(more.extra)
+    except msgpack.ExtraData as error:
+        frame, next_start = error.unpacked, end - len(error.extra)
     except ValueError:
-        # Not all there yet, or bad: reading it value by value tells which, and why.
+        # Incomplete or malformed: reading value by value raises the error that applies.
         reader = FrameReader(view, start, end)
         frame, next_start = reader.read_value(), reader.position
     if not isinstance(frame, list) or len(frame) != len(REQUEST_PARTS):
-        raise ConnectionEndedError(CloseReason.MALFORMED, "not a request")
-    kind, message_id, method, parameters = frame
+        raise ConnectionEndedError(CloseReason.MALFORMED, "message is not an array of four")
+    message_type, message_id, method, parameters = frame
     if [type(part) for part in frame] != REQUEST_PARTS:
-        raise ConnectionEndedError(CloseReason.WRONG_TYPE, "of a request's parts")
-    if kind != REQUEST_TYPE or message_id < 0:
-        raise ConnectionEndedError(CloseReason.MALFORMED, f"message type {kind}")
+        raise ConnectionEndedError(CloseReason.WRONG_TYPE, "type of a request message's part")
+    if message_type != REQUEST_TYPE or message_id < 0:
+        raise ConnectionEndedError(
+            CloseReason.MALFORMED, f"message of type {message_type} with id {message_id}"
+        )
     return next_start, RequestMessage(message_id, method, parameters)
 
 
 def encode_result(message_id: int, body: bytes, fields: dict[str, str]) -> tuple[bytes, ...]:
-    """Returns the pieces of an answer with a result; the body is not copied."""
-    # [1, message_id, nil, [body, fields]]: 0x92 begins the list of two
+    """Returns the pieces of an answer with a result, without copying the body."""
+    # [RESPONSE_TYPE, message_id, nil, [body, fields]]; 0x92 begins an array of two items
     head = b"\x94\x01" + msgpack.packb(message_id) + b"\xc0\x92"
     return head + b"\xc6" + struct.pack(">I", len(body)), body, msgpack.packb(fields)
 
--- a/burlloom/rpc/incoming_request.py
+++ b/burlloom/rpc/incoming_request.py
@@ -1,4 +1,4 @@
-"""A request as it was received, and the way back for its answer."""
+"""A received request and the responder that its answer is sent through."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -8,26 +8,28 @@
 
 
 class MalformedRequestError(BurlloomError):
-    """A request cannot be taken; its connection can go on.
+    """A request is malformed and is rejected; its connection stays open.
+
+    The text is logged and not sent to the caller.
 
     Attributes:
-        part: The part of the request that is wrong.
-        value: What it was; empty where that does not matter.
+        fault: The part of the request that is malformed, and what is allowed.
+        value: What was received; empty where it is not quoted.
     """
 
-    def __init__(self, part: str, value: str = "") -> None:
-        super().__init__(f"{part} {value}" if value else part)
-        self.part = part
+    def __init__(self, fault: str, value: str = "") -> None:
+        super().__init__(f"{fault}: {value}" if value else fault)
+        self.fault = fault
         self.value = value
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRules:
-    """What a request is checked against.
+    """Rules that each request is checked against.
 
     Attributes:
-        keyed_by_class: By request class, whether its requests have an idempotency key.
-        tenants: The tenants that are served; empty where requests name none.
+        keyed_by_class: For each request class, whether its requests must have an idempotency key.
+        tenants: The tenants that are served; empty where requests name no tenant.
         max_deadline_ns: The longest deadline of all classes.
     """
 
@@ -37,19 +39,19 @@
 
 
 class Responder(Protocol):
-    """Where a request's answer goes."""
+    """Sends the answer to a request."""
 
     def complete(self, message_id: int, result: bytes) -> None:
-        """Answers with a result."""
+        """Answers the message with a result."""
 
     def reject(self, message_id: int, retry_after_ns: int, is_final: bool) -> None:
-        """Answers that the request is not served."""
+        """Answers the message with a rejection."""
 
     def fail(self, message_id: int) -> None:
-        """Answers with an error."""
+        """Answers the message with an error."""
 
     def report_fault(self, fault: str) -> None:
-        """Counts a fault of the caller's."""
+        """Counts a fault of the caller."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,20 +59,20 @@
     """One attempt of a request.
 
     Attributes:
-        responder: Where its answer goes.
-        message_id: What the answer is told apart by there.
-        request_class: The name of its class.
+        responder: Sends the answer.
+        message_id: The message id that the answer repeats.
+        request_class: The name of the request class.
         id: The attempt's id.
-        sent_at_ns: When it was sent, Unix ns, in whole milliseconds.
-        caller: The caller's name; empty where it told none.
-        cost_ns: Processor time that the caller expects; 0 where it told none.
+        sent_at_ns: When the caller sent it, Unix ns, in whole milliseconds.
+        caller: The caller's name; empty where the request has none.
+        cost_ns: Processor time that the caller expects; 0 where the request has none.
         memory_kb: Memory that the request holds.
-        priority: Its rank among those of its class, from 0 to under 1.
-        idempotency_key: The key that all attempts of a keyed request share; else empty.
+        priority: Its priority among the requests of its class, from 0 to under 1.
+        idempotency_key: The key that all attempts of a keyed request share; otherwise empty.
         cache_key: The key under which reads may share a result; empty where they may not.
         body: The request's body.
         is_retry: Whether it is marked as a retry or a hedged request.
-        tenant: The tenant it belongs to; empty where tenants are not told apart.
+        tenant: The tenant it belongs to; empty where the server does not distinguish tenants.
     """
 
     responder: Responder
@@ -89,22 +91,22 @@
     tenant: str = ""
 
     def complete(self, result: bytes) -> None:
-        """Answers with its result."""
+        """Answers the request with its result."""
         self.responder.complete(self.message_id, result)
 
     def reject(self, retry_after_ns: int, is_final: bool) -> None:
-        """Answers that it is not served.
+        """Answers the request with a rejection.
 
         Args:
-            retry_after_ns: How long the caller should stay away from this server.
-            is_final: Whether it should not be tried at another server either.
+            retry_after_ns: How long the caller should send this server no request.
+            is_final: Whether the caller should not try another server either.
         """
         self.responder.reject(self.message_id, retry_after_ns, is_final)
 
     def fail(self) -> None:
-        """Answers with an error; it may have run."""
+        """Answers the request with an error; it may have run."""
         self.responder.fail(self.message_id)
 
     def report_unknown(self) -> None:
-        """Counts a fault of the caller's: the executor knows no such request."""
-        self.responder.report_fault("unknown request")
+        """Counts a fault of the caller: the executor rejected the request as unknown."""
+        self.responder.report_fault("executor rejected the request as unknown")
--- a/burlloom/rpc/listener.py
+++ b/burlloom/rpc/listener.py
@@ -1,4 +1,4 @@
-"""The listener, and bounds on what all its connections together may take."""
+"""Accepts callers' connections, and bounds the resources that all of them together use."""
 
 import asyncio
 import logging
@@ -23,33 +23,37 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 1024
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
 POLL_INTERVAL_NS = 10 * NS_PER_MS
 SWEEP_INTERVAL_NS = 250 * NS_PER_MS
-FIRST_MESSAGE_TIMEOUT_NS = 1500 * NS_PER_MS  # from a connection's start to its first whole message
+FIRST_MESSAGE_TIMEOUT_NS = 1500 * NS_PER_MS  # from connecting to the end of the first message
 MESSAGE_TIMEOUT_NS = 1500 * NS_PER_MS  # from a message's first byte to its last
-SHUTDOWN_TIMEOUT_NS = 1000 * NS_PER_MS  # until we close where the caller, asked to, does not
-# Many callers check our health once and hold on; a prober that is let go connects again.
+# From asking a caller to close its connection until the server closes it.
+SHUTDOWN_TIMEOUT_NS = 1000 * NS_PER_MS
+# For connections that carried only health checks. Many callers check the health once and keep the
+# connection open; a prober whose connection is closed connects again.
 HEALTH_IDLE_TIMEOUT_NS = 3 * NS_PER_SECOND
 DEFAULT_IDLE_TIMEOUT_NS = 15 * NS_PER_SECOND  # until the admission controller sets one
-CROWDED_IDLE_TIMEOUT_NS = 2 * NS_PER_SECOND  # while the table of connections is nearly full
-MAX_TOTAL_UNSENT_BYTES = 8 << 20
-# A flood of new connections must not hold up those that are there.
+CROWDED_IDLE_TIMEOUT_NS = 2 * NS_PER_SECOND  # while over 3/4 of `max_connections` are open
+MAX_TOTAL_UNSENT_BYTES = 8 << 20  # unsent answers of all connections; beyond it some are closed
+# A flood of new connections must not delay the existing ones.
 MAX_ACCEPTS_PER_WAKE = 32
 
 
 class RpcListener:
-    """Accepts connections, hands their requests on, and closes those that have to go.
+    """Accepts connections, hands their requests on, and closes connections over their limits.
 
     Attributes:
-        max_connections: How many there may be, with those being closed.
-        connections: The open ones.
-        closing: Orderly closes that are under way, the oldest first.
-        is_draining: Whether callers are asked to close, and no new ones are met.
-        idle_timeout_ns: How long a connection may idle.
-        silent_connections: Those without a message when last looked at, the oldest first.
-        evictable_connections: Others that may go for new ones, the first to go last; looked up
-            once a flood.
+        max_connections: How many connections there may be, including those being closed.
+        connections: The open connections.
+        closing: The task of each orderly close in progress, the oldest first.
+        is_draining: Whether callers are asked to close and no new connections are accepted.
+        idle_timeout_ns: How long a connection may be idle before its caller is asked to close.
+        silent_connections: Connections that had received no message when last checked, the oldest
+            first.
+        evictable_connections: Idle connections that may be closed in favour of new ones, the first
+            to be closed last. Refilled only when empty, as sorting for each new connection of a
+            flood would cost too much.
         socket: The listening socket; None once it is closed.
     """
 
@@ -70,12 +74,12 @@
 
         Args:
             sock: A bound socket.
-            rules: What requests are checked against.
-            max_connections: How many there may be.
+            rules: Rules that each request is checked against.
+            max_connections: How many connections there may be, including those being closed.
             supervisor: Owner of the connections' tasks.
-            clock: Returns Unix ns.
-            on_request: Called with each request.
-            on_request_lost: Called with each request that was open as its connection closed.
+            clock: Returns the current time, Unix ns.
+            on_request: Called with each valid request.
+            on_request_lost: Called with each request that was open when its connection closed.
             is_serving: Returns whether an attempt with this id is open.
             is_healthy: Returns the answer to health checks.
             load_report: Returns the load report for a caller; empty before the first.
@@ -96,24 +100,24 @@
 
     @property
     def has_open_requests(self) -> bool:
-        """Whether a connection has an open request, or an answer that waits to leave."""
+        """Whether any connection has an open request or an unsent answer."""
         return not all(connection.is_idle for connection in self.connections)
 
-    # What a connection asks for: `ConnectionOwner`.
+    # Methods of `ConnectionOwner`, called by the connections.
 
     def response_fields(self, caller: str) -> dict[str, str]:
         """Returns the fields that an answer to this caller carries."""
         return wire.load_report_fields(self.load_report(caller))
 
     def connection_ended(self, connection: Connection) -> None:
-        """Forgets a connection."""
+        """Removes a closed connection from the tables."""
         self.connections.discard(connection)
         self.silent_connections.pop(connection, None)
 
     def start_close(self, close: ConnectionClose) -> None:
-        """Starts an orderly close, or closes at once where too much waits to leave in all.
+        """Starts an orderly close, or closes at once where the closes have too many unsent bytes.
 
-        Callers that never read and are owed much would fill the memory.
+        The unsent answers of callers that never read would fill the memory.
         """
         unsent_bytes = close.writer.unsent_bytes
         unsent_bytes += sum(other.writer.unsent_bytes for other in self.closing)
@@ -121,31 +125,31 @@
             close.close_now()
             return
 
-        def forget(_: asyncio.Task[None]) -> None:
-            """Forgets the close, which is over."""
+        def remove_close(_: asyncio.Task[None]) -> None:
+            """Removes the finished close."""
             self.closing.pop(close, None)
 
         task = self.closing[close] = self.supervisor.start(close.run(), "connection_close")
-        task.add_done_callback(forget)
+        task.add_done_callback(remove_close)
 
     async def poll_pause(self) -> None:
-        """Waits a moment before a condition is looked at again."""
+        """Waits one polling interval."""
         await sleep_ns(POLL_INTERVAL_NS)
 
-    # New connections.
+    # Methods that accept connections and make room for them.
 
     def listen(self) -> None:
-        """Accepts connections from now on."""
+        """Starts to accept connections."""
         if self.socket is not None:
             self.socket.setblocking(False)
             self.socket.listen(BACKLOG)
             asyncio.get_running_loop().add_reader(self.socket, self.accept_waiting)
 
     def accept_waiting(self) -> None:
-        """Accepts some of the connections that wait; called by the event loop.
+        """Accepts pending connections, up to a limit; called by the event loop.
 
-        Not `sock_accept`: that takes one a wake, and a connection that it took as it is cancelled
-        is lost.
+        Does not use `sock_accept`, which accepts one connection per wake-up and loses a connection
+        that it accepts while it is cancelled.
         """
         if self.socket is not None and not self.accept_up_to(self.socket, MAX_ACCEPTS_PER_WAKE):
             loop = asyncio.get_running_loop()
@@ -153,7 +157,7 @@
             loop.call_later(POLL_INTERVAL_NS / NS_PER_SECOND, self.listen)
 
     def accept_up_to(self, listener: socket.socket, limit: int) -> bool:
-        """Accepts at most `limit` connections; returns False where the next cannot be taken now."""
+        """Accepts at most `limit` connections; returns False where `accept` failed."""
         for _ in range(limit):
             try:
                 self.add_connection(*listener.accept())
@@ -161,18 +165,20 @@
                 break
             except OSError as error:
                 if is_out_of_descriptors(error):
-                    # The system asks for a descriptor before it looks whether anybody waits.
+                    # `accept` needs a descriptor before it checks whether a connection is
+                    # pending, so the error alone does not show that one is.
                     if not has_pending_connection(listener):
                         break
                     if self.free_descriptor():
                         continue
-                # No descriptor can be freed, or the peer is gone already: the next may fare better.
+                # No descriptor can be freed, or the peer is already gone. A later attempt may
+                # succeed.
                 log.warning("event=accept_failed detail=%r", error.strerror)
                 return False
         return True
 
     def add_connection(self, sock: socket.socket, peer: tuple[str, int]) -> None:
-        """Takes a new connection, or closes it where the table is full and none can go."""
+        """Adds a new connection; closes it if the limit is reached and none can be evicted."""
         count = len(self.connections) + len(self.closing)
         if count >= self.max_connections and not self.free_descriptor():
             log.info(
@@ -190,10 +196,10 @@
             connection.request_shutdown(self.clock())
 
     def free_descriptor(self) -> bool:
-        """Closes one connection at once, if any may go; returns whether one did.
+        """Closes one connection at once to free its descriptor; returns whether one was closed.
 
-        First goes one that is being closed. Of those that are idle the silent go first, then the
-        longest unused. None goes that has unread bytes.
+        The order is: the oldest orderly close in progress, the oldest silent connection, the idle
+        connection that was unused the longest. A connection with unread bytes is not evicted.
         """
         for close, task in self.closing.items():
             del self.closing[close]
@@ -203,7 +209,7 @@
         return self.evict_silent() or self.evict_longest_unused()
 
     def evict_silent(self) -> bool:
-        """Closes the oldest connection without a message; returns whether there was one."""
+        """Closes the oldest connection that has received no message; returns whether one was."""
         for connection in list(self.silent_connections):
             if connection.has_received:
                 del self.silent_connections[connection]
@@ -213,8 +219,8 @@
         return False
 
     def evict_longest_unused(self) -> bool:
-        """Closes the idle connection that was used the longest ago; returns whether one was."""
-        for _ in range(2):  # with those found earlier, and once more with fresh ones
+        """Closes the idle connection that was unused the longest; returns whether one was."""
+        for _ in range(2):  # with the connections found earlier, then with a new search
             while self.evictable_connections:
                 connection = self.evictable_connections.pop()
                 if (
@@ -225,33 +231,34 @@
                     connection.close_with_detail(CloseReason.CONNECTION_LIMIT)
                     return True
             self.evictable_connections = sorted(
-                (one for one in self.connections if one.is_idle),
-                key=lambda one: -one.last_used_ns,
+                (connection for connection in self.connections if connection.is_idle),
+                key=lambda connection: -connection.last_used_ns,
             )
         return False
 
-    # Connections that have to go.
+    # Methods that close connections over their limits.
 
     async def run(self) -> None:
-        """Closes, for good, the connections that are over their limits."""
+        """Sweeps the connections periodically, and never returns."""
         while True:
             await sleep_ns(SWEEP_INTERVAL_NS)
             try:
                 self.sweep()
             except Exception:
-                # The next sweep is due all the same: without it no connection would ever go.
+                # The next sweep runs all the same: without it no connection would be closed.
                 log.exception("event=internal_error side=balancer")
 
     def sweep(self) -> None:
-        """Closes connections that are silent, unfinished, idle or owed too much.
+        """Closes connections that are silent, stalled, idle or have too many unsent bytes.
 
-        After a pause of the machine one sweep is skipped: what came meanwhile is read first. Not
-        two in a row: a process that is always this late would never let go of anybody.
+        After a pause of the machine one sweep is skipped, so that the bytes received meanwhile are
+        read first. Two sweeps in a row are not skipped: a process that is always this late would
+        never close any connection.
         """
-        now, previous = self.clock(), self.last_sweep_ns
-        self.last_sweep_ns = now
+        now_ns, previous_sweep_ns = self.clock(), self.last_sweep_ns
+        self.last_sweep_ns = now_ns
         self.evictable_connections.clear()
-        if now - previous > 2 * SWEEP_INTERVAL_NS and not self.has_skipped_sweep:
+        if now_ns - previous_sweep_ns > 2 * SWEEP_INTERVAL_NS and not self.has_skipped_sweep:
             self.has_skipped_sweep = True
             return
         self.has_skipped_sweep = False
@@ -260,12 +267,15 @@
         if is_crowded:
             idle_timeout_ns = min(idle_timeout_ns, CROWDED_IDLE_TIMEOUT_NS)
         for connection in list(self.connections):
-            self.check_connection(connection, now, idle_timeout_ns)
-        self.close_most_owed()
-
-    def check_connection(self, connection: Connection, now: int, idle_timeout_ns: int) -> None:
-        """Closes one connection where it is over its limits, or asks its caller to."""
-        if connection.partial_since_ns and now - connection.partial_since_ns > MESSAGE_TIMEOUT_NS:
+            self.check_connection(connection, now_ns, idle_timeout_ns)
+        self.close_slowest_readers()
+
+    def check_connection(self, connection: Connection, now_ns: int, idle_timeout_ns: int) -> None:
+        """Closes a connection that is over its limits, or asks its caller to close it."""
+        if (
+            connection.partial_since_ns
+            and now_ns - connection.partial_since_ns > MESSAGE_TIMEOUT_NS
+        ):
             started_ns = connection.partial_since_ns
             connection.read_remaining()
             if connection.partial_since_ns == started_ns:
@@ -273,21 +283,22 @@
         elif not connection.is_idle:
             return
         elif not connection.has_received:
-            self.check_silent(connection, now)
+            self.check_silent(connection, now_ns)
         elif connection.is_shutdown_sent:
-            self.check_asked_to_close(connection, now)
+            self.check_shutdown(connection, now_ns)
         else:
             if connection.is_health_only:
                 idle_timeout_ns = HEALTH_IDLE_TIMEOUT_NS
-            if now - connection.last_used_ns > idle_timeout_ns:
-                connection.request_shutdown(now)
+            if now_ns - connection.last_used_ns > idle_timeout_ns:
+                connection.request_shutdown(now_ns)
 
-    def check_silent(self, connection: Connection, now: int) -> None:
-        """Closes a connection on which no message has come in time.
+    def check_silent(self, connection: Connection, now_ns: int) -> None:
+        """Closes a connection that has received no message in time.
 
-        One whose first bytes have come is not silent, though they came late.
+        A connection whose first bytes arrived late is not silent: the reason is the timeout of the
+        message.
         """
-        if now - connection.last_used_ns <= FIRST_MESSAGE_TIMEOUT_NS:
+        if now_ns - connection.last_used_ns <= FIRST_MESSAGE_TIMEOUT_NS:
             return
         connection.read_remaining()
         if not connection.has_received:
@@ -296,51 +307,53 @@
                 reason = CloseReason.MESSAGE_TIMEOUT
             connection.close_with_detail(reason)
 
-    def check_asked_to_close(self, connection: Connection, now: int) -> None:
-        """Closes a connection whose caller was asked to and did not in time."""
-        since = max(connection.shutdown_sent_ns, connection.last_used_ns)
-        is_late = now - since > SHUTDOWN_TIMEOUT_NS and not connection.partial_since_ns
+    def check_shutdown(self, connection: Connection, now_ns: int) -> None:
+        """Closes a connection whose caller was asked to close it and did not in time."""
+        since_ns = max(connection.shutdown_sent_ns, connection.last_used_ns)
+        is_late = now_ns - since_ns > SHUTDOWN_TIMEOUT_NS and not connection.partial_since_ns
         if is_late and not has_unread_bytes(connection.socket):
             reason = CloseReason.SHUTDOWN if self.is_draining else CloseReason.IDLE_TIMEOUT
             connection.close_with_detail(reason)
 
-    def close_most_owed(self) -> None:
-        """Closes the connections that are owed most until all together are within the bound."""
-        unsent_bytes = sum(one.writer.unsent_bytes for one in self.connections)
+    def close_slowest_readers(self) -> None:
+        """Closes the connections with the most unsent bytes until the total is in its bound."""
+        unsent_bytes = sum(connection.writer.unsent_bytes for connection in self.connections)
         if unsent_bytes <= MAX_TOTAL_UNSENT_BYTES:
             return
-        for connection in sorted(self.connections, key=lambda one: -one.writer.unsent_bytes):
+        for connection in sorted(
+            self.connections, key=lambda connection: -connection.writer.unsent_bytes
+        ):
             if unsent_bytes > MAX_TOTAL_UNSENT_BYTES:
                 unsent_bytes -= connection.writer.unsent_bytes
                 connection.close_with_detail(CloseReason.SLOW_CONSUMER)
 
-    # The end.
+    # Methods that end the listener.
 
     def start_drain(self) -> None:
-        """Accepts who had connected, stops listening, and asks all callers to close.
+        """Accepts all pending connections, stops listening, and asks all callers to close.
 
-        What they send until then is still answered.
+        Requests that they send until their connections close are still answered.
         """
         self.is_draining = True
         if self.socket is not None:
             asyncio.get_running_loop().remove_reader(self.socket)
-            # Nothing may come between this and the close.
+            # No await may come between accepting the pending connections and closing the socket.
             self.accept_up_to(self.socket, BACKLOG)
             self.socket.close()
             self.socket = None
-        now = self.clock()
+        now_ns = self.clock()
         for connection in self.connections:
-            connection.request_shutdown(now)
+            connection.request_shutdown(now_ns)
 
     async def close(self, timeout_ns: int) -> None:
-        """Ends a drain: answers what is unread, and closes all connections in good order.
+        """Ends a drain: answers the requests that are unread, and closes all connections orderly.
 
         Args:
-            timeout_ns: How long the closes may take.
+            timeout_ns: How long to wait for the orderly closes.
         """
         for connection in list(self.connections):
             connection.read_remaining()
-        await asyncio.sleep(0)  # answers leave at the end of a turn of the event loop
+        await asyncio.sleep(0)  # answers are sent at the end of an iteration of the event loop
         for connection in list(self.connections):
             connection.close_with_detail(CloseReason.SHUTDOWN)
         if self.closing:
@@ -350,7 +363,7 @@
 
 
 def has_pending_connection(listener: socket.socket) -> bool:
-    """Returns whether a connection waits to be accepted."""
+    """Returns whether a connection is waiting to be accepted."""
     poll = select.poll()
     poll.register(listener, select.POLLIN)
     return bool(poll.poll(0))
--- a/burlloom/rpc/wire.py
+++ b/burlloom/rpc/wire.py
@@ -1,29 +1,30 @@
-"""The callers' protocol, mapped to our terms here and nowhere else; frames.py has its encoding.
+"""Maps the callers' protocol to this package's terms; frames.py has its encoding.
 
-A request is a method and two parameters, a map of fields and a body. The method is the request
-class, or `health`. Each answer carries a map of fields too.
+A request is a method and two parameters: a map of fields and a body. The method is the request
+class, or `health`. Each answer carries a map of fields too. No other module uses the protocol's
+names.
 
 =================  =============================================================
 request field      meaning
 =================  =============================================================
 ``id``             the attempt's id, 16 hexadecimal digits
-``at``             when it was sent, Unix ms
+``at``             when the caller sent it, Unix ms
 ``from``           the caller's name
 ``cost``           processor time that the caller expects, ms
 ``kb``             memory that the request holds, KB
-``rank``           its priority among those of its class, from 0 to under 1
-``once``           idempotency key; classes that are keyed must have it
+``rank``           priority among the requests of its class, from 0 to under 1
+``once``           idempotency key; required in keyed classes
 ``key``            cache key
 ``retry``          ``1`` for a retry or a hedged request
-``tenant``         the tenant, where they are told apart
+``tenant``         the tenant, where the server distinguishes tenants
 =================  =============================================================
 
 =================  =============================================================
 answer field       meaning
 =================  =============================================================
 ``say``            load report
-``after``          with ``Backoff``: stay away so many ms
-``last``           with ``Backoff``: ``1`` for not to be tried at another server
+``after``          with ``Backoff``: how many ms to send this server no request
+``last``           with ``Backoff``: ``1`` if no other server should be tried
 =================  =============================================================
 
 Errors are ``Backoff`` (rejected), ``Voided`` (failed) and ``BadRequest`` (malformed). The
@@ -42,66 +43,73 @@
 
 MAX_BODY_BYTES = 2 << 10
 MAX_COST_MS = 600_000.0
-MAX_MEMORY_KB = 2_000.0
-# By how much a caller's clock may be ahead of ours, though both are of one machine; it may be
-# behind by two deadlines.
+MAX_MEMORY_KB = 2_000.0  # a request's memory is above 0 and below this
+# How far `at` may lie in the future, although caller and server share one machine's clock. It may
+# lie in the past by twice the longest deadline.
 MAX_CLOCK_LEAD_NS = 60 * NS_PER_SECOND
-MAX_QUOTED_CHARACTERS = 40  # of what was received, in an error
+MAX_QUOTED_CHARACTERS = 40  # of a received value, in an error
 
 REQUEST_ID_PATTERN = re.compile(r"[0-9a-f]{16}")
 KEY_PATTERN = re.compile(r"[0-9A-Za-z]{1,64}")
 CALLER_PATTERN = re.compile(r"[0-9]{1,9}")
 MILLISECONDS_PATTERN = re.compile(r"[0-9]{1,15}")
-# No exponent, sign, infinity or NaN, which float() would take too.
+# Excludes the exponents, signs, infinities and NaN that float() would accept.
 DECIMAL_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 
 
-def parse_number(fields: dict[str, Any], name: str, least: float, most: float) -> float:
-    """Returns a field's number; 0 where the field is missing.
+def parse_number(fields: dict[str, Any], name: str, minimum: float, maximum: float) -> float:
+    """Returns the number in a field; 0 where the field is missing.
 
     Raises:
-        MalformedRequestError: It is no number, or out of its bounds.
+        MalformedRequestError: The field is not a decimal number, or out of its bounds.
     """
     text = fields.get(name, "0")
     if type(text) is not str or not DECIMAL_PATTERN.fullmatch(text):
-        raise MalformedRequestError(name, f"{text!r:.{MAX_QUOTED_CHARACTERS}}")
+        raise MalformedRequestError(
+            f"field {name} is not a decimal number", f"{text!r:.{MAX_QUOTED_CHARACTERS}}"
+        )
     value = float(text)
-    if not least <= value <= most:
-        raise MalformedRequestError(name, text)
+    if not minimum <= value <= maximum:
+        raise MalformedRequestError(f"field {name} is not in [{minimum}, {maximum}]", text)
     return value
 
 
 def parse_text(
     fields: dict[str, Any], name: str, pattern: re.Pattern[str], is_required: bool
 ) -> str:
-    """Returns a field's text; empty where the field is missing and may be.
+    """Returns the text of a field; empty where an optional field is missing.
 
     Raises:
-        MalformedRequestError: It is missing, no text, or does not match the pattern.
+        MalformedRequestError: A required field is missing, or the value does not match `pattern`.
     """
     value = fields.get(name)
     if value is None and not is_required:
         return ""
     if type(value) is not str or not pattern.fullmatch(value):
-        raise MalformedRequestError(name, f"{value!r:.{MAX_QUOTED_CHARACTERS}}")
+        raise MalformedRequestError(
+            f"field {name} does not match {pattern.pattern}",
+            f"{value!r:.{MAX_QUOTED_CHARACTERS}}",
+        )
     return value
 
 
 def parse_parameters(parameters: list[Any]) -> tuple[dict[str, Any], bytes | memoryview]:
-    """Returns a request's fields and body.
+    """Returns the fields and the body of a request.
 
     Raises:
-        MalformedRequestError: They are not these two, or the body is too large.
+        MalformedRequestError: The parameters are not a map and a body, or the body is too large.
     """
     if (
         len(parameters) != 2
         or type(parameters[0]) is not dict
         or not isinstance(parameters[1], (bytes, memoryview))
     ):
-        raise MalformedRequestError("parameters")
+        raise MalformedRequestError("parameters are not a map of fields and a binary body")
     fields, body = parameters
     if len(body) > MAX_BODY_BYTES:
-        raise MalformedRequestError("body", f"of {len(body)}")
+        raise MalformedRequestError(
+            f"body has more than {MAX_BODY_BYTES} bytes", f"{len(body)} bytes"
+        )
     return fields, body
 
 
@@ -111,34 +119,40 @@
     request_class: str,
     parameters: list[Any],
     rules: RequestRules,
-    now: int,
+    now_ns: int,
 ) -> IncomingRequest:
-    """Checks all that one message alone can tell, and returns the request.
+    """Checks everything that can be checked in one message, and returns the request.
 
     Args:
-        responder: Where the answer goes.
-        message_id: The message's id there.
+        responder: Sends the answer.
+        message_id: The message id that the answer repeats.
         request_class: The method of the message.
         parameters: The parameters of the message.
-        rules: What to check against.
-        now: Unix ns.
+        rules: Rules to check the request against.
+        now_ns: The current time, Unix ns.
 
     Raises:
-        MalformedRequestError: A part of it is missing or wrong.
+        MalformedRequestError: A part of the request is missing or invalid.
     """
     if request_class not in rules.keyed_by_class:
-        raise MalformedRequestError("class", f"{request_class!r:.{MAX_QUOTED_CHARACTERS}}")
+        raise MalformedRequestError(
+            "unknown request class", f"{request_class!r:.{MAX_QUOTED_CHARACTERS}}"
+        )
     fields, body = parse_parameters(parameters)
     if rules.tenants and fields.get("tenant") not in rules.tenants:
         tenant = fields.get("tenant")
-        raise MalformedRequestError("tenant", f"{tenant!r:.{MAX_QUOTED_CHARACTERS}}")
+        raise MalformedRequestError(
+            "field tenant names no known tenant", f"{tenant!r:.{MAX_QUOTED_CHARACTERS}}"
+        )
     sent_at_ns = int(parse_text(fields, "at", MILLISECONDS_PATTERN, True)) * NS_PER_MS
-    if not now - 2 * rules.max_deadline_ns <= sent_at_ns <= now + MAX_CLOCK_LEAD_NS:
-        raise MalformedRequestError("at")
+    if not now_ns - 2 * rules.max_deadline_ns <= sent_at_ns <= now_ns + MAX_CLOCK_LEAD_NS:
+        raise MalformedRequestError("field at is too far in the past or in the future")
     memory_kb = parse_number(fields, "kb", 0, MAX_MEMORY_KB)
     priority = parse_number(fields, "rank", 0, 1)
     if memory_kb == 0 or memory_kb == MAX_MEMORY_KB or priority == 1:
-        raise MalformedRequestError("kb or rank")
+        raise MalformedRequestError(
+            f"field kb is not between 0 and {MAX_MEMORY_KB}, or field rank is 1"
+        )
     return IncomingRequest(
         responder,
         message_id,
@@ -151,21 +165,21 @@
         priority,
         parse_text(fields, "once", KEY_PATTERN, rules.keyed_by_class[request_class]),
         parse_text(fields, "key", KEY_PATTERN, False),
-        bytes(body),  # a copy: it outlives the receive buffer
+        bytes(body),  # a copy, as the request outlives the content of the receive buffer
         fields.get("retry") == "1",
         str(fields.get("tenant", "")),
     )
 
 
 def load_report_fields(load_report: str) -> dict[str, str]:
-    """Returns the fields that each answer carries; empty before the first load report."""
+    """Returns the answer fields with the load report; empty before the first load report."""
     return {"say": load_report} if load_report else {}
 
 
 def encode_rejection(
     message_id: int, retry_after_ns: int, is_final: bool, fields: dict[str, str]
 ) -> bytes:
-    """Returns the answer to a request that is not served."""
+    """Returns the answer to a rejected request."""
     if retry_after_ns >= NS_PER_MS:
         fields["after"] = str(retry_after_ns // NS_PER_MS)
     if is_final:
@@ -174,10 +188,10 @@
 
 
 def encode_failure(message_id: int, fields: dict[str, str]) -> bytes:
-    """Returns the answer to a request that failed."""
+    """Returns the answer to a failed request."""
     return frames.encode_error(message_id, "Voided", fields)
 
 
 def encode_malformed(message_id: int, fields: dict[str, str]) -> bytes:
-    """Returns the answer to a request that cannot be taken."""
+    """Returns the answer to a malformed request."""
     return frames.encode_error(message_id, "BadRequest", fields)
