--- a/burlloom/discovery/__init__.py
+++ b/burlloom/discovery/__init__.py
@@ -1,4 +1,4 @@
-"""Health reports to service discovery."""
+"""Reports the server's health to service discovery."""
 
 from .health_reporter import HealthReporter
 
--- a/burlloom/discovery/health_reporter.py
+++ b/burlloom/discovery/health_reporter.py
@@ -1,6 +1,7 @@
-"""Reports to service discovery whether this server takes requests, as datagrams.
+"""Reports to service discovery, in datagrams, whether this server accepts requests.
 
-A report goes out at each change and at a fixed interval: none is acknowledged, and some are lost.
+A report is sent at each change and at a fixed interval, as reports are not acknowledged and some
+are lost.
 """
 
 import logging
@@ -12,8 +13,8 @@
 
 log = logging.getLogger(__name__)
 
-# A server is delisted after 3 s without a report. With a quarter of the datagrams lost, one report
-# a second would let that happen now and then.
+# A server is delisted after 3 s without a report. If a quarter of the datagrams is lost, one report
+# a second would sometimes let that happen.
 REPORT_INTERVAL_NS = NS_PER_SECOND // 5
 
 
@@ -21,8 +22,8 @@
     """Sends this server's health to the name service.
 
     Attributes:
-        last_reported: The health that was reported last; None before the first report.
-        last_error: Why the last report could not be sent; empty where it was.
+        last_reported: The last reported health; None before the first report.
+        last_error: Why the last report could not be sent; empty where it was sent.
     """
 
     def __init__(
@@ -34,21 +35,21 @@
         self.last_reported: bool | None = None
         self.last_error = ""
 
-    def report_health(self, serving: bool) -> None:
-        """Reports at once where the health has changed."""
-        if serving != self.last_reported:
-            self.last_reported = serving
+    def report_health(self, is_healthy: bool) -> None:
+        """Sends a report at once if the health has changed."""
+        if is_healthy != self.last_reported:
+            self.last_reported = is_healthy
             self.send()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Reports to another address from now on."""
+        """Sends the reports to another address from now on."""
         if address != self.address:
             self.address = address
             if self.last_reported is not None:
                 self.send()
 
     def send(self) -> None:
-        """Sends one report; a failure is logged when it begins and when it ends."""
+        """Sends one report; logs when sending starts to fail and when it works again."""
         try:
             self.socket.sendto(
                 f"renew {self.name} {'yes' if self.last_reported else 'no'}".encode(), self.address
@@ -61,16 +62,16 @@
             log.info("event=discovery_report error=%r", error_text)
 
     async def run(self) -> None:
-        """Reports at each interval, for good.
+        """Sends a report at each interval, and never returns.
 
-        Each report is due one interval after the one before was due, so that a late wake-up does
-        not lengthen every interval. After a pause one report leaves at once, and none for those
-        that were missed.
+        Each report is due one interval after the previous one was due, so that a late wake-up does
+        not lengthen every interval. After a pause one report is sent at once; the missed ones are
+        not made up.
         """
-        due = self.clock()
+        due_ns = self.clock()
         while True:
             if self.last_reported is not None:
                 self.send()
-            now = self.clock()
-            due = max(due + REPORT_INTERVAL_NS, now)
-            await sleep_ns(due - now)
+            now_ns = self.clock()
+            due_ns = max(due_ns + REPORT_INTERVAL_NS, now_ns)
+            await sleep_ns(due_ns - now_ns)
--- a/burlloom/downstream/__init__.py
+++ b/burlloom/downstream/__init__.py
@@ -1,4 +1,4 @@
-"""Calls to the downstream dependency, over HTTP."""
+"""Calls the downstream dependency over HTTP."""
 
 from .connection_pool import ConnectionPool
 from .wire import CallStatus
--- a/burlloom/downstream/connection_pool.py
+++ b/burlloom/downstream/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to one downstream address, each with one call at a time."""
+"""Calls one downstream address, with a pool of connections that each carry one call at a time."""
 
 import asyncio
 import logging
@@ -22,20 +22,21 @@
 Address = tuple[str, int]
 
 READ_BUFFER_BYTES = 4 << 10
-# The dependency closes after 10 s, and a call that meets that close proves nothing.
+# The dependency closes an idle connection after 10 s. A call that is sent during that close fails
+# without showing whether it ran.
 IDLE_TIMEOUT_NS = 7 * NS_PER_SECOND
 MAX_IDLE_CONNECTIONS = 16
 
 
 class Exchange:
-    """One call on its connection.
+    """One call and the connection that carries it.
 
     Attributes:
-        socket: Its connection; None before there is one.
-        reply: What came so far.
-        has_sent: Whether any of the call may have been sent.
+        socket: The connection; None before there is one.
+        reply: The reply, as far as it is received.
+        has_sent: Whether any part of the call may have been sent.
         is_reusable: Whether the connection may carry another call.
-        reason: Why the connection is closed where it may not.
+        reason: Why the connection is closed if it is not reused.
         detail: A detail of the reason.
     """
 
@@ -48,33 +49,35 @@
         self.reason, self.detail = CloseReason.CALL_ABANDONED, ""
 
     def result(self) -> tuple[CallStatus, bytes]:
-        """Returns what a complete reply says of the call, and its body."""
+        """Returns the call status of a complete reply, and its body."""
         return self.reply.call_status(), self.reply.body()
 
 
 class ConnectionPool:
-    """Makes calls, and keeps idle connections for the next ones.
+    """Makes calls, and keeps idle connections for later calls.
 
     Attributes:
         address: Host and port; None where there is no dependency, and every call fails.
-        idle_connections: Connections without a call, and since when, the longest idle first.
+        idle_connections: Connections without a call, each with the monotonic time in ns since when
+            it is idle, the longest idle first.
     """
 
     def __init__(
         self, address: Address | None, free_descriptor: Callable[[], bool] = lambda: False
     ) -> None:
-        """Makes a pool without connections.
+        """Creates a pool without connections.
 
         Args:
             address: Host and port; None for no dependency.
-            free_descriptor: Frees a descriptor elsewhere where none is left.
+            free_descriptor: Called where no descriptor is left for a new connection; returns
+                whether it freed one.
         """
         self.set_address(address)
         self.free_descriptor = free_descriptor
         self.idle_connections: list[tuple[socket.socket, int]] = []
 
     def change_address(self, address: Address | None) -> None:
-        """Makes new calls at another address; open ones may finish where they are."""
+        """Directs new calls to another address; open calls may finish at the old one."""
         if address != self.address:
             self.set_address(address)
             self.close()
@@ -86,7 +89,7 @@
         self.idle_connections.clear()
 
     def set_address(self, address: Address | None) -> None:
-        """Sets the address, and the host that calls name."""
+        """Sets the address and the Host header of the calls."""
         self.address = address
         self.host_header = f"{address[0]}:{address[1]}" if address is not None else ""
 
@@ -97,10 +100,10 @@
 
         Args:
             request_id: The request that the call is made for.
-            body: What to send.
-            timeout_ns: When it is given up; it is given up too where the task is cancelled.
+            body: The body to send.
+            timeout_ns: How long to wait for the reply; cancelling the task abandons the call too.
             may_reuse_connection: False for a call that must not be repeated. The other end may have
-                forgotten an idle connection, and its reset looks like one of a call that ran.
+                closed an idle connection, and its reset looks like the reset of a call that ran.
 
         Returns:
             How the call ended, and the reply's body.
@@ -109,20 +112,21 @@
         if address is None:
             return CallStatus.UNREACHABLE, b""
         exchange = Exchange()
-        give_up_at_ns = time.monotonic_ns() + timeout_ns
+        deadline_ns = time.monotonic_ns() + timeout_ns
         try:
             async with asyncio.timeout(max(0, timeout_ns) / NS_PER_SECOND):
                 await self.connect(exchange, address, may_reuse_connection)
-                # Less what connecting took: the dependency would work on for nobody.
-                left_ns = give_up_at_ns - time.monotonic_ns()
-                request = encode_request(self.host_header, request_id, body, left_ns)
+                # Without the time that connecting took: the dependency must not work on a call that
+                # has timed out here.
+                remaining_ns = deadline_ns - time.monotonic_ns()
+                request = encode_request(self.host_header, request_id, body, remaining_ns)
                 await self.send_and_read(exchange, request)
             exchange.is_reusable = exchange.reply.is_reusable
             exchange.reason = CloseReason.NOT_REUSABLE
             return exchange.result()
         except TimeoutError:
-            # After a pause of the process its timers fire before anything is read: the reply may
-            # have come.
+            # After a pause of the process its timers fire before sockets are read, so the reply may
+            # have arrived unread.
             if exchange.has_sent and read_unread_reply(exchange):
                 return exchange.result()
             return CallStatus.TIMED_OUT if exchange.has_sent else CallStatus.UNREACHABLE, b""
@@ -135,7 +139,7 @@
     async def connect(
         self, exchange: Exchange, address: Address, may_reuse_connection: bool
     ) -> None:
-        """Gives a call its connection: an idle one where it may have it, or a new one."""
+        """Gives a call an idle connection if it may reuse one, otherwise a new connection."""
         if may_reuse_connection:
             exchange.socket = self.acquire_idle_connection()
         if exchange.socket is None:
@@ -147,8 +151,9 @@
         """Sends a call and reads its reply.
 
         Raises:
-            ConnectionEndedError: The connection ended before the reply did, or it is too large.
-            httptools.HttpParserError: What came is no reply.
+            ConnectionEndedError: The connection ended before the reply was complete, or the reply
+                is too large.
+            httptools.HttpParserError: The received bytes are not an HTTP reply.
             OSError: The connection was lost.
         """
         sock, reply = exchange.socket, exchange.reply
@@ -162,7 +167,7 @@
             reply.feed_data(buffer[:size])
 
     def finish(self, exchange: Exchange, address: Address) -> None:
-        """Keeps a call's connection for the next one, or closes it."""
+        """Keeps the connection of a finished call for later calls, or closes it."""
         if exchange.socket is None:
             return
         if (
@@ -175,23 +180,23 @@
             self.close_connection(exchange.socket, exchange.reason, exchange.detail)
 
     def acquire_idle_connection(self) -> socket.socket | None:
-        """Takes the idle connection that was used last, if it is still good."""
+        """Removes and returns the most recently used idle connection that is still usable."""
         while self.idle_connections:
-            sock, since = self.idle_connections.pop()
-            if time.monotonic_ns() - since < IDLE_TIMEOUT_NS and is_reusable(sock):
+            sock, idle_since_ns = self.idle_connections.pop()
+            if time.monotonic_ns() - idle_since_ns < IDLE_TIMEOUT_NS and is_reusable(sock):
                 return sock
             self.close_connection(sock, CloseReason.IDLE_TIMEOUT, "")
         return None
 
     def free_any_descriptor(self) -> bool:
-        """Frees a descriptor: an idle connection's, or one elsewhere; returns whether it did."""
+        """Closes an idle connection or frees a descriptor elsewhere; returns whether it did."""
         if self.idle_connections:
             self.close_connection(self.idle_connections.pop(0)[0], CloseReason.CONNECTION_LIMIT, "")
             return True
         return self.free_descriptor()
 
     def close_expired(self) -> None:
-        """Closes connections that were idle for too long to be used again."""
+        """Closes connections that are idle for `IDLE_TIMEOUT_NS` or longer."""
         while (
             self.idle_connections
             and time.monotonic_ns() - self.idle_connections[0][1] >= IDLE_TIMEOUT_NS
@@ -207,7 +212,7 @@
 
 
 def is_reusable(sock: socket.socket) -> bool:
-    """Returns whether nothing came on an idle connection: an end or a reset would show."""
+    """Returns whether an idle connection has received neither data, nor an end, nor a reset."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -218,7 +223,7 @@
 
 
 def read_unread_reply(exchange: Exchange) -> bool:
-    """Reads what came unread; returns whether the reply is complete with it."""
+    """Reads the bytes that are still unread; returns whether they complete the reply."""
     sock, reply = exchange.socket, exchange.reply
     assert sock is not None
     try:
@@ -232,7 +237,7 @@
 def close_reason(
     error: ConnectionEndedError | httptools.HttpParserError | OSError,
 ) -> tuple[CloseReason, str]:
-    """Returns why a connection is closed after an error of its call, and a detail."""
+    """Returns the reason, and a detail, for closing a connection after an error of its call."""
     if isinstance(error, ConnectionEndedError):
         return error.reason, error.detail
     if isinstance(error, httptools.HttpParserError):
@@ -243,7 +248,7 @@
 
 
 def status_after_error(error: Exception, has_sent: bool) -> CallStatus:
-    """Returns how a call ended whose connection had an error."""
+    """Returns the status of a call whose connection failed."""
     if isinstance(error, ConnectionRefusedError) or isinstance(error, OSError) and not has_sent:
         return CallStatus.UNREACHABLE
     return CallStatus.CONNECTION_LOST
--- a/burlloom/downstream/service_pools.py
+++ b/burlloom/downstream/service_pools.py
@@ -1,4 +1,4 @@
-"""Calls spread over several services that do the same, in place of one address."""
+"""Spreads calls over several equivalent services, in place of one address."""
 
 from collections import Counter
 from collections.abc import Callable, Collection
@@ -11,8 +11,8 @@
     """Makes calls as `ConnectionPool` does, over a set of addresses that may change.
 
     Attributes:
-        pools: The pool of each address.
-        calls_in_progress: Open calls at each address.
+        pools: The connection pool of each address.
+        calls_in_progress: The number of open calls at each address.
     """
 
     def __init__(
@@ -20,12 +20,12 @@
         choose_address: Callable[[], Address],
         on_call_ended: Callable[[Address, CallStatus], None],
     ) -> None:
-        """Makes a set without addresses.
+        """Creates a set without addresses.
 
         Args:
-            choose_address: Returns where a call goes; called once for each call, and a repeated
-                call is a call of its own.
-            on_call_ended: Called with how a call ended.
+            choose_address: Returns the address for a call; called once for each call, including
+                each repetition of a call.
+            on_call_ended: Called with the address and the status of each finished call.
         """
         self.choose_address, self.on_call_ended = choose_address, on_call_ended
         self.pools: dict[Address, ConnectionPool] = {}
@@ -34,15 +34,15 @@
     def set_addresses(self, addresses: Collection[Address]) -> None:
         """Sets the addresses.
 
-        Idle connections to others are closed; open calls may finish where they are.
+        Idle connections to other addresses are closed; open calls there may finish.
         """
-        for address in [one for one in self.pools if one not in addresses]:
+        for address in [known for known in self.pools if known not in addresses]:
             self.pools.pop(address).close()
         for address in addresses:
             self.pools.setdefault(address, ConnectionPool(address))
 
     def change_address(self, address: Address | None) -> None:
-        """Does nothing: the one address of the server's configuration is not used."""
+        """Does nothing: the single address in the server's configuration is not used."""
 
     async def call(
         self, request_id: str, body: bytes, timeout_ns: int, may_reuse_connection: bool
@@ -63,6 +63,6 @@
         return status, reply
 
     def close_expired(self) -> None:
-        """Closes connections that were idle for too long, at all addresses."""
+        """Closes expired idle connections at all addresses."""
         for pool in self.pools.values():
             pool.close_expired()
--- a/burlloom/downstream/wire.py
+++ b/burlloom/downstream/wire.py
@@ -1,14 +1,14 @@
-"""The downstream dependency's protocol: requests out, replies in.
+"""Encodes calls and parses replies of the downstream dependency's protocol.
 
-A call is a POST. `X-On-Behalf` carries the request's id and `X-Patience` for how many milliseconds
-we wait. In a reply `X-Declined: 1` says that the call never ran.
+A call is a POST. `X-On-Behalf` carries the request's id, and `X-Patience` how many milliseconds the
+server waits for the reply. In a reply `X-Declined: 1` means that the call never ran.
 
 =============================  ==========================================
 reply                          `CallStatus`
 =============================  ==========================================
 200                            OK
 503 with ``X-Declined: 1``     REJECTED: overloaded
-409 with ``X-Declined: 1``     NO_LONGER_NEEDED: its request is over
+409 with ``X-Declined: 1``     NO_LONGER_NEEDED: its request has ended
 504                            TIMED_OUT
 any other                      FAILED
 =============================  ==========================================
@@ -20,17 +20,17 @@
 
 from ..sockets import NS_PER_MS, CloseReason, ConnectionEndedError
 
-HTTP_OK = 200  # the least of the statuses that are not interim
+HTTP_OK = 200  # statuses below this are interim
 HTTP_CONFLICT = 409
 HTTP_SERVICE_UNAVAILABLE = 503
 HTTP_GATEWAY_TIMEOUT = 504
 
 MAX_BODY_BYTES = 1 << 20
-MAX_HEADER_BYTES = 16 << 10  # of one reply, with the interim ones (1xx) before it
+MAX_HEADER_BYTES = 16 << 10  # of one reply, including the interim replies (1xx) before it
 
 
 class CallStatus(Enum):
-    """How a call ended, and no more than its end proves.
+    """How a call ended.
 
     A call that is REJECTED, NO_LONGER_NEEDED or UNREACHABLE never ran; any other may have run.
     """
@@ -45,7 +45,7 @@
 
 
 def encode_request(host: str, request_id: str, body: bytes, timeout_ns: int) -> bytes:
-    """Returns the bytes of a call; the dependency may stop working on it after `timeout_ns`."""
+    """Returns the bytes of a call that the dependency may abandon after `timeout_ns`."""
     head = (
         f"POST /fetch HTTP/1.1\r\nHost: {host}\r\nX-On-Behalf: {request_id}\r\n"
         f"X-Patience: {max(1, timeout_ns // NS_PER_MS)}\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -56,12 +56,12 @@
 class ReplyParser:
     """Parses one reply; httptools calls the `on_` methods.
 
-    Interim replies (1xx) may come before it. Bytes that follow it are left out, and the connection
-    is not reused.
+    Interim replies (1xx) may precede it. Bytes that follow it are ignored, and their connection is
+    not reused.
 
     Attributes:
-        is_complete: Whether the reply is all there.
-        is_reusable: Whether its connection may carry another call.
+        is_complete: Whether the reply is completely received.
+        is_reusable: Whether the connection may carry another call.
     """
 
     def __init__(self) -> None:
@@ -72,10 +72,10 @@
         self.is_in_body = False
 
     def feed_data(self, data: memoryview | bytes) -> None:
-        """Parses what was received.
+        """Parses received bytes.
 
         Raises:
-            httptools.HttpParserError: It is no HTTP, or the body is too large.
+            httptools.HttpParserError: The bytes are not HTTP, or the body is too large.
             ConnectionEndedError: The headers are too large.
         """
         try:
@@ -86,35 +86,37 @@
         if not self.is_in_body:
             self.header_bytes += len(data)
             if self.header_bytes > MAX_HEADER_BYTES and not self.is_complete:
-                raise ConnectionEndedError(CloseReason.TOO_LARGE, "headers of a reply")
+                raise ConnectionEndedError(
+                    CloseReason.TOO_LARGE, f"reply headers over {MAX_HEADER_BYTES} bytes"
+                )
 
     def on_message_begin(self) -> None:
-        """A reply begins: this one, an interim one before it, or one that nobody asked for."""
+        """Handles the start of this reply, of an interim one, or of one that follows unasked."""
         if self.is_complete:
             self.is_reusable = False
         else:
             self.is_rejected = self.is_in_body = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes one header.
+        """Handles one header.
 
         Raises:
-            ConnectionEndedError: It announces a body that is too large.
+            ConnectionEndedError: The header announces a body that is too large.
         """
         if self.is_complete:
             return
         name = name.lower()
         self.is_rejected |= name == b"x-declined" and value.strip() == b"1"
         if name == b"content-length" and value.strip().isdigit() and int(value) > MAX_BODY_BYTES:
-            raise ConnectionEndedError(CloseReason.TOO_LARGE, "announced body of a reply")
+            raise ConnectionEndedError(CloseReason.TOO_LARGE, "announced reply body")
 
     def on_headers_complete(self) -> None:
-        """The headers are over."""
+        """Handles the end of the headers."""
         is_interim = self.parser.get_status_code() < HTTP_OK
         self.is_in_body = self.is_in_body or not is_interim
 
     def on_body(self, body: bytes) -> None:
-        """Takes a piece of the body.
+        """Handles a piece of the body.
 
         Raises:
             ConnectionEndedError: The body is too large.
@@ -123,14 +125,16 @@
             return
         self.body_bytes += len(body)
         if self.body_bytes > MAX_BODY_BYTES:
-            raise ConnectionEndedError(CloseReason.TOO_LARGE, "body of a reply")
+            raise ConnectionEndedError(
+                CloseReason.TOO_LARGE, f"reply body over {MAX_BODY_BYTES} bytes"
+            )
         self.pieces.append(body)
 
     def on_message_complete(self) -> None:
-        """The reply is over, or an interim one.
+        """Handles the end of the reply or of an interim one.
 
-        Only here does the parser tell whether this reply's connection may be reused: right after,
-        it speaks of the next one.
+        Whether the connection may be reused can be read from the parser only here: right after, the
+        parser's state is that of the next reply.
         """
         status = self.parser.get_status_code()
         if not self.is_complete and status >= HTTP_OK:
@@ -138,11 +142,11 @@
             self.is_reusable = self.parser.should_keep_alive()
 
     def body(self) -> bytes:
-        """Returns the body so far."""
+        """Returns the body as far as it is received."""
         return b"".join(self.pieces)
 
     def call_status(self) -> CallStatus:
-        """Returns what a complete reply says of its call."""
+        """Returns the call status that a complete reply means."""
         status = self.status
         if status == HTTP_OK:
             return CallStatus.OK
--- a/burlloom/executor/connection.py
+++ b/burlloom/executor/connection.py
@@ -1,7 +1,7 @@
-"""Keeps a connection to the executor, over which requests are run.
+"""Maintains a connection to the executor, over which requests are run.
 
-When a connection is lost, the commands sent on it are sent again on the next one, but only those
-that cannot have been carried out: a run must not be repeated.
+When a connection is lost, its unconfirmed commands are sent again on the next one. Confirmed
+commands are not, as a run must not be repeated.
 """
 
 import asyncio
@@ -29,13 +29,14 @@
 READ_BUFFER_BYTES = 64 << 10
 MAX_READ_BUFFER_BYTES = 4 * wire.MAX_BODY_BYTES
 RECONNECT_INTERVAL_NS = NS_PER_SECOND // 20
-CONNECT_TIMEOUT_NS = NS_PER_SECOND
+CONNECT_TIMEOUT_NS = NS_PER_SECOND  # of a first attempt to connect; doubled after each timeout
 MAX_CONNECT_TIMEOUT_NS = 4 * NS_PER_SECOND
-MAX_UNANSWERED_POLLS = 30  # in a row
-CONFIRM_DELAY_NS = NS_PER_SECOND // 40  # from a command to the poll that confirms it
+# Gauge queries in a row that may stay without an answer; one more closes the connection.
+MAX_UNANSWERED_POLLS = 30
+CONFIRM_DELAY_NS = NS_PER_SECOND // 40  # from a command to the gauge query that confirms it
 
-# Bound once: each is used with every request, and on Python 3.11 an access through the enum takes
-# seven times as long as a comparison of strings.
+# Module-level names, as each is used for every request, and on Python 3.11 an access through the
+# enum takes seven times as long as a comparison of strings.
 RUN_ENDED = NoticeKind.RUN_ENDED
 CALL_REQUESTED = NoticeKind.CALL_REQUESTED
 START_RUN = Command.START_RUN
@@ -45,22 +46,24 @@
 
 
 class ExecutorConnection:
-    """Sends runs and call results to the executor, and hands its notices on.
+    """Sends commands to the executor, and hands its notices on.
 
     A command is confirmed by a notice about its request, or by the answer to a gauge query that was
     sent after it. Until then it may be lost with the connection, and is sent again on the next one.
-    A confirmed one must not be: its run may have ended, and would run again.
+    A confirmed command must not be sent again: its run may have ended, and would run again.
 
     Attributes:
-        last_notice: The number of the last notice that was handled; the executor sends again what
-            came after it.
-        unconfirmed_commands: By command and request id, the command's place in the order of all
-            commands, and its bytes.
-        command_count: How many commands were sent so far.
-        pending_polls: By tag, who waits for the gauges, and how many commands were sent before.
+        last_notice: The number of the last handled notice; on a new connection the executor sends
+            the later ones again.
+        unconfirmed_commands: For each command name and request id, the command's position in the
+            order of all commands, and its bytes.
+        command_count: How many commands were sent or queued so far.
+        pending_polls: For each tag, the future of the gauges, and how many commands were sent
+            before the query.
         is_joined: Whether this connection's replay of notices is over, and commands may be sent.
-        is_replaying: Whether the next notice's number may leave some out.
-        has_served: Whether this connection was ever joined.
+        is_replaying: Whether the next notice's number may skip some, as it is the first of a
+            replay.
+        has_served: Whether the current connection was joined.
     """
 
     def __init__(
@@ -72,16 +75,19 @@
         on_call_requested: Callable[[str, bytes], None],
         free_descriptor: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Prepares the connection; `maintain` makes it.
+        """Prepares the connection; `maintain` establishes it.
 
         Args:
             address: Host and port of the executor.
             supervisor: Owner of the connection's tasks.
-            on_welcome: Called at each connect: whether the executor is cold, and its age in ms.
-            on_run_ended: Called with request id, status, duration in ns and result.
-            on_call_requested: Called with the id of the request whose run asks for a call, and
-                the call's body.
-            free_descriptor: Frees a descriptor elsewhere where none is left for a new connection.
+            on_welcome: Called on each connection with whether the executor is cold, and its age
+                in ms.
+            on_run_ended: Called at the end of a run with request id, status, duration in ns and
+                result.
+            on_call_requested: Called with the id of the request whose run requests a call, and the
+                call's body.
+            free_descriptor: Called where no descriptor is left for a new connection; returns
+                whether it freed one.
         """
         self.address, self.supervisor = address, supervisor
         self.on_welcome, self.on_run_ended = on_welcome, on_run_ended
@@ -99,57 +105,58 @@
         self.connect_timeout_ns = CONNECT_TIMEOUT_NS
 
     def start_run(self, request_id: str, request_class: str, body: bytes) -> None:
-        """Has the executor run a request."""
+        """Sends the command that runs a request."""
         command = wire.encode_start_run(request_id, request_class, body)
         self.send_command(START_RUN, request_id, command)
 
     def send_call_result(self, request_id: str, result: bytes) -> None:
-        """Gives a run the result of the call that it asked for."""
+        """Sends a run the result of the call that it requested."""
         command = wire.encode_call_result(request_id, result)
         self.send_command(SEND_CALL_RESULT, request_id, command)
 
     def send_command(self, name: Command, request_id: str, command: bytes) -> None:
-        """Sends a command now, or once the connection is joined."""
+        """Sends a command, at once or when the connection is joined."""
         self.command_count += 1
         self.unconfirmed_commands.pop((name, request_id), None)
         self.unconfirmed_commands[name, request_id] = self.command_count, command
         if self.is_joined and self.writer is not None:
             self.writer.send(command)
             if self.confirm_timer is None:
-                # More often than the regular polls: the fewer commands are sent again although
-                # they had arrived, the fewer runs are found one call further, or over.
+                # More often than the regular polls. A command that had arrived and is sent again
+                # reaches a run that has ended or waits for its next call, so as few as possible
+                # should be unconfirmed.
                 self.confirm_timer = asyncio.get_running_loop().call_later(
                     CONFIRM_DELAY_NS / NS_PER_SECOND, self.confirm_commands
                 )
 
     def confirm_commands(self) -> None:
-        """Polls the gauges, whose answer confirms the commands sent so far."""
+        """Sends a gauge query, whose answer confirms the commands sent so far."""
         self.confirm_timer = None
         if self.is_joined and self.unconfirmed_commands:
             self.poll_gauges()
 
     async def query_gauges(self, timeout_ns: int) -> Gauges | None:
-        """Returns what the executor measures now; None where it does not answer in time."""
+        """Returns the executor's current gauges; None where it does not answer in time."""
         if self.writer is None:
             return None
-        # A connection that is not joined counts as unanswered too: the answer that would join it
-        # may have been lost.
+        # A query on a connection that is not joined counts as unanswered too: the answer that
+        # would join it may have been lost.
         poll = self.poll_gauges() if self.is_joined else None
         is_answered = poll is not None and bool(
             (await asyncio.wait({poll}, timeout=timeout_ns / NS_PER_SECOND))[0]
         )
         self.unanswered_polls = 0 if is_answered else self.unanswered_polls + 1
         if self.unanswered_polls > MAX_UNANSWERED_POLLS and self.writer is not None:
-            # Against a connection that stays open with nobody at its other end. A new one brings
-            # the notices that were missed.
+            # The connection may be open with no process at its other end. A new connection
+            # replays the notices that were missed.
             log.warning("event=executor_unresponsive polls=%d", self.unanswered_polls)
             self.unanswered_polls = 0
-            with contextlib.suppress(OSError):  # a reset just now, which the reader sees next
+            with contextlib.suppress(OSError):  # already reset, which the reader sees next
                 self.writer.socket.shutdown(socket.SHUT_RDWR)
         return poll.result() if is_answered and poll is not None else None
 
     def poll_gauges(self) -> "asyncio.Future[Gauges | None]":
-        """Sends a gauge query; returns its answer to come, None once the connection is lost."""
+        """Sends a gauge query; returns a future of its answer, None if the connection is lost."""
         self.last_tag += 1
         tag = f"m{self.last_tag}"
         poll: asyncio.Future[Gauges | None] = asyncio.get_running_loop().create_future()
@@ -166,7 +173,7 @@
                 self.connection_task.cancel()
 
     async def maintain(self) -> None:
-        """Connects to the executor, and again whenever the connection is lost, for good."""
+        """Connects to the executor, reconnects when the connection is lost, and never returns."""
         previous: CloseReason | None = None
         while True:
             self.has_served = False
@@ -189,12 +196,13 @@
                     detail,
                 )
             previous = reason
-            # At once where the connection had served: runs end and calls wait meanwhile.
+            # Reconnects at once if the connection had been joined, as runs end and request calls
+            # meanwhile.
             if reason is not CloseReason.ADDRESS_CHANGED and not self.has_served:
                 await sleep_ns(RECONNECT_INTERVAL_NS)
 
     async def connect_and_read(self) -> tuple[CloseReason, str]:
-        """Makes one connection and reads it to its end; returns why it ended, and a detail."""
+        """Connects and handles notices until the connection ends; returns the reason and detail."""
         sock: socket.socket | None = None
         try:
             sock = open_stream_socket(self.free_descriptor)
@@ -202,8 +210,9 @@
                 async with asyncio.timeout(self.connect_timeout_ns / NS_PER_SECOND):
                     await asyncio.get_running_loop().sock_connect(sock, self.address)
             except TimeoutError:
-                # The system would retry ever later, and find a machine that is back late. Where
-                # connecting is slow by itself, the next try has longer.
+                # Without this timeout the kernel would retry at growing intervals, and would notice
+                # late that a machine is back. The doubled timeout serves networks where connecting
+                # is slow.
                 self.connect_timeout_ns = min(MAX_CONNECT_TIMEOUT_NS, 2 * self.connect_timeout_ns)
                 return CloseReason.CONNECT_TIMEOUT, ""
             self.connect_timeout_ns = CONNECT_TIMEOUT_NS
@@ -216,7 +225,8 @@
         except OSError as error:
             return CloseReason.PEER_RESET, error.strerror or ""
         except Exception:
-            # Whatever a notice set off: a server that loses its executor for good serves nobody.
+            # A handler of a notice failed. The connection is made again: a server without an
+            # executor could serve no request.
             log.exception("event=internal_error side=executor")
             return CloseReason.INTERNAL_ERROR, ""
         finally:
@@ -225,7 +235,7 @@
                 sock.close()
 
     def disconnect(self) -> None:
-        """Forgets a connection that is lost; polls that wait for it get None."""
+        """Resets the state of a lost connection; its pending polls return None."""
         if self.writer is not None:
             self.writer.abort()
         self.writer = None
@@ -236,15 +246,15 @@
         self.pending_polls.clear()
 
     async def read_notices(self, sock: socket.socket) -> None:
-        """Joins, and handles notices until the executor closes the connection.
+        """Sends the join command, and handles notices until the executor closes the connection.
 
         Raises:
-            ConnectionEndedError: The executor sent what is no notice.
+            ConnectionEndedError: The executor sent a malformed or unexpected notice.
             OSError: The connection was lost.
         """
         reader = SocketReader(sock)
         buffer = ReceiveBuffer(READ_BUFFER_BYTES, MAX_READ_BUFFER_BYTES)
-        # A write that fails is followed by a read that fails too.
+        # A failed write needs no handler: the next read fails too.
         self.writer = SocketWriter(sock, self.supervisor, lambda: None)
         self.writer.send(wire.encode_join(self.last_notice))
         while True:
@@ -256,11 +266,11 @@
                 self.handle_notice(notice)
 
     def handle_notice(self, notice: wire.Notice) -> None:
-        """Acts on one notice.
+        """Handles one notice.
 
         Raises:
-            ConnectionEndedError: One of its fields is not what its kind asks for, or notices
-                before it were left out.
+            ConnectionEndedError: A field is invalid for the notice's kind, or notices before this
+                one are missing.
         """
         kind, fields, body = notice
         if kind is RUN_ENDED:
@@ -269,7 +279,7 @@
         elif kind is CALL_REQUESTED:
             if self.is_new_notice(fields[0]):
                 self.confirm_request(fields[1])
-                # A copy: the call may be made later, and again.
+                # A copy, as the call may be made later or repeated.
                 self.on_call_requested(fields[1], bytes(body))
         elif kind is NoticeKind.GAUGES:
             tag, *values = fields
@@ -283,10 +293,10 @@
             self.is_new_notice(fields[0])
 
     def handle_welcome(self, fields: list[str]) -> None:
-        """Begins the replay of the notices that were missed.
+        """Starts the replay of the missed notices.
 
-        It ends where a gauge query sent now is answered: only then is it known which commands
-        arrived.
+        The replay ends with the answer to the gauge query that is sent here; only then is it known
+        which commands had arrived.
         """
         is_cold = wire.parse_is_cold(fields[0])
         self.is_replaying = True
@@ -295,7 +305,7 @@
         self.barrier_tag = f"m{self.last_tag}"
 
     def handle_run_ended(self, fields: list[str], body: memoryview) -> None:
-        """Hands the end of a run on."""
+        """Confirms the run's commands and reports its end."""
         _, request_id, status, duration_ms, _ = fields
         self.confirm_request(request_id)
         self.on_run_ended(
@@ -306,23 +316,25 @@
         )
 
     def confirm_request(self, request_id: str) -> None:
-        """Confirms the commands about one request: the executor told of it."""
+        """Confirms the commands about a request that a notice named."""
         self.unconfirmed_commands.pop((START_RUN, request_id), None)
         self.unconfirmed_commands.pop((SEND_CALL_RESULT, request_id), None)
 
     def is_new_notice(self, number_field: str) -> bool:
-        """Counts a numbered notice; returns whether it was not handled before.
+        """Records a notice's number; returns whether the notice was not handled before.
 
         Raises:
-            ConnectionEndedError: Notices before it were left out, outside of a replay.
+            ConnectionEndedError: Notices before it are missing, and it is not the first of a
+                replay.
         """
         number = wire.parse_integer(number_field)
         if number > self.last_notice + 1 and not self.is_replaying:
-            raise wire.malformed(f"notice {number} after {self.last_notice}")
+            raise wire.malformed_error(f"notice {number} after notice {self.last_notice}")
         if number > self.last_notice + 1:
-            # While there was no connection the executor had more notices than it keeps. Some runs'
-            # ends are never learnt, and unconfirmed commands may be among them: not sent again,
-            # such a request fails in time and is never run twice.
+            # While there was no connection, the executor dropped notices beyond the number that it
+            # keeps. The ends of some runs will never be received, and these runs may have
+            # unconfirmed commands. Those are not sent again: the request fails at its deadline and
+            # is never run twice.
             log.error("event=notices_lost first=%d last=%d", self.last_notice + 1, number - 1)
             self.unconfirmed_commands.clear()
         self.is_replaying = False
@@ -331,10 +343,12 @@
         return is_new
 
     def handle_gauges(self, tag: str, values: Gauges) -> None:
-        """Answers the poll with this tag, and confirms the commands sent before it."""
+        """Completes the poll with this tag, and confirms the commands sent before it."""
         poll, confirmed_count = self.pending_polls.pop(tag, (None, 0))
         confirmed = [
-            key for key, (place, _) in self.unconfirmed_commands.items() if place <= confirmed_count
+            key
+            for key, (position, _) in self.unconfirmed_commands.items()
+            if position <= confirmed_count
         ]
         for key in confirmed:
             del self.unconfirmed_commands[key]
@@ -345,7 +359,7 @@
             poll.set_result(values)
 
     def handle_rejection(self, fields: list[str]) -> None:
-        """Ends the run of a request that the executor does not know."""
+        """Ends the run of a request whose command the executor rejected."""
         log.info("event=command_rejected command=%s id=%s", fields[0], " ".join(fields[1:]))
         if len(fields) > 1 and fields[0] == START_RUN:
             self.unconfirmed_commands.pop((START_RUN, fields[1]), None)
--- a/burlloom/executor/wire.py
+++ b/burlloom/executor/wire.py
@@ -1,26 +1,26 @@
-r"""The executor's protocol, mapped to our terms here and nowhere else.
+r"""Maps the executor's protocol to this package's terms; no other module uses its names.
 
-Commands and notices are lines of fields that end in ``\r\n``. A field that is the length of a body
-comes last, and the body and another ``\r\n`` follow.
+Commands and notices are lines of fields that end in ``\r\n``. If a message has a body, its last
+field is the body's length in bytes, and the body and another ``\r\n`` follow the line.
 
 =================================================  ==============================================
 command, sent                                      meaning
 =================================================  ==============================================
 ``JOIN <number>``                                  send all notices after this number
 ``EXEC <request id> <class> <length>`` body        run this request
-``RETURN <request id> <length>`` body              the result of the call that its run asked for
+``RETURN <request id> <length>`` body              the result of the call that its run requested
 ``METER <tag>``                                    send the gauges
 =================================================  ==============================================
 
 =================================================  ==============================================
 notice, received                                   meaning
 =================================================  ==============================================
-``WELCOME EMPTY|LOADED <age>``                     first line; cold or warm, ms since its start
+``WELCOME EMPTY|LOADED <age>``                     first line: cold or warm, ms since its start
 ``EXIT <number> <request id> <status> <ms> <length>`` body  a run ended with this result
-``CALLOUT <number> <request id> <length>`` body    a run asks for a call with this body
+``CALLOUT <number> <request id> <length>`` body    a run requests a call with this body
 ``METERS <tag> <value>...``                        the gauges
-``BAD <command> <request id>``                     a command named a request that is not known
-``LOG <number> <text>``                            a line for our log
+``BAD <command> <request id>``                     a command named an unknown request
+``LOG <number> <text>``                            a line for the server's log
 =================================================  ==============================================
 """
 
@@ -31,19 +31,19 @@
 
 MAX_LINE_BYTES = 4 << 10
 MAX_BODY_BYTES = 1 << 20
-MAX_QUOTED_CHARACTERS = 40  # of what was received, in an error's detail
+MAX_QUOTED_CHARACTERS = 40  # of a received value, in an error's detail
 LINE_END = b"\r\n"
 
 
 class Command(StrEnum):
-    """The commands that carry a request."""
+    """The commands that carry a request id."""
 
     START_RUN = "EXEC"
     SEND_CALL_RESULT = "RETURN"
 
 
 class NoticeKind(Enum):
-    """What a notice tells."""
+    """The kinds of notices."""
 
     WELCOME = "WELCOME"
     RUN_ENDED = "EXIT"
@@ -64,12 +64,12 @@
 
 
 class Notice(NamedTuple):
-    """One notice.
+    """A received notice.
 
     Attributes:
-        kind: What it tells.
-        fields: Its fields after the first.
-        body: Its body, empty where its kind has none; a slice of the receive buffer.
+        kind: Its kind.
+        fields: Its fields after the name.
+        body: Its body, empty if its kind has none; a slice of the receive buffer.
     """
 
     kind: NoticeKind
@@ -78,11 +78,11 @@
 
 
 class NoticeFormat(NamedTuple):
-    """How a notice is laid out.
+    """The format of a kind of notice.
 
     Attributes:
-        kind: What it tells.
-        field_count: How many fields follow the first.
+        kind: The kind of notice.
+        field_count: How many fields follow the name, at least.
         has_body: Whether the last field is the length of a body.
         is_open_ended: Whether more fields may follow.
     """
@@ -124,111 +124,115 @@
 
 
 def encode_gauge_query(tag: str) -> bytes:
-    """Returns the command that asks for the gauges; the notice that answers has the same tag."""
+    """Returns the command that queries the gauges; the answering notice has the same tag."""
     return f"METER {tag}\r\n".encode()
 
 
 def encode_join(last_notice: int) -> bytes:
-    """Returns the command that asks for all notices after `last_notice`."""
+    """Returns the command that requests all notices after `last_notice`."""
     return f"JOIN {last_notice}\r\n".encode()
 
 
-def malformed(detail: str) -> ConnectionEndedError:
-    """Returns the error for bytes that are none of the protocol's."""
+def malformed_error(detail: str) -> ConnectionEndedError:
+    """Returns the error for bytes that violate the protocol."""
     return ConnectionEndedError(CloseReason.MALFORMED, detail)
 
 
 def parse_integer(text: str) -> int:
-    """Parses a number without a sign.
+    """Parses an integer without a sign.
 
     Raises:
-        ConnectionEndedError: It is none.
+        ConnectionEndedError: The text is not such a number.
     """
     if not text.isdecimal():
-        raise malformed(f"number {text[:MAX_QUOTED_CHARACTERS]!r}")
+        raise malformed_error(f"not an integer: {text[:MAX_QUOTED_CHARACTERS]!r}")
     return int(text)
 
 
 def parse_decimal(text: str) -> float:
-    """Parses a number with a fraction.
+    """Parses a number that may have a fraction.
 
     Raises:
-        ConnectionEndedError: It is none.
+        ConnectionEndedError: The text is not a number.
     """
     try:
         return float(text)
     except ValueError as error:
-        raise malformed(f"number {text[:MAX_QUOTED_CHARACTERS]!r}") from error
+        raise malformed_error(f"not a number: {text[:MAX_QUOTED_CHARACTERS]!r}") from error
 
 
 def parse_duration_ns(text: str) -> int:
     """Parses a duration in milliseconds; returns nanoseconds.
 
     Raises:
-        ConnectionEndedError: It is no number.
+        ConnectionEndedError: The text is not a number.
     """
     return int(parse_decimal(text) * NS_PER_MS)
 
 
 def parse_is_cold(text: str) -> bool:
-    """Parses the state of a welcome: whether the executor has served nothing yet.
+    """Parses the state in a welcome; returns whether the executor is cold.
 
     Raises:
-        ConnectionEndedError: It is no state.
+        ConnectionEndedError: The text is not a known state.
     """
     is_cold = IS_COLD_BY_STATE.get(text)
     if is_cold is None:
-        raise malformed(f"state {text}")
+        raise malformed_error(f"unknown state {text}")
     return is_cold
 
 
 def parse_run_status(text: str) -> RunStatus:
-    """Parses how a run ended; a status that is not known counts as failed."""
+    """Parses the status of a run; an unknown status counts as failed."""
     return RUN_STATUSES.get(text, RunStatus.FAILED)
 
 
 def read_notice(buffer: ReceiveBuffer) -> Notice | None:
-    """Takes the next notice off the buffer.
+    """Removes the next notice from the buffer.
 
     Returns:
-        The notice; None where it is not all there yet.
+        The notice; None while it is incomplete.
 
     Raises:
-        ConnectionEndedError: What is there is no notice.
+        ConnectionEndedError: The bytes are not a valid notice.
     """
     raw = buffer.view.obj
     assert isinstance(raw, bytearray)
     stop = raw.find(LINE_END, buffer.start, buffer.end)
     if stop < 0:
         if buffer.end - buffer.start > MAX_LINE_BYTES:
-            raise malformed("line without an end")
+            raise malformed_error(f"no end of line in {MAX_LINE_BYTES} bytes")
         return None
     line = bytes(buffer.view[buffer.start : stop])
     name, *fields = line.split(b" ")
     if name not in NOTICE_FORMATS:
-        raise malformed(f"notice {line[:MAX_QUOTED_CHARACTERS]!r}")
+        raise malformed_error(f"unknown notice {line[:MAX_QUOTED_CHARACTERS]!r}")
     kind, field_count, has_body, is_open_ended = NOTICE_FORMATS[name]
     if len(fields) < field_count or len(fields) > field_count and not is_open_ended:
-        raise malformed(f"notice {line[:MAX_QUOTED_CHARACTERS]!r}")
+        raise malformed_error(f"number of fields in {line[:MAX_QUOTED_CHARACTERS]!r}")
     after, body = stop + len(LINE_END), buffer.view[:0]
     if has_body:
-        size = body_length(fields[-1], line)
+        size = parse_body_length(fields[-1], line)
         if buffer.end < after + size + len(LINE_END):
             return None
         body = buffer.view[after : after + size]
         after += size + len(LINE_END)
         if raw[after - len(LINE_END) : after] != LINE_END:
-            raise malformed(f"body of {line[:MAX_QUOTED_CHARACTERS]!r}")
+            raise malformed_error(f"no end after the body of {line[:MAX_QUOTED_CHARACTERS]!r}")
     buffer.start = after
     return Notice(kind, [field.decode("latin-1") for field in fields], body)
 
 
-def body_length(field: bytes, line: bytes) -> int:
-    """Parses the length of a body.
+def parse_body_length(field: bytes, line: bytes) -> int:
+    """Parses the length of a body, in bytes.
+
+    Args:
+        field: The field with the length.
+        line: The line of the notice, for the error.
 
     Raises:
-        ConnectionEndedError: It is no number, or over `MAX_BODY_BYTES`.
+        ConnectionEndedError: The field is not a number, or is over `MAX_BODY_BYTES`.
     """
     if not field.isdigit() or int(field) > MAX_BODY_BYTES:
-        raise malformed(f"length in {line[:MAX_QUOTED_CHARACTERS]!r}")
+        raise malformed_error(f"length of the body in {line[:MAX_QUOTED_CHARACTERS]!r}")
     return int(field)
--- a/burlloom/sockets/__init__.py
+++ b/burlloom/sockets/__init__.py
@@ -1,6 +1,7 @@
-"""Building blocks of every connection: reader, writer, orderly close, reasons for a close.
+"""Building blocks of all connections: reader, writer, orderly close and reasons for a close.
 
-Also the task supervisor, the socket options that the event loop needs, and units of time.
+The package also has the task supervisor, the socket options that the event loop needs, and units of
+time.
 """
 
 from .close_reasons import CloseReason, ConnectionEndedError
--- a/burlloom/sockets/close_reasons.py
+++ b/burlloom/sockets/close_reasons.py
@@ -1,4 +1,4 @@
-"""Why a connection was closed; docs/on-call.md says for each what to do."""
+"""Reasons for closing a connection; docs/on-call.md says what to do about each."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 
 class CloseReason(Enum):
-    """The `reason` of the log's `connection_closed` lines."""
+    """The values of the key `reason` in the log's `connection_closed` lines."""
 
     PEER_CLOSED = "peer_closed"
     PEER_RESET = "peer_reset"
@@ -30,10 +30,10 @@
 
 
 class ConnectionEndedError(BurlloomError):
-    """A connection cannot go on, for a reason that we name.
+    """A connection cannot be used any longer, for a known reason.
 
     Attributes:
-        reason: Why, as it is logged.
+        reason: The reason to log.
         detail: What was wrong, and where in the input.
     """
 
--- a/burlloom/sockets/socket_reader.py
+++ b/burlloom/sockets/socket_reader.py
@@ -1,14 +1,15 @@
-"""The reading side of a connection."""
+"""Receives the bytes of a connection."""
 
 import asyncio
 import socket
 
 
 class SocketReader:
-    """Waits until a socket is readable, and then reads, as two steps.
+    """Waits until a socket is readable, and reads in a separate step.
 
-    `sock_recv_into` does both at once: what it had read when it is cancelled is lost, with a whole
-    request perhaps. Here only the wait can be cancelled, and the bytes stay in the kernel.
+    `sock_recv_into` does both in one: if it is cancelled, the bytes that it has read are lost,
+    possibly with a whole request. Here only the wait can be cancelled, and the bytes stay in the
+    kernel.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -20,7 +21,7 @@
         """Receives into `buffer`.
 
         Returns:
-            How many bytes came; 0 where the peer closed its half.
+            How many bytes were received; 0 if the peer has closed its half.
 
         Raises:
             OSError: The connection was lost.
@@ -45,7 +46,7 @@
     def stop(self) -> None:
         """Stops waiting.
 
-        The socket may be closed only after this: its descriptor may be another socket's soon.
+        Must come before the socket is closed, as its descriptor may soon be that of another socket.
         """
         if self.waiter is not None:
             self.loop.remove_reader(self.socket)
@@ -53,7 +54,7 @@
 
 
 def has_unread_bytes(sock: socket.socket) -> bool:
-    """Returns whether bytes came on a non-blocking socket that are not read yet."""
+    """Returns whether a non-blocking socket has received bytes that are not read yet."""
     try:
         return bool(sock.recv(1, socket.MSG_PEEK))
     except OSError:
--- a/burlloom/sockets/socket_writer.py
+++ b/burlloom/sockets/socket_writer.py
@@ -1,4 +1,4 @@
-"""The writing side of a connection."""
+"""Sends the bytes of a connection."""
 
 import asyncio
 import socket
@@ -8,16 +8,16 @@
 
 
 class SocketWriter:
-    """Sends messages whole and in order, at the peer's pace; the sender does not wait.
+    """Sends messages whole and in order, at the peer's pace, without blocking the sender.
 
-    What is sent within one turn of the event loop leaves at its end as one piece, mostly in one
-    system call. What the kernel does not take waits in a `sock_sendall`, one at a time: two would
-    interleave.
+    Messages sent within one iteration of the event loop are joined at its end and usually sent in
+    one system call. Bytes that the kernel does not accept wait in a `sock_sendall`. Only one runs
+    at a time: the bytes of two would interleave.
 
     Attributes:
-        unsent_bytes: Size of what was sent and is not known to have left.
-        has_written: Whether anything was ever sent.
-        is_ended: Whether the writer was aborted, or the connection lost.
+        unsent_bytes: How many bytes were queued and are not known to be accepted by the kernel.
+        has_written: Whether any message was ever queued.
+        is_ended: Whether the writer was aborted or the connection lost.
     """
 
     def __init__(
@@ -32,11 +32,11 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Whether something waits to leave."""
+        """Whether queued bytes are not sent yet."""
         return not self.is_ended and (bool(self.pending) or self.write_task is not None)
 
     def send(self, *pieces: bytes) -> None:
-        """Queues the pieces of one message; drops them where the writer has ended."""
+        """Queues the pieces of one message; drops them if the writer has ended."""
         if not self.is_ended:
             self.has_written = True
             self.pending += pieces
@@ -46,7 +46,7 @@
                 self.loop.call_soon(self.flush)
 
     def flush(self) -> None:
-        """Hands what is queued to the kernel; a task writes what the kernel does not take."""
+        """Sends the queued bytes; a task sends those that the kernel does not accept at once."""
         self.is_flush_scheduled = False
         if not self.pending or self.is_ended or self.write_task is not None:
             return
@@ -65,7 +65,7 @@
             self.write_task = self.supervisor.start(self.write(data[sent:]), "write")
 
     async def write(self, data: bytes) -> None:
-        """Writes `data`, and what is queued meanwhile, at the peer's pace."""
+        """Sends `data`, and the bytes that are queued meanwhile, at the peer's pace."""
         try:
             while data:
                 await self.loop.sock_sendall(self.socket, data)
@@ -73,20 +73,20 @@
                 data = b"".join(self.pending)
                 self.pending.clear()
         except OSError:
-            # What the peer was owed is lost with the connection; its reader must learn of it.
+            # The unsent bytes are lost with the connection, and its reader must be told.
             self.abort()
             self.on_error()
         finally:
             self.write_task = None
 
     async def drain(self) -> None:
-        """Waits until all that was sent has left, or cannot leave any more."""
+        """Waits until all queued bytes are sent or can no longer be sent."""
         self.flush()
         while self.write_task is not None:
             await asyncio.wait({self.write_task})
 
     def abort(self) -> None:
-        """Drops what is queued and sends nothing any more."""
+        """Drops the queued bytes and stops sending."""
         self.is_ended = True
         self.pending.clear()
         if self.write_task is not None and self.write_task is not asyncio.current_task():
--- a/burlloom/sockets/stream_sockets.py
+++ b/burlloom/sockets/stream_sockets.py
@@ -1,4 +1,4 @@
-"""Stream sockets as the event loop needs them."""
+"""Opens and configures stream sockets for the event loop."""
 
 import errno
 import socket
@@ -8,7 +8,7 @@
 def configure_socket(sock: socket.socket) -> socket.socket:
     """Makes a socket non-blocking and turns Nagle's algorithm off; returns it.
 
-    Messages are small and somebody waits for each.
+    Messages are small, and Nagle's algorithm would delay answers that a peer waits for.
     """
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -16,7 +16,7 @@
 
 
 def is_out_of_descriptors(error: BaseException | None) -> bool:
-    """Returns whether an error says that the process or the system has no descriptor left."""
+    """Returns whether an error means that the process or the system has no descriptor left."""
     return isinstance(error, OSError) and error.errno in (errno.EMFILE, errno.ENFILE)
 
 
@@ -24,7 +24,7 @@
     """Opens an unconnected TCP socket.
 
     Args:
-        free_descriptor: Called once where no descriptor is left; returns whether it freed one.
+        free_descriptor: Called once if no descriptor is left; returns whether it freed one.
 
     Raises:
         OSError: No socket could be opened.
--- a/burlloom/sockets/task_supervisor.py
+++ b/burlloom/sockets/task_supervisor.py
@@ -1,4 +1,4 @@
-"""Owns the server's tasks, so that none fails unseen."""
+"""Owns the server's tasks, so that no error of a task goes unnoticed."""
 
 import asyncio
 import logging
@@ -11,26 +11,26 @@
 
 
 class TaskSupervisor:
-    """Keeps a reference to each running task and logs the error of each that fails.
+    """Keeps a reference to each running task and logs the error of each task that fails.
 
-    The event loop itself holds its tasks only weakly.
+    The event loop itself has only weak references to its tasks.
 
     Attributes:
-        running: Tasks that are not done.
+        running: The tasks that are not done.
     """
 
     def __init__(self) -> None:
         self.running: set[asyncio.Task[Any]] = set()
 
     def start(self, coroutine: Coroutine[Any, Any, Result], name: str) -> asyncio.Task[Result]:
-        """Starts a task; `name` is what the log calls it."""
+        """Starts a task; `name` identifies it in the log."""
         task = asyncio.get_running_loop().create_task(coroutine, name=name)
         self.running.add(task)
         task.add_done_callback(self.on_done)
         return task
 
     def on_done(self, task: asyncio.Task[Any]) -> None:
-        """Forgets a task that is done, and logs its error."""
+        """Removes a finished task, and logs its error if it failed."""
         self.running.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             log.error("event=task_failed task=%s", task.get_name(), exc_info=error)
--- a/burlloom/sockets/time_units.py
+++ b/burlloom/sockets/time_units.py
@@ -1,4 +1,4 @@
-"""Units of time: durations are whole nanoseconds, and seconds only where asyncio asks for them."""
+"""Units of time. Durations are whole nanoseconds; only asyncio is given seconds."""
 
 import asyncio
 
@@ -7,5 +7,5 @@
 
 
 async def sleep_ns(duration_ns: int) -> None:
-    """Sleeps for a duration; one that is not positive yields to the event loop once."""
+    """Sleeps for `duration_ns`; a duration of 0 or less yields to the event loop once."""
     await asyncio.sleep(max(0, duration_ns) / NS_PER_SECOND)
