--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -36,16 +36,16 @@
         self.takes, self.steps = takes, [(time.monotonic(), 0)]
 
     async def answer(self, id: str) -> Reply:
-        self.steps.append((time.monotonic(), self.open))
+        self.steps.append((time.monotonic(), self.open_calls))
         try:
             await asyncio.sleep(self.takes)
         finally:
-            self.steps.append((time.monotonic(), self.open - 1))
+            self.steps.append((time.monotonic(), self.open_calls - 1))
         return 200, False, b"here"
 
     def worst(self) -> float:
         """The largest mean in hand over any `SPAN`."""
-        return largest_mean([*self.steps, (time.monotonic(), self.open)], SPAN)
+        return largest_mean([*self.steps, (time.monotonic(), self.open_calls)], SPAN)
 
 
 async def work(rig: Rig) -> None:
@@ -177,8 +177,8 @@
                     await rig.kill()
                     rig.executor.restart()
                     if late:
-                        rig.executor.up.clear()
-                        asyncio.get_running_loop().call_later(late, rig.executor.up.set)
+                        rig.executor.may_join.clear()
+                        asyncio.get_running_loop().call_later(late, rig.executor.may_join.set)
                 spans += [
                     span - late for span in await asyncio.gather(*(start(rig) for rig in again))
                 ]
--- a/benchmarks/kill_restart.py
+++ b/benchmarks/kill_restart.py
@@ -172,12 +172,12 @@
     async def trouble(self) -> None:
         """Before a round."""
         if self.server is not None:
-            orders, chance = self.server.orders, self.chance
-            orders.reset_before_commit = chance.choice([0, 0, 0, 1])
-            orders.reset_after_commit = chance.choice([0, 0, 0, 1])
-            orders.errors = ["53100"] * chance.choice([0, 0, 0, 1])
-            orders.commit_errors = [chance.choice(["40001", "08007"])] * chance.choice([0, 0, 0, 1])
-            orders.delay = chance.choice([0, 0, 0.01, 0.03])
+            faults, chance = self.server.faults, self.chance
+            faults.reset_before_commit = chance.choice([0, 0, 0, 1])
+            faults.reset_after_commit = chance.choice([0, 0, 0, 1])
+            faults.write_errors = ["53100"] * chance.choice([0, 0, 0, 1])
+            faults.commit_errors = [chance.choice(["40001", "08007"])] * chance.choice([0, 0, 0, 1])
+            faults.commit_delay_s = chance.choice([0, 0, 0.01, 0.03])
 
     async def crash(self) -> None:
         """In a round, where it is this kind's."""
@@ -188,9 +188,9 @@
 
     async def calm(self) -> None:
         if self.server is not None:
-            orders = self.server.orders
-            orders.reset_before_commit = orders.reset_after_commit = 0
-            orders.errors, orders.commit_errors, orders.delay = [], [], 0.0
+            faults = self.server.faults
+            faults.reset_before_commit = faults.reset_after_commit = 0
+            faults.write_errors, faults.commit_errors, faults.commit_delay_s = [], [], 0.0
 
     async def stop(self) -> None:
         if self.server is not None:
--- a/benchmarks/record_rates.py
+++ b/benchmarks/record_rates.py
@@ -321,7 +321,7 @@
             )
             rig = Rig(folder, operator=operator, n_cores=8, memory_kb=400000)
             async with rig:
-                standin.orders.delay = delay or 0.0
+                standin.faults.commit_delay_s = delay or 0.0
                 drive = Drive(rig, 0.04, 3)
                 await drive.play(20, {"look": 160, "pay": 30})
                 for product in ("look", "pay"):
@@ -329,7 +329,7 @@
                 for (product, how), count in drive.count.items():
                     if product == "?":
                         print(f"{how}: {count}")
-                standin.orders.delay = 0.0
+                standin.faults.commit_delay_s = 0.0
             await standin.stop()
 
 
--- a/benchmarks/scale_real.py
+++ b/benchmarks/scale_real.py
@@ -45,7 +45,7 @@
                 time.clock_gettime_ns(time.CLOCK_BOOTTIME),
                 "real servers",
                 "in hand",
-                1000 * self.open,
+                1000 * self.open_calls,
             ]
         )
         try:
@@ -56,7 +56,7 @@
                     time.clock_gettime_ns(time.CLOCK_BOOTTIME),
                     "real servers",
                     "in hand",
-                    1000 * (self.open - 1),
+                    1000 * (self.open_calls - 1),
                 ]
             )
         return 200, False, b"fetched"
--- a/burlloom/command/demo.py
+++ b/burlloom/command/demo.py
@@ -128,13 +128,15 @@
             "EDGE_LISTEN": "127.0.0.1:0",
             "BURLLOOM_OPERATOR": str(self.folder / "operator.jsonnet"),
         }
-        asked = self.executor.asked
+        asked = self.executor.gauge_query_count
         with open(log, "wb") as out:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "burlloom.server", stdout=out, stderr=out, env=env
             )
         until = time.monotonic() + START_WAIT
-        while "event=listening" not in log.read_text() or self.executor.asked < asked + 2:
+        while (
+            "event=listening" not in log.read_text() or self.executor.gauge_query_count < asked + 2
+        ):
             if self.process.returncode is not None or time.monotonic() > until:
                 raise Failed(f"the server did not start; its log:\n{log.read_text()}")
             await asyncio.sleep(0.01)
--- a/burlloom/downstream/wire.py
+++ b/burlloom/downstream/wire.py
@@ -30,7 +30,7 @@
 
 
 class CallStatus(Enum):
-    """How a call ended.
+    """How a call ended, as far as its end proves it.
 
     A call that is REJECTED, NO_LONGER_NEEDED or UNREACHABLE never ran; any other may have run.
     """
--- a/burlloom/fakes/pgwire.py
+++ b/burlloom/fakes/pgwire.py
@@ -1,5 +1,6 @@
-"""The messages of PostgreSQL's frontend/backend protocol 3.0, as far as our client uses them. No
-I/O.
+"""Encodes and decodes the messages of PostgreSQL's frontend/backend protocol 3.0.
+
+Has only the messages that the record's and the stores' client uses. Does no I/O.
 
 Source: the chapter "Frontend/Backend Protocol" of PostgreSQL's manual.
 """
@@ -7,128 +8,183 @@
 import struct
 from dataclasses import dataclass
 
-PROTOCOL, SSL, GSS, CANCEL = 196608, 80877103, 80877104, 80877102
-MESSAGE_MOST = 16 << 20
-BYTEA, INT8, TEXT, VOID = 17, 20, 25, 2278
-TYPES = {"bytea": BYTEA, "bigint": INT8, "int8": INT8, "text": TEXT}
+# Codes of start-up messages.
+PROTOCOL_VERSION, SSL_REQUEST, GSS_REQUEST, CANCEL_REQUEST = 196608, 80877103, 80877104, 80877102
+MAX_MESSAGE_BYTES = 16 << 20
+# Object ids of data types.
+BYTEA_OID, INT8_OID, TEXT_OID, VOID_OID = 17, 20, 25, 2278
+OID_BY_TYPE = {"bytea": BYTEA_OID, "bigint": INT8_OID, "int8": INT8_OID, "text": TEXT_OID}
 
 
-class Malformed(Exception):
-    """What came is no message of the protocol."""
+class MalformedMessageError(Exception):
+    """The received bytes are not a valid message of the protocol."""
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    kind: bytes
-    body: bytes
+    """One message.
 
+    Attributes:
+        kind: Its type byte.
+        body: Its body, without type and length.
+    """
 
-class Reader:
-    """Takes parts off a message's body; whatever is short is malformed."""
+    kind: bytes
+    body: bytes
 
-    def __init__(self, body: bytes) -> None:
-        self.body, self.at = body, 0
 
-    def take(self, size: int) -> bytes:
-        if size < 0 or self.at + size > len(self.body):
-            raise Malformed("message too short")
-        self.at += size
-        return self.body[self.at - size : self.at]
+class MessageReader:
+    """Reads the parts of a message's body one after the other.
 
-    def int16(self) -> int:
-        return int(struct.unpack(">h", self.take(2))[0])
+    A read beyond the end of the body raises `MalformedMessageError`.
 
-    def int32(self) -> int:
-        return int(struct.unpack(">i", self.take(4))[0])
+    Attributes:
+        body: The body.
+        position: Offset of the next part.
+    """
 
-    def text(self) -> str:
-        end = self.body.find(b"\0", self.at)
+    def __init__(self, body: bytes) -> None:
+        self.body, self.position = body, 0
+
+    def read_bytes(self, size: int) -> bytes:
+        """Reads `size` bytes.
+
+        Raises:
+            MalformedMessageError: The body has fewer bytes left, or `size` is negative.
+        """
+        if size < 0 or self.position + size > len(self.body):
+            raise MalformedMessageError(
+                f"{size} bytes at offset {self.position} of a body of {len(self.body)} bytes"
+            )
+        self.position += size
+        return self.body[self.position - size : self.position]
+
+    def read_int16(self) -> int:
+        """Reads a 16-bit integer."""
+        return int(struct.unpack(">h", self.read_bytes(2))[0])
+
+    def read_int32(self) -> int:
+        """Reads a 32-bit integer."""
+        return int(struct.unpack(">i", self.read_bytes(4))[0])
+
+    def read_text(self) -> str:
+        """Reads a text that ends in a zero byte.
+
+        Raises:
+            MalformedMessageError: The body has no zero byte left.
+        """
+        end = self.body.find(b"\0", self.position)
         if end < 0:
-            raise Malformed("text without an end")
-        text = self.body[self.at : end].decode("utf-8", "replace")
-        self.at = end + 1
+            raise MalformedMessageError(f"no end of the text at offset {self.position}")
+        text = self.body[self.position : end].decode("utf-8", "replace")
+        self.position = end + 1
         return text
 
     @property
-    def more(self) -> bool:
-        return self.at < len(self.body)
+    def has_more(self) -> bool:
+        """Whether the body has unread bytes."""
+        return self.position < len(self.body)
 
 
-def message(kind: bytes, *parts: bytes) -> bytes:
+def encode_message(kind: bytes, *parts: bytes) -> bytes:
+    """Returns a message of a type with the joined parts as its body."""
     body = b"".join(parts)
     return kind + struct.pack(">i", len(body) + 4) + body
 
 
-def text(value: str) -> bytes:
+def encode_text(value: str) -> bytes:
+    """Returns a text with its terminating zero byte."""
     return value.encode() + b"\0"
 
 
-def ready(status: str) -> bytes:
-    return message(b"Z", status.encode())
+def ready_for_query(status: str) -> bytes:
+    """Returns ReadyForQuery with a transaction status: `I`, `T` or `E`."""
+    return encode_message(b"Z", status.encode())
 
 
-def status(name: str, value: str) -> bytes:
-    return message(b"S", text(name), text(value))
+def parameter_status(name: str, value: str) -> bytes:
+    """Returns ParameterStatus of one server parameter."""
+    return encode_message(b"S", encode_text(name), encode_text(value))
 
 
-def error(code: str, said: str, severity: str = "ERROR") -> bytes:
-    fields = (b"S" + text(severity), b"V" + text(severity), b"C" + text(code), b"M" + text(said))
-    return message(b"E", *fields, b"\0")
+def error_response(sqlstate: str, text: str, severity: str = "ERROR") -> bytes:
+    """Returns ErrorResponse with a SQLSTATE and a text."""
+    fields = (
+        b"S" + encode_text(severity),
+        b"V" + encode_text(severity),
+        b"C" + encode_text(sqlstate),
+        b"M" + encode_text(text),
+    )
+    return encode_message(b"E", *fields, b"\0")
 
 
-def authentication(code: int, more: bytes = b"") -> bytes:
-    return message(b"R", struct.pack(">i", code), more)
+def authentication_request(code: int, data: bytes = b"") -> bytes:
+    """Returns an authentication message with its code and the data of its mechanism."""
+    return encode_message(b"R", struct.pack(">i", code), data)
 
 
-def described(columns: list[tuple[str, int]]) -> bytes:
+def row_description(columns: list[tuple[str, int]]) -> bytes:
+    """Returns RowDescription of columns, each a name and a type's object id; or NoData."""
     if not columns:
-        return message(b"n")
+        return encode_message(b"n")
     parts = [struct.pack(">h", len(columns))]
     for name, oid in columns:
         parts.append(
-            text(name) + struct.pack(">ihihih", 0, 0, oid, 8 if oid == INT8 else -1, -1, 0)
+            encode_text(name)
+            + struct.pack(">ihihih", 0, 0, oid, 8 if oid == INT8_OID else -1, -1, 0)
         )
-    return message(b"T", *parts)
+    return encode_message(b"T", *parts)
 
 
-def parameters(oids: list[int]) -> bytes:
-    return message(b"t", struct.pack(">h", len(oids)), *(struct.pack(">i", oid) for oid in oids))
+def parameter_description(oids: list[int]) -> bytes:
+    """Returns ParameterDescription of the object ids of a statement's parameter types."""
+    return encode_message(
+        b"t", struct.pack(">h", len(oids)), *(struct.pack(">i", oid) for oid in oids)
+    )
 
 
-def encoded(value: object, oid: int, binary: bool) -> bytes:
-    """One column: its length and bytes; -1 stands for null."""
+def encode_value(value: object, oid: int, is_binary: bool) -> bytes:
+    """Returns the length and the bytes of one column; a length of -1 stands for null."""
     if value is None:
         return struct.pack(">i", -1)
-    if oid == INT8 and binary:
+    if oid == INT8_OID and is_binary:
         raw = struct.pack(">q", int(str(value)))
-    elif oid == BYTEA and not binary:
+    elif oid == BYTEA_OID and not is_binary:
         raw = b"\\x" + bytes(value).hex().encode()  # type: ignore[call-overload]
     else:
         raw = bytes(value) if isinstance(value, (bytes, memoryview)) else str(value).encode()
     return struct.pack(">i", len(raw)) + raw
 
 
-def decoded(raw: bytes | None, oid: int, binary: bool) -> object:
+def decode_value(raw: bytes | None, oid: int, is_binary: bool) -> object:
+    """Returns the value of one parameter."""
     if raw is None:
         return None
-    if oid == INT8:
-        return struct.unpack(">q", raw)[0] if binary else int(raw)
-    if oid == BYTEA:
-        return raw if binary else bytes.fromhex(raw.decode()[2:])
+    if oid == INT8_OID:
+        return struct.unpack(">q", raw)[0] if is_binary else int(raw)
+    if oid == BYTEA_OID:
+        return raw if is_binary else bytes.fromhex(raw.decode()[2:])
     return raw.decode()
 
 
-def row(values: tuple[object, ...], columns: list[tuple[str, int]], formats: list[bool]) -> bytes:
+def data_row(
+    values: tuple[object, ...], columns: list[tuple[str, int]], formats: list[bool]
+) -> bytes:
+    """Returns DataRow of one row; `formats` tells for each column whether it is binary."""
     parts = [struct.pack(">h", len(values))]
     parts += [
-        encoded(value, oid, binary)
-        for value, (_, oid), binary in zip(values, columns, formats, strict=True)
+        encode_value(value, oid, is_binary)
+        for value, (_, oid), is_binary in zip(values, columns, formats, strict=True)
     ]
-    return message(b"D", *parts)
+    return encode_message(b"D", *parts)
+
 
+def expand_formats(codes: list[int], count: int) -> list[bool]:
+    """Returns for each of `count` values whether it is binary.
 
-def formats(codes: list[int], count: int) -> list[bool]:
-    """None given: all text; one: for all; else one each."""
+    Without a code all values are text, a single code applies to all, and otherwise each value has
+    its own.
+    """
     if not codes:
         return [False] * count
     return [bool(codes[0])] * count if len(codes) == 1 else [bool(code) for code in codes]
--- a/burlloom/rpc/connection.py
+++ b/burlloom/rpc/connection.py
@@ -93,7 +93,7 @@
         is_half_closed: Whether the caller has closed its sending half.
         is_ended: Whether the connection is closed or being closed.
         caller: The caller's name, from its last request.
-        detail: The last fault of the caller, for the log.
+        detail: What was wrong last, for the log.
     """
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket, peer: str) -> None:
--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -89,7 +89,7 @@
         )
         assert self.process.returncode is None, self.log()
         address = re.findall(r"event=control_node_started .* address=(\S+)", self.log())[-1]
-        self.world.relay.sent_from(self.name, address)
+        self.world.relay.set_member_address(self.name, address)
         return self
 
     def log(self) -> str:
@@ -157,7 +157,7 @@
                 )
             )
             address = re.findall(r"event=distribution_opened .* address=(\S+)", self.log())[-1]
-            self.world.relay.sent_from(self.name, address)
+            self.world.relay.set_member_address(self.name, address)
 
         await asyncio.gather(reached(), super().begin())
 
@@ -248,7 +248,7 @@
             for at in range(count)
         ]
         for one in made:
-            self.doors[one.name] = await self.relay.door(one.name)
+            self.doors[one.name] = await self.relay.open_endpoint(one.name)
         self.machines += made
         await asyncio.gather(*(one.start() for one in made))
         return made
@@ -261,7 +261,7 @@
             for at in range(count)
         ]
         for one in made:
-            self.doors[one.name] = await self.relay.door(one.name)
+            self.doors[one.name] = await self.relay.open_endpoint(one.name)
         self.nodes += made
         await asyncio.gather(*(one.start() for one in made))
         return made
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -64,7 +64,7 @@
         if self.fleet.is_enabled:
             relay_address = self.fleet.relay_addresses.get(
                 self.name
-            ) or await self.fleet.relay.door(self.name)
+            ) or await self.fleet.relay.open_endpoint(self.name)
             self.fleet.relay_addresses[self.name] = relay_address
             self.operator = {
                 "fleet": {
@@ -93,7 +93,7 @@
         await super().begin()
         if self.fleet.is_enabled:
             await wait_until(lambda: self.log().count("event=membership_opened") > opened_count)
-            self.fleet.relay.sent_from(
+            self.fleet.relay.set_member_address(
                 self.name, re.findall(r"event=membership_opened .* address=(\S+)", self.log())[-1]
             )
         self.tasks.append(asyncio.create_task(self.generate_load()))
@@ -214,7 +214,7 @@
 
     async def sample_open_calls(self) -> None:
         while True:
-            open_calls = sum(service.open for service in self.services)
+            open_calls = sum(service.open_calls for service in self.services)
             self.open_calls_sum, self.sample_count = (
                 self.open_calls_sum + open_calls,
                 self.sample_count + 1,
@@ -251,7 +251,7 @@
         ]
         if self.is_enabled:
             for server in added_servers:
-                self.relay_addresses[server.name] = await self.relay.door(server.name)
+                self.relay_addresses[server.name] = await self.relay.open_endpoint(server.name)
         await asyncio.gather(*(server.start() for server in added_servers))
         self.servers += added_servers
         for server in added_servers:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -89,7 +89,7 @@
         """Starts the program; again, after `kill`, on the same log."""
         lives, asked = (
             self.log().count("event=listening") if self.log_path.exists() else 0,
-            self.executor.asked,
+            self.executor.gauge_query_count,
         )
         env = {
             **os.environ,
@@ -115,10 +115,13 @@
         )
         assert self.process.returncode is None, self.log()
         self.address = re.findall(r"event=listening .*address=(\S+)", self.log())[-1]
-        if self.executor.up.is_set():
+        if self.executor.may_join.is_set():
             # The link is joined once the first was answered.
             await wait_until(
-                lambda: self.executor.asked > asked + 1 or self.process.returncode is not None
+                lambda: (
+                    self.executor.gauge_query_count > asked + 1
+                    or self.process.returncode is not None
+                )
             )
             assert self.process.returncode is None, self.log()
 
@@ -162,8 +165,8 @@
 
     async def proven(self) -> None:
         """Until a METER that was asked after all commands so far has been answered."""
-        asked = self.executor.asked
-        await wait_until(lambda: self.executor.asked > asked + 2)
+        asked = self.executor.gauge_query_count
+        await wait_until(lambda: self.executor.gauge_query_count > asked + 2)
 
     async def command(self, *wanted: str) -> str:
         """The next command is this one; gives its id."""
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -112,7 +112,7 @@
     path = north.folder / "operator.jsonnet"
     path.write_text(
         path.read_text().replace(
-            made.doors["c0"], "%s:%d" % (made.relay.doors["c0"].target or ("", 0))
+            made.doors["c0"], "%s:%d" % (made.relay.endpoints["c0"].target or ("", 0))
         )
     )
     for asked in (north, made.machines[0]):
@@ -320,13 +320,13 @@
         )
     )
     await patiently(lambda: all(node.state()["age_ms"] < 2000 for node in made.nodes))
-    made.postgres.orders.reset_after_commit = 1  # taken, and nobody is told
+    made.postgres.faults.reset_after_commit = 1  # taken, and nobody is told
     revision = made.head()[1]
     await made.put(tenant("once"))
     assert made.head()[1] == revision + 1
-    made.postgres.orders.hang = True
+    made.postgres.faults.hang = True
     await patiently(lambda: all(one.state()["store_away"] for one in made.machines))
-    made.postgres.orders.hang = False
+    made.postgres.faults.hang = False
 
 
 @world(3, 3)
@@ -426,18 +426,22 @@
 
 @world(2, 3)
 async def test_letters_lost_late_doubled_and_played_again(made: World) -> None:
-    made.relay.loss, made.relay.doubles, made.relay.delay = 0.05, 0.2, (0.0, 0.03)
+    made.relay.loss_share, made.relay.duplicate_share, made.relay.delay_range_s = (
+        0.05,
+        0.2,
+        (0.0, 0.03),
+    )
     for n in range(4):
         await made.put(
             *(tenant(f"t{n}-{at}", n=n) for at in range(20)),
             *(without(f"t{n - 1}-{at}") for at in range(10) if n),
         )
     await made.reaches()
-    made.relay.loss = made.relay.doubles = 0.0
-    made.relay.again()
+    made.relay.loss_share = made.relay.duplicate_share = 0.0
+    made.relay.resend_recent()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         for size in (0, 1, 16, 17, 100, 1400, 1500, 9000):
-            for door in made.relay.doors.values():
+            for door in made.relay.endpoints.values():
                 stranger.sendto(secrets.token_bytes(size), door.target or ("", 0))
     await made.put(tenant("after"))
     await made.reaches()
@@ -488,7 +492,7 @@
         if not refused:
             break  # whoever has both keys is one of us: it is not sent
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
-            sender.sendto(letter, made.relay.doors[node.name].target or ("", 0))
+            sender.sendto(letter, made.relay.endpoints[node.name].target or ("", 0))
         await patiently(
             lambda: node.state()["counts"]["refused"].get("its tag does not follow", 0) == 1,
             lambda: node.state(),
--- a/tests/test_distribution_stores.py
+++ b/tests/test_distribution_stores.py
@@ -278,21 +278,21 @@
         await promises(first, second)
         await replayed(first, second)
         made = change(await first.head(), ("tenant", "q", value()))
-        server.orders.reset_after_commit = 1  # taken, and nobody is told
+        server.faults.reset_after_commit = 1  # taken, and nobody is told
         with pytest.raises(StoreUnavailableError):
             await first.append(made)
         assert await first.change_at(made.revision) == made
         assert not await first.append(made)
         made = change(await first.head(), ("tenant", "r", value()))
-        server.orders.reset_before_commit = 1  # not taken, and nobody is told
+        server.faults.reset_before_commit = 1  # not taken, and nobody is told
         with pytest.raises(StoreUnavailableError):
             await first.append(made)
         assert await first.change_at(made.revision) is None
         assert await first.append(made)
-        server.orders.hang = True
+        server.faults.hang = True
         with pytest.raises(StoreUnavailableError):
             await first.head()
-        server.orders.hang = False
+        server.faults.hang = False
         assert await first.head() == head_after(made)
         await first.close()
         await second.close()
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -86,16 +86,20 @@
 @fleet_test(4)
 async def test_datagrams_may_be_lost_delayed_duplicated_and_replayed(fleet: Fleet) -> None:
     await fleet.wait_for(uses_all_calls(fleet))
-    fleet.relay.loss, fleet.relay.doubles, fleet.relay.delay = 0.15, 0.2, (0.0, 0.02)
+    fleet.relay.loss_share, fleet.relay.duplicate_share, fleet.relay.delay_range_s = (
+        0.15,
+        0.2,
+        (0.0, 0.02),
+    )
     await check_total_for(fleet, 1)
     await fleet.wait_for(uses_all_calls(fleet))
-    fleet.relay.loss = 0.0
-    fleet.relay.again()
+    fleet.relay.loss_share = 0.0
+    fleet.relay.resend_recent()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unauthenticated_sender:
         for size in (0, 1, 16, 17, 100, 1400, 1500, 9000):
             for server in fleet.servers:
                 unauthenticated_sender.sendto(
-                    secrets.token_bytes(size), fleet.relay.doors[server.name].target or ("", 0)
+                    secrets.token_bytes(size), fleet.relay.endpoints[server.name].target or ("", 0)
                 )
     await check_total_for(fleet, 0.5)
     await fleet.wait_for(uses_all_calls(fleet))
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -182,7 +182,7 @@
                     for rig in rigs:
                         await rig.__aenter__()
                     await story(standin, *rigs)
-                    standin.orders.hang = False
+                    standin.faults.hang = False
                     for rig in rigs:
                         await rig.__aexit__(None)
                 finally:
@@ -273,7 +273,7 @@
     """With a time to come back; inquiry-like txns never wait for it; and charges are taken again
     once it is back.
     """
-    standin.orders.hang = True
+    standin.faults.hang = True
     balancer = await rig.balancer()
     for n in range(8):
         await expect_error(balancer.ask("pay", fields(once=f"k{n}")), "Backoff")
@@ -284,7 +284,7 @@
     answer = balancer.ask("look", fields())
     rig.executor.exit(await rig.command("EXEC", "look"), result=b"seen")
     await expect_result(answer, b"seen")
-    standin.orders.hang = False
+    standin.faults.hang = False
     await wait_until(lambda: "event=record_breaker_closed" in rig.log())
     answer = balancer.ask("pay", fields(once="k1"))
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid")
@@ -296,7 +296,7 @@
 async def test_a_store_that_hangs_is_done_without_where_it_is_only_preferred(
     standin: Postgres, rig: Rig
 ) -> None:
-    standin.orders.hang = True
+    standin.faults.hang = True
     balancer = await rig.balancer()
     for n in range(8):
         answer = balancer.ask("pay", fields(once=f"k{n}"))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -274,7 +274,7 @@
         balancer.ask("look", fields(retry="1"))
     first = balancer.ask("look", fields())
     await asyncio.wait_for(first, 5)
-    await wait_until(lambda: balancer.answers >= 150)
+    await wait_until(lambda: balancer.answer_count >= 150)
     # A few a second and a fifth of the first tries: of 200 in a moment hardly any had to wait for a
     # run.
     assert len(server.executor.bodies) < ran + 40
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -11,8 +11,8 @@
 from rollout_rig import RolloutFleet, with_rollout_fleet
 from test_command import burlloom
 
-from burlloom.fakes.pipe import Pipe
 from burlloom.fakes.postgres import Postgres
+from burlloom.fakes.tcp_proxy import TcpProxy
 from burlloom.operator import OperatorFileError, load
 from burlloom.rollout import InstanceState, ReleasePhase
 
@@ -183,8 +183,8 @@
     async def run() -> None:
         database = await Postgres(tmp_path).start()
         # Ends idle transactions, so that one of the cut-off server does not block the others.
-        database.orders.idle = 0.5
-        pipes = [await Pipe(database.address).start() for _ in range(3)]
+        database.faults.idle_timeout_s = 0.5
+        proxies = [await TcpProxy(database.address).start() for _ in range(3)]
         key = tmp_path / "key"
         key.write_text(KEY)
         key.chmod(0o600)
@@ -202,7 +202,7 @@
         async with RolloutFleet(
             tmp_path, store=store_at(database.address), waves=["100%"]
         ) as fleet:
-            # Each server connects through its own pipe, and names the store only as its record.
+            # Each server connects through its own proxy, and names the store only as its record.
             fleet.make_other_parts = lambda node: {
                 "rollout": {
                     name: value for name, value in node.rollout_part().items() if name != "store"
@@ -210,11 +210,11 @@
                 "record": {
                     "mode": "prefer",
                     "node": node.name,
-                    **store_at(pipes[int(node.name[1:])].address),
+                    **store_at(proxies[int(node.name[1:])].address),
                 },
             }
             await fleet.begin(3)
-            pipes[1].cut()
+            proxies[1].cut()
             await fleet.wait_for_state(
                 lambda state: state.servers["n1"].state is InstanceState.MISSING
             )
@@ -223,15 +223,15 @@
             await asyncio.sleep(1.0)
             assert fleet.out_count == 0
             assert fleet.nodes[1].completed_count > completed_before
-            pipes[1].heal()
+            proxies[1].heal()
             await wait_until(lambda: fleet.out_count == 1)
             await database.restart()
             await fleet.wait_until_idle("v2")
             assert fleet.max_out_seen == 1
             assert not fleet.over_budget_count
             fleet.assert_nothing_lost()
-        for pipe in pipes:
-            await pipe.stop()
+        for proxy in proxies:
+            await proxy.stop()
         await database.stop()
 
     asyncio.run(run())
@@ -248,7 +248,7 @@
     await wait_until(lambda: all(service.calls for service in fleet.services))
     output = await fleet.run_command("take", "db", first, "--for-s", "60")
     assert "no server calls it" in output
-    assert not fleet.services[0].open
+    assert not fleet.services[0].open_calls
     call_count = len(fleet.services[0].calls)
     assert "no room in the budget of db" in await fleet.run_command(
         "take", "db", second, "--for-s", "60", "--wait-s", "1", status=1
--- a/tests/test_rollout_stores.py
+++ b/tests/test_rollout_stores.py
@@ -149,14 +149,14 @@
         )  # type: ignore[arg-type]
         await check_store_interface(first, second)
         snapshot = await first.read()
-        server.orders.reset_after_commit = 1  # the write takes effect and its answer is lost
+        server.faults.reset_after_commit = 1  # the write takes effect and its answer is lost
         with pytest.raises(StoreUnavailableError):
             await first.compare_and_swap(snapshot, RolloutState("d"))
         assert (await first.read()).state.leader == "d"
-        server.orders.hang = True
+        server.faults.hang = True
         with pytest.raises(StoreUnavailableError):
             await first.read()
-        server.orders.hang = False
+        server.faults.hang = False
         assert (await first.read()).state.leader == "d"
         await first.close()
         await second.close()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -63,7 +63,7 @@
         rig.executor.exit(id, result=b"of " + id.encode())
     for one, answer in zip(told, waiting):
         await expect_result(answer, b"of " + one["id"].encode())
-    assert balancer.answers == 34
+    assert balancer.answer_count == 34
 
 
 @with_server(n_cores=1, memory_kb=1000, idle=2000000)
@@ -86,12 +86,12 @@
 def test_the_executor_may_start_long_after_the_server(tmp_path: Path) -> None:
     async def play() -> None:
         rig = Rig(tmp_path)
-        rig.executor.up.clear()
+        rig.executor.may_join.clear()
         async with rig:
             balancer = await rig.balancer()
             assert (await within_timeout(balancer.health()))[1][0] is False
             assert rig.naming.reports.empty()
-            rig.executor.up.set()
+            rig.executor.may_join.set()
             assert await within_timeout(rig.naming.reports.get()) == "renew n1 yes"
             assert (await within_timeout(balancer.health()))[1][0] is True
             answer = balancer.ask("look", fields())
@@ -130,12 +130,12 @@
     assert await rig.command("RETURN") == called
     assert executor.bodies[called] == b"fetched"
     await rig.proven()
-    executor.deaf = True
+    executor.is_unresponsive = True
     third = balancer.ask("look", fields(), b"lost")
-    await wait_until(lambda: executor.lost)
-    executor.drop()
+    await wait_until(lambda: executor.lost_command_count)
+    executor.drop_connection()
     executor.exit(ran, result=b"unheard")
-    executor.deaf = False
+    executor.is_unresponsive = False
     await expect_result(first, b"unheard")
     again = await rig.command("EXEC", "look")
     assert executor.bodies[again] == b"lost"
@@ -158,12 +158,12 @@
     executor.notify("LOG so far")
     await rig.proven()
     whole = f"EXIT 2 {id} PASS 12 4\r\ndone\r\n".encode()
-    executor.say(whole[:-5])
-    executor.link.close()
+    executor.send_raw(whole[:-5])
+    executor.writer.close()
     executor.notices.append(whole)
     await expect_result(first, b"done")
     for again in executor.notices:
-        executor.say(again)
+        executor.send_raw(again)
     await gets_one(rig, balancer)
     assert executor.joins == [0, 1]
 
@@ -183,14 +183,14 @@
     id = await rig.command("EXEC", "look")
     executor.callout(id, b"first")
     await rig.command("RETURN")
-    executor.deaf, asked = True, executor.asked
-    await wait_until(lambda: executor.asked > asked)
-    tag = executor.tag
+    executor.is_unresponsive, asked = True, executor.gauge_query_count
+    await wait_until(lambda: executor.gauge_query_count > asked)
+    tag = executor.last_gauge_tag
     executor.callout(id, b"second")
-    await wait_until(lambda: executor.lost)
-    executor.say(f"METERS {tag} 0.2 1 0.1 3\r\n".encode())
-    executor.drop()
-    executor.deaf = False
+    await wait_until(lambda: executor.lost_command_count)
+    executor.send_raw(f"METERS {tag} 0.2 1 0.1 3\r\n".encode())
+    executor.drop_connection()
+    executor.is_unresponsive = False
     assert await rig.command("RETURN") == id
     executor.exit(id, result=b"done")
     await expect_result(answer, b"done")
@@ -199,9 +199,9 @@
 @with_server()
 async def test_an_executor_connection_that_is_open_but_silent(rig: Rig) -> None:
     """Joined or not: the answer that would join it may be lost too."""
-    rig.executor.deaf = True
+    rig.executor.is_unresponsive = True
     await wait_until(lambda: rig.log().count("event=executor_unresponsive") == 2)
-    rig.executor.deaf = False
+    rig.executor.is_unresponsive = False
     await wait_until(lambda: len(rig.executor.joins) > 2)
     await gets_one(rig, await rig.balancer())
 
@@ -213,13 +213,13 @@
     """
     balancer, executor = await rig.balancer(), rig.executor
     rig.errors = 1
-    executor.deaf = True
+    executor.is_unresponsive = True
     answer = balancer.ask("look", fields(cost="1"))
-    await wait_until(lambda: executor.lost)
-    executor.drop()
+    await wait_until(lambda: executor.lost_command_count)
+    executor.drop_connection()
     executor.notices += [b"", b""]
     executor.notify("LOG what came before is lost")
-    executor.deaf = False
+    executor.is_unresponsive = False
     await expect_error(answer, "Voided")
     assert "event=notices_lost first=1 last=2" in rig.log()
     await gets_one(rig, balancer)
@@ -234,7 +234,7 @@
             id = await rig.command("EXEC", "look")
             rig.executor.notify("LOG nothing to see")
             if end == "BAD":
-                rig.executor.say(f"BAD EXEC {id}\r\n".encode())
+                rig.executor.send_raw(f"BAD EXEC {id}\r\n".encode())
             else:
                 rig.executor.exit(id, end)
             await expect_error(answer, "Voided")
@@ -261,7 +261,7 @@
     for answer in (first, running, at_call):
         await expect_result(answer, b"paid")
     await expect_result(other.ask("pay", fields(once="k", retry="1"), b"b"), b"paid")
-    assert await within_timeout(rig.catalogue.given_up.get()) == id
+    assert await within_timeout(rig.catalogue.abandoned_calls.get()) == id
     # The window counts from when the try that ran came: one that comes after it runs anew.
     late = str(int(fields()["at"]) + 18500)
     fresh = other.ask("pay", fields(once="k", at=late), b"b")
@@ -376,7 +376,7 @@
         assert rig.executor.bodies[id] == b"well"
         rig.executor.exit(id, result=b"done")
         await expect_result(answer, b"done")
-    assert rig.catalogue.links == len(GOOD)
+    assert rig.catalogue.connection_count == len(GOOD)
 
 
 @with_server()
@@ -405,7 +405,7 @@
         assert await rig.command("RETURN") == id
         rig.executor.exit(id, result=b"paid")
         await expect_result(answer, b"paid")
-        assert rig.catalogue.links == links
+        assert rig.catalogue.connection_count == links
     address = rig.catalogue.address
     await rig.catalogue.stop()
     answer = balancer.ask("pay", fields(once="k9"))
@@ -429,7 +429,7 @@
         rig.executor.exit(await rig.command("RETURN"), result=b"well")
     for answer in answers:
         await expect_result(answer, b"well")
-    assert rig.catalogue.most == 1
+    assert rig.catalogue.max_open_calls == 1
 
 
 @with_server(deadline=1000000, aim=900000)
@@ -440,19 +440,19 @@
     id = await rig.command("EXEC", "pay")
     rig.executor.callout(id)
     await expect_error(answer, "Voided")
-    assert await within_timeout(rig.catalogue.given_up.get()) == id
+    assert await within_timeout(rig.catalogue.abandoned_calls.get()) == id
     rig.executor.exit(id, "KILLED")
 
 
 @with_server()
 async def test_health_is_reported_to_the_name_service(rig: Rig) -> None:
-    asked = rig.executor.asked
+    asked = rig.executor.gauge_query_count
     reports = [await within_timeout(rig.naming.reports.get()) for _ in range(32)]
     # Four a second at least, by the rounds of the decisions, each of which asks for the gauges: one
     # in four is lost. Over so many that a moment in which we stand still ourselves, and do not
     # count what comes, weighs little.
     assert set(reports) == {"renew n1 yes"}
-    assert rig.executor.asked - asked < 80
+    assert rig.executor.gauge_query_count - asked < 80
     await gets_one(rig, await rig.balancer())
     rig.process.send_signal(signal.SIGTERM)
     while reports[-1] == "renew n1 yes":
@@ -541,7 +541,7 @@
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"y" * 4096)
     await gets_one(rig, other)
     slow.writer.transport.resume_reading()  # type: ignore[attr-defined]
-    await wait_until(lambda: slow.answers == 32)
+    await wait_until(lambda: slow.answer_count == 32)
 
 
 @with_server(n_cores=32, memory_kb=200000)
@@ -656,7 +656,7 @@
                     await within_timeout(client.health())
 
         await fill()
-        rig.executor.drop()
+        rig.executor.drop_connection()
         rig.executor.exit(id, result=b"done")
         await expect_result(open_there, b"done")
         assert len(rig.executor.joins) == 2
@@ -895,7 +895,7 @@
     unknown = await rig.command("EXEC", "pay")
     answer = good.ask("pay", fields(once="k"), b"true")
     id = await rig.command("EXEC", "pay")
-    rig.executor.say(f"BAD EXEC {unknown}\r\n".encode())
+    rig.executor.send_raw(f"BAD EXEC {unknown}\r\n".encode())
     await expect_error(forged, "Voided")
     rig.executor.exit(id, result=b"paid")
     await expect_result(answer, b"paid")
@@ -903,7 +903,7 @@
     unknown = await rig.command("EXEC", "pay")
     waiting = good.ask("pay", fields(once="q"), b"true")
     await gets_health(good)
-    rig.executor.say(f"BAD EXEC {unknown}\r\n".encode())
+    rig.executor.send_raw(f"BAD EXEC {unknown}\r\n".encode())
     await expect_error(guessed, "Voided")
     await expect_error(waiting, "Backoff")
     again = good.ask("pay", fields(once="q"), b"true")
@@ -931,7 +931,7 @@
         2,
     ):
         rig.executor.notify("LOG the next is garbage")
-        rig.executor.say(line)
+        rig.executor.send_raw(line)
         await wait_until(lambda: len(rig.executor.joins) == count)
     rig.executor.exit(id, result=b"still")
     await expect_result(answer, b"still")
@@ -1116,9 +1116,9 @@
     old.callout(calling)
     await wait_until(lambda: below.calls)
     await rig.proven()
-    old.deaf = True
+    old.is_unresponsive = True
     third = balancer.ask("look", fields(), b"lost")
-    await wait_until(lambda: old.lost)
+    await wait_until(lambda: old.lost_command_count)
     rig.executor, rig.naming = Executor(), NameService()
     rig.executor.notices = old.notices
     rig.catalogue = Catalogue(rig.reply)
@@ -1146,7 +1146,7 @@
     rig.told["catalog"] = "nowhere"
     rig.reload()
     await wait_until(lambda: "event=reload_failed" in rig.log())
-    rig.executor.drop()
+    rig.executor.drop_connection()
     await gets_one(rig, balancer)
     await below.stop()
 
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -312,7 +312,7 @@
         RequestEvent.WRITE_APPLIED,
     ),
     "refused by the server": (
-        {"errors": ["53100"]},
+        {"write_errors": ["53100"]},
         {RequestEvent.WRITE_FAILED},
         RequestEvent.WRITE_APPLIED,
     ),
@@ -337,10 +337,10 @@
 
     async def story(store: Log, standin: Any) -> None:
         for order, value in orders.items():
-            setattr(standin.orders, order, value)
+            setattr(standin.faults, order, value)
         (word,) = await store.ask(claim())
         assert word.outcome in meant
-        standin.orders.hang = False
+        standin.faults.hang = False
         while (word := (await store.ask(claim()))[0]).outcome is RequestEvent.WRITE_FAILED:
             await asyncio.sleep(0.01)
         assert word.outcome is after
@@ -382,11 +382,11 @@
 def test_a_cancelled_statement_ends_and_its_connection_goes_on() -> None:
     async def story(store: Log, standin: Any) -> None:
         link = await store.store.database.connect()
-        standin.orders.hang = True
+        standin.faults.hang = True
         with pytest.raises(TimeoutError):
             await link.fetch("SELECT name FROM node", timeout=0.1)
         # The next waits for the cancelled one's end, and is answered on the same connection.
-        asyncio.get_running_loop().call_later(0.05, setattr, standin.orders, "hang", False)
+        asyncio.get_running_loop().call_later(0.05, setattr, standin.faults, "hang", False)
         assert [row[0] for row in await link.fetch("SELECT name FROM node")] == ["n1"]
         assert standin.cancels == 1
         assert not link.is_closed()
