--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -95,7 +95,7 @@
         )
         assert self.process.returncode is None, self.log()
         address = re.findall(r"event=control_node_started .* address=(\S+)", self.log())[-1]
-        self.cluster.relay.sent_from(self.name, address)
+        self.cluster.relay.set_member_address(self.name, address)
         return self
 
     def log(self) -> str:
@@ -174,7 +174,7 @@
                 )
             )
             address = re.findall(r"event=distribution_opened .* address=(\S+)", self.log())[-1]
-            self.cluster.relay.sent_from(self.name, address)
+            self.cluster.relay.set_member_address(self.name, address)
 
         await asyncio.gather(wait_until_opened(), super().begin())
 
@@ -278,7 +278,7 @@
             for at in range(count)
         ]
         for machine in machines:
-            self.doors[machine.name] = await self.relay.door(machine.name)
+            self.doors[machine.name] = await self.relay.open_endpoint(machine.name)
         self.control_machines += machines
         await asyncio.gather(*(machine.start() for machine in machines))
         return machines
@@ -291,7 +291,7 @@
             for at in range(count)
         ]
         for server in servers:
-            self.doors[server.name] = await self.relay.door(server.name)
+            self.doors[server.name] = await self.relay.open_endpoint(server.name)
         self.servers += servers
         await asyncio.gather(*(server.start() for server in servers))
         return servers
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -112,7 +112,7 @@
         """Starts the process and waits until it serves; after `kill`, again on the same log."""
         past_starts, past_meters = (
             self.log().count("event=listening") if self.log_path.exists() else 0,
-            self.executor.asked,
+            self.executor.gauge_query_count,
         )
         environment = {
             **os.environ,
@@ -139,11 +139,14 @@
         )
         assert self.process.returncode is None, self.log()
         self.address = re.findall(r"event=listening .*address=(\S+)", self.log())[-1]
-        if self.executor.up.is_set():
+        if self.executor.may_join.is_set():
             # The server sends a second METER only after the first one was answered, so the executor
             # has connected by then.
             await wait_until(
-                lambda: self.executor.asked > past_meters + 1 or self.process.returncode is not None
+                lambda: (
+                    self.executor.gauge_query_count > past_meters + 1
+                    or self.process.returncode is not None
+                )
             )
             assert self.process.returncode is None, self.log()
 
@@ -196,8 +199,8 @@
 
         The server takes that as proof that the executor has received the commands.
         """
-        past_meters = self.executor.asked
-        await wait_until(lambda: self.executor.asked > past_meters + 2)
+        past_meters = self.executor.gauge_query_count
+        await wait_until(lambda: self.executor.gauge_query_count > past_meters + 2)
 
     async def command(self, *expected: str) -> str:
         """Asserts the name and arguments of the next command; returns its request's id."""
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -132,7 +132,7 @@
     path = north.folder / "operator.jsonnet"
     path.write_text(
         path.read_text().replace(
-            cluster.doors["c0"], "%s:%d" % (cluster.relay.doors["c0"].target or ("", 0))
+            cluster.doors["c0"], "%s:%d" % (cluster.relay.endpoints["c0"].target or ("", 0))
         )
     )
     for process in (north, cluster.control_machines[0]):
@@ -376,15 +376,15 @@
         )
     )
     await wait_for(lambda: all(server.state()["age_ms"] < 2000 for server in cluster.servers))
-    cluster.postgres.orders.reset_after_commit = 1  # committed, but the reply is lost
+    cluster.postgres.faults.reset_after_commit = 1  # committed, but the reply is lost
     revision = cluster.head()[1]
     await cluster.put(tenant_change("once"))
     assert cluster.head()[1] == revision + 1
-    cluster.postgres.orders.hang = True
+    cluster.postgres.faults.hang = True
     await wait_for(
         lambda: all(machine.state()["store_away"] for machine in cluster.control_machines)
     )
-    cluster.postgres.orders.hang = False
+    cluster.postgres.faults.hang = False
 
 
 @with_cluster(3, 3)
@@ -495,24 +495,28 @@
 
 @with_cluster(2, 3)
 async def test_letters_lost_late_doubled_and_played_again(cluster: Cluster) -> None:
-    cluster.relay.loss, cluster.relay.doubles, cluster.relay.delay = 0.05, 0.2, (0.0, 0.03)
+    cluster.relay.loss_share, cluster.relay.duplicate_share, cluster.relay.delay_range_s = (
+        0.05,
+        0.2,
+        (0.0, 0.03),
+    )
     for n in range(4):
         await cluster.put(
             *(tenant_change(f"t{n}-{at}", n=n) for at in range(20)),
             *(tenant_deletion(f"t{n - 1}-{at}") for at in range(10) if n),
         )
     await cluster.wait_until_in_force()
-    cluster.relay.loss = cluster.relay.doubles = 0.0
-    cluster.relay.again()
+    cluster.relay.loss_share = cluster.relay.duplicate_share = 0.0
+    cluster.relay.resend_recent()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         for size in (0, 1, 16, 17, 100, 1400, 1500, 9000):
-            for door in cluster.relay.doors.values():
+            for door in cluster.relay.endpoints.values():
                 stranger.sendto(secrets.token_bytes(size), door.target or ("", 0))
         for size in (19, 32, 100, 500, 1400, 1500, 9000):
-            for door in cluster.relay.doors.values():
+            for endpoint in cluster.relay.endpoints.values():
                 datagram = bytearray(secrets.token_bytes(size))
                 datagram[KIND_OFFSET] = REPORT_KIND
-                stranger.sendto(datagram, door.target or ("", 0))
+                stranger.sendto(datagram, endpoint.target or ("", 0))
     await cluster.put(tenant_change("after"))
     await cluster.wait_until_in_force()
     for one in (*cluster.servers, *cluster.control_machines):
@@ -568,7 +572,7 @@
         if not is_foreign:
             break  # a holder of both keys may write changes, so this one is not sent
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
-            sender.sendto(datagram, cluster.relay.doors[server.name].target or ("", 0))
+            sender.sendto(datagram, cluster.relay.endpoints[server.name].target or ("", 0))
         await wait_for(
             lambda: (
                 server.state()["counts"]["refused"].get("tag does not continue the chain", 0) == 1
--- a/tests/test_distribution_stores.py
+++ b/tests/test_distribution_stores.py
@@ -290,21 +290,21 @@
         await check_store_contract(first, second)
         await check_pages_of_a_changing_table(first, second)
         change = next_change_of(await first.head(), ("tenant", "q", packed_value()))
-        server.orders.reset_after_commit = 1  # committed, but the reply is lost
+        server.faults.reset_after_commit = 1  # committed, but the reply is lost
         with pytest.raises(StoreUnavailableError):
             await first.append(change)
         assert await first.change_at(change.revision) == change
         assert not await first.append(change)
         change = next_change_of(await first.head(), ("tenant", "r", packed_value()))
-        server.orders.reset_before_commit = 1  # not committed, and the reply is lost
+        server.faults.reset_before_commit = 1  # not committed, and the reply is lost
         with pytest.raises(StoreUnavailableError):
             await first.append(change)
         assert await first.change_at(change.revision) is None
         assert await first.append(change)
-        server.orders.hang = True
+        server.faults.hang = True
         with pytest.raises(StoreUnavailableError):
             await first.head()
-        server.orders.hang = False
+        server.faults.hang = False
         assert await first.head() == head_after(change)
         await first.close()
         await second.close()
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -185,7 +185,7 @@
                     for rig in rigs:
                         await rig.__aenter__()
                     await scenario(standin, *rigs)
-                    standin.orders.hang = False
+                    standin.faults.hang = False
                     for rig in rigs:
                         await rig.__aexit__(None)
                 finally:
@@ -286,7 +286,7 @@
     """The rejections carry a retry time, requests without a key are served, and keyed requests are
     served again after the store has recovered.
     """
-    standin.orders.hang = True
+    standin.faults.hang = True
     balancer = await rig.balancer()
     for n in range(8):
         await expect_error(balancer.ask("pay", fields(once=f"k{n}")), "Backoff")
@@ -297,7 +297,7 @@
     answer = balancer.ask("look", fields())
     rig.executor.exit(await rig.command("EXEC", "look"), result=b"seen")
     await expect_result(answer, b"seen")
-    standin.orders.hang = False
+    standin.faults.hang = False
     await wait_until(lambda: "event=record_breaker_closed" in rig.log())
     answer = balancer.ask("pay", fields(once="k1"))
     rig.executor.exit(await rig.command("EXEC", "pay"), result=b"paid")
@@ -309,7 +309,7 @@
 async def test_keyed_requests_run_unrecorded_in_mode_prefer_while_the_store_hangs(
     standin: Postgres, rig: Rig
 ) -> None:
-    standin.orders.hang = True
+    standin.faults.hang = True
     balancer = await rig.balancer()
     for n in range(8):
         answer = balancer.ask("pay", fields(once=f"k{n}"))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -284,7 +284,7 @@
         balancer.ask("look", fields(retry="1"))
     first_attempt = balancer.ask("look", fields())
     await asyncio.wait_for(first_attempt, 5)
-    await wait_until(lambda: balancer.answers >= 150)
+    await wait_until(lambda: balancer.answer_count >= 150)
     # The budget is two retries a second and a fifth of the first attempts, so of 200 retries at once
     # hardly any may run.
     assert len(server.executor.bodies) < runs_before + 40
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -65,7 +65,7 @@
         rig.executor.exit(id, result=b"of " + id.encode())
     for request, answer in zip(requests, answers):
         await expect_result(answer, b"of " + request["id"].encode())
-    assert balancer.answers == 34
+    assert balancer.answer_count == 34
 
 
 @with_server(n_cores=1, memory_kb=1000, idle=2000000)
@@ -88,12 +88,12 @@
 def test_the_executor_may_start_long_after_the_server(tmp_path: Path) -> None:
     async def scenario() -> None:
         rig = Rig(tmp_path)
-        rig.executor.up.clear()
+        rig.executor.may_join.clear()
         async with rig:
             balancer = await rig.balancer()
             assert (await within_timeout(balancer.health()))[1][0] is False
             assert rig.name_service.reports.empty()
-            rig.executor.up.set()
+            rig.executor.may_join.set()
             assert await within_timeout(rig.name_service.reports.get()) == "renew n1 yes"
             assert (await within_timeout(balancer.health()))[1][0] is True
             answer = balancer.ask("look", fields())
@@ -133,12 +133,12 @@
     assert await rig.command("RETURN") == calling
     assert executor.bodies[calling] == b"fetched"
     await rig.wait_until_commands_confirmed()
-    executor.deaf = True
+    executor.is_unresponsive = True
     third = balancer.ask("look", fields(), b"lost")
-    await wait_until(lambda: executor.lost)
-    executor.drop()
+    await wait_until(lambda: executor.lost_command_count)
+    executor.drop_connection()
     executor.exit(running, result=b"unheard")
-    executor.deaf = False
+    executor.is_unresponsive = False
     await expect_result(first, b"unheard")
     repeated = await rig.command("EXEC", "look")
     assert executor.bodies[repeated] == b"lost"
@@ -159,12 +159,12 @@
     executor.notify("LOG so far")
     await rig.wait_until_commands_confirmed()
     notice = f"EXIT 2 {id} PASS 12 4\r\ndone\r\n".encode()
-    executor.say(notice[:-5])
-    executor.link.close()
+    executor.send_raw(notice[:-5])
+    executor.writer.close()
     executor.notices.append(notice)
     await expect_result(first, b"done")
     for repeated in executor.notices:
-        executor.say(repeated)
+        executor.send_raw(repeated)
     await serve_one_request(rig, balancer)
     assert executor.joins == [0, 1]
 
@@ -186,14 +186,14 @@
     id = await rig.command("EXEC", "look")
     executor.callout(id, b"first")
     await rig.command("RETURN")
-    executor.deaf, past_meters = True, executor.asked
-    await wait_until(lambda: executor.asked > past_meters)
-    tag = executor.tag
+    executor.is_unresponsive, past_meters = True, executor.gauge_query_count
+    await wait_until(lambda: executor.gauge_query_count > past_meters)
+    tag = executor.last_gauge_tag
     executor.callout(id, b"second")
-    await wait_until(lambda: executor.lost)
-    executor.say(f"METERS {tag} 0.2 1 0.1 3\r\n".encode())
-    executor.drop()
-    executor.deaf = False
+    await wait_until(lambda: executor.lost_command_count)
+    executor.send_raw(f"METERS {tag} 0.2 1 0.1 3\r\n".encode())
+    executor.drop_connection()
+    executor.is_unresponsive = False
     assert await rig.command("RETURN") == id
     executor.exit(id, result=b"done")
     await expect_result(answer, b"done")
@@ -202,9 +202,9 @@
 @with_server()
 async def test_an_executor_connection_that_is_open_but_silent(rig: Rig) -> None:
     """Silence is detected also before the handshake is complete, since its answer may be lost."""
-    rig.executor.deaf = True
+    rig.executor.is_unresponsive = True
     await wait_until(lambda: rig.log().count("event=executor_unresponsive") == 2)
-    rig.executor.deaf = False
+    rig.executor.is_unresponsive = False
     await wait_until(lambda: len(rig.executor.joins) > 2)
     await serve_one_request(rig, await rig.balancer())
 
@@ -217,13 +217,13 @@
     """
     balancer, executor = await rig.balancer(), rig.executor
     rig.expected_error_count = 1
-    executor.deaf = True
+    executor.is_unresponsive = True
     answer = balancer.ask("look", fields(cost="1"))
-    await wait_until(lambda: executor.lost)
-    executor.drop()
+    await wait_until(lambda: executor.lost_command_count)
+    executor.drop_connection()
     executor.notices += [b"", b""]
     executor.notify("LOG what came before is lost")
-    executor.deaf = False
+    executor.is_unresponsive = False
     await expect_error(answer, "Voided")
     assert "event=notices_lost first=1 last=2" in rig.log()
     await serve_one_request(rig, balancer)
@@ -238,7 +238,7 @@
             id = await rig.command("EXEC", "look")
             rig.executor.notify("LOG nothing to see")
             if end == "BAD":
-                rig.executor.say(f"BAD EXEC {id}\r\n".encode())
+                rig.executor.send_raw(f"BAD EXEC {id}\r\n".encode())
             else:
                 rig.executor.exit(id, end)
             await expect_error(answer, "Voided")
@@ -266,7 +266,7 @@
     for answer in (first, running, at_call):
         await expect_result(answer, b"paid")
     await expect_result(other.ask("pay", fields(once="k", retry="1"), b"b"), b"paid")
-    assert await within_timeout(rig.downstream.given_up.get()) == id
+    assert await within_timeout(rig.downstream.abandoned_calls.get()) == id
     # The window starts at the attempt that ran. An attempt sent after the window runs again.
     after_window = str(int(fields()["at"]) + 18500)
     later = other.ask("pay", fields(once="k", at=after_window), b"b")
@@ -386,7 +386,7 @@
         assert rig.executor.bodies[id] == b"well"
         rig.executor.exit(id, result=b"done")
         await expect_result(answer, b"done")
-    assert rig.downstream.links == len(VALID_REPLIES_WITH_SURPLUS)
+    assert rig.downstream.connection_count == len(VALID_REPLIES_WITH_SURPLUS)
 
 
 @with_server()
@@ -414,7 +414,7 @@
         assert await rig.command("RETURN") == id
         rig.executor.exit(id, result=b"paid")
         await expect_result(answer, b"paid")
-        assert rig.downstream.links == links
+        assert rig.downstream.connection_count == links
     address = rig.downstream.address
     await rig.downstream.stop()
     answer = balancer.ask("pay", fields(once="k9"))
@@ -438,7 +438,7 @@
         rig.executor.exit(await rig.command("RETURN"), result=b"well")
     for answer in answers:
         await expect_result(answer, b"well")
-    assert rig.downstream.most == 1
+    assert rig.downstream.max_open_calls == 1
 
 
 @with_server(deadline=1000000, aim=900000)
@@ -449,19 +449,19 @@
     id = await rig.command("EXEC", "pay")
     rig.executor.callout(id)
     await expect_error(answer, "Voided")
-    assert await within_timeout(rig.downstream.given_up.get()) == id
+    assert await within_timeout(rig.downstream.abandoned_calls.get()) == id
     rig.executor.exit(id, "KILLED")
 
 
 @with_server()
 async def test_health_is_reported_to_the_name_service(rig: Rig) -> None:
-    past_meters = rig.executor.asked
+    past_meters = rig.executor.gauge_query_count
     reports = [await within_timeout(rig.name_service.reports.get()) for _ in range(32)]
     # At least four reports a second, since one datagram in four may be lost. The time is measured
     # in rounds of the main loop, about ten a second, each of which sends a METER. With 32 reports,
     # a pause of the test process, in which it does not count what arrives, weighs little.
     assert set(reports) == {"renew n1 yes"}
-    assert rig.executor.asked - past_meters < 80
+    assert rig.executor.gauge_query_count - past_meters < 80
     await serve_one_request(rig, await rig.balancer())
     rig.process.send_signal(signal.SIGTERM)
     while reports[-1] == "renew n1 yes":
@@ -554,7 +554,7 @@
         rig.executor.exit(await rig.command("EXEC", "look"), result=b"y" * 4096)
     await serve_one_request(rig, other)
     slow.writer.transport.resume_reading()  # type: ignore[attr-defined]
-    await wait_until(lambda: slow.answers == 32)
+    await wait_until(lambda: slow.answer_count == 32)
 
 
 @with_server(n_cores=32, memory_kb=200000)
@@ -670,7 +670,7 @@
                     await within_timeout(client.health())
 
         await connect_idle_clients()
-        rig.executor.drop()
+        rig.executor.drop_connection()
         rig.executor.exit(id, result=b"done")
         await expect_result(open_answer, b"done")
         assert len(rig.executor.joins) == 2
@@ -909,7 +909,7 @@
     unknown = await rig.command("EXEC", "pay")
     answer = good.ask("pay", fields(once="k"), b"true")
     id = await rig.command("EXEC", "pay")
-    rig.executor.say(f"BAD EXEC {unknown}\r\n".encode())
+    rig.executor.send_raw(f"BAD EXEC {unknown}\r\n".encode())
     await expect_error(forged, "Voided")
     rig.executor.exit(id, result=b"paid")
     await expect_result(answer, b"paid")
@@ -917,7 +917,7 @@
     unknown = await rig.command("EXEC", "pay")
     waiting = good.ask("pay", fields(once="q"), b"true")
     await exchange_health_checks(good)
-    rig.executor.say(f"BAD EXEC {unknown}\r\n".encode())
+    rig.executor.send_raw(f"BAD EXEC {unknown}\r\n".encode())
     await expect_error(guessed, "Voided")
     await expect_error(waiting, "Backoff")
     retry = good.ask("pay", fields(once="q"), b"true")
@@ -945,7 +945,7 @@
         2,
     ):
         rig.executor.notify("LOG the next is garbage")
-        rig.executor.say(line)
+        rig.executor.send_raw(line)
         await wait_until(lambda: len(rig.executor.joins) == count)
     rig.executor.exit(id, result=b"still")
     await expect_result(answer, b"still")
@@ -1136,9 +1136,9 @@
     old.callout(calling)
     await wait_until(lambda: old_downstream.calls)
     await rig.wait_until_commands_confirmed()
-    old.deaf = True
+    old.is_unresponsive = True
     third = balancer.ask("look", fields(), b"lost")
-    await wait_until(lambda: old.lost)
+    await wait_until(lambda: old.lost_command_count)
     rig.executor, rig.name_service = Executor(), NameService()
     rig.executor.notices = old.notices
     rig.downstream = Catalogue(rig.reply)
@@ -1166,7 +1166,7 @@
     rig.configuration["catalog"] = "nowhere"
     rig.reload()
     await wait_until(lambda: "event=reload_failed" in rig.log())
-    rig.executor.drop()
+    rig.executor.drop_connection()
     await serve_one_request(rig, balancer)
     await old_downstream.stop()
 
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -338,7 +338,7 @@
         RequestEvent.WRITE_APPLIED,
     ),
     "statement rejected by the server": (
-        {"errors": ["53100"]},
+        {"write_errors": ["53100"]},
         {RequestEvent.WRITE_FAILED},
         RequestEvent.WRITE_APPLIED,
     ),
@@ -362,10 +362,10 @@
 
     async def scenario(client: StoreClient, standin: Any) -> None:
         for fault, value in faults.items():
-            setattr(standin.orders, fault, value)
+            setattr(standin.faults, fault, value)
         (result,) = await client.write(make_claim())
         assert result.outcome in expected_outcomes
-        standin.orders.hang = False
+        standin.faults.hang = False
         while (
             result := (await client.write(make_claim()))[0]
         ).outcome is RequestEvent.WRITE_FAILED:
@@ -414,11 +414,11 @@
 def test_a_connection_is_usable_after_a_cancelled_statement() -> None:
     async def scenario(client: StoreClient, standin: Any) -> None:
         connection = await client.store.database.connect()
-        standin.orders.hang = True
+        standin.faults.hang = True
         with pytest.raises(TimeoutError):
             await connection.fetch("SELECT name FROM node", timeout=0.1)
         # The next statement waits until the cancelled one has ended, on the same connection.
-        asyncio.get_running_loop().call_later(0.05, setattr, standin.orders, "hang", False)
+        asyncio.get_running_loop().call_later(0.05, setattr, standin.faults, "hang", False)
         assert [row[0] for row in await connection.fetch("SELECT name FROM node")] == ["n1"]
         assert standin.cancels == 1
         assert not connection.is_closed()
