--- a/burlloom/command/__init__.py
+++ b/burlloom/command/__init__.py
@@ -1,4 +1,7 @@
-"""The command line: `burlloom`. Each command imports what it needs only when it is called."""
+"""The `burlloom` command line.
+
+Each command imports what it needs only when it is called.
+"""
 
 from .root import main
 
--- a/burlloom/command/__main__.py
+++ b/burlloom/command/__main__.py
@@ -1,3 +1,5 @@
+"""Runs the command line as `python -m burlloom.command`."""
+
 from .root import main
 
 main()
--- a/burlloom/command/lab.py
+++ b/burlloom/command/lab.py
@@ -1,4 +1,4 @@
-"""`burlloom lab ...`: play worlds in simulated time, compare variants, report."""
+"""`burlloom lab ...`: runs experiments in simulated time, compares variants and writes reports."""
 
 import os
 import sys
@@ -10,27 +10,31 @@
 if TYPE_CHECKING:
     from ..lab.experiment import Experiment
 
-ROOT = Path(__file__).parent.parent.parent
+REPOSITORY_ROOT = Path(__file__).parent.parent.parent
 
 
 @click.group()
 def lab() -> None:
-    """Whole fleets in simulated time: the real server and decisions between emulated machines,
-    callers and a catalogue.
+    """Experiments with whole fleets in simulated time.
+
+    The server's own code runs between emulated machines, callers and a downstream service.
     """
 
 
-def experiment_of(path: Path) -> "Experiment":
-    """An experiment, or a world alone; all faults at once, then status 2."""
+def load_experiment(path: Path) -> "Experiment":
+    """Returns the experiment in a file; a file with a single world is an experiment of that world.
+
+    Prints all faults of the file and exits with status 2 if there is any.
+    """
     from ..lab.experiment import Experiment
     from ..operator import OperatorFileError
     from ..operator.load import evaluate_template, validate
 
     try:
-        got = evaluate_template(path)
-        if isinstance(got, dict) and "worlds" not in got:
-            got = {"name": str(got.get("name", path.stem)), "worlds": [got]}
-        return validate(Experiment, got, path)
+        content = evaluate_template(path)
+        if isinstance(content, dict) and "worlds" not in content:
+            content = {"name": str(content.get("name", path.stem)), "worlds": [content]}
+        return validate(Experiment, content, path)
     except OperatorFileError as faults:
         for line in faults.lines:
             click.echo(line, err=True)
@@ -44,7 +48,7 @@
     type=click.Path(dir_okay=False, path_type=Path),
     default=Path("lab.db"),
     show_default=True,
-    help="The table of results, an SQLite file that only grows.",
+    help="SQLite file that the results are added to.",
 )
 @click.option(
     "--workers",
@@ -53,35 +57,42 @@
     show_default=True,
 )
 def run(file: Path, results: Path, workers: int) -> None:
-    """Play all that FILE asks for, side by side over the cores, and keep the results. Status 1 if a
-    rule was broken.
+    """Run the experiment in FILE on several cores and store the results.
+
+    Exits with status 1 if a run broke a rule.
     """
     from rich.console import Console
     from rich.progress import Progress
 
     from ..lab.experiment import Table, plays, text_of_program
 
-    told, table, text = experiment_of(file), Table(results), text_of_program(ROOT)
-    broken = 0
-    total = len(told.worlds) * len(told.variants) * len(told.seeds)
+    experiment, table, text = (
+        load_experiment(file),
+        Table(results),
+        text_of_program(REPOSITORY_ROOT),
+    )
+    broken_count = 0
+    total = len(experiment.worlds) * len(experiment.variants) * len(experiment.seeds)
     with Progress(console=Console(stderr=True), transient=True) as progress:
-        bar = progress.add_task(told.name, total=total)
-        for result in plays(told, workers):
-            table.add(told.name, text, result)
+        bar = progress.add_task(experiment.name, total=total)
+        for result in plays(experiment, workers):
+            table.add(experiment.name, text, result)
             progress.advance(bar)
             figures = result["figures"]
             click.echo(
-                f"{result['world']:24} {result['variant']:14} seed {result['seed']:<4} value {figures['value']:.3f}"
-                f"  changes a minute {figures['changes a minute, most']:.0f}  {result['took']:.1f} s"
+                f"{result['world']:24} {result['variant']:14} seed {result['seed']:<4}"
+                f" value {figures['value']:.3f}"
+                f"  changes a minute {figures['changes a minute, most']:.0f}"
+                f"  {result['took']:.1f} s"
                 + (
                     f"  RULES BROKEN: {len(result['faults'])}: {result['faults'][0]}"
                     if result["faults"]
                     else ""
                 )
             )
-            broken += bool(result["faults"])
-    click.echo(f"{total} plays of text {text} kept in {results}; {broken} broke a rule")
-    sys.exit(1 if broken else 0)
+            broken_count += bool(result["faults"])
+    click.echo(f"{total} plays of text {text} kept in {results}; {broken_count} broke a rule")
+    sys.exit(1 if broken_count else 0)
 
 
 @lab.command()
@@ -91,16 +102,19 @@
     type=click.Path(dir_okay=False, exists=True, path_type=Path),
     default=Path("lab.db"),
 )
-@click.option("--text", help="Of this text of the program; else of the newest that was played.")
-@click.option("--base", help="The variant compared with; else the first.")
+@click.option("--text", help="Version of the program's text; by default the newest that was run.")
+@click.option(
+    "--base", help="The variant to compare with; by default 'none' if it was run, else the first."
+)
 def compare(name: str, results: Path, text: str | None, base: str | None) -> None:
-    """Each variant of the experiment NAME against its base: means, spread, paired differences with
-    their 95%.
+    """Compare each variant of the experiment NAME with the base variant.
+
+    Shows means, spread, and paired differences with 95% confidence intervals.
     """
     from ..lab.charts import table
 
-    for world, what, pairs, _ in compared(name, results, text, base):
-        click.echo(f"\n{world}: {what}\n\n{table(pairs)}")
+    for world, title, pairs, _ in find_comparisons(name, results, text, base):
+        click.echo(f"\n{world}: {title}\n\n{table(pairs)}")
 
 
 @lab.command()
@@ -110,8 +124,10 @@
     type=click.Path(dir_okay=False, exists=True, path_type=Path),
     default=Path("lab.db"),
 )
-@click.option("--text", help="Of this text of the program; else of the newest that was played.")
-@click.option("--base", help="The variant compared with; else the first.")
+@click.option("--text", help="Version of the program's text; by default the newest that was run.")
+@click.option(
+    "--base", help="The variant to compare with; by default 'none' if it was run, else the first."
+)
 @click.option(
     "--to",
     type=click.Path(file_okay=False, path_type=Path),
@@ -124,37 +140,57 @@
 def report(
     name: str, results: Path, text: str | None, base: str | None, to: Path, ending: str
 ) -> None:
-    """A page with tables, and charts of load, answers by product and levels, of the experiment
-    NAME.
+    """Write a page with tables and charts of the experiment NAME.
+
+    The charts show load, responses by request class, and levels.
     """
     from ..lab.charts import page, play_chart
 
     to.mkdir(parents=True, exist_ok=True)
     parts = []
-    for world, what, pairs, rows in compared(name, results, text, base):
-        products = [
-            one.figure.removeprefix("in time ")
-            for one in pairs
-            if one.figure.startswith("in time ")
+    for world, title, pairs, rows in find_comparisons(name, results, text, base):
+        request_classes = [
+            pair.figure.removeprefix("in time ")
+            for pair in pairs
+            if pair.figure.startswith("in time ")
         ]
-        chart = to / f"{slug(world)}-{slug(what.split(' against ')[0])}.{ending}"
-        play_chart(chart, f"{world}, seed {rows[0]['seed']}", products, rows)
-        parts.append((world, what, pairs, chart))
+        chart = (
+            to / f"{make_file_name(world)}-{make_file_name(title.split(' against ')[0])}.{ending}"
+        )
+        play_chart(chart, f"{world}, seed {rows[0]['seed']}", request_classes, rows)
+        parts.append((world, title, pairs, chart))
     page(to / "index.html", name, parts)
     click.echo(f"{to / 'index.html'}: {len(parts)} comparisons")
 
 
-def compared(
+def find_comparisons(
     name: str, results: Path, text: str | None, base: str | None
 ) -> list[tuple[str, str, list, list]]:  # type: ignore[type-arg]
-    """World, what is compared, the pairs, and the two plays of the first seed."""
+    """Returns the comparisons of each variant with the base variant, in each world.
+
+    Args:
+        name: Name of the experiment.
+        results: The SQLite file of results.
+        text: Version of the program's text; None for the newest that was run.
+        base: The variant to compare with; None for "none" if it was run, else the first.
+
+    Returns:
+        The world, a title, the paired figures, and the runs of both variants with the lowest seed,
+        the base variant first.
+
+    Raises:
+        click.UsageError: There are no runs of the experiment or of the base variant.
+    """
     from ..lab.experiment import Table, paired
 
     table = Table(results)
     rows = table.rows(name, text)
     if not rows:
         known = (
-            ", ".join(f"{one} ({count} plays of {of})" for one, of, count in table.experiments())
+            ", ".join(
+                f"{experiment} ({count} plays of {version})"
+                for experiment, version, count in table.experiments()
+            )
             or "none"
         )
         raise click.UsageError(f"no plays of {name!r} in {results}; there are: {known}")
@@ -162,7 +198,7 @@
     base = base or ("none" if "none" in variants else variants[0])
     if base not in variants:
         raise click.UsageError(f"{base!r} was not played; there are {', '.join(variants)}")
-    found = []
+    comparisons = []
     for world in dict.fromkeys(row["world"] for row in rows):
         for other in variants:
             if other != base and (pairs := paired(rows, world, base, other)):
@@ -174,7 +210,7 @@
                     and row["seed"] == seed
                     and row["variant"] in (base, other)
                 ]
-                found.append(
+                comparisons.append(
                     (
                         world,
                         f"{other} against {base}, {pairs[0].pairs} seeds",
@@ -182,54 +218,65 @@
                         sorted(shown, key=lambda row: row["variant"] != base),
                     )
                 )
-    return found
+    return comparisons
 
 
-def slug(text: str) -> str:
-    return "".join(one if one.isalnum() else "-" for one in text.lower())
+def make_file_name(text: str) -> str:
+    """Returns the text in lower case, with "-" in place of all but letters and digits."""
+    return "".join(character if character.isalnum() else "-" for character in text.lower())
 
 
 @lab.command()
 @click.option(
     "--slopes",
     type=click.Path(dir_okay=False, exists=True, path_type=Path),
-    help="Kept slopes; else the repository's.",
+    help="File of measured slopes; by default the repository's.",
 )
 @click.option(
-    "--page", type=click.Path(dir_okay=False, path_type=Path), default=ROOT / "docs" / "CAPACITY.md"
+    "--page",
+    type=click.Path(dir_okay=False, path_type=Path),
+    default=REPOSITORY_ROOT / "docs" / "CAPACITY.md",
 )
 @click.option(
-    "--write", "do", flag_value="write", help="Put the tables between the page's markers."
+    "--write", "do", flag_value="write", help="Write the tables between the page's markers."
 )
 @click.option(
     "--check",
     "do",
     flag_value="check",
-    help="Status 1, and the lines that differ, unless the page has these tables.",
+    help="Print the lines that differ and exit with status 1 unless the page has these tables.",
 )
 def capacity(slopes: Path | None, page: Path, do: str | None) -> None:
-    """What each role needs at the coming size, from kept slopes; what is missing first."""
+    """Show what each role needs at the planned size, computed from measured slopes.
+
+    The needs that exceed their budget come first.
+    """
     from difflib import unified_diff
 
     from ..lab.capacity import NoPage, latest, tables, written
     from ..lab.slopes import KEPT
 
-    made = tables(latest(slopes or KEPT))
+    new_tables = tables(latest(slopes or KEPT))
     if do is None:
-        for name, lines in made.items():
+        for name, lines in new_tables.items():
             click.echo(f"\n## {name}\n\n" + "\n".join(lines))
         return
-    told = page.read_text(encoding="utf-8")
+    current_text = page.read_text(encoding="utf-8")
     try:
-        should = written(told, made)
+        new_text = written(current_text, new_tables)
     except NoPage as error:
         click.echo(f"{page.name}: {error}", err=True)
         sys.exit(1)
     if do == "write":
-        page.write_text(should, encoding="utf-8")
-    elif told != should:
+        page.write_text(new_text, encoding="utf-8")
+    elif current_text != new_text:
         for line in unified_diff(
-            told.splitlines(), should.splitlines(), page.name, "kept slopes", n=0, lineterm=""
+            current_text.splitlines(),
+            new_text.splitlines(),
+            page.name,
+            "kept slopes",
+            n=0,
+            lineterm="",
         ):
             click.echo(line)
         sys.exit(1)
--- a/burlloom/command/record.py
+++ b/burlloom/command/record.py
@@ -1,4 +1,4 @@
-"""`burlloom record ...`: look after the store of record."""
+"""`burlloom record ...`: maintains the store of record."""
 
 import asyncio
 import json
@@ -9,50 +9,72 @@
 
 import click
 
-from .shared import operator_file, operator_option, told_plainly
+from .shared import exit_on_store_refusal, load_operator_file, operator_option
 
 if TYPE_CHECKING:
     from ..operator import Record
     from ..record.sqlite_admin import SqliteRecordAdmin
 
-FLEET_ONLY = "this is for a record in PostgreSQL, which several nodes share; here it is SQLite"
-FILE_ONLY = "this is for a record in SQLite; PostgreSQL has tools of its own for it"
+POSTGRES_ONLY_ERROR = (
+    "this command is for a record in PostgreSQL, which several nodes share;"
+    " this record is in SQLite"
+)
+SQLITE_ONLY_ERROR = (
+    "this command is for a record in SQLite; this record is in PostgreSQL, which has its own tools"
+)
 
 
 @click.group()
 def record() -> None:
-    """Look after the store of record: look, resolve doubts, verify, copy, put back.
+    """Maintain the store of record: inspect, resolve doubts, verify, copy, restore.
 
-    All but `init`, `migrate`, `compact` and `restore` may be used while a server has the file.
+    All commands except `init`, `migrate`, `compact` and `restore` may be used while a server uses
+    the file.
     """
 
 
-def section(operator: Path | None) -> "Record":
-    found = operator_file(operator).record
-    if found is None:
-        raise click.UsageError(f"{operator} keeps no record: it has no `record` part")
-    return found
+def load_record_part(path: Path | None) -> "Record":
+    """Returns the `record` part of the operator's file.
+
+    Raises:
+        click.UsageError: The file has no such part.
+    """
+    part = load_operator_file(path).record
+    if part is None:
+        raise click.UsageError(f"{path} has no `record` part: no record is kept")
+    return part
 
 
-def admin_of(operator: Path | None, make: bool = False) -> "SqliteRecordAdmin":
+def create_admin(path: Path | None, creates_key: bool = False) -> "SqliteRecordAdmin":
+    """Returns the administration of the SQLite record that the operator's file names.
+
+    Args:
+        path: The operator's file.
+        creates_key: Whether to create the record's key if it is missing.
+
+    Raises:
+        click.UsageError: The record is not in SQLite.
+        StoreRefusedError: The key can't be used.
+    """
     from ..record.factory import load_authenticator
     from ..record.sqlite_admin import SqliteRecordAdmin
 
-    told = section(operator)
-    if told.sqlite is None:
-        raise click.UsageError(FILE_ONLY)
-    return SqliteRecordAdmin(told.sqlite.place(), load_authenticator(told, make))
+    settings = load_record_part(path)
+    if settings.sqlite is None:
+        raise click.UsageError(SQLITE_ONLY_ERROR)
+    return SqliteRecordAdmin(settings.sqlite.place(), load_authenticator(settings, creates_key))
 
 
 @record.command()
 @operator_option
 def init(operator: Path | None) -> None:
-    """Make an empty record and its key."""
-    with told_plainly():
-        admin = admin_of(operator, make=True)
+    """Create an empty record and its key."""
+    with exit_on_store_refusal():
+        admin = create_admin(operator, creates_key=True)
         admin.create()
         click.echo(
-            f"{admin.path}: made; keep its key with your secrets, a record without it proves nothing"
+            f"{admin.path}: created; store its key with your secrets: without it the record can't"
+            " be verified"
         )
 
 
@@ -60,64 +82,73 @@
 @operator_option
 @click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
 def stats(operator: Path | None, as_json: bool) -> None:
-    """What the record holds: nodes and their lives, marks by fate, doubts, sizes."""
+    """Show counts of the record: nodes and their incarnations, keys by state, doubts, sizes."""
     from dataclasses import asdict
 
     from ..record.sqlite_admin import format_time
 
-    with told_plainly():
-        told = section(operator)
-        if told.sqlite is None:
+    with exit_on_store_refusal():
+        settings = load_record_part(operator)
+        if settings.sqlite is None:
             from ..record import postgres_admin
 
-            got = asyncio.run(postgres_admin.collect_stats(told, time.time_ns()))
+            values = asyncio.run(postgres_admin.collect_stats(settings, time.time_ns()))
             click.echo(
-                json.dumps(got)
+                json.dumps(values)
                 if as_json
-                else "\n".join(f"{name:14} {value}" for name, value in got.items())
+                else "\n".join(f"{name:14} {value}" for name, value in values.items())
             )
             return
-        found = admin_of(operator).collect_stats(time.time_ns())
+        summary = create_admin(operator).collect_stats(time.time_ns())
     if as_json:
-        click.echo(json.dumps(asdict(found)))
+        click.echo(json.dumps(asdict(summary)))
         return
-    click.echo(f"schema         {found.schema}")
-    click.echo(f"served now     {'yes' if found.served else 'no'}")
+    click.echo(f"schema         {summary.schema}")
+    click.echo(f"served now     {'yes' if summary.served else 'no'}")
     click.echo(
         "nodes          "
-        + (", ".join(f"{name} in life {life}" for name, life in found.nodes.items()) or "-")
+        + (
+            ", ".join(
+                f"{name} in life {incarnation}" for name, incarnation in summary.nodes.items()
+            )
+            or "-"
+        )
     )
-    for name, count in found.rows.items():
+    for name, count in summary.rows.items():
         click.echo(f"{name:14} {count}")
-    click.echo(f"in doubt       {found.doubts}")
-    click.echo(f"over           {found.over}")
-    click.echo(f"windows end    {format_time(found.first_end)} to {format_time(found.last_end)}")
+    click.echo(f"in doubt       {summary.doubts}")
+    click.echo(f"over           {summary.over}")
+    click.echo(
+        f"windows end    {format_time(summary.first_end)} to {format_time(summary.last_end)}"
+    )
     click.echo(
-        f"file           {found.file_bytes} bytes, {found.free_bytes} free, results {found.result_bytes}"
+        f"file           {summary.file_bytes} bytes, {summary.free_bytes} free,"
+        f" results {summary.result_bytes}"
     )
-    if found.closed_until > time.time_ns():
-        click.echo(f"closed until   {format_time(found.closed_until)}, since it was restored")
+    if summary.closed_until > time.time_ns():
+        click.echo(f"closed until   {format_time(summary.closed_until)}, since it was restored")
 
 
 @record.command()
 @operator_option
 @click.option("--json", "as_json", is_flag=True, help="As JSON lines.")
 def doubts(operator: Path | None, as_json: bool) -> None:
-    """List charges that were begun and of whose end nobody knows. Their repeats are voided till
-    their window ends.
+    """List requests in doubt: their run started and no end of it was recorded.
+
+    Repeats of a request in doubt are voided until its window ends.
     """
     from ..record.sqlite_admin import format_time
 
-    now = time.time_ns()
-    with told_plainly():
-        told = section(operator)
-        if told.sqlite is None:
+    now_ns = time.time_ns()
+    with exit_on_store_refusal():
+        settings = load_record_part(operator)
+        if settings.sqlite is None:
             from ..record import postgres_admin
 
-            found = asyncio.run(postgres_admin.list_in_doubt(told, now))
+            rows = asyncio.run(postgres_admin.list_in_doubt(settings, now_ns))
         else:
-            found = list(admin_of(operator).list_in_doubt(now))
-    for row, verdict in found:
+            rows = list(create_admin(operator).list_in_doubt(now_ns))
+    for row, verdict in rows:
         if as_json:
             click.echo(
                 json.dumps(
@@ -134,81 +165,94 @@
             )
         else:
             click.echo(
-                f"{row.key_digest.hex()}  id={row.request_id} node={row.node} life={row.incarnation} at={format_time(row.started_at_ns)}"
-                f" until={format_time(row.expires_at_ns)}{f' verdict={verdict!r}' if verdict else ''}"
+                f"{row.key_digest.hex()}  id={row.request_id} node={row.node}"
+                f" life={row.incarnation} at={format_time(row.started_at_ns)}"
+                f" until={format_time(row.expires_at_ns)}"
+                f"{f' verdict={verdict!r}' if verdict else ''}"
             )
-    if not found and not as_json:
+    if not rows and not as_json:
         click.echo("none")
 
 
-def mark_of(text: str) -> bytes:
+def parse_key_digest(text: str) -> bytes:
+    """Returns the key digest that an operator typed.
+
+    Raises:
+        click.BadParameter: The text is not 32 hex digits.
+    """
     try:
-        found = bytes.fromhex(text)
+        key_digest = bytes.fromhex(text)
     except ValueError:
-        found = b""
-    if len(found) != 16:
+        key_digest = b""
+    if len(key_digest) != 16:
         raise click.BadParameter("a mark is 32 hex digits, as `burlloom record doubts` lists them")
-    return found
+    return key_digest
 
 
 @record.command()
 @click.argument("mark")
 @click.option("--ran", "ran", flag_value="ran", help="It ran: repeats stay voided.")
 @click.option("--never-ran", "ran", flag_value="never", help="It never ran: a repeat may run.")
-@click.option("--reason", required=True, help="How you know; it is kept with the verdict.")
+@click.option("--reason", required=True, help="How you know; stored with the verdict.")
 @operator_option
 def resolve(mark: str, ran: str | None, reason: str, operator: Path | None) -> None:
-    """Say of a doubt whether the charge ran. Look it up at the executor first: never-ran lets it
-    run again.
+    """Record whether a request in doubt ran; MARK is its key digest, as `doubts` lists it.
+
+    Find out at the executor first: after --never-ran a repeat of the request runs.
     """
     if ran is None:
-        raise click.UsageError("say --ran or --never-ran")
-    with told_plainly():
-        told = section(operator)
-        if told.sqlite is None:
+        raise click.UsageError("name either --ran or --never-ran")
+    with exit_on_store_refusal():
+        settings = load_record_part(operator)
+        if settings.sqlite is None:
             from ..record import postgres_admin
 
-            said = asyncio.run(
-                postgres_admin.resolve(told, mark_of(mark), ran == "ran", reason, time.time_ns())
+            message = asyncio.run(
+                postgres_admin.resolve(
+                    settings, parse_key_digest(mark), ran == "ran", reason, time.time_ns()
+                )
             )
         else:
-            said = admin_of(operator).resolve(mark_of(mark), ran == "ran", reason, time.time_ns())
-        click.echo(f"{mark}: {'ran' if ran == 'ran' else 'never ran'}; {said}")
+            message = create_admin(operator).resolve(
+                parse_key_digest(mark), ran == "ran", reason, time.time_ns()
+            )
+        click.echo(f"{mark}: {'ran' if ran == 'ran' else 'never ran'}; {message}")
 
 
 @record.command()
 @operator_option
 def verify(operator: Path | None) -> None:
-    """Look at the file's structure and at each record's seal; status 1 if anything is wrong."""
-    with told_plainly():
-        found = admin_of(operator).verify()
-    for fault in found.faults:
+    """Check the file's structure and each row's seal; exit with status 1 if there is a fault."""
+    with exit_on_store_refusal():
+        verification = create_admin(operator).verify()
+    for fault in verification.faults:
         click.echo(fault, err=True)
-    click.echo(f"{found.row_count} records, {len(found.faults)} faults")
-    sys.exit(1 if found.faults else 0)
+    click.echo(f"{verification.row_count} records, {len(verification.faults)} faults")
+    sys.exit(1 if verification.faults else 0)
 
 
 @record.command()
 @operator_option
 def compact(operator: Path | None) -> None:
-    """Give all free space back to the disk. Wants the file alone."""
-    with told_plainly():
-        before, after = admin_of(operator).compact()
-        click.echo(f"{before} bytes before, {after} after")
+    """Return all free space to the file system. No server may use the file meanwhile."""
+    with exit_on_store_refusal():
+        before_bytes, after_bytes = create_admin(operator).compact()
+        click.echo(f"{before_bytes} bytes before, {after_bytes} after")
 
 
 @record.command()
 @click.argument("to", type=click.Path(dir_okay=False, path_type=Path))
 @operator_option
 def snapshot(to: Path, operator: Path | None) -> None:
-    """Copy the record to a file, whole and verified, also while it is served. The key is not
-    copied.
+    """Copy the whole record to a file and verify the copy, also while a server uses the record.
+
+    The key is not copied.
     """
     from ..record.sqlite_snapshot import take_snapshot
 
-    with told_plainly():
-        found = take_snapshot(admin_of(operator), to)
-        click.echo(f"{to}: {found.row_count} records, verified")
+    with exit_on_store_refusal():
+        verification = take_snapshot(create_admin(operator), to)
+        click.echo(f"{to}: {verification.row_count} records, verified")
 
 
 @record.command()
@@ -217,31 +261,34 @@
     "--window-s",
     type=click.FloatRange(0, 86_400),
     required=True,
-    help="The longest window of a product: so long the record stays closed for charges, as what ran since"
-    " the snapshot is not in it, and would run again.",
+    help="The longest window of a request class. The record stays closed for charges that long: the"
+    " runs since the snapshot are not in it, so their repeats would run again.",
 )
 @click.option(
     "--nothing-lost",
     is_flag=True,
-    help="You know that no charge ran since the snapshot: open at once.",
+    help="Open the record at once; only if you know that no charge ran since the snapshot.",
 )
 @operator_option
 def restore(source: Path, window_s: float, nothing_lost: bool, operator: Path | None) -> None:
-    """Put a snapshot in place. Wants the file alone; what was there is kept beside it under another
-    name.
+    """Replace the record with a snapshot. No server may use the file meanwhile.
+
+    The previous file is kept beside it under another name.
     """
     from ..record.sqlite_admin import format_time
     from ..record.sqlite_snapshot import restore_snapshot
 
-    with told_plainly():
-        admin = admin_of(operator, make=False)
-        closed = restore_snapshot(admin, source, int(window_s * 1e9), nothing_lost, time.time_ns())
+    with exit_on_store_refusal():
+        admin = create_admin(operator, creates_key=False)
+        closed_until_ns = restore_snapshot(
+            admin, source, int(window_s * 1e9), nothing_lost, time.time_ns()
+        )
         click.echo(
             f"{admin.path}: restored; "
             + (
-                f"closed for charges until {format_time(closed)}"
-                if closed
-                else "open at once, on your word that nothing ran since"
+                f"closed for charges until {format_time(closed_until_ns)}"
+                if closed_until_ns
+                else "open at once, as --nothing-lost says that nothing ran since"
             )
         )
 
@@ -250,44 +297,50 @@
 @click.argument("source", type=click.Path(dir_okay=False, exists=True, path_type=Path))
 @operator_option
 def merge(source: Path, operator: Path | None) -> None:
-    """Add what a snapshot has and the record lacks, also while it is served; what stands is left as
-    it is.
+    """Add the rows of a snapshot that the record lacks, also while a server uses the record.
+
+    Rows that are in the record stay as they are.
     """
     from ..record.sqlite_snapshot import merge_snapshot
 
-    with told_plainly():
-        added, looked_at = merge_snapshot(admin_of(operator), source, time.time_ns())
-        click.echo(f"{added} records added of {looked_at} whose window is not over")
+    with exit_on_store_refusal():
+        added_count, considered_count = merge_snapshot(
+            create_admin(operator), source, time.time_ns()
+        )
+        click.echo(f"{added_count} records added of {considered_count} whose window is not over")
 
 
 @record.command()
 @click.option(
-    "--to", type=click.Path(dir_okay=False, path_type=Path), help="A file; else standard output."
+    "--to",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="File to write; by default standard output.",
 )
 @operator_option
 def export(to: Path | None, operator: Path | None) -> None:
-    """Write each record as a line of JSON; bytes as hex, times in Unix nanoseconds."""
-    with told_plainly():
-        admin = admin_of(operator)
+    """Write each row as a line of JSON, with bytes in hex and times in Unix nanoseconds."""
+    with exit_on_store_refusal():
+        admin = create_admin(operator)
         with click.open_file(str(to) if to is not None else "-", "w") as out:
-            for one in admin.export_rows():
-                out.write(json.dumps(one) + "\n")
+            for row in admin.export_rows():
+                out.write(json.dumps(row) + "\n")
 
 
 @record.command()
 @operator_option
 def migrate(operator: Path | None) -> None:
-    """Take the schema's missing steps; a server does so too when it starts."""
-    with told_plainly():
-        taken = admin_of(operator).migrate()
-        click.echo(f"steps taken: {', '.join(map(str, taken)) or 'none'}")
+    """Apply the pending steps of the schema; a server does so too when it starts."""
+    with exit_on_store_refusal():
+        steps = create_admin(operator).migrate()
+        click.echo(f"steps taken: {', '.join(map(str, steps)) or 'none'}")
 
 
 @record.command()
 @click.argument("file", type=click.Path(dir_okay=False, path_type=Path))
 def key(file: Path) -> None:
-    """Make the key that the nodes of one PostgreSQL record share; give each node a copy, readable
-    to its owner.
+    """Create the key that the nodes of one PostgreSQL record share.
+
+    Copy it to each node, readable only by its owner.
     """
     from ..record.authentication import create_key
 
@@ -299,33 +352,44 @@
     except OSError as error:
         click.echo(f"burlloom: {file}: {error.strerror}", err=True)
         sys.exit(2)
-    click.echo(f"{file}: made")
+    click.echo(f"{file}: created")
 
 
 @record.command()
 @click.argument("node")
 @operator_option
 def fence(node: str, operator: Path | None) -> None:
-    """Shut a node out of the shared record: it writes nothing any more, and what it had begun is in
-    doubt.
+    """Fence a node off from the shared record.
+
+    It can't write to the record any more, and its unfinished requests are in doubt.
     """
-    fencing(node, operator, True)
+    set_node_fence(node, operator, True)
 
 
 @record.command()
 @click.argument("node")
 @operator_option
 def unfence(node: str, operator: Path | None) -> None:
-    """Let a fenced node back in, with its next start."""
-    fencing(node, operator, False)
+    """Allow a fenced node to use the record again from its next start."""
+    set_node_fence(node, operator, False)
 
 
-def fencing(node: str, operator: Path | None, out: bool) -> None:
-    with told_plainly():
-        told = section(operator)
-        if told.postgres is None:
-            raise click.UsageError(FLEET_ONLY)
+def set_node_fence(node: str, operator: Path | None, is_fenced: bool) -> None:
+    """Fences a node off from the shared record, or allows it again.
+
+    Args:
+        node: Name of the node.
+        operator: The operator's file.
+        is_fenced: Whether the node is to be fenced off.
+
+    Raises:
+        click.UsageError: The record is not in PostgreSQL.
+    """
+    with exit_on_store_refusal():
+        settings = load_record_part(operator)
+        if settings.postgres is None:
+            raise click.UsageError(POSTGRES_ONLY_ERROR)
         from ..record import postgres_admin
 
-        asyncio.run(postgres_admin.set_fence(told, node, out))
-        click.echo(f"{node}: {'fenced off' if out else 'may start again'}")
+        asyncio.run(postgres_admin.set_fence(settings, node, is_fenced))
+        click.echo(f"{node}: {'fenced off' if is_fenced else 'may start again'}")
--- a/burlloom/command/recovery.py
+++ b/burlloom/command/recovery.py
@@ -1,6 +1,4 @@
-"""`burlloom recovery ...`: what a server's last life left, and whether the next one would believe
-it.
-"""
+"""`burlloom recovery ...`: shows a server's state file and whether a restart would use it."""
 
 import sys
 import time
@@ -8,50 +6,57 @@
 
 import click
 
-from .shared import operator_file, operator_option
+from .shared import load_operator_file, operator_option
 
-MEANS = {
+# What a server does at its start, by the validity of its state file.
+START_BY_VALIDITY = {
     "good": "peers and the store are asked; then its hints are used",
     "missing": "a cold start",
     "torn": "a cold start, and the fence",
-    "foreign": "of another name: a cold start, and the fence",
-    "future": "told later than now, a clock was stepped: a cold start, and the fence",
-    "old": "a cold start; the fence, unless it drained",
+    "foreign": "written by a server of another name: a cold start, and the fence",
+    "future": "written later than now, so a clock was set: a cold start, and the fence",
+    "old": "a cold start; the fence, unless the server had drained",
 }
 
 
 @click.group()
 def recovery() -> None:
-    """Coming back: what the last life left to the next."""
+    """Recovery after a restart: the state that an incarnation leaves to the next."""
 
 
 @recovery.command()
 @operator_option
-@click.option("--node", help="The server's name; by default the one in the file.")
+@click.option("--node", help="The server's name; by default the one in the state file.")
 def show(operator: Path | None, node: str | None) -> None:
-    """What stands in the state file, and what a start now would make of it. Status 1 if it would
-    not be believed.
+    """Show the state file, and what a server that starts now would do with it.
+
+    Exits with status 1 if the server would not use it.
     """
     from ..recovery import RecoverySnapshot, SnapshotValidity, parse_snapshot, validate_snapshot
 
-    part = operator_file(operator).recovery
+    part = load_operator_file(operator).recovery
     if part is None or part.state_file is None:
         raise click.UsageError(f"{operator} has no recovery.state_file: each start is cold")
     path = Path(part.state_file)
     try:
-        found = parse_snapshot(path.read_text(encoding="utf-8") if path.exists() else None)
+        snapshot = parse_snapshot(path.read_text(encoding="utf-8") if path.exists() else None)
     except (OSError, UnicodeDecodeError) as error:
         click.echo(f"burlloom: {path}: {error}", err=True)
         sys.exit(2)
-    now = time.time_ns() // 1_000_000
-    verdict = validate_snapshot(
-        found, node or (found.node if isinstance(found, RecoverySnapshot) else ""), now, part.age_ms
+    now_ms = time.time_ns() // 1_000_000
+    validity = validate_snapshot(
+        snapshot,
+        node or (snapshot.node if isinstance(snapshot, RecoverySnapshot) else ""),
+        now_ms,
+        part.age_ms,
     )
-    if isinstance(found, RecoverySnapshot):
+    if isinstance(snapshot, RecoverySnapshot):
         click.echo(
-            f"{found.node}: life {found.incarnation}, told {(now - found.written_at_ms) / 1000:.1f} s ago,"
-            f" {'drained' if found.was_drained else 'serving when it was told'}; share {found.call_share:g},"
-            f" record life {found.record_incarnation}, {len(found.peer_addresses)} addresses"
+            f"{snapshot.node}: life {snapshot.incarnation},"
+            f" told {(now_ms - snapshot.written_at_ms) / 1000:.1f} s ago,"
+            f" {'drained' if snapshot.was_drained else 'serving when it was written'};"
+            f" share {snapshot.call_share:g}, record life {snapshot.record_incarnation},"
+            f" {len(snapshot.peer_addresses)} addresses"
         )
-    click.echo(f"{path}: {verdict.name.lower()}: {MEANS[verdict.name.lower()]}")
-    sys.exit(0 if verdict is SnapshotValidity.GOOD else 1)
+    click.echo(f"{path}: {validity.name.lower()}: {START_BY_VALIDITY[validity.name.lower()]}")
+    sys.exit(0 if validity is SnapshotValidity.GOOD else 1)
--- a/burlloom/command/rollout.py
+++ b/burlloom/command/rollout.py
@@ -1,4 +1,4 @@
-"""`burlloom rollout ...`: releases, drains and who may be out, agreed across the fleet."""
+"""`burlloom rollout ...`: gives and shows the fleet's releases, drains and disruption budgets."""
 
 import asyncio
 import contextlib
@@ -12,34 +12,36 @@
 
 import click
 
-from .shared import operator_file, operator_option, told_plainly
+from .shared import exit_on_store_refusal, load_operator_file, operator_option
 
 if TYPE_CHECKING:
     from ..operator import Operator, Rollout
     from ..rollout import Instance, InstanceGroup, RolloutState, ServerReport
     from ..rollout.stores import RolloutStore, StateSnapshot
 
-MAX_WRITE_ATTEMPTS = 50  # while others write too
+MAX_WRITE_ATTEMPTS = 50  # of an order whose writes conflict with those of other processes
 POLL_INTERVAL_S = 0.2
-# A person waits for the lock rather than is told that others write just now.
+# An operator would rather wait for the lock than repeat a command that failed because of it.
 ORDER_LOCK_TIMEOUT_S = 30.0
-LEADER_LOCK_TIMEOUT_S = 2.0  # a leader looks again by itself
+LEADER_LOCK_TIMEOUT_S = 2.0  # the leader retries in its next round
 MAX_DRAIN_S = 30 * 86_400
 MS_PER_S = 1000
 
-reason_option = click.option(
-    "--reason", default="", help="Kept with the step, for those who look later."
-)
+reason_option = click.option("--reason", default="", help="Stored with the step in the history.")
 
 
 @click.group()
 def rollout() -> None:
-    """Releases and drains: waves, halt, way back; never more out at once than the budget has."""
+    """Releases and drains, within a budget of instances that may be out of service at once."""
 
 
 def load_rollout_part(path: Path | None) -> "tuple[Operator, Rollout]":
-    """Returns the operator's file and its `rollout` part; a usage error where it has none."""
-    operator = operator_file(path)
+    """Returns the operator's file and its `rollout` part.
+
+    Raises:
+        click.UsageError: The file has no such part.
+    """
+    operator = load_operator_file(path)
     if operator.rollout is None:
         raise click.UsageError(f"{path} has no `rollout` part")
     return operator, operator.rollout
@@ -50,14 +52,15 @@
     work: "Callable[[RolloutStore], Awaitable[Any]]",
     lock_timeout_s: float = ORDER_LOCK_TIMEOUT_S,
 ) -> Any:
-    """Runs `work` with the opened store, and returns what it gives.
+    """Runs `work` with the opened store and returns its result.
 
-    Ends with one line and status 2 where the store can't be used, or an order is rejected.
+    Prints one line on standard error and exits with status 2 if the store can't be used or an
+    order is rejected.
 
     Args:
-        path: Of the operator's file.
-        work: What is done with the store.
-        lock_timeout_s: For a lock that another process holds.
+        path: The operator's file.
+        work: Called with the store, which is closed afterwards.
+        lock_timeout_s: How long to wait for a lock that another process holds.
     """
     from ..rollout import OrderRejectedError
     from ..rollout.stores import StateDecodeError, StoreUnavailableError
@@ -66,6 +69,7 @@
     operator, _ = load_rollout_part(path)
 
     async def run() -> Any:
+        """Opens the store, runs `work` and closes the store."""
         store = create_rollout_store(operator, lock_timeout_s)
         try:
             await store.open()
@@ -73,7 +77,7 @@
         finally:
             await store.close()
 
-    with told_plainly():
+    with exit_on_store_refusal():
         try:
             return asyncio.run(run())
         except (OrderRejectedError, StoreUnavailableError, StateDecodeError) as error:
@@ -84,11 +88,19 @@
 async def write_order(
     store: "RolloutStore", order: "Callable[[RolloutState], RolloutState]"
 ) -> "StateSnapshot":
-    """Writes an order on the state as it stands then, however many others write.
+    """Applies an order to the current state and writes it; retries on conflicting writes.
+
+    Args:
+        store: Open.
+        order: Returns the state after the order; called again after a conflicting write.
+
+    Returns:
+        The state as it was written.
 
     Raises:
-        OrderRejectedError: It can't be carried out, or others were always faster.
-        StoreUnavailableError: Nobody knows whether it was written.
+        OrderRejectedError: The order can't be carried out, or `MAX_WRITE_ATTEMPTS` writes in a row
+            conflicted with writes of other processes.
+        StoreUnavailableError: The store was lost; it is unknown whether the order was written.
     """
     from ..rollout import OrderRejectedError
     from ..rollout.stores import StateSnapshot
@@ -99,44 +111,47 @@
         if await store.compare_and_swap(snapshot, state):
             return StateSnapshot(snapshot.revision + 1, snapshot.heartbeat, state)
     raise OrderRejectedError(
-        f"others wrote before us {MAX_WRITE_ATTEMPTS} times in a row; try again"
+        f"{MAX_WRITE_ATTEMPTS} writes in a row conflicted with other writes; try again"
     )
 
 
 def run_order(path: Path | None, order: "Callable[[RolloutState], RolloutState]") -> None:
-    """Writes an order, and shows in one line how things stand."""
+    """Writes an order, and prints a line with the state after it."""
     snapshot = run_with_store(path, lambda store: write_order(store, order))
     click.echo(format_headline(snapshot.state))
 
 
 def format_headline(state: "RolloutState") -> str:
-    """Returns in one line who is out and what is under way."""
+    """Returns a line with the servers out of service and the release in progress."""
     from ..rollout import SERVERS_GROUP, ReleasePhase
 
     release, servers = state.release, state.groups[SERVERS_GROUP]
     size = len(servers.instances)
-    head = f"{size} servers, {servers.out_count} out of {servers.limit} allowed; "
+    counts = f"{size} servers, {servers.out_count} out of {servers.limit} allowed; "
     if release.phase is ReleasePhase.IDLE:
         stable = f"; good is {state.stable_version}" if state.stable_version else ""
-        return f"{head}nothing under way{stable}"
-    done = sum(state.is_up_to_date(server) for server in servers.instances.values())
+        return f"{counts}nothing under way{stable}"
+    done_count = sum(state.is_up_to_date(server) for server in servers.instances.values())
     if release.is_rollback:
-        way = f"back to {release.previous_version}"
+        progress = f"back to {release.previous_version}"
     else:
         goal = "restart" if release.is_restart else f"to {release.target_version}"
-        way = f"{goal}, wave {release.wave_index + 1} of {len(release.waves)}"
+        progress = f"{goal}, wave {release.wave_index + 1} of {len(release.waves)}"
     reason = f" ({release.reason})" if release.reason else ""
     return (
-        f"{head}change {release.number} {way}: {release.phase.label}, {done} of {size} done{reason}"
+        f"{counts}change {release.number} {progress}: {release.phase.label},"
+        f" {done_count} of {size} done{reason}"
     )
 
 
 @rollout.command()
 @operator_option
-@click.option("--json", "as_json", is_flag=True, help="The book as it stands, one JSON object.")
-@click.option("--notes", type=click.IntRange(0, 40), default=8, help="How many of the last steps.")
+@click.option("--json", "as_json", is_flag=True, help="The stored state, one JSON object.")
+@click.option(
+    "--notes", type=click.IntRange(0, 40), default=8, help="Number of the last steps to show."
+)
 def show(operator: Path | None, as_json: bool, notes: int) -> None:
-    """What is under way, who is out, who leads, and the last steps."""
+    """Show the release in progress, instances out of service, the leader and the last steps."""
     from ..rollout.stores import encode_state
 
     state: RolloutState = run_with_store(operator, lambda store: store.read()).state
@@ -152,7 +167,13 @@
 
 
 def show_group(name: str, group: "InstanceGroup", stable_version: str) -> None:
-    """Shows a group's budget, and those of its instances that are not as usual."""
+    """Prints a group's budget, and its instances that are out, draining or of another version.
+
+    Args:
+        name: Name of the group.
+        group: The group.
+        stable_version: The version that the fleet runs outside of releases.
+    """
     from ..rollout import InstanceState
 
     share = f" ({group.budget.max_out_share:.0%})" if group.budget.max_out_share else ""
@@ -169,7 +190,7 @@
 
 
 def format_plans(instance: "Instance") -> str:
-    """Returns what is to become of an instance; empty where nothing is."""
+    """Returns an instance's next version and its drain request; empty if it has neither."""
     plans = ""
     if instance.next_version and instance.next_version != instance.version:
         plans += f", next {instance.next_version}"
@@ -185,13 +206,17 @@
     "--wave",
     "waves",
     multiple=True,
-    help="A number of servers, or a part such as 10%; the last is 100%. "
-    "Else those of the operator's file.",
+    help="A number of servers, or a share such as 10%; the last is 100%. "
+    "By default the waves of the operator's file.",
 )
 @click.option(
-    "--auto-back/--no-auto-back", default=None, help="Whether a bad wave is taken back by itself."
+    "--auto-back/--no-auto-back",
+    default=None,
+    help="Whether a wave that fails is rolled back automatically.",
+)
+@click.option(
+    "--restart", is_flag=True, help="Restart all servers, also those that run this version."
 )
-@click.option("--restart", is_flag=True, help="Start all anew, also those that run this version.")
 def start(
     operator: Path | None,
     version: str,
@@ -199,9 +224,9 @@
     auto_back: bool | None,
     restart: bool,
 ) -> None:
-    """Bring VERSION to the whole fleet, in waves. With --restart it may be left out."""
+    """Release VERSION to the whole fleet in waves; VERSION is optional with --restart."""
     if not version and not restart:
-        raise click.UsageError("which VERSION? Only with --restart may it be left out")
+        raise click.UsageError("VERSION is missing; it is optional only with --restart")
     from ..rollout.release import parse_wave
 
     _, part = load_rollout_part(operator)
@@ -209,18 +234,19 @@
         parsed = tuple(parse_wave(wave) for wave in waves) or part.plan_waves()
     except ValueError:
         raise click.UsageError(
-            f"--wave: {', '.join(waves)}: each is a number such as 3, or a part such as 25%"
+            f"--wave: {', '.join(waves)}: each must be a number such as 3, or a share such as 25%"
         ) from None
     auto_rollback = part.auto_back if auto_back is None else auto_back
     run_order(operator, lambda state: state.start_release(version, parsed, auto_rollback, restart))
 
 
 def make_release_order(name: str, help_text: str) -> click.Command:
-    """Returns the command that gives the release an order of this name."""
+    """Returns the command that applies the order of this name to the release."""
 
     @operator_option
     @reason_option
     def run(operator: Path | None, reason: str) -> None:
+        """Applies the order."""
         from ..rollout.release import ReleaseInput
 
         run_order(operator, lambda state: state.apply_order(ReleaseInput[name.upper()], reason))
@@ -230,15 +256,15 @@
 
 rollout.add_command(
     make_release_order(
-        "halt", "Send nobody out any more; take back permits that nobody has begun on."
+        "halt", "Halt the release: no more servers leave, and unused permits are revoked."
     )
 )
 rollout.add_command(
-    make_release_order("resume", "Go on with what was halted, with the wave it stood at.")
+    make_release_order("resume", "Resume a halted release with the wave that it was halted in.")
 )
 rollout.add_command(
     make_release_order(
-        "rollback", "Bring all back to the version that was good, within the budget."
+        "rollback", "Return all servers to the last stable version, within the budget."
     )
 )
 
@@ -250,13 +276,17 @@
     "--for-s",
     type=click.IntRange(0, MAX_DRAIN_S),
     default=0,
-    help="How long each may be away before it counts as missing; 0: as after a release.",
+    help="Seconds until a server that is out counts as missing; 0: the same as in a release.",
 )
 def drain(operator: Path | None, names: tuple[str, ...], for_s: int) -> None:
-    """Have servers leave, as the budget has room; what starts them again is yours."""
+    """Drain and stop servers as the budget allows.
+
+    You have to start them again yourself.
+    """
     from ..rollout import SERVERS_GROUP
 
     def order(state: "RolloutState") -> "RolloutState":
+        """Requests a drain of each server."""
         for name in names:
             state = state.request_drain(SERVERS_GROUP, name, for_s * MS_PER_S)
         return state
@@ -272,18 +302,22 @@
     "--for-s",
     type=click.IntRange(1, MAX_DRAIN_S),
     required=True,
-    help="When it is over, servers call the instance again.",
+    help="Seconds until servers call the instance again.",
 )
 @click.option(
-    "--wait-s", type=click.IntRange(1, 86_400), default=600, help="For room in the budget."
+    "--wait-s",
+    type=click.IntRange(1, 86_400),
+    default=600,
+    help="Seconds to wait until the budget allows it.",
 )
 def take(operator: Path | None, service: str, address: str, for_s: int, wait_s: int) -> None:
-    """Take an instance of a service below out, and wait until no server calls it.
+    """Take an instance of a downstream service out, and wait until no server calls it.
 
-    Status 1 if there was no room.
+    Exits with status 1 if the budget did not allow it in time.
     """
 
     async def work(store: "RolloutStore") -> bool:
+        """Returns whether the budget allowed the drain; then no server calls the instance."""
         snapshot = await begin_drain(store, service, address, for_s, wait_s)
         if snapshot is None:
             return False
@@ -296,7 +330,8 @@
         )
         sys.exit(1)
     click.echo(
-        f"{address}: no server calls it; give it back within {for_s} s, or they will all the same"
+        f"{address}: no server calls it; it is called again after `burlloom rollout give`, or when"
+        f" {for_s} s are over"
     )
 
 
@@ -305,12 +340,19 @@
 ) -> "StateSnapshot | None":
     """Takes a downstream instance out as soon as the budget allows.
 
+    Args:
+        store: Open.
+        service: Name of the downstream service.
+        address: Address of the instance.
+        drain_s: How long the instance stays out.
+        wait_s: How long to wait for the budget.
+
     Returns:
-        The state as it was written; None where the budget did not allow it within `wait_s`.
+        The state as it was written; None if the budget did not allow it within `wait_s`.
 
     Raises:
-        OrderRejectedError: The order can't be carried out, or was taken back.
-        StoreUnavailableError: The store was lost on the way.
+        OrderRejectedError: The order can't be carried out, or was withdrawn.
+        StoreUnavailableError: The store was lost meanwhile.
     """
     from ..rollout import InstanceState, OrderRejectedError
     from ..rollout.instance import InstanceInput
@@ -325,7 +367,7 @@
         snapshot = await store.read(snapshot)
         instance = snapshot.state.groups[service].instances.get(address)
         if instance is None or instance.drain_ticket != ticket:
-            raise OrderRejectedError(f"{address}: the order was taken back", service, address)
+            raise OrderRejectedError(f"{address}: the order was withdrawn", service, address)
         if instance.state is InstanceState.GRANTED:
             state, effect = snapshot.state.apply_input(
                 service,
@@ -345,11 +387,17 @@
 async def wait_until_unused(
     store: "RolloutStore", begun: "StateSnapshot", service: str, address: str
 ) -> None:
-    """Waits until all servers have acted on the drain.
+    """Waits until all servers have acknowledged the drain of an instance.
+
+    Args:
+        store: Open.
+        begun: The state with the begun drain.
+        service: Name of the downstream service.
+        address: Address of the instance.
 
     Raises:
-        OrderRejectedError: Its time was over before.
-        StoreUnavailableError: The store was lost on the way.
+        OrderRejectedError: The drain's time was over before.
+        StoreUnavailableError: The store was lost meanwhile.
     """
     from ..rollout import InstanceState, OrderRejectedError
 
@@ -358,7 +406,9 @@
         snapshot = await store.read(snapshot)
         if snapshot.state.groups[service].instances[address].state is not InstanceState.OUT:
             raise OrderRejectedError(
-                f"{address}: its time was over before all servers had left it", service, address
+                f"{address}: its time was over before all servers stopped calling it",
+                service,
+                address,
             )
         await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -366,9 +416,14 @@
 def have_all_acknowledged(
     state: "RolloutState", reports: "Iterable[ServerReport]", step: int
 ) -> bool:
-    """Whether all servers that may call downstream have acted on this step.
+    """Returns whether all servers that may make downstream calls have acknowledged a step.
 
-    One that is missing may be calling still: it holds this up until it is back, or retired.
+    A missing server may still make calls, so it has to return or be retired first.
+
+    Args:
+        state: The current state.
+        reports: The servers' newest reports.
+        step: Number of the step.
     """
     from ..rollout import InstanceState
 
@@ -385,9 +440,9 @@
 @click.argument("service")
 @click.argument("address")
 def give(operator: Path | None, service: str, address: str) -> None:
-    """An instance below may be called again.
+    """Allow calls to a downstream instance again.
 
-    It counts as out until calls to it have gone well for a while.
+    The instance counts as out until calls to it have succeeded for a while.
     """
     run_order(operator, lambda state: state.end_drain(service, address))
 
@@ -395,11 +450,14 @@
 @rollout.command()
 @operator_option
 @click.argument("names", nargs=-1, required=True)
-@click.option("--group", default="servers", help="A service below, for instances of it.")
+@click.option(
+    "--group", default="servers", help="Name of a downstream service; by default the servers."
+)
 def retire(operator: Path | None, names: tuple[str, ...], group: str) -> None:
-    """Servers, or instances below, that will not come back: they count for nothing any more."""
+    """Remove servers or downstream instances that will not return; they no longer count."""
 
     def order(state: "RolloutState") -> "RolloutState":
+        """Removes each instance."""
         for name in names:
             state = state.retire(group, name)
         return state
@@ -409,13 +467,20 @@
 
 @rollout.command()
 @operator_option
-@click.option("--group", default="servers", help="A service below, for instances of it.")
-@click.option("--most", type=click.IntRange(1), help="So many out at once.")
 @click.option(
-    "--share", type=click.FloatRange(0, 1, min_open=True, max_open=True), help="Such a part of all."
+    "--group", default="servers", help="Name of a downstream service; by default the servers."
+)
+@click.option("--most", type=click.IntRange(1), help="Maximum number of instances out at once.")
+@click.option(
+    "--share",
+    type=click.FloatRange(0, 1, min_open=True, max_open=True),
+    help="Maximum share of the group's instances out at once.",
 )
 def budget(operator: Path | None, group: str, most: int | None, share: float | None) -> None:
-    """Change how many may be out at once; the files only say with what a group begins."""
+    """Change how many instances of a group may be out at once.
+
+    The operator's files only set the initial budget of a group.
+    """
     from ..rollout import DisruptionBudget
 
     if (most is None) == (share is None):
@@ -428,13 +493,15 @@
 @operator_option
 @click.argument("name")
 def version(operator: Path | None, name: str) -> None:
-    """Print the version that server NAME is to start with now; what starts servers asks this.
+    """Print the version that server NAME must start with now, for the program that starts it.
 
-    Where the store can't be reached, what the release file has; status 2 if there is none either.
+    If the store is unavailable, prints the version in the release file; exits with status 2 if
+    there is no such file.
     """
     loaded, part = load_rollout_part(operator)
 
     async def read_version() -> str:
+        """Returns the version that the rollout state has for the server."""
         from ..rollout.stores.factory import create_rollout_store
 
         store = create_rollout_store(loaded)
@@ -446,7 +513,7 @@
 
     from ..rollout.stores import StateDecodeError, StoreUnavailableError
 
-    with told_plainly():
+    with exit_on_store_refusal():
         try:
             found = asyncio.run(read_version())
         except (StoreUnavailableError, StateDecodeError) as error:
@@ -455,28 +522,33 @@
 
 
 def read_release_file(path: str | None, error: Exception) -> str:
-    """Returns what the release file has, in place of a store that failed with `error`.
+    """Returns the version in the release file; prints a warning.
 
-    Ends with status 2 where there is no such file.
+    Exits with status 2 if there is no such file.
+
+    Args:
+        path: The release file; None if the setting is missing.
+        error: The error of the store.
     """
     if path is None or not os.path.exists(path):
         click.echo(f"burlloom: {error}", err=True)
         sys.exit(2)
-    click.echo(f"burlloom: {error}; from {path}", err=True)
+    click.echo(f"burlloom: {error}; the version is from {path}", err=True)
     return Path(path).read_text(encoding="utf-8").strip()
 
 
 @rollout.command()
 @operator_option
-@click.option("--name", default=f"driver-{os.getpid()}", help="Under which it leads.")
+@click.option("--name", default=f"driver-{os.getpid()}", help="Name as a leader.")
 def drive(operator: Path | None, name: str) -> None:
-    """Lead the fleet's changes from here, in the foreground, where servers are not to.
+    """Run a leader of the fleet's rollouts in the foreground, where servers are not to lead.
 
-    Any number may run.
+    Several may run at once: one leads, the others stand by.
     """
     _, part = load_rollout_part(operator)
 
     async def lead(store: "RolloutStore") -> None:
+        """Runs rounds of the leader until cancelled."""
         from ..rollout import RolloutLeader
         from ..rollout.stores import StoreUnavailableError
         from ..rollout.stores.leader_round import run_leader_round
--- a/burlloom/command/root.py
+++ b/burlloom/command/root.py
@@ -1,4 +1,4 @@
-"""`burlloom serve|check|demo|distribution|fleet|lab|levels|record|recovery|rollout ...`."""
+"""The root command: `burlloom serve|check|demo`, and the groups of the other modules."""
 
 import os
 import sys
@@ -13,7 +13,7 @@
 from .record import record
 from .recovery import recovery
 from .rollout import rollout
-from .shared import OPERATOR, operator_option
+from .shared import OPERATOR_VARIABLE, operator_option
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
@@ -21,8 +21,8 @@
 def main() -> None:
     """An overload controller and the server around it.
 
-    Begin with `burlloom demo`. `burlloom check` tells every fault of an operator's file and of a
-    configuration.
+    Begin with `burlloom demo`. `burlloom check` lists every fault of an operator's file and of a
+    configuration file.
     """
 
 
@@ -32,19 +32,19 @@
     "--config",
     type=click.Path(dir_okay=False, path_type=Path),
     envvar="EDGE_CONFIG",
-    help="What the server is told by its platform (JSON); else EDGE_CONFIG.",
+    help="The platform's configuration file (JSON); by default the one that EDGE_CONFIG names.",
 )
 def serve(operator: Path | None, config: Path | None) -> None:
-    """Serve, in the foreground, until SIGTERM.
+    """Run a server in the foreground until SIGTERM.
 
-    The same as `python -m burlloom.server`, which reads its environment alone.
+    Does the same as `python -m burlloom.server`, which reads only environment variables.
     """
     if operator is not None:
-        os.environ[OPERATOR] = str(operator)
+        os.environ[OPERATOR_VARIABLE] = str(operator)
     if config is not None:
         os.environ["EDGE_CONFIG"] = str(config)
-    # In place of this process: the server blocks SIGHUP before its first import, which a command
-    # can't any more.
+    # Replaces this process: the server has to block SIGHUP before its first import, and this
+    # process has already imported modules.
     os.execv(sys.executable, [sys.executable, "-m", "burlloom.server"])
 
 
@@ -54,11 +54,12 @@
     "--config",
     type=click.Path(dir_okay=False, path_type=Path),
     envvar="EDGE_CONFIG",
-    help="What the server is told by its platform (JSON); else EDGE_CONFIG.",
+    help="The platform's configuration file (JSON); by default the one that EDGE_CONFIG names.",
 )
 def check(operator: Path | None, config: Path | None) -> None:
-    """Check an operator's file and a configuration: a line for each fault, with its place; status 2
-    if any.
+    """Check an operator's file and a configuration file.
+
+    Prints a line for each fault with its place; exits with status 2 if there is any.
     """
     from ..operator import OperatorFileError, load
     from ..server.configuration import ConfigurationError, read_config
@@ -66,27 +67,28 @@
     if operator is None and config is None:
         raise click.UsageError("nothing to check: name --operator, --config or both")
     faults: list[str] = []
-    told = None
+    settings = None
     if operator is not None:
         try:
-            told = load(operator)
+            settings = load(operator)
             click.echo(f"{operator}: good")
-        except OperatorFileError as found:
-            faults += found.lines
+        except OperatorFileError as error:
+            faults += error.lines
     if config is not None:
         os.environ["EDGE_CONFIG"] = str(config)
         try:
-            orders = read_config()
+            configuration = read_config()
             click.echo(f"{config}: good")
-            if told is not None:
-                # What only the two together can tell: products that a level names.
+            if settings is not None:
+                # Levels name request classes, which only the configuration file defines, so this
+                # check needs both files.
                 from ..server.operator_subsystems import apply_operator_settings, check_levels
 
-                check_levels(told, apply_operator_settings(told, orders))
-        except ConfigurationError as broken:
-            faults.append(str(broken))
-        except OperatorFileError as found:
-            faults += [f"{operator}: {line}" for line in found.lines]
+                check_levels(settings, apply_operator_settings(settings, configuration))
+        except ConfigurationError as error:
+            faults.append(str(error))
+        except OperatorFileError as error:
+            faults += [f"{operator}: {line}" for line in error.lines]
     for fault in faults:
         click.echo(fault, err=True)
     sys.exit(2 if faults else 0)
@@ -97,17 +99,17 @@
     "--folder",
     type=click.Path(file_okay=False, path_type=Path),
     default=None,
-    help="Where the record is kept; a temporary folder by default.",
+    help="Folder for the record and all other files; a temporary folder by default.",
 )
 def demo(folder: Path | None) -> None:
-    """Show it at work, in under a minute: serves between our own stand-ins, is killed after a
-    charge, comes back.
+    """Show in under a minute how a server recovers from a crash.
 
-    The charge's repeat is then settled from the record, and not run again.
+    Runs a server between simulated peers, kills it after a charge and starts it again. The
+    repeated charge is then answered from the record and does not run again.
     """
-    from .demo import play
+    from .demo import run_demo
 
-    sys.exit(play(folder))
+    sys.exit(run_demo(folder))
 
 
 main.add_command(distribution)
--- a/burlloom/command/shared.py
+++ b/burlloom/command/shared.py
@@ -1,4 +1,4 @@
-"""What several commands share: the operator's file, and faults told in one way."""
+"""Shared by the commands: the option that names the operator's file, and error reporting."""
 
 import json
 import sys
@@ -12,19 +12,19 @@
 if TYPE_CHECKING:
     from ..operator import Operator
 
-OPERATOR = "BURLLOOM_OPERATOR"
+OPERATOR_VARIABLE = "BURLLOOM_OPERATOR"
 operator_option = click.option(
     "--operator",
     "-o",
     type=click.Path(dir_okay=False, path_type=Path),
-    envvar=OPERATOR,
-    help=f"The operator's own file (Jsonnet); else {OPERATOR}.",
+    envvar=OPERATOR_VARIABLE,
+    help=f"The operator's file (Jsonnet); by default the one that {OPERATOR_VARIABLE} names.",
 )
 
 
 @contextmanager
-def told_plainly() -> Iterator[None]:
-    """What is refused is one line on standard error and status 2."""
+def exit_on_store_refusal() -> Iterator[None]:
+    """Reports a store's refusal as one line on standard error and exits with status 2."""
     from ..record.store import StoreRefusedError
 
     try:
@@ -34,11 +34,21 @@
         sys.exit(2)
 
 
-def operator_file(path: Path | None) -> "Operator":
+def load_operator_file(path: Path | None) -> "Operator":
+    """Returns the settings in the operator's file.
+
+    Prints each fault of the file on a line of standard error and exits with status 2 if there is
+    one.
+
+    Raises:
+        click.UsageError: No file is named.
+    """
     from ..operator import OperatorFileError, load
 
     if path is None:
-        raise click.UsageError(f"which operator's file? Name it by --operator or {OPERATOR}")
+        raise click.UsageError(
+            f"no operator's file is named: use --operator or set {OPERATOR_VARIABLE}"
+        )
     try:
         return load(path)
     except OperatorFileError as faults:
@@ -47,16 +57,25 @@
         sys.exit(2)
 
 
-def state_told(path: str | None, setting: str, what: str) -> dict[str, Any]:
-    """What a server wrote of itself to the file that `setting` names; else says why there is none,
-    and ends.
+def read_state_file(path: str | None, setting: str, content: str) -> dict[str, Any]:
+    """Returns the state that a running process wrote to its state file.
+
+    Prints one line on standard error and exits with status 2 if the file can't be read.
+
+    Args:
+        path: The state file; None if the setting is missing.
+        setting: Name of the setting that holds the path, for the error message.
+        content: What the process writes to the file, for the error message.
+
+    Raises:
+        click.UsageError: The setting is missing.
     """
     if path is None:
-        raise click.UsageError(f"{setting} is not set: the server tells {what} nowhere")
+        raise click.UsageError(f"{setting} is not set: the process writes {content} to no file")
     try:
-        got = json.loads(Path(path).read_text(encoding="utf-8"))
+        state = json.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
         click.echo(f"burlloom: {path}: {error}", err=True)
         sys.exit(2)
-    assert isinstance(got, dict)
-    return got
+    assert isinstance(state, dict)
+    return state
