--- a/burlloom/command/distribution.py
+++ b/burlloom/command/distribution.py
@@ -113,6 +113,7 @@
     configure_logging()
 
     async def run() -> None:
+        """Runs the control machine until a signal stops it."""
         control = ControlNode(
             name or socket.gethostname(),
             part.region,
@@ -249,7 +250,7 @@
     settings, part = load_distribution_part(operator)
     try:
         if file.stat().st_size > MAX_FILE_BYTES:
-            raise click.UsageError(f"{file}: over {MAX_FILE_BYTES} bytes")
+            raise click.UsageError(f"{file}: the file is larger than {MAX_FILE_BYTES} bytes")
         changes, faults = read_changes(file.read_text(encoding="utf-8"))
     except UnicodeDecodeError as error:
         changes, faults = [], [f"byte {error.start} is not UTF-8"]
--- a/burlloom/command/fleet.py
+++ b/burlloom/command/fleet.py
@@ -26,7 +26,7 @@
 # A server rewrites its state file while it runs: if the state is older than this, the server has
 # ended or hangs.
 STALE_AFTER_S = 5
-# Below the limit of the protocol, MAX_UPDATES in burlloom/fleet/messages.py.
+# In one message; the protocol allows MAX_UPDATES (burlloom/fleet/messages.py).
 UPDATES_PER_DATAGRAM = 6
 FORGET_TIMEOUT_S = 5
 POLL_INTERVAL_S = 0.1
--- a/burlloom/command/record.py
+++ b/burlloom/command/record.py
@@ -133,7 +133,7 @@
 @operator_option
 @click.option("--json", "as_json", is_flag=True, help="As JSON lines.")
 def doubts(operator: Path | None, as_json: bool) -> None:
-    """List requests in doubt: their run started and no end of it was recorded.
+    """List requests in doubt: their runs were started, and no end of the run is recorded.
 
     Repeats of a request in doubt are voided until its window ends.
     """
@@ -234,7 +234,7 @@
 @record.command()
 @operator_option
 def compact(operator: Path | None) -> None:
-    """Return all free space to the file system. No server may use the file meanwhile."""
+    """Return all free space to the file system; requires that no server uses the file."""
     with exit_on_store_refusal():
         before_bytes, after_bytes = create_admin(operator).compact()
         click.echo(f"{before_bytes} bytes before, {after_bytes} after")
@@ -271,7 +271,7 @@
 )
 @operator_option
 def restore(source: Path, window_s: float, nothing_lost: bool, operator: Path | None) -> None:
-    """Replace the record with a snapshot. No server may use the file meanwhile.
+    """Replace the record with a snapshot; requires that no server uses the file.
 
     The previous file is kept beside it under another name.
     """
--- a/burlloom/command/recovery.py
+++ b/burlloom/command/recovery.py
@@ -8,7 +8,7 @@
 
 from .shared import load_operator_file, operator_option
 
-# What a server does at its start, by the validity of its state file.
+# Describes how a server starts, by the validity of its state file.
 START_BY_VALIDITY = {
     "good": "peers and the store are asked; then its hints are used",
     "missing": "a cold start",
--- a/examples/lab/ablations.jsonnet
+++ b/examples/lab/ablations.jsonnet
@@ -1,4 +1,4 @@
-// The levels with a part left out, under a swing of ten seconds.
+// The service levels with one mechanism left out each, under load that swings every 10 or 30 s.
 //   burlloom lab run examples/lab/ablations.jsonnet && burlloom lab compare ablations --base levels
 local world = import 'world.libsonnet';
 
--- a/examples/lab/bad-days.jsonnet
+++ b/examples/lab/bad-days.jsonnet
@@ -1,4 +1,5 @@
-// The worst days: cold returns mid-peak, a slow dependency, a flood of retries; with levels and without.
+// Failures with and without service levels: servers killed or joining cold at peak load, a slow
+// dependency, a flood of retries.
 //   burlloom lab run examples/lab/bad-days.jsonnet && burlloom lab report bad-days
 local world = import 'world.libsonnet';
 
--- a/examples/lab/sawtooth.jsonnet
+++ b/examples/lab/sawtooth.jsonnet
@@ -1,4 +1,5 @@
-// Load that swings around what the cores can do, at four periods; with levels, without, and plain baselines.
+// Load that swings around the capacity of the cores, with four periods; compares service levels, none,
+// and two simple thresholds.
 //   burlloom lab run examples/lab/sawtooth.jsonnet && burlloom lab report sawtooth
 local world = import 'world.libsonnet';
 
--- a/examples/lab/world.libsonnet
+++ b/examples/lab/world.libsonnet
@@ -1,4 +1,5 @@
-// What all example worlds share: three products of different value, tenants, balancers and one catalogue.
+// Common to all example worlds: three request classes of different value, tenants, callers and one
+// downstream service.
 {
   machines: { count: 3, cores: 6, speed: [0.8, 1.4] },
   products: [
--- a/scripts/outer_names.py
+++ b/scripts/outer_names.py
@@ -1,9 +1,9 @@
-"""Lists the names that leave the process, as the source has them.
+"""Lists the names in the source that leave the process.
 
 Messages, stored data, settings, flags, environment variables, metrics and log lines are read by
-other programs and by operators, so their names outlast a renaming of the code. The list is kept in
-tests/data/outer_names.txt; tests/test_outer_names.py fails if a kept name is no longer found in the
-modules of its section.
+other programs and by operators, so their names must not change when the code is renamed. The list
+is stored in tests/data/outer_names.txt; tests/test_outer_names.py fails if one of its names is no
+longer found in the modules of its section.
 
     python scripts/outer_names.py > tests/data/outer_names.txt
 """
@@ -13,7 +13,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent / "burlloom"
+PACKAGE = Path(__file__).parent.parent / "burlloom"
 NAME = re.compile(r"[A-Za-z_][\w.:/-]{0,59}")
 SQL = re.compile(
     r"\b(CREATE TABLE|CREATE INDEX|SELECT|INSERT INTO|UPDATE|DELETE FROM|PRAGMA|ALTER TABLE)\b"
@@ -24,10 +24,10 @@
 METRIC = re.compile(r"\bburlloom_[a-z0-9_]+")
 ENVIRONMENT = re.compile(r"\b(?:EDGE|BURLLOOM)_[A-Z0-9_]+\b")
 
-# Encodings and the like.
+# Short strings that are no outer names: encodings, Python's own names, type names.
 NOT_NAMES = {"utf-8", "latin-1", "ascii", "__main__", "_", "Result", "Model"}
 
-# Sections whose names are the short strings of these modules.
+# By section: modules whose short strings are the names.
 MODULES_BY_SECTION = {
     "messages to callers": ["rpc/*.py"],
     "messages to the executor": ["executor/*.py"],
@@ -70,8 +70,9 @@
         "server/outcomes.py",
     ],
 }
-# Classes whose members or fields are written out under their own names.
-CLASSES = {
+# By section: modules, and a pattern of the classes whose members or fields are written out under
+# their own names.
+CLASSES_BY_SECTION = {
     "messages between servers": [("fleet/*.py", "Member*State"), ("fleet/*.py", "*Counters")],
     "messages of control machines": [
         ("distribution/*.py", "Counts"),
@@ -106,15 +107,15 @@
 SQL_SECTIONS = {"stored by the record", "stored by rollouts", "stored by distribution"}
 
 
-def parsed(patterns: list[str]) -> Iterator[ast.Module]:
-    """Yields the syntax trees of the modules that the patterns match."""
+def parse_modules(patterns: list[str]) -> Iterator[ast.Module]:
+    """Yields the syntax trees of the modules that the patterns match, relative to the package."""
     for pattern in patterns:
-        for path in sorted(ROOT.glob(pattern)):
+        for path in sorted(PACKAGE.glob(pattern)):
             yield ast.parse(path.read_text(encoding="utf-8"))
 
 
-def parts_without_names(node: ast.AST) -> list[ast.AST | None]:
-    """Returns what a node has that holds messages or types: raised errors, annotations, exports."""
+def find_parts_without_names(node: ast.AST) -> list[ast.AST | None]:
+    """Returns the parts of a node whose strings are no names: errors, annotations and exports."""
     if isinstance(node, ast.Raise):
         return [node.exc]
     if isinstance(node, ast.AnnAssign | ast.arg):
@@ -126,42 +127,44 @@
     return []
 
 
-def texts(tree: ast.Module, with_messages: bool = True) -> Iterator[str]:
+def iter_strings(tree: ast.Module, with_messages: bool = True) -> Iterator[str]:
     """Yields the string and bytes constants of a module without its docstrings.
 
     Args:
         tree: The module.
         with_messages: False leaves out texts of raised errors, type annotations and `__all__`.
     """
-    left_out: set[int] = set()
+    excluded_ids: set[int] = set()
     for node in ast.walk(tree):
         if isinstance(node, ast.Expr) and isinstance(node.value, ast.Constant):
-            left_out.add(id(node.value))
+            excluded_ids.add(id(node.value))
         if not with_messages:
-            for part in parts_without_names(node):
-                left_out.update(map(id, ast.walk(part) if part is not None else ()))
+            for part in find_parts_without_names(node):
+                excluded_ids.update(map(id, ast.walk(part) if part is not None else ()))
     for node in ast.walk(tree):
-        if isinstance(node, ast.Constant) and id(node) not in left_out:
+        if isinstance(node, ast.Constant) and id(node) not in excluded_ids:
             if isinstance(node.value, str):
                 yield node.value
             elif isinstance(node.value, bytes):
                 yield node.value.decode("latin-1")
 
 
-def fields(tree: ast.Module, pattern: str) -> Iterator[str]:
-    """Yields the fields, slots and enum members of the classes whose names match."""
+def iter_class_members(tree: ast.Module, pattern: str) -> Iterator[str]:
+    """Yields the fields and enum members of the classes whose names match a shell pattern."""
     for node in ast.walk(tree):
         if isinstance(node, ast.ClassDef) and Path(node.name).match(pattern):
             for part in node.body:
                 if isinstance(part, ast.AnnAssign) and isinstance(part.target, ast.Name):
                     yield part.target.id
                 elif isinstance(part, ast.Assign):
-                    yield from (one.id for one in part.targets if isinstance(one, ast.Name))
+                    yield from (
+                        target.id for target in part.targets if isinstance(target, ast.Name)
+                    )
 
 
-def methods(tree: ast.Module) -> set[str]:
+def list_function_names(tree: ast.Module) -> set[str]:
     """Returns the methods and functions of a module that a transition table may name."""
-    defined = {one.name for one in ast.walk(tree) if isinstance(one, ast.FunctionDef)}
+    defined = {node.name for node in ast.walk(tree) if isinstance(node, ast.FunctionDef)}
     return {name for name in defined if "_" in name}
 
 
@@ -169,48 +172,53 @@
 COMMAND_WORD = re.compile(r"-{0,2}[A-Za-z][\w/-]*")
 
 
-def command_names(tree: ast.Module) -> Iterator[str]:
+def iter_command_names(tree: ast.Module) -> Iterator[str]:
     """Yields the flags, subcommands and arguments of a click module."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Call) and getattr(node.func, "attr", "") in CLICK_CALLS:
-            words = [one.value for one in ast.walk(node) if isinstance(one, ast.Constant)]
+            constants = [part.value for part in ast.walk(node) if isinstance(part, ast.Constant)]
             yield from (
-                word for word in words if isinstance(word, str) and COMMAND_WORD.fullmatch(word)
+                value
+                for value in constants
+                if isinstance(value, str) and COMMAND_WORD.fullmatch(value)
             )
         if isinstance(node, ast.FunctionDef) and any(
-            re.search(r"\.(command|group)\b", ast.unparse(one)) for one in node.decorator_list
+            re.search(r"\.(command|group)\b", ast.unparse(decorator))
+            for decorator in node.decorator_list
         ):
             yield node.name.strip("_").replace("_", "-")
 
 
-def outer_names() -> dict[str, set[str]]:
+def find_outer_names() -> dict[str, set[str]]:
     """Returns the names that leave the process, by section."""
     names: dict[str, set[str]] = {}
     for section, patterns in MODULES_BY_SECTION.items():
         found = names.setdefault(section, set())
-        trees = list(parsed(patterns))
-        table_names = set().union(*map(methods, trees))
+        trees = list(parse_modules(patterns))
+        function_names = set().union(*map(list_function_names, trees))
         for tree in trees:
-            for text in texts(tree, with_messages=False):
-                if text in table_names or text in NOT_NAMES:
+            for text in iter_strings(tree, with_messages=False):
+                if text in function_names or text in NOT_NAMES:
                     continue
                 if NAME.fullmatch(text) and "event=" not in text:
                     found.add(text)
                 elif section in SQL_SECTIONS and SQL.search(text):
                     found.update(SQL_WORD.findall(text))
-        for pattern, class_pattern in CLASSES.get(section, ()):
-            for tree in parsed([pattern]):
-                found.update(fields(tree, class_pattern))
-    everywhere = [text for tree in parsed(["**/*.py"]) for text in texts(tree)]
-    names["metrics and labels"].update(name for text in everywhere for name in METRIC.findall(text))
+        for pattern, class_pattern in CLASSES_BY_SECTION.get(section, ()):
+            for tree in parse_modules([pattern]):
+                found.update(iter_class_members(tree, class_pattern))
+    all_strings = [text for tree in parse_modules(["**/*.py"]) for text in iter_strings(tree)]
+    names["metrics and labels"].update(
+        name for text in all_strings for name in METRIC.findall(text)
+    )
     names["environment variables"] = {
-        name for text in everywhere for name in ENVIRONMENT.findall(text)
+        name for text in all_strings for name in ENVIRONMENT.findall(text)
     }
-    logged = [text for text in everywhere if "event=" in text]
-    names["log events"] = {name for text in logged for name in EVENT.findall(text)}
-    names["keys of log lines"] = {name for text in logged for name in LOG_KEY.findall(text)}
+    log_formats = [text for text in all_strings if "event=" in text]
+    names["log events"] = {name for text in log_formats for name in EVENT.findall(text)}
+    names["keys of log lines"] = {name for text in log_formats for name in LOG_KEY.findall(text)}
     names["flags and subcommands"] = {
-        name for tree in parsed(["command/*.py"]) for name in command_names(tree)
+        name for tree in parse_modules(["command/*.py"]) for name in iter_command_names(tree)
     }
     return names
 
@@ -227,8 +235,8 @@
 
 
 def main() -> None:
-    """Prints the list: a heading for each section, then a name a line."""
-    for section, names in sorted(outer_names().items()):
+    """Prints the list: a heading for each section, then one name per line."""
+    for section, names in sorted(find_outer_names().items()):
         print(f"# {section}", *sorted(names), "", sep="\n")
 
 
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -1,4 +1,4 @@
-"""The command line and the operator's file: what a person types, and what is told back."""
+"""The command line: what its commands print and do, and the faults of operator's files."""
 
 import json
 import sqlite3
@@ -17,33 +17,40 @@
 from burlloom.record.sqlite import SqliteStore
 from burlloom.record.sqlite_file import FileLock
 
-NOW = time.time_ns()
+NOW_NS = time.time_ns()
 
 
 def burlloom(*words: Any, status: int = 0) -> str:
-    done = subprocess.run(
+    """Runs a command and returns its output.
+
+    Args:
+        words: Subcommand and arguments.
+        status: Expected exit status; if it is not 0, the error output is returned.
+    """
+    completed = subprocess.run(
         [sys.executable, "-m", "burlloom.command", *map(str, words)],
         cwd=ROOT,
         text=True,
         capture_output=True,
         timeout=60,
     )
-    assert done.returncode == status, done
-    return done.stdout if not status else done.stderr
+    assert completed.returncode == status, completed
+    return completed.stdout if not status else completed.stderr
 
 
-def operator(folder: Path) -> Path:
+def write_operator_file(folder: Path) -> Path:
+    """Writes an operator's file with a record in SQLite, and returns its path."""
     path = folder / "operator.jsonnet"
     path.write_text(json.dumps({"record": {"sqlite": {"path": str(folder / "record.db")}}}))
     return path
 
 
-def filled(folder: Path) -> Path:
-    """A record in which one charge ran and one is in doubt."""
-    path = operator(folder)
+def create_record(folder: Path) -> Path:
+    """Creates a record with one request that ran and one in doubt; returns the operator's file."""
+    path = write_operator_file(folder)
     burlloom("record", "init", "-o", path)
-    sealer = RowAuthenticator(load_key(folder / "record.db.key", False))
-    store = SqliteStore(folder / "record.db", sealer, "n1")
+    authenticator = RowAuthenticator(load_key(folder / "record.db.key", False))
+    store = SqliteStore(folder / "record.db", authenticator, "n1")
     store.open_without_event_loop()
     for n, state in enumerate((ROW_COMPLETED, ROW_STARTED)):
         row = RecordRow(
@@ -53,29 +60,29 @@
             1,
             n,
             f"id{n}",
-            NOW,
-            NOW + 10**12,
+            NOW_NS,
+            NOW_NS + 10**12,
             b"paid" if state == ROW_COMPLETED else b"",
         )
         assert store.db is not None
         store.db.execute(
             "INSERT INTO fate VALUES (?,?,?,?,?,?,?,?,?,?)",
-            row._replace(mac=sealer.compute_mac(row)),
+            row._replace(mac=authenticator.compute_mac(row)),
         )
     store.release()
     return path
 
 
-def test_the_demonstration(tmp_path: Path) -> None:
-    said = burlloom("demo", "--folder", tmp_path)
-    assert "the first receipt, and no second run" in said
+def test_the_demo_answers_a_repeated_charge_from_the_record(tmp_path: Path) -> None:
+    output = burlloom("demo", "--folder", tmp_path)
+    assert "the first receipt, and no second run" in output
     assert "ran            2" in burlloom("record", "stats", "-o", tmp_path / "operator.jsonnet")
 
 
 def test_doubts_are_listed_and_resolved(tmp_path: Path) -> None:
-    path = filled(tmp_path)
-    mark = (bytes([1]) * 16).hex()
-    assert mark in burlloom("record", "doubts", "-o", path)
+    path = create_record(tmp_path)
+    key_digest = (bytes([1]) * 16).hex()
+    assert key_digest in burlloom("record", "doubts", "-o", path)
     assert "in doubt       1" in burlloom("record", "stats", "-o", path)
     assert "is not in doubt" in burlloom(
         "record", "resolve", "00" * 16, "--ran", "--reason", "x", "-o", path, status=2
@@ -84,28 +91,28 @@
         "record", "resolve", "xyz", "--ran", "--reason", "x", "-o", path, status=2
     )
     assert "never ran; done" in burlloom(
-        "record", "resolve", mark, "--never-ran", "--reason", "asked", "-o", path
+        "record", "resolve", key_digest, "--never-ran", "--reason", "asked", "-o", path
     )
     assert burlloom("record", "doubts", "-o", path) == "none\n"
     assert json.loads(burlloom("record", "stats", "--json", "-o", path))["rows"]["begun"] == 0
 
 
-def test_a_snapshot_is_restored_and_closed_for_a_window(tmp_path: Path) -> None:
-    path, copy = filled(tmp_path), tmp_path / "copy.db"
+def test_a_restored_record_is_closed_for_a_window_and_keeps_the_old_file(tmp_path: Path) -> None:
+    path, copy = create_record(tmp_path), tmp_path / "copy.db"
     assert "2 records, verified" in burlloom("record", "snapshot", copy, "-o", path)
     assert "exists already" in burlloom("record", "snapshot", copy, "-o", path, status=2)
     (tmp_path / "record.db").write_bytes(b"gone")
-    said = burlloom("record", "restore", copy, "--window-s", 18, "-o", path)
-    assert "closed for charges until" in said
+    output = burlloom("record", "restore", copy, "--window-s", 18, "-o", path)
+    assert "closed for charges until" in output
     assert "2 records, 0 faults" in burlloom("record", "verify", "-o", path)
-    (aside,) = [
-        one
-        for one in tmp_path.glob("record.db.before-*")
-        if one.suffix[-4:] not in ("-wal", "-shm")
+    (previous,) = [
+        file
+        for file in tmp_path.glob("record.db.before-*")
+        if file.suffix[-4:] not in ("-wal", "-shm")
     ]
-    assert aside.read_bytes() == b"gone"
+    assert previous.read_bytes() == b"gone"
     stats = json.loads(burlloom("record", "stats", "--json", "-o", path))
-    assert stats["closed_until"] > NOW + 17 * 10**9
+    assert stats["closed_until"] > NOW_NS + 17 * 10**9
     assert stats["nodes"]["n1"] > 1000
     with sqlite3.connect(copy) as db:
         db.execute("UPDATE fate SET result = x'00'")
@@ -114,8 +121,8 @@
     )
 
 
-def test_verify_export_compact_and_migrate(tmp_path: Path) -> None:
-    path = filled(tmp_path)
+def test_a_record_is_exported_compacted_migrated_and_verified(tmp_path: Path) -> None:
+    path = create_record(tmp_path)
     lines = [json.loads(line) for line in burlloom("record", "export", "-o", path).splitlines()]
     assert [(line["state"], bytes.fromhex(line["result"]), line["sound"]) for line in lines] == [
         ("ran", b"paid", True),
@@ -148,11 +155,11 @@
     assert "No such file" in burlloom("record", "verify", "-o", path, status=2)
 
 
-def test_check_tells_every_fault_with_its_place(tmp_path: Path) -> None:
+def test_check_lists_every_fault_with_its_place(tmp_path: Path) -> None:
     path = tmp_path / "operator.jsonnet"
     path.write_text("""{ record: { mode: 'maybe', claim_share: 1.5, open_most: '9', colour: 'red',
       sqlite: { path: '/nowhere/at/all/record.db' } }, metrics: {}, levles: 1 }""")
-    said = burlloom("check", "-o", path, status=2).splitlines()
+    lines = burlloom("check", "-o", path, status=2).splitlines()
     for place, fault in (
         ("record.mode", "'require' or 'prefer'"),
         ("record.claim_share", "less than or equal to 1"),
@@ -162,11 +169,11 @@
         ("metrics", "nobody reads them"),
         ("levles", "unknown key"),
     ):
-        assert any(line.startswith(f"{path}: {place}: ") and fault in line for line in said), (
+        assert any(line.startswith(f"{path}: {place}: ") and fault in line for line in lines), (
             place,
-            said,
+            lines,
         )
-    assert len(said) == 7
+    assert len(lines) == 7
     assert "good" in burlloom(
         "check",
         "-o",
@@ -177,7 +184,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("{ record: ", "operator.jsonnet:1:11"),
         ("{ record: import 'none.libsonnet' }", "none.libsonnet"),
@@ -191,15 +198,15 @@
         ("\xff", "not UTF-8"),
     ],
 )
-def test_operator_files_that_can_not_be_used(text: str, said: str, tmp_path: Path) -> None:
+def test_an_unusable_operator_file_is_rejected(text: str, message: str, tmp_path: Path) -> None:
     path = tmp_path / "operator.jsonnet"
     path.write_bytes(text.encode("latin-1"))
-    with pytest.raises(OperatorFileError, match=said):
+    with pytest.raises(OperatorFileError, match=message):
         load(path)
 
 
 @pytest.mark.parametrize(
-    ("what", "not_with"),
+    ("modules", "excluded"),
     [
         (
             "burlloom.server.__main__",
@@ -245,12 +252,13 @@
         ),
     ],
 )
-def test_what_is_off_is_not_imported(what: str, not_with: tuple[str, ...]) -> None:
+def test_modules_do_not_import_optional_packages(modules: str, excluded: tuple[str, ...]) -> None:
     code = (
-        f"import {what}\nimport sys\nprint([name for name in sys.modules for one in {not_with!r}"
-        " if name == one or name.startswith(one + '.')])"
+        f"import {modules}\nimport sys\n"
+        f"print([name for name in sys.modules for package in {excluded!r}"
+        " if name == package or name.startswith(package + '.')])"
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, text=True, capture_output=True, check=True
     )
-    assert done.stdout == "[]\n"
+    assert completed.stdout == "[]\n"
--- a/tests/test_distribution_stores.py
+++ b/tests/test_distribution_stores.py
@@ -10,7 +10,7 @@
 import pytest
 from fleet_rig import KEY
 from locked_database import LockedDatabase
-from test_command import burlloom, filled
+from test_command import burlloom, create_record
 
 from burlloom.distribution.change_log import MAX_LOGGED_CHANGES
 from burlloom.distribution.changes import (
@@ -186,7 +186,7 @@
 
 
 def test_a_restored_record_keeps_its_configuration_in_a_new_epoch(tmp_path: Path) -> None:
-    path = filled(tmp_path)
+    path = create_record(tmp_path)
 
     async def play() -> None:
         store = SqliteChangeStore(tmp_path / "record.db")
