--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -1,4 +1,4 @@
-"""The page for those on call has all log events and close reasons; no page names others."""
+"""docs/on-call.md explains each log event and close reason once; no page names unknown events."""
 
 import re
 from collections import Counter
@@ -10,24 +10,31 @@
 
 ROOT = Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "on-call.md"
-# The lab's servers and the fakes of the tests log nothing that an operator reads.
-LEFT_OUT = ("lab", "fakes")
+# Operators do not read the logs of the lab's servers and of the tests' fakes.
+EXCLUDED_PACKAGES = ("lab", "fakes")
 EVENT = re.compile(r"\bevent=([A-Za-z0-9_-]+)")
 ROW_NAME = re.compile(r"^\| `([^`]+)` \|", re.MULTILINE)
 
 
-def events_in(folder: Path) -> set[str]:
-    """Returns the events that the modules of a package name."""
+def find_events(folder: Path) -> set[str]:
+    """Returns the events in the modules of a package."""
     modules = [
-        path for path in folder.rglob("*.py") if path.relative_to(folder).parts[0] not in LEFT_OUT
+        path
+        for path in folder.rglob("*.py")
+        if path.relative_to(folder).parts[0] not in EXCLUDED_PACKAGES
     ]
     return {event for path in modules for event in EVENT.findall(path.read_text(encoding="utf-8"))}
 
 
-def names_under(page: str, heading: str) -> list[str]:
-    """Returns the first column of the tables under a heading, to the next of its rank."""
-    _, _, rest = page.partition(f"\n## {heading}\n")
-    return ROW_NAME.findall(rest.partition("\n## ")[0])
+def find_row_names(page: str, heading: str) -> list[str]:
+    """Returns the first column of the tables in a section.
+
+    Args:
+        page: Text of the page.
+        heading: Heading of the section, of the second level.
+    """
+    _, _, following = page.partition(f"\n## {heading}\n")
+    return ROW_NAME.findall(following.partition("\n## ")[0])
 
 
 @pytest.fixture(scope="module")
@@ -35,25 +42,25 @@
     return PAGE.read_text(encoding="utf-8")
 
 
-def test_each_event_of_the_code_is_explained(page: str) -> None:
-    assert events_in(ROOT / "burlloom") - set(names_under(page, "Events")) == set()
+def test_each_event_in_the_code_is_explained(page: str) -> None:
+    assert find_events(ROOT / "burlloom") - set(find_row_names(page, "Events")) == set()
 
 
-def test_no_event_is_explained_that_the_code_does_not_log(page: str) -> None:
-    assert set(names_under(page, "Events")) - events_in(ROOT / "burlloom") == set()
+def test_each_explained_event_is_in_the_code(page: str) -> None:
+    assert set(find_row_names(page, "Events")) - find_events(ROOT / "burlloom") == set()
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "docs").glob("*.md")), ids=lambda path: path.name)
-def test_pages_name_events_that_the_code_logs(path: Path) -> None:
+def test_pages_name_only_events_that_the_code_logs(path: Path) -> None:
     named = set(EVENT.findall(path.read_text(encoding="utf-8")))
-    assert named - events_in(ROOT / "burlloom") == set()
+    assert named - find_events(ROOT / "burlloom") == set()
 
 
 def test_no_event_is_explained_twice(page: str) -> None:
-    counts = Counter(names_under(page, "Events"))
+    counts = Counter(find_row_names(page, "Events"))
     assert [name for name, count in counts.items() if count > 1] == []
 
 
-def test_close_reasons_are_explained_each_once(page: str) -> None:
-    explained = sorted(names_under(page, "Closed connections"))
+def test_each_close_reason_is_explained_once(page: str) -> None:
+    explained = sorted(find_row_names(page, "Closed connections"))
     assert explained == sorted(reason.value for reason in CloseReason)
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -17,7 +17,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _without_log() -> Iterator[None]:
+def _logging_disabled() -> Iterator[None]:
     logging.disable(logging.CRITICAL)
     yield
     logging.disable(logging.NOTSET)
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes: shapes are told apart, rows are only added, and what is no slope is refused."""
+"""Slopes: a fit finds the shape of the cost; rows are only added, and invalid ones rejected."""
 
 from math import log2
 from pathlib import Path
@@ -20,32 +20,32 @@
         ("square", lambda n: 2 + 1e-4 * n * n),
     ],
 )
-def test_the_shape_is_found_through_noise(shape, cost):
-    chance = Random(5)
-    found = fit(SIZES, [cost(size) * chance.uniform(0.98, 1.02) for size in SIZES])
+def test_the_shape_is_found_despite_noise(shape, cost):
+    random = Random(5)
+    found = fit(SIZES, [cost(size) * random.uniform(0.98, 1.02) for size in SIZES])
     assert found.shape == shape
     assert found.residual < 0.05
     assert found.at(5000) == pytest.approx(cost(5000), rel=0.1)
 
 
-def test_fewer_than_five_sizes_are_no_slope(tmp_path: Path):
+def test_a_row_with_fewer_than_five_sizes_is_rejected(tmp_path: Path):
     row = Row("a", "servers", "ms", "rest", (1.0, 2.0, 3.0, 4.0, 4.0), (1.0,) * 5, "run", "")
     with pytest.raises(ValueError, match="4 sizes"):
         keep(row, tmp_path / "rows")
     assert kept(tmp_path / "rows") == []
 
 
-def test_rows_are_added_and_the_newest_is_read(tmp_path: Path):
-    place = tmp_path / "rows"
+def test_rows_are_appended_and_the_newest_is_read(tmp_path: Path):
+    path = tmp_path / "rows"
     for value in (1.0, 2.0):
-        keep(Row("a", "servers", "ms", "rest", SIZES, (value,) * 6, "run", "measured"), place)
-    rows = kept(place)
+        keep(Row("a", "servers", "ms", "rest", SIZES, (value,) * 6, "run", "measured"), path)
+    rows = kept(path)
     assert [row.values[0] for row in rows] == [1.0, 2.0]
     assert newest(rows)["a", "rest", "now"].values[0] == 2.0
     assert rows[1].at
     assert rows[1].cores
 
 
-def test_an_unknown_state_is_refused(tmp_path: Path):
+def test_a_row_with_an_unknown_state_is_rejected(tmp_path: Path):
     with pytest.raises(ValueError, match="state"):
         keep(Row("a", "servers", "ms", "busy", SIZES, (1.0,) * 6, "run", ""), tmp_path / "rows")
