--- a/burlloom/command/distribution.py
+++ b/burlloom/command/distribution.py
@@ -25,8 +25,8 @@
 # A process rewrites its state file while it runs: if the state is older than this, the process has
 # ended or hangs.
 STALE_AFTER_S = 5
-MAX_FILE_BYTES = 64 << 20
-MAX_SHOWN_FAULTS = 1000  # of one file, a line each
+MAX_FILE_BYTES = 64 << 20  # a larger file of changes is rejected
+MAX_SHOWN_FAULTS = 1000  # of one file; further faults are only counted
 # A store that is unavailable is retried for ten seconds in all.
 MAX_STORE_ATTEMPTS, STORE_RETRY_INTERVAL_S = 20, 0.5
 ITEM_KINDS = ("tenant", "route", "setting")
--- a/burlloom/command/fleet.py
+++ b/burlloom/command/fleet.py
@@ -144,7 +144,7 @@
 def plan(operator: Path | None, servers: int, join: int, leave: int) -> None:
     """Compute the subsets for a number of servers, and how many pairs a change would move.
 
-    A pair is a server and a service instance that it calls.
+    A pair is a server and a service that it calls.
     """
     from ..fleet import assign_subsets
 
@@ -183,9 +183,9 @@
     "--force", is_flag=True, help="Also forget members that this server does not see as dead."
 )
 def forget(operator: Path | None, names: tuple[str, ...], force: bool) -> None:
-    """Declare that the members NAMES have left for good; their shares are reallocated at once.
+    """Declare that the members NAMES will not return; their shares are reallocated at once.
 
-    Needed when more than half of the fleet is lost for good: the remaining servers may then not
+    Needed when more than half of the fleet will not return: the remaining servers may then not
     reallocate its shares by themselves. Use it only for servers that surely make no downstream
     calls any more; a server that still runs refutes the update and becomes a member again.
     """
--- a/burlloom/command/levels.py
+++ b/burlloom/command/levels.py
@@ -67,7 +67,7 @@
     restrictions += [f"{name} except cached results" for name in level.cached_classes]
     restrictions += [f"the downstream calls of {name}" for name in level.classes_without_calls]
     if level.rejects_retries:
-        restrictions.append("retries, and duplicates of requests that may run again")
+        restrictions.append("marked retries and duplicates of requests that may run again")
     if level.rejects_over_share:
         restrictions.append("requests of tenants over their share")
     if level.queue_share < 1:
--- a/burlloom/command/record.py
+++ b/burlloom/command/record.py
@@ -46,7 +46,7 @@
 
 
 def create_admin(path: Path | None, creates_key: bool = False) -> "SqliteRecordAdmin":
-    """Returns the administration of the SQLite record that the operator's file names.
+    """Returns the administrator of the SQLite record that the operator's file names.
 
     Args:
         path: The operator's file.
--- a/burlloom/command/rollout.py
+++ b/burlloom/command/rollout.py
@@ -116,7 +116,7 @@
 
 
 def run_order(path: Path | None, order: "Callable[[RolloutState], RolloutState]") -> None:
-    """Writes an order, and prints a line with the state after it."""
+    """Writes an order, and prints a line with the resulting state."""
     snapshot = run_with_store(path, lambda store: write_order(store, order))
     click.echo(format_headline(snapshot.state))
 
@@ -543,7 +543,7 @@
 def drive(operator: Path | None, name: str) -> None:
     """Run a leader of the fleet's rollouts in the foreground, where servers are not to lead.
 
-    Several may run at once: one leads, the others stand by.
+    Any number may run at once: one leads, the others take over if it fails.
     """
     _, part = load_rollout_part(operator)
 
