--- a/tests/test_distribution_stores.py
+++ b/tests/test_distribution_stores.py
@@ -10,7 +10,7 @@
 import pytest
 from fleet_rig import KEY
 from locked_database import LockedDatabase
-from test_command import burlloom, filled
+from test_command import burlloom, create_record
 
 from burlloom.distribution.change_log import MAX_LOGGED_CHANGES
 from burlloom.distribution.changes import (
@@ -193,7 +193,7 @@
 
 
 def test_a_restored_record_keeps_its_configuration_in_a_new_epoch(tmp_path: Path) -> None:
-    path = filled(tmp_path)
+    path = create_record(tmp_path)
 
     async def run() -> None:
         store = SqliteChangeStore(tmp_path / "record.db")
