--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -510,8 +510,8 @@
     cluster.relay.resend_recent()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         for size in (0, 1, 16, 17, 100, 1400, 1500, 9000):
-            for door in cluster.relay.endpoints.values():
-                stranger.sendto(secrets.token_bytes(size), door.target or ("", 0))
+            for endpoint in cluster.relay.endpoints.values():
+                stranger.sendto(secrets.token_bytes(size), endpoint.target or ("", 0))
         for size in (19, 32, 100, 500, 1400, 1500, 9000):
             for endpoint in cluster.relay.endpoints.values():
                 datagram = bytearray(secrets.token_bytes(size))
