--- a/burlloom/admission/rejection_reasons.py
+++ b/burlloom/admission/rejection_reasons.py
@@ -19,7 +19,7 @@
 
 Three rejections are decided outside this package: no executor has connected yet
 (`server/request_handler.py`), a retry is held back while service recovers after a restart, and a
-duplicate waited for an original that never ran (both `dispatcher/dispatcher.py`).
+repeat waited for an original that never ran (both `dispatcher/dispatcher.py`).
 """
 
 from .lifecycle import State, TrackedRequest
--- a/burlloom/dispatcher/directives.py
+++ b/burlloom/dispatcher/directives.py
@@ -50,7 +50,7 @@
 
 
 def complete_as_original(result: bytes | None, key_digest: bytes) -> Directive:
-    """Returns the answer to a duplicate whose original has ended; FAIL if there is no result."""
+    """Returns the answer to a repeat whose original has ended; FAIL if there is no result."""
     if result is None:
         return Directive(DirectiveKind.FAIL)
     return Directive(DirectiveKind.COMPLETE_AS_ORIGINAL, body=result, key_digest=key_digest)
--- a/burlloom/dispatcher/dispatcher.py
+++ b/burlloom/dispatcher/dispatcher.py
@@ -187,7 +187,7 @@
             self.handle_run_ended(now, ref, event)
         else:
             answer = complete_as_original(event.result, self.slots[ref].key_digest)
-            self.duplicate_answers.append((ref, answer))
+            self.answers_to_repeats.append((ref, answer))
         self.schedule_delivery()
 
     def fire_due_timers(self, gauges: Gauges) -> int:
@@ -274,7 +274,7 @@
         record = self.idempotency_table.records.get(key_digest)
         if record is not None and not record.has_succeeded:
             self.idempotency_table.complete(record, result)
-            self.answer_duplicates(record, complete_as_original(result, key_digest))
+            self.answer_repeats(record, complete_as_original(result, key_digest))
 
     def release_key(self, key_digest: bytes) -> None:
         """Forgets a key whose request never ran elsewhere: it may run here."""
@@ -285,9 +285,9 @@
         self.remove_key(key_digest, Directive(DirectiveKind.FAIL))
 
     def remove_key(self, key_digest: bytes, answer: Directive) -> None:
-        """Forgets a key, and answers the duplicates that wait for it."""
+        """Forgets a key, and answers the repeats that wait for it."""
         refs = self.idempotency_table.remove(key_digest)
-        self.duplicate_answers.extend((ref, answer) for ref in refs)
+        self.answers_to_repeats.extend((ref, answer) for ref in refs)
         self.schedule_delivery()
 
     def unknown_key_digest(self, attempt: RequestAttempt) -> bytes:
@@ -360,7 +360,7 @@
         """
         request_class = self.settings.request_classes[attempt.request_class]
         record = self.idempotency_table.records.get(key_digest)
-        if not request_class.max_staleness_ns or record is None or record.waiting_duplicates:
+        if not request_class.max_staleness_ns or record is None or record.waiting_repeats:
             return True
         level = self.service_level
         is_on_trial = attempt.sampling_draw < level.trial_share
@@ -374,7 +374,7 @@
         )
 
     def handle_run_ended(self, now: int, ref: int, event: RunEnded) -> None:
-        """Answers the request and its duplicates, and reports the run's end to the controller."""
+        """Answers the request and its repeats, and reports the run's end to the controller."""
         outcome, is_ok = event.outcome, event.outcome is Outcome.OK
         key_digest = self.slots[ref].key_digest
         if outcome not in (Outcome.NOT_RECORDED, Outcome.CLAIMED_ELSEWHERE):
@@ -389,11 +389,11 @@
         record = self.idempotency_table.find_by_ref(ref)
         if record is not None and not record.has_ended and outcome is not Outcome.CLAIMED_ELSEWHERE:
             self.idempotency_table.complete(record, event.result if is_ok else None)
-            # If nothing ran, or the executor did not know the request, its duplicates have not run
+            # If nothing ran, or the executor did not know the request, its repeats have not run
             # either and are rejected.
             if outcome in (Outcome.NO_LONGER_NEEDED, Outcome.NOT_RECORDED):
                 answer = Directive(DirectiveKind.REJECT)
             else:
                 answer = complete_as_original(record.result, key_digest)
-            self.answer_duplicates(record, answer)
+            self.answer_repeats(record, answer)
         self.controller.run_ended(now, ref, outcome, event.duration_ns)
--- a/burlloom/dispatcher/effects.py
+++ b/burlloom/dispatcher/effects.py
@@ -26,7 +26,7 @@
 RUN = DirectiveKind.RUN
 INTERMEDIATE_KINDS = (RUN, DirectiveKind.CALL, DirectiveKind.RECALL_RESULT)
 
-DUPLICATE_OUTCOMES = {
+REPEAT_OUTCOMES = {
     DirectiveKind.COMPLETE_AS_ORIGINAL: Outcome.OK,
     DirectiveKind.FAIL: Outcome.FAILED,
     DirectiveKind.REJECT: Outcome.NO_LONGER_NEEDED,
@@ -46,7 +46,7 @@
         recalls_results: Whether results that are not in memory may be persisted elsewhere.
         timers: A heap of due times and timer handles.
         outbox: Directives that are decided but not delivered, in order.
-        duplicate_answers: Answers to duplicates, reported to the controller at delivery.
+        answers_to_repeats: Answers to repeats, reported to the controller at delivery.
         is_healthy: The answer to health checks.
         load_report: The load report on answers; empty before the first report.
         trial_load_report: The load report for callers that are served at the level on trial.
@@ -70,7 +70,7 @@
         self.idempotency_table, self.recalls_results = idempotency_table, recalls_results
         self.timers: list[tuple[int, int]] = []
         self.outbox: deque[tuple[RequestSlot, Directive]] = deque()
-        self.duplicate_answers: deque[tuple[int, Directive]] = deque()
+        self.answers_to_repeats: deque[tuple[int, Directive]] = deque()
         self.is_delivery_scheduled = False
         self.is_healthy, self.idle_timeout_ns = True, idle_timeout_ns
         self.load_report = self.trial_load_report = ""
@@ -98,30 +98,30 @@
         Nothing is delivered at once: the coroutine of a request that was just read does not wait
         yet, and its own directives would overtake it.
         """
-        if not self.is_delivery_scheduled and (self.outbox or self.duplicate_answers):
+        if not self.is_delivery_scheduled and (self.outbox or self.answers_to_repeats):
             self.is_delivery_scheduled = True
             self.loop.call_soon(self.deliver)
 
     def deliver(self) -> None:
         """Delivers all queued directives, and those that result from the delivery."""
         self.is_delivery_scheduled = False
-        while self.outbox or self.duplicate_answers:
+        while self.outbox or self.answers_to_repeats:
             if self.outbox:
                 slot, directive = self.outbox.popleft()
                 slot.directives.append(directive)
                 if slot.waiter is not None and not slot.waiter.done():
                     slot.waiter.set_result(None)
             else:
-                ref, directive = self.duplicate_answers.popleft()
+                ref, directive = self.answers_to_repeats.popleft()
                 if ref in self.slots and not self.slots[ref].is_answered:
                     self.issue(ref, directive)
-                    outcome = DUPLICATE_OUTCOMES[directive.kind]
+                    outcome = REPEAT_OUTCOMES[directive.kind]
                     self.controller.run_ended(self.clock(), ref, outcome, 0)
 
-    def answer_duplicates(self, record: KeyRecord, answer: Directive) -> None:
-        """Answers all duplicates that wait for the end of a record's attempt."""
-        self.duplicate_answers.extend((ref, answer) for ref in record.waiting_duplicates)
-        record.waiting_duplicates = []
+    def answer_repeats(self, record: KeyRecord, answer: Directive) -> None:
+        """Answers all repeats that wait for the end of a record's attempt."""
+        self.answers_to_repeats.extend((ref, answer) for ref in record.waiting_repeats)
+        record.waiting_repeats = []
         self.schedule_delivery()
 
     # The methods of `Effects`; see there for their documentation.
@@ -160,25 +160,25 @@
         raise NotImplementedError("the executor protocol has no command to skip a call")
 
     def keep_key(self, ref: int, lifetime_ns: int) -> None:
-        """Claims the request's key; duplicates of the attempt that held it before fail."""
+        """Claims the request's key; repeats of the attempt that held it before fail."""
         key_digest = self.slots[ref].key_digest
         if key_digest:
             orphaned_refs = self.idempotency_table.claim(
                 key_digest, ref, self.clock() + lifetime_ns
             )
-            self.fail_duplicates(orphaned_refs)
+            self.fail_repeats(orphaned_refs)
 
     def forget_key(self, ref: int) -> None:
         """Releases the request's key, if the request still holds it."""
         if self.idempotency_table.find_by_ref(ref) is not None:
-            self.fail_duplicates(self.idempotency_table.remove(self.slots[ref].key_digest))
+            self.fail_repeats(self.idempotency_table.remove(self.slots[ref].key_digest))
 
-    def fail_duplicates(self, refs: list[int]) -> None:
-        """Queues a failure for each of these duplicates."""
-        self.duplicate_answers.extend((ref, Directive(DirectiveKind.FAIL)) for ref in refs)
+    def fail_repeats(self, refs: list[int]) -> None:
+        """Queues a failure for each of these repeats."""
+        self.answers_to_repeats.extend((ref, Directive(DirectiveKind.FAIL)) for ref in refs)
 
     def reuse_result(self, ref: int) -> None:
-        """Answers a duplicate with the original's result: now, at its end, or after a lookup."""
+        """Answers a repeat with the original's result: now, at its end, or after a lookup."""
         key_digest = self.slots[ref].key_digest
         record = self.idempotency_table.records.get(key_digest)
         if record is None:
@@ -189,9 +189,9 @@
             self.issue(ref, Directive(DirectiveKind.RECALL_RESULT, key_digest=key_digest))
         elif record is None or record.has_ended:
             result = record.result if record is not None else None
-            self.duplicate_answers.append((ref, complete_as_original(result, key_digest)))
+            self.answers_to_repeats.append((ref, complete_as_original(result, key_digest)))
         else:
-            record.waiting_duplicates.append(ref)
+            record.waiting_repeats.append(ref)
 
     def set_health(self, is_healthy: bool) -> None:
         """Sets the answer to health checks."""
--- a/burlloom/dispatcher/idempotency_table.py
+++ b/burlloom/dispatcher/idempotency_table.py
@@ -1,7 +1,7 @@
 """The idempotency table: the requests that were seen before, and their results.
 
 An attempt claims its key digest. Until the window of the key ends, another attempt with the same
-digest is a duplicate: it waits for the original attempt or is answered with the original's result,
+digest is a repeat: it waits for the original attempt or is answered with the original's result,
 and never runs.
 """
 
@@ -20,12 +20,12 @@
 
     Attributes:
         ref: The attempt that claimed the key.
-        window_end_ns: Until when a duplicate is recognised.
+        window_end_ns: Until when a repeat is recognised.
         forget_at_ns: When the record is dropped.
         has_ended: Whether the attempt has ended.
         has_succeeded: Whether it ended with a result.
         result: The result; None before the end, without a result, or once the result was dropped.
-        waiting_duplicates: The duplicates that wait for the end of the attempt.
+        waiting_repeats: The repeats that wait for the end of the attempt.
     """
 
     __slots__ = (
@@ -34,7 +34,7 @@
         "has_succeeded",
         "ref",
         "result",
-        "waiting_duplicates",
+        "waiting_repeats",
         "window_end_ns",
     )
 
@@ -43,7 +43,7 @@
         self.window_end_ns = self.forget_at_ns = 0
         self.has_ended = self.has_succeeded = False
         self.result: bytes | None = None
-        self.waiting_duplicates: list[int] = []
+        self.waiting_repeats: list[int] = []
 
 
 class IdempotencyTable:
@@ -77,9 +77,9 @@
         self.result_bytes = 0
 
     def find_original(self, key_digest: bytes, sent_at_ns: int, is_shared: bool = False) -> int:
-        """Returns the attempt that an attempt sent at this time duplicates, or `NO_ORIGINAL`.
+        """Returns the attempt that an attempt sent at this time repeats, or `NO_ORIGINAL`.
 
-        In doubt a keyed request is treated as a duplicate, so that it runs only once. In doubt an
+        In doubt a keyed request is treated as a repeat, so that it runs only once. In doubt an
         idempotent request that would share a result (`is_shared`) is not, so that it never gets a
         result that is too old: arrival times are rounded down to whole milliseconds.
         """
@@ -127,7 +127,7 @@
         """Claims a key for an attempt, or moves the end of its window.
 
         Returns:
-            The duplicates that waited for the attempt from which the key is taken.
+            The repeats that waited for the attempt from which the key is taken.
         """
         record = self.records.get(key_digest)
         orphaned_refs: list[int] = []
@@ -141,13 +141,13 @@
         return orphaned_refs
 
     def remove(self, key_digest: bytes) -> list[int]:
-        """Forgets a key; returns the duplicates that waited for the end of its attempt."""
+        """Forgets a key; returns the repeats that waited for the end of its attempt."""
         record = self.records.pop(key_digest, None)
         if record is None:
             return []
         self.digests_by_ref.pop(record.ref, None)
         self.result_bytes -= len(record.result or b"")
-        return record.waiting_duplicates
+        return record.waiting_repeats
 
     def find_by_ref(self, ref: int) -> KeyRecord | None:
         """Returns the record of the key that an attempt has claimed; None without one."""
@@ -165,7 +165,7 @@
     def drop_oldest_results(self, newest: KeyRecord) -> None:
         """Drops the oldest results, except that of `newest`, until the rest is within the bound.
 
-        The keys are kept, so that a duplicate fails instead of running.
+        The keys are kept, so that a repeat fails instead of running.
         """
         for record in self.records.values():
             if record is not newest and record.result is not None:
--- a/burlloom/fleet/accounts.py
+++ b/burlloom/fleet/accounts.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-__all__ = ["Account", "MemberPresence", "ShareReport"]
+__all__ = ["MemberAccount", "MemberPresence", "ShareReport"]
 
 
 class ShareReport(NamedTuple):
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Account:
+class MemberAccount:
     """The allocator's state for one incarnation of a member.
 
     Attributes:
@@ -34,7 +34,8 @@
         report_number: Number of its newest report.
         reported_at_ns: Monotonic time at which the newest report was received.
         report: Its newest report.
-        bound: Upper bound of the millicalls that the member may hold.
+        max_held: The most millicalls that the member may hold: the `held` value of its newest
+            report or the grant that answered it, whichever is larger.
         target: Millicalls assigned to the member by the last allocation.
         allocated_demand: Demand of the member at the last allocation, in millicalls.
         rounding_carry: Millicalls that rounding still owes to the member; negative if the member
@@ -45,17 +46,17 @@
     report_number: int
     reported_at_ns: int
     report: ShareReport
-    bound: int
+    max_held: int
     target: int = 0
     allocated_demand: int = 0
     rounding_carry: float = 0.0
 
     def record_report(self, now_ns: int, report_number: int, report: ShareReport) -> None:
-        """Stores a newer report of the same incarnation and resets the bound to its `held`."""
+        """Stores a newer report of the same incarnation and sets `max_held` to its `held`."""
         self.report_number = report_number
         self.reported_at_ns = now_ns
         self.report = report
-        self.bound = report.held
+        self.max_held = report.held
 
 
 @dataclass(frozen=True, slots=True)
--- a/burlloom/fleet/allocator.py
+++ b/burlloom/fleet/allocator.py
@@ -5,14 +5,14 @@
 duration of a lease. Shares are in millicalls: thousandths of a call in progress. The following
 rules keep the sum of all shares within the total, whatever the network does:
 
-- For each member the allocator keeps an upper bound: the larger of the `held` value of the member's
-  last report and the grant that answered that report. A share is raised only from millicalls that
-  no bound covers.
+- For each member the allocator keeps the most that the member may hold (`max_held`): the larger of
+  the `held` value of the member's last report and the grant that answered that report. A share is
+  raised only from millicalls that no member may hold.
 - A member accepts a grant only if the grant answers its newest report, so a delayed older grant has
   no effect. Calls in progress are reported as held, so the difference to a lowered share becomes
   free only when those calls have ended.
-- The bound of a member that stopped reporting stays. Its share is allocated again once the member
-  left, was restarted, or was dead for the reclaim timeout. If that member still runs, it has
+- The `max_held` of a member that stopped reporting stays. Its share is allocated again once the
+  member left, was restarted, or was dead for the reclaim timeout. If that member still runs, it has
   decayed to its minimum by then (`lease_holder.py`): each grant says whether it is confirmed, which
   means that half of the fleet reports to the allocator that sent it, and a member without a
   confirmed grant for the isolation timeout decays to its minimum.
@@ -28,7 +28,7 @@
 from enum import IntEnum
 
 from ..transition_table import parse_transitions
-from .accounts import Account, MemberPresence, ShareReport
+from .accounts import MemberAccount, MemberPresence, ShareReport
 from .fair_share import max_min_fair, round_down_to_calls, round_to_calls
 from .settings import MILLICALLS_PER_CALL, NS_PER_MS, QuotaSettings
 from .totals import AllocationTotals
@@ -124,7 +124,7 @@
         self.quorum_at_ns = now_ns
         self.is_urgent = False
         # Stays while another member is the allocator, so that replayed reports are still detected.
-        self.accounts: dict[str, Account] = {}
+        self.accounts: dict[str, MemberAccount] = {}
         self.members: Mapping[str, MemberPresence] = {}
         self.is_oldest = False
         self.roster_hash = 0
@@ -192,19 +192,19 @@
         grant = self.compute_grant(now_ns, account)
         totals = self.current_totals(now_ns)
         totals.remove(name, account)
-        account.bound = max(report.held, grant)
+        account.max_held = max(report.held, grant)
         totals.add(name, account)
         return grant
 
     def _store_report(
         self, now_ns: int, name: str, incarnation: int, report_number: int, report: ShareReport
-    ) -> Account:
+    ) -> MemberAccount:
         totals = self.current_totals(now_ns)
         account = self.accounts.get(name)
         if account is not None:
             totals.remove(name, account)
         if account is None or account.incarnation < incarnation:
-            account = Account(incarnation, report_number, now_ns, report, report.held)
+            account = MemberAccount(incarnation, report_number, now_ns, report, report.held)
             self.accounts[name] = account
             self.is_urgent = True
         else:
@@ -229,7 +229,7 @@
         if totals is not None and account is not None:
             totals.remove(name, account)
         if account is None or account.incarnation < incarnation:
-            account = Account(incarnation, report_number, 0, ShareReport(0, 0, 0, 1), 0)
+            account = MemberAccount(incarnation, report_number, 0, ShareReport(0, 0, 0, 1), 0)
             self.accounts[name] = account
         if account.incarnation == incarnation:
             account.report_number = max(account.report_number, report_number)
@@ -238,7 +238,7 @@
         if totals is not None:
             totals.add(name, account)
 
-    def compute_grant(self, now_ns: int, account: Account) -> int:
+    def compute_grant(self, now_ns: int, account: MemberAccount) -> int:
         """Returns the millicalls to grant to a member on its newest report.
 
         Only an allocating member with a quorum raises a share, and only by free millicalls.
@@ -255,8 +255,8 @@
 
     def free_share(self, now_ns: int) -> int:
         """Returns the millicalls of the total that no member may hold."""
-        bound = self.current_totals(now_ns).bound
-        return self.settings.total_millicalls - bound - self.unknown_share(now_ns)
+        max_held = self.current_totals(now_ns).max_held
+        return self.settings.total_millicalls - max_held - self.unknown_share(now_ns)
 
     def unknown_share(self, now_ns: int) -> int:
         """Returns the millicalls that members without an account may hold: an equal share each."""
@@ -317,7 +317,9 @@
                 effect(self, now_ns)
                 return
 
-    def _is_obsolete(self, now_ns: int, presence: MemberPresence | None, account: Account) -> bool:
+    def _is_obsolete(
+        self, now_ns: int, presence: MemberPresence | None, account: MemberAccount
+    ) -> bool:
         return (
             presence is None
             or presence.incarnation > account.incarnation
@@ -366,7 +368,7 @@
             return True
         return learning_ns >= self.settings.learning_ns
 
-    def _known_accounts(self) -> list[Account]:
+    def _known_accounts(self) -> list[MemberAccount]:
         """Returns the accounts that reported in this phase and count the same fleet as this member.
 
         If every member of the fleet is among them, no other member can hold a share that one of
@@ -414,7 +416,7 @@
             if now_ns - account.reported_at_ns <= settings.lease_ns:
                 reporting_accounts.append(account)
             else:
-                silent_millicalls += account.bound
+                silent_millicalls += account.max_held
         unknown_millicalls = self.unknown_share(now_ns)
         total = max(0, settings.total_millicalls - silent_millicalls - unknown_millicalls)
         idle_millicalls = int(settings.idle_share * settings.equal_share(len(self.members)))
@@ -426,7 +428,7 @@
             account.allocated_demand = account.report.demand
 
 
-def _is_newer_report(account: Account, incarnation: int, report_number: int) -> bool:
+def _is_newer_report(account: MemberAccount, incarnation: int, report_number: int) -> bool:
     if account.incarnation != incarnation:
         return incarnation > account.incarnation
     return report_number > account.report_number
--- a/burlloom/fleet/member.py
+++ b/burlloom/fleet/member.py
@@ -306,5 +306,5 @@
     }
     account = fleet_member.allocator.accounts.get(name)
     if account is not None:
-        summary["bound"] = account.bound / MILLICALLS_PER_CALL
+        summary["bound"] = account.max_held / MILLICALLS_PER_CALL
     return summary
--- a/burlloom/fleet/totals.py
+++ b/burlloom/fleet/totals.py
@@ -24,8 +24,8 @@
         """Monotonic time at which the newest report was received."""
 
     @property
-    def bound(self) -> int:
-        """Upper bound of the millicalls that the member may hold."""
+    def max_held(self) -> int:
+        """The most millicalls that the member may hold."""
 
 
 class SummedPresence(Protocol):
@@ -41,7 +41,7 @@
 
 
 class AllocationTotals:
-    """Sum of the bounds, and the numbers of reporting and of unknown members.
+    """Millicalls that the members may hold, and the numbers of reporting and of unreported members.
 
     Attributes:
         accounts: Accounts by name.
@@ -52,7 +52,7 @@
         equal_share: Millicalls per member if the total is divided equally.
         report_ttl_ns: Time for which a report counts.
         reclaim_timeout_ns: Time after which a dead member no longer counts; None if never.
-        bound: Sum of the upper bounds of all accounts, in millicalls.
+        max_held: The most millicalls that all members with an account together may hold.
         fresh_reporters: Names of accounts whose report counts, in the order of the reports.
         unreported: Names of members without an account that may hold a share.
         reclaim_queue: Reclaim time and name of each dead member without an account, the latest
@@ -88,7 +88,7 @@
         self.equal_share = equal_share
         self.report_ttl_ns = report_ttl_ns
         self.reclaim_timeout_ns = reclaim_timeout_ns
-        self.bound = sum(map(self._upper_bound, accounts.values()))
+        self.max_held = sum(map(self._max_held, accounts.values()))
         fresh_reporters = (
             name for name, account in accounts.items() if self._is_report_fresh(account)
         )
@@ -119,12 +119,12 @@
 
     def remove(self, name: str, account: SummedAccount) -> None:
         """Removes an account from the sums; called before the account changes."""
-        self.bound -= self._upper_bound(account)
+        self.max_held -= self._max_held(account)
         self.fresh_reporters.pop(name, None)
 
     def add(self, name: str, account: SummedAccount) -> None:
         """Adds a new or removed account; report times must not decrease between calls."""
-        self.bound += self._upper_bound(account)
+        self.max_held += self._max_held(account)
         self.unreported.discard(name)
         if self._is_report_fresh(account):
             self.fresh_reporters[name] = None
@@ -146,11 +146,11 @@
             self.unreported.discard(name)
         return len(self.unreported)
 
-    def _upper_bound(self, account: SummedAccount) -> int:
+    def _max_held(self, account: SummedAccount) -> int:
         if account.reported_at_ns >= self.phase_since_ns:
-            return account.bound
+            return account.max_held
         # Another allocator may have raised the share since the last report.
-        return max(account.bound, self.equal_share)
+        return max(account.max_held, self.equal_share)
 
     def _is_report_fresh(self, account: SummedAccount) -> bool:
         return self.now_ns - account.reported_at_ns <= self.report_ttl_ns
--- a/burlloom/lab/node.py
+++ b/burlloom/lab/node.py
@@ -379,7 +379,7 @@
             "callers": len(dispatcher.callers),
             "timers": len(dispatcher.timers),
             "outbox": len(dispatcher.outbox),
-            "duplicate_answers": len(dispatcher.duplicate_answers),
+            "answers_to_repeats": len(dispatcher.answers_to_repeats),
             "idempotency_records": len(dispatcher.idempotency_table.records),
             "expiry_timers": sum(map(len, dispatcher.idempotency_table.timer_wheel.slots.values())),
             "requests": sizes.requests,
--- a/tests/explore_fleet.py
+++ b/tests/explore_fleet.py
@@ -120,7 +120,7 @@
                 account.incarnation,
                 account.report_number - self.members[int(name)].last_report_number,
                 account.report,
-                account.bound,
+                account.max_held,
                 account.target,
             )
             for name, account in sorted(self.allocator.accounts.items())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -62,7 +62,7 @@
         final_sizes["live"]
         == final_sizes["open_requests"]
         == final_sizes["outbox"]
-        == final_sizes["duplicate_answers"]
+        == final_sizes["answers_to_repeats"]
         == 0
     )
     assert (
--- a/tests/test_fleet_totals.py
+++ b/tests/test_fleet_totals.py
@@ -29,13 +29,13 @@
 
     def free_share(self, now_ns: int) -> int:
         equal_share = self.settings.equal_share(len(self.members))
-        bound = sum(
-            account.bound
+        max_held = sum(
+            account.max_held
             if account.reported_at_ns >= self.phase_since_ns
-            else max(account.bound, equal_share)
+            else max(account.max_held, equal_share)
             for account in self.accounts.values()
         )
-        return self.settings.total_millicalls - bound - self.unknown_share(now_ns)
+        return self.settings.total_millicalls - max_held - self.unknown_share(now_ns)
 
     def unknown_share(self, now_ns: int) -> int:
         count = sum(
@@ -96,7 +96,7 @@
                 account.report_number,
                 account.reported_at_ns,
                 account.report,
-                account.bound,
+                account.max_held,
                 account.target,
             )
             for name, account in allocator.accounts.items()
