--- a/burlloom/admission/__init__.py
+++ b/burlloom/admission/__init__.py
@@ -1,4 +1,4 @@
-"""The admission control of one server: which requests it admits, starts, rejects and calls for.
+"""The admission control of one server: what it admits, starts and rejects, and when it calls out.
 
 The package does no I/O, and imports nothing from the rest of burlloom but its errors. `model`
 defines the types that the host passes in and the effects that it implements, `controller` the
--- a/burlloom/admission/call_quota.py
+++ b/burlloom/admission/call_quota.py
@@ -25,7 +25,7 @@
 MIN_WINDOW_NS = 10
 # Each bucket is a tenth of the window. One extra bucket makes the meter cover at least the whole
 # window, although the current bucket is only partly filled.
-BUCKETS = 11
+METER_BUCKETS = 11
 BUCKETS_PER_WINDOW = 10
 
 
@@ -121,7 +121,7 @@
             min_window_ns = int(MIN_LINGERS_PER_QUOTA * self._linger_ns / self.share)
             self._window_ns = max(self._window_ns, min_window_ns)
         self._open_time_ns = SlidingWindowSum(
-            self._window_ns * BUCKETS // BUCKETS_PER_WINDOW, BUCKETS
+            self._window_ns * METER_BUCKETS // BUCKETS_PER_WINDOW, METER_BUCKETS
         )
         if self.is_time_share:
             self._fill_meter(now)
@@ -129,7 +129,7 @@
     def _fill_meter(self, now: int) -> None:
         bucket_ns = self._open_time_ns.bucket_ns
         # At least as long as the whole meter, since the host's clock may start at 0.
-        self._phase_ns = int(bucket_ns * (BUCKETS + self._random()))
-        used_ns = (self._quota_ns() - self._needed_ns * self._random()) / BUCKETS
-        for buckets_ago in range(BUCKETS - 1, -1, -1):
+        self._phase_ns = int(bucket_ns * (METER_BUCKETS + self._random()))
+        used_ns = (self._quota_ns() - self._needed_ns * self._random()) / METER_BUCKETS
+        for buckets_ago in range(METER_BUCKETS - 1, -1, -1):
             self._open_time_ns.add(now + self._phase_ns - buckets_ago * bucket_ns, used_ns)
--- a/burlloom/admission/caller_feedback.py
+++ b/burlloom/admission/caller_feedback.py
@@ -9,9 +9,8 @@
 
 Health is bad while the server drains or is unhealthy (`health`). The settings name the kind of load
 report. A priority floor is 1 in bad health. A routing weight is 1 minus the pressure, and 0 in bad
-health. A concurrency allowance is for each caller that has a request here, and 0 in bad health:
-there may be thousands of callers, and an allowance split over all of them would leave each with
-nothing.
+health. A concurrency allowance is split over the callers that have a request here, and is 0 in bad
+health. There may be thousands of callers: split over all of them, it would leave each with nothing.
 
 A rejection under load carries a retry-after (ns): the longest that callers honour, times the
 rejected share, times a random draw, so that callers do not return all at once. An unhealthy or
--- a/burlloom/admission/circuit_breaker.py
+++ b/burlloom/admission/circuit_breaker.py
@@ -3,7 +3,7 @@
 Input: how each call ended. Rule: after `FAILURES_TO_OPEN` consecutive failed calls the breaker is
 open. One trial call at a time is then made, `TRIAL_INTERVAL_NS` after the end of the last call; a
 successful trial closes the breaker. Reason: calls to a dependency that fails all of them only delay
-requests that can be answered without.
+requests that can be answered without a call.
 """
 
 from .timing import NS_PER_MS
--- a/burlloom/admission/concurrency_limit.py
+++ b/burlloom/admission/concurrency_limit.py
@@ -8,9 +8,9 @@
   processes are runnable per core and either queued requests wait longer than the jostle timeout or
   calls time out (additive increase, multiplicative decrease). Core utilization is a mean that lags;
   the number of runnable processes keeps the limit from overshooting.
-* Ceiling: all started requests stay within `SAFE_CONTENTION_SHARE` of the contention that the
-  server survives, as if all of them returned from calls and disks at once. It is lower while the
-  server is cold and slow.
+* Ceiling: the number of started requests stays within `SAFE_CONTENTION_SHARE` of the contention at
+  which the server collapses, even if all of them return from calls and disks at once. The ceiling
+  is lower while the server is cold and slow.
 * Requests that wait for or are in a downstream call do not count as running, up to the number of
   calls that may be open at once; any more would only queue for their call.
 """
@@ -21,7 +21,7 @@
 
 __all__ = ["ConcurrencyLimit"]
 
-# Cores count as idle below this utilization.
+# Cores count as idle below this utilization; an unmeasured one (-1) is below it too.
 IDLE_CPU_UTILIZATION = 0.97
 OVERLOADED_RUNNABLE_PER_CORE = 1.5
 DECREASE_FACTOR = 0.7
--- a/burlloom/admission/controller.py
+++ b/burlloom/admission/controller.py
@@ -114,7 +114,7 @@
         self._machine.fill_free_slots(now)
 
     def run_ended(self, now: int, ref: int, outcome: Outcome, duration_ns: int) -> None:
-        """Handles a run that ended or was not begun, or the result that a repeat waits for.
+        """Handles a run that ended or was never begun, or the end of the original of a repeat.
 
         Args:
             now: The host's clock, in ns.
@@ -158,7 +158,7 @@
         self._progress(now, tracked, Input.CALL_SUCCEEDED if is_answered else Input.CALL_FAILED)
 
     def caller_gone(self, now: int, ref: int) -> None:
-        """Handles a caller that no longer waits for its answer; this is not progress of the work.
+        """Handles a caller that no longer waits for its answer; does not count as progress.
 
         Args:
             now: The host's clock, in ns.
@@ -250,11 +250,11 @@
         """The number of new requests rejected because the queue was full."""
         return self._queue.queue_full_rejections
 
-    def open_call_count(self) -> int:
+    def count_open_calls(self) -> int:
         """Returns the number of open calls, including abandoned ones that still linger."""
-        return self._calls.open_count(self._clock.now)
+        return self._calls.count_open(self._clock.now)
 
-    def queued_call_count(self) -> int:
+    def count_queued_calls(self) -> int:
         """Returns the number of requests that wait for their call."""
         return len(self._calls.queue)
 
@@ -274,11 +274,7 @@
         return waited_ns / oldest.request_class.latency_objective_ns
 
     def read_lag_share(self) -> float:
-        """Returns for how long requests lay unread on average in the last second.
-
-        Returns:
-            The lag as a share of the shortest latency objective.
-        """
+        """Returns the mean read lag of the last second, as a share of the shortest objective."""
         return self._arrivals.read_lag_share(self._clock.now)
 
     def sizes(self) -> ControllerSizes:
--- a/burlloom/admission/downstream_calls.py
+++ b/burlloom/admission/downstream_calls.py
@@ -10,12 +10,12 @@
   pause is random, so that servers do not call in step.
 * The quota is below one call, and too little of it is left (`call_quota`).
 
-Of the waiting calls, those of requests that cannot be answered without go first. A request that can
-be answered without skips its call when the circuit breaker is open, when waiting endangers its
-latency objective, or when the service level says so. The balancers' protocol has no answer without
-the call, so a real server never skips one. A call is awaited for `CALL_TIMEOUT_MULTIPLE` times the
-expected duration. Reason: calls that are never answered would otherwise occupy their slots until
-the request's deadline.
+Of the waiting calls, those of requests that need their call for an answer go first. A request that
+can be answered without its call skips the call when the circuit breaker is open, when waiting
+endangers its latency objective, or when the service level says so. The balancers' protocol has no
+answer without the call, so a real server never skips one. A call is awaited for
+`CALL_TIMEOUT_MULTIPLE` times the expected duration. Reason: calls that are never answered would
+otherwise occupy their slots until the request's deadline.
 """
 
 from collections import OrderedDict
@@ -86,7 +86,7 @@
         Args:
             settings: The server's settings.
             counts: The number of requests in each state, maintained by the controller.
-            admission_queue: Applies the jostle timeout.
+            admission_queue: Tells whether a request has waited longer than the jostle timeout.
             service_levels: Tells which calls are skipped.
             drain: Tells when the server stops.
             now: The host's clock, in ns.
@@ -106,7 +106,7 @@
         self.breaker = CircuitBreaker()
         self.has_timed_out_calls = False
 
-    def open_count(self, now: int) -> int:
+    def count_open(self, now: int) -> int:
         """Returns the number of open calls at `now` (ns), including lingering ones."""
         self.lingering_until_ns = [until for until in self.lingering_until_ns if until > now]
         return self._counts[State.IN_CALL] + len(self.lingering_until_ns)
@@ -144,7 +144,7 @@
         """Returns whether one of the waiting calls may be made at `now` (ns)."""
         if self.breaker.blocks_call(now, self._counts[State.IN_CALL]):
             return False
-        if self.open_count(now) >= self.limit.max_open_calls():
+        if self.count_open(now) >= self.limit.max_open_calls():
             return False
         if not self.quota.is_time_share:
             return True
--- a/burlloom/admission/health.py
+++ b/burlloom/admission/health.py
@@ -3,8 +3,8 @@
 Inputs: run ends and their outcomes, the time of the last progress (ns), the read lag. Rules:
 
 * Hung: the open runs, at most one per core, have together spent more than `HUNG_RUN_TIME_NS`
-  without progress of any of them. Reason: two runs may make no progress for a second by chance; six
-  hardly do.
+  without progress of any of them. Reason: it may be chance that two runs make no progress for a
+  second; it hardly is for six.
 * Failure rate: the share of runs that failed in the last 2 s, if there were enough runs to tell it
   from chance and the share is high enough to matter. New requests are rejected at that rate.
 * Unhealthy: the read lag exceeds the whole shortest latency objective, work hangs, or half of the
@@ -63,7 +63,7 @@
         self._failed.add(now, outcome is Outcome.FAILED)
 
     def is_hung(self, now: int) -> bool:
-        """Returns whether runs are open and all of them stand still."""
+        """Returns whether runs are open and none of them makes progress."""
         running = self._counts[State.RUNNING] + self._counts[State.ABANDONED]
         return (now - self.last_progress_at_ns) * min(running, self._cores) > HUNG_RUN_TIME_NS
 
--- a/burlloom/admission/load_shedding.py
+++ b/burlloom/admission/load_shedding.py
@@ -40,7 +40,7 @@
     def __init__(
         self, settings: ServerSettings, arrivals: ArrivalStatistics, speed_share: float
     ) -> None:
-        """Starts with a pressure equal to the speed that a cold server lacks.
+        """Starts with a pressure equal to the share of its speed that a cold server lacks.
 
         Args:
             settings: The server's settings.
@@ -61,6 +61,7 @@
         """Adjusts the pressure; called once each timer round, at `now` (ns)."""
         rejected_share = self._arrivals.rejected_share(now)
         overload = min(1.0, max(rejected_share, self._arrivals.read_lag_share(now)))
+        # `abs` turns the -1 of an unmeasured utilization into full utilization.
         strain = overload * abs(gauges.cpu_utilization) ** CPU_UTILIZATION_EXPONENT
         new_pressure = self.pressure + PRESSURE_GAIN * (strain - STRAIN_TARGET)
         self.pressure = max(0.0, min(1.0, new_pressure))
--- a/burlloom/admission/model.py
+++ b/burlloom/admission/model.py
@@ -104,8 +104,9 @@
         idempotency: What a second run would cause.
         idempotency_window_ns: Time from the arrival of a keyed request during which repeats may
             come.
-        late_value_share: The value share of an answer after the objective, 0 to 1.
-        value_share_without_call: The value share of an answer without the downstream call, 0 to 1.
+        late_value_share: The value of an answer after the objective, as a share of `value`, 0 to 1.
+        value_share_without_call: The value of an answer without the downstream call, as a share of
+            `value`, 0 to 1.
         value: The value of an answer, relative to other classes.
         max_staleness_ns: The maximum age of a cached result at a service level that serves cached
             results; 0 for none.
@@ -131,11 +132,11 @@
         memory_kb: The executor's memory.
         running_memory_factor: The memory of a started request, as a multiple of its size.
         idempotency_key_kb: The memory of a kept idempotency key.
-        max_runs_per_core: The contention, in runs per core, that the server does not survive.
+        max_runs_per_core: The contention, in runs per core, at which the server collapses.
         starts_cold: Whether a new executor has to warm up.
         cold_speed_share: The speed of a cold executor, as a share of that of a warm one.
         warm_up_ns: The duration of the warm-up.
-        call_quota: This server's share of the calls that the downstream dependency survives, as a
+        call_quota: This server's share of the calls that the downstream dependency can handle, as a
             mean number of open calls; 0 where the dependency is not shared.
         call_quota_window_ns: The span over which the mean is taken.
         abandoned_call_linger_ns: For how long the dependency processes a call that was abandoned.
--- a/burlloom/admission/rejection_reasons.py
+++ b/burlloom/admission/rejection_reasons.py
@@ -80,7 +80,7 @@
         return now + expected_ns > end_ns or now > tracked.early_rejection_at_ns
 
     def server_is_hung(self, tracked: TrackedRequest, now: int) -> bool:
-        """Returns whether runs are open and all of them stand still."""
+        """Returns whether runs are open and none of them makes progress."""
         return self._health.is_hung(now)
 
     def is_shed_for_failure_rate(self, tracked: TrackedRequest, now: int) -> bool:
--- a/burlloom/admission/slow_start.py
+++ b/burlloom/admission/slow_start.py
@@ -2,7 +2,7 @@
 
 Inputs: the age of the server (ns) and its settings `starts_cold`, `cold_speed_share` and
 `warm_up_ns`. Rule: the speed grows linearly from `cold_speed_share` to 1 over the warm-up. Reason:
-a cold server survives fewer concurrent runs.
+a cold server collapses at fewer concurrent runs.
 """
 
 from .model import ServerSettings
--- a/burlloom/dispatcher/dispatcher.py
+++ b/burlloom/dispatcher/dispatcher.py
@@ -31,8 +31,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_KEY_DIGESTS = 40_000  # about 500 bytes each
-DEADLINE_SLACK_NS = 50_000_000  # added to time limits when requests arrive over sockets
+# The number of idempotency keys held in memory, about 500 bytes each. Beyond it new keyed requests
+# are rejected.
+MAX_KEY_DIGESTS = 40_000
+# Tolerance added to the window of each key, since requests arrive over sockets.
+DEADLINE_SLACK_NS = 50_000_000
+# The name of the restrictions during recovery if the service level in force has none.
 RECOVERY_DEGRADATION = "coming-back"
 
 
@@ -253,7 +257,7 @@
 
     def call_demand(self) -> CallDemand:
         """Returns the demand for downstream calls."""
-        return CallDemand(self.controller.open_call_count(), self.controller.queued_call_count())
+        return CallDemand(self.controller.count_open_calls(), self.controller.count_queued_calls())
 
     def load_signals(self) -> LoadSignals:
         """Returns the load of this server."""
--- a/burlloom/dispatcher/effects.py
+++ b/burlloom/dispatcher/effects.py
@@ -19,13 +19,14 @@
 
 log = logging.getLogger(__name__)
 
-NO_TIMER_NS = 1 << 62
+NO_TIMER_NS = 1 << 62  # a time that is never reached: no timer is scheduled
 
 # Bound to module names: on Python 3.11 each access through the enum takes about 0.2 us, and there
 # are several per request.
 RUN = DirectiveKind.RUN
 INTERMEDIATE_KINDS = (RUN, DirectiveKind.CALL, DirectiveKind.RECALL_RESULT)
 
+# The outcome that the controller is told for each kind of answer to a repeat.
 REPEAT_OUTCOMES = {
     DirectiveKind.COMPLETE_AS_ORIGINAL: Outcome.OK,
     DirectiveKind.FAIL: Outcome.FAILED,
--- a/burlloom/dispatcher/idempotency_table.py
+++ b/burlloom/dispatcher/idempotency_table.py
@@ -163,7 +163,7 @@
             self.drop_oldest_results(record)
 
     def drop_oldest_results(self, newest: KeyRecord) -> None:
-        """Drops the oldest results, except that of `newest`, until the rest is within the bound.
+        """Drops the oldest results, except that of `newest`, until `max_result_bytes` is met.
 
         The keys are kept, so that a repeat fails instead of running.
         """
--- a/burlloom/dispatcher/key_digests.py
+++ b/burlloom/dispatcher/key_digests.py
@@ -11,7 +11,7 @@
 KEY_DIGEST_BYTES = 16
 WINDOW_END_BYTES = 8
 ENTRY_BYTES = KEY_DIGEST_BYTES + WINDOW_END_BYTES
-INITIAL_SEARCH_STEP = 8
+INITIAL_SEARCH_STEP = 8  # entries; doubles with each step of the search
 
 
 def digest_key(class_name: str, key: str, body: bytes) -> bytes:
--- a/burlloom/fleet/allocator.py
+++ b/burlloom/fleet/allocator.py
@@ -75,8 +75,8 @@
     PAUSED = 1  # a round is run after this process was suspended for longer than a lease
 
 
-# Columns: phase, input, condition, next phase, effect; "-" stands for no condition or no effect.
-TABLE = """
+# Columns: state, input, test, next state, effect; "-" stands for no test or no effect.
+TRANSITION_TABLE = """
 IDLE       ROUND  is_oldest_member LEARNING   begin_learning
 IDLE       PAUSED -                IDLE       -
 LEARNING   ROUND  is_not_oldest    IDLE       -
@@ -310,9 +310,9 @@
         return self.current_totals(now_ns).count_reporting(now_ns)
 
     def apply_input(self, now_ns: int, input_event: AllocatorInput) -> None:
-        """Takes the first transition whose condition holds; keeps the phase if there is none."""
-        for condition, phase, effect in RULES.get((self.phase, input_event), ()):
-            if condition(self, now_ns):
+        """Takes the first transition whose test holds; keeps the phase if there is none."""
+        for test, phase, effect in RULES.get((self.phase, input_event), ()):
+            if test(self, now_ns):
                 self.phase = phase
                 effect(self, now_ns)
                 return
@@ -326,7 +326,7 @@
             or self.is_reclaimable(now_ns, presence)
         )
 
-    # Conditions named in TABLE.
+    # Tests named in TRANSITION_TABLE.
 
     def is_oldest_member(self, now_ns: int) -> bool:
         """Returns whether this member is the one to allocate."""
@@ -382,7 +382,7 @@
             and account.report.roster_hash == self.roster_hash
         ]
 
-    # Effects named in TABLE.
+    # Effects named in TRANSITION_TABLE.
 
     def begin_learning(self, now_ns: int) -> None:
         """Starts counting reports again, and makes the first allocation due at once.
@@ -434,7 +434,7 @@
     return report_number > account.report_number
 
 
-_Condition = Callable[[Allocator, int], bool]
+_Test = Callable[[Allocator, int], bool]
 _Effect = Callable[[Allocator, int], None]
 
 
@@ -446,7 +446,7 @@
     pass
 
 
-def _resolve_condition(name: str) -> _Condition:
+def _resolve_test(name: str) -> _Test:
     return _always if name == "-" else getattr(Allocator, name)
 
 
@@ -455,5 +455,5 @@
 
 
 RULES = parse_transitions(
-    TABLE, AllocatorPhase, AllocatorInput, _resolve_condition, _resolve_effect
+    TRANSITION_TABLE, AllocatorPhase, AllocatorInput, _resolve_test, _resolve_effect
 )
--- a/burlloom/fleet/lease_holder.py
+++ b/burlloom/fleet/lease_holder.py
@@ -44,8 +44,8 @@
     PAUSED = 2  # a round is run after this process was suspended beyond the isolation timeout
 
 
-# Columns: state, input, condition, next state, effect; "-" stands for no condition or no effect.
-TABLE = """
+# Columns: state, input, test, next state, effect; "-" stands for no test or no effect.
+TRANSITION_TABLE = """
 UNGRANTED GRANTED -                   HOLDING   accept_grant
 UNGRANTED ROUND   is_unconfirmed      ISOLATED  decay_to_minimum
 UNGRANTED PAUSED  -                   UNGRANTED -
@@ -125,14 +125,14 @@
         self.apply_input(now_ns, LeaseInput.PAUSED if was_paused else LeaseInput.ROUND)
 
     def apply_input(self, now_ns: int, input_event: LeaseInput) -> None:
-        """Takes the first transition whose condition holds; keeps the state if there is none."""
-        for condition, state, effect in RULES.get((self.state, input_event), ()):
-            if condition(self, now_ns):
+        """Takes the first transition whose test holds; keeps the state if there is none."""
+        for test, state, effect in RULES.get((self.state, input_event), ()):
+            if test(self, now_ns):
                 self.state = state
                 effect(self, now_ns)
                 return
 
-    # Conditions named in TABLE.
+    # Tests named in TRANSITION_TABLE.
 
     def has_expired(self, now_ns: int) -> bool:
         """Returns whether the lease of the last grant is over."""
@@ -146,7 +146,7 @@
         """Returns whether the grant that is being processed is confirmed."""
         return self.is_grant_confirmed
 
-    # Effects named in TABLE.
+    # Effects named in TRANSITION_TABLE.
 
     def accept_grant(self, now_ns: int) -> None:
         """Sets the share to the granted share."""
@@ -166,7 +166,7 @@
         self.share = min(self.share, minimum) if self.granted_share else minimum
 
 
-_Condition = Callable[[LeaseHolder, int], bool]
+_Test = Callable[[LeaseHolder, int], bool]
 _Effect = Callable[[LeaseHolder, int], None]
 
 
@@ -178,7 +178,7 @@
     pass
 
 
-def _resolve_condition(name: str) -> _Condition:
+def _resolve_test(name: str) -> _Test:
     return _always if name == "-" else getattr(LeaseHolder, name)
 
 
@@ -186,4 +186,4 @@
     return _do_nothing if name == "-" else getattr(LeaseHolder, name)
 
 
-RULES = parse_transitions(TABLE, LeaseState, LeaseInput, _resolve_condition, _resolve_effect)
+RULES = parse_transitions(TRANSITION_TABLE, LeaseState, LeaseInput, _resolve_test, _resolve_effect)
--- a/burlloom/fleet/membership.py
+++ b/burlloom/fleet/membership.py
@@ -60,8 +60,8 @@
     FORGET_DUE = 6  # dead or left for longer than the forget timeout
 
 
-# Columns: state, input, condition, next state, effect; "-" stands for no condition.
-TABLE = """
+# Columns: state, input, test, next state, effect; "-" stands for no test or no effect.
+TRANSITION_TABLE = """
 GONE    ALIVE_RECEIVED    -                  ALIVE   record
 GONE    SUSPECT_RECEIVED  -                  SUSPECT record
 GONE    DEAD_RECEIVED     -                  DEAD    record
@@ -271,7 +271,7 @@
         input_event: MembershipInput,
         update: MemberUpdate | None = None,
     ) -> bool:
-        """Takes the first transition of a member whose condition holds, if there is one.
+        """Takes the first transition of a member whose test holds, if there is one.
 
         Args:
             now_ns: Monotonic time in ns.
@@ -284,8 +284,8 @@
         """
         member = self.by_name.get(name)
         state = member.state if member is not None else MemberState.GONE
-        for condition, after, effect in RULES.get((state, input_event), ()):
-            if condition(member, update):
+        for test, after, effect in RULES.get((state, input_event), ()):
+            if test(member, update):
                 effect(self, now_ns, name, after, update)
                 stored_member = self.by_name.get(name)
                 self.transitions.append(
@@ -297,7 +297,7 @@
                 return True
         return False
 
-    # Effects named in TABLE.
+    # Effects named in TRANSITION_TABLE.
 
     def record(
         self, now_ns: int, name: str, after: MemberState, update: MemberUpdate | None
@@ -409,10 +409,10 @@
     return update.precedence[:2] == member.update.precedence[:2]
 
 
-_Condition = Callable[[Member | None, MemberUpdate | None], bool]
+_Test = Callable[[Member | None, MemberUpdate | None], bool]
 _Effect = Callable[[MembershipView, int, str, MemberState, MemberUpdate | None], None]
 
-_CONDITIONS: dict[str, _Condition] = {
+_TESTS: dict[str, _Test] = {
     "-": _always,
     "is_newer": _is_newer,
     "is_same_refutation": _is_same_refutation,
@@ -425,5 +425,5 @@
     "remove": MembershipView.remove,
 }
 RULES = parse_transitions(
-    TABLE, MemberState, MembershipInput, _CONDITIONS.__getitem__, _EFFECTS.__getitem__
+    TRANSITION_TABLE, MemberState, MembershipInput, _TESTS.__getitem__, _EFFECTS.__getitem__
 )
--- a/burlloom/fleet/settings.py
+++ b/burlloom/fleet/settings.py
@@ -105,7 +105,10 @@
         return int(self.floor_share * self.equal_share(member_count))
 
     def digest(self) -> int:
-        """Returns a digest of the settings that must be equal on all members."""
+        """Returns a digest of the settings that must be equal on all members.
+
+        Each setting has a factor of its own, so that two changes do not simply cancel out.
+        """
         return (
             self.total_millicalls * 1009
             + self.lease_ns // NS_PER_MS * 31
--- a/burlloom/rollout/agent.py
+++ b/burlloom/rollout/agent.py
@@ -34,7 +34,8 @@
     WRITE_UNKNOWN = 5  # the store failed during the write
 
 
-TABLE = """
+# Columns: state, input, test, next state, effect; "-" stands for no test or no effect.
+TRANSITION_TABLE = """
 SERVING   PERMITTED      - BEGINNING begin
 SERVING   STATE_OUT      - DRAINING  drain
 BEGINNING WRITE_ACCEPTED - DRAINING  drain
@@ -44,7 +45,7 @@
 UNCERTAIN STATE_OUT      - DRAINING  drain
 UNCERTAIN STATE_OTHER    - SERVING   -
 """
-RULES = parse_transitions(TABLE, AgentState, AgentInput, str, str)
+RULES = parse_transitions(TRANSITION_TABLE, AgentState, AgentInput, str, str)
 
 
 class DrainAgent:
--- a/burlloom/rollout/instance.py
+++ b/burlloom/rollout/instance.py
@@ -65,7 +65,8 @@
 }
 
 
-TABLE = """
+# Columns: state, input, test, next state, effect; "-" stands for no test or no effect.
+TRANSITION_TABLE = """
 GONE    SEEN        -                 BACK    record_incarnation
 IN      SEEN        is_newer          BACK    record_crash
 IN      LOST        -                 MISSING mark_missing
@@ -266,4 +267,4 @@
     "record_return": _record_return,
     "record_leaving": _record_leaving,
 }
-RULES = parse_transitions(TABLE, InstanceState, InstanceInput, _TESTS.__getitem__, str)
+RULES = parse_transitions(TRANSITION_TABLE, InstanceState, InstanceInput, _TESTS.__getitem__, str)
--- a/burlloom/rollout/liveness.py
+++ b/burlloom/rollout/liveness.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 __all__ = [
-    "NS_PER_S",
+    "NS_PER_SECOND",
     "LivenessObserver",
     "Observation",
     "RequestCounts",
@@ -22,7 +22,7 @@
     "ServerReport",
 ]
 
-NS_PER_S = 1_000_000_000
+NS_PER_SECOND = 1_000_000_000
 
 
 class ServerPhase(IntEnum):
--- a/burlloom/rollout/release.py
+++ b/burlloom/rollout/release.py
@@ -74,7 +74,8 @@
 }
 
 
-TABLE = """
+# Columns: state, input, test, next state, effect; "-" stands for no test or no effect.
+TRANSITION_TABLE = """
 IDLE         START               -             ROLLING      begin
 ROLLING      WAVE_COMPLETE       -             EVALUATING   -
 ROLLING      EVALUATED_UNHEALTHY auto_rollback ROLLING_BACK begin_rollback
@@ -284,4 +285,4 @@
     "finish_release": _leave_unchanged,
     "finish_rollback": _leave_unchanged,
 }
-RULES = parse_transitions(TABLE, ReleasePhase, ReleaseInput, _TESTS.__getitem__, str)
+RULES = parse_transitions(TRANSITION_TABLE, ReleasePhase, ReleaseInput, _TESTS.__getitem__, str)
--- a/burlloom/rollout/settings.py
+++ b/burlloom/rollout/settings.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from .liveness import NS_PER_S
+from .liveness import NS_PER_SECOND
 
 __all__ = ["CanarySettings", "RolloutSettings"]
 
@@ -24,7 +24,7 @@
             unhealthy samples of the changed servers that counts as unhealthy.
     """
 
-    window_ns: int = 30 * NS_PER_S
+    window_ns: int = 30 * NS_PER_SECOND
     min_requests: int = 100
     min_difference: float = 0.03
     min_sigmas: float = 4.0
@@ -52,13 +52,13 @@
         canary: When the changed servers count as unhealthy.
     """
 
-    heartbeat_ttl_ns: int = 5 * NS_PER_S
-    leader_timeout_ns: int = 5 * NS_PER_S
-    permit_ttl_ns: int = 10 * NS_PER_S
-    return_timeout_ns: int = 120 * NS_PER_S
-    settle_ns: int = 5 * NS_PER_S
-    write_off_ns: int = 900 * NS_PER_S
-    low_traffic_timeout_ns: int = 600 * NS_PER_S
+    heartbeat_ttl_ns: int = 5 * NS_PER_SECOND
+    leader_timeout_ns: int = 5 * NS_PER_SECOND
+    permit_ttl_ns: int = 10 * NS_PER_SECOND
+    return_timeout_ns: int = 120 * NS_PER_SECOND
+    settle_ns: int = 5 * NS_PER_SECOND
+    write_off_ns: int = 900 * NS_PER_SECOND
+    low_traffic_timeout_ns: int = 600 * NS_PER_SECOND
     max_lost: int = 0
     pause_rate: float = 0.5
     low_traffic_passes: bool = False
--- a/burlloom/rollout/state.py
+++ b/burlloom/rollout/state.py
@@ -171,7 +171,7 @@
             The new state, and whether the permit was granted.
         """
         members = self.groups[group]
-        others = (one for other, one in members.instances.items() if other != name)
+        others = (other for other_name, other in members.instances.items() if other_name != name)
         sent_out_count = sum(other.is_sent_out for other in others)
         state, effect = self.apply_input(
             group,
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -63,7 +63,8 @@
     )
 
 
-def hold_share(fleet: Fleet, servers: list[Server], share: float) -> Callable[[], bool]:
+def have_share(fleet: Fleet, servers: list[Server], share: float) -> Callable[[], bool]:
+    """Returns a condition: each server has `share` calls, give or take 10%, within the total."""
     return lambda: (
         fleet.max_open_calls <= MAX_TOTAL_RATIO * fleet.total_calls
         and all(
@@ -115,7 +116,7 @@
     fleet.reset_samples()
     paused.send_signal(signal.SIGSTOP)
     await fleet.wait_for(
-        hold_share(
+        have_share(
             fleet, [server for server in fleet.servers if server is not paused], TOTAL_CALLS / 3
         )
     )
@@ -123,7 +124,7 @@
     paused.send_signal(signal.SIGCONT)
     await asyncio.sleep(0.5)
     assert fleet.max_open_calls <= MAX_TOTAL_RATIO * TOTAL_CALLS
-    await fleet.wait_for(hold_share(fleet, fleet.servers, TOTAL_CALLS / 4))
+    await fleet.wait_for(have_share(fleet, fleet.servers, TOTAL_CALLS / 4))
 
 
 @fleet_test(4)
@@ -135,18 +136,18 @@
     fleet.reset_samples()
     await allocator.kill()
     await fleet.wait_for(
-        hold_share(
+        have_share(
             fleet, [server for server in fleet.servers if server is not allocator], TOTAL_CALLS / 3
         )
     )
     await allocator.begin()
-    await fleet.wait_for(hold_share(fleet, fleet.servers, TOTAL_CALLS / 4))
+    await fleet.wait_for(have_share(fleet, fleet.servers, TOTAL_CALLS / 4))
     # After two kills in a row each new incarnation replaces the previous one immediately.
     for _ in range(2):
         await fleet.servers[0].kill()
         await fleet.servers[0].begin()
     await check_total_for(fleet, 1)
-    await fleet.wait_for(hold_share(fleet, fleet.servers, TOTAL_CALLS / 4))
+    await fleet.wait_for(have_share(fleet, fleet.servers, TOTAL_CALLS / 4))
 
 
 @fleet_test(5, total_calls=30)
@@ -159,11 +160,11 @@
     minority, majority = {"n0", "n1"}, {"n2", "n3", "n4"}
     fleet.relay.cut(minority, majority)
     await fleet.wait_for(
-        hold_share(fleet, [server for server in fleet.servers if server.name in majority], 10)
+        have_share(fleet, [server for server in fleet.servers if server.name in majority], 10)
     )
     await heal_and_check(fleet, minority)
     fleet.relay.cut({"n4"}, {"n0", "n1", "n2", "n3"}, both=False)
-    await fleet.wait_for(hold_share(fleet, fleet.servers[:4], 7.5))
+    await fleet.wait_for(have_share(fleet, fleet.servers[:4], 7.5))
     await heal_and_check(fleet, {"n4"})
 
 
@@ -177,22 +178,22 @@
     await check_total_for(fleet, 1)
     assert fleet.mean_open_calls <= MAX_TOTAL_RATIO * fleet.total_calls, fleet.mean_open_calls
     fleet.fractional_share_servers = set()
-    await fleet.wait_for(hold_share(fleet, fleet.servers, 6))
+    await fleet.wait_for(have_share(fleet, fleet.servers, 6))
 
 
 @fleet_test(3, total_calls=48)
 async def test_shares_are_fair_as_the_fleet_grows_and_shrinks(fleet: Fleet) -> None:
-    await fleet.wait_for(hold_share(fleet, fleet.servers, 16))
+    await fleet.wait_for(have_share(fleet, fleet.servers, 16))
     fleet.reset_samples()
     added_servers = await fleet.add_servers(5, max_open_requests=20)
     assert fleet.max_open_calls <= MAX_TOTAL_RATIO * fleet.total_calls
-    await fleet.wait_for(hold_share(fleet, fleet.servers, 6))
+    await fleet.wait_for(have_share(fleet, fleet.servers, 6))
     await fleet.wait_for(uses_all_calls(fleet))
     fleet.reset_samples()
     for server in added_servers:
         server.max_open_requests = 0
     await asyncio.gather(*(server.drain_and_stop() for server in added_servers))
-    await fleet.wait_for(hold_share(fleet, fleet.servers, 16))
+    await fleet.wait_for(have_share(fleet, fleet.servers, 16))
     await fleet.wait_for(uses_all_calls(fleet))
 
 
@@ -295,12 +296,12 @@
         )
     )
     await asyncio.sleep(SHORT_INTERVALS["redeal_ms"] / 1000)
-    assert hold_share(fleet, remaining, 6)(), fleet.shares()
+    assert have_share(fleet, remaining, 6)(), fleet.shares()
     assert "forgotten: n0, n1" in await command("forget", "n0", "n1")
-    await fleet.wait_for(hold_share(fleet, remaining, 12))
+    await fleet.wait_for(have_share(fleet, remaining, 12))
     for server in stopped:  # forgotten servers may start again
         await server.begin()
-    await fleet.wait_for(hold_share(fleet, fleet.servers, 6))
+    await fleet.wait_for(have_share(fleet, fleet.servers, 6))
 
 
 def test_the_commands_create_a_key_and_plan_a_change(tmp_path: Path) -> None:
