--- a/burlloom/admission/load_shedding.py
+++ b/burlloom/admission/load_shedding.py
@@ -40,7 +40,7 @@
     def __init__(
         self, settings: ServerSettings, arrivals: ArrivalStatistics, speed_share: float
     ) -> None:
-        """Starts with a pressure equal to the share of its speed that a cold server lacks.
+        """Starts with a pressure equal to the share of the warm speed that a cold server lacks.
 
         Args:
             settings: The server's settings.
--- a/burlloom/admission/model.py
+++ b/burlloom/admission/model.py
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSettings:
-    """The settings of a server and its site.
+    """The settings of a server and of its deployment.
 
     Attributes:
         cores: The number of the executor's cores.
@@ -219,10 +219,10 @@
         ref: The number that identifies it from now on.
         caller: The number of its caller.
         request_class: The index of its class.
-        cost_ns: The duration that its caller expects for a run; 0 if not stated.
+        cost_ns: The processor time that its caller expects; 0 if not stated.
         unread_ns: For how long it lay unread.
         deadline_at_ns: When it is given up; 0 if its caller set no deadline.
-        memory_kb: Its size.
+        memory_kb: Its size in memory.
         priority: Its priority, 0 to 1.
         original_ref: The attempt that it repeats: `NO_ORIGINAL` for none, a number that was never
             assigned for an attempt of a previous incarnation.
--- a/burlloom/dispatcher/dispatcher.py
+++ b/burlloom/dispatcher/dispatcher.py
@@ -382,8 +382,8 @@
         outcome, is_ok = event.outcome, event.outcome is Outcome.OK
         key_digest = self.slots[ref].key_digest
         if outcome not in (Outcome.NOT_RECORDED, Outcome.CLAIMED_ELSEWHERE):
-            # A run that nobody needed ended without having run; a caller that still listens is
-            # told that it failed.
+            # After NO_LONGER_NEEDED the run was never begun; a caller that waits after all gets an
+            # error.
             answer = (
                 Directive(DirectiveKind.COMPLETE, body=event.result, key_digest=key_digest)
                 if is_ok
--- a/burlloom/fleet/gossip.py
+++ b/burlloom/fleet/gossip.py
@@ -19,7 +19,7 @@
 MAX_OUTBOX_MESSAGES = 4096
 # The number of sends of each update is this factor times the bit length of the fleet size.
 _DISSEMINATION_FACTOR = 3
-# How often a restarted member is told its previous incarnation; repeated because messages get lost.
+# Number of messages that tell a restarted member its previous incarnation, since some may get lost.
 _PREVIOUS_INCARNATION_SENDS = 4
 
 
--- a/burlloom/fleet/lease_holder.py
+++ b/burlloom/fleet/lease_holder.py
@@ -19,8 +19,9 @@
 
     UNGRANTED = 0  # no grant in this incarnation, so the member holds nothing
     HOLDING = 1  # the lease of a grant is in force
-    EXPIRED = 2  # lease over; keeps at most an equal share, which is not allocated again yet
-    ISOLATED = 3  # no confirmed grant for long; the share above the minimum may be reallocated
+    EXPIRED = 2  # lease is over; keeps at most an equal share, which is not allocated again yet
+    # No confirmed grant for the isolation timeout; the share above the minimum may be reallocated.
+    ISOLATED = 3
 
     @property
     def label(self) -> str:
--- a/burlloom/fleet/totals.py
+++ b/burlloom/fleet/totals.py
@@ -123,7 +123,10 @@
         self.fresh_reporters.pop(name, None)
 
     def add(self, name: str, account: SummedAccount) -> None:
-        """Adds a new or removed account; report times must not decrease between calls."""
+        """Adds a new account, or one that `remove` took out before a change.
+
+        The report times of the added accounts must not decrease from call to call.
+        """
         self.max_held += self._max_held(account)
         self.unreported.discard(name)
         if self._is_report_fresh(account):
--- a/burlloom/rollout/canary.py
+++ b/burlloom/rollout/canary.py
@@ -193,7 +193,7 @@
         self._drop_old_rounds(now_ns)
 
     def is_sustained(self, outcome: str) -> bool:
-        """Returns whether the changed servers had an outcome in several parts of the window.
+        """Returns whether changed servers had an outcome in `MIN_BAD_PARTS` parts of the window.
 
         Args:
             outcome: Field of `RequestCounts`.
--- a/burlloom/rollout/liveness.py
+++ b/burlloom/rollout/liveness.py
@@ -2,7 +2,7 @@
 
 Clocks of different processes are never compared. A server shows that it is alive by increasing its
 heartbeat. It counts as silent if the observer has not seen the heartbeat increase for the heartbeat
-TTL on its own clock, as clients of a lock watch the version of its record.
+TTL on its own clock. Clients of a distributed lock watch the version of its record in the same way.
 
 A new observer starts without knowledge: a server counts as serving only once the observer has seen
 its heartbeat increase, and as silent only after the full heartbeat TTL.
--- a/burlloom/rollout/release.py
+++ b/burlloom/rollout/release.py
@@ -33,7 +33,7 @@
 
     IDLE = 0  # no release is in progress
     ROLLING = 1  # the servers of a wave are sent out and return
-    EVALUATING = 2  # all servers of the wave have returned and are compared with the unchanged
+    EVALUATING = 2  # all servers of the wave have returned and are compared with the others
     HALTED = 3  # no server is sent out until an operator resumes or rolls back
     ROLLING_BACK = 4  # all servers return to the previous version
 
@@ -52,7 +52,7 @@
     START = 0
     WAVE_COMPLETE = 1  # all servers of the wave, or of the rollback, returned and settled
     EVALUATED_HEALTHY = 2
-    EVALUATED_UNHEALTHY = 3  # the changed servers are worse than the unchanged
+    EVALUATED_UNHEALTHY = 3  # the changed servers are worse than the unchanged ones
     SERVER_LOST = 4  # a server of the release is missing, crashed, or has another version
     TRAFFIC_TOO_LOW = 5  # too few requests to the changed servers to compare them
     HALT = 6  # HALT, RESUME and ROLLBACK are orders of an operator
--- a/burlloom/rollout/settings.py
+++ b/burlloom/rollout/settings.py
@@ -12,7 +12,7 @@
     """Decides when the changed servers count as unhealthy.
 
     Attributes:
-        window_ns: Shortest time over which the changed servers are compared with the unchanged.
+        window_ns: Shortest time over which the changed servers are compared with the others.
         min_requests: Number of requests that the changed servers must answer before they can
             count as healthy.
         min_difference: Smallest difference of two outcome shares at which the larger counts as
--- a/burlloom/rollout/state.py
+++ b/burlloom/rollout/state.py
@@ -158,7 +158,7 @@
         next_version: str = "",
         release_number: int = 0,
     ) -> tuple["RolloutState", bool]:
-        """Grants an instance a permit to leave if the budget allows it; the only such check.
+        """Grants a permit to leave if the budget allows it; no other method checks the budget.
 
         Args:
             group: Group of the instance.
