--- a/burlloom/admission/rejection_reasons.py
+++ b/burlloom/admission/rejection_reasons.py
@@ -19,7 +19,7 @@
 
 Three rejections are decided outside this package: no executor has connected yet
 (`server/request_handler.py`), a retry is held back while service recovers after a restart, and a
-duplicate waited for an original that never ran (both `dispatcher/dispatcher.py`).
+repeat waited for an original that never ran (both `dispatcher/dispatcher.py`).
 """
 
 from .lifecycle import State, TrackedRequest
@@ -80,7 +80,7 @@
         return now + expected_ns > end_ns or now > tracked.early_rejection_at_ns
 
     def server_is_hung(self, tracked: TrackedRequest, now: int) -> bool:
-        """Returns whether runs are open and all of them stand still."""
+        """Returns whether runs are open and none of them makes progress."""
         return self._health.is_hung(now)
 
     def is_shed_for_failure_rate(self, tracked: TrackedRequest, now: int) -> bool:
--- a/burlloom/dispatcher/dispatcher.py
+++ b/burlloom/dispatcher/dispatcher.py
@@ -31,8 +31,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_KEY_DIGESTS = 40_000  # about 500 bytes each
-DEADLINE_SLACK_NS = 50_000_000  # added to time limits when requests arrive over sockets
+# The number of idempotency keys held in memory, about 500 bytes each. Beyond it new keyed requests
+# are rejected.
+MAX_KEY_DIGESTS = 40_000
+# Tolerance added to the window of each key, since requests arrive over sockets.
+DEADLINE_SLACK_NS = 50_000_000
+# The name of the restrictions during recovery if the service level in force has none.
 RECOVERY_DEGRADATION = "coming-back"
 
 
@@ -187,7 +191,7 @@
             self.handle_run_ended(now, ref, event)
         else:
             answer = complete_as_original(event.result, self.slots[ref].key_digest)
-            self.duplicate_answers.append((ref, answer))
+            self.answers_to_repeats.append((ref, answer))
         self.schedule_delivery()
 
     def fire_due_timers(self, gauges: Gauges) -> int:
@@ -253,7 +257,7 @@
 
     def call_demand(self) -> CallDemand:
         """Returns the demand for downstream calls."""
-        return CallDemand(self.controller.open_call_count(), self.controller.queued_call_count())
+        return CallDemand(self.controller.count_open_calls(), self.controller.count_queued_calls())
 
     def load_signals(self) -> LoadSignals:
         """Returns the load of this server."""
@@ -274,7 +278,7 @@
         record = self.idempotency_table.records.get(key_digest)
         if record is not None and not record.has_succeeded:
             self.idempotency_table.complete(record, result)
-            self.answer_duplicates(record, complete_as_original(result, key_digest))
+            self.answer_repeats(record, complete_as_original(result, key_digest))
 
     def release_key(self, key_digest: bytes) -> None:
         """Forgets a key whose request never ran elsewhere: it may run here."""
@@ -285,9 +289,9 @@
         self.remove_key(key_digest, Directive(DirectiveKind.FAIL))
 
     def remove_key(self, key_digest: bytes, answer: Directive) -> None:
-        """Forgets a key, and answers the duplicates that wait for it."""
+        """Forgets a key, and answers the repeats that wait for it."""
         refs = self.idempotency_table.remove(key_digest)
-        self.duplicate_answers.extend((ref, answer) for ref in refs)
+        self.answers_to_repeats.extend((ref, answer) for ref in refs)
         self.schedule_delivery()
 
     def unknown_key_digest(self, attempt: RequestAttempt) -> bytes:
@@ -360,7 +364,7 @@
         """
         request_class = self.settings.request_classes[attempt.request_class]
         record = self.idempotency_table.records.get(key_digest)
-        if not request_class.max_staleness_ns or record is None or record.waiting_duplicates:
+        if not request_class.max_staleness_ns or record is None or record.waiting_repeats:
             return True
         level = self.service_level
         is_on_trial = attempt.sampling_draw < level.trial_share
@@ -374,12 +378,12 @@
         )
 
     def handle_run_ended(self, now: int, ref: int, event: RunEnded) -> None:
-        """Answers the request and its duplicates, and reports the run's end to the controller."""
+        """Answers the request and its repeats, and reports the run's end to the controller."""
         outcome, is_ok = event.outcome, event.outcome is Outcome.OK
         key_digest = self.slots[ref].key_digest
         if outcome not in (Outcome.NOT_RECORDED, Outcome.CLAIMED_ELSEWHERE):
-            # A run that nobody needed ended without having run; a caller that still listens is
-            # told that it failed.
+            # After NO_LONGER_NEEDED the run was never begun; a caller that waits after all gets an
+            # error.
             answer = (
                 Directive(DirectiveKind.COMPLETE, body=event.result, key_digest=key_digest)
                 if is_ok
@@ -389,11 +393,11 @@
         record = self.idempotency_table.find_by_ref(ref)
         if record is not None and not record.has_ended and outcome is not Outcome.CLAIMED_ELSEWHERE:
             self.idempotency_table.complete(record, event.result if is_ok else None)
-            # If nothing ran, or the executor did not know the request, its duplicates have not run
+            # If nothing ran, or the executor did not know the request, its repeats have not run
             # either and are rejected.
             if outcome in (Outcome.NO_LONGER_NEEDED, Outcome.NOT_RECORDED):
                 answer = Directive(DirectiveKind.REJECT)
             else:
                 answer = complete_as_original(record.result, key_digest)
-            self.answer_duplicates(record, answer)
+            self.answer_repeats(record, answer)
         self.controller.run_ended(now, ref, outcome, event.duration_ns)
--- a/burlloom/rollout/liveness.py
+++ b/burlloom/rollout/liveness.py
@@ -2,7 +2,7 @@
 
 Clocks of different processes are never compared. A server shows that it is alive by increasing its
 heartbeat. It counts as silent if the observer has not seen the heartbeat increase for the heartbeat
-TTL on its own clock, as clients of a lock watch the version of its record.
+TTL on its own clock. Clients of a distributed lock watch the version of its record in the same way.
 
 A new observer starts without knowledge: a server counts as serving only once the observer has seen
 its heartbeat increase, and as silent only after the full heartbeat TTL.
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 __all__ = [
-    "NS_PER_S",
+    "NS_PER_SECOND",
     "LivenessObserver",
     "Observation",
     "RequestCounts",
@@ -22,7 +22,7 @@
     "ServerReport",
 ]
 
-NS_PER_S = 1_000_000_000
+NS_PER_SECOND = 1_000_000_000
 
 
 class ServerPhase(IntEnum):
--- a/burlloom/rollout/state.py
+++ b/burlloom/rollout/state.py
@@ -158,7 +158,7 @@
         next_version: str = "",
         release_number: int = 0,
     ) -> tuple["RolloutState", bool]:
-        """Grants an instance a permit to leave if the budget allows it; the only such check.
+        """Grants a permit to leave if the budget allows it; no other method checks the budget.
 
         Args:
             group: Group of the instance.
@@ -171,7 +171,7 @@
             The new state, and whether the permit was granted.
         """
         members = self.groups[group]
-        others = (one for other, one in members.instances.items() if other != name)
+        others = (other for other_name, other in members.instances.items() if other_name != name)
         sent_out_count = sum(other.is_sent_out for other in others)
         state, effect = self.apply_input(
             group,
