--- a/burlloom/bench_adapter/codec.py
+++ b/burlloom/bench_adapter/codec.py
@@ -223,7 +223,7 @@
     Attributes:
         instance: Name of the instance.
         handle: The timer's handle, as the instance scheduled it.
-        measured: Values of the instance's meters; None if the message has none.
+        measured: Values of the instance's gauges; None if the message has none.
     """
 
     WIRE_NAME: ClassVar[str] = "WAKE"
--- a/burlloom/bench_adapter/host.py
+++ b/burlloom/bench_adapter/host.py
@@ -56,7 +56,7 @@
         """
         self.name = name
         self.actions: list[str] = []
-        self._meters = document.meters
+        self._gauge_names = document.gauge_names
         self._refs: dict[str, int] = {}
         self._request_names: dict[int, str] = {}
         self._callers: dict[str, int] = {}
@@ -93,12 +93,12 @@
         """Returns the gauges of a timer event.
 
         Raises:
-            InvalidValueError: The number of values is not that of the instance's meters.
+            InvalidValueError: The number of values is not that of the instance's gauges.
         """
         if event.measured is None:
             return Gauges()
         try:
-            return parse_gauges(self._meters, event.measured)
+            return parse_gauges(self._gauge_names, event.measured)
         except ValueError as error:
             raise InvalidValueError(event.WIRE_NAME, error) from error
 
@@ -110,7 +110,7 @@
             event: Any event but the start and the end of an instance.
 
         Raises:
-            InvalidValueError: The number of values is not that of the instance's meters.
+            InvalidValueError: The number of values is not that of the instance's gauges.
         """
         controller = self.controller
         match event:
--- a/burlloom/levels/state_machine.py
+++ b/burlloom/levels/state_machine.py
@@ -48,7 +48,7 @@
 
 
 # Columns: state, input, tests, next state, effect; "-" stands for no test. All tests must hold.
-TABLE = """
+TRANSITION_TABLE = """
 STEADY EMERGENCY  is_target_stricter                    STEADY drop
 STEADY WORSE      has_dwelt has_stricter_level          STEADY down
 STEADY BETTER     has_stayed                            TRIAL  begin
@@ -371,7 +371,7 @@
     return rules
 
 
-RULES = parse_rules(TABLE)
+RULES = parse_rules(TRANSITION_TABLE)
 EFFECTS: dict[str, Effect] = {
     name: getattr(DegradationStateMachine, name)
     for name in ("down", "drop", "begin", "widen", "abort", "up", "pin", "release")
--- a/burlloom/recovery/bootstrap.py
+++ b/burlloom/recovery/bootstrap.py
@@ -38,7 +38,7 @@
 
 
 # Columns: state, input, test, next state, effect; "-" stands for no test or no effect.
-TABLE = """
+TRANSITION_TABLE = """
 READING KEPT_GOOD    -               ASKING fence_unclean
 READING KEPT_BAD     -               COLD   fence
 READING KEPT_OLD     -               COLD   fence_unclean
@@ -143,5 +143,9 @@
 
 
 RULES = parse_transitions(
-    TABLE, BootstrapState, BootstrapEvent, _test, lambda name: "nothing" if name == "-" else name
+    TRANSITION_TABLE,
+    BootstrapState,
+    BootstrapEvent,
+    _test,
+    lambda name: "nothing" if name == "-" else name,
 )
--- a/burlloom/recovery/call_slow_start.py
+++ b/burlloom/recovery/call_slow_start.py
@@ -27,7 +27,7 @@
 
 
 # Columns: state, input, test, next state, effect; "-" stands for no test or no effect.
-TABLE = """
+TRANSITION_TABLE = """
 RISE SUCCEEDED    has_reached_quota     FULL remove_cap
 RISE SUCCEEDED    has_step_elapsed      RISE double_cap
 RISE INCONCLUSIVE has_been_inconclusive FULL remove_cap
@@ -144,4 +144,4 @@
     return (lambda slow_start, now_ns: None) if name == "-" else getattr(CallSlowStart, name)
 
 
-RULES = parse_transitions(TABLE, CallSlowStartState, StepOutcome, _test, _effect)
+RULES = parse_transitions(TRANSITION_TABLE, CallSlowStartState, StepOutcome, _test, _effect)
--- a/burlloom/server/configured_rollout.py
+++ b/burlloom/server/configured_rollout.py
@@ -104,7 +104,7 @@
         self._leader: RolloutLeader | None = None
         self._snapshot: StateSnapshot | None = None
         self._reported_phase: ServerPhase | None = None
-        self._unreachable = ""  # why the store can't be used; empty while it can
+        self._unreachable_reason = ""  # why the store can't be used; empty while it can
         self._is_superseded = False
         self._task: asyncio.Task[None] | None = None
 
@@ -136,11 +136,11 @@
     def gauges(self) -> dict[str, float]:
         """Returns the current gauge values, by the suffix of the metric's name."""
         if self._snapshot is None:
-            return {"away": float(bool(self._unreachable))}
+            return {"away": float(bool(self._unreachable_reason))}
         state = self._snapshot.state
         servers = state.groups[SERVERS_GROUP]
         return {
-            "away": float(bool(self._unreachable)),
+            "away": float(bool(self._unreachable_reason)),
             "phase": float(state.release.phase),
             "wave": float(state.release.wave_index),
             "servers": float(len(servers.instances)),
@@ -173,9 +173,9 @@
         while True:
             try:
                 await self._poll()
-                if self._unreachable:
+                if self._unreachable_reason:
                     log.warning("event=rollout_store_reachable")
-                self._unreachable, pause_polls = "", 1
+                self._unreachable_reason, pause_polls = "", 1
             except (StoreUnavailableError, StateDecodeError) as error:
                 self._note_unreachable(error)
                 pause_polls = min(self._max_pause_polls(), 2 * pause_polls)
@@ -194,9 +194,9 @@
         return max(1, settings.fresh_ms // (MAX_PAUSE_DIVISOR * settings.poll_ms))
 
     def _note_unreachable(self, error: Exception) -> None:
-        if not self._unreachable:
+        if not self._unreachable_reason:
             log.warning("event=rollout_store_unreachable detail=%r", str(error))
-        self._unreachable, self._snapshot = str(error), None
+        self._unreachable_reason, self._snapshot = str(error), None
         self.counters["away"] += 1
 
     async def _reopen(self) -> None:
@@ -279,7 +279,7 @@
         self._reported_ns = now_ns
 
     async def _report_leaving(self) -> None:
-        if not self._incarnation or self._is_superseded or self._unreachable:
+        if not self._incarnation or self._is_superseded or self._unreachable_reason:
             return
         self._reported_phase = None
         await self._report()
--- a/burlloom/settings/parser.py
+++ b/burlloom/settings/parser.py
@@ -47,7 +47,7 @@
     "heap_share": "memory_utilization",
     "links": "connections",
 }
-"""The field of `Gauges` by the name of its meter."""
+"""The field of `Gauges` by the gauge's name in the settings document."""
 
 SHARED_DEPENDENCY = "one_for_all"
 """The value of `extra.depends_on` if all servers of the fleet call the same dependency."""
@@ -58,24 +58,24 @@
 
     Attributes:
         server: The settings that the decisions read.
-        meters: Names of the meters, in the order in which their values are sent.
+        gauge_names: Names of the gauges, in the order in which their values are sent.
     """
 
     server: ServerSettings
-    meters: tuple[str, ...]
+    gauge_names: tuple[str, ...]
 
 
-def parse_gauges(meters: Iterable[str], values: Sequence[float]) -> Gauges:
-    """Returns measured values as gauges; meters that the decisions do not read are ignored.
+def parse_gauges(gauge_names: Iterable[str], values: Sequence[float]) -> Gauges:
+    """Returns measured values as gauges; those that the decisions do not read are ignored.
 
     Args:
-        meters: Names of the meters.
-        values: One value for each meter.
+        gauge_names: Names of the gauges.
+        values: One value for each name.
 
     Raises:
-        ValueError: The number of values is not that of the meters.
+        ValueError: The number of values is not that of the names.
     """
-    measured = zip(meters, values, strict=True)
+    measured = zip(gauge_names, values, strict=True)
     return Gauges(**{GAUGE_FIELDS[name]: value for name, value in measured if name in GAUGE_FIELDS})
 
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -110,7 +110,7 @@
 
     async def begin(self) -> None:
         """Starts the process and waits until it serves; after `kill`, again on the same log."""
-        past_starts, past_meters = (
+        past_starts, past_query_count = (
             self.log().count("event=listening") if self.log_path.exists() else 0,
             self.executor.gauge_query_count,
         )
@@ -144,7 +144,7 @@
             # has connected by then.
             await wait_until(
                 lambda: (
-                    self.executor.gauge_query_count > past_meters + 1
+                    self.executor.gauge_query_count > past_query_count + 1
                     or self.process.returncode is not None
                 )
             )
@@ -199,8 +199,8 @@
 
         The server takes that as proof that the executor has received the commands.
         """
-        past_meters = self.executor.gauge_query_count
-        await wait_until(lambda: self.executor.gauge_query_count > past_meters + 2)
+        past_query_count = self.executor.gauge_query_count
+        await wait_until(lambda: self.executor.gauge_query_count > past_query_count + 2)
 
     async def command(self, *expected: str) -> str:
         """Asserts the name and arguments of the next command; returns its request's id."""
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -109,9 +109,11 @@
 def test_exploration_finds_a_broken_transition(
     row: str, broken: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert row in state_machine.TABLE
+    assert row in state_machine.TRANSITION_TABLE
     monkeypatch.setattr(
-        state_machine, "RULES", state_machine.parse_rules(state_machine.TABLE.replace(row, broken))
+        state_machine,
+        "RULES",
+        state_machine.parse_rules(state_machine.TRANSITION_TABLE.replace(row, broken)),
     )
     explorer = Explorer(
         coarse_policy(10 * NS_PER_SECOND, 3, max_changes_per_minute=3, uses_trials=False),
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -64,8 +64,9 @@
 
 
 def test_all_sequences_of_four_bootstrap_inputs() -> None:
-    """The snapshot is used only if no input contradicts it, and the fence is raised whenever an
-    incarnation is known whose idempotency keys may be lost.
+    """The snapshot is used only if no later input contradicts it.
+
+    The fence is raised whenever an incarnation is known whose idempotency keys may be lost.
     """
     visited = set()
     for has_no_verifiers, was_drained in product((False, True), repeat=2):
@@ -105,8 +106,10 @@
 
 
 def test_the_cap_of_the_slow_start_is_bounded_for_all_outcomes() -> None:
-    """In all histories of 11 steps the cap step most doubles in each step, stays step or above its lower
-    bound, and rises only after a step with successful calls.
+    """Checks all histories of 11 steps.
+
+    The cap at most doubles in each step, stays at or above its lower bound, and rises only after a
+    step with successful calls.
     """
     highest_caps = [0.0] * 12
     for outcomes in product(StepOutcome, repeat=11):
@@ -216,9 +219,7 @@
 async def test_four_of_five_servers_are_killed_at_once_with_damaged_state_files(
     fleet: Fleet,
 ) -> None:
-    """One state file is torn, one removed, one replaced by that of an earlier incarnation, and one
-    intact.
-    """
+    """One state file is torn, one removed, one from an earlier incarnation, and one intact."""
     await fleet.wait_for(uses_all_calls(fleet))
     rolled_back = fleet.servers[3]
     shutil.copy(rolled_back.folder / "kept", rolled_back.folder / "older")
@@ -305,8 +306,9 @@
     n_cores=4,
 )
 async def test_retries_are_voided_after_the_loss_of_the_store_of_record(rig: Rig) -> None:
-    """The retry of a charge that ran gets its result from the store; if the store is lost, the retry
-    is voided instead of run again.
+    """The retry of a charge that ran gets its result from the store.
+
+    If the store is lost, the retry is voided instead of run again.
     """
 
     async def charge(key: str) -> dict[str, str]:
@@ -380,9 +382,10 @@
 
 @fleet_test(3, total_calls=24, extra_config=with_recovery_and_record)
 async def test_charges_survive_the_kill_of_two_of_three_servers(fleet: Fleet) -> None:
-    """Two servers are killed while charges run, one with a torn state file; callers send marked
-    retries. No charge runs twice, each gets a final answer, and one that ran to its end is neither
-    rejected nor answered with another result.
+    """Two servers are killed while charges run, one with a torn state file; callers then retry.
+
+    No charge runs twice, each gets a final answer, and one that ran to its end is neither rejected
+    nor answered with another result.
     """
     runs: dict[bytes, int] = {}
     ended: set[bytes] = set()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -34,8 +34,8 @@
 
 
 def test_absent_optional_keys_are_0_or_off() -> None:
-    server, meters = parse_server_settings(make_document())
-    assert meters == ()
+    server, gauge_names = parse_server_settings(make_document())
+    assert gauge_names == ()
     assert server.load_report_kind is LoadReportKind.NONE
     assert not server.starts_cold
     assert (server.call_quota, server.idempotency_key_kb, server.max_retry_after_ns) == (0, 0, 0)
@@ -93,11 +93,11 @@
         parse_server_settings(document)
 
 
-def test_gauges_are_set_by_meter_name_and_unknown_meters_are_ignored() -> None:
+def test_gauges_are_set_by_name_and_unknown_ones_are_ignored() -> None:
     gauges = parse_gauges(("links", "disk", "core_use"), (7.0, 0.5, 0.25))
     assert gauges == Gauges(cpu_utilization=0.25, connections=7.0)
 
 
-def test_more_values_than_meters_is_an_error() -> None:
+def test_more_values_than_gauge_names_are_an_error() -> None:
     with pytest.raises(ValueError, match="zip"):
         parse_gauges(("links",), (7.0, 0.5))
--- a/tests/test_subsystems.py
+++ b/tests/test_subsystems.py
@@ -20,7 +20,7 @@
 from burlloom.server.outcomes import CALL_OUTCOMES, RUN_OUTCOMES
 
 DATA = Path(__file__).parent / "data"
-NOW = 1_700_000_000_000_000_000
+NOW_NS = 1_700_000_000_000_000_000
 
 
 class IdleDispatcher:
@@ -93,24 +93,24 @@
 def test_a_pin_is_applied_once_for_each_content_of_its_file(tmp_path: Path) -> None:
     path, pins = tmp_path / "pin", []
     pin_file = PinFile(path, DEFAULT_PLAN)
-    pin_file.read_change(NOW, pins.append)
+    pin_file.read_change(NOW_NS, pins.append)
     assert pins == [], "a missing file is no change: there was no pin before"
     path.write_bytes((DATA / "level_pin_0.7.1.json").read_bytes())
     for _ in range(2):
-        pin_file.read_change(NOW, pins.append)
+        pin_file.read_change(NOW_NS, pins.append)
     assert [pin.level for pin in pins] == ["essential"]
     path.write_text("{")
-    pin_file.read_change(NOW, pins.append)
+    pin_file.read_change(NOW_NS, pins.append)
     assert len(pins) == 1, "a file that can't be parsed leaves the pin in place"
     path.unlink()
-    pin_file.read_change(NOW, pins.append)
+    pin_file.read_change(NOW_NS, pins.append)
     assert pins[1:] == [None]
 
 
 def test_the_levels_state_file_has_the_format_of_0_7_1(tmp_path: Path) -> None:
     path = tmp_path / "state"
     levels = ConfiguredServiceLevels(
-        DEFAULT_PLAN, (), {}, 4, lambda: NOW, lambda: 0.1, state_file=path
+        DEFAULT_PLAN, (), {}, 4, lambda: NOW_NS, lambda: 0.1, state_file=path
     )
     levels.attach_dispatcher(IdleDispatcher(), False, EmptyNotes())  # type: ignore[arg-type]
     levels.update(Gauges())
--- a/tests/test_tenant_portions.py
+++ b/tests/test_tenant_portions.py
@@ -113,7 +113,7 @@
     assert not ServedTenants(Replica(ConfigTable(("",)), ()), {})
 
 
-def test_before_the_first_count_each_portion_counts_as_one() -> None:
+def test_before_the_first_count_the_sum_is_the_number_of_tenants() -> None:
     _, portions = portions_of_three()
     assert portions.share("a") == 1.0
     assert portions.share("b") == pytest.approx(1 / 3)
@@ -127,7 +127,7 @@
     assert portions.share("none") is None
 
 
-def test_portions_are_counted_again_some_minutes_after_a_change() -> None:
+def test_portions_are_counted_again_once_the_count_interval_has_passed() -> None:
     replica, portions = portions_of_three()
     count(portions, 0)
     apply(replica, tenant_item("a", portion=8))
