--- a/burlloom/discovery/__init__.py
+++ b/burlloom/discovery/__init__.py
@@ -1,4 +1,4 @@
-"""Reports the server's health to service discovery."""
+"""Reports the server's health to the name service."""
 
 from .health_reporter import HealthReporter
 
--- a/burlloom/discovery/health_reporter.py
+++ b/burlloom/discovery/health_reporter.py
@@ -1,4 +1,4 @@
-"""Reports to service discovery, in datagrams, whether this server accepts requests.
+"""Reports to the name service, in datagrams, whether this server accepts requests.
 
 A report is sent at each change and at a fixed interval, as reports are not acknowledged and some
 are lost.
--- a/burlloom/downstream/connection_pool.py
+++ b/burlloom/downstream/connection_pool.py
@@ -58,8 +58,8 @@
 
     Attributes:
         address: Host and port; None where there is no dependency, and every call fails.
-        idle_connections: Connections without a call, each with the monotonic time in ns since when
-            it is idle, the longest idle first.
+        idle_connections: Connections without a call, each with the monotonic time in ns at which it
+            became idle; the longest idle first.
     """
 
     def __init__(
--- a/burlloom/downstream/wire.py
+++ b/burlloom/downstream/wire.py
@@ -91,7 +91,7 @@
                 )
 
     def on_message_begin(self) -> None:
-        """Handles the start of this reply, of an interim one, or of one that follows unasked."""
+        """Handles the start of the reply, of an interim one, or of a further, unexpected one."""
         if self.is_complete:
             self.is_reusable = False
         else:
@@ -108,7 +108,9 @@
         name = name.lower()
         self.is_rejected |= name == b"x-declined" and value.strip() == b"1"
         if name == b"content-length" and value.strip().isdigit() and int(value) > MAX_BODY_BYTES:
-            raise ConnectionEndedError(CloseReason.TOO_LARGE, "announced reply body")
+            raise ConnectionEndedError(
+                CloseReason.TOO_LARGE, f"announced reply body over {MAX_BODY_BYTES} bytes"
+            )
 
     def on_headers_complete(self) -> None:
         """Handles the end of the headers."""
--- a/burlloom/executor/connection.py
+++ b/burlloom/executor/connection.py
@@ -29,7 +29,9 @@
 READ_BUFFER_BYTES = 64 << 10
 MAX_READ_BUFFER_BYTES = 4 * wire.MAX_BODY_BYTES
 RECONNECT_INTERVAL_NS = NS_PER_SECOND // 20
-CONNECT_TIMEOUT_NS = NS_PER_SECOND  # of a first attempt to connect; doubled after each timeout
+# Timeout of an attempt to connect. It doubles after each timeout, up to `MAX_CONNECT_TIMEOUT_NS`,
+# and is reset by a successful attempt.
+CONNECT_TIMEOUT_NS = NS_PER_SECOND
 MAX_CONNECT_TIMEOUT_NS = 4 * NS_PER_SECOND
 # Gauge queries in a row that may stay without an answer; one more closes the connection.
 MAX_UNANSWERED_POLLS = 30
@@ -64,6 +66,9 @@
         is_replaying: Whether the next notice's number may skip some, as it is the first of a
             replay.
         has_served: Whether the current connection was joined.
+        barrier_tag: Tag of the gauge query whose answer ends the replay; empty if none is pending.
+        unanswered_polls: Calls of `query_gauges` in a row without an answer in time.
+        connect_timeout_ns: Timeout of the next attempt to connect.
     """
 
     def __init__(
--- a/burlloom/executor/wire.py
+++ b/burlloom/executor/wire.py
@@ -31,7 +31,7 @@
 
 MAX_LINE_BYTES = 4 << 10
 MAX_BODY_BYTES = 1 << 20
-MAX_QUOTED_CHARACTERS = 40  # of a received value, in an error's detail
+MAX_QUOTED_CHARACTERS = 40  # length to which a received value is cut in an error's detail
 LINE_END = b"\r\n"
 
 
@@ -178,7 +178,7 @@
     """
     is_cold = IS_COLD_BY_STATE.get(text)
     if is_cold is None:
-        raise malformed_error(f"unknown state {text}")
+        raise malformed_error(f"unknown executor state {text}")
     return is_cold
 
 
@@ -209,7 +209,7 @@
         raise malformed_error(f"unknown notice {line[:MAX_QUOTED_CHARACTERS]!r}")
     kind, field_count, has_body, is_open_ended = NOTICE_FORMATS[name]
     if len(fields) < field_count or len(fields) > field_count and not is_open_ended:
-        raise malformed_error(f"number of fields in {line[:MAX_QUOTED_CHARACTERS]!r}")
+        raise malformed_error(f"wrong number of fields in {line[:MAX_QUOTED_CHARACTERS]!r}")
     after, body = stop + len(LINE_END), buffer.view[:0]
     if has_body:
         size = parse_body_length(fields[-1], line)
@@ -234,5 +234,5 @@
         ConnectionEndedError: The field is not a number, or is over `MAX_BODY_BYTES`.
     """
     if not field.isdigit() or int(field) > MAX_BODY_BYTES:
-        raise malformed_error(f"length of the body in {line[:MAX_QUOTED_CHARACTERS]!r}")
+        raise malformed_error(f"invalid body length in {line[:MAX_QUOTED_CHARACTERS]!r}")
     return int(field)
--- a/burlloom/levels/controller.py
+++ b/burlloom/levels/controller.py
@@ -1,6 +1,7 @@
 """Controls a node's service level: takes signal readings, returns level changes with their cause.
 
-Does no I/O. Times are monotonic, in ns on the host's clock.
+Does no I/O. Times are in ns on the host's clock, which never goes back. A server's clock counts
+Unix time.
 """
 
 from collections.abc import Collection
--- a/burlloom/levels/signals.py
+++ b/burlloom/levels/signals.py
@@ -11,8 +11,8 @@
 
 NS_PER_SECOND = 1_000_000_000
 NS_PER_MS = 1_000_000
-# Tenants measured at a time; each takes a few hundred bytes. Beyond it the one read longest ago is
-# dropped.
+# Tenants measured at a time; each takes a few hundred bytes. Beyond this number, the tenant whose
+# last request is the oldest is dropped.
 MAX_TENANTS = 4096
 
 
@@ -72,6 +72,14 @@
 class BucketRing:
     """Sums, counts and maxima of a ring of time buckets; single values are not stored.
 
+    Attributes:
+        width: Time that one bucket covers, ns.
+        sums: Sum of the values in each bucket.
+        counts: Number of samples in each bucket.
+        peaks: Highest value in each bucket; 0 in an empty one.
+        last: Number of the newest bucket, counted from time 0; -1 before the first value.
+        updated_at_ns: Time of the last added value, ns; -1 before the first one.
+
     Args:
         span_ns: Time that all buckets cover, ns.
         buckets: Number of buckets.
@@ -209,8 +217,9 @@
 
     A tenant is over its share once its part of the requests is at least `factor` times the share
     and also exceeds the share by `deviations` standard deviations of a random sample of that size;
-    it stays over its share until it is back at the share. Only the requests in excess are marked,
-    spread evenly over the tenant's requests. The MAX_TENANTS tenants read last are measured.
+    it stays over its share until its part is at or below the share. Only the requests in excess are
+    marked, spread evenly over the tenant's requests. At most MAX_TENANTS tenants are measured:
+    those with the latest requests.
 
     Args:
         portions: Tenants' names and portions; not used if `share` is given.
--- a/burlloom/rpc/connection.py
+++ b/burlloom/rpc/connection.py
@@ -25,7 +25,7 @@
 READ_BUFFER_BYTES = 4 << 10
 MAX_READ_BUFFER_BYTES = 2 * frames.MAX_FRAME_BYTES
 MAX_OPEN_REQUESTS = 32  # of one connection; a request beyond this is rejected as malformed
-MAX_FINAL_READS = 16  # reads before a close
+MAX_FINAL_READS = 16  # reads from one connection before it is closed
 # Unsent answers of one connection beyond which it is closed. The answers to `MAX_OPEN_REQUESTS`
 # requests are less, so a caller that reads its answers never reaches this.
 MAX_UNSENT_BYTES = 512 << 10
@@ -42,7 +42,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs from its listener.
+    """The part of the listener that its connections use.
 
     Attributes:
         rules: Rules that each request is checked against.
@@ -93,7 +93,7 @@
         is_half_closed: Whether the caller has closed its sending half.
         is_ended: Whether the connection is closed or being closed.
         caller: The caller's name, from its last request.
-        detail: What was wrong last, for the log.
+        detail: The last fault of the caller or the connection, for the log.
     """
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket, peer: str) -> None:
@@ -140,7 +140,7 @@
             # Does nothing where `close` itself cancelled the task.
             self.close(CloseReason.INTERNAL_ERROR)
         except Exception:
-            # An error in our own code closes one connection; the server goes on.
+            # A defect of the server closes one connection; the server goes on.
             log.exception("event=internal_error side=balancer peer=%s", self.peer)
             self.close(CloseReason.INTERNAL_ERROR)
 
@@ -283,7 +283,7 @@
     def report_fault(self, fault: str) -> None:
         """Counts a fault of the caller, and closes the connection at `MAX_BAD_REQUESTS` of them.
 
-        A sound caller has few faults; one that keeps sending the same bad request has many.
+        A correct caller has few faults; one that keeps sending the same bad request has many.
         """
         self.bad_request_count += 1
         self.detail = fault
--- a/burlloom/rpc/frames.py
+++ b/burlloom/rpc/frames.py
@@ -159,7 +159,9 @@
             return self.read_number(NUMBER_FORMATS[first])
         if first in CONSTANTS:
             return CONSTANTS[first]
-        raise ConnectionEndedError(CloseReason.MALFORMED, f"value with first byte {first:#x}")
+        raise ConnectionEndedError(
+            CloseReason.MALFORMED, f"unsupported value with first byte {first:#x}"
+        )
 
     def read_sized(self, kind: str, size: int, depth: int) -> Any:
         """Reads the content of a binary, string, array or map of length `size`."""
@@ -209,10 +211,12 @@
         reader = FrameReader(view, start, end)
         frame, next_start = reader.read_value(), reader.position
     if not isinstance(frame, list) or len(frame) != len(REQUEST_PARTS):
-        raise ConnectionEndedError(CloseReason.MALFORMED, "message is not an array of four")
+        raise ConnectionEndedError(CloseReason.MALFORMED, "message is not an array of four parts")
     message_type, message_id, method, parameters = frame
     if [type(part) for part in frame] != REQUEST_PARTS:
-        raise ConnectionEndedError(CloseReason.WRONG_TYPE, "type of a request message's part")
+        raise ConnectionEndedError(
+            CloseReason.WRONG_TYPE, "a part of the request message has the wrong type"
+        )
     if message_type != REQUEST_TYPE or message_id < 0:
         raise ConnectionEndedError(
             CloseReason.MALFORMED, f"message of type {message_type} with id {message_id}"
--- a/burlloom/rpc/listener.py
+++ b/burlloom/rpc/listener.py
@@ -26,12 +26,12 @@
 BACKLOG = 1024  # connections that the kernel queues until they are accepted
 POLL_INTERVAL_NS = 10 * NS_PER_MS
 SWEEP_INTERVAL_NS = 250 * NS_PER_MS
-FIRST_MESSAGE_TIMEOUT_NS = 1500 * NS_PER_MS  # from connecting to the end of the first message
+FIRST_MESSAGE_TIMEOUT_NS = 1500 * NS_PER_MS  # from the accept to the end of the first message
 MESSAGE_TIMEOUT_NS = 1500 * NS_PER_MS  # from a message's first byte to its last
-# From asking a caller to close its connection until the server closes it.
+# Time from asking a caller to close its connection until the server closes it.
 SHUTDOWN_TIMEOUT_NS = 1000 * NS_PER_MS
-# For connections that carried only health checks. Many callers check the health once and keep the
-# connection open; a prober whose connection is closed connects again.
+# Idle timeout of connections that carried only health checks. Many callers check the health once
+# and keep the connection open; a prober whose connection is closed connects again.
 HEALTH_IDLE_TIMEOUT_NS = 3 * NS_PER_SECOND
 DEFAULT_IDLE_TIMEOUT_NS = 15 * NS_PER_SECOND  # until the admission controller sets one
 CROWDED_IDLE_TIMEOUT_NS = 2 * NS_PER_SECOND  # while over 3/4 of `max_connections` are open
@@ -51,9 +51,9 @@
         idle_timeout_ns: How long a connection may be idle before its caller is asked to close.
         silent_connections: Connections that had received no message when last checked, the oldest
             first.
-        evictable_connections: Idle connections that may be closed in favour of new ones, the first
-            to be closed last. Refilled only when empty, as sorting for each new connection of a
-            flood would cost too much.
+        evictable_connections: Idle connections that may be closed in favour of new ones, the
+            longest unused at the end. Refilled only when empty, as sorting for each new connection
+            of a flood would cost too much.
         socket: The listening socket; None once it is closed.
     """
 
--- a/burlloom/rpc/wire.py
+++ b/burlloom/rpc/wire.py
@@ -47,7 +47,7 @@
 # How far `at` may lie in the future, although caller and server share one machine's clock. It may
 # lie in the past by twice the longest deadline.
 MAX_CLOCK_LEAD_NS = 60 * NS_PER_SECOND
-MAX_QUOTED_CHARACTERS = 40  # of a received value, in an error
+MAX_QUOTED_CHARACTERS = 40  # length to which a received value is cut in an error
 
 REQUEST_ID_PATTERN = re.compile(r"[0-9a-f]{16}")
 KEY_PATTERN = re.compile(r"[0-9A-Za-z]{1,64}")
--- a/burlloom/server/__main__.py
+++ b/burlloom/server/__main__.py
@@ -34,12 +34,12 @@
     """Runs one server until it has shut down.
 
     Args:
-        listener: Bound to the address for balancers, not listening yet.
+        listener: Bound to the address for callers, not listening yet.
         config: The server's configuration.
         factory: Creates the optional subsystems; None disables all of them.
 
     Raises:
-        ConfigurationError: The store of the request record can't be used.
+        ConfigurationError: The store of record can't be used.
     """
     server = Server(config, listener, factory)
     loop = asyncio.get_running_loop()
@@ -71,7 +71,7 @@
 
 
 def bind_listener(config: ServerConfig) -> socket.socket:
-    """Returns a socket that is bound to the address for balancers.
+    """Returns a socket that is bound to the address for callers.
 
     The socket does not listen yet, so that no connection is accepted before the server can serve
     it.
--- a/burlloom/server/configuration.py
+++ b/burlloom/server/configuration.py
@@ -52,7 +52,7 @@
 
     Attributes:
         name: The server's name in the fleet.
-        listen_address: Where balancers connect; with port 0 the system chooses the port.
+        listen_address: Where callers connect; with port 0 the system chooses the port.
         executor_address: The executor that runs requests.
         discovery_address: The name service that receives the server's health reports.
         downstream_address: The downstream that runs call; None for a server without calls.
--- a/burlloom/server/configured_service_levels.py
+++ b/burlloom/server/configured_service_levels.py
@@ -138,7 +138,10 @@
         return self._tenants.is_over_share(self.clock(), tenant)
 
     def sampling_draw(self, caller: str) -> float:
-        """Returns a caller's fixed draw; a trial covers callers whose draw is under its share."""
+        """Returns a caller's fixed draw, from 0 to below 1.
+
+        A trial covers the callers whose draw is under the trial's share.
+        """
         return sampling_draw(caller)
 
     def request_completed(self, request_class: int, sent_at_ns: int) -> None:
@@ -152,7 +155,7 @@
         self._call_failure_share.add(self.clock(), not succeeded)
 
     def is_optional_work_served(self) -> bool:
-        """Returns whether the present level allows work that may be deferred."""
+        """Returns whether the present level allows the server's own optional work."""
         return self.controller is None or self.controller.allows_optional_work
 
     def update(self, gauges: Gauges) -> None:
--- a/burlloom/server/operator_subsystems.py
+++ b/burlloom/server/operator_subsystems.py
@@ -155,7 +155,7 @@
 
 
 def record_store_load(coordinator: RecordCoordinator, clock: Callable[[], int]) -> float:
-    """Returns the load of the record's store: how near its writes are to their limits, 0 to 1."""
+    """Returns the load of the store of record: how near its writes are to their limits, 0 to 1."""
     return coordinator.breaker.compute_load(clock())
 
 
--- a/burlloom/server/request_handler.py
+++ b/burlloom/server/request_handler.py
@@ -80,7 +80,7 @@
         self.executor = executor
         self.downstream = downstream
 
-    # Called by the listener for connections of balancers.
+    # Called by the listener of callers' connections.
 
     def is_serving(self, request_id: str) -> bool:
         """Returns whether a request with this id is open here."""
--- a/burlloom/server/rollout.py
+++ b/burlloom/server/rollout.py
@@ -47,7 +47,7 @@
         """Whether the server is shutting down."""
 
     def is_healthy_and_recovered(self) -> bool:
-        """Returns whether balancers should send requests here and the recovery is complete."""
+        """Returns whether callers should send requests here and the recovery is complete."""
 
     def is_ready(self) -> bool:
         """Returns whether the executor has connected."""
--- a/burlloom/server/server.py
+++ b/burlloom/server/server.py
@@ -35,7 +35,7 @@
 # The memory for results that retries may request is the memory of the process divided by this.
 RESULT_MEMORY_DIVISOR = 8
 # Fewest file descriptors that are reserved for the executor, calls, health reports and the process
-# itself; connections of balancers may not use them.
+# itself; connections of callers may not use them.
 MIN_RESERVED_DESCRIPTORS = 64
 # Reserved descriptors besides those for calls in progress: for the process itself and for idle
 # downstream connections that later calls may reuse.
@@ -46,7 +46,7 @@
 
 
 def max_connections(max_sockets: int, settings: ServerSettings) -> int:
-    """Returns the limit on connections of balancers.
+    """Returns the limit on connections of callers.
 
     The limit leaves a descriptor for each call that may be in progress, but is never less than half
     of `max_sockets`.
@@ -61,24 +61,24 @@
 
 
 class Server:
-    """One server between balancers, executor, downstream and name service.
+    """One server between callers, executor, downstream and name service.
 
     Attributes:
         clock: Returns Unix ns.
         tasks: Supervises all tasks of the server.
         is_shutting_down: Whether the shutdown has begun.
-        stopped: Set once all connections of balancers are closed, or the time for that is over.
+        stopped: Set once all connections of callers are closed, or the time for that is over.
         address: Host and port on which the server listens.
         requests: Handles the requests.
         subsystems: The optional subsystems.
-        listener: Accepts the connections of balancers.
+        listener: Accepts the connections of callers.
         executor: Connection to the executor.
         downstream: Connections to the downstream.
         health_reporter: Reports to the name service whether the server takes requests.
 
     Args:
         config: The server's configuration.
-        listener: Socket that is bound to the address for balancers, not listening yet.
+        listener: Socket that is bound to the address for callers, not listening yet.
         factory: Creates the subsystems; None disables all of them.
     """
 
@@ -202,7 +202,7 @@
         return due_ns
 
     async def shutdown(self) -> None:
-        """Closes the subsystems; called after all connections of balancers are closed."""
+        """Closes the subsystems; called after all connections of callers are closed."""
         await self.subsystems.close()
         self.factory.close()
         dispatcher = self.requests.dispatcher
@@ -246,12 +246,12 @@
         return self.requests.dispatcher is not None
 
     def is_healthy(self) -> bool:
-        """Returns whether balancers should send requests here."""
+        """Returns whether callers should send requests here."""
         dispatcher = self.requests.dispatcher
         return dispatcher is not None and dispatcher.is_healthy and not self.is_shutting_down
 
     def is_healthy_and_recovered(self) -> bool:
-        """Returns whether balancers should send requests here and the recovery is complete."""
+        """Returns whether callers should send requests here and the recovery is complete."""
         return self.is_healthy() and self.subsystems.recovery.is_complete()
 
     def executor_connected(self, is_cold: bool, age_ms: int) -> None:
@@ -286,9 +286,9 @@
 
         Args:
             noticed_ns: When the clock was last read before the signal was handled, in Unix ns; 0
-                for now. The signal was sent after that reading. A process that was paused can't
-                tell how much later, so the grace period and the time until the kill count from the
-                reading.
+                stands for the present time. The signal was sent after that reading. A process that
+                was paused can't tell how much later, so the grace period and the time until the
+                kill count from the reading.
         """
         if self.is_shutting_down:
             return
@@ -302,7 +302,7 @@
         self.tasks.start(self.drain(now_ns, stop_ns), "drain")
 
     async def drain(self, now_ns: int, stop_ns: int) -> None:
-        """Serves during the grace period, then asks balancers to disconnect and waits for them.
+        """Serves during the grace period, then asks callers to disconnect and waits for them.
 
         Args:
             now_ns: Start of the shutdown in Unix ns.
--- a/burlloom/server/service_levels.py
+++ b/burlloom/server/service_levels.py
@@ -41,7 +41,10 @@
         """Counts a request of a tenant; returns whether the tenant is over its share."""
 
     def sampling_draw(self, caller: str) -> float:
-        """Returns a caller's fixed draw; a trial covers callers whose draw is under its share."""
+        """Returns a caller's fixed draw, from 0 to below 1.
+
+        A trial covers the callers whose draw is under the trial's share.
+        """
 
     def request_completed(self, request_class: int, sent_at_ns: int) -> None:
         """Counts a request that was answered without error.
--- a/burlloom/server/tenant_portions.py
+++ b/burlloom/server/tenant_portions.py
@@ -29,7 +29,7 @@
 
 
 class ServedTenants(Collection[str]):
-    """The tenants of the distributed table once it is in force, before of the configuration file.
+    """The served tenants: those of the distributed table, or of the configuration file without one.
 
     Args:
         replica: The local copy of the table.
@@ -82,8 +82,8 @@
 class TenantPortions:
     """Sums the portions of all tenants, and computes each tenant's share of the service.
 
-    The table is counted in small steps, and again some minutes after a change. Until the first
-    count is complete, each portion counts as 1.
+    The table is counted in small steps, and again after a change, at most once in
+    `COUNT_INTERVAL_NS`. Until the first count is complete, the sum is the number of tenants.
 
     Attributes:
         total: The sum of portions of the last complete count; 0 before the first one.
--- a/burlloom/sockets/connection_close.py
+++ b/burlloom/sockets/connection_close.py
@@ -13,7 +13,7 @@
 
 
 class ConnectionClose:
-    """Sends the pending bytes, shuts the sending half, and reads until the peer closes its half.
+    """Sends the pending bytes, shuts down the sending half, and reads until the peer does so too.
 
     Takes at most `CLOSE_TIMEOUT_NS`. Closing a socket with unread bytes would reset the connection,
     and the peer would lose the answers that it had not yet read. The bytes that are read here are
