--- a/burlloom/executor/wire.py
+++ b/burlloom/executor/wire.py
@@ -54,7 +54,11 @@
 
 
 class RunStatus(Enum):
-    """How a run ended."""
+    """How a run ended.
+
+    A KILLED run was stopped before its end. A run that is NO_LONGER_NEEDED was not begun, since
+    nobody needs its result. REJECTED means that the executor does not know the request.
+    """
 
     PASSED = "passed"
     FAILED = "failed"
--- a/burlloom/server/metrics_exposition.py
+++ b/burlloom/server/metrics_exposition.py
@@ -27,7 +27,7 @@
 
     def __init__(self, settings: Metrics) -> None:
         self.settings = settings
-        self._exposed: MetricsExporter | None = None
+        self._exporter: MetricsExporter | None = None
 
     def register(self, prefix: str, counts: Any, gauges: Callable[[], dict[str, float]]) -> None:
         """Exposes the counters and gauges of one subsystem.
@@ -42,30 +42,30 @@
 
     def register_record(self, coordinator: RecordCoordinator) -> None:
         """Exposes the counters of the request record and the durations of its writes."""
-        exposed = self._open()
-        coordinator.observer.observe_claim = exposed.add_histogram(
+        exporter = self._open()
+        coordinator.observer.observe_claim = exporter.add_histogram(
             "burlloom_record_claim_seconds", "from a claim's posting to its word"
         )
-        coordinator.observer.observe_finish = exposed.add_histogram(
+        coordinator.observer.observe_finish = exporter.add_histogram(
             "burlloom_record_finish_seconds", "from an end's posting to its word"
         )
-        exposed.add_numbers(
+        exporter.add_numbers(
             "burlloom_record", coordinator.counters.as_metrics, lambda: record_gauges(coordinator)
         )
 
-    def write_only_while(self, is_wanted: Callable[[], bool]) -> None:
-        """Reduces writes of the metrics file while `is_wanted` returns False."""
+    def reduce_writes_unless(self, is_wanted: Callable[[], bool]) -> None:
+        """Writes the metrics file at fewer intervals while `is_wanted` returns False."""
         self._open().allows_optional_writes = is_wanted
 
     def close(self) -> None:
         """Writes the final metrics file and stops listening."""
-        if self._exposed is not None:
-            self._exposed.close()
+        if self._exporter is not None:
+            self._exporter.close()
 
     def _open(self) -> MetricsExporter:
-        if self._exposed is None:
-            self._exposed = open_exposition(self.settings)
-        return self._exposed
+        if self._exporter is None:
+            self._exporter = open_exposition(self.settings)
+        return self._exporter
 
 
 def open_exposition(settings: Metrics) -> MetricsExporter:
--- a/burlloom/server/operator_subsystems.py
+++ b/burlloom/server/operator_subsystems.py
@@ -292,7 +292,7 @@
         )
         if self.metrics is not None:
             self.metrics.register("burlloom_levels", levels.change_counts, levels.gauges)
-            self.metrics.write_only_while(levels.is_optional_work_served)
+            self.metrics.reduce_writes_unless(levels.is_optional_work_served)
         return levels
 
     def create_recovery(self, server: Server) -> RestartRecovery:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -186,8 +186,8 @@
     id = await rig.command("EXEC", "look")
     executor.callout(id, b"first")
     await rig.command("RETURN")
-    executor.is_unresponsive, past_meters = True, executor.gauge_query_count
-    await wait_until(lambda: executor.gauge_query_count > past_meters)
+    executor.is_unresponsive, past_query_count = True, executor.gauge_query_count
+    await wait_until(lambda: executor.gauge_query_count > past_query_count)
     tag = executor.last_gauge_tag
     executor.callout(id, b"second")
     await wait_until(lambda: executor.lost_command_count)
@@ -201,7 +201,7 @@
 
 @with_server()
 async def test_an_executor_connection_that_is_open_but_silent(rig: Rig) -> None:
-    """Silence is detected also before the handshake is complete, since its answer may be lost."""
+    """Silence is detected before the handshake is complete too, since its answer may be lost."""
     rig.executor.is_unresponsive = True
     await wait_until(lambda: rig.log().count("event=executor_unresponsive") == 2)
     rig.executor.is_unresponsive = False
@@ -375,7 +375,7 @@
 
 @with_server()
 async def test_valid_replies_with_surplus_bytes(rig: Rig) -> None:
-    """Such replies are valid; a connection with bytes after its reply is not reused."""
+    """Replies with surplus bytes are valid; a connection with bytes after its reply is not reused."""
     balancer = await rig.balancer()
     for count, reply in enumerate([*VALID_REPLIES_WITH_SURPLUS, VALID_REPLIES_WITH_SURPLUS[0]]):
         rig.replies = [reply]
@@ -407,14 +407,14 @@
 async def test_the_downstream_is_down_and_its_idle_connections_close(rig: Rig) -> None:
     balancer = await rig.balancer()
     # A call that must not be repeated gets a new connection: the peer may have closed an idle one.
-    for request_class, links in (("look", 1), ("look", 1), ("pay", 2), ("pay", 3)):
-        answer = balancer.ask(request_class, fields(once=f"k{links}"))
+    for request_class, connection_count in (("look", 1), ("look", 1), ("pay", 2), ("pay", 3)):
+        answer = balancer.ask(request_class, fields(once=f"k{connection_count}"))
         id = await rig.command("EXEC", request_class)
         rig.executor.callout(id)
         assert await rig.command("RETURN") == id
         rig.executor.exit(id, result=b"paid")
         await expect_result(answer, b"paid")
-        assert rig.downstream.connection_count == links
+        assert rig.downstream.connection_count == connection_count
     address = rig.downstream.address
     await rig.downstream.stop()
     answer = balancer.ask("pay", fields(once="k9"))
@@ -455,13 +455,13 @@
 
 @with_server()
 async def test_health_is_reported_to_the_name_service(rig: Rig) -> None:
-    past_meters = rig.executor.gauge_query_count
+    past_query_count = rig.executor.gauge_query_count
     reports = [await within_timeout(rig.name_service.reports.get()) for _ in range(32)]
     # At least four reports a second, since one datagram in four may be lost. The time is measured
     # in rounds of the main loop, about ten a second, each of which sends a METER. With 32 reports,
     # a pause of the test process, in which it does not count what arrives, weighs little.
     assert set(reports) == {"renew n1 yes"}
-    assert rig.executor.gauge_query_count - past_meters < 80
+    assert rig.executor.gauge_query_count - past_query_count < 80
     await serve_one_request(rig, await rig.balancer())
     rig.process.send_signal(signal.SIGTERM)
     while reports[-1] == "renew n1 yes":
@@ -511,7 +511,7 @@
 
 @with_server(n_cores=1)
 async def test_a_drain_answers_all_requests(rig: Rig) -> None:
-    """Also a queued request, and one on a connection that the server has not accepted yet."""
+    """A queued request is answered, and one on a connection that is not accepted yet."""
     balancer = await rig.balancer()
     answers = [balancer.ask("look", fields()) for _ in range(2)]
     id = await rig.command("EXEC", "look")
