--- a/burlloom/levels/signals.py
+++ b/burlloom/levels/signals.py
@@ -255,8 +255,8 @@
 
         An unknown tenant has no share and is never over it.
         """
-        portion = self.share(tenant)
-        if portion is None:
+        allowed_share = self.share(tenant)
+        if allowed_share is None:
             return False
         ring = self.rings.get(tenant)
         if ring is None:
@@ -268,17 +268,21 @@
         ring.add(now_ns, 1.0)
         self.all_requests.add(now_ns, 1.0)
         total = sum(self.all_requests.counts)
-        share = sum(ring.counts) / total
-        standard_deviation = (portion * (1 - portion) / total) ** 0.5
-        if share <= portion:
+        measured_share = sum(ring.counts) / total
+        standard_deviation = (allowed_share * (1 - allowed_share) / total) ** 0.5
+        if measured_share <= allowed_share:
             self.unmarked_excess.pop(tenant, None)
-        elif share >= max(portion * self.factor, portion + self.deviations * standard_deviation):
+        elif measured_share >= max(
+            allowed_share * self.factor, allowed_share + self.deviations * standard_deviation
+        ):
             self.unmarked_excess.setdefault(tenant, 0.0)
         if tenant not in self.unmarked_excess:
             return False
-        # The tenant may have portion / (1 - portion) times the requests of all other tenants.
+        # The tenant may have allowed_share / (1 - allowed_share) times the requests of all others.
         allowed_requests = (
-            portion / (1 - portion) * (total - sum(ring.counts)) if portion < 1 else total
+            allowed_share / (1 - allowed_share) * (total - sum(ring.counts))
+            if allowed_share < 1
+            else total
         )
         excess = self.unmarked_excess[tenant] + 1 - min(1.0, allowed_requests / sum(ring.counts))
         self.unmarked_excess[tenant] = excess - (excess >= 1)
--- a/burlloom/server/tenant_portions.py
+++ b/burlloom/server/tenant_portions.py
@@ -29,7 +29,7 @@
 
 
 class ServedTenants(Collection[str]):
-    """The served tenants: those of the distributed table, or of the configuration file without one.
+    """The served tenants: those of the table, or of the configuration file until one is in force.
 
     Args:
         replica: The local copy of the table.
--- a/burlloom/sockets/close_reasons.py
+++ b/burlloom/sockets/close_reasons.py
@@ -14,9 +14,7 @@
     FIRST_MESSAGE_TIMEOUT = "first_message_timeout"  # a caller sent no byte in time
     MESSAGE_TIMEOUT = "message_timeout"  # a message was begun and not completed in time
     TOO_MANY_BAD_REQUESTS = "too_many_bad_requests"  # a caller's bad requests reached their limit
-    CONNECTION_LIMIT = (
-        "connection_limit"  # closed to stay within a limit on connections or descriptors
-    )
+    CONNECTION_LIMIT = "connection_limit"  # no room within the limit of connections or descriptors
     WRONG_TYPE = "wrong_type"  # a part of a message has the wrong type
     TOO_LARGE = "too_large"  # a value, message or reply is over its size limit
     REPEATED_MESSAGE_ID = "repeated_message_id"  # a message id is not greater than the one before
