--- a/burlloom/recovery/bootstrap.py
+++ b/burlloom/recovery/bootstrap.py
@@ -3,8 +3,8 @@
 It takes two independent decisions. The snapshot's hint (the initial cap of the slow start) is
 dropped on any doubt, because a cold start costs only seconds. The fence is raised on any doubt:
 while it is up, a marked retry that this node does not know is answered with an error, neither run
-nor rejected, because it may have run in an incarnation whose idempotency keys are lost. Peer addresses need no decision: the peers are
-contacted in any case, and all messages are sealed.
+nor rejected, because it may have run in an incarnation whose idempotency keys are lost. Peer
+addresses need no decision: the peers are contacted in any case, and all messages are sealed.
 """
 
 from collections.abc import Callable
