--- a/burlloom/levels/signals.py
+++ b/burlloom/levels/signals.py
@@ -11,8 +11,8 @@
 
 NS_PER_SECOND = 1_000_000_000
 NS_PER_MS = 1_000_000
-# Tenants measured at a time; each takes a few hundred bytes. Beyond it the one read longest ago is
-# dropped.
+# Tenants measured at a time; each takes a few hundred bytes. Beyond this number, the tenant whose
+# last request is the oldest is dropped.
 MAX_TENANTS = 4096
 
 
@@ -72,6 +72,14 @@
 class BucketRing:
     """Sums, counts and maxima of a ring of time buckets; single values are not stored.
 
+    Attributes:
+        width: Time that one bucket covers, ns.
+        sums: Sum of the values in each bucket.
+        counts: Number of samples in each bucket.
+        peaks: Highest value in each bucket; 0 in an empty one.
+        last: Number of the newest bucket, counted from time 0; -1 before the first value.
+        updated_at_ns: Time of the last added value, ns; -1 before the first one.
+
     Args:
         span_ns: Time that all buckets cover, ns.
         buckets: Number of buckets.
@@ -209,8 +217,9 @@
 
     A tenant is over its share once its part of the requests is at least `factor` times the share
     and also exceeds the share by `deviations` standard deviations of a random sample of that size;
-    it stays over its share until it is back at the share. Only the requests in excess are marked,
-    spread evenly over the tenant's requests. The MAX_TENANTS tenants read last are measured.
+    it stays over its share until its part is at or below the share. Only the requests in excess are
+    marked, spread evenly over the tenant's requests. At most MAX_TENANTS tenants are measured:
+    those with the latest requests.
 
     Args:
         portions: Tenants' names and portions; not used if `share` is given.
@@ -246,8 +255,8 @@
 
         An unknown tenant has no share and is never over it.
         """
-        portion = self.share(tenant)
-        if portion is None:
+        allowed_share = self.share(tenant)
+        if allowed_share is None:
             return False
         ring = self.rings.get(tenant)
         if ring is None:
@@ -259,17 +268,21 @@
         ring.add(now_ns, 1.0)
         self.all_requests.add(now_ns, 1.0)
         total = sum(self.all_requests.counts)
-        share = sum(ring.counts) / total
-        standard_deviation = (portion * (1 - portion) / total) ** 0.5
-        if share <= portion:
+        measured_share = sum(ring.counts) / total
+        standard_deviation = (allowed_share * (1 - allowed_share) / total) ** 0.5
+        if measured_share <= allowed_share:
             self.unmarked_excess.pop(tenant, None)
-        elif share >= max(portion * self.factor, portion + self.deviations * standard_deviation):
+        elif measured_share >= max(
+            allowed_share * self.factor, allowed_share + self.deviations * standard_deviation
+        ):
             self.unmarked_excess.setdefault(tenant, 0.0)
         if tenant not in self.unmarked_excess:
             return False
-        # The tenant may have portion / (1 - portion) times the requests of all other tenants.
+        # The tenant may have allowed_share / (1 - allowed_share) times the requests of all others.
         allowed_requests = (
-            portion / (1 - portion) * (total - sum(ring.counts)) if portion < 1 else total
+            allowed_share / (1 - allowed_share) * (total - sum(ring.counts))
+            if allowed_share < 1
+            else total
         )
         excess = self.unmarked_excess[tenant] + 1 - min(1.0, allowed_requests / sum(ring.counts))
         self.unmarked_excess[tenant] = excess - (excess >= 1)
--- a/burlloom/recovery/bootstrap.py
+++ b/burlloom/recovery/bootstrap.py
@@ -2,9 +2,9 @@
 
 It takes two independent decisions. The snapshot's hint (the initial cap of the slow start) is
 dropped on any doubt, because a cold start costs only seconds. The fence is raised on any doubt:
-while it is up, a marked retry that this node does not know is voided, because it may have run in an
-incarnation whose idempotency keys are lost. Peer addresses need no decision: the peers are
-contacted in any case, and all messages are sealed.
+while it is up, a marked retry that this node does not know is answered with an error, neither run
+nor rejected, because it may have run in an incarnation whose idempotency keys are lost. Peer
+addresses need no decision: the peers are contacted in any case, and all messages are sealed.
 """
 
 from collections.abc import Callable
@@ -38,7 +38,7 @@
 
 
 # Columns: state, input, test, next state, effect; "-" stands for no test or no effect.
-TABLE = """
+TRANSITION_TABLE = """
 READING KEPT_GOOD    -               ASKING fence_unclean
 READING KEPT_BAD     -               COLD   fence
 READING KEPT_OLD     -               COLD   fence_unclean
@@ -143,5 +143,9 @@
 
 
 RULES = parse_transitions(
-    TABLE, BootstrapState, BootstrapEvent, _test, lambda name: "nothing" if name == "-" else name
+    TRANSITION_TABLE,
+    BootstrapState,
+    BootstrapEvent,
+    _test,
+    lambda name: "nothing" if name == "-" else name,
 )
--- a/burlloom/server/operator_subsystems.py
+++ b/burlloom/server/operator_subsystems.py
@@ -155,7 +155,7 @@
 
 
 def record_store_load(coordinator: RecordCoordinator, clock: Callable[[], int]) -> float:
-    """Returns the load of the record's store: how near its writes are to their limits, 0 to 1."""
+    """Returns the load of the store of record: how near its writes are to their limits, 0 to 1."""
     return coordinator.breaker.compute_load(clock())
 
 
@@ -292,7 +292,7 @@
         )
         if self.metrics is not None:
             self.metrics.register("burlloom_levels", levels.change_counts, levels.gauges)
-            self.metrics.write_only_while(levels.is_optional_work_served)
+            self.metrics.reduce_writes_unless(levels.is_optional_work_served)
         return levels
 
     def create_recovery(self, server: Server) -> RestartRecovery:
