--- a/burlloom/distribution/control_node.py
+++ b/burlloom/distribution/control_node.py
@@ -101,7 +101,7 @@
         self.store, self.state_file = store, state_file
         self.random = Random(seed)
         self.counts = StoreCounters()
-        self.incarnation, now = time.time_ns() // NS_PER_MS, boot_clock_ns()
+        self.incarnation, now_ns = time.time_ns() // NS_PER_MS, boot_clock_ns()
         self.replica = Replica(ConfigTable(None), signing_keys.keys)
         self.source = Source(
             self.replica,
@@ -110,7 +110,7 @@
             seal_keys.keys,
             settings,
             self.random,
-            now,
+            now_ns,
             self.table_age_ms,
         )
         self.follower: Follower | None = None
@@ -121,19 +121,19 @@
         )
         self.endpoint = Endpoint(sock, self.receive)
         self.head_logger = HeadLogger(self.replica)
-        self.started_at = now
+        self.started_at = now_ns
         self.store_read_at: int | None = None  # start of the last successful poll, in ns
         self.store_error = ""
         self.inconsistency_logged_at = -INCONSISTENCY_LOG_INTERVAL_NS
         self.status_reported_at = 0
         self.stopping = asyncio.Event()
 
-    def table_age_ms(self, now: int) -> int | None:
+    def table_age_ms(self, now_ns: int) -> int | None:
         """Returns the ms since the table was last confirmed as the newest; None if it never was."""
         ages_ms = (
-            [] if self.store_read_at is None else [max(0, now - self.store_read_at) // NS_PER_MS]
+            [] if self.store_read_at is None else [max(0, now_ns - self.store_read_at) // NS_PER_MS]
         )
-        followed_age_ms = self.follower.table_age_ms(now) if self.follower is not None else None
+        followed_age_ms = self.follower.table_age_ms(now_ns) if self.follower is not None else None
         return min(
             [*ages_ms, *([] if followed_age_ms is None else [followed_age_ms])], default=None
         )
@@ -238,22 +238,22 @@
 
     def tick(self) -> None:
         """Chooses between store and peers, runs all timers, and reports once a second."""
-        now = boot_clock_ns()
-        self.choose_upstream(now)
+        now_ns = boot_clock_ns()
+        self.choose_upstream(now_ns)
         if self.follower is not None:
-            self.follower.tick(now)
-        self.source.tick(now)
+            self.follower.tick(now_ns)
+        self.source.tick(now_ns)
         self.flush()
         self.head_logger.log_moves()
-        if now - self.status_reported_at >= NS_PER_SECOND:
-            self.status_reported_at = now
-            self.report_status(now)
+        if now_ns - self.status_reported_at >= NS_PER_SECOND:
+            self.status_reported_at = now_ns
+            self.report_status(now_ns)
 
-    def choose_upstream(self, now: int) -> None:
+    def choose_upstream(self, now_ns: int) -> None:
         """Starts following peers when the store does not answer, and stops when it does."""
         last_read_at = self.store_read_at if self.store_read_at is not None else self.started_at
         should_follow_peers = bool(self.upstreams) and (
-            self.store is None or now - last_read_at > STORE_TIMEOUT_NS
+            self.store is None or now_ns - last_read_at > STORE_TIMEOUT_NS
         )
         if should_follow_peers and self.follower is None:
             # Each follower gets an incarnation of its own, since its message numbers start again.
@@ -267,7 +267,7 @@
                 self.seal_keys.keys,
                 self.settings,
                 self.random,
-                now,
+                now_ns,
             )
             log.info("event=control_node_follows_peers peers=%d", len(self.upstreams))
         elif not should_follow_peers and self.follower is not None:
@@ -278,12 +278,12 @@
 
     def receive(self, data: bytes, source: tuple[str, int]) -> None:
         """Passes a datagram to the source or the follower, by its kind."""
-        now = boot_clock_ns()
+        now_ns = boot_clock_ns()
         if is_for_source(data):
-            self.source.receive(now, data, source)
+            self.source.receive(now_ns, data, source)
         elif self.follower is not None:
-            self.follower.receive(now, data, source)
-            self.source.push_changes(now)
+            self.follower.receive(now_ns, data, source)
+            self.source.push_changes(now_ns)
         self.flush()
 
     def flush(self) -> None:
@@ -294,7 +294,7 @@
 
     # Reports, once a second.
 
-    def report_status(self, now: int) -> None:
+    def report_status(self, now_ns: int) -> None:
         """Reloads changed key files, logs refused messages and writes the state file."""
         if self.seal_keys.reload_if_changed():
             self.source.keys = self.seal_keys.keys
@@ -302,11 +302,11 @@
                 self.follower.keys = self.seal_keys.keys
         if self.signing_keys.reload_if_changed():
             self.replica.keys = self.signing_keys.keys
-        self.endpoint.log_refusals(now // NS_PER_SECOND, self.source.refusals)
+        self.endpoint.log_refusals(now_ns // NS_PER_SECOND, self.source.refusals)
         if self.follower is not None:
-            self.endpoint.log_refusals(now // NS_PER_SECOND, self.follower.refusals)
+            self.endpoint.log_refusals(now_ns // NS_PER_SECOND, self.follower.refusals)
         if self.state_file is not None:
-            write_state(self.state_file, self.summary(now))
+            write_state(self.state_file, self.summary(now_ns))
 
     def lowest_follower(self) -> tuple[int | None, int]:
         """Returns the followers' lowest revision, and the ms since the next change was proposed.
@@ -327,7 +327,7 @@
         missing_since_ms = missing_changes[0].time_ms if missing_changes else head.time_ms
         return lowest, max(0, time.time_ns() // NS_PER_MS - missing_since_ms)
 
-    def summary(self, now: int) -> dict[str, object]:
+    def summary(self, now_ns: int) -> dict[str, object]:
         """Returns the content of the state file, as plain values."""
         lowest, lacking_ms = self.lowest_follower()
         return {
@@ -335,13 +335,15 @@
             "role": "control" if self.store is not None else "relay",
             "region": self.region,
             "address": self.endpoint.address,
-            **source_summary(self.source, now),
+            **source_summary(self.source, now_ns),
             **replica_summary(self.replica),
             "lowest_revision": lowest,
             "lacking_ms": lacking_ms,
             "store_away": self.store_error,
             "store": {name: getattr(self.counts, name) for name in StoreCounters.__slots__},
-            "follows": follower_summary(self.follower, now) if self.follower is not None else None,
+            "follows": follower_summary(self.follower, now_ns)
+            if self.follower is not None
+            else None,
         }
 
     def metrics(self) -> dict[str, int]:
--- a/burlloom/distribution/follower.py
+++ b/burlloom/distribution/follower.py
@@ -110,7 +110,7 @@
             one.
         settings: Intervals, timeouts and limits.
         random: Source of jitter.
-        now: Current time in ns.
+        now_ns: Current monotonic time in ns.
 
     Attributes:
         outbox: Address and content of the datagrams to send; the host empties it.
@@ -130,7 +130,7 @@
         keys: tuple[bytes, ...],
         settings: ReplicationSettings,
         random: Random,
-        now: int,
+        now_ns: int,
     ) -> None:
         self.replica, self.name, self.incarnation, self.keys = replica, name, incarnation, keys
         self.settings, self.random = settings, random
@@ -147,11 +147,11 @@
         # Message numbers of two incarnations never coincide, so that an answer to an earlier
         # incarnation is not taken for an answer to this one.
         self.number = incarnation << 20 & MAX_NUMBER
-        self.last_tick_at = now
-        self._init_upstream(now)
-        self._init_changes(now)
+        self.last_tick_at = now_ns
+        self._init_upstream(now_ns)
+        self._init_changes(now_ns)
 
-    def _init_upstream(self, now: int) -> None:
+    def _init_upstream(self, now_ns: int) -> None:
         """Initializes the attributes about the upstream; the most preferred one is followed."""
         self.upstream_index = 0
         self.has_answered = False
@@ -164,17 +164,17 @@
         # Latest revision that the upstream is known to have.
         self.latest_revision = 0
         # Time of the upstream's last answer, or of choosing it if it has not answered.
-        self.last_answer_at = now
+        self.last_answer_at = now_ns
         # Time of sending of each unanswered report, by message number.
         self.reports: dict[int, int] = {}
-        self.next_report_at = now
+        self.next_report_at = now_ns
         # The running probe of a preferred upstream: the upstream's index, the number of the report
         # sent to it, and the time of sending; -1 if no probe is running.
-        self.probe = (-1, -1, now)
+        self.probe = (-1, -1, now_ns)
         self.last_probe_index = -1
-        self.next_probe_at = now + self.jittered(self.settings.preferred_retry_ns)
+        self.next_probe_at = now_ns + self.jittered(self.settings.preferred_retry_ns)
 
-    def _init_changes(self, now: int) -> None:
+    def _init_changes(self, now_ns: int) -> None:
         """Initializes the attributes about changes and syncs; none is pending."""
         # Changes received before the changes that precede them, by revision.
         self.early_changes: dict[int, Change] = {}
@@ -182,7 +182,7 @@
             -1,
             -1,
             0,
-            now,
+            now_ns,
         )
         self.consecutive_refusals = 0
         self.sync: Sync | None = None
@@ -203,12 +203,12 @@
         """The upstream that is followed at present."""
         return self.upstreams[self.upstream_index]
 
-    def table_age_ms(self, now: int) -> int | None:
+    def table_age_ms(self, now_ns: int) -> int | None:
         """Returns the ms since the table was last confirmed as the newest; None if it never was."""
         return (
             None
             if self.confirmed_newest_at is None
-            else max(0, now - self.confirmed_newest_at) // NS_PER_MS
+            else max(0, now_ns - self.confirmed_newest_at) // NS_PER_MS
         )
 
     @property
@@ -243,47 +243,47 @@
 
     # Timers.
 
-    def tick(self, now: int) -> None:
-        """Does all work that is due at `now`.
+    def tick(self, now_ns: int) -> None:
+        """Does all work that is due at `now_ns`.
 
         Gives up a silent upstream, reports, probes preferred upstreams and repeats unanswered
         requests.
         """
-        if now - self.last_tick_at > self.settings.upstream_timeout_ns:
-            self.resume_after_pause(now)
-        self.last_tick_at = now
-        if now - self.last_answer_at >= self.answer_timeout_ns():
-            self.lose_upstream(now)
+        if now_ns - self.last_tick_at > self.settings.upstream_timeout_ns:
+            self.resume_after_pause(now_ns)
+        self.last_tick_at = now_ns
+        if now_ns - self.last_answer_at >= self.answer_timeout_ns():
+            self.lose_upstream(now_ns)
         if (
             self.sync is not None
-            and now - self.sync.last_progress_at >= self.settings.sync_stall_timeout_ns
+            and now_ns - self.sync.last_progress_at >= self.settings.sync_stall_timeout_ns
         ):
-            self.lose_upstream(now)
-        if now >= self.next_report_at:
-            self.send_report(now)
-        if now >= self.next_probe_at:
-            self.probe_preferred_upstream(now)
-        if self.pull_sent_at >= 0 and now >= self.pull_retry_at:
+            self.lose_upstream(now_ns)
+        if now_ns >= self.next_report_at:
+            self.send_report(now_ns)
+        if now_ns >= self.next_probe_at:
+            self.probe_preferred_upstream(now_ns)
+        if self.pull_sent_at >= 0 and now_ns >= self.pull_retry_at:
             self.pull_sent_at = -1
-            self.pull_changes(now)
+            self.pull_changes(now_ns)
         if self.sync is not None:
-            self.repeat_requests(now, self.sync)
+            self.repeat_requests(now_ns, self.sync)
 
-    def resume_after_pause(self, now: int) -> None:
+    def resume_after_pause(self, now_ns: int) -> None:
         """Restarts the timeouts after a pause of this process.
 
         The upstream's silence during such a pause is no sign that the upstream has failed.
         """
-        self.last_answer_at = self.next_report_at = now
+        self.last_answer_at = self.next_report_at = now_ns
         if self.sync is not None:
-            self.sync.last_progress_at = now
+            self.sync.last_progress_at = now_ns
 
-    def send_report(self, now: int) -> None:
+    def send_report(self, now_ns: int) -> None:
         """Reports to the upstream; until it answers, twice per heartbeat interval."""
-        self.next_report_at = now + self.jittered(
+        self.next_report_at = now_ns + self.jittered(
             self.settings.heartbeat_ns if self.has_answered else self.settings.heartbeat_ns // 2
         )
-        self.reports[self.send(self.upstream, self.own_report())] = now
+        self.reports[self.send(self.upstream, self.own_report())] = now_ns
         while len(self.reports) > MAX_OPEN_REPORTS:
             del self.reports[next(iter(self.reports))]
 
@@ -294,13 +294,13 @@
             return Report(table.scopes, 0, 0, 0)
         return Report(table.scopes, head.epoch, head.revision, table.digest())
 
-    def probe_preferred_upstream(self, now: int) -> None:
+    def probe_preferred_upstream(self, now_ns: int) -> None:
         """Probes the next upstream that is preferred to the present one, by a report to it.
 
         While the present upstream is stale, all others are probed in turn.
         """
         candidate_count = len(self.upstreams) if self.upstream_is_stale() else self.upstream_index
-        self.next_probe_at = now + self.jittered(
+        self.next_probe_at = now_ns + self.jittered(
             self.settings.heartbeat_ns
             if self.upstream_is_stale()
             else max(
@@ -315,7 +315,7 @@
             self.probe = (
                 self.last_probe_index,
                 self.send(self.upstreams[self.last_probe_index], self.own_report()),
-                now,
+                now_ns,
             )
 
     def upstream_is_stale(self) -> bool:
@@ -327,7 +327,7 @@
 
     # Received messages.
 
-    def receive(self, now: int, data: bytes, source: Address) -> None:
+    def receive(self, now_ns: int, data: bytes, source: Address) -> None:
         """Handles one received datagram; a refused one is counted by its reason."""
         self.counts.received += 1
         self.counts.received_bytes += len(data)
@@ -338,7 +338,7 @@
             return
         handler = HANDLERS.get(type(message.body))
         reason = (
-            handler(self, now, message) if handler else "message kind not handled by a follower"
+            handler(self, now_ns, message) if handler else "message kind not handled by a follower"
         )
         if reason:
             self.count_refusal(reason, source)
@@ -347,17 +347,17 @@
         """Counts a refused message and keeps it for the host's log."""
         self.refusals.append((count_refusal(self.counts.refused, reason), source))
 
-    def on_head(self, now: int, message: Message) -> str:
+    def on_head(self, now_ns: int, message: Message) -> str:
         """Handles the HEAD of the upstream or of a probed one; returns why it is refused, or ""."""
         assert isinstance(message.body, HeadStatus)
         sender, status = message.sender, message.body
         probed_index, number, sent_at = self.probe
         if number == sender.number and self.upstreams[probed_index].name == sender.name:
-            self.probe = -1, -1, now
+            self.probe = -1, -1, now_ns
             if not self.is_preferable(status, probed_index):
                 self.send(self.upstreams[probed_index], Leave())
                 return ""
-            self.follow_upstream(now, probed_index)
+            self.follow_upstream(now_ns, probed_index)
             self.reports[number] = sent_at
         elif sender.name != self.upstream.name:
             return "HEAD from another server than the upstream"
@@ -365,27 +365,27 @@
             self.pull_sent_at = -1
         elif sender.number not in self.reports:
             return "HEAD that was not requested"
-        return self._handle_upstream_head(now, sender, status)
+        return self._handle_upstream_head(now_ns, sender, status)
 
-    def _handle_upstream_head(self, now: int, sender: Sender, status: HeadStatus) -> str:
+    def _handle_upstream_head(self, now_ns: int, sender: Sender, status: HeadStatus) -> str:
         """Handles the upstream's HEAD; returns why the upstream can't be followed, or ""."""
-        self.last_answer_at, self.has_answered = now, True
+        self.last_answer_at, self.has_answered = now_ns, True
         self.upstream_incarnation = sender.incarnation
         report_sent_at = self.reports.pop(sender.number, None)
         reason = self.reason_not_to_follow(status.head)
         if reason:
-            self.lose_upstream(now)
+            self.lose_upstream(now_ns)
             return reason
         is_stale = status.age_ms is None or status.age_ms * NS_PER_MS > self.settings.stale_after_ns
         if self.upstream_is_stale() != is_stale:
-            next_heartbeat_at = now + self.jittered(self.settings.heartbeat_ns)
+            next_heartbeat_at = now_ns + self.jittered(self.settings.heartbeat_ns)
             self.next_probe_at = min(self.next_probe_at, next_heartbeat_at)
         self._store_upstream_head(sender.number, status)
         if report_sent_at is not None and status.age_ms is not None:
             newest_at = report_sent_at - status.age_ms * NS_PER_MS
             self.pending_ages.append((status.head.epoch, status.head.revision, newest_at))
             self.update_confirmed_age()
-        self.handle(now, Input.HEAD)
+        self.handle(now_ns, Input.HEAD)
         return ""
 
     def _store_upstream_head(self, number: int, status: HeadStatus) -> None:
@@ -447,7 +447,7 @@
                     else max(self.confirmed_newest_at, newest_at)
                 )
 
-    def on_change(self, now: int, message: Message) -> str:
+    def on_change(self, now_ns: int, message: Message) -> str:
         """Handles a pushed or pulled change; returns why it is refused, or ""."""
         assert isinstance(message.body, PushedChange)
         change = message.body.change
@@ -470,8 +470,8 @@
             or change.revision == tip.revision + 1
         ):
             self.early_changes[change.revision] = change
-        reason = self.apply_early_changes(now)
-        self.handle(now, Input.CHANGE)
+        reason = self.apply_early_changes(now_ns)
+        self.handle(now_ns, Input.CHANGE)
         return reason
 
     def tip(self) -> Head | None:
@@ -480,7 +480,7 @@
             return self.sync.tip
         return None if self.replica.is_partial else self.replica.head
 
-    def apply_early_changes(self, now: int) -> str:
+    def apply_early_changes(self, now_ns: int) -> str:
         """Applies waiting changes that directly follow; returns why one was refused, or ""."""
         while True:
             tip = self.tip()
@@ -496,12 +496,12 @@
                 self.consecutive_refusals += 1
                 if self.consecutive_refusals >= MAX_CONSECUTIVE_REFUSALS:
                     self.consecutive_refusals = 0
-                    self.lose_upstream(now)
+                    self.lose_upstream(now_ns)
                 return reason
             self.consecutive_refusals = 0
             self.counts.applied += 1
             if self.sync is not None:
-                self.sync.last_progress_at = now
+                self.sync.last_progress_at = now_ns
             self.update_confirmed_age()
 
     def fold_change(self, sync: Sync, change: Change) -> str:
@@ -522,12 +522,12 @@
             sync.tip = head_after(change)
         return reason
 
-    def on_redirect(self, now: int, message: Message) -> str:
+    def on_redirect(self, now_ns: int, message: Message) -> str:
         """Handles a REDIRECT by giving up its sender; returns why it is refused, or ""."""
         sender, body = message.sender, message.body
         assert isinstance(body, Redirect)
         if sender.number == self.probe[1]:
-            self.probe = -1, -1, now
+            self.probe = -1, -1, now_ns
             return ""
         if sender.name != self.upstream.name or (
             sender.number not in self.reports
@@ -538,20 +538,20 @@
             )
         ):
             return "REDIRECT that was not requested"
-        self.lose_upstream(now)
+        self.lose_upstream(now_ns)
         return ""
 
     # Choice of the upstream.
 
-    def lose_upstream(self, now: int) -> None:
+    def lose_upstream(self, now_ns: int) -> None:
         """Gives up the upstream, which is silent, full, draining, or can't be followed."""
-        self.handle(now, Input.LOST)
+        self.handle(now_ns, Input.LOST)
 
-    def follow_next_upstream(self, now: int) -> None:
+    def follow_next_upstream(self, now_ns: int) -> None:
         """Follows the next upstream in the order of preference."""
-        self.follow_upstream(now, (self.upstream_index + 1) % len(self.upstreams))
+        self.follow_upstream(now_ns, (self.upstream_index + 1) % len(self.upstreams))
 
-    def follow_upstream(self, now: int, index: int) -> None:
+    def follow_upstream(self, now_ns: int, index: int) -> None:
         """Follows the upstream with an index.
 
         Pages that were already fetched stay in the table; the next sync skips the buckets whose
@@ -566,23 +566,23 @@
         # If all upstreams refuse, the follower waits before each attempt instead of trying them in
         # turn as fast as they answer.
         self.last_answer_at = self.next_report_at = (
-            now
+            now_ns
             if self.upstreams_tried < len(self.upstreams)
-            else now + self.jittered(self.settings.heartbeat_ns // 2)
+            else now_ns + self.jittered(self.settings.heartbeat_ns // 2)
         )
         self.reports.clear()
-        self.probe = -1, -1, now
+        self.probe = -1, -1, now_ns
         self.pull_sent_at = self.pull_number = -1
         self.sync = None
 
     # State machine.
 
-    def handle(self, now: int, received: Input) -> None:
+    def handle(self, now_ns: int, received: Input) -> None:
         """Takes the first transition whose guard holds, and runs its effect."""
         for guard, state, effect in RULES.get((self.state, received), ()):
             if guard(self):
                 self.state = state
-                effect(self, now)
+                effect(self, now_ns)
                 return
 
     # Guards of the transitions.
@@ -633,7 +633,7 @@
 
     # Effects of the transitions.
 
-    def pull_changes(self, now: int) -> None:
+    def pull_changes(self, now_ns: int) -> None:
         """Requests the next changes, unless they were requested just now."""
         tip = self.tip()
         if tip is None or tip.revision >= self.latest_known_revision():
@@ -642,7 +642,7 @@
         if (
             self.pull_sent_at >= 0
             and tip.revision < self.pull_up_to_revision
-            and now < self.pull_retry_at
+            and now_ns < self.pull_retry_at
         ):
             return
         # Only the changes before the first waiting one are requested.
@@ -656,8 +656,8 @@
         )
         change_count = max(1, min(change_count, self.latest_known_revision() - tip.revision))
         self.counts.pulls += 1
-        self.pull_sent_at, self.pull_up_to_revision = now, tip.revision + change_count
-        self.pull_retry_at = now + self.jittered(self.settings.request_retry_ns)
+        self.pull_sent_at, self.pull_up_to_revision = now_ns, tip.revision + change_count
+        self.pull_retry_at = now_ns + self.jittered(self.settings.request_retry_ns)
         self.pull_number = self.send(
             self.upstream, PullRequest(tip.epoch, tip.revision, change_count)
         )
@@ -666,17 +666,17 @@
         """Returns the latest revision known to exist."""
         return max(self.latest_revision, self.sync.target_revision if self.sync is not None else 0)
 
-    def start_sync(self, now: int) -> None:
+    def start_sync(self, now_ns: int) -> None:
         """Starts a sync by requesting the digests of all buckets."""
         self.counts.syncs += 1
         self.pull_sent_at = self.pull_number = -1
         self.sync = Sync(
             self.send(self.upstream, DigestsRequest()),
-            now + self.jittered(self.settings.request_retry_ns),
-            now,
+            now_ns + self.jittered(self.settings.request_retry_ns),
+            now_ns,
         )
 
-    def finish_sync(self, now: int) -> None:
+    def finish_sync(self, now_ns: int) -> None:
         """Ends a sync by putting the items of the collected changes over the pages."""
         sync = self.sync
         assert sync is not None
@@ -687,7 +687,7 @@
                 self.replica.table.put(items[start : start + ITEMS_PER_PUT])
         except ValueError as error:  # the items exceed the table's bounds
             self.count_refusal(f"rejected by the table: {error!s:.100}", self.upstream.address)
-            self.lose_upstream(now)
+            self.lose_upstream(now_ns)
             return
         if (
             self.replica.is_partial or self.replica.head != sync.tip
@@ -704,15 +704,15 @@
             if change.epoch == sync.tip.epoch and revision > sync.tip.revision
         }
         self.counts.finished_syncs += 1
-        self.apply_early_changes(now)
+        self.apply_early_changes(now_ns)
         self.update_confirmed_age()
         if self.is_behind():
             self.state = State.BEHIND
-            self.pull_changes(now)
+            self.pull_changes(now_ns)
 
     # Messages of a running sync.
 
-    def on_digests(self, now: int, message: Message) -> str:
+    def on_digests(self, now_ns: int, message: Message) -> str:
         """Handles DIGESTS and fetches the differing buckets once both halves were received.
 
         Returns why the message is refused, or "".
@@ -740,12 +740,12 @@
         # Once a revision is in force, no key may go back to an older value. That includes the
         # values in pages of an earlier sync that did not end.
         if own_head is not None and head[:2] < max(own_head[:2], self.newest_page_revision):
-            self.lose_upstream(now)
+            self.lose_upstream(now_ns)
             return "sync base older than the revision in force"
         upstream_digests = lower_half.digests + upper_half.digests
         own_digests = self.replica.table.digests()
         sync.base = sync.tip = head
-        sync.last_progress_at, sync.digest_halves = now, {}
+        sync.last_progress_at, sync.digest_halves = now_ns, {}
         sync.buckets_left = [
             bucket
             for bucket in range(BUCKET_COUNT)
@@ -754,19 +754,19 @@
         self.random.shuffle(
             sync.buckets_left
         )  # so that many new followers at once request different buckets
-        self.fetch_buckets(now, sync)
+        self.fetch_buckets(now_ns, sync)
         return ""
 
-    def fetch_buckets(self, now: int, sync: Sync) -> None:
+    def fetch_buckets(self, now_ns: int, sync: Sync) -> None:
         """Requests the next buckets; if none is left, tells the state machine so."""
         while sync.buckets_left and len(sync.fetching) < MAX_FETCHES:
             bucket = sync.buckets_left.pop()
-            sync.fetching[bucket] = Fetch(None, now)
-            self.request_pages(now, bucket, sync.fetching[bucket])
+            sync.fetching[bucket] = Fetch(None, now_ns)
+            self.request_pages(now_ns, bucket, sync.fetching[bucket])
         if not sync.fetching:
-            self.handle(now, Input.FETCHED)
+            self.handle(now_ns, Input.FETCHED)
 
-    def on_page(self, now: int, message: Message) -> str:
+    def on_page(self, now_ns: int, message: Message) -> str:
         """Handles a PAGE: puts it, and the pages that waited for it, into the table.
 
         Returns why the page is refused, or "".
@@ -791,9 +791,9 @@
             ):
                 fetch.early_pages[body.after] = body
             return ""
-        return self._put_pages(now, sync, fetch, body)
+        return self._put_pages(now_ns, sync, fetch, body)
 
-    def _put_pages(self, now: int, sync: Sync, fetch: Fetch, first: PageResponse) -> str:
+    def _put_pages(self, now_ns: int, sync: Sync, fetch: Fetch, first: PageResponse) -> str:
         """Puts a page, and the waiting pages that directly follow it, into the table.
 
         Returns why the table refuses a page, or "".
@@ -808,38 +808,38 @@
             except ValueError as error:
                 return f"PAGE rejected by the table: {error!s:.100}"
             self.counts.pages += 1
-            sync.last_progress_at = now
+            sync.last_progress_at = now_ns
             if page.page.is_last:
                 del sync.fetching[page.bucket]
-                self.fetch_buckets(now, sync)
+                self.fetch_buckets(now_ns, sync)
                 return ""
             fetch.after = page.page.last_position
             is_last_of_request = page.page_index == MAX_PAGES_PER_REQUEST - 1
             page = fetch.early_pages.pop(fetch.after, None) if fetch.after is not None else None
             fetch.tries = 0
             if page is None and is_last_of_request:
-                self.request_pages(now, first.bucket, fetch)
+                self.request_pages(now_ns, first.bucket, fetch)
         return ""
 
-    def request_pages(self, now: int, bucket: int, fetch: Fetch) -> None:
+    def request_pages(self, now_ns: int, bucket: int, fetch: Fetch) -> None:
         """Requests the next pages of a bucket; the timeout doubles with each attempt."""
-        fetch.retry_at = now + self.jittered(
+        fetch.retry_at = now_ns + self.jittered(
             self.settings.request_retry_ns << min(fetch.tries, MAX_BACKOFF_DOUBLINGS)
         )
         fetch.tries += 1
         self.send(self.upstream, PagesRequest(bucket, fetch.after, MAX_PAGES_PER_REQUEST))
 
-    def repeat_requests(self, now: int, sync: Sync) -> None:
+    def repeat_requests(self, now_ns: int, sync: Sync) -> None:
         """Repeats the sync's requests that were not answered in time."""
-        if sync.base is None and now >= sync.retry_at:
-            sync.retry_at = now + self.jittered(self.settings.request_retry_ns)
+        if sync.base is None and now_ns >= sync.retry_at:
+            sync.retry_at = now_ns + self.jittered(self.settings.request_retry_ns)
             self.send(self.upstream, DigestsRequest())
         for bucket, fetch in sync.fetching.items():
-            if now >= fetch.retry_at:
+            if now_ns >= fetch.retry_at:
                 fetch.early_pages.clear()
-                self.request_pages(now, bucket, fetch)
+                self.request_pages(now_ns, bucket, fetch)
         if len(sync.folded_items) > MAX_FOLDED_ITEMS:
-            self.lose_upstream(now)
+            self.lose_upstream(now_ns)
 
     # Sent messages.
 
@@ -860,7 +860,7 @@
         return self.number
 
 
-def summary(follower: Follower, now: int) -> Mapping[str, object]:
+def summary(follower: Follower, now_ns: int) -> Mapping[str, object]:
     """Returns the follower's part of the state file, as plain values."""
     head, sync, counts = follower.replica.head, follower.sync, follower.counts
     return {
@@ -870,7 +870,7 @@
         "epoch": head.epoch if head else None,
         "revision": head.revision if head else None,
         "latest": follower.latest_revision,
-        "age_ms": follower.table_age_ms(now),
+        "age_ms": follower.table_age_ms(now_ns),
         "mixed": follower.replica.is_partial,
         "buckets_left": len(sync.buckets_left) + len(sync.fetching) if sync else 0,
         "counts": counts.exported(),
@@ -886,7 +886,7 @@
 
 
 def _effect(name: str) -> Effect:
-    return (lambda follower, now: None) if name == "-" else getattr(Follower, name)
+    return (lambda follower, now_ns: None) if name == "-" else getattr(Follower, name)
 
 
 RULES = parse_transitions(TRANSITIONS, State, Input, _guard, _effect)
--- a/burlloom/distribution/source.py
+++ b/burlloom/distribution/source.py
@@ -106,7 +106,7 @@
             one.
         settings: Intervals, timeouts and limits.
         random: Source of randomness; not used at present.
-        now: Current time in ns.
+        now_ns: Current monotonic time in ns.
         table_age_ms: Returns, for a time in ns, the ms since the replica was last confirmed as the
             newest; None if it never was.
 
@@ -125,7 +125,7 @@
         keys: tuple[bytes, ...],
         settings: ReplicationSettings,
         random: Random,
-        now: int,
+        now_ns: int,
         table_age_ms: Callable[[int], int | None],
     ) -> None:
         self.replica, self.name, self.incarnation, self.keys = replica, name, incarnation, keys
@@ -139,18 +139,18 @@
             (replica.head.epoch, replica.head.revision) if replica.head is not None else (0, 0)
         )
         self.sealed_changes: dict[tuple[int, int, bool], bytes] = {}
-        self.page_tokens, self.page_tokens_refilled_at = float(settings.page_burst_bytes), now
+        self.page_tokens, self.page_tokens_refilled_at = float(settings.page_burst_bytes), now_ns
         self.is_draining = False
 
     # Timers and pushes.
 
-    def tick(self, now: int) -> None:
+    def tick(self, now_ns: int) -> None:
         """Drops followers whose lease has expired, and pushes new changes."""
-        for name in [name for name, lease in self.followers.items() if lease.expires_at <= now]:
+        for name in [name for name, lease in self.followers.items() if lease.expires_at <= now_ns]:
             del self.followers[name]
-        self.push_changes(now)
+        self.push_changes(now_ns)
 
-    def push_changes(self, now: int) -> None:
+    def push_changes(self, now_ns: int) -> None:
         """Pushes new changes to all followers.
 
         After a sync, or if there are more than `MAX_PUSH_CHANGES`, nothing is pushed and the
@@ -167,7 +167,7 @@
         for change in changes or ():
             with_body, without_body = self.sealed_change(change, True), b""
             for lease in self.followers.values():
-                if lease.expires_at <= now:
+                if lease.expires_at <= now_ns:
                     continue
                 if lease.scopes is None or change.scope in lease.scopes:
                     self.enqueue(lease.address, with_body)
@@ -192,7 +192,7 @@
 
     # Received messages.
 
-    def receive(self, now: int, data: bytes, source: Address) -> None:
+    def receive(self, now_ns: int, data: bytes, source: Address) -> None:
         """Handles one received datagram; a refused one is counted by its reason."""
         self.counts.received += 1
         self.counts.received_bytes += len(data)
@@ -203,7 +203,7 @@
             return
         handler = HANDLERS.get(type(message.body))
         reason = (
-            handler(self, now, message, source)
+            handler(self, now_ns, message, source)
             if handler
             else "message kind not handled by a source"
         )
@@ -214,14 +214,14 @@
         """Counts a refused message and keeps it for the host's log."""
         self.refusals.append((count_refusal(self.counts.refused, reason), source))
 
-    def on_report(self, now: int, message: Message, source: Address) -> str:
+    def on_report(self, now_ns: int, message: Message, source: Address) -> str:
         """Handles REPORT by a lease or a REDIRECT; returns why the report is refused, or ""."""
         sender, body, head = message.sender, message.body, self.replica.head
         assert isinstance(body, Report)
         lease = self.followers.get(sender.name)
         if (
             lease is not None
-            and lease.expires_at <= now
+            and lease.expires_at <= now_ns
             and lease.incarnation != sender.incarnation
         ):
             lease = None
@@ -234,7 +234,7 @@
         ):
             return "message number seen before"
         redirect_reason = self.reason_not_to_serve(body) or (
-            "full" if lease is None and self.is_full(now) else ""
+            "full" if lease is None and self.is_full(now_ns) else ""
         )
         if head is None or redirect_reason:
             self.counts.redirects += 1
@@ -249,10 +249,10 @@
         lease.address, lease.scopes, lease.expires_at = (
             source,
             body.scopes,
-            now + self.settings.lease_ns,
+            now_ns + self.settings.lease_ns,
         )
         lease.epoch, lease.revision = body.epoch, body.revision
-        self.send_head(now, sender.number, source, self.differs(body))
+        self.send_head(now_ns, sender.number, source, self.differs(body))
         return ""
 
     def reason_not_to_serve(self, body: Report) -> str:
@@ -268,10 +268,12 @@
             return "scopes that are not held here"
         return ""
 
-    def is_full(self, now: int) -> bool:
+    def is_full(self, now_ns: int) -> bool:
         """Returns whether no further follower is accepted; drops expired leases first."""
         if len(self.followers) >= self.settings.max_followers:
-            for name in [name for name, lease in self.followers.items() if lease.expires_at <= now]:
+            for name in [
+                name for name, lease in self.followers.items() if lease.expires_at <= now_ns
+            ]:
                 del self.followers[name]
         return len(self.followers) >= self.settings.max_followers
 
@@ -289,7 +291,7 @@
         self.counts.differing += is_different
         return is_different
 
-    def send_head(self, now: int, number: int, to: Address, differs: bool) -> None:
+    def send_head(self, now_ns: int, number: int, to: Address, differs: bool) -> None:
         """Sends the replica's head in answer to the message with that number."""
         assert self.replica.head is not None
         # While a sync of a relay's own replica runs, the replica still reports its old head; it
@@ -298,26 +300,29 @@
             to,
             number,
             HeadStatus(
-                self.replica.head, self.table_age_ms(now), differs, self.replica.log.base_revision
+                self.replica.head,
+                self.table_age_ms(now_ns),
+                differs,
+                self.replica.log.base_revision,
             ),
         )
 
-    def lease_of(self, now: int, message: Message) -> Lease | None:
+    def lease_of(self, now_ns: int, message: Message) -> Lease | None:
         """Returns the sender's lease; None if it has none, or if the message is a replay."""
         sender = message.sender
         lease = self.followers.get(sender.name)
         if (
             lease is None
-            or lease.expires_at <= now
+            or lease.expires_at <= now_ns
             or lease.incarnation != sender.incarnation
             or not lease.replay_window.accept(sender.number)
         ):
             return None
         return lease
 
-    def on_pull(self, now: int, message: Message, source: Address) -> str:
+    def on_pull(self, now_ns: int, message: Message, source: Address) -> str:
         """Handles PULL by sending the changes; returns why the request is refused, or ""."""
-        lease, body, head = self.lease_of(now, message), message.body, self.replica.head
+        lease, body, head = self.lease_of(now_ns, message), message.body, self.replica.head
         assert isinstance(body, PullRequest)
         if lease is None or head is None:
             return "PULL replayed or without a lease"
@@ -327,16 +332,16 @@
             else None
         )
         if changes is None:
-            self.send_head(now, message.sender.number, lease.address, False)
+            self.send_head(now_ns, message.sender.number, lease.address, False)
         for change in changes or ():
             self.counts.pulled += 1
             with_body = lease.scopes is None or change.scope in lease.scopes
             self.enqueue(lease.address, self.sealed_change(change, with_body))
         return ""
 
-    def on_digests_request(self, now: int, message: Message, source: Address) -> str:
+    def on_digests_request(self, now_ns: int, message: Message, source: Address) -> str:
         """Handles DIGESTS_ASK by sending both halves; returns why it is refused, or ""."""
-        lease, head = self.lease_of(now, message), self.replica.head
+        lease, head = self.lease_of(now_ns, message), self.replica.head
         if lease is None:
             return "DIGESTS_ASK replayed or without a lease"
         if head is None or not self.replica.is_complete:
@@ -352,13 +357,13 @@
             )
         return ""
 
-    def on_pages_request(self, now: int, message: Message, source: Address) -> str:
+    def on_pages_request(self, now_ns: int, message: Message, source: Address) -> str:
         """Handles PAGES_ASK by sending pages within the byte rate.
 
         Returns why the request is refused, or "". If the byte rate is exceeded, the remaining pages
         are not sent; the follower repeats its request.
         """
-        lease, body, head = self.lease_of(now, message), message.body, self.replica.head
+        lease, body, head = self.lease_of(now_ns, message), message.body, self.replica.head
         assert isinstance(body, PagesRequest)
         if lease is None:
             return "PAGES_ASK replayed or without a lease"
@@ -367,11 +372,11 @@
         self.page_tokens = min(
             float(self.settings.page_burst_bytes),
             self.page_tokens
-            + (now - self.page_tokens_refilled_at)
+            + (now_ns - self.page_tokens_refilled_at)
             * self.settings.page_bytes_per_s
             / (1000 * NS_PER_MS),
         )
-        self.page_tokens_refilled_at = now
+        self.page_tokens_refilled_at = now_ns
         after = body.after
         for page_index in range(body.page_count):
             if self.page_tokens <= 0:
@@ -389,9 +394,9 @@
                 break
         return ""
 
-    def on_leave(self, now: int, message: Message, source: Address) -> str:
+    def on_leave(self, now_ns: int, message: Message, source: Address) -> str:
         """Handles BYE by ending the sender's lease; never refused."""
-        if self.lease_of(now, message) is not None:
+        if self.lease_of(now_ns, message) is not None:
             del self.followers[message.sender.name]
         return ""
 
@@ -420,14 +425,14 @@
         self.outbox.append((to, data))
 
 
-def summary(source: Source, now: int) -> Mapping[str, object]:
+def summary(source: Source, now_ns: int) -> Mapping[str, object]:
     """Returns the source's part of the state file, as plain values."""
     head, counts = source.replica.head, source.counts
     return {
         "name": source.name,
         "epoch": head.epoch if head else None,
         "revision": head.revision if head else None,
-        "age_ms": source.table_age_ms(now),
+        "age_ms": source.table_age_ms(now_ns),
         "whole": source.replica.is_complete,
         "log": len(source.replica.log),
         "followers": len(source.followers),
--- a/burlloom/distribution/stores/sql.py
+++ b/burlloom/distribution/stores/sql.py
@@ -185,9 +185,9 @@
 
     async def begin_epoch(self, store_head: Head, later_than: int) -> bool:
         """Begins an epoch after `later_than` if `store_head` is the head; returns whether so."""
-        now = time.time_ns() // 1_000_000
+        now_ms = time.time_ns() // 1_000_000
         head = initial_head(
-            max(store_head.epoch + 1, later_than + 1, now), max(store_head.time_ms, now)
+            max(store_head.epoch + 1, later_than + 1, now_ms), max(store_head.time_ms, now_ms)
         )
         return await self.transaction(
             (
--- a/tests/explore_distribution.py
+++ b/tests/explore_distribution.py
@@ -136,7 +136,7 @@
     """One source, one follower, and the datagrams in flight between them."""
 
     def __init__(self, changes: int, is_new: bool, settings: ReplicationSettings) -> None:
-        self.settings, self.now, self.follower_incarnation, self.source_incarnation = (
+        self.settings, self.now_ns, self.follower_incarnation, self.source_incarnation = (
             settings,
             START_NS,
             1,
@@ -177,7 +177,7 @@
         self.heads[key], self.changes[key] = Head(*key, change.tag, change.time_ms), change
         table = self.tables[key] = dict(self.tables[previous])
         table["", "tenant", ITEM_KEYS[previous[1] % len(ITEM_KEYS)]] = numbered_value(number)
-        self.created_at[key] = self.now
+        self.created_at[key] = self.now_ns
 
     def start_source(self, missing_revisions: int, epoch: int = 0) -> None:
         """Starts the source, with a replica that lacks the last revisions or of an earlier epoch."""
@@ -194,7 +194,7 @@
             (SEALING_KEY,),
             self.settings,
             FixedRandom(0),
-            self.now,
+            self.now_ns,
             age_function(missing_revisions or epoch != self.epoch),
         )
 
@@ -211,7 +211,7 @@
             (SEALING_KEY,),
             self.settings,
             FixedRandom(0),
-            self.now,
+            self.now_ns,
         )
         self.highest_head, self.lowest_values = (0, 0), {}
 
@@ -265,7 +265,7 @@
         source, follower = self.source, self.follower
         sync, head = follower.sync, follower.replica.head
         return (
-            self.now,
+            self.now_ns,
             self.follower_incarnation,
             self.source_incarnation,
             self.epoch,
@@ -333,7 +333,7 @@
 
     def collect_outboxes(self, max_in_flight: int) -> None:
         """Moves the datagrams of both outboxes into flight; beyond the bound the oldest are lost."""
-        self.source.push_changes(self.now)
+        self.source.push_changes(self.now_ns)
         for side in (self.source, self.follower):
             while side.outbox:
                 self.in_flight.append(side.outbox.popleft()[1])
@@ -341,9 +341,9 @@
 
     def deliver(self, data: bytes) -> None:
         if is_for_source(data):
-            self.source.receive(self.now, data, ADDRESS)
+            self.source.receive(self.now_ns, data, ADDRESS)
         else:
-            self.follower.receive(self.now, data, ADDRESS)
+            self.follower.receive(self.now_ns, data, ADDRESS)
 
     def find_fault(self) -> str:
         """Returns the violated invariant; "" if all hold."""
@@ -368,21 +368,21 @@
                     return "key went back to an older value"
                 self.lowest_values[position] = number
         age_ms, superseded_at = (
-            self.follower.table_age_ms(self.now),
+            self.follower.table_age_ms(self.now_ns),
             self.created_at.get((key[0], key[1] + 1), self.epoch_ended_at.get(key[0])),
         )
         if (
             superseded_at is not None
             and age_ms is not None
             and not replica.is_partial
-            and age_ms < (self.now - superseded_at) // NS_PER_MS
+            and age_ms < (self.now_ns - superseded_at) // NS_PER_MS
         ):
             return "age reported too low"
         return ""
 
 
 def age_function(is_outdated: bool | int) -> Any:
-    return lambda now: 3_600_000 if is_outdated else 0
+    return lambda now_ns: 3_600_000 if is_outdated else 0
 
 
 class Explorer:
@@ -451,9 +451,9 @@
                 if state.source.replica.head is not None:
                     self.catch_up(state)
             case "tick":
-                state.now += NS_PER_SECOND
-                state.source.tick(state.now)
-                state.follower.tick(state.now)
+                state.now_ns += NS_PER_SECOND
+                state.source.tick(state.now_ns)
+                state.follower.tick(state.now_ns)
             case "deliver":
                 state.deliver(state.in_flight.pop(index))
             case "lose":
@@ -470,12 +470,12 @@
                 state.source_incarnation += 1
                 state.start_source(1)
             case "new_epoch":
-                state.epoch_ended_at[state.epoch] = state.now
+                state.epoch_ended_at[state.epoch] = state.now_ns
                 table = dict(state.tables[state.epoch, state.revision])
                 table.pop(("", "tenant", "x"), None)
                 state.epoch += 1
                 state.heads[state.epoch, 0] = initial_head(state.epoch, 0)
-                state.tables[state.epoch, 0], state.created_at[state.epoch, 0] = table, state.now
+                state.tables[state.epoch, 0], state.created_at[state.epoch, 0] = table, state.now_ns
                 state.source_incarnation += 1
                 state.start_source(0)
             case "old_epoch_source" if state.epoch > 1:
@@ -577,9 +577,9 @@
             replica = state.follower.replica
             if replica.is_complete and replica.head == state.source.replica.head:
                 return ""
-            state.now += NS_PER_SECOND // 2
-            state.source.tick(state.now)
-            state.follower.tick(state.now)
+            state.now_ns += NS_PER_SECOND // 2
+            state.source.tick(state.now_ns)
+            state.follower.tick(state.now_ns)
         return "follower does not reach the source's head"
 
 
@@ -605,7 +605,7 @@
         reason = chain_break(previous, change, keys)
         return "" if reason == "tag does not continue the chain" else reason
 
-    def apply_with_gaps(self: Follower, now: int) -> str:
+    def apply_with_gaps(self: Follower, now_ns: int) -> str:
         tip = self.tip()
         for revision in sorted(self.early_changes):
             change = self.early_changes.pop(revision)
@@ -635,30 +635,30 @@
             and self.upstream_head.head.epoch != own_head.epoch
         )
 
-    def allow_any_base(self: Follower, now: int, message: Any) -> str:
+    def allow_any_base(self: Follower, now_ns: int, message: Any) -> str:
         own_head, self.replica.head = self.replica.head, None
         try:
-            return ON_DIGESTS(self, now, message)
+            return ON_DIGESTS(self, now_ns, message)
         finally:
             if self.replica.head is None:
                 self.replica.head = own_head
 
-    def allow_older_base(self: Follower, now: int, message: Any) -> str:
+    def allow_older_base(self: Follower, now_ns: int, message: Any) -> str:
         self.newest_page_revision = 0, 0
-        return ON_DIGESTS(self, now, message)
+        return ON_DIGESTS(self, now_ns, message)
 
-    def accept_unrequested_head(self: Follower, now: int, message: Any) -> str:
-        self.reports.setdefault(message.sender.number, now)
-        return ON_HEAD(self, now, message)
+    def accept_unrequested_head(self: Follower, now_ns: int, message: Any) -> str:
+        self.reports.setdefault(message.sender.number, now_ns)
+        return ON_HEAD(self, now_ns, message)
 
-    def accept_older_page(self: Follower, now: int, message: Any) -> str:
+    def accept_older_page(self: Follower, now_ns: int, message: Any) -> str:
         if self.sync is not None and self.sync.base is not None:
             message = message._replace(
                 body=message.body._replace(
                     revision=max(message.body.revision, self.sync.base.revision)
                 )
             )
-        return ON_PAGE(self, now, message)
+        return ON_PAGE(self, now_ns, message)
 
     handlers = follower_module.HANDLERS
     head_status, digests_response, page_response = (
--- a/tests/simulated_distribution.py
+++ b/tests/simulated_distribution.py
@@ -59,10 +59,12 @@
     def head(self) -> Head:
         return max(self.heads.values())
 
-    def put(self, now: int, scope: str, values: Iterable[tuple[str, str, bytes | None]]) -> Change:
+    def put(
+        self, now_ns: int, scope: str, values: Iterable[tuple[str, str, bytes | None]]
+    ) -> Change:
         items = [ConfigItem(scope, *item) for item in values]
         head = self.heads[self.epoch, self.revision]
-        change = propose(head, scope, items, now // NS_PER_MS, SIGNING_KEY)
+        change = propose(head, scope, items, now_ns // NS_PER_MS, SIGNING_KEY)
         key = change.epoch, change.revision
         self.heads[key] = Head(change.epoch, change.revision, change.tag, change.time_ms)
         self.changes[key] = change
@@ -73,26 +75,26 @@
                 self.items.pop(position, None)
             else:
                 self.items[position] = item.value
-        self.record_revision(key, now)
+        self.record_revision(key, now_ns)
         return change
 
     @property
     def revision(self) -> int:
         return max(revision for epoch, revision in self.heads if epoch == self.epoch)
 
-    def record_revision(self, key: tuple[int, int], now: int) -> None:
+    def record_revision(self, key: tuple[int, int], now_ns: int) -> None:
         self.digests[key] = {scope: self.table.digest_of((scope,)) for scope in ("", "a", "b", "c")}
-        self.created_at[key] = now
+        self.created_at[key] = now_ns
 
-    def restore(self, now: int, lost_count: int = 0) -> None:
+    def restore(self, now_ns: int, lost_count: int = 0) -> None:
         """Begins a new epoch; the table loses `lost_count` of its items."""
-        self.epoch_ended_at[self.epoch] = now
+        self.epoch_ended_at[self.epoch] = now_ns
         self.epoch += 1
         for position in list(self.items)[:lost_count]:
             self.table.put([ConfigItem(*position, None)])
             del self.items[position]
-        self.heads[self.epoch, 0] = initial_head(self.epoch, now // NS_PER_MS)
-        self.record_revision((self.epoch, 0), now)
+        self.heads[self.epoch, 0] = initial_head(self.epoch, now_ns // NS_PER_MS)
+        self.record_revision((self.epoch, 0), now_ns)
 
     def digest(self, key: tuple[int, int], scopes: tuple[str, ...] | None) -> int:
         combined = 0
@@ -152,7 +154,7 @@
     def start(self) -> None:
         network = self.network
         self.start_count += 1
-        incarnation = 1_700_000_000_000 + network.now // NS_PER_MS + self.start_count
+        incarnation = 1_700_000_000_000 + network.now_ns // NS_PER_MS + self.start_count
         (
             self.is_running,
             self.is_paused,
@@ -176,7 +178,7 @@
                 (SEALING_KEY,),
                 network.settings,
                 random,
-                network.now,
+                network.now_ns,
                 self.store_age_ms,
             )
         else:
@@ -189,7 +191,7 @@
                 (SEALING_KEY,),
                 network.settings,
                 random,
-                network.now,
+                network.now_ns,
             )
             if self.is_relay:
                 self.source = Source(
@@ -199,12 +201,12 @@
                     (SEALING_KEY,),
                     network.settings,
                     random,
-                    network.now,
+                    network.now_ns,
                     self.follower.table_age_ms,
                 )
 
-    def store_age_ms(self, now: int) -> int | None:
-        return None if self.store_read_at < 0 else (now - self.store_read_at) // NS_PER_MS
+    def store_age_ms(self, now_ns: int) -> int | None:
+        return None if self.store_read_at < 0 else (now_ns - self.store_read_at) // NS_PER_MS
 
     def poll_store(self) -> None:
         store, replica = self.network.store, self.replica
@@ -229,7 +231,7 @@
         while (store.epoch, replica.head.revision + 1) in store.changes:
             reason = replica.apply_change(store.changes[store.epoch, replica.head.revision + 1])
             assert reason is None, reason
-        self.store_read_at = self.network.now
+        self.store_read_at = self.network.now_ns
 
     @staticmethod
     def all_items(table: ConfigTable) -> list[ConfigItem]:
@@ -246,19 +248,19 @@
 
     def tick(self) -> None:
         """Runs the node's timers."""
-        now = self.network.now
+        now_ns = self.network.now_ns
         if not self.is_running or self.is_paused:
             return
         if self.is_control:
             self.poll_store()
         if self.follower is not None:
-            self.follower.tick(now)
+            self.follower.tick(now_ns)
         if self.source is not None:
-            self.source.tick(now)
+            self.source.tick(now_ns)
         self.flush()
 
     def receive(self, data: bytes, source: tuple[str, int]) -> None:
-        now = self.network.now
+        now_ns = self.network.now_ns
         if not self.is_running:
             return
         if self.is_paused:
@@ -269,9 +271,9 @@
         self.traffic[3] += len(data)
         if is_for_source(data):
             if self.source is not None:
-                self.source.receive(now, data, source)
+                self.source.receive(now_ns, data, source)
         elif self.follower is not None:
-            self.follower.receive(now, data, source)
+            self.follower.receive(now_ns, data, source)
         self.flush()
 
     def resume(self) -> None:
@@ -283,7 +285,7 @@
 
     def flush(self) -> None:
         if self.source is not None:
-            self.source.push_changes(self.network.now)
+            self.source.push_changes(self.network.now_ns)
         for side in (self.follower, self.source):
             while side is not None and side.outbox:
                 target, data = side.outbox.popleft()
@@ -315,7 +317,7 @@
             max_logged_changes: Upper bound on the changes logged by each replica.
             step: Interval at which servers and relays run their timers, in ns.
         """
-        self.random, self.now, self.max_logged_changes = Random(seed), 10**12, max_logged_changes
+        self.random, self.now_ns, self.max_logged_changes = Random(seed), 10**12, max_logged_changes
         self.delay, self.loss, self.duplication, self.settings = (
             delay,
             loss,
@@ -364,7 +366,7 @@
 
     def schedule(self, delay_ns: int, action: Callable[[], None]) -> None:
         self.count += 1
-        heapq.heappush(self.queue, (self.now + delay_ns, self.count, action))
+        heapq.heappush(self.queue, (self.now_ns + delay_ns, self.count, action))
 
     def send(self, node: Node, target: tuple[str, int], data: bytes) -> None:
         receiver = self.nodes.get(target[0])
@@ -382,11 +384,11 @@
                 )
 
     def run(self, seconds: float) -> None:
-        until = self.now + int(seconds * NS_PER_SECOND)
+        until = self.now_ns + int(seconds * NS_PER_SECOND)
         while self.queue and self.queue[0][0] <= until:
-            self.now, _, action = heapq.heappop(self.queue)
+            self.now_ns, _, action = heapq.heappop(self.queue)
             action()
-        self.now = until
+        self.now_ns = until
 
     def check(self, node: Node) -> None:
         replica, store, follower = node.replica, self.store, node.follower
@@ -394,7 +396,7 @@
         if head is None or not self.is_checking:
             return
         key = head.epoch, head.revision
-        where = node.name, self.now, key, node.last_head
+        where = node.name, self.now_ns, key, node.last_head
         if key != node.last_head:
             assert key > node.last_head, ("went back", where)
             assert head == store.heads[key], ("another head", where)
@@ -411,7 +413,7 @@
                 node.watched_values = {}
             node.last_head = key
             for revision in range(1, head.revision + 1):
-                node.in_force_at.setdefault((head.epoch, revision), self.now)
+                node.in_force_at.setdefault((head.epoch, revision), self.now_ns)
         if follower is not None:
             node.finished_syncs_seen = follower.counts.finished_syncs
         if replica.is_complete:
@@ -430,10 +432,10 @@
                 assert number >= node.watched_values.get(name, 0), ("a key went back", name, where)
                 node.watched_values[name] = number
         if follower is not None:
-            age_ms = follower.table_age_ms(self.now)
+            age_ms = follower.table_age_ms(self.now_ns)
             superseded_at = store.superseded_at(key)
             if superseded_at is not None and age_ms is not None and not replica.is_partial:
-                assert age_ms >= (self.now - superseded_at) // NS_PER_MS - 1, (
+                assert age_ms >= (self.now_ns - superseded_at) // NS_PER_MS - 1, (
                     "younger than it is",
                     age_ms,
                     where,
@@ -486,7 +488,7 @@
         for _ in range(random.randint(1, max_items))
     }
     return store.put(
-        network.now,
+        network.now_ns,
         scope,
         [
             (
--- a/tests/test_distribution_core.py
+++ b/tests/test_distribution_core.py
@@ -742,22 +742,23 @@
             0, random.choice(["", "a", "b"]), [("route", f"old-{number}", numbered_value(1))]
         )
     add_fleet(network, 9, 3, relays)
-    end = network.now + duration_s * NS_PER_SECOND
-    while network.now < end:
+    end = network.now_ns + duration_s * NS_PER_SECOND
+    while network.now_ns < end:
         for _ in range(random.choice([0, 1, 3])):
             put_random_change(network)
         if random.random() < 0.02:
-            network.store.restore(network.now)
+            network.store.restore(network.now_ns)
         apply_random_event(network, random.choice(list(network.nodes.values())))
         network.run(random.choice([0.1, 0.3, 1, 3, 10]))
     heal(network)
-    healed_at = network.now
+    healed_at = network.now_ns
     while (
-        network.outdated_nodes() and network.now - healed_at < CONVERGENCE_LIMIT_S * NS_PER_SECOND
+        network.outdated_nodes()
+        and network.now_ns - healed_at < CONVERGENCE_LIMIT_S * NS_PER_SECOND
     ):
         network.run(0.25)
     assert not network.outdated_nodes(), (seed, relays, network.loss, network.outdated_nodes())
-    return (network.now - healed_at) / NS_PER_SECOND
+    return (network.now_ns - healed_at) / NS_PER_SECOND
 
 
 @pytest.mark.parametrize("seed", range(24))
@@ -789,8 +790,8 @@
     add_fleet(network, 30, 3, relays)
     network.run(10)
     assert not network.outdated_nodes()
-    end, random = network.now + duration_s * NS_PER_SECOND, Random(seed)
-    while network.now < end:
+    end, random = network.now_ns + duration_s * NS_PER_SECOND, Random(seed)
+    while network.now_ns < end:
         put_random_change(network)
         network.run(random.expovariate(changes_per_s))
     network.run(8)
@@ -823,7 +824,7 @@
     for number in range(int(duration_s * max(changes_per_s, 0.1))):
         if changes_per_s:
             network.store.put(
-                network.now,
+                network.now_ns,
                 "",
                 [("tenant", f"t{number % 7}", msgpack.packb({"n": number, "x": "y" * 280}))],
             )
@@ -831,8 +832,8 @@
     busiest = max(range(9), key=lambda number: sum(network.nodes[f"server-{number}"].traffic))
     name = f"server-{busiest}"
     return [
-        (now - earlier) / duration_s
-        for now, earlier in zip(network.nodes[name].traffic, before[name], strict=True)
+        (later - earlier) / duration_s
+        for later, earlier in zip(network.nodes[name].traffic, before[name], strict=True)
     ]
 
 
@@ -931,7 +932,7 @@
         put_random_change(network)
     network.run(5)
     network.nodes["control-b1"].has_store = False  # it stays at the older epoch
-    network.store.restore(network.now, 3)
+    network.store.restore(network.now_ns, 3)
     put_random_change(network)
     network.run(40)
     assert not network.outdated_nodes(["server-0", "server-1", "control-a0"])
@@ -968,7 +969,7 @@
     assert node.follower.state is State.ALONE
     assert node.follower.counts.refused["different history of the same epoch"] > 5
     assert node.replica.table.digest() == digest
-    assert (node.follower.table_age_ms(network.now) or 0) > 25_000
+    assert (node.follower.table_age_ms(network.now_ns) or 0) > 25_000
 
 
 # Choice of the upstream.
@@ -1085,7 +1086,7 @@
     network.run(5)
     node = network.nodes["server-0"]
     assert node.follower is not None
-    assert (node.follower.table_age_ms(network.now) or 0) < 1500
+    assert (node.follower.table_age_ms(network.now_ns) or 0) < 1500
     digest, head = node.replica.table.digest(), node.replica.head
     network.cut_links = {(name, "server-0") for name in network.nodes}
     for _ in range(30):
@@ -1094,17 +1095,17 @@
     assert node.follower.state is State.ALONE
     assert node.replica.table.digest() == digest
     assert node.replica.head == head
-    report = summary(node.follower, network.now)
+    report = summary(node.follower, network.now_ns)
     assert report["state"] == "alone"
-    assert 29_000 < (node.follower.table_age_ms(network.now) or 0) < 32_000
-    assert report["age_ms"] == node.follower.table_age_ms(network.now)
+    assert 29_000 < (node.follower.table_age_ms(network.now_ns) or 0) < 32_000
+    assert report["age_ms"] == node.follower.table_age_ms(network.now_ns)
     network.cut_links.clear()
     applied = node.follower.counts.applied
     network.run(4)
     assert not network.outdated_nodes()
     assert node.follower.counts.applied - applied == 30
     assert node.follower.counts.syncs == 1
-    assert (node.follower.table_age_ms(network.now) or 0) < 1500
+    assert (node.follower.table_age_ms(network.now_ns) or 0) < 1500
 
 
 def test_followers_of_a_source_without_its_store_switch_to_a_fresher_source() -> None:
@@ -1123,7 +1124,7 @@
         node.has_store = False
     network.run(60)
     ages_ms = [
-        node.follower.table_age_ms(network.now) or 0
+        node.follower.table_age_ms(network.now_ns) or 0
         for node in network.nodes.values()
         if node.follower
     ]
@@ -1141,14 +1142,14 @@
         put_random_change(network)
         network.run(1)
     assert node.follower is not None
-    assert (node.follower.table_age_ms(network.now) or 0) >= 179_000
+    assert (node.follower.table_age_ms(network.now_ns) or 0) >= 179_000
     node.resume()
     assert (
-        node.follower.table_age_ms(network.now) or 0
+        node.follower.table_age_ms(network.now_ns) or 0
     ) >= 170_000  # until the next answer arrives
     network.run(5)
     assert not network.outdated_nodes()
-    assert (node.follower.table_age_ms(network.now) or 0) < 1500
+    assert (node.follower.table_age_ms(network.now_ns) or 0) < 1500
 
 
 def test_followers_ahead_of_a_restarted_source_never_go_back() -> None:
@@ -1168,13 +1169,13 @@
     network.run(20)
     assert node.replica.head == before
     assert node.follower is not None
-    assert (node.follower.table_age_ms(network.now) or 0) > 18_000
+    assert (node.follower.table_age_ms(network.now_ns) or 0) > 18_000
     assert node.follower.counts.syncs == 1
     control.has_store = True
     put_random_change(network)
     network.run(3)
     assert not network.outdated_nodes()
-    assert (node.follower.table_age_ms(network.now) or 0) < 1500
+    assert (node.follower.table_age_ms(network.now_ns) or 0) < 1500
 
 
 def test_three_levels_of_relays_pass_on_changes_and_ages() -> None:
@@ -1190,7 +1191,7 @@
     network.run(8)
     assert not network.outdated_nodes()
     ages_ms = [
-        network.nodes[name].follower.table_age_ms(network.now)
+        network.nodes[name].follower.table_age_ms(network.now_ns)
         for name in ("relay-0", "relay-1", "relay-2", "server-0")
     ]  # type: ignore[union-attr]
     assert max(age_ms or 10**6 for age_ms in ages_ms) < 6000
@@ -1198,10 +1199,10 @@
     network.run(60)
     follower = network.nodes["server-0"].follower
     assert follower is not None
-    assert 59_000 < (follower.table_age_ms(network.now) or 0) < 66_000
-    report = summary_of_source(network.nodes["relay-2"].source, network.now)  # type: ignore[arg-type]
+    assert 59_000 < (follower.table_age_ms(network.now_ns) or 0) < 66_000
+    report = summary_of_source(network.nodes["relay-2"].source, network.now_ns)  # type: ignore[arg-type]
     assert report["followers"] == 3
-    assert report["age_ms"] == network.nodes["relay-2"].follower.table_age_ms(network.now)
+    assert report["age_ms"] == network.nodes["relay-2"].follower.table_age_ms(network.now_ns)
 
 
 def test_a_relay_redirects_followers_of_scopes_that_it_does_not_hold() -> None:
@@ -1230,7 +1231,7 @@
         ReplicationSettings(),
         Random(1),
         NOW_NS,
-        lambda now: 0,
+        lambda now_ns: 0,
     )
     follower = Follower(
         follower_replica,
@@ -1246,17 +1247,17 @@
     return source, follower
 
 
-def exchange(source: Source, follower: Follower, now: int) -> list[bytes]:
+def exchange(source: Source, follower: Follower, now_ns: int) -> list[bytes]:
     """Delivers messages until there are no more; returns all of them."""
     datagrams = []
-    follower.tick(now)
+    follower.tick(now_ns)
     while follower.outbox or source.outbox:
         while follower.outbox:
             datagrams.append(follower.outbox.popleft()[1])
-            source.receive(now, datagrams[-1], ADDRESS)
+            source.receive(now_ns, datagrams[-1], ADDRESS)
         while source.outbox:
             datagrams.append(source.outbox.popleft()[1])
-            follower.receive(now, datagrams[-1], ADDRESS)
+            follower.receive(now_ns, datagrams[-1], ADDRESS)
     return datagrams
 
 
@@ -1555,7 +1556,7 @@
         ReplicationSettings(),
         Random(1),
         NOW_NS,
-        lambda now: None,
+        lambda now_ns: None,
     )
     exchange(restarted_source, follower, NOW_NS + NS_PER_SECOND)
     if has_revision:
@@ -1588,9 +1589,9 @@
     add_fleet(network, 6)
     original = Follower.handle
 
-    def record_and_handle(self: Follower, now: int, received: Input) -> None:
+    def record_and_handle(self: Follower, now_ns: int, received: Input) -> None:
         reached.add((self.state, received))
-        original(self, now, received)
+        original(self, now_ns, received)
 
     Follower.handle = record_and_handle  # type: ignore[method-assign]
     try:
