--- a/burlloom/distribution/change_log.py
+++ b/burlloom/distribution/change_log.py
@@ -1,8 +1,8 @@
 """Bounded log of a replica's latest changes, each with its effect on the digest of its scope.
 
 The digest of a table is an XOR over its items, so each change alters it by an XOR as well. The
-digest at an earlier revision is the current digest XORed with the deltas of all later changes. No
-I/O.
+digest at an earlier revision is the current digest XORed with the deltas of all later changes. Does
+no I/O.
 """
 
 from collections import deque
--- a/burlloom/distribution/changes.py
+++ b/burlloom/distribution/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration: items, the hash chain over the changes, and validation. No I/O.
+"""Changes of the configuration: items, the hash chain over them, and validation. Does no I/O.
 
 A change sets or deletes items of one scope atomically. Each item has an absolute value, so applying
 an old change again is harmless if the later changes are applied again as well. Revisions are
--- a/burlloom/distribution/codec.py
+++ b/burlloom/distribution/codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes the datagrams of replication. No I/O.
+"""Encodes and decodes the datagrams of replication. Does no I/O.
 
 A datagram starts with a seal, 16 bytes of a keyed BLAKE2b (RFC 7693) over the rest. The rest is a
 MessagePack list: protocol version, message kind, the sender's name, its incarnation, the message
@@ -142,7 +142,7 @@
 
 
 def require(condition: bool, part: str) -> None:
-    """Raises `MessageDecodeError` about an invalid part unless a condition holds."""
+    """Raises `MessageDecodeError` for an invalid `part` of a message unless a condition holds."""
     if not condition:
         raise MessageDecodeError(f"invalid {part}")
 
@@ -339,7 +339,7 @@
 }
 
 
-# By message kind: returns the fields of a body, in the order of the wire.
+# By message kind: function that returns the fields of a body in the order on the wire.
 ENCODERS: list[Callable[[Any], Sequence[Any]]] = [
     lambda body: body,
     lambda body: (*body.head, body.age_ms, body.differs, body.oldest_revision),
@@ -366,7 +366,7 @@
 ]
 
 
-# By message kind: number of fields, and the function that makes the body of them.
+# By message kind: number of fields, and the function that builds the body from them.
 DECODERS: list[tuple[int, Callable[..., Body]]] = [
     (4, read_report),
     (7, read_head),
--- a/burlloom/distribution/config_query.py
+++ b/burlloom/distribution/config_query.py
@@ -22,7 +22,7 @@
 from .upstreams import Upstream
 
 ANSWER_TIMEOUT_S = 0.5
-MAX_ATTEMPTS = 3  # attempts of each request
+MAX_ATTEMPTS = 3  # sends of one request; after that the upstream counts as silent
 MAX_PAGES = 10_000  # pages read of one bucket; beyond that the query is given up
 Result = TypeVar("Result")
 
@@ -53,7 +53,7 @@
         """Sends a request until a reply to it is accepted.
 
         Args:
-            upstream: Server to ask.
+            upstream: The upstream to ask.
             body: The request.
             accept: Returns the result of a reply, or None for a reply that is not the wanted one.
 
@@ -93,7 +93,7 @@
     Returns:
         A list with scope, value and "" of each item, the item in force first, or None if no
         upstream answered; and a sentence for the operator that names the upstream and its revision,
-        or says why there is no answer.
+        or says why there is no answer. The "" is a note on the item; an upstream knows none.
     """
     client = QueryClient(key)
     transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
@@ -137,17 +137,17 @@
     after: ItemPosition | None = None
     items: dict[str, bytes] = {}
     for _ in range(MAX_PAGES):
-        paged = await client.query(
+        response = await client.query(
             upstream,
             PagesRequest(bucket, after, 1),
             lambda message: message.body if isinstance(message.body, PageResponse) else None,
         )
-        if paged is None:
+        if response is None:
             return None
-        for item in paged.page.items:
+        for item in response.page.items:
             if item[1:3] == (kind, name) and item.value is not None:
                 items[item.scope] = item.value
-        if paged.page.is_last:
+        if response.page.is_last:
             return [(scope, items[scope], "") for scope in (region, "") if scope in items]
-        after = paged.page.last_position
+        after = response.page.last_position
     return None
--- a/burlloom/distribution/control_node.py
+++ b/burlloom/distribution/control_node.py
@@ -26,7 +26,7 @@
 log = logging.getLogger(__name__)
 
 NS_PER_MS, NS_PER_SECOND = 1_000_000, 1_000_000_000
-TICK_S = 0.05
+TICK_S = 0.05  # between two runs of the timers
 POLL_INTERVAL_S = 0.2  # between two polls of the store
 STORE_TIMEOUT_NS = 1500 * NS_PER_MS  # without a successful poll, after which peers are followed
 MAX_RETRY_DELAY_S = 2.0  # between two polls of an unavailable store
@@ -228,7 +228,7 @@
     # Timers and datagrams.
 
     async def tick_forever(self) -> None:
-        """Calls `tick` every `TICK_S` seconds until cancelled."""
+        """Calls `tick` with pauses of `TICK_S` seconds until cancelled; errors are logged."""
         while True:
             try:
                 self.tick()
@@ -239,7 +239,7 @@
     def tick(self) -> None:
         """Chooses between store and peers, runs all timers, and reports once a second."""
         now_ns = boot_clock_ns()
-        self.choose_upstream(now_ns)
+        self.choose_store_or_peers(now_ns)
         if self.follower is not None:
             self.follower.tick(now_ns)
         self.source.tick(now_ns)
@@ -249,8 +249,8 @@
             self.status_reported_at = now_ns
             self.report_status(now_ns)
 
-    def choose_upstream(self, now_ns: int) -> None:
-        """Starts following peers when the store does not answer, and stops when it does."""
+    def choose_store_or_peers(self, now_ns: int) -> None:
+        """Follows peers if there is no store or it has timed out; stops once polls succeed."""
         last_read_at = self.store_read_at if self.store_read_at is not None else self.started_at
         should_follow_peers = bool(self.upstreams) and (
             self.store is None or now_ns - last_read_at > STORE_TIMEOUT_NS
--- a/burlloom/distribution/counters.py
+++ b/burlloom/distribution/counters.py
@@ -1,4 +1,4 @@
-"""Maps replication counters to their names in state files and metrics. No I/O."""
+"""Maps replication counters to their names in state files and metrics. Does no I/O."""
 
 from typing import Any
 
--- a/burlloom/distribution/endpoint.py
+++ b/burlloom/distribution/endpoint.py
@@ -9,10 +9,9 @@
 
 log = logging.getLogger(__name__)
 
-Address = tuple[str, int]
-MAX_UNSENT_BYTES = (
-    1 << 20
-)  # bytes that the kernel has not accepted yet; beyond that datagrams are dropped, as by a network
+Address = tuple[str, int]  # host and UDP port
+# Bytes that the kernel has not accepted yet; beyond that datagrams are dropped, as by a network.
+MAX_UNSENT_BYTES = 1 << 20
 RECEIVE_BUFFER_BYTES = 1 << 21  # requested SO_RCVBUF; the kernel may grant less
 MAX_REFUSAL_LINES_PER_S = 10  # log lines about refused messages; further refusals are only counted
 
@@ -48,9 +47,8 @@
         self.sock, self.on_datagram = sock, on_datagram
         host, port = sock.getsockname()
         self.address = f"{host}:{port}"
-        self.transport: Any = (
-            None  # Any: typeshed's DatagramTransport lacks get_write_buffer_size()
-        )
+        # `Any`, since typeshed's DatagramTransport lacks get_write_buffer_size().
+        self.transport: Any = None
         self.dropped = 0
         self.logged_second, self.logged_count = 0, 0
 
@@ -60,10 +58,10 @@
             lambda: self, sock=self.sock
         )
 
-    def flush(self, out: deque[tuple[Address, bytes]]) -> None:
-        """Sends all datagrams of `out`; past `MAX_UNSENT_BYTES` unsent bytes they are dropped."""
-        while out:
-            address, data = out.popleft()
+    def flush(self, outbox: deque[tuple[Address, bytes]]) -> None:
+        """Sends and removes all datagrams; with over `MAX_UNSENT_BYTES` unsent they are dropped."""
+        while outbox:
+            address, data = outbox.popleft()
             if self.transport is None or self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
                 self.dropped += 1
             else:
--- a/burlloom/distribution/follower.py
+++ b/burlloom/distribution/follower.py
@@ -1,4 +1,4 @@
-"""The receiving side of replication: follows one of several upstreams. No I/O.
+"""The receiving side of replication: follows one of several upstreams. Does no I/O.
 
 The host calls `tick` at `next_due` or several times a second, passes datagrams to `receive`, and
 sends the datagrams in `outbox`. All times are ns of a monotonic clock.
@@ -52,16 +52,16 @@
 from .upstreams import Address, Upstream, by_preference
 
 MAX_EARLY_CHANGES = 256  # changes kept until the missing ones before them arrive; at most 280 KB
-# Keys changed while a sync runs; beyond that the sync is given up. Four changes a second reach it
-# after hours.
+# Keys changed while a sync runs; beyond that the sync is given up. At four changes a second the
+# limit is reached after more than four hours.
 MAX_FOLDED_ITEMS = 65_536
 ITEMS_PER_PUT = 64  # folded items put into the table at once
-MAX_BACKOFF_DOUBLINGS = 4  # doublings of the timeout of a page request; later timeouts are equal
+MAX_BACKOFF_DOUBLINGS = 4  # doublings of the timeout of a page request; then it stays the same
 MAX_FETCHES = 16  # buckets fetched at once, each with at most MAX_PAGES_PER_REQUEST pages requested
-MAX_OPEN_REPORTS = 4  # unanswered reports whose answer is still accepted
-MAX_PENDING_AGES = 8  # ages told by an upstream for revisions that are not applied yet
+MAX_OPEN_REPORTS = 4  # latest unanswered reports; an answer to an older one is refused
+MAX_PENDING_AGES = 8  # ages reported for revisions not applied yet; the oldest are dropped
 MAX_CONSECUTIVE_REFUSALS = 3  # refused changes in a row after which the upstream is given up
-MAX_UPSTREAMS = 64
+MAX_UPSTREAMS = 64  # upstreams of one follower; with more, `Follower` raises ValueError
 MAX_OUTBOX_DATAGRAMS = 256  # datagrams queued for the host; further ones are dropped
 JITTER_SHARE = 0.1  # share of an interval by which it is varied in both directions
 
@@ -178,6 +178,8 @@
         """Initializes the attributes about changes and syncs; none is pending."""
         # Changes received before the changes that precede them, by revision.
         self.early_changes: dict[int, Change] = {}
+        # The last PULL: its message number, the time of sending, the last revision requested, and
+        # the time at which it is repeated. The time of sending is -1 while none is unanswered.
         self.pull_number, self.pull_sent_at, self.pull_up_to_revision, self.pull_retry_at = (
             -1,
             -1,
@@ -192,8 +194,8 @@
         # in an answer to them is ignored.
         self.first_comparable_report_number = self.number
         self.confirmed_newest_at: int | None = None
-        # Ages told for revisions that are not applied yet: epoch, revision, and the time at which
-        # that revision was the newest.
+        # Ages reported for revisions that are not applied yet: epoch, revision, and the time at
+        # which that revision was the newest.
         self.pending_ages: deque[tuple[int, int, int]] = deque(maxlen=MAX_PENDING_AGES)
 
     # State for the host and its reports.
@@ -433,7 +435,7 @@
         )
 
     def update_confirmed_age(self) -> None:
-        """Applies pending ages of revisions that are in force here by now."""
+        """Applies the pending ages of revisions in force here; drops those of older epochs."""
         head = self.replica.head
         while head is not None and self.pending_ages:
             epoch, revision, newest_at = self.pending_ages[0]
@@ -634,7 +636,7 @@
     # Effects of the transitions.
 
     def pull_changes(self, now_ns: int) -> None:
-        """Requests the next changes, unless they were requested just now."""
+        """Requests the next changes, unless an unanswered PULL for them is not due for a retry."""
         tip = self.tip()
         if tip is None or tip.revision >= self.latest_known_revision():
             self.pull_sent_at = -1
--- a/burlloom/distribution/follower_state.py
+++ b/burlloom/distribution/follower_state.py
@@ -1,4 +1,4 @@
-"""States, inputs, counters and the running sync of a follower. No I/O."""
+"""States, inputs, counters and the running sync of a follower. Does no I/O."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
--- a/burlloom/distribution/leaves.py
+++ b/burlloom/distribution/leaves.py
@@ -34,7 +34,7 @@
 
 
 def pack_leaf(keys: Sequence[bytes], values: Sequence[bytes]) -> bytes:
-    """Returns the leaf with the items, which must be in order of their keys."""
+    """Returns the leaf with the items, which must be in ascending order of their keys."""
     key_section = KEY_SEPARATOR + b"".join([key + KEY_SEPARATOR for key in keys])
     lengths = array("H", map(len, values)).tobytes()
     return b"".join((LEAF_HEADER.pack(len(keys), len(key_section)), lengths, key_section, *values))
@@ -83,9 +83,8 @@
         key_offset = leaf.find(b"\xff%b\xff" % key, keys_start, keys_start + keys_length)
         if key_offset < 0:
             return None
-        length_offset = LEAF_HEADER.size + 2 * leaf.count(
-            KEY_SEPARATOR, keys_start, key_offset
-        )  # offset of the value's length
+        # Offset of the value's length.
+        length_offset = LEAF_HEADER.size + 2 * leaf.count(KEY_SEPARATOR, keys_start, key_offset)
         value_start = (
             keys_start + keys_length + sum(array("H", leaf[LEAF_HEADER.size : length_offset]))
         )
--- a/burlloom/distribution/messages.py
+++ b/burlloom/distribution/messages.py
@@ -1,4 +1,4 @@
-"""Messages between followers and sources. No I/O.
+"""Messages between followers and sources. Does no I/O.
 
 A replayed message has no effect: each request has a number that a source accepts once
 (`ReplayWindow`), an answer carries the number of its request, and changes are chained. codec.py
@@ -19,7 +19,7 @@
 MAX_FOLLOWER_SCOPES = 16  # scopes that a follower may list in a REPORT
 MAX_PULL_CHANGES = 32  # changes that one PULL may request
 MAX_PAGES_PER_REQUEST = 4  # pages that one PAGES_ASK may request
-MAX_PAGE_BYTES = 1050  # items of a page; with the longest names and positions a datagram holds it
+MAX_PAGE_BYTES = 1050  # items of a page; fits into a datagram with the longest names and positions
 HALF_BUCKETS = BUCKET_COUNT // 2  # bucket digests in one DIGESTS message
 
 
@@ -32,7 +32,7 @@
     PULL = 3  # follower: requests the changes after a revision
     DIGESTS_REQUEST = 4  # follower: requests the digests of all buckets
     DIGESTS = 5  # source: the digests of one half of the buckets, and its head at that time
-    PAGES_REQUEST = 6  # follower: requests pages of a bucket behind a position
+    PAGES_REQUEST = 6  # follower: requests pages of a bucket after a position
     PAGE = 7  # source: one page of a bucket
     REDIRECT = 8  # source: it can't serve the follower, which is to try its next upstream
     BYE = 9  # follower: it stops, or follows another upstream
@@ -114,7 +114,7 @@
 
 
 class PagesRequest(NamedTuple):
-    """Body of PAGES_ASK: requests at most `page_count` pages of a bucket behind `after`."""
+    """Body of PAGES_ASK: requests at most `page_count` pages after a position."""
 
     bucket: int
     after: ItemPosition | None
@@ -129,7 +129,7 @@
         revision: Revision of that table.
         bucket: Number of the bucket.
         page_index: Index of the page among those of its PAGES_ASK, from 0.
-        after: Position behind which the page begins; None for the bucket's start.
+        after: Position after which the page begins; None for the bucket's start.
         page: The items.
     """
 
--- a/burlloom/distribution/proposal.py
+++ b/burlloom/distribution/proposal.py
@@ -1,4 +1,4 @@
-"""Validates a proposed change and seals it as the next revision. No I/O."""
+"""Validates a proposed change and seals it as the next revision. Does no I/O."""
 
 from collections.abc import Sequence
 
--- a/burlloom/distribution/refusals.py
+++ b/burlloom/distribution/refusals.py
@@ -1,4 +1,4 @@
-"""Counts refused messages by reason, with a bound on the reasons. No I/O."""
+"""Counts refused messages by reason, with a bound on the reasons. Does no I/O."""
 
 MAX_REASONS = 64  # distinct reasons with a counter of their own; more share "other reasons"
 MAX_PENDING_REFUSALS = 32  # refusals kept until the host logs them; older ones are dropped
--- a/burlloom/distribution/replay_window.py
+++ b/burlloom/distribution/replay_window.py
@@ -1,4 +1,4 @@
-"""Rejects replayed requests by their sequence numbers. No I/O."""
+"""Rejects replayed requests by their sequence numbers. Does no I/O."""
 
 WINDOW_NUMBERS = 64  # a number this far below the highest one is rejected as too old
 
--- a/burlloom/distribution/replica.py
+++ b/burlloom/distribution/replica.py
@@ -1,4 +1,4 @@
-"""A process's copy of the configuration: table, head and latest changes. No I/O."""
+"""A process's copy of the configuration: table, head and latest changes. Does no I/O."""
 
 from collections.abc import Iterable, Sequence
 
--- a/burlloom/distribution/source.py
+++ b/burlloom/distribution/source.py
@@ -1,4 +1,4 @@
-"""The serving side of replication, in a control machine or a relay. No I/O.
+"""The serving side of replication, in a control machine or a relay. Does no I/O.
 
 A relay also has a `Follower` on the same `Replica`. The host calls `tick` about once per heartbeat
 interval, passes datagrams to `receive`, calls `push_changes` after anything that may have changed
--- a/burlloom/distribution/stores/change_store.py
+++ b/burlloom/distribution/stores/change_store.py
@@ -45,7 +45,7 @@
         """
 
     async def items(self, after: StoredPosition | None, max_count: int) -> list[StoredItem]:
-        """Returns a page of at most `max_count` items in force behind a position, in order.
+        """Returns a page of at most `max_count` items in force after a position, in order.
 
         The table may change between two pages. Reading the head, then all pages, and then applying
         all changes after that head gives the items in force at the last of those changes.
--- a/burlloom/distribution/stores/sql.py
+++ b/burlloom/distribution/stores/sql.py
@@ -165,7 +165,7 @@
         )
 
     async def items(self, after: StoredPosition | None, max_count: int) -> list[StoredItem]:
-        """Returns a page of at most `max_count` items in force behind a position, in order."""
+        """Returns a page of at most `max_count` items in force after a position, in order."""
         rows = await (
             self.execute(SELECT_PAGE, max_count)
             if after is None
--- a/burlloom/distribution/table.py
+++ b/burlloom/distribution/table.py
@@ -35,7 +35,7 @@
     Attributes:
         items: The items.
         last_position: Position of the last item; None if the page is empty.
-        is_last: Whether the bucket has no items behind those of the page.
+        is_last: Whether the bucket has no items after those of the page.
     """
 
     items: tuple[ConfigItem, ...]
@@ -226,11 +226,11 @@
     def page(
         self, bucket: int, after: ItemPosition | None, scopes: Iterable[str] | None, max_bytes: int
     ) -> Page:
-        """Returns a bucket's next items behind a position.
+        """Returns a bucket's next items after a position.
 
         Args:
             bucket: Number of the bucket.
-            after: Position behind which the page begins; None for the bucket's start.
+            after: Position after which the page begins; None for the bucket's start.
             scopes: Scopes whose items are wanted; None for all.
             max_bytes: Upper bound on the items' size in MessagePack.
 
@@ -265,8 +265,8 @@
     def replace(self, bucket: int, after: ItemPosition | None, page: Page) -> int:
         """Makes a range of a bucket equal to a page and returns the number of items that differed.
 
-        The range begins behind `after` and ends at `page.last_position`, or at the bucket's end if
-        the page is the bucket's last. It covers all scopes held.
+        The range excludes the position `after` and ends with `page.last_position`, or at the
+        bucket's end if the page is the bucket's last. It covers all scopes held.
         """
         items = self.checked_page(bucket, after, page)
         changes_by_scope: dict[str, dict[bytes, bytes | None]] = {}
@@ -296,10 +296,10 @@
         faults, previous_position = [], after
         for number, item in enumerate(checked_items):
             checks = (
-                ("deletes", item.value is None),
-                ("is of another bucket", bucket_of(item.kind, item.key) != bucket),
+                ("has no value", item.value is None),
+                ("belongs to another bucket", bucket_of(item.kind, item.key) != bucket),
                 (
-                    "is not behind the one before",
+                    "is not after the previous position",
                     previous_position is not None and item[:3] <= previous_position,
                 ),
             )
@@ -310,9 +310,9 @@
             ]
             previous_position = item[:3]
         if page.last_position != (checked_items[-1][:3] if checked_items else None):
-            faults.append("last: is not the last entry")
+            faults.append("last_position: not the position of the last entry")
         if not checked_items and not page.is_last:
-            faults.append("done: a page of nothing that is not the last")
+            faults.append("is_last: False for a page without entries")
         if faults or not 0 <= bucket < BUCKET_COUNT:
             raise ValueError(
                 "; ".join(faults) or f"bucket: {bucket}, 0 to {BUCKET_COUNT - 1} allowed"
@@ -346,7 +346,7 @@
                 if scopes and item.scope not in self.scope_tables_by_name
             ]
         elif len(scopes | set(self.scope_tables_by_name)) > MAX_TABLE_SCOPES:
-            faults.append(f"scopes: over {MAX_TABLE_SCOPES}")
+            faults.append(f"scopes: more than {MAX_TABLE_SCOPES}")
         if faults:
             raise ValueError("; ".join(faults))
         return checked_items
--- a/burlloom/distribution/upstreams.py
+++ b/burlloom/distribution/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams of a follower and its order of preference among them. No I/O."""
+"""Upstreams of a follower and its order of preference among them. Does no I/O."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
--- a/burlloom/record/authentication.py
+++ b/burlloom/record/authentication.py
@@ -11,7 +11,7 @@
 
 KEY_BYTES = 32
 MAC_BYTES = 16
-MAX_KEY_FILE_BYTES = 4096
+MAX_KEY_FILE_BYTES = 4096  # of a longer file only the start is read
 MAC_PERSONALIZATION = b"burlloom seal"
 
 
--- a/burlloom/record/broken_transaction.py
+++ b/burlloom/record/broken_transaction.py
@@ -1,4 +1,4 @@
-"""Decides what a failed PostgreSQL transaction means for its writes. No I/O."""
+"""Decides what a failed PostgreSQL transaction means for its writes. Does no I/O."""
 
 from enum import IntEnum
 
--- a/burlloom/record/circuit_breaker.py
+++ b/burlloom/record/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""The circuit breaker around the store: decides whether writes may be sent. No I/O.
+"""The circuit breaker around the store: decides whether writes may be sent. Does no I/O.
 
 The breaker reacts to a store that is slow or unreachable. A write counts as a failure if it took
 longer than its timeout or certainly did not take effect. `MAX_CONSECUTIVE_FAILURES` failures in a
@@ -13,7 +13,7 @@
 __all__ = ["BreakerEffect", "BreakerEvent", "BreakerState", "CircuitBreaker"]
 
 NS_PER_MS = 1_000_000
-MAX_CONSECUTIVE_FAILURES = 5
+MAX_CONSECUTIVE_FAILURES = 5  # failures in a row that open the breaker
 MIN_PROBE_PAUSE_NS = 250 * NS_PER_MS
 MAX_PROBE_PAUSE_NS = 4000 * NS_PER_MS
 # A write or probe older than this many timeouts counts as hanging. The store takes writes in order,
@@ -104,25 +104,25 @@
         )
 
     def compute_load(self, now_ns: int) -> float:
-        """Returns the oldest unanswered write's age in timeouts, at least 1 while not closed."""
-        oldest_ns = next(iter(self.in_flight.values()), now_ns)
+        """Returns the oldest unanswered write's age in write timeouts; at least 1 unless CLOSED."""
+        oldest_start_ns = next(iter(self.in_flight.values()), now_ns)
         return max(
-            (now_ns - oldest_ns) / self.write_timeout_ns,
+            (now_ns - oldest_start_ns) / self.write_timeout_ns,
             float(self.state is not BreakerState.CLOSED),
         )
 
-    def write_started(self, now_ns: int) -> int:
-        """Records that a write was sent, and returns its number for `write_finished`."""
+    def start_write(self, now_ns: int) -> int:
+        """Records that a write was sent, and returns its number for `finish_write`."""
         self._last_write_number += 1
         self.in_flight[self._last_write_number] = now_ns
         return self._last_write_number
 
-    def write_finished(self, write_number: int, now_ns: int, succeeded: bool) -> BreakerEffect:
+    def finish_write(self, write_number: int, now_ns: int, succeeded: bool) -> BreakerEffect:
         """Records the store's answer to a write; a late success counts as a failure."""
         started_ns = self.in_flight.pop(write_number, now_ns)
-        in_time = succeeded and now_ns - started_ns <= self.write_timeout_ns
+        is_in_time = succeeded and now_ns - started_ns <= self.write_timeout_ns
         return self._handle(
-            BreakerEvent.WRITE_SUCCEEDED if in_time else BreakerEvent.WRITE_FAILED, now_ns
+            BreakerEvent.WRITE_SUCCEEDED if is_in_time else BreakerEvent.WRITE_FAILED, now_ns
         )
 
     def tick(self, now_ns: int) -> BreakerEffect:
@@ -131,20 +131,20 @@
             return self._handle(BreakerEvent.WRITE_HANGS, now_ns)
         return self._handle(BreakerEvent.TICK, now_ns)
 
-    def probe_finished(self, now_ns: int, succeeded: bool) -> BreakerEffect:
+    def finish_probe(self, now_ns: int, succeeded: bool) -> BreakerEffect:
         """Records the end of a probe; a late success counts as a failure.
 
         The caller must send another probe if the effect is PROBE_AGAIN.
         """
-        in_time = succeeded and now_ns - self._probe_started_ns <= self.write_timeout_ns
+        is_in_time = succeeded and now_ns - self._probe_started_ns <= self.write_timeout_ns
         return self._handle(
-            BreakerEvent.PROBE_SUCCEEDED if in_time else BreakerEvent.PROBE_FAILED, now_ns
+            BreakerEvent.PROBE_SUCCEEDED if is_in_time else BreakerEvent.PROBE_FAILED, now_ns
         )
 
     def is_write_hanging(self, now_ns: int) -> bool:
         """Returns whether the oldest unanswered write exceeds `HANG_TIMEOUT_MULTIPLE` timeouts."""
-        oldest_ns = next(iter(self.in_flight.values()), now_ns)
-        return now_ns - oldest_ns > HANG_TIMEOUT_MULTIPLE * self.write_timeout_ns
+        oldest_start_ns = next(iter(self.in_flight.values()), now_ns)
+        return now_ns - oldest_start_ns > HANG_TIMEOUT_MULTIPLE * self.write_timeout_ns
 
     def has_few_failures(self, now_ns: int) -> bool:
         """Returns whether one more failure stays below `MAX_CONSECUTIVE_FAILURES`."""
--- a/burlloom/record/clock_shift.py
+++ b/burlloom/record/clock_shift.py
@@ -1,4 +1,4 @@
-"""Computes by how much the wall clock was stepped while a store was closed. No I/O."""
+"""Computes by how much the wall clock was stepped while a store was closed. Does no I/O."""
 
 from dataclasses import dataclass
 
@@ -23,7 +23,7 @@
     wall_ns: int
 
 
-def compute_clock_shift(before: ClockReading | None, now: ClockReading) -> int:
+def compute_clock_shift(previous: ClockReading | None, current: ClockReading) -> int:
     """Computes by how many nanoseconds the wall clock was stepped between two readings.
 
     Idempotency windows end at wall-clock times. If the clock was stepped ahead, they would end too
@@ -33,16 +33,16 @@
     difference.
 
     Args:
-        before: The last saved reading; None if there is none.
-        now: The current reading.
+        previous: The last saved reading; None if there is none.
+        current: The current reading.
 
     Returns:
         The step in nanoseconds, positive if ahead; 0 if there was none or it can't be determined.
     """
-    if before is None:
+    if previous is None:
         return 0
-    wall_passed_ns = now.wall_ns - before.wall_ns
-    if before.boot_id and before.boot_id == now.boot_id:
-        step_ns = wall_passed_ns - (now.monotonic_ns - before.monotonic_ns)
+    wall_passed_ns = current.wall_ns - previous.wall_ns
+    if previous.boot_id and previous.boot_id == current.boot_id:
+        step_ns = wall_passed_ns - (current.monotonic_ns - previous.monotonic_ns)
         return step_ns if abs(step_ns) >= MIN_CLOCK_STEP_NS else 0
     return min(0, wall_passed_ns)
--- a/burlloom/record/coordinator.py
+++ b/burlloom/record/coordinator.py
@@ -26,8 +26,8 @@
 log = logging.getLogger(__name__)
 
 NS_PER_MS = 1_000_000
-NS_PER_S = 1_000_000_000
-TICK_INTERVAL_S = 0.05
+NS_PER_SECOND = 1_000_000_000
+TICK_INTERVAL_S = 0.05  # between checks for ended windows and ticks of the circuit breaker
 FINAL_STATES = (
     RequestState.CLOSED,
     RequestState.SUCCESS_RECORDED,
@@ -165,7 +165,7 @@
             )
             if awaited_count:
                 asyncio.get_running_loop().call_later(
-                    self.policy.executor_wait_ns / NS_PER_S, self._executor_timed_out
+                    self.policy.executor_wait_ns / NS_PER_SECOND, self._executor_timed_out
                 )
         return resumed
 
@@ -304,7 +304,7 @@
         remaining_ns = deadline_ns - self._clock()
         if remaining_ns > 0:
             future = self.registry.add_waiter(request.request_id)
-            await asyncio.wait({future}, timeout=remaining_ns / NS_PER_S)
+            await asyncio.wait({future}, timeout=remaining_ns / NS_PER_SECOND)
             if future.done():
                 return
             future.cancel()
--- a/burlloom/record/postgres.py
+++ b/burlloom/record/postgres.py
@@ -39,12 +39,13 @@
 
 MAX_BATCH_WRITES = 128  # writes in one transaction
 MIN_RECONNECT_PAUSE_S = 0.05
-MAX_RECONNECT_PAUSE_S = 2.0
+MAX_RECONNECT_PAUSE_S = 2.0  # the pause doubles with each failed attempt up to this
 MAINTENANCE_INTERVAL_S = 1.0  # between reads of verdicts and deletions of expired rows
-CLOSE_TIMEOUT_S = 2.0
+CLOSE_TIMEOUT_S = 2.0  # after it `close` cancels the writer task
 PACKED_TIME_BYTES = 8
 PACKED_KEY_BYTES = KEY_DIGEST_BYTES + PACKED_TIME_BYTES
 KEYS_PER_PAGE = 10_000  # keys per SELECT at startup; about 100 bytes each until packed
+# Order in which a batch locks its rows, by kind and then by key; the same at all nodes.
 LOCK_ORDER = {
     WriteKind.CLAIM: 0,
     WriteKind.INSERT: 1,
--- a/burlloom/record/postgres_admin.py
+++ b/burlloom/record/postgres_admin.py
@@ -134,7 +134,7 @@
             await connection.fetch(COMPLETE_WITHOUT_RESULT, completed.state, mac, *claim)
         else:
             await connection.fetch(DELETE_CLAIM, *claim)
-    return "done; its node takes it up within a second"
+    return "done; its node applies the verdict within a second"
 
 
 async def set_fence(record: "Record", node: str, is_fenced: bool) -> None:
--- a/burlloom/record/postgres_statements.py
+++ b/burlloom/record/postgres_statements.py
@@ -5,7 +5,7 @@
 
 from .rows import ROW_STARTED, RecordRow, WriteKind, finish_values, withdraw_values
 
-MAX_PRUNED_ROWS = 2_000
+MAX_PRUNED_ROWS = 2_000  # expired rows deleted at once; the rest waits for the next prune
 COLUMNS = "mark, state, node, life, turn, id, at, until, result, seal"
 ROW_PARAMETERS = (
     "$1::bytea, $2::bigint, $3::text, $4::bigint, $5::bigint, $6::text, $7::bigint, $8::bigint,"
--- a/burlloom/record/recovery_rules.py
+++ b/burlloom/record/recovery_rules.py
@@ -1,4 +1,4 @@
-"""Decides how a new incarnation treats the rows of earlier ones. No I/O."""
+"""Decides how a new incarnation treats the rows of earlier ones. Does no I/O."""
 
 from .request_lifecycle import RequestEvent
 from .rows import ROW_COMPLETED, ROW_COMPLETED_WITHOUT_RESULT, ROW_STARTED, RecordRow
--- a/burlloom/record/request_lifecycle.py
+++ b/burlloom/record/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The state machine of a keyed request, which must not run twice. No I/O.
+"""The state machine of a keyed request, which must not run twice. Does no I/O.
 
 A `DurableRequest` is one attempt's claim on a key digest, from the moment the admission controller
 starts the attempt until its outcome is durable. It also represents a claim that an earlier
--- a/burlloom/record/request_registry.py
+++ b/burlloom/record/request_registry.py
@@ -7,8 +7,8 @@
 
 __all__ = ["RequestRegistry"]
 
-MAX_REQUESTS = 8192
-NS_PER_S = 1_000_000_000
+MAX_REQUESTS = 8192  # beyond it, no further claim or lookup is sent to the store
+NS_PER_SECOND = 1_000_000_000
 
 
 class RequestRegistry:
@@ -67,7 +67,7 @@
 
     def start_claim_timer(self, request: DurableRequest) -> None:
         """Starts the timer that fires at the request's claim deadline."""
-        delay_s = max(0, request.claim_deadline_ns - self._clock()) / NS_PER_S
+        delay_s = max(0, request.claim_deadline_ns - self._clock()) / NS_PER_SECOND
         self.claim_timers[request.request_id] = asyncio.get_running_loop().call_later(
             delay_s, self._time_out, request
         )
--- a/burlloom/record/request_writer.py
+++ b/burlloom/record/request_writer.py
@@ -14,11 +14,12 @@
 __all__ = ["ResultFetcher", "RequestWriter"]
 
 NS_PER_MS = 1_000_000
-NS_PER_S = 1_000_000_000
+NS_PER_SECOND = 1_000_000_000
+# Bounds of the pause before a write or read is sent again; the pause doubles with each attempt.
 MIN_RETRY_PAUSE_NS = 20 * NS_PER_MS
 MAX_RETRY_PAUSE_NS = 1000 * NS_PER_MS
-MAX_BACKOFF_DOUBLINGS = 8
-MAX_PENDING_FETCHES = 256
+MAX_BACKOFF_DOUBLINGS = 8  # bounds the shift; `MAX_RETRY_PAUSE_NS` is reached before
+MAX_PENDING_FETCHES = 256  # reads of results at a time; further ones return None at once
 UNANSWERED_OUTCOMES = (RequestEvent.WRITE_FAILED, RequestEvent.WRITE_UNCERTAIN)
 
 EventHandler = Callable[[DurableRequest, RequestEvent], None]
@@ -64,12 +65,12 @@
         """Sends a write; only the answer to a request's last write is handled."""
         request.write_count += 1
         write_count, started_ns = request.write_count, self._clock()
-        write_number = self._health.breaker.write_started(started_ns)
+        write_number = self._health.breaker.start_write(started_ns)
 
         def handle_result(result: WriteResult) -> None:
             now_ns = self._clock()
             succeeded = result.outcome not in (*UNANSWERED_OUTCOMES, RequestEvent.FENCED)
-            self._health.write_finished(write_number, now_ns, succeeded)
+            self._health.finish_write(write_number, now_ns, succeeded)
             self._observe(kind, now_ns - started_ns)
             if write_count == request.write_count:
                 if result.row is not None and result.outcome is RequestEvent.FOUND_RESULT:
@@ -86,7 +87,7 @@
         doublings = min(request.write_count, MAX_BACKOFF_DOUBLINGS)
         pause_ns = min(MAX_RETRY_PAUSE_NS, MIN_RETRY_PAUSE_NS << doublings)
         asyncio.get_running_loop().call_later(
-            pause_ns / NS_PER_S, self._retry, request, kind, request.write_count, request.state
+            pause_ns / NS_PER_SECOND, self._retry, request, kind, request.write_count, request.state
         )
 
     def _retry(
@@ -176,13 +177,13 @@
             self._store.submit(
                 RecordWrite(WriteKind.FIND, row), partial(set_result_if_pending, future)
             )
-            await asyncio.wait({future}, timeout=remaining_ns / NS_PER_S)
+            await asyncio.wait({future}, timeout=remaining_ns / NS_PER_SECOND)
             if not future.done():
                 future.cancel()
                 return WriteResult(RequestEvent.STORE_TIMED_OUT)
             result = future.result()
             if result.outcome in UNANSWERED_OUTCOMES:
-                await asyncio.sleep(pause_ns / NS_PER_S)
+                await asyncio.sleep(pause_ns / NS_PER_SECOND)
                 pause_ns = min(MAX_RETRY_PAUSE_NS, 2 * pause_ns)
         return result
 
--- a/burlloom/record/rows.py
+++ b/burlloom/record/rows.py
@@ -1,4 +1,4 @@
-"""The rows of keyed requests, the writes to them, and the meaning of the results. No I/O."""
+"""The rows of keyed requests, the writes to them, and the meaning of the results. Does no I/O."""
 
 from dataclasses import dataclass
 from enum import IntEnum
--- a/burlloom/record/sqlite.py
+++ b/burlloom/record/sqlite.py
@@ -39,12 +39,12 @@
 
 MIN_BULK_WRITES = 8  # the smallest batch that is applied with one bulk statement per kind
 MAX_BATCH_WRITES = 256  # writes per commit; a longer commit would delay the writes behind it
-ROWS_PER_READ = 4096
+ROWS_PER_READ = 4096  # keys in one batch of `read_recorded_keys`
 PRUNE_INTERVAL_NS = 1_000_000_000
-MAX_PRUNED_ROWS = 2_000
+MAX_PRUNED_ROWS = 2_000  # expired rows deleted at once; the rest waits for the next prune
 VERDICT_INTERVAL_S = 1.0  # between polls for operators' verdicts; also while nothing is written
 MAX_VACUUM_PAGES = 200  # maximum number of free pages returned to the file system after a prune
-CLOSE_TIMEOUT_S = 2.0
+CLOSE_TIMEOUT_S = 2.0  # after it `close` abandons the writer thread, and the file stays open
 # Messages of COMMIT errors after which SQLite rolls back completely, so no write took effect.
 CERTAIN_ERRORS = ("database or disk is full", "database is locked")
 
@@ -148,12 +148,12 @@
         self.file_lock.release()
 
     def _begin_incarnation(self, db: sqlite3.Connection, migrated: tuple[int, ...]) -> StoreSession:
-        now = self.read_clocks()
+        clocks = self.read_clocks()
         meta = dict(self.lock_retry.run(lambda: db.execute(sql.SELECT_META).fetchall()))
         saved_clocks = None
         if "wall" in meta:
             saved_clocks = ClockReading(meta["boot"], int(meta["steady"]), int(meta["wall"]))
-        self.clock_shift_ns = compute_clock_shift(saved_clocks, now)
+        self.clock_shift_ns = compute_clock_shift(saved_clocks, clocks)
         with transaction(db, self.lock_retry):
             if self.clock_shift_ns > 0 and saved_clocks is not None:
                 self._shift_windows(db, saved_clocks.wall_ns)
@@ -163,7 +163,7 @@
                 (self.node,),
             )
             self.incarnation, notice = db.execute(sql.SELECT_NODE, (self.node,)).fetchone()
-            save_clocks(db, now)
+            save_clocks(db, clocks)
             db.execute("COMMIT")
         return StoreSession(
             self.node,
@@ -420,9 +420,13 @@
             log.warning("event=record_verdicts_not_read error=%r", str(error))
 
 
-def save_clocks(db: sqlite3.Connection, now: ClockReading) -> None:
+def save_clocks(db: sqlite3.Connection, clocks: ClockReading) -> None:
     """Saves both clocks, from which the next start computes whether the wall clock was stepped."""
     db.executemany(
         sql.UPSERT_META,
-        [("boot", now.boot_id), ("steady", str(now.monotonic_ns)), ("wall", str(now.wall_ns))],
+        [
+            ("boot", clocks.boot_id),
+            ("steady", str(clocks.monotonic_ns)),
+            ("wall", str(clocks.wall_ns)),
+        ],
     )
--- a/burlloom/record/sqlite_admin.py
+++ b/burlloom/record/sqlite_admin.py
@@ -23,9 +23,9 @@
 
 __all__ = ["RecordStats", "SqliteRecordAdmin", "VerificationReport", "format_time"]
 
-NS_PER_S = 1_000_000_000
-BUSY_TIMEOUT_S = 5.0
-MAX_STRUCTURE_FAULTS = 20
+NS_PER_SECOND = 1_000_000_000
+BUSY_TIMEOUT_S = 5.0  # how long a statement waits for a lock on the file
+MAX_STRUCTURE_FAULTS = 20  # faults of the file structure that `verify` lists
 NO_TIME_TEXT = "-"
 UPSERT_VERDICT = (
     "INSERT INTO verdict (mark, life, turn, ran, said_at, reason) VALUES (?,?,?,?,?,?)"
@@ -95,7 +95,7 @@
     """
 
     def __init__(self, path: Path, authenticator: RowAuthenticator) -> None:
-        """Takes the attributes of the same names; the file is not opened."""
+        """Stores the attributes of the same names; the file is not opened."""
         self.path = path
         self.authenticator = authenticator
 
@@ -288,7 +288,7 @@
             if not is_served:
                 self._apply_verdict(db, row_in_doubt, ran)
             db.execute("COMMIT")
-        return "the server takes it up within a second" if is_served else "done"
+        return "the server applies the verdict within a second" if is_served else "done"
 
     def _apply_verdict(self, db: sqlite3.Connection, row_in_doubt: RecordRow, ran: bool) -> None:
         claim = (row_in_doubt.key_digest, row_in_doubt.incarnation, row_in_doubt.claim_number)
@@ -331,4 +331,4 @@
     """Formats a wall-clock time in UTC, to the second; 0 is formatted as "-"."""
     if not time_ns:
         return NO_TIME_TEXT
-    return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(time_ns // NS_PER_S))
+    return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(time_ns // NS_PER_SECOND))
--- a/burlloom/record/sqlite_snapshot.py
+++ b/burlloom/record/sqlite_snapshot.py
@@ -6,13 +6,13 @@
 from pathlib import Path
 
 from . import sqlite_statements as sql
-from .sqlite_admin import NS_PER_S, SqliteRecordAdmin, VerificationReport
+from .sqlite_admin import NS_PER_SECOND, SqliteRecordAdmin, VerificationReport
 from .store import StoreRefusedError
 
 __all__ = ["merge_snapshot", "restore_snapshot", "take_snapshot"]
 
 ROWS_PER_COMMIT = 500  # limits how long a merge delays the commits of a server on the same file
-INCARNATIONS_SKIPPED = 1000
+INCARNATIONS_SKIPPED = 1000  # by a restore, see `prepare_restored`
 FILE_MODE = 0o600
 RECORD_SUFFIXES = ("", "-wal", "-shm")
 
@@ -130,7 +130,9 @@
             old_path = admin.path.with_name(admin.path.name + suffix)
             if old_path.exists():
                 old_path.rename(
-                    admin.path.with_name(f"{admin.path.name}.before-{now_ns // NS_PER_S}{suffix}")
+                    admin.path.with_name(
+                        f"{admin.path.name}.before-{now_ns // NS_PER_SECOND}{suffix}"
+                    )
                 )
         partial_path.rename(admin.path)
         sync_to_disk(admin.path.parent)
@@ -138,7 +140,7 @@
 
 
 def prepare_restored(db: sqlite3.Connection, closed_until_ns: int) -> None:
-    """Prepares a copy for use, so that nothing written after the snapshot is taken for its own."""
+    """Prepares a copy for use as the record: removes state that was valid only at the snapshot."""
     # Skip all incarnations that may have existed, so that a claim made after the snapshot can't be
     # taken for a claim of a future incarnation.
     db.execute(f"UPDATE node SET life = life + {INCARNATIONS_SKIPPED}")
--- a/burlloom/record/store.py
+++ b/burlloom/record/store.py
@@ -56,7 +56,10 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The store can't be reached, or it is unknown if a write applied: read before acting."""
+    """The store can't be reached, or it is unknown whether a write took effect.
+
+    After this error a caller reads the stored state before it repeats a write.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +69,8 @@
     Attributes:
         node: The node's name.
         incarnation: The node's incarnation, from 1.
-        clock_shift_ns: By how much the wall clock was stepped since the store was last used.
+        clock_shift_ns: By how much the wall clock was stepped while the store was closed; positive
+            if it was stepped ahead.
         migrated: The numbers of the schema steps that were applied.
         closed_until_ns: When claims are allowed again, wall-clock nanoseconds; 0 for no
             restriction. Set by a restore from a snapshot, which lacks the requests that ran later.
--- a/burlloom/record/store_health.py
+++ b/burlloom/record/store_health.py
@@ -23,7 +23,7 @@
     def __init__(
         self, store: RecordStore, breaker: CircuitBreaker, clock: Callable[[], int]
     ) -> None:
-        """Creates the object.
+        """Creates the health check of a store.
 
         Args:
             store: The store to probe.
@@ -39,13 +39,13 @@
         """Handles the passing of time; call it periodically."""
         self._apply(self.breaker.tick(now_ns))
 
-    def write_finished(self, number: int, now_ns: int, succeeded: bool) -> None:
+    def finish_write(self, number: int, now_ns: int, succeeded: bool) -> None:
         """Records the store's answer to a write."""
-        self._apply(self.breaker.write_finished(number, now_ns, succeeded))
+        self._apply(self.breaker.finish_write(number, now_ns, succeeded))
 
-    def _probe_finished(self, succeeded: bool) -> None:
+    def _finish_probe(self, succeeded: bool) -> None:
         self._is_probing = False
-        self._apply(self.breaker.probe_finished(self._clock(), succeeded))
+        self._apply(self.breaker.finish_probe(self._clock(), succeeded))
 
     def _apply(self, effect: BreakerEffect) -> None:
         if effect in (BreakerEffect.OPEN, BreakerEffect.OPEN_LONGER):
@@ -58,4 +58,4 @@
             log.info("event=record_breaker_closed times_opened=%d", self.breaker.times_opened)
         elif effect in (BreakerEffect.PROBE, BreakerEffect.PROBE_AGAIN) and not self._is_probing:
             self._is_probing = True
-            self._store.probe(self._probe_finished)
+            self._store.probe(self._finish_probe)
--- a/tests/test_circuit_breaker.py
+++ b/tests/test_circuit_breaker.py
@@ -23,7 +23,7 @@
     breaker, now_ns = CircuitBreaker(10, WRITE_TIMEOUT_NS), 0
     for n in range(MAX_CONSECUTIVE_FAILURES):
         assert breaker.may_write(now_ns)
-        assert breaker.write_finished(breaker.write_started(now_ns), now_ns, False) == (
+        assert breaker.finish_write(breaker.start_write(now_ns), now_ns, False) == (
             BreakerEffect.OPEN if n == MAX_CONSECUTIVE_FAILURES - 1 else BreakerEffect.COUNT_FAILURE
         )
     assert not breaker.may_write(now_ns)
@@ -31,15 +31,15 @@
     now_ns += breaker.pause_ns
     assert breaker.tick(now_ns) is BreakerEffect.PROBE
     assert not breaker.may_write(now_ns)
-    assert breaker.probe_finished(now_ns + NS_PER_MS, True) is BreakerEffect.PROBE_AGAIN
+    assert breaker.finish_probe(now_ns + NS_PER_MS, True) is BreakerEffect.PROBE_AGAIN
     assert not breaker.may_write(now_ns)
-    assert breaker.probe_finished(now_ns + 2 * NS_PER_MS, True) is BreakerEffect.CLOSE
+    assert breaker.finish_probe(now_ns + 2 * NS_PER_MS, True) is BreakerEffect.CLOSE
     assert breaker.may_write(now_ns)
 
 
 def test_a_hanging_write_opens_the_breaker_without_a_failure() -> None:
     breaker = CircuitBreaker(10, WRITE_TIMEOUT_NS)
-    breaker.write_started(0)
+    breaker.start_write(0)
     assert breaker.may_write(HANG_TIMEOUT_MULTIPLE * WRITE_TIMEOUT_NS)
     assert not breaker.may_write(HANG_TIMEOUT_MULTIPLE * WRITE_TIMEOUT_NS + 1)
     assert breaker.tick(HANG_TIMEOUT_MULTIPLE * WRITE_TIMEOUT_NS + 1) is BreakerEffect.OPEN
@@ -47,9 +47,9 @@
 
 def test_writes_in_flight_are_limited() -> None:
     breaker = CircuitBreaker(3, WRITE_TIMEOUT_NS)
-    write_numbers = [breaker.write_started(0) for _ in range(3)]
+    write_numbers = [breaker.start_write(0) for _ in range(3)]
     assert not breaker.may_write(0)
-    breaker.write_finished(write_numbers[0], 1, True)
+    breaker.finish_write(write_numbers[0], 1, True)
     assert breaker.may_write(1)
 
 
@@ -72,9 +72,9 @@
         now_ns += elapsed_ms * NS_PER_MS
         state_before = breaker.state
         if action == "write" and breaker.may_write(now_ns):
-            write_numbers.append(breaker.write_started(now_ns))
+            write_numbers.append(breaker.start_write(now_ns))
         elif action in ("success", "failure") and write_numbers:
-            breaker.write_finished(write_numbers.pop(0), now_ns, action == "success")
+            breaker.finish_write(write_numbers.pop(0), now_ns, action == "success")
         elif action == "tick":
             successful_probes = (
                 0 if breaker.tick(now_ns) is BreakerEffect.PROBE else successful_probes
@@ -82,7 +82,7 @@
         elif action.startswith("probe") and state_before is BreakerState.HALF_OPEN:
             successful_probes = (
                 successful_probes + 1
-                if breaker.probe_finished(now_ns, action == "probe-success")
+                if breaker.finish_probe(now_ns, action == "probe-success")
                 in (BreakerEffect.PROBE_AGAIN, BreakerEffect.CLOSE)
                 else 0
             )
@@ -129,15 +129,17 @@
 def test_a_clock_step_is_detected_within_one_boot(
     wall_ns: int, elapsed_ns: int, step_ns: int
 ) -> None:
-    before, now = (
+    previous, current = (
         ClockReading("a", 5, wall_ns),
         ClockReading("a", 5 + elapsed_ns, wall_ns + elapsed_ns + step_ns),
     )
-    assert compute_clock_shift(before, now) == (step_ns if abs(step_ns) >= MIN_CLOCK_STEP_NS else 0)
-    assert compute_clock_shift(before, ClockReading("b", 0, wall_ns + elapsed_ns + step_ns)) == min(
-        0, elapsed_ns + step_ns
+    assert compute_clock_shift(previous, current) == (
+        step_ns if abs(step_ns) >= MIN_CLOCK_STEP_NS else 0
     )
-    assert compute_clock_shift(None, now) == 0
+    assert compute_clock_shift(
+        previous, ClockReading("b", 0, wall_ns + elapsed_ns + step_ns)
+    ) == min(0, elapsed_ns + step_ns)
+    assert compute_clock_shift(None, current) == 0
 
 
 def test_a_broken_transaction_is_classified_by_stage_and_sqlstate() -> None:
--- a/tests/test_distribution_core.py
+++ b/tests/test_distribution_core.py
@@ -319,7 +319,7 @@
         ),
         min_size=1,
         max_size=9,
-        unique_by=lambda one: one[:2],
+        unique_by=lambda item: item[:2],
     )
 )
 @settings(max_examples=200, deadline=None)
--- a/tests/test_distribution_table.py
+++ b/tests/test_distribution_table.py
@@ -260,7 +260,7 @@
     )
     assert (table.get("route", "a"), table.count("route")) == (b"1", 1)
     assert (table.item_count(), len(table.items_of_key("route", "a"))) == (7, 7)
-    with pytest.raises(ValueError, match="scopes: over"):
+    with pytest.raises(ValueError, match="scopes: more than 64"):
         table.put([ConfigItem(f"x{n}", "route", "a", b"2") for n in range(MAX_TABLE_SCOPES)])
     assert table.item_count() == 7
 
@@ -338,14 +338,14 @@
                 ("", "tenant", BUCKET_7_KEYS[0]),
                 True,
             ),
-            "deletes",
+            "has no value",
         ),
         (
             Page((ConfigItem("", "tenant", BUCKET_7_KEYS[0], b""),), None, True),
-            "last: is not the last entry",
+            "last_position: not the position of the last entry",
         ),
-        (Page((), None, False), "done: a page of nothing"),
-        (Page((), ("", "tenant", "a"), False), "last: is not the last entry"),
+        (Page((), None, False), "is_last: False for a page without entries"),
+        (Page((), ("", "tenant", "a"), False), "last_position: not the position of the last entry"),
         (
             Page(
                 tuple(
@@ -355,11 +355,11 @@
                 ("", "tenant", min(BUCKET_7_KEYS[:3])),
                 True,
             ),
-            "is not behind the one before",
+            "is not after the previous position",
         ),
         (
             Page((ConfigItem("", "tenant", "elsewhere", b""),), ("", "tenant", "elsewhere"), True),
-            "is of another bucket",
+            "belongs to another bucket",
         ),
         (
             Page(
