--- a/tests/distribution_rig.py
+++ b/tests/distribution_rig.py
@@ -212,7 +212,8 @@
         self, folder: Path, postgres: bool = False, operator_parts: dict[str, Any] | None = None
     ) -> None:
         self.operator_parts = operator_parts or {}
-        self.folder, self.relay, self.doors = folder, Relay(), dict[str, str]()
+        self.folder, self.relay = folder, Relay()
+        self.relay_addresses: dict[str, str] = {}  # address in the relay, by member name
         self.postgres = Postgres(folder) if postgres else None
         self.catalogue = Catalogue(self.reply)
         self.control_machines: list[ControlMachine] = []
@@ -248,7 +249,7 @@
             "listen": "127.0.0.1:0",
             "region": region,
             "key_file": str(self.sealing_key_path),
-            "advertise": self.doors[name],
+            "advertise": self.relay_addresses[name],
             "signing_key_file": str(self.signing_key_path),
             "beat_ms": HEARTBEAT_MS,
             "state_file": str(folder / "distribution"),
@@ -256,7 +257,7 @@
                 {
                     "name": machine.name,
                     "region": machine.region,
-                    "address": self.doors[machine.name],
+                    "address": self.relay_addresses[machine.name],
                 }
                 for machine in self.control_machines
             ],
@@ -273,12 +274,15 @@
     ) -> list[ControlMachine]:
         machines = [
             ControlMachine(
-                self, f"c{len(self.control_machines) + at}", regions[at % len(regions)], has_store
+                self,
+                f"c{len(self.control_machines) + index}",
+                regions[index % len(regions)],
+                has_store,
             )
-            for at in range(count)
+            for index in range(count)
         ]
         for machine in machines:
-            self.doors[machine.name] = await self.relay.open_endpoint(machine.name)
+            self.relay_addresses[machine.name] = await self.relay.open_endpoint(machine.name)
         self.control_machines += machines
         await asyncio.gather(*(machine.start() for machine in machines))
         return machines
@@ -287,11 +291,11 @@
         self, count: int, regions: tuple[str, ...] = ("north",), **settings: Any
     ) -> list[Server]:
         servers = [
-            Server(self, f"n{len(self.servers) + at}", regions[at % len(regions)], **settings)
-            for at in range(count)
+            Server(self, f"n{len(self.servers) + index}", regions[index % len(regions)], **settings)
+            for index in range(count)
         ]
         for server in servers:
-            self.doors[server.name] = await self.relay.open_endpoint(server.name)
+            self.relay_addresses[server.name] = await self.relay.open_endpoint(server.name)
         self.servers += servers
         await asyncio.gather(*(server.start() for server in servers))
         return servers
--- a/tests/simulate.py
+++ b/tests/simulate.py
@@ -97,14 +97,14 @@
         self.shared_rows.incarnations[self.node] = incarnation, False
         return StoreSession(self.node, incarnation, 0)
 
-    def read_recorded_keys(self, now: int) -> Iterator[list[tuple[bytes, int]]]:
+    def read_recorded_keys(self, now_ns: int) -> Iterator[list[tuple[bytes, int]]]:
         yield [
             (row.key_digest, row.expires_at_ns)
             for row in self.shared_rows.rows.values()
             if row.node == self.node
         ]
 
-    def read_started_rows(self, now: int) -> Iterator[RecordRow]:
+    def read_started_rows(self, now_ns: int) -> Iterator[RecordRow]:
         return iter(
             [
                 row
@@ -202,13 +202,13 @@
         for id, status, result in list(self.reported_runs):
             server.requests.run_ended(id, status, 12 * NS_PER_MS, result)
 
-    def crash(self, now: float) -> None:
+    def crash(self, now_s: float) -> None:
         for timers in self.timers_by_run_id.values():
             for timer in timers:
                 timer.cancel()
         self.timers_by_run_id.clear()
         self.reported_runs.clear()
-        self.started_at_s = now
+        self.started_at_s = now_s
 
 
 class SimulatedNode:
@@ -374,8 +374,8 @@
 
     def send_attempt(self, node: SimulatedNode, key: bytes, is_retry: bool) -> None:
         assert node.server is not None
-        now = get_simulated_loop().unix_time_ns()
-        attempt = Attempt(self, key, node, now)
+        now_ns = get_simulated_loop().unix_time_ns()
+        attempt = Attempt(self, key, node, now_ns)
         self.attempts.append(attempt)
         self.counts["attempts"] += 1
         id = f"{self.rng.getrandbits(64):016x}"
@@ -385,7 +385,7 @@
                 len(self.attempts),
                 "pay",
                 id,
-                now,
+                now_ns,
                 "1",
                 10 * NS_PER_MS,
                 10.0,
--- a/tests/simulated_distribution.py
+++ b/tests/simulated_distribution.py
@@ -213,10 +213,9 @@
         if not self.has_store:
             return
         if replica.head is None or replica.head.epoch != store.epoch:
-            page = (
-                replica.table.page
-            )  # the table is replaced as a restart of the control machine would
+            page = replica.table.page
             assert page is not None
+            # Replaces the table's items, as a restart of the control machine would.
             current = store.load()
             deleted = [
                 ConfigItem(*entry[:3], None)
@@ -296,6 +295,8 @@
 
 
 class SimulatedNetwork:
+    """Nodes and the datagrams in flight between them; time advances only in `run`."""
+
     def __init__(
         self,
         seed: int,
@@ -398,8 +399,8 @@
         key = head.epoch, head.revision
         where = node.name, self.now_ns, key, node.last_head
         if key != node.last_head:
-            assert key > node.last_head, ("went back", where)
-            assert head == store.heads[key], ("another head", where)
+            assert key > node.last_head, ("the head went back", where)
+            assert head == store.heads[key], ("a head that the store never had", where)
             if (
                 key != (node.last_head[0], node.last_head[1] + 1)
                 and node.last_head != (0, 0)
@@ -408,7 +409,10 @@
                 # Several changes may be applied in one step; the chain guarantees that none of
                 # them was skipped. Only an epoch may not change without a sync.
                 has_synced = follower.counts.finished_syncs > node.finished_syncs_seen
-                assert has_synced or key[0] == node.last_head[0], ("a gap", where)
+                assert has_synced or key[0] == node.last_head[0], (
+                    "a new epoch without a sync",
+                    where,
+                )
             if key[0] != node.last_head[0]:
                 node.watched_values = {}
             node.last_head = key
@@ -418,7 +422,7 @@
             node.finished_syncs_seen = follower.counts.finished_syncs
         if replica.is_complete:
             assert replica.table.digest() == store.digest(key, replica.table.scopes), (
-                "another table",
+                "a complete table differs from the store's",
                 where,
             )
         if (
@@ -436,7 +440,7 @@
             superseded_at = store.superseded_at(key)
             if superseded_at is not None and age_ms is not None and not replica.is_partial:
                 assert age_ms >= (self.now_ns - superseded_at) // NS_PER_MS - 1, (
-                    "younger than it is",
+                    "age reported too low",
                     age_ms,
                     where,
                 )
@@ -465,13 +469,13 @@
 
 
 def add_fleet(
-    network: SimulatedNetwork, server_count: int, control_count: int = 3, is_relay: int = 0
+    network: SimulatedNetwork, server_count: int, control_count: int = 3, relay_count: int = 0
 ) -> None:
     """Adds control machines of all regions, and servers that follow them directly or via relays."""
     names = [f"control-{REGIONS[index % 3]}{index}" for index in range(control_count)]
     for index, name in enumerate(names):
         network.add(name, REGIONS[index % 3], is_control=True)
-    relay_names = [f"relay-{REGIONS[index % 3]}{index}" for index in range(is_relay)]
+    relay_names = [f"relay-{REGIONS[index % 3]}{index}" for index in range(relay_count)]
     for index, name in enumerate(relay_names):
         network.add(name, REGIONS[index % 3], names, is_relay=True)
     for index in range(server_count):
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -33,9 +33,9 @@
 
 from burlloom.operator import OperatorFileError, load
 
-# A control machine reads a datagram as a request if the byte behind the seal (16 bytes), the array's
-# header and the version is the number of a request's kind; other datagrams it drops uncounted unless
-# it follows another machine.
+# A datagram has a seal of 16 bytes, the array's header, the version, and the message kind. A control
+# machine handles it as a request if the kind is that of a request; it drops others without counting
+# them unless it follows another machine.
 KIND_OFFSET = 18
 REPORT_KIND = 0
 UNREADABLE_REASONS = ("datagram too short", "datagram too long", "not sealed with our key")
@@ -132,7 +132,8 @@
     path = north.folder / "operator.jsonnet"
     path.write_text(
         path.read_text().replace(
-            cluster.doors["c0"], "%s:%d" % (cluster.relay.endpoints["c0"].target or ("", 0))
+            cluster.relay_addresses["c0"],
+            "%s:%d" % (cluster.relay.endpoints["c0"].target or ("", 0)),
         )
     )
     for process in (north, cluster.control_machines[0]):
@@ -494,7 +495,9 @@
 
 
 @with_cluster(2, 3)
-async def test_letters_lost_late_doubled_and_played_again(cluster: Cluster) -> None:
+async def test_lost_late_duplicated_replayed_and_random_datagrams_lose_no_change(
+    cluster: Cluster,
+) -> None:
     cluster.relay.loss_share, cluster.relay.duplicate_share, cluster.relay.delay_range_s = (
         0.05,
         0.2,
@@ -502,8 +505,8 @@
     )
     for n in range(4):
         await cluster.put(
-            *(tenant_change(f"t{n}-{at}", n=n) for at in range(20)),
-            *(tenant_deletion(f"t{n - 1}-{at}") for at in range(10) if n),
+            *(tenant_change(f"t{n}-{index}", n=n) for index in range(20)),
+            *(tenant_deletion(f"t{n - 1}-{index}") for index in range(10) if n),
         )
     await cluster.wait_until_in_force()
     cluster.relay.loss_share = cluster.relay.duplicate_share = 0.0
@@ -519,8 +522,8 @@
                 stranger.sendto(datagram, endpoint.target or ("", 0))
     await cluster.put(tenant_change("after"))
     await cluster.wait_until_in_force()
-    for one in (*cluster.servers, *cluster.control_machines):
-        await wait_for(lambda: count_unreadable_datagrams(one) > 5)
+    for member in (*cluster.servers, *cluster.control_machines):
+        await wait_for(lambda: count_unreadable_datagrams(member) > 5)
 
 
 @with_cluster(1, 2, wait_ms=500)
--- a/tests/test_distribution_stores.py
+++ b/tests/test_distribution_stores.py
@@ -150,7 +150,7 @@
     while page := await reader.items(after, 8):
         for stored in page:
             values[stored.item[:3]], after = stored.item.value, stored.item[:3]
-        n = next(numbers)  # changes items before, behind and at the position of the reader
+        n = next(numbers)  # changes items before, after and at the position of the reader
         await append(
             writer,
             ("tenant", f"t{n:02}", None),
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -37,6 +37,7 @@
 
 AUTHENTICATOR = RowAuthenticator(b"k" * 32)
 EXPIRY_NS = 1 << 62
+NS_PER_SECOND = 1_000_000_000
 KEY_DIGESTS = [bytes([n]) * 16 for n in range(3)]
 
 
@@ -607,24 +608,26 @@
     step_s: int, tmp_path: Path
 ) -> None:
     """After a step ahead the windows are moved along; after a step back they stay, so last longer."""
-    second = 1_000_000_000
     for boot_id in ("same", "another"):
         path = tmp_path / f"{boot_id}.db"
         first = open_sqlite_store(
-            path, read_clocks=lambda: ClockReading("same", 10 * second, 100_000 * second)
+            path,
+            read_clocks=lambda: ClockReading("same", 10 * NS_PER_SECOND, 100_000 * NS_PER_SECOND),
         )
         first.db.execute(
             "INSERT INTO fate VALUES (?,?,?,?,?,?,?,?,?,?)",  # type: ignore[union-attr]
-            sign_row(100_018 * second),
+            sign_row(100_018 * NS_PER_SECOND),
         )
         first.release()
-        now = (100_005 + step_s) * second
-        later = open_sqlite_store(path, read_clocks=lambda: ClockReading(boot_id, 15 * second, now))
+        now_ns = (100_005 + step_s) * NS_PER_SECOND
+        later = open_sqlite_store(
+            path, read_clocks=lambda: ClockReading(boot_id, 15 * NS_PER_SECOND, now_ns)
+        )
         key_digests = [
-            key_digest for batch in later.read_recorded_keys(now) for key_digest, _ in batch
+            key_digest for batch in later.read_recorded_keys(now_ns) for key_digest, _ in batch
         ]
         assert later.clock_shift_ns == (
-            step_s * second if boot_id == "same" else min(0, (5 + step_s) * second)
+            step_s * NS_PER_SECOND if boot_id == "same" else min(0, (5 + step_s) * NS_PER_SECOND)
         )
         # Across a reboot, a clock stepped ahead can't be distinguished from elapsed time.
         assert key_digests == ([] if step_s > 0 and boot_id == "another" else [KEY_DIGESTS[0]])
