--- a/burlloom/distribution/codec.py
+++ b/burlloom/distribution/codec.py
@@ -248,7 +248,7 @@
 
 
 def read_pages_request(bucket: Any, after: Any, page_count: Any) -> Body:
-    """Decodes PAGES_ASK. Raises `MessageDecodeError`."""
+    """Decodes PAGES_REQUEST. Raises `MessageDecodeError`."""
     require(
         is_number(bucket)
         and bucket < BUCKET_COUNT
--- a/burlloom/distribution/follower_state.py
+++ b/burlloom/distribution/follower_state.py
@@ -92,7 +92,7 @@
     """A running sync.
 
     Attributes:
-        first_number: Message number of the first DIGESTS_ASK.
+        first_number: Message number of the first DIGESTS_REQUEST.
         retry_at: Time at which the request for digests is repeated, in ns.
         last_progress_at: Time of the last message that advanced the sync, in ns.
         digest_halves: Digests received, by message number and half.
--- a/burlloom/distribution/messages.py
+++ b/burlloom/distribution/messages.py
@@ -18,13 +18,17 @@
 MIN_KEY_BYTES = 16  # shortest key allowed
 MAX_FOLLOWER_SCOPES = 16  # scopes that a follower may list in a REPORT
 MAX_PULL_CHANGES = 32  # changes that one PULL may request
-MAX_PAGES_PER_REQUEST = 4  # pages that one PAGES_ASK may request
+MAX_PAGES_PER_REQUEST = 4  # pages that one PAGES_REQUEST may request
 MAX_PAGE_BYTES = 1050  # items of a page; fits into a datagram with the longest names and positions
 HALF_BUCKETS = BUCKET_COUNT // 2  # bucket digests in one DIGESTS message
 
 
 class MessageKind(IntEnum):
-    """Number of each kind of message on the wire."""
+    """Number of each kind of message on the wire.
+
+    Reasons for refusals write DIGESTS_ASK and PAGES_ASK for DIGESTS_REQUEST and PAGES_REQUEST;
+    only "wrong number of fields" is reported with the name of the member.
+    """
 
     REPORT = 0  # follower, each heartbeat: its head and digest; renews the lease
     HEAD = 1  # source: its head, in answer to a REPORT or to a PULL that it can't serve
@@ -100,7 +104,7 @@
 
 
 class DigestsRequest(NamedTuple):
-    """Body of DIGESTS_ASK: requests the digests of all buckets."""
+    """Body of DIGESTS_REQUEST: requests the digests of all buckets."""
 
     pass
 
@@ -114,7 +118,7 @@
 
 
 class PagesRequest(NamedTuple):
-    """Body of PAGES_ASK: requests at most `page_count` pages after a position."""
+    """Body of PAGES_REQUEST: requests at most `page_count` pages after a position."""
 
     bucket: int
     after: ItemPosition | None
@@ -128,7 +132,7 @@
         epoch: Epoch of the table that the page was read from.
         revision: Revision of that table.
         bucket: Number of the bucket.
-        page_index: Index of the page among those of its PAGES_ASK, from 0.
+        page_index: Index of the page among those of its PAGES_REQUEST, from 0.
         after: Position after which the page begins; None for the bucket's start.
         page: The items.
     """
--- a/burlloom/distribution/source.py
+++ b/burlloom/distribution/source.py
@@ -340,7 +340,7 @@
         return ""
 
     def on_digests_request(self, now_ns: int, message: Message, source: Address) -> str:
-        """Handles DIGESTS_ASK by sending both halves; returns why it is refused, or ""."""
+        """Handles DIGESTS_REQUEST by sending both halves; returns why it is refused, or ""."""
         lease, head = self.lease_of(now_ns, message), self.replica.head
         if lease is None:
             return "DIGESTS_ASK replayed or without a lease"
@@ -358,7 +358,7 @@
         return ""
 
     def on_pages_request(self, now_ns: int, message: Message, source: Address) -> str:
-        """Handles PAGES_ASK by sending pages within the byte rate.
+        """Handles PAGES_REQUEST by sending pages within the byte rate.
 
         Returns why the request is refused, or "". If the byte rate is exceeded, the remaining pages
         are not sent; the follower repeats its request.
