--- a/burlloom/distribution/stores/sql.py
+++ b/burlloom/distribution/stores/sql.py
@@ -165,7 +165,7 @@
         )
 
     async def items(self, after: StoredPosition | None, max_count: int) -> list[StoredItem]:
-        """Returns a page of at most `max_count` items in force behind a position, in order."""
+        """Returns a page of at most `max_count` items in force after a position, in order."""
         rows = await (
             self.execute(SELECT_PAGE, max_count)
             if after is None
@@ -185,9 +185,9 @@
 
     async def begin_epoch(self, store_head: Head, later_than: int) -> bool:
         """Begins an epoch after `later_than` if `store_head` is the head; returns whether so."""
-        now = time.time_ns() // 1_000_000
+        now_ms = time.time_ns() // 1_000_000
         head = initial_head(
-            max(store_head.epoch + 1, later_than + 1, now), max(store_head.time_ms, now)
+            max(store_head.epoch + 1, later_than + 1, now_ms), max(store_head.time_ms, now_ms)
         )
         return await self.transaction(
             (
