--- a/benchmarks/admission_core.py
+++ b/benchmarks/admission_core.py
@@ -1,9 +1,9 @@
-"""Processor time that the admission controller takes for an event, without a host around it.
+"""Measures the processor time that the admission controller takes for each event, without I/O.
 
-A small seeded host plays arrivals, runs, calls and timer rounds against a controller, and records
-the events that result. The recorded events are then replayed on new controllers whose effects do
-nothing; only the replay is timed. `--checksum` prints a digest of all effects, which is the same
-for two texts that decide alike.
+A seeded host simulates arrivals, runs, calls and timer rounds against a controller, and records the
+resulting events. The recorded events are then replayed on new controllers whose effects do nothing;
+only the replay is timed. `--checksum` prints a digest of all effects: two versions of the
+controller that make the same decisions print the same digest.
 
     python benchmarks/admission_core.py [--rounds N] [--seconds S] [--checksum]
 """
@@ -27,25 +27,25 @@
 )
 
 NS_PER_MS = 1_000_000
-NS_PER_S = 1_000_000_000
-ARRIVALS_PER_S = 400
+NS_PER_SECOND = 1_000_000_000
+ARRIVALS_PER_SECOND = 400
 CORES = 8
-RUN_MS = 20.0
-CALL_MS = 15.0
+MEAN_RUN_MS = 20.0
+MEAN_CALL_MS = 15.0
 SEED = 7
 
 Event = tuple[str, tuple[Any, ...]]
 
 
-def settings(call_quota: float) -> ServerSettings:
-    """A server of three request classes that reports a priority floor."""
+def server_settings(call_quota: float) -> ServerSettings:
+    """Returns the settings of a server with three request classes that reports a priority floor."""
     classes = tuple(
         RequestClass(
             latency_objective_ns=objective_ms * NS_PER_MS,
             latency_objective_stretch=1.0,
             deadline_ns=4 * objective_ms * NS_PER_MS,
             idempotency=idempotency,
-            idempotency_window_ns=10 * NS_PER_S,
+            idempotency_window_ns=10 * NS_PER_SECOND,
             late_value_share=0.0,
             value_share_without_call=without_call,
             value=value,
@@ -64,37 +64,37 @@
         max_runs_per_core=5.0,
         starts_cold=True,
         cold_speed_share=0.2,
-        warm_up_ns=10 * NS_PER_S,
+        warm_up_ns=10 * NS_PER_SECOND,
         call_quota=call_quota,
-        call_quota_window_ns=5 * NS_PER_S,
+        call_quota_window_ns=5 * NS_PER_SECOND,
         abandoned_call_linger_ns=200 * NS_PER_MS,
-        drain_grace_ns=NS_PER_S,
-        max_retry_after_ns=NS_PER_S,
+        drain_grace_ns=NS_PER_SECOND,
+        max_retry_after_ns=NS_PER_SECOND,
         result_cache_ttl_ns=300 * NS_PER_MS,
-        idle_timeout_ns=9 * NS_PER_S,
+        idle_timeout_ns=9 * NS_PER_SECOND,
         load_report_kind=LoadReportKind.PRIORITY_FLOOR,
         request_classes=classes,
     )
 
 
 class NullEffects:
-    """A host that does nothing with what is decided."""
+    """Effects that do nothing, so that a replay times only the controller."""
 
     def __getattr__(self, name: str) -> Any:
         def ignore(*values: Any) -> None:
-            """Nothing is done."""
+            """Ignores the effect."""
 
         setattr(self, name, ignore)
         return ignore
 
 
 class RecordingHost:
-    """Plays a day on a controller, and keeps the events and a digest of the effects.
+    """Simulates load on a controller, and keeps the events and a digest of the effects.
 
     Args:
         server: the settings of the server.
-        seed: of arrivals, durations and outcomes.
-        length_ns: how long the day is.
+        seed: the seed of arrivals, durations and outcomes.
+        length_ns: the simulated time in ns.
     """
 
     def __init__(self, server: ServerSettings, seed: int, length_ns: int) -> None:
@@ -102,64 +102,64 @@
         self.digest = hashlib.blake2b(digest_size=8)
         self.random = Random(seed)
         self.length_ns = length_ns
-        self.now = 0
-        self.given = 0
+        self.now_ns = 0
+        self.next_ref = 0
         self.calls_left: dict[int, int] = {}
-        self.queue: list[tuple[int, int, Event]] = []
-        self.order = 0
+        self.scheduled_events: list[tuple[int, int, Event]] = []
+        self.event_count = 0
         self.controller = AdmissionController(server, seed, self, 0)
 
     def __getattr__(self, name: str) -> Any:
-        return lambda *values: self.note(name, *values)
+        return lambda *values: self.digest_effect(name, *values)
 
-    def note(self, name: str, *values: Any) -> None:
+    def digest_effect(self, name: str, *values: Any) -> None:
         """Adds an effect to the digest."""
-        self.digest.update(f"{self.now} {name} {values}\n".encode())
+        self.digest.update(f"{self.now_ns} {name} {values}\n".encode())
 
-    def at(self, when: int, name: str, *values: Any) -> None:
-        """Puts an event of the day on its calendar."""
-        self.order += 1
-        heapq.heappush(self.queue, (when, self.order, (name, values)))
+    def add_event(self, at_ns: int, name: str, *values: Any) -> None:
+        """Schedules an event at a simulated time."""
+        self.event_count += 1
+        heapq.heappush(self.scheduled_events, (at_ns, self.event_count, (name, values)))
 
     def start_run(self, ref: int) -> None:
-        """Begins a run: it makes as many calls as were drawn, and ends."""
-        self.note("start_run", ref)
+        """Starts a run that makes a random number of calls (0 to 2) and then ends."""
+        self.digest_effect("start_run", ref)
         self.calls_left[ref] = self.random.choice((0, 1, 1, 2))
-        self.go_on(ref)
+        self.continue_run(ref)
 
-    def go_on(self, ref: int) -> None:
-        """Lets a run work for a while, up to its next call or its end."""
-        busy_ns = int(self.random.expovariate(1 / RUN_MS) * NS_PER_MS)
+    def continue_run(self, ref: int) -> None:
+        """Schedules the next call of a run, or its end, after a random busy time."""
+        busy_ns = int(self.random.expovariate(1 / MEAN_RUN_MS) * NS_PER_MS)
         if self.calls_left[ref] > 0:
             self.calls_left[ref] -= 1
-            self.at(self.now + busy_ns, "call_requested", ref)
+            self.add_event(self.now_ns + busy_ns, "call_requested", ref)
         else:
             outcome = Outcome.FAILED if self.random.random() < 0.02 else Outcome.OK
-            self.at(self.now + busy_ns, "run_ended", ref, outcome, busy_ns)
+            self.add_event(self.now_ns + busy_ns, "run_ended", ref, outcome, busy_ns)
 
-    def start_call(self, ref: int, stop_at: int) -> None:
-        """Makes a call, which takes its time or is given up."""
-        self.note("start_call", ref, stop_at)
-        took = int(self.random.expovariate(1 / CALL_MS) * NS_PER_MS)
+    def start_call(self, ref: int, stop_at_ns: int) -> None:
+        """Starts a call, which ends after a random duration or times out at `stop_at_ns`."""
+        self.digest_effect("start_call", ref, stop_at_ns)
+        duration_ns = int(self.random.expovariate(1 / MEAN_CALL_MS) * NS_PER_MS)
         outcome = Outcome.UNREACHABLE if self.random.random() < 0.02 else Outcome.OK
-        if self.now + took > stop_at:
-            outcome, took = Outcome.TIMED_OUT, stop_at - self.now
-        self.at(self.now + took, "call_ended", ref, outcome, took)
+        if self.now_ns + duration_ns > stop_at_ns:
+            outcome, duration_ns = Outcome.TIMED_OUT, stop_at_ns - self.now_ns
+        self.add_event(self.now_ns + duration_ns, "call_ended", ref, outcome, duration_ns)
 
     def skip_call(self, ref: int) -> None:
-        """Lets a run go on without its call."""
-        self.note("skip_call", ref)
-        self.go_on(ref)
+        """Continues a run without its call."""
+        self.digest_effect("skip_call", ref)
+        self.continue_run(ref)
 
-    def schedule_timer(self, delay: int, handle: int) -> None:
-        """Puts the next timer round on the calendar."""
+    def schedule_timer(self, delay_ns: int, handle: int) -> None:
+        """Schedules the next timer round, with random gauges."""
         cpu = min(1.0, self.random.uniform(0.7, 1.3))
         gauges = Gauges(cpu, self.random.uniform(0, 3) * CORES, 0.5, 40.0)
-        self.at(self.now + delay, "timer_fired", handle, gauges)
+        self.add_event(self.now_ns + delay_ns, "timer_fired", handle, gauges)
 
-    def arrive(self) -> None:
-        """Reads one request, at times a repeat of an earlier one, and plans the next."""
-        ref, self.given = self.given, self.given + 1
+    def deliver_request(self) -> None:
+        """Delivers a request, which one time in ten repeats an earlier one, and schedules the next."""
+        ref, self.next_ref = self.next_ref, self.next_ref + 1
         repeats = ref > 50 and self.random.random() < 0.1
         request = Request(
             ref=ref,
@@ -172,55 +172,55 @@
             priority=self.random.random(),
             original_ref=ref - self.random.randrange(1, 50) if repeats else -1,
         )
-        self.hand("request_arrived", request)
-        # Load swings between half and twice what the server can do.
-        rate = ARRIVALS_PER_S * (0.5 + 1.5 * (self.now // (2 * NS_PER_S) % 2))
-        self.at(self.now + int(self.random.expovariate(rate) * NS_PER_S), "arrive")
-
-    def hand(self, name: str, *values: Any) -> None:
-        """Gives an event to the controller, and records it."""
-        self.events.append((name, (self.now, *values)))
-        getattr(self.controller, name)(self.now, *values)
-
-    def play(self) -> None:
-        """Plays the whole day."""
-        self.hand("start")
-        self.at(0, "arrive")
-        while self.queue and self.queue[0][0] <= self.length_ns:
-            self.now, _, (name, values) = heapq.heappop(self.queue)
+        self.deliver_event("request_arrived", request)
+        # Offered load alternates between half and twice the server's capacity.
+        rate = ARRIVALS_PER_SECOND * (0.5 + 1.5 * (self.now_ns // (2 * NS_PER_SECOND) % 2))
+        self.add_event(self.now_ns + int(self.random.expovariate(rate) * NS_PER_SECOND), "arrive")
+
+    def deliver_event(self, name: str, *values: Any) -> None:
+        """Delivers an event to the controller, and records it."""
+        self.events.append((name, (self.now_ns, *values)))
+        getattr(self.controller, name)(self.now_ns, *values)
+
+    def run(self) -> None:
+        """Runs the simulation to its end."""
+        self.deliver_event("start")
+        self.add_event(0, "arrive")
+        while self.scheduled_events and self.scheduled_events[0][0] <= self.length_ns:
+            self.now_ns, _, (name, values) = heapq.heappop(self.scheduled_events)
             if name == "arrive":
-                self.arrive()
+                self.deliver_request()
                 continue
-            self.hand(name, *values)
+            self.deliver_event(name, *values)
             if name == "call_ended" and values[1] is Outcome.OK:
-                self.go_on(values[0])
+                self.continue_run(values[0])
 
 
 def replay_us(server: ServerSettings, events: list[Event], seed: int) -> float:
     """Replays events on a new controller.
 
     Returns:
-        The processor time of one event in microseconds, the mean over all.
+        The mean processor time of an event in microseconds.
     """
     controller = AdmissionController(server, seed, NullEffects(), 0)
-    steps = [(getattr(controller, name), values) for name, values in events]
-    began = time.process_time()
-    for step, values in steps:
-        step(*values)
-    return (time.process_time() - began) * 1e6 / len(events)
+    handlers = [(getattr(controller, name), values) for name, values in events]
+    started_at_s = time.process_time()
+    for handle_event, values in handlers:
+        handle_event(*values)
+    return (time.process_time() - started_at_s) * 1e6 / len(events)
 
 
 def main() -> None:
-    """Prints the best and the median round of each of two servers."""
+    """Prints the best and the median round of two servers, without and with a call quota."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=7)
-    parser.add_argument("--seconds", type=int, default=60, help="length of the day played")
+    parser.add_argument("--seconds", type=int, default=60, help="simulated time in seconds")
     parser.add_argument("--checksum", action="store_true")
     options = parser.parse_args()
     for call_quota in (0.0, 0.4):
-        server = settings(call_quota)
-        host = RecordingHost(server, SEED, options.seconds * NS_PER_S)
-        host.play()
+        server = server_settings(call_quota)
+        host = RecordingHost(server, SEED, options.seconds * NS_PER_SECOND)
+        host.run()
         rounds = sorted(replay_us(server, host.events, SEED) for _ in range(options.rounds))
         line = f"call_quota={call_quota} events={len(host.events)}"
         line += f" best_us={rounds[0]:.2f} median_us={rounds[len(rounds) // 2]:.2f}"
