--- a/benchmarks/admission_core.py
+++ b/benchmarks/admission_core.py
@@ -92,9 +92,9 @@
     """Simulates load on a controller, and keeps the events and a digest of the effects.
 
     Args:
-        server: the settings of the server.
-        seed: the seed of arrivals, durations and outcomes.
-        length_ns: the simulated time in ns.
+        server: The settings of the server.
+        seed: The seed of arrivals, durations and outcomes.
+        length_ns: The simulated time in ns.
     """
 
     def __init__(self, server: ServerSettings, seed: int, length_ns: int) -> None:
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -34,7 +34,7 @@
     """The downstream dependency; `steps` holds each change of the number of open calls.
 
     Args:
-        call_s: how long each call takes, in seconds.
+        call_s: How long each call takes, in seconds.
     """
 
     def __init__(self, call_s: float) -> None:
@@ -89,9 +89,9 @@
     """Yields the rigs of a fleet, whose processes are not started, and their shared dependency.
 
     Args:
-        processes: the number of server processes.
-        total: the call budget of the whole fleet, in open calls; each process gets an equal share.
-        call_s: how long each call takes, in seconds.
+        processes: The number of server processes.
+        total: The call budget of the whole fleet, in open calls; each process gets an equal share.
+        call_s: How long each call takes, in seconds.
     """
     catalogue = await CountingCatalogue(call_s).start()
     with tempfile.TemporaryDirectory() as folder:
@@ -122,13 +122,13 @@
     """Runs a fleet, and measures its open calls at the shared dependency.
 
     Args:
-        processes: the number of server processes.
-        total: the call budget of the whole fleet, in open calls.
-        call_s: how long each call takes, in seconds.
+        processes: The number of server processes.
+        total: The call budget of the whole fleet, in open calls.
+        call_s: How long each call takes, in seconds.
         story: "together": all start at once; "waves": in three waves; "restarts": all start at
             once, and each is killed and restarted twice.
-        duration_s: how long the fleet runs, in seconds.
-        seed: the seed of the times of the restarts.
+        duration_s: How long the fleet runs, in seconds.
+        seed: The seed of the times of the restarts.
 
     Returns:
         The largest mean number of open calls over any `AVERAGING_WINDOW_S`, and the number of calls.
@@ -202,10 +202,10 @@
     """Starts all processes together, then kills and restarts four in five of them in each round.
 
     Args:
-        processes: the number of server processes.
-        busy_cores: the number of processes beside them that each keep a core busy.
-        executor_delay_s: how much later than the server the executor connects, in seconds.
-        rounds: the number of rounds.
+        processes: The number of server processes.
+        busy_cores: The number of processes beside them that each keep a core busy.
+        executor_delay_s: How much later than the server the executor connects, in seconds.
+        rounds: The number of rounds.
 
     Returns:
         The seconds until ready of each restart, less `executor_delay_s`.
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -328,6 +328,6 @@
     from kill_restart import Session
 
     session = Session(kind, 11)
-    asyncio.run(session.play(2, (failpoint, "random")))
-    assert not session.book.faults
-    assert session.book.count["settled"]
+    asyncio.run(session.run(2, (failpoint, "random")))
+    assert not session.checker.faults
+    assert session.checker.count["settled"]
