--- a/benchmarks/record_rates.py
+++ b/benchmarks/record_rates.py
@@ -1,11 +1,12 @@
-"""What a record costs: charges a second at 64 open, and what it adds to each at a steady rate.
+"""Measures what a record costs: its throughput, and the latency that it adds at a steady rate.
 
     python benchmarks/record_rates.py store     claims and ends on the stores alone, 64 charges open at a time
-    python benchmarks/record_rates.py program   the whole program on loopback: 140 charges a second, Poisson arrivals
+    python benchmarks/record_rates.py program   the whole server on loopback: 140 charges a second, Poisson arrivals
     python benchmarks/record_rates.py start     time to listen with 10 thousand and a million records read back
-    python benchmarks/record_rates.py slow      the store slowed past the SLA time, charges and balance views at full load
+    python benchmarks/record_rates.py slow      store slower than the latency objective, charges and balance views at full load
 
-Latencies count from the moment that a charge was to be sent. Histograms by HdrHistogram.
+A charge is a keyed request (`pay`), a balance view one without a key (`look`). Latencies count from
+the moment at which a request was due to be sent. Histograms are HdrHistograms in us.
 """
 
 import asyncio
@@ -27,7 +28,7 @@
 from rig import Rig  # noqa: E402
 
 from burlloom.fakes.parts import Balancer, fields  # noqa: E402
-from burlloom.fakes.postgres import Postgres as StandIn  # noqa: E402
+from burlloom.fakes.postgres import Postgres as FakePostgres  # noqa: E402
 from burlloom.record.authentication import RowAuthenticator, load_key  # noqa: E402
 from burlloom.record.postgres import PostgresStore  # noqa: E402
 from burlloom.record.postgres_database import PostgresDatabase  # noqa: E402
@@ -42,45 +43,61 @@
 )  # noqa: E402
 from burlloom.record.sqlite import SqliteStore  # noqa: E402
 
-SEALER = RowAuthenticator(b"k" * 32)
+AUTHENTICATOR = RowAuthenticator(b"k" * 32)
 RESULT = b"r" * 200
 
 
 def sync_ms(folder: Path) -> float:
-    """The median of a 4 KiB write and its sync here."""
-    times = []
+    """Returns the median time in ms of a 4 KiB write with its fsync in the folder."""
+    durations_s = []
     with open(folder / "probe", "wb") as file:
         for _ in range(200):
-            began = time.perf_counter()
+            started_at_s = time.perf_counter()
             file.write(b"x" * 4096)
             file.flush()
             os.fsync(file.fileno())
-            times.append(time.perf_counter() - began)
-    return statistics.median(times) * 1e3
+            durations_s.append(time.perf_counter() - started_at_s)
+    return statistics.median(durations_s) * 1e3
 
 
-async def ask(store: Any, kind: WriteKind, row: RecordRow) -> WriteResult:
+async def write_row(store: Any, kind: WriteKind, row: RecordRow) -> WriteResult:
+    """Submits a write of the row with its MAC, and waits for its result."""
     future: asyncio.Future[WriteResult] = asyncio.get_running_loop().create_future()
-    store.submit(RecordWrite(kind, row._replace(mac=SEALER.compute_mac(row))), future.set_result)
+    store.submit(
+        RecordWrite(kind, row._replace(mac=AUTHENTICATOR.compute_mac(row))), future.set_result
+    )
     return await future
 
 
-class Slower(SqliteStore):
-    """On a disk whose sync takes two milliseconds, as many a server's does: slept before each
-    COMMIT.
+class SlowSyncStore(SqliteStore):
+    """Sleeps 2 ms before each COMMIT, to stand for a disk whose sync takes that long.
+
+    Many servers have such a disk.
     """
 
     def hit_failpoint(self, batch: Any, name: str) -> None:
+        """Sleeps at the failpoint before a COMMIT."""
         if name == "commit":
             time.sleep(0.002)
 
 
-async def rate(store: Any, seconds: float, opened: int = 64) -> tuple[float, HdrHistogram]:
-    """Charges a second, each a durable claim and a durable end with its result."""
-    told = HdrHistogram(1, 60_000_000, 3)
-    done, until = 0, time.perf_counter() + seconds
+async def measure_rate(
+    store: Any, duration_s: float, concurrency: int = 64
+) -> tuple[float, HdrHistogram]:
+    """Measures charges on a store, each a durable claim and a durable end with its result.
+
+    Args:
+        store: The opened and started store.
+        duration_s: For how long charges are started, in seconds.
+        concurrency: The number of charges that are open at a time.
+
+    Returns:
+        The charges per second, and the histogram of the claims' latencies in us.
+    """
+    claim_latency = HdrHistogram(1, 60_000_000, 3)
+    done, until = 0, time.perf_counter() + duration_s
 
-    async def one() -> None:
+    async def write_charges() -> None:
         nonlocal done
         while time.perf_counter() < until:
             row = RecordRow(
@@ -93,19 +110,24 @@
                 1,
                 time.time_ns() + 18 * 10**9,
             )
-            began = time.perf_counter()
-            assert (await ask(store, WriteKind.CLAIM, row)).outcome is RequestEvent.WRITE_APPLIED
-            told.record_value(int((time.perf_counter() - began) * 1e6))
+            started_at_s = time.perf_counter()
             assert (
-                await ask(store, WriteKind.FINISH, row._replace(state=ROW_COMPLETED, result=RESULT))
+                await write_row(store, WriteKind.CLAIM, row)
+            ).outcome is RequestEvent.WRITE_APPLIED
+            claim_latency.record_value(int((time.perf_counter() - started_at_s) * 1e6))
+            assert (
+                await write_row(
+                    store, WriteKind.FINISH, row._replace(state=ROW_COMPLETED, result=RESULT)
+                )
             ).outcome is RequestEvent.WRITE_APPLIED
             done += 1
 
-    await asyncio.gather(*(one() for _ in range(opened)))
-    return done / seconds, told
+    await asyncio.gather(*(write_charges() for _ in range(concurrency)))
+    return done / duration_s, claim_latency
 
 
-async def stores() -> None:
+async def measure_stores() -> None:
+    """Prints the charges per second and the claim latency of each store and batch size."""
     with tempfile.TemporaryDirectory(dir=os.environ.get("BENCH_DIR")) as name:
         folder = Path(name)
         print(f"one sync of this disk: {sync_ms(folder):.2f} ms (median of 200)")
@@ -114,113 +136,143 @@
         )
         print("| --- | --- | --- | --- | --- | --- |")
         rates: dict[str, list[float]] = {}
-        for turn in range(3):
-            for disk, make in (("this disk", SqliteStore), ("2 ms a sync", Slower)):
+        for repetition in range(3):
+            for disk, make_store in (("this disk", SqliteStore), ("2 ms a sync", SlowSyncStore)):
                 for label, batch in (("a commit for each", 1), ("group commit", 256)):
-                    path = folder / f"{batch}-{turn}-{disk[0]}.db"
-                    store = make(path, SEALER, "n1", max_batch=batch)
+                    path = folder / f"{batch}-{repetition}-{disk[0]}.db"
+                    store = make_store(path, AUTHENTICATOR, "n1", max_batch=batch)
                     await store.open()
                     await store.start()
-                    got, told = await rate(store, 3)
+                    rate, claim_latency = await measure_rate(store, 3)
                     await store.close()
-                    rates.setdefault(f"{disk} {batch}", []).append(got)
-                    line(
+                    rates.setdefault(f"{disk} {batch}", []).append(rate)
+                    print_store_row(
                         f"SQLite, {disk}, {label}",
-                        got,
-                        told,
+                        rate,
+                        claim_latency,
                         store,
-                        path.stat().st_size / (got * 3),
+                        path.stat().st_size / (rate * 3),
                     )
-        standin = await StandIn(folder).start()
-        host, port = standin.address.split(":")
-        pg = PostgresStore(
-            PostgresDatabase(host, int(port), "b", "b", ""), SEALER, "n1", clock=lambda: 0
+        fake_postgres = await FakePostgres(folder).start()
+        host, port = fake_postgres.address.split(":")
+        postgres_store = PostgresStore(
+            PostgresDatabase(host, int(port), "b", "b", ""), AUTHENTICATOR, "n1", clock=lambda: 0
+        )
+        await postgres_store.open()
+        await postgres_store.start()
+        rate, claim_latency = await measure_rate(postgres_store, 4)
+        print_store_row(
+            "PostgreSQL stand-in (in the same process)", rate, claim_latency, postgres_store, 0
         )
-        await pg.open()
-        await pg.start()
-        got, told = await rate(pg, 4)
-        line("PostgreSQL stand-in (in the same process)", got, told, pg, 0)
-        await pg.close()
-        await standin.stop()
-        middle = {name: statistics.median(one) for name, one in rates.items()}
+        await postgres_store.close()
+        await fake_postgres.stop()
+        median_rates = {name: statistics.median(values) for name, values in rates.items()}
         for disk in ("this disk", "2 ms a sync"):
             print(
-                f"{disk}: group commit carries {middle[f'{disk} 256'] / middle[f'{disk} 1']:.1f} times what a commit"
+                f"{disk}: group commit carries {median_rates[f'{disk} 256'] / median_rates[f'{disk} 1']:.1f} times what a commit"
                 " for each does (medians of three)"
             )
 
 
-def line(label: str, got: float, told: HdrHistogram, store: Any, size: float) -> None:
+def print_store_row(
+    label: str, rate: float, claim_latency: HdrHistogram, store: Any, bytes_per_charge: float
+) -> None:
+    """Prints one row of the table of stores."""
     print(
-        f"| {label} | {got:.0f} | {told.get_value_at_percentile(50) / 1e3:.1f} |"
-        f" {told.get_value_at_percentile(99) / 1e3:.1f} | {store.write_count / max(1, store.commits):.1f} |"
-        f" {size:.0f} |",
+        f"| {label} | {rate:.0f} | {claim_latency.get_value_at_percentile(50) / 1e3:.1f} |"
+        f" {claim_latency.get_value_at_percentile(99) / 1e3:.1f} | {store.write_count / max(1, store.commits):.1f} |"
+        f" {bytes_per_charge:.0f} |",
         flush=True,
     )
 
 
-class Drive:
-    """Arrivals at a rate; the executor ends each run after `work` seconds."""
+class LoadGenerator:
+    """Sends requests with Poisson arrivals, and executes their runs.
 
-    def __init__(self, rig: Rig, work: float, seed: int) -> None:
-        self.rig, self.work, self.chance = rig, work, random.Random(seed)
-        self.told = {"pay": HdrHistogram(1, 60_000_000, 3), "look": HdrHistogram(1, 60_000_000, 3)}
+    Args:
+        rig: The rig of the server.
+        run_s: How long each run takes, in seconds.
+        seed: The seed of arrivals, products and connections.
+    """
+
+    def __init__(self, rig: Rig, run_s: float, seed: int) -> None:
+        self.rig, self.run_s, self.random = rig, run_s, random.Random(seed)
+        self.latency = {
+            "pay": HdrHistogram(1, 60_000_000, 3),
+            "look": HdrHistogram(1, 60_000_000, 3),
+        }
         self.count: dict[tuple[str, str], int] = {}
         self.ends: set[asyncio.Task[None]] = set()
 
     async def execute(self) -> None:
+        """Acts as the executor: ends each run after `run_s` seconds."""
         loop = asyncio.get_running_loop()
         while True:
             _, id, *_ = await self.rig.executor.commands.get()
-            loop.call_later(self.work, self.rig.executor.exit, id, "PASS", RESULT)
+            loop.call_later(self.run_s, self.rig.executor.exit, id, "PASS", RESULT)
+
+    async def run(self, duration_s: float, rates: dict[str, float]) -> None:
+        """Sends requests for `duration_s` seconds, then waits up to 10 s for their answers.
 
-    async def play(self, seconds: float, rates: dict[str, float]) -> None:
-        working = asyncio.create_task(self.execute())
+        Args:
+            duration_s: For how long requests are sent, in seconds.
+            rates: The requests per second of each product.
+        """
+        executor_task = asyncio.create_task(self.execute())
         balancers = [await self.rig.balancer() for _ in range(4)]
-        began, total = time.perf_counter(), sum(rates.values())
-        at = 0.0
-        asks = []
-        while (at := at + self.chance.expovariate(total)) < seconds:
-            await asyncio.sleep(max(0, began + at - time.perf_counter()))
-            product = self.chance.choices(list(rates), list(rates.values()))[0]
-            asks.append(
-                asyncio.create_task(self.one(self.chance.choice(balancers), product, began + at))
+        started_at_s, total_rate = time.perf_counter(), sum(rates.values())
+        offset_s = 0.0
+        request_tasks = []
+        while (offset_s := offset_s + self.random.expovariate(total_rate)) < duration_s:
+            await asyncio.sleep(max(0, started_at_s + offset_s - time.perf_counter()))
+            product = self.random.choices(list(rates), list(rates.values()))[0]
+            request_tasks.append(
+                asyncio.create_task(
+                    self.send_request(
+                        self.random.choice(balancers), product, started_at_s + offset_s
+                    )
+                )
             )
-        await asyncio.wait(asks, timeout=10)
-        for task in asks:
+        await asyncio.wait(request_tasks, timeout=10)
+        for task in request_tasks:
             if not task.done():
                 self.count["?", "unanswered"] = self.count.get(("?", "unanswered"), 0) + 1
-        working.cancel()
-
-    async def one(self, balancer: Balancer, product: str, intended: float) -> None:
-        more = {"once": os.urandom(16).hex()} if product == "pay" else {}
-        error, _ = await balancer.ask(product, fields(cost="5", **more))
-        took = time.perf_counter() - intended
-        how = (
+        executor_task.cancel()
+
+    async def send_request(self, balancer: Balancer, product: str, due_at_s: float) -> None:
+        """Sends a request, and records its outcome and its latency since it was due."""
+        key_header = {"once": os.urandom(16).hex()} if product == "pay" else {}
+        error, _ = await balancer.ask(product, fields(cost="5", **key_header))
+        latency_s = time.perf_counter() - due_at_s
+        outcome = (
             "settled"
             if error is None
             else {"Backoff": "declined", "Voided": "voided"}.get(error[0], error[0])
         )
-        self.count[product, how] = self.count.get((product, how), 0) + 1
-        if took > 6.05:
+        self.count[product, outcome] = self.count.get((product, outcome), 0) + 1
+        if latency_s > 6.05:
             self.count[product, "past its due time"] = (
                 self.count.get((product, "past its due time"), 0) + 1
             )
         if error is None:
-            self.told[product].record_value(int(took * 1e6))
+            self.latency[product].record_value(int(latency_s * 1e6))
 
-    def line(self, label: str, product: str) -> str:
-        told = self.told[product]
+    def format_row(self, label: str, product: str) -> str:
+        """Returns the table row of a product: its latency and the count of each outcome."""
+        latency = self.latency[product]
         counts = ", ".join(
-            f"{how} {count}" for (one, how), count in sorted(self.count.items()) if one == product
+            f"{outcome} {count}"
+            for (counted_product, outcome), count in sorted(self.count.items())
+            if counted_product == product
         )
         return (
-            f"| {label} | {product} | {told.get_value_at_percentile(50) / 1e3:.1f} |"
-            f" {told.get_value_at_percentile(99) / 1e3:.1f} | {counts} |"
+            f"| {label} | {product} | {latency.get_value_at_percentile(50) / 1e3:.1f} |"
+            f" {latency.get_value_at_percentile(99) / 1e3:.1f} | {counts} |"
         )
 
 
-async def program() -> None:
+async def measure_program() -> None:
+    """Prints the latency of charges through the whole server, for each kind of record."""
     print("| record | product | p50 ms | p99 ms | answers |")
     print("| --- | --- | --- | --- | --- |")
     for label in (
@@ -231,7 +283,7 @@
     ):
         with tempfile.TemporaryDirectory(dir=os.environ.get("BENCH_DIR")) as name:
             folder = Path(name)
-            standin = await StandIn(folder).start()
+            fake_postgres = await FakePostgres(folder).start()
             load_key(folder / "key", True)
             record: dict[str, Any] | None = {
                 "sqlite": {"path": str(folder / "record.db"), "batch_most": 256}
@@ -239,7 +291,9 @@
             if "each" in label:
                 record = {"sqlite": {"path": str(folder / "record.db"), "batch_most": 1}}
             if "PostgreSQL" in label:
-                record = {"postgres": {"address": standin.address, "key_file": str(folder / "key")}}
+                record = {
+                    "postgres": {"address": fake_postgres.address, "key_file": str(folder / "key")}
+                }
             if label == "none":
                 record = None
             rig = Rig(
@@ -249,23 +303,24 @@
                 memory_kb=400000,
             )
             async with rig:
-                drive = Drive(rig, 0.02, 3)
-                await drive.play(20, {"pay": 140})
-                print(drive.line(label, "pay"), flush=True)
-            await standin.stop()
+                generator = LoadGenerator(rig, 0.02, 3)
+                await generator.run(20, {"pay": 140})
+                print(generator.format_row(label, "pay"), flush=True)
+            await fake_postgres.stop()
 
 
-async def start() -> None:
+async def measure_start() -> None:
+    """Prints the time until a server listens that reads many records back, and its memory."""
     for count in (10_000, 1_000_000):
         with tempfile.TemporaryDirectory(dir=os.environ.get("BENCH_DIR")) as name:
             folder = Path(name)
-            sealer = RowAuthenticator(load_key(folder / "record.db.key", True))
-            store = SqliteStore(folder / "record.db", sealer, "n1")
+            authenticator = RowAuthenticator(load_key(folder / "record.db.key", True))
+            store = SqliteStore(folder / "record.db", authenticator, "n1")
             store.open_without_event_loop()
             assert store.db is not None
             until = time.time_ns() + 600 * 10**9
             rows = (
-                row._replace(mac=sealer.compute_mac(row))
+                row._replace(mac=authenticator.compute_mac(row))
                 for row in (
                     RecordRow(os.urandom(16), ROW_COMPLETED, "n1", 1, 1, "0" * 16, 1, until, RESULT)
                     for _ in range(count)
@@ -275,44 +330,46 @@
             store.db.executemany("INSERT INTO fate VALUES (?,?,?,?,?,?,?,?,?,?)", rows)
             store.db.execute("COMMIT")
             store.release()
-            size = (folder / "record.db").stat().st_size
-            took, resident = [], 0
+            size_bytes = (folder / "record.db").stat().st_size
+            start_s, resident_kb = [], 0
             for _ in range(3):
                 rig = Rig(
                     folder, operator={"record": {"sqlite": {"path": str(folder / "record.db")}}}
                 )
-                began = time.perf_counter()
+                started_at_s = time.perf_counter()
                 async with rig:
-                    took.append(time.perf_counter() - began)
+                    start_s.append(time.perf_counter() - started_at_s)
                     status = Path(f"/proc/{rig.process.pid}/status").read_text()
-                    resident = int(status.split("VmRSS:")[1].split()[0])
-                    found = rig.log().split("event=record_opened")[1].split("\n")[0]
+                    resident_kb = int(status.split("VmRSS:")[1].split()[0])
+                    log_fields = rig.log().split("event=record_opened")[1].split("\n")[0]
             print(
-                f"{count} records, {size >> 20} MiB: up after {statistics.median(took):.2f} s (median of 3, the"
-                f" interpreter's start with it), resident {resident >> 10} MiB;{found}"
+                f"{count} records, {size_bytes >> 20} MiB: up after {statistics.median(start_s):.2f} s (median of 3, the"
+                f" interpreter's start with it), resident {resident_kb >> 10} MiB;{log_fields}"
             )
 
 
-async def slow() -> None:
-    """Rates of bergen-hall's kind: balance views ten to each charge, near what 32 runs at a time
-    carry.
+async def measure_slow_store() -> None:
+    """Prints the latency of charges and balance views while the store is slow.
+
+    The load is modelled on that of bergen-hall, which has ten balance views to each charge, and
+    comes near what 32 concurrent runs carry. An optional argument skips that many rows.
     """
-    for label, delay in (
+    for label, commit_delay_s in (
         ("no record", None),
         ("store at ease", 0.0),
         ("each commit takes 2 s", 2.0),
     )[int(sys.argv[2]) if len(sys.argv) > 2 else 0 :]:
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
-            standin = await StandIn(folder).start()
+            fake_postgres = await FakePostgres(folder).start()
             load_key(folder / "key", True)
             operator = (
                 None
-                if delay is None
+                if commit_delay_s is None
                 else {
                     "record": {
                         "postgres": {
-                            "address": standin.address,
+                            "address": fake_postgres.address,
                             "key_file": str(folder / "key"),
                             "hang_ms": 10_000,
                         }
@@ -321,18 +378,25 @@
             )
             rig = Rig(folder, operator=operator, n_cores=8, memory_kb=400000)
             async with rig:
-                standin.faults.commit_delay_s = delay or 0.0
-                drive = Drive(rig, 0.04, 3)
-                await drive.play(20, {"look": 160, "pay": 30})
+                fake_postgres.faults.commit_delay_s = commit_delay_s or 0.0
+                generator = LoadGenerator(rig, 0.04, 3)
+                await generator.run(20, {"look": 160, "pay": 30})
                 for product in ("look", "pay"):
-                    print(drive.line(label, product), flush=True)
-                for (product, how), count in drive.count.items():
+                    print(generator.format_row(label, product), flush=True)
+                for (product, outcome), count in generator.count.items():
                     if product == "?":
-                        print(f"{how}: {count}")
-                standin.faults.commit_delay_s = 0.0
-            await standin.stop()
+                        print(f"{outcome}: {count}")
+                fake_postgres.faults.commit_delay_s = 0.0
+            await fake_postgres.stop()
 
 
 if __name__ == "__main__":
     assert sqlite3.sqlite_version_info >= (3, 35)
-    asyncio.run({"store": stores, "program": program, "start": start, "slow": slow}[sys.argv[1]]())
+    asyncio.run(
+        {
+            "store": measure_stores,
+            "program": measure_program,
+            "start": measure_start,
+            "slow": measure_slow_store,
+        }[sys.argv[1]]()
+    )
