--- a/benchmarks/scale_callers.py
+++ b/benchmarks/scale_callers.py
@@ -22,7 +22,7 @@
 
 from processes import TOLD, machine, main_thread_ns, numbers, status_mb, told  # noqa: E402
 from rig import Rig  # noqa: E402
-from traffic import SECOND, Line, Load, Runs, generate, started, word_of  # noqa: E402
+from traffic import SECOND, Load, LoadConnection, RunQueue, generate, receive, start_process  # noqa: E402
 
 from burlloom.lab.slopes import KEPT, Row  # noqa: E402
 
@@ -46,9 +46,9 @@
     """
     lines = []
     for _ in range(count):
-        lines.append(Line(address))
-        lines[-1].request(0)
-        lines[-1].heard([])
+        lines.append(LoadConnection(address))
+        lines[-1].send_request(0)
+        lines[-1].read_answers([])
     pipe.send("ready")
     pipe.recv()
 
@@ -59,14 +59,14 @@
     """
     with tempfile.TemporaryDirectory() as folder:
         rig = Rig(Path(folder), **SERVER)
-        rig.executor.commands = Runs(rig.executor, Load(1, 1, work=0.0))  # type: ignore[assignment]
+        rig.executor.commands = RunQueue(rig.executor, Load(1, 1, work=0.0))  # type: ignore[assignment]
         async with rig:
             pid = rig.process.pid
             await asyncio.sleep(0.5)
             memory, spent = status_mb(pid, "VmRSS"), await rate_of(pid, span)
-            holder, pipe = started(held, rig.address, count)
+            holder, pipe = start_process(held, rig.address, count)
             try:
-                await word_of(pipe, 60)
+                await receive(pipe, 60)
                 await asyncio.sleep(0.5)
                 more = await rate_of(pid, span)
                 return status_mb(pid, "VmRSS") - memory, more - spent
@@ -89,20 +89,20 @@
     with tempfile.TemporaryDirectory() as folder:
         rig = Rig(Path(folder), **SERVER)
         load = Load(RATE, span, warm=0.5, connections=count, work=0.005)
-        rig.executor.commands = Runs(rig.executor, load)  # type: ignore[assignment]
+        rig.executor.commands = RunQueue(rig.executor, load)  # type: ignore[assignment]
         async with rig:
             pid = rig.process.pid
             await asyncio.sleep(0.5)
             memory, rest = status_mb(pid, "VmRSS"), await rate_of(pid, 1.0)
-            generator, pipe = started(generate, rig.address, load)
+            generator, pipe = start_process(generate, rig.address, load)
             try:
-                await word_of(pipe, 60)
+                await receive(pipe, 60)
                 begin = time.monotonic_ns() + SECOND // 20
                 pipe.send(begin)
                 await asyncio.sleep((begin - time.monotonic_ns()) / SECOND + load.warm)
                 spent = await rate_of(pid, span)
                 more = status_mb(pid, "VmRSS") - memory
-                sent = await word_of(pipe)
+                sent = await receive(pipe)
                 first = begin + int(load.warm * SECOND)
                 return more, (spent - rest) * span / max(
                     1, sum(one.intended >= first for one in sent)
--- a/benchmarks/scale_request.py
+++ b/benchmarks/scale_request.py
@@ -49,7 +49,19 @@
 )  # noqa: E402
 from rig import Rig  # noqa: E402
 from scale_configuration import tenants  # noqa: E402
-from traffic import SECOND, Load, Runs, Sent, Told, below, echo, generate, started, told_of, word_of  # noqa: E402
+from traffic import (
+    SECOND,
+    Load,
+    RunQueue,
+    Sent,
+    Told,
+    generate,
+    receive,
+    serve_downstream,
+    serve_echo,
+    start_process,
+    summarize,
+)  # noqa: E402
 
 from burlloom.lab.slopes import KEPT, Row  # noqa: E402
 
@@ -95,9 +107,9 @@
         told_calls = None
         catalogue: Any = None
         if load.call is not None:
-            calls, told_calls = started(below, load.call)
+            calls, told_calls = start_process(serve_downstream, load.call)
             stack.callback(calls.kill)
-            catalogue = SimpleNamespace(address=await word_of(told_calls))
+            catalogue = SimpleNamespace(address=await receive(told_calls))
         rig = Rig(
             folder,
             n_cores=32,
@@ -107,7 +119,7 @@
             stop_ms=1500,
             downstream=catalogue,
         )
-        runs = Runs(rig.executor, load)
+        runs = RunQueue(rig.executor, load)
         rig.executor.commands = runs  # type: ignore[assignment]
         if what is not None:
             what.prepare(rig)
@@ -115,9 +127,9 @@
         pid = rig.process.pid
         if what is not None:
             await what.ready(rig)
-        generator, pipe = started(generate, rig.address, load)
+        generator, pipe = start_process(generate, rig.address, load)
         stack.callback(generator.kill)
-        await word_of(pipe)
+        await receive(pipe)
         before, since = main_thread_ns(pid), time.monotonic_ns()
         await asyncio.sleep(SETTLE)
         idle = (main_thread_ns(pid) - before) / (time.monotonic_ns() - since)
@@ -135,12 +147,12 @@
         spent, span = main_thread_ns(pid) - before, time.monotonic_ns() - since
         loads.append(os.getloadavg()[0])
         moments = await happening if happening is not None else []
-        sent: list[Sent] = await word_of(pipe)
+        sent: list[Sent] = await receive(pipe)
         generator.join(10)
         own = dict(runs.own)
         if told_calls is not None:
             told_calls.send("over")
-            for id, had in (await word_of(told_calls)).items():
+            for id, had in (await receive(told_calls)).items():
                 own[id] = own.get(id, 0) + had
             calls.join(10)
         count = sum(first <= one.intended < last for one in sent)
@@ -164,7 +176,7 @@
         if play.begin <= one.intended:
             spans.setdefault((one.intended - play.begin) // CALM, []).append(one)
     most = max(map(len, spans.values()))
-    return min(told_of(span, play.own).p99 for span in spans.values() if 2 * len(span) >= most)
+    return min(summarize(span, play.own).p99 for span in spans.values() if 2 * len(span) >= most)
 
 
 async def rest(until: int) -> None:
@@ -173,13 +185,13 @@
 
 async def harness(load: Load) -> Told:
     """The same load on a process that answers at once."""
-    process, ours = started(echo)
-    generator, pipe = started(generate, await word_of(ours), load)
+    process, ours = start_process(serve_echo)
+    generator, pipe = start_process(generate, await receive(ours), load)
     try:
-        await word_of(pipe)
+        await receive(pipe)
         begin = time.monotonic_ns() + SECOND // 5
         pipe.send(begin)
-        return told_of(await word_of(pipe), {}, begin + int(load.warm * SECOND))
+        return summarize(await receive(pipe), {}, begin + int(load.warm * SECOND))
     finally:
         for one in (generator, process):
             one.kill()
@@ -236,7 +248,7 @@
             continue
         play = uvloop.run(played(load))
         plays.append(play)
-        found.append(told_of(play.sent, play.own, play.begin))
+        found.append(summarize(play.sent, play.own, play.begin))
         TOLD.print(
             f"{rate} a second: {play.cpu:.3f} ms of processor time a request, {play.used:.0f} ms/s in all,"
             f" {play.idle:.1f} at rest; load {play.load:.1f}; {found[-1]}"
@@ -319,7 +331,7 @@
     near = [
         one for one in play.sent if any(at - BEFORE <= one.intended < at + AFTER for at in moments)
     ]
-    return told_of(near, play.own)
+    return summarize(near, play.own)
 
 
 class Reloads:
@@ -372,11 +384,13 @@
         names = [f"h{at:04d}" for at in range(self.count - 1)]
         for at in range(0, len(names), HOLLOW_MOST):
             part = part_of(folder, self.count, [])
-            self.processes.append(started(hollow, names[at : at + HOLLOW_MOST], life + at, part))
-        told_all = [one for _, pipe in self.processes for one in await word_of(pipe)]
+            self.processes.append(
+                start_process(hollow, names[at : at + HOLLOW_MOST], life + at, part)
+            )
+        told_all = [one for _, pipe in self.processes for one in await receive(pipe)]
         for _, pipe in self.processes:
             pipe.send(told_all)
-            assert await word_of(pipe) == "up"
+            assert await receive(pipe) == "up"
         self.part = part_of(folder, self.count, [address for _, address, _ in told_all[:4]])
         return self
 
@@ -419,7 +433,7 @@
         many are there.
         """
         self.tell("see")
-        found = [await word_of(pipe) for _, pipe in self.processes]
+        found = [await receive(pipe) for _, pipe in self.processes]
         return any(same for same, _ in found), [one for _, members in found for one in members]
 
 
@@ -472,7 +486,7 @@
     async def ready(self, rig: Rig) -> None:
         """Until all stand in the book, and the release has begun."""
         names = [f"h{at:04d}" for at in range(self.count - 1)]
-        self.process, self.pipe = started(
+        self.process, self.pipe = start_process(
             hollow_releases.tell, self.part["store"]["sqlite"]["path"], names
         )
         async with asyncio.timeout(90):
@@ -480,7 +494,7 @@
                 await asyncio.sleep(0.5)
             assert seen[2].startswith(rig.name), seen
             self.pipe.send("start")
-            while not await word_of(self.pipe):
+            while not await receive(self.pipe):
                 self.pipe.send("start")  # the leader wrote meanwhile
             while (await self.seen())[1] == "IDLE":
                 await asyncio.sleep(0.5)
@@ -489,7 +503,7 @@
     async def seen(self) -> tuple[int, str, str]:
         """How many stand in the book, the phase, and who leads."""
         self.pipe.send("see")
-        found: tuple[int, str, str] = await word_of(self.pipe)
+        found: tuple[int, str, str] = await receive(self.pipe)
         return found
 
     async def happens(self, rig: Rig, first: int) -> list[int]:
@@ -682,7 +696,7 @@
         happening.seconds = seconds
         play = uvloop.run(happened(Load(rate, 0, warm=min(2.0, seconds), seed=seed), happening))
         plays.append(play)
-        found.append(told_of(play.sent, play.own, play.begin))
+        found.append(summarize(play.sent, play.own, play.begin))
         TOLD.print(
             f"{happening.count} {happening.by}: {play.idle:.1f} ms/s without requests, {play.used:.0f} with;"
             f" load {play.load:.1f}; {found[-1]}"
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -1,10 +1,10 @@
-"""Requests at a rate that waits for no answer, from a process of its own, and what runs and calls
-them in others.
+"""Generates open-loop load from a separate process, and provides fakes of the server's peers.
 
-Times are ns of CLOCK_MONOTONIC, which all processes of a machine share. A request's latency counts
-from the moment at which it was to be sent. What the server added to it is that, less what the
-stand-ins for its run and its call had it: from a command's reading to the write of its answer, told
-by themselves for each request.
+The generator sends at a rate that does not wait for answers. Times are in ns of CLOCK_MONOTONIC,
+which all processes of a machine share. A request's latency counts from the moment at which it was
+due to be sent. The latency that the server added is that time less the time that the fake executor
+and the fake downstream held the request: from reading a command to writing its answer, as both
+measure it for each request.
 """
 
 import asyncio
@@ -31,15 +31,22 @@
 from burlloom.fakes.parts import Catalogue, Executor, Reply, fields  # noqa: E402
 
 SECOND = 1_000_000_000
-OPEN_MOST = 32  # of one connection, as the server has it
-GRACE = 12.0  # s for answers after the last request
+MAX_OPEN_REQUESTS = 32  # of one connection; the server has the same limit
+ANSWER_GRACE_S = 12.0  # how long answers are awaited after the last request
 RESULT = b"r" * 200
 SPAWN = multiprocessing.get_context("spawn")
 
 
 class Sent(NamedTuple):
-    """One request and what became of it. `how`: settled, or the error's name, or lost with its
-    connection.
+    """A request and its outcome.
+
+    Attributes:
+        id: The request id.
+        intended: When the request was due, in ns.
+        sent: When the request was sent, in ns.
+        answered: When the answer arrived or the connection was lost, in ns.
+        how: "settled", the name of the answered error, "lost" with its connection, "unanswered", or
+            "unsent".
     """
 
     id: str
@@ -51,44 +58,66 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """`work`, `call`: s that the stand-ins take for a run, and for the call below of each (None: it
-    makes none).
+    """What the generator sends, and how long the fakes take.
+
+    Attributes:
+        rate: Requests per second.
+        seconds: How long requests are sent and counted, in seconds.
+        warm: How long requests are sent at the same rate before that, uncounted, in seconds.
+        connections: The number of connections.
+        seed: The seed of the arrivals.
+        work: How long each run takes, in seconds.
+        call: How long the downstream call of each run takes, in seconds; None if runs make none.
     """
 
     rate: float
     seconds: float
-    warm: float = 2.0  # s at the same rate that count for nothing
+    warm: float = 2.0
     connections: int = 32
     seed: int = 1
     work: float = 0.005
     call: float | None = None
 
 
-def started(target: Any, *told: Any) -> tuple[Any, Pipe]:
-    """A process and our end of the pipe to it."""
-    ours, theirs = SPAWN.Pipe()
-    process = SPAWN.Process(target=target, args=(theirs, *told), daemon=True)
+def start_process(target: Any, *arguments: Any) -> tuple[Any, Pipe]:
+    """Starts a process that runs `target` with its end of a pipe and the arguments.
+
+    Returns:
+        The process, and the parent's end of the pipe.
+    """
+    parent_end, child_end = SPAWN.Pipe()
+    process = SPAWN.Process(target=target, args=(child_end, *arguments), daemon=True)
     process.start()
-    theirs.close()
-    return process, ours
+    child_end.close()
+    return process, parent_end
+
 
+async def receive(pipe: Pipe, timeout_s: float = 300.0) -> Any:
+    """Returns the next object that the process at the other end of the pipe sends.
 
-async def word_of(pipe: Pipe, within: float = 300.0) -> Any:
-    """What the process at the other end says next."""
+    Raises:
+        RuntimeError: The process ended first.
+    """
     try:
-        async with asyncio.timeout(within):
+        async with asyncio.timeout(timeout_s):
             return await asyncio.to_thread(pipe.recv)
     except EOFError:
         raise RuntimeError(
-            "a process of the measurement ended before its time; its standard error says why"
+            "a process of the measurement ended early; its standard error says why"
         ) from None
 
 
-# The generator's process.
+# The load generator, which has its own process.
 
 
-class Line:
-    """One connection."""
+class LoadConnection:
+    """A connection of the load generator to the server.
+
+    Attributes:
+        number: The number of the last message.
+        open: The id, due time and send time in ns of each open request, by its message's number.
+        usable: Whether requests may be sent; False once the server announced that it closes.
+    """
 
     def __init__(self, address: str) -> None:
         host, port = address.split(":")
@@ -99,125 +128,160 @@
         self.open: dict[int, tuple[str, int, int]] = {}
         self.usable = True
 
-    def say(self, method: str, *params: Any) -> None:
+    def send(self, method: str, *params: Any) -> None:
+        """Sends a message."""
         self.number += 1
         self.sock.sendall(msgpack.packb([0, self.number, method, params]))
 
-    def request(self, intended: int) -> None:
-        told = fields(cost="5")
-        self.say("look", told, b"")
-        self.open[self.number] = told["id"], intended, time.monotonic_ns()
+    def send_request(self, due_at_ns: int) -> None:
+        """Sends a request that was due at `due_at_ns`."""
+        headers = fields(cost="5")
+        self.send("look", headers, b"")
+        self.open[self.number] = headers["id"], due_at_ns, time.monotonic_ns()
+
+    def read_answers(self, outcomes: list[Sent]) -> bool:
+        """Reads the available answers, and appends their outcomes.
 
-    def heard(self, found: list[Sent]) -> bool:
-        """Takes in what came; false once the connection is over."""
+        Returns:
+            False once the connection has ended.
+        """
         try:
             data = self.sock.recv(65536)
         except OSError:
             data = b""
-        now = time.monotonic_ns()
+        now_ns = time.monotonic_ns()
         if not data:
             self.usable = False
-            found += (Sent(*one, now, "lost") for one in self.open.values())
+            outcomes += (Sent(*request, now_ns, "lost") for request in self.open.values())
             self.open.clear()
             return False
         self.unpacker.feed(data)
         for kind, *message in self.unpacker:
             if kind == 2:
-                self.usable = False  # told to close
-            elif (one := self.open.pop(message[0], None)) is not None:
-                found.append(Sent(*one, now, "settled" if message[1] is None else message[1][0]))
+                self.usable = False  # the server announced that it closes the connection
+            elif (request := self.open.pop(message[0], None)) is not None:
+                outcomes.append(
+                    Sent(*request, now_ns, "settled" if message[1] is None else message[1][0])
+                )
         return True
 
 
 def generate(pipe: Pipe, address: str, load: Load) -> None:
-    """Says when it is ready; is told when to begin; tells all that became of its requests."""
+    """Runs the load generator in its process.
+
+    Sends "ready" once connected, receives the time in ns at which to begin, and at the end sends the
+    outcome of each request.
+    """
     chance = random.Random(load.seed)
-    # Itself waited for by `select`, whose time-outs are finer than 1 ms: made first, as that takes
-    # low numbers.
-    heard = select.epoll()
-    lines = [Line(address) for _ in range(load.connections)]
-    for line in lines:
-        line.say("health", {})
+    # `select` waits on the epoll object, since its timeouts are finer than 1 ms. The epoll object is
+    # created before the connections, because `select` takes only low file descriptors.
+    poller = select.epoll()
+    connections = [LoadConnection(address) for _ in range(load.connections)]
+    for connection in connections:
+        connection.send("health", {})
     pipe.send("ready")
-    begin = pipe.recv()
-    times, at = [], 0.0
-    while (at := at + chance.expovariate(load.rate)) < load.warm + load.seconds:
-        times.append(begin + int(at * SECOND))
-    by_number = {line.sock.fileno(): line for line in lines}
-    for number in by_number:
-        heard.register(number, select.EPOLLIN)
+    begin_ns = pipe.recv()
+    due_times_ns, offset_s = [], 0.0
+    while (offset_s := offset_s + chance.expovariate(load.rate)) < load.warm + load.seconds:
+        due_times_ns.append(begin_ns + int(offset_s * SECOND))
+    by_descriptor = {connection.sock.fileno(): connection for connection in connections}
+    for descriptor in by_descriptor:
+        poller.register(descriptor, select.EPOLLIN)
     gc.collect()
     gc.disable()
-    found: list[Sent] = []
-    late: deque[int] = deque()
-    turn = next_one = asked = 0
-    until = begin + int((load.warm + load.seconds + GRACE) * SECOND)
-    while (now := time.monotonic_ns()) < until:
-        while next_one < len(times) and times[next_one] <= now:
-            late.append(times[next_one])
-            next_one += 1
-        for _ in range(len(lines) if late else 0):
-            turn = (turn + 1) % len(lines)
-            if lines[turn].usable and len(lines[turn].open) < OPEN_MOST:
-                lines[turn].request(late.popleft())
-                asked += 1
-                if not late:
+    outcomes: list[Sent] = []
+    overdue_ns: deque[int] = deque()
+    last_used = next_due = sent_count = 0
+    until_ns = begin_ns + int((load.warm + load.seconds + ANSWER_GRACE_S) * SECOND)
+    while (now_ns := time.monotonic_ns()) < until_ns:
+        while next_due < len(due_times_ns) and due_times_ns[next_due] <= now_ns:
+            overdue_ns.append(due_times_ns[next_due])
+            next_due += 1
+        for _ in range(len(connections) if overdue_ns else 0):
+            last_used = (last_used + 1) % len(connections)
+            if (
+                connections[last_used].usable
+                and len(connections[last_used].open) < MAX_OPEN_REQUESTS
+            ):
+                connections[last_used].send_request(overdue_ns.popleft())
+                sent_count += 1
+                if not overdue_ns:
                     break
-        if next_one == len(times) and not late and len(found) == asked:
+        if next_due == len(due_times_ns) and not overdue_ns and len(outcomes) == sent_count:
             break
-        wait = (times[next_one] - time.monotonic_ns()) / SECOND if next_one < len(times) else 0.05
-        if select.select([heard], [], [], max(0.0, min(wait, 0.05)))[0]:
-            for number, _ in heard.poll(0):
-                if not by_number[number].heard(found):
-                    heard.unregister(number)
-    heard.close()
-    now = time.monotonic_ns()
-    found += (Sent(*one, now, "unanswered") for line in lines for one in line.open.values())
-    found += (Sent("", intended, now, now, "unsent") for intended in (*late, *times[next_one:]))
-    for line in lines:
-        line.sock.close()
-    pipe.send(found)
+        wait_s = (
+            (due_times_ns[next_due] - time.monotonic_ns()) / SECOND
+            if next_due < len(due_times_ns)
+            else 0.05
+        )
+        if select.select([poller], [], [], max(0.0, min(wait_s, 0.05)))[0]:
+            for descriptor, _ in poller.poll(0):
+                if not by_descriptor[descriptor].read_answers(outcomes):
+                    poller.unregister(descriptor)
+    poller.close()
+    now_ns = time.monotonic_ns()
+    outcomes += (
+        Sent(*request, now_ns, "unanswered")
+        for connection in connections
+        for request in connection.open.values()
+    )
+    outcomes += (
+        Sent("", due_at_ns, now_ns, now_ns, "unsent")
+        for due_at_ns in (*overdue_ns, *due_times_ns[next_due:])
+    )
+    for connection in connections:
+        connection.sock.close()
+    pipe.send(outcomes)
     pipe.close()
 
 
-# What runs the requests, and what their runs call.
+# The fake executor and the fake downstream.
+
 
+class RunQueue:
+    """Replaces the command queue of the fake executor, and executes the commands itself.
 
-class Runs:
-    """Stands in the place of the executor's queue of commands: each run takes `work`, and one call
-    before it if any.
+    Each run takes `load.work` seconds, after one downstream call if the load has calls.
+
+    Attributes:
+        own: How long the executor held each request, in ns, by request id.
     """
 
     def __init__(self, executor: Executor, load: Load) -> None:
         self.executor, self.load, self.own = executor, load, dict[str, int]()
 
     def put_nowait(self, command: tuple[str, ...]) -> None:
+        """Executes a command."""
         name, id = command[0], command[1]
-        began = time.monotonic_ns()
+        received_at_ns = time.monotonic_ns()
         if name == "EXEC" and self.load.call is not None:
             self.executor.callout(id)
-            self.had(id, began)
+            self.add_held_time(id, received_at_ns)
         else:
-            asyncio.get_running_loop().call_later(self.load.work, self.end, id, began)
+            asyncio.get_running_loop().call_later(self.load.work, self.end, id, received_at_ns)
 
-    def end(self, id: str, began: int) -> None:
+    def end(self, id: str, received_at_ns: int) -> None:
+        """Ends a run with its result."""
         self.executor.exit(id, result=RESULT)
-        self.had(id, began)
+        self.add_held_time(id, received_at_ns)
+
+    def add_held_time(self, id: str, received_at_ns: int) -> None:
+        """Adds the time since a command was received to the held time of its request."""
+        self.own[id] = self.own.get(id, 0) + time.monotonic_ns() - received_at_ns
 
-    def had(self, id: str, began: int) -> None:
-        self.own[id] = self.own.get(id, 0) + time.monotonic_ns() - began
 
+def serve_downstream(pipe: Pipe, call_s: float) -> None:
+    """Runs the fake downstream in its process, whose calls take `call_s` seconds.
 
-def below(pipe: Pipe, takes: float) -> None:
-    """The process of what is called: tells its address, then, asked to end, how long it had
-    each.
+    Sends its address. Once it receives anything it stops, and sends how long it held each request,
+    in ns by request id.
     """
-    own: dict[str, int] = {}
+    held_ns: dict[str, int] = {}
 
     async def reply(id: str) -> Reply:
-        began = time.monotonic_ns()
-        await asyncio.sleep(takes)
-        own[id] = own.get(id, 0) + time.monotonic_ns() - began
+        received_at_ns = time.monotonic_ns()
+        await asyncio.sleep(call_s)
+        held_ns[id] = held_ns.get(id, 0) + time.monotonic_ns() - received_at_ns
         return 200, False, b"fetched"
 
     async def serve() -> None:
@@ -225,16 +289,19 @@
         pipe.send(catalogue.address)
         await asyncio.to_thread(pipe.recv)
         await catalogue.stop()
-        pipe.send(own)
+        pipe.send(held_ns)
         pipe.close()
 
     uvloop.run(serve())
 
 
-def echo(pipe: Pipe) -> None:
-    """A process that answers each request at once: what the harness itself adds."""
+def serve_echo(pipe: Pipe) -> None:
+    """Answers each request at once, to measure the latency that the harness itself adds.
 
-    class Answers(asyncio.Protocol):
+    Runs in its own process: sends its address, and stops once it receives anything.
+    """
+
+    class EchoProtocol(asyncio.Protocol):
         def connection_made(self, transport: Any) -> None:
             self.transport, self.unpacker = transport, msgpack.Unpacker()
 
@@ -244,21 +311,31 @@
                 self.transport.write(msgpack.packb([1, number, None, [RESULT, {}]]))
 
     async def serve() -> None:
-        server = await asyncio.get_running_loop().create_server(Answers, "127.0.0.1", 0)
+        server = await asyncio.get_running_loop().create_server(EchoProtocol, "127.0.0.1", 0)
         pipe.send("%s:%d" % server.sockets[0].getsockname())
         await asyncio.to_thread(pipe.recv)
 
     uvloop.run(serve())
 
 
-# What is told of it.
+# The summary of the outcomes.
 
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """Of the requests of a span, ms. `p50`, `p99`: added by the server to those that were settled;
-    `longest`: to any; `whole_p99`: from the intended moment to the answer; `late_p99`: by which the
-    generator was late.
+    """The latency of the requests of a time span, in ms.
+
+    Programs print it by its repr, so that the names of its class and fields are part of their
+    output.
+
+    Attributes:
+        count: The number of requests.
+        how: The number of requests by outcome.
+        p50: The median of the latency that the server added to settled requests.
+        p99: The 99th percentile of the same.
+        longest: The longest latency that the server added to any request.
+        whole_p99: The 99th percentile of the time from when a request was due to its answer.
+        late_p99: The 99th percentile of how late the generator sent a request.
     """
 
     count: int
@@ -270,28 +347,36 @@
     late_p99: float
 
 
-def told_of(
-    sent: Iterable[Sent], own: dict[str, int], since: int = 0, until: int = 1 << 62
+def summarize(
+    outcomes: Iterable[Sent], held_ns: dict[str, int], since: int = 0, until: int = 1 << 62
 ) -> Told:
-    added, whole, late = (HdrHistogram(1, 120_000_000, 3) for _ in range(3))  # in us
-    how: Counter[str] = Counter()
-    longest = 0
-    for one in sent:
-        if not since <= one.intended < until:
+    """Summarizes the requests that were due in a time span.
+
+    Args:
+        outcomes: The requests.
+        held_ns: How long the fakes held each request, in ns by request id.
+        since: The start of the span, in ns.
+        until: The end of the span, in ns, exclusive.
+    """
+    added_us, whole_us, late_us = (HdrHistogram(1, 120_000_000, 3) for _ in range(3))
+    counts: Counter[str] = Counter()
+    longest_ns = 0
+    for request in outcomes:
+        if not since <= request.intended < until:
             continue
-        how[one.how] += 1
-        took = one.answered - one.intended - own.get(one.id, 0)
-        longest = max(longest, took)
-        if one.how == "settled":
-            added.record_value(max(1, took // 1000))
-            whole.record_value(max(1, (one.answered - one.intended) // 1000))
-            late.record_value(max(1, (one.sent - one.intended) // 1000))
+        counts[request.how] += 1
+        added_ns = request.answered - request.intended - held_ns.get(request.id, 0)
+        longest_ns = max(longest_ns, added_ns)
+        if request.how == "settled":
+            added_us.record_value(max(1, added_ns // 1000))
+            whole_us.record_value(max(1, (request.answered - request.intended) // 1000))
+            late_us.record_value(max(1, (request.sent - request.intended) // 1000))
     return Told(
-        sum(how.values()),
-        dict(how),
-        added.get_value_at_percentile(50) / 1e3,
-        added.get_value_at_percentile(99) / 1e3,
-        longest / 1e6,
-        whole.get_value_at_percentile(99) / 1e3,
-        late.get_value_at_percentile(99) / 1e3,
+        sum(counts.values()),
+        dict(counts),
+        added_us.get_value_at_percentile(50) / 1e3,
+        added_us.get_value_at_percentile(99) / 1e3,
+        longest_ns / 1e6,
+        whole_us.get_value_at_percentile(99) / 1e3,
+        late_us.get_value_at_percentile(99) / 1e3,
     )
--- a/tests/test_scale_request.py
+++ b/tests/test_scale_request.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 from scale import scale
 from scale_request import CALM, least_p99, played, windows
-from traffic import SECOND, Load, Sent, told_of
+from traffic import SECOND, Load, Sent, summarize
 
 from burlloom.lab.slopes import kept, newest
 
@@ -84,7 +84,7 @@
         Sent("b", 0, 0, 40 * ms, "Backoff"),
         Sent("c", SECOND, SECOND, SECOND, "lost"),
     ]
-    told = told_of(sent, {"a": 10 * ms}, until=SECOND)
+    told = summarize(sent, {"a": 10 * ms}, until=SECOND)
     assert (told.count, told.how, told.longest) == (2, {"settled": 1, "Backoff": 1}, 40.0)
     assert told.p50 == told.p99 == pytest.approx(2.0, rel=0.01)
     assert told.whole_p99 == pytest.approx(12.0, rel=0.01)
