--- a/benchmarks/distribution_core.py
+++ b/benchmarks/distribution_core.py
@@ -1,11 +1,11 @@
-"""Processor time of following and of being followed, without sockets; and what a network in
-simulated time carries.
+"""Measures the processor time of followers and of their source, without sockets.
 
     PYTHONPATH=.:tests python benchmarks/distribution_core.py
 
-Prints: one follower and its share of a source at rest, a change, a push, a newcomer's sync; a
-follower's datagrams and bytes; the longest from the store to in force everywhere. Processor time of
-this process only; a busy machine makes it longer.
+Prints the processor time of a follower and its share of the source's without changes, with a change,
+with a push, and with the sync of a new follower. Then prints, from a network in simulated time, the
+datagrams and bytes of a follower, and the longest time from the store until a change is in force
+everywhere. Processor time is that of this process only; a busy machine makes it longer.
 """
 
 from random import Random
@@ -33,83 +33,107 @@
     propose,
 )
 
-FOLLOWERS, BEATS, CHANGES, NEWCOMERS_ENTRIES = 300, 20, 20, 100_000
+FOLLOWERS, IDLE_SECONDS, CHANGES, SYNC_ENTRIES = 300, 20, 20, 100_000
 
 
-class Pair:
-    """One source and its followers; what each side spent, s."""
+class FollowedSource:
+    """A source and its followers, connected directly.
 
-    def __init__(self, entries: int, followers: int, terms: ReplicationSettings) -> None:
+    Attributes:
+        source_s: The processor time of the source in seconds.
+        followers_s: The processor time of all followers in seconds.
+        longest_datagram_s: The longest processor time of a datagram at a follower in seconds.
+
+    Args:
+        entries: The number of tenants in the source's table.
+        followers: The number of followers.
+        settings: The settings of the source and of its followers.
+    """
+
+    def __init__(self, entries: int, followers: int, settings: ReplicationSettings) -> None:
         replica = empty_replica(None)
-        for at in range(0, entries, 64):
+        for first in range(0, entries, 64):
             replica.table.put(
                 [
-                    ConfigItem("", "tenant", f"tenant-{one:06}", numbered_value(one))
-                    for one in range(at, min(entries, at + 64))
+                    ConfigItem("", "tenant", f"tenant-{index:06}", numbered_value(index))
+                    for index in range(first, min(entries, first + 64))
                 ]
             )
         self.source = Source(
-            replica, "source", INCARNATION, (SEALING_KEY,), terms, Random(1), NOW_NS, lambda now: 0
+            replica,
+            "source",
+            INCARNATION,
+            (SEALING_KEY,),
+            settings,
+            Random(1),
+            NOW_NS,
+            lambda now: 0,
         )
         self.followers = [
             Follower(
                 Replica(ConfigTable(("", "a")), [SIGNING_KEY]),
-                f"s{at}",
+                f"s{index}",
                 INCARNATION,
                 "a",
                 [Upstream("source", "a", ADDRESS)],
                 (SEALING_KEY,),
-                terms,
-                Random(at),
+                settings,
+                Random(index),
                 NOW_NS,
             )
-            for at in range(followers)
+            for index in range(followers)
         ]
-        self.above = self.below = self.worst = 0.0
+        self.source_s = self.followers_s = self.longest_datagram_s = 0.0
 
-    def tick(self, now: int) -> None:
-        begun = process_time()
-        for one in self.followers:
-            one.tick(now)
-        self.below += process_time() - begun
-        self.source.tick(now)
+    def tick(self, now_ns: int) -> None:
+        """Ticks the followers, which is timed, and the source, which is not."""
+        started_at_s = process_time()
+        for follower in self.followers:
+            follower.tick(now_ns)
+        self.followers_s += process_time() - started_at_s
+        self.source.tick(now_ns)
 
-    def exchange(self, now: int) -> None:
+    def exchange(self, now_ns: int) -> None:
+        """Delivers datagrams in both directions until none is left."""
         busy = True
         while busy:
             busy = False
-            for at, one in enumerate(self.followers):
-                while one.outbox:
-                    data, begun, busy = one.outbox.popleft()[1], process_time(), True
-                    self.source.receive(now, data, (str(at), 1))
-                    self.above += process_time() - begun
+            for index, follower in enumerate(self.followers):
+                while follower.outbox:
+                    data, started_at_s, busy = follower.outbox.popleft()[1], process_time(), True
+                    self.source.receive(now_ns, data, (str(index), 1))
+                    self.source_s += process_time() - started_at_s
             while self.source.outbox:
                 (name, _), data = self.source.outbox.popleft()
-                begun, busy = process_time(), True
-                self.followers[int(name)].receive(now, data, ADDRESS)
-                spent = process_time() - begun
-                self.below, self.worst = self.below + spent, max(self.worst, spent)
+                started_at_s, busy = process_time(), True
+                self.followers[int(name)].receive(now_ns, data, ADDRESS)
+                spent_s = process_time() - started_at_s
+                self.followers_s, self.longest_datagram_s = (
+                    self.followers_s + spent_s,
+                    max(self.longest_datagram_s, spent_s),
+                )
 
 
 def main() -> None:
-    pair, now = Pair(200, FOLLOWERS, ReplicationSettings()), NOW_NS
-    while any(one.replica.head is None for one in pair.followers):
-        pair.tick(now)
-        pair.exchange(now)
-        now += NS_PER_SECOND
-    pair.above = pair.below = 0.0
-    for _ in range(10 * BEATS):
-        pair.tick(now)
-        pair.exchange(now)
-        now += NS_PER_SECOND // 10
-    each = 1000 / FOLLOWERS
+    """Runs all measurements, and prints their results."""
+    fleet, now_ns = FollowedSource(200, FOLLOWERS, ReplicationSettings()), NOW_NS
+    while any(follower.replica.head is None for follower in fleet.followers):
+        fleet.tick(now_ns)
+        fleet.exchange(now_ns)
+        now_ns += NS_PER_SECOND
+    fleet.source_s = fleet.followers_s = 0.0
+    for _ in range(10 * IDLE_SECONDS):
+        fleet.tick(now_ns)
+        fleet.exchange(now_ns)
+        now_ns += NS_PER_SECOND // 10
+    ms_each = 1000 / FOLLOWERS
     print(
-        f"at rest, ms a second: a follower {pair.below * each / BEATS:.3f}, its source for it {pair.above * each / BEATS:.3f}"
+        f"at rest, ms a second: a follower {fleet.followers_s * ms_each / IDLE_SECONDS:.3f}, its source for it {fleet.source_s * ms_each / IDLE_SECONDS:.3f}"
     )
     for size in (1, 8):
-        pair.below, push = 0.0, 0.0
+        fleet.followers_s, push_s = 0.0, 0.0
         for number in range(CHANGES):
-            head = pair.source.replica.head
+            head = fleet.source.replica.head
             assert head is not None
             entries = [
                 ConfigItem(
@@ -118,24 +142,25 @@
                 for at in range(size)
             ]
             assert (
-                pair.source.replica.apply_change(propose(head, "", entries, 1, SIGNING_KEY)) is None
+                fleet.source.replica.apply_change(propose(head, "", entries, 1, SIGNING_KEY))
+                is None
             )
-            begun = process_time()
-            pair.source.push_changes(now)
-            push += process_time() - begun
-            pair.exchange(now)
+            started_at_s = process_time()
+            fleet.source.push_changes(now_ns)
+            push_s += process_time() - started_at_s
+            fleet.exchange(now_ns)
         print(
-            f"a change of {size}: {pair.below * each / CHANGES:.3f} ms at a follower, pushed in {push * 1000 * each / CHANGES:.2f} us to one"
+            f"a change of {size}: {fleet.followers_s * ms_each / CHANGES:.3f} ms at a follower, pushed in {push_s * 1000 * ms_each / CHANGES:.2f} us to one"
         )
-    newcomer = Pair(
-        NEWCOMERS_ENTRIES, 1, ReplicationSettings(page_bytes_per_s=10**9, page_burst_bytes=10**9)
+    newcomer = FollowedSource(
+        SYNC_ENTRIES, 1, ReplicationSettings(page_bytes_per_s=10**9, page_burst_bytes=10**9)
     )
     newcomer.tick(NOW_NS)
     newcomer.exchange(NOW_NS)
     counts = newcomer.followers[0].counts
     print(
-        f"a newcomer to {NEWCOMERS_ENTRIES} entries: {newcomer.below:.2f} s, its source {newcomer.above:.2f} s, {counts.pages} pages, "
-        f"{counts.received_bytes} bytes, the longest datagram {newcomer.worst * 1000:.2f} ms"
+        f"a newcomer to {SYNC_ENTRIES} entries: {newcomer.followers_s:.2f} s, its source {newcomer.source_s:.2f} s, {counts.pages} pages, "
+        f"{counts.received_bytes} bytes, the longest datagram {newcomer.longest_datagram_s * 1000:.2f} ms"
     )
     for rate in (0, 0.4, 4):
         sent, sent_bytes, heard, heard_bytes = measure_follower_traffic(rate)
@@ -143,12 +168,12 @@
             f"{rate} changes a second of 300 bytes: sent {sent:.1f} of {sent_bytes:.0f} bytes, heard {heard:.1f} of {heard_bytes:.0f}"
         )
     for rate in (0.4, 4.0):
-        direct, below = (
+        direct_s, relayed_s = (
             [measure_propagation_s(rate, seed, 0) for seed in range(8)],
             [measure_propagation_s(rate, seed, 3) for seed in range(4)],
         )
         print(
-            f"{rate} changes a second, s until in force everywhere at worst: {max(direct):.2f}, below relays {max(below):.2f}",
+            f"{rate} changes a second, s until in force everywhere at worst: {max(direct_s):.2f}, below relays {max(relayed_s):.2f}",
             flush=True,
         )
 
--- a/benchmarks/log_lines.py
+++ b/benchmarks/log_lines.py
@@ -1,7 +1,8 @@
-"""What a log line costs: the formatter of burlloom/server/logs.py against structlog's, in time and
-resident memory.
+"""Compares the time and the resident memory of a log line with those of structlog.
 
-python benchmarks/log_lines.py
+`ours` is the formatter of burlloom/server/logs.py.
+
+    python benchmarks/log_lines.py
 """
 
 import io
@@ -10,17 +11,19 @@
 import sys
 import time
 
-LINES = 100_000
-SAY = "event=connection_closed side=balancer peer=%s reason=%s requests=%d responses=%d bad_requests=%d unanswered=%d detail=%r"
+LINE_COUNT = 100_000
+MESSAGE_FORMAT = "event=connection_closed side=balancer peer=%s reason=%s requests=%d responses=%d bad_requests=%d unanswered=%d detail=%r"
 VALUES = ("127.0.0.1:4711", "idle_timeout", 12, 12, 0, 0, "")
 
 
-def resident() -> int:
+def resident_kb() -> int:
+    """Returns the resident memory of this process in KiB."""
     with open("/proc/self/status") as file:
         return int(file.read().split("VmRSS:")[1].split()[0])
 
 
-def ours() -> float:
+def time_key_value_formatter() -> float:
+    """Returns the seconds that `LINE_COUNT` lines take with the server's formatter."""
     from burlloom.server.logs import KeyValueFormatter
 
     handler = logging.StreamHandler(io.StringIO())
@@ -29,13 +32,14 @@
     log.addHandler(handler)
     log.setLevel(logging.INFO)
     log.propagate = False
-    began = time.perf_counter()
-    for _ in range(LINES):
-        log.info(SAY, *VALUES)
-    return time.perf_counter() - began
+    started_at_s = time.perf_counter()
+    for _ in range(LINE_COUNT):
+        log.info(MESSAGE_FORMAT, *VALUES)
+    return time.perf_counter() - started_at_s
 
 
-def structlogs() -> float:
+def time_structlog() -> float:
+    """Returns the seconds that `LINE_COUNT` lines take with structlog."""
     import structlog
 
     out = io.StringIO()
@@ -49,8 +53,8 @@
         cache_logger_on_first_use=True,
     )
     log = structlog.get_logger()
-    began = time.perf_counter()
-    for _ in range(LINES):
+    started_at_s = time.perf_counter()
+    for _ in range(LINE_COUNT):
         log.info(
             "connection_closed",
             side="balancer",
@@ -62,20 +66,21 @@
             unanswered=0,
             detail="",
         )
-    return time.perf_counter() - began
+    return time.perf_counter() - started_at_s
 
 
 def main() -> None:
+    """Runs both measurements, each in a new process, or the one that the argument names."""
     if len(sys.argv) == 1:
         for name in ("ours", "structlog"):
             subprocess.run([sys.executable, __file__, name], check=True)
         return
-    before = resident()
-    took = ours() if sys.argv[1] == "ours" else structlogs()
+    memory_before_kb = resident_kb()
+    duration_s = time_key_value_formatter() if sys.argv[1] == "ours" else time_structlog()
     print(
-        f"{sys.argv[1]}: {took / LINES * 1e6:.2f} us a line, {(resident() - before) / 1024:.1f} MiB with the lines"
+        f"{sys.argv[1]}: {duration_s / LINE_COUNT * 1e6:.2f} us a line, {(resident_kb() - memory_before_kb) / 1024:.1f} MiB with the lines"
     )
-    began = time.perf_counter()
+    started_at_s = time.perf_counter()
     code = "import logging" if sys.argv[1] == "ours" else "import logging, structlog"
     out = subprocess.run(
         [
@@ -88,7 +93,7 @@
         check=True,
     )
     print(
-        f"    imports: {int(out.stdout) / 1024:.1f} MiB resident, {(time.perf_counter() - began) * 1e3:.0f} ms"
+        f"    imports: {int(out.stdout) / 1024:.1f} MiB resident, {(time.perf_counter() - started_at_s) * 1e3:.0f} ms"
     )
 
 
