--- a/benchmarks/hollow_hosts.py
+++ b/benchmarks/hollow_hosts.py
@@ -1,8 +1,7 @@
-"""The processes of a scale run that hold hollow servers, as whoever runs it sees them: orders out,
-reports in.
+"""Starts and controls the host processes of a scale run, which hold hollow servers.
 
-Looks at each process from outside too, by /proc. Nothing is left running: a host ends when its
-input does.
+Sends them commands and reads their reports, one JSON object a line, and reads their processor time
+and memory from /proc. No process is left running: a host ends at the end of its input.
 """
 
 import asyncio
@@ -20,30 +19,46 @@
 
 from burlloom.lab.distances import Place  # noqa: E402
 
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
-PATIENCE = 120.0
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+HOST_TIMEOUT_S = 120.0  # limit for a host to open, to answer and to end; then it is killed
 KEY = "6b" * 32
 
 
 def usage(pid: int) -> tuple[float, int]:
-    """Processor time so far, s, and resident memory, bytes."""
-    told = (
+    """Returns the processor time of a process in s, and its resident memory in bytes."""
+    stat_fields = (
         Path(f"/proc/{pid}/stat")
         .read_text(encoding="ascii", errors="replace")
         .rpartition(")")[2]
         .split()
     )
-    return (int(told[11]) + int(told[12])) / TICKS, int(told[21]) * PAGE
+    return (int(stat_fields[11]) + int(stat_fields[12])) / TICKS_PER_SECOND, int(
+        stat_fields[21]
+    ) * PAGE_BYTES
 
 
 def row(place: Place) -> list[Any]:
+    """Returns a place in the form that hosts read."""
     return [place.name, place.region, place.zone, place.rack]
 
 
 @dataclass
 class Host:
-    """One process. `seconds`: its reports."""
+    """A host process.
+
+    Attributes:
+        name: The name of the host.
+        servers: The places of the hollow servers that the host holds.
+        cores: The settings of the cores of each server.
+        record: The file to which the host writes its events.
+        main: Arguments of the Python interpreter.
+        process: The process, once it is open.
+        addresses: The addresses of each server by kind, once it is open.
+        seconds: The host's reports, one a second.
+        faults: The faults that the host reported.
+        costs: The answers to `ask`.
+    """
 
     name: str
     servers: Sequence[Place]
@@ -57,6 +72,7 @@
     costs: asyncio.Queue[dict[str, list[int]]] = field(default_factory=asyncio.Queue)
 
     async def open(self, seed: int) -> None:
+        """Starts the process, and waits until its servers have addresses."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             *self.main,
@@ -69,47 +85,51 @@
             "begin",
             seed=seed,
             cores=self.cores,
-            servers=[row(one) for one in self.servers],
+            servers=[row(place) for place in self.servers],
             record=str(self.record),
         )
         assert self.process.stdout is not None
-        async with asyncio.timeout(PATIENCE):
-            told = json.loads(await self.process.stdout.readline())
-        assert told["is"] == "open", told
-        self.addresses = told["addresses"]
+        async with asyncio.timeout(HOST_TIMEOUT_S):
+            report = json.loads(await self.process.stdout.readline())
+        assert report["is"] == "open", report
+        self.addresses = report["addresses"]
         self.reading = asyncio.create_task(self.read())
 
     async def read(self) -> None:
+        """Reads reports until the host ends."""
         assert self.process is not None
         assert self.process.stdout is not None
         while line := await self.process.stdout.readline():
-            told = json.loads(line)
-            if told["is"] == "second":
-                self.seconds.append(told)
-            elif told["is"] == "costs":
-                self.costs.put_nowait(told["costs"])
+            report = json.loads(line)
+            if report["is"] == "second":
+                self.seconds.append(report)
+            elif report["is"] == "costs":
+                self.costs.put_nowait(report["costs"])
             else:
-                self.faults.append(told["detail"])
+                self.faults.append(report["detail"])
 
-    def order(self, do: str, **told: Any) -> None:
+    def order(self, do: str, **arguments: Any) -> None:
+        """Sends a command, unless the process has ended."""
         assert self.process is not None
         assert self.process.stdin is not None
         if self.process.returncode is None:
-            self.process.stdin.write(json.dumps({"do": do, **told}).encode() + b"\n")
+            self.process.stdin.write(json.dumps({"do": do, **arguments}).encode() + b"\n")
 
     async def ask(self) -> dict[str, list[int]]:
+        """Asks for the costs of each server, and returns them."""
         self.order("ask")
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(HOST_TIMEOUT_S):
             return await self.costs.get()
 
     async def close(self) -> None:
+        """Ends the process, and kills it if it does not end in time."""
         if self.process is None:
             return
         assert self.process.stdin is not None
         self.order("end")
         self.process.stdin.close()
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(HOST_TIMEOUT_S):
                 await self.process.wait()
         except TimeoutError:
             self.process.kill()
@@ -118,8 +138,14 @@
 
 
 class Hosts:
-    """All of them. `groups`: of each process, the servers, and what their cores are told. `main`:
-    what Python is to run.
+    """All host processes of a run.
+
+    Args:
+        folder: The folder of the hosts' event files.
+        groups: For each process, its servers and the settings of their cores.
+        seed: The seed from which the seed of each host is derived.
+        main: Arguments of the Python interpreter.
+        opening: The number of processes that are started at a time.
     """
 
     def __init__(
@@ -130,27 +156,27 @@
         main: Sequence[str] = ("-m", "burlloom.lab.hollow"),
         opening: int = 100,
     ) -> None:
-        """`opening`: processes that are started at a time."""
         self.seed, self.opening = seed, asyncio.Semaphore(opening)
         self.hosts = [
-            Host(f"host{at}", group, cores, folder / f"host{at}.jsonl", main)
-            for at, (group, cores) in enumerate(groups)
+            Host(f"host{index}", group, cores, folder / f"host{index}.jsonl", main)
+            for index, (group, cores) in enumerate(groups)
         ]
         self.by_name = {place.name: (host, place) for host in self.hosts for place in host.servers}
-        self.extra: list[list[Any]] = []  # addresses of those in no host, where they are reached
+        self.extra: list[list[Any]] = []  # addresses and places of servers outside of the hosts
 
     async def __aenter__(self) -> "Hosts":
-        async def opens(at: int, host: Host) -> None:
+        async def open_host(index: int, host: Host) -> None:
             async with self.opening:
-                await host.open(self.seed * 1009 + at)
+                await host.open(self.seed * 1009 + index)
 
-        await asyncio.gather(*(opens(at, host) for at, host in enumerate(self.hosts)))
+        await asyncio.gather(*(open_host(index, host) for index, host in enumerate(self.hosts)))
         return self
 
-    async def __aexit__(self, *rest: Any) -> None:
+    async def __aexit__(self, *exception: Any) -> None:
         await asyncio.gather(*(host.close() for host in self.hosts))
 
     def places(self) -> list[list[Any]]:
+        """Returns the place of each address of each server."""
         return [
             [address, *row(place)]
             for host in self.hosts
@@ -159,56 +185,68 @@
         ]
 
     def address(self, name: str, kind: str) -> str:
+        """Returns the address of a server's core of a kind."""
         return self.by_name[name][0].addresses[name][kind]
 
-    def tell(self, do: str, **told: Any) -> None:
+    def tell(self, do: str, **arguments: Any) -> None:
+        """Sends a command to all hosts."""
         for host in self.hosts:
-            host.order(do, **told)
+            host.order(do, **arguments)
 
-    def tell_names(self, do: str, names: Iterable[str], **told: Any) -> None:
-        """To just the hosts that hold them."""
+    def tell_names(self, do: str, names: Iterable[str], **arguments: Any) -> None:
+        """Sends a command for the named servers to the hosts that hold them."""
         by_host: dict[str, list[str]] = {}
         for name in names:
             by_host.setdefault(self.by_name[name][0].name, []).append(name)
         for host in self.hosts:
             if host.name in by_host:
-                host.order(do, names=by_host[host.name], **told)
+                host.order(do, names=by_host[host.name], **arguments)
 
     def lag(self, since: int) -> float:
-        """The worst lag of a host's loop, ms, in reports since then (ns of the clock that goes
-        on).
+        """Returns the longest lag of a host's event loop in ms, in reports since a time.
+
+        Args:
+            since: The time in ns, as `clock` returns it.
         """
         return max(
-            (one["lag_ms"] for host in self.hosts for one in host.seconds if one["at"] >= since),
+            (
+                report["lag_ms"]
+                for host in self.hosts
+                for report in host.seconds
+                if report["at"] >= since
+            ),
             default=0.0,
         )
 
     def facts(self) -> dict[str, float]:
-        """Of the last second, added up."""
-        found: dict[str, float] = {}
+        """Returns the sum over all hosts of the facts of their last report."""
+        sums: dict[str, float] = {}
         for host in self.hosts:
             for name, value in (host.seconds[-1]["facts"] if host.seconds else {}).items():
-                found[name] = found.get(name, 0) + value
-        return found
+                sums[name] = sums.get(name, 0) + value
+        return sums
 
     def up(self) -> int:
+        """Returns the number of servers that run."""
         return sum(host.seconds[-1]["up"] for host in self.hosts if host.seconds)
 
     def views(self) -> int:
-        """How many different views there are."""
+        """Returns the number of different views of the fleet."""
         return sum(name.startswith("view ") for name in self.facts())
 
     async def costs(self) -> dict[str, list[int]]:
-        found: dict[str, list[int]] = {}
-        for told in await asyncio.gather(*(host.ask() for host in self.hosts)):
-            found |= told
-        return found
+        """Returns the costs of each server."""
+        costs: dict[str, list[int]] = {}
+        for host_costs in await asyncio.gather(*(host.ask() for host in self.hosts)):
+            costs |= host_costs
+        return costs
 
 
 def clock() -> int:
+    """Returns the time in ns of the clock that goes on while the machine is suspended."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
 def spread(places: Sequence[Place], processes: int) -> list[list[Place]]:
-    """Over so many processes, of much the same size."""
-    return [list(places[at::processes]) for at in range(min(processes, len(places)))]
+    """Distributes the places evenly over at most `processes` groups."""
+    return [list(places[first::processes]) for first in range(min(processes, len(places)))]
--- a/benchmarks/hollow_releases.py
+++ b/benchmarks/hollow_releases.py
@@ -1,5 +1,7 @@
-"""Servers of a release without a serving part: they tell of themselves in the store, and leave and
-come back as the book lets them. All share a process; a round of theirs is written in one go.
+"""Runs the rollout part of many servers in one process, without the servers.
+
+They write their reports to the rollout's store, and drain and return as the shared state permits.
+The reports of a round are written in one transaction.
 """
 
 import asyncio
@@ -14,17 +16,20 @@
 from burlloom.rollout.stores import StoreUnavailableError
 from burlloom.rollout.stores.sqlite import SqliteRolloutStore
 
-ROUND = 0.5  # s
-BEAT = 1.0  # s
-DOWN = 2.0  # s from leaving until the next incarnation serves
-FORMER, NEXT = "v1", "v2"
-ASKED = 100  # requests that each settles between two beats
+ROUND_S = 0.5  # interval at which the store is read
+REPORT_INTERVAL_S = 1.0
+DOWN_S = 2.0  # time from leaving until the next incarnation serves
+FORMER_VERSION, NEXT_VERSION = "v1", "v2"
+REQUESTS_PER_REPORT = 100  # requests that each server settles between two reports
 
 
 def part_of(folder: Path) -> dict[str, Any]:
-    """What the operator's file of the server says that leads: it runs the next version already."""
+    """Returns the rollout section of the operator's file of the leading server.
+
+    That server runs the next version already.
+    """
     return {
-        "version": NEXT,
+        "version": NEXT_VERSION,
         "store": {"sqlite": {"path": str(folder / "agreed.db")}},
         "out_most": 1,
         "out_share": 0.1,
@@ -32,38 +37,42 @@
     }
 
 
-class Teller:
-    def __init__(self, name: str, life: int) -> None:
-        self.name, self.life, self.version, self.beat = name, life, FORMER, 0
-        self.hand, self.down_until = DrainAgent(name, life), 0.0
+class HollowServer:
+    """A server of which only the reports and the drain agent exist."""
 
-    def word(self) -> ServerReport:
+    def __init__(self, name: str, incarnation: int) -> None:
+        self.name, self.incarnation, self.version, self.beat = name, incarnation, FORMER_VERSION, 0
+        self.drain_agent, self.down_until_s = DrainAgent(name, incarnation), 0.0
+
+    def next_report(self) -> ServerReport:
+        """Returns the next report."""
         self.beat += 1
         return ServerReport(
             self.name,
-            self.life,
+            self.incarnation,
             self.beat,
             ServerPhase.SERVING,
             True,
             self.version,
             0,
-            RequestCounts(ASKED * self.beat),
+            RequestCounts(REQUESTS_PER_REPORT * self.beat),
         )
 
 
-async def play(pipe: Pipe, path: Path, tellers: list[Teller]) -> None:
+async def run_rounds(pipe: Pipe, path: Path, servers: list[HollowServer]) -> None:
+    """Runs rounds of all servers, and executes commands from the pipe, until told to end."""
     store = SqliteRolloutStore(path)
     await store.open()
-    snapshot, told_at, over = None, 0.0, False
+    snapshot, reported_at_s, over = None, 0.0, False
     while not over:
-        now = time.monotonic()
+        now_s = time.monotonic()
         try:
-            if now - told_at >= BEAT:
-                told_at = now
+            if now_s - reported_at_s >= REPORT_INTERVAL_S:
+                reported_at_s = now_s
                 await store.execute("BEGIN IMMEDIATE")
-                for one in tellers:
-                    if now >= one.down_until:
-                        await store.write_report(one.word())
+                for server in servers:
+                    if now_s >= server.down_until_s:
+                        await store.write_report(server.next_report())
                 await store.execute("COMMIT")
             snapshot = await store.read(snapshot)
             while pipe.poll():
@@ -71,7 +80,7 @@
                     case "start":
                         pipe.send(
                             await store.compare_and_swap(
-                                snapshot, snapshot.state.start_release(NEXT, (1.0,), False)
+                                snapshot, snapshot.state.start_release(NEXT_VERSION, (1.0,), False)
                             )
                         )
                     case "see":
@@ -85,23 +94,29 @@
                     case "over":
                         over = True
                 snapshot = await store.read(snapshot)
-            for one in tellers:
-                if now >= one.down_until and one.hand.process_state(snapshot.state) == "begin":
-                    wanted = one.hand.begin_drain(snapshot.state)
-                    if wanted is not None and await store.compare_and_swap(snapshot, wanted):
-                        one.version, one.down_until = wanted.find_next_version(one.name), now + DOWN
-                        one.life, one.beat = one.life + 1, 0
-                        one.hand = DrainAgent(one.name, one.life)
+            for server in servers:
+                if (
+                    now_s >= server.down_until_s
+                    and server.drain_agent.process_state(snapshot.state) == "begin"
+                ):
+                    new_state = server.drain_agent.begin_drain(snapshot.state)
+                    if new_state is not None and await store.compare_and_swap(snapshot, new_state):
+                        server.version, server.down_until_s = (
+                            new_state.find_next_version(server.name),
+                            now_s + DOWN_S,
+                        )
+                        server.incarnation, server.beat = server.incarnation + 1, 0
+                        server.drain_agent = DrainAgent(server.name, server.incarnation)
                     else:
-                        one.hand = DrainAgent(one.name, one.life)
+                        server.drain_agent = DrainAgent(server.name, server.incarnation)
                     snapshot = await store.read(snapshot)
         except StoreUnavailableError:
-            snapshot = None  # the store was held by another for long: a round is left out
-        await asyncio.sleep(ROUND)
+            snapshot = None  # another process held the store for long; this round is skipped
+        await asyncio.sleep(ROUND_S)
     await store.close()
 
 
-def tell(pipe: Pipe, path: str, names: list[str]) -> None:
-    """A process of them, until it is told that it is over."""
-    life = time.time_ns() // 1_000_000
-    uvloop.run(play(pipe, Path(path), [Teller(name, life) for name in names]))
+def run_servers(pipe: Pipe, path: str, names: list[str]) -> None:
+    """Runs the named servers in a process, until the command "over" arrives."""
+    incarnation = time.time_ns() // 1_000_000
+    uvloop.run(run_rounds(pipe, Path(path), [HollowServer(name, incarnation) for name in names]))
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,6 +1,4 @@
-"""What a process has cost so far, as the system tells it: processor time and memory; and what a
-slope is told with.
-"""
+"""Reads processor time and memory of processes, and prints the rows of the slope measurements."""
 
 import json
 import os
@@ -15,48 +13,50 @@
 from burlloom.lab.slopes import Row, exponent_word, fit, keep
 
 MB = 1 << 20
-CORE_SHARE = 0.037  # of a core that a server spends for control at most
+CORE_SHARE = 0.037  # the share of a core that a server may spend on control work
+# Budgets of a server: memory in MB, added latency in ms at the 99th percentile, and a rate.
 MEMORY_MB, ADDED_MS, RATE_AHEAD = 128.0, 3.4, 500.0
 TOLD = Console(stderr=True, highlight=False)
 
 
 def main_thread_ns(pid: int) -> int:
-    """Processor time of the thread that the process began with, which is the one of its loop."""
+    """Returns the processor time in ns of the main thread, which runs the event loop."""
     return int(Path(f"/proc/{pid}/task/{pid}/schedstat").read_text(encoding="ascii").split()[0])
 
 
 def processor_s(pid: int) -> float:
-    """Of all its threads, also those that ended; to 10 ms."""
+    """Returns the processor time in s of all threads, including ended ones, in steps of 10 ms."""
     after_name = Path(f"/proc/{pid}/stat").read_text(encoding="utf-8").rpartition(")")[2].split()
     return (int(after_name[11]) + int(after_name[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def status_mb(pid: int, name: str) -> float:
-    """`VmRSS`: resident now, `VmHWM`: at its highest."""
+    """Returns a memory figure in MB: `VmRSS` is resident memory now, `VmHWM` its peak."""
     status = Path(f"/proc/{pid}/status").read_text(encoding="utf-8")
     return int(status.split(f"{name}:")[1].split()[0]) * 1024 / MB
 
 
 def quiet() -> bool:
-    """Whether at most half of the cores have been wanted of late."""
+    """Returns whether the load average of the last minute is at most half of the cores."""
     return os.getloadavg()[0] <= (os.cpu_count() or 1) / 2
 
 
 def gauge_ms() -> float:
-    """Processor time of a fixed piece of work: a core that shares caches with busy ones takes more
-    for the same.
+    """Returns the median processor time in ms of a fixed amount of work.
+
+    The same work takes longer on a core that shares caches with busy ones.
     """
-    text = json.dumps([{"name": f"n{at:06d}", "portion": at / 7} for at in range(20_000)])
-    took = []
+    text = json.dumps([{"name": f"n{index:06d}", "portion": index / 7} for index in range(20_000)])
+    durations_ms = []
     for _ in range(5):
-        began = time.thread_time()
+        started_at_s = time.thread_time()
         json.loads(text)
-        took.append(1000 * (time.thread_time() - began))
-    return statistics.median(took)
+        durations_ms.append(1000 * (time.thread_time() - started_at_s))
+    return statistics.median(durations_ms)
 
 
 def machine() -> str:
-    """Of a row's note: what else was done here."""
+    """Returns how busy the machine is, for the note of a row."""
     load = os.getloadavg()[0]
     return (
         f"load {load:.1f} on {os.cpu_count()} cores"
@@ -66,43 +66,50 @@
 
 
 def passed_at(
-    sizes: Sequence[float], values: Sequence[float], budget: float, most: float = 1e9
+    sizes: Sequence[float], values: Sequence[float], budget: float, max_size: float = 1e9
 ) -> float | None:
-    """The size at which the fit of it comes to the budget; None if it never does up to `most`."""
-    found = fit(sizes, values)
-    if found.at(most) <= budget:
+    """Returns the size at which a fit of the values passes the budget.
+
+    Returns None if the fit stays within the budget up to `max_size`.
+    """
+    slope = fit(sizes, values)
+    if slope.at(max_size) <= budget:
         return None
-    low, high = 1.0, most
+    low, high = 1.0, max_size
     for _ in range(100):
         middle = (low * high) ** 0.5
-        low, high = (middle, high) if found.at(middle) <= budget else (low, middle)
+        low, high = (middle, high) if slope.at(middle) <= budget else (low, middle)
     return low
 
 
 def told(row: Row, place: Path | None) -> Row:
-    """Prints the row with its fit, and keeps it, unless `place` is None."""
-    found = fit(row.sizes, row.values)
+    """Prints a row with its fit, and stores it in `place` unless that is None."""
+    slope = fit(row.sizes, row.values)
     points = ", ".join(
         f"{size:g}: {value:.4g}" for size, value in zip(row.sizes, row.values, strict=True)
     )
     click.echo(
-        f"{row.name} [{row.unit}, {row.state}] by {row.by}: {points}; {exponent_word(found)},"
-        f" {found.base:.4g} + {found.rate:.4g} each"
+        f"{row.name} [{row.unit}, {row.state}] by {row.by}: {points}; {exponent_word(slope)},"
+        f" {slope.base:.4g} + {slope.rate:.4g} each"
     )
     return keep(row, place) if place is not None else row
 
 
 def whole(text: str) -> tuple[int, ...]:
-    """Several whole numbers, as `10000,30000`."""
+    """Parses positive whole numbers that commas separate, such as `10000,30000`.
+
+    Raises:
+        click.BadParameter: The text is no such list.
+    """
     try:
-        found = tuple(sorted({int(one) for one in text.split(",")}))
+        values = tuple(sorted({int(item) for item in text.split(",")}))
     except ValueError:
         raise click.BadParameter(f"{text!r} is no list of whole numbers") from None
-    if min(found) < 1:
+    if min(values) < 1:
         raise click.BadParameter("sizes are over 0")
-    return found
+    return values
 
 
 def numbers(_: click.Context, __: click.Parameter, value: str) -> tuple[int, ...]:
-    """An option of several whole numbers."""
+    """Parses the value of a click option with `whole`."""
     return whole(value)
--- a/benchmarks/scale_request.py
+++ b/benchmarks/scale_request.py
@@ -35,7 +35,7 @@
 sys.path[:0] = [str(Path(__file__).parent), str(Path(__file__).parent.parent / "tests")]
 
 import hollow_releases  # noqa: E402
-from hollow_members import HOUR_MS, hollow, part_of  # noqa: E402
+from hollow_members import HOUR_MS, part_of, run_members  # noqa: E402
 from processes import (
     ADDED_MS,
     TOLD,
@@ -385,7 +385,7 @@
         for at in range(0, len(names), HOLLOW_MOST):
             part = part_of(folder, self.count, [])
             self.processes.append(
-                start_process(hollow, names[at : at + HOLLOW_MOST], life + at, part)
+                start_process(run_members, names[at : at + HOLLOW_MOST], life + at, part)
             )
         told_all = [one for _, pipe in self.processes for one in await receive(pipe)]
         for _, pipe in self.processes:
@@ -487,7 +487,7 @@
         """Until all stand in the book, and the release has begun."""
         names = [f"h{at:04d}" for at in range(self.count - 1)]
         self.process, self.pipe = start_process(
-            hollow_releases.tell, self.part["store"]["sqlite"]["path"], names
+            hollow_releases.run_servers, self.part["store"]["sqlite"]["path"], names
         )
         async with asyncio.timeout(90):
             while (seen := await self.seen())[0] < self.count:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What all tests share: the benchmarks' modules can be imported."""
+"""Makes the modules of the benchmarks importable in all tests."""
 
 import sys
 from pathlib import Path
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -105,8 +105,9 @@
 
 
 def test_the_cap_of_the_slow_start_is_bounded_for_all_outcomes() -> None:
-    """In all histories of 11 steps the cap step most doubles in each step, stays step or above its lower
-    bound, and rises only after a step with successful calls.
+    """In each history of 11 steps the cap at most doubles in a step and stays within its lower bound.
+
+    It rises only after a step with successful calls.
     """
     highest_caps = [0.0] * 12
     for outcomes in product(StepOutcome, repeat=11):
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -131,7 +131,7 @@
     await levels_command(rig, "pin", "essential", "--for-s", "60")
     await wait_until(lambda: "to=essential" in rig.log())
 
-    def is_note_written() -> bool:  # the record writes the note in a thread of its own
+    def is_note_written() -> bool:  # the record writes the note in a separate thread
         with closing(sqlite3.connect(rig.folder / "record.db")) as db:
             return bool(db.execute("SELECT 1 FROM node WHERE note = 'essential'").fetchall())
 
