--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -12,7 +12,7 @@
 import click
 from rich.console import Console
 
-from burlloom.lab.slopes import Row, exponent_word, fit, keep
+from burlloom.lab.slopes import Row, append_row, describe_fit, fit
 
 MB = 1 << 20
 CORE_SHARE = 0.037  # of a core that a server spends for control at most
@@ -86,10 +86,10 @@
         f"{size:g}: {value:.4g}" for size, value in zip(row.sizes, row.values, strict=True)
     )
     click.echo(
-        f"{row.name} [{row.unit}, {row.state}] by {row.by}: {points}; {exponent_word(found)},"
+        f"{row.name} [{row.unit}, {row.state}] by {row.by}: {points}; {describe_fit(found)},"
         f" {found.base:.4g} + {found.rate:.4g} each"
     )
-    return keep(row, place) if place is not None else row
+    return append_row(row, place) if place is not None else row
 
 
 def whole(text: str) -> tuple[int, ...]:
--- a/benchmarks/scale_callers.py
+++ b/benchmarks/scale_callers.py
@@ -24,7 +24,7 @@
 from rig import Rig  # noqa: E402
 from traffic import SECOND, Line, Load, Runs, generate, started, word_of  # noqa: E402
 
-from burlloom.lab.slopes import KEPT, Row  # noqa: E402
+from burlloom.lab.slopes import SLOPES_FILE, Row  # noqa: E402
 
 CONNECTIONS = "50,200,500,1000,2500,5000"
 CALLERS, SERVERS = 140_000, 2_600
@@ -126,7 +126,7 @@
 @click.option("--dry", is_flag=True, help="Keeps no rows.")
 @click.option(
     "--to",
-    default=KEPT,
+    default=SLOPES_FILE,
     type=click.Path(dir_okay=False, path_type=Path),
     help="The file of kept rows.",
 )
--- a/benchmarks/scale_configuration.py
+++ b/benchmarks/scale_configuration.py
@@ -44,7 +44,7 @@
 )
 from rig import Rig, wait_until  # noqa: E402
 
-from burlloom.lab.slopes import KEPT, Row, fit  # noqa: E402
+from burlloom.lab.slopes import SLOPES_FILE, Row, fit  # noqa: E402
 
 TENANTS = "10000,30000,100000,200000,430000"
 ROUTES = "10000,30000,60000,120000,240000"
@@ -197,7 +197,7 @@
 @click.option("--dry", is_flag=True, help="Keeps no rows.")
 @click.option(
     "--to",
-    default=KEPT,
+    default=SLOPES_FILE,
     type=click.Path(dir_okay=False, path_type=Path),
     help="The file of kept rows.",
 )
@@ -340,7 +340,7 @@
 @click.option("--dry", is_flag=True, help="Keeps no rows.")
 @click.option(
     "--to",
-    default=KEPT,
+    default=SLOPES_FILE,
     type=click.Path(dir_okay=False, path_type=Path),
     help="The file of kept rows.",
 )
--- a/benchmarks/scale_followers.py
+++ b/benchmarks/scale_followers.py
@@ -21,7 +21,7 @@
 from scale_checker import SECOND  # noqa: E402
 from scale_run import Phase, Run, Setting, percentile, start, starved  # noqa: E402
 
-from burlloom.lab.slopes import Row, exponent_word, fit, keep  # noqa: E402
+from burlloom.lab.slopes import Row, append_row, describe_fit, fit  # noqa: E402
 
 SIZES = {"followers": (25.0, 50.0, 100.0, 200.0, 400.0), "changes": (0.4, 1.0, 2.0, 4.0, 8.0)}
 # ms, after which a follower gives its upstream up: hosts that were later were starved, and count
@@ -133,12 +133,12 @@
         told = tuple(size for size, _ in found), tuple(float(got[name]) for _, got in found)
         full = name if name in plain else f"{name} by {of}"
         try:
-            print(f"{full}: {exponent_word(fit(*told))}")
+            print(f"{full}: {describe_fit(fit(*told))}")
         except ValueError as error:
             print(f"{full}: no slope, {error}")
             continue
         if kept:
-            keep(
+            append_row(
                 Row(
                     full,
                     of,
--- a/benchmarks/scale_members.py
+++ b/benchmarks/scale_members.py
@@ -18,8 +18,8 @@
 
 from hollow_hosts import KEY, Hosts, clock, spread, usage  # noqa: E402
 
-from burlloom.lab.distances import laid_out  # noqa: E402
-from burlloom.lab.slopes import Row, exponent_word, fit, keep  # noqa: E402
+from burlloom.lab.distances import lay_out_servers  # noqa: E402
+from burlloom.lab.slopes import Row, append_row, describe_fit, fit  # noqa: E402
 
 # ms, what an answer to a probe may take; a host's loop that was later was starved, and counts for
 # nothing.
@@ -35,7 +35,7 @@
 
 
 async def measured(size: int, seconds: float, settle: float, seed: int) -> dict[str, Any]:
-    places = laid_out(size)
+    places = lay_out_servers(size)
     cores = {"fleet": {"key": KEY, "terms": terms(size), "seeds": []}}
     groups = [
         (group, cores)
@@ -143,12 +143,12 @@
     ):
         told = tuple(float(got["size"]) for got in good), tuple(float(got[key]) for got in good)
         try:
-            print(f"{name}: {exponent_word(fit(*told))}")
+            print(f"{name}: {describe_fit(fit(*told))}")
         except ValueError as error:
             print(f"{name}: no slope, {error}")
             continue
         if kept:
-            keep(
+            append_row(
                 Row(
                     name,
                     "servers",
--- a/benchmarks/scale_request.py
+++ b/benchmarks/scale_request.py
@@ -51,7 +51,7 @@
 from scale_configuration import tenants  # noqa: E402
 from traffic import SECOND, Load, Runs, Sent, Told, below, echo, generate, started, told_of, word_of  # noqa: E402
 
-from burlloom.lab.slopes import KEPT, Row  # noqa: E402
+from burlloom.lab.slopes import SLOPES_FILE, Row  # noqa: E402
 
 RATES = "50,100,200,300,500,700,1000"
 CALM = 2 * SECOND
@@ -191,7 +191,7 @@
         click.option("--dry", is_flag=True, help="Keeps no rows."),
         click.option(
             "--to",
-            default=KEPT,
+            default=SLOPES_FILE,
             type=click.Path(dir_okay=False, path_type=Path),
             help="The file of rows.",
         ),
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -36,7 +36,7 @@
 
 from burlloom.distribution import ConfigItem, ReplicationSettings, propose  # noqa: E402
 from burlloom.distribution.stores.sqlite import SqliteChangeStore  # noqa: E402
-from burlloom.lab.distances import ZONES, laid_out, place  # noqa: E402
+from burlloom.lab.distances import ZONES, lay_out_servers, make_place  # noqa: E402
 from burlloom.lab.rules import RuleChecker  # noqa: E402
 
 SIGNING = "7c" * 32
@@ -93,8 +93,10 @@
     def __init__(self, setting: Setting, folder: Path, say: Callable[[str], None]) -> None:
         self.setting, self.folder, self.say = setting, folder, say
         self.chance = Random(setting.seed)
-        self.places = laid_out(setting.servers)
-        self.machines = [place(f"c{at}", *self.region_of(at), 0) for at in range(setting.control)]
+        self.places = lay_out_servers(setting.servers)
+        self.machines = [
+            make_place(f"c{at}", *self.region_of(at), 0) for at in range(setting.control)
+        ]
         self.events: list[list[Any]] = []
         self.phases: list[Phase] = []
         self.entries: dict[tuple[str, str, str], bytes] = {}
@@ -365,7 +367,7 @@
         for event in ("membership_opened", "distribution_opened"):
             told = [
                 await ready(real, event, real.life),
-                *row(place(real.name, self.zone[0].region, 0, 99)),
+                *row(make_place(real.name, self.zone[0].region, 0, 99)),
             ]
             self.hosts.tell("places", places=[told], outside=[told])
 
--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -52,7 +52,7 @@
 )
 from burlloom.fleet.accounts import ShareReport
 from burlloom.fleet.messages import Message, MessageKind, decode, encode
-from burlloom.lab.slopes import Row, exponent_word, fit, keep
+from burlloom.lab.slopes import Row, append_row, describe_fit, fit
 from burlloom.rollout import DisruptionBudget, RolloutState, ServerReport
 from burlloom.rollout import agent as hand
 from burlloom.rollout.stores import decode_state, encode_state
@@ -530,7 +530,7 @@
 def told(row: Row) -> str:
     found = fit(row.sizes, row.values)
     values = ", ".join(f"{value:.3g}" for value in row.values)
-    return f"| {row.name} | {row.state} | {row.unit} | {values} | {exponent_word(found)} | {passed(row)} |"
+    return f"| {row.name} | {row.state} | {row.unit} | {values} | {describe_fit(found)} | {passed(row)} |"
 
 
 def measured(
@@ -615,5 +615,5 @@
                         f"| {row.name} | {row.state} | {row.unit} | {values} | too few sizes | |"
                     )
                     continue
-                click.echo(told(keep(row) if keeps else row))
+                click.echo(told(append_row(row) if keeps else row))
             progress.remove_task(steps)
--- a/benchmarks/scale_table.py
+++ b/benchmarks/scale_table.py
@@ -40,7 +40,7 @@
     item_digest,
     item_faults,
 )
-from burlloom.lab.slopes import Row, exponent_word, fit, keep
+from burlloom.lab.slopes import Row, append_row, describe_fit, fit
 
 SIZES = (10_000, 30_000, 100_000, 200_000, 430_000, 670_000)
 CHANGE, PAGE_BYTES, PAGE_ENTRIES = 64, 1_300, 16
@@ -354,7 +354,7 @@
         for figure in rows[0]:
             values = tuple(row[figure] for row in rows)
             if kept:
-                keep(
+                append_row(
                     Row(
                         f"{name} {figure}",
                         "entries",
@@ -367,7 +367,7 @@
                         f" load {os.getloadavg()[0]:.0f}",
                     )
                 )
-            click.echo(f"  {name} {figure}: {exponent_word(fit(SIZES, values))}")
+            click.echo(f"  {name} {figure}: {describe_fit(fit(SIZES, values))}")
 
 
 if __name__ == "__main__":
--- a/burlloom/command/lab.py
+++ b/burlloom/command/lab.py
@@ -254,9 +254,9 @@
     from difflib import unified_diff
 
     from ..lab.capacity import NoPage, latest, tables, written
-    from ..lab.slopes import KEPT
+    from ..lab.slopes import SLOPES_FILE
 
-    new_tables = tables(latest(slopes or KEPT))
+    new_tables = tables(latest(slopes or SLOPES_FILE))
     if do is None:
         for name, lines in new_tables.items():
             click.echo(f"\n## {name}\n\n" + "\n".join(lines))
--- a/burlloom/lab/capacity.py
+++ b/burlloom/lab/capacity.py
@@ -16,7 +16,7 @@
 import numpy as np
 
 from ..fleet.membership import MembershipView
-from .slopes import KEPT, Row, exponent_word, fit, kept, newest
+from .slopes import SLOPES_FILE, Row, describe_fit, fit, newest_rows, read_rows
 
 SERVERS, CALLERS, SERVICES, REGIONS, ZONES, CONTROL = 2_600, 140_000, 3_000, 6, 14, 19
 TENANTS, ROUTES, REQUESTS, CHANGES = (
@@ -981,11 +981,11 @@
     return max(0.0, found.at(min(size, max(row.sizes)) if found.rate < 0 else size))
 
 
-def latest(path: Path = KEPT) -> dict[tuple[str, str, str], Row]:
+def latest(path: Path = SLOPES_FILE) -> dict[tuple[str, str, str], Row]:
     """By name, state and side the row that was kept last, in whatever order branches were
     joined.
     """
-    return newest(sorted(kept(path), key=lambda row: row.at))
+    return newest_rows(sorted(read_rows(path), key=lambda row: row.at))
 
 
 def row_of(rows: Mapping[tuple[str, str, str], Row], name: str, state: str) -> Row | None:
@@ -1326,7 +1326,7 @@
         sizes, values = (", ".join(map(number, row.sizes)), ", ".join(map(shown, row.values)))
         lines.append(
             f"- `{row.name}` ({row.unit}, {row.state}{before}) at {sizes} {row.by}: {values};"
-            f" {exponent_word(fit(row.sizes, row.values))}; `{row.command}`, text {row.text};"
+            f" {describe_fit(fit(row.sizes, row.values))}; `{row.command}`, text {row.text};"
             f" {row.note}"
         )
     return lines
--- a/burlloom/lab/distances.py
+++ b/burlloom/lab/distances.py
@@ -1,25 +1,33 @@
-"""The network between the hosts of a scale run, as a table in each one's sending path: nobody
-carries all of the traffic.
+"""Model of the network between the hosts of a scale run.
 
-It delays by distance, loses, and cuts groups from each other, one way or both. No I/O.
+Each host applies the model where it sends, so no process has to carry all of the traffic. The model
+delays datagrams by distance, loses some, and cuts groups of servers off from each other, in one or
+both directions. Does no I/O.
 """
 
 from dataclasses import dataclass, field
 from random import Random
 from typing import Any
 
-# One way, ms: within a zone, within a region, and between regions by how far they lie apart on a
-# ring. A guess.
-SAME_ZONE, SAME_REGION, NEXT_REGION, EACH_REGION = 0.25, 0.75, 12.0, 11.0
-JITTER = 0.2  # of the delay, more or less
-ZONES = (3, 3, 2, 2, 2, 2)  # of each region: 14 in 6
-RACK = 24  # servers
+# One-way delays in ms: within a zone, within a region, between neighbouring regions, and for each
+# further step between regions, which are arranged as a ring. The values are a guess.
+SAME_ZONE_MS, SAME_REGION_MS, NEXT_REGION_MS, FURTHER_REGION_MS = 0.25, 0.75, 12.0, 11.0
+JITTER = 0.2  # largest deviation from the delay, as a share of it
+ZONES = (3, 3, 2, 2, 2, 2)  # number of zones in each region: 14 zones in 6 regions
+SERVERS_PER_RACK = 24  # servers in a rack
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a server stands. `marks`: what a cut may name it by, as `region:2`, `zone:5`,
-    `rack:5.3`, `name:h12`.
+    """Location of a server.
+
+    Attributes:
+        name: Name of the server.
+        region: Index of the region.
+        zone: Index of the zone in the whole fleet.
+        rack: Index of the rack in its zone.
+        marks: Labels by which a cut can select the server, for example `region:2`, `zone:5`,
+            `rack:5.3` and `name:h12`.
     """
 
     name: str
@@ -29,7 +37,8 @@
     marks: frozenset[str] = field(compare=False, default=frozenset())
 
 
-def place(name: str, region: int, zone: int, rack: int) -> Place:
+def make_place(name: str, region: int, zone: int, rack: int) -> Place:
+    """Returns a location with its marks."""
     return Place(
         name,
         region,
@@ -39,46 +48,68 @@
     )
 
 
-def laid_out(count: int, prefix: str = "h") -> list[Place]:
-    """So many servers evenly over the zones, and in racks within each."""
+def lay_out_servers(count: int, prefix: str = "h") -> list[Place]:
+    """Returns locations for `count` servers, spread evenly over the zones and filling their racks."""
     regions = [region for region, zones in enumerate(ZONES) for _ in range(zones)]
-    made = []
-    for at in range(count):
-        zone = at % len(regions)
-        made.append(place(f"{prefix}{at}", regions[zone], zone, at // len(regions) // RACK))
-    return made
+    places = []
+    for index in range(count):
+        zone = index % len(regions)
+        places.append(
+            make_place(
+                f"{prefix}{index}", regions[zone], zone, index // len(regions) // SERVERS_PER_RACK
+            )
+        )
+    return places
 
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """`one` does not reach `other`, and with `both` is not reached either; `other` empty: all that
-    are not in `one`.
+    """A cut between two groups of servers, each given by the marks of its members.
+
+    Attributes:
+        one: Group whose datagrams do not reach the other one.
+        other: Group that is not reached; empty for all servers outside `one`.
+        both: True if datagrams from `other` to `one` are lost too.
     """
 
     one: frozenset[str]
     other: frozenset[str] = frozenset()
     both: bool = True
 
-    def parts(self, source: Place, target: Place) -> bool:
-        return self.hides(source, target) or self.both and self.hides(target, source)
+    def blocks(self, source: Place, target: Place) -> bool:
+        """Returns whether the cut blocks datagrams from source to target."""
+        return (
+            self.blocks_one_way(source, target) or self.both and self.blocks_one_way(target, source)
+        )
 
-    def hides(self, source: Place, target: Place) -> bool:
+    def blocks_one_way(self, source: Place, target: Place) -> bool:
+        """Returns whether source is in the first group of the cut and target in the other one."""
         if not self.one & source.marks:
             return False
         return bool(self.other & target.marks) if self.other else not self.one & target.marks
 
 
 class Distances:
-    """`passage` says after how many seconds a datagram arrives, None: it is lost on the way."""
+    """Delays, losses and cuts between servers, with counts of the datagrams lost to each.
+
+    Attributes:
+        lost: Number of datagrams lost by chance.
+        parted: Number of datagrams lost to a cut.
+    """
 
-    def __init__(self, chance: Random, regions: int = len(ZONES)) -> None:
-        self.chance, self.regions = chance, regions
+    def __init__(self, random: Random, regions: int = len(ZONES)) -> None:
+        self.random, self.regions = random, regions
         self.loss, self.stretch = 0.0, 1.0
         self.cuts: tuple[Cut, ...] = ()
-        self.lost = self.parted = 0
+        self.lost = self.cut_off = 0
+
+    def apply_order(self, message: dict[str, Any]) -> None:
+        """Applies a `net` order; what it does not name stays as it is.
 
-    def told(self, message: dict[str, Any]) -> None:
-        """`loss`, `stretch` of the delays, `cuts` as lists of marks; what is not named stays."""
+        Args:
+            message: May hold `loss` (share of datagrams), `stretch` (factor of all delays) and
+                `cuts` (lists of the marks of both groups and whether both directions are cut).
+        """
         self.loss, self.stretch = (
             float(message.get("loss", self.loss)),
             float(message.get("stretch", self.stretch)),
@@ -89,25 +120,26 @@
                 for one, other, both in message["cuts"]
             )
 
-    def between(self, source: Place, target: Place) -> float:
-        """ms one way, without chance."""
+    def base_delay_ms(self, source: Place, target: Place) -> float:
+        """Returns the one-way delay in ms, without jitter and stretch."""
         if source.zone == target.zone:
-            return SAME_ZONE
+            return SAME_ZONE_MS
         if source.region == target.region:
-            return SAME_REGION
+            return SAME_REGION_MS
         apart = abs(source.region - target.region)
-        return NEXT_REGION + EACH_REGION * (min(apart, self.regions - apart) - 1)
+        return NEXT_REGION_MS + FURTHER_REGION_MS * (min(apart, self.regions - apart) - 1)
 
-    def passage(self, source: Place, target: Place) -> float | None:
-        if self.cuts and any(cut.parts(source, target) for cut in self.cuts):
-            self.parted += 1
+    def delay_s(self, source: Place, target: Place) -> float | None:
+        """Returns after how many seconds a datagram arrives; None if it is lost or cut off."""
+        if self.cuts and any(cut.blocks(source, target) for cut in self.cuts):
+            self.cut_off += 1
             return None
-        if self.loss and self.chance.random() < self.loss:
+        if self.loss and self.random.random() < self.loss:
             self.lost += 1
             return None
         return (
-            self.between(source, target)
+            self.base_delay_ms(source, target)
             * self.stretch
-            * (1 - JITTER + 2 * JITTER * self.chance.random())
+            * (1 - JITTER + 2 * JITTER * self.random.random())
             / 1000
         )
--- a/burlloom/lab/hollow.py
+++ b/burlloom/lab/hollow.py
@@ -37,7 +37,7 @@
     MemberUpdate,
     QuotaSettings,
 )
-from .distances import Distances, Place, place
+from .distances import Distances, Place, make_place
 
 # s; a server ticks each 0.05, a control machine by itself
 TICKS = {"fleet": 0.05, "follower": 0.25, "control": 3600.0}
@@ -185,7 +185,7 @@
             self.arrives(data, source)
             return
         # One outside of the hosts does not delay nor lose what it sends: that is done here.
-        after = self.host.net.passage(sender, self.own)
+        after = self.host.net.delay_s(sender, self.own)
         if after is not None:
             self.host.loop.call_later(after, self.arrives, data, source)
 
@@ -240,7 +240,7 @@
             if known is None:
                 continue  # nobody is there, as at a machine that is gone
             target, there = known
-            after = host.net.passage(self.own, there)
+            after = host.net.delay_s(self.own, there)
             if after is not None:
                 host.loop.call_later(after, self.sends, data, target)
 
@@ -330,7 +330,7 @@
             self.file = open(message["record"], "a", encoding="utf-8")  # noqa: SIM115
         found: dict[str, dict[str, str]] = {}
         for name, region, zone, rack in message["servers"]:
-            own = place(name, region, zone, rack)
+            own = make_place(name, region, zone, rack)
             self.mouths[name] = []
             for kind in self.told:
                 mouth = Mouth(self, own, kind)
@@ -349,10 +349,10 @@
         for address, name, region, zone, rack in message.get("places", ()):
             self.places[address] = self.places[pair(address)] = (
                 pair(address),
-                place(name, region, zone, rack),
+                make_place(name, region, zone, rack),
             )
         for address, name, region, zone, rack in message.get("outside", ()):
-            self.outside[pair(address)] = place(name, region, zone, rack)
+            self.outside[pair(address)] = make_place(name, region, zone, rack)
         for kind, more in message.get("cores", {}).items():
             if kind in self.told:
                 self.told[kind].update(more)
@@ -381,7 +381,7 @@
                 mouth.core.told(message)
 
     async def network(self, message: dict[str, Any]) -> None:
-        self.net.told(message)
+        self.net.apply_order(message)
 
     async def ask(self, message: dict[str, Any]) -> None:
         """What each of them cost so far."""
@@ -451,7 +451,7 @@
             lag_ms=round(lag * 1000, 1),
             up=up,
             lost=self.net.lost,
-            parted=self.net.parted,
+            parted=self.net.cut_off,
             facts=facts,
             **totals,
         )
--- a/burlloom/lab/slopes.py
+++ b/burlloom/lab/slopes.py
@@ -1,9 +1,8 @@
-"""Slopes: a cost measured at five sizes or more, the shape it grows by, and what it comes to at
-another size.
+"""Slopes: costs measured at five or more sizes, fitted and extrapolated to other sizes.
 
-Rows are kept in a file of JSON lines that only grows; whoever reads takes the newest row of a name,
-a state and a side. Costs are processor time, bytes, messages and resident memory, which a busy
-machine changes little.
+Rows are stored in an append-only file of JSON lines; a reader uses the newest row of each name,
+state and side. Costs are processor time, bytes, messages and resident memory, because a busy
+machine changes these little.
 """
 
 import json
@@ -17,18 +16,24 @@
 
 import numpy as np
 
-KEPT = Path(__file__).parent.parent.parent / "benchmarks" / "slopes.jsonl"
-SIZES_LEAST = 5
-FLAT = 0.1  # an exponent that is less than this is none
+SLOPES_FILE = Path(__file__).parent.parent.parent / "benchmarks" / "slopes.jsonl"
+MIN_SIZES = 5
+MAX_FLAT_EXPONENT = 0.1  # power-law exponent below which a cost counts as independent of the size
 STATES = ("rest", "churn", "cold")
 SHAPES = ("flat", "log", "linear", "square")
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """`cost = base + rate * g(size)`, g by the shape: 1, log2 size, size, size squared. `residual`:
-    the root of the mean square of (measured - fitted) / fitted. `exponent`: of a power law through
-    the same points.
+    """A fitted cost: `cost = base + rate * g(size)`.
+
+    Attributes:
+        shape: Selects g: 0 for "flat", log2 size for "log", size for "linear", size squared for
+            "square".
+        base: Cost without the term that depends on the size, in the unit of the row.
+        rate: Factor of g(size).
+        residual: Root mean square of (measured - fitted) / fitted.
+        exponent: Exponent of a power law through the same points.
     """
 
     shape: str
@@ -38,14 +43,27 @@
     exponent: float
 
     def at(self, size: float) -> float:
-        return self.base + self.rate * grown(self.shape, size)
+        """Returns the fitted cost at this size."""
+        return self.base + self.rate * shape_term(self.shape, size)
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """`name`: what costs, as `member cpu`; `unit`: as `ms/s`; `by`: of what the sizes are, as
-    `servers`. `side`: `now`, or `before` for the text before a change. `command`: runs it again.
-    `note`: where it was measured, what is extrapolated, what is a guess.
+    """A cost measured at several sizes, as stored in the file of slopes.
+
+    Attributes:
+        name: The measured cost, for example `member cpu`.
+        by: The quantity that the sizes count, for example `servers`.
+        unit: Unit of the values, for example `ms/s`.
+        state: One of `STATES`.
+        sizes: Sizes at which the cost was measured.
+        values: Cost at each size.
+        command: Command line that repeats the measurement.
+        note: Where the cost was measured, what is extrapolated and what is a guess.
+        side: `now`, or `before` for the source before a change.
+        at: UTC time at which the row was stored.
+        text: Commit of the measured source.
+        cores: Number of processor cores of the machine.
     """
 
     name: str
@@ -62,45 +80,53 @@
     cores: int = 0
 
 
-def grown(shape: str, size: float) -> float:
+def shape_term(shape: str, size: float) -> float:
+    """Returns g(size) of this shape, the term that `Fit.rate` multiplies."""
     return {"flat": 0.0, "log": math.log2(max(size, 1.0)), "linear": size, "square": size * size}[
         shape
     ]
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """The plainest shape whose residual is within a tenth of the best one's, or under 5%. Raises
-    `ValueError` for fewer than five sizes, or for what is no finite positive size.
+    """Fits the simplest shape whose residual is within 10% of the smallest one, or at most 5%.
+
+    Raises:
+        ValueError: Fewer than five different sizes, not one value for each size, a size that is not
+            positive, a negative value, or a number that is not finite.
     """
-    if len(set(sizes)) < SIZES_LEAST or len(sizes) != len(values):
+    if len(set(sizes)) < MIN_SIZES or len(sizes) != len(values):
         raise ValueError(
-            f"{len(set(sizes))} sizes with {len(values)} values: a slope wants {SIZES_LEAST} sizes, each with one"
+            f"{len(set(sizes))} sizes with {len(values)} values: a slope needs at least"
+            f" {MIN_SIZES} different sizes and one value for each size"
         )
     if (
-        not all(math.isfinite(one) for one in (*sizes, *values))
+        not all(math.isfinite(number) for number in (*sizes, *values))
         or min(sizes) <= 0
         or min(values) < 0
     ):
-        raise ValueError("sizes are over 0, values at least 0, and all are finite")
+        raise ValueError("sizes must be positive, values at least 0, and all of them finite")
     x, y = np.array(sizes, float), np.array(values, float)
     usable = y > 0
     exponent = (
         float(np.polyfit(np.log(x[usable]), np.log(y[usable]), 1)[0]) if usable.sum() > 1 else 0.0
     )
-    found = [with_shape(shape, x, y, exponent) for shape in SHAPES]
-    best = min(one.residual for one in found)
-    good = [one for one in found if one.residual <= max(1.1 * best, 0.05)]
+    fits = [fit_shape(shape, x, y, exponent) for shape in SHAPES]
+    best = min(fitted.residual for fitted in fits)
+    good = [fitted for fitted in fits if fitted.residual <= max(1.1 * best, 0.05)]
     return good[0]
 
 
-def with_shape(
+def fit_shape(
     shape: str,
     x: "np.ndarray[tuple[int], np.dtype[np.float64]]",
     y: "np.ndarray[tuple[int], np.dtype[np.float64]]",
     exponent: float,
 ) -> Fit:
-    g = np.array([grown(shape, size) for size in x])
-    scale = np.maximum(np.abs(y), 1e-12)  # relative errors count, so that small sizes do too
+    """Fits one shape by least squares of the relative errors."""
+    g = np.array([shape_term(shape, size) for size in x])
+    scale = np.maximum(
+        np.abs(y), 1e-12
+    )  # relative errors, so that small sizes weigh as much as large ones
     if shape == "flat":
         base, rate = float(np.mean(y)), 0.0
     else:
@@ -111,38 +137,45 @@
     return Fit(shape, float(base), float(rate), residual, exponent)
 
 
-def exponent_word(found: Fit) -> str:
-    """The exponent said out loud."""
-    return f"{found.shape} (exponent {found.exponent:.2f}, residual {found.residual:.1%})"
+def describe_fit(fitted: Fit) -> str:
+    """Returns the shape, exponent and residual of a fit as text."""
+    return f"{fitted.shape} (exponent {fitted.exponent:.2f}, residual {fitted.residual:.1%})"
+
 
+def append_row(row: Row, path: Path = SLOPES_FILE) -> Row:
+    """Appends a row with the current time, the commit and the number of cores.
 
-def keep(row: Row, path: Path = KEPT) -> Row:
-    """Appends the row, with when, on which text and on how many cores it was measured. Raises
-    `ValueError` as `fit`.
+    Returns:
+        The row as it was stored.
+
+    Raises:
+        ValueError: The state or the side is unknown, or `fit` rejects the sizes and values.
     """
     if row.state not in STATES or row.side not in ("now", "before"):
         raise ValueError(
-            f"state {row.state!r} is none of {', '.join(STATES)}, or side {row.side!r} is neither now nor before"
+            f"state {row.state!r} is none of {', '.join(STATES)},"
+            f" or side {row.side!r} is neither now nor before"
         )
     fit(row.sizes, row.values)
-    told = asdict(row) | {
+    stored = asdict(row) | {
         "at": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime()),
-        "text": text_now(),
+        "text": current_commit(),
         "cores": os.cpu_count() or 0,
     }
     with open(path, "a", encoding="utf-8") as file:
-        file.write(json.dumps(told) + "\n")
-    return row_of(told)
+        file.write(json.dumps(stored) + "\n")
+    return row_from_json(stored)
+
 
+def current_commit() -> str:
+    """Returns the commit that is checked out, followed by "+" if tracked files of it were changed.
 
-def text_now() -> str:
-    """The commit that is checked out, with + if files differ from it; empty outside of a
-    checkout.
+    The text is empty outside a checkout.
     """
 
     def git(*words: str) -> str:
         return subprocess.run(
-            ["git", *words], cwd=KEPT.parent, capture_output=True, text=True, check=False
+            ["git", *words], cwd=SLOPES_FILE.parent, capture_output=True, text=True, check=False
         ).stdout.strip()
 
     return git("rev-parse", "--short", "HEAD") + (
@@ -150,26 +183,27 @@
     )
 
 
-def row_of(told: dict[str, object]) -> Row:
-    got = dict(told)
+def row_from_json(stored: dict[str, object]) -> Row:
+    """Returns the row of a decoded JSON object."""
+    fields = dict(stored)
     for name in ("sizes", "values"):
-        value = got[name]
+        value = fields[name]
         assert isinstance(value, list | tuple)
-        got[name] = tuple(float(one) for one in value)
-    return Row(**got)  # type: ignore[arg-type]
+        fields[name] = tuple(float(number) for number in value)
+    return Row(**fields)  # type: ignore[arg-type]
 
 
-def kept(path: Path = KEPT) -> list[Row]:
-    """All rows, oldest first."""
+def read_rows(path: Path = SLOPES_FILE) -> list[Row]:
+    """Returns all stored rows in file order, oldest first; none if the file is missing."""
     if not path.exists():
         return []
     return [
-        row_of(json.loads(line))
+        row_from_json(json.loads(line))
         for line in path.read_text(encoding="utf-8").splitlines()
         if line.strip()
     ]
 
 
-def newest(rows: Iterable[Row]) -> dict[tuple[str, str, str], Row]:
-    """By name, state and side."""
+def newest_rows(rows: Iterable[Row]) -> dict[tuple[str, str, str], Row]:
+    """Returns the last row of each name, state and side."""
     return {(row.name, row.state, row.side): row for row in rows}
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -31,7 +31,7 @@
     worked_out,
     written,
 )
-from burlloom.lab.slopes import Row, fit, keep, newest
+from burlloom.lab.slopes import Row, append_row, fit, newest_rows
 
 ROOT = Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "CAPACITY.md"
@@ -46,7 +46,7 @@
 
 def rows_by_key(*rows: Row) -> dict[tuple[str, str, str], Row]:
     """Returns the newest row of each name, state and side."""
-    return newest(rows)
+    return newest_rows(rows)
 
 
 def make_role(*needs: Need) -> Role:
@@ -229,7 +229,7 @@
 
 def test_the_command_prints_writes_and_checks(tmp_path: Path) -> None:
     slopes, page = tmp_path / "rows", tmp_path / "page.md"
-    keep(make_slope("member cpu", tuple(0.01 * size for size in SIZES)), slopes)
+    append_row(make_slope("member cpu", tuple(0.01 * size for size in SIZES)), slopes)
     page.write_text(
         "# Words stay\n"
         + "".join(f"\n<!-- table: {name} -->\nold\n<!-- end -->\n" for name in tables({}))
@@ -246,7 +246,7 @@
     assert "old" not in page.read_text().split()
     passed = CliRunner().invoke(capacity, [*options, "--check"])
     assert (passed.exit_code, passed.output) == (0, "")
-    keep(make_slope("member cpu", tuple(0.02 * size for size in SIZES)), slopes)
+    append_row(make_slope("member cpu", tuple(0.02 * size for size in SIZES)), slopes)
     changed = CliRunner().invoke(capacity, [*options, "--check"])
     assert changed.exit_code == 1
     assert "= 52.0 ms/s" in changed.output
--- a/tests/test_scale_callers.py
+++ b/tests/test_scale_callers.py
@@ -6,7 +6,7 @@
 from click.testing import CliRunner
 from scale import scale
 
-from burlloom.lab.slopes import kept, newest
+from burlloom.lab.slopes import newest_rows, read_rows
 
 
 def test_rows_of_callers(tmp_path: Path) -> None:
@@ -15,7 +15,7 @@
         scale, ["callers", "--sizes", "20,40,80,160,320", "--seconds", "0.3", "--to", str(place)]
     )
     assert done.exit_code == 0, (done.output, done.exception)
-    found = newest(kept(place))
+    found = newest_rows(read_rows(place))
     assert {(name, state) for name, state, _ in found} == {
         ("connection memory", "rest"),
         ("connection cpu", "rest"),
--- a/tests/test_scale_configuration.py
+++ b/tests/test_scale_configuration.py
@@ -11,7 +11,7 @@
 from scale import scale
 from scale_configuration import tenants
 
-from burlloom.lab.slopes import kept, newest
+from burlloom.lab.slopes import newest_rows, read_rows
 
 
 def test_rows_of_configurations(tmp_path: Path) -> None:
@@ -27,7 +27,7 @@
     ]
     done = CliRunner().invoke(scale, words)
     assert done.exit_code == 0, (done.output, done.exception)
-    found = newest(kept(place))
+    found = newest_rows(read_rows(place))
     assert {(name, state) for name, state, _ in found} == {
         ("configuration file", "rest"),
         ("configuration memory", "rest"),
@@ -56,7 +56,7 @@
         scale, ["routes", "--sizes", "10000,20000,30000,40000,50000", "--to", str(place)]
     )
     assert done.exit_code == 0, (done.output, done.exception)
-    (row,) = kept(place)
+    (row,) = read_rows(place)
     assert "YARDSTICK" in row.note
     assert row.values[0] < row.values[-1]
 
--- a/tests/test_scale_request.py
+++ b/tests/test_scale_request.py
@@ -12,7 +12,7 @@
 from scale_request import CALM, least_p99, played, windows
 from traffic import SECOND, Load, Sent, told_of
 
-from burlloom.lab.slopes import kept, newest
+from burlloom.lab.slopes import newest_rows, read_rows
 
 
 def run(place: Path, *words: str) -> str:
@@ -25,7 +25,7 @@
 def test_rows_of_requests(tmp_path: Path, more: tuple[str, ...], kind: str) -> None:
     place = tmp_path / "rows"
     said = run(place, "request", "--rates", "20,40,60,80,100", "--seconds", "0.4", *more)
-    found = newest(kept(place))
+    found = newest_rows(read_rows(place))
     assert {name for name, _, _ in found} == {
         f"request {what}{kind}" for what in ("cpu", "p50 added", "p99 added", "p99 added least")
     }
@@ -39,7 +39,7 @@
 
 def test_the_harness_alone(tmp_path: Path) -> None:
     run(tmp_path / "rows", "request", "--harness", "--rates", "20,40,60,80,100", "--seconds", "0.4")
-    (row,) = kept(tmp_path / "rows")
+    (row,) = read_rows(tmp_path / "rows")
     assert row.name == "request p99 harness"
 
 
@@ -69,7 +69,7 @@
         "--gap",
         "1.5",
     )
-    found = newest(kept(tmp_path / "rows"))
+    found = newest_rows(read_rows(tmp_path / "rows"))
     assert {name for name, _, _ in found} == {
         f"request {what} {where} a reload"
         for where in ("in", "beside")
@@ -106,7 +106,7 @@
         "--gap",
         "1.5",
     )
-    found = newest(kept(tmp_path / "rows"))
+    found = newest_rows(read_rows(tmp_path / "rows"))
     assert all(row.by == "members" and "hollow" in row.note for row in found.values())
 
 
@@ -118,7 +118,7 @@
     run(
         tmp_path / "rows", "deal", "--sizes", "2,3,4,5,6", "--rate", "30", "--seconds", "0.3", *more
     )
-    assert {name for name, _, _ in newest(kept(tmp_path / "rows"))} == {
+    assert {name for name, _, _ in newest_rows(read_rows(tmp_path / "rows"))} == {
         f"request p99 added {who}",
         f"request longest {who}",
         f"request idle cpu {who}",
@@ -130,7 +130,7 @@
     does.
     """
     run(tmp_path / "rows", "lead", "--sizes", "4,5,6,7,8", "--rate", "30", "--seconds", "0.3")
-    found = newest(kept(tmp_path / "rows"))
+    found = newest_rows(read_rows(tmp_path / "rows"))
     assert {name for name, _, _ in found} == {
         f"request {what} while it leads a release" for what in ("p99 added", "longest", "idle cpu")
     }
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -14,7 +14,7 @@
 from scale_checker import SECOND, Budget, Checker, Contents, Faults, digest_of, worst_rate
 from scale_run import Setting, played
 
-from burlloom.lab.distances import Cut, laid_out, place
+from burlloom.lab.distances import Cut, lay_out_servers, make_place
 
 TOTAL = 30_000
 
@@ -190,17 +190,17 @@
 
 
 def test_cuts_of_groups():
-    one, same, far = place("a", 0, 0, 0), place("b", 0, 0, 1), place("c", 2, 7, 0)
+    one, same, far = make_place("a", 0, 0, 0), make_place("b", 0, 0, 1), make_place("c", 2, 7, 0)
     away = Cut(frozenset({"zone:0"}))
-    assert away.parts(one, far)
-    assert away.parts(far, one)
-    assert not away.parts(one, same)
+    assert away.blocks(one, far)
+    assert away.blocks(far, one)
+    assert not away.blocks(one, same)
     deaf = Cut(frozenset({"name:c"}), frozenset({"rack:0.1"}), both=False)
-    assert deaf.parts(far, same)
-    assert not deaf.parts(same, far)
-    assert not deaf.parts(far, one)
-    assert len({where.zone for where in laid_out(30)}) == 14
-    assert len({where.region for where in laid_out(30)}) == 6
+    assert deaf.blocks(far, same)
+    assert not deaf.blocks(same, far)
+    assert not deaf.blocks(far, one)
+    assert len({where.zone for where in lay_out_servers(30)}) == 14
+    assert len({where.region for where in lay_out_servers(30)}) == 6
 
 
 def read(folder: Path) -> list[list[Any]]:
@@ -215,7 +215,7 @@
     """In two processes; the one that deals is the first. Some give up calls, and others want
     them.
     """
-    places = laid_out(count)
+    places = lay_out_servers(count)
     terms = {"total_millicalls": 2000 * count, "min_members": count // 2 + 1}
     cores = {"fleet": {"key": KEY, "terms": terms, "seeds": [], "demand": 6.0}}
     async with Hosts(folder, [(group, cores) for group in spread(places, 2)], 1, main) as hosts:
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from burlloom.lab.slopes import Row, fit, keep, kept, newest
+from burlloom.lab.slopes import Row, append_row, fit, newest_rows, read_rows
 
 SIZES = (30.0, 100.0, 300.0, 600.0, 1200.0, 2600.0)
 
@@ -31,21 +31,23 @@
 def test_a_row_with_fewer_than_five_sizes_is_rejected(tmp_path: Path):
     row = Row("a", "servers", "ms", "rest", (1.0, 2.0, 3.0, 4.0, 4.0), (1.0,) * 5, "run", "")
     with pytest.raises(ValueError, match="4 sizes"):
-        keep(row, tmp_path / "rows")
-    assert kept(tmp_path / "rows") == []
+        append_row(row, tmp_path / "rows")
+    assert read_rows(tmp_path / "rows") == []
 
 
 def test_rows_are_appended_and_the_newest_is_read(tmp_path: Path):
     path = tmp_path / "rows"
     for value in (1.0, 2.0):
-        keep(Row("a", "servers", "ms", "rest", SIZES, (value,) * 6, "run", "measured"), path)
-    rows = kept(path)
+        append_row(Row("a", "servers", "ms", "rest", SIZES, (value,) * 6, "run", "measured"), path)
+    rows = read_rows(path)
     assert [row.values[0] for row in rows] == [1.0, 2.0]
-    assert newest(rows)["a", "rest", "now"].values[0] == 2.0
+    assert newest_rows(rows)["a", "rest", "now"].values[0] == 2.0
     assert rows[1].at
     assert rows[1].cores
 
 
 def test_a_row_with_an_unknown_state_is_rejected(tmp_path: Path):
     with pytest.raises(ValueError, match="state"):
-        keep(Row("a", "servers", "ms", "busy", SIZES, (1.0,) * 6, "run", ""), tmp_path / "rows")
+        append_row(
+            Row("a", "servers", "ms", "busy", SIZES, (1.0,) * 6, "run", ""), tmp_path / "rows"
+        )
