--- a/burlloom/command/lab.py
+++ b/burlloom/command/lab.py
@@ -253,18 +253,18 @@
     """
     from difflib import unified_diff
 
-    from ..lab.capacity import NoPage, latest, tables, written
+    from ..lab.capacity import PageError, make_tables, read_latest_rows, replace_tables
     from ..lab.slopes import SLOPES_FILE
 
-    new_tables = tables(latest(slopes or SLOPES_FILE))
+    new_tables = make_tables(read_latest_rows(slopes or SLOPES_FILE))
     if do is None:
         for name, lines in new_tables.items():
             click.echo(f"\n## {name}\n\n" + "\n".join(lines))
         return
     current_text = page.read_text(encoding="utf-8")
     try:
-        new_text = written(current_text, new_tables)
-    except NoPage as error:
+        new_text = replace_tables(current_text, new_tables)
+    except PageError as error:
         click.echo(f"{page.name}: {error}", err=True)
         sys.exit(1)
     if do == "write":
--- a/burlloom/lab/capacity.py
+++ b/burlloom/lab/capacity.py
@@ -1,10 +1,9 @@
-"""What each role needs at the coming size, worked out from kept slopes: the tables of
-docs/CAPACITY.md.
+"""Needs of each role at the planned size, computed from stored slopes for docs/CAPACITY.md.
 
-A row is a sum of terms: a slope at a size of the plan times a factor, or a figure that is given or
-guessed. Between the sizes that were measured a cost is read from the measured ones, beyond them
-from the fit. `burlloom lab capacity` prints the tables, `--write` puts them between the page's
-markers, `--check` tells the lines that differ.
+A need is a sum of terms: a slope at a size of the plan times a factor, or a figure that is given or
+guessed. Between measured sizes a cost is interpolated, beyond them it is computed from the fit.
+`burlloom lab capacity` prints the tables, `--write` puts them between the markers of the page, and
+`--check` prints the lines that differ.
 """
 
 import math
@@ -18,56 +17,70 @@
 from ..fleet.membership import MembershipView
 from .slopes import SLOPES_FILE, Row, describe_fit, fit, newest_rows, read_rows
 
-SERVERS, CALLERS, SERVICES, REGIONS, ZONES, CONTROL = 2_600, 140_000, 3_000, 6, 14, 19
-TENANTS, ROUTES, REQUESTS, CHANGES = (
+# The planned fleet, its callers and its configuration.
+SERVERS, CALLERS, SERVICES, REGIONS, ZONES, CONTROL_MACHINES = 2_600, 140_000, 3_000, 6, 14, 19
+TENANTS, ROUTES, REQUESTS_PER_S, CHANGES_PER_DAY = (
     430_000,
     240_000,
     1_300_000,
     35_000,
-)  # requests a second, changes a day
-DEATHS, RESTARTS = 740, 11_000  # a day
-DAY = 86_400
-FOLLOWERS = math.ceil(SERVERS / CONTROL)  # of one control machine, all of them up
-PART_LEAST, PART_MOST = (
+)
+DEATHS_PER_DAY, RESTARTS_PER_DAY = 740, 11_000
+DAY_S = 86_400
+# Followers of one control machine while all of them are up.
+FOLLOWERS_PER_MACHINE = math.ceil(SERVERS / CONTROL_MACHINES)
+# Shares of the planned size between which the size that exceeds a budget is searched.
+MIN_SHARE, MAX_SHARE = (
     1e-4,
     100.0,
-)  # of the coming size, between which the passing of a budget is looked for
-COMING = {
+)
+# Planned sizes, by the quantity that the sizes of a slope count.
+PLANNED_SIZES = {
     "servers": SERVERS,
     "members": SERVERS,
     "tenants": TENANTS,
     "routes": ROUTES,
     "entries": TENANTS + ROUTES,
-    "followers": FOLLOWERS,
-    "requests a second": REQUESTS / SERVERS,
-    "changes": CHANGES / DAY,
+    "followers": FOLLOWERS_PER_MACHINE,
+    "requests a second": REQUESTS_PER_S / SERVERS,
+    "changes": CHANGES_PER_DAY / DAY_S,
     "connections": CALLERS / SERVERS,
-}  # by what a slope's sizes are of
-OPEN, END = re.compile(r"<!-- table: ([a-z0-9 -]+) -->"), "<!-- end -->"
-POOR = 0.25  # a fit with a larger residual is told to be poor where it is all there is
-BUSY = "counts for nothing"  # in the note of a row from a machine that was too busy
+}
+TABLE_START, TABLE_END = re.compile(r"<!-- table: ([a-z0-9 -]+) -->"), "<!-- end -->"
+MAX_GOOD_RESIDUAL = 0.25  # residual above which an extrapolated cost is marked as a poor fit
+# Part of the note of a row that is not valid, because the machine that measured it was too busy.
+BUSY_NOTE = "counts for nothing"
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
+    """Largest allowed need: an amount, its unit and the text that the tables show for it."""
+
     amount: float
     unit: str
-    of: str
+    text: str
 
 
 CORE = Budget(37.0, "ms/s", "3.7% of a core")
 MEMORY = Budget(128.0, "MB", "128 MB")
-NET = Budget(9_000.0, "B/s", "9 KB a second")
-ADDED = Budget(3.4, "ms", "3.4 ms added for 99 in 100")
-IN_FORCE = Budget(6.0, "s", "in force within 6 s")
+NETWORK = Budget(9_000.0, "B/s", "9 KB a second")
+ADDED_LATENCY = Budget(3.4, "ms", "3.4 ms added for 99 in 100")
+TIME_TO_IN_FORCE = Budget(6.0, "s", "in force within 6 s")
 STALL = Budget(10.0, "ms/s", "1 request in 100 may meet a stall: 10 ms a second")
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """A kept row at the coming size of what it is measured by, or at `size`, times `factor` and
-    where `times` names one, another row of the same state there; `why`: what the factor is;
-    `grows`: with the size.
+    """A term computed from a stored row.
+
+    Attributes:
+        name: Name of the row.
+        state: State in which the row was measured.
+        factor: Factor of the cost.
+        why: What the factor is, as the tables show it.
+        size: Size at which the cost is computed; None for the planned size of the row's quantity.
+        times_row: Name of another row of the same state whose cost is a second factor, or empty.
+        grows: True if the factor grows in proportion to the size.
     """
 
     name: str
@@ -75,42 +88,58 @@
     factor: float = 1.0
     why: str = ""
     size: float | None = None
-    times: str = ""
+    times_row: str = ""
     grows: bool = False
 
     def at(self, row: Row) -> float:
-        return COMING[row.by] if self.size is None else self.size
+        """Returns the size at which the cost of this row is computed."""
+        return PLANNED_SIZES[row.by] if self.size is None else self.size
 
 
 @dataclass(frozen=True, slots=True)
 class Given:
-    """A figure without a slope, in the row's unit. `how`: `plan`, `code`, `guess`. `grows`: with
-    servers.
+    """A term without a slope.
+
+    Attributes:
+        value: The figure, in the unit of the need.
+        why: How the figure is computed, as the tables show it.
+        source: Where the figure comes from: `plan`, `code` or `guess`.
+        grows: True if the figure grows in proportion to the number of servers.
     """
 
     value: float
     why: str
-    how: str = "plan"
+    source: str = "plan"
     grows: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """A row of a role. `when`: `today`, or `built` for what burlloom/distribution brings and nobody
-    runs yet. Without terms it is not measured, or, where `nothing`, nothing carries it.
+    """One need of a role, which is one row of its table.
+
+    Attributes:
+        title: The need, as the tables show it.
+        unit: Unit of the need and of its terms.
+        terms: Terms whose sum is the need. Without terms the need is not measured.
+        budget: Largest allowed need; None if there is no limit.
+        mechanism: The mechanism that serves the need.
+        when: `today`, or `built` for what burlloom/distribution implements and is not in use yet.
+        has_no_mechanism: True if there are no terms because no mechanism serves the need.
     """
 
-    what: str
+    title: str
     unit: str
     terms: tuple[Slope | Given, ...]
     budget: Budget | None
     mechanism: str
     when: str = "today"
-    nothing: bool = False
+    has_no_mechanism: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Role:
+    """A role of servers or machines, with its needs."""
+
     name: str
     title: str
     needs: tuple[Need, ...]
@@ -118,44 +147,56 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """A row worked out. `need`: None where a term is missing. `passed`: the part of the coming size
-    at which the budget is passed, None where it is not up to a hundred times that, or can't be
-    told.
+    """A computed need.
+
+    Attributes:
+        role: Role that has the need.
+        need: The need that was computed.
+        value: Its amount at the planned size; None if a term is missing.
+        arithmetic: The computation, as the tables show it.
+        passing_share: Share of the planned size at which the need exceeds its budget; None if it
+            does not up to a hundred times the planned size, or if that is unknown.
+        slopes: Rows that the computation uses.
+        remarks: For example that the need is a guess, not measured or from a busy machine.
+        quantities: Quantities whose sizes `passing_share` is a share of.
     """
 
     role: Role
-    row: Need
-    need: float | None
+    need: Need
+    value: float | None
     arithmetic: str
-    passed: float | None
+    passing_share: float | None
     slopes: tuple[Row, ...]
-    words: tuple[str, ...]  # guess, busy, not measured
-    by: tuple[str, ...] = ()  # what the sizes are of that its passing is told in
+    remarks: tuple[str, ...]
+    quantities: tuple[str, ...] = ()
 
     @property
-    def over(self) -> float | None:
-        if self.row.nothing:
+    def budget_ratio(self) -> float | None:
+        """Need divided by its budget; infinite if nothing serves the need, None if unknown."""
+        if self.need.has_no_mechanism:
             return math.inf
         return (
             None
-            if self.need is None or self.row.budget is None
-            else self.need / self.row.budget.amount
+            if self.value is None or self.need.budget is None
+            else self.value / self.need.budget.amount
         )
 
 
 GOSSIP = "gossip in one view of all (burlloom/fleet, SWIM)"
-DEALING = "one dealer answers each report (burlloom/fleet)"
+ALLOCATION = "one dealer answers each report (burlloom/fleet)"
 CONNECTIONS = "a bound of connections, limits.sockets (burlloom/rpc)"
-NAMING = "a datagram each 200 ms (burlloom/discovery)"
+NAME_SERVICE = "a datagram each 200 ms (burlloom/discovery)"
 RELEASE = "one leader and one book (burlloom/rollout)"
-FILE = "a file a server, read whole at a reload"
+CONFIG_FILE = "a file a server, read whole at a reload"
 TABLE = "Table: sorted leaves in 256 buckets (burlloom/distribution/table.py)"
-CARRIER = "changes in a chain, pushed down a tree, repaired by digests (burlloom/distribution)"
-A_SECOND = CHANGES / DAY
-STARTS = DEATHS + RESTARTS
-OWN = Given(27.0, "MB of a server by itself, as the issue tells it")
-EACH = REQUESTS / SERVERS
-ACROSS = (REGIONS - 1) / REGIONS
+CONFIG_DISTRIBUTION = (
+    "changes in a chain, pushed down a tree, repaired by digests (burlloom/distribution)"
+)
+CHANGES_PER_S = CHANGES_PER_DAY / DAY_S
+STARTS_PER_DAY = DEATHS_PER_DAY + RESTARTS_PER_DAY
+SERVER_MEMORY = Given(27.0, "MB of a server by itself, as the issue tells it")
+REQUESTS_PER_SERVER = REQUESTS_PER_S / SERVERS
+OTHER_REGIONS_SHARE = (REGIONS - 1) / REGIONS
 
 ROLES: tuple[Role, ...] = (
     Role(
@@ -175,9 +216,15 @@
             ),
             Need("processor time at rest", "ms/s", (Slope("member cpu", "rest"),), CORE, GOSSIP),
             Need("processor time in churn", "ms/s", (Slope("member cpu", "churn"),), CORE, GOSSIP),
-            Need("bytes at rest, both ways", "B/s", (Slope("member bytes", "rest"),), NET, GOSSIP),
             Need(
-                "bytes in churn, both ways", "B/s", (Slope("member bytes", "churn"),), NET, GOSSIP
+                "bytes at rest, both ways", "B/s", (Slope("member bytes", "rest"),), NETWORK, GOSSIP
+            ),
+            Need(
+                "bytes in churn, both ways",
+                "B/s",
+                (Slope("member bytes", "churn"),),
+                NETWORK,
+                GOSSIP,
             ),
             Need(
                 "messages sent at rest",
@@ -279,21 +326,21 @@
                 "ms/s",
                 (Slope("member cpu", "churn"), Slope("follower cpu by followers", "rest")),
                 CORE,
-                f"{GOSSIP}; {CARRIER}",
+                f"{GOSSIP}; {CONFIG_DISTRIBUTION}",
                 "built",
             ),
             Need(
                 "bytes, member and follower",
                 "B/s",
                 (Slope("member bytes", "churn"), Slope("follower bytes by followers", "rest")),
-                NET,
-                f"{GOSSIP}; {CARRIER}",
+                NETWORK,
+                f"{GOSSIP}; {CONFIG_DISTRIBUTION}",
                 "built",
             ),
             Need(
                 "memory, view and table and the server's own",
                 "MB",
-                (Slope("view memory", "rest"), Slope("table memory", "rest"), OWN),
+                (Slope("view memory", "rest"), Slope("table memory", "rest"), SERVER_MEMORY),
                 MEMORY,
                 f"{GOSSIP}; {TABLE}",
                 "built",
@@ -304,28 +351,46 @@
         "allocator",
         "Allocator: who deals",
         (
-            Need("processor time at rest", "ms/s", (Slope("dealer cpu", "rest"),), CORE, DEALING),
-            Need("processor time in churn", "ms/s", (Slope("dealer cpu", "churn"),), CORE, DEALING),
-            Need("bytes at rest, both ways", "B/s", (Slope("dealer bytes", "rest"),), NET, DEALING),
             Need(
-                "bytes in churn, both ways", "B/s", (Slope("dealer bytes", "churn"),), NET, DEALING
+                "processor time at rest", "ms/s", (Slope("dealer cpu", "rest"),), CORE, ALLOCATION
+            ),
+            Need(
+                "processor time in churn", "ms/s", (Slope("dealer cpu", "churn"),), CORE, ALLOCATION
+            ),
+            Need(
+                "bytes at rest, both ways",
+                "B/s",
+                (Slope("dealer bytes", "rest"),),
+                NETWORK,
+                ALLOCATION,
+            ),
+            Need(
+                "bytes in churn, both ways",
+                "B/s",
+                (Slope("dealer bytes", "churn"),),
+                NETWORK,
+                ALLOCATION,
             ),
             Need(
                 "messages at rest, both ways",
                 "1/s",
                 (Slope("dealer messages", "rest"),),
                 None,
-                DEALING,
+                ALLOCATION,
             ),
             Need(
                 "processor time while all start at once",
                 "ms/s",
                 (Slope("dealer cpu", "cold"),),
                 None,
-                DEALING,
+                ALLOCATION,
             ),
             Need(
-                "memory with the accounts", "MB", (Slope("dealer memory", "rest"),), MEMORY, DEALING
+                "memory with the accounts",
+                "MB",
+                (Slope("dealer memory", "rest"),),
+                MEMORY,
+                ALLOCATION,
             ),
         ),
     ),
@@ -361,7 +426,7 @@
             Need(
                 "bytes of the book written in a release",
                 "B/s",
-                (Slope("book bytes", "rest", times="book steps"),),
+                (Slope("book bytes", "rest", times_row="book steps"),),
                 None,
                 RELEASE,
             ),
@@ -369,7 +434,7 @@
                 "bytes of the book read by each server in a release",
                 "B/s",
                 (Slope("release read bytes", "rest"),),
-                NET,
+                NETWORK,
                 RELEASE,
             ),
             Need(
@@ -417,14 +482,14 @@
             Need(
                 "processor time of steps at the store in a release",
                 "ms/s",
-                (Slope("store swap cpu", "rest", times="book steps"),),
+                (Slope("store swap cpu", "rest", times_row="book steps"),),
                 Budget(1000.0, "ms/s", "one core: SQLite writes one at a time"),
                 RELEASE,
             ),
             Need(
                 "changes of configuration kept",
                 "1/s",
-                (Given(A_SECOND, f"{CHANGES:,} / {DAY:,} s"),),
+                (Given(CHANGES_PER_S, f"{CHANGES_PER_DAY:,} / {DAY_S:,} s"),),
                 None,
                 "the store's table of changes (burlloom/distribution/stores)",
                 "built",
@@ -440,48 +505,62 @@
                 "MB",
                 (Slope("configuration memory", "rest"),),
                 MEMORY,
-                FILE,
+                CONFIG_FILE,
             ),
             Need(
                 "memory in a reload",
                 "MB",
                 (Slope("configuration memory peak", "churn"),),
                 MEMORY,
-                FILE,
+                CONFIG_FILE,
             ),
             Need(
                 "memory with tenants and routes",
                 "MB",
                 (Slope("configuration memory", "rest"), Slope("routes memory", "rest")),
                 MEMORY,
-                f"{FILE}; a plain dict of routes",
+                f"{CONFIG_FILE}; a plain dict of routes",
             ),
             Need(
                 "processor time of changes, a reload each",
                 "ms/s",
-                (Slope("reload cpu", "churn", A_SECOND, f"{CHANGES:,} changes / {DAY:,} s"),),
+                (
+                    Slope(
+                        "reload cpu",
+                        "churn",
+                        CHANGES_PER_S,
+                        f"{CHANGES_PER_DAY:,} changes / {DAY_S:,} s",
+                    ),
+                ),
                 CORE,
-                FILE,
+                CONFIG_FILE,
             ),
             Need(
                 "stall of the loop for changes, a reload each",
                 "ms/s",
-                (Slope("reload stall", "churn", A_SECOND, f"{CHANGES:,} changes / {DAY:,} s"),),
+                (
+                    Slope(
+                        "reload stall",
+                        "churn",
+                        CHANGES_PER_S,
+                        f"{CHANGES_PER_DAY:,} changes / {DAY_S:,} s",
+                    ),
+                ),
                 STALL,
-                FILE,
+                CONFIG_FILE,
             ),
-            Need("one reload's stall", "ms", (Slope("reload stall", "churn"),), None, FILE),
+            Need("one reload's stall", "ms", (Slope("reload stall", "churn"),), None, CONFIG_FILE),
             Need(
                 "start, processor time",
                 "ms",
                 (Slope("configuration start cpu", "cold"),),
                 None,
-                FILE,
+                CONFIG_FILE,
             ),
             Need(
                 "memory with the table",
                 "MB",
-                (Slope("table memory", "rest"), OWN),
+                (Slope("table memory", "rest"), SERVER_MEMORY),
                 MEMORY,
                 TABLE,
                 "built",
@@ -489,7 +568,14 @@
             Need(
                 "processor time of changes of 64",
                 "ms/s",
-                (Slope("table change", "rest", A_SECOND, f"{CHANGES:,} changes / {DAY:,} s"),),
+                (
+                    Slope(
+                        "table change",
+                        "rest",
+                        CHANGES_PER_S,
+                        f"{CHANGES_PER_DAY:,} changes / {DAY_S:,} s",
+                    ),
+                ),
                 CORE,
                 TABLE,
                 "built",
@@ -501,8 +587,8 @@
                     Slope(
                         "table lookup",
                         "rest",
-                        EACH / 1000,
-                        f"{EACH:.0f} requests a second, us to ms",
+                        REQUESTS_PER_SERVER / 1000,
+                        f"{REQUESTS_PER_SERVER:.0f} requests a second, us to ms",
                     ),
                 ),
                 CORE,
@@ -543,24 +629,24 @@
                 "a change in force on all servers",
                 "s",
                 (),
-                IN_FORCE,
+                TIME_TO_IN_FORCE,
                 "none: nothing carries a change to other machines",
-                nothing=True,
+                has_no_mechanism=True,
             ),
             Need(
                 "a follower's processor time",
                 "ms/s",
                 (Slope("follower cpu by followers", "rest"),),
                 CORE,
-                CARRIER,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
             Need(
                 "a follower's bytes",
                 "B/s",
                 (Slope("follower bytes by followers", "rest"),),
-                NET,
-                CARRIER,
+                NETWORK,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
             Need(
@@ -568,31 +654,31 @@
                 "ms/s",
                 (Slope("follower cpu by changes", "rest"),),
                 CORE,
-                CARRIER,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
             Need(
                 "a follower's bytes by changes",
                 "B/s",
                 (Slope("follower bytes by changes", "rest"),),
-                NET,
-                CARRIER,
+                NETWORK,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
             Need(
                 "a follower's processor time at ten times the changes",
                 "ms/s",
-                (Slope("follower cpu by changes", "rest", size=10 * A_SECOND),),
+                (Slope("follower cpu by changes", "rest", size=10 * CHANGES_PER_S),),
                 CORE,
-                CARRIER,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
             Need(
                 "a follower's bytes at ten times the changes",
                 "B/s",
-                (Slope("follower bytes by changes", "rest", size=10 * A_SECOND),),
-                NET,
-                CARRIER,
+                (Slope("follower bytes by changes", "rest", size=10 * CHANGES_PER_S),),
+                NETWORK,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
             Need(
@@ -600,7 +686,7 @@
                 "B",
                 (Slope("follower bytes by followers", "cold"),),
                 None,
-                CARRIER,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
             Need(
@@ -608,7 +694,7 @@
                 "ms/s",
                 (Slope("source cpu by followers", "rest"),),
                 CORE,
-                CARRIER,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
             Need(
@@ -618,12 +704,12 @@
                     Slope(
                         "table memory",
                         "rest",
-                        1e6 / NET.amount,
+                        1e6 / NETWORK.amount,
                         "a million bytes a MB, 9,000 a second",
                     ),
                 ),
                 None,
-                CARRIER,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
             Need(
@@ -633,12 +719,13 @@
                     Slope(
                         "table memory",
                         "rest",
-                        2e6 * STARTS / SERVERS / DAY,
-                        f"2 x {STARTS:,} starts a day / {SERVERS:,} / {DAY:,} s x a million",
+                        2e6 * STARTS_PER_DAY / SERVERS / DAY_S,
+                        f"2 x {STARTS_PER_DAY:,} starts a day / {SERVERS:,} / {DAY_S:,} s"
+                        " x a million",
                     ),
                 ),
-                NET,
-                CARRIER,
+                NETWORK,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
             Need(
@@ -648,12 +735,12 @@
                     Slope(
                         "table memory",
                         "rest",
-                        1e6 * STARTS / SERVERS / DAY,
-                        f"{STARTS:,} starts a day / {SERVERS:,} / {DAY:,} s x a million",
+                        1e6 * STARTS_PER_DAY / SERVERS / DAY_S,
+                        f"{STARTS_PER_DAY:,} starts a day / {SERVERS:,} / {DAY_S:,} s x a million",
                     ),
                 ),
-                NET,
-                CARRIER,
+                NETWORK,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
         ),
@@ -662,23 +749,33 @@
         "discovery",
         "Discovery: reports to the name service",
         (
-            Need("a server's reports", "B/s", (Slope("discovery bytes", "rest"),), NET, NAMING),
             Need(
-                "a server's processor time", "ms/s", (Slope("discovery cpu", "rest"),), CORE, NAMING
+                "a server's reports",
+                "B/s",
+                (Slope("discovery bytes", "rest"),),
+                NETWORK,
+                NAME_SERVICE,
+            ),
+            Need(
+                "a server's processor time",
+                "ms/s",
+                (Slope("discovery cpu", "rest"),),
+                CORE,
+                NAME_SERVICE,
             ),
             Need(
                 "datagrams at the name service",
                 "1/s",
                 (Slope("name service messages", "rest"),),
                 None,
-                NAMING,
+                NAME_SERVICE,
             ),
             Need(
                 "bytes at the name service",
                 "B/s",
                 (Slope("name service bytes", "rest"),),
                 None,
-                NAMING,
+                NAME_SERVICE,
             ),
         ),
     ),
@@ -690,21 +787,21 @@
                 "added for 99 in 100, no calls below",
                 "ms",
                 (Slope("request p99 added", "churn"),),
-                ADDED,
+                ADDED_LATENCY,
                 "burlloom/admission and the sockets",
             ),
             Need(
                 "added for 99 in 100, with calls below",
                 "ms",
                 (Slope("request p99 added with calls", "churn"),),
-                ADDED,
+                ADDED_LATENCY,
                 "burlloom/admission and the sockets",
             ),
             Need(
                 "the same without calls, of the calmest span of a run",
                 "ms",
                 (Slope("request p99 added least", "churn"),),
-                ADDED,
+                ADDED_LATENCY,
                 "burlloom/admission and the sockets",
             ),
             Need(
@@ -718,28 +815,28 @@
                 "added for 99 in 100 around a reload",
                 "ms",
                 (Slope("request p99 added in a reload", "churn"),),
-                ADDED,
-                FILE,
+                ADDED_LATENCY,
+                CONFIG_FILE,
             ),
             Need(
                 "added for 99 in 100 around a rejoin",
                 "ms",
                 (Slope("request p99 added in a rejoin", "churn"),),
-                ADDED,
+                ADDED_LATENCY,
                 GOSSIP,
             ),
             Need(
                 "added for 99 in 100 at the one that deals",
                 "ms",
                 (Slope("request p99 added while it deals", "rest"),),
-                ADDED,
-                DEALING,
+                ADDED_LATENCY,
+                ALLOCATION,
             ),
             Need(
                 "added for 99 in 100 at the one that leads a release",
                 "ms",
                 (Slope("request p99 added while it leads a release", "churn"),),
-                ADDED,
+                ADDED_LATENCY,
                 RELEASE,
             ),
             Need(
@@ -747,7 +844,11 @@
                 "ms/s",
                 (
                     Slope(
-                        "request cpu with calls", "churn", EACH, f"{EACH:.0f} a second", grows=True
+                        "request cpu with calls",
+                        "churn",
+                        REQUESTS_PER_SERVER,
+                        f"{REQUESTS_PER_SERVER:.0f} a second",
+                        grows=True,
                     ),
                 ),
                 Budget(1000.0, "ms/s", "one core: it is not control"),
@@ -756,7 +857,15 @@
             Need(
                 "processor time of the requests",
                 "ms/s",
-                (Slope("request cpu", "churn", EACH, f"{EACH:.0f} a second", grows=True),),
+                (
+                    Slope(
+                        "request cpu",
+                        "churn",
+                        REQUESTS_PER_SERVER,
+                        f"{REQUESTS_PER_SERVER:.0f} a second",
+                        grows=True,
+                    ),
+                ),
                 Budget(1000.0, "ms/s", "one core: it is not control"),
                 "burlloom/admission and the sockets",
             ),
@@ -796,7 +905,7 @@
             Need(
                 "a server's log",
                 "MB/day",
-                (Given(DAY * 150 / 1e6, "1 line a second x 150 bytes x 86,400 s", "guess"),),
+                (Given(DAY_S * 150 / 1e6, "1 line a second x 150 bytes x 86,400 s", "guess"),),
                 None,
                 "key=value lines, at most 50 a second (burlloom/server/logs.py)",
             ),
@@ -805,7 +914,7 @@
                 "GB/day",
                 (
                     Given(
-                        SERVERS * DAY * 150 / 1e9,
+                        SERVERS * DAY_S * 150 / 1e9,
                         f"{SERVERS:,} x 1 line a second x 150 bytes x 86,400 s",
                         "guess",
                         True,
@@ -819,7 +928,7 @@
                 "TB/day",
                 (
                     Given(
-                        SERVERS * DAY * 50 * 150 / 1e12,
+                        SERVERS * DAY_S * 50 * 150 / 1e12,
                         f"{SERVERS:,} x 50 lines a second x 150 bytes x 86,400 s",
                         "guess",
                         True,
@@ -838,9 +947,9 @@
             Need(
                 "followers of one, all of them up",
                 "",
-                (Given(FOLLOWERS, f"{SERVERS:,} / {CONTROL}", "plan", True),),
+                (Given(FOLLOWERS_PER_MACHINE, f"{SERVERS:,} / {CONTROL_MACHINES}", "plan", True),),
                 None,
-                CARRIER,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
             Need(
@@ -848,14 +957,14 @@
                 "",
                 (
                     Given(
-                        math.ceil(SERVERS / (CONTROL - 3)),
-                        f"{SERVERS:,} / {CONTROL - 3}",
+                        math.ceil(SERVERS / (CONTROL_MACHINES - 3)),
+                        f"{SERVERS:,} / {CONTROL_MACHINES - 3}",
                         "plan",
                         True,
                     ),
                 ),
                 None,
-                CARRIER,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
             Need(
@@ -871,7 +980,7 @@
                 "ms/s",
                 (Slope("source cpu by followers", "rest"),),
                 CORE,
-                CARRIER,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
             Need(
@@ -879,19 +988,21 @@
                 "ms/s",
                 (
                     Slope(
-                        "source cpu by followers", "rest", size=math.ceil(SERVERS / (CONTROL - 3))
+                        "source cpu by followers",
+                        "rest",
+                        size=math.ceil(SERVERS / (CONTROL_MACHINES - 3)),
                     ),
                 ),
                 CORE,
-                CARRIER,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
             Need(
                 "bytes of one to its followers at rest",
                 "B/s",
                 (Slope("source bytes by followers", "rest"),),
-                NET,
-                CARRIER,
+                NETWORK,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
             Need(
@@ -901,12 +1012,13 @@
                     Slope(
                         "table memory",
                         "rest",
-                        1e6 * STARTS / CONTROL / DAY,
-                        f"{STARTS:,} starts a day / {CONTROL} / {DAY:,} s x a million",
+                        1e6 * STARTS_PER_DAY / CONTROL_MACHINES / DAY_S,
+                        f"{STARTS_PER_DAY:,} starts a day / {CONTROL_MACHINES} / {DAY_S:,} s"
+                        " x a million",
                     ),
                 ),
-                NET,
-                CARRIER,
+                NETWORK,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
             Need(
@@ -915,7 +1027,7 @@
                 (),
                 None,
                 "none: each role is on some server",
-                nothing=True,
+                has_no_mechanism=True,
             ),
         ),
     ),
@@ -930,7 +1042,7 @@
                     Slope(
                         "member bytes sent",
                         "rest",
-                        SERVERS * ACROSS,
+                        SERVERS * OTHER_REGIONS_SHARE,
                         f"{SERVERS:,} servers x {REGIONS - 1}/{REGIONS}, as peers are taken evenly",
                     ),
                 ),
@@ -944,25 +1056,25 @@
                     Slope(
                         "dealer bytes",
                         "rest",
-                        ACROSS,
+                        OTHER_REGIONS_SHARE,
                         f"{REGIONS - 1}/{REGIONS} of the fleet is elsewhere",
                     ),
                 ),
                 None,
-                DEALING,
+                ALLOCATION,
             ),
             Need(
                 "changes, once to each region",
                 "B/s",
                 (
                     Given(
-                        (REGIONS - 1) * A_SECOND * 1400,
-                        f"{REGIONS - 1} x {A_SECOND:.3f} changes a second x 1,400 bytes",
+                        (REGIONS - 1) * CHANGES_PER_S * 1400,
+                        f"{REGIONS - 1} x {CHANGES_PER_S:.3f} changes a second x 1,400 bytes",
                         "code",
                     ),
                 ),
                 None,
-                CARRIER,
+                CONFIG_DISTRIBUTION,
                 "built",
             ),
         ),
@@ -970,96 +1082,103 @@
 )
 
 
-def cost(row: Row, size: float) -> float:
-    """Between measured sizes by those, beyond them by the fit; one that falls is held at its last
-    size.
+def cost_of_row(row: Row, size: float) -> float:
+    """Returns the cost of a row at this size.
+
+    Between measured sizes the cost is interpolated, beyond them it is computed from the fit. A
+    decreasing fit is constant beyond the largest measured size, so that a cost never gets negative.
     """
     if min(row.sizes) <= size <= max(row.sizes):
         pairs = sorted(zip(row.sizes, row.values, strict=True))
         return float(np.interp(size, [pair[0] for pair in pairs], [pair[1] for pair in pairs]))
-    found = fit(row.sizes, row.values)
-    return max(0.0, found.at(min(size, max(row.sizes)) if found.rate < 0 else size))
+    fitted = fit(row.sizes, row.values)
+    return max(0.0, fitted.at(min(size, max(row.sizes)) if fitted.rate < 0 else size))
 
 
-def latest(path: Path = SLOPES_FILE) -> dict[tuple[str, str, str], Row]:
-    """By name, state and side the row that was kept last, in whatever order branches were
-    joined.
+def read_latest_rows(path: Path = SLOPES_FILE) -> dict[tuple[str, str, str], Row]:
+    """Reads the newest row of each name, state and side.
+
+    Rows are ordered by their time, because a merge of branches may leave them in any order.
     """
     return newest_rows(sorted(read_rows(path), key=lambda row: row.at))
 
 
-def row_of(rows: Mapping[tuple[str, str, str], Row], name: str, state: str) -> Row | None:
-    """What the text of today costs; where only the text before a change was measured, that."""
+def find_row(rows: Mapping[tuple[str, str, str], Row], name: str, state: str) -> Row | None:
+    """Returns the row of the current source, or else the one from before a change."""
     return rows.get((name, state, "now")) or rows.get((name, state, "before"))
 
 
-def of_term(rows: Mapping[tuple[str, str, str], Row], term: Slope) -> list[Row] | str:
-    """The rows that a term is a product of, or what is missing."""
-    found = []
-    for name in (term.name, term.times) if term.times else (term.name,):
-        row = row_of(rows, name, term.state)
+def rows_of_term(rows: Mapping[tuple[str, str, str], Row], term: Slope) -> list[Row] | str:
+    """Returns the rows whose product is the term, or a text that says what is missing."""
+    term_rows = []
+    for name in (term.name, term.times_row) if term.times_row else (term.name,):
+        row = find_row(rows, name, term.state)
         if row is None:
             return f"`{name}`, {term.state}: not measured"
-        if term.size is None and row.by not in COMING:
+        if term.size is None and row.by not in PLANNED_SIZES:
             return f"`{name}`, {term.state}: not measured by what the plan tells, but by {row.by}"
-        found.append(row)
-    return found
+        term_rows.append(row)
+    return term_rows
 
 
-def worked_out(role: Role, need: Need, rows: Mapping[tuple[str, str, str], Row]) -> Figure:
-    used, words, parts = [], [], []
+def compute_figure(role: Role, need: Need, rows: Mapping[tuple[str, str, str], Row]) -> Figure:
+    """Computes a need from the stored rows."""
+    used, remarks, term_texts = [], [], []
     for term in need.terms:
         if isinstance(term, Given):
-            if term.how == "guess":
-                words.append("guess")
-            parts.append(f"{shown(term.value)} ({term.why}; {term.how})")
+            if term.source == "guess":
+                remarks.append("guess")
+            term_texts.append(f"{format_value(term.value)} ({term.why}; {term.source})")
             continue
-        found = of_term(rows, term)
-        if isinstance(found, str):
-            words.append("not measured")
-            parts.append(found)
+        term_rows = rows_of_term(rows, term)
+        if isinstance(term_rows, str):
+            remarks.append("not measured")
+            term_texts.append(term_rows)
             continue
-        used += found
-        if any(BUSY in row.note for row in found):
-            words.append("busy machine: counts for nothing")
+        used += term_rows
+        if any(BUSY_NOTE in row.note for row in term_rows):
+            remarks.append("busy machine: counts for nothing")
         if any(
-            term.at(row) > max(row.sizes) and fit(row.sizes, row.values).residual > POOR
-            for row in found
+            term.at(row) > max(row.sizes)
+            and fit(row.sizes, row.values).residual > MAX_GOOD_RESIDUAL
+            for row in term_rows
         ):
-            words.append("beyond what was measured, by a poor fit")
-        parts.append(term_shown(term, found))
+            remarks.append("beyond what was measured, by a poor fit")
+        term_texts.append(format_term(term, term_rows))
     if not need.terms:
-        words.append("nothing carries it" if need.nothing else "not measured")
-    if "not measured" in words or not need.terms:
+        remarks.append("nothing carries it" if need.has_no_mechanism else "not measured")
+    if "not measured" in remarks or not need.terms:
         return Figure(
             role,
             need,
             None,
-            "; ".join(parts),
-            0.0 if need.nothing else None,
+            "; ".join(term_texts),
+            0.0 if need.has_no_mechanism else None,
             tuple(used),
-            tuple(words),
+            tuple(remarks),
         )
 
-    def at(part: float) -> float:
-        whole = 0.0
+    def at(share: float) -> float:
+        total = 0.0
         for term in need.terms:
             if isinstance(term, Given):
-                whole += term.value * (part if term.grows else 1.0)
+                total += term.value * (share if term.grows else 1.0)
             else:
-                whole += (
+                total += (
                     term.factor
-                    * (part if term.grows else 1.0)
+                    * (share if term.grows else 1.0)
                     * math.prod(
-                        cost(row, term.at(row) * part)
-                        for row in of_term(rows, term)
+                        cost_of_row(row, term.at(row) * share)
+                        for row in rows_of_term(rows, term)
                         if isinstance(row, Row)
                     )
                 )
-        return whole
+        return total
 
-    passed = None if need.budget is None else passed_at(at, need.budget.amount)
-    arithmetic = " + ".join(parts) + (f" = {shown(at(1.0))} {need.unit}" if len(parts) > 1 else "")
+    passing_share = None if need.budget is None else find_passing_share(at, need.budget.amount)
+    arithmetic = " + ".join(term_texts) + (
+        f" = {format_value(at(1.0))} {need.unit}" if len(term_texts) > 1 else ""
+    )
     by = (
         *(row.by for row in used),
         *("servers" for term in need.terms if isinstance(term, Given) and term.grows),
@@ -1069,26 +1188,33 @@
         need,
         at(1.0),
         arithmetic,
-        passed,
+        passing_share,
         tuple(used),
-        tuple(dict.fromkeys(words)),
+        tuple(dict.fromkeys(remarks)),
         tuple(dict.fromkeys(by)),
     )
 
 
-def passed_at(cost_at: Callable[[float], float], budget: float) -> float | None:
-    """The part of the coming size from which on the budget is passed: where it is at the whole, the
-    least from which on it stays so; else the next past the whole, None where there is none up to
-    `PART_MOST`.
+def find_passing_share(cost_at: Callable[[float], float], budget: float) -> float | None:
+    """Finds the share of the planned size from which on a cost exceeds its budget.
+
+    Args:
+        cost_at: Returns the cost at a share of the planned size.
+        budget: Largest allowed cost.
+
+    Returns:
+        If the cost exceeds the budget at the planned size, the smallest share from which on it does
+        up to the planned size. Otherwise the next share beyond it, or None if there is none up to
+        `MAX_SHARE`.
     """
-    steps = [float(part) for part in np.geomspace(PART_LEAST, PART_MOST, 601)]
+    steps = [float(share) for share in np.geomspace(MIN_SHARE, MAX_SHARE, 601)]
     at = min(range(len(steps)), key=lambda step: abs(steps[step] - 1.0))
     steps[at] = 1.0
     if cost_at(1.0) > budget:
         while at and cost_at(steps[at - 1]) > budget:
             at -= 1
         if not at:
-            return PART_LEAST
+            return MIN_SHARE
     else:
         while cost_at(steps[at]) <= budget:
             at += 1
@@ -1101,8 +1227,8 @@
     return high
 
 
-def shown(value: float) -> str:
-    """Three digits, or whole."""
+def format_value(value: float) -> str:
+    """Formats a value with three significant digits, or as a whole number from 1,000 on."""
     if abs(value) < 1e-9 or not math.isfinite(value):
         return "0" if abs(value) < 1e-9 else "-"
     if abs(value) >= 1000:
@@ -1111,129 +1237,169 @@
     return f"{value:.{digits}f}"
 
 
-def number(size: float) -> str:
-    return f"{size:,.10g}" if size == int(size) else shown(size)
+def format_size(size: float) -> str:
+    """Formats a size, without decimals if it is whole."""
+    return f"{size:,.10g}" if size == int(size) else format_value(size)
 
 
-def term_shown(term: Slope, rows: Sequence[Row]) -> str:
-    """The sum as a reader would do it by hand."""
-    whole = term.factor * math.prod(cost(row, term.at(row)) for row in rows)
-    times = f"; x {shown(term.factor)} ({term.why})" if term.why else ""
+def format_term(term: Slope, rows: Sequence[Row]) -> str:
+    """Formats the computation of a term as a reader would write it by hand."""
+    total = term.factor * math.prod(cost_of_row(row, term.at(row)) for row in rows)
+    times_row = f"; x {format_value(term.factor)} ({term.why})" if term.why else ""
     return (
-        " x ".join(row_shown(row, term.at(row)) for row in rows)
-        + times
-        + (f" = {shown(whole)}" if times or len(rows) > 1 else "")
+        " x ".join(format_row(row, term.at(row)) for row in rows)
+        + times_row
+        + (f" = {format_value(total)}" if times_row or len(rows) > 1 else "")
     )
 
 
-def row_shown(row: Row, size: float) -> str:
-    found = fit(row.sizes, row.values)
+def format_row(row: Row, size: float) -> str:
+    """Formats the cost of a row at this size and how it was obtained."""
+    fitted = fit(row.sizes, row.values)
     inside = min(row.sizes) <= size <= max(row.sizes)
     grows = {
         "flat": "",
-        "log": f" x log2({number(size)})",
-        "linear": f" x {number(size)}",
-        "square": f" x {number(size)}^2",
-    }[found.shape]
-    rate = f" {'-' if found.rate < 0 else '+'} {abs(found.rate):.3g}{grows}" if grows else ""
-    by_fit = f"{shown(found.base)}{rate} = {shown(found.at(size))}" if grows else shown(found.base)
+        "log": f" x log2({format_size(size)})",
+        "linear": f" x {format_size(size)}",
+        "square": f" x {format_size(size)}^2",
+    }[fitted.shape]
+    rate = f" {'-' if fitted.rate < 0 else '+'} {abs(fitted.rate):.3g}{grows}" if grows else ""
+    by_fit = (
+        f"{format_value(fitted.base)}{rate} = {format_value(fitted.at(size))}"
+        if grows
+        else format_value(fitted.base)
+    )
     if size in row.sizes:
-        said = f"{shown(cost(row, size))} measured; fit {by_fit}"
+        text = f"{format_value(cost_of_row(row, size))} measured; fit {by_fit}"
     elif inside:
-        said = f"{shown(cost(row, size))} between measured sizes; fit {by_fit}"
+        text = f"{format_value(cost_of_row(row, size))} between measured sizes; fit {by_fit}"
     elif size < min(row.sizes):
-        said = f"fit, below {number(min(row.sizes))}: {by_fit}"
-    elif found.rate < 0:
-        said = f"a fit that falls, held at {number(max(row.sizes))}: {shown(cost(row, size))}"
+        text = f"fit, below {format_size(min(row.sizes))}: {by_fit}"
+    elif fitted.rate < 0:
+        text = (
+            f"a fit that falls, held at {format_size(max(row.sizes))}:"
+            f" {format_value(cost_of_row(row, size))}"
+        )
     else:
-        said = f"fit, beyond {number(max(row.sizes))}: {by_fit}"
+        text = f"fit, beyond {format_size(max(row.sizes))}: {by_fit}"
     before = " (text before)" if row.side == "before" else ""
-    each = f", {shown(1e6 * cost(row, size) / size)} bytes each" if row.unit == "MB" else ""
-    return f"`{row.name}`, {row.state}{before}: {said} {row.unit}{each}"
+    each = (
+        f", {format_value(1e6 * cost_of_row(row, size) / size)} bytes each"
+        if row.unit == "MB"
+        else ""
+    )
+    return f"`{row.name}`, {row.state}{before}: {text} {row.unit}{each}"
 
 
-def figures(
+def compute_figures(
     rows: Mapping[tuple[str, str, str], Row], roles: Sequence[Role] = ROLES
 ) -> list[Figure]:
-    return [worked_out(role, need, rows) for role in roles for need in role.needs]
+    """Computes all needs of the roles."""
+    return [compute_figure(role, need, rows) for role in roles for need in role.needs]
 
 
-def ranking(found: Iterable[Figure]) -> list[Figure]:
-    """What is missing today, the first first: passed at the smallest part of the coming size, then
-    the most over. What was not measured, is a guess or comes from a busy machine is not ranked.
+def rank_figures(figures: Iterable[Figure]) -> list[Figure]:
+    """Returns the needs of today that exceed their budget at the planned size, worst first.
+
+    The need that exceeds its budget at the smallest share of the planned size is first; at equal
+    shares, the one that exceeds it the most. Needs that were not measured, are guesses or come from
+    a busy machine are left out.
     """
-    real = [
-        one
-        for one in found
-        if one.row.when == "today"
-        and one.row.budget is not None
-        and one.passed is not None
-        and one.passed < 1
-        and "guess" not in one.words
-        and counts(one)
+    exceeded = [
+        figure
+        for figure in figures
+        if figure.need.when == "today"
+        and figure.need.budget is not None
+        and figure.passing_share is not None
+        and figure.passing_share < 1
+        and "guess" not in figure.remarks
+        and is_valid(figure)
     ]
-    return sorted(real, key=lambda one: (one.passed or 0.0, -(one.over or 0.0)))
+    return sorted(
+        exceeded, key=lambda figure: (figure.passing_share or 0.0, -(figure.budget_ratio or 0.0))
+    )
 
 
-def counts(one: Figure) -> bool:
-    return not any(BUSY in word for word in one.words)
+def is_valid(figure: Figure) -> bool:
+    """Returns whether no row of the figure comes from a busy machine."""
+    return not any(BUSY_NOTE in word for word in figure.remarks)
 
 
-def where(one: Figure) -> str:
-    if one.row.nothing:
+def format_passing_size(figure: Figure) -> str:
+    """Formats the size at which a need exceeds its budget."""
+    if figure.need.has_no_mechanism:
         return "0: nothing carries it"
-    if one.row.budget is None or one.need is None or not counts(one):
+    if figure.need.budget is None or figure.value is None or not is_valid(figure):
         return "-"
-    if one.passed is None:
-        return f"not up to {PART_MOST:.0f} times it"
-    if not one.by:
+    if figure.passing_share is None:
+        return f"not up to {MAX_SHARE:.0f} times it"
+    if not figure.quantities:
         return "at any size"
-    if len(one.by) != 1:
-        return f"{one.passed:.0%} of the coming {' and '.join(one.by)}"
-    first = math.floor(round(one.passed * COMING[one.by[0]], 6)) + 1  # the first whole size over it
-    return f"{first:,} {one.by[0]}"
+    if len(figure.quantities) != 1:
+        return f"{figure.passing_share:.0%} of the coming {' and '.join(figure.quantities)}"
+    # The smallest whole size above the one at which the need equals its budget.
+    first_size = (
+        math.floor(round(figure.passing_share * PLANNED_SIZES[figure.quantities[0]], 6)) + 1
+    )
+    return f"{first_size:,} {figure.quantities[0]}"
 
 
-def over(one: Figure) -> str:
-    if one.row.nothing:
+def format_ratio(figure: Figure) -> str:
+    """Formats a need divided by its budget."""
+    if figure.need.has_no_mechanism:
         return "nothing"
-    if one.over is None or not counts(one):
+    if figure.budget_ratio is None or not is_valid(figure):
         return "-"
-    return f"{one.over:.2f}" if one.over < 100 else f"{one.over:.0f}"
+    return (
+        f"{figure.budget_ratio:.2f}" if figure.budget_ratio < 100 else f"{figure.budget_ratio:.0f}"
+    )
 
 
-def need_told(one: Figure) -> str:
-    if one.need is None:
-        return ", ".join(one.words)
-    rest = f" ({', '.join(one.words)})" if one.words else ""
-    return f"{shown(one.need)} {one.row.unit}".strip() + rest
+def format_need(figure: Figure) -> str:
+    """Formats a need with its unit and remarks."""
+    if figure.value is None:
+        return ", ".join(figure.remarks)
+    remark_text = f" ({', '.join(figure.remarks)})" if figure.remarks else ""
+    return f"{format_value(figure.value)} {figure.need.unit}".strip() + remark_text
 
 
-def line(*cells: str) -> str:
+def table_line(*cells: str) -> str:
+    """Returns a line of a Markdown table."""
     return f"| {' | '.join(cells)} |"
 
 
-def head(*cells: str) -> list[str]:
-    return [line(*cells), line(*["---"] * len(cells))]
+def table_head(*cells: str) -> list[str]:
+    """Returns the head of a Markdown table."""
+    return [table_line(*cells), table_line(*["---"] * len(cells))]
 
 
-def budget_told(one: Figure) -> str:
-    return one.row.budget.of if one.row.budget else "none told"
+def format_budget(figure: Figure) -> str:
+    """Formats the budget of a need."""
+    return figure.need.budget.text if figure.need.budget else "none told"
 
 
-def worst(found: Sequence[Figure]) -> Figure:
-    """Of a role's rows the one whose budget is passed first, of those the one most over; the first
-    where none has a budget and a figure.
+def worst_figure(figures: Sequence[Figure]) -> Figure:
+    """Returns the need of a role whose budget is exceeded at the smallest size.
+
+    At equal sizes it is the need that exceeds its budget the most. If no need has both a budget and
+    a valid figure, it is the first one.
     """
-    judged = [one for one in found if one.over is not None and counts(one)]
-    early = [math.inf if one.passed is None else one.passed for one in judged]
-    order = sorted(range(len(judged)), key=lambda at: (early[at], -(judged[at].over or 0.0)))
-    return judged[order[0]] if order else found[0]
+    comparable = [
+        figure for figure in figures if figure.budget_ratio is not None and is_valid(figure)
+    ]
+    passing_shares = [
+        math.inf if figure.passing_share is None else figure.passing_share for figure in comparable
+    ]
+    order = sorted(
+        range(len(comparable)),
+        key=lambda at: (passing_shares[at], -(comparable[at].budget_ratio or 0.0)),
+    )
+    return comparable[order[0]] if order else figures[0]
 
 
-def summary(found: Sequence[Figure]) -> list[str]:
-    """A line a role: its worst row of today, and of what is built."""
-    lines = head(
+def summary_table(figures: Sequence[Figure]) -> list[str]:
+    """Returns a table of the worst need of each role, both of today and of what is built."""
+    lines = table_head(
         "role",
         "worst today",
         "need",
@@ -1243,45 +1409,62 @@
         "carried today by",
         "worst of what is built, over its budget",
     )
-    for role in dict.fromkeys(one.role.name for one in found):
-        mine = [one for one in found if one.role.name == role]
-        first = worst([one for one in mine if one.row.when == "today"] or mine)
-        built = [one for one in mine if one.row.when == "built" and one.row.budget is not None]
-        after = "-"
+    for role in dict.fromkeys(figure.role.name for figure in figures):
+        role_figures = [figure for figure in figures if figure.role.name == role]
+        worst_today = worst_figure(
+            [figure for figure in role_figures if figure.need.when == "today"] or role_figures
+        )
+        built = [
+            figure
+            for figure in role_figures
+            if figure.need.when == "built" and figure.need.budget is not None
+        ]
+        worst_built = "-"
         if built:
-            most = max(built, key=lambda one: one.over or 0.0)
-            after = "not measured" if most.over is None else f"{over(most)}: {most.row.what}"
+            largest = max(built, key=lambda figure: figure.budget_ratio or 0.0)
+            worst_built = (
+                "not measured"
+                if largest.budget_ratio is None
+                else f"{format_ratio(largest)}: {largest.need.title}"
+            )
         lines.append(
-            line(
-                first.role.title,
-                first.row.what,
-                need_told(first),
-                budget_told(first),
-                over(first),
-                where(first),
-                first.row.mechanism,
-                after,
+            table_line(
+                worst_today.role.title,
+                worst_today.need.title,
+                format_need(worst_today),
+                format_budget(worst_today),
+                format_ratio(worst_today),
+                format_passing_size(worst_today),
+                worst_today.need.mechanism,
+                worst_built,
             )
         )
     return lines
 
 
-def ranked(found: Sequence[Figure]) -> list[str]:
-    lines = head(
+def ranking_table(figures: Sequence[Figure]) -> list[str]:
+    """Returns the table of exceeded budgets, and the needs that cannot be ranked."""
+    lines = table_head(
         "", "role", "what", "part of the coming size at which it is passed", "need over budget"
     )
-    for place, one in enumerate(ranking(found), 1):
-        part = f"{one.passed:.2%}" if one.passed else "0"
-        lines.append(line(f"{place}", one.role.title, one.row.what, part, over(one)))
+    for place, figure in enumerate(rank_figures(figures), 1):
+        share = f"{figure.passing_share:.2%}" if figure.passing_share else "0"
+        lines.append(
+            table_line(
+                f"{place}", figure.role.title, figure.need.title, share, format_ratio(figure)
+            )
+        )
     unknown = [
-        f"{one.role.title}: {one.row.what}"
-        for one in found
-        if one.row.when == "today"
-        and one.row.budget is not None
-        and one.need is None
-        and not one.row.nothing
+        f"{figure.role.title}: {figure.need.title}"
+        for figure in figures
+        if figure.need.when == "today"
+        and figure.need.budget is not None
+        and figure.value is None
+        and not figure.need.has_no_mechanism
+    ]
+    busy = [
+        f"{figure.role.title}: {figure.need.title}" for figure in figures if not is_valid(figure)
     ]
-    busy = [f"{one.role.title}: {one.row.what}" for one in found if not counts(one)]
     return [
         *lines,
         "",
@@ -1290,9 +1473,10 @@
     ]
 
 
-def of_role(found: Sequence[Figure], role: str) -> list[str]:
-    mine = [one for one in found if one.role.name == role]
-    lines = head(
+def role_table(figures: Sequence[Figure], role: str) -> list[str]:
+    """Returns the table of a role, with the computations and slopes behind it."""
+    role_figures = [figure for figure in figures if figure.role.name == role]
+    lines = table_head(
         "what",
         "when",
         "need at the coming size",
@@ -1302,28 +1486,34 @@
         "mechanism",
     )
     lines += [
-        line(
-            one.row.what,
-            one.row.when,
-            need_told(one),
-            budget_told(one),
-            over(one),
-            where(one),
-            one.row.mechanism,
+        table_line(
+            figure.need.title,
+            figure.need.when,
+            format_need(figure),
+            format_budget(figure),
+            format_ratio(figure),
+            format_passing_size(figure),
+            figure.need.mechanism,
         )
-        for one in mine
+        for figure in role_figures
     ]
     lines += ["", "Worked out:", ""]
     lines += [
-        f"- {one.row.what} ({one.row.when}): {one.arithmetic or ', '.join(one.words)}"
-        for one in mine
+        f"- {figure.need.title} ({figure.need.when}):"
+        f" {figure.arithmetic or ', '.join(figure.remarks)}"
+        for figure in role_figures
     ]
-    used = {(row.name, row.state, row.side): row for one in mine for row in one.slopes}
+    used = {
+        (row.name, row.state, row.side): row for figure in role_figures for row in figure.slopes
+    }
     if used:
         lines += ["", "Slopes:", ""]
     for row in used.values():
         before = ", text before" if row.side == "before" else ""
-        sizes, values = (", ".join(map(number, row.sizes)), ", ".join(map(shown, row.values)))
+        sizes, values = (
+            ", ".join(map(format_size, row.sizes)),
+            ", ".join(map(format_value, row.values)),
+        )
         lines.append(
             f"- `{row.name}` ({row.unit}, {row.state}{before}) at {sizes} {row.by}: {values};"
             f" {describe_fit(fit(row.sizes, row.values))}; `{row.command}`, text {row.text};"
@@ -1332,8 +1522,8 @@
     return lines
 
 
-WAYS = ("table", "plain dict", "bytes dict", "sqlite", "sorted arrays")
-WAYS_TOLD = (
+DATA_STRUCTURES = ("table", "plain dict", "bytes dict", "sqlite", "sorted arrays")
+STRUCTURE_FIGURES = (
     ("memory", "rest"),
     ("lookup", "rest"),
     ("change", "rest"),
@@ -1343,51 +1533,60 @@
 )
 
 
-def ways(rows: Mapping[tuple[str, str, str], Row]) -> list[str]:
-    """Ways to hold all entries of the plan, beside each other."""
-    lines = head("way, at 670,000 entries", *(figure for figure, _ in WAYS_TOLD))
-    for way in WAYS:
-        told = []
-        for figure, state in WAYS_TOLD:
-            row = rows.get((f"{way} {figure}", state, "now"))
-            told.append("-" if row is None else f"{shown(cost(row, COMING['entries']))} {row.unit}")
-        lines.append(line(way, *told))
+def structure_table(rows: Mapping[tuple[str, str, str], Row]) -> list[str]:
+    """Returns a table that compares data structures for all configuration entries of the plan."""
+    lines = table_head("way, at 670,000 entries", *(figure for figure, _ in STRUCTURE_FIGURES))
+    for structure in DATA_STRUCTURES:
+        cells = []
+        for figure, state in STRUCTURE_FIGURES:
+            row = rows.get((f"{structure} {figure}", state, "now"))
+            cells.append(
+                "-"
+                if row is None
+                else f"{format_value(cost_of_row(row, PLANNED_SIZES['entries']))} {row.unit}"
+            )
+        lines.append(table_line(structure, *cells))
     return lines
 
 
-def tables(rows: Mapping[tuple[str, str, str], Row]) -> dict[str, list[str]]:
-    """The page's tables by the names in its markers."""
-    found = figures(rows)
-    return {"summary": summary(found), "ranking": ranked(found), "ways": ways(rows)} | {
-        role.name: of_role(found, role.name) for role in ROLES
-    }
+def make_tables(rows: Mapping[tuple[str, str, str], Row]) -> dict[str, list[str]]:
+    """Returns the tables of the page by the names in its markers."""
+    figures = compute_figures(rows)
+    return {
+        "summary": summary_table(figures),
+        "ranking": ranking_table(figures),
+        "ways": structure_table(rows),
+    } | {role.name: role_table(figures, role.name) for role in ROLES}
+
 
+class PageError(ValueError):
+    """A marker of the page is unknown, there twice, missing or not closed."""
 
-class NoPage(ValueError):
-    """The page's markers can't be used; the words say why."""
 
+def replace_tables(page: str, tables: Mapping[str, Sequence[str]]) -> str:
+    """Returns the page with these tables between its markers.
 
-def written(page: str, made: Mapping[str, Sequence[str]]) -> str:
-    """The page with these tables between its markers. Raises `NoPage` for an unknown, double,
-    missing or unclosed marker.
+    Raises:
+        PageError: A marker is unknown, there twice, missing or not closed.
     """
     out, seen, lines, at = [], [], page.splitlines(), 0
     while at < len(lines):
         out.append(lines[at])
-        if marker := OPEN.fullmatch(lines[at].strip()):
+        if marker := TABLE_START.fullmatch(lines[at].strip()):
             name = marker[1]
-            if name not in made or name in seen:
-                raise NoPage(
-                    f"line {at + 1}: table {name!r} is {'there twice' if name in seen else 'not known'}"
+            if name not in tables or name in seen:
+                raise PageError(
+                    f"line {at + 1}: table {name!r} is"
+                    f" {'there twice' if name in seen else 'not known'}"
                 )
             seen.append(name)
-            began = at
-            while lines[at].strip() != END:
+            start = at
+            while lines[at].strip() != TABLE_END:
                 at += 1
-                if at == len(lines) or OPEN.fullmatch(lines[at].strip()):
-                    raise NoPage(f"line {began + 1}: table {name!r} has no {END}")
-            out += [*made[name], lines[at]]
+                if at == len(lines) or TABLE_START.fullmatch(lines[at].strip()):
+                    raise PageError(f"line {start + 1}: table {name!r} has no {TABLE_END}")
+            out += [*tables[name], lines[at]]
         at += 1
-    if missing := [name for name in made if name not in seen]:
-        raise NoPage(f"tables that the page lacks: {', '.join(missing)}")
+    if missing := [name for name in tables if name not in seen]:
+        raise PageError(f"tables that the page lacks: {', '.join(missing)}")
     return "\n".join(out) + "\n"
--- a/burlloom/lab/distances.py
+++ b/burlloom/lab/distances.py
@@ -49,7 +49,7 @@
 
 
 def lay_out_servers(count: int, prefix: str = "h") -> list[Place]:
-    """Returns locations for `count` servers, spread evenly over the zones and filling their racks."""
+    """Returns `count` locations, spread evenly over the zones and in full racks in each zone."""
     regions = [region for region, zones in enumerate(ZONES) for _ in range(zones)]
     places = []
     for index in range(count):
