--- a/burlloom/lab/hollow_configuration.py
+++ b/burlloom/lab/hollow_configuration.py
@@ -1,8 +1,8 @@
-"""Hollow servers that follow configuration, and control machines that are followed, with the real
-cores.
+"""Cores of hollow servers that follow configuration, and of control machines that distribute it.
 
-What each copy takes is told to the checker as it is seen from outside of it: the revision and a
-digest of the change's body that is not the program's own.
+Each copy records what it applies for the checker: the revision and a digest of the change's body.
+The digest is computed here and not by the product, so that the check does not depend on the code
+that it checks.
 """
 
 import asyncio
@@ -34,130 +34,154 @@
 from ..distribution.table import BUCKET_COUNT
 from .distances import Place
 
-PAGE = 32_768  # bytes, when the contents are read for the checker
+PAGE_BYTES = 32_768  # size in bytes of the pages in which the contents are read for the checker
 
 
-def clock() -> int:
+def boot_time_ns() -> int:
+    """Returns the boot time in ns, which is the same in all processes."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
 def digest_of(body: bytes | None) -> str:
-    """As the checker's side makes it of what it put."""
+    """Returns a digest of a change's body, computed as by the benchmark that made the change."""
     return hashlib.sha256(body).hexdigest()[:16] if body is not None else ""
 
 
-class Witnessed(Replica):
-    """A copy, and what it took in which order."""
+class RecordingReplica(Replica):
+    """A copy of the configuration that records what it applied, in order."""
 
     def __init__(self, table: ConfigTable, keys: tuple[bytes, ...]) -> None:
         super().__init__(table, keys)
         self.seen: list[list[Any]] = []
 
     def apply_change(self, change: Change) -> str | None:
+        """Applies a change and records it unless it is rejected."""
         reason = super().apply_change(change)
         if reason is None:
             self.seen.append(
-                [clock(), "applied", change.epoch, change.revision, digest_of(change.body)]
+                [boot_time_ns(), "applied", change.epoch, change.revision, digest_of(change.body)]
             )
         return reason
 
     def complete_at(self, head: Head) -> None:
+        """Completes a sync and records it."""
         super().complete_at(head)
-        self.seen.append([clock(), "synced", head.epoch, head.revision])
+        self.seen.append([boot_time_ns(), "synced", head.epoch, head.revision])
 
     def contents(self) -> str:
-        """A digest of all that is in force, in an order that is not the table's."""
-        texts = []
+        """Returns a digest of all entries in force, independent of the order of the table."""
+        packed_entries = []
         for bucket in range(BUCKET_COUNT):
             after = None
             while True:
-                page = self.table.page(bucket, after, self.table.scopes, PAGE)
-                texts += [
+                page = self.table.page(bucket, after, self.table.scopes, PAGE_BYTES)
+                packed_entries += [
                     msgpack.packb([entry.scope, entry.kind, entry.key, entry.value])
                     for entry in page.items
                 ]
                 after = page.last_position
                 if page.is_last:
                     break
-        whole = hashlib.sha256()
-        for text in sorted(texts):
-            whole.update(len(text).to_bytes(4, "big") + text)
-        return whole.hexdigest()[:32]
+        digest = hashlib.sha256()
+        for packed in sorted(packed_entries):
+            digest.update(len(packed).to_bytes(4, "big") + packed)
+        return digest.hexdigest()[:32]
 
 
-def upstreams(told: dict[str, Any]) -> list[Upstream]:
-    return [Upstream(name, region, (host, port)) for name, region, host, port in told["upstreams"]]
+def upstreams(settings: dict[str, Any]) -> list[Upstream]:
+    """Returns the upstreams that the settings name."""
+    return [
+        Upstream(name, region, (host, port)) for name, region, host, port in settings["upstreams"]
+    ]
 
 
-def keys(told: dict[str, Any]) -> tuple[tuple[bytes, ...], tuple[bytes, ...]]:
-    return (bytes.fromhex(told["key"]),), (bytes.fromhex(told["signing_key"]),)
+def keys(settings: dict[str, Any]) -> tuple[tuple[bytes, ...], tuple[bytes, ...]]:
+    """Returns the sealing keys and the signing keys of the settings."""
+    return (bytes.fromhex(settings["key"]),), (bytes.fromhex(settings["signing_key"]),)
 
 
-def copy_facts(replica: Replica, age: int | None) -> dict[str, Any]:
+def copy_facts(replica: Replica, age_ms: int | None) -> dict[str, Any]:
+    """Returns the figures of a copy; `age_ms` is None if its age is unknown."""
     head = replica.head
     return {
         f"revision {head.revision if head else -1}": 1,
         "whole": int(replica.is_complete),
-        "age_ms": age or 0,
-        "ageless": int(age is None),
+        "age_ms": age_ms or 0,
+        "ageless": int(age_ms is None),
     }
 
 
-class Following:
-    """A server's side."""
+class FollowerCore:
+    """Core of a server that follows the configuration."""
 
     def __init__(
-        self, own: Place, address: str, life: int, told: dict[str, Any], chance: Random, now: int
+        self,
+        place: Place,
+        address: str,
+        incarnation: int,
+        settings: dict[str, Any],
+        random: Random,
+        now_ns: int,
     ) -> None:
-        region = f"r{own.region}"
-        self.replica = Witnessed(ConfigTable(("", region)), keys(told)[1])
+        region = f"r{place.region}"
+        self.replica = RecordingReplica(ConfigTable(("", region)), keys(settings)[1])
         self.follower = Follower(
             self.replica,
-            own.name,
-            life,
+            place.name,
+            incarnation,
             region,
-            upstreams(told),
-            keys(told)[0],
-            ReplicationSettings(**told.get("terms", {})),
-            chance,
-            now,
+            upstreams(settings),
+            keys(settings)[0],
+            ReplicationSettings(**settings.get("terms", {})),
+            random,
+            now_ns,
         )
         self.out: deque[Any] = self.follower.outbox
         self.group = region
 
-    def tick(self, now: int) -> None:
-        self.follower.tick(now)
+    def tick(self, now_ns: int) -> None:
+        """Ticks the follower."""
+        self.follower.tick(now_ns)
 
-    def hear(self, now: int, data: bytes, source: tuple[str, int]) -> None:
-        self.follower.receive(now, data, source)
+    def receive(self, now_ns: int, data: bytes, source: tuple[str, int]) -> None:
+        """Handles a datagram of an upstream."""
+        self.follower.receive(now_ns, data, source)
 
-    def leave(self, now: int) -> None:
+    def leave(self, now_ns: int) -> None:
+        """Announces that the server leaves."""
         self.follower.leave()
 
-    def woke(self, now: int) -> None:
-        pass
+    def resume(self, now_ns: int) -> None:
+        """Needs nothing after a pause."""
 
     def close(self) -> None:
-        pass
+        """Has nothing to release."""
 
-    def told(self, message: dict[str, Any]) -> None:
+    def apply_order(self, message: dict[str, Any]) -> None:
+        """Records a digest of the contents if the order asks for it."""
         if message.get("contents"):
-            self.replica.seen.append([clock(), "holds", self.group, self.replica.contents()])
+            self.replica.seen.append([boot_time_ns(), "holds", self.group, self.replica.contents()])
 
-    def facts(self, now: int) -> dict[str, Any]:
+    def facts(self, now_ns: int) -> dict[str, Any]:
+        """Returns the state, the age of the copy and counts of the follower."""
         follower = self.follower
-        age = follower.table_age_ms(now)
-        bin_of_age = (
+        age_ms = follower.table_age_ms(now_ns)
+        age_class = (
             "none"
-            if age is None
+            if age_ms is None
             else next(
-                (str(most) for most in (1000, 2000, 3000, 6000, 60_000) if age <= most), "more"
+                (
+                    str(limit_ms)
+                    for limit_ms in (1000, 2000, 3000, 6000, 60_000)
+                    if age_ms <= limit_ms
+                ),
+                "more",
             )
         )
         return {
-            **copy_facts(self.replica, age),
+            **copy_facts(self.replica, age_ms),
             f"state {follower.state.name.lower()}": 1,
-            f"age under {bin_of_age}": 1,
+            f"age under {age_class}": 1,
             "dropped": follower.counts.dropped,
             "refused": sum(follower.counts.refused.values()),
             "pulls": follower.counts.pulls,
@@ -165,123 +189,143 @@
             "moves": follower.counts.moves,
         }
 
-    def events(self, now: int) -> Iterable[list[Any]]:
+    def take_events(self, now_ns: int) -> Iterable[list[Any]]:
+        """Returns and removes what the copy recorded."""
         seen, self.replica.seen = self.replica.seen, []
         return seen
 
 
-class Reach:
-    """The store, as long as it can be reached."""
+class InterruptibleStore:
+    """A store that can be made unreachable.
+
+    A call fails if the store is unreachable when it begins or when it ends.
+    """
 
     def __init__(self, store: SqliteChangeStore) -> None:
-        self.store, self.away = store, False
+        self.store, self.is_away = store, False
 
     def __getattr__(self, name: str) -> Callable[..., Awaitable[Any]]:
-        async def asked(*told: Any) -> Any:
-            if self.away and name != "close":
+        async def call(*arguments: Any) -> Any:
+            if self.is_away and name != "close":
                 raise StoreUnavailableError("cut off")
-            found = await getattr(self.store, name)(*told)
-            if self.away and name != "close":
+            result = await getattr(self.store, name)(*arguments)
+            if self.is_away and name != "close":
                 raise StoreUnavailableError("cut off")
-            return found
+            return result
 
-        return asked
+        return call
 
 
-class Gate:
-    """In place of a control machine's endpoint: what it sends goes out by the host."""
+class HostEndpoint:
+    """Endpoint of a control machine that sends through the host process instead of a socket."""
 
     address = ""
 
     def __init__(self, out: deque[Any]) -> None:
         self.out, self.unsent = out, 0
-        self.flushes: Callable[[], None] = lambda: None
+        self.on_flush: Callable[[], None] = lambda: None
 
     async def open(self) -> None:
-        pass
+        """Has nothing to open."""
 
     def flush(self, out: deque[Any]) -> None:
+        """Passes all datagrams to the host process."""
         self.out.extend(out)
         out.clear()
-        self.flushes()
+        self.on_flush()
 
     def tell_refusals(self, now_s: int, refusals: deque[Any]) -> None:
+        """Drops refusals without logging them."""
         refusals.clear()
 
     def close(self) -> None:
-        pass
+        """Has nothing to close."""
 
 
-class Machine(ControlNode):
-    """Can be killed: its tasks are known."""
+class StoppableControlNode(ControlNode):
+    """A control node that keeps its tasks, so that it can be killed."""
 
-    def __init__(self, *told: Any) -> None:
-        super().__init__(*told)
+    def __init__(self, *arguments: Any) -> None:
+        super().__init__(*arguments)
         self.tasks: list[asyncio.Task[Any] | None] = []
 
     async def tick_forever(self) -> None:
+        """Keeps the task that ticks."""
         self.tasks.append(asyncio.current_task())
         await super().tick_forever()
 
-    async def follow_store(self, reading: StoreFollower) -> None:
+    async def follow_store(self, store_follower: StoreFollower) -> None:
+        """Keeps the task that follows the store."""
         self.tasks.append(asyncio.current_task())
-        await super().follow_store(reading)
+        await super().follow_store(store_follower)
 
 
-class Controlling:
-    """A control machine, whole, but for its socket."""
+class ControlCore:
+    """Core of a control machine: the whole control node except its socket."""
 
     def __init__(
-        self, own: Place, address: str, life: int, told: dict[str, Any], chance: Random, now: int
+        self,
+        place: Place,
+        address: str,
+        incarnation: int,
+        settings: dict[str, Any],
+        random: Random,
+        now_ns: int,
     ) -> None:
-        seals = KeyFile(Path(told["key_file"]), lambda: keys(told)[0], "seals")
-        signing = KeyFile(Path(told["signing_key_file"]), lambda: keys(told)[1], "signing")
-        self.store = Reach(SqliteChangeStore(Path(told["store"])))
+        sealing_keys = KeyFile(Path(settings["key_file"]), lambda: keys(settings)[0], "seals")
+        signing_keys = KeyFile(
+            Path(settings["signing_key_file"]), lambda: keys(settings)[1], "signing"
+        )
+        self.store = InterruptibleStore(SqliteChangeStore(Path(settings["store"])))
         self.out: deque[Any] = deque()
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as nowhere:
-            self.control = Machine(
-                own.name,
-                f"r{own.region}",
-                nowhere,
-                seals,
-                signing,
-                ReplicationSettings(**told.get("terms", {})),
-                upstreams(told),
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unused_socket:
+            self.control = StoppableControlNode(
+                place.name,
+                f"r{place.region}",
+                unused_socket,
+                sealing_keys,
+                signing_keys,
+                ReplicationSettings(**settings.get("terms", {})),
+                upstreams(settings),
                 self.store,
                 None,
-                chance.getrandbits(32),
+                random.getrandbits(32),
             )
-        self.gate = self.control.endpoint = Gate(self.out)  # type: ignore[assignment]
+        self.endpoint = self.control.endpoint = HostEndpoint(self.out)  # type: ignore[assignment]
         self.task = asyncio.get_running_loop().create_task(self.control.run())
 
-    def tick(self, now: int) -> None:
-        pass  # it does so by itself
+    def tick(self, now_ns: int) -> None:
+        """Does nothing, because a control node ticks by itself."""
 
-    def hear(self, now: int, data: bytes, source: tuple[str, int]) -> None:
+    def receive(self, now_ns: int, data: bytes, source: tuple[str, int]) -> None:
+        """Handles a datagram of a follower or a peer."""
         self.control.receive(data, source)
 
-    def leave(self, now: int) -> None:
+    def leave(self, now_ns: int) -> None:
+        """Drains the followers to other sources."""
         self.control.source.drain()
         self.control.flush()
 
-    def woke(self, now: int) -> None:
-        pass
+    def resume(self, now_ns: int) -> None:
+        """Needs nothing after a pause."""
 
     def close(self) -> None:
-        self.gate.flushes = lambda: None
+        """Cancels the tasks and closes the store without sending anything."""
+        self.endpoint.on_flush = lambda: None
         for task in (self.task, *self.control.tasks):
             if task is not None:
                 task.cancel()
         asyncio.get_running_loop().create_task(self.store.store.close())
 
-    def told(self, message: dict[str, Any]) -> None:
-        """`away`: whether the store can't be reached."""
-        self.store.away = bool(message.get("away", self.store.away))
+    def apply_order(self, message: dict[str, Any]) -> None:
+        """Sets whether the store is unreachable, by `away`."""
+        self.store.is_away = bool(message.get("away", self.store.is_away))
 
-    def facts(self, now: int) -> dict[str, Any]:
+    def facts(self, now_ns: int) -> dict[str, Any]:
+        """Returns the figures of the copy and counts of the source."""
         control, counts = self.control, self.control.source.counts
         return {
-            **copy_facts(control.replica, control.table_age_ms(now)),
+            **copy_facts(control.replica, control.table_age_ms(now_ns)),
             "followers": len(control.source.followers),
             "pushed": counts.pushed,
             "pulled": counts.pulled,
@@ -297,5 +341,6 @@
             "loads": control.counts.loads,
         }
 
-    def events(self, now: int) -> Iterable[list[Any]]:
-        return ()  # its followers tell whether what it took is right
+    def take_events(self, now_ns: int) -> Iterable[list[Any]]:
+        """Returns no events, because the followers show whether the copy is right."""
+        return ()
