--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,5 +1,7 @@
-"""Slopes of what the program costs by size: each command measures some, prints them with their fits
-and keeps them in `benchmarks/slopes.jsonl`.
+"""Measures costs of the product by size.
+
+Each command measures some costs, prints them with their fits and stores them in
+`benchmarks/slopes.jsonl`.
 
     python benchmarks/scale.py --help
 """
@@ -23,7 +25,7 @@
 
 @click.group()
 def scale() -> None:
-    """Costs by size."""
+    """Measures costs by size."""
 
 
 for command in (
--- a/benchmarks/scale_checker.py
+++ b/benchmarks/scale_checker.py
@@ -1,17 +1,17 @@
-"""Watches a scale run from outside: imports nothing of the program's, and knows only what was
-ordered and what was seen.
-
-It is told events in the order of their time, each `[at, name, what, ...]` with `at` in ns:
-
-- of a server: `began`, `ended`, `stands` (for s), `wakes`, `share` (thousandths of a call that it
-may have in hand;
-  `in hand`, that it has), `applied` (epoch, revision, a digest of what the change said, or none
-  where that is not for it), `synced` (epoch, revision: what is in force came as a whole), `holds`
-  (at the end: a digest of all that is in force there);
-- of whoever runs it: `put` (epoch, revision, digest), `cut` and `healed` (names that can't be
-reached), `process`
-  (name, processor time so far in s, resident bytes), `traffic` (name, bytes so far), `on` and `off`
-  (whether budgets of time and bytes count).
+"""Checks a scale run from its events.
+
+The checker imports nothing of the product, so that it does not depend on the code that it checks.
+It knows only the orders that were given and the events that were observed. It handles events in
+the order of their time, each as `[at, name, what, ...]` with `at` in ns:
+
+- Events of a server: `began`, `ended`, `stands` (paused for s), `wakes`, `share` (quota in
+  thousandths of a call), `in hand` (calls in progress, in the same unit), `applied` (epoch,
+  revision, and a digest of the change, empty if the change is not for this server), `synced`
+  (epoch, revision: a sync replaced the whole configuration), `holds` (at the end: a digest of the
+  configuration in force).
+- Events of the benchmark: `put` (epoch, revision, digest), `cut` and `healed` (the server cannot
+  be reached, or can again), `process` (processor time so far in s, resident bytes), `traffic`
+  (bytes so far), `on` and `off` (whether budgets of time and bytes apply).
 """
 
 import hashlib
@@ -21,15 +21,22 @@
 from dataclasses import dataclass
 from typing import Any
 
-SECOND = 1_000_000_000
-PATIENCE = 6 * SECOND  # for which the calls of one that stands still stay in hand
-FAULTS_MOST = 100
+NS_PER_SECOND = 1_000_000_000
+PAUSED_CALLS_NS = 6 * NS_PER_SECOND  # for which the calls of a paused server count as in progress
+MAX_FAULT_TEXTS = 100  # faults kept as text; further ones are only counted
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """Of one process: ms of processor time a second, bytes, bytes a second; over means of `span`,
-    since a moment is no budget.
+    """Limits of one process.
+
+    Rates are means over `span`, because a short peak is allowed.
+
+    Attributes:
+        cpu: Processor time in ms per second.
+        memory: Resident memory in bytes.
+        traffic: Traffic in bytes per second, in both directions.
+        span: Length of the spans of the means, in s.
     """
 
     cpu: float = 37.0
@@ -39,20 +46,28 @@
 
 
 class Faults:
+    """Faults that were found, as texts and as a count."""
+
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.texts: list[str] = []
         self.count = 0
 
     def add(self, at: int, what: str) -> None:
+        """Adds a fault at this time."""
         self.count += 1
-        if len(self.told) < FAULTS_MOST:
-            self.told.append(f"{at / SECOND:.3f}: {what}")
+        if len(self.texts) < MAX_FAULT_TEXTS:
+            self.texts.append(f"{at / NS_PER_SECOND:.3f}: {what}")
 
 
-class Sums:
-    """Calls below: what all may have in hand together, at each moment. `within`: of the total, what
-    may be passed; `spare`: thousandths of a call on top, one call for each server whose calls are
-    seen and not its share, since a share under one call is one at times.
+class SharedCalls:
+    """Checks the sum of the quotas of all servers at each moment.
+
+    Attributes:
+        total: Quota of the fleet, in thousandths of a call.
+        within: Largest allowed sum, as a multiple of the total.
+        spare: Thousandths of a call that the sum may exceed this by: one call for each server whose
+            calls are observed instead of its share, because a share of less than one call allows
+            one call at times.
     """
 
     def __init__(
@@ -60,140 +75,145 @@
     ) -> None:
         self.total, self.faults, self.within, self.spare = total, faults, within, spare
         self.held: dict[str, int] = {}
-        self.sum = 0
+        self.current = 0
         self.worst = 0.0
         self.worst_at = 0
-        self.stills: list[
-            tuple[int, str]
-        ] = []  # until when the calls of one that stands still count
-        self.stands: dict[str, int] = {}
+        # Heap of paused servers, by the time until which their calls count.
+        self.pauses: list[tuple[int, str]] = []
+        self.paused_until: dict[str, int] = {}
         self.over = False
 
-    def holds(self, at: int, name: str, share: int) -> None:
-        self.sum += share - self.held.get(name, 0)
+    def set_share(self, at: int, name: str, share: int) -> None:
+        """Sets the quota of a server and reports a sum that exceeds the limit."""
+        self.current += share - self.held.get(name, 0)
         self.held[name] = share
-        part = self.sum / self.total if self.total else 0.0
+        part = self.current / self.total if self.total else 0.0
         if part > self.worst:
             self.worst, self.worst_at = part, at
-        over = self.sum > self.within * self.total + self.spare
+        over = self.current > self.within * self.total + self.spare
         if over and not self.over:
             self.faults.add(
                 at,
-                f"calls below: {self.sum / 1000:.1f} are shared out, of {self.total / 1000:.1f}; {name} was the last to rise",
+                f"calls below: {self.current / 1000:.1f} are shared out, of {self.total / 1000:.1f}; {name} was the last to rise",
             )
         self.over = over
 
-    def event(self, at: int, name: str, what: str, told: Sequence[Any]) -> None:
-        while self.stills and self.stills[0][0] <= at:
-            until, still = heapq.heappop(self.stills)
-            if self.stands.get(still) == until:
-                self.holds(until, still, 0)
+    def event(self, at: int, name: str, what: str, values: Sequence[Any]) -> None:
+        while self.pauses and self.pauses[0][0] <= at:
+            until, paused = heapq.heappop(self.pauses)
+            if self.paused_until.get(paused) == until:
+                self.set_share(until, paused, 0)
         if what in ("share", "in hand"):
-            self.stands.pop(name, None)
-            self.holds(at, name, int(told[0]))
+            self.paused_until.pop(name, None)
+            self.set_share(at, name, int(values[0]))
         elif what == "ended":
-            self.stands.pop(name, None)
-            self.holds(at, name, 0)
+            self.paused_until.pop(name, None)
+            self.set_share(at, name, 0)
         elif what == "stands":
-            self.stands[name] = at + PATIENCE
-            heapq.heappush(self.stills, (at + PATIENCE, name))
+            self.paused_until[name] = at + PAUSED_CALLS_NS
+            heapq.heappush(self.pauses, (at + PAUSED_CALLS_NS, name))
 
 
 @dataclass(slots=True)
-class Server:
-    """What is known of one that has configuration. `reached`: it is up and can be reached."""
+class FollowerState:
+    """State of a server that follows the configuration, as its events show it.
+
+    A server is reached if it is up, not cut off and not paused.
+    """
 
     epoch: int = 0
     revision: int = 0
-    known: bool = False  # whether something is in force in this life
-    reached: bool = False
-    up: bool = False
-    cut: bool = False
-    still: bool = False
-    behind_since: int = -1  # when it was reached anew, and had not caught up yet; -1: it has
-    catch_to: int = 0  # the newest change at that moment
+    has_state: bool = False  # whether this incarnation has a configuration in force
+    is_reached: bool = False
+    is_up: bool = False
+    is_cut: bool = False
+    is_paused: bool = False
+    behind_since: int = -1  # time since which it is reached without having caught up; -1 if it has
+    catch_up_revision: int = 0  # newest revision at that time
 
 
 @dataclass(slots=True)
-class Waiting:
-    """A change that is not yet in force on some who were up and reached all the while since it was
-    put.
-    """
+class PendingChange:
+    """A change, with the servers that were reached ever since and do not have it in force yet."""
 
     at: int
     names: set[str]
 
 
-class Order:
-    """Changes: each in its order, as it was put, on each server; how long until it is in force."""
+class ChangeOrder:
+    """Checks that each server applies all changes unaltered, in order and within a time limit."""
 
     def __init__(self, faults: Faults, within: float = 6.0) -> None:
-        self.faults, self.within = faults, int(within * SECOND)
-        self.put: dict[
-            tuple[int, int], tuple[int, str]
-        ] = {}  # by epoch and revision: when, and what
+        self.faults, self.within = faults, int(within * NS_PER_SECOND)
+        # Time and digest of each change, by epoch and revision.
+        self.put: dict[tuple[int, int], tuple[int, str]] = {}
         self.newest = (0, 0)
-        self.servers: dict[str, Server] = {}
-        self.waiting: dict[tuple[int, int], Waiting] = {}
-        # when it was put, and after how many ns it was there; of each change on
-        # each server that it could reach all the while
+        self.servers: dict[str, FollowerState] = {}
+        self.waiting: dict[tuple[int, int], PendingChange] = {}
+        # Time of a change and ns until it was in force, for each server that was reached ever since.
         self.delays: list[tuple[int, int]] = []
-        self.slowest: dict[tuple[int, int], int] = {}  # by change: until the last of these had it
-        # when, and ns from being reached anew until all that was put before is in force
-        self.caught: list[tuple[int, int]] = []
+        self.slowest: dict[tuple[int, int], int] = {}  # longest of these delays, by change
+        # Time at which a server was reached again, and ns until all earlier changes were in force.
+        self.catch_ups: list[tuple[int, int]] = []
         self.applied = self.synced = self.late = 0
 
-    def event(self, at: int, name: str, what: str, told: Sequence[Any]) -> None:
+    def event(self, at: int, name: str, what: str, values: Sequence[Any]) -> None:
         if what == "put":
-            epoch, revision, digest = told
+            epoch, revision, digest = values
             self.put[epoch, revision] = at, digest
             self.newest = max(self.newest, (epoch, revision))
-            self.waiting[epoch, revision] = Waiting(
+            self.waiting[epoch, revision] = PendingChange(
                 at,
                 {
-                    one
-                    for one, server in self.servers.items()
-                    if server.reached and server.behind_since < 0
+                    server_name
+                    for server_name, server in self.servers.items()
+                    if server.is_reached and server.behind_since < 0
                 },
             )
-            self.sweep(at)
+            self.drop_finished(at)
             return
-        if what not in SERVERS:
+        if what not in SERVER_EVENTS:
             return
-        server = self.servers.setdefault(name, Server())
+        server = self.servers.setdefault(name, FollowerState())
         if what == "applied":
-            self.applies(at, name, server, int(told[0]), int(told[1]), told[2])
+            self.check_applied(at, name, server, int(values[0]), int(values[1]), values[2])
         elif what == "synced":
             self.synced += 1
-            server.epoch, server.revision, server.known = int(told[0]), int(told[1]), True
-            self.has(at, name, server)
+            server.epoch, server.revision, server.has_state = int(values[0]), int(values[1]), True
+            self.record_delays(at, name, server)
         else:
             if what == "began":
                 server.epoch = server.revision = 0
-                server.up, server.known, server.still = True, False, False
+                server.is_up, server.has_state, server.is_paused = True, False, False
             elif what == "ended":
-                server.up = False
+                server.is_up = False
             elif what == "stands":
-                server.still = True
+                server.is_paused = True
             elif what == "wakes":
-                server.still = False
+                server.is_paused = False
             else:
-                server.cut = what == "cut"
-            self.reach(at, name, server)
-
-    def reach(self, at: int, name: str, server: Server) -> None:
-        reached = server.up and not server.cut and not server.still
-        if reached and not server.reached:
-            server.reached, server.behind_since, server.catch_to = True, at, self.newest[1]
-            self.catches(at, server)
+                server.is_cut = what == "cut"
+            self.update_reached(at, name, server)
+
+    def update_reached(self, at: int, name: str, server: FollowerState) -> None:
+        """Updates whether a server is reached."""
+        reached = server.is_up and not server.is_cut and not server.is_paused
+        if reached and not server.is_reached:
+            server.is_reached, server.behind_since, server.catch_up_revision = (
+                True,
+                at,
+                self.newest[1],
+            )
+            self.record_catch_up(at, server)
         elif not reached:
-            server.reached, server.behind_since = False, -1
+            server.is_reached, server.behind_since = False, -1
             for waiting in self.waiting.values():
                 waiting.names.discard(name)
 
-    def applies(
-        self, at: int, name: str, server: Server, epoch: int, revision: int, digest: str
+    def check_applied(
+        self, at: int, name: str, server: FollowerState, epoch: int, revision: int, digest: str
     ) -> None:
+        """Checks a change that a server applied."""
         self.applied += 1
         put = self.put.get((epoch, revision))
         if put is None:
@@ -202,7 +222,7 @@
             self.faults.add(
                 at, f"{name} applies {epoch}/{revision} as something else than what was put"
             )
-        if server.known and epoch == server.epoch and revision != server.revision + 1:
+        if server.has_state and epoch == server.epoch and revision != server.revision + 1:
             what = (
                 "out of order"
                 if revision <= server.revision
@@ -211,11 +231,11 @@
             self.faults.add(
                 at, f"{name} applies {epoch}/{revision} after {server.revision}: {what}"
             )
-        server.epoch, server.revision, server.known = epoch, revision, True
-        self.has(at, name, server)
+        server.epoch, server.revision, server.has_state = epoch, revision, True
+        self.record_delays(at, name, server)
 
-    def has(self, at: int, name: str, server: Server) -> None:
-        """What waits are the newest: the changes of some seconds."""
+    def record_delays(self, at: int, name: str, server: FollowerState) -> None:
+        """Records the delays of pending changes; only the changes of some seconds are pending."""
         for key, waiting in self.waiting.items():
             if key <= (server.epoch, server.revision) and name in waiting.names:
                 waiting.names.discard(name)
@@ -223,166 +243,190 @@
                 self.delays.append((waiting.at, delay))
                 self.slowest[key] = max(self.slowest.get(key, 0), delay)
                 if delay > self.within:
-                    self.overdue(at, key, name, delay)
-        self.catches(at, server)
-
-    def catches(self, at: int, server: Server) -> None:
-        if server.behind_since >= 0 and server.known and server.revision >= server.catch_to:
-            self.caught.append((server.behind_since, at - server.behind_since))
+                    self.report_late(at, key, name, delay)
+        self.record_catch_up(at, server)
+
+    def record_catch_up(self, at: int, server: FollowerState) -> None:
+        """Records that a server has caught up, if it has."""
+        if (
+            server.behind_since >= 0
+            and server.has_state
+            and server.revision >= server.catch_up_revision
+        ):
+            self.catch_ups.append((server.behind_since, at - server.behind_since))
             server.behind_since = -1
 
-    def overdue(self, at: int, key: tuple[int, int], name: str, delay: int) -> None:
+    def report_late(self, at: int, key: tuple[int, int], name: str, delay: int) -> None:
+        """Reports a change that came into force too late."""
         self.late += 1
         self.faults.add(
-            at, f"{name} has {key[0]}/{key[1]} in force {delay / SECOND:.2f} s after it was put"
+            at,
+            f"{name} has {key[0]}/{key[1]} in force {delay / NS_PER_SECOND:.2f} s after it was put",
         )
 
-    def sweep(self, at: int) -> None:
-        """What all have is waited for no more; what is waited for far too long is a change that was
-        lost.
+    def drop_finished(self, at: int) -> None:
+        """Drops changes that all servers have, and reports changes that are lost.
+
+        A change is lost if it is not in force after ten times the time limit.
         """
         for key, waiting in list(self.waiting.items()):
             if not waiting.names:
                 del self.waiting[key]
             elif at - waiting.at > 10 * self.within:
-                self.lost(at, key, waiting)
+                self.report_lost(at, key, waiting)
 
-    def lost(self, at: int, key: tuple[int, int], waiting: Waiting) -> None:
+    def report_lost(self, at: int, key: tuple[int, int], waiting: PendingChange) -> None:
+        """Reports the servers on which a change never came into force."""
         del self.waiting[key]
         for name in sorted(waiting.names)[:5]:
             self.faults.add(
                 at,
-                f"{name} never has {key[0]}/{key[1]} in force, put {(at - waiting.at) / SECOND:.1f} s before",
+                f"{name} never has {key[0]}/{key[1]} in force, put {(at - waiting.at) / NS_PER_SECOND:.1f} s before",
             )
         self.late += len(waiting.names)
 
     def end(self, at: int) -> None:
-        """What was put less than the bound ago may still be on its way."""
+        """Reports what is still missing; changes younger than the time limit may be on their way."""
         for key, waiting in list(self.waiting.items()):
             if waiting.names and at - waiting.at > self.within:
-                self.lost(at, key, waiting)
+                self.report_lost(at, key, waiting)
         for name, server in sorted(self.servers.items()):
             if server.behind_since >= 0 and at - server.behind_since > 10 * self.within:
                 self.faults.add(
                     at,
-                    f"{name} could be reached for {(at - server.behind_since) / SECOND:.1f} s and never caught up to {server.catch_to}",
+                    f"{name} could be reached for {(at - server.behind_since) / NS_PER_SECOND:.1f} s and never caught up to {server.catch_up_revision}",
                 )
 
 
-SERVERS = frozenset({"began", "ended", "stands", "wakes", "cut", "healed", "applied", "synced"})
+SERVER_EVENTS = frozenset(
+    {"began", "ended", "stands", "wakes", "cut", "healed", "applied", "synced"}
+)
 
 
 class Contents:
-    """At the end: what is in force is what was put, by a digest that whoever runs it makes from
-    what it put.
+    """Checks at the end that the configuration in force is the one that was put.
+
+    The benchmark computes the expected digests from what it put.
     """
 
     def __init__(self, wanted: dict[str, str], faults: Faults) -> None:
-        """`wanted`: by the group of servers that hold the same, as `region:2`."""
-        self.wanted, self.faults, self.looked_at = wanted, faults, 0
+        """Takes the expected digests by group of servers with equal contents, such as `region:2`."""
+        self.wanted, self.faults, self.compared = wanted, faults, 0
 
-    def event(self, at: int, name: str, what: str, told: Sequence[Any]) -> None:
+    def event(self, at: int, name: str, what: str, values: Sequence[Any]) -> None:
         if what == "holds":
-            self.looked_at += 1
-            group, digest = told
+            self.compared += 1
+            group, digest = values
             if self.wanted.get(group) != digest:
                 self.faults.add(at, f"{name} of {group} holds something else than what was put")
 
 
 class Budgets:
-    """Of each process, at rest and under ordinary churn: `off` and `on` say what does not count.
-    Memory counts always.
+    """Checks the limits of each process, at rest and under ordinary churn.
+
+    Between `off` and `on` time and bytes do not count. Memory always counts.
     """
 
     def __init__(self, budgets: dict[str, Budget], faults: Faults) -> None:
-        """`budgets`: by a process's name, or by its role, the part of it before the number."""
+        """Takes limits by the name of a process, or by its role, the name without its number."""
         self.budgets, self.faults = budgets, faults
         self.cpu: dict[str, list[tuple[int, float]]] = defaultdict(list)
         self.bytes: dict[str, list[tuple[int, float]]] = defaultdict(list)
         self.memory: dict[str, float] = defaultdict(float)
         self.on = True
 
-    def event(self, at: int, name: str, what: str, told: Sequence[Any]) -> None:
+    def event(self, at: int, name: str, what: str, values: Sequence[Any]) -> None:
         if what in ("on", "off"):
-            self.judge(at)
+            self.check_rates(at)
             self.on = what == "on"
         elif what == "process":
-            self.memory[name] = max(self.memory[name], float(told[1]))
+            self.memory[name] = max(self.memory[name], float(values[1]))
             if self.on:
-                grows(self.cpu[name], at, float(told[0]) * 1000)
+                add_sample(self.cpu[name], at, float(values[0]) * 1000)
         elif what == "traffic" and self.on:
-            grows(self.bytes[name], at, float(told[0]))
+            add_sample(self.bytes[name], at, float(values[0]))
 
-    def of(self, name: str) -> Budget | None:
+    def budget_of(self, name: str) -> Budget | None:
+        """Returns the limits of a process, or None if it has none."""
         return self.budgets.get(name) or self.budgets.get(role(name))
 
-    def judge(self, at: int) -> None:
+    def check_rates(self, at: int) -> None:
+        """Compares the rates since the last call with the limits."""
         for what, unit, known in (
             ("cpu", "ms of processor time a second", self.cpu),
             ("traffic", "bytes a second", self.bytes),
         ):
-            for name, told in known.items():
-                budget = self.of(name)
+            for name, samples in known.items():
+                budget = self.budget_of(name)
                 if budget is not None:
-                    worst, most = worst_rate(told, budget.span), float(getattr(budget, what))
-                    if worst > most:
+                    worst, allowed = worst_rate(samples, budget.span), float(getattr(budget, what))
+                    if worst > allowed:
                         self.faults.add(
                             at,
-                            f"{name}: {worst:.1f} {unit} over {budget.span:g} s, {most:g} allowed",
+                            f"{name}: {worst:.1f} {unit} over {budget.span:g} s, {allowed:g} allowed",
                         )
             known.clear()
 
     def end(self, at: int) -> None:
-        self.judge(at)
+        self.check_rates(at)
         for name, memory in self.memory.items():
-            budget = self.of(name)
+            budget = self.budget_of(name)
             if budget is not None and memory > budget.memory:
                 self.faults.add(
                     at, f"{name} holds {memory / 2**20:.0f} MB, {budget.memory / 2**20:.0f} allowed"
                 )
 
 
-def grows(told: list[tuple[int, float]], at: int, value: float) -> None:
-    """One that was started again counts from nothing."""
-    if told and value < told[-1][1]:
-        told.clear()
-    told.append((at, value))
+def add_sample(samples: list[tuple[int, float]], at: int, value: float) -> None:
+    """Adds a sample; a smaller value than before means a restart and drops the earlier samples."""
+    if samples and value < samples[-1][1]:
+        samples.clear()
+    samples.append((at, value))
 
 
 def role(name: str) -> str:
+    """Returns a name of a process without its number."""
     return name.rstrip("0123456789")
 
 
-def worst_rate(told: Sequence[tuple[int, float]], span: float) -> float:
-    """The largest growth a second of what only grows, over spans of that length; over all of it
-    where that is less.
+def worst_rate(samples: Sequence[tuple[int, float]], span: float) -> float:
+    """Returns the largest rate per second over spans of `span` s.
+
+    If the samples cover less than one span, it is the rate over all of them.
     """
     worst, first = 0.0, 0
-    for now, value in told:
-        while now - told[first + 1][0] >= span * SECOND if first + 1 < len(told) else False:
+    for now, value in samples:
+        while (
+            now - samples[first + 1][0] >= span * NS_PER_SECOND
+            if first + 1 < len(samples)
+            else False
+        ):
             first += 1
-        then, before = told[first]
-        if now - then >= span * SECOND:
-            worst = max(worst, (value - before) / (now - then) * SECOND)
-    return worst or mean_rate(told)
+        then, before = samples[first]
+        if now - then >= span * NS_PER_SECOND:
+            worst = max(worst, (value - before) / (now - then) * NS_PER_SECOND)
+    return worst or mean_rate(samples)
 
 
-def mean_rate(told: Sequence[tuple[int, float]]) -> float:
+def mean_rate(samples: Sequence[tuple[int, float]]) -> float:
+    """Returns the rate per second over all samples."""
     return (
-        (told[-1][1] - told[0][1]) / (told[-1][0] - told[0][0]) * SECOND if len(told) > 1 else 0.0
+        (samples[-1][1] - samples[0][1]) / (samples[-1][0] - samples[0][0]) * NS_PER_SECOND
+        if len(samples) > 1
+        else 0.0
     )
 
 
 def digest_of(texts: Iterable[bytes]) -> str:
-    """Of all of them, in whatever order they come."""
-    whole = hashlib.sha256()
+    """Returns a digest of all texts, independent of their order."""
+    digest = hashlib.sha256()
     for text in sorted(texts):
-        whole.update(len(text).to_bytes(4, "big") + text)
-    return whole.hexdigest()[:32]
+        digest.update(len(text).to_bytes(4, "big") + text)
+    return digest.hexdigest()[:32]
 
 
 class Checker:
-    """All of it. `faults` is empty where all went as it must."""
+    """Runs all checks; `faults` is empty if none failed."""
 
     def __init__(
         self,
@@ -392,28 +436,31 @@
         spare: float = 0.0,
     ) -> None:
         self.faults = Faults()
-        self.sums, self.order = Sums(total, self.faults, spare=spare), Order(self.faults, within)
+        self.shared_calls, self.order = (
+            SharedCalls(total, self.faults, spare=spare),
+            ChangeOrder(self.faults, within),
+        )
         self.budgets = Budgets(budgets or {}, self.faults)
         self.contents = Contents({}, self.faults)
         self.last = 0
 
     def check(self, events: Iterable[Sequence[Any]]) -> "Checker":
-        """In the order of their times, whatever order they come in."""
+        """Checks the events in the order of their time, in whatever order they are given."""
         for event in sorted(events, key=lambda event: event[0]):
-            at, name, what, *told = event
+            at, name, what, *values = event
             if what in ("began", "ended", "stands", "wakes"):
-                # Of one core of a server: that of the fleet says nothing of configuration, and the
-                # other way round.
-                kind = told[0]
+                # Such an event concerns one core of a server: the life of the fleet core says
+                # nothing about the configuration core, and the other way round.
+                kind = values[0]
                 if kind == "fleet":
-                    self.sums.event(at, name, what, told[1:])
+                    self.shared_calls.event(at, name, what, values[1:])
                 if kind == "follower":
-                    self.order.event(at, name, what, told[1:])
+                    self.order.event(at, name, what, values[1:])
             else:
-                self.sums.event(at, name, what, told)
-                self.order.event(at, name, what, told)
-                self.budgets.event(at, name, what, told)
-                self.contents.event(at, name, what, told)
+                self.shared_calls.event(at, name, what, values)
+                self.order.event(at, name, what, values)
+                self.budgets.event(at, name, what, values)
+                self.contents.event(at, name, what, values)
             self.last = at
         self.order.end(self.last)
         self.budgets.end(self.last)
--- a/benchmarks/scale_followers.py
+++ b/benchmarks/scale_followers.py
@@ -18,8 +18,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent))
 
-from scale_checker import SECOND  # noqa: E402
-from scale_run import Phase, Run, Setting, percentile, start, starved  # noqa: E402
+from scale_checker import NS_PER_SECOND  # noqa: E402
+from scale_run import Phase, Run, Setting, host_lag_ms, percentile, start  # noqa: E402
 
 from burlloom.lab.slopes import Row, append_row, describe_fit, fit  # noqa: E402
 
@@ -56,18 +56,20 @@
     with tempfile.TemporaryDirectory() as folder:
         run = Run(setting, Path(folder), lambda what: None)
         run.zone = []  # no fleet beside it
-        run.story = [("start", start), ("rest", waits)]
+        run.phase_list = [("start", start), ("rest", waits)]
         checker = asyncio.run(run.play())
     phase: Phase = next(
         one for one in run.phases if one.name == {"rest": "rest", "cold": "start"}[state]
     )
     span = (
-        (phase.ended - phase.began) / SECOND if state == "rest" else 1.0
+        (phase.ended - phase.began) / NS_PER_SECOND if state == "rest" else 1.0
     )  # a cold start is paid once
     delays = [
-        delay / SECOND for at, delay in checker.order.delays if phase.began <= at < phase.ended
+        delay / NS_PER_SECOND
+        for at, delay in checker.order.delays
+        if phase.began <= at < phase.ended
     ]
-    caught = [delay / SECOND for _, delay in checker.order.caught]
+    caught = [delay / NS_PER_SECOND for _, delay in checker.order.catch_ups]
     hollow = sum(value for name, value in phase.cpu.items() if name.startswith("host"))
     heard = sum(value for name, value in phase.traffic.items() if name.startswith("host"))
     return {
@@ -80,7 +82,7 @@
         "worst": max(delays, default=float("nan")),
         "caught": max(caught, default=float("nan")),
         "faults": checker.faults.count,
-        "lag": starved(run, phase),
+        "lag": host_lag_ms(run, phase),
     }
 
 
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -1,15 +1,17 @@
-"""The scale run: thousands of hollow servers that follow configuration, control machines, and real
-servers under load, while faults are played from a seed and a checker of its own watches.
+"""Runs thousands of hollow servers, control machines and real servers under load, with faults.
+
+The hollow servers follow the configuration that the control machines distribute. Faults are drawn
+from a seed, and an independent checker (`scale_checker.py`) checks the events.
 
     python benchmarks/scale.py run --servers 2600 --control 19 --real 8 --rate 0.4         # some five minutes
     python benchmarks/scale_run.py --servers 60 --hosts 2 --control 3 --real 2 --pace 0.17    # what the tests play
 
-Churn is sped up 60 times (11,000 restarts and 740 deaths a day over 2,600 servers come to 8.6 a
-second); cuts of regions last half a minute in place of minutes. The fleet that shares out calls is
-a rack of one zone with the real servers: one of all is past what a member keeps (`MEMBERS_MOST`),
-and one of a zone past what a machine with slow sockets carries (docs/results.md). The network
-delays by distance and loses; a run for which the machine was too busy says so and counts for
-nothing.
+Churn is 60 times as fast as planned: 11,000 restarts and 740 deaths a day of 2,600 servers become
+8.6 a second. Regions are cut off for half a minute instead of minutes. The fleet that shares a
+quota of calls is one rack of a zone and the real servers. A fleet of all servers has more members
+than a member may hold (`MembershipView.MAX_MEMBERS`), and a fleet of a whole zone exceeds what a
+machine with slow sockets can carry (docs/results.md). The network delays by distance and loses
+datagrams. A run on a machine that was too busy says so and is not valid.
 """
 
 import asyncio
@@ -31,7 +33,7 @@
 sys.path.insert(0, str(Path(__file__).parent))
 
 from hollow_hosts import KEY, Hosts, clock, row, spread, usage  # noqa: E402
-from scale_checker import SECOND, Budget, Checker, digest_of  # noqa: E402
+from scale_checker import NS_PER_SECOND, Budget, Checker, digest_of  # noqa: E402
 from scale_real import Below, Real, ready  # noqa: E402
 
 from burlloom.distribution import ConfigItem, ReplicationSettings, propose  # noqa: E402
@@ -39,33 +41,41 @@
 from burlloom.lab.distances import ZONES, lay_out_servers, make_place  # noqa: E402
 from burlloom.lab.rules import RuleChecker  # noqa: E402
 
-SIGNING = "7c" * 32
-# ms, of 99 in 100 seconds of hosts: a sixth of what a change may take. Later loops were starved,
-# and say nothing of the program.
-LAG_MOST = 1000.0
-# ms, by which 99 in 100 looks of whoever asks the real servers may be late, for what they add to a
-# request to count.
-ASKER_LAG_MOST = 1.0
-FASTER = 60  # that the churn is sped up by
-RESTARTS, DEATHS, FLEET = 11_000 / 86_400, 740 / 86_400, 2600  # a second, over so many
-DEAD_FOR = 10.0  # s until one that died is replaced
-SHARE = 4.0  # calls below for each server of the zone that shares them out
-IN_FLEET = 50  # members of the fleet a host: each speaks to all others
-MILLION = 1_000_000
+SIGNING_KEY = "7c" * 32
+# Largest lag in ms of the hosts' event loops in 99 of 100 seconds: a sixth of the time limit of a
+# change. Hosts with a larger lag lacked processor time, and show nothing about the product.
+MAX_HOST_LAG_MS = 1000.0
+# Largest lag in ms of this process's own loop, which sends requests to the real servers, in 99 of
+# 100 measurements. Beyond it the latency that the servers add is not valid.
+MAX_OWN_LAG_MS = 1.0
+CHURN_FACTOR = 60  # factor by which churn is faster than planned
+RESTARTS_PER_S, DEATHS_PER_S, PLANNED_SERVERS = (
+    11_000 / 86_400,
+    740 / 86_400,
+    2600,
+)  # per second, in a fleet of so many servers
+REPLACEMENT_S = 10.0  # s until a server that died is replaced
+CALLS_PER_SERVER = 4.0  # quota of downstream calls for each server of the fleet
+MEMBERS_PER_HOST = 50  # fleet members in one host process, because each sends to all others
+NS_PER_MS = 1_000_000
 
 
 @dataclass
 class Phase:
+    """Times and costs of a phase of the run; times are boot times in ns."""
+
     name: str
     began: int
     ended: int = 0
-    cpu: dict[str, float] = field(default_factory=dict)  # by process, s
-    traffic: dict[str, float] = field(default_factory=dict)  # by host, bytes
+    cpu: dict[str, float] = field(default_factory=dict)  # processor time in s, by process
+    traffic: dict[str, float] = field(default_factory=dict)  # bytes, by host
     put: int = 0
 
 
 @dataclass(frozen=True)
 class Setting:
+    """Sizes, rates and limits of a run."""
+
     servers: int
     hosts: int
     control: int
@@ -74,25 +84,28 @@
     loss: float
     entries: int
     seed: int
-    pace: float = 1.0  # how long each phase is, against what the story says
+    pace: float = 1.0  # factor of the length of each phase
     only: tuple[str, ...] = ()
-    fleet: int = 24  # of a zone, that share out calls below with the real ones
-    # s, between reports; all other spans of following go with it, as in the operator's file
+    fleet: int = 24  # hollow servers of a zone that share a quota of calls with the real ones
+    # Interval between a follower's reports, in s. All other intervals of the replication grow with
+    # it, as in the operator's file.
     beat: float = 1.0
-    begin: int = 700  # servers that begin in a second
-    opening: int = 100  # processes that are started at a time
-    asked: float = 30.0  # requests a second to each real one
-    within: float = 6.0  # s until a change is to be in force
+    begin: int = 700  # servers that are started per second
+    opening: int = 100  # processes that are started at once
+    asked: float = 30.0  # requests per second to each real server
+    within: float = 6.0  # s within which a change has to be in force
     budgets: bool = True
-    patience: float = 60.0  # s, for which all are waited for after the start and at the end
-    most: float = 1e9  # s, after which no further phase begins
-    main: tuple[str, ...] = ("-m", "burlloom.lab.hollow")  # what Python is to run for a host
+    patience: float = 60.0  # s to wait for all servers after the start and at the end
+    most: float = 1e9  # s after which no further phase begins
+    main: tuple[str, ...] = ("-m", "burlloom.lab.hollow")  # arguments of Python for a host process
 
 
 class Run:
+    """A scale run: its servers, faults, events and measurements."""
+
     def __init__(self, setting: Setting, folder: Path, say: Callable[[str], None]) -> None:
         self.setting, self.folder, self.say = setting, folder, say
-        self.chance = Random(setting.seed)
+        self.random = Random(setting.seed)
         self.places = lay_out_servers(setting.servers)
         self.machines = [
             make_place(f"c{at}", *self.region_of(at), 0) for at in range(setting.control)
@@ -102,56 +115,65 @@
         self.entries: dict[tuple[str, str, str], bytes] = {}
         self.reals: list[Real] = []
         self.rules = RuleChecker(grace_s=2.5, tip_multiple=5, max_downstream_calls=1e9)
-        self.due = (
-            setting.within
-        )  # of answers: as long as the configuration has it, or longer where time is not judged
+        # Time limit of answers in s: that of the configuration, or longer if time is not checked.
+        self.due = setting.within
         self.below = Below(self.events)
         self.up, self.dead = set[str](), set[str]()
         self.store = SqliteChangeStore(folder / "store.sqlite")
         self.put_count = 0
         self.zone = [one for one in self.places if one.zone == 0][: setting.fleet]
-        self.total = int(SHARE * 1000 * (len(self.zone) + setting.real))
+        self.total = int(CALLS_PER_SERVER * 1000 * (len(self.zone) + setting.real))
         self.cuts: list[list[Any]] = []
-        self.story = STORY
-        self.skipped = list[str]()  # phases that there was no time for
-        self.other = list[float]()
-        self.own = list[float]()  # cores that we and all of our processes used, by second
-        self.lags = list[float]()  # ms, of our own loop, which asks the real servers
+        self.phase_list = PHASES
+        self.skipped = list[str]()  # phases skipped for lack of time
+        self.other = list[float]()  # cores used by other processes, by second
+        self.own = list[float]()  # cores used by this process and all that it started, by second
+        self.lags = list[float]()  # ms, of this process's loop, which sends the requests
 
     def region_of(self, at: int) -> tuple[int, int]:
-        """Control machines stand in all regions and zones in turns."""
+        """Returns the region and zone of a control machine; they take turns."""
         zones = [
             (region, zone)
             for zone, region in enumerate(
                 region for region, count in enumerate(ZONES) for _ in range(count)
             )
         ]
-        by_region = [[pair for pair in zones if pair[0] == region] for region in range(len(ZONES))]
+        by_region = [
+            [split_address for split_address in zones if split_address[0] == region]
+            for region in range(len(ZONES))
+        ]
         region = by_region[at % len(ZONES)]
         return region[at // len(ZONES) % len(region)]
 
-    # The configuration.
-
-    def value(self) -> bytes:
+    def random_value(self) -> bytes:
+        """Returns a random packed value of an entry."""
         packed: bytes = msgpack.packb(
-            {"portion": self.chance.randrange(1, 100), "note": "x" * self.chance.randrange(0, 60)}
+            {"portion": self.random.randrange(1, 100), "note": "x" * self.random.randrange(0, 60)}
         )
         return packed
 
-    def drawn(self, at: int | None = None) -> ConfigItem:
-        at = self.chance.randrange(self.setting.entries * 2) if at is None else at
+    def random_entry(self, at: int | None = None) -> ConfigItem:
+        """Returns a random change of an entry, which deletes one in ten that exist."""
+        at = self.random.randrange(self.setting.entries * 2) if at is None else at
         scope = "" if at % 5 < 3 else f"r{at % len(ZONES)}"
         kind = "tenant" if at % 3 else "route"
-        gone = (scope, kind, f"{kind}-{at}") in self.entries and self.chance.random() < 0.1
-        return ConfigItem(scope, kind, f"{kind}-{at}", None if gone else self.value())
+        gone = (scope, kind, f"{kind}-{at}") in self.entries and self.random.random() < 0.1
+        return ConfigItem(scope, kind, f"{kind}-{at}", None if gone else self.random_value())
 
     async def put(self, entries: list[ConfigItem]) -> None:
-        """Until nobody else had written before; the moment counts from before the first try."""
+        """Puts a change, and tries again if another writer was first.
+
+        The time of the change is that of the first attempt.
+        """
         began = clock()
         while True:
             head = await self.store.head()
             change = propose(
-                head, entries[0].scope, entries, time.time_ns() // MILLION, bytes.fromhex(SIGNING)
+                head,
+                entries[0].scope,
+                entries,
+                time.time_ns() // NS_PER_MS,
+                bytes.fromhex(SIGNING_KEY),
             )
             if await self.store.append(change):
                 break
@@ -173,16 +195,17 @@
                 self.entries[entry[:3]] = entry.value
         self.put_count += 1
 
-    async def changes(self) -> None:
+    async def put_changes(self) -> None:
+        """Puts changes at random times."""
         at = time.monotonic()
         while True:
-            at += self.chance.expovariate(self.setting.rate)
+            at += self.random.expovariate(self.setting.rate)
             await asyncio.sleep(max(0.0, at - time.monotonic()))
-            first = self.drawn()
+            first = self.random_entry()
             await self.put([first])
 
-    def wanted(self) -> dict[str, str]:
-        """By region, what is to be in force there."""
+    def expected_digests(self) -> dict[str, str]:
+        """Returns a digest of the configuration expected in each region."""
         return {
             f"r{region}": digest_of(
                 msgpack.packb([*key, value])
@@ -192,19 +215,17 @@
             for region in range(len(ZONES))
         }
 
-    # The parts.
-
     async def play(self) -> Checker:
+        """Runs all phases and returns the checker."""
         setting = self.setting
         (self.folder / "key").write_text(KEY + "\n")
-        (self.folder / "signing").write_text(SIGNING + "\n")
+        (self.folder / "signing").write_text(SIGNING_KEY + "\n")
         await self.store.open()
         for at in range(0, setting.entries):
-            await self.put([self.drawn(at)])
-        await self.put(
-            [ConfigItem("", "tenant", "acme", self.value())]
-        )  # whose requests the real ones get
-        self.events.clear()  # what was there before counts as a whole
+            await self.put([self.random_entry(at)])
+        # The tenant of the requests to the real servers.
+        await self.put([ConfigItem("", "tenant", "acme", self.random_value())])
+        self.events.clear()  # servers receive the earlier changes by a sync
         outside = [one for one in self.places if one not in self.zone]
         plain = ReplicationSettings()
         spans = {
@@ -220,7 +241,7 @@
                 "lease_ns",
             )
         }
-        follower = {"key": KEY, "signing_key": SIGNING, "terms": spans}
+        follower = {"key": KEY, "signing_key": SIGNING_KEY, "terms": spans}
         control = {
             "control": {
                 **follower,
@@ -236,9 +257,9 @@
                 "min_members": (len(self.zone) + setting.real) // 2 + 1,
             },
             "seeds": [],
-            "demand": 2 * SHARE,
+            "demand": 2 * CALLS_PER_SERVER,
         }
-        in_zone = min(len(self.zone), 1 + len(self.zone) // IN_FLEET)
+        in_zone = min(len(self.zone), 1 + len(self.zone) // MEMBERS_PER_HOST)
         groups = (
             [
                 (group, {"follower": follower})
@@ -256,11 +277,12 @@
             stack.push_async_callback(self.store.close)
             await self.begin(stack)
             tasks = [
-                asyncio.create_task(task) for task in (self.changes(), self.watch(), self.look())
+                asyncio.create_task(task)
+                for task in (self.put_changes(), self.record_usage(), self.measure_lag())
             ]
             began = time.monotonic()
             try:
-                for name, does in self.story:
+                for name, does in self.phase_list:
                     if setting.only and name not in (*setting.only, "start", "rest", "settled"):
                         continue
                     if time.monotonic() - began > setting.most and name != "settled":
@@ -272,15 +294,15 @@
                     task.cancel()
                 await asyncio.gather(*tasks, return_exceptions=True)
             self.say("contents")
-            await self.converged()
+            await self.wait_converged()
             self.hosts.tell("tell", kind="follower", contents=True)
             await asyncio.sleep(2.0)
             self.faults = [fault for host in self.hosts.hosts for fault in host.faults]
         self.say("checking")
         return self.check()
 
-    async def converged(self) -> None:
-        """Until all say that they have the newest; the checker looks at what they have."""
+    async def wait_converged(self) -> None:
+        """Waits until all report the newest revision; the checker compares the contents."""
         newest = (await self.store.head()).revision
         until = time.monotonic() + self.setting.patience
         while time.monotonic() < until:
@@ -291,9 +313,14 @@
                 return
 
     async def begin(self, stack: AsyncExitStack) -> None:
+        """Starts the control machines, the hollow servers and the real servers."""
         hosts = self.hosts
         upstreams = [
-            [machine.name, f"r{machine.region}", *pair(hosts.address(machine.name, "control"))]
+            [
+                machine.name,
+                f"r{machine.region}",
+                *split_address(hosts.address(machine.name, "control")),
+            ]
             for machine in self.machines
         ]
         cores: dict[str, Any] = {
@@ -306,9 +333,8 @@
         hosts.tell("net", loss=self.setting.loss)
         hosts.tell_names("start", [one.name for one in self.machines])
         await asyncio.sleep(2.0)
-        hosts.tell_names(
-            "start", [one.name for one in self.zone[:1]]
-        )  # it has lived longest, and deals
+        # The first member has the oldest incarnation and becomes the allocator.
+        hosts.tell_names("start", [one.name for one in self.zone[:1]])
         await asyncio.sleep(0.5)
         names = [one.name for one in self.places]
         each = max(1, self.setting.begin // 4)
@@ -359,11 +385,12 @@
         await asyncio.gather(*(self.join(real) for real in self.reals))
 
     async def join(self, real: Real) -> None:
+        """Starts a real server."""
         await real.__aenter__()
-        await self.known(real)
+        await self.announce(real)
 
-    async def known(self, real: Real) -> None:
-        """All hosts learn where it is reached, and by what address it sends."""
+    async def announce(self, real: Real) -> None:
+        """Sends the addresses of a real server to all hosts."""
         for event in ("membership_opened", "distribution_opened"):
             told = [
                 await ready(real, event, real.life),
@@ -372,6 +399,7 @@
             self.hosts.tell("places", places=[told], outside=[told])
 
     async def end_reals(self) -> None:
+        """Ends the real servers, by force after 20 s."""
         for real in self.reals:
             real.end()
             for balancer in real.balancers:
@@ -386,10 +414,8 @@
                 real.process.kill()
                 await real.process.wait()
 
-    # What is seen.
-
-    async def watch(self) -> None:
-        """Each second, of each process, by /proc."""
+    async def record_usage(self) -> None:
+        """Records processor time and memory of each process each second, from /proc."""
         busy, own = machine_busy(), 0.0
         while True:
             await asyncio.sleep(1.0)
@@ -398,7 +424,7 @@
                 try:
                     cpu, memory = usage(pid)
                 except OSError:
-                    continue  # it has just ended
+                    continue  # the process has just ended
                 total += cpu
                 self.events.append([now, name, "process", cpu, memory])
             for real in self.reals:
@@ -412,15 +438,17 @@
                 self.other.append(busy_now - busy - (total - own))
             busy, own = busy_now, total
 
-    async def look(self) -> None:
+    async def measure_lag(self) -> None:
+        """Measures the lag of this process's event loop."""
         while True:
             due = time.monotonic() + 0.05
             await asyncio.sleep(0.05)
             self.lags.append((time.monotonic() - due) * 1000)
 
     def pids(self) -> dict[str, int]:
+        """Returns the process ids by name."""
         found = {
-            self.name_of(host): host.process.pid
+            self.host_name(host): host.process.pid
             for host in self.hosts.hosts
             if host.process is not None
         }
@@ -429,7 +457,8 @@
         }
         return found
 
-    def name_of(self, host: Any) -> str:
+    def host_name(self, host: Any) -> str:
+        """Returns the name of a host in events."""
         return (
             f"control{host.servers[0].name[1:]}"
             if host.servers[0].name.startswith("c")
@@ -437,13 +466,17 @@
         )
 
     def traffic(self) -> dict[str, float]:
+        """Returns the bytes sent and received so far by each host."""
         return {
-            self.name_of(host): float(host.seconds[-1]["in_bytes"] + host.seconds[-1]["out_bytes"])
+            self.host_name(host): float(
+                host.seconds[-1]["in_bytes"] + host.seconds[-1]["out_bytes"]
+            )
             for host in self.hosts.hosts
             if host.seconds
         }
 
     def cpu(self) -> dict[str, float]:
+        """Returns the processor time in s so far of each process."""
         found = {}
         for name, pid in self.pids().items():
             try:
@@ -453,6 +486,7 @@
         return found
 
     async def phase(self, name: str, does: "Callable[[Run], Awaitable[None]]") -> None:
+        """Runs a phase and measures its costs."""
         self.say(name)
         phase = Phase(name, clock())
         self.events.append([phase.began, "run", "on" if name in ("rest", "churn") else "off"])
@@ -465,67 +499,76 @@
         }
         self.phases.append(phase)
 
-    # Faults.
-
     def span(self, seconds: float) -> float:
+        """Returns a length in s, scaled by the pace."""
         return seconds * self.setting.pace
 
     churning = False
 
     async def wait(self, seconds: float) -> None:
-        """With churn all the while, once it has begun."""
+        """Waits for some seconds, with churn if it has begun."""
         until = time.monotonic() + self.span(seconds)
-        part = len(self.places) / FLEET * FASTER
+        part = len(self.places) / PLANNED_SERVERS * CHURN_FACTOR
         while (left := until - time.monotonic()) > 0:
             await asyncio.sleep(min(0.25, left))
             if self.churning:
-                self.churn(part * RESTARTS * 0.25, part * DEATHS * 0.25)
+                self.churn(part * RESTARTS_PER_S * 0.25, part * DEATHS_PER_S * 0.25)
 
     def churn(self, restarts: float, deaths: float) -> None:
+        """Restarts some servers, and kills some that are replaced after `REPLACEMENT_S` s."""
         alive = sorted(self.up - self.dead - {self.zone[0].name})
-        again = self.chance.sample(alive, min(len(alive), self.drawn_count(restarts)))
-        die = self.chance.sample(alive, min(len(alive), self.drawn_count(deaths)))
+        again = self.random.sample(alive, min(len(alive), self.random_count(restarts)))
+        die = self.random.sample(alive, min(len(alive), self.random_count(deaths)))
         self.hosts.tell_names("kill", {*again, *die})
         self.hosts.tell_names("start", [name for name in again if name not in die])
         self.dead |= set(die)
         if die:
-            asyncio.get_running_loop().call_later(self.span(DEAD_FOR), self.back, set(die))
+            asyncio.get_running_loop().call_later(
+                self.span(REPLACEMENT_S), self.replace_dead, set(die)
+            )
 
-    def drawn_count(self, mean: float) -> int:
-        return int(mean) + (self.chance.random() < mean % 1)
+    def random_count(self, mean: float) -> int:
+        """Returns a random whole number with this mean."""
+        return int(mean) + (self.random.random() < mean % 1)
 
-    def back(self, names: set[str]) -> None:
+    def replace_dead(self, names: set[str]) -> None:
+        """Starts servers that replace dead ones."""
         self.dead -= names
         self.hosts.tell_names("start", sorted(names & self.up))
 
     def kill(self, names: list[str]) -> None:
+        """Kills servers until they are started again."""
         self.up -= set(names)
         self.hosts.tell_names("kill", names)
 
     def start(self, names: list[str]) -> None:
+        """Starts servers."""
         self.up |= set(names)
         self.dead -= set(names)
         self.hosts.tell_names("start", names)
 
     def network(self) -> None:
+        """Sends the current cuts to all hosts."""
         self.hosts.tell("net", cuts=self.cuts)
 
-    def reached(self, names: list[str], cut: bool) -> None:
+    def record_reached(self, names: list[str], cut: bool) -> None:
+        """Records that servers are cut off, or reached again."""
         now = clock()
         self.events += [[now, name, "cut" if cut else "healed"] for name in names]
 
-    def marked(self, mark: str) -> list[str]:
+    def names_with_mark(self, mark: str) -> list[str]:
+        """Returns the names of the servers with this mark."""
         return [one.name for one in self.places if mark in one.marks]
 
     async def cut_off(self, mark: str, seconds: float) -> None:
-        """A group loses all others, and is alive. Its control machines lose the store."""
+        """Cuts a group off from all others; its control machines lose the store."""
         names, machines = (
-            self.marked(mark),
+            self.names_with_mark(mark),
             [one.name for one in self.machines if mark in one.marks],
         )
         self.cuts.append([[mark], [], True])
         self.network()
-        self.reached(names, True)
+        self.record_reached(names, True)
         if machines:
             self.hosts.tell_names("tell", machines, kind="control", away=True)
         await self.wait(seconds)
@@ -533,11 +576,10 @@
         self.network()
         if machines:
             self.hosts.tell_names("tell", machines, kind="control", away=False)
-        self.reached(names, False)
-
-    # The end.
+        self.record_reached(names, False)
 
     def check(self) -> Checker:
+        """Checks all events, with the limits of each process."""
         rows = [
             json.loads(line)
             for host in self.hosts.hosts
@@ -547,16 +589,16 @@
         self.configured = {real.name: real.configured() for real in self.reals}
         rows += [event for told in self.configured.values() for event in told]
         budgets = {
-            "control": Budget(cpu=1000.0, memory=2**31, traffic=1e9),  # a machine's core
+            "control": Budget(cpu=1000.0, memory=2**31, traffic=1e9),  # one core of a machine
             "real": Budget(cpu=1e9, memory=256 * 2**20),
-        }  # it serves besides: what control takes there is told by the hollow ones
+        }  # a real server also serves requests; hollow servers show the cost of control alone
         for host in self.hosts.hosts:
-            name, count = self.name_of(host), len(host.servers)
+            name, count = self.host_name(host), len(host.servers)
             self.events += [
                 [second["at"], name, "traffic", second["in_bytes"] + second["out_bytes"]]
                 for second in host.seconds
             ]
-            if not name.startswith("control"):  # so many servers in one process
+            if not name.startswith("control"):  # the limits of all servers in the process
                 budgets[name] = Budget(37.0 * count, 128 * 2**20 * count, 9 * 1024 * count)
         checker = Checker(
             self.total,
@@ -564,26 +606,24 @@
             self.setting.within,
             1000.0 * len(self.reals),
         )
-        checker.contents.wanted = self.wanted()
+        checker.contents.wanted = self.expected_digests()
         return checker.check([*self.events, *rows])
 
 
-def pair(address: str) -> tuple[str, int]:
+def split_address(address: str) -> tuple[str, int]:
+    """Returns the host and the port of an address."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def machine_busy() -> float:
-    """s of processor time, of all cores, that anything had."""
+    """Returns the processor time in s that all processes used, over all cores."""
     told = Path("/proc/stat").read_text(encoding="ascii").split("\n", 1)[0].split()[1:]
     return sum(int(told[at]) for at in (0, 1, 2, 5, 6)) / 100
 
 
-# The story: each part with its faults.
-
-
 async def start(run: Run) -> None:
-    """All have begun: until each has all that is in force, or for so long."""
+    """Waits until all servers have the whole configuration, or for `patience` s."""
     until = time.monotonic() + run.setting.patience
     while time.monotonic() < until and run.hosts.facts().get("whole", 0) < len(run.places) + len(
         run.machines
@@ -593,16 +633,19 @@
 
 
 async def rest(run: Run) -> None:
+    """Runs without faults."""
     await run.wait(20)
 
 
 async def ordinary_churn(run: Run) -> None:
-    run.churning = True  # from here on until the end
+    """Begins the churn."""
+    run.churning = True  # until the last phase
     await run.wait(24)
 
 
 async def rack(run: Run) -> None:
-    names = run.marked("rack:4.0")
+    """Kills a rack for a while."""
+    names = run.names_with_mark("rack:4.0")
     run.kill(names)
     await run.wait(8)
     run.start(names)
@@ -610,12 +653,14 @@
 
 
 async def switch(run: Run) -> None:
+    """Cuts a rack off."""
     await run.cut_off("rack:7.0", 10)
     await run.wait(6)
 
 
 async def zone(run: Run) -> None:
-    names = run.marked("zone:3")
+    """Kills a zone with its control machines for a while."""
+    names = run.names_with_mark("zone:3")
     machines = [one.name for one in run.machines if "zone:3" in one.marks]
     run.kill(names)
     run.hosts.tell_names("kill", machines)
@@ -626,12 +671,13 @@
 
 
 async def region(run: Run) -> None:
+    """Cuts a region off."""
     await run.cut_off("region:2", 25)
     await run.wait(12)
 
 
 async def control(run: Run) -> None:
-    """One by one, each down for a while."""
+    """Kills the control machines one by one, each for a while."""
     for machine in run.machines:
         run.hosts.tell_names("kill", [machine.name])
         await run.wait(1.2)
@@ -641,32 +687,33 @@
 
 
 async def still(run: Run) -> None:
-    """Some stand still, for less and for more than a lease."""
-    names = run.chance.sample(
+    """Pauses some servers, for less and for more than a lease."""
+    names = run.random.sample(
         sorted(run.up - run.dead - {run.zone[0].name}), max(2, len(run.up) // 50)
     )
     run.hosts.tell_names("stand", names[::2], **{"for": run.span(3.0)})
     run.hosts.tell_names("stand", names[1::2], **{"for": run.span(10.0)})
     for real in run.reals[:1]:
         await real.again()
-        await run.known(real)
+        await run.announce(real)
     await run.wait(12)
 
 
 async def mass(run: Run) -> None:
-    """Nine in ten are started again."""
-    names = run.chance.sample(sorted(run.up - run.dead), len(run.up) * 9 // 10)
+    """Restarts nine in ten servers at once."""
+    names = run.random.sample(sorted(run.up - run.dead), len(run.up) * 9 // 10)
     run.hosts.tell_names("kill", names)
     run.hosts.tell_names("start", names)
     await run.wait(25)
 
 
 async def settled(run: Run) -> None:
+    """Ends the churn and waits."""
     run.churning = False
     await run.wait(10)
 
 
-STORY: list[tuple[str, Callable[[Run], Awaitable[None]]]] = [
+PHASES: list[tuple[str, Callable[[Run], Awaitable[None]]]] = [
     ("start", start),
     ("rest", rest),
     ("churn", ordinary_churn),
@@ -682,11 +729,12 @@
 
 
 def percentile(values: list[float], part: float) -> float:
+    """Returns the value below which this part of the values lies."""
     return sorted(values)[min(len(values) - 1, int(part * len(values)))] if values else float("nan")
 
 
 def table(run: Run, checker: Checker) -> list[str]:
-    """By phase: how long changes took, and what was spent."""
+    """Returns a table of delays and costs by phase."""
     told = [
         "| phase | s | changes | on servers | in force after, s: median | 99 in 100 | worst | caught up after, s: count | median | worst | "
         "a server, ms/s | B/s | a control machine, ms/s: mean | most | kB/s: mean | most | lag of loops, ms |",
@@ -694,13 +742,17 @@
     ]
     servers = len(run.places)
     for phase in run.phases:
-        span = (phase.ended - phase.began) / SECOND
+        span = (phase.ended - phase.began) / NS_PER_SECOND
         inside = phase.began, phase.ended
         delays = [
-            delay / SECOND for at, delay in checker.order.delays if inside[0] <= at < inside[1]
+            delay / NS_PER_SECOND
+            for at, delay in checker.order.delays
+            if inside[0] <= at < inside[1]
         ]
         caught = [
-            delay / SECOND for at, delay in checker.order.caught if inside[0] <= at < inside[1]
+            delay / NS_PER_SECOND
+            for at, delay in checker.order.catch_ups
+            if inside[0] <= at < inside[1]
         ]
         hollow = {name: value for name, value in phase.cpu.items() if name.startswith("host")}
         machines = [
@@ -732,9 +784,11 @@
     return told
 
 
-def starved(run: Run, phase: Phase | None = None) -> float:
-    """ms: what the worst lag of a second of a host was over in one of a hundred, in that phase, or
-    from the first one on: before it nothing is measured, and all hosts begin at once.
+def host_lag_ms(run: Run, phase: Phase | None = None) -> float:
+    """Returns the 99th percentile of the largest lag in each second of each host, in ms.
+
+    Without a phase it covers all phases. Before the first one nothing is measured, and all hosts
+    start at once.
     """
     began, ended = (
         (phase.began, phase.ended)
@@ -752,7 +806,8 @@
     )
 
 
-def played(setting: Setting, say: Callable[[str], None]) -> tuple[Run, Checker]:
+def play_run(setting: Setting, say: Callable[[str], None]) -> tuple[Run, Checker]:
+    """Runs a setting in a temporary folder."""
     with tempfile.TemporaryDirectory() as folder:
         run = Run(setting, Path(folder), say)
         return run, asyncio.run(run.play())  # at SIGINT all processes are ended in order
@@ -816,7 +871,7 @@
     patience: float,
     most: float,
 ) -> None:
-    """Hollow servers beside real ones, with faults, and a checker that watches."""
+    """Runs hollow and real servers with faults and checks the events."""
     began = time.monotonic()
     setting = Setting(
         servers,
@@ -837,7 +892,7 @@
         fleet=fleet,
         opening=opening,
     )
-    story, checker = played(
+    story, checker = play_run(
         setting,
         lambda what: print(
             f"{time.monotonic() - began:6.1f} s  {what}", file=sys.stderr, flush=True
@@ -845,12 +900,12 @@
     )
     for line in table(story, checker):
         print(line)
-    order, sums = checker.order, checker.sums
+    order, sums = checker.order, checker.shared_calls
     if story.skipped:
         print(f"\nnot run, since there was no time: {', '.join(story.skipped)}")
     print(
         f"\nchanges put {len(order.put)}, taken {order.applied}, wholes {order.synced}, late {order.late}, contents compared "
-        f"{checker.contents.looked_at}; most shared out {sums.worst:.3f} of the total"
+        f"{checker.contents.compared}; most shared out {sums.worst:.3f} of the total"
     )
     for what in ("added", "added_calling"):
         whole = None
@@ -866,8 +921,8 @@
             )
     asker = percentile(story.lags, 0.99)
     print(
-        f"lag of who asks them, 99 in 100: {asker:.2f} ms, {ASKER_LAG_MOST:g} allowed"
-        f"{'' if asker <= ASKER_LAG_MOST else ': TOO BUSY, what they add counts for nothing'}"
+        f"lag of who asks them, 99 in 100: {asker:.2f} ms, {MAX_OWN_LAG_MS:g} allowed"
+        f"{'' if asker <= MAX_OWN_LAG_MS else ': TOO BUSY, what they add counts for nothing'}"
     )
     print(f"four rules: {dict(story.rules.counts)} {story.rules.violations[:3]}")
     print(f"hosts' faults: {story.faults[:3]}")
@@ -876,12 +931,12 @@
         f"cores used by the run itself: {sum(story.own) / max(1, len(story.own)):.2f} in the mean"
     )
     print(
-        f"lag of the hosts' loops, 99 in 100 seconds: {starved(story):.0f} ms, {LAG_MOST:.0f} allowed; other load {other:.1f} cores"
+        f"lag of the hosts' loops, 99 in 100 seconds: {host_lag_ms(story):.0f} ms, {MAX_HOST_LAG_MS:.0f} allowed; other load {other:.1f} cores"
     )
-    if starved(story) > LAG_MOST:
+    if host_lag_ms(story) > MAX_HOST_LAG_MS:
         print("TOO BUSY: the hosts were starved; this run counts for nothing")
     print(f"faults: {checker.faults.count}")
-    for fault in checker.faults.told[:20]:
+    for fault in checker.faults.texts[:20]:
         print(f"  {fault}")
 
 
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -11,8 +11,8 @@
 import pytest
 from hollow_hosts import KEY, Hosts, clock, spread
 from rig import ROOT, wait_until  # first: it has the benchmarks found
-from scale_checker import SECOND, Budget, Checker, Contents, Faults, digest_of, worst_rate
-from scale_run import Setting, played
+from scale_checker import NS_PER_SECOND, Budget, Checker, Contents, Faults, digest_of, worst_rate
+from scale_run import Setting, play_run
 
 from burlloom.lab.distances import Cut, lay_out_servers, make_place
 
@@ -26,48 +26,58 @@
     told = [
         event
         for at in range(10)
-        for event in ([at, f"h{at}", "began", "fleet", 1], [SECOND + at, f"h{at}", "share", 3000])
+        for event in (
+            [at, f"h{at}", "began", "fleet", 1],
+            [NS_PER_SECOND + at, f"h{at}", "share", 3000],
+        )
+    ]
+    return [
+        *told,
+        [3 * NS_PER_SECOND, "h1", "share", 2000],
+        [4 * NS_PER_SECOND, "h2", "share", 4000],
     ]
-    return [*told, [3 * SECOND, "h1", "share", 2000], [4 * SECOND, "h2", "share", 4000]]
 
 
 def test_shares_that_add_up():
     found = Checker(TOTAL).check(shares())
     assert found.faults.count == 0
-    assert found.sums.worst == 1.0
+    assert found.shared_calls.worst == 1.0
 
 
 @pytest.mark.parametrize(
     "planted",
     [
-        [[5 * SECOND, "h3", "share", 6000]],
+        [[5 * NS_PER_SECOND, "h3", "share", 6000]],
         [
-            [2 * SECOND, "h1", "stands", "fleet", 9.0],
-            [2 * SECOND + 1, "h2", "share", 6000],
+            [2 * NS_PER_SECOND, "h1", "stands", "fleet", 9.0],
+            [2 * NS_PER_SECOND + 1, "h2", "share", 6000],
         ],  # its calls are still there
-        [[2 * SECOND, "h11", "share", 3000]],
+        [[2 * NS_PER_SECOND, "h11", "share", 3000]],
     ],
 )
 def test_a_share_given_twice_is_caught(planted: list[list[Any]]):
     found = Checker(TOTAL).check(shares() + planted)
     assert found.faults.count == 1
-    assert "shared out" in found.faults.told[0]
+    assert "shared out" in found.faults.texts[0]
 
 
 @pytest.mark.parametrize(
     "well",
     [
-        [[5 * SECOND, "h1", "ended", "fleet", 0], [5 * SECOND + 1, "h2", "share", 6000]],
         [
-            [5 * SECOND, "h1", "stands", "fleet", 20.0],
-            [12 * SECOND, "h2", "share", 6000],
-            [25 * SECOND, "h1", "wakes", "fleet", 0],
-            [25 * SECOND + 1, "h1", "share", 0],
+            [5 * NS_PER_SECOND, "h1", "ended", "fleet", 0],
+            [5 * NS_PER_SECOND + 1, "h2", "share", 6000],
+        ],
+        [
+            [5 * NS_PER_SECOND, "h1", "stands", "fleet", 20.0],
+            [12 * NS_PER_SECOND, "h2", "share", 6000],
+            [25 * NS_PER_SECOND, "h1", "wakes", "fleet", 0],
+            [25 * NS_PER_SECOND + 1, "h1", "share", 0],
         ],
     ],
 )
 def test_what_was_given_up_may_be_given_again(well: list[list[Any]]):
-    assert Checker(TOTAL).check(shares() + well).faults.told == []
+    assert Checker(TOTAL).check(shares() + well).faults.texts == []
 
 
 def changes(servers: int = 4, count: int = 20) -> list[list[Any]]:
@@ -76,13 +86,13 @@
     for at in range(servers):
         told += [[at, f"h{at}", "began", "follower", 1], [at + 10, f"h{at}", "synced", 1, 0]]
     for revision in range(1, count + 1):
-        now = revision * SECOND
+        now = revision * NS_PER_SECOND
         told.append([now, "run", "put", 1, revision, f"d{revision}"])
         told += [
-            [now + SECOND // 10 + at, f"h{at}", "applied", 1, revision, f"d{revision}"]
+            [now + NS_PER_SECOND // 10 + at, f"h{at}", "applied", 1, revision, f"d{revision}"]
             for at in range(servers)
         ]
-    return [*told, [200 * SECOND, "run", "nothing"]]
+    return [*told, [200 * NS_PER_SECOND, "run", "nothing"]]
 
 
 def without(events: list[list[Any]], name: str, *revisions: int) -> list[list[Any]]:
@@ -95,19 +105,19 @@
 
 def test_changes_in_order():
     found = Checker().check(changes())
-    assert found.faults.told == []
+    assert found.faults.texts == []
     assert (found.order.applied, len(found.order.delays), found.order.late) == (80, 80, 0)
-    assert max(delay for _, delay in found.order.delays) == SECOND // 10 + 3
+    assert max(delay for _, delay in found.order.delays) == NS_PER_SECOND // 10 + 3
 
 
 def test_a_lost_change_is_caught():
     """In the middle, by the next one; at the end, as it is never in force."""
-    assert Checker().check(without(changes(), "h2", 7)).faults.told == [
+    assert Checker().check(without(changes(), "h2", 7)).faults.texts == [
         "8.100: h2 applies 1/8 after 6: and lost 1 before it"
     ]
     found = Checker().check(without(changes(), "h2", 20)).faults
     assert found.count == 1
-    assert "h2 never has 1/20 in force" in found.told[0]
+    assert "h2 never has 1/20 in force" in found.texts[0]
 
 
 def test_a_change_out_of_order_is_caught():
@@ -115,11 +125,11 @@
     found = Checker().check(
         [
             *told,
-            [8 * SECOND + SECOND // 2, "h1", "applied", 1, 8, "d8"],
-            [8 * SECOND + SECOND // 2 + 1, "h1", "applied", 1, 7, "d7"],
+            [8 * NS_PER_SECOND + NS_PER_SECOND // 2, "h1", "applied", 1, 8, "d8"],
+            [8 * NS_PER_SECOND + NS_PER_SECOND // 2 + 1, "h1", "applied", 1, 7, "d7"],
         ]
     )
-    assert [fault.split(": ", 1)[1] for fault in found.faults.told][:2] == [
+    assert [fault.split(": ", 1)[1] for fault in found.faults.texts][:2] == [
         "h1 applies 1/8 after 6: and lost 1 before it",
         "h1 applies 1/7 after 8: out of order",
     ]
@@ -127,45 +137,51 @@
 
 def test_a_change_twice_altered_or_from_nobody_is_caught():
     for event, word in (
-        ([3 * SECOND + SECOND // 2, "h1", "applied", 1, 3, "d3"], "out of order"),
-        ([21 * SECOND, "h1", "applied", 1, 21, "d21"], "nobody put"),
+        ([3 * NS_PER_SECOND + NS_PER_SECOND // 2, "h1", "applied", 1, 3, "d3"], "out of order"),
+        ([21 * NS_PER_SECOND, "h1", "applied", 1, 21, "d21"], "nobody put"),
     ):
-        assert word in Checker().check([*changes(), event]).faults.told[0]
+        assert word in Checker().check([*changes(), event]).faults.texts[0]
     told = without(changes(), "h1", 20)
     assert (
         "something else"
         in Checker()
-        .check([*told, [20 * SECOND + 9, "h1", "applied", 1, 20, "other"]])
-        .faults.told[0]
+        .check([*told, [20 * NS_PER_SECOND + 9, "h1", "applied", 1, 20, "other"]])
+        .faults.texts[0]
     )
     # What is not for a server comes without its body.
-    assert Checker().check([*told, [20 * SECOND + 9, "h1", "applied", 1, 20, ""]]).faults.told == []
+    assert (
+        Checker().check([*told, [20 * NS_PER_SECOND + 9, "h1", "applied", 1, 20, ""]]).faults.texts
+        == []
+    )
 
 
 def test_a_change_that_is_late_is_caught_unless_the_server_was_out_of_reach():
-    late = [*without(changes(), "h1", 20), [27 * SECOND, "h1", "applied", 1, 20, "d20"]]
-    assert "7.00 s after" in Checker().check(late).faults.told[0]
-    out = [[19 * SECOND + SECOND // 2, "h1", "cut"], [26 * SECOND, "h1", "healed"]]
+    late = [*without(changes(), "h1", 20), [27 * NS_PER_SECOND, "h1", "applied", 1, 20, "d20"]]
+    assert "7.00 s after" in Checker().check(late).faults.texts[0]
+    out = [
+        [19 * NS_PER_SECOND + NS_PER_SECOND // 2, "h1", "cut"],
+        [26 * NS_PER_SECOND, "h1", "healed"],
+    ]
     found = Checker().check(late + out)
-    assert found.faults.told == []
-    assert found.order.caught[-1] == (26 * SECOND, SECOND)
+    assert found.faults.texts == []
+    assert found.order.catch_ups[-1] == (26 * NS_PER_SECOND, NS_PER_SECOND)
     never = Checker().check([*without(changes(), "h1", 20), *out])
-    assert "never caught up" in never.faults.told[0]
+    assert "never caught up" in never.faults.texts[0]
 
 
 def test_a_new_life_begins_with_a_whole():
     told = without(changes(), "h1", *range(5, 21))
     life = [
-        [5 * SECOND, "h1", "ended", "follower", 0],
-        [9 * SECOND + 1, "h1", "began", "follower", 2],
-        [10 * SECOND, "h1", "synced", 1, 9],
+        [5 * NS_PER_SECOND, "h1", "ended", "follower", 0],
+        [9 * NS_PER_SECOND + 1, "h1", "began", "follower", 2],
+        [10 * NS_PER_SECOND, "h1", "synced", 1, 9],
     ]
     rest = [
         event
         for event in changes()
         if event[1] == "h1" and event[2] == "applied" and event[4] >= 10
     ]
-    assert Checker().check(told + life + rest).faults.told == []
+    assert Checker().check(told + life + rest).faults.texts == []
 
 
 def test_contents_and_budgets():
@@ -176,14 +192,14 @@
     contents.event(1, "h1", "holds", ("region:0", digest_of([b"a"])))
     assert faults.count == 1
     told = [
-        [at * SECOND, "server1", "process", at * 0.05 if at > 20 else 1.0, 2**20]
+        [at * NS_PER_SECOND, "server1", "process", at * 0.05 if at > 20 else 1.0, 2**20]
         for at in range(0, 60)
     ]
     found = Checker(budgets={"server": Budget()}).check(told)
     assert found.faults.count == 1
-    assert "server1: 50.0 ms of processor time a second over 10 s" in found.faults.told[0]
-    assert worst_rate([(0, 0.0), (SECOND, 5.0)], 10.0) == 5.0
-    heavy = [[at * SECOND, "server1", "traffic", at * 10_000] for at in range(20)] + [
+    assert "server1: 50.0 ms of processor time a second over 10 s" in found.faults.texts[0]
+    assert worst_rate([(0, 0.0), (NS_PER_SECOND, 5.0)], 10.0) == 5.0
+    heavy = [[at * NS_PER_SECOND, "server1", "traffic", at * 10_000] for at in range(20)] + [
         [0, "server2", "process", 0.0, 2**30]
     ]
     assert Checker(budgets={"server": Budget()}).check(heavy).faults.count == 2
@@ -227,7 +243,7 @@
         await wait_until(lambda: hosts.facts().get("share", 0) >= 0.95 * terms["total_millicalls"])
         began = clock()
         hosts.tell_names("kill", ["h3", "h4"])
-        await wait_until(lambda: hosts.up() == count - 2 and clock() - began > 2 * SECOND)
+        await wait_until(lambda: hosts.up() == count - 2 and clock() - began > 2 * NS_PER_SECOND)
         hosts.tell_names("start", ["h3", "h4"])
         await wait_until(
             lambda: (
@@ -242,8 +258,8 @@
 
 def test_hollow_servers_share_out_calls(tmp_path: Path):
     found = asyncio.run(fleet_of_hollow_servers(tmp_path, ("-m", "burlloom.lab.hollow")))
-    assert found.faults.told == []
-    assert 0.95 <= found.sums.worst <= 1.05
+    assert found.faults.texts == []
+    assert 0.95 <= found.shared_calls.worst <= 1.05
 
 
 def test_hollow_servers_whose_dealer_gives_twice_are_caught(tmp_path: Path):
@@ -251,7 +267,7 @@
         fleet_of_hollow_servers(tmp_path, (str(ROOT / "tests" / "planted_host.py"), "share"))
     )
     assert found.faults.count > 0
-    assert "shared out" in found.faults.told[0]
+    assert "shared out" in found.faults.texts[0]
 
 
 # Nothing here is judged by the clock: what is in force within a minute, or answered, is not late on
@@ -274,14 +290,14 @@
 
 
 def test_the_small_form_of_the_scale_run():
-    run, found = played(SMALL, print)
-    assert found.faults.told == []
+    run, found = play_run(SMALL, print)
+    assert found.faults.texts == []
     assert run.faults == []
     assert run.rules.violations == []
-    assert found.contents.looked_at == 60
+    assert found.contents.compared == 60
     assert found.order.applied > 100
-    assert found.order.caught
-    assert found.sums.worst > 0.5
+    assert found.order.catch_ups
+    assert found.shared_calls.worst > 0.5
     assert sum(real.settled for real in run.reals) > 0
     assert len(run.configured) == 2
     assert all(run.configured.values())
@@ -289,12 +305,12 @@
 
 @pytest.mark.parametrize(("plant", "word"), [("gap", "lost"), ("content", "something else")])
 def test_a_run_with_a_planted_fault_is_caught(plant: str, word: str):
-    _, found = played(
+    _, found = play_run(
         replace(PLANT, main=(str(ROOT / "tests" / "planted_host.py"), plant), patience=5.0), print
     )
-    assert any(word in fault for fault in found.faults.told)
+    assert any(word in fault for fault in found.faults.texts)
 
 
 def test_the_same_run_without_one_passes():
-    _, found = played(PLANT, print)
-    assert found.faults.told == []
+    _, found = play_run(PLANT, print)
+    assert found.faults.texts == []
