--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -139,7 +139,7 @@
             )
         ]
         by_region = [
-            [split_address for split_address in zones if split_address[0] == region]
+            [location for location in zones if location[0] == region]
             for region in range(len(ZONES))
         ]
         region = by_region[at % len(ZONES)]
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,6 +1,4 @@
-"""The scale run's checker notices what is planted, and its small form passes: hollow servers beside
-real ones.
-"""
+"""The checker of the scale run reports planted faults, and a small scale run passes."""
 
 import asyncio
 import json
@@ -20,8 +18,9 @@
 
 
 def shares() -> list[list[Any]]:
-    """Ten servers that begin one after the other and are given three calls each; one gives up one
-    for another.
+    """Returns events of ten servers with a share of three calls each.
+
+    One server gives up a call, which another server then gets.
     """
     told = [
         event
@@ -38,7 +37,7 @@
     ]
 
 
-def test_shares_that_add_up():
+def test_shares_up_to_the_total_pass():
     found = Checker(TOTAL).check(shares())
     assert found.faults.count == 0
     assert found.shared_calls.worst == 1.0
@@ -51,11 +50,11 @@
         [
             [2 * NS_PER_SECOND, "h1", "stands", "fleet", 9.0],
             [2 * NS_PER_SECOND + 1, "h2", "share", 6000],
-        ],  # its calls are still there
+        ],  # the calls of a paused server still count
         [[2 * NS_PER_SECOND, "h11", "share", 3000]],
     ],
 )
-def test_a_share_given_twice_is_caught(planted: list[list[Any]]):
+def test_shares_above_the_total_are_reported(planted: list[list[Any]]):
     found = Checker(TOTAL).check(shares() + planted)
     assert found.faults.count == 1
     assert "shared out" in found.faults.texts[0]
@@ -76,12 +75,12 @@
         ],
     ],
 )
-def test_what_was_given_up_may_be_given_again(well: list[list[Any]]):
+def test_a_share_that_was_given_up_may_be_granted_again(well: list[list[Any]]):
     assert Checker(TOTAL).check(shares() + well).faults.texts == []
 
 
 def changes(servers: int = 4, count: int = 20) -> list[list[Any]]:
-    """A change a second, in force on all of them a tenth later."""
+    """Returns events of one change per second, in force on all servers 0.1 s later."""
     told = []
     for at in range(servers):
         told += [[at, f"h{at}", "began", "follower", 1], [at + 10, f"h{at}", "synced", 1, 0]]
@@ -96,6 +95,7 @@
 
 
 def without(events: list[list[Any]], name: str, *revisions: int) -> list[list[Any]]:
+    """Returns the events without these changes on a server."""
     return [
         event
         for event in events
@@ -103,15 +103,15 @@
     ]
 
 
-def test_changes_in_order():
+def test_changes_applied_in_order_pass():
     found = Checker().check(changes())
     assert found.faults.texts == []
     assert (found.order.applied, len(found.order.delays), found.order.late) == (80, 80, 0)
     assert max(delay for _, delay in found.order.delays) == NS_PER_SECOND // 10 + 3
 
 
-def test_a_lost_change_is_caught():
-    """In the middle, by the next one; at the end, as it is never in force."""
+def test_a_lost_change_is_reported():
+    """The next change shows a loss; the loss of the last one shows because it is never in force."""
     assert Checker().check(without(changes(), "h2", 7)).faults.texts == [
         "8.100: h2 applies 1/8 after 6: and lost 1 before it"
     ]
@@ -120,7 +120,7 @@
     assert "h2 never has 1/20 in force" in found.texts[0]
 
 
-def test_a_change_out_of_order_is_caught():
+def test_a_change_out_of_order_is_reported():
     told = without(changes(), "h1", 7, 8)
     found = Checker().check(
         [
@@ -135,7 +135,7 @@
     ]
 
 
-def test_a_change_twice_altered_or_from_nobody_is_caught():
+def test_a_repeated_altered_or_unknown_change_is_reported():
     for event, word in (
         ([3 * NS_PER_SECOND + NS_PER_SECOND // 2, "h1", "applied", 1, 3, "d3"], "out of order"),
         ([21 * NS_PER_SECOND, "h1", "applied", 1, 21, "d21"], "nobody put"),
@@ -148,14 +148,14 @@
         .check([*told, [20 * NS_PER_SECOND + 9, "h1", "applied", 1, 20, "other"]])
         .faults.texts[0]
     )
-    # What is not for a server comes without its body.
+    # A change that is not for a server arrives without its body.
     assert (
         Checker().check([*told, [20 * NS_PER_SECOND + 9, "h1", "applied", 1, 20, ""]]).faults.texts
         == []
     )
 
 
-def test_a_change_that_is_late_is_caught_unless_the_server_was_out_of_reach():
+def test_a_late_change_is_reported_unless_the_server_was_cut_off():
     late = [*without(changes(), "h1", 20), [27 * NS_PER_SECOND, "h1", "applied", 1, 20, "d20"]]
     assert "7.00 s after" in Checker().check(late).faults.texts[0]
     out = [
@@ -169,7 +169,7 @@
     assert "never caught up" in never.faults.texts[0]
 
 
-def test_a_new_life_begins_with_a_whole():
+def test_a_new_incarnation_begins_with_a_sync():
     told = without(changes(), "h1", *range(5, 21))
     life = [
         [5 * NS_PER_SECOND, "h1", "ended", "follower", 0],
@@ -184,7 +184,7 @@
     assert Checker().check(told + life + rest).faults.texts == []
 
 
-def test_contents_and_budgets():
+def test_wrong_contents_and_exceeded_budgets_are_reported():
     faults = Faults()
     contents = Contents({"region:0": digest_of([b"b", b"a"])}, faults)
     contents.event(1, "h0", "holds", ("region:0", digest_of([b"a", b"b"])))
@@ -205,7 +205,7 @@
     assert Checker(budgets={"server": Budget()}).check(heavy).faults.count == 2
 
 
-def test_cuts_of_groups():
+def test_a_cut_blocks_one_or_both_directions_between_groups():
     one, same, far = make_place("a", 0, 0, 0), make_place("b", 0, 0, 1), make_place("c", 2, 7, 0)
     away = Cut(frozenset({"zone:0"}))
     assert away.blocks(one, far)
@@ -220,6 +220,7 @@
 
 
 def read(folder: Path) -> list[list[Any]]:
+    """Returns the events of all files in a folder."""
     return [
         json.loads(line)
         for path in folder.glob("*.jsonl")
@@ -228,8 +229,10 @@
 
 
 async def fleet_of_hollow_servers(folder: Path, main: tuple[str, ...], count: int = 12) -> Checker:
-    """In two processes; the one that deals is the first. Some give up calls, and others want
-    them.
+    """Runs a fleet in two host processes and returns the checker of its events.
+
+    The first member is the allocator. Two members are killed and started again, so that shares are
+    withdrawn and granted again.
     """
     places = lay_out_servers(count)
     terms = {"total_millicalls": 2000 * count, "min_members": count // 2 + 1}
@@ -256,13 +259,13 @@
     return Checker(terms["total_millicalls"]).check(read(folder))
 
 
-def test_hollow_servers_share_out_calls(tmp_path: Path):
+def test_hollow_servers_share_a_quota(tmp_path: Path):
     found = asyncio.run(fleet_of_hollow_servers(tmp_path, ("-m", "burlloom.lab.hollow")))
     assert found.faults.texts == []
     assert 0.95 <= found.shared_calls.worst <= 1.05
 
 
-def test_hollow_servers_whose_dealer_gives_twice_are_caught(tmp_path: Path):
+def test_an_allocator_that_grants_too_much_is_reported(tmp_path: Path):
     found = asyncio.run(
         fleet_of_hollow_servers(tmp_path, (str(ROOT / "tests" / "planted_host.py"), "share"))
     )
@@ -270,8 +273,7 @@
     assert "shared out" in found.faults.texts[0]
 
 
-# Nothing here is judged by the clock: what is in force within a minute, or answered, is not late on
-# a busy machine.
+# Time limits are a minute and budgets are off, so that a busy machine does not fail the test.
 SMALL = Setting(
     servers=60,
     hosts=2,
@@ -289,7 +291,7 @@
 PLANT = replace(SMALL, servers=28, control=2, real=0, rate=5.0, only=("churn",))
 
 
-def test_the_small_form_of_the_scale_run():
+def test_a_small_scale_run_passes():
     run, found = play_run(SMALL, print)
     assert found.faults.texts == []
     assert run.faults == []
@@ -304,13 +306,13 @@
 
 
 @pytest.mark.parametrize(("plant", "word"), [("gap", "lost"), ("content", "something else")])
-def test_a_run_with_a_planted_fault_is_caught(plant: str, word: str):
+def test_a_planted_fault_is_reported(plant: str, word: str):
     _, found = play_run(
         replace(PLANT, main=(str(ROOT / "tests" / "planted_host.py"), plant), patience=5.0), print
     )
     assert any(word in fault for fault in found.faults.texts)
 
 
-def test_the_same_run_without_one_passes():
+def test_the_same_run_without_a_fault_passes():
     _, found = play_run(PLANT, print)
     assert found.faults.texts == []
