--- a/benchmarks/scale_callers.py
+++ b/benchmarks/scale_callers.py
@@ -1,10 +1,10 @@
-"""What connections of callers cost one server, idle and busy: memory and processor time.
+"""Measures memory and processor time of callers' connections at one server, idle and busy.
 
     python benchmarks/scale.py callers                    # 50 to 5,000 connections, some two minutes
 
-How many callers reach one server is arithmetic and no measurement: 140,000 callers over 2,600
-servers are 54 each if every caller holds one connection to one server; a caller that holds one to
-each of S servers makes that 54 times S.
+The number of callers of one server is computed, not measured: 140,000 callers over 2,600 servers
+are 54 each if every caller holds one connection to one server. If every caller holds one to each of
+S servers, it is 54 times S.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 CONNECTIONS = "50,200,500,1000,2500,5000"
 CALLERS, SERVERS = 140_000, 2_600
-SOCKETS = 20_000  # so that none is let go of because of others
+SOCKETS = 20_000  # so high that no connection is closed in favour of another
 SERVER: dict[str, Any] = {
     "n_cores": 32,
     "memory_kb": 400000,
@@ -37,13 +37,11 @@
     "drain_grace": 0,
     "stop_ms": 1500,
 }
-RATE = 200  # requests a second over all connections while they are busy
+RATE = 200  # requests per second over all connections while they are busy
 
 
-def held(pipe: Any, address: str, count: int) -> None:
-    """A process that holds so many connections, each with a request behind it, and says nothing
-    more.
-    """
+def hold_connections(pipe: Any, address: str, count: int) -> None:
+    """Holds connections open in a process; each has sent one request and is idle after that."""
     lines = []
     for _ in range(count):
         lines.append(Line(address))
@@ -54,9 +52,7 @@
 
 
 async def idle(count: int, span: float) -> tuple[float, float]:
-    """MB that a server holds more for so many silent connections, and ms of processor time a second
-    for them.
-    """
+    """Returns the memory in MB and the processor time in ms per second of idle connections."""
     with tempfile.TemporaryDirectory() as folder:
         rig = Rig(Path(folder), **SERVER)
         rig.executor.commands = Runs(rig.executor, Load(1, 1, work=0.0))  # type: ignore[assignment]
@@ -64,7 +60,7 @@
             pid = rig.process.pid
             await asyncio.sleep(0.5)
             memory, spent = status_mb(pid, "VmRSS"), await rate_of(pid, span)
-            holder, pipe = started(held, rig.address, count)
+            holder, pipe = started(hold_connections, rig.address, count)
             try:
                 await word_of(pipe, 60)
                 await asyncio.sleep(0.5)
@@ -76,15 +72,16 @@
 
 
 async def rate_of(pid: int, span: float) -> float:
-    """ms a second of its loop's thread."""
+    """Returns ms of processor time per second of the server's event loop thread."""
     before, began = main_thread_ns(pid), time.perf_counter()
     await asyncio.sleep(span)
     return (main_thread_ns(pid) - before) / 1e6 / (time.perf_counter() - began)
 
 
 async def busy(count: int, span: float) -> tuple[float, float]:
-    """MB that a server holds more, and ms of processor time a request, while requests go round all
-    connections.
+    """Returns the memory in MB of busy connections and the processor time in ms per request.
+
+    Requests are sent over all connections in turn.
     """
     with tempfile.TemporaryDirectory() as folder:
         rig = Rig(Path(folder), **SERVER)
@@ -131,7 +128,7 @@
     help="The file of kept rows.",
 )
 def callers(sizes: tuple[int, ...], seconds: float, dry: bool, to: Path) -> None:
-    """What connections of callers cost one server."""
+    """Measures what connections of callers cost one server."""
     still, working = [], []
     for count in track(sizes, "callers", console=TOLD):
         still.append(uvloop.run(idle(count, seconds)))
--- a/benchmarks/scale_followers.py
+++ b/benchmarks/scale_followers.py
@@ -1,6 +1,7 @@
-"""What following configuration costs a server and the control machine that it follows, on sockets:
-hollow servers in two hosts, one control machine with the real core in a process of its own, so that
-/proc tells what it costs.
+"""Measures what following the configuration costs a server and a control machine, on sockets.
+
+The servers are hollow and run in two host processes. The control machine runs the real core in a
+process of its own, so that /proc shows its cost.
 
     python benchmarks/scale_followers.py --by followers [--keep]    # 25 to 400 of them, 0.4 changes a second
     python benchmarks/scale_followers.py --by changes [--keep]      # 0.4 to 8 a second, 100 followers
@@ -24,21 +25,23 @@
 from burlloom.lab.slopes import Row, append_row, describe_fit, fit  # noqa: E402
 
 SIZES = {"followers": (25.0, 50.0, 100.0, 200.0, 400.0), "changes": (0.4, 1.0, 2.0, 4.0, 8.0)}
-# ms, after which a follower gives its upstream up: hosts that were later were starved, and count
-# for nothing.
-LAG_MOST = 3000.0
+# Time in ms after which a follower abandons its upstream. Hosts whose event loops were later lacked
+# processor time, and their figures are not valid.
+MAX_LAG_MS = 3000.0
 
 
-SECONDS = 12.0  # at rest, for which costs are taken
+REST_S = 12.0  # s at rest during which costs are measured
 
 
-async def waits(run: Run) -> None:
-    await asyncio.sleep(SECONDS)
+async def run_at_rest(run: Run) -> None:
+    """Runs without faults while costs are measured."""
+    await asyncio.sleep(REST_S)
 
 
-def measured(
+def measure(
     followers: int, rate: float, loss: float, entries: int, seed: int, state: str
 ) -> dict[str, Any]:
+    """Runs followers of one control machine and returns their figures."""
     setting = Setting(
         followers,
         2,
@@ -55,15 +58,14 @@
     )
     with tempfile.TemporaryDirectory() as folder:
         run = Run(setting, Path(folder), lambda what: None)
-        run.zone = []  # no fleet beside it
-        run.phase_list = [("start", start), ("rest", waits)]
+        run.zone = []  # without a fleet that shares a quota
+        run.phase_list = [("start", start), ("rest", run_at_rest)]
         checker = asyncio.run(run.play())
     phase: Phase = next(
-        one for one in run.phases if one.name == {"rest": "rest", "cold": "start"}[state]
+        played for played in run.phases if played.name == {"rest": "rest", "cold": "start"}[state]
     )
-    span = (
-        (phase.ended - phase.began) / NS_PER_SECOND if state == "rest" else 1.0
-    )  # a cold start is paid once
+    # The cost of a cold start is a total and not a rate.
+    span = (phase.ended - phase.began) / NS_PER_SECOND if state == "rest" else 1.0
     delays = [
         delay / NS_PER_SECOND
         for at, delay in checker.order.delays
@@ -99,29 +101,28 @@
 def followers(
     by: str, sizes: str, loss: float, entries: int, seed: int, state: str, kept: bool
 ) -> None:
-    """What following costs, by followers of one control machine or by changes a second."""
-    a = "/s" if state == "rest" else ""
+    """Measures the cost of following, by followers of a control machine or changes per second."""
+    per_second = "/s" if state == "rest" else ""
     print(
-        f"| {by} | a follower, ms{a} | B{a} | the control machine, ms{a} | kB{a} | its memory, MB | in force after, s: 99 in 100 | worst | "
+        f"| {by} | a follower, ms{per_second} | B{per_second} | the control machine, ms{per_second} | kB{per_second} | its memory, MB | in force after, s: 99 in 100 | worst | "
         "whole after, s: last | faults | lag of loops, ms |"
     )
     print("|" + " --- |" * 11)
-    found = []
-    for size in tuple(float(one) for one in sizes.split(",") if one) or SIZES[by]:
+    valid_figures = []
+    for size in tuple(float(size) for size in sizes.split(",") if size) or SIZES[by]:
         count, rate = (int(size), 0.4) if by == "followers" else (100, size)
-        got = measured(count, rate, loss, entries, seed, state)
+        figures = measure(count, rate, loss, entries, seed, state)
         print(
-            f"| {size:g} | {got['follower cpu']:.2f} | {got['follower bytes']:.0f} | {got['source cpu']:.1f} | {got['source bytes'] / 1000:.1f} | "
-            f"{got['source memory']:.0f} | {got['delay']:.2f} | {got['worst']:.2f} | {got['caught']:.1f} | {got['faults']} | {got['lag']:.0f}"
-            f"{'' if got['lag'] <= LAG_MOST else ' TOO BUSY, counts for nothing'} |",
+            f"| {size:g} | {figures['follower cpu']:.2f} | {figures['follower bytes']:.0f} | {figures['source cpu']:.1f} | {figures['source bytes'] / 1000:.1f} | "
+            f"{figures['source memory']:.0f} | {figures['delay']:.2f} | {figures['worst']:.2f} | {figures['caught']:.1f} | {figures['faults']} | {figures['lag']:.0f}"
+            f"{'' if figures['lag'] <= MAX_LAG_MS else ' TOO BUSY, counts for nothing'} |",
             flush=True,
         )
-        if got["lag"] <= LAG_MOST:
-            found.append((size, got))
+        if figures["lag"] <= MAX_LAG_MS:
+            valid_figures.append((size, figures))
     command = f"python benchmarks/scale_followers.py --by {by} --state {state} --entries {entries}"
-    of = {"followers": "followers", "changes": "changes a second"}[
-        by
-    ]  # as the page of capacity has it
+    # The names of the sizes in the tables of capacity.
+    size_name = {"followers": "followers", "changes": "changes a second"}[by]
     plain = {
         "followers": ("source cpu", "source bytes"),
         "changes": ("follower cpu", "follower bytes"),
@@ -132,8 +133,11 @@
         ("source cpu", "ms"),
         ("source bytes", "B"),
     ):
-        told = tuple(size for size, _ in found), tuple(float(got[name]) for _, got in found)
-        full = name if name in plain else f"{name} by {of}"
+        told = (
+            tuple(size for size, _ in valid_figures),
+            tuple(float(figures[name]) for _, figures in valid_figures),
+        )
+        full = name if name in plain else f"{name} by {size_name}"
         try:
             print(f"{full}: {describe_fit(fit(*told))}")
         except ValueError as error:
@@ -143,8 +147,8 @@
             append_row(
                 Row(
                     full,
-                    of,
-                    unit + a,
+                    size_name,
+                    unit + per_second,
                     state,
                     *told,
                     command,
--- a/benchmarks/scale_members.py
+++ b/benchmarks/scale_members.py
@@ -1,6 +1,7 @@
-"""What a member of a fleet costs on sockets, by how many servers the fleet has: hollow ones, in
-hosts of some forty, with the one that deals and one other alone in a process each, so that /proc
-tells what they cost.
+"""Measures what a member of a fleet costs on sockets, by the number of servers.
+
+The servers are hollow and run in host processes of some forty. The allocator and one other member
+run alone in a process each, so that /proc shows their cost.
 
     python benchmarks/scale_members.py --sizes 30,100,200,300,450,600 [--keep]
 """
@@ -21,20 +22,21 @@
 from burlloom.lab.distances import lay_out_servers  # noqa: E402
 from burlloom.lab.slopes import Row, append_row, describe_fit, fit  # noqa: E402
 
-# ms, what an answer to a probe may take; a host's loop that was later was starved, and counts for
-# nothing.
-LAG_MOST = 200.0
-SHARE = 4.0  # calls a server
-EACH = 5  # that begin at once, four times a second
-IN_HOST = 40
+# Time limit of an answer to a probe, in ms. A host whose event loop was later lacked processor time,
+# and its figures are not valid.
+MAX_LAG_MS = 200.0
+CALLS_PER_SERVER = 4.0  # quota in calls for each server
+MEMBERS_PER_START = 5  # members that start at once, four times a second
+MEMBERS_PER_HOST = 40
 
 
 def terms(size: int) -> dict[str, Any]:
-    """The defaults of the operator's file."""
-    return {"total_millicalls": int(SHARE * 1000 * size), "min_members": size // 2 + 1}
+    """Returns the quota settings, with the defaults of the operator's file."""
+    return {"total_millicalls": int(CALLS_PER_SERVER * 1000 * size), "min_members": size // 2 + 1}
 
 
-async def measured(size: int, seconds: float, settle: float, seed: int) -> dict[str, Any]:
+async def measure(size: int, seconds: float, settle: float, seed: int) -> dict[str, Any]:
+    """Runs a fleet of this size and returns its figures."""
     places = lay_out_servers(size)
     cores = {"fleet": {"key": KEY, "terms": terms(size), "seeds": []}}
     groups = [
@@ -42,7 +44,7 @@
         for group in (
             [places[0]],
             [places[1]],
-            *spread(places[2:], max(1, -(-(size - 2) // IN_HOST))),
+            *spread(places[2:], max(1, -(-(size - 2) // MEMBERS_PER_HOST))),
         )
     ]
     with tempfile.TemporaryDirectory() as folder:
@@ -51,8 +53,9 @@
             hosts.tell("places", places=hosts.places(), cores={"fleet": {"seeds": seeds}})
             hosts.tell_names("start", ["h0"])
             await asyncio.sleep(0.5)
-            for at in range(1, size, EACH):  # h0 has lived longest: it deals
-                hosts.tell_names("start", [one.name for one in places[at : at + EACH]])
+            # h0 has the oldest incarnation and is the allocator.
+            for at in range(1, size, MEMBERS_PER_START):
+                hosts.tell_names("start", [one.name for one in places[at : at + MEMBERS_PER_START]])
                 await asyncio.sleep(0.25)
             all_at = clock()
             agreed = float("nan")
@@ -77,7 +80,9 @@
     }
     plain = [told for name, told in own.items() if name != "h0/fleet"]
     mean = [sum(column) / len(plain) for column in zip(*plain, strict=True)]
-    many = sum(value for name, value in cpu.items() if name not in ("host0", "host1")) / (size - 2)
+    member_cpu = sum(value for name, value in cpu.items() if name not in ("host0", "host1")) / (
+        size - 2
+    )
     return {
         "size": size,
         "agreed": agreed,
@@ -89,13 +94,13 @@
         "dropped": facts.get("dropped", 0),
         "dealer_cpu": cpu["host0"],
         "one_cpu": cpu["host1"],
-        "member_cpu": many,
+        "member_cpu": member_cpu,
         "member_out": mean[1],
         "member_in": mean[3],
         "dealer_out": own["h0/fleet"][1],
         "dealer_in": own["h0/fleet"][3],
         "dealer_kb": last["host0"][1] / 1024,
-        "counted": lag <= LAG_MOST,
+        "counted": lag <= MAX_LAG_MS,
     }
 
 
@@ -113,27 +118,27 @@
 )
 @click.option("--keep", "kept", is_flag=True, help="append the slopes to the kept ones")
 def members(sizes: str, seconds: float, settle: float, seed: int, side: str, kept: bool) -> None:
-    """What a member costs on sockets, by how many servers there are."""
+    """Measures what a member costs on sockets, by the number of servers."""
     print(
         "| servers | all agree after the last began, s | views at the end | who holds a share | mean share, calls | a member, ms/s | "
         "alone in a process | who deals, ms/s | a member sends, B/s | gets, B/s | who deals sends | gets | its memory, MB | "
         "lag of loops, ms |"
     )
     print("|" + " --- |" * 14)
-    found = []
+    all_figures = []
     for size in map(int, sizes.split(",")):
-        got = asyncio.run(measured(size, seconds, settle, seed))
-        found.append(got)
+        figures = asyncio.run(measure(size, seconds, settle, seed))
+        all_figures.append(figures)
         print(
-            f"| {size} | {got['agreed']:.1f} | {got['views']} | {got['holding']:.0f} | {got['share']:.2f} | {got['member_cpu']:.2f} | "
-            f"{got['one_cpu']:.1f} | {got['dealer_cpu']:.1f} | {got['member_out']:.0f} | "
-            f"{got['member_in']:.0f} | {got['dealer_out']:.0f} | {got['dealer_in']:.0f} | {got['dealer_kb'] / 1024:.0f} | {got['lag']:.0f}"
-            f"{'' if got['counted'] else ' TOO BUSY, counts for nothing'} |",
+            f"| {size} | {figures['agreed']:.1f} | {figures['views']} | {figures['holding']:.0f} | {figures['share']:.2f} | {figures['member_cpu']:.2f} | "
+            f"{figures['one_cpu']:.1f} | {figures['dealer_cpu']:.1f} | {figures['member_out']:.0f} | "
+            f"{figures['member_in']:.0f} | {figures['dealer_out']:.0f} | {figures['dealer_in']:.0f} | {figures['dealer_kb'] / 1024:.0f} | {figures['lag']:.0f}"
+            f"{'' if figures['counted'] else ' TOO BUSY, counts for nothing'} |",
             flush=True,
         )
-        for fault in got["faults"][:3]:
+        for fault in figures["faults"][:3]:
             print(f"fault: {fault}")
-    good = [got for got in found if got["counted"]]
+    valid_figures = [figures for figures in all_figures if figures["counted"]]
     command = "python benchmarks/scale_members.py --sizes " + shlex.quote(sizes)
     for name, key, unit in (
         ("hollow member cpu", "member_cpu", "ms/s"),
@@ -141,7 +146,10 @@
         ("hollow member bytes out", "member_out", "B/s"),
         ("hollow dealer bytes out", "dealer_out", "B/s"),
     ):
-        told = tuple(float(got["size"]) for got in good), tuple(float(got[key]) for got in good)
+        told = (
+            tuple(float(figures["size"]) for figures in valid_figures),
+            tuple(float(figures[key]) for figures in valid_figures),
+        )
         try:
             print(f"{name}: {describe_fit(fit(*told))}")
         except ValueError as error:
--- a/benchmarks/scale_servers.py
+++ b/benchmarks/scale_servers.py
@@ -1,9 +1,9 @@
-"""What control costs by servers: a plain member, the one that deals, a newcomer, a release,
-agreement, discovery.
+"""Measures what control costs by the number of servers.
 
-Processor time is that of the member's own `tick` and `hear`; bytes are of the messages, without the
-28 that IP and UDP add to each. One real member stands among scripted peers (scale_crowd.py);
-agreement and cold starts play whole swarms of real members in simulated time.
+Measured are a plain member, the allocator, a newcomer, a release, the time until all members agree,
+and discovery. Processor time is that of the member's own `tick` and `receive`. Bytes are those of
+the messages, without the 28 that IP and UDP add to each. One real member runs among scripted peers
+(scale_crowd.py); for agreement and cold starts, swarms of real members run in simulated time.
 """
 
 import asyncio
@@ -54,16 +54,18 @@
 from burlloom.fleet.messages import Message, MessageKind, decode, encode
 from burlloom.lab.slopes import Row, append_row, describe_fit, fit
 from burlloom.rollout import DisruptionBudget, RolloutState, ServerReport
-from burlloom.rollout import agent as hand
+from burlloom.rollout import agent as agent_module
 from burlloom.rollout.stores import decode_state, encode_state
 from burlloom.rollout.stores.sqlite import SqliteRolloutStore
 
 SIZES = (30, 100, 300, 600, 1000, 1500, 2600)
-BUDGETS = {"ms/s": 37.0, "B/s": 9000.0, "MB": 128.0}  # of a server for all of its control
+BUDGETS = {"ms/s": 37.0, "B/s": 9000.0, "MB": 128.0}  # limits of a server for all of its control
 SPANS = 5
-EVENTS_LEAST = 16  # restarts and deaths that a run with churn sees on the mean
-PAST = "a view ends at 1,000 (MEMBERS_MOST); past that the bound is raised in the benchmark alone"
-PLACE = (
+MIN_EVENTS = 16  # mean number of restarts and deaths in a run with churn
+VIEW_LIMIT_NOTE = (
+    "a view ends at 1,000 (MEMBERS_MOST); past that the bound is raised in the benchmark alone"
+)
+MEMBER_NOTE = (
     "one real member among scripted peers in simulated time, a tick each 50 ms, default terms (round 200 ms);"
     " all sizes measured; "
 )
@@ -71,7 +73,7 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """A row without its values, which a size gives."""
+    """A row without sizes and values: name and unit of a cost, state and note."""
 
     name: str
     unit: str
@@ -79,29 +81,33 @@
     note: str
 
 
-Found = dict[Slope, float]
-Part = Callable[[int, str], Found]
-PARTS: dict[str, tuple[Part, tuple[int, ...], tuple[str, ...]]] = {}
+Costs = dict[Slope, float]
+Measurement = Callable[[int, str], Costs]
+PARTS: dict[str, tuple[Measurement, tuple[int, ...], tuple[str, ...]]] = {}
 
 
 def part(
     name: str, sizes: tuple[int, ...] = SIZES, states: tuple[str, ...] = ("rest", "churn")
-) -> Callable[[Part], Part]:
-    def put(what: Part) -> Part:
+) -> Callable[[Measurement], Measurement]:
+    """Registers a function that measures costs, with its sizes and states."""
+
+    def put(what: Measurement) -> Measurement:
         PARTS[name] = what, sizes, states
         return what
 
     return put
 
 
-def play(crowd: Crowd, warm: float, seconds: float) -> Tally:
-    """What the real member did in the seconds after the first `warm`; without churn, its processor
-    time is the median of five spans, as that of a busy machine's core comes in bursts.
+def run_crowd(crowd: Crowd, warm: float, seconds: float) -> Tally:
+    """Returns what the real member did in `seconds` after a warm-up of `warm` s.
+
+    Without churn its processor time is the median of five spans, because the time of a busy core
+    comes in bursts.
     """
     crowd.run(warm)
     crowd.tally, crowd.events, costs = Tally(), 0, []
     gc.collect()
-    gc.freeze()  # what the scripted peers are made of is not walked on the member's time
+    gc.freeze()  # garbage collections in the member's time then skip the scripted peers
     try:
         for _ in range(SPANS):
             before = crowd.tally.cpu_ns
@@ -114,31 +120,32 @@
     return crowd.tally
 
 
-def yardstick() -> float:
-    """ms of processor time for a million squares: how fast a core was meanwhile."""
+def reference_cost_ms() -> float:
+    """Returns ms of processor time for a million squares, to show the speed of a core."""
     began, total = thread_time_ns(), 0
     for number in range(1_000_000):
         total += number * number
     return (thread_time_ns() - began) / 1e6
 
 
-def spans(size: int, state: str, least: float) -> tuple[float, float]:
-    """Churn a server a second, and how long to look for some of it."""
+def churn_and_duration_s(size: int, state: str, least: float) -> tuple[float, float]:
+    """Returns churn per server and second, and how many seconds to run for enough of it."""
     churn = RESTARTS + DEATHS if state == "churn" else 0.0
-    return churn, max(least, EVENTS_LEAST / (churn * size)) if churn else least
+    return churn, max(least, MIN_EVENTS / (churn * size)) if churn else least
 
 
-CHURN = (
+CHURN_NOTE = (
     "churn: 11,000 restarts and 740 deaths a day over 2,600 servers, in proportion; news among scripted peers by"
     " the rules"
 )
 
 
 @part("member")
-def member(size: int, state: str) -> Found:
-    churn, seconds = spans(size, state, 30.0)
-    tally = play(Crowd(size, size // 2, churn=churn), 5.0, seconds)
-    note = PLACE + PAST + (f"; {CHURN}" if churn else "")
+def member(size: int, state: str) -> Costs:
+    """Measures a plain member."""
+    churn, seconds = churn_and_duration_s(size, state, 30.0)
+    tally = run_crowd(Crowd(size, size // 2, churn=churn), 5.0, seconds)
+    note = MEMBER_NOTE + VIEW_LIMIT_NOTE + (f"; {CHURN_NOTE}" if churn else "")
     return {
         Slope("member cpu", "ms/s", state, note): tally.cpu_ns / 1e6 / seconds,
         Slope("member bytes", "B/s", state, note + "; sent and received"): (
@@ -153,14 +160,15 @@
 
 
 @part("dealer")
-def dealer(size: int, state: str) -> Found:
-    churn, seconds = spans(size, state, max(2.0, min(10.0, 3000 / size)))
+def dealer(size: int, state: str) -> Costs:
+    """Measures the allocator."""
+    churn, seconds = churn_and_duration_s(size, state, max(2.0, min(10.0, 3000 / size)))
     if churn:
         seconds = max(10.0, min(seconds, 60_000 / size))
     crowd = Crowd(size, 0, churn=churn)
-    tally = play(crowd, 4.0, seconds)
+    tally = run_crowd(crowd, 4.0, seconds)
     assert crowd.fleet.allocator.phase.name == "ALLOCATING", crowd.fleet.allocator.phase
-    note = PLACE + PAST + (f"; {CHURN}" if churn else "")
+    note = MEMBER_NOTE + VIEW_LIMIT_NOTE + (f"; {CHURN_NOTE}" if churn else "")
     return {
         Slope("dealer cpu", "ms/s", state, note): tally.cpu_ns / 1e6 / seconds,
         Slope("dealer bytes", "B/s", state, note + "; sent and received"): (
@@ -175,8 +183,8 @@
 
 
 @part("memory", states=("rest",))
-def memory(size: int, state: str) -> Found:
-    """Of views that came in by messages; the mean of three."""
+def memory(size: int, state: str) -> Costs:
+    """Measures the memory of views that were received in messages; the mean of three."""
 
     def view() -> FleetMember:
         all_of = [
@@ -217,7 +225,7 @@
     tracemalloc.stop()
     note = (
         "tracemalloc over three members: view, what the dealing sees of it, order of probes; all sizes measured; "
-        + PAST
+        + VIEW_LIMIT_NOTE
     )
     return {
         Slope("view memory", "MB", state, note): plain / 3e6,
@@ -226,9 +234,10 @@
 
 
 @part("newcomer", states=("rest",))
-def newcomer(size: int, state: str) -> Found:
-    """One that knows three addresses, until its view is the crowd's; and one of whom a whole view
-    is asked once.
+def newcomer(size: int, state: str) -> Costs:
+    """Measures a newcomer, and the member that sends it a whole view.
+
+    The newcomer knows three addresses and runs until its view is the one of the crowd.
     """
     all_of = words(size)
     at = size // 2
@@ -258,7 +267,7 @@
             break
     note = (
         "one real newcomer among scripted peers that have the whole view, one way 0.3 to 1.3 ms; all sizes measured; "
-        + PAST
+        + VIEW_LIMIT_NOTE
     )
     return {
         Slope("newcomer cpu", "ms", state, note + "; until its view is theirs"): tally.cpu_ns / 1e6,
@@ -270,31 +279,39 @@
             "host cpu",
             "ms",
             state,
-            "a real member of whom a whole view is asked, page by page; " + PAST,
+            "a real member of whom a whole view is asked, page by page; " + VIEW_LIMIT_NOTE,
         ): spent / 1e6,
         Slope(
-            "host bytes", "B", state, "pages and what asks for them, one whole view; " + PAST
+            "host bytes",
+            "B",
+            state,
+            "pages and what asks for them, one whole view; " + VIEW_LIMIT_NOTE,
         ): float(octets),
     }
 
 
 @part("release", states=("rest",))
-def release(size: int, state: str) -> Found:
-    """A release under way, judged and sent out by waves: 25 s of it."""
+def release(size: int, state: str) -> Costs:
+    """Measures the first 25 s of a release that is rolled out in waves and evaluated."""
     world = RolloutSimulation(size, DisruptionBudget(max_out_share=0.1)).run_until_all_serve()
     idle: list[int] = []
     rounds: list[int] = []
-    steps, spans, of, step = 0, idle, world.leader.run_round, hand.DrainAgent.begin_drain
+    steps, durations, of, step = (
+        0,
+        idle,
+        world.leader.run_round,
+        agent_module.DrainAgent.begin_drain,
+    )
 
     def timed(now: int, book: RolloutState, members: list[ServerReport]) -> RolloutState:
         nonlocal steps
         began = thread_time_ns()
         made = of(now, book, members)
-        spans.append(thread_time_ns() - began)
+        durations.append(thread_time_ns() - began)
         steps += made is not book
         return made
 
-    def stepped(one: hand.DrainAgent, book: RolloutState) -> RolloutState | None:
+    def stepped(one: agent_module.DrainAgent, book: RolloutState) -> RolloutState | None:
         nonlocal steps
         steps += 1
         return step(one, book)
@@ -302,17 +319,17 @@
     world.leader.run_round = timed  # type: ignore[method-assign,assignment]
     for _ in range(5):
         world.run_second()
-    world.state, spans, steps = (
+    world.state, durations, steps = (
         world.state.start_release("v2", (1, 0.1, 0.5, 1.0), False),
         rounds,
         0,
     )
-    hand.DrainAgent.begin_drain = stepped  # type: ignore[method-assign]
+    agent_module.DrainAgent.begin_drain = stepped  # type: ignore[method-assign]
     try:
         for _ in range(25):
             world.run_second()
     finally:
-        hand.DrainAgent.begin_drain = step  # type: ignore[method-assign]
+        agent_module.DrainAgent.begin_drain = step  # type: ignore[method-assign]
     text, spent = encode_state(world.state), [0, 0]
     for _ in range(5):
         for at, work in enumerate((lambda: encode_state(world.state), lambda: decode_state(text))):
@@ -324,7 +341,7 @@
         " 25 s from its start; all sizes measured"
     )
     cost = sum(rounds) / len(rounds) / 1e6
-    swap, tell = asyncio.run(stored(world.state, list(world.members.values())[:50]))
+    swap, tell = asyncio.run(store_costs(world.state, list(world.members.values())[:50]))
     store = "SQLite on this machine's disk, processor time of the process; PostgreSQL not measured; all sizes measured"
     return {
         Slope("release round cpu", "ms", state, note): cost,
@@ -364,26 +381,26 @@
     }
 
 
-async def stored(book: RolloutState, members: Sequence[ServerReport]) -> tuple[float, float]:
-    """ms of the process a step of the book, and a word of a server."""
+async def store_costs(book: RolloutState, members: Sequence[ServerReport]) -> tuple[float, float]:
+    """Returns ms of processor time per step of the rollout state, and per report of a server."""
     with tempfile.TemporaryDirectory() as folder:
-        shelf = SqliteRolloutStore(Path(folder) / "store")
-        await shelf.open()
+        store = SqliteRolloutStore(Path(folder) / "store")
+        await store.open()
         began = time.process_time_ns()
         for at in range(10):
-            page = await shelf.read()
-            assert await shelf.compare_and_swap(page, replace(book, step=at))
+            page = await store.read()
+            assert await store.compare_and_swap(page, replace(book, step=at))
         swapped = time.process_time_ns()
         for member in members:
-            await shelf.write_report(member)
-        told = time.process_time_ns()
-        await shelf.close()
-    return (swapped - began) / 10e6, (told - swapped) / 1e6 / len(members)
+            await store.write_report(member)
+        reported = time.process_time_ns()
+        await store.close()
+    return (swapped - began) / 10e6, (reported - swapped) / 1e6 / len(members)
 
 
 @part("discovery", states=("rest",))
-def discovery(size: int, state: str) -> Found:
-    """Each server's reports of one second, as they come to a socket on loopback."""
+def discovery(size: int, state: str) -> Costs:
+    """Measures the reports of each server in one second, received by a loopback socket."""
     heard = octets = spent = 0
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as service:
         service.bind(("127.0.0.1", 0))
@@ -413,9 +430,10 @@
 
 
 @part("subset", states=("rest",))
-def subset(size: int, state: str) -> Found:
-    """What a server works out anew whenever somebody comes or goes, off the loop and on the same
-    core.
+def subset(size: int, state: str) -> Costs:
+    """Measures what a server recomputes whenever a member joins or leaves.
+
+    This runs outside the event loop, on the same core.
     """
     names, services = (
         [word.name for word in words(size)],
@@ -427,10 +445,10 @@
     fleet = filled(words(size), 1)
     began = thread_time_ns()
     json.dumps(summarize(fleet, START))
-    told = thread_time_ns() - began
+    summary_ns = thread_time_ns() - began
     note = (
         f"each server at each change of its view, {SERVICES} services below, subsets of {SUBSET}; all sizes measured; "
-        + PAST
+        + VIEW_LIMIT_NOTE
     )
     return {
         Slope("subset cpu", "ms", state, note): took / 1e6,
@@ -438,20 +456,21 @@
             "state file cpu",
             "ms/s",
             state,
-            "the text alone, once a second where the operator's file names a state_file; " + PAST,
-        ): told / 1e6,
+            "the text alone, once a second where the operator's file names a state_file; "
+            + VIEW_LIMIT_NOTE,
+        ): summary_ns / 1e6,
     }
 
 
-RACK, ZONES, REGIONS, CUT = 40, 14, 6, 30.0
-SWARM = "whole swarm of real members in simulated time, a tick each 100 ms, one way 0.3 to 1.3 ms, no loss, default terms; "
+SERVERS_PER_RACK, ZONES, REGIONS, CUT_S = 40, 14, 6, 30.0
+SWARM_NOTE = "whole swarm of real members in simulated time, a tick each 100 ms, one way 0.3 to 1.3 ms, no loss, default terms; "
 
 
 @part("agree", (30, 60, 100, 150, 200, 250, 300), ("rest",))
-def agree(size: int, state: str) -> Found:
-    """Each fault alone, from a fleet that agrees."""
-    note = SWARM + "the sizes of the row measured, past them extrapolated"
-    found: Found = {}
+def agree(size: int, state: str) -> Costs:
+    """Measures the time to agreement after single faults, each from a fleet that agrees."""
+    note = SWARM_NOTE + "the sizes of the row measured, past them extrapolated"
+    found: Costs = {}
 
     def put(name: str, said: str, seconds: float) -> None:
         found[Slope(name, "s", state, f"{note}; {said}")] = seconds
@@ -468,27 +487,28 @@
         if size >= 100:
             put(
                 "agree after rack",
-                f"{RACK} servers at once, sizes from 100",
-                after_deaths(swarm, bodies[-RACK:])[0],
+                f"{SERVERS_PER_RACK} servers at once, sizes from 100",
+                after_deaths(swarm, bodies[-SERVERS_PER_RACK:])[0],
             )
         took, back = after_deaths(swarm, bodies[-max(1, size // ZONES) :])
         put("agree after zone", "a fourteenth at once", took)
         put("agree after zone's return", "a fourteenth started at once", back)
-        took, back = after_cut(swarm, bodies[-size // REGIONS :], CUT)
+        took, back = after_cut(swarm, bodies[-size // REGIONS :], CUT_S)
         put("agree after region's cut", "a sixth; each side with itself", took)
-        put("agree after region's healing", f"a sixth, {CUT:.0f} s after the cut", back)
+        put("agree after region's healing", f"a sixth, {CUT_S:.0f} s after the cut", back)
     return found
 
 
 @part("cold", (30, 60, 100, 150, 200, 300), ("cold",))
-def cold(size: int, state: str) -> Found:
+def cold(size: int, state: str) -> Costs:
+    """Measures a start of all members at once."""
     with metered() as spent, swarm_of(size, terms(size), cold=True) as swarm:
         took = swarm.until(swarm.has_agreed_view)
         plain = sorted(cost for name, cost in spent.items() if int(name[1:]) > 2)
         net, note = (
             swarm.network,
             (
-                SWARM
+                SWARM_NOTE
                 + "all start at once knowing three addresses, until all agree; sizes to 300 measured,"
                 " past that extrapolated"
             ),
@@ -518,8 +538,8 @@
         }
 
 
-def passed(row: Row) -> str:
-    """The size at which the budget is passed, by the fit."""
+def budget_size(row: Row) -> str:
+    """Returns the size at which the fit exceeds the budget, as text."""
     budget, found = BUDGETS.get(row.unit, 0.0), fit(row.sizes, row.values)
     if not budget:
         return "-"
@@ -527,18 +547,20 @@
     return f"{at}" if at else "not up to 100,000"
 
 
-def told(row: Row) -> str:
+def format_row(row: Row) -> str:
+    """Formats a row as a line of a Markdown table."""
     found = fit(row.sizes, row.values)
     values = ", ".join(f"{value:.3g}" for value in row.values)
-    return f"| {row.name} | {row.state} | {row.unit} | {values} | {describe_fit(found)} | {passed(row)} |"
+    return f"| {row.name} | {row.state} | {row.unit} | {values} | {describe_fit(found)} | {budget_size(row)} |"
 
 
-def measured(
+def measure(
     name: str, sizes: Sequence[int], states: Sequence[str], side: str, step: Callable[[str], None]
 ) -> list[Row]:
+    """Measures a part at all sizes and returns its rows; `step` shows the progress."""
     what, own, may = PARTS[name]
     taken = tuple(sizes) or own
-    rows, speed = [], yardstick()
+    rows, speed = [], reference_cost_ms()
     for state in may:
         if states and state not in states:
             continue
@@ -598,7 +620,7 @@
 def servers(
     parts: tuple[str, ...], states: tuple[str, ...], sizes: str, side: str, keeps: bool
 ) -> None:
-    """What control costs by the number of servers."""
+    """Measures what control costs by the number of servers."""
     wanted = [int(size) for size in sizes.split(",") if size]
     click.echo(
         "| what | state | unit | values | fit | budget passed at |\n| --- | --- | --- | --- | --- | --- |"
@@ -606,7 +628,7 @@
     with Progress(console=Console(stderr=True)) as progress:
         for name in parts or PARTS:
             steps = progress.add_task(name, total=None)
-            for row in measured(
+            for row in measure(
                 name, wanted, states, side, lambda said: progress.update(steps, description=said)
             ):
                 if len(row.sizes) < 5:
@@ -615,5 +637,5 @@
                         f"| {row.name} | {row.state} | {row.unit} | {values} | too few sizes | |"
                     )
                     continue
-                click.echo(told(append_row(row) if keeps else row))
+                click.echo(format_row(append_row(row) if keeps else row))
             progress.remove_task(steps)
--- a/benchmarks/scale_swarms.py
+++ b/benchmarks/scale_swarms.py
@@ -1,5 +1,6 @@
-"""Whole swarms of real members in simulated time: how long until all agree, and what a start of all
-at once costs.
+"""Runs swarms of real members in simulated time.
+
+Measures how long members take to agree, and what a simultaneous start of all members costs.
 """
 
 from collections.abc import Callable, Iterator
@@ -7,122 +8,129 @@
 from time import thread_time_ns
 from typing import Any
 
-import burlloom.fleet.member as whole
+import burlloom.fleet.member as member_module
 from burlloom.lab.clock import simulated_loop
 from burlloom.lab.fleets import SimulatedNetwork, Swarm, SwarmMember
 
-MOST = 180.0  # s of simulated time, in which all agree or never
+MAX_AGREEMENT_S = 180.0  # s of simulated time after which a swarm counts as never agreeing
+
 
+class AgreementSwarm(Swarm):
+    """A swarm that checks agreement at each look.
 
-class Agreeing(Swarm):
-    """`agreed` once a look, over hundreds of members: what a view shows is worked out anew only
-    where it changed.
+    The names in a view are computed again only if the view changed, because a swarm has hundreds of
+    members.
     """
 
     shown: dict[str, tuple[object, int, frozenset[str]]]
 
     def has_agreed_view(self) -> bool:
+        """Returns whether all views hold exactly the running members."""
         self.shown = getattr(self, "shown", {})
-        up = self.running_members()
-        names = frozenset(body.name for body in up)
-        return all(self.names_of(body) == names for body in up)
+        running = self.running_members()
+        names = frozenset(body.name for body in running)
+        return all(self.names_of(body) == names for body in running)
 
     def names_of(self, body: SwarmMember) -> frozenset[str]:
+        """Returns the names of the members that are present in a view."""
         fleet = body.fleet_member
         assert fleet is not None
-        known = self.shown.get(body.name)
-        if known is None or known[0] is not fleet or known[1] != fleet.view.version:
+        cached = self.shown.get(body.name)
+        if cached is None or cached[0] is not fleet or cached[1] != fleet.view.version:
             names = frozenset(member.update.name for member in fleet.view.present_members())
-            known = self.shown[body.name] = fleet, fleet.view.version, names
-        return known[2]
+            cached = self.shown[body.name] = fleet, fleet.view.version, names
+        return cached[2]
 
     def until(self, test: Callable[[], bool]) -> float:
-        """Seconds until it holds."""
+        """Runs until the test holds and returns the seconds that it took."""
         began = self.loop.now_s
         while not test():
-            if self.loop.now_s - began > MOST:
-                raise AssertionError(f"{len(self.members)} servers: not within {MOST} s")
+            if self.loop.now_s - began > MAX_AGREEMENT_S:
+                raise AssertionError(f"{len(self.members)} servers: not within {MAX_AGREEMENT_S} s")
             self.run(0.1)
         return self.loop.now_s - began
 
 
 @contextmanager
-def swarm_of(size: int, terms: Any, cold: bool = False) -> Iterator[Agreeing]:
-    """All started; unless `cold`, each has the whole view already, taken in without messages."""
+def swarm_of(size: int, terms: Any, cold: bool = False) -> Iterator[AgreementSwarm]:
+    """Yields a started swarm; unless `cold`, each member gets the whole view without messages."""
     with simulated_loop() as loop:
-        swarm = Agreeing(loop, SimulatedNetwork(loop, 1), terms)
+        swarm = AgreementSwarm(loop, SimulatedNetwork(loop, 1), terms)
         swarm.add(size, 4.0)
         if not cold:
-            words = [
+            updates = [
                 body.fleet_member.own
                 for body in swarm.running_members()
                 if body.fleet_member is not None
             ]
             for body in swarm.running_members():
                 assert body.fleet_member is not None
-                for word in words:
-                    body.fleet_member.view.process_update(swarm.now_ns(), word)
+                for update in updates:
+                    body.fleet_member.view.process_update(swarm.now_ns(), update)
                 body.fleet_member.view.transitions = []
             swarm.run(6)
         yield swarm
 
 
-def after_deaths(swarm: Agreeing, bodies: list[SwarmMember]) -> tuple[float, float]:
-    """Until all that are left agree, and then until all agree with these started again."""
+def after_deaths(swarm: AgreementSwarm, bodies: list[SwarmMember]) -> tuple[float, float]:
+    """Returns seconds until the others agree, and then until all agree after a start of the dead."""
     for body in bodies:
         swarm.kill(body)
-    took = swarm.until(swarm.has_agreed_view)
+    agreement_s = swarm.until(swarm.has_agreed_view)
     for body in bodies:
         swarm.start(body)
-    back = swarm.until(swarm.has_agreed_view)
+    return_s = swarm.until(swarm.has_agreed_view)
     swarm.run(3)
-    return took, back
+    return agreement_s, return_s
 
 
-def after_restart(swarm: Agreeing, body: SwarmMember) -> float:
-    """It leaves, and is started again 2 s later: from then until all agree."""
+def after_restart(swarm: AgreementSwarm, body: SwarmMember) -> float:
+    """Lets a member leave, starts it again 2 s later, and returns seconds from then to agreement."""
     swarm.leave(body)
     swarm.run(2)
     swarm.start(body)
-    took = swarm.until(swarm.has_agreed_view)
+    agreement_s = swarm.until(swarm.has_agreed_view)
     swarm.run(3)
-    return took
+    return agreement_s
 
 
-def after_cut(swarm: Agreeing, part: list[SwarmMember], seconds: float) -> tuple[float, float]:
-    """Until both sides agree each with itself; and from the healing until all agree."""
-    up = swarm.running_members()
+def after_cut(
+    swarm: AgreementSwarm, part: list[SwarmMember], seconds: float
+) -> tuple[float, float]:
+    """Returns seconds until each side of a cut agrees, and from the end of the cut until all do."""
+    running = swarm.running_members()
     inside = {body.name for body in part}
-    sides = [frozenset(inside), frozenset(body.name for body in up if body.name not in inside)]
+    sides = [frozenset(inside), frozenset(body.name for body in running if body.name not in inside)]
     swarm.shown = {}
     swarm.network.cut(
-        [body.address for body in part], [body.address for body in up if body.name not in inside]
+        [body.address for body in part],
+        [body.address for body in running if body.name not in inside],
     )
     began = swarm.loop.now_s
-    took = swarm.until(
-        lambda: all(swarm.names_of(body) == sides[body.name not in inside] for body in up)
+    agreement_s = swarm.until(
+        lambda: all(swarm.names_of(body) == sides[body.name not in inside] for body in running)
     )
     swarm.run(max(0.0, seconds - (swarm.loop.now_s - began)))
     swarm.network.heal()
-    return took, swarm.until(swarm.has_agreed_view)
+    return agreement_s, swarm.until(swarm.has_agreed_view)
 
 
 @contextmanager
 def metered() -> Iterator[dict[str, int]]:
-    """Processor time of each member by its name, ns."""
+    """Yields the processor time in ns of each member by name."""
     spent: dict[str, int] = {}
-    tick, hear = whole.FleetMember.tick, whole.FleetMember.receive
+    tick, receive = member_module.FleetMember.tick, member_module.FleetMember.receive
 
-    def timed(of: Callable[..., None]) -> Callable[..., None]:
-        def call(fleet: whole.FleetMember, *told: Any) -> None:
+    def timed(method: Callable[..., None]) -> Callable[..., None]:
+        def call(fleet: member_module.FleetMember, *arguments: Any) -> None:
             began = thread_time_ns()
-            of(fleet, *told)
+            method(fleet, *arguments)
             spent[fleet.own.name] = spent.get(fleet.own.name, 0) + thread_time_ns() - began
 
         return call
 
-    whole.FleetMember.tick, whole.FleetMember.receive = timed(tick), timed(hear)  # type: ignore[method-assign]
+    member_module.FleetMember.tick, member_module.FleetMember.receive = timed(tick), timed(receive)  # type: ignore[method-assign]
     try:
         yield spent
     finally:
-        whole.FleetMember.tick, whole.FleetMember.receive = tick, hear  # type: ignore[method-assign]
+        member_module.FleetMember.tick, member_module.FleetMember.receive = tick, receive  # type: ignore[method-assign]
--- a/tests/planted_host.py
+++ b/tests/planted_host.py
@@ -2,7 +2,7 @@
 
 python tests/planted_host.py share    # the allocator ignores the grants of other members
 python tests/planted_host.py gap      # followers apply a change although an earlier one is missing
-python tests/planted_host.py content  # two followers drop the body of some changes, and digests of
+python tests/planted_host.py content  # two followers record some changes without applying, and digests of
                                       # the table are not compared
 """
 
--- a/tests/test_scale_servers.py
+++ b/tests/test_scale_servers.py
@@ -1,5 +1,7 @@
-"""The slopes by servers, in their small form: what a scripted crowd asks of its one real member is
-what a swarm of real ones does, and each part gives all of its slopes.
+"""Costs by servers at small sizes.
+
+A scripted crowd loads its one real member like a swarm of real members does, and each part measures
+all of its costs.
 """
 
 import pytest
@@ -7,7 +9,7 @@
 from click.testing import CliRunner
 from scale import scale
 from scale_crowd import START, Crowd, filled, members_most, terms, words
-from scale_servers import PARTS, Slope, measured, passed
+from scale_servers import PARTS, Slope, budget_size, measure
 from scale_swarms import after_deaths, swarm_of
 
 from burlloom.fleet import MemberState
@@ -16,7 +18,7 @@
 
 
 def test_a_crowd_asks_of_a_member_what_a_swarm_does() -> None:
-    """Messages and bytes a second at rest, of one among thirty."""
+    """Compares messages and bytes per second at rest, of one member among thirty."""
     crowd = Crowd(30, 15)
     crowd.run(5)
     before = crowd.tally.sent, crowd.tally.bytes_sent
@@ -24,7 +26,7 @@
     with swarm_of(30, terms(30)) as swarm:
         sent, octets = swarm.network.sent, swarm.network.bytes_sent
         swarm.run(30)
-        # One of thirty deals: what it grants the others counts with theirs.
+        # One of thirty is the allocator; its grants to the others are not counted.
         each = (swarm.network.sent - sent - 29 * 5 * 30) / 30 / 30
         assert (crowd.tally.sent - before[0]) / 30 == pytest.approx(each, rel=0.1)
         assert (
@@ -49,9 +51,7 @@
 
 @pytest.mark.parametrize("at", [0, 20])
 def test_news_of_the_crowd_come_to_the_member_and_end(at: int) -> None:
-    """Who leaves, comes back or dies: the member and all peers come to one view, and then nobody
-    reads views any more.
-    """
+    """After a leave, a restart and a death all views agree, and no further views are requested."""
     crowd = Crowd(40, at, churn=1e-9)
     crowd.run(4)
     left, dead = crowd.peers[10], crowd.peers[11]
@@ -74,8 +74,9 @@
 
 
 def test_a_restart_and_a_death_are_as_many_bytes_in_a_crowd_as_in_a_swarm() -> None:
-    """What a member sends more than at rest until ten seconds after; in a swarm the mean of all, in
-    crowds that of six.
+    """Compares the bytes sent above those at rest until ten seconds after a restart and a death.
+
+    In a swarm it is the mean of all members, in crowds the mean of six.
     """
     with swarm_of(40, terms(40)) as swarm:
 
@@ -187,13 +188,13 @@
         return found | ({Slope("b", "s", state, "y"): 1.0} if size > 20 else {})
 
     monkeypatch.setitem(PARTS, "member", (work, (10, 20, 30, 40, 50), ("rest",)))
-    a, b = measured("member", (), (), "now", lambda said: None)
+    a, b = measure("member", (), (), "now", lambda said: None)
     assert a.sizes == (10, 20, 30, 40, 50)
     assert a.values == (20, 40, 60, 80, 100)
     assert b.sizes == (30, 40, 50)
-    assert passed(a) == "19"
+    assert budget_size(a) == "19"
     assert a.command == "python benchmarks/scale.py servers --part member --state rest"
-    assert passed(Row("c", "servers", "1/s", "rest", a.sizes, a.values, "", "")) == "-"
+    assert budget_size(Row("c", "servers", "1/s", "rest", a.sizes, a.values, "", "")) == "-"
 
 
 def test_the_command_prints_a_table() -> None:
