--- a/benchmarks/scale_request.py
+++ b/benchmarks/scale_request.py
@@ -1,5 +1,4 @@
-"""What the way of a request costs by requests a second, and what it costs while the server does
-something for control.
+"""Measures the cost of requests by their rate, and while the server does work for control.
 
     python benchmarks/scale.py request                    # without calls below, some two minutes
     python benchmarks/scale.py request --calls
@@ -9,9 +8,9 @@
     python benchmarks/scale.py lead                       # while it leads a release, by servers
     python benchmarks/scale.py deal                       # while it deals, by members; --plain: while another does
 
-Open loop: Poisson arrivals from a seed, latency from the intended moment, in an HDR histogram.
-Latency wants a machine at rest: each line says its load, and a row from a busy machine says so.
-Processor time counts then too.
+The load is an open loop with Poisson arrivals from a seed. Latency counts from the intended time of
+a request, in an HDR histogram. Latency needs an idle machine, so each line shows the load of the
+machine, and a row from a busy machine says so; its processor time is valid nevertheless.
 """
 
 import asyncio
@@ -55,41 +54,43 @@
 
 RATES = "50,100,200,300,500,700,1000"
 CALM = 2 * SECOND
-SETTLE = 1.0  # s of idleness, connections open, against which processor time is told
+SETTLE = 1.0  # s with idle connections, whose processor time is subtracted
 
 
 @dataclass(frozen=True, slots=True)
 class Played:
-    """Of one run. `cpu`: processor time of the server's loop, ms a request, less what it takes at
-    rest.
+    """Measurements of one run.
+
+    `cpu` is the processor time of the server's event loop thread in ms per request, without the
+    time that it takes at rest.
     """
 
     sent: list[Sent]
-    own: dict[str, int]  # ns that the stand-ins had each
+    own: dict[str, int]  # ns that each request spent in the stand-ins, by request id
     begin: int
     cpu: float
     idle: float  # ms/s at rest
-    used: float  # ms/s in all
+    used: float  # ms/s in total
     load: float
     quiet: bool
-    moments: list[int]  # of events
+    moments: list[int]  # times of the events, in monotonic ns
 
 
 class Happening(Protocol):
-    """What is done to a server under load."""
+    """An action on a server under load."""
 
     def prepare(self, rig: Rig) -> None:
-        """Before it starts."""
+        """Prepares the server before it starts."""
 
     async def ready(self, rig: Rig) -> None:
-        """Before the load."""
+        """Waits, before the load, until the server is ready for the action."""
 
     async def happens(self, rig: Rig, first: int) -> list[int]:
-        """Told when the count begins; gives the moments."""
+        """Acts and returns the times of the events; `first` is the begin of the measurement, in ns."""
 
 
 async def played(load: Load, what: Happening | None = None) -> Played:
-    """One real server between stand-ins, under a load."""
+    """Runs one real server between stand-ins under a load."""
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         told_calls = None
@@ -158,7 +159,7 @@
 
 
 def least_p99(play: Played) -> float:
-    """Of the calmest span of a run."""
+    """Returns the p99 of the calmest span of a run."""
     spans: dict[int, list[Sent]] = {}
     for one in play.sent:
         if play.begin <= one.intended:
@@ -168,11 +169,12 @@
 
 
 async def rest(until: int) -> None:
+    """Waits until a monotonic time in ns."""
     await asyncio.sleep(max(0, until - time.monotonic_ns()) / SECOND)
 
 
 async def harness(load: Load) -> Told:
-    """The same load on a process that answers at once."""
+    """Runs the same load on a process that answers at once."""
     process, ours = started(echo)
     generator, pipe = started(generate, await word_of(ours), load)
     try:
@@ -187,6 +189,7 @@
 
 
 def common(command: Callable[..., None]) -> Callable[..., None]:
+    """Adds the options that all commands share."""
     for option in (
         click.option("--dry", is_flag=True, help="Keeps no rows."),
         click.option(
@@ -220,7 +223,7 @@
 def request(
     rates: tuple[int, ...], seconds: float, calls: bool, bare: bool, seed: int, dry: bool, to: Path
 ) -> None:
-    """One real server at several rates."""
+    """Measures one real server at several rates."""
     place = None if dry else to
     command = (
         f"python benchmarks/scale.py request --rates {','.join(map(str, rates))} --seconds {seconds:g}"
@@ -302,20 +305,18 @@
     click.echo(f"a whole core is passed at {'none' if ends is None else f'{ends:.0f}'} a second")
 
 
-# While the server does something for control.
-
-BEFORE, AFTER = SECOND // 4, SECOND * 3 // 4  # around a moment
-APART = 2 * SECOND  # from a moment to one without anything
-SETTLED = 2.5  # s from the beginning to the first moment
-CUT = 6.0  # s: until the others have buried who is cut off
-NEARLY = 0.95  # of the members: on a busy machine a few are always suspected
+BEFORE, AFTER = SECOND // 4, SECOND * 3 // 4  # ns around an event whose requests are measured
+APART = 2 * SECOND  # ns between an event and a time without any
+SETTLED = 2.5  # s from the begin to the first event
+CUT = 6.0  # s of a cut, after which the others have declared the server dead
+NEARLY = 0.95  # share of the members that is enough, because on a busy machine a few are always suspected
 WHILE = 6 * SECOND
 HOLLOW_MOST = 100  # members in one process
 TENANTS, MEMBERS = "10000,30000,100000,200000,430000", "10,30,100,200,300"
 
 
 def windows(play: Played, moments: Sequence[int]) -> Told:
-    """All requests that were to be sent around these."""
+    """Returns the latency of the requests whose intended time is close to one of these times."""
     near = [
         one for one in play.sent if any(at - BEFORE <= one.intended < at + AFTER for at in moments)
     ]
@@ -323,14 +324,14 @@
 
 
 class Reloads:
-    """The server reads its file anew, `times` times, `gap` s apart."""
+    """Lets the server reload its configuration file `times` times, `gap` s apart."""
 
     by = "tenants"
 
     def __init__(self, count: int, times: int, gap: float) -> None:
         self.count, self.times, self.gap = count, times, gap
         self.seconds = SETTLED + times * gap
-        self.beside = APART  # before each moment nothing happens
+        self.beside = APART  # ns before each event, when nothing happens
 
     async def __aenter__(self) -> "Reloads":
         return self
@@ -354,8 +355,9 @@
 
 
 class Members(Reloads):
-    """The server is one of `count` members, all others hollow. `deals`: by its life it is the one
-    that deals.
+    """Makes the server one of `count` members; all others are hollow.
+
+    With `deals` the server has the oldest incarnation and is the allocator.
     """
 
     by = "members"
@@ -395,9 +397,11 @@
             pipe.send(words)
 
     async def ready(self, rig: Rig) -> None:
-        """Until nearly all know nearly all (of few, all of them) and who deals, and the server's
-        view is another's too; or nearly so for a while, as on a busy machine there is always
-        somebody who is suspected.
+        """Waits until the members agree.
+
+        Nearly all members (all of them, if they are few) must see nearly all others and the right
+        allocator, and another member must have the same view as the server. Equal views are not
+        required after a while, because on a busy machine some member is always suspected.
         """
         self.tell("real", re.findall(r"event=membership_opened .* address=(\S+)", rig.log())[-1])
         async with asyncio.timeout(60):
@@ -415,8 +419,9 @@
                 await asyncio.sleep(0.2)
 
     async def seen(self) -> tuple[bool, list[tuple[str, int]]]:
-        """Whether the server's view is that of others; by each hollow member, who deals, and how
-        many are there.
+        """Returns whether another member has the server's view, and what each hollow member sees.
+
+        A member sees the name of the allocator and the number of members.
         """
         self.tell("see")
         found = [await word_of(pipe) for _, pipe in self.processes]
@@ -424,16 +429,19 @@
 
 
 class Rejoins(Members):
-    """It is cut off for so long that it is taken for dead, and healed: that is the moment. Where
-    the row says that it was gone to 0% of the others, it was not: nothing but a suspicion was
-    refuted.
+    """Cuts the server off until the others declare it dead, and then ends the cut.
+
+    The event is the end of the cut. If the row says that the server was gone to 0% of the others,
+    it was not declared dead and only refuted a suspicion.
     """
 
     def __init__(self, count: int, times: int, gap: float) -> None:
         super().__init__(count, times, gap)
         self.beside = int((CUT + 1) * SECOND)  # before the cut
         self.seconds = SETTLED + times * (CUT + gap)
-        self.buried: list[float] = []  # share of the others to whom it was gone when it was healed
+        self.buried: list[
+            float
+        ] = []  # share of the others that held the server for dead at the end of each cut
 
     async def happens(self, rig: Rig, first: int) -> list[int]:
         found = []
@@ -450,8 +458,9 @@
 
 
 class Leads(Reloads):
-    """The server leads a release of `count` servers, all others hollow; it runs the next version
-    already.
+    """Lets the server lead a release of `count` servers; all others are hollow.
+
+    The server already runs the next version.
     """
 
     by = "servers"
@@ -470,7 +479,7 @@
         rig.operator = {"rollout": self.part}
 
     async def ready(self, rig: Rig) -> None:
-        """Until all stand in the book, and the release has begun."""
+        """Waits until the rollout state holds all servers and the release has begun."""
         names = [f"h{at:04d}" for at in range(self.count - 1)]
         self.process, self.pipe = started(
             hollow_releases.tell, self.part["store"]["sqlite"]["path"], names
@@ -481,13 +490,13 @@
             assert seen[2].startswith(rig.name), seen
             self.pipe.send("start")
             while not await word_of(self.pipe):
-                self.pipe.send("start")  # the leader wrote meanwhile
+                self.pipe.send("start")  # repeated because the leader wrote in between
             while (await self.seen())[1] == "IDLE":
                 await asyncio.sleep(0.5)
             await asyncio.sleep(2.0)
 
     async def seen(self) -> tuple[int, str, str]:
-        """How many stand in the book, the phase, and who leads."""
+        """Returns the number of servers in the rollout state, the phase and the leader."""
         self.pipe.send("see")
         found: tuple[int, str, str] = await word_of(self.pipe)
         return found
@@ -500,6 +509,7 @@
 
 
 async def happened(load: Load, what: Reloads) -> Played:
+    """Runs an action on a server under load."""
     async with what:
         return await played(replace(load, seconds=what.seconds), what)
 
@@ -524,9 +534,7 @@
 def during(
     what: str, sizes: str, rate: int, times: int, gap: float, seed: int, dry: bool, to: Path
 ) -> None:
-    """p99 and the longest answer around what a server does for control, against the same
-    without.
-    """
+    """Measures p99 and the longest answer around work for control, and without such work."""
     kind: type[Reloads] = {"reload": Reloads, "rejoin": Rejoins}[what]
     counts = whole(sizes or (TENANTS if kind is Reloads else MEMBERS))
     command = (
@@ -630,7 +638,7 @@
 def deal(
     sizes: tuple[int, ...], rate: int, seconds: float, plain: bool, seed: int, dry: bool, to: Path
 ) -> None:
-    """p99 of requests at a server that deals the calls below to all members, or at a plain one."""
+    """Measures p99 of requests at the allocator of a fleet, or at a plain member."""
     steady(
         [Members(count, 0, 0.0, deals=not plain) for count in sizes],
         rate,
@@ -647,7 +655,7 @@
 @sized
 @common
 def lead(sizes: tuple[int, ...], rate: int, seconds: float, seed: int, dry: bool, to: Path) -> None:
-    """p99 of requests at a server that leads a release of all servers."""
+    """Measures p99 of requests at a server that leads a release of all servers."""
     steady(
         [Leads(count, 0, 0.0) for count in sizes],
         rate,
@@ -670,7 +678,7 @@
     more: str,
     who: str,
 ) -> None:
-    """What is done all the time of a run."""
+    """Measures requests while an action lasts for the whole run."""
     sizes = [one.count for one in happenings]
     command = (
         f"python benchmarks/scale.py {name} --sizes {','.join(map(str, sizes))} --rate {rate}"
@@ -723,6 +731,7 @@
 
 
 def busy(plays: list[Played]) -> str:
+    """Returns a warning for notes if the machine was busy in a run."""
     return "" if all(play.quiet for play in plays) else "BUSY machine, latency counts for nothing; "
 
 
